--- a/Makefile
+++ b/Makefile
@@ -4,36 +4,40 @@
 VERSION ?= $(shell git describe --always --dirty 2>/dev/null || echo dev)
 LDFLAGS = -ldflags "-X main.version=$(VERSION)"
 
-.PHONY: build vet lint unit rehearsal test fuzz generate
+.PHONY: build vet lint unit scenarios rehearsal test fuzz generate
 
 build:
-	go build $(LDFLAGS) -o bin/ ./cmd/cresspondd ./cmd/cresspond-platform ./cmd/cresspond ./rehearsal/cmd/rehearse
+	go build $(LDFLAGS) -o bin/ ./cmd/cresspondd ./cmd/cresspond-platform ./cmd/cresspond ./testbed/cmd/testbed
+	ln -sf testbed bin/rehearse
 
 vet:
 	@test -z "$$(gofmt -l . )" || { gofmt -l .; echo "these files are not formatted"; exit 1; }
-	go vet ./... ./rehearsal/...
+	go vet ./... ./testbed/...
 
 # Pinned as a tool in go.mod, configured by staticcheck.conf, without exclusions.
 lint:
-	go tool staticcheck ./... ./rehearsal/...
+	go tool staticcheck ./... ./testbed/...
 
 # What runs daemons over sockets goes by real time: beside simulations that take every core, waits that are
 # ample fail. So those packages run after all others, one at a time, and few of their tests at once.
-LIVE = rehearsal/endtoend|rehearsal/platformkit|rehearsal/scale
+LIVE = testbed/endtoend|testbed/platformtest|testbed/scale
 
 # Tests that fail for a fault not mended yet, one a line in KNOWN-RED.txt; they are passed over and printed.
 RED = $(shell cut -d: -f1 KNOWN-RED.txt 2>/dev/null | paste -sd'|' -)
 
 unit:
 	@if test -s KNOWN-RED.txt; then echo "passed over, known red:"; cat KNOWN-RED.txt; fi
-	go test -race -count=1 -timeout 30m $$(go list ./... ./rehearsal/... | grep -v -E '$(LIVE)')
-	go test -race -count=1 -timeout 30m -p 1 -parallel 4 $(if $(RED),-skip '^($(RED))$$') $$(go list ./rehearsal/... | grep -E '$(LIVE)')
+	go test -race -count=1 -timeout 30m $$(go list ./... ./testbed/... | grep -v -E '$(LIVE)')
+	go test -race -count=1 -timeout 30m -p 1 -parallel 4 $(if $(RED),-skip '^($(RED))$$') $$(go list ./testbed/... | grep -E '$(LIVE)')
 
-rehearsal: build
-	bin/rehearse run small --seed $(SEED)
-	bin/rehearse run platform --seed $(SEED) --acts 7
+# The name before was rehearsal.
+rehearsal: scenarios
 
-test: vet lint rehearsal unit
+scenarios: build
+	bin/testbed run small --seed $(SEED)
+	bin/testbed run platform --seed $(SEED) --acts 7
+
+test: vet lint scenarios unit
 
 # How long each fuzz target runs on, and a pattern of those to run. Their corpora under testdata/fuzz run with the
 # unit tests. Where the time ends in the middle of an input the go tool calls that a failure without an input; all
@@ -53,4 +57,4 @@
 
 # Needs protoc, protoc-gen-go and protoc-gen-twirp; what they make is committed.
 generate:
-	protoc --go_out=. --go_opt=paths=source_relative --twirp_out=. --twirp_opt=paths=source_relative wire/fellowapi/fellow.proto
+	protoc --go_out=. --go_opt=paths=source_relative --twirp_out=. --twirp_opt=paths=source_relative wire/peerapi/fellow.proto
--- a/cmd/cresspond-platform/main.go
+++ b/cmd/cresspond-platform/main.go
@@ -15,11 +15,11 @@
 	jsonlog "github.com/apex/log/handlers/json"
 
 	"github.com/cresspond/cresspond/cmd/internal/application"
+	"github.com/cresspond/cresspond/daemon"
 	"github.com/cresspond/cresspond/platform"
-	"github.com/cresspond/cresspond/process/config"
-	"github.com/cresspond/cresspond/process/daemon"
-	"github.com/cresspond/cresspond/process/mechanism"
-	"github.com/cresspond/cresspond/process/ranking"
+	"github.com/cresspond/cresspond/process/daemonconfig"
+	"github.com/cresspond/cresspond/process/engines/nodehealth"
+	"github.com/cresspond/cresspond/process/featuregates"
 )
 
 // version is set by the build.
@@ -28,9 +28,9 @@
 func main() {
 	app := application.New("cresspond-platform", "The cresspond daemon on a users' platform.", version)
 	file := app.Flag("config", "Settings file, TOML.").Short('c').Envar(platform.SettingsVariable).String()
-	ranks := app.Flag("ranking", "What engines are ranked for by how their nodes behave: off, watch, or drain the worst.").Default(string(ranking.Off)).Envar("CRESSPOND_RANKING").
-		Enum(string(ranking.Off), string(ranking.Watch), string(ranking.Drain))
-	without := app.Flag("without", "For experiments: a mechanism to go without; once for each.").Enums(mechanism.Names()...)
+	ranks := app.Flag("ranking", "What engines are ranked for by how their nodes behave: off, watch, or drain the worst.").Default(string(nodehealth.Off)).Envar("CRESSPOND_RANKING").
+		Enum(string(nodehealth.Off), string(nodehealth.Watch), string(nodehealth.Drain))
+	without := app.Flag("without", "For experiments: a mechanism to go without; once for each.").Enums(featuregates.Names()...)
 	logLevel := app.Flag("log", "The least level that is logged.").Default(log.InfoLevel.String()).Enum("debug", "info", "warn", "error")
 	metrics := app.Flag("metrics", "Where metrics are served, PORT/PATH as in the deploy file.").String()
 	checkOnly := app.Flag("check", "Check the settings, say what is wrong, and end.").Bool()
@@ -50,7 +50,7 @@
 		}
 		os.Exit(application.ExitWrongUsage)
 	}
-	settings.Ranking.Mode = ranking.Mode(*ranks)
+	settings.Ranking.Mode = nodehealth.Mode(*ranks)
 	settings.Log, settings.Experiments.Without = *logLevel, *without
 	if *checkOnly {
 		fmt.Println("the settings are sound")
@@ -64,12 +64,12 @@
 
 // run runs the daemon until a signal asks it to stop. An incarnation that may not go on, since its group declared it
 // lost, is followed by another with a name of its own.
-func run(settings config.Config, file string) {
+func run(settings daemonconfig.Config, file string) {
 	// A client, an engine or a log's reader that went away must not end the daemon.
 	signal.Ignore(syscall.SIGPIPE)
 	stop := stopSignal()
 	var current atomic.Pointer[daemon.Daemon]
-	reload := func(next config.Config) {
+	reload := func(next daemonconfig.Config) {
 		if running := current.Load(); running != nil {
 			running.Reload(next)
 		}
@@ -113,7 +113,7 @@
 const startAgain = 500 * time.Millisecond
 
 // build puts the daemon and the platform's forms together.
-func build(settings config.Config) *daemon.Daemon {
+func build(settings daemonconfig.Config) *daemon.Daemon {
 	return daemon.New(settings, version, log.Log,
 		daemon.WithReadiness(func(*daemon.Daemon) daemon.Handler { return platform.Readiness{} }),
 		daemon.WithForwarding(platform.Dialect()),
@@ -125,7 +125,7 @@
 }
 
 // readAtStart gives a file that is just being written a moment.
-func readAtStart(file string) (config.Config, []config.Fault) {
+func readAtStart(file string) (daemonconfig.Config, []daemonconfig.Fault) {
 	const looks, between = 5, 200 * time.Millisecond
 	settings, faults := platform.ReadSettings(file)
 	for range looks {
@@ -156,7 +156,7 @@
 }
 
 // watch reads the settings again at each signal, and when the file looks changed at a look.
-func watch(file string, signals <-chan os.Signal, looks <-chan time.Time, reload func(config.Config)) {
+func watch(file string, signals <-chan os.Signal, looks <-chan time.Time, reload func(daemonconfig.Config)) {
 	read, pending, said := stampOf(file), false, false
 	for signals != nil || looks != nil {
 		select {
--- a/cmd/cresspond-platform/main_test.go
+++ b/cmd/cresspond-platform/main_test.go
@@ -11,7 +11,7 @@
 	"github.com/apex/log"
 	"github.com/apex/log/handlers/discard"
 
-	"github.com/cresspond/cresspond/process/config"
+	"github.com/cresspond/cresspond/process/daemonconfig"
 )
 
 const (
@@ -36,9 +36,9 @@
 	}
 	whole := func(seed string) string { return head + "seeds = [\"" + seed + ":9\"]" + tail }
 	put(whole("10.0.0.2"))
-	told, looks, read, ended := make(chan os.Signal), make(chan time.Time), make(chan config.Config, 1), make(chan struct{})
+	told, looks, read, ended := make(chan os.Signal), make(chan time.Time), make(chan daemonconfig.Config, 1), make(chan struct{})
 	go func() {
-		watch(path, told, looks, func(c config.Config) { read <- c })
+		watch(path, told, looks, func(c daemonconfig.Config) { read <- c })
 		close(ended)
 	}()
 	// A channel without room hands over when the one before is done with.
--- a/cmd/cresspond/closures.go
+++ b/cmd/cresspond/closures.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/alecthomas/kingpin/v2"
 
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
--- a/cmd/cresspond/daemons.go
+++ b/cmd/cresspond/daemons.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/mechanism"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/featuregates"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
@@ -24,7 +24,7 @@
 	mechanisms := c.app.Command("mechanisms", "List the mechanisms that an experiment can go without.")
 	c.offline[mechanisms.FullCommand()] = true
 	c.on(mechanisms, func(t *tool) error {
-		for _, one := range mechanism.Descriptions() {
+		for _, one := range featuregates.Descriptions() {
 			fmt.Printf("%-18s %s\n", one.Name, one.Purpose)
 		}
 		return nil
--- a/cmd/cresspond/nodes.go
+++ b/cmd/cresspond/nodes.go
@@ -7,7 +7,7 @@
 	"strings"
 	"text/tabwriter"
 
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
--- a/cmd/cresspond/proposals.go
+++ b/cmd/cresspond/proposals.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"net/url"
 
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
--- a/cmd/cresspond/show.go
+++ b/cmd/cresspond/show.go
@@ -8,8 +8,8 @@
 	"text/tabwriter"
 	"time"
 
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
--- a/cmd/cresspondd/flags.go
+++ b/cmd/cresspondd/flags.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/alecthomas/kingpin/v2"
 
-	"github.com/cresspond/cresspond/process/config"
+	"github.com/cresspond/cresspond/process/daemonconfig"
 )
 
 // flags are the daemon's flags; those that are given override the settings file.
@@ -40,8 +40,8 @@
 }
 
 // settings reads the settings file, overrides it by the flags and checks the whole.
-func (f *flags) settings() (config.Config, []config.Fault) {
-	settings, faults := config.Read(*f.file)
+func (f *flags) settings() (daemonconfig.Config, []daemonconfig.Fault) {
+	settings, faults := daemonconfig.Read(*f.file)
 	f.override(&settings)
 	// A file that can't be read leaves nothing worth checking further.
 	if len(faults) == 0 {
@@ -50,7 +50,7 @@
 	return settings, faults
 }
 
-func (f *flags) override(settings *config.Config) {
+func (f *flags) override(settings *daemonconfig.Config) {
 	set := func(into *string, value string) {
 		if value != "" {
 			*into = value
@@ -73,7 +73,7 @@
 	if len(*f.serve) > 0 {
 		settings.Serve = nil
 		for _, role := range *f.serve {
-			settings.Serve = append(settings.Serve, config.Role(role))
+			settings.Serve = append(settings.Serve, daemonconfig.Role(role))
 		}
 	}
 }
--- a/cmd/cresspondd/main.go
+++ b/cmd/cresspondd/main.go
@@ -12,7 +12,7 @@
 	jsonlog "github.com/apex/log/handlers/json"
 
 	"github.com/cresspond/cresspond/cmd/internal/application"
-	"github.com/cresspond/cresspond/process/daemon"
+	"github.com/cresspond/cresspond/daemon"
 	"github.com/cresspond/cresspond/wire/dialect"
 )
 
--- a/cmd/cresspondd/recover.go
+++ b/cmd/cresspondd/recover.go
@@ -7,20 +7,20 @@
 
 	"github.com/rotisserie/eris"
 
-	"github.com/cresspond/cresspond/process/config"
-	"github.com/cresspond/cresspond/process/daemon"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/recovery"
-	"github.com/cresspond/cresspond/process/statemachine"
-	"github.com/cresspond/cresspond/process/store"
+	"github.com/cresspond/cresspond/daemon"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/recovery"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/consensus/store"
+	"github.com/cresspond/cresspond/process/daemonconfig"
 )
 
 // askLimit bounds the questions to one living daemon.
 const askLimit = 10 * time.Second
 
 // recoverGroup makes the next generation of a lost group in this daemon's empty data folder.
-func recoverGroup(settings config.Config, witnesses []string, survivor string) error {
-	if !settings.Serves(config.Control) {
+func recoverGroup(settings daemonconfig.Config, witnesses []string, survivor string) error {
+	if !settings.Serves(daemonconfig.Control) {
 		return eris.New("only a daemon that serves control can hold a group")
 	}
 	group, state := ident.GroupID(""), statemachine.New()
--- a/epoch/packed/fuzz_test.go
+++ b/configuration/compression/fuzz_test.go
@@ -1,4 +1,4 @@
-package packed
+package compression
 
 import (
 	"bytes"
--- a/epoch/packed/packed.go
+++ b/configuration/compression/packed.go
@@ -1,6 +1,6 @@
-// Package packed is the form in which bundles lie in the log and travel between daemons: compressed, since a
+// Package compression is the form in which bundles lie in the log and travel between daemons: compressed, since a
 // bundle of thousands of paths says the same words over and over.
-package packed
+package compression
 
 import (
 	"sync"
--- a/epoch/spec/duplicates.go
+++ b/configuration/document/duplicates.go
@@ -1,4 +1,4 @@
-package spec
+package document
 
 import (
 	"bytes"
--- a/epoch/spec/forward_test.go
+++ b/configuration/document/forward_test.go
@@ -1,4 +1,4 @@
-package spec
+package document
 
 import (
 	"encoding/json"
@@ -11,13 +11,13 @@
 	"github.com/leanovate/gopter/gen"
 	"github.com/leanovate/gopter/prop"
 
-	"github.com/cresspond/cresspond/epoch/forward"
+	"github.com/cresspond/cresspond/configuration/upstream"
 )
 
 // opaque builds a sound section on opaque requests.
-func opaque() *forward.Section {
-	return &forward.Section{Revision: 3, Pools: []forward.Pool{{Name: "p"}}, Paths: []forward.Path{
-		{Name: "a", Host: "h", Prefix: "/", Class: forward.Once, DeadlineMs: 5, Attempts: 1, Shares: []forward.Share{{Pool: "p", Weight: 1}}},
+func opaque() *upstream.Section {
+	return &upstream.Section{Revision: 3, Pools: []upstream.Pool{{Name: "p"}}, Paths: []upstream.Path{
+		{Name: "a", Host: "h", Prefix: "/", Class: upstream.Once, DeadlineMs: 5, Attempts: 1, Shares: []upstream.Share{{Pool: "p", Weight: 1}}},
 	}}
 }
 
@@ -82,29 +82,29 @@
 // opaqueBreaks are ways to spoil a sound section, with where the fault must be told.
 var opaqueBreaks = []struct {
 	path  string
-	spoil func(*forward.Section)
+	spoil func(*upstream.Section)
 }{
-	{"forward.revision", func(s *forward.Section) { s.Revision = 0 }},
-	{"forward.paths[0].name", func(s *forward.Section) { s.Paths[0].Name = "" }},
-	{"forward.paths[0].host", func(s *forward.Section) { s.Paths[0].Host = "" }},
-	{"forward.paths[0].prefix", func(s *forward.Section) { s.Paths[0].Prefix = "a/" }},
-	{"forward.paths[0].prefix", func(s *forward.Section) { s.Paths[0].Prefix = "/a" }},
-	{"forward.paths[0].class", func(s *forward.Section) { s.Paths[0].Class = "twice" }},
-	{"forward.paths[0].deadlineMs", func(s *forward.Section) { s.Paths[0].DeadlineMs = 0 }},
-	{"forward.paths[0].targetMs", func(s *forward.Section) { s.Paths[0].TargetMs = -1 }},
-	{"forward.paths[0].attempts", func(s *forward.Section) { s.Paths[0].Attempts = 0 }},
-	{"forward.paths[0].shares", func(s *forward.Section) { s.Paths[0].Shares = nil }},
-	{"forward.paths[0].shares", func(s *forward.Section) { s.Paths[0].Shares[0].Weight = 0 }},
-	{"forward.paths[0].shares[0].weight", func(s *forward.Section) { s.Paths[0].Shares[0].Weight = -1 }},
-	{"forward.paths[0].shares[0].pool", func(s *forward.Section) { s.Paths[0].Shares[0].Pool = "none" }},
-	{"forward.paths[1].name", func(s *forward.Section) { s.Paths = append(s.Paths, s.Paths[0]) }},
-	{"forward.paths[1].prefix", func(s *forward.Section) { s.Paths = append(s.Paths, s.Paths[0]) }},
-	{"forward.pools[0].name", func(s *forward.Section) { s.Pools[0].Name = "" }},
-	{"forward.pools[0].mostConnections", func(s *forward.Section) { s.Pools[0].MostConnections = -1 }},
-	{"forward.pools[0].catalogue.models[0].sizeMb", func(s *forward.Section) {
-		s.Pools[0].Catalogue = &forward.Catalogue{Models: []forward.Model{{Name: "m"}}}
+	{"forward.revision", func(s *upstream.Section) { s.Revision = 0 }},
+	{"forward.paths[0].name", func(s *upstream.Section) { s.Paths[0].Name = "" }},
+	{"forward.paths[0].host", func(s *upstream.Section) { s.Paths[0].Host = "" }},
+	{"forward.paths[0].prefix", func(s *upstream.Section) { s.Paths[0].Prefix = "a/" }},
+	{"forward.paths[0].prefix", func(s *upstream.Section) { s.Paths[0].Prefix = "/a" }},
+	{"forward.paths[0].class", func(s *upstream.Section) { s.Paths[0].Class = "twice" }},
+	{"forward.paths[0].deadlineMs", func(s *upstream.Section) { s.Paths[0].DeadlineMs = 0 }},
+	{"forward.paths[0].targetMs", func(s *upstream.Section) { s.Paths[0].TargetMs = -1 }},
+	{"forward.paths[0].attempts", func(s *upstream.Section) { s.Paths[0].Attempts = 0 }},
+	{"forward.paths[0].shares", func(s *upstream.Section) { s.Paths[0].Shares = nil }},
+	{"forward.paths[0].shares", func(s *upstream.Section) { s.Paths[0].Shares[0].Weight = 0 }},
+	{"forward.paths[0].shares[0].weight", func(s *upstream.Section) { s.Paths[0].Shares[0].Weight = -1 }},
+	{"forward.paths[0].shares[0].pool", func(s *upstream.Section) { s.Paths[0].Shares[0].Pool = "none" }},
+	{"forward.paths[1].name", func(s *upstream.Section) { s.Paths = append(s.Paths, s.Paths[0]) }},
+	{"forward.paths[1].prefix", func(s *upstream.Section) { s.Paths = append(s.Paths, s.Paths[0]) }},
+	{"forward.pools[0].name", func(s *upstream.Section) { s.Pools[0].Name = "" }},
+	{"forward.pools[0].mostConnections", func(s *upstream.Section) { s.Pools[0].MostConnections = -1 }},
+	{"forward.pools[0].catalogue.models[0].sizeMb", func(s *upstream.Section) {
+		s.Pools[0].Catalogue = &upstream.Catalogue{Models: []upstream.Model{{Name: "m"}}}
 	}},
-	{"forward.limits.mostBodyBytes", func(s *forward.Section) { s.Limits.MostBodyBytes = -1 }},
+	{"forward.limits.mostBodyBytes", func(s *upstream.Section) { s.Limits.MostBodyBytes = -1 }},
 }
 
 func TestFaultsOfOpaqueRequestsAreToldWithTheirPlaces(t *testing.T) {
--- a/epoch/spec/references.go
+++ b/configuration/document/references.go
@@ -1,9 +1,9 @@
-package spec
+package document
 
 import (
 	"fmt"
 
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // crossFaults finds names that stand twice or that nothing bears.
--- a/epoch/spec/spec.go
+++ b/configuration/document/spec.go
@@ -1,5 +1,5 @@
-// Package spec reads and checks the operators' bundle: routes, catalogue, zones and engines.
-package spec
+// Package document reads and checks the operators' bundle: routes, catalogue, zones and engines.
+package document
 
 import (
 	"bytes"
@@ -13,8 +13,8 @@
 	"github.com/rotisserie/eris"
 	fastjson "github.com/segmentio/encoding/json"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // Spec is one bundle.
@@ -28,7 +28,7 @@
 	Store    Store     `json:"store"`
 	Limits   Limits    `json:"limits"`
 	// Forward is there for deployments whose requests are opaque; the parts on sessions may then be left out.
-	Forward *forward.Section `json:"forward,omitempty"`
+	Forward *upstream.Section `json:"forward,omitempty"`
 }
 
 // Zone is one place where machines stand.
--- a/epoch/spec/spec_test.go
+++ b/configuration/document/spec_test.go
@@ -1,4 +1,4 @@
-package spec
+package document
 
 import (
 	"encoding/json"
@@ -11,7 +11,7 @@
 	"github.com/leanovate/gopter/gen"
 	"github.com/leanovate/gopter/prop"
 
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // made builds a sound bundle of the given sizes.
--- a/epoch/table/registered_test.go
+++ b/configuration/routingtable/registered_test.go
@@ -1,17 +1,17 @@
-package table
+package routingtable
 
 import (
 	"testing"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/epoch/spec"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/configuration/document"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
 func TestRegisteredEnginesAreOpenUnlessShutOrDrained(t *testing.T) {
 	closures := statemachine.Closures{Zones: map[ident.ZoneID]statemachine.ClosureMark{"shut": {}}, Engines: map[ident.EngineID]statemachine.ClosureMark{"drained": {}}}
-	built := Build(1, nil, &spec.Spec{Name: "opaque", Forward: &forward.Section{Revision: 1}}, closures)
+	built := Build(1, nil, &document.Spec{Name: "opaque", Forward: &upstream.Section{Revision: 1}}, closures)
 	for _, c := range []struct {
 		engine ident.EngineID
 		zone   ident.ZoneID
@@ -25,7 +25,7 @@
 	if built.Open("a") {
 		t.Error("an engine that stands in no bundle is open")
 	}
-	if !Build(1, nil, &spec.Spec{}, statemachine.Closures{}).OpenRegistered("a", "here") {
+	if !Build(1, nil, &document.Spec{}, statemachine.Closures{}).OpenRegistered("a", "here") {
 		t.Error("without any closures")
 	}
 }
--- a/epoch/table/table.go
+++ b/configuration/routingtable/table.go
@@ -1,21 +1,21 @@
-// Package table is what a spec looks like to the request path: built whole off the path, then
+// Package routingtable is what a spec looks like to the request path: built whole off the path, then
 // swapped in by one pointer and never changed after.
-package table
+package routingtable
 
 import (
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/epoch/packed"
-	"github.com/cresspond/cresspond/epoch/spec"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/configuration/compression"
+	"github.com/cresspond/cresspond/configuration/document"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
 // Route is one route ready for look-up.
 type Route struct {
-	spec.Route
+	document.Route
 	models   map[string]bool
 	adapters map[string]bool
 }
@@ -24,29 +24,29 @@
 type Table struct {
 	Epoch    ident.Epoch
 	Closures statemachine.Closures
-	Spec     *spec.Spec
+	Spec     *document.Spec
 	// Raw is the bundle as it was proposed, byte for byte.
 	Raw []byte
 	// Bundle is the same in the form in which it travels.
-	Bundle packed.Bundle
+	Bundle compression.Bundle
 	// Forward is what the bundle says of opaque requests; nil where it says nothing.
-	Forward *forward.Index
+	Forward *upstream.Index
 
 	routes   map[string]*Route
-	engines  map[ident.EngineID]spec.Engine
-	models   map[string]spec.Model
-	adapters map[string]spec.Adapter
+	engines  map[ident.EngineID]document.Engine
+	models   map[string]document.Model
+	adapters map[string]document.Adapter
 }
 
 // Build makes the table for a bundle.
-func Build(epoch ident.Epoch, raw []byte, parsed *spec.Spec, closures statemachine.Closures) *Table {
+func Build(epoch ident.Epoch, raw []byte, parsed *document.Spec, closures statemachine.Closures) *Table {
 	t := &Table{
 		Epoch: epoch, Closures: closures, Spec: parsed, Raw: raw,
-		routes: make(map[string]*Route, len(parsed.Routes)), engines: map[ident.EngineID]spec.Engine{},
-		models: map[string]spec.Model{}, adapters: map[string]spec.Adapter{},
+		routes: make(map[string]*Route, len(parsed.Routes)), engines: map[ident.EngineID]document.Engine{},
+		models: map[string]document.Model{}, adapters: map[string]document.Adapter{},
 	}
 	if parsed.Forward != nil {
-		t.Forward = forward.NewIndex(parsed.Forward)
+		t.Forward = upstream.NewIndex(parsed.Forward)
 	}
 	for _, route := range parsed.Routes {
 		built := &Route{Route: route, models: map[string]bool{}, adapters: map[string]bool{}}
@@ -84,23 +84,26 @@
 }
 
 // Model and Adapter give entries of the catalogue.
-func (t *Table) Model(name string) (spec.Model, bool) { model, ok := t.models[name]; return model, ok }
+func (t *Table) Model(name string) (document.Model, bool) {
+	model, ok := t.models[name]
+	return model, ok
+}
 
 // Adapter gives an adapter by name.
-func (t *Table) Adapter(name string) (spec.Adapter, bool) {
+func (t *Table) Adapter(name string) (document.Adapter, bool) {
 	adapter, ok := t.adapters[name]
 	return adapter, ok
 }
 
 // Engine gives an engine the bundle allows.
-func (t *Table) Engine(id ident.EngineID) (spec.Engine, bool) {
+func (t *Table) Engine(id ident.EngineID) (document.Engine, bool) {
 	engine, ok := t.engines[id]
 	return engine, ok
 }
 
 // HasZone says whether the bundle names a zone.
 func (t *Table) HasZone(name ident.ZoneID) bool {
-	return slices.ContainsFunc(t.Spec.Zones, func(zone spec.Zone) bool { return zone.Name == name })
+	return slices.ContainsFunc(t.Spec.Zones, func(zone document.Zone) bool { return zone.Name == name })
 }
 
 // Allows says whether the bundle lets this route use this model and adapter.
--- a/epoch/forward/forward.go
+++ b/configuration/upstream/forward.go
@@ -1,6 +1,6 @@
-// Package forward is the bundle's section on opaque requests: paths by host and prefix, the pools of
+// Package upstream is the bundle's section on opaque requests: paths by host and prefix, the pools of
 // engines that serve them, and what a pool's engines may hold.
-package forward
+package upstream
 
 import "encoding/json"
 
--- a/connection/operators/based_test.go
+++ b/connection/adminapi/based_test.go
@@ -1,18 +1,18 @@
-package operators
+package adminapi
 
 import (
 	"fmt"
 	"testing"
 
-	"github.com/cresspond/cresspond/process/ranking"
+	"github.com/cresspond/cresspond/process/engines/nodehealth"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
 // TestEachActOnANodeNamesTheClosuresItWasLookedUpIn: so that a copy of it which comes late finds itself or is refused.
 func TestEachActOnANodeNamesTheClosuresItWasLookedUpIn(t *testing.T) {
 	for act, page := range map[string]operatorapi.Nodes{
-		"drain": ranks(ranking.Allowed, operatorapi.Node{}), "keep": ranks(ranking.Allowed, operatorapi.Node{}),
-		"release": ranks(ranking.ShutAlready, operatorapi.Node{Shut: true, ShutBy: "ana", Kept: "ana"}),
+		"drain": ranks(nodehealth.Allowed, operatorapi.Node{}), "keep": ranks(nodehealth.Allowed, operatorapi.Node{}),
+		"release": ranks(nodehealth.ShutAlready, operatorapi.Node{Shut: true, ShutBy: "ana", Kept: "ana"}),
 	} {
 		p := &planning{page: page}
 		status, word := post(p, fmt.Sprintf(`{"engine":"e","act":%q,"operator":"ana"}`, act))
--- a/connection/operators/bundle.go
+++ b/connection/adminapi/bundle.go
@@ -1,4 +1,4 @@
-package operators
+package adminapi
 
 import (
 	"context"
@@ -8,9 +8,9 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/epoch/spec"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/configuration/document"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
@@ -55,13 +55,13 @@
 	call := operatorapi.Apply{Base: ident.Revision(base), Operator: operator, Digest: operatorapi.Digest(string(ctx.Method()), ident.Revision(base), ctx.PostBody())}
 	if ctx.IsPut() {
 		// What an operator wrote is read strictly here; the leader is handed what is sound in itself.
-		if _, faults := spec.Parse(ctx.PostBody()); len(faults) > 0 {
+		if _, faults := document.Parse(ctx.PostBody()); len(faults) > 0 {
 			fail(ctx, fasthttp.StatusBadRequest, operatorapi.Error{Outcome: string(operatorapi.Invalid), Reason: "the bundle has faults", Faults: faults})
 			return
 		}
 		call.Whole = ctx.PostBody()
 	} else {
-		call.Patch = &forward.Patch{}
+		call.Patch = &upstream.Patch{}
 		if !read(ctx, call.Patch) {
 			return
 		}
--- a/connection/operators/engines.go
+++ b/connection/adminapi/engines.go
@@ -1,4 +1,4 @@
-package operators
+package adminapi
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"github.com/go-playground/validator/v10"
 	"github.com/valyala/fasthttp"
 
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/registry"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
--- a/connection/operators/fuzz_test.go
+++ b/connection/adminapi/fuzz_test.go
@@ -1,4 +1,4 @@
-package operators
+package adminapi
 
 import (
 	"context"
@@ -6,9 +6,9 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/registry"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/engines/registry"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
--- a/connection/operators/nodes.go
+++ b/connection/adminapi/nodes.go
@@ -1,4 +1,4 @@
-package operators
+package adminapi
 
 import (
 	"context"
@@ -6,9 +6,9 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/ranking"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/engines/nodehealth"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
@@ -56,9 +56,9 @@
 		return
 	}
 	place := slices.IndexFunc(page.Nodes, func(node operatorapi.Node) bool { return node.Engine == body.Engine })
-	refuse := func(why ranking.Refusal) {
+	refuse := func(why nodehealth.Refusal) {
 		status := fasthttp.StatusConflict
-		if why == ranking.Unknown {
+		if why == nodehealth.Unknown {
 			status = fasthttp.StatusNotFound
 		}
 		fail(ctx, status, operatorapi.Error{Outcome: why.String(), Reason: why.Reason(), Field: "engine"})
@@ -70,11 +70,11 @@
 	shutByRank := place >= 0 && page.Nodes[place].ShutFor != ""
 	switch {
 	case place < 0 && body.Act != operatorapi.NodeRelease:
-		refuse(ranking.Unknown)
+		refuse(nodehealth.Unknown)
 		return
 	case body.Act == operatorapi.NodeDrain:
 		// What the ranking shut an operator may shut for good: nothing more goes by that.
-		if why := refusalNamed(page.Asked); why != ranking.Allowed && !(why == ranking.ShutAlready && shutByRank) {
+		if why := refusalNamed(page.Asked); why != nodehealth.Allowed && !(why == nodehealth.ShutAlready && shutByRank) {
 			refuse(why)
 			return
 		}
@@ -107,11 +107,11 @@
 }
 
 // refusalNamed reads a refusal by its name.
-func refusalNamed(name string) ranking.Refusal {
-	for why := ranking.Allowed; why <= ranking.LastHolder; why++ {
+func refusalNamed(name string) nodehealth.Refusal {
+	for why := nodehealth.Allowed; why <= nodehealth.LastHolder; why++ {
 		if why.String() == name {
 			return why
 		}
 	}
-	return ranking.Unknown
+	return nodehealth.Unknown
 }
--- a/connection/operators/nodes_test.go
+++ b/connection/adminapi/nodes_test.go
@@ -1,4 +1,4 @@
-package operators
+package adminapi
 
 import (
 	"context"
@@ -8,9 +8,9 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/ranking"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/engines/nodehealth"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
@@ -41,7 +41,7 @@
 	return ctx.Response.StatusCode(), word
 }
 
-func ranks(asked ranking.Refusal, node operatorapi.Node) operatorapi.Nodes {
+func ranks(asked nodehealth.Refusal, node operatorapi.Node) operatorapi.Nodes {
 	node.Engine = "e"
 	return operatorapi.Nodes{ClosureEpoch: 9, Asked: asked.String(), Nodes: []operatorapi.Node{node}}
 }
@@ -55,25 +55,25 @@
 		op     statemachine.Op
 		closed bool
 	}{
-		"drain":                        {"drain", ranks(ranking.Allowed, operatorapi.Node{}), 200, statemachine.OpClosure, true},
-		"drain the last holder":        {"drain", ranks(ranking.LastHolder, operatorapi.Node{}), 409, "", false},
-		"drain past the pool's bound":  {"drain", ranks(ranking.PastPool, operatorapi.Node{}), 409, "", false},
-		"drain past the zone's bound":  {"drain", ranks(ranking.PastZone, operatorapi.Node{}), 409, "", false},
-		"drain past the holders'":      {"drain", ranks(ranking.PastHolders, operatorapi.Node{}), 409, "", false},
-		"drain a kept one":             {"drain", ranks(ranking.KeptOpen, operatorapi.Node{Kept: "ana"}), 409, "", false},
-		"drain a drained one":          {"drain", ranks(ranking.ShutAlready, byOperator), 409, "", false},
-		"drain what the ranking did":   {"drain", ranks(ranking.ShutAlready, byRank), 200, statemachine.OpClosure, true},
-		"drain an unknown one":         {"drain", operatorapi.Nodes{Asked: ranking.Unknown.String()}, 404, "", false},
-		"keep":                         {"keep", ranks(ranking.Allowed, operatorapi.Node{}), 200, statemachine.OpKeep, true},
-		"keep what the ranking shut":   {"keep", ranks(ranking.ShutAlready, byRank), 200, statemachine.OpKeep, true},
-		"keep what an operator drains": {"keep", ranks(ranking.ShutAlready, byOperator), 409, "", false},
+		"drain":                        {"drain", ranks(nodehealth.Allowed, operatorapi.Node{}), 200, statemachine.OpClosure, true},
+		"drain the last holder":        {"drain", ranks(nodehealth.LastHolder, operatorapi.Node{}), 409, "", false},
+		"drain past the pool's bound":  {"drain", ranks(nodehealth.PastPool, operatorapi.Node{}), 409, "", false},
+		"drain past the zone's bound":  {"drain", ranks(nodehealth.PastZone, operatorapi.Node{}), 409, "", false},
+		"drain past the holders'":      {"drain", ranks(nodehealth.PastHolders, operatorapi.Node{}), 409, "", false},
+		"drain a kept one":             {"drain", ranks(nodehealth.KeptOpen, operatorapi.Node{Kept: "ana"}), 409, "", false},
+		"drain a drained one":          {"drain", ranks(nodehealth.ShutAlready, byOperator), 409, "", false},
+		"drain what the ranking did":   {"drain", ranks(nodehealth.ShutAlready, byRank), 200, statemachine.OpClosure, true},
+		"drain an unknown one":         {"drain", operatorapi.Nodes{Asked: nodehealth.Unknown.String()}, 404, "", false},
+		"keep":                         {"keep", ranks(nodehealth.Allowed, operatorapi.Node{}), 200, statemachine.OpKeep, true},
+		"keep what the ranking shut":   {"keep", ranks(nodehealth.ShutAlready, byRank), 200, statemachine.OpKeep, true},
+		"keep what an operator drains": {"keep", ranks(nodehealth.ShutAlready, byOperator), 409, "", false},
 		"keep an unknown one":          {"keep", operatorapi.Nodes{}, 404, "", false},
-		"release a drain":              {"release", ranks(ranking.ShutAlready, byOperator), 200, statemachine.OpClosure, false},
-		"release a rank's drain":       {"release", ranks(ranking.ShutAlready, byRank), 200, statemachine.OpClosure, false},
-		"release a keeping":            {"release", ranks(ranking.KeptOpen, operatorapi.Node{Kept: "ana"}), 200, statemachine.OpKeep, false},
-		"release neither":              {"release", ranks(ranking.Allowed, operatorapi.Node{}), 409, "", false},
+		"release a drain":              {"release", ranks(nodehealth.ShutAlready, byOperator), 200, statemachine.OpClosure, false},
+		"release a rank's drain":       {"release", ranks(nodehealth.ShutAlready, byRank), 200, statemachine.OpClosure, false},
+		"release a keeping":            {"release", ranks(nodehealth.KeptOpen, operatorapi.Node{Kept: "ana"}), 200, statemachine.OpKeep, false},
+		"release neither":              {"release", ranks(nodehealth.Allowed, operatorapi.Node{}), 409, "", false},
 		"release one that is gone":     {"release", operatorapi.Nodes{}, 200, statemachine.OpClosure, false},
-		"no such act":                  {"stop", ranks(ranking.Allowed, operatorapi.Node{}), 400, "", false},
+		"no such act":                  {"stop", ranks(nodehealth.Allowed, operatorapi.Node{}), 400, "", false},
 	} {
 		p := &planning{page: c.page}
 		status, word := post(p, fmt.Sprintf(`{"engine":"e","act":%q,"operator":"ana"}`, c.act))
@@ -98,7 +98,7 @@
 }
 
 func TestBothAreReleased(t *testing.T) {
-	p := &planning{page: ranks(ranking.ShutAlready, operatorapi.Node{Shut: true, ShutBy: "ana", Kept: "ana"})}
+	p := &planning{page: ranks(nodehealth.ShutAlready, operatorapi.Node{Shut: true, ShutBy: "ana", Kept: "ana"})}
 	if status, word := post(p, `{"engine":"e","act":"release","operator":"ana"}`); status != 200 || len(p.commands) != 2 || p.commands[0].Op != statemachine.OpKeep || p.commands[1].Op != statemachine.OpClosure {
 		t.Fatalf("%d %+v %+v", status, word, p.commands)
 	}
@@ -109,7 +109,7 @@
 		t.Fatal(status)
 	}
 	for _, body := range []string{``, `{}`, `{"engine":"e","act":"drain"}`, `{"act":"drain","operator":"ana"}`, `{"engine":"e","act":"drain","operator":"ana","force":true}`} {
-		if status, _ := post(&planning{page: ranks(ranking.Allowed, operatorapi.Node{})}, body); status != 400 {
+		if status, _ := post(&planning{page: ranks(nodehealth.Allowed, operatorapi.Node{})}, body); status != 400 {
 			t.Errorf("%s: %d", body, status)
 		}
 	}
--- a/connection/operators/operators.go
+++ b/connection/adminapi/operators.go
@@ -1,5 +1,5 @@
-// Package operators is the desk where operators' and the platform's requests are served.
-package operators
+// Package adminapi is the desk where operators' and the platform's requests are served.
+package adminapi
 
 import (
 	"bytes"
@@ -13,8 +13,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
--- a/connection/enginelink/enginelink.go
+++ b/connection/enginestream/enginelink.go
@@ -1,6 +1,6 @@
-// Package enginelink carries one go to an engine over a connection of its own. It never sends
+// Package enginestream carries one go to an engine over a connection of its own. It never sends
 // twice: a fresh connection makes "could not connect" the proof that nothing was sent.
-package enginelink
+package enginestream
 
 import (
 	"bufio"
--- a/connection/enginelink/enginelink_test.go
+++ b/connection/enginestream/enginelink_test.go
@@ -1,4 +1,4 @@
-package enginelink
+package enginestream
 
 import (
 	"bufio"
--- a/connection/gateway/answers_test.go
+++ b/connection/gateway/answers_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/cresspond/cresspond/epoch/forward"
+	"github.com/cresspond/cresspond/configuration/upstream"
 	"github.com/cresspond/cresspond/request/forwarding"
 )
 
@@ -387,10 +387,10 @@
 	<-dialled
 	f.beforeLook = func() {}
 	// Between the choice and the first byte the path moves to a pool without engines.
-	moved := path("once", forward.Once)
+	moved := path("once", upstream.Once)
 	moved.Shares[0].Pool = "q"
 	moved.TargetMs = 10
-	f.index.Store(forward.NewIndex(&forward.Section{Revision: 2, Paths: []forward.Path{moved}, Pools: []forward.Pool{{Name: "p"}, {Name: "q"}}}))
+	f.index.Store(upstream.NewIndex(&upstream.Section{Revision: 2, Paths: []upstream.Path{moved}, Pools: []upstream.Pool{{Name: "p"}, {Name: "q"}}}))
 	close(let)
 	if got := <-got; got.status != 503 {
 		t.Errorf("%+v", got)
@@ -410,7 +410,7 @@
 	f.draining.Store(false)
 	section := *f.index.Load().Section
 	section.Limits.MostBodyBytes = 3
-	f.index.Store(forward.NewIndex(&section))
+	f.index.Store(upstream.NewIndex(&section))
 	if got := f.call(ask("once", "a2", "ping")); got.status != 413 {
 		t.Errorf("%+v", got)
 	}
@@ -420,18 +420,18 @@
 func TestOnlyACurrentTableSaysThatSomethingIsTooLarge(t *testing.T) {
 	engine := newStandIn(t, "e1", func(a arrival) bool { say(a, wholeOf(a, "pong")); return true })
 	f := newFixture(t, engine)
-	limited := func(limits forward.Limits) {
+	limited := func(limits upstream.Limits) {
 		section := *f.index.Load().Section
 		section.Limits = limits
-		f.index.Store(forward.NewIndex(&section))
+		f.index.Store(upstream.NewIndex(&section))
 	}
 	for _, c := range []struct {
 		name   string
-		limits forward.Limits
+		limits upstream.Limits
 		final  int
 	}{
-		{"body", forward.Limits{MostBodyBytes: 3}, 413},
-		{"head", forward.Limits{MostHeaderBytes: 40}, 431},
+		{"body", upstream.Limits{MostBodyBytes: 3}, 413},
+		{"head", upstream.Limits{MostHeaderBytes: 40}, 431},
 	} {
 		limited(c.limits)
 		f.old.Store(true)
@@ -443,7 +443,7 @@
 		if got := f.call(ask("once", c.name+"2", "ping")); got.status != c.final || !got.closes {
 			t.Errorf("%s by a current table: %+v", c.name, got)
 		}
-		limited(forward.Limits{})
+		limited(upstream.Limits{})
 		if got := f.call(ask("once", c.name+"1", "ping")); got.status != 200 {
 			t.Errorf("%s by a newer table: %+v", c.name, got)
 		}
--- a/connection/gateway/chaos_test.go
+++ b/connection/gateway/chaos_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/request/forwarding"
 )
 
@@ -108,10 +108,10 @@
 	}
 	f := newFixture(t, engines...)
 	whole := f.index.Load()
-	moved := path("once", forward.Once)
+	moved := path("once", upstream.Once)
 	moved.Shares[0].Pool = "q"
 	moved.TargetMs = 40
-	elsewhere := forward.NewIndex(&forward.Section{Revision: 2, Paths: append([]forward.Path{moved}, whole.Section.Paths[1:]...), Pools: []forward.Pool{{Name: "p"}, {Name: "q"}}})
+	elsewhere := upstream.NewIndex(&upstream.Section{Revision: 2, Paths: append([]upstream.Path{moved}, whole.Section.Paths[1:]...), Pools: []upstream.Pool{{Name: "p"}, {Name: "q"}}})
 
 	type told struct {
 		path, id string
@@ -153,7 +153,7 @@
 				return
 			case <-ticker.C:
 			}
-			f.index.Store([]*forward.Index{whole, whole, elsewhere}[random(3)])
+			f.index.Store([]*upstream.Index{whole, whole, elsewhere}[random(3)])
 			f.engines(engines[random(2):]...)
 			f.actor.Poke()
 		}
--- a/connection/gateway/cost_test.go
+++ b/connection/gateway/cost_test.go
@@ -8,9 +8,9 @@
 	"strings"
 	"testing"
 
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/ranking"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/nodehealth"
+	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
 // plainEngine answers each request with the same bytes and without allocating, so that what is measured is
@@ -100,10 +100,10 @@
 
 // BenchmarkStreamMeasured is the same with the engine's node measured.
 func BenchmarkStreamMeasured(b *testing.B) {
-	streamOf(b, 60, ranking.NewRecorder())
+	streamOf(b, 60, nodehealth.NewRecorder())
 }
 
-func streamOf(b *testing.B, count int, recorder *ranking.Recorder) {
+func streamOf(b *testing.B, count int, recorder *nodehealth.Recorder) {
 	answers := []string{"HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\nCresspond-Seal: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"}
 	for n := 1; n <= count; n++ {
 		piece := fmt.Sprintf("id: %d\ndata: %s\n\n", n, strings.Repeat("x", 45))
--- a/connection/gateway/deadline_test.go
+++ b/connection/gateway/deadline_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // TestEveryAttemptBearsWhatIsLeft: by the client's own time or its path's, whichever is shorter, and also where the
@@ -78,9 +78,9 @@
 			}
 		})
 		f := newFixture(t, engine)
-		short := path(class, forward.Stream)
+		short := path(class, upstream.Stream)
 		short.DeadlineMs, short.Resumable = 300, class == "resume"
-		f.index.Store(forward.NewIndex(&forward.Section{Revision: 2, Pools: []forward.Pool{{Name: "p"}}, Paths: []forward.Path{short}}))
+		f.index.Store(upstream.NewIndex(&upstream.Section{Revision: 2, Pools: []upstream.Pool{{Name: "p"}}, Paths: []upstream.Path{short}}))
 		began := time.Now()
 		got := f.call(ask(class, "a1", "ping", "Cresspond-Deadline-Ms: 60000"))
 		if got.status != 200 || got.err == nil || time.Since(began) < 300*time.Millisecond {
--- a/connection/gateway/gateway.go
+++ b/connection/gateway/gateway.go
@@ -11,11 +11,11 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/cresspond/cresspond/connection/engineconn"
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ranking"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/process/engines/connectionpool"
+	"github.com/cresspond/cresspond/process/engines/nodehealth"
+	"github.com/cresspond/cresspond/process/engines/registry"
 	"github.com/cresspond/cresspond/request/forwarding"
 	"github.com/cresspond/cresspond/wire/dialect"
 )
@@ -25,7 +25,7 @@
 	Clock   clock.Clock
 	Dialect dialect.Dialect
 	// Index is the table in force, View the engines, Held whether a worker id is held.
-	Index func() *forward.Index
+	Index func() *upstream.Index
 	View  func() *registry.View
 	// Current says that the table in force is known to be new enough, so that what it does not allow is not allowed.
 	Current func() bool
@@ -36,7 +36,7 @@
 	Draining func() bool
 	Settings forwarding.Settings
 	// Recorder takes what is measured of engines' nodes; nil measures nothing.
-	Recorder *ranking.Recorder
+	Recorder *nodehealth.Recorder
 }
 
 // Counters are counted over a daemon's life.
@@ -49,13 +49,13 @@
 	Surroundings
 	Counters Counters
 	actor    *forwarding.Actor
-	pools    *engineconn.Pools
+	pools    *connectionpool.Pools
 	watcher  *watcher
 	open     atomic.Int64
 }
 
 // New makes a gateway.
-func New(s Surroundings, actor *forwarding.Actor, pools *engineconn.Pools) *Gateway {
+func New(s Surroundings, actor *forwarding.Actor, pools *connectionpool.Pools) *Gateway {
 	return &Gateway{Surroundings: s, actor: actor, pools: pools, watcher: newWatcher()}
 }
 
@@ -87,7 +87,7 @@
 	*Gateway
 	ctx    *fasthttp.RequestCtx
 	record *forwarding.Record
-	cancel engineconn.Cancel
+	cancel connectionpool.Cancel
 	caller *watched
 	left   atomic.Bool
 	head   fasthttp.RequestHeader
@@ -159,7 +159,7 @@
 	}
 	f := &flight{Gateway: g, ctx: ctx, record: forwarding.NewRecord(record), caller: newWatched(ctx.Conn()), body: ctx.Request.Body()}
 	ctx.Request.Header.CopyTo(&f.head)
-	engineconn.HopByHop(&f.head)
+	connectionpool.HopByHop(&f.head)
 	g.open.Add(1)
 	g.watcher.add(f)
 	if !g.actor.Admit(f.record) {
@@ -255,7 +255,7 @@
 		}
 		answer := f.attempt(step.Send)
 		outcome := outcomeOf(answer.Outcome)
-		if answer.Outcome == engineconn.Answered {
+		if answer.Outcome == connectionpool.Answered {
 			var stream *stream
 			if stream, outcome = f.take(answer); stream != nil {
 				return stream
@@ -291,26 +291,26 @@
 	return f.next()
 }
 
-func outcomeOf(outcome engineconn.Outcome) forwarding.Outcome {
+func outcomeOf(outcome connectionpool.Outcome) forwarding.Outcome {
 	switch outcome {
-	case engineconn.HeldBack:
+	case connectionpool.HeldBack:
 		return forwarding.HeldBack
-	case engineconn.NeverSent:
+	case connectionpool.NeverSent:
 		return forwarding.NeverSent
-	case engineconn.Refused:
+	case connectionpool.Refused:
 		return forwarding.EngineRefused
-	case engineconn.Misdirected:
+	case connectionpool.Misdirected:
 		return forwarding.Misdirected
-	case engineconn.Junk:
+	case connectionpool.Junk:
 		return forwarding.Junk
 	}
 	return forwarding.Lost
 }
 
 // attempt makes one attempt and waits for the head of its answer.
-func (f *flight) attempt(send *forwarding.Send) *engineconn.Answer {
+func (f *flight) attempt(send *forwarding.Send) *connectionpool.Answer {
 	f.send = send
-	answer := f.pools.Send(engineconn.Attempt{
+	answer := f.pools.Send(connectionpool.Attempt{
 		Engine: send.Engine, Address: send.Address, Pool: send.Pool, ID: f.record.Ask.Attempt, Head: &f.head, Dress: f.dress, Body: f.body, Careful: send.Careful,
 		MostConnections: send.MostConnections, Until: f.record.Deadline + clock.Mark(f.Settings.DeadlineSlack), LastLook: f.lastLook, Cancel: &f.cancel,
 	})
@@ -361,7 +361,7 @@
 }
 
 // take turns an engine's answer into ours: whole, as a stream, or not at all.
-func (f *flight) take(answer *engineconn.Answer) (*stream, forwarding.Outcome) {
+func (f *flight) take(answer *connectionpool.Answer) (*stream, forwarding.Outcome) {
 	status := answer.Response().StatusCode()
 	if status >= 200 && status < 300 && !answer.Head.Sealed {
 		// A success without the engine's stamp is nobody's.
@@ -408,10 +408,10 @@
 }
 
 // copyHead takes over the engine's head, but for what concerns its connection only.
-func (f *flight) copyHead(answer *engineconn.Answer) {
+func (f *flight) copyHead(answer *connectionpool.Answer) {
 	answer.Response().Header.CopyTo(&f.ctx.Response.Header)
 	f.ctx.Response.Header.SetNoDefaultContentType(true)
-	engineconn.HopByHopAnswer(&f.ctx.Response.Header)
+	connectionpool.HopByHopAnswer(&f.ctx.Response.Header)
 	if f.Draining() {
 		f.ctx.SetConnectionClose()
 	}
--- a/connection/gateway/gateway_test.go
+++ b/connection/gateway/gateway_test.go
@@ -15,11 +15,11 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/cresspond/cresspond/connection/engineconn"
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/connectionpool"
+	"github.com/cresspond/cresspond/process/engines/registry"
 	"github.com/cresspond/cresspond/request/forwarding"
 	"github.com/cresspond/cresspond/wire/dialect"
 )
@@ -112,32 +112,32 @@
 	t        testing.TB
 	gateway  *Gateway
 	address  string
-	index    atomic.Pointer[forward.Index]
+	index    atomic.Pointer[upstream.Index]
 	view     atomic.Pointer[registry.View]
 	held     atomic.Bool
 	draining atomic.Bool
 	// old says that the table in force may be old.
 	old   atomic.Bool
 	actor *forwarding.Actor
-	pools *engineconn.Pools
+	pools *connectionpool.Pools
 	// emptied says which engines were shut by rank.
 	emptied atomic.Pointer[func(*registry.Engine) bool]
 	// beforeLook is called when an engine is reached, right before the last look.
 	beforeLook func()
 }
 
-func path(name string, class forward.Class) forward.Path {
-	return forward.Path{Name: name, Host: "h.example", Prefix: "/" + name + "/", Class: class, DeadlineMs: 5000, TargetMs: 1000, Attempts: 3, Shares: []forward.Share{{Pool: "p", Weight: 1}}}
+func path(name string, class upstream.Class) upstream.Path {
+	return upstream.Path{Name: name, Host: "h.example", Prefix: "/" + name + "/", Class: class, DeadlineMs: 5000, TargetMs: 1000, Attempts: 3, Shares: []upstream.Share{{Pool: "p", Weight: 1}}}
 }
 
 func newFixture(t testing.TB, engines ...*standIn) *fixture {
 	t.Helper()
 	f := &fixture{t: t, beforeLook: func() {}}
 	f.held.Store(true)
-	resumable := path("resume", forward.Stream)
+	resumable := path("resume", upstream.Stream)
 	resumable.Resumable = true
-	f.index.Store(forward.NewIndex(&forward.Section{Revision: 1, Pools: []forward.Pool{{Name: "p"}},
-		Paths: []forward.Path{path("once", forward.Once), path("again", forward.Repeatable), path("stream", forward.Stream), resumable}}))
+	f.index.Store(upstream.NewIndex(&upstream.Section{Revision: 1, Pools: []upstream.Pool{{Name: "p"}},
+		Paths: []upstream.Path{path("once", upstream.Once), path("again", upstream.Repeatable), path("stream", upstream.Stream), resumable}}))
 	f.engines(engines...)
 	settings := forwarding.DefaultSettings()
 	settings.RetrySlack = 1000
@@ -153,7 +153,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go f.actor.Run(ctx)
-	f.pools = engineconn.New(clock.System{}, dialect.Own())
+	f.pools = connectionpool.New(clock.System{}, dialect.Own())
 	f.gateway = New(Surroundings{Clock: clock.System{}, Dialect: dressing{dialect.Own(), f}, Index: f.index.Load, View: f.view.Load, Current: func() bool { return !f.old.Load() },
 		Held: func() bool { return f.held.Load() }, Draining: f.draining.Load, Settings: settings}, f.actor, f.pools)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/connection/gateway/node.go
+++ b/connection/gateway/node.go
@@ -4,9 +4,9 @@
 	"io"
 	"time"
 
-	"github.com/cresspond/cresspond/connection/engineconn"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ranking"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/process/engines/connectionpool"
+	"github.com/cresspond/cresspond/process/engines/nodehealth"
 )
 
 // nodeWatch is what is measured of the engine that an attempt is at. Of the request itself nothing goes along but
@@ -14,28 +14,28 @@
 type nodeWatch struct {
 	// left is when the attempt's first byte was about to leave, last when its newest event came.
 	left, last clock.Mark
-	stalls     *ranking.Cell
+	stalls     *nodehealth.Cell
 }
 
-func (f *flight) class(kind ranking.Kind) ranking.Class {
-	class := ranking.Class{Kind: kind, Pool: f.send.Pool}
-	if kind == ranking.Connect {
+func (f *flight) class(kind nodehealth.Kind) nodehealth.Class {
+	class := nodehealth.Class{Kind: kind, Pool: f.send.Pool}
+	if kind == nodehealth.Connect {
 		return class
 	}
-	class.Model, class.Load = f.record.Ask.Model, ranking.LoadBand(f.send.Running)
+	class.Model, class.Load = f.record.Ask.Model, nodehealth.LoadBand(f.send.Running)
 	switch kind {
-	case ranking.Stall:
+	case nodehealth.Stall:
 		class.TargetMs = f.send.GapTargetMs
-	case ranking.Transfer:
-		class.Size = ranking.SizeBand(f.send.Reading)
+	case nodehealth.Transfer:
+		class.Size = nodehealth.SizeBand(f.send.Reading)
 	}
 	return class
 }
 
 // connected records how long a fresh connection took.
-func (f *flight) connected(answer *engineconn.Answer) {
+func (f *flight) connected(answer *connectionpool.Answer) {
 	if f.Recorder != nil && answer.Connect > 0 {
-		f.Recorder.Cell(f.send.Engine, f.class(ranking.Connect)).Delay(answer.Connect)
+		f.Recorder.Cell(f.send.Engine, f.class(nodehealth.Connect)).Delay(answer.Connect)
 	}
 }
 
@@ -52,7 +52,7 @@
 		return
 	}
 	now := f.Clock.Elapsed()
-	f.Recorder.Cell(f.send.Engine, f.class(ranking.Transfer)).Delay(now.Since(f.node.left))
+	f.Recorder.Cell(f.send.Engine, f.class(nodehealth.Transfer)).Delay(now.Since(f.node.left))
 	f.node.last = now
 }
 
@@ -68,7 +68,7 @@
 		return
 	}
 	if s.node.stalls == nil {
-		s.node.stalls = s.Recorder.Cell(s.send.Engine, s.class(ranking.Stall))
+		s.node.stalls = s.Recorder.Cell(s.send.Engine, s.class(nodehealth.Stall))
 	}
 	s.node.stalls.Pause(now.Since(before))
 }
--- a/connection/gateway/node_test.go
+++ b/connection/gateway/node_test.go
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ranking"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/process/engines/nodehealth"
+	"github.com/cresspond/cresspond/process/engines/registry"
 	"github.com/cresspond/cresspond/request/forwarding"
 	"github.com/cresspond/cresspond/wire/dialect"
 )
@@ -41,10 +41,10 @@
 }
 
 // measured is a stream whose engine pauses so; slow is how long its caller takes before each read.
-func measured(pauses []time.Duration, slow time.Duration, change func(*forwarding.Record, *forwarding.Send)) []ranking.Digest {
+func measured(pauses []time.Duration, slow time.Duration, change func(*forwarding.Record, *forwarding.Send)) []nodehealth.Digest {
 	watch := &tester{now: clock.Mark(time.Hour)}
-	recorder := ranking.NewRecorder()
-	record := forwarding.Record{Ask: dialect.Ask{Model: "m", Attempt: "a"}, Path: &forward.Path{Name: "one", Host: "h", Rank: 1}}
+	recorder := nodehealth.NewRecorder()
+	record := forwarding.Record{Ask: dialect.Ask{Model: "m", Attempt: "a"}, Path: &upstream.Path{Name: "one", Host: "h", Rank: 1}}
 	send := forwarding.Send{Engine: "e", Pool: "p", Running: 9, Reading: 1000, GapTargetMs: 100}
 	if change != nil {
 		change(&record, &send)
@@ -67,7 +67,7 @@
 	return recorder.Take()
 }
 
-func values(digests []ranking.Digest, kind ranking.Kind) (out []uint32) {
+func values(digests []nodehealth.Digest, kind nodehealth.Kind) (out []uint32) {
 	for _, digest := range digests {
 		if digest.Class.Kind == kind {
 			for _, bucket := range digest.Buckets {
@@ -86,14 +86,14 @@
 
 func TestPausesAreMeasured(t *testing.T) {
 	told := measured([]time.Duration{300 * time.Millisecond, 20 * time.Millisecond, 20 * time.Millisecond, time.Second}, 0, nil)
-	if got := values(told, ranking.Transfer); !about(got, 300) {
+	if got := values(told, nodehealth.Transfer); !about(got, 300) {
 		t.Fatalf("the first event came after 300 ms: %v", got)
 	}
-	if got := values(told, ranking.Stall); !about(got, 200, 200, 10_000) {
+	if got := values(told, nodehealth.Stall); !about(got, 200, 200, 10_000) {
 		t.Fatalf("two pauses of a fifth of the longest aimed at, one of ten times: %v", got)
 	}
 	for _, digest := range told {
-		if digest.Engine != "e" || digest.Class.Pool != "p" || digest.Class.Model != "m" || digest.Class.Load != ranking.LoadBand(9) {
+		if digest.Engine != "e" || digest.Class.Pool != "p" || digest.Class.Model != "m" || digest.Class.Load != nodehealth.LoadBand(9) {
 			t.Fatalf("%+v", digest)
 		}
 	}
@@ -101,10 +101,10 @@
 
 // A caller that takes its time makes the engine wait, so that what it then shows is the caller's pause.
 func TestSlowCallersPausesAreNotTheEngines(t *testing.T) {
-	if got := values(measured([]time.Duration{1e6, 1e6, 1e6, 1e6}, 2*time.Second, nil), ranking.Stall); len(got) > 0 {
+	if got := values(measured([]time.Duration{1e6, 1e6, 1e6, 1e6}, 2*time.Second, nil), nodehealth.Stall); len(got) > 0 {
 		t.Fatalf("the caller was slow: %v", got)
 	}
-	if got := values(measured([]time.Duration{1e6, 3e9, 3e9}, time.Second, nil), ranking.Stall); len(got) != 2 {
+	if got := values(measured([]time.Duration{1e6, 3e9, 3e9}, time.Second, nil), nodehealth.Stall); len(got) != 2 {
 		t.Fatalf("the engine was slower than its caller: %v", got)
 	}
 }
@@ -115,7 +115,7 @@
 	usual := fmt.Sprint(measured(pauses, 0, nil))
 	for name, change := range map[string]func(*forwarding.Record, *forwarding.Send){
 		"route": func(r *forwarding.Record, _ *forwarding.Send) {
-			r.Path = &forward.Path{Name: "other", Host: "else", Prefix: "/x/", Rank: 7}
+			r.Path = &upstream.Path{Name: "other", Host: "else", Prefix: "/x/", Rank: 7}
 		},
 		"host":    func(r *forwarding.Record, _ *forwarding.Send) { r.Host, r.Prefixed = "house-7", "/y/" },
 		"attempt": func(r *forwarding.Record, _ *forwarding.Send) { r.Ask.Attempt = "another" },
@@ -147,11 +147,11 @@
 func TestWholeAnswersAndConnectionsAreMeasured(t *testing.T) {
 	engine := newStandIn(t, "e1", func(a arrival) bool { say(a, whole(idOf(a), "fine")); return true })
 	f := newFixture(t, engine)
-	f.gateway.Recorder = ranking.NewRecorder()
+	f.gateway.Recorder = nodehealth.NewRecorder()
 	f.call(ask("once", "a1", "x"))
 	f.call(ask("once", "a2", "x"))
 	told := f.gateway.Recorder.Take()
-	if len(values(told, ranking.Transfer)) != 2 || len(values(told, ranking.Connect)) == 0 || len(values(told, ranking.Stall)) != 0 {
+	if len(values(told, nodehealth.Transfer)) != 2 || len(values(told, nodehealth.Connect)) == 0 || len(values(told, nodehealth.Stall)) != 0 {
 		t.Fatalf("two answers: %v", told)
 	}
 }
--- a/connection/gateway/seal_test.go
+++ b/connection/gateway/seal_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/request/forwarding"
 )
 
--- a/connection/gateway/size_test.go
+++ b/connection/gateway/size_test.go
@@ -12,7 +12,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"github.com/cresspond/cresspond/process/clock"
+	"github.com/cresspond/cresspond/clock"
 )
 
 // BenchmarkSizeStream is one stream of so many events over a kept connection: straight from the engine, and
--- a/connection/gateway/stream.go
+++ b/connection/gateway/stream.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"sync"
 
-	"github.com/cresspond/cresspond/connection/engineconn"
+	"github.com/cresspond/cresspond/process/engines/connectionpool"
 	"github.com/cresspond/cresspond/request/forwarding"
 )
 
@@ -19,7 +19,7 @@
 // A reader, not a writer: fasthttp ends a writer's stream with a clean last chunk whatever became of it.
 type stream struct {
 	*flight
-	answer *engineconn.Answer
+	answer *connectionpool.Answer
 	length int
 	// pending is what goes on next.
 	pending []byte
@@ -30,7 +30,7 @@
 }
 
 // takeLong passes on an answer that is too large to be gathered first.
-func (f *flight) takeLong(answer *engineconn.Answer, begun []byte) *stream {
+func (f *flight) takeLong(answer *connectionpool.Answer, begun []byte) *stream {
 	f.begin()
 	f.Counters.Streams.Add(1)
 	return &stream{flight: f, answer: answer, length: answer.Response().Header.ContentLength(), pending: begun}
@@ -52,7 +52,7 @@
 var eventReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, eventBuffer) }}
 
 // takeEvents waits for the first event, since until then nothing is promised to the caller.
-func (f *flight) takeEvents(answer *engineconn.Answer) (*stream, forwarding.Outcome) {
+func (f *flight) takeEvents(answer *connectionpool.Answer) (*stream, forwarding.Outcome) {
 	s := &stream{flight: f, answer: answer, length: -1, events: eventReaders.Get().(*bufio.Reader)}
 	s.events.Reset(answer)
 	err := s.nextEvent()
@@ -228,7 +228,7 @@
 		}
 		answer := s.attempt(step.Send)
 		outcome = outcomeOf(answer.Outcome)
-		if answer.Outcome != engineconn.Answered {
+		if answer.Outcome != connectionpool.Answered {
 			continue
 		}
 		if status := answer.Response().StatusCode(); status != 200 || !answer.Head.Sealed || !answer.Head.Events {
--- a/connection/frontdoor/frontdoor.go
+++ b/connection/sessionapi/frontdoor.go
@@ -1,6 +1,6 @@
-// Package frontdoor is where callers' connections end: it reads a request, checks it against the
+// Package sessionapi is where callers' connections end: it reads a request, checks it against the
 // spec in force, and hands back a stream or a plain word on why there is none.
-package frontdoor
+package sessionapi
 
 import (
 	"bytes"
@@ -16,8 +16,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/cresspond/cresspond/epoch/table"
-	"github.com/cresspond/cresspond/process/clock"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/routingtable"
 	"github.com/cresspond/cresspond/request/dispatch"
 	"github.com/cresspond/cresspond/wire/callerapi"
 )
@@ -25,7 +25,7 @@
 // Door serves callers.
 type Door struct {
 	clock  clock.Clock
-	table  func() *table.Table
+	table  func() *routingtable.Table
 	actor  *dispatch.Actor
 	ctx    context.Context
 	served atomic.Int64
@@ -34,7 +34,7 @@
 }
 
 // New makes a door; ctx ends when the daemon may wait no longer.
-func New(ctx context.Context, c clock.Clock, tables func() *table.Table, actor *dispatch.Actor) *Door {
+func New(ctx context.Context, c clock.Clock, tables func() *routingtable.Table, actor *dispatch.Actor) *Door {
 	return &Door{clock: c, table: tables, actor: actor, ctx: ctx}
 }
 
--- a/connection/frontdoor/fuzz_test.go
+++ b/connection/sessionapi/fuzz_test.go
@@ -1,4 +1,4 @@
-package frontdoor
+package sessionapi
 
 import (
 	"context"
@@ -7,20 +7,20 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/cresspond/cresspond/epoch/spec"
-	"github.com/cresspond/cresspond/epoch/table"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/document"
+	"github.com/cresspond/cresspond/configuration/routingtable"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
 	"github.com/cresspond/cresspond/wire/callerapi"
 )
 
 // FuzzGenerate: a caller's request is refused with a status of its own fault, or is one that the table allows, under the
 // attempt id that came.
 func FuzzGenerate(f *testing.F) {
-	bundle := &spec.Spec{Name: "s", Models: []spec.Model{{Name: "m"}}, Routes: []spec.Route{{Name: "r", House: "h", Models: []string{"m"}}},
-		Limits: spec.Limits{MostBodyBytes: 1 << 16, MostDeadlineMs: 60000}}
-	tables := table.Build(1, nil, bundle, statemachine.Closures{})
-	door := New(context.Background(), clock.System{}, func() *table.Table { return tables }, nil)
+	bundle := &document.Spec{Name: "s", Models: []document.Model{{Name: "m"}}, Routes: []document.Route{{Name: "r", House: "h", Models: []string{"m"}}},
+		Limits: document.Limits{MostBodyBytes: 1 << 16, MostDeadlineMs: 60000}}
+	tables := routingtable.Build(1, nil, bundle, statemachine.Closures{})
+	door := New(context.Background(), clock.System{}, func() *routingtable.Table { return tables }, nil)
 	whole, err := json.Marshal(callerapi.Generate{Route: "r", House: "h", Model: "m", Prompt: "p", DeadlineMs: 1000})
 	if err != nil {
 		f.Fatal(err)
--- a/connection/frontdoor/leaving.go
+++ b/connection/sessionapi/leaving.go
@@ -1,4 +1,4 @@
-package frontdoor
+package sessionapi
 
 import (
 	"net"
--- a/process/daemon/apply.go
+++ b/daemon/apply.go
@@ -7,14 +7,14 @@
 
 	"github.com/twitchtv/twirp"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/epoch/packed"
-	"github.com/cresspond/cresspond/process/applying"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/replica"
-	"github.com/cresspond/cresspond/process/statemachine"
-	"github.com/cresspond/cresspond/wire/fellowapi"
+	"github.com/cresspond/cresspond/configuration/compression"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/replica"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/rollout/directapply"
 	"github.com/cresspond/cresspond/wire/operatorapi"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 const (
@@ -46,7 +46,7 @@
 	defer cancel()
 	ticker := time.NewTicker(applyAgain)
 	defer ticker.Stop()
-	var request *fellowapi.ApplyRequest
+	var request *peerapi.ApplyRequest
 	told := ""
 	for {
 		answer, outcome := d.leadApply(bounded, call)
@@ -73,26 +73,26 @@
 	}
 }
 
-func (d *Daemon) applyRequest(call operatorapi.Apply) *fellowapi.ApplyRequest {
-	request := &fellowapi.ApplyRequest{Group: string(d.Group()), Base: uint64(call.Base), Digest: call.Digest, Operator: call.Operator}
+func (d *Daemon) applyRequest(call operatorapi.Apply) *peerapi.ApplyRequest {
+	request := &peerapi.ApplyRequest{Group: string(d.Group()), Base: uint64(call.Base), Digest: call.Digest, Operator: call.Operator}
 	if call.Patch != nil {
 		data, err := json.Marshal(call.Patch)
 		if err != nil {
 			panic("broken invariant: a patch cannot be encoded: " + err.Error())
 		}
-		request.Patch = packed.Pack(data)
+		request.Patch = compression.Pack(data)
 	} else {
-		request.Whole = packed.Pack(call.Whole)
+		request.Whole = compression.Pack(call.Whole)
 	}
 	return request
 }
 
 // sendApply asks another daemon that may lead; told is where it says that the leader is.
-func (d *Daemon) sendApply(ctx context.Context, address string, request *fellowapi.ApplyRequest) (answer operatorapi.Applying, told string, outcome replica.Outcome) {
+func (d *Daemon) sendApply(ctx context.Context, address string, request *peerapi.ApplyRequest) (answer operatorapi.Applying, told string, outcome replica.Outcome) {
 	until, _ := ctx.Deadline()
 	bounded, cancel := d.whileLeader(ctx, address, time.Until(until))
 	defer cancel()
-	sent := &fellowapi.ApplyRequest{Group: request.Group, Base: request.Base, Digest: request.Digest, Operator: request.Operator,
+	sent := &peerapi.ApplyRequest{Group: request.Group, Base: request.Base, Digest: request.Digest, Operator: request.Operator,
 		Whole: request.Whole, Patch: request.Patch, WithinMs: time.Until(until).Milliseconds()}
 	reply, err := d.links.To(address).Apply(bounded, sent)
 	if err != nil {
@@ -106,7 +106,7 @@
 }
 
 // Apply takes an operator's call, if this daemon leads.
-func (d *Daemon) Apply(ctx context.Context, in *fellowapi.ApplyRequest) (*fellowapi.SubmitReply, error) {
+func (d *Daemon) Apply(ctx context.Context, in *peerapi.ApplyRequest) (*peerapi.SubmitReply, error) {
 	if err := d.ours(in.Group); err != nil {
 		return nil, err
 	}
@@ -119,14 +119,14 @@
 	}
 	call := operatorapi.Apply{Base: ident.Revision(in.Base), Digest: in.Digest, Operator: in.Operator}
 	if len(in.Patch) > 0 {
-		data, err := packed.Unpack(in.Patch)
-		call.Patch = &forward.Patch{}
+		data, err := compression.Unpack(in.Patch)
+		call.Patch = &upstream.Patch{}
 		if err != nil || json.Unmarshal(data, call.Patch) != nil {
 			return nil, garbage()
 		}
 	} else {
 		var err error
-		if call.Whole, err = packed.Unpack(in.Whole); err != nil {
+		if call.Whole, err = compression.Unpack(in.Whole); err != nil {
 			return nil, garbage()
 		}
 	}
@@ -149,8 +149,8 @@
 	if !d.config.OneStep {
 		return operatorapi.Applying{Outcome: operatorapi.Forbidden, Reason: "this fleet's bundles are reviewed and signed off; propose it instead"}, replica.Applied
 	}
-	var standing applying.Standing
-	if outcome := held.Read(ctx, func(state *statemachine.State) { standing = applying.Look(state, call) }); outcome != replica.Applied {
+	var standing directapply.Standing
+	if outcome := held.Read(ctx, func(state *statemachine.State) { standing = directapply.Look(state, call) }); outcome != replica.Applied {
 		return operatorapi.Applying{}, outcome
 	}
 	decision, inTime := d.decide(ctx, call, standing)
@@ -163,7 +163,7 @@
 		if got.Outcome != replica.Applied {
 			return operatorapi.Applying{}, got.Outcome
 		}
-		answer = applying.After(got.Result)
+		answer = directapply.After(got.Result)
 	}
 	switch answer.Outcome {
 	case operatorapi.Applied:
@@ -176,11 +176,11 @@
 
 // decide works a call out, one at a time: each may hold some megabytes for some tenths of a second. It says
 // false when the time ran out.
-func (d *Daemon) decide(ctx context.Context, call operatorapi.Apply, standing applying.Standing) (applying.Decision, bool) {
+func (d *Daemon) decide(ctx context.Context, call operatorapi.Apply, standing directapply.Standing) (directapply.Decision, bool) {
 	select {
 	case d.applying <- struct{}{}:
 	case <-ctx.Done():
-		return applying.Decision{}, false
+		return directapply.Decision{}, false
 	}
 	defer func() { <-d.applying }()
 	return standing.Decide(call), true
@@ -202,7 +202,7 @@
 func (d *Daemon) NewestBundle(ctx context.Context) (operatorapi.Bundle, bool) {
 	bounded, cancel := context.WithTimeout(ctx, d.applyLimit-applyMargin)
 	defer cancel()
-	var newest applying.Newest
+	var newest directapply.Newest
 	data, known := d.Look(bounded, "bundle", "")
 	if !known || json.Unmarshal(data, &newest) != nil {
 		return operatorapi.Bundle{}, false
--- a/process/daemon/attempts.go
+++ b/daemon/attempts.go
@@ -9,14 +9,14 @@
 
 	"github.com/twitchtv/twirp"
 
-	"github.com/cresspond/cresspond/process/affinity"
-	"github.com/cresspond/cresspond/process/attempts"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/config"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/membership"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/cluster/affinity"
+	"github.com/cresspond/cresspond/process/cluster/deduplication"
+	"github.com/cresspond/cresspond/process/cluster/membership"
+	"github.com/cresspond/cresspond/process/daemonconfig"
 	"github.com/cresspond/cresspond/request/dispatch"
-	"github.com/cresspond/cresspond/wire/fellowapi"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 const (
@@ -63,7 +63,7 @@
 		if silent <= sightWindow+doubtSpan {
 			before = append(before, fellow.Address)
 		}
-		if fellow.Serves(string(config.Route)) && (silent <= sightWindow+doubtSpan || !leaderSeen) {
+		if fellow.Serves(string(daemonconfig.Route)) && (silent <= sightWindow+doubtSpan || !leaderSeen) {
 			routersKnown++
 			if silent <= sightWindow {
 				routersSeen++
@@ -104,28 +104,28 @@
 }
 
 // askHomes puts one question to all homes of an attempt at once, and weighs what they say.
-func (d *Daemon) askHomes(ask attempts.Ask) attempts.Decision {
+func (d *Daemon) askHomes(ask deduplication.Ask) deduplication.Decision {
 	self := d.config.ReachedAt()
 	// Where each attempt arrives once, no other daemon and no earlier life can know of one.
-	local := d.config.Attempts == config.LocalAttempts
+	local := d.config.Attempts == daemonconfig.LocalAttempts
 	h := homes{ask: []string{self}, knowers: map[string]string{self: ""}, alone: true}
 	if !local {
 		h = homesOf(ask.Attempt, d.members.View(), d.clock.Elapsed(), self)
 	}
 	type said struct {
 		home  string
-		reply *fellowapi.AttemptReply
+		reply *peerapi.AttemptReply
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), homeLimit)
 	defer cancel()
 	answers := make(chan said, len(h.ask))
 	for _, home := range h.ask {
-		client := fellowapi.Fellow(d)
+		client := peerapi.Fellow(d)
 		if home != self {
 			client = d.links.To(home)
 			d.counters.attemptCalls.Add(1)
 		}
-		request := &fellowapi.AttemptRequest{Attempt: ask.Attempt, Owner: ask.Owner, Digest: ask.Digest, AgeMs: ask.Age.Milliseconds(), Act: string(ask.Act), Partner: h.knowers[home]}
+		request := &peerapi.AttemptRequest{Attempt: ask.Attempt, Owner: ask.Owner, Digest: ask.Digest, AgeMs: ask.Age.Milliseconds(), Act: string(ask.Act), Partner: h.knowers[home]}
 		go func() {
 			reply, err := client.Attempt(ctx, request)
 			if err != nil {
@@ -134,39 +134,39 @@
 			answers <- said{home, reply}
 		}()
 	}
-	var heard attempts.Answers
+	var heard deduplication.Answers
 	for range h.ask {
 		answer := <-answers
 		if answer.reply == nil {
 			continue
 		}
-		heard.Given = append(heard.Given, attempts.Answer(answer.reply.Word))
+		heard.Given = append(heard.Given, deduplication.Answer(answer.reply.Word))
 		_, knows := h.knowers[answer.home]
 		heard.Knew = heard.Knew || knows && (local || !answer.reply.Fresh)
 		// A daemon that may be cut off must not be the only one that knows.
 		heard.Written = heard.Written || answer.home != self || h.alone
 	}
 	heard.Knew = heard.Knew && !h.fewInSight
-	verdict := attempts.Decide(heard)
-	if verdict == attempts.Doubt {
+	verdict := deduplication.Decide(heard)
+	if verdict == deduplication.Doubt {
 		d.counters.attemptDoubts.Add(1)
 	}
 	return verdict
 }
 
 // askFor makes the question about one record of this daemon.
-func (d *Daemon) askFor(act attempts.Act, id dispatch.RecordID, request dispatch.Request, arrived clock.Mark) attempts.Ask {
-	return attempts.Ask{Attempt: request.Attempt, Owner: string(d.nodeID) + "/" + strconv.FormatUint(uint64(id), 10),
+func (d *Daemon) askFor(act deduplication.Act, id dispatch.RecordID, request dispatch.Request, arrived clock.Mark) deduplication.Ask {
+	return deduplication.Ask{Attempt: request.Attempt, Owner: string(d.nodeID) + "/" + strconv.FormatUint(uint64(id), 10),
 		Digest: request.Digest, Age: d.clock.Elapsed().Since(arrived), Act: act}
 }
 
 // Refuse makes sure, before a caller is told that its work never runs, that no other daemon has sent it
 // or will: the word that may be given comes back.
 func (r routing) Refuse(flight *dispatch.Call, wanted dispatch.Answer) dispatch.Answer {
-	switch r.askHomes(r.askFor(attempts.Refuse, flight.ID, flight.Request, flight.Arrived)) {
-	case attempts.Replay, attempts.Other:
+	switch r.askHomes(r.askFor(deduplication.Refuse, flight.ID, flight.Request, flight.Arrived)) {
+	case deduplication.Replay, deduplication.Other:
 		return dispatch.Answer{Kind: dispatch.Replay, Status: 409, Reason: "this attempt id was taken by another daemon and is not run again"}
-	case attempts.Doubt:
+	case deduplication.Doubt:
 		return dispatch.Answer{Kind: dispatch.Unknown, Status: wanted.Status, Reason: wanted.Reason + "; whether another daemon has this attempt cannot be told now", RetryAfter: max(wanted.RetryAfter, time.Second)}
 	}
 	return wanted
@@ -180,15 +180,15 @@
 }
 
 // Attempt answers for the attempts whose home this daemon is.
-func (d *Daemon) Attempt(_ context.Context, in *fellowapi.AttemptRequest) (*fellowapi.AttemptReply, error) {
-	act := attempts.Act(in.Act)
-	if in.Attempt == "" || in.Owner == "" || act != attempts.Claim && act != attempts.Refuse && act != attempts.Free {
+func (d *Daemon) Attempt(_ context.Context, in *peerapi.AttemptRequest) (*peerapi.AttemptReply, error) {
+	act := deduplication.Act(in.Act)
+	if in.Attempt == "" || in.Owner == "" || act != deduplication.Claim && act != deduplication.Refuse && act != deduplication.Free {
 		d.counters.garbage.Add(1)
 		return nil, twirp.NewError(twirp.InvalidArgument, "this asks nothing about an attempt")
 	}
-	reply, young := &fellowapi.AttemptReply{}, d.young()
-	if !d.attempts.Do(func(now clock.Mark, memory *attempts.Memory) {
-		reply.Word = string(memory.Take(now, attempts.Ask{Attempt: in.Attempt, Owner: in.Owner, Digest: in.Digest,
+	reply, young := &peerapi.AttemptReply{}, d.young()
+	if !d.attempts.Do(func(now clock.Mark, memory *deduplication.Memory) {
+		reply.Word = string(memory.Take(now, deduplication.Ask{Attempt: in.Attempt, Owner: in.Owner, Digest: in.Digest,
 			Age: time.Duration(in.AgeMs) * time.Millisecond, Act: act}))
 		reply.Fresh = young && !memory.Whole(in.Partner)
 	}) {
@@ -198,17 +198,17 @@
 }
 
 // Remember takes attempts over from another home.
-func (d *Daemon) Remember(_ context.Context, in *fellowapi.Attempts) (*fellowapi.Nothing, error) {
-	d.attempts.Do(func(now clock.Mark, memory *attempts.Memory) {
+func (d *Daemon) Remember(_ context.Context, in *peerapi.Attempts) (*peerapi.Nothing, error) {
+	d.attempts.Do(func(now clock.Mark, memory *deduplication.Memory) {
 		for _, one := range in.Attempts {
-			memory.Learn(now, one.Attempt, attempts.Entry{Owner: one.Owner, Digest: one.Digest, Refused: one.Refused,
+			memory.Learn(now, one.Attempt, deduplication.Entry{Owner: one.Owner, Digest: one.Digest, Refused: one.Refused,
 				At: now - clock.Mark(time.Duration(one.AgeMs)*time.Millisecond)})
 		}
 		if in.From != "" && in.Whole {
 			memory.LearnWhole(in.From)
 		}
 	})
-	return &fellowapi.Nothing{}, nil
+	return &peerapi.Nothing{}, nil
 }
 
 // runRehoming hands attempts to the homes they come to have as daemons come and go.
@@ -268,15 +268,15 @@
 	}
 	d.rehomeSeats(ctx, before, after)
 	oldAddresses, newAddresses := addressesOf(before), addressesOf(after)
-	batches, wholes := map[string][]*fellowapi.AttemptMemory{}, map[string]bool{}
+	batches, wholes := map[string][]*peerapi.AttemptMemory{}, map[string]bool{}
 	young, self := d.young(), d.config.ReachedAt()
-	d.attempts.Do(func(now clock.Mark, memory *attempts.Memory) {
-		memory.Each(func(attempt string, entry attempts.Entry) {
+	d.attempts.Do(func(now clock.Mark, memory *deduplication.Memory) {
+		memory.Each(func(attempt string, entry deduplication.Entry) {
 			for _, home := range newcomers("attempt "+attempt, before, after, oldAddresses, newAddresses) {
 				if home == self {
 					continue
 				}
-				batches[home] = append(batches[home], &fellowapi.AttemptMemory{Attempt: attempt, Owner: entry.Owner, Digest: entry.Digest,
+				batches[home] = append(batches[home], &peerapi.AttemptMemory{Attempt: attempt, Owner: entry.Owner, Digest: entry.Digest,
 					AgeMs: now.Since(entry.At).Milliseconds(), Refused: entry.Refused})
 			}
 		})
@@ -293,7 +293,7 @@
 		for part := range slices.Chunk(batch, rememberAtOnce) {
 			bounded, cancel := context.WithTimeout(ctx, time.Second)
 			// A home that misses this is not the only one that knows.
-			_, err := d.links.To(home).Remember(bounded, &fellowapi.Attempts{Attempts: part})
+			_, err := d.links.To(home).Remember(bounded, &peerapi.Attempts{Attempts: part})
 			cancel()
 			told = told && err == nil
 			d.counters.attemptsMoved.Add(uint64(len(part)))
@@ -301,7 +301,7 @@
 		if told && wholes[home] {
 			bounded, cancel := context.WithTimeout(ctx, time.Second)
 			// One that misses this counts as young for some seconds more.
-			_, _ = d.links.To(home).Remember(bounded, &fellowapi.Attempts{From: self, Whole: true})
+			_, _ = d.links.To(home).Remember(bounded, &peerapi.Attempts{From: self, Whole: true})
 			cancel()
 		}
 	}
--- a/process/daemon/attempts_test.go
+++ b/daemon/attempts_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/membership"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/cluster/membership"
 )
 
 const minute = clock.Mark(time.Minute)
--- a/process/daemon/bounds_test.go
+++ b/daemon/bounds_test.go
@@ -12,17 +12,17 @@
 	"github.com/apex/log"
 	"github.com/apex/log/handlers/discard"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/epoch/packed"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/config"
-	"github.com/cresspond/cresspond/process/fellows"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/membership"
-	"github.com/cresspond/cresspond/process/raft"
-	"github.com/cresspond/cresspond/process/registry"
-	"github.com/cresspond/cresspond/process/replica"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/compression"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/cluster/membership"
+	"github.com/cresspond/cresspond/process/cluster/peerclient"
+	"github.com/cresspond/cresspond/process/consensus/raft"
+	"github.com/cresspond/cresspond/process/consensus/replica"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/daemonconfig"
+	"github.com/cresspond/cresspond/process/engines/registry"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
@@ -99,12 +99,12 @@
 		if !leads {
 			self = leader%3 + 1
 		}
-		settings := config.Default()
+		settings := daemonconfig.Default()
 		settings.Name, settings.FellowAddress, settings.OneStep = fmt.Sprint("core-", self), fmt.Sprint("core-", self), true
-		settings.Serve = []config.Role{config.Control}
+		settings.Serve = []daemonconfig.Role{daemonconfig.Control}
 		d := New(settings, "test", &log.Logger{Handler: discard.Default}, WithClock(now))
 		d.learnGroup(group)
-		d.links = fellows.New(ctx, settings.FellowAddress, "", fellows.WithTransport(silent{}))
+		d.links = peerclient.New(ctx, settings.FellowAddress, "", peerclient.WithTransport(silent{}))
 		d.members = membership.New(now, d, d.seeds, settings.FellowAddress, d.pace())
 		d.registry = registry.New(now, string(d.nodeID), true, d.beatPeriod, d.contact)
 		go d.registry.Run(ctx)
@@ -131,9 +131,9 @@
 func TestNoCallWaitsPastItsLimitWhereNobodyAnswers(t *testing.T) {
 	bundle := []byte(`{"name":"b","forward":{"revision":1,"pools":[{"name":"p"}],"paths":[]}}`)
 	whole := operatorapi.Apply{Digest: "whole", Operator: "ana", Whole: bundle}
-	patch := operatorapi.Apply{Digest: "patch", Operator: "ana", Patch: &forward.Patch{Revision: 2}}
+	patch := operatorapi.Apply{Digest: "patch", Operator: "ana", Patch: &upstream.Patch{Revision: 2}}
 	// What packs bundles is shared by the whole process, so it is made outside of any made-up time.
-	if _, err := packed.Unpack(packed.Pack(bundle)); err != nil {
+	if _, err := compression.Unpack(compression.Pack(bundle)); err != nil {
 		t.Fatal(err)
 	}
 	word := registry.Word{ID: "e", Pool: "p", Address: "a:1", Slots: 1, CallSeq: 1, Leaving: true}
--- a/process/daemon/contact_test.go
+++ b/daemon/contact_test.go
@@ -4,10 +4,10 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/config"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/membership"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/cluster/membership"
+	"github.com/cresspond/cresspond/process/daemonconfig"
 )
 
 // contactClock stands still.
@@ -19,8 +19,8 @@
 // A daemon that only routes judges no engine silent, and does not go through the fleet several times a second for it:
 // it has no list of members here.
 func TestWhoeverOnlyRoutesJudgesNobody(t *testing.T) {
-	settings := config.Default()
-	settings.Serve = []config.Role{config.Route}
+	settings := daemonconfig.Default()
+	settings.Serve = []daemonconfig.Role{daemonconfig.Route}
 	d := &Daemon{config: settings, clock: contactClock{clock.Mark(time.Minute)}}
 	if contact := d.contact(); contact.May || contact.Horizon != clock.Mark(time.Minute) {
 		t.Errorf("%+v", contact)
@@ -42,7 +42,7 @@
 		"nobody else, and not the group": {heardLeader: 0, heardPeer: time.Minute},
 		"the whole group":                {heardLeader: 0, heardPeer: time.Minute, alone: true, may: true},
 	} {
-		peer := membership.Fellow{NodeID: "peer#1", Address: "peer", Serve: []string{string(config.Control)}, Heard: ago(c.heardPeer)}
+		peer := membership.Fellow{NodeID: "peer#1", Address: "peer", Serve: []string{string(daemonconfig.Control)}, Heard: ago(c.heardPeer)}
 		view := &membership.View{Fellows: map[ident.NodeID]membership.Fellow{"peer#1": peer}, HeardLeader: ago(c.heardLeader)}
 		got := contactOf(view, "self#1", now, func(string) clock.Mark { return ago(c.heardPeer) }, period, func() bool { return c.alone })
 		if got.May != c.may {
--- a/process/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -18,31 +18,31 @@
 	"github.com/rotisserie/eris"
 	"github.com/valyala/fasthttp"
 
-	"github.com/cresspond/cresspond/connection/frontdoor"
-	"github.com/cresspond/cresspond/connection/operators"
-	"github.com/cresspond/cresspond/epoch/spec"
-	"github.com/cresspond/cresspond/process/admission"
-	"github.com/cresspond/cresspond/process/affinity"
-	"github.com/cresspond/cresspond/process/attempts"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/config"
-	"github.com/cresspond/cresspond/process/demand"
-	"github.com/cresspond/cresspond/process/engines"
-	"github.com/cresspond/cresspond/process/fellows"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/membership"
-	"github.com/cresspond/cresspond/process/outlier"
-	"github.com/cresspond/cresspond/process/placement"
-	"github.com/cresspond/cresspond/process/raft"
-	"github.com/cresspond/cresspond/process/registry"
-	"github.com/cresspond/cresspond/process/replica"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/document"
+	"github.com/cresspond/cresspond/connection/adminapi"
+	"github.com/cresspond/cresspond/connection/sessionapi"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/cluster/affinity"
+	"github.com/cresspond/cresspond/process/cluster/deduplication"
+	"github.com/cresspond/cresspond/process/cluster/membership"
+	"github.com/cresspond/cresspond/process/cluster/peerclient"
+	"github.com/cresspond/cresspond/process/consensus/raft"
+	"github.com/cresspond/cresspond/process/consensus/replica"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/daemonconfig"
+	"github.com/cresspond/cresspond/process/engines/admission"
+	"github.com/cresspond/cresspond/process/engines/discovery"
+	"github.com/cresspond/cresspond/process/engines/outlier"
+	"github.com/cresspond/cresspond/process/engines/registry"
+	"github.com/cresspond/cresspond/process/placement/demand"
+	"github.com/cresspond/cresspond/process/placement/sessionplacement"
 	"github.com/cresspond/cresspond/process/rollout"
-	"github.com/cresspond/cresspond/process/snowflake"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/process/workerid/snowflake"
 	"github.com/cresspond/cresspond/request/dispatch"
 	"github.com/cresspond/cresspond/wire/callerapi"
-	"github.com/cresspond/cresspond/wire/fellowapi"
 	"github.com/cresspond/cresspond/wire/operatorapi"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 // tenureMargin is taken off the end of each tenure for clock-rate error.
@@ -50,30 +50,30 @@
 
 // Daemon is one process.
 type Daemon struct {
-	config config.Config
+	config daemonconfig.Config
 	// current is config with what a later reading of the settings changed.
-	current atomic.Pointer[config.Config]
+	current atomic.Pointer[daemonconfig.Config]
 	version string
 	nodeID  ident.NodeID
 	clock   clock.Clock
 	log     log.Interface
 
-	links    *fellows.Links
+	links    *peerclient.Links
 	keeper   *rollout.Keeper
 	members  *membership.Membership
 	registry *registry.Registry
 	hearsay  hearsay
 	// leavesNoted is how many leaves of the replicated state the registry was told of; only the replica's actor uses it.
 	leavesNoted uint64
-	watcher     *engines.Watcher
+	watcher     *discovery.Watcher
 	generator   *snowflake.Generator
 	dispatch    *dispatch.Actor
-	door        *frontdoor.Door
-	desk        *operators.Desk
-	placer      *placement.Actor
+	door        *sessionapi.Door
+	desk        *adminapi.Desk
+	placer      *sessionplacement.Actor
 	home        *affinity.Table
 	slots       *admission.Keeper
-	attempts    *attempts.Actor
+	attempts    *deduplication.Actor
 	permitIDs   atomic.Uint64
 
 	replicaConfig replica.Config
@@ -185,7 +185,7 @@
 }
 
 // New makes a daemon from checked settings.
-func New(c config.Config, version string, logger log.Interface, options ...Option) *Daemon {
+func New(c daemonconfig.Config, version string, logger log.Interface, options ...Option) *Daemon {
 	var life [4]byte
 	if _, err := rand.Read(life[:]); err != nil {
 		panic("broken invariant: no randomness: " + err.Error())
@@ -216,13 +216,13 @@
 }
 
 // Config is the settings as last read. Only seeds and bounds change in a daemon's life.
-func (d *Daemon) Config() config.Config { return *d.current.Load() }
+func (d *Daemon) Config() daemonconfig.Config { return *d.current.Load() }
 
 // Bounds are what the deployment holds its daemons to, as last read.
-func (d *Daemon) Bounds() config.Bounds { return d.current.Load().Bounds }
+func (d *Daemon) Bounds() daemonconfig.Bounds { return d.current.Load().Bounds }
 
 // Reload takes over what may change in a daemon's life from settings that were read again.
-func (d *Daemon) Reload(c config.Config) {
+func (d *Daemon) Reload(c daemonconfig.Config) {
 	next := d.Config()
 	if slices.Equal(next.Seeds, c.Seeds) && next.Bounds == c.Bounds && next.DrainMs == c.DrainMs {
 		return
@@ -271,23 +271,23 @@
 		defer readyListener.Close()
 	}
 
-	d.links = fellows.New(ctx, d.config.ReachedAt(), d.config.FellowListen)
+	d.links = peerclient.New(ctx, d.config.ReachedAt(), d.config.FellowListen)
 	d.keeper = rollout.New(d.clock.Wall, d.swapped)
-	d.watcher = engines.New(d.clock, d.config.Platform, d.poke)
+	d.watcher = discovery.New(d.clock, d.config.Platform, d.poke)
 	d.members = membership.New(d.clock, d, d.seeds, d.config.ReachedAt(), d.pace())
-	d.registry = registry.New(d.clock, string(d.nodeID), d.config.Serves(config.Control), d.beatPeriod, d.contact)
+	d.registry = registry.New(d.clock, string(d.nodeID), d.config.Serves(daemonconfig.Control), d.beatPeriod, d.contact)
 	d.registry.Subscribe(d.poke)
 	d.registry.Subscribe(d.registryNews)
 	d.dispatch = dispatch.NewActor(routing{d})
 	d.slots = admission.NewKeeper(d.yard)
-	d.placer = placement.NewActor(planning{d}, d.clock)
+	d.placer = sessionplacement.NewActor(planning{d}, d.clock)
 	d.pools.make(d)
 	d.nodes = newNodeRanking(d)
-	d.attempts = attempts.NewActor(d.clock)
+	d.attempts = deduplication.NewActor(d.clock)
 	streams, cutStreams := context.WithCancel(context.Background())
 	defer cutStreams()
-	d.door = frontdoor.New(streams, d.clock, d.keeper.Table, d.dispatch)
-	d.desk = operators.New(d)
+	d.door = sessionapi.New(streams, d.clock, d.keeper.Table, d.dispatch)
+	d.desk = adminapi.New(d)
 	for _, make := range d.controlMakers {
 		d.control = append(d.control, make(d))
 	}
@@ -303,25 +303,25 @@
 	run(d.members.Run)
 	run(d.registry.Run)
 	run(d.attempts.Run)
-	if d.config.Attempts != config.LocalAttempts {
+	if d.config.Attempts != daemonconfig.LocalAttempts {
 		run(d.runRehoming)
 	}
 	run(d.runHistory)
 	run(d.runTenancy)
-	if d.config.Serves(config.Route) {
+	if d.config.Serves(daemonconfig.Route) {
 		run(d.dispatch.Run)
 		run(d.slots.Run)
 	}
-	if d.config.Serves(config.Route) || d.config.Serves(config.Place) {
+	if d.config.Serves(daemonconfig.Route) || d.config.Serves(daemonconfig.Place) {
 		run(d.watcher.Run)
 	}
-	if d.config.Serves(config.Place) {
+	if d.config.Serves(daemonconfig.Place) {
 		run(d.placer.Run)
 		d.pools.run(run)
 		d.nodes.run(run)
 	}
 
-	fellowServer := &http.Server{Handler: d.links.Traffic.Serve(fellowapi.NewFellowServer(d)), ReadHeaderTimeout: 5 * time.Second}
+	fellowServer := &http.Server{Handler: d.links.Traffic.Serve(peerapi.NewFellowServer(d)), ReadHeaderTimeout: 5 * time.Second}
 	serveFellows := serveFunc(func(listener net.Listener) error { return fellowServer.Serve(d.links.Traffic.Listen(listener)) })
 	go d.serveOn(ctx, serveFellows, fellowListener, "fellowListen", d.config.FellowListen)
 	defer fellowServer.Close()
@@ -343,7 +343,7 @@
 	if err := d.startMetrics(ctx); err != nil {
 		return err
 	}
-	if d.config.Serves(config.Control) {
+	if d.config.Serves(daemonconfig.Control) {
 		left := make(chan struct{})
 		go func() {
 			defer close(left)
@@ -385,7 +385,7 @@
 	// mostHeader bounds a request's head; what bundles allow is less.
 	mostHeader = 32 << 10
 	// mostBundleBody leaves room for a bundle's largest size and what is said around it.
-	mostBundleBody = spec.MostBytes + 64<<10
+	mostBundleBody = document.MostBytes + 64<<10
 )
 
 // bodyLimit lets only what holds a bundle be as large as a bundle may be.
@@ -414,7 +414,7 @@
 	case errors.As(err, &small):
 		status = fasthttp.StatusRequestHeaderFieldsTooLarge
 	}
-	frontdoor.Fail(ctx, status, callerapi.Error{Outcome: callerapi.Invalid, Reason: "the request cannot be read: " + err.Error()})
+	sessionapi.Fail(ctx, status, callerapi.Error{Outcome: callerapi.Invalid, Reason: "the request cannot be read: " + err.Error()})
 	ctx.SetConnectionClose()
 }
 
@@ -459,10 +459,10 @@
 	switch {
 	case d.isForwarded(ctx, path):
 		d.forwardSide.gateway.Handle(ctx)
-	case d.config.Serves(config.Route) && d.config.OpaqueOnly:
+	case d.config.Serves(daemonconfig.Route) && d.config.OpaqueOnly:
 		// Nothing else is served there, not even by a daemon put together without forwarding.
-		frontdoor.Fail(ctx, fasthttp.StatusServiceUnavailable, callerapi.Error{Outcome: callerapi.Unknown, Reason: "no paths are in force here yet"})
-	case path == callerapi.PathGenerate && d.config.Serves(config.Route):
+		sessionapi.Fail(ctx, fasthttp.StatusServiceUnavailable, callerapi.Error{Outcome: callerapi.Unknown, Reason: "no paths are in force here yet"})
+	case path == callerapi.PathGenerate && d.config.Serves(daemonconfig.Route):
 		d.door.Handle(ctx)
 	default:
 		d.operate(ctx)
--- a/process/daemon/fellow.go
+++ b/daemon/fellow.go
@@ -10,18 +10,18 @@
 
 	"github.com/twitchtv/twirp"
 
-	"github.com/cresspond/cresspond/epoch/packed"
-	"github.com/cresspond/cresspond/epoch/spec"
-	"github.com/cresspond/cresspond/process/applying"
-	"github.com/cresspond/cresspond/process/config"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/membership"
-	"github.com/cresspond/cresspond/process/raft"
-	"github.com/cresspond/cresspond/process/replica"
+	"github.com/cresspond/cresspond/configuration/compression"
+	"github.com/cresspond/cresspond/configuration/document"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/cluster/membership"
+	"github.com/cresspond/cresspond/process/consensus/raft"
+	"github.com/cresspond/cresspond/process/consensus/replica"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/daemonconfig"
 	"github.com/cresspond/cresspond/process/rollout"
-	"github.com/cresspond/cresspond/process/statemachine"
-	"github.com/cresspond/cresspond/wire/fellowapi"
+	"github.com/cresspond/cresspond/process/rollout/directapply"
 	"github.com/cresspond/cresspond/wire/operatorapi"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 // lostAfter is how long a daemon must have been silent before it may be declared lost.
@@ -73,8 +73,8 @@
 }
 
 // Raft takes raft messages.
-func (d *Daemon) Raft(_ context.Context, in *fellowapi.RaftBatch) (*fellowapi.Nothing, error) {
-	messages, sound := fellowapi.ToRaft(in.Messages)
+func (d *Daemon) Raft(_ context.Context, in *peerapi.RaftBatch) (*peerapi.Nothing, error) {
+	messages, sound := peerapi.ToRaft(in.Messages)
 	if !sound || in.Group == "" {
 		d.counters.garbage.Add(1)
 		return nil, twirp.NewError(twirp.InvalidArgument, "these are no raft messages")
@@ -82,7 +82,7 @@
 	if err := d.ours(in.Group); err != nil {
 		return nil, err
 	}
-	if !d.config.Serves(config.Control) {
+	if !d.config.Serves(daemonconfig.Control) {
 		return nil, twirp.NewError(twirp.FailedPrecondition, "this daemon does not serve control")
 	}
 	held := d.replica.Load()
@@ -98,14 +98,14 @@
 				break
 			}
 		}
-		return &fellowapi.Nothing{}, nil
+		return &peerapi.Nothing{}, nil
 	}
 	held.Receive(ident.GroupID(in.Group), in.Address, messages)
-	return &fellowapi.Nothing{}, nil
+	return &peerapi.Nothing{}, nil
 }
 
-func (d *Daemon) identity() *fellowapi.Identity {
-	out := &fellowapi.Identity{NodeId: string(d.nodeID), Group: string(d.Group()), ServesControl: d.config.Serves(config.Control), JoinOnly: d.config.JoinOnly}
+func (d *Daemon) identity() *peerapi.Identity {
+	out := &peerapi.Identity{NodeId: string(d.nodeID), Group: string(d.Group()), ServesControl: d.config.Serves(daemonconfig.Control), JoinOnly: d.config.JoinOnly}
 	if folder := d.held(); folder != nil {
 		out.MemberId = uint64(folder.Member)
 		if remembered, err := folder.Group(); err == nil && remembered != "" {
@@ -120,21 +120,21 @@
 		out.LeaderMsAgo = d.clock.Elapsed().Since(heard).Milliseconds()
 	}
 	out.TenureUntilMs = int64(d.generator.Ceiling())
-	if d.config.Serves(config.Place) {
+	if d.config.Serves(daemonconfig.Place) {
 		out.Claim = uint64(max(d.placer.Condition().Claim, d.pools.condition().Claim))
 	}
 	return out
 }
 
 // Identify says who this is.
-func (d *Daemon) Identify(context.Context, *fellowapi.Nothing) (*fellowapi.Identity, error) {
+func (d *Daemon) Identify(context.Context, *peerapi.Nothing) (*peerapi.Identity, error) {
 	return d.identity(), nil
 }
 
 // Recall gives back a bundle that was in force here.
-func (d *Daemon) Recall(_ context.Context, in *fellowapi.RecallRequest) (*fellowapi.Recalled, error) {
+func (d *Daemon) Recall(_ context.Context, in *peerapi.RecallRequest) (*peerapi.Recalled, error) {
 	raw, _ := d.keeper.Recall(ident.Epoch(in.Epoch))
-	out := &fellowapi.Recalled{Spec: raw}
+	out := &peerapi.Recalled{Spec: raw}
 	if t := d.keeper.Table(); t != nil {
 		out.Closures = rollout.EncodeClosures(t.Closures)
 	}
@@ -142,7 +142,7 @@
 }
 
 // Join takes a new data folder into the group, if this daemon leads.
-func (d *Daemon) Join(ctx context.Context, in *fellowapi.JoinRequest) (*fellowapi.SubmitReply, error) {
+func (d *Daemon) Join(ctx context.Context, in *peerapi.JoinRequest) (*peerapi.SubmitReply, error) {
 	if err := d.ours(in.Group); err != nil {
 		return nil, err
 	}
@@ -155,17 +155,17 @@
 	}
 	if in.Leaving {
 		if held.Leave(ctx, raft.MemberID(in.MemberId)) {
-			return &fellowapi.SubmitReply{Outcome: string(replica.Applied)}, nil
+			return &peerapi.SubmitReply{Outcome: string(replica.Applied)}, nil
 		}
 		// It was heard, and is not to end yet.
-		return &fellowapi.SubmitReply{Outcome: string(replica.Unknown)}, nil
+		return &peerapi.SubmitReply{Outcome: string(replica.Unknown)}, nil
 	}
 	held.Join(raft.Member{ID: raft.MemberID(in.MemberId), Name: in.Name, Address: in.Address})
-	return &fellowapi.SubmitReply{Outcome: string(replica.Applied)}, nil
+	return &peerapi.SubmitReply{Outcome: string(replica.Applied)}, nil
 }
 
-func (d *Daemon) redirect() *fellowapi.SubmitReply {
-	return &fellowapi.SubmitReply{Outcome: string(replica.NotLeader), LeaderAddress: d.leaderAddress()}
+func (d *Daemon) redirect() *peerapi.SubmitReply {
+	return &peerapi.SubmitReply{Outcome: string(replica.NotLeader), LeaderAddress: d.leaderAddress()}
 }
 
 // leaderAddress is where the leader is, as far as this daemon knows.
@@ -208,7 +208,7 @@
 
 // Plans says whether this daemon plans.
 func (d *Daemon) Plans() bool {
-	return d.config.Serves(config.Place) && (d.placer.Condition().Held || d.pools.condition().Held)
+	return d.config.Serves(daemonconfig.Place) && (d.placer.Condition().Held || d.pools.condition().Held)
 }
 
 // ops lists the commands that may come from outside the leader.
@@ -220,7 +220,7 @@
 }
 
 // Submit takes a command, if this daemon leads.
-func (d *Daemon) Submit(ctx context.Context, in *fellowapi.SubmitRequest) (*fellowapi.SubmitReply, error) {
+func (d *Daemon) Submit(ctx context.Context, in *peerapi.SubmitRequest) (*peerapi.SubmitReply, error) {
 	if err := d.ours(in.Group); err != nil {
 		return nil, err
 	}
@@ -234,7 +234,7 @@
 }
 
 // submitReply tells another daemon what the leader answered, or who leads.
-func (d *Daemon) submitReply(answer any, outcome replica.Outcome) (*fellowapi.SubmitReply, error) {
+func (d *Daemon) submitReply(answer any, outcome replica.Outcome) (*peerapi.SubmitReply, error) {
 	if outcome == replica.NotLeader {
 		return d.redirect(), nil
 	}
@@ -242,7 +242,7 @@
 	if err != nil {
 		return nil, twirp.InternalErrorWith(err)
 	}
-	return &fellowapi.SubmitReply{Outcome: string(outcome), Result: data}, nil
+	return &peerapi.SubmitReply{Outcome: string(outcome), Result: data}, nil
 }
 
 // lead carries a command out as the leader.
@@ -253,7 +253,7 @@
 	}
 	if command.Op == statemachine.OpPropose {
 		// A bundle with faults never gets into the log.
-		parsed, faults := spec.Parse(command.Spec)
+		parsed, faults := document.Parse(command.Spec)
 		if len(faults) > 0 {
 			return operatorapi.Answer{Result: statemachine.Result{Verdict: statemachine.Malformed, Reason: "the bundle has faults"}, Faults: faults}, replica.Applied
 		}
@@ -352,7 +352,7 @@
 			limit += reachLimit
 		}
 		bounded, cancel := d.whileLeader(ctx, address, limit)
-		reply, err := d.links.To(address).Submit(bounded, &fellowapi.SubmitRequest{Group: string(d.Group()), Command: data})
+		reply, err := d.links.To(address).Submit(bounded, &peerapi.SubmitRequest{Group: string(d.Group()), Command: data})
 		cancel()
 		if err != nil {
 			return operatorapi.Answer{}, false
@@ -388,7 +388,7 @@
 }
 
 // Read answers a linearizable read, if this daemon leads.
-func (d *Daemon) Read(ctx context.Context, in *fellowapi.ReadRequest) (*fellowapi.ReadReply, error) {
+func (d *Daemon) Read(ctx context.Context, in *peerapi.ReadRequest) (*peerapi.ReadReply, error) {
 	if err := d.ours(in.Group); err != nil {
 		return nil, err
 	}
@@ -396,7 +396,7 @@
 		return d.readNodes(ctx, in.Key), nil
 	}
 	result, outcome := d.look(ctx, in.What, in.Key)
-	return &fellowapi.ReadReply{Outcome: string(outcome), Result: result, LeaderAddress: d.leaderAddress()}, nil
+	return &peerapi.ReadReply{Outcome: string(outcome), Result: result, LeaderAddress: d.leaderAddress()}, nil
 }
 
 // look reads part of the state at a linearizable point; a result of nothing means that it isn't there.
@@ -456,7 +456,7 @@
 			return encode(found)
 		}
 	case "bundle":
-		return encode(applying.NewestOf(state))
+		return encode(directapply.NewestOf(state))
 	case "closures":
 		return encode(state.Closures)
 	case "trace":
@@ -476,7 +476,7 @@
 		}
 		if address := d.leaderAddress(); address != "" && address != d.config.ReachedAt() {
 			bounded, cancel := d.whileLeader(ctx, address, readLimit)
-			reply, err := d.links.To(address).Read(bounded, &fellowapi.ReadRequest{Group: string(d.Group()), What: what, Key: key})
+			reply, err := d.links.To(address).Read(bounded, &peerapi.ReadRequest{Group: string(d.Group()), What: what, Key: key})
 			cancel()
 			if err == nil && reply.Outcome == string(replica.Applied) {
 				return reply.Result, true
@@ -499,15 +499,15 @@
 }
 
 // Describe is this daemon's own row, as told in each pull.
-func (d *Daemon) Describe() *fellowapi.PullRequest {
-	request := &fellowapi.PullRequest{
+func (d *Daemon) Describe() *peerapi.PullRequest {
+	request := &peerapi.PullRequest{
 		Group: string(d.Group()), NodeId: string(d.nodeID), Address: d.config.ReachedAt(), Zone: string(d.config.Zone), Serve: d.serve(),
 		Ready: !d.draining.Load(), TakesPacked: true,
 	}
 	spec, closure := d.InForce()
 	request.SpecEpoch, request.ClosureEpoch = uint64(spec), uint64(closure)
 	for _, step := range d.keeper.Steps() {
-		request.Steps = append(request.Steps, &fellowapi.Step{Change: step.Change, Step: step.Step, UnixMs: step.At.UnixMilli()})
+		request.Steps = append(request.Steps, &peerapi.Step{Change: step.Change, Step: step.Step, UnixMs: step.At.UnixMilli()})
 	}
 	request.Draining = d.drainingEngines()
 	return request
@@ -515,28 +515,28 @@
 
 // Wants adds what this daemon holds and asks for, for whoever plans; it says whether anything waits. Where only
 // what waits is worth a question, nothing is added if nothing does.
-func (d *Daemon) Wants(request *fellowapi.PullRequest, onlyWaiting bool) (waits bool) {
-	if !d.config.Serves(config.Route) {
+func (d *Daemon) Wants(request *peerapi.PullRequest, onlyWaiting bool) (waits bool) {
+	if !d.config.Serves(daemonconfig.Route) {
 		return false
 	}
-	var all []*fellowapi.Demand
-	var seated []*fellowapi.Seat
+	var all []*peerapi.Demand
+	var seated []*peerapi.Seat
 	snapshot := d.dispatch.Snapshot()
 	for _, demand := range snapshot.Demands {
-		all = append(all, &fellowapi.Demand{Model: demand.Model, Adapter: demand.Adapter, Worth: demand.Worth, Held: int64(demand.Queued), Running: int64(demand.Running)})
+		all = append(all, &peerapi.Demand{Model: demand.Model, Adapter: demand.Adapter, Worth: demand.Worth, Held: int64(demand.Queued), Running: int64(demand.Running)})
 	}
 	all = append(all, d.forwardDemands()...)
 	for _, seat := range snapshot.Seats {
-		seated = append(seated, &fellowapi.Seat{Engine: string(seat.Engine), Model: seat.Model, Adapter: seat.Adapter, Sessions: int64(seat.Sessions)})
+		seated = append(seated, &peerapi.Seat{Engine: string(seat.Engine), Model: seat.Model, Adapter: seat.Adapter, Sessions: int64(seat.Sessions)})
 	}
-	waits = slices.ContainsFunc(all, func(demand *fellowapi.Demand) bool { return demand.Held > 0 })
+	waits = slices.ContainsFunc(all, func(demand *peerapi.Demand) bool { return demand.Held > 0 })
 	if onlyWaiting && !waits {
 		return false
 	}
 	message := d.wants.Next(d.clock.Elapsed(), request.PlannerAddress, all, seated)
 	request.Wants, request.WantsBase, request.Demand, request.Seats = message.Seq, message.Base, message.Demand, message.Seats
 	for _, one := range d.forwardOutcomes() {
-		request.Outcomes = append(request.Outcomes, &fellowapi.EngineOutcomes{Engine: string(one.Engine), Attempts: int64(one.Attempts), Failures: int64(one.Failures),
+		request.Outcomes = append(request.Outcomes, &peerapi.EngineOutcomes{Engine: string(one.Engine), Attempts: int64(one.Attempts), Failures: int64(one.Failures),
 			Refusals: int64(one.Refusals), Overdue: int64(one.Overdue)})
 	}
 	if !onlyWaiting {
@@ -545,19 +545,19 @@
 	return waits
 }
 
-func (d *Daemon) drainingEngines() []*fellowapi.DrainingEngine {
-	var out []*fellowapi.DrainingEngine
+func (d *Daemon) drainingEngines() []*peerapi.DrainingEngine {
+	var out []*peerapi.DrainingEngine
 	now := d.clock.Elapsed()
 	for id, engine := range d.watcher.View().Engines {
 		if engine.Draining {
-			out = append(out, &fellowapi.DrainingEngine{Engine: string(id), Address: engine.Address, KnownMsAgo: now.Since(engine.DrainKnown).Milliseconds()})
+			out = append(out, &peerapi.DrainingEngine{Engine: string(id), Address: engine.Address, KnownMsAgo: now.Since(engine.DrainKnown).Milliseconds()})
 		}
 	}
 	return out
 }
 
 // Pull serves a peer's question; what is asked with every_ms may be held back until something is new.
-func (d *Daemon) Pull(ctx context.Context, in *fellowapi.PullRequest) (*fellowapi.PullReply, error) {
+func (d *Daemon) Pull(ctx context.Context, in *peerapi.PullRequest) (*peerapi.PullReply, error) {
 	// One that still follows the lost generation of a recovered group is served, and so learns of this one.
 	if !d.Group().Succeeds(ident.GroupID(in.Group)) {
 		if err := d.ours(in.Group); err != nil {
@@ -581,7 +581,7 @@
 	leader, term := d.leaderAndTerm()
 	// The confirmation is read before what it vouches for, which can only be newer.
 	confirmation := membership.ConfirmationOf(d.confirmed(), arrived)
-	reply := &fellowapi.PullReply{Confirmation: confirmation, Group: string(d.Group()), NodeId: string(d.nodeID), LeaderAddress: leader, LeaderTerm: term, IsLeader: d.Leads(), FirstRollMsAgo: d.FirstRollAgo().Milliseconds(),
+	reply := &peerapi.PullReply{Confirmation: confirmation, Group: string(d.Group()), NodeId: string(d.nodeID), LeaderAddress: leader, LeaderTerm: term, IsLeader: d.Leads(), FirstRollMsAgo: d.FirstRollAgo().Milliseconds(),
 		RowKnown: rowKnown, WantsLost: wantsLost, Plans: d.Plans(), PlannerAddress: d.members.View().PlannerAddress}
 	if t := d.keeper.Table(); t != nil {
 		reply.SpecEpoch, reply.ClosureEpoch = uint64(t.Epoch), uint64(t.Closures.Epoch)
@@ -605,21 +605,21 @@
 	return reply, nil
 }
 
-func (d *Daemon) hearDraining(leaving []*fellowapi.DrainingEngine) {
+func (d *Daemon) hearDraining(leaving []*peerapi.DrainingEngine) {
 	for _, engine := range leaving {
 		d.watcher.HeardDraining(ident.EngineID(engine.Engine), engine.Address, time.Duration(engine.KnownMsAgo)*time.Millisecond)
 	}
 }
 
 // Learn takes over what a reply brought.
-func (d *Daemon) Learn(reply *fellowapi.PullReply) {
+func (d *Daemon) Learn(reply *peerapi.PullReply) {
 	if !d.learnGroup(ident.GroupID(reply.Group)) {
 		// What another group confirmed proves nothing here.
-		reply.Confirmation = &fellowapi.Confirmation{}
+		reply.Confirmation = &peerapi.Confirmation{}
 		return
 	}
 	if len(reply.Spec) > 0 || len(reply.Closures) > 0 {
-		d.keeper.Offer(ident.Epoch(reply.SpecEpoch), packed.Bundle{Data: reply.Spec, Packed: reply.SpecPacked}, rollout.DecodeClosures(reply.Closures))
+		d.keeper.Offer(ident.Epoch(reply.SpecEpoch), compression.Bundle{Data: reply.Spec, Packed: reply.SpecPacked}, rollout.DecodeClosures(reply.Closures))
 	}
 	d.hearDraining(reply.Draining)
 	d.heardNews.draining.Store(reply.DrainingVersion)
@@ -627,21 +627,21 @@
 }
 
 // Seat answers for the sessions whose home this daemon is.
-func (d *Daemon) Seat(_ context.Context, in *fellowapi.SeatRequest) (*fellowapi.SeatReply, error) {
+func (d *Daemon) Seat(_ context.Context, in *peerapi.SeatRequest) (*peerapi.SeatReply, error) {
 	if in.Session == "" {
 		return nil, twirp.NewError(twirp.InvalidArgument, "a seat belongs to a session")
 	}
 	if in.Ended {
 		d.home.End(in.Session)
-		return &fellowapi.SeatReply{}, nil
+		return &peerapi.SeatReply{}, nil
 	}
 	if in.Engine == "" {
 		// Only asked for: nothing is claimed, nor does it count as used.
 		engine, used, found := d.home.Find(d.clock.Elapsed(), d.seatIdle(), in.Session)
-		return &fellowapi.SeatReply{Engine: string(engine), Found: found, UsedMsAgo: used.Milliseconds()}, nil
+		return &peerapi.SeatReply{Engine: string(engine), Found: found, UsedMsAgo: used.Milliseconds()}, nil
 	}
 	engine, found, fresh := d.home.Claim(d.clock.Elapsed(), d.seatIdle(), in.Session, ident.EngineID(in.Engine), ident.EngineID(in.Replaces))
-	return &fellowapi.SeatReply{Engine: string(engine), Found: found, Fresh: fresh}, nil
+	return &peerapi.SeatReply{Engine: string(engine), Found: found, Fresh: fresh}, nil
 }
 
 func (d *Daemon) seatIdle() time.Duration {
--- a/process/daemon/forward.go
+++ b/daemon/forward.go
@@ -10,18 +10,18 @@
 	"github.com/apex/log"
 	"github.com/valyala/fasthttp"
 
-	"github.com/cresspond/cresspond/connection/engineconn"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/upstream"
 	"github.com/cresspond/cresspond/connection/gateway"
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/config"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/outlier"
-	"github.com/cresspond/cresspond/process/registry"
-	"github.com/cresspond/cresspond/process/snowflake"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/daemonconfig"
+	"github.com/cresspond/cresspond/process/engines/connectionpool"
+	"github.com/cresspond/cresspond/process/engines/outlier"
+	"github.com/cresspond/cresspond/process/engines/registry"
+	"github.com/cresspond/cresspond/process/workerid/snowflake"
 	"github.com/cresspond/cresspond/request/forwarding"
 	"github.com/cresspond/cresspond/wire/dialect"
-	"github.com/cresspond/cresspond/wire/fellowapi"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 // forwardSide is what a daemon that forwards opaque requests has beside the rest.
@@ -33,7 +33,7 @@
 	view func() *registry.View
 
 	actor   *forwarding.Actor
-	pools   *engineconn.Pools
+	pools   *connectionpool.Pools
 	gateway *gateway.Gateway
 	// edges is how many daemons route, as last counted, edgesAt when that was.
 	edges, edgesAt atomic.Int64
@@ -45,7 +45,7 @@
 }
 
 // forwardSettings takes what forwarding is held to from the daemon's own settings.
-func forwardSettings(c config.Config) forwarding.Settings {
+func forwardSettings(c daemonconfig.Config) forwarding.Settings {
 	s := forwarding.DefaultSettings()
 	s.RetryRatio, s.RetrySlack, s.RetryWindow = c.Bounds.RetryRatio, c.Bounds.RetrySlack, time.Duration(c.Bounds.RetryWindowMs)*time.Millisecond
 	s.Off = c.Experiments.Off()
@@ -64,7 +64,7 @@
 
 // forwards says whether opaque requests are served here.
 func (d *Daemon) forwards() bool {
-	return d.forwardSide.dialect != nil && d.config.Serves(config.Route)
+	return d.forwardSide.dialect != nil && d.config.Serves(daemonconfig.Route)
 }
 
 // startForwarding puts the request path together.
@@ -78,7 +78,7 @@
 	if side.view == nil {
 		side.view = d.registry.View
 	}
-	side.pools = engineconn.New(d.clock, side.dialect)
+	side.pools = connectionpool.New(d.clock, side.dialect)
 	side.actor = forwarding.NewActor(side.settings, d.forwardWorld)
 	side.gateway = gateway.New(gateway.Surroundings{
 		Clock: d.clock, Dialect: side.dialect, Index: d.forwardIndex, View: side.view, Current: d.tableIsCurrent, Held: d.generator.Held, EngineOpen: d.engineOpen,
@@ -236,7 +236,7 @@
 }
 
 // forwardIndex is the bundle's section in force; nil is none.
-func (d *Daemon) forwardIndex() *forward.Index {
+func (d *Daemon) forwardIndex() *upstream.Index {
 	if t := d.keeper.Table(); t != nil {
 		return t.Forward
 	}
@@ -280,7 +280,7 @@
 	}
 	names := map[string]bool{d.nodeID.Name(): true}
 	for _, fellow := range d.members.View().Fellows {
-		if now.Since(fellow.Heard) <= edgesHeard && fellow.Serves(string(config.Route)) {
+		if now.Since(fellow.Heard) <= edgesHeard && fellow.Serves(string(daemonconfig.Route)) {
 			names[fellow.NodeID.Name()] = true
 		}
 	}
@@ -315,14 +315,14 @@
 }
 
 // forwardDemands lists what opaque requests ask for here, for whoever plans.
-func (d *Daemon) forwardDemands() []*fellowapi.Demand {
+func (d *Daemon) forwardDemands() []*peerapi.Demand {
 	if d.forwardSide.actor == nil {
 		return nil
 	}
 	demands := d.forwardSide.actor.Demands()
-	out := make([]*fellowapi.Demand, 0, len(demands))
+	out := make([]*peerapi.Demand, 0, len(demands))
 	for _, one := range demands {
-		out = append(out, &fellowapi.Demand{Pool: one.Pool, Model: one.Model, Adapter: one.Adapter, Held: int64(one.Held), Running: int64(one.Running),
+		out = append(out, &peerapi.Demand{Pool: one.Pool, Model: one.Model, Adapter: one.Adapter, Held: int64(one.Held), Running: int64(one.Running),
 			Tokens: one.Tokens, Arrivals: one.Arrivals, OldestMs: one.Oldest.Milliseconds(), Rank: int64(one.Rank)})
 	}
 	return out
--- a/process/daemon/freshness.go
+++ b/daemon/freshness.go
@@ -3,8 +3,8 @@
 import (
 	"github.com/apex/log"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/membership"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/process/cluster/membership"
 )
 
 // ConfirmedAsLeader is, where this daemon leads, up to when a majority has confirmed that, if all that was committed
--- a/process/daemon/held.go
+++ b/daemon/held.go
@@ -7,13 +7,13 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/demand"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/placement"
-	"github.com/cresspond/cresspond/process/poolplacement"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/placement/demand"
+	"github.com/cresspond/cresspond/process/placement/poolplacement"
+	"github.com/cresspond/cresspond/process/placement/sessionplacement"
 	"github.com/cresspond/cresspond/request/dispatch"
-	"github.com/cresspond/cresspond/wire/fellowapi"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 // Daemons ask each other again and again for what is new. The answer is held back while nothing is, so that
@@ -66,7 +66,7 @@
 
 // heldLacks is what the planner here said last that it will not load soon, as told to others.
 type heldLacks struct {
-	lacks []placement.Lack
+	lacks []sessionplacement.Lack
 	pools []poolplacement.Lack
 }
 
@@ -83,7 +83,7 @@
 // tellsBundle says whether an asker is told the bundle in force here. A bundle is large, and who asks for what is
 // urgent only has it from its teller in a moment, who serves control from the group's log: these are told here only if
 // they still lack it after a while.
-func (d *Daemon) tellsBundle(epoch ident.Epoch, in *fellowapi.PullRequest) bool {
+func (d *Daemon) tellsBundle(epoch ident.Epoch, in *peerapi.PullRequest) bool {
 	seen := d.bundleSeen.Load()
 	if seen == nil || seen.epoch != epoch {
 		seen = &bundleSeen{epoch, d.clock.Elapsed()}
@@ -93,7 +93,7 @@
 }
 
 // newsFor says whether there is anything that an asker does not know.
-func (d *Daemon) newsFor(in *fellowapi.PullRequest) urgency {
+func (d *Daemon) newsFor(in *peerapi.PullRequest) urgency {
 	spec, closure := d.InForce()
 	leader, term := d.leaderAndTerm()
 	planner, plans, self := d.members.View().PlannerAddress, d.Plans(), d.config.ReachedAt()
@@ -103,8 +103,8 @@
 		leader != "" && (term > in.LeaderTerm || in.LeaderAddress == ""),
 		in.Group == "" && d.Group() != "",
 		// Whoever relies on this daemon must hear at once that it can't any more, or can again.
-		in.SourceSeen == fellowapi.SourceSeen_SOURCE_CONFIRMED && d.stale(),
-		in.SourceSeen == fellowapi.SourceSeen_SOURCE_STALE && !d.stale(),
+		in.SourceSeen == peerapi.SourceSeen_SOURCE_CONFIRMED && d.stale(),
+		in.SourceSeen == peerapi.SourceSeen_SOURCE_STALE && !d.stale(),
 		// Numbers of another life count for nothing.
 		in.RegistryLife != string(d.nodeID) || d.registry.Urgent() > in.RegistryWhole || len(in.RegistryWanted) > 0,
 		in.MembersLife != string(d.nodeID),
@@ -122,7 +122,7 @@
 }
 
 // holdBack waits until there is news for an asker, for as long as it lets its answer be held back.
-func (d *Daemon) holdBack(ctx context.Context, in *fellowapi.PullRequest) {
+func (d *Daemon) holdBack(ctx context.Context, in *peerapi.PullRequest) {
 	hold := min(time.Duration(in.HoldMs)*time.Millisecond, mostHold)
 	if hold <= 0 {
 		return
@@ -240,7 +240,7 @@
 }
 
 // tellLacks puts what will not be loaded soon into a reply, where this daemon plans and the asker has it not.
-func (d *Daemon) tellLacks(in *fellowapi.PullRequest, reply *fellowapi.PullReply) {
+func (d *Daemon) tellLacks(in *peerapi.PullRequest, reply *peerapi.PullReply) {
 	held := d.heldLacks.Load()
 	if !reply.Plans || held == nil {
 		return
@@ -250,15 +250,15 @@
 		return
 	}
 	for _, lack := range held.lacks {
-		reply.Lacks = append(reply.Lacks, &fellowapi.Lack{Model: lack.Model, Adapter: lack.Adapter, WaitMs: lack.Wait.Milliseconds()})
+		reply.Lacks = append(reply.Lacks, &peerapi.Lack{Model: lack.Model, Adapter: lack.Adapter, WaitMs: lack.Wait.Milliseconds()})
 	}
 	for _, lack := range held.pools {
-		reply.Lacks = append(reply.Lacks, &fellowapi.Lack{Pool: lack.Pool, Model: lack.Model, Adapter: lack.Adapter, WaitMs: lack.Wait.Milliseconds()})
+		reply.Lacks = append(reply.Lacks, &peerapi.Lack{Pool: lack.Pool, Model: lack.Model, Adapter: lack.Adapter, WaitMs: lack.Wait.Milliseconds()})
 	}
 }
 
 // learnLacks takes the planner's word on what will not be loaded soon.
-func (d *Daemon) learnLacks(reply *fellowapi.PullReply) {
+func (d *Daemon) learnLacks(reply *peerapi.PullReply) {
 	if !reply.Plans || reply.LacksVersion == 0 {
 		return
 	}
@@ -285,7 +285,7 @@
 }
 
 // hearWants takes what an asker holds and asks for; it says false where what that builds on is not known.
-func (d *Daemon) hearWants(in *fellowapi.PullRequest) bool {
+func (d *Daemon) hearWants(in *peerapi.PullRequest) bool {
 	if in.Wants == 0 {
 		return true
 	}
--- a/process/daemon/held_test.go
+++ b/daemon/held_test.go
@@ -4,9 +4,9 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/wire/fellowapi"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 // heldClock is moved by hand.
@@ -20,9 +20,9 @@
 func TestABundleIsToldOnceUnlessItsTellerFails(t *testing.T) {
 	at := &heldClock{now: minute}
 	d := &Daemon{clock: at}
-	all := &fellowapi.PullRequest{SpecEpoch: 3}
-	inShort := &fellowapi.PullRequest{SpecEpoch: 3, RegistryUrgent: true}
-	tells := func(epoch ident.Epoch, in *fellowapi.PullRequest) bool { return d.tellsBundle(epoch, in) }
+	all := &peerapi.PullRequest{SpecEpoch: 3}
+	inShort := &peerapi.PullRequest{SpecEpoch: 3, RegistryUrgent: true}
+	tells := func(epoch ident.Epoch, in *peerapi.PullRequest) bool { return d.tellsBundle(epoch, in) }
 	if tells(3, all) || tells(3, inShort) || tells(2, inShort) {
 		t.Error("what is known is told")
 	}
@@ -36,7 +36,7 @@
 	if !tells(4, inShort) {
 		t.Error("one whose teller failed is never told")
 	}
-	control := &fellowapi.PullRequest{SpecEpoch: 4, Beats: true}
+	control := &peerapi.PullRequest{SpecEpoch: 4, Beats: true}
 	if tells(5, control) || tells(5, inShort) || !tells(5, all) {
 		t.Error("the next bundle is left to the teller again, and to the log")
 	}
--- a/process/daemon/history.go
+++ b/daemon/history.go
@@ -7,10 +7,10 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/spec"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/statemachine"
-	"github.com/cresspond/cresspond/wire/fellowapi"
+	"github.com/cresspond/cresspond/configuration/document"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 const (
@@ -69,11 +69,11 @@
 	if len(fellows) == 0 {
 		return nil
 	}
-	recalled, err := d.links.To(fellows[rand.IntN(len(fellows))].Address).Recall(bounded, &fellowapi.RecallRequest{Epoch: uint64(epoch)})
+	recalled, err := d.links.To(fellows[rand.IntN(len(fellows))].Address).Recall(bounded, &peerapi.RecallRequest{Epoch: uint64(epoch)})
 	if err != nil {
 		return nil
 	}
-	if _, faults := spec.Parse(recalled.Spec); len(faults) > 0 {
+	if _, faults := document.Parse(recalled.Spec); len(faults) > 0 {
 		return nil
 	}
 	return recalled.Spec
--- a/process/daemon/leaving.go
+++ b/daemon/leaving.go
@@ -6,11 +6,11 @@
 	"sync"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/config"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/membership"
-	"github.com/cresspond/cresspond/process/raft"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/cluster/membership"
+	"github.com/cresspond/cresspond/process/consensus/raft"
+	"github.com/cresspond/cresspond/process/daemonconfig"
 )
 
 // keptThing names what a stopping daemon alone holds.
@@ -65,12 +65,12 @@
 
 // tellBeats waits until another control daemon has seen all that engines said here, except for how busy they are.
 func (d *Daemon) tellBeats(kept *keptThings) {
-	if !d.config.Serves(config.Control) || len(d.registry.View().Engines) == 0 {
+	if !d.config.Serves(daemonconfig.Control) || len(d.registry.View().Engines) == 0 {
 		return
 	}
 	var peers []ident.NodeID
 	for _, peer := range d.members.View().InContact(d.clock.Elapsed(), membership.ContactWindow) {
-		if peer.NodeID != d.nodeID && peer.Serves(string(config.Control)) {
+		if peer.NodeID != d.nodeID && peer.Serves(string(daemonconfig.Control)) {
 			peers = append(peers, peer.NodeID)
 		}
 	}
--- a/process/daemon/life.go
+++ b/daemon/life.go
@@ -7,8 +7,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/cresspond/cresspond/process/config"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/daemonconfig"
 )
 
 const (
@@ -56,7 +56,7 @@
 		})
 	}
 	wait.Wait()
-	if d.config.Attempts != config.LocalAttempts {
+	if d.config.Attempts != daemonconfig.LocalAttempts {
 		d.handOver(limit)
 		if limit.Err() != nil {
 			kept.add(attemptMemory)
@@ -82,7 +82,7 @@
 // handOffice gives up what this daemon does for the others: planning, then leading. The group keeps its
 // size: a machine that stops may come back.
 func (d *Daemon) handOffice(limit context.Context, kept *keptThings) {
-	if d.config.Serves(config.Place) {
+	if d.config.Serves(daemonconfig.Place) {
 		plans := d.Plans()
 		d.placer.StandDown()
 		d.pools.standDown()
--- a/process/daemon/listener.go
+++ b/daemon/listener.go
@@ -11,7 +11,7 @@
 
 	"github.com/rotisserie/eris"
 
-	"github.com/cresspond/cresspond/process/config"
+	"github.com/cresspond/cresspond/process/daemonconfig"
 )
 
 const (
@@ -28,10 +28,10 @@
 	for told := false; ; told = true {
 		listener, err := net.Listen("tcp", address)
 		if err == nil {
-			return &steadyListener{Listener: listener, wait: d.config.Trouble == config.WaitOnTrouble, troubles: &d.counters.listenerTroubles}, nil
+			return &steadyListener{Listener: listener, wait: d.config.Trouble == daemonconfig.WaitOnTrouble, troubles: &d.counters.listenerTroubles}, nil
 		}
 		err = eris.Wrapf(err, "%s %s cannot be used", field, address)
-		if d.config.Trouble != config.WaitOnTrouble {
+		if d.config.Trouble != daemonconfig.WaitOnTrouble {
 			return nil, err
 		}
 		if !told {
@@ -64,7 +64,7 @@
 			return
 		}
 		err = eris.Wrapf(err, "%s %s failed", field, address)
-		if d.config.Trouble != config.WaitOnTrouble {
+		if d.config.Trouble != daemonconfig.WaitOnTrouble {
 			d.stepAside(err)
 			return
 		}
--- a/process/daemon/member.go
+++ b/daemon/member.go
@@ -11,14 +11,14 @@
 	"github.com/apex/log"
 	"github.com/rotisserie/eris"
 
-	"github.com/cresspond/cresspond/process/config"
-	"github.com/cresspond/cresspond/process/formation"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/raft"
-	"github.com/cresspond/cresspond/process/replica"
-	"github.com/cresspond/cresspond/process/statemachine"
-	"github.com/cresspond/cresspond/process/store"
-	"github.com/cresspond/cresspond/wire/fellowapi"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/bootstrap"
+	"github.com/cresspond/cresspond/process/consensus/raft"
+	"github.com/cresspond/cresspond/process/consensus/replica"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/consensus/store"
+	"github.com/cresspond/cresspond/process/daemonconfig"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 const (
@@ -68,7 +68,7 @@
 
 // openStore opens the data folder at the start, where a folder that can't be used is to end the daemon.
 func (d *Daemon) openStore() (*store.Store, error) {
-	if !d.config.Serves(config.Control) || d.config.Trouble == config.WaitOnTrouble {
+	if !d.config.Serves(daemonconfig.Control) || d.config.Trouble == daemonconfig.WaitOnTrouble {
 		return nil, nil
 	}
 	return store.Open(d.config.Data, NewMember)
@@ -86,7 +86,7 @@
 		if ctx.Err() != nil || d.memberEnds.Load() {
 			return
 		}
-		if d.config.Trouble != config.WaitOnTrouble {
+		if d.config.Trouble != daemonconfig.WaitOnTrouble {
 			d.broken <- err
 			return
 		}
@@ -284,11 +284,11 @@
 	ticker := time.NewTicker(200 * time.Millisecond)
 	defer ticker.Stop()
 	for {
-		decision, group, members := formation.Decide(held.Member, d.askSeeds(ctx))
+		decision, group, members := bootstrap.Decide(held.Member, d.askSeeds(ctx))
 		switch decision {
-		case formation.Join:
+		case bootstrap.Join:
 			return group, none, nil
-		case formation.Form:
+		case bootstrap.Form:
 			return d.form(held, members)
 		}
 		select {
@@ -319,12 +319,12 @@
 
 // askSeeds asks all seeds who they are. Once one of them tells of a group nobody else is waited for: a seed
 // that is gone for good must not hold up a machine that comes in its place.
-func (d *Daemon) askSeeds(ctx context.Context) []formation.Seed {
+func (d *Daemon) askSeeds(ctx context.Context) []bootstrap.Seed {
 	seeds := d.Config().Seeds
-	out := make([]formation.Seed, len(seeds))
+	out := make([]bootstrap.Seed, len(seeds))
 	type said struct {
 		place    int
-		identity *fellowapi.Identity
+		identity *peerapi.Identity
 	}
 	answers := make(chan said, len(seeds))
 	bounded, cancel := context.WithTimeout(ctx, time.Second)
@@ -337,7 +337,7 @@
 				return
 			}
 			// A seed that does not answer is told by its lack of an identity.
-			identity, err := d.links.To(address).Identify(bounded, &fellowapi.Nothing{})
+			identity, err := d.links.To(address).Identify(bounded, &peerapi.Nothing{})
 			if err != nil {
 				identity = nil
 			}
@@ -357,8 +357,8 @@
 	return out
 }
 
-func seedOf(address string, identity *fellowapi.Identity) formation.Seed {
-	return formation.Seed{Address: address, Answered: true, Member: raft.MemberID(identity.MemberId), Name: ident.NodeID(identity.NodeId).Name(),
+func seedOf(address string, identity *peerapi.Identity) bootstrap.Seed {
+	return bootstrap.Seed{Address: address, Answered: true, Member: raft.MemberID(identity.MemberId), Name: ident.NodeID(identity.NodeId).Name(),
 		Group: ident.GroupID(identity.Group), ServesControl: identity.ServesControl, JoinOnly: identity.JoinOnly}
 }
 
@@ -395,6 +395,6 @@
 func (d *Daemon) askToJoin(ctx context.Context, leader string, self raft.Member, leaving bool) bool {
 	bounded, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	reply, err := d.links.To(leader).Join(bounded, &fellowapi.JoinRequest{Group: string(d.Group()), MemberId: uint64(self.ID), Name: self.Name, Address: self.Address, Leaving: leaving})
+	reply, err := d.links.To(leader).Join(bounded, &peerapi.JoinRequest{Group: string(d.Group()), MemberId: uint64(self.ID), Name: self.Name, Address: self.Address, Leaving: leaving})
 	return err == nil && reply.Outcome == string(replica.Applied)
 }
--- a/process/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/cresspond/cresspond/connection/metrics"
-	"github.com/cresspond/cresspond/process/config"
+	"github.com/cresspond/cresspond/process/daemonconfig"
 	"github.com/cresspond/cresspond/request/forwarding"
 )
 
@@ -39,15 +39,15 @@
 	if d.config.MetricsListen == "" {
 		return nil
 	}
-	if d.config.Trouble == config.WaitOnTrouble {
+	if d.config.Trouble == daemonconfig.WaitOnTrouble {
 		go func() {
-			if listener, err := d.listen(ctx.Done(), config.MetricsKey, d.config.MetricsListen); err == nil {
+			if listener, err := d.listen(ctx.Done(), daemonconfig.MetricsKey, d.config.MetricsListen); err == nil {
 				d.serveMetrics(ctx, listener)
 			}
 		}()
 		return nil
 	}
-	listener, err := d.listen(ctx.Done(), config.MetricsKey, d.config.MetricsListen)
+	listener, err := d.listen(ctx.Done(), daemonconfig.MetricsKey, d.config.MetricsListen)
 	if err != nil {
 		return err
 	}
@@ -61,5 +61,5 @@
 	pages.Handle(d.config.MetricsPath, metrics.Handler(d))
 	server := &http.Server{Handler: pages, ReadTimeout: metricsReadLimit}
 	defer context.AfterFunc(ctx, func() { server.Close() })()
-	d.serveOn(ctx, server, listener, config.MetricsKey, d.config.MetricsListen)
+	d.serveOn(ctx, server, listener, daemonconfig.MetricsKey, d.config.MetricsListen)
 }
--- a/process/daemon/metrics_test.go
+++ b/daemon/metrics_test.go
@@ -9,7 +9,7 @@
 	"github.com/apex/log"
 	"github.com/apex/log/handlers/discard"
 
-	"github.com/cresspond/cresspond/process/config"
+	"github.com/cresspond/cresspond/process/daemonconfig"
 )
 
 // TestAMetricsPortInUseIsNamedByItsKey: it ends the start where troubles end a daemon, and holds nothing up where they
@@ -21,16 +21,16 @@
 	}
 	defer taken.Close()
 	for _, one := range []struct {
-		trouble config.Trouble
+		trouble daemonconfig.Trouble
 		refused bool
-	}{{config.EndOnTrouble, true}, {config.WaitOnTrouble, false}} {
-		settings := config.Default()
+	}{{daemonconfig.EndOnTrouble, true}, {daemonconfig.WaitOnTrouble, false}} {
+		settings := daemonconfig.Default()
 		settings.Name, settings.Trouble, settings.MetricsListen = "edge-1", one.trouble, taken.Addr().String()
 		d := New(settings, "test", &log.Logger{Handler: discard.Default})
 		ctx, cancel := context.WithCancel(context.Background())
 		err := d.startMetrics(ctx)
 		cancel()
-		if refused := err != nil && strings.Contains(err.Error(), config.MetricsKey); refused != one.refused {
+		if refused := err != nil && strings.Contains(err.Error(), daemonconfig.MetricsKey); refused != one.refused {
 			t.Errorf("%s: %v", one.trouble, err)
 		}
 	}
--- a/process/daemon/nodes.go
+++ b/daemon/nodes.go
@@ -4,11 +4,11 @@
 	"context"
 	"encoding/json"
 
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/ranking"
-	"github.com/cresspond/cresspond/process/replica"
-	"github.com/cresspond/cresspond/wire/fellowapi"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/replica"
+	"github.com/cresspond/cresspond/process/engines/nodehealth"
 	"github.com/cresspond/cresspond/wire/operatorapi"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 // nodesRead is what the ranks are read by; only whoever plans has them.
@@ -31,7 +31,7 @@
 	}
 	bounded, cancel := context.WithTimeout(ctx, readLimit)
 	defer cancel()
-	reply, err := d.links.To(address).Read(bounded, &fellowapi.ReadRequest{Group: string(d.Group()), What: nodesRead, Key: string(engine)})
+	reply, err := d.links.To(address).Read(bounded, &peerapi.ReadRequest{Group: string(d.Group()), What: nodesRead, Key: string(engine)})
 	var page operatorapi.Nodes
 	if err != nil || reply.Outcome != string(replica.Applied) || json.Unmarshal(reply.Result, &page) != nil {
 		return operatorapi.Nodes{}, false
@@ -40,16 +40,16 @@
 }
 
 // readNodes answers another daemon that asks for the ranks.
-func (d *Daemon) readNodes(ctx context.Context, engine string) *fellowapi.ReadReply {
+func (d *Daemon) readNodes(ctx context.Context, engine string) *peerapi.ReadReply {
 	page, held := d.nodes.page(ctx, ident.EngineID(engine))
 	if !held {
-		return &fellowapi.ReadReply{Outcome: string(replica.NotLeader)}
+		return &peerapi.ReadReply{Outcome: string(replica.NotLeader)}
 	}
 	data, err := json.Marshal(page)
 	if err != nil {
 		panic("broken invariant: the ranks cannot be encoded: " + err.Error())
 	}
-	return &fellowapi.ReadReply{Outcome: string(replica.Applied), Result: data}
+	return &peerapi.ReadReply{Outcome: string(replica.Applied), Result: data}
 }
 
 // page asks this daemon's own ranker; false where it does not plan now.
@@ -80,7 +80,7 @@
 	}
 	out.ClosureEpoch = table.Closures.Epoch
 	fleet := n.fleet(n.clock.Elapsed(), n.registry.View(), table.Closures, table.OpenRegistered)
-	rows := map[ident.EngineID]ranking.Row{}
+	rows := map[ident.EngineID]nodehealth.Row{}
 	ranked := n.state.Load().rows
 	for _, row := range ranked {
 		rows[row.Engine] = row
@@ -96,7 +96,7 @@
 		if row.Samples > 0 {
 			node.Kind = row.Kind.String()
 		}
-		if row.Refusal != ranking.Allowed {
+		if row.Refusal != nodehealth.Allowed {
 			node.Refusal = row.Refusal.String()
 		}
 		if mark, shut := table.Closures.Engines[id]; shut {
@@ -119,24 +119,24 @@
 		}
 	}
 	if asked.engine != "" {
-		why := ranking.Refuse(n.limits(), fleet, asked.engine)
+		why := nodehealth.Refuse(n.limits(), fleet, asked.engine)
 		out.Asked, out.AskedReason = why.String(), why.Reason()
 	}
 	asked.reply <- out
 }
 
 // mode is what ranking is used for here; settings put together without any are those of a daemon that ranks nothing.
-func (n *nodeRanking) mode() ranking.Mode {
+func (n *nodeRanking) mode() nodehealth.Mode {
 	if n.settings.Mode == "" {
-		return ranking.Off
+		return nodehealth.Off
 	}
 	return n.settings.Mode
 }
 
 // limits are the bounds that operators' drains are held to.
-func (n *nodeRanking) limits() ranking.Settings {
-	if n.settings == (ranking.Settings{}) {
-		return ranking.DefaultSettings()
+func (n *nodeRanking) limits() nodehealth.Settings {
+	if n.settings == (nodehealth.Settings{}) {
+		return nodehealth.DefaultSettings()
 	}
 	return n.settings
 }
--- a/process/daemon/pages.go
+++ b/daemon/pages.go
@@ -8,11 +8,11 @@
 	"strings"
 	"time"
 
-	"github.com/cresspond/cresspond/process/config"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/raft"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/raft"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/daemonconfig"
 	"github.com/cresspond/cresspond/process/rollout"
-	"github.com/cresspond/cresspond/process/statemachine"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
@@ -52,7 +52,7 @@
 				Differs: slices.Contains(condition.Differing, member.ID)})
 		}
 	}
-	if d.config.Serves(config.Place) {
+	if d.config.Serves(daemonconfig.Place) {
 		condition := d.placer.Condition()
 		out.Planner = &operatorapi.PlannerStatus{Held: condition.Held, Claim: condition.Claim, InFlight: condition.InFlight}
 	}
@@ -134,13 +134,13 @@
 	say("engine_lives", w.Lives.Load())
 	say("engine_set_aside", w.SetAsides.Load())
 	say("engines_registered", uint64(len(d.registry.View().Engines)))
-	if d.config.Serves(config.Control) {
+	if d.config.Serves(daemonconfig.Control) {
 		say("engine_beats", c.engineBeats.Load())
 		say("engine_beats_late", c.engineBeatsLate.Load())
 		say("leaves_acknowledged", c.leavesAcknowledged.Load())
 		say("leaves_unknown", c.leavesUnknown.Load())
 	}
-	if d.config.Serves(config.Route) {
+	if d.config.Serves(daemonconfig.Route) {
 		s := d.dispatch.Snapshot()
 		say("requests_invalid", d.door.Invalid.Load())
 		say("requests_let_in", s.Counters.Admitted)
@@ -170,7 +170,7 @@
 	}
 	d.countForwarding(say)
 	d.nodes.count(say)
-	if d.config.Serves(config.Place) {
+	if d.config.Serves(daemonconfig.Place) {
 		p := d.placer.Condition().Counters
 		say("orders", p.Orders)
 		say("orders_done", p.Done)
--- a/process/daemon/poolplanning.go
+++ b/daemon/poolplanning.go
@@ -4,15 +4,15 @@
 	"context"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/config"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/outlier"
-	"github.com/cresspond/cresspond/process/poolplacement"
-	"github.com/cresspond/cresspond/process/registry"
-	"github.com/cresspond/cresspond/process/snowflake"
-	"github.com/cresspond/cresspond/process/statemachine"
-	"github.com/cresspond/cresspond/wire/fellowapi"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/daemonconfig"
+	"github.com/cresspond/cresspond/process/engines/outlier"
+	"github.com/cresspond/cresspond/process/engines/registry"
+	"github.com/cresspond/cresspond/process/placement/poolplacement"
+	"github.com/cresspond/cresspond/process/workerid/snowflake"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 // poolPlanning is the planner of pools, where the daemon was put together with one. A nil one plans nothing.
@@ -23,7 +23,7 @@
 }
 
 // PoolSettings are the planner's settings for a deployment with these bounds.
-func PoolSettings(c config.Config) poolplacement.Settings {
+func PoolSettings(c daemonconfig.Config) poolplacement.Settings {
 	settings := poolplacement.DefaultSettings("", time.Duration(c.Bounds.LeaseMs)*time.Millisecond)
 	settings.Off = c.Experiments.Off()
 	settings.Window = time.Duration(c.Bounds.OriginWindowMs) * time.Millisecond
@@ -137,7 +137,7 @@
 const mostOutcomes = 2000
 
 // hearOutcomes takes what an asker saw of engines, where this daemon plans.
-func (d *Daemon) hearOutcomes(in *fellowapi.PullRequest) {
+func (d *Daemon) hearOutcomes(in *peerapi.PullRequest) {
 	if len(in.Outcomes) == 0 || !d.Plans() {
 		return
 	}
@@ -154,9 +154,9 @@
 }
 
 // heardDemand adds up what this daemon and all others were lately heard to ask for.
-func (d *Daemon) heardDemand(now clock.Mark, own []*fellowapi.Demand) []poolplacement.Demand {
+func (d *Daemon) heardDemand(now clock.Mark, own []*peerapi.Demand) []poolplacement.Demand {
 	var out []poolplacement.Demand
-	take := func(demand *fellowapi.Demand, ago time.Duration, share float64) {
+	take := func(demand *peerapi.Demand, ago time.Duration, share float64) {
 		if demand.Pool == "" {
 			return
 		}
@@ -219,7 +219,7 @@
 // MayStand says whether this daemon should try to plan.
 func (p poolPlanner) MayStand() bool {
 	ready, _ := p.members.Ready()
-	return ready && !p.draining.Load() && p.generator.Held() && p.config.Serves(config.Place)
+	return ready && !p.draining.Load() && p.generator.Held() && p.config.Serves(daemonconfig.Place)
 }
 
 // First says whether this daemon should have the claim before others. One that does not lead: a claim outlasts
@@ -238,7 +238,7 @@
 }
 
 // hearPoolLacks takes the planner's word on what will not be loaded soon.
-func (d *Daemon) hearPoolLacks(lacks []*fellowapi.Lack) {
+func (d *Daemon) hearPoolLacks(lacks []*peerapi.Lack) {
 	waits := map[PoolTarget]time.Duration{}
 	for _, lack := range lacks {
 		if lack.Pool != "" {
--- a/process/daemon/ranking.go
+++ b/daemon/ranking.go
@@ -12,24 +12,24 @@
 
 	"github.com/apex/log"
 
-	"github.com/cresspond/cresspond/process/actor"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/config"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/ranking"
-	"github.com/cresspond/cresspond/process/registry"
-	"github.com/cresspond/cresspond/process/snowflake"
-	"github.com/cresspond/cresspond/process/statemachine"
-	"github.com/cresspond/cresspond/wire/fellowapi"
+	"github.com/cresspond/cresspond/actor"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/daemonconfig"
+	"github.com/cresspond/cresspond/process/engines/nodehealth"
+	"github.com/cresspond/cresspond/process/engines/registry"
+	"github.com/cresspond/cresspond/process/workerid/snowflake"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 // nodeRanking is a daemon's part in ranking engines: where it routes it measures and tells, where it plans it ranks
 // and decides, under the planner's claim.
 type nodeRanking struct {
 	*Daemon
-	settings ranking.Settings
+	settings nodehealth.Settings
 	// recorder is there where requests are forwarded and ranking is not off.
-	recorder *ranking.Recorder
+	recorder *nodehealth.Recorder
 	// toldAt is when digests were last told.
 	toldMutex sync.Mutex
 	toldAt    clock.Mark
@@ -37,7 +37,7 @@
 
 	box *actor.Mailbox[any]
 	// ranker is there while the claim is held; claim is the one it was made for.
-	ranker *ranking.Ranker
+	ranker *nodehealth.Ranker
 	claim  ident.ClaimNumber
 	// asked says that an act is under way, stepNext when the next step is due.
 	asked    bool
@@ -45,7 +45,7 @@
 	// vanished is since when an engine that the ranking shut is not registered.
 	vanished map[ident.EngineID]clock.Mark
 	// refusals is why slow engines were not drained at the newest step.
-	refusals map[ident.EngineID]ranking.Refusal
+	refusals map[ident.EngineID]nodehealth.Refusal
 	// asked for lately: only that must not lose its last holder.
 	wanted map[wantedKey]clock.Mark
 	state  atomic.Pointer[rankingState]
@@ -54,14 +54,14 @@
 
 type wantedKey struct {
 	pool   string
-	target ranking.Target
+	target nodehealth.Target
 }
 
 // rankingState is what others may see of the ranker.
 type rankingState struct {
 	claim    ident.ClaimNumber
-	rows     []ranking.Row
-	counters ranking.Counters
+	rows     []nodehealth.Row
+	counters nodehealth.Counters
 	emptying map[ident.EngineID]bool
 	took     time.Duration
 }
@@ -72,10 +72,10 @@
 type (
 	heardNodes struct {
 		zone    ident.ZoneID
-		digests []ranking.Digest
+		digests []nodehealth.Digest
 	}
 	actedOn struct {
-		act     ranking.Act
+		act     nodehealth.Act
 		verdict statemachine.Verdict
 		reason  string
 		known   bool
@@ -98,20 +98,20 @@
 )
 
 func newNodeRanking(d *Daemon) *nodeRanking {
-	n := &nodeRanking{Daemon: d, settings: d.config.Ranking, box: actor.NewMailbox[any](1024), vanished: map[ident.EngineID]clock.Mark{}, refusals: map[ident.EngineID]ranking.Refusal{}, wanted: map[wantedKey]clock.Mark{}}
+	n := &nodeRanking{Daemon: d, settings: d.config.Ranking, box: actor.NewMailbox[any](1024), vanished: map[ident.EngineID]clock.Mark{}, refusals: map[ident.EngineID]nodehealth.Refusal{}, wanted: map[wantedKey]clock.Mark{}}
 	if n.on() && d.forwards() {
-		n.recorder = ranking.NewRecorder()
+		n.recorder = nodehealth.NewRecorder()
 	}
 	n.state.Store(&rankingState{})
 	return n
 }
 
 func (n *nodeRanking) on() bool {
-	return n.settings.Mode == ranking.Watch || n.settings.Mode == ranking.Drain
+	return n.settings.Mode == nodehealth.Watch || n.settings.Mode == nodehealth.Drain
 }
 
 // plans says whether this daemon may ever rank. One that never was put together to plan pools can't.
-func (n *nodeRanking) plans() bool { return n.pools != nil && n.config.Serves(config.Place) }
+func (n *nodeRanking) plans() bool { return n.pools != nil && n.config.Serves(daemonconfig.Place) }
 
 // run starts the ranker. It runs where ranking is off too, to open what was shut before it was switched off.
 func (n *nodeRanking) run(run func(func(context.Context))) {
@@ -121,7 +121,7 @@
 }
 
 // tell gives what was measured since it was last told, for whoever plans.
-func (n *nodeRanking) tell() []*fellowapi.NodeDigest {
+func (n *nodeRanking) tell() []*peerapi.NodeDigest {
 	if n.recorder == nil {
 		return nil
 	}
@@ -138,13 +138,13 @@
 }
 
 // encodeDigests puts the digests of one engine together. Its pool is known to whoever plans.
-func encodeDigests(digests []ranking.Digest) []*fellowapi.NodeDigest {
-	var out []*fellowapi.NodeDigest
+func encodeDigests(digests []nodehealth.Digest) []*peerapi.NodeDigest {
+	var out []*peerapi.NodeDigest
 	for _, digest := range digests {
 		if len(out) == 0 || out[len(out)-1].Engine != string(digest.Engine) {
-			out = append(out, &fellowapi.NodeDigest{Engine: string(digest.Engine)})
+			out = append(out, &peerapi.NodeDigest{Engine: string(digest.Engine)})
 		}
-		class := &fellowapi.NodeClass{Kind: uint32(digest.Class.Kind), Model: digest.Class.Model, TargetMs: digest.Class.TargetMs,
+		class := &peerapi.NodeClass{Kind: uint32(digest.Class.Kind), Model: digest.Class.Model, TargetMs: digest.Class.TargetMs,
 			Load: uint32(digest.Class.Load), Size: uint32(digest.Class.Size)}
 		for _, bucket := range digest.Buckets {
 			class.Values, class.Counts = append(class.Values, bucket.Value), append(class.Counts, bucket.Count)
@@ -162,21 +162,21 @@
 )
 
 // decodeDigests reads what another daemon measured; what makes no sense, or is of no engine that is known, is left out.
-func decodeDigests(view *registry.View, nodes []*fellowapi.NodeDigest) []ranking.Digest {
-	var out []ranking.Digest
+func decodeDigests(view *registry.View, nodes []*peerapi.NodeDigest) []nodehealth.Digest {
+	var out []nodehealth.Digest
 	for _, node := range nodes {
 		engine := view.Engines[ident.EngineID(node.Engine)]
 		if engine == nil || len(node.Classes) > mostClasses {
 			continue
 		}
 		for _, class := range node.Classes {
-			if class.Kind > uint32(ranking.Connect) || class.Load > 64 || class.Size > 64 || len(class.Values) != len(class.Counts) || len(class.Values) > mostBuckets {
+			if class.Kind > uint32(nodehealth.Connect) || class.Load > 64 || class.Size > 64 || len(class.Values) != len(class.Counts) || len(class.Values) > mostBuckets {
 				continue
 			}
-			digest := ranking.Digest{Engine: engine.ID, Class: ranking.Class{Kind: ranking.Kind(class.Kind), Pool: engine.Pool, Model: class.Model,
+			digest := nodehealth.Digest{Engine: engine.ID, Class: nodehealth.Class{Kind: nodehealth.Kind(class.Kind), Pool: engine.Pool, Model: class.Model,
 				TargetMs: class.TargetMs, Load: uint8(class.Load), Size: uint8(class.Size)}}
 			for place, value := range class.Values {
-				digest.Buckets = append(digest.Buckets, ranking.Bucket{Value: value, Count: class.Counts[place]})
+				digest.Buckets = append(digest.Buckets, nodehealth.Bucket{Value: value, Count: class.Counts[place]})
 			}
 			out = append(out, digest)
 		}
@@ -185,7 +185,7 @@
 }
 
 // hear takes what an asker measured, where this daemon plans.
-func (n *nodeRanking) hear(in *fellowapi.PullRequest) {
+func (n *nodeRanking) hear(in *peerapi.PullRequest) {
 	if len(in.Nodes) == 0 || !n.on() || !n.plans() || !n.pools.condition().Held {
 		return
 	}
@@ -234,7 +234,7 @@
 	}
 	now := n.clock.Elapsed()
 	if n.ranker == nil || n.claim != condition.Claim {
-		n.ranker, n.claim = ranking.NewRanker(n.settings), condition.Claim
+		n.ranker, n.claim = nodehealth.NewRanker(n.settings), condition.Claim
 	}
 	if now < n.stepNext {
 		return
@@ -274,7 +274,7 @@
 		if row.Refusal == n.refusals[row.Engine] {
 			continue
 		}
-		if n.refusals[row.Engine] = row.Refusal; row.Refusal == ranking.Allowed {
+		if n.refusals[row.Engine] = row.Refusal; row.Refusal == nodehealth.Allowed {
 			delete(n.refusals, row.Engine)
 			continue
 		}
@@ -292,8 +292,8 @@
 }
 
 // forgotten lists the openings of engines that were shut by rank and are gone, so that their marks don't pile up.
-func (n *nodeRanking) forgotten(now clock.Mark, view *registry.View, closures statemachine.Closures) []ranking.Act {
-	var out []ranking.Act
+func (n *nodeRanking) forgotten(now clock.Mark, view *registry.View, closures statemachine.Closures) []nodehealth.Act {
+	var out []nodehealth.Act
 	for id := range n.vanished {
 		if _, shut := closures.Engines[id]; !shut {
 			delete(n.vanished, id)
@@ -308,17 +308,17 @@
 			n.vanished[id] = now
 		}
 		if now.Since(n.vanished[id]) >= vanishedFor {
-			out = append(out, ranking.Act{Engine: id})
+			out = append(out, nodehealth.Act{Engine: id})
 		}
 	}
-	slices.SortFunc(out, func(a, b ranking.Act) int { return cmp.Compare(a.Engine, b.Engine) })
+	slices.SortFunc(out, func(a, b nodehealth.Act) int { return cmp.Compare(a.Engine, b.Engine) })
 	return out
 }
 
-func sortedIDs(fleet ranking.Fleet) []ident.EngineID { return slices.Sorted(maps.Keys(fleet)) }
+func sortedIDs(fleet nodehealth.Fleet) []ident.EngineID { return slices.Sorted(maps.Keys(fleet)) }
 
 // act has the group shut or open an engine, stamped and under the claim that was ranked under.
-func (n *nodeRanking) act(ctx context.Context, act ranking.Act) {
+func (n *nodeRanking) act(ctx context.Context, act nodehealth.Act) {
 	stamp, verdict := n.generator.Mint()
 	if verdict != snowflake.Minted {
 		// Without a lease of a worker id nothing is decided.
@@ -336,23 +336,23 @@
 	}()
 }
 
-func reasonOf(act ranking.Act) string {
+func reasonOf(act nodehealth.Act) string {
 	if !act.Drain {
 		return ""
 	}
 	unit := "ms"
-	if act.Standing.Kind == ranking.Stall {
+	if act.Standing.Kind == nodehealth.Stall {
 		unit = "thousandths of the longest pause aimed at"
 	}
 	return fmt.Sprintf("%s %.1f times that of others: %.0f against %.0f %s", act.Standing.Kind, act.Standing.Score, act.Standing.Value, act.Standing.Peers, unit)
 }
 
 // fleet is what the ranker may know of the registered engines. Of who asks for what, only whether anyone does.
-func (n *nodeRanking) fleet(now clock.Mark, view *registry.View, closures statemachine.Closures, open func(ident.EngineID, ident.ZoneID) bool) ranking.Fleet {
+func (n *nodeRanking) fleet(now clock.Mark, view *registry.View, closures statemachine.Closures, open func(ident.EngineID, ident.ZoneID) bool) nodehealth.Fleet {
 	for _, demand := range n.heardDemand(now, n.forwardDemands()) {
-		n.wanted[wantedKey{demand.Pool, ranking.Target{Model: demand.Model}}] = now
+		n.wanted[wantedKey{demand.Pool, nodehealth.Target{Model: demand.Model}}] = now
 		if demand.Adapter != "" {
-			n.wanted[wantedKey{demand.Pool, ranking.Target{Model: demand.Model, Adapter: demand.Adapter}}] = now
+			n.wanted[wantedKey{demand.Pool, nodehealth.Target{Model: demand.Model, Adapter: demand.Adapter}}] = now
 		}
 	}
 	for key, at := range n.wanted {
@@ -360,17 +360,17 @@
 			delete(n.wanted, key)
 		}
 	}
-	out := ranking.Fleet{}
+	out := nodehealth.Fleet{}
 	for id, engine := range view.Engines {
 		if engine.Gone {
 			continue
 		}
-		one := ranking.Engine{ID: id, Pool: engine.Pool, Zone: engine.Zone, Open: engine.Usable() && open(id, engine.Zone)}
+		one := nodehealth.Engine{ID: id, Pool: engine.Pool, Zone: engine.Zone, Open: engine.Usable() && open(id, engine.Zone)}
 		mark, shut := closures.Engines[id]
 		one.Ranked = shut && mark.Ranking != nil
 		_, one.Kept = closures.Kept[id]
 		for _, held := range engine.Models() {
-			for _, target := range append([]ranking.Target{{Model: held.Model}}, adaptersOf(held)...) {
+			for _, target := range append([]nodehealth.Target{{Model: held.Model}}, adaptersOf(held)...) {
 				if _, asked := n.wanted[wantedKey{engine.Pool, target}]; asked && engine.Holds(target.Model, target.Adapter) {
 					one.Held = append(one.Held, target)
 				}
@@ -381,10 +381,10 @@
 	return out
 }
 
-func adaptersOf(held registry.Held) []ranking.Target {
-	out := make([]ranking.Target, 0, len(held.Adapters))
+func adaptersOf(held registry.Held) []nodehealth.Target {
+	out := make([]nodehealth.Target, 0, len(held.Adapters))
 	for _, adapter := range held.Adapters {
-		out = append(out, ranking.Target{Model: held.Model, Adapter: adapter})
+		out = append(out, nodehealth.Target{Model: held.Model, Adapter: adapter})
 	}
 	return out
 }
@@ -417,7 +417,7 @@
 	say("ranking_relapses", c.Relapses)
 	say("ranking_sounded", c.Sounded)
 	for place, count := range c.Refused {
-		if why := ranking.Refusal(place); why != ranking.Allowed {
+		if why := nodehealth.Refusal(place); why != nodehealth.Allowed {
 			say("ranking_refused_"+why.Name(), count)
 		}
 	}
@@ -427,7 +427,7 @@
 	say("ranking_acts_unleased", n.acts.unleased.Load())
 	drained := uint64(0)
 	for _, row := range state.rows {
-		if row.Stage == ranking.Drained {
+		if row.Stage == nodehealth.Drained {
 			drained++
 		}
 	}
--- a/process/daemon/registry.go
+++ b/daemon/registry.go
@@ -7,14 +7,14 @@
 	"sync"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/config"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/membership"
-	"github.com/cresspond/cresspond/process/registry"
-	"github.com/cresspond/cresspond/process/statemachine"
-	"github.com/cresspond/cresspond/wire/fellowapi"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/cluster/membership"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/daemonconfig"
+	"github.com/cresspond/cresspond/process/engines/registry"
 	"github.com/cresspond/cresspond/wire/operatorapi"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 const (
@@ -31,7 +31,7 @@
 
 // Register takes what an engine says of itself.
 func (d *Daemon) Register(ctx context.Context, word registry.Word) registry.Outcome {
-	if !d.config.Serves(config.Control) {
+	if !d.config.Serves(daemonconfig.Control) {
 		return registry.Outcome{Verdict: registry.Unknown}
 	}
 	hearing, ok := d.registry.Hear(word)
@@ -50,7 +50,7 @@
 
 // Deregister takes an engine's word that it is gone.
 func (d *Daemon) Deregister(ctx context.Context, id ident.EngineID) registry.Outcome {
-	if !d.config.Serves(config.Control) {
+	if !d.config.Serves(daemonconfig.Control) {
 		return registry.Outcome{Verdict: registry.Unknown}
 	}
 	hearing, ok := d.registry.End(id)
@@ -149,7 +149,7 @@
 }
 
 // tellRegistry puts into a reply what changed here since the asker's last question.
-func (d *Daemon) tellRegistry(in *fellowapi.PullRequest, reply *fellowapi.PullReply) {
+func (d *Daemon) tellRegistry(in *peerapi.PullRequest, reply *peerapi.PullReply) {
 	if !followsRegistry(in) {
 		return
 	}
@@ -165,7 +165,7 @@
 	switch {
 	case in.RegistryUrgent:
 		question.Kind = registry.UrgentOnly
-	case in.Beats && d.config.Serves(config.Control):
+	case in.Beats && d.config.Serves(daemonconfig.Control):
 		// Only those who may have to judge an engine's silence need to hear of each beat.
 		question.Kind = registry.WithBeats
 	}
@@ -176,16 +176,16 @@
 }
 
 // cursorOf is how much of this daemon's changes an asker has.
-func cursorOf(in *fellowapi.PullRequest) registry.Cursor {
+func cursorOf(in *peerapi.PullRequest) registry.Cursor {
 	return registry.Cursor{Life: in.RegistryLife, Seen: in.RegistrySeen, Whole: in.RegistryWhole}
 }
 
 // followsRegistry says whether a question is one of those that go on, or of a daemon that has lost control. A
 // look at any daemon now and then must not bring the whole registry along.
-func followsRegistry(in *fellowapi.PullRequest) bool { return in.EveryMs > 0 || in.Everyone }
+func followsRegistry(in *peerapi.PullRequest) bool { return in.EveryMs > 0 || in.Everyone }
 
 // PullFrom asks another daemon, and takes over what it tells of engines.
-func (d *Daemon) PullFrom(ctx context.Context, address string, request *fellowapi.PullRequest) (*fellowapi.PullReply, error) {
+func (d *Daemon) PullFrom(ctx context.Context, address string, request *peerapi.PullRequest) (*peerapi.PullReply, error) {
 	reply, err := d.pullFrom(ctx, address, request)
 	if request.Wants > 0 && (err != nil || reply.WantsLost) {
 		d.wants.Lost()
@@ -193,7 +193,7 @@
 	return reply, err
 }
 
-func (d *Daemon) pullFrom(ctx context.Context, address string, request *fellowapi.PullRequest) (*fellowapi.PullReply, error) {
+func (d *Daemon) pullFrom(ctx context.Context, address string, request *peerapi.PullRequest) (*peerapi.PullReply, error) {
 	if !followsRegistry(request) {
 		return d.links.To(address).Pull(ctx, request)
 	}
@@ -204,7 +204,7 @@
 	}
 	cursor, wanted := d.registry.Asked(peer)
 	request.RegistryLife, request.RegistrySeen, request.RegistryWhole = cursor.Life, cursor.Seen, cursor.Whole
-	request.Beats = d.config.Serves(config.Control)
+	request.Beats = d.config.Serves(daemonconfig.Control)
 	request.LacksVersion, request.DrainingVersion = d.heardNews.lacks.Load(), d.heardNews.draining.Load()
 	for _, id := range wanted {
 		request.RegistryWanted = append(request.RegistryWanted, string(id))
@@ -228,11 +228,11 @@
 // isSecond says whether an address is one of those of which only what is urgent is asked, because the teller tells the rest.
 func (d *Daemon) isSecond(address string) bool {
 	teller := d.members.View().TellerAddress
-	return !d.config.Serves(config.Control) && teller != "" && teller != address && d.clock.Elapsed().Since(d.hearsay.of(teller)) <= tellerFresh
+	return !d.config.Serves(daemonconfig.Control) && teller != "" && teller != address && d.clock.Elapsed().Since(d.hearsay.of(teller)) <= tellerFresh
 }
 
 // ofOurs says whether a reply is of this daemon's group, or of one where neither knows a group yet.
-func (d *Daemon) ofOurs(reply *fellowapi.PullReply) bool {
+func (d *Daemon) ofOurs(reply *peerapi.PullReply) bool {
 	known := d.Group()
 	return known == "" || reply.Group == "" || reply.Group == string(known) || ident.GroupID(reply.Group).Succeeds(known)
 }
@@ -266,7 +266,7 @@
 // pace is how often this daemon asks others again. Where attempts are known to the fleet, all must soon know
 // who came and went, so that each attempt's homes are agreed on; else there is time.
 func (d *Daemon) pace() membership.Pace {
-	if d.config.Attempts == config.LocalAttempts {
+	if d.config.Attempts == daemonconfig.LocalAttempts {
 		return membership.Pace{Least: 600 * time.Millisecond, Most: 750 * time.Millisecond}
 	}
 	return membership.Pace{Least: 150 * time.Millisecond, Most: 750 * time.Millisecond}
@@ -276,7 +276,7 @@
 // lives can't tell an engine's silence from its own deafness; nor can several that were cut off from a majority together.
 func (d *Daemon) contact() registry.Contact {
 	now := d.clock.Elapsed()
-	if !d.config.Serves(config.Control) {
+	if !d.config.Serves(daemonconfig.Control) {
 		// It judges nobody, so it need not look through the fleet for it.
 		return registry.Contact{Horizon: now}
 	}
@@ -287,7 +287,7 @@
 func contactOf(view *membership.View, self ident.NodeID, now clock.Mark, heard func(address string) clock.Mark, period time.Duration, alone func() bool) registry.Contact {
 	out, others := registry.Contact{Horizon: now}, 0
 	for _, fellow := range view.Fellows {
-		if fellow.NodeID == self || !fellow.Serves(string(config.Control)) || now.Since(fellow.Heard) > membership.ContactWindow {
+		if fellow.NodeID == self || !fellow.Serves(string(daemonconfig.Control)) || now.Since(fellow.Heard) > membership.ContactWindow {
 			continue
 		}
 		others++
--- a/process/daemon/routing.go
+++ b/daemon/routing.go
@@ -7,25 +7,25 @@
 	"strconv"
 	"time"
 
-	"github.com/cresspond/cresspond/connection/enginelink"
+	"github.com/cresspond/cresspond/connection/enginestream"
 	"github.com/twitchtv/twirp"
 
-	"github.com/cresspond/cresspond/process/admission"
-	"github.com/cresspond/cresspond/process/affinity"
-	"github.com/cresspond/cresspond/process/attempts"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/config"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/membership"
-	"github.com/cresspond/cresspond/process/placement"
-	"github.com/cresspond/cresspond/process/snowflake"
-	"github.com/cresspond/cresspond/process/statemachine"
-	"github.com/cresspond/cresspond/request/bid"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/cluster/affinity"
+	"github.com/cresspond/cresspond/process/cluster/deduplication"
+	"github.com/cresspond/cresspond/process/cluster/membership"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/daemonconfig"
+	"github.com/cresspond/cresspond/process/engines/admission"
+	"github.com/cresspond/cresspond/process/engines/priority"
+	"github.com/cresspond/cresspond/process/placement/sessionplacement"
+	"github.com/cresspond/cresspond/process/workerid/snowflake"
 	"github.com/cresspond/cresspond/request/dispatch"
 	"github.com/cresspond/cresspond/request/relay"
 	"github.com/cresspond/cresspond/wire/callerapi"
 	"github.com/cresspond/cresspond/wire/engineapi"
-	"github.com/cresspond/cresspond/wire/fellowapi"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 const (
@@ -47,7 +47,7 @@
 	if ready, why := d.members.Ready(); !ready {
 		return false, why
 	}
-	if d.config.Serves(config.Route) && d.config.Platform != "" && d.watcher.View().ListRead == 0 {
+	if d.config.Serves(daemonconfig.Route) && d.config.Platform != "" && d.watcher.View().ListRead == 0 {
 		return false, "the platform's list of engines has not been read yet"
 	}
 	return true, ""
@@ -117,13 +117,15 @@
 	refused := false
 	defer func() { giveBack(refused) }()
 	// The homes are asked while the engine is dialled; the first byte waits for both.
-	claimed := make(chan attempts.Decision, 1)
-	go func() { claimed <- d.askHomes(d.askFor(attempts.Claim, flight.ID, flight.Request, flight.Arrived)) }()
-	var claim attempts.Decision
+	claimed := make(chan deduplication.Decision, 1)
+	go func() {
+		claimed <- d.askHomes(d.askFor(deduplication.Claim, flight.ID, flight.Request, flight.Arrived))
+	}()
+	var claim deduplication.Decision
 	departed := false
 	left := send.Deadline.Since(d.clock.Elapsed())
 	began := false
-	result := enginelink.Carry(flight.Context(), enginelink.Go{
+	result := enginestream.Carry(flight.Context(), enginestream.Go{
 		Address: send.Address, Attempt: flight.Request.Attempt,
 		Work: engineapi.Generate{Model: flight.Request.Model, Adapter: flight.Request.Adapter, Prefix: flight.Request.Prefix,
 			Prompt: flight.Prompt, Session: flight.Request.Session, DeadlineMs: max(1, left.Milliseconds())},
@@ -184,13 +186,13 @@
 
 // mayGo says whether a go may leave on what the homes said. Where they can't be asked, only the caller's
 // own word that the work may run twice lets it go.
-func mayGo(claim attempts.Decision, repeatable bool) bool {
-	return claim == attempts.May || claim == attempts.Doubt && repeatable
+func mayGo(claim deduplication.Decision, repeatable bool) bool {
+	return claim == deduplication.May || claim == deduplication.Doubt && repeatable
 }
 
 // afterClaim frees the claim of a go that provably never ran, so that the same attempt may come again
 // anywhere, and says what becomes of one that the homes held back.
-func (d *Daemon) afterClaim(flight *dispatch.Call, outcome dispatch.AttemptOutcome, claim attempts.Decision, claimed <-chan attempts.Decision, departed bool) (dispatch.AttemptOutcome, string) {
+func (d *Daemon) afterClaim(flight *dispatch.Call, outcome dispatch.AttemptOutcome, claim deduplication.Decision, claimed <-chan deduplication.Decision, departed bool) (dispatch.AttemptOutcome, string) {
 	if departed && outcome != dispatch.EngineRefused {
 		return outcome, ""
 	}
@@ -198,17 +200,17 @@
 		// The engine could not even be dialled; the claim may be on its way still.
 		claim = <-claimed
 	}
-	if mayGo(claim, flight.Request.Repeatable) || claim == attempts.Doubt {
-		d.askHomes(d.askFor(attempts.Free, flight.ID, flight.Request, flight.Arrived))
+	if mayGo(claim, flight.Request.Repeatable) || claim == deduplication.Doubt {
+		d.askHomes(d.askFor(deduplication.Free, flight.ID, flight.Request, flight.Arrived))
 	}
 	switch claim {
-	case attempts.Replay:
+	case deduplication.Replay:
 		return dispatch.KnownElsewhere, "this attempt id is known to another daemon and is not run again"
-	case attempts.Other:
+	case deduplication.Other:
 		return dispatch.KnownElsewhere, "this attempt id stands for another request"
-	case attempts.Refused:
+	case deduplication.Refused:
 		return dispatch.RefusedElsewhere, "another daemon refused this attempt meanwhile"
-	case attempts.Doubt:
+	case deduplication.Doubt:
 		if !flight.Request.Repeatable {
 			return dispatch.Doubted, "whether this attempt has run through another daemon cannot be told now"
 		}
@@ -230,7 +232,7 @@
 
 // keeperOf is the address of the daemon that keeps an engine's slots.
 func (d *Daemon) keeperOf(engine ident.EngineID) string {
-	routers := d.fellowsFor(keeperWindow, func(f membership.Fellow) bool { return f.Serves(string(config.Route)) })
+	routers := d.fellowsFor(keeperWindow, func(f membership.Fellow) bool { return f.Serves(string(daemonconfig.Route)) })
 	keeper, _ := affinity.Owners("engine "+string(engine), routers)
 	return keeper
 }
@@ -248,9 +250,9 @@
 // the engine's own refusal then bounds what it gets.
 func (d *Daemon) askPermit(flight *dispatch.Call, send dispatch.Send) (giveBack func(refused bool), granted bool) {
 	keeper := d.keeperOf(send.Engine)
-	request := &fellowapi.PermitRequest{Engine: string(send.Engine), Id: string(d.nodeID) + "/" + strconv.FormatUint(d.permitIDs.Add(1), 10),
+	request := &peerapi.PermitRequest{Engine: string(send.Engine), Id: string(d.nodeID) + "/" + strconv.FormatUint(d.permitIDs.Add(1), 10),
 		NodeId: string(d.nodeID), Seated: send.Assigned, Worth: send.Worth, Rank: int64(send.Rank), House: send.Tenant}
-	client := fellowapi.Fellow(d)
+	client := peerapi.Fellow(d)
 	if keeper != "" && keeper != d.config.ReachedAt() {
 		client = d.links.To(keeper)
 	}
@@ -270,26 +272,26 @@
 			ctx, cancel := context.WithTimeout(context.Background(), permitLimit)
 			defer cancel()
 			// A keeper that misses this hears it from the daemon's silence, or takes the slot back in time.
-			_, _ = client.Permit(ctx, &fellowapi.PermitRequest{Engine: request.Engine, Id: request.Id, Release: true, Refused: refused})
+			_, _ = client.Permit(ctx, &peerapi.PermitRequest{Engine: request.Engine, Id: request.Id, Release: true, Refused: refused})
 		})
 	}, true
 }
 
 // Permit serves bids for the slots of engines kept here.
-func (d *Daemon) Permit(ctx context.Context, in *fellowapi.PermitRequest) (*fellowapi.PermitReply, error) {
+func (d *Daemon) Permit(ctx context.Context, in *peerapi.PermitRequest) (*peerapi.PermitReply, error) {
 	if in.Engine == "" || in.Id == "" {
 		return nil, twirp.NewError(twirp.InvalidArgument, "a permit is for an engine, and has an id")
 	}
-	if !d.config.Serves(config.Route) {
+	if !d.config.Serves(daemonconfig.Route) {
 		return nil, twirp.NewError(twirp.FailedPrecondition, "this daemon keeps no slots")
 	}
 	if in.Release {
 		d.slots.Release(ident.EngineID(in.Engine), in.Id, in.Refused)
-		return &fellowapi.PermitReply{}, nil
+		return &peerapi.PermitReply{}, nil
 	}
 	granted := d.slots.Ask(ctx, admission.Ask{ID: in.Id, Node: ident.NodeID(in.NodeId), Engine: ident.EngineID(in.Engine),
-		Bid: bid.Bid{Assigned: in.Seated, Worth: in.Worth, Rank: int(in.Rank), Tenant: in.House}, Until: d.clock.Elapsed() + clock.Mark(permitWait)})
-	return &fellowapi.PermitReply{Granted: granted}, nil
+		Bid: priority.Bid{Assigned: in.Seated, Worth: in.Worth, Rank: int(in.Rank), Tenant: in.House}, Until: d.clock.Elapsed() + clock.Mark(permitWait)})
+	return &peerapi.PermitReply{Granted: granted}, nil
 }
 
 // yard is what the keeper of slots may look at.
@@ -343,7 +345,7 @@
 		}
 		for _, home := range newcomers(session, before, after, oldAddresses, newAddresses) {
 			if home != self && !unreached[home] {
-				unreached[home] = d.seatAt(home, &fellowapi.SeatRequest{Session: session, Engine: string(engine)}) == nil
+				unreached[home] = d.seatAt(home, &peerapi.SeatRequest{Session: session, Engine: string(engine)}) == nil
 			}
 		}
 	}
@@ -363,7 +365,7 @@
 }
 
 // seatAt asks one home; nil means that it can't be reached.
-func (d *Daemon) seatAt(home string, request *fellowapi.SeatRequest) *fellowapi.SeatReply {
+func (d *Daemon) seatAt(home string, request *peerapi.SeatRequest) *peerapi.SeatReply {
 	if home == "" {
 		return nil
 	}
@@ -402,7 +404,7 @@
 		}
 	}
 	first, second := r.seatHomes(ask.Session)
-	request := &fellowapi.SeatRequest{Session: ask.Session, Model: ask.Model, Adapter: ask.Adapter, Engine: string(ask.Engine), Replaces: string(ask.Replaces)}
+	request := &peerapi.SeatRequest{Session: ask.Session, Model: ask.Model, Adapter: ask.Adapter, Engine: string(ask.Engine), Replaces: string(ask.Replaces)}
 	decided := r.seatAt(first, request)
 	if decided != nil && (!decided.Found || !decided.Fresh) {
 		return ident.EngineID(decided.Engine), decided.Found
@@ -416,7 +418,7 @@
 		return ident.EngineID(decided.Engine), true
 	case decided != nil && !copied.Fresh && copied.Found && copied.Engine != decided.Engine:
 		// The first home had forgotten, so it is told what the second one knows.
-		r.seatAt(first, &fellowapi.SeatRequest{Session: ask.Session, Engine: copied.Engine, Replaces: decided.Engine})
+		r.seatAt(first, &peerapi.SeatRequest{Session: ask.Session, Engine: copied.Engine, Replaces: decided.Engine})
 	}
 	return ident.EngineID(copied.Engine), copied.Found
 }
@@ -436,11 +438,11 @@
 // askAllForSeat asks every daemon in sight for a session's seat; the one used last counts.
 func (d *Daemon) askAllForSeat(session string) (ident.EngineID, bool) {
 	asked := addressesOf(d.homeLives())
-	replies := make(chan *fellowapi.SeatReply, len(asked))
+	replies := make(chan *peerapi.SeatReply, len(asked))
 	for _, address := range asked {
-		go func() { replies <- d.seatAt(address, &fellowapi.SeatRequest{Session: session}) }()
+		go func() { replies <- d.seatAt(address, &peerapi.SeatRequest{Session: session}) }()
 	}
-	var newest *fellowapi.SeatReply
+	var newest *peerapi.SeatReply
 	for range asked {
 		if reply := <-replies; reply != nil && reply.Found && (newest == nil || reply.UsedMsAgo < newest.UsedMsAgo) {
 			newest = reply
@@ -457,7 +459,7 @@
 	first, second := r.seatHomes(session)
 	// A home that misses this forgets the seat when it has been idle long enough.
 	for _, home := range []string{first, second} {
-		r.seatAt(home, &fellowapi.SeatRequest{Session: session, Ended: true})
+		r.seatAt(home, &peerapi.SeatRequest{Session: session, Ended: true})
 	}
 }
 
@@ -465,16 +467,16 @@
 type planning struct{ *Daemon }
 
 // Input gathers what the plan looks at.
-func (p planning) Input() placement.Input {
+func (p planning) Input() sessionplacement.Input {
 	now := p.clock.Elapsed()
-	in := placement.Input{Now: now, Table: p.keeper.Table(), Engines: p.watcher.View()}
-	if p.config.Serves(config.Route) {
+	in := sessionplacement.Input{Now: now, Table: p.keeper.Table(), Engines: p.watcher.View()}
+	if p.config.Serves(daemonconfig.Route) {
 		snapshot := p.dispatch.Snapshot()
 		for _, demand := range snapshot.Demands {
-			in.Demand = append(in.Demand, placement.Demand(demand))
+			in.Demand = append(in.Demand, sessionplacement.Demand(demand))
 		}
 		for _, seat := range snapshot.Seats {
-			in.Assignments = append(in.Assignments, placement.Assignments(seat))
+			in.Assignments = append(in.Assignments, sessionplacement.Assignments(seat))
 		}
 	}
 	p.fleetMutex.Lock()
@@ -486,14 +488,14 @@
 			continue
 		}
 		if now.Since(heard.At) < demandFresh {
-			heard.Each(now, func(demand *fellowapi.Demand, _ time.Duration, _ float64) {
+			heard.Each(now, func(demand *peerapi.Demand, _ time.Duration, _ float64) {
 				if demand.Pool == "" {
-					in.Demand = append(in.Demand, placement.Demand{Model: demand.Model, Adapter: demand.Adapter, Worth: demand.Worth, Queued: int(demand.Held), Running: int(demand.Running)})
+					in.Demand = append(in.Demand, sessionplacement.Demand{Model: demand.Model, Adapter: demand.Adapter, Worth: demand.Worth, Queued: int(demand.Held), Running: int(demand.Running)})
 				}
 			})
 		}
 		for _, seat := range heard.Seats {
-			in.Assignments = append(in.Assignments, placement.Assignments{Engine: ident.EngineID(seat.Engine), Model: seat.Model, Adapter: seat.Adapter, Sessions: int(seat.Sessions)})
+			in.Assignments = append(in.Assignments, sessionplacement.Assignments{Engine: ident.EngineID(seat.Engine), Model: seat.Model, Adapter: seat.Adapter, Sessions: int(seat.Sessions)})
 		}
 	}
 	return in
@@ -518,7 +520,7 @@
 
 // Order sends an order.
 func (p planning) Order(ctx context.Context, address string, order engineapi.Order, limit time.Duration, mayLeave func() bool) (*engineapi.OrderAnswer, bool) {
-	return enginelink.Order(ctx, address, order, limit, func() bool { return mayLeave() && p.generator.Held() })
+	return enginestream.Order(ctx, address, order, limit, func() bool { return mayLeave() && p.generator.Held() })
 }
 
 // MayStand says whether this daemon should try to plan.
--- a/process/affinity/affinity.go
+++ b/process/cluster/affinity/affinity.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
 )
 
 type assignment struct {
--- a/process/attempts/attempts.go
+++ b/process/cluster/deduplication/attempts.go
@@ -1,14 +1,14 @@
-// Package attempts is the fleet's memory of callers' attempts. Each attempt has two owners among the daemons;
+// Package deduplication is the fleet's memory of callers' attempts. Each attempt has two owners among the daemons;
 // whoever wants to send or to refuse it asks them first, so that one sent again through another daemon
 // is known, and neither runs twice nor runs after it was refused.
-package attempts
+package deduplication
 
 import (
 	"context"
 	"time"
 
-	"github.com/cresspond/cresspond/process/actor"
-	"github.com/cresspond/cresspond/process/clock"
+	"github.com/cresspond/cresspond/actor"
+	"github.com/cresspond/cresspond/clock"
 )
 
 // Act is what is asked of an owner.
--- a/process/membership/core.go
+++ b/process/cluster/membership/core.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/process/affinity"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/cluster/affinity"
 )
 
 const (
--- a/process/membership/freshness.go
+++ b/process/cluster/membership/freshness.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/wire/fellowapi"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 const (
@@ -22,13 +22,13 @@
 )
 
 // ConfirmationOf is what a daemon tells an asker of its own confirmation, which lies at a mark; zero is none.
-func ConfirmationOf(confirmed, arrived clock.Mark) *fellowapi.Confirmation {
+func ConfirmationOf(confirmed, arrived clock.Mark) *peerapi.Confirmation {
 	if confirmed == 0 {
-		return &fellowapi.Confirmation{}
+		return &peerapi.Confirmation{}
 	}
 	after := confirmed.Since(arrived)
 	// Rounded down, so that it never grows younger as it is passed on.
-	return &fellowapi.Confirmation{Known: true, AfterQuestionMs: int64(after.Truncate(time.Millisecond)/time.Millisecond) - 1}
+	return &peerapi.Confirmation{Known: true, AfterQuestionMs: int64(after.Truncate(time.Millisecond)/time.Millisecond) - 1}
 }
 
 // sourceWord is what a reply proves of its source's confirmation.
@@ -39,7 +39,7 @@
 }
 
 // wordOf reads a reply. The mark is counted from the moment of the question, which lies before its arrival.
-func wordOf(reply *fellowapi.PullReply, asked, heard clock.Mark) sourceWord {
+func wordOf(reply *peerapi.PullReply, asked, heard clock.Mark) sourceWord {
 	word := reply.Confirmation
 	switch {
 	case word == nil && reply.IsLeader:
@@ -60,15 +60,15 @@
 }
 
 // Source is how an address's news was confirmed when it was last heard.
-func (c *Core) Source(address string) fellowapi.SourceSeen {
+func (c *Core) Source(address string) peerapi.SourceSeen {
 	p := c.peers[address]
 	switch {
 	case p == nil || !p.told:
-		return fellowapi.SourceSeen_SOURCE_NOT_SEEN
+		return peerapi.SourceSeen_SOURCE_NOT_SEEN
 	case p.stale:
-		return fellowapi.SourceSeen_SOURCE_STALE
+		return peerapi.SourceSeen_SOURCE_STALE
 	}
-	return fellowapi.SourceSeen_SOURCE_CONFIRMED
+	return peerapi.SourceSeen_SOURCE_CONFIRMED
 }
 
 // hearSource notes a source's word; of one that is only asked now and then nothing is kept. turned says that it was
@@ -87,8 +87,8 @@
 
 // WantsMembers says whether an asker is to be told where the group's members are: one that asks again and again, and to
 // whom the answering daemon's news is not confirmed. In calm that is its first question alone.
-func WantsMembers(request *fellowapi.PullRequest) bool {
-	return request.SourceSeen == fellowapi.SourceSeen_SOURCE_STALE || request.SourceSeen == fellowapi.SourceSeen_SOURCE_NOT_SEEN && request.EveryMs > 0
+func WantsMembers(request *peerapi.PullRequest) bool {
+	return request.SourceSeen == peerapi.SourceSeen_SOURCE_STALE || request.SourceSeen == peerapi.SourceSeen_SOURCE_NOT_SEEN && request.EveryMs > 0
 }
 
 // mostMemberAddresses bounds the addresses of members that are believed of one source.
--- a/process/membership/freshness_test.go
+++ b/process/cluster/membership/freshness_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/wire/fellowapi"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 // ms is a span of made-up time.
@@ -26,8 +26,8 @@
 }
 
 // answerFrom is a reply that took 10 ms each way, whose source was confirmed so long before the question arrived.
-func answerFrom(address string, now clock.Mark, before time.Duration, change func(*fellowapi.PullReply)) Answer {
-	reply := &fellowapi.PullReply{Group: "g", NodeId: address + "#1", LeaderAddress: "l1", LeaderTerm: 3, IsLeader: address == "l1", SpecEpoch: 7,
+func answerFrom(address string, now clock.Mark, before time.Duration, change func(*peerapi.PullReply)) Answer {
+	reply := &peerapi.PullReply{Group: "g", NodeId: address + "#1", LeaderAddress: "l1", LeaderTerm: 3, IsLeader: address == "l1", SpecEpoch: 7,
 		Confirmation: ConfirmationOf(ms(3600000)-clock.Mark(before), ms(3600000))}
 	if change != nil {
 		change(reply)
@@ -42,7 +42,7 @@
 	for _, before := range []time.Duration{-700 * time.Millisecond, -time.Microsecond, 0, time.Microsecond, 300 * time.Millisecond, time.Hour} {
 		confirmed, arrived := clock.Mark(2*time.Hour)-clock.Mark(before), clock.Mark(2*time.Hour)
 		asked, way := clock.Mark(5*time.Minute), 40*time.Millisecond
-		reply := &fellowapi.PullReply{Confirmation: ConfirmationOf(confirmed, arrived)}
+		reply := &peerapi.PullReply{Confirmation: ConfirmationOf(confirmed, arrived)}
 		// In the asker's time the question arrived after its way there.
 		actual := asked + clock.Mark(way) - clock.Mark(before)
 		word := wordOf(reply, asked, max(actual, asked)+clock.Mark(time.Minute))
@@ -50,7 +50,7 @@
 			t.Errorf("%v before: taken for %v, and it lay at %v", before, word.confirmed, actual)
 		}
 	}
-	if word := wordOf(&fellowapi.PullReply{Confirmation: ConfirmationOf(0, ms(5000))}, ms(1), ms(2)); !word.told || word.confirmed != 0 || !word.stale(ms(2)) {
+	if word := wordOf(&peerapi.PullReply{Confirmation: ConfirmationOf(0, ms(5000))}, ms(1), ms(2)); !word.told || word.confirmed != 0 || !word.stale(ms(2)) {
 		t.Errorf("never confirmed: %+v", word)
 	}
 }
@@ -107,18 +107,18 @@
 		before   time.Duration
 		enlisted time.Duration
 		force    InForce
-		change   func(*fellowapi.PullReply)
+		change   func(*peerapi.PullReply)
 		settles  bool
 	}{
 		"confirmed":                {before: 100 * time.Millisecond, enlisted: time.Second, force: force, settles: true},
-		"by a relay":               {before: 600 * time.Millisecond, enlisted: time.Second, force: force, change: func(r *fellowapi.PullReply) { r.IsLeader = false }, settles: true},
+		"by a relay":               {before: 600 * time.Millisecond, enlisted: time.Second, force: force, change: func(r *peerapi.PullReply) { r.IsLeader = false }, settles: true},
 		"too old":                  {before: StaleAfter, enlisted: 5 * time.Second, force: force},
 		"before the enlisting":     {before: 500 * time.Millisecond, enlisted: 400 * time.Millisecond, force: force},
-		"never confirmed":          {enlisted: time.Second, force: force, change: func(r *fellowapi.PullReply) { r.Confirmation = &fellowapi.Confirmation{} }},
+		"never confirmed":          {enlisted: time.Second, force: force, change: func(r *peerapi.PullReply) { r.Confirmation = &peerapi.Confirmation{} }},
 		"announces more":           {before: 100 * time.Millisecond, enlisted: time.Second, force: InForce{Spec: 6}},
 		"not written down":         {before: 100 * time.Millisecond, force: force},
-		"leader of a build before": {enlisted: time.Second, force: force, change: func(r *fellowapi.PullReply) { r.Confirmation = nil }, settles: true},
-		"relay of a build before":  {enlisted: time.Second, force: force, change: func(r *fellowapi.PullReply) { r.Confirmation, r.IsLeader = nil, false }},
+		"leader of a build before": {enlisted: time.Second, force: force, change: func(r *peerapi.PullReply) { r.Confirmation = nil }, settles: true},
+		"relay of a build before":  {enlisted: time.Second, force: force, change: func(r *peerapi.PullReply) { r.Confirmation, r.IsLeader = nil, false }},
 	} {
 		tracker, now := tracked()
 		tracker.Take(now, answerFrom("l1", now, c.before, c.change), c.force)
@@ -153,7 +153,7 @@
 // Where all sources are stale the members that one of them remembers are asked as well.
 func TestAStaleSourceTellsOfTheOtherMembers(t *testing.T) {
 	tracker, now := tracked()
-	tracker.Take(now, answerFrom("c2", now, 3*time.Second, func(r *fellowapi.PullReply) { r.MemberAddresses = []string{"c7", "c8"} }), force)
+	tracker.Take(now, answerFrom("c2", now, 3*time.Second, func(r *peerapi.PullReply) { r.MemberAddresses = []string{"c7", "c8"} }), force)
 	if links := tracker.Links(now); !slices.Contains(links, "c7") || !slices.Contains(links, "c8") {
 		t.Errorf("only %q are asked", links)
 	}
@@ -184,7 +184,7 @@
 func TestAStaleLeaderCantSayThatNothingEverRan(t *testing.T) {
 	for before, wanted := range map[time.Duration]bool{100 * time.Millisecond: true, 1100 * time.Millisecond: false} {
 		tracker, now := tracked()
-		tracker.Take(now, answerFrom("l1", now, before, func(r *fellowapi.PullReply) { r.FirstRollMsAgo = -1 }), force)
+		tracker.Take(now, answerFrom("l1", now, before, func(r *peerapi.PullReply) { r.FirstRollMsAgo = -1 }), force)
 		if view := tracker.Refresh(now, Own{InForce: force}); view.BeforeAll != wanted {
 			t.Errorf("confirmed %v ago: %t", before, view.BeforeAll)
 		}
--- a/process/membership/membership.go
+++ b/process/cluster/membership/membership.go
@@ -10,10 +10,10 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/cresspond/cresspond/process/actor"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/wire/fellowapi"
+	"github.com/cresspond/cresspond/actor"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 const (
@@ -41,7 +41,7 @@
 	SpecEpoch    ident.Epoch
 	ClosureEpoch ident.Epoch
 	Ready        bool
-	Steps        []*fellowapi.Step
+	Steps        []*peerapi.Step
 }
 
 // Serves says whether the fellow has a role.
@@ -97,16 +97,16 @@
 // Fleet is what the actor needs of its daemon.
 type Fleet interface {
 	// Describe is what this daemon says of itself, and what it has in force.
-	Describe() *fellowapi.PullRequest
+	Describe() *peerapi.PullRequest
 	// Wants adds what this daemon holds and asks for, for whoever plans, if that is asked for or something waits;
 	// it says whether anything does.
-	Wants(request *fellowapi.PullRequest, onlyWaiting bool) bool
+	Wants(request *peerapi.PullRequest, onlyWaiting bool) bool
 	// InForce is what this daemon has in force.
 	InForce() (spec, closure ident.Epoch)
 	// Learn takes over what a reply brought, and returns when it is in force.
-	Learn(reply *fellowapi.PullReply)
+	Learn(reply *peerapi.PullReply)
 	// PullFrom asks another daemon.
-	PullFrom(ctx context.Context, address string, request *fellowapi.PullRequest) (*fellowapi.PullReply, error)
+	PullFrom(ctx context.Context, address string, request *peerapi.PullRequest) (*peerapi.PullReply, error)
 	// Leads says whether this daemon leads the group.
 	Leads() bool
 	// FirstRollAgo is, where this daemon leads, how long any bundle has been in force; negative while none was, zero if it can't tell.
@@ -186,16 +186,16 @@
 		hold         time.Duration
 		// waits says that it told of something that waits here; skipped, that there was nothing to ask.
 		waits, skipped bool
-		reply          *fellowapi.PullReply
+		reply          *peerapi.PullReply
 		err            error
 	}
 	served struct {
-		request *fellowapi.PullRequest
+		request *peerapi.PullRequest
 		known   chan uint64
 	}
 	telling struct {
-		request *fellowapi.PullRequest
-		told    chan *fellowapi.PullReply
+		request *peerapi.PullRequest
+		told    chan *peerapi.PullReply
 	}
 	waiter struct {
 		spec, closure ident.Epoch
@@ -240,7 +240,7 @@
 }
 
 // Served notes a fellow's question, and gives the version of its row that is known here.
-func (m *Membership) Served(request *fellowapi.PullRequest) uint64 {
+func (m *Membership) Served(request *peerapi.PullRequest) uint64 {
 	event := served{request, make(chan uint64, 1)}
 	if !m.box.Send(event) {
 		return 0
@@ -254,11 +254,11 @@
 }
 
 // Tell puts into a reply what the asker lacks of the list of members.
-func (m *Membership) Tell(request *fellowapi.PullRequest, reply *fellowapi.PullReply) {
+func (m *Membership) Tell(request *peerapi.PullRequest, reply *peerapi.PullReply) {
 	if !request.Everyone && request.EveryMs == 0 {
 		return
 	}
-	event := telling{request, make(chan *fellowapi.PullReply, 1)}
+	event := telling{request, make(chan *peerapi.PullReply, 1)}
 	if !m.box.Send(event) {
 		return
 	}
@@ -442,22 +442,22 @@
 // everyoneWindow is how lately those must have been heard that are told of to one that has lost the control daemons.
 const everyoneWindow = 5 * time.Second
 
-func rowOf(request *fellowapi.PullRequest) Row {
+func rowOf(request *peerapi.PullRequest) Row {
 	return Row{Fellow: Fellow{NodeID: ident.NodeID(request.NodeId), Address: request.Address, Zone: ident.ZoneID(request.Zone), Serve: request.Serve,
 		SpecEpoch: ident.Epoch(request.SpecEpoch), ClosureEpoch: ident.Epoch(request.ClosureEpoch), Ready: request.Ready, Steps: request.Steps}}
 }
 
-func encodeTold(told []Told) []*fellowapi.Contact {
-	out := make([]*fellowapi.Contact, 0, len(told))
+func encodeTold(told []Told) []*peerapi.Contact {
+	out := make([]*peerapi.Contact, 0, len(told))
 	for _, one := range told {
-		out = append(out, &fellowapi.Contact{NodeId: string(one.NodeID), Address: one.Address, Zone: string(one.Zone), Serve: one.Serve, HeardMsAgo: one.Age.Milliseconds(),
+		out = append(out, &peerapi.Contact{NodeId: string(one.NodeID), Address: one.Address, Zone: string(one.Zone), Serve: one.Serve, HeardMsAgo: one.Age.Milliseconds(),
 			SpecEpoch: uint64(one.SpecEpoch), ClosureEpoch: uint64(one.ClosureEpoch), Ready: one.Ready, RowVersion: one.Version,
 			Late: one.Late, Direct: one.Direct, Ended: one.Ended})
 	}
 	return out
 }
 
-func decodeTold(contacts []*fellowapi.Contact) []Told {
+func decodeTold(contacts []*peerapi.Contact) []Told {
 	out := make([]Told, 0, len(contacts))
 	for _, contact := range contacts {
 		out = append(out, Told{Row: Row{Version: contact.RowVersion, Fellow: Fellow{NodeID: ident.NodeID(contact.NodeId), Address: contact.Address,
--- a/process/membership/pace_test.go
+++ b/process/cluster/membership/pace_test.go
@@ -8,9 +8,9 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/wire/fellowapi"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 // madeUp is a clock of made-up time, in which only waiting takes any.
@@ -22,7 +22,7 @@
 // asked is one question that was put, and until when its answer was held back.
 type asked struct {
 	at, answered time.Time
-	request      *fellowapi.PullRequest
+	request      *peerapi.PullRequest
 }
 
 // lone is a control daemon in a fleet where one other, which leads, has nothing new to tell and so holds each
@@ -32,21 +32,21 @@
 	asked []asked
 }
 
-func (l *lone) Describe() *fellowapi.PullRequest {
-	return &fellowapi.PullRequest{Group: "g", NodeId: "self#1", Address: "self", Serve: []string{controlRole}, Ready: true, SpecEpoch: 1}
+func (l *lone) Describe() *peerapi.PullRequest {
+	return &peerapi.PullRequest{Group: "g", NodeId: "self#1", Address: "self", Serve: []string{controlRole}, Ready: true, SpecEpoch: 1}
 }
-func (l *lone) Wants(*fellowapi.PullRequest, bool) bool { return false }
-func (l *lone) InForce() (spec, closure ident.Epoch)    { return 1, 0 }
-func (l *lone) Learn(*fellowapi.PullReply)              {}
-func (l *lone) Leads() bool                             { return false }
-func (l *lone) FirstRollAgo() time.Duration             { return 0 }
-func (l *lone) EnlistedAt() clock.Mark                  { return 1 }
-func (l *lone) Plans() bool                             { return false }
-func (l *lone) ConfirmedAsLeader() clock.Mark           { return 0 }
-func (l *lone) SourceTurned(Turned)                     {}
-func (l *lone) News()                                   {}
-func (l *lone) Beat()                                   {}
-func (l *lone) PullFrom(ctx context.Context, address string, request *fellowapi.PullRequest) (*fellowapi.PullReply, error) {
+func (l *lone) Wants(*peerapi.PullRequest, bool) bool { return false }
+func (l *lone) InForce() (spec, closure ident.Epoch)  { return 1, 0 }
+func (l *lone) Learn(*peerapi.PullReply)              {}
+func (l *lone) Leads() bool                           { return false }
+func (l *lone) FirstRollAgo() time.Duration           { return 0 }
+func (l *lone) EnlistedAt() clock.Mark                { return 1 }
+func (l *lone) Plans() bool                           { return false }
+func (l *lone) ConfirmedAsLeader() clock.Mark         { return 0 }
+func (l *lone) SourceTurned(Turned)                   {}
+func (l *lone) News()                                 {}
+func (l *lone) Beat()                                 {}
+func (l *lone) PullFrom(ctx context.Context, address string, request *peerapi.PullRequest) (*peerapi.PullReply, error) {
 	at := time.Now()
 	select {
 	case <-time.After(time.Duration(request.HoldMs) * time.Millisecond):
@@ -58,8 +58,8 @@
 	if request.EveryMs > 0 {
 		l.asked = append(l.asked, asked{at, time.Now(), request})
 	}
-	return &fellowapi.PullReply{Group: "g", NodeId: "other#1", IsLeader: true, LeaderAddress: "other", LeaderTerm: 2, SpecEpoch: 1,
-		MembersLife: "other#1", MembersSeen: uint64(len(l.asked)), Contacts: []*fellowapi.Contact{
+	return &peerapi.PullReply{Group: "g", NodeId: "other#1", IsLeader: true, LeaderAddress: "other", LeaderTerm: 2, SpecEpoch: 1,
+		MembersLife: "other#1", MembersSeen: uint64(len(l.asked)), Contacts: []*peerapi.Contact{
 			{NodeId: "other#1", Address: "other", Serve: []string{controlRole}, RowVersion: 1, SpecEpoch: 1, Ready: true, Direct: true}}}, nil
 }
 
--- a/process/membership/seeds_test.go
+++ b/process/cluster/membership/seeds_test.go
@@ -7,7 +7,7 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/cresspond/cresspond/wire/fellowapi"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 // oneSeed is a fleet of which one address answers, and all others say nothing.
@@ -16,7 +16,7 @@
 	answers string
 }
 
-func (s *oneSeed) PullFrom(ctx context.Context, address string, request *fellowapi.PullRequest) (*fellowapi.PullReply, error) {
+func (s *oneSeed) PullFrom(ctx context.Context, address string, request *peerapi.PullRequest) (*peerapi.PullReply, error) {
 	if address != s.answers {
 		<-ctx.Done()
 		return nil, ctx.Err()
--- a/process/membership/size_test.go
+++ b/process/cluster/membership/size_test.go
@@ -7,12 +7,12 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/wire/fellowapi"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// What the list of members costs by the daemons, for docs/CAPACITY.md: go test -run - -bench Size ./process/membership
+// What the list of members costs by the daemons, for docs/CAPACITY.md: go test -run - -bench Size ./process/cluster/membership
 
 var daemonCounts = []int{12, 60, 370}
 
@@ -94,7 +94,7 @@
 
 func toldBytes(b *testing.B, told []Told) int {
 	b.Helper()
-	data, err := proto.Marshal(&fellowapi.PullReply{Contacts: encodeTold(told)})
+	data, err := proto.Marshal(&peerapi.PullReply{Contacts: encodeTold(told)})
 	if err != nil {
 		b.Fatal(err)
 	}
