--- a/process/membership/tracker.go
+++ b/process/cluster/membership/tracker.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/wire/fellowapi"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 // Tracker is the pure part of Membership: whom a daemon takes for the leader and for the planner, on whose news it
@@ -33,7 +33,7 @@
 type Answer struct {
 	Question
 	Asked, Heard clock.Mark
-	Reply        *fellowapi.PullReply
+	Reply        *peerapi.PullReply
 	Err          error
 }
 
@@ -85,7 +85,7 @@
 func (t *Tracker) Lost(now clock.Mark) bool { return now.Since(t.members.ControlHeard()) > lostControl }
 
 // Fill puts into a question what the asker knows of the group and of the daemon that it asks.
-func (t *Tracker) Fill(request *fellowapi.PullRequest, question Question) {
+func (t *Tracker) Fill(request *peerapi.PullRequest, question Question) {
 	request.LeaderAddress, request.LeaderTerm, request.PlannerAddress = t.view.LeaderAddress, t.view.LeaderTerm, t.planner
 	request.SourceSeen = t.members.Source(question.Address)
 	if !question.Linked {
@@ -189,7 +189,7 @@
 }
 
 // hearOfPlanner takes a word on who plans. Who plans says so; others have it from there.
-func (t *Tracker) hearOfPlanner(address string, reply *fellowapi.PullReply) {
+func (t *Tracker) hearOfPlanner(address string, reply *peerapi.PullReply) {
 	switch {
 	case reply.Plans:
 		t.planner = address
@@ -215,15 +215,15 @@
 }
 
 // Hear notes a question that was asked here, and gives the version of the asker's row that is known here.
-func (t *Tracker) Hear(now clock.Mark, request *fellowapi.PullRequest) (known uint64) {
+func (t *Tracker) Hear(now clock.Mark, request *peerapi.PullRequest) (known uint64) {
 	row := rowOf(request)
 	row.Version, row.Whole = request.RowVersion, request.Row
 	return t.members.Hear(now, row, time.Duration(request.EveryMs)*time.Millisecond)
 }
 
 // Tell gives what an asker lacks of the list of members.
-func (t *Tracker) Tell(now clock.Mark, request *fellowapi.PullRequest) *fellowapi.PullReply {
-	reply := &fellowapi.PullReply{}
+func (t *Tracker) Tell(now clock.Mark, request *peerapi.PullRequest) *peerapi.PullReply {
+	reply := &peerapi.PullReply{}
 	if request.Everyone {
 		reply.Contacts, reply.Everyone = encodeTold(t.members.Everyone(now, everyoneWindow)), true
 		return reply
--- a/process/fellows/answers.go
+++ b/process/cluster/peerclient/answers.go
@@ -1,4 +1,4 @@
-package fellows
+package peerclient
 
 import (
 	"fmt"
--- a/process/fellows/answers_test.go
+++ b/process/cluster/peerclient/answers_test.go
@@ -1,4 +1,4 @@
-package fellows
+package peerclient
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/cresspond/cresspond/wire/fellowapi"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 // peer is a daemon's end that counts what arrives.
@@ -68,7 +68,7 @@
 // replyTo is a daemon's whole answer to a submit.
 func replyTo(t *testing.T, outcome string) string {
 	t.Helper()
-	body, err := proto.Marshal(&fellowapi.SubmitReply{Outcome: outcome, Result: []byte(`{"verdict":"done"}`)})
+	body, err := proto.Marshal(&peerapi.SubmitReply{Outcome: outcome, Result: []byte(`{"verdict":"done"}`)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -155,7 +155,7 @@
 		if number == 2 {
 			<-p.ended
 		}
-		_, err := client.Submit(t.Context(), &fellowapi.SubmitRequest{Group: "g"})
+		_, err := client.Submit(t.Context(), &peerapi.SubmitRequest{Group: "g"})
 		if arrivals := p.arrivals.Load(); arrivals > number || err == nil && number == 1 && arrivals != 1 {
 			t.Fatalf("%d calls arrived %d times, %v", number, arrivals, err)
 		}
@@ -164,13 +164,13 @@
 
 // TestOnlyADaemonsWholeAnswerIsBelieved: also where it would read as a message.
 func TestOnlyADaemonsWholeAnswerIsBelieved(t *testing.T) {
-	body, err := proto.Marshal(&fellowapi.SubmitReply{Outcome: "applied", Result: []byte(`{"verdict":"done"}`), Reason: "late field"})
+	body, err := proto.Marshal(&peerapi.SubmitReply{Outcome: "applied", Result: []byte(`{"verdict":"done"}`), Reason: "late field"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	// Between two fields a cut body still reads as a message, which is what the check is there for.
 	cut := body[:len(body)-2-len("late field")]
-	if proto.Unmarshal(cut, &fellowapi.SubmitReply{}) != nil {
+	if proto.Unmarshal(cut, &peerapi.SubmitReply{}) != nil {
 		t.Fatal("the cut body was to read as a message")
 	}
 	const head = "HTTP/1.1 200 OK\r\nContent-Type: application/protobuf\r\n"
@@ -187,13 +187,13 @@
 		"redirect":          {"HTTP/1.1 307 Temporary Redirect\r\nLocation: http://127.0.0.1:1/\r\nContent-Length: 0\r\n\r\n", false},
 	} {
 		p := listenAsPeer(t, func(conn net.Conn, _ int64) bool { write(conn, c.text); return false })
-		reply, err := New(t.Context(), "127.0.0.1:1", "127.0.0.1:1").To(p.address).Submit(t.Context(), &fellowapi.SubmitRequest{})
+		reply, err := New(t.Context(), "127.0.0.1:1", "127.0.0.1:1").To(p.address).Submit(t.Context(), &peerapi.SubmitRequest{})
 		if (err == nil) != c.ok || c.ok && reply.Outcome != "applied" {
 			t.Errorf("%s: %v, %v", name, reply, err)
 		}
 		// The broken variant: without the check what has no length or no type is believed.
-		plain := fellowapi.NewFellowProtobufClient("http://"+p.address, &http.Client{Transport: &http.Transport{DisableKeepAlives: true}})
-		if _, err := plain.Submit(t.Context(), &fellowapi.SubmitRequest{}); err != nil && strings.Contains(name, "length") {
+		plain := peerapi.NewFellowProtobufClient("http://"+p.address, &http.Client{Transport: &http.Transport{DisableKeepAlives: true}})
+		if _, err := plain.Submit(t.Context(), &peerapi.SubmitRequest{}); err != nil && strings.Contains(name, "length") {
 			t.Errorf("%s: refused without the check, so the check is not what is tried here", name)
 		}
 	}
@@ -211,7 +211,7 @@
 	})
 	client := New(t.Context(), "127.0.0.1:1", "127.0.0.1:1").To(p.address)
 	for number := 1; number <= 2; number++ {
-		reply, err := client.Submit(t.Context(), &fellowapi.SubmitRequest{})
+		reply, err := client.Submit(t.Context(), &peerapi.SubmitRequest{})
 		if err != nil || reply.Outcome != fmt.Sprint("answer ", number) {
 			t.Errorf("%d: %v, %v", number, reply, err)
 		}
--- a/process/fellows/fellows.go
+++ b/process/cluster/peerclient/fellows.go
@@ -1,5 +1,5 @@
-// Package fellows carries messages to other daemons over twirp.
-package fellows
+// Package peerclient carries messages to other daemons over twirp.
+package peerclient
 
 import (
 	"context"
@@ -14,16 +14,16 @@
 	"github.com/twitchtv/twirp"
 	"golang.org/x/sys/unix"
 
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/raft"
-	"github.com/cresspond/cresspond/wire/fellowapi"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/raft"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 // Links keeps one client and one line of raft batches for each fellow.
 type Links struct {
 	http    *http.Client
 	mutex   sync.Mutex
-	clients map[string]fellowapi.Fellow
+	clients map[string]peerapi.Fellow
 	lines   map[string]chan batch
 	ctx     context.Context
 	self    string
@@ -82,7 +82,7 @@
 			dialer.LocalAddr = &net.TCPAddr{IP: ip}
 		}
 	}
-	l := &Links{clients: map[string]fellowapi.Fellow{}, lines: map[string]chan batch{}, ctx: ctx, self: self}
+	l := &Links{clients: map[string]peerapi.Fellow{}, lines: map[string]chan batch{}, ctx: ctx, self: self}
 	transport := &http.Transport{
 		DialContext:         l.Traffic.dial(dialer.DialContext),
 		MaxIdleConnsPerHost: 8, IdleConnTimeout: 30 * time.Second, DisableCompression: true,
@@ -104,12 +104,12 @@
 }
 
 // To gives the client for a fellow's address.
-func (l *Links) To(address string) fellowapi.Fellow {
+func (l *Links) To(address string) peerapi.Fellow {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	client, known := l.clients[address]
 	if !known {
-		client = fellowapi.NewFellowProtobufClient("http://"+address, l.http, twirp.WithClientHooks(&twirp.ClientHooks{RequestPrepared: shorten}))
+		client = peerapi.NewFellowProtobufClient("http://"+address, l.http, twirp.WithClientHooks(&twirp.ClientHooks{RequestPrepared: shorten}))
 		l.clients[address] = client
 	}
 	return client
@@ -155,7 +155,7 @@
 				messages, size, limit = append(messages, following.messages...), size+weight, max(limit, longer)
 			}
 			ctx, cancel := context.WithTimeout(l.ctx, limit)
-			_, err := client.Raft(ctx, &fellowapi.RaftBatch{Group: string(next.group), Address: l.self, Messages: fellowapi.FromRaft(messages)})
+			_, err := client.Raft(ctx, &peerapi.RaftBatch{Group: string(next.group), Address: l.self, Messages: peerapi.FromRaft(messages)})
 			cancel()
 			if err != nil {
 				l.Failed.Add(1)
--- a/process/fellows/size_test.go
+++ b/process/cluster/peerclient/size_test.go
@@ -1,4 +1,4 @@
-package fellows
+package peerclient
 
 import (
 	"context"
@@ -9,18 +9,18 @@
 
 	"golang.org/x/sys/unix"
 
-	"github.com/cresspond/cresspond/wire/fellowapi"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 // BenchmarkSizeCall is one call between daemons that says next to nothing, in processor time of both ends and
-// in bytes of both ways, for docs/CAPACITY.md: go test -run - -bench Size ./process/fellows
+// in bytes of both ways, for docs/CAPACITY.md: go test -run - -bench Size ./process/cluster/peerclient
 func BenchmarkSizeCall(b *testing.B) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
 	var asked Traffic
-	server := &http.Server{Handler: asked.Serve(fellowapi.NewFellowServer(answering{}))}
+	server := &http.Server{Handler: asked.Serve(peerapi.NewFellowServer(answering{}))}
 	go func() { _ = server.Serve(asked.Listen(listener)) }()
 	defer server.Close()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -28,7 +28,7 @@
 	asking := New(ctx, "127.0.0.1:1", "127.0.0.1:1")
 	before, calls := processorTime(b), 0
 	for b.Loop() {
-		if _, err := asking.To(listener.Addr().String()).Identify(ctx, &fellowapi.Nothing{}); err != nil {
+		if _, err := asking.To(listener.Addr().String()).Identify(ctx, &peerapi.Nothing{}); err != nil {
 			b.Fatal(err)
 		}
 		calls++
--- a/process/fellows/traffic_test.go
+++ b/process/cluster/peerclient/traffic_test.go
@@ -1,4 +1,4 @@
-package fellows
+package peerclient
 
 import (
 	"context"
@@ -6,14 +6,14 @@
 	"net/http"
 	"testing"
 
-	"github.com/cresspond/cresspond/wire/fellowapi"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 // answering answers one kind of call; the rest is never asked here.
-type answering struct{ fellowapi.Fellow }
+type answering struct{ peerapi.Fellow }
 
-func (answering) Identify(context.Context, *fellowapi.Nothing) (*fellowapi.Identity, error) {
-	return &fellowapi.Identity{NodeId: "asked"}, nil
+func (answering) Identify(context.Context, *peerapi.Nothing) (*peerapi.Identity, error) {
+	return &peerapi.Identity{NodeId: "asked"}, nil
 }
 
 // What one side sends the other receives, to the byte, heads included.
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	var asked Traffic
-	server := &http.Server{Handler: asked.Serve(fellowapi.NewFellowServer(answering{}))}
+	server := &http.Server{Handler: asked.Serve(peerapi.NewFellowServer(answering{}))}
 	go func() { _ = server.Serve(asked.Listen(listener)) }()
 	defer server.Close()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -31,7 +31,7 @@
 	asking := New(ctx, "127.0.0.1:1", "127.0.0.1:1")
 	const calls = 20
 	for range calls {
-		if _, err := asking.To(listener.Addr().String()).Identify(ctx, &fellowapi.Nothing{}); err != nil {
+		if _, err := asking.To(listener.Addr().String()).Identify(ctx, &peerapi.Nothing{}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -56,7 +56,7 @@
 	}
 	var asked Traffic
 	heads := make(chan http.Header, 1)
-	inner := fellowapi.NewFellowServer(answering{})
+	inner := peerapi.NewFellowServer(answering{})
 	server := &http.Server{Handler: asked.Serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		heads <- r.Header.Clone()
 		inner.ServeHTTP(w, r)
@@ -66,7 +66,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	asking := New(ctx, "127.0.0.1:1", "127.0.0.1:1")
-	if _, err := asking.To(listener.Addr().String()).Identify(ctx, &fellowapi.Nothing{}); err != nil {
+	if _, err := asking.To(listener.Addr().String()).Identify(ctx, &peerapi.Nothing{}); err != nil {
 		t.Fatal(err)
 	}
 	for name := range <-heads {
--- a/process/formation/formation.go
+++ b/process/consensus/bootstrap/formation.go
@@ -1,13 +1,13 @@
-// Package formation decides whether a control daemon with an empty data folder may form a group,
+// Package bootstrap decides whether a control daemon with an empty data folder may form a group,
 // must wait, or belongs to one that exists. A second group must never form.
-package formation
+package bootstrap
 
 import (
 	"cmp"
 	"slices"
 
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/raft"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
 // Seed is what one seed address answered.
--- a/process/formation/formation_test.go
+++ b/process/consensus/bootstrap/formation_test.go
@@ -1,10 +1,10 @@
-package formation
+package bootstrap
 
 import (
 	"testing"
 
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/raft"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
 // seeds are three control daemons with empty folders.
--- a/process/raft/group_test.go
+++ b/process/consensus/raft/group_test.go
@@ -12,7 +12,7 @@
 	"strconv"
 	"testing"
 
-	"github.com/cresspond/cresspond/process/raft"
+	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
 // A group of three cores under a random scheduler: it delivers messages in any order, late, twice or never, syncs
@@ -421,7 +421,7 @@
 
 func TestGroupWithSnapshotsInParts(t *testing.T) {
 	seeds := uint64(200)
-	// More seeds for a search: CRESSPOND_SEEDS=5000 go test ./process/raft. In every third one member is of the build before.
+	// More seeds for a search: CRESSPOND_SEEDS=5000 go test ./process/consensus/raft. In every third one member is of the build before.
 	if wanted, err := strconv.ParseUint(os.Getenv("CRESSPOND_SEEDS"), 10, 64); err == nil {
 		seeds = wanted
 	}
--- a/process/raft/parts_test.go
+++ b/process/consensus/raft/parts_test.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"testing"
 
-	"github.com/cresspond/cresspond/process/raft"
+	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
 // leading makes a leader whose log was cut behind what its peers hold, with a snapshot of so many bytes.
--- a/process/raft/save_test.go
+++ b/process/consensus/raft/save_test.go
@@ -6,7 +6,7 @@
 	"slices"
 	"testing"
 
-	"github.com/cresspond/cresspond/process/raft"
+	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
 // written is what a disk holds after a write.
--- a/process/raft/snapshot_test.go
+++ b/process/consensus/raft/snapshot_test.go
@@ -5,7 +5,7 @@
 	"reflect"
 	"testing"
 
-	"github.com/cresspond/cresspond/process/raft"
+	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
 // The tests here script one member against messages that were delayed, repeated or lost on their way.
--- a/process/raft/validate_test.go
+++ b/process/consensus/raft/validate_test.go
@@ -7,7 +7,7 @@
 	"reflect"
 	"testing"
 
-	"github.com/cresspond/cresspond/process/raft"
+	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
 // What can't be of a sound member is refused with a notice and changes nothing.
--- a/process/recovery/recovery.go
+++ b/process/consensus/recovery/recovery.go
@@ -11,14 +11,14 @@
 
 	"github.com/rotisserie/eris"
 
-	"github.com/cresspond/cresspond/epoch/spec"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/raft"
+	"github.com/cresspond/cresspond/configuration/document"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/raft"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/consensus/store"
 	"github.com/cresspond/cresspond/process/rollout"
-	"github.com/cresspond/cresspond/process/statemachine"
-	"github.com/cresspond/cresspond/process/store"
 	"github.com/cresspond/cresspond/process/workerid"
-	"github.com/cresspond/cresspond/wire/fellowapi"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 // Witness is what one living daemon told.
@@ -45,15 +45,15 @@
 
 // Ask hears one daemon.
 func Ask(ctx context.Context, address string) (Witness, error) {
-	client := fellowapi.NewFellowProtobufClient("http://"+address, http.DefaultClient)
-	identity, err := client.Identify(ctx, &fellowapi.Nothing{})
+	client := peerapi.NewFellowProtobufClient("http://"+address, http.DefaultClient)
+	identity, err := client.Identify(ctx, &peerapi.Nothing{})
 	if err != nil {
 		return Witness{}, eris.Wrapf(err, "%s cannot be asked", address)
 	}
 	w := Witness{Address: address, Group: ident.GroupID(identity.Group), LeaderMsAgo: identity.LeaderMsAgo, SpecEpoch: ident.Epoch(identity.SpecEpoch),
 		TenureUntil: ident.GroupTime(identity.TenureUntilMs), Claim: ident.ClaimNumber(identity.Claim), Bundles: map[ident.Epoch][]byte{}}
 	for epoch := ident.Epoch(1); epoch <= w.SpecEpoch; epoch++ {
-		recalled, err := client.Recall(ctx, &fellowapi.RecallRequest{Epoch: uint64(epoch)})
+		recalled, err := client.Recall(ctx, &peerapi.RecallRequest{Epoch: uint64(epoch)})
 		if err != nil {
 			return Witness{}, eris.Wrapf(err, "%s cannot be asked for epoch %d", address, epoch)
 		}
@@ -96,7 +96,7 @@
 		now = max(now, w.TenureUntil)
 		claim = max(claim, w.Claim)
 		for epoch, bundle := range w.Bundles {
-			if _, faults := spec.Parse(bundle); len(faults) > 0 {
+			if _, faults := document.Parse(bundle); len(faults) > 0 {
 				return Plan{}, eris.Errorf("%s holds a faulty bundle as epoch %d: %v", w.Address, epoch, faults)
 			}
 		}
@@ -139,7 +139,7 @@
 				break
 			}
 		}
-		if parsed, _ := spec.Parse(proposal.Spec); parsed != nil && parsed.Forward != nil {
+		if parsed, _ := document.Parse(proposal.Spec); parsed != nil && parsed.Forward != nil {
 			proposal.Revision = ident.Revision(parsed.Forward.Revision)
 		}
 		if proposal.Spec == nil {
--- a/process/recovery/recovery_test.go
+++ b/process/consensus/recovery/recovery_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
 	"github.com/cresspond/cresspond/process/workerid"
 )
 
--- a/process/replica/actor.go
+++ b/process/consensus/replica/actor.go
@@ -9,11 +9,11 @@
 
 	"github.com/rotisserie/eris"
 
-	"github.com/cresspond/cresspond/process/actor"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/raft"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/actor"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/raft"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
 // Disk is where a member keeps its state; a write returns when it is synced.
--- a/process/replica/actor_test.go
+++ b/process/consensus/replica/actor_test.go
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/raft"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/raft"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
 type stillClock struct{}
--- a/process/replica/confirmation.go
+++ b/process/consensus/replica/confirmation.go
@@ -1,8 +1,8 @@
 package replica
 
 import (
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/raft"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
 // mostRounds bounds the rounds of heartbeats whose start is remembered. Where a majority is silent for longer,
--- a/process/replica/confirmation_test.go
+++ b/process/consensus/replica/confirmation_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/raft"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
 // confirmationWatch looks at every step of the simulated group: what a leader says is confirmed must lie before
--- a/process/replica/core.go
+++ b/process/consensus/replica/core.go
@@ -8,10 +8,10 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/raft"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/raft"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
 // Config holds the times of the group.
--- a/process/replica/digests.go
+++ b/process/consensus/replica/digests.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/raft"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
 const (
--- a/process/replica/digests_test.go
+++ b/process/consensus/replica/digests_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/process/raft"
+	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
 // parted makes a member's state another than its log says.
--- a/process/replica/leaving.go
+++ b/process/consensus/replica/leaving.go
@@ -1,8 +1,8 @@
 package replica
 
 import (
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/raft"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
 // HeldWithout says whether this member leads, and of the voters a majority that does without one of them speaks and
--- a/process/replica/leaving_test.go
+++ b/process/consensus/replica/leaving_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
+	"github.com/cresspond/cresspond/clock"
 )
 
 // heldWithoutItsOwn is HeldWithout with the mistake of counting the one that leaves.
--- a/process/replica/members.go
+++ b/process/consensus/replica/members.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/process/raft"
+	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
 const (
--- a/process/replica/members_test.go
+++ b/process/consensus/replica/members_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/process/raft"
+	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
 // planCase is a membership plan of three voters and what is known of them.
--- a/process/replica/orders_test.go
+++ b/process/consensus/replica/orders_test.go
@@ -8,13 +8,13 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/epoch/spec"
-	"github.com/cresspond/cresspond/process/applying"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/linearizability"
-	"github.com/cresspond/cresspond/process/raft"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/configuration/document"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/linearizability"
+	"github.com/cresspond/cresspond/process/consensus/raft"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/rollout/directapply"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
@@ -72,7 +72,7 @@
 				back(unknown)
 				return
 			}
-			standing := applying.Look(a.State, call)
+			standing := directapply.Look(a.State, call)
 			// Working it out takes a while, in which anything may happen.
 			o.after(o.ms(1, 60), func() {
 				if to.life != life || !to.up || o.now < to.frozenUntil {
@@ -80,7 +80,7 @@
 				}
 				decision := standing.Decide(call)
 				if o.way == hasty && call.Base > standing.Revision || o.way == baseFirst && call.Base != standing.Revision {
-					decision = applying.Decision{Answer: operatorapi.Applying{Outcome: operatorapi.Conflicted, Revision: standing.Revision}}
+					decision = directapply.Decision{Answer: operatorapi.Applying{Outcome: operatorapi.Conflicted, Revision: standing.Revision}}
 				}
 				if decision.Submit == nil {
 					back(decision.Answer)
@@ -92,7 +92,7 @@
 						back(unknown)
 						return
 					}
-					back(applying.After(b.Result))
+					back(directapply.After(b.Result))
 				}
 				to.carryOut(to.core.Submit(o.now, o.refs, *decision.Submit))
 			})
@@ -137,9 +137,9 @@
 	digest := fmt.Sprintf("%d-%d", who, turn)
 	call := operatorapi.Apply{Base: base, Digest: digest, Operator: fmt.Sprint(who)}
 	if base > 0 && o.random.IntN(2) == 0 {
-		call.Patch = &forward.Patch{Revision: revision, Upsert: forward.Items{Pools: []forward.Pool{{Name: fmt.Sprint("p", turn%9)}}}}
+		call.Patch = &upstream.Patch{Revision: revision, Upsert: upstream.Items{Pools: []upstream.Pool{{Name: fmt.Sprint("p", turn%9)}}}}
 	} else {
-		whole, err := json.Marshal(spec.Spec{Name: digest, Forward: &forward.Section{Revision: revision, Pools: []forward.Pool{{Name: "p"}}}})
+		whole, err := json.Marshal(document.Spec{Name: digest, Forward: &upstream.Section{Revision: revision, Pools: []upstream.Pool{{Name: "p"}}}})
 		if err != nil {
 			panic(err)
 		}
@@ -168,7 +168,7 @@
 			next(revision)
 		}
 	}
-	o.askNewest(o.some(1)[0], func(newest applying.Newest) {
+	o.askNewest(o.some(1)[0], func(newest directapply.Newest) {
 		if !done {
 			noted.End, noted.Outcome = int64(o.now), linearizability.Acknowledged
 			noted.Read.Revision = uint64(newest.Revision)
@@ -190,7 +190,7 @@
 }
 
 // askNewest brings one reading to a member over the network; request and answer may be lost.
-func (o *simOrders) askNewest(to *simNode, answer func(applying.Newest)) {
+func (o *simOrders) askNewest(to *simNode, answer func(directapply.Newest)) {
 	if o.loses() {
 		return
 	}
@@ -199,7 +199,7 @@
 			return
 		}
 		seen := func(state *statemachine.State) {
-			newest := applying.NewestOf(state)
+			newest := directapply.NewestOf(state)
 			if !o.loses() {
 				o.after(o.ms(1, 10), func() { answer(newest) })
 			}
@@ -383,7 +383,7 @@
 // other group remembers so few orders that it forgets all the time.
 func TestOrdersUnderTrouble(t *testing.T) {
 	seeds := uint64(24)
-	// More seeds for a search: CRESSPOND_SEEDS=5000 go test ./process/replica -run Orders
+	// More seeds for a search: CRESSPOND_SEEDS=5000 go test ./process/consensus/replica -run Orders
 	if wanted, err := strconv.ParseUint(os.Getenv("CRESSPOND_SEEDS"), 10, 64); err == nil {
 		seeds = wanted
 	}
--- a/process/replica/second_loss_test.go
+++ b/process/consensus/replica/second_loss_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/raft"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/process/consensus/raft"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
 // These tests lose a second machine while, or right after, the first is being repaired. They go through the kinds of
--- a/process/replica/simulation_test.go
+++ b/process/consensus/replica/simulation_test.go
@@ -11,11 +11,11 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/raft"
-	"github.com/cresspond/cresspond/process/snowflake"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/raft"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/workerid/snowflake"
 )
 
 // The simulator runs a whole group and its holders in made-up time: links that lose, repeat, delay
@@ -954,7 +954,7 @@
 
 func TestGroupUnderTrouble(t *testing.T) {
 	seeds := uint64(60)
-	// More seeds for a search: CRESSPOND_SEEDS=5000 go test ./process/replica
+	// More seeds for a search: CRESSPOND_SEEDS=5000 go test ./process/consensus/replica
 	if wanted, err := strconv.ParseUint(os.Getenv("CRESSPOND_SEEDS"), 10, 64); err == nil {
 		seeds = wanted
 	}
--- a/process/replica/slow_link_test.go
+++ b/process/consensus/replica/slow_link_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/raft"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/process/consensus/raft"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
 const (
--- a/process/replica/snapshots_test.go
+++ b/process/consensus/replica/snapshots_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/process/raft"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/process/consensus/raft"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
 // cutOften is a group whose log is cut so often that every absence ends with a snapshot.
--- a/process/replica/soak_test.go
+++ b/process/consensus/replica/soak_test.go
@@ -10,11 +10,11 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/raft"
-	"github.com/cresspond/cresspond/process/statemachine"
-	"github.com/cresspond/cresspond/process/store"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/raft"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/consensus/store"
 )
 
 // packedRoutes is how long a bundle of 3,000 routes is, packed: 7.9 KB for 1,000 and 66 KB for 10,000 were measured.
--- a/process/statemachine/apply.go
+++ b/process/consensus/statemachine/apply.go
@@ -4,8 +4,8 @@
 	"slices"
 	"strings"
 
-	"github.com/cresspond/cresspond/epoch/packed"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/configuration/compression"
+	"github.com/cresspond/cresspond/ident"
 )
 
 const (
@@ -103,7 +103,9 @@
 }
 
 // Packing gives the bundle as it travels.
-func (p *Proposal) Packing() packed.Bundle { return packed.Bundle{Data: p.Spec, Packed: p.Packed} }
+func (p *Proposal) Packing() compression.Bundle {
+	return compression.Bundle{Data: p.Spec, Packed: p.Packed}
+}
 
 // applyBundle proposes, reviews, signs and rolls in one step, for fleets that let an operator alone do so.
 // The bundle stays packed as it came: nothing here depends on what a member makes of it.
--- a/process/statemachine/apply_test.go
+++ b/process/consensus/statemachine/apply_test.go
@@ -9,7 +9,7 @@
 	"github.com/leanovate/gopter/gen"
 	"github.com/leanovate/gopter/prop"
 
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
 )
 
 func (s *State) do(t testing.TB, c Command) Result {
--- a/process/statemachine/bundles.go
+++ b/process/consensus/statemachine/bundles.go
@@ -1,6 +1,6 @@
 package statemachine
 
-import "github.com/cresspond/cresspond/process/ident"
+import "github.com/cresspond/cresspond/ident"
 
 const (
 	// keptBundles is how many of the newest applied bundles are kept whole, keptBytes how much of them: the
--- a/process/statemachine/claims.go
+++ b/process/consensus/statemachine/claims.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // History is what the planners of pools have told: it goes on from claim to claim.
--- a/process/statemachine/closures.go
+++ b/process/consensus/statemachine/closures.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // Closures is which zones are shut and which engines an operator is draining.
--- a/process/statemachine/closures_test.go
+++ b/process/consensus/statemachine/closures_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // closure is the closure or opening number i of a chain in which each builds on the one before.
--- a/process/statemachine/command.go
+++ b/process/consensus/statemachine/command.go
@@ -1,7 +1,7 @@
 package statemachine
 
 import (
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // Op names a command.
--- a/process/statemachine/digest_test.go
+++ b/process/consensus/statemachine/digest_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // randomCommand makes any command, over few names, so that they meet.
--- a/process/statemachine/fuzz_test.go
+++ b/process/consensus/statemachine/fuzz_test.go
@@ -5,7 +5,7 @@
 	"encoding/json"
 	"testing"
 
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // fuzzedState is a state with something of everything.
--- a/process/statemachine/lives.go
+++ b/process/consensus/statemachine/lives.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/process/workerid"
 )
 
--- a/process/statemachine/memory_test.go
+++ b/process/consensus/statemachine/memory_test.go
@@ -7,7 +7,7 @@
 	"os"
 	"testing"
 
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // win applies order number i of a chain in which each builds on the one before: order i leads from revision i to i+1.
--- a/process/statemachine/proposals.go
+++ b/process/consensus/statemachine/proposals.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // Stage is how far a proposal has come.
--- a/process/statemachine/ranking_test.go
+++ b/process/consensus/statemachine/ranking_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"testing"
 
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // do applies a command at a time.
--- a/process/statemachine/repeats_test.go
+++ b/process/consensus/statemachine/repeats_test.go
@@ -5,7 +5,7 @@
 	"reflect"
 	"testing"
 
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // repeat is one command of which a second copy comes late: after others have acted, and after a snapshot.
--- a/process/statemachine/serving.go
+++ b/process/consensus/statemachine/serving.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // Serving is one life of a daemon that may be serving.
--- a/process/statemachine/size_test.go
+++ b/process/consensus/statemachine/size_test.go
@@ -5,10 +5,10 @@
 	"fmt"
 	"testing"
 
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
 )
 
-// The sizes of the replicated state, for docs/CAPACITY.md: go test -run - -bench Size ./process/statemachine
+// The sizes of the replicated state, for docs/CAPACITY.md: go test -run - -bench Size ./process/consensus/statemachine
 
 // apply takes a command, and fails the benchmark if it is not taken.
 func apply(b *testing.B, s *State, c Command) {
--- a/process/statemachine/sound.go
+++ b/process/consensus/statemachine/sound.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/rotisserie/eris"
 
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/process/workerid"
 )
 
--- a/process/statemachine/statemachine.go
+++ b/process/consensus/statemachine/statemachine.go
@@ -9,7 +9,7 @@
 
 	"github.com/rotisserie/eris"
 
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/process/workerid"
 )
 
--- a/process/statemachine/statemachine_test.go
+++ b/process/consensus/statemachine/statemachine_test.go
@@ -9,7 +9,7 @@
 	"github.com/leanovate/gopter/gen"
 	"github.com/leanovate/gopter/prop"
 
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // command makes one command of a made-up history out of a few bytes.
--- a/process/store/aside_test.go
+++ b/process/consensus/store/aside_test.go
@@ -11,7 +11,7 @@
 	"github.com/mattn/go-sqlite3"
 	"github.com/rotisserie/eris"
 
-	"github.com/cresspond/cresspond/process/raft"
+	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
 // written makes a folder with one save, and gives the identity in it.
--- a/process/store/powerloss_test.go
+++ b/process/consensus/store/powerloss_test.go
@@ -10,7 +10,7 @@
 	"reflect"
 	"testing"
 
-	"github.com/cresspond/cresspond/process/raft"
+	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
 // copyOf is what is on the disk at this moment: the file, and the journal of a transaction under way.
--- a/process/store/store.go
+++ b/process/consensus/store/store.go
@@ -16,8 +16,8 @@
 	"github.com/rotisserie/eris"
 	"golang.org/x/sys/unix"
 
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/raft"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
 // FormVersion is the version of the tables; a folder of a later one is refused.
--- a/process/store/store_test.go
+++ b/process/consensus/store/store_test.go
@@ -11,7 +11,7 @@
 	"github.com/leanovate/gopter/gen"
 	"github.com/leanovate/gopter/prop"
 
-	"github.com/cresspond/cresspond/process/raft"
+	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
 func newMember() raft.MemberID { return 7 }
--- a/process/store/trouble_test.go
+++ b/process/consensus/store/trouble_test.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"testing"
 
-	"github.com/cresspond/cresspond/process/raft"
+	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
 // writerFolder names the folder of a writer process that this test program is started again as.
--- a/process/config/config.go
+++ b/process/daemonconfig/config.go
@@ -1,5 +1,5 @@
-// Package config reads and checks a daemon's own settings: a JSON file, overridden by flags.
-package config
+// Package daemonconfig reads and checks a daemon's own settings: a JSON file, overridden by flags.
+package daemonconfig
 
 import (
 	"bytes"
@@ -14,9 +14,9 @@
 
 	"github.com/go-playground/validator/v10"
 
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/mechanism"
-	"github.com/cresspond/cresspond/process/ranking"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/nodehealth"
+	"github.com/cresspond/cresspond/process/featuregates"
 )
 
 // Role is one thing a daemon can do.
@@ -78,7 +78,7 @@
 	Bounds  Bounds  `json:"bounds"`
 	// Ranking says whether engines are ranked by how their nodes behave, and the worst drained. It should be the same
 	// on all daemons: those that route measure, those that place decide.
-	Ranking ranking.Settings `json:"ranking"`
+	Ranking nodehealth.Settings `json:"ranking"`
 	// Experiments are for measurements only.
 	Experiments Experiments `json:"experiments,omitzero"`
 }
@@ -90,8 +90,8 @@
 }
 
 // Off gives the mechanisms that are switched off. Names that Check refuses are passed over.
-func (e Experiments) Off() mechanism.Set {
-	off, _ := mechanism.Parse(e.Without)
+func (e Experiments) Off() featuregates.Set {
+	off, _ := featuregates.Parse(e.Without)
 	return off
 }
 
@@ -205,7 +205,7 @@
 
 // Default gives the settings that need not be said.
 func Default() Config {
-	return Config{Voters: 3, Compaction: DefaultCompaction(), DrainMs: 30000, Log: "info", Attempts: FleetAttempts, Trouble: EndOnTrouble, Bounds: DefaultBounds(), Ranking: ranking.DefaultSettings(), MetricsPath: defaultMetricsPath}
+	return Config{Voters: 3, Compaction: DefaultCompaction(), DrainMs: 30000, Log: "info", Attempts: FleetAttempts, Trouble: EndOnTrouble, Bounds: DefaultBounds(), Ranking: nodehealth.DefaultSettings(), MetricsPath: defaultMetricsPath}
 }
 
 // Serves says whether the daemon has a role.
@@ -273,7 +273,7 @@
 		return err == nil && net.ParseIP(host) != nil && port != ""
 	}))
 	must(v.RegisterValidation("mechanism", func(level validator.FieldLevel) bool {
-		_, err := mechanism.Parse([]string{level.Field().String()})
+		_, err := featuregates.Parse([]string{level.Field().String()})
 		return err == nil
 	}))
 	must(v.RegisterValidation("required_if_control", func(level validator.FieldLevel) bool {
@@ -289,7 +289,7 @@
 		file = "flags"
 	}
 	var faults []Fault
-	if c.Ranking != (ranking.Settings{}) {
+	if c.Ranking != (nodehealth.Settings{}) {
 		// Settings put together without any are those of a daemon that ranks nothing.
 		for _, one := range c.Ranking.Check() {
 			faults = append(faults, Fault{file, "ranking." + one.Field, one.Reason})
@@ -308,7 +308,7 @@
 			"required": "is missing", "ipport": "must be an IP number and a port", "unique": "holds something twice",
 			"required_if_control": "is needed to serve control",
 			"ltfield":             "must be below entries",
-			"mechanism":           "names no mechanism; known are " + strings.Join(mechanism.Names(), ", "),
+			"mechanism":           "names no mechanism; known are " + strings.Join(featuregates.Names(), ", "),
 		}[one.Tag()]
 		if reason == "" {
 			reason = strings.TrimSuffix(fmt.Sprintf("must satisfy %s=%s", one.Tag(), one.Param()), "=")
--- a/process/config/config_test.go
+++ b/process/daemonconfig/config_test.go
@@ -1,4 +1,4 @@
-package config
+package daemonconfig
 
 import (
 	"net"
--- a/process/admission/admission.go
+++ b/process/engines/admission/admission.go
@@ -8,11 +8,11 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/process/actor"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/engines"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/request/bid"
+	"github.com/cresspond/cresspond/actor"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/discovery"
+	"github.com/cresspond/cresspond/process/engines/priority"
 )
 
 // Ask is one daemon's bid for a slot.
@@ -20,7 +20,7 @@
 	ID     string
 	Node   ident.NodeID
 	Engine ident.EngineID
-	bid.Bid
+	priority.Bid
 	// Until is when the asker stops waiting.
 	Until clock.Mark
 }
@@ -52,7 +52,7 @@
 	waiting []Ask
 	// since is when this keeper first heard of the engine.
 	since clock.Mark
-	turns bid.Turns
+	turns priority.Turns
 	// refusedAt is when the engine last refused an attempt that had a slot.
 	refusedAt clock.Mark
 }
@@ -78,7 +78,7 @@
 func (c *Core) slotsOf(now clock.Mark, id ident.EngineID) *engineSlots {
 	slots := c.engines[id]
 	if slots == nil {
-		slots = &engineSlots{granted: map[string]grant{}, since: now, turns: bid.Turns{}}
+		slots = &engineSlots{granted: map[string]grant{}, since: now, turns: priority.Turns{}}
 		c.engines[id] = slots
 	}
 	return slots
@@ -142,7 +142,7 @@
 		free = min(free, view.Capacity(id)-view.Busy(id))
 	}
 	// An engine that refused is not what it was taken for: nothing more goes out before a later report is read.
-	if slots.refusedAt > 0 && engines.StillRefuses(slots.refusedAt, view.Asked(id), view.Now) {
+	if slots.refusedAt > 0 && discovery.StillRefuses(slots.refusedAt, view.Asked(id), view.Now) {
 		free = 0
 	}
 	for free > 0 && len(slots.waiting) > 0 {
--- a/process/admission/admission_test.go
+++ b/process/engines/admission/admission_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/request/bid"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/priority"
 )
 
 // stand is a keeper's core with made-up daemons that ask, run and give back.
@@ -41,7 +41,7 @@
 }
 
 func (s *stand) ask(id string, node ident.NodeID, worth int64, tenant string) {
-	s.hear(s.core.Ask(s.view(), Ask{ID: id, Node: node, Engine: "e", Bid: bid.Bid{Worth: worth, Tenant: tenant}, Until: s.now + clock.Mark(150*time.Millisecond)}))
+	s.hear(s.core.Ask(s.view(), Ask{ID: id, Node: node, Engine: "e", Bid: priority.Bid{Worth: worth, Tenant: tenant}, Until: s.now + clock.Mark(150*time.Millisecond)}))
 }
 
 func TestNeverMoreThanTheCapacityAndNothingLeaks(t *testing.T) {
--- a/connection/engineconn/engineconn.go
+++ b/process/engines/connectionpool/engineconn.go
@@ -1,6 +1,6 @@
-// Package engineconn carries attempts to engines over connections that it owns. It never sends a request
+// Package connectionpool carries attempts to engines over connections that it owns. It never sends a request
 // twice: what became of an attempt is a value, and whoever asked decides.
-package engineconn
+package connectionpool
 
 import (
 	"context"
@@ -16,8 +16,8 @@
 	"github.com/valyala/fasthttp"
 	"golang.org/x/sys/unix"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/wire/dialect"
 )
 
--- a/connection/engineconn/engineconn_test.go
+++ b/process/engines/connectionpool/engineconn_test.go
@@ -1,4 +1,4 @@
-package engineconn
+package connectionpool
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/cresspond/cresspond/process/clock"
+	"github.com/cresspond/cresspond/clock"
 	"github.com/cresspond/cresspond/wire/dialect"
 )
 
--- a/connection/engineconn/idle.go
+++ b/process/engines/connectionpool/idle.go
@@ -1,4 +1,4 @@
-package engineconn
+package connectionpool
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 	"syscall"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
+	"github.com/cresspond/cresspond/clock"
 )
 
 // lifetimes is what was learned of how long the idle connections to the engines of a pool really last, whatever they
--- a/connection/engineconn/link.go
+++ b/process/engines/connectionpool/link.go
@@ -1,4 +1,4 @@
-package engineconn
+package connectionpool
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"github.com/valyala/fasthttp"
 	"golang.org/x/sys/unix"
 
-	"github.com/cresspond/cresspond/process/clock"
+	"github.com/cresspond/cresspond/clock"
 )
 
 // link is one connection to an engine; one request is under way on it at a time.
--- a/connection/engineconn/list.go
+++ b/process/engines/connectionpool/list.go
@@ -1,4 +1,4 @@
-package engineconn
+package connectionpool
 
 import (
 	"bytes"
--- a/process/engines/engines.go
+++ b/process/engines/discovery/engines.go
@@ -1,6 +1,6 @@
-// Package engines is what this daemon knows of the engines: the platform's list, their reports, and
+// Package discovery is what this daemon knows of the engines: the platform's list, their reports, and
 // who is leaving. It is kept by one actor and read through one pointer.
-package engines
+package discovery
 
 import (
 	"context"
@@ -14,10 +14,10 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/cresspond/cresspond/connection/engineconn"
-	"github.com/cresspond/cresspond/process/actor"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/actor"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/connectionpool"
 	"github.com/cresspond/cresspond/wire/dialect"
 	"github.com/cresspond/cresspond/wire/engineapi"
 	"github.com/cresspond/cresspond/wire/platformapi"
@@ -128,7 +128,7 @@
 	platform string
 	box      *actor.Mailbox[any]
 	view     atomic.Pointer[View]
-	reports  *engineconn.Pools
+	reports  *connectionpool.Pools
 	asked    atomic.Uint64
 	swept    clock.Mark
 	onChange func()
@@ -178,7 +178,7 @@
 // New makes a watcher; onChange is called after each new view.
 func New(c clock.Clock, platform string, onChange func()) *Watcher {
 	w := &Watcher{clock: c, platform: platform, box: actor.NewMailbox[any](256), onChange: onChange, asking: map[ident.EngineID]bool{},
-		reports: engineconn.New(c, dialect.Own())}
+		reports: connectionpool.New(c, dialect.Own())}
 	w.view.Store(&View{Engines: map[ident.EngineID]*Engine{}})
 	return w
 }
@@ -253,9 +253,9 @@
 	head.SetHost(address)
 	asked := "report-" + strconv.FormatUint(w.asked.Add(1), 16)
 	head.Set(engineapi.HeaderAttempt, asked)
-	answer := w.reports.Send(engineconn.Attempt{Engine: id, Address: address, ID: asked, Head: head, Dress: func() {}, LastLook: func() string { return "" },
-		Until: w.clock.Elapsed() + clock.Mark(askTimeout), Cancel: &engineconn.Cancel{}, Unnamed: engineconn.UnnamedOnClean})
-	if answer.Outcome != engineconn.Answered {
+	answer := w.reports.Send(connectionpool.Attempt{Engine: id, Address: address, ID: asked, Head: head, Dress: func() {}, LastLook: func() string { return "" },
+		Until: w.clock.Elapsed() + clock.Mark(askTimeout), Cancel: &connectionpool.Cancel{}, Unnamed: connectionpool.UnnamedOnClean})
+	if answer.Outcome != connectionpool.Answered {
 		return fmt.Errorf("%s: %s", answer.Outcome, answer.Reason)
 	}
 	defer answer.Close()
--- a/process/engines/get_test.go
+++ b/process/engines/discovery/get_test.go
@@ -1,4 +1,4 @@
-package engines
+package discovery
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/cresspond/cresspond/process/clock"
+	"github.com/cresspond/cresspond/clock"
 	"github.com/cresspond/cresspond/wire/engineapi"
 )
 
--- a/process/ranking/bounds.go
+++ b/process/engines/nodehealth/bounds.go
@@ -1,11 +1,11 @@
-package ranking
+package nodehealth
 
 import (
 	"cmp"
 	"slices"
 	"strings"
 
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // Target names a model, or one adapter of it.
--- a/process/ranking/digest.go
+++ b/process/engines/nodehealth/digest.go
@@ -1,8 +1,8 @@
-// Package ranking orders engines by how their nodes behave: by the pauses between the events of their streams and
+// Package nodehealth orders engines by how their nodes behave: by the pauses between the events of their streams and
 // by how late their first bytes come, each against engines of the same pool with like work. From that it decides
 // which engine is drained, which may be tried again, and what must be loaded elsewhere first. What goes in says
 // nothing of routes, houses or worth, so the order can't follow them.
-package ranking
+package nodehealth
 
 import (
 	"math/bits"
@@ -10,7 +10,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // Kind is what a digest measures.
--- a/process/ranking/evidence.go
+++ b/process/engines/nodehealth/evidence.go
@@ -1,4 +1,4 @@
-package ranking
+package nodehealth
 
 import (
 	"cmp"
@@ -7,8 +7,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // evidence is what daemons told within the span, by the zone they stand in.
--- a/process/ranking/ranker.go
+++ b/process/engines/nodehealth/ranker.go
@@ -1,4 +1,4 @@
-package ranking
+package nodehealth
 
 import (
 	"maps"
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // Stage is where an engine stands.
--- a/process/ranking/ranking_test.go
+++ b/process/engines/nodehealth/ranking_test.go
@@ -1,4 +1,4 @@
-package ranking
+package nodehealth
 
 import (
 	"cmp"
@@ -13,8 +13,8 @@
 	"github.com/leanovate/gopter/gen"
 	"github.com/leanovate/gopter/prop"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // node is one engine of a test, by how its node behaves.
--- a/process/ranking/recorder.go
+++ b/process/engines/nodehealth/recorder.go
@@ -1,4 +1,4 @@
-package ranking
+package nodehealth
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // Recorder keeps what a daemon measures of engines until it is told. It may be used by several at once.
--- a/process/ranking/recorder_test.go
+++ b/process/engines/nodehealth/recorder_test.go
@@ -1,4 +1,4 @@
-package ranking
+package nodehealth
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
 )
 
 func TestRecorderTellsOnce(t *testing.T) {
--- a/process/ranking/score.go
+++ b/process/engines/nodehealth/score.go
@@ -1,11 +1,11 @@
-package ranking
+package nodehealth
 
 import (
 	"cmp"
 	"math"
 	"slices"
 
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // Standing is how one engine stands against others with like work.
--- a/process/ranking/settings.go
+++ b/process/engines/nodehealth/settings.go
@@ -1,4 +1,4 @@
-package ranking
+package nodehealth
 
 import (
 	"fmt"
--- a/process/outlier/detector.go
+++ b/process/engines/outlier/detector.go
@@ -4,8 +4,8 @@
 	"maps"
 	"slices"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // Counters are counted over a detector's lifetime.
--- a/process/outlier/eject.go
+++ b/process/engines/outlier/eject.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // candidate is an engine that stands out for the daemons of a zone.
--- a/process/outlier/ledger.go
+++ b/process/engines/outlier/ledger.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // Digest is what one daemon saw of one engine since its last report.
--- a/process/outlier/outlier_test.go
+++ b/process/engines/outlier/outlier_test.go
@@ -10,8 +10,8 @@
 	"github.com/leanovate/gopter/gen"
 	"github.com/leanovate/gopter/prop"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // fleet is daemons of four zones that tell a judge what they see, each fifth of a second some of them.
--- a/process/outlier/stage.go
+++ b/process/engines/outlier/stage.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // Stage is where an engine stands with the daemons of a zone, or with all.
--- a/process/outlier/weight.go
+++ b/process/engines/outlier/weight.go
@@ -4,8 +4,8 @@
 	"maps"
 	"slices"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // Weight is the share of its usual requests that an engine is to get from callers' daemons in a zone; of several
--- a/request/bid/bid.go
+++ b/process/engines/priority/bid.go
@@ -1,5 +1,5 @@
-// Package bid orders the requests that want room: the same for the queue of a daemon and for an engine's slots.
-package bid
+// Package priority orders the requests that want room: the same for the queue of a daemon and for an engine's slots.
+package priority
 
 import "cmp"
 
--- a/process/registry/converge_test.go
+++ b/process/engines/registry/converge_test.go
@@ -11,8 +11,8 @@
 	"github.com/leanovate/gopter/gen"
 	"github.com/leanovate/gopter/prop"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // world is a few daemons, control and others, and engines whose words reach them in any order, or late, or not.
--- a/process/registry/core.go
+++ b/process/engines/registry/core.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
 )
 
 const (
--- a/process/registry/core_test.go
+++ b/process/engines/registry/core_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
 )
 
 const second = clock.Mark(time.Second)
--- a/process/registry/fuzz_test.go
+++ b/process/engines/registry/fuzz_test.go
@@ -6,9 +6,9 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/wire/fellowapi"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 // FuzzRecords: whatever a peer tells of engines, nothing was heard later than it was told, and it can be learned,
@@ -21,25 +21,25 @@
 		{{ID: "e", CallSeq: 3, Digest: 7, Leaving: true, Gone: true, Heard: now}},
 		{{ID: "e", Word: &word, CallSeq: 4, Plan: &Plan{Claim: 2, Turn: 3, Retiring: []Target{{"m", ""}}, Coming: []Coming{{Target{"n", ""}, now}}}}},
 	} {
-		data, err := proto.Marshal(&fellowapi.PullReply{RegistryLife: "l", RegistrySeen: 3, Engines: Encode(now, records)})
+		data, err := proto.Marshal(&peerapi.PullReply{RegistryLife: "l", RegistrySeen: 3, Engines: Encode(now, records)})
 		if err != nil {
 			f.Fatal(err)
 		}
 		f.Add(data)
 	}
 	// A time so long ago that it does not fit.
-	far, err := proto.Marshal(&fellowapi.PullReply{Engines: []*fellowapi.RegisteredEngine{{Id: "e", HeardMsAgo: 1 << 62, Worded: true, Plan: &fellowapi.EnginePlan{ToldMsAgo: 1 << 61, Coming: []*fellowapi.PlanTarget{{Model: "m", ReadyMs: -1 << 62}}}}}})
+	far, err := proto.Marshal(&peerapi.PullReply{Engines: []*peerapi.RegisteredEngine{{Id: "e", HeardMsAgo: 1 << 62, Worded: true, Plan: &peerapi.EnginePlan{ToldMsAgo: 1 << 61, Coming: []*peerapi.PlanTarget{{Model: "m", ReadyMs: -1 << 62}}}}}})
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(far)
-	below, err := proto.Marshal(&fellowapi.PullReply{Engines: []*fellowapi.RegisteredEngine{{Id: "e", Worded: true, Slots: -1, LeaveMs: -2, ColdMs: -3, Plan: &fellowapi.EnginePlan{Active: -1, Queued: -1, Memory: -1, MemoryUsed: -1, Weights: []*fellowapi.EngineWeight{{Percent: -4}, {Percent: 400}}}}}})
+	below, err := proto.Marshal(&peerapi.PullReply{Engines: []*peerapi.RegisteredEngine{{Id: "e", Worded: true, Slots: -1, LeaveMs: -2, ColdMs: -3, Plan: &peerapi.EnginePlan{Active: -1, Queued: -1, Memory: -1, MemoryUsed: -1, Weights: []*peerapi.EngineWeight{{Percent: -4}, {Percent: 400}}}}}})
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(below)
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var reply fellowapi.PullReply
+		var reply peerapi.PullReply
 		if proto.Unmarshal(data, &reply) != nil {
 			return
 		}
--- a/process/registry/reach.go
+++ b/process/engines/registry/reach.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // reach is how much of this daemon's changes each peer has, by its own word.
--- a/process/registry/registry.go
+++ b/process/engines/registry/registry.go
@@ -6,9 +6,9 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/cresspond/cresspond/process/actor"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/actor"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // mostRecords bounds what is told at once; the rest follows with the next question.
--- a/process/registry/size_test.go
+++ b/process/engines/registry/size_test.go
@@ -8,12 +8,12 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/wire/fellowapi"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// What the registry costs by its engines, for docs/CAPACITY.md: go test -run - -bench Size ./process/registry
+// What the registry costs by its engines, for docs/CAPACITY.md: go test -run - -bench Size ./process/engines/registry
 
 var engineCounts = []int{12, 100, 350, 1400}
 
@@ -89,7 +89,7 @@
 // BenchmarkSizeTell is what is told, in bytes for each engine: all of it to one that is new, and one change.
 func BenchmarkSizeTell(b *testing.B) {
 	encoded := func(b *testing.B, records []Record) int {
-		data, err := proto.Marshal(&fellowapi.PullReply{Engines: Encode(0, records)})
+		data, err := proto.Marshal(&peerapi.PullReply{Engines: Encode(0, records)})
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/process/registry/types.go
+++ b/process/engines/registry/types.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/outlier"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/outlier"
 )
 
 // Held is one model that an engine holds, with its adapters.
--- a/process/registry/wire.go
+++ b/process/engines/registry/wire.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/outlier"
-	"github.com/cresspond/cresspond/wire/fellowapi"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/outlier"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 // Moments travel as how long ago, or how long until: daemons share no clock.
@@ -28,10 +28,10 @@
 const mostCounted = 1 << 53
 
 // Encode gives the wire form of records, as told now.
-func Encode(now clock.Mark, records []Record) []*fellowapi.RegisteredEngine {
-	out := make([]*fellowapi.RegisteredEngine, 0, len(records))
+func Encode(now clock.Mark, records []Record) []*peerapi.RegisteredEngine {
+	out := make([]*peerapi.RegisteredEngine, 0, len(records))
 	for _, r := range records {
-		row := &fellowapi.RegisteredEngine{Id: string(r.ID), CallSeq: r.CallSeq, Digest: r.Digest, HeardMsAgo: msSince(now, r.Heard),
+		row := &peerapi.RegisteredEngine{Id: string(r.ID), CallSeq: r.CallSeq, Digest: r.Digest, HeardMsAgo: msSince(now, r.Heard),
 			Ends: r.Leaving, Silent: r.Silent, Gone: r.Gone}
 		if word := r.Word; word != nil {
 			row.Worded, row.Leaving = true, word.Leaving
@@ -48,7 +48,7 @@
 }
 
 // Decode reads records that were told at a moment; rows without an id are dropped.
-func Decode(told clock.Mark, rows []*fellowapi.RegisteredEngine) []Record {
+func Decode(told clock.Mark, rows []*peerapi.RegisteredEngine) []Record {
 	out := make([]Record, 0, len(rows))
 	for _, row := range rows {
 		if row.GetId() == "" {
@@ -68,8 +68,8 @@
 	return out
 }
 
-func encodePlan(now clock.Mark, plan *Plan, part PlanPart) *fellowapi.EnginePlan {
-	out := &fellowapi.EnginePlan{Claim: uint64(plan.Claim), Turn: plan.Turn, Part: int64(part)}
+func encodePlan(now clock.Mark, plan *Plan, part PlanPart) *peerapi.EnginePlan {
+	out := &peerapi.EnginePlan{Claim: uint64(plan.Claim), Turn: plan.Turn, Part: int64(part)}
 	if part == HeadOnly {
 		return out
 	}
@@ -79,18 +79,18 @@
 	}
 	out.Models, out.ModelsKnown = encodeHeld(plan.Models), plan.Models != nil
 	for _, target := range plan.Retiring {
-		out.Retiring = append(out.Retiring, &fellowapi.PlanTarget{Model: target.Model, Adapter: target.Adapter})
+		out.Retiring = append(out.Retiring, &peerapi.PlanTarget{Model: target.Model, Adapter: target.Adapter})
 	}
 	for _, coming := range plan.Coming {
-		out.Coming = append(out.Coming, &fellowapi.PlanTarget{Model: coming.Model, Adapter: coming.Adapter, ReadyMs: -msSince(now, coming.Ready)})
+		out.Coming = append(out.Coming, &peerapi.PlanTarget{Model: coming.Model, Adapter: coming.Adapter, ReadyMs: -msSince(now, coming.Ready)})
 	}
 	for _, weight := range plan.Weights {
-		out.Weights = append(out.Weights, &fellowapi.EngineWeight{Zone: string(weight.Zone), Percent: int64(percent(weight.Share))})
+		out.Weights = append(out.Weights, &peerapi.EngineWeight{Zone: string(weight.Zone), Percent: int64(percent(weight.Share))})
 	}
 	return out
 }
 
-func decodePlan(told clock.Mark, plan *fellowapi.EnginePlan) *Plan {
+func decodePlan(told clock.Mark, plan *peerapi.EnginePlan) *Plan {
 	out := &Plan{Claim: ident.ClaimNumber(plan.Claim), Turn: plan.Turn, Active: int(counted(plan.Active)), Queued: int(counted(plan.Queued)),
 		MemoryUsed: counted(plan.MemoryUsed), Memory: counted(plan.Memory), Told: msAgo(told, max(0, plan.ToldMsAgo))}
 	if plan.ModelsKnown {
@@ -108,15 +108,15 @@
 	return out
 }
 
-func encodeHeld(models []Held) []*fellowapi.HeldModel {
-	out := make([]*fellowapi.HeldModel, 0, len(models))
+func encodeHeld(models []Held) []*peerapi.HeldModel {
+	out := make([]*peerapi.HeldModel, 0, len(models))
 	for _, held := range models {
-		out = append(out, &fellowapi.HeldModel{Model: held.Model, Generation: held.Generation, Adapters: held.Adapters})
+		out = append(out, &peerapi.HeldModel{Model: held.Model, Generation: held.Generation, Adapters: held.Adapters})
 	}
 	return out
 }
 
-func decodeHeld(models []*fellowapi.HeldModel) []Held {
+func decodeHeld(models []*peerapi.HeldModel) []Held {
 	out := make([]Held, 0, len(models))
 	for _, held := range models {
 		out = append(out, Held{Model: held.Model, Generation: held.Generation, Adapters: held.Adapters})
--- a/process/mechanism/mechanism.go
+++ b/process/featuregates/mechanism.go
@@ -1,6 +1,6 @@
-// Package mechanism names the mechanisms of routing and placement that can be switched off one by one, so that an
+// Package featuregates names the mechanisms of routing and placement that can be switched off one by one, so that an
 // experiment can measure what each is worth. All are on by default.
-package mechanism
+package featuregates
 
 import (
 	"errors"
--- a/process/mechanism/mechanism_test.go
+++ b/process/featuregates/mechanism_test.go
@@ -1,4 +1,4 @@
-package mechanism
+package featuregates
 
 import (
 	"errors"
--- a/process/demand/demand.go
+++ b/process/placement/demand/demand.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/wire/fellowapi"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 const (
@@ -30,17 +30,17 @@
 type Key struct{ Pool, Model, Adapter string }
 
 // KeyOf is what a demand is for.
-func KeyOf(demand *fellowapi.Demand) Key { return Key{demand.Pool, demand.Model, demand.Adapter} }
+func KeyOf(demand *peerapi.Demand) Key { return Key{demand.Pool, demand.Model, demand.Adapter} }
 
 // Message is one announcement. Base is the one it builds on; zero is whole.
 type Message struct {
 	Seq, Base uint64
-	Demand    []*fellowapi.Demand
-	Seats     []*fellowapi.Seat
+	Demand    []*peerapi.Demand
+	Seats     []*peerapi.Seat
 }
 
 type announced struct {
-	demand *fellowapi.Demand
+	demand *peerapi.Demand
 	at     clock.Mark
 }
 
@@ -55,7 +55,7 @@
 }
 
 // Next makes the next message to an address.
-func (t *Sender) Next(now clock.Mark, to string, all []*fellowapi.Demand, seats []*fellowapi.Seat) Message {
+func (t *Sender) Next(now clock.Mark, to string, all []*peerapi.Demand, seats []*peerapi.Seat) Message {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	out := Message{Seq: t.seq + 1, Base: t.seq, Seats: seats}
@@ -81,7 +81,7 @@
 				continue
 			}
 			// Nothing of it is asked for any more.
-			out.Demand = append(out.Demand, &fellowapi.Demand{Pool: key.Pool, Model: key.Model, Adapter: key.Adapter})
+			out.Demand = append(out.Demand, &peerapi.Demand{Pool: key.Pool, Model: key.Model, Adapter: key.Adapter})
 		}
 	}
 	return out
@@ -101,7 +101,7 @@
 func left(since time.Duration) float64 { return math.Exp2(-float64(since) / float64(Half)) }
 
 // unchanged says whether a demand is so much like what was announced that it need not be announced anew.
-func unchanged(before announced, demand *fellowapi.Demand, now clock.Mark) bool {
+func unchanged(before announced, demand *peerapi.Demand, now clock.Mark) bool {
 	was := before.demand
 	// That nothing runs any more is announced too, or the sum over many daemons that each ask for little would be far off;
 	// but not at once, since what was asked for a moment ago is likely to be asked for again.
@@ -125,7 +125,7 @@
 type Receiver struct {
 	// At is when it last announced anything.
 	At    clock.Mark
-	Seats []*fellowapi.Seat
+	Seats []*peerapi.Seat
 	seq   uint64
 	known map[Key]announced
 }
@@ -153,7 +153,7 @@
 }
 
 // Each gives all that is asked for, with how long ago it was announced, and which share of its rates is left since.
-func (h *Receiver) Each(now clock.Mark, give func(demand *fellowapi.Demand, ago time.Duration, share float64)) {
+func (h *Receiver) Each(now clock.Mark, give func(demand *peerapi.Demand, ago time.Duration, share float64)) {
 	for key, one := range h.known {
 		ago := now.Since(one.at)
 		share := left(ago)
--- a/process/demand/demand_test.go
+++ b/process/placement/demand/demand_test.go
@@ -9,18 +9,18 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/wire/fellowapi"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-func demand(model string, held, running int64, oldest time.Duration) *fellowapi.Demand {
-	return &fellowapi.Demand{Pool: "p", Model: model, Held: held, Running: running, OldestMs: oldest.Milliseconds(), Tokens: float64(running) * 10, Arrivals: 1}
+func demand(model string, held, running int64, oldest time.Duration) *peerapi.Demand {
+	return &peerapi.Demand{Pool: "p", Model: model, Held: held, Running: running, OldestMs: oldest.Milliseconds(), Tokens: float64(running) * 10, Arrivals: 1}
 }
 
-func gather(h *Receiver, now clock.Mark) map[string]*fellowapi.Demand {
-	out := map[string]*fellowapi.Demand{}
-	h.Each(now, func(one *fellowapi.Demand, ago time.Duration, share float64) {
-		copied := proto.Clone(one).(*fellowapi.Demand)
+func gather(h *Receiver, now clock.Mark) map[string]*peerapi.Demand {
+	out := map[string]*peerapi.Demand{}
+	h.Each(now, func(one *peerapi.Demand, ago time.Duration, share float64) {
+		copied := proto.Clone(one).(*peerapi.Demand)
 		copied.Tokens, copied.Arrivals = copied.Tokens*share, copied.Arrivals*share
 		if copied.Held > 0 {
 			copied.OldestMs += ago.Milliseconds()
@@ -37,7 +37,7 @@
 		var receiver Receiver
 		now := clock.Mark(time.Minute)
 		since := map[string]clock.Mark{}
-		asked := map[string]*fellowapi.Demand{}
+		asked := map[string]*peerapi.Demand{}
 		var late []Message
 		for step := range 400 {
 			now += clock.Mark(time.Duration(random.IntN(300)) * time.Millisecond)
@@ -51,9 +51,9 @@
 			case 2:
 				asked[model] = demand(model, 0, int64(1+random.IntN(30)), 0)
 			}
-			var all []*fellowapi.Demand
+			var all []*peerapi.Demand
 			for name, one := range asked {
-				one = proto.Clone(one).(*fellowapi.Demand)
+				one = proto.Clone(one).(*peerapi.Demand)
 				if one.Held > 0 {
 					one.OldestMs = now.Since(since[name]).Milliseconds()
 				}
@@ -92,7 +92,7 @@
 }
 
 // fadedDemand is a demand whose rates have faded for a time since its last request.
-func fadedDemand(model string, held, running int64, oldest, since time.Duration) *fellowapi.Demand {
+func fadedDemand(model string, held, running int64, oldest, since time.Duration) *peerapi.Demand {
 	out := demand(model, held, running, oldest)
 	out.Tokens, out.Arrivals = out.Tokens*left(since), out.Arrivals*left(since)
 	return out
@@ -101,17 +101,17 @@
 func TestUnchangedDemandIsNotAnnouncedAgain(t *testing.T) {
 	var sender Sender
 	now := clock.Mark(time.Minute)
-	if m := sender.Next(now, "a", []*fellowapi.Demand{demand("m", 1, 4, 0), demand("n", 0, 4, 0)}, nil); m.Base != 0 || len(m.Demand) != 2 {
+	if m := sender.Next(now, "a", []*peerapi.Demand{demand("m", 1, 4, 0), demand("n", 0, 4, 0)}, nil); m.Base != 0 || len(m.Demand) != 2 {
 		t.Errorf("%+v", m)
 	}
 	now += clock.Mark(time.Second)
-	if m := sender.Next(now, "a", []*fellowapi.Demand{fadedDemand("m", 1, 4, time.Second, time.Second), fadedDemand("n", 0, 5, 0, time.Second)}, nil); m.Base == 0 || len(m.Demand) != 0 {
+	if m := sender.Next(now, "a", []*peerapi.Demand{fadedDemand("m", 1, 4, time.Second, time.Second), fadedDemand("n", 0, 5, 0, time.Second)}, nil); m.Base == 0 || len(m.Demand) != 0 {
 		t.Errorf("%+v", m)
 	}
-	if m := sender.Next(now, "b", []*fellowapi.Demand{fadedDemand("m", 1, 4, time.Second, time.Second)}, nil); m.Base != 0 || len(m.Demand) != 1 {
+	if m := sender.Next(now, "b", []*peerapi.Demand{fadedDemand("m", 1, 4, time.Second, time.Second)}, nil); m.Base != 0 || len(m.Demand) != 1 {
 		t.Errorf("another planner gets all: %+v", m)
 	}
-	if m := sender.Next(now+clock.Mark(wholeEvery), "b", []*fellowapi.Demand{demand("m", 1, 4, time.Second+wholeEvery)}, nil); m.Base != 0 || len(m.Demand) != 1 {
+	if m := sender.Next(now+clock.Mark(wholeEvery), "b", []*peerapi.Demand{demand("m", 1, 4, time.Second+wholeEvery)}, nil); m.Base != 0 || len(m.Demand) != 1 {
 		t.Errorf("all is sent again in time: %+v", m)
 	}
 }
@@ -123,14 +123,14 @@
 	var receiver Receiver
 	now, rows, half := clock.Mark(time.Minute), 0, float64(time.Second)*5
 	for step := range 50 {
-		var all []*fellowapi.Demand
+		var all []*peerapi.Demand
 		rate := 0.139 * math.Exp2(-float64(step)*float64(time.Second)/half)
 		running := int64(0)
 		if step < 1 {
 			running = 1
 		}
 		if running > 0 || rate >= 0.002 {
-			all = append(all, &fellowapi.Demand{Pool: "p", Model: "m", Running: running, Tokens: 3000 * rate, Arrivals: rate})
+			all = append(all, &peerapi.Demand{Pool: "p", Model: "m", Running: running, Tokens: 3000 * rate, Arrivals: rate})
 		}
 		message := sender.Next(now, "a", all, nil)
 		rows += len(message.Demand)
@@ -159,20 +159,20 @@
 func TestTheEndOfTheLastRequestIsAnnounced(t *testing.T) {
 	var sender Sender
 	now := clock.Mark(time.Minute)
-	sender.Next(now, "a", []*fellowapi.Demand{demand("m", 0, 1, 0)}, nil)
+	sender.Next(now, "a", []*peerapi.Demand{demand("m", 0, 1, 0)}, nil)
 	ended := fadedDemand("m", 0, 1, 0, 100*time.Millisecond)
 	ended.Running = 0
-	if m := sender.Next(now+clock.Mark(100*time.Millisecond), "a", []*fellowapi.Demand{ended}, nil); len(m.Demand) != 0 {
+	if m := sender.Next(now+clock.Mark(100*time.Millisecond), "a", []*peerapi.Demand{ended}, nil); len(m.Demand) != 0 {
 		t.Errorf("it may be asked for again: %+v", m)
 	}
 	ended = fadedDemand("m", 0, 1, 0, endSlack)
 	ended.Running = 0
-	if m := sender.Next(now+clock.Mark(endSlack), "a", []*fellowapi.Demand{ended}, nil); len(m.Demand) != 1 || m.Demand[0].Running != 0 {
+	if m := sender.Next(now+clock.Mark(endSlack), "a", []*peerapi.Demand{ended}, nil); len(m.Demand) != 1 || m.Demand[0].Running != 0 {
 		t.Errorf("%+v", m)
 	}
 	// What begins is announced at once.
 	begun := fadedDemand("m", 0, 1, 0, endSlack)
-	if m := sender.Next(now+clock.Mark(endSlack), "a", []*fellowapi.Demand{begun}, nil); len(m.Demand) != 1 || m.Demand[0].Running != 1 {
+	if m := sender.Next(now+clock.Mark(endSlack), "a", []*peerapi.Demand{begun}, nil); len(m.Demand) != 1 || m.Demand[0].Running != 1 {
 		t.Errorf("%+v", m)
 	}
 }
--- a/process/claim/claim.go
+++ b/process/placement/plannerlease/claim.go
@@ -1,14 +1,14 @@
-// Package claim keeps the right to command engines, as the daemon that was granted it may use it: until a
+// Package plannerlease keeps the right to command engines, as the daemon that was granted it may use it: until a
 // moment of its own clock, counted from before it asked.
-package claim
+package plannerlease
 
 import (
 	"sync/atomic"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
 type holding struct {
--- a/process/poolplacement/actor.go
+++ b/process/placement/poolplacement/actor.go
@@ -7,14 +7,14 @@
 
 	"github.com/apex/log"
 
-	"github.com/cresspond/cresspond/process/actor"
-	"github.com/cresspond/cresspond/process/claim"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/outlier"
-	"github.com/cresspond/cresspond/process/registry"
-	"github.com/cresspond/cresspond/process/snowflake"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/actor"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/engines/outlier"
+	"github.com/cresspond/cresspond/process/engines/registry"
+	"github.com/cresspond/cresspond/process/placement/plannerlease"
+	"github.com/cresspond/cresspond/process/workerid/snowflake"
 )
 
 // Surroundings is what the actor needs of its daemon.
@@ -58,7 +58,7 @@
 	clock    clock.Clock
 	log      log.Interface
 	box      *actor.Mailbox[any]
-	claim    *claim.Holder
+	claim    *plannerlease.Holder
 	planner  *Planner
 	// plannerOf is the claim that the planner was made for.
 	plannerOf ident.ClaimNumber
@@ -110,7 +110,7 @@
 // NewActor makes the actor.
 func NewActor(around Surroundings, client EngineClient, settings Settings, c clock.Clock, logger log.Interface) *Actor {
 	a := &Actor{around: around, client: client, settings: settings, clock: c, log: logger, box: actor.NewMailbox[any](1024),
-		claim: claim.NewHolder(c, claimMargin), planner: NewPlanner(settings, c.Elapsed()), asks: make(chan struct{}, asksAtOnce)}
+		claim: plannerlease.NewHolder(c, claimMargin), planner: NewPlanner(settings, c.Elapsed()), asks: make(chan struct{}, asksAtOnce)}
 	a.condition.Store(&Condition{})
 	return a
 }
--- a/process/poolplacement/actor_test.go
+++ b/process/placement/poolplacement/actor_test.go
@@ -11,19 +11,19 @@
 	"github.com/apex/log"
 	"github.com/apex/log/handlers/discard"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/registry"
-	"github.com/cresspond/cresspond/process/snowflake"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/engines/registry"
+	"github.com/cresspond/cresspond/process/workerid/snowflake"
 )
 
 // frozenWorld is a daemon around an actor, and the engines it orders, on a clock that goes on with each look.
 type frozenWorld struct {
 	sync.Mutex
 	now      clock.Mark
-	section  *forward.Section
+	section  *upstream.Section
 	view     *registry.View
 	demand   []Demand
 	holder   ident.ClaimNumber
@@ -117,15 +117,15 @@
 	const engines = 4
 	w := &frozenWorld{now: clock.Mark(time.Hour), holder: 7, view: &registry.View{Engines: map[ident.EngineID]*registry.Engine{}, Pools: map[string][]*registry.Engine{}}}
 	w.changed = sync.NewCond(&w.Mutex)
-	catalogue := &forward.Catalogue{Slots: 8, MemoryTokens: 100000, RoomMb: 100, AdapterPlaces: 1, LoadsPerSecond: 10}
+	catalogue := &upstream.Catalogue{Slots: 8, MemoryTokens: 100000, RoomMb: 100, AdapterPlaces: 1, LoadsPerSecond: 10}
 	for place := range engines {
 		id, model := ident.EngineID(fmt.Sprint("e", place)), fmt.Sprint("m", place)
-		catalogue.Models = append(catalogue.Models, forward.Model{Name: model, SizeMb: 90, LoadMs: 1000})
+		catalogue.Models = append(catalogue.Models, upstream.Model{Name: model, SizeMb: 90, LoadMs: 1000})
 		w.view.Engines[id] = &registry.Engine{Word: registry.Word{ID: id, Pool: "p", Address: "there:" + string(id), Slots: 8, Models: []registry.Held{}}}
 		w.view.Pools["p"] = append(w.view.Pools["p"], w.view.Engines[id])
 		w.demand = append(w.demand, Demand{Pool: "p", Model: model, Held: 3, Tokens: 500, Arrivals: 3, Oldest: time.Second})
 	}
-	w.section = &forward.Section{Revision: 1, Pools: []forward.Pool{{Name: "p", Catalogue: catalogue}}}
+	w.section = &upstream.Section{Revision: 1, Pools: []upstream.Pool{{Name: "p", Catalogue: catalogue}}}
 
 	var meeting sync.WaitGroup
 	meeting.Add(engines)
--- a/process/poolplacement/batch_test.go
+++ b/process/placement/poolplacement/batch_test.go
@@ -9,12 +9,12 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/outlier"
-	"github.com/cresspond/cresspond/process/registry"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/engines/outlier"
+	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
 // tick is how finely made-up time passes.
@@ -64,8 +64,8 @@
 type fakeFleet struct {
 	random  *rand.Rand
 	now     clock.Mark
-	section *forward.Section
-	truth   *forward.Catalogue
+	section *upstream.Section
+	truth   *upstream.Catalogue
 	planner *Planner
 	engines []*fakeEngine
 	disks   map[string]map[string]bool
@@ -126,11 +126,11 @@
 )
 
 // newFleet makes engines that hold, room permitting, the first models more than once and each other one once.
-func newFleet(seed uint64, catalogue forward.Catalogue, engines int) *fakeFleet {
+func newFleet(seed uint64, catalogue upstream.Catalogue, engines int) *fakeFleet {
 	f := &fakeFleet{spoken: map[ident.EngineID]registry.Plan{}, random: rand.New(rand.NewPCG(seed, 7)), now: clock.Mark(time.Hour), truth: &catalogue, disks: map[string]map[string]bool{}, state: statemachine.New(),
 		told: map[ident.EngineID]registry.Plan{}, rates: map[registry.Target]*fakeRate{}, servedBy: map[registry.Target]int{}, askedBy: map[registry.Target]int{}}
 	shown := catalogue
-	f.section = &forward.Section{Revision: 1, Pools: []forward.Pool{{Name: "p", Catalogue: &shown}, {Name: "plain"}}}
+	f.section = &upstream.Section{Revision: 1, Pools: []upstream.Pool{{Name: "p", Catalogue: &shown}, {Name: "plain"}}}
 	for range engines {
 		f.start("")
 	}
@@ -138,7 +138,7 @@
 	for i := range left {
 		left[i] = catalogue.RoomMb
 	}
-	place := func(model forward.Model) {
+	place := func(model upstream.Model) {
 		best := 0
 		for i := range left {
 			if _, has := f.engines[i].models[model.Name]; !has && left[i] > left[best] {
@@ -246,7 +246,7 @@
 	return nil
 }
 
-func (f *fakeFleet) model(name string) *forward.Model {
+func (f *fakeFleet) model(name string) *upstream.Model {
 	for i := range f.truth.Models {
 		if f.truth.Models[i].Name == name {
 			return &f.truth.Models[i]
--- a/process/poolplacement/catalogue.go
+++ b/process/placement/poolplacement/catalogue.go
@@ -5,15 +5,15 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
 // pool is a pool's catalogue, ready for the plan.
 type pool struct {
 	name      string
-	catalogue *forward.Catalogue
-	models    map[string]*forward.Model
+	catalogue *upstream.Catalogue
+	models    map[string]*upstream.Model
 	// most is how many loads may begin within a window, atOnce how many the store serves at full speed.
 	most, atOnce int
 	// urgent is the rank of the most urgent path that leads here.
@@ -23,10 +23,10 @@
 }
 
 // mostUrgent is the lowest rank of the paths that lead to a pool.
-func mostUrgent(section *forward.Section, pool string) int {
+func mostUrgent(section *upstream.Section, pool string) int {
 	urgent := math.MaxInt
 	for i := range section.Paths {
-		if slices.ContainsFunc(section.Paths[i].Shares, func(share forward.Share) bool { return share.Pool == pool }) {
+		if slices.ContainsFunc(section.Paths[i].Shares, func(share upstream.Share) bool { return share.Pool == pool }) {
 			urgent = min(urgent, section.Paths[i].Rank)
 		}
 	}
@@ -34,11 +34,11 @@
 }
 
 // targetsOf gives the shortest target of the paths of each rank that lead to a pool.
-func targetsOf(section *forward.Section, pool string) map[int]time.Duration {
+func targetsOf(section *upstream.Section, pool string) map[int]time.Duration {
 	targets := map[int]time.Duration{}
 	for i := range section.Paths {
 		path := &section.Paths[i]
-		if !slices.ContainsFunc(path.Shares, func(share forward.Share) bool { return share.Pool == pool }) {
+		if !slices.ContainsFunc(path.Shares, func(share upstream.Share) bool { return share.Pool == pool }) {
 			continue
 		}
 		target := time.Duration(path.TargetMs) * time.Millisecond
@@ -50,7 +50,7 @@
 }
 
 // adopt takes up a bundle's catalogues.
-func (p *Planner) adopt(section *forward.Section) {
+func (p *Planner) adopt(section *upstream.Section) {
 	if p.section == section {
 		return
 	}
@@ -62,7 +62,7 @@
 		if catalogue == nil || len(catalogue.Models) == 0 {
 			continue
 		}
-		made := &pool{name: section.Pools[i].Name, catalogue: catalogue, models: make(map[string]*forward.Model, len(catalogue.Models))}
+		made := &pool{name: section.Pools[i].Name, catalogue: catalogue, models: make(map[string]*upstream.Model, len(catalogue.Models))}
 		total := 0.0
 		for at := range catalogue.Models {
 			model := &catalogue.Models[at]
--- a/process/poolplacement/demand.go
+++ b/process/placement/poolplacement/demand.go
@@ -4,10 +4,10 @@
 	"math"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/demand"
-	"github.com/cresspond/cresspond/process/mechanism"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/process/engines/registry"
+	"github.com/cresspond/cresspond/process/featuregates"
+	"github.com/cresspond/cresspond/process/placement/demand"
 )
 
 const (
@@ -130,7 +130,7 @@
 				delete(pool.models, name)
 			}
 		}
-		if !p.settings.Off.Has(mechanism.Trend) {
+		if !p.settings.Off.Has(featuregates.Trend) {
 			pool.foresee()
 		}
 		for target, a := range pool.adapters {
@@ -143,7 +143,7 @@
 
 // behind is by how many ranks something is less urgent than the most urgent path of its pool.
 func (p *Planner) behind(rank int, made *pool) int {
-	if p.settings.Off.Has(mechanism.RankWeight) {
+	if p.settings.Off.Has(featuregates.RankWeight) {
 		return 0
 	}
 	return rank - min(rank, made.urgent)
--- a/process/poolplacement/emptying_test.go
+++ b/process/placement/poolplacement/emptying_test.go
@@ -3,10 +3,10 @@
 import (
 	"testing"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
 // What an engine holds that is shut, or is to be, is no copy: it is loaded elsewhere, and nothing onto the engine.
@@ -15,8 +15,8 @@
 		shut, emptying bool
 		loads          bool
 	}{"open": {}, "shut": {shut: true, loads: true}, "to be shut": {emptying: true, loads: true}} {
-		catalogue := &forward.Catalogue{RoomMb: 100, LoadsPerSecond: 5, Models: []forward.Model{{Name: "m", SizeMb: 10, LoadMs: 1000}, {Name: "n", SizeMb: 10, LoadMs: 1000}}}
-		section := &forward.Section{Pools: []forward.Pool{{Name: "pool", Catalogue: catalogue}}, Paths: []forward.Path{{Name: "a", Shares: []forward.Share{{Pool: "pool", Weight: 1}}}}}
+		catalogue := &upstream.Catalogue{RoomMb: 100, LoadsPerSecond: 5, Models: []upstream.Model{{Name: "m", SizeMb: 10, LoadMs: 1000}, {Name: "n", SizeMb: 10, LoadMs: 1000}}}
+		section := &upstream.Section{Pools: []upstream.Pool{{Name: "pool", Catalogue: catalogue}}, Paths: []upstream.Path{{Name: "a", Shares: []upstream.Share{{Pool: "pool", Weight: 1}}}}}
 		view := &registry.View{Engines: map[ident.EngineID]*registry.Engine{}, Pools: map[string][]*registry.Engine{}}
 		for _, id := range []ident.EngineID{"holds", "free"} {
 			engine := &registry.Engine{Word: registry.Word{ID: id, Pool: "pool", Address: string(id), Slots: 8}}
--- a/process/poolplacement/engine.go
+++ b/process/placement/poolplacement/engine.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
 // intent is what an engine is being made ready for.
--- a/process/poolplacement/flight.go
+++ b/process/placement/poolplacement/flight.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
 // flight is an order that no report has settled yet.
--- a/process/poolplacement/grown_test.go
+++ b/process/placement/poolplacement/grown_test.go
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
 // grownDemand is what daemons ask for of many models, few of them often; so many rows in all.
@@ -36,12 +36,12 @@
 }
 
 // grownPlanner has read a report of each of so many engines, all full of the models most asked for.
-func grownPlanner(engines, models int) (*Planner, *forward.Section, clock.Mark) {
+func grownPlanner(engines, models int) (*Planner, *upstream.Section, clock.Mark) {
 	section := sizeSection(0)
 	catalogue := section.Pools[0].Catalogue
 	catalogue.RoomMb, catalogue.LoadsPerSecond, catalogue.Models = 200000, 40, nil
 	for i := range models {
-		catalogue.Models = append(catalogue.Models, forward.Model{Name: fmt.Sprintf("model%04x", i), SizeMb: 60000, LoadMs: 2000, Adapters: 2, AdapterSizeMb: 40})
+		catalogue.Models = append(catalogue.Models, upstream.Model{Name: fmt.Sprintf("model%04x", i), SizeMb: 60000, LoadMs: 2000, Adapters: 2, AdapterSizeMb: 40})
 	}
 	now := clock.Mark(time.Hour)
 	p := NewPlanner(DefaultSettings("owner", 3*time.Second), now)
--- a/process/poolplacement/judge.go
+++ b/process/placement/poolplacement/judge.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // fullFrom is the share of its slots from which an engine may turn requests away, and let them wait.
--- a/process/poolplacement/judge_test.go
+++ b/process/placement/poolplacement/judge_test.go
@@ -5,10 +5,10 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/outlier"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/outlier"
+	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
 // TestThePlanTellsWhatShareAnIllEngineGetsAgainAndAgain: what daemons saw ends in the plan of the engine that stands
--- a/process/poolplacement/lag_test.go
+++ b/process/placement/poolplacement/lag_test.go
@@ -4,10 +4,10 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
 // lone is a planner and one engine that holds a model, with what it takes to play orders through them.
@@ -25,11 +25,11 @@
 
 const loneEngine = ident.EngineID("i-1")
 
-func newLone(t *testing.T, catalogue forward.Catalogue, lag time.Duration, held ...registry.Held) *lone {
+func newLone(t *testing.T, catalogue upstream.Catalogue, lag time.Duration, held ...registry.Held) *lone {
 	t.Helper()
 	listed := &registry.Engine{Word: registry.Word{ID: loneEngine, Pool: "p", Address: "a", Slots: 64}}
 	view := &registry.View{Version: 1, Engines: map[ident.EngineID]*registry.Engine{loneEngine: listed}, Pools: map[string][]*registry.Engine{"p": {listed}}}
-	l := &lone{t: t, now: clock.Mark(time.Hour), lag: lag, held: held, in: Input{Section: &forward.Section{Revision: 1, Pools: []forward.Pool{{Name: "p", Catalogue: &catalogue}}}, View: view}}
+	l := &lone{t: t, now: clock.Mark(time.Hour), lag: lag, held: held, in: Input{Section: &upstream.Section{Revision: 1, Pools: []upstream.Pool{{Name: "p", Catalogue: &catalogue}}}, View: view}}
 	l.planner = NewPlanner(DefaultSettings("x", fakeLease), l.now-clock.Mark(time.Minute))
 	l.step()
 	l.report(l.now)
@@ -79,7 +79,7 @@
 // not a round of reports later. How far they lag is learned.
 func TestAnOrderIsSettledAsSoonAsReportsCanShowIt(t *testing.T) {
 	for _, lag := range []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond} {
-		catalogue := forward.Catalogue{Slots: 64, RoomMb: 100, AdapterPlaces: 200, LoadsPerSecond: 2, Models: []forward.Model{{Name: "m", SizeMb: 10, LoadMs: 1000, Adapters: 100}}}
+		catalogue := upstream.Catalogue{Slots: 64, RoomMb: 100, AdapterPlaces: 200, LoadsPerSecond: 2, Models: []upstream.Model{{Name: "m", SizeMb: 10, LoadMs: 1000, Adapters: 100}}}
 		l := newLone(t, catalogue, lag, registry.Held{Model: "m"})
 		total, rounds := time.Duration(0), 0
 		for i := range 80 {
@@ -107,7 +107,7 @@
 
 // A load is looked for when it should show, and what waits for the engine is not kept for a round of reports.
 func TestALoadIsLookedForWhenItShouldShow(t *testing.T) {
-	catalogue := forward.Catalogue{Slots: 64, RoomMb: 100, AdapterPlaces: 8, LoadsPerSecond: 2, Models: []forward.Model{{Name: "m", SizeMb: 10, LoadMs: 2000}}}
+	catalogue := upstream.Catalogue{Slots: 64, RoomMb: 100, AdapterPlaces: 8, LoadsPerSecond: 2, Models: []upstream.Model{{Name: "m", SizeMb: 10, LoadMs: 2000}}}
 	l := newLone(t, catalogue, 200*time.Millisecond)
 	l.ask(Demand{Pool: "p", Model: "m", Held: 1, Arrivals: 1})
 	orders := l.step()
--- a/process/poolplacement/missing_test.go
+++ b/process/placement/poolplacement/missing_test.go
@@ -6,17 +6,17 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
 // scarce is a pool whose engines hold one model each, asked for by one path of the most urgent rank and one of another.
 type scarce struct {
 	t       *testing.T
 	planner *Planner
-	section *forward.Section
+	section *upstream.Section
 	view    *registry.View
 	now     clock.Mark
 }
@@ -28,17 +28,17 @@
 
 // newScarce makes a pool of so many engines; each holds the model that placed gives it. The target is of the urgent path.
 func newScarce(t *testing.T, target time.Duration, placed ...string) *scarce {
-	catalogue := &forward.Catalogue{Slots: 64, MemoryTokens: 100_000, RoomMb: 10, AdapterPlaces: 8, LoadsPerSecond: 100}
+	catalogue := &upstream.Catalogue{Slots: 64, MemoryTokens: 100_000, RoomMb: 10, AdapterPlaces: 8, LoadsPerSecond: 100}
 	seen := map[string]bool{}
 	for _, name := range append([]string{"wanted"}, placed...) {
 		if !seen[name] {
 			seen[name] = true
-			catalogue.Models = append(catalogue.Models, forward.Model{Name: name, SizeMb: 10, LoadMs: scarceLoad.Milliseconds()})
+			catalogue.Models = append(catalogue.Models, upstream.Model{Name: name, SizeMb: 10, LoadMs: scarceLoad.Milliseconds()})
 		}
 	}
-	shares := []forward.Share{{Pool: "pool", Weight: 1}}
-	s := &scarce{t: t, now: clock.Mark(time.Hour), view: sizeView(len(placed)), section: &forward.Section{Revision: 1, Pools: []forward.Pool{{Name: "pool", Catalogue: catalogue}},
-		Paths: []forward.Path{{Name: "urgent", Rank: urgentRank, TargetMs: target.Milliseconds(), Shares: shares}, {Name: "usual", Rank: usualRank, TargetMs: 800, Shares: shares}}}}
+	shares := []upstream.Share{{Pool: "pool", Weight: 1}}
+	s := &scarce{t: t, now: clock.Mark(time.Hour), view: sizeView(len(placed)), section: &upstream.Section{Revision: 1, Pools: []upstream.Pool{{Name: "pool", Catalogue: catalogue}},
+		Paths: []upstream.Path{{Name: "urgent", Rank: urgentRank, TargetMs: target.Milliseconds(), Shares: shares}, {Name: "usual", Rank: usualRank, TargetMs: 800, Shares: shares}}}}
 	s.planner = NewPlanner(DefaultSettings("owner", 3*time.Second), s.now)
 	s.step(nil)
 	// Since nothing is known of loads before, the window counts as full at first.
--- a/process/poolplacement/models.go
+++ b/process/placement/poolplacement/models.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/process/mechanism"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/process/engines/registry"
+	"github.com/cresspond/cresspond/process/featuregates"
 )
 
 // modelWants lists the models that should stand on one more engine, the most worth first: those that can't wait for
@@ -221,7 +221,7 @@
 		cost += t.cost
 	}
 	factor := s.dearer()
-	if !w.urgent && !s.off(mechanism.Hysteresis) {
+	if !w.urgent && !s.off(featuregates.Hysteresis) {
 		factor = 2
 	}
 	if cost*factor+loadPrice >= w.gain {
--- a/process/poolplacement/plan.go
+++ b/process/placement/poolplacement/plan.go
@@ -6,12 +6,12 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/outlier"
-	"github.com/cresspond/cresspond/process/registry"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/engines/outlier"
+	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
 const (
@@ -72,7 +72,7 @@
 // Planner is the state of the plan under one claim. It is not safe for use by many threads.
 type Planner struct {
 	settings Settings
-	section  *forward.Section
+	section  *upstream.Section
 	pools    map[string]*pool
 	engines  map[ident.EngineID]*engine
 	// ids lists the engines in the order of their ids, so that equal histories give equal plans.
--- a/process/poolplacement/plan_test.go
+++ b/process/placement/poolplacement/plan_test.go
@@ -10,22 +10,22 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
 // sharedCatalogue is 35 models of three sizes, more than nine engines can hold with replicas.
-func sharedCatalogue() forward.Catalogue {
-	c := forward.Catalogue{Slots: fakeSlots, MemoryTokens: 150000, RoomMb: 200000, AdapterPlaces: 8, LoadsPerSecond: 2.6}
+func sharedCatalogue() upstream.Catalogue {
+	c := upstream.Catalogue{Slots: fakeSlots, MemoryTokens: 150000, RoomMb: 200000, AdapterPlaces: 8, LoadsPerSecond: 2.6}
 	sizes, loads := []float64{34300, 51000, 72700}, []int64{1500, 2200, 3200}
 	for i := range 35 {
 		adapters := 0
 		if i%3 == 0 {
 			adapters = 4
 		}
-		c.Models = append(c.Models, forward.Model{Name: fmt.Sprintf("m%02d", i), SizeMb: sizes[i%3], LoadMs: loads[i%3], Adapters: adapters, AdapterSizeMb: 40})
+		c.Models = append(c.Models, upstream.Model{Name: fmt.Sprintf("m%02d", i), SizeMb: sizes[i%3], LoadMs: loads[i%3], Adapters: adapters, AdapterSizeMb: 40})
 	}
 	return c
 }
--- a/process/poolplacement/rank_test.go
+++ b/process/placement/poolplacement/rank_test.go
@@ -3,16 +3,16 @@
 import (
 	"testing"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
 // What is asked for by more urgent paths counts for more, and is never kept waiting for being rare.
 func TestUrgentDemandCountsForMore(t *testing.T) {
-	catalogue := &forward.Catalogue{RoomMb: 100, LoadsPerSecond: 1, Models: []forward.Model{{Name: "urgent", SizeMb: 10, LoadMs: 1000}, {Name: "patient", SizeMb: 10, LoadMs: 1000}}}
-	shares := []forward.Share{{Pool: "pool", Weight: 1}}
-	section := &forward.Section{Pools: []forward.Pool{{Name: "pool", Catalogue: catalogue}},
-		Paths: []forward.Path{{Name: "a", Rank: 3, Shares: shares}, {Name: "b", Rank: 5, Shares: shares}}}
+	catalogue := &upstream.Catalogue{RoomMb: 100, LoadsPerSecond: 1, Models: []upstream.Model{{Name: "urgent", SizeMb: 10, LoadMs: 1000}, {Name: "patient", SizeMb: 10, LoadMs: 1000}}}
+	shares := []upstream.Share{{Pool: "pool", Weight: 1}}
+	section := &upstream.Section{Pools: []upstream.Pool{{Name: "pool", Catalogue: catalogue}},
+		Paths: []upstream.Path{{Name: "a", Rank: 3, Shares: shares}, {Name: "b", Rank: 5, Shares: shares}}}
 	planner := NewPlanner(DefaultSettings("x", fakeLease), 1)
 	in := Input{Now: 2, Section: section, View: &registry.View{}, Demand: []Demand{
 		{Pool: "pool", Model: "urgent", Arrivals: 1, Rank: 3}, {Pool: "pool", Model: "patient", Arrivals: 1, Rank: 5},
--- a/process/poolplacement/reports.go
+++ b/process/placement/poolplacement/reports.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // Reported takes an engine's report, or the failure to get one; asked is when it was asked for. It says whether
--- a/process/poolplacement/room_test.go
+++ b/process/placement/poolplacement/room_test.go
@@ -5,10 +5,10 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
 // pairFleet is a planner and engines that each hold one model and have room for no other; the store serves one
@@ -24,11 +24,11 @@
 
 func newPairFleet(t *testing.T, engines int) *pairFleet {
 	t.Helper()
-	catalogue := &forward.Catalogue{Slots: 64, RoomMb: 15, AdapterPlaces: 8, LoadsPerSecond: 0.5}
+	catalogue := &upstream.Catalogue{Slots: 64, RoomMb: 15, AdapterPlaces: 8, LoadsPerSecond: 0.5}
 	view := &registry.View{Version: 1, Engines: map[ident.EngineID]*registry.Engine{}, Pools: map[string][]*registry.Engine{}}
 	f := &pairFleet{t: t, now: clock.Mark(time.Hour), reports: map[ident.EngineID]Report{}}
 	for i := range 2 * engines {
-		catalogue.Models = append(catalogue.Models, forward.Model{Name: fmt.Sprint("m", i), SizeMb: 10, LoadMs: 2000})
+		catalogue.Models = append(catalogue.Models, upstream.Model{Name: fmt.Sprint("m", i), SizeMb: 10, LoadMs: 2000})
 	}
 	for i := range engines {
 		listed := &registry.Engine{Word: registry.Word{ID: ident.EngineID(fmt.Sprint("i-", i)), Pool: "p", Address: fmt.Sprint(i), Slots: 64}}
@@ -36,7 +36,7 @@
 		view.Pools["p"] = append(view.Pools["p"], listed)
 		f.reports[listed.ID] = Report{Models: []registry.Held{{Model: fmt.Sprint("m", i)}}, Memory: 1000}
 	}
-	f.in = Input{Section: &forward.Section{Revision: 1, Pools: []forward.Pool{{Name: "p", Catalogue: catalogue}}}, View: view}
+	f.in = Input{Section: &upstream.Section{Revision: 1, Pools: []upstream.Pool{{Name: "p", Catalogue: catalogue}}}, View: view}
 	f.planner = NewPlanner(DefaultSettings("x", fakeLease), f.now-clock.Mark(time.Minute))
 	f.step()
 	f.reported()
--- a/process/poolplacement/size_test.go
+++ b/process/placement/poolplacement/size_test.go
@@ -5,23 +5,23 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
 // What the plan costs by its engines and by how many adapters are asked for, for docs/CAPACITY.md:
-// go test -run - -bench Size ./process/poolplacement
+// go test -run - -bench Size ./process/placement/poolplacement
 
 const sizeModels = 140
 
-func sizeSection(adapters int) *forward.Section {
-	catalogue := &forward.Catalogue{Slots: 96, MemoryTokens: 120000, RoomMb: 83000, AdapterPlaces: 8, LoadsPerSecond: 2}
+func sizeSection(adapters int) *upstream.Section {
+	catalogue := &upstream.Catalogue{Slots: 96, MemoryTokens: 120000, RoomMb: 83000, AdapterPlaces: 8, LoadsPerSecond: 2}
 	for i := range sizeModels {
-		catalogue.Models = append(catalogue.Models, forward.Model{Name: fmt.Sprintf("model%04x", i), SizeMb: 34300, LoadMs: 2000, Adapters: adapters / sizeModels, AdapterSizeMb: 40})
+		catalogue.Models = append(catalogue.Models, upstream.Model{Name: fmt.Sprintf("model%04x", i), SizeMb: 34300, LoadMs: 2000, Adapters: adapters / sizeModels, AdapterSizeMb: 40})
 	}
-	return &forward.Section{Revision: 1, Pools: []forward.Pool{{Name: "pool", Catalogue: catalogue}}}
+	return &upstream.Section{Revision: 1, Pools: []upstream.Pool{{Name: "pool", Catalogue: catalogue}}}
 }
 
 func sizeView(engines int) *registry.View {
@@ -46,7 +46,7 @@
 }
 
 // settled is a planner that has read a report of every engine, each holding two models.
-func settled(engines int, section *forward.Section, view *registry.View, demand []Demand) (*Planner, clock.Mark) {
+func settled(engines int, section *upstream.Section, view *registry.View, demand []Demand) (*Planner, clock.Mark) {
 	now := clock.Mark(time.Hour)
 	p := NewPlanner(DefaultSettings("owner", 3*time.Second), now)
 	p.Step(Input{Now: now, Section: section, View: view, Demand: demand})
--- a/process/poolplacement/steplog.go
+++ b/process/placement/poolplacement/steplog.go
@@ -8,8 +8,8 @@
 
 	"github.com/apex/log"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
 // logStepsEvery is how often a debug line sums up the steps of the plan.
--- a/process/poolplacement/steprest.go
+++ b/process/placement/poolplacement/steprest.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
+	"github.com/cresspond/cresspond/clock"
 )
 
 const (
--- a/process/poolplacement/steprest_test.go
+++ b/process/placement/poolplacement/steprest_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
+	"github.com/cresspond/cresspond/clock"
 )
 
 // plannedFor plays a planner whose steps take so long and gives how many it makes, and the share of time they take.
--- a/process/poolplacement/store.go
+++ b/process/placement/poolplacement/store.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
 // mayLoad says whether the store allows another load now. What nobody waits for leaves half of its pace
--- a/process/poolplacement/succession_test.go
+++ b/process/placement/poolplacement/succession_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // When a planner is lost, its successor plans as soon as the rule between two holders' orders allows: the lease after
--- a/process/poolplacement/survey.go
+++ b/process/placement/poolplacement/survey.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/mechanism"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/process/engines/registry"
+	"github.com/cresspond/cresspond/process/featuregates"
 )
 
 const (
@@ -217,7 +217,7 @@
 // notice is how long all daemons must have had to hear that something goes: none where nobody uses it and hardly
 // anybody would ask meanwhile. Who does is told by the engine that it did not run, and waits like all others.
 func (s *survey) notice(victim registry.Target) time.Duration {
-	if s.off(mechanism.Notice) {
+	if s.off(featuregates.Notice) {
 		return 0
 	}
 	a := s.asks.models[victim.Model]
@@ -241,4 +241,4 @@
 }
 
 // off says whether an experiment goes without a mechanism.
-func (s *survey) off(m mechanism.Mechanism) bool { return s.p.settings.Off.Has(m) }
+func (s *survey) off(m featuregates.Mechanism) bool { return s.p.settings.Off.Has(m) }
--- a/process/poolplacement/tell.go
+++ b/process/placement/poolplacement/tell.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
 // Plans gives what is to be told of each engine whose part changed: at once what stands, goes and comes,
--- a/process/poolplacement/tune_test.go
+++ b/process/placement/poolplacement/tune_test.go
@@ -7,15 +7,15 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
-func smallCatalogue() forward.Catalogue {
-	c := forward.Catalogue{Slots: 96, MemoryTokens: 123322, RoomMb: 83000, AdapterPlaces: 8, LoadsPerSecond: 2.1}
+func smallCatalogue() upstream.Catalogue {
+	c := upstream.Catalogue{Slots: 96, MemoryTokens: 123322, RoomMb: 83000, AdapterPlaces: 8, LoadsPerSecond: 2.1}
 	for i := range 31 {
-		m := forward.Model{Name: fmt.Sprintf("m%02d", i), SizeMb: 34300, LoadMs: 2000, AdapterSizeMb: 40}
+		m := upstream.Model{Name: fmt.Sprintf("m%02d", i), SizeMb: 34300, LoadMs: 2000, AdapterSizeMb: 40}
 		if i%5 >= 3 {
 			m.SizeMb, m.LoadMs, m.AdapterSizeMb = 16100, 950, 14
 		}
@@ -33,7 +33,7 @@
 	}
 	type scenario struct {
 		name        string
-		catalogue   forward.Catalogue
+		catalogue   upstream.Catalogue
 		rate, power float64
 		late        float64
 		shift       func(clock.Mark) int
--- a/process/poolplacement/turns_test.go
+++ b/process/placement/poolplacement/turns_test.go
@@ -5,15 +5,15 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
 // crowdedCatalogue is one model of twelve adapters, four more than an engine has places.
-func crowdedCatalogue() forward.Catalogue {
-	return forward.Catalogue{Slots: fakeSlots, MemoryTokens: 150000, RoomMb: 83000, AdapterPlaces: 8, LoadsPerSecond: 2,
-		Models: []forward.Model{{Name: "m00", SizeMb: 60000, LoadMs: 2000, Adapters: 12, AdapterSizeMb: 40}}}
+func crowdedCatalogue() upstream.Catalogue {
+	return upstream.Catalogue{Slots: fakeSlots, MemoryTokens: 150000, RoomMb: 83000, AdapterPlaces: 8, LoadsPerSecond: 2,
+		Models: []upstream.Model{{Name: "m00", SizeMb: 60000, LoadMs: 2000, Adapters: 12, AdapterSizeMb: 40}}}
 }
 
 // crowded is a fleet whose engines all hold that model, and whose clients ask for its adapters alike.
--- a/process/poolplacement/types.go
+++ b/process/placement/poolplacement/types.go
@@ -7,12 +7,12 @@
 	"context"
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/mechanism"
-	"github.com/cresspond/cresspond/process/outlier"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/outlier"
+	"github.com/cresspond/cresspond/process/engines/registry"
+	"github.com/cresspond/cresspond/process/featuregates"
 )
 
 // Kind says what an order wants done.
@@ -103,7 +103,7 @@
 	// LeaveIll has what an engine holds that nearly always fails stand elsewhere too.
 	LeaveIll bool
 	// Off are the mechanisms that an experiment goes without.
-	Off mechanism.Set
+	Off featuregates.Set
 	// Beat is how often the plan is made, Look how often it is seen whom to ask for a report.
 	Beat, Look time.Duration
 }
@@ -132,7 +132,7 @@
 // Input is what one step looks at.
 type Input struct {
 	Now     clock.Mark
-	Section *forward.Section
+	Section *upstream.Section
 	View    *registry.View
 	Demand  []Demand
 	// Shut says that nothing new may go to an engine, so that what it holds is no copy; nil is never. Emptying are
--- a/process/poolplacement/value.go
+++ b/process/placement/poolplacement/value.go
@@ -5,8 +5,8 @@
 	"math"
 	"slices"
 
-	"github.com/cresspond/cresspond/process/mechanism"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/process/engines/registry"
+	"github.com/cresspond/cresspond/process/featuregates"
 )
 
 // over says how far the share of one copy is above what is fair, from 0 to 1.
@@ -53,16 +53,16 @@
 func (s *survey) gain(a *ask, copies []*engine) (gain float64, urgent bool) {
 	if len(copies) == 0 {
 		gain = a.rate() + s.heldWeight(a)*float64(a.held)
-		if !s.off(mechanism.Debt) {
+		if !s.off(featuregates.Debt) {
 			gain += debtWeight * a.debt
 		}
 		return gain, a.held > 0 || a.arrivals > 0.05
 	}
 	// Some copy stands or is on its way: one more helps as far as those are overloaded.
-	if !s.off(mechanism.CopiesByDemand) {
+	if !s.off(featuregates.CopiesByDemand) {
 		gain = a.rate()*s.uneven(a, len(copies), above)*strain(s.press(a, copies)) + queueWeight*max(0, a.heldSlow-1)*strain(s.press(a, copies))
 	}
-	if len(copies) == 1 && !s.off(mechanism.SecondCopies) {
+	if len(copies) == 1 && !s.off(featuregates.SecondCopies) {
 		// With a second copy no crash of one engine leaves nobody.
 		gain = max(gain, secondCopy*a.rate())
 	}
@@ -138,7 +138,7 @@
 
 // dearer is by how much something must be worth more than what makes way for it.
 func (s *survey) dearer() float64 {
-	if s.off(mechanism.Hysteresis) {
+	if s.off(featuregates.Hysteresis) {
 		return 1
 	}
 	return dearer
--- a/process/placement/actor.go
+++ b/process/placement/sessionplacement/actor.go
@@ -1,16 +1,16 @@
-package placement
+package sessionplacement
 
 import (
 	"context"
 	"sync/atomic"
 	"time"
 
-	"github.com/cresspond/cresspond/process/actor"
-	"github.com/cresspond/cresspond/process/claim"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/snowflake"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/actor"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/placement/plannerlease"
+	"github.com/cresspond/cresspond/process/workerid/snowflake"
 	"github.com/cresspond/cresspond/wire/engineapi"
 )
 
@@ -43,7 +43,7 @@
 	clock     clock.Clock
 	mailbox   *actor.Mailbox[any]
 	planner   *Planner
-	claim     *claim.Holder
+	claim     *plannerlease.Holder
 	asking    bool
 	askedAt   clock.Mark
 	condition atomic.Pointer[Condition]
@@ -76,7 +76,7 @@
 
 // NewActor makes the actor.
 func NewActor(around Surroundings, c clock.Clock) *Actor {
-	a := &Actor{around: around, clock: c, mailbox: actor.NewMailbox[any](64), planner: NewPlanner(), claim: claim.NewHolder(c, claimMargin)}
+	a := &Actor{around: around, clock: c, mailbox: actor.NewMailbox[any](64), planner: NewPlanner(), claim: plannerlease.NewHolder(c, claimMargin)}
 	a.condition.Store(&Condition{})
 	return a
 }
--- a/process/placement/adapter.go
+++ b/process/placement/sessionplacement/adapter.go
@@ -1,14 +1,14 @@
-package placement
+package sessionplacement
 
 import (
 	"slices"
 
-	"github.com/cresspond/cresspond/process/engines"
+	"github.com/cresspond/cresspond/process/engines/discovery"
 	"github.com/cresspond/cresspond/wire/engineapi"
 )
 
 func (p *Planner) serveAdapter(in Input, w shortage) (Directed, bool) {
-	var full *engines.Engine
+	var full *discovery.Engine
 	for _, id := range sortedIDs(in.Engines) {
 		engine := in.Engines.Engines[id]
 		held, present := find(engine, w.model)
@@ -44,7 +44,7 @@
 	return p.issue(in, full, engineapi.Order{Kind: engineapi.UnloadAdapter, Model: bestModel, Adapter: bestAdapter}), true
 }
 
-func adapters(engine *engines.Engine) int {
+func adapters(engine *discovery.Engine) int {
 	count := 0
 	for _, held := range engine.Report.Models {
 		count += len(held.Adapters)
--- a/process/placement/demand.go
+++ b/process/placement/sessionplacement/demand.go
@@ -1,10 +1,10 @@
-package placement
+package sessionplacement
 
 import (
 	"cmp"
 	"slices"
 
-	"github.com/cresspond/cresspond/process/clock"
+	"github.com/cresspond/cresspond/clock"
 	"github.com/cresspond/cresspond/wire/engineapi"
 )
 
--- a/process/placement/evict.go
+++ b/process/placement/sessionplacement/evict.go
@@ -1,10 +1,10 @@
-package placement
+package sessionplacement
 
 import (
 	"slices"
 
-	"github.com/cresspond/cresspond/process/engines"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/discovery"
 	"github.com/cresspond/cresspond/wire/engineapi"
 )
 
@@ -20,7 +20,7 @@
 
 // evict unloads what is worth least, if that is less than what is wanted and no session is assigned to it.
 func (p *Planner) evict(in Input, w shortage, size int64) (Directed, bool) {
-	var best *engines.Engine
+	var best *discovery.Engine
 	var bestModel string
 	var bestCost int64 = -1
 	for _, id := range sortedIDs(in.Engines) {
@@ -42,14 +42,14 @@
 }
 
 // mayMakeRoom says whether an engine could hold what is wanted once it had unloaded something.
-func (p *Planner) mayMakeRoom(in Input, engine *engines.Engine, w shortage, size int64) bool {
+func (p *Planner) mayMakeRoom(in Input, engine *discovery.Engine, w shortage, size int64) bool {
 	allowed, _ := in.Table.Engine(engine.ID)
 	_, present := find(engine, w.model)
 	return p.free(in, engine, w) && !present && allowed.Room >= size
 }
 
 // evictable says whether a model may be unloaded for what is wanted.
-func (p *Planner) evictable(in Input, engine *engines.Engine, held engineapi.ModelReport, w shortage) bool {
+func (p *Planner) evictable(in Input, engine *discovery.Engine, held engineapi.ModelReport, w shortage) bool {
 	if held.State != engineapi.Loaded || p.assigned(in, engine.ID, held.Model, "") {
 		return false
 	}
--- a/process/placement/input.go
+++ b/process/placement/sessionplacement/input.go
@@ -1,10 +1,10 @@
-package placement
+package sessionplacement
 
 import (
-	"github.com/cresspond/cresspond/epoch/table"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/engines"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/routingtable"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/discovery"
 )
 
 // Demand is what the whole fleet queues or runs for one model and adapter.
@@ -24,8 +24,8 @@
 // Input is what one step looks at.
 type Input struct {
 	Now         clock.Mark
-	Table       *table.Table
-	Engines     *engines.View
+	Table       *routingtable.Table
+	Engines     *discovery.View
 	Demand      []Demand
 	Assignments []Assignments
 }
--- a/process/placement/lack.go
+++ b/process/placement/sessionplacement/lack.go
@@ -1,12 +1,12 @@
-package placement
+package sessionplacement
 
 import (
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/engines"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/discovery"
 	"github.com/cresspond/cresspond/wire/engineapi"
 )
 
@@ -80,7 +80,7 @@
 	return out
 }
 
-func (p *Planner) waysOfAdapters(in Input, engine *engines.Engine, w shortage) []time.Duration {
+func (p *Planner) waysOfAdapters(in Input, engine *discovery.Engine, w shortage) []time.Duration {
 	var out []time.Duration
 	for _, held := range engine.Report.Models {
 		for _, adapter := range held.Adapters {
--- a/process/placement/load.go
+++ b/process/placement/sessionplacement/load.go
@@ -1,16 +1,16 @@
-package placement
+package sessionplacement
 
 import (
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/process/engines"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/discovery"
 	"github.com/cresspond/cresspond/wire/engineapi"
 )
 
 // commandable says whether an engine may be given orders.
-func (p *Planner) commandable(in Input, engine *engines.Engine) bool {
+func (p *Planner) commandable(in Input, engine *discovery.Engine) bool {
 	return engine.Usable() && in.Table.Open(engine.ID)
 }
 
@@ -35,9 +35,9 @@
 
 // loadTarget picks the engine that is to load a model: one in a zone with the fewest replicas, then the one with the
 // most room. It gives nil where no engine has the room.
-func (p *Planner) loadTarget(in Input, w shortage, size int64) *engines.Engine {
+func (p *Planner) loadTarget(in Input, w shortage, size int64) *discovery.Engine {
 	replicas := replicasByZone(in, w.model)
-	var best *engines.Engine
+	var best *discovery.Engine
 	var bestKey [2]int64
 	for _, id := range sortedIDs(in.Engines) {
 		engine := in.Engines.Engines[id]
@@ -69,7 +69,7 @@
 	return replicas
 }
 
-func sortedIDs(view *engines.View) []ident.EngineID {
+func sortedIDs(view *discovery.View) []ident.EngineID {
 	ids := make([]ident.EngineID, 0, len(view.Engines))
 	for id := range view.Engines {
 		ids = append(ids, id)
@@ -79,14 +79,14 @@
 }
 
 // free says whether this engine could be given an order about what is wanted.
-func (p *Planner) free(in Input, engine *engines.Engine, w shortage) bool {
+func (p *Planner) free(in Input, engine *discovery.Engine, w shortage) bool {
 	_, resting := p.blockedUntil[placed{engine.ID, w.model, w.adapter}]
 	_, inherited := p.inherited[engine.ID]
 	return p.commandable(in, engine) && p.inFlight[engine.ID] == nil && !resting && !inherited
 }
 
 // room is what is left on an engine, counting all that is loaded, coming, or not yet surely gone.
-func (p *Planner) room(in Input, engine *engines.Engine) int64 {
+func (p *Planner) room(in Input, engine *discovery.Engine) int64 {
 	allowed, _ := in.Table.Engine(engine.ID)
 	left := allowed.Room
 	for _, held := range engine.Report.Models {
--- a/process/placement/memory.go
+++ b/process/placement/sessionplacement/memory.go
@@ -1,9 +1,9 @@
-package placement
+package sessionplacement
 
 import (
 	"maps"
 
-	"github.com/cresspond/cresspond/process/clock"
+	"github.com/cresspond/cresspond/clock"
 )
 
 // remember keeps when models came, when they were asked for and when sessions were assigned to them.
--- a/process/placement/orders.go
+++ b/process/placement/sessionplacement/orders.go
@@ -1,11 +1,11 @@
-package placement
+package sessionplacement
 
 import (
 	"maps"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/engines"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/discovery"
 	"github.com/cresspond/cresspond/wire/engineapi"
 )
 
@@ -110,7 +110,7 @@
 }
 
 // issue notes an order as under way; from now on the engine gets no other until this one is settled.
-func (p *Planner) issue(in Input, engine *engines.Engine, order engineapi.Order) Directed {
+func (p *Planner) issue(in Input, engine *discovery.Engine, order engineapi.Order) Directed {
 	p.Counters.Orders++
 	p.ordered[engine.ID] = engine.Report.CallSeq + 1
 	p.inFlight[engine.ID] = &OrderInFlight{Order: order, State: Sending, Sent: in.Now, Expect: engine.Report.CallSeq + 1, Incarnation: engine.Life, address: engine.Address}
--- a/process/placement/placement_test.go
+++ b/process/placement/sessionplacement/placement_test.go
@@ -1,4 +1,4 @@
-package placement
+package sessionplacement
 
 import (
 	"fmt"
@@ -10,12 +10,12 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/spec"
-	"github.com/cresspond/cresspond/epoch/table"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/engines"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/document"
+	"github.com/cresspond/cresspond/configuration/routingtable"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/engines/discovery"
 	"github.com/cresspond/cresspond/wire/engineapi"
 )
 
@@ -40,7 +40,7 @@
 type yard struct {
 	random   *rand.Rand
 	now      clock.Mark
-	table    *table.Table
+	table    *routingtable.Table
 	planner  *Planner
 	engines  map[ident.EngineID]*fakeEngine
 	demand   []Demand
@@ -63,20 +63,20 @@
 )
 
 func newYard(seed uint64) *yard {
-	s := &spec.Spec{Name: "yard", Zones: []spec.Zone{{Name: "a"}, {Name: "b"}}, Store: spec.Store{LoadsAtOnce: atOnce, LoadGapMs: loadGap.Milliseconds()},
-		Limits: spec.Limits{SeatIdleMs: 1000}}
+	s := &document.Spec{Name: "yard", Zones: []document.Zone{{Name: "a"}, {Name: "b"}}, Store: document.Store{LoadsAtOnce: atOnce, LoadGapMs: loadGap.Milliseconds()},
+		Limits: document.Limits{SeatIdleMs: 1000}}
 	y := &yard{random: rand.New(rand.NewPCG(seed, 5)), now: clock.Mark(time.Hour), planner: NewPlanner(), engines: map[ident.EngineID]*fakeEngine{}}
 	for i := range engineCount {
 		id := ident.EngineID(fmt.Sprint("e", i))
-		s.Engines = append(s.Engines, spec.Engine{ID: id, Zone: s.Zones[i%2].Name, Room: 100, AdapterPlaces: 2, Slots: 4})
+		s.Engines = append(s.Engines, document.Engine{ID: id, Zone: s.Zones[i%2].Name, Room: 100, AdapterPlaces: 2, Slots: 4})
 		y.engines[id] = &fakeEngine{models: map[string]*fakeModel{}}
 	}
 	for i := range modelCount {
-		s.Models = append(s.Models, spec.Model{Name: fmt.Sprint("m", i), Size: int64(30 + 5*(i%4))})
-		s.Adapters = append(s.Adapters, spec.Adapter{Name: fmt.Sprint("x", i), Model: fmt.Sprint("m", i)})
-		s.Routes = append(s.Routes, spec.Route{Name: fmt.Sprint("r", i), House: "h", Worth: int64(10 * (i + 1)), Models: []string{fmt.Sprint("m", i)}, Adapters: []string{fmt.Sprint("x", i)}})
+		s.Models = append(s.Models, document.Model{Name: fmt.Sprint("m", i), Size: int64(30 + 5*(i%4))})
+		s.Adapters = append(s.Adapters, document.Adapter{Name: fmt.Sprint("x", i), Model: fmt.Sprint("m", i)})
+		s.Routes = append(s.Routes, document.Route{Name: fmt.Sprint("r", i), House: "h", Worth: int64(10 * (i + 1)), Models: []string{fmt.Sprint("m", i)}, Adapters: []string{fmt.Sprint("x", i)}})
 	}
-	y.table = table.Build(1, nil, s, statemachine.Closures{})
+	y.table = routingtable.Build(1, nil, s, statemachine.Closures{})
 	return y
 }
 
@@ -84,11 +84,11 @@
 	y.faults = append(y.faults, fmt.Sprintf("%v: ", time.Duration(y.now))+fmt.Sprintf(format, args...))
 }
 
-func (y *yard) view() *engines.View {
-	view := &engines.View{Engines: map[ident.EngineID]*engines.Engine{}}
+func (y *yard) view() *discovery.View {
+	view := &discovery.View{Engines: map[ident.EngineID]*discovery.Engine{}}
 	for id, e := range y.engines {
 		allowed, _ := y.table.Engine(id)
-		view.Engines[id] = &engines.Engine{ID: id, Address: string(id), Zone: allowed.Zone, Condition: engines.Sound, Report: e.shown, Asked: e.asked, Life: e.life}
+		view.Engines[id] = &discovery.Engine{ID: id, Address: string(id), Zone: allowed.Zone, Condition: discovery.Sound, Report: e.shown, Asked: e.asked, Life: e.life}
 	}
 	return view
 }
@@ -240,7 +240,7 @@
 
 func TestPlanUnderTrouble(t *testing.T) {
 	loads, unloads := 0, 0
-	// More seeds for a search: CRESSPOND_SEEDS=2000 go test ./process/placement
+	// More seeds for a search: CRESSPOND_SEEDS=2000 go test ./process/placement/sessionplacement
 	seeds := uint64(40)
 	if short, err := strconv.ParseUint(os.Getenv("CRESSPOND_SEEDS"), 10, 32); err == nil {
 		seeds = short
--- a/process/placement/plan.go
+++ b/process/placement/sessionplacement/plan.go
@@ -1,10 +1,10 @@
-package placement
+package sessionplacement
 
 import (
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // Counters count the fates of orders under all claims of this daemon.
--- a/process/placement/settle.go
+++ b/process/placement/sessionplacement/settle.go
@@ -1,11 +1,11 @@
-package placement
+package sessionplacement
 
 import (
 	"slices"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/engines"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/discovery"
 	"github.com/cresspond/cresspond/wire/engineapi"
 )
 
@@ -44,7 +44,7 @@
 	}
 }
 
-func (p *Planner) settleShown(now clock.Mark, id ident.EngineID, engine *engines.Engine, inFlight *OrderInFlight) {
+func (p *Planner) settleShown(now clock.Mark, id ident.EngineID, engine *discovery.Engine, inFlight *OrderInFlight) {
 	held, present := find(engine, inFlight.Model)
 	hasAdapter := present && slices.Contains(held.Adapters, inFlight.Adapter)
 	var done, waiting bool
@@ -73,7 +73,7 @@
 	delete(p.inFlight, id)
 }
 
-func find(engine *engines.Engine, model string) (engineapi.ModelReport, bool) {
+func find(engine *discovery.Engine, model string) (engineapi.ModelReport, bool) {
 	for _, held := range engine.Report.Models {
 		if held.Model == model {
 			return held, true
--- a/process/applying/applying.go
+++ b/process/rollout/directapply/applying.go
@@ -1,15 +1,15 @@
-// Package applying decides what becomes of an operator's call to put a bundle in force in one step, by what
+// Package directapply decides what becomes of an operator's call to put a bundle in force in one step, by what
 // the group's state says. It sends and waits for nothing, so that every order of events can be tried.
-package applying
+package directapply
 
 import (
 	"encoding/json"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/epoch/packed"
-	"github.com/cresspond/cresspond/epoch/spec"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/configuration/compression"
+	"github.com/cresspond/cresspond/configuration/document"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
@@ -76,7 +76,7 @@
 	case statemachine.OrderTaken:
 		return Decision{Answer: operatorapi.Applying{Outcome: operatorapi.Applied, Revision: s.Revision, Epoch: s.Taken.Epoch}}
 	case statemachine.OrderMalformed:
-		return Decision{Answer: s.invalid(spec.Fault{Path: "base", Reason: "is no revision that a bundle can have"})}
+		return Decision{Answer: s.invalid(document.Fault{Path: "base", Reason: "is no revision that a bundle can have"})}
 	case statemachine.OrderUnproven:
 		return Decision{Answer: unproven(s.Revision, s.Epoch)}
 	case statemachine.OrderLost:
@@ -93,7 +93,7 @@
 		return Decision{Answer: s.invalid(faults...)}
 	}
 	return Decision{Submit: &statemachine.Command{Op: statemachine.OpApply, Operator: call.Operator, Digest: call.Digest, BaseRevision: call.Base,
-		Revision: ident.Revision(parsed.Forward.Revision), Spec: packed.Pack(whole), Packed: true}}
+		Revision: ident.Revision(parsed.Forward.Revision), Spec: compression.Pack(whole), Packed: true}}
 }
 
 // After is the answer when the command was applied.
@@ -118,16 +118,16 @@
 	return operatorapi.Applying{Outcome: operatorapi.Unknown, Revision: revision, Epoch: epoch, Reason: "whether this call was taken is not known any more: read the bundle in force and build on that"}
 }
 
-func (s Standing) invalid(faults ...spec.Fault) operatorapi.Applying {
+func (s Standing) invalid(faults ...document.Fault) operatorapi.Applying {
 	return operatorapi.Applying{Outcome: operatorapi.Invalid, Revision: s.Revision, Epoch: s.Epoch, Faults: faults, Reason: "the bundle has faults"}
 }
 
 // workOut makes the whole bundle of a call that builds on the one in force, and finds its faults.
-func (s Standing) workOut(call operatorapi.Apply) (parsed *spec.Spec, whole []byte, faults []spec.Fault) {
+func (s Standing) workOut(call operatorapi.Apply) (parsed *document.Spec, whole []byte, faults []document.Fault) {
 	if call.Patch != nil {
 		parsed, whole, faults = s.merge(call.Patch)
-	} else if read, err := spec.Read(call.Whole); err != nil {
-		faults = []spec.Fault{{Reason: err.Error()}}
+	} else if read, err := document.Read(call.Whole); err != nil {
+		faults = []document.Fault{{Reason: err.Error()}}
 	} else {
 		parsed, whole = read, call.Whole
 	}
@@ -137,30 +137,30 @@
 	switch {
 	case len(faults) > 0:
 	case parsed.Forward == nil:
-		faults = []spec.Fault{{Path: "forward", Reason: "is missing: only bundles with this part are applied in one step"}}
+		faults = []document.Fault{{Path: "forward", Reason: "is missing: only bundles with this part are applied in one step"}}
 	case ident.Revision(parsed.Forward.Revision) <= s.Revision:
-		faults = []spec.Fault{{Path: "forward.revision", Reason: "must be above the revision in force"}}
+		faults = []document.Fault{{Path: "forward.revision", Reason: "must be above the revision in force"}}
 	case ident.Revision(parsed.Forward.Revision) > statemachine.MostRevision:
-		faults = []spec.Fault{{Path: "forward.revision", Reason: "is higher than any revision may be"}}
+		faults = []document.Fault{{Path: "forward.revision", Reason: "is higher than any revision may be"}}
 	}
 	return parsed, whole, faults
 }
 
 // merge makes the whole bundle that a patch makes of the one in force.
-func (s Standing) merge(patch *forward.Patch) (*spec.Spec, []byte, []spec.Fault) {
-	nothing := func(reason string) (*spec.Spec, []byte, []spec.Fault) {
-		return nil, nil, []spec.Fault{{Reason: reason}}
+func (s Standing) merge(patch *upstream.Patch) (*document.Spec, []byte, []document.Fault) {
+	nothing := func(reason string) (*document.Spec, []byte, []document.Fault) {
+		return nil, nil, []document.Fault{{Reason: reason}}
 	}
 	bundle, err := s.Bundle()
 	if err != nil || len(bundle.Spec) == 0 {
 		return nothing("there is no bundle in force that this could change")
 	}
-	before, err := spec.Read(bundle.Spec)
+	before, err := document.Read(bundle.Spec)
 	if err != nil || before.Forward == nil {
 		return nothing("the bundle in force has no part that this could change")
 	}
-	var faults []spec.Fault
-	patch.Check(func(path, reason string) { faults = append(faults, spec.Fault{Path: path, Reason: reason}) })
+	var faults []document.Fault
+	patch.Check(func(path, reason string) { faults = append(faults, document.Fault{Path: path, Reason: reason}) })
 	if len(faults) > 0 {
 		return nil, nil, faults
 	}
--- a/process/rollout/rollout.go
+++ b/process/rollout/rollout.go
@@ -13,12 +13,12 @@
 
 	"github.com/rotisserie/eris"
 
-	"github.com/cresspond/cresspond/epoch/packed"
-	"github.com/cresspond/cresspond/epoch/spec"
-	"github.com/cresspond/cresspond/epoch/table"
-	"github.com/cresspond/cresspond/process/actor"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/actor"
+	"github.com/cresspond/cresspond/configuration/compression"
+	"github.com/cresspond/cresspond/configuration/document"
+	"github.com/cresspond/cresspond/configuration/routingtable"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
 // Step is one thing this daemon did with one change; the tracer shows them.
@@ -55,7 +55,7 @@
 type Keeper struct {
 	box   *actor.Mailbox[offer]
 	wall  func() time.Time
-	table atomic.Pointer[table.Table]
+	table atomic.Pointer[routingtable.Table]
 	steps atomic.Pointer[[]Step]
 	// early holds closures learned before any spec.
 	early statemachine.Closures
@@ -71,7 +71,7 @@
 
 type offer struct {
 	epoch    ident.Epoch
-	bundle   packed.Bundle
+	bundle   compression.Bundle
 	closures *statemachine.Closures
 	// past says that it was in force before, and is only to be remembered.
 	past bool
@@ -89,7 +89,7 @@
 func (k *Keeper) Run(ctx context.Context) { k.box.Run(ctx, 0, k.take, nil) }
 
 // Table is what is in force, or nil.
-func (k *Keeper) Table() *table.Table { return k.table.Load() }
+func (k *Keeper) Table() *routingtable.Table { return k.table.Load() }
 
 // Recall gives a bundle that was in force here in this life.
 func (k *Keeper) Recall(epoch ident.Epoch) ([]byte, bool) {
@@ -97,7 +97,7 @@
 	if !known {
 		return nil, false
 	}
-	raw, err := found.(packed.Bundle).Raw()
+	raw, err := found.(compression.Bundle).Raw()
 	return raw, err == nil
 }
 
@@ -105,13 +105,13 @@
 func (k *Keeper) Steps() []Step { return *k.steps.Load() }
 
 // Offer hands in what was learned; either part may be empty. It returns when the offer is in force or passed by.
-func (k *Keeper) Offer(epoch ident.Epoch, bundle packed.Bundle, closures *statemachine.Closures) {
+func (k *Keeper) Offer(epoch ident.Epoch, bundle compression.Bundle, closures *statemachine.Closures) {
 	k.send(offer{epoch: epoch, bundle: bundle, closures: closures})
 }
 
 // Remember hands in a bundle that was in force before this life began.
 func (k *Keeper) Remember(epoch ident.Epoch, raw []byte) {
-	k.send(offer{epoch: epoch, bundle: packed.Bundle{Data: raw}, past: true})
+	k.send(offer{epoch: epoch, bundle: compression.Bundle{Data: raw}, past: true})
 }
 
 // Lacks says whether an earlier bundle would be kept if it were handed in.
@@ -129,7 +129,7 @@
 }
 
 // keep remembers a bundle, and drops the oldest ones where they grow too many.
-func (k *Keeper) keep(epoch ident.Epoch, bundle packed.Bundle) {
+func (k *Keeper) keep(epoch ident.Epoch, bundle compression.Bundle) {
 	if _, known := k.past.LoadOrStore(epoch, bundle); known {
 		return
 	}
@@ -137,12 +137,12 @@
 	for k.pastBytes > mostPastBytes || k.packedBytes > mostPackedBytes && epoch > k.oldest(epoch) {
 		oldest := k.oldest(epoch)
 		dropped, _ := k.past.LoadAndDelete(oldest)
-		k.count(dropped.(packed.Bundle), -1)
+		k.count(dropped.(compression.Bundle), -1)
 		k.dropped.Store(max(k.dropped.Load(), uint64(oldest)))
 	}
 }
 
-func (k *Keeper) count(bundle packed.Bundle, sign int) {
+func (k *Keeper) count(bundle compression.Bundle, sign int) {
 	k.pastBytes += sign * len(bundle.Data)
 	if bundle.Packed {
 		k.packedBytes += sign * len(bundle.Data)
@@ -190,7 +190,7 @@
 			if held != nil {
 				closures = held.Closures
 			}
-			next = table.Build(o.epoch, raw, parsed, closures)
+			next = routingtable.Build(o.epoch, raw, parsed, closures)
 			next.Bundle = o.bundle
 			k.note(change, Built)
 			changes = append(changes, change)
@@ -220,16 +220,16 @@
 
 // read makes a bundle of what was offered. One that is packed has been checked before it was committed; others
 // may be anything.
-func read(bundle packed.Bundle) ([]byte, *spec.Spec, error) {
+func read(bundle compression.Bundle) ([]byte, *document.Spec, error) {
 	raw, err := bundle.Raw()
 	if err != nil {
 		return nil, nil, err
 	}
 	if bundle.Packed {
-		parsed, err := spec.Read(raw)
+		parsed, err := document.Read(raw)
 		return raw, parsed, err
 	}
-	parsed, faults := spec.Parse(raw)
+	parsed, faults := document.Parse(raw)
 	if len(faults) > 0 {
 		return nil, nil, eris.Errorf("the bundle has faults: %v", faults)
 	}
@@ -237,7 +237,7 @@
 }
 
 // compare counts an offer that differs from what has the same epoch.
-func (k *Keeper) compare(held *table.Table, offered packed.Bundle) {
+func (k *Keeper) compare(held *routingtable.Table, offered compression.Bundle) {
 	if held.Bundle.Packed == offered.Packed && bytes.Equal(held.Bundle.Data, offered.Data) {
 		return
 	}
--- a/process/rollout/rollout_test.go
+++ b/process/rollout/rollout_test.go
@@ -11,16 +11,16 @@
 	"github.com/leanovate/gopter/gen"
 	"github.com/leanovate/gopter/prop"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/epoch/packed"
-	"github.com/cresspond/cresspond/epoch/spec"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/configuration/compression"
+	"github.com/cresspond/cresspond/configuration/document"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
 // bundleOf is the bundle of an epoch; another variant is other bytes under the same number.
 func bundleOf(t testing.TB, epoch ident.Epoch, variant string) []byte {
-	raw, err := json.Marshal(spec.Spec{Name: variant, Forward: &forward.Section{Revision: uint64(epoch), Pools: []forward.Pool{{Name: "p"}}}})
+	raw, err := json.Marshal(document.Spec{Name: variant, Forward: &upstream.Section{Revision: uint64(epoch), Pools: []upstream.Pool{{Name: "p"}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,12 +81,12 @@
 				for place := offerer; place < len(offers); place += offerers {
 					epoch, closure := ident.Epoch(offers[place]%13), ident.Epoch(offers[place]/13)
 					raw := bundleOf(t, epoch, "same")
-					bundle, closures := packed.Bundle{Data: raw}, &statemachine.Closures{Epoch: closure}
+					bundle, closures := compression.Bundle{Data: raw}, &statemachine.Closures{Epoch: closure}
 					switch {
 					case offers[place]%7 == 0:
 						bundle.Data, closures = []byte("garbage"), nil
 					case offers[place]%2 == 0:
-						bundle = packed.Bundle{Data: packed.Pack(raw), Packed: true}
+						bundle = compression.Bundle{Data: compression.Pack(raw), Packed: true}
 					}
 					keeper.Offer(epoch, bundle, closures)
 					readers[offerer].look(keeper)
@@ -117,13 +117,13 @@
 	keeper, end := run(&seen{})
 	defer end()
 	first := bundleOf(t, 5, "first")
-	keeper.Offer(5, packed.Bundle{Data: first}, nil)
-	keeper.Offer(5, packed.Bundle{Data: packed.Pack(first), Packed: true}, nil)
+	keeper.Offer(5, compression.Bundle{Data: first}, nil)
+	keeper.Offer(5, compression.Bundle{Data: compression.Pack(first), Packed: true}, nil)
 	if refused := keeper.Refused.Load(); refused != 0 {
 		t.Errorf("%d refused of the same bytes", refused)
 	}
-	keeper.Offer(5, packed.Bundle{Data: bundleOf(t, 5, "second")}, nil)
-	keeper.Offer(4, packed.Bundle{Data: bundleOf(t, 4, "older")}, nil)
+	keeper.Offer(5, compression.Bundle{Data: bundleOf(t, 5, "second")}, nil)
+	keeper.Offer(4, compression.Bundle{Data: bundleOf(t, 4, "older")}, nil)
 	if held := keeper.Table(); string(held.Raw) != string(first) || held.Epoch != 5 || keeper.Refused.Load() != 1 {
 		t.Errorf("epoch %d, %s, %d refused", held.Epoch, held.Raw, keeper.Refused.Load())
 	}
@@ -137,7 +137,7 @@
 	if keeper.Table() != nil {
 		t.Error("what was only remembered is in force")
 	}
-	keeper.Offer(3, packed.Bundle{Data: bundleOf(t, 3, "now")}, nil)
+	keeper.Offer(3, compression.Bundle{Data: bundleOf(t, 3, "now")}, nil)
 	keeper.Remember(10, bundleOf(t, 10, "earlier"))
 	if held := keeper.Table(); held == nil || held.Epoch != 3 {
 		t.Errorf("%+v", held)
--- a/process/snowflake/snowflake.go
+++ b/process/workerid/snowflake/snowflake.go
@@ -5,8 +5,8 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/process/workerid"
 )
 
--- a/process/workerid/workerid.go
+++ b/process/workerid/workerid.go
@@ -6,7 +6,7 @@
 	"container/heap"
 	"time"
 
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // MaxWorkerID is the largest number that ten bits hold.
--- a/process/workerid/workerid_test.go
+++ b/process/workerid/workerid_test.go
@@ -10,7 +10,7 @@
 	"github.com/leanovate/gopter/gen"
 	"github.com/leanovate/gopter/prop"
 
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
 )
 
 const span = 30 * time.Second
--- a/request/budget/budget.go
+++ b/request/budget/budget.go
@@ -6,7 +6,7 @@
 
 	"golang.org/x/time/rate"
 
-	"github.com/cresspond/cresspond/process/clock"
+	"github.com/cresspond/cresspond/clock"
 )
 
 // Budget is a token bucket that first attempts fill and retries empty, with a trickle beside it, so that a
--- a/request/dispatch/actor.go
+++ b/request/dispatch/actor.go
@@ -7,9 +7,9 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/cresspond/cresspond/process/actor"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/actor"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // Call is a request on its way through this daemon, as the caller's side sees it.
--- a/request/dispatch/choose.go
+++ b/request/dispatch/choose.go
@@ -3,16 +3,16 @@
 import (
 	"slices"
 
-	"github.com/cresspond/cresspond/process/engines"
+	"github.com/cresspond/cresspond/process/engines/discovery"
 )
 
 // fit says whether an engine may be sent this record at all, room aside.
-func (c *Core) fit(engine *engines.Engine, record *Record) bool {
+func (c *Core) fit(engine *discovery.Engine, record *Record) bool {
 	return engine.Usable() && c.world.Table.Open(engine.ID) && engine.Holds(record.Model, record.Adapter)
 }
 
 // pick finds the engine: the assigned one if it may still be used, else the best that fits.
-func (c *Core) pick(record *Record) (*engines.Engine, bool) {
+func (c *Core) pick(record *Record) (*discovery.Engine, bool) {
 	if record.assigned != "" {
 		assigned := c.world.Engines.Engines[record.assigned]
 		// An assignment is kept even when it means waiting, unless the engine may not or cannot be used any more.
@@ -20,11 +20,11 @@
 			return assigned, c.room(assigned) > 0
 		}
 		// An engine in doubt for a moment is not gone: its sessions wait a little before they are assigned elsewhere.
-		if assigned != nil && !assigned.Draining && c.world.Table.Open(assigned.ID) && assigned.Condition != engines.Sound && c.world.Now.Since(assigned.Turned) < assignmentPatience {
+		if assigned != nil && !assigned.Draining && c.world.Table.Open(assigned.ID) && assigned.Condition != discovery.Sound && c.world.Now.Since(assigned.Turned) < assignmentPatience {
 			return nil, false
 		}
 	}
-	var best *engines.Engine
+	var best *discovery.Engine
 	bestScore := 0.0
 	othersFit := len(record.failed) > 0 && c.anotherFits(record)
 	for _, engine := range c.world.Engines.Engines {
--- a/request/dispatch/core_test.go
+++ b/request/dispatch/core_test.go
@@ -5,23 +5,23 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/spec"
-	"github.com/cresspond/cresspond/epoch/table"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/engines"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/snowflake"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/document"
+	"github.com/cresspond/cresspond/configuration/routingtable"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/engines/discovery"
+	"github.com/cresspond/cresspond/process/workerid/snowflake"
 	"github.com/cresspond/cresspond/wire/engineapi"
 )
 
 // world is one engine that holds model m, in a spec that allows it.
 func world(now clock.Mark, minted bool) World {
-	s := &spec.Spec{Name: "x", Zones: []spec.Zone{{Name: "z"}}, Engines: []spec.Engine{{ID: "e", Zone: "z", Room: 10, Slots: 1}},
-		Models: []spec.Model{{Name: "m", Size: 5}}, Routes: []spec.Route{{Name: "r", House: "h", Models: []string{"m"}}},
-		Limits: spec.Limits{MostHeld: 10, MostHeldBytes: 1000, RetryShare: 0.1, SeatIdleMs: 60000}}
-	return World{Now: now, Table: table.Build(1, nil, s, statemachine.Closures{}), Zone: "z",
-		Engines: &engines.View{Engines: map[ident.EngineID]*engines.Engine{"e": {ID: "e", Zone: "z", Condition: engines.Sound, Asked: now,
+	s := &document.Spec{Name: "x", Zones: []document.Zone{{Name: "z"}}, Engines: []document.Engine{{ID: "e", Zone: "z", Room: 10, Slots: 1}},
+		Models: []document.Model{{Name: "m", Size: 5}}, Routes: []document.Route{{Name: "r", House: "h", Models: []string{"m"}}},
+		Limits: document.Limits{MostHeld: 10, MostHeldBytes: 1000, RetryShare: 0.1, SeatIdleMs: 60000}}
+	return World{Now: now, Table: routingtable.Build(1, nil, s, statemachine.Closures{}), Zone: "z",
+		Engines: &discovery.View{Engines: map[ident.EngineID]*discovery.Engine{"e": {ID: "e", Zone: "z", Condition: discovery.Sound, Asked: now,
 			Report: engineapi.Report{Models: []engineapi.ModelReport{{Model: "m", State: engineapi.Loaded}}}}}},
 		Mint: func() (ident.MintedID, snowflake.Outcome) {
 			if minted {
@@ -63,7 +63,7 @@
 		effects := c.Step(world(start, true), AttemptEnded{ID: 1, Outcome: Lost, Reason: "gone"})
 		for later := start; len(effects.Replies) == 0 && later < start+clock.Mark(5*time.Second); later += clock.Mark(100 * time.Millisecond) {
 			w := world(later, true)
-			w.Engines = &engines.View{}
+			w.Engines = &discovery.View{}
 			effects = c.Step(w, Tick{})
 		}
 		if len(effects.Replies) != 1 || effects.Replies[0].Answer.Kind != Unknown {
@@ -152,8 +152,8 @@
 	w.ShareAssignments = true
 	// Two engines hold the model; the owner says that the session is assigned to the one that would not be picked.
 	s := w.Table.Spec
-	s.Engines = append(s.Engines, spec.Engine{ID: "f", Zone: "z", Room: 10, Slots: 1})
-	w.Table = table.Build(1, nil, s, statemachine.Closures{})
+	s.Engines = append(s.Engines, document.Engine{ID: "f", Zone: "z", Room: 10, Slots: 1})
+	w.Table = routingtable.Build(1, nil, s, statemachine.Closures{})
 	other := *w.Engines.Engines["e"]
 	other.ID = "f"
 	w.Engines.Engines["f"] = &other
--- a/request/dispatch/effects.go
+++ b/request/dispatch/effects.go
@@ -1,8 +1,8 @@
 package dispatch
 
 import (
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // Send tells the actor to start an attempt.
--- a/request/dispatch/ending.go
+++ b/request/dispatch/ending.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
+	"github.com/cresspond/cresspond/clock"
 )
 
 // reply ends a record with its final answer.
--- a/request/dispatch/events.go
+++ b/request/dispatch/events.go
@@ -3,18 +3,18 @@
 import (
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/table"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/engines"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/snowflake"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/routingtable"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/discovery"
+	"github.com/cresspond/cresspond/process/workerid/snowflake"
 )
 
 // World is what the core may look at during one step.
 type World struct {
 	Now     clock.Mark
-	Table   *table.Table
-	Engines *engines.View
+	Table   *routingtable.Table
+	Engines *discovery.View
 	// NotReady is empty, or why this daemon takes no new work.
 	NotReady string
 	Mint     MintFunc
--- a/request/dispatch/outcome.go
+++ b/request/dispatch/outcome.go
@@ -1,7 +1,7 @@
 package dispatch
 
 import (
-	"github.com/cresspond/cresspond/process/clock"
+	"github.com/cresspond/cresspond/clock"
 )
 
 func (c *Core) attemptEnded(e AttemptEnded) {
--- a/request/dispatch/queue.go
+++ b/request/dispatch/queue.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/process/snowflake"
+	"github.com/cresspond/cresspond/process/workerid/snowflake"
 )
 
 func (c *Core) enqueue(record *Record) bool {
--- a/request/dispatch/record.go
+++ b/request/dispatch/record.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // RecordID numbers the records of one incarnation of a daemon.
--- a/request/dispatch/report.go
+++ b/request/dispatch/report.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // Counters count events since the start of the actor.
--- a/request/dispatch/room.go
+++ b/request/dispatch/room.go
@@ -1,18 +1,18 @@
 package dispatch
 
 import (
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/engines"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/discovery"
 )
 
 // room is how many more attempts an engine may get from here now.
-func (c *Core) room(engine *engines.Engine) int {
+func (c *Core) room(engine *discovery.Engine) int {
 	allowedEngine, ok := c.world.Table.Engine(engine.ID)
 	if !ok {
 		return 0
 	}
-	if at, refused := c.refusedAt[engine.ID]; refused && engines.StillRefuses(at, engine.Asked, c.world.Now) {
+	if at, refused := c.refusedAt[engine.ID]; refused && discovery.StillRefuses(at, engine.Asked, c.world.Now) {
 		return 0
 	}
 	if !c.world.Admission && engine.Report.Saturated && engine.Asked > 0 && c.running[engine.ID] > 0 {
--- a/request/dispatch/schedule.go
+++ b/request/dispatch/schedule.go
@@ -4,8 +4,8 @@
 	"cmp"
 	"slices"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/request/bid"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/process/engines/priority"
 )
 
 // passBids lets waiting records bid, the highest first, and sends those for whom there is room.
@@ -46,9 +46,9 @@
 	return cmp.Or(c.turns.Compare(c.bidOf(a), c.bidOf(b)), cmp.Compare(a.ID, b.ID))
 }
 
-func (c *Core) bidOf(r *Record) bid.Bid {
+func (c *Core) bidOf(r *Record) priority.Bid {
 	assigned := r.Session != "" && (c.assignments[r.Session] != nil || r.assigned != "")
-	return bid.Bid{Assigned: assigned, Worth: r.Worth, Rank: r.Rank, Tenant: r.Tenant}
+	return priority.Bid{Assigned: assigned, Worth: r.Worth, Rank: r.Rank, Tenant: r.Tenant}
 }
 
 // tryToSend sends a record if there is room for it now.
--- a/request/dispatch/session.go
+++ b/request/dispatch/session.go
@@ -1,7 +1,7 @@
 package dispatch
 
 import (
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/ident"
 )
 
 // findAssignment makes sure that the session's assignment, if it has one anywhere, is known.
--- a/request/forwarding/actor.go
+++ b/request/forwarding/actor.go
@@ -5,9 +5,9 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/cresspond/cresspond/process/actor"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/outlier"
+	"github.com/cresspond/cresspond/actor"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/process/engines/outlier"
 )
 
 // Actor runs the core over events, one after the other.
--- a/request/forwarding/attempted.go
+++ b/request/forwarding/attempted.go
@@ -1,7 +1,7 @@
 package forwarding
 
 import (
-	"github.com/cresspond/cresspond/process/mechanism"
+	"github.com/cresspond/cresspond/process/featuregates"
 )
 
 // Outcome is how an attempt ended that gave no whole answer, or that it did.
@@ -93,7 +93,7 @@
 		}
 		r.mayHaveRun = true
 		switch {
-		case !r.mayRepeat() || r.begun && (r.lastEvent == "" || c.settings.Off.Has(mechanism.Resumption)):
+		case !r.mayRepeat() || r.begun && (r.lastEvent == "" || c.settings.Off.Has(featuregates.Resumption)):
 			cause := Broken
 			if w.Now >= r.Deadline {
 				cause = Late
--- a/request/forwarding/choose.go
+++ b/request/forwarding/choose.go
@@ -6,9 +6,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/mechanism"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/process/engines/registry"
+	"github.com/cresspond/cresspond/process/featuregates"
 )
 
 // lack is why nothing can take a record now; of several reasons the greatest counts.
@@ -161,7 +161,7 @@
 
 // most is how many attempts this daemon has at an engine at most. Small engines are shared out, since what
 // piles up there is turned away; batching ones take a queue, and order it by urgency over all daemons.
-func most(engine *registry.Engine, pool *forward.Pool, w World) int {
+func most(engine *registry.Engine, pool *upstream.Pool, w World) int {
 	slots, edges := max(engine.Slots, 1), max(w.Edges, 1)
 	bound := max(2, (2*slots+edges-1)/edges)
 	if pool != nil && pool.Catalogue != nil {
@@ -185,13 +185,13 @@
 		all[place].order = xxhash.Sum64(append(c.scratch[:length], all[place].engine.ID...))
 	}
 	found := min(homes, len(all))
-	if c.settings.Off.Has(mechanism.Homes) {
+	if c.settings.Off.Has(featuregates.Homes) {
 		found = 0
 	}
 	for place := range found {
 		bring(all, place, func(a, b candidate) bool { return a.order > b.order })
 	}
-	if len(r.Ask.Parts) > 0 && len(all) > found && !c.settings.Off.Has(mechanism.KeptPrefixes) {
+	if len(r.Ask.Parts) > 0 && len(all) > found && !c.settings.Off.Has(featuregates.KeptPrefixes) {
 		most := 0
 		for _, one := range all[:found] {
 			most = max(most, one.state.kept.keptTokens(r))
@@ -216,7 +216,7 @@
 
 // warm says whether a connection to an engine is kept that a record's attempt could use.
 func (c *Core) warm(r *Record, engine *registry.Engine, w World) bool {
-	return w.Warm != nil && !c.settings.Off.Has(mechanism.WarmConnections) && w.Warm(engine, r.pool, !r.mayRepeat())
+	return w.Warm != nil && !c.settings.Off.Has(featuregates.WarmConnections) && w.Warm(engine, r.pool, !r.mayRepeat())
 }
 
 // bring swaps the first of those from place on to place.
@@ -272,10 +272,10 @@
 	state, engine := one.state, one.engine
 	state.hear(engine.Plan)
 	kept := 0.0
-	if !c.settings.Off.Has(mechanism.KeptPrefixes) {
+	if !c.settings.Off.Has(featuregates.KeptPrefixes) {
 		kept = float64(state.kept.keptTokens(r))
 	}
-	if place < homes && !c.settings.Off.Has(mechanism.Homes) {
+	if place < homes && !c.settings.Off.Has(featuregates.Homes) {
 		kept = max(kept, keptAtHome[place]*float64(sharedTokens(r)))
 	}
 	score := max(0, float64(r.Ask.TokensIn)-kept) + float64(state.reading)
@@ -290,12 +290,12 @@
 	score += perRunning * active
 	path := c.path(r)
 	score += lately * path.tokens(fading(state.firstByte, state.firstAt, w.Now))
-	if !c.settings.Off.Has(mechanism.Awaiting) {
+	if !c.settings.Off.Has(featuregates.Awaiting) {
 		score += awaited * path.tokens(state.oldest(w.Now))
 	}
 	// An engine that has kept silent for long although it was asked is likely to go on so.
 	score += path.tokens(state.quiet(w.Now)-2*state.firstByte) / 2
-	if one.cold(w) && !c.settings.Off.Has(mechanism.SlowStart) {
+	if one.cold(w) && !c.settings.Off.Has(featuregates.SlowStart) {
 		score = 2*score + coldCost*c.meanTokens
 	}
 	if w.Warm != nil && !c.warm(r, engine, w) {
@@ -311,7 +311,7 @@
 		score += float64(quiet) / float64(time.Second)
 	}
 	score = 4*c.worse(one.state, w) + score
-	if one.cold(w) && !c.settings.Off.Has(mechanism.SlowStart) {
+	if one.cold(w) && !c.settings.Off.Has(featuregates.SlowStart) {
 		score = 2*score + 0.5
 	}
 	if w.Warm != nil && !c.warm(r, one.engine, w) {
@@ -329,7 +329,7 @@
 
 // worse is the smoothed share of an engine's failures that its choice goes by.
 func (c *Core) worse(state *engineState, w World) float64 {
-	if c.settings.Off.Has(mechanism.Badness) {
+	if c.settings.Off.Has(featuregates.Badness) {
 		return 0
 	}
 	return state.worse(w.Now)
@@ -337,7 +337,7 @@
 
 // far is the cost of an engine that stands in another zone.
 func (c *Core) far(engine *registry.Engine, w World, cost float64) float64 {
-	if c.settings.Off.Has(mechanism.ZoneCost) || w.Zone == "" || engine.Zone == w.Zone {
+	if c.settings.Off.Has(featuregates.ZoneCost) || w.Zone == "" || engine.Zone == w.Zone {
 		return 0
 	}
 	return cost
@@ -353,7 +353,7 @@
 }
 
 // connectionShare is this daemon's part of the connections that an engine takes.
-func connectionShare(pool *forward.Pool, edges int) int {
+func connectionShare(pool *upstream.Pool, edges int) int {
 	if pool == nil || pool.MostConnections == 0 {
 		return 0
 	}
--- a/request/forwarding/core.go
+++ b/request/forwarding/core.go
@@ -5,19 +5,19 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/mechanism"
-	"github.com/cresspond/cresspond/process/outlier"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/outlier"
+	"github.com/cresspond/cresspond/process/engines/registry"
+	"github.com/cresspond/cresspond/process/featuregates"
 )
 
 // World is what the passes may look at; it is gathered anew for each event.
 type World struct {
 	Now clock.Mark
 	// Index is the table in force; Current says that it is known to be new enough.
-	Index   *forward.Index
+	Index   *upstream.Index
 	Current bool
 	View    *registry.View
 	Zone    ident.ZoneID
@@ -125,7 +125,7 @@
 		c.finish(r, w, Late, c.comeBack(r, w))
 		return
 	}
-	if r.attempts > 0 && (r.attempts >= r.Path.Attempts || c.settings.Off.Has(mechanism.Retries) && !r.mayHaveRun) && r.boundTo == "" {
+	if r.attempts > 0 && (r.attempts >= r.Path.Attempts || c.settings.Off.Has(featuregates.Retries) && !r.mayHaveRun) && r.boundTo == "" {
 		c.finish(r, w, Spent, c.comeBack(r, w))
 		return
 	}
--- a/request/forwarding/core_test.go
+++ b/request/forwarding/core_test.go
@@ -12,10 +12,10 @@
 	"github.com/leanovate/gopter/prop"
 	"github.com/valyala/fasthttp"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/registry"
 	"github.com/cresspond/cresspond/wire/dialect"
 )
 
@@ -26,7 +26,7 @@
 	now  clock.Mark
 	// lease says whether a worker id is held.
 	lease, current bool
-	index          *forward.Index
+	index          *upstream.Index
 	view           *registry.View
 	edges          int
 	minted         ident.MintedID
@@ -36,21 +36,21 @@
 
 func ms(n int) clock.Mark { return clock.Mark(time.Duration(n) * time.Millisecond) }
 
-func pathOf(name string, class forward.Class, pools ...string) forward.Path {
-	path := forward.Path{Name: name, Host: "h", Prefix: "/" + name + "/", Class: class, DeadlineMs: 4000, TargetMs: 600, Attempts: 3}
+func pathOf(name string, class upstream.Class, pools ...string) upstream.Path {
+	path := upstream.Path{Name: name, Host: "h", Prefix: "/" + name + "/", Class: class, DeadlineMs: 4000, TargetMs: 600, Attempts: 3}
 	for _, pool := range pools {
-		path.Shares = append(path.Shares, forward.Share{Pool: pool, Weight: 1})
+		path.Shares = append(path.Shares, upstream.Share{Pool: pool, Weight: 1})
 	}
 	return path
 }
 
-func sectionOf(paths ...forward.Path) *forward.Index {
-	catalogue := &forward.Catalogue{Slots: 64, MemoryTokens: 100_000, RoomMb: 100, AdapterPlaces: 4, LoadsPerSecond: 1,
-		Models: []forward.Model{{Name: "m", SizeMb: 10, LoadMs: 1500, Adapters: 3, AdapterSizeMb: 1}}}
-	return forward.NewIndex(&forward.Section{Revision: 1, Paths: paths, Pools: []forward.Pool{{Name: "plain"}, {Name: "other"}, {Name: "batch", Catalogue: catalogue}}})
+func sectionOf(paths ...upstream.Path) *upstream.Index {
+	catalogue := &upstream.Catalogue{Slots: 64, MemoryTokens: 100_000, RoomMb: 100, AdapterPlaces: 4, LoadsPerSecond: 1,
+		Models: []upstream.Model{{Name: "m", SizeMb: 10, LoadMs: 1500, Adapters: 3, AdapterSizeMb: 1}}}
+	return upstream.NewIndex(&upstream.Section{Revision: 1, Paths: paths, Pools: []upstream.Pool{{Name: "plain"}, {Name: "other"}, {Name: "batch", Catalogue: catalogue}}})
 }
 
-func newBench(t testing.TB, paths ...forward.Path) *bench {
+func newBench(t testing.TB, paths ...upstream.Path) *bench {
 	return &bench{t: t, core: NewCore(DefaultSettings()), now: ms(1_000_000), lease: true, current: true, index: sectionOf(paths...), view: &registry.View{}, edges: 1, lacks: map[string]time.Duration{}}
 }
 
@@ -147,7 +147,7 @@
 func partOf(id string, tokens int) dialect.Part { return dialect.Part{ID: id, Tokens: tokens} }
 
 func TestOnlyACurrentTableSaysThatThereIsNoPath(t *testing.T) {
-	b := newBench(t, pathOf("p", forward.Once, "plain"))
+	b := newBench(t, pathOf("p", upstream.Once, "plain"))
 	b.ended(b.admit("none"), fasthttp.StatusNotFound, NoPath)
 	b.current = false
 	b.ended(b.admit("none"), fasthttp.StatusServiceUnavailable, NoTable)
@@ -159,7 +159,7 @@
 
 // What operators have closed gets nothing new, and what waits goes there as soon as it is open again.
 func TestAClosedEngineGetsNothingNew(t *testing.T) {
-	b := newBench(t, pathOf("p", forward.Repeatable, "plain"))
+	b := newBench(t, pathOf("p", upstream.Repeatable, "plain"))
 	b.register(enginesOf("plain", 2, 6)...)
 	closed := map[ident.EngineID]bool{"plain-0": true}
 	world := func() World {
@@ -188,7 +188,7 @@
 }
 
 func TestWithoutALeaseNothingIsHeldOrTriedAgain(t *testing.T) {
-	b := newBench(t, pathOf("p", forward.Repeatable, "plain"))
+	b := newBench(t, pathOf("p", upstream.Repeatable, "plain"))
 	b.lease = false
 	b.ended(b.admit("p"), fasthttp.StatusServiceUnavailable, NoLease)
 	b.register(enginesOf("plain", 2, 6)...)
@@ -203,7 +203,7 @@
 }
 
 func TestHeldRequestsGoByRankThenArrivalAndNoRankStarves(t *testing.T) {
-	urgent, later := pathOf("urgent", forward.Once, "plain"), pathOf("later", forward.Once, "plain")
+	urgent, later := pathOf("urgent", upstream.Once, "plain"), pathOf("later", upstream.Once, "plain")
 	later.Rank = 2
 	b := newBench(t, urgent, later)
 	old := b.admit("later")
@@ -231,7 +231,7 @@
 }
 
 func TestWhatNothingCanServeInTimeIsRefusedAtOnce(t *testing.T) {
-	b := newBench(t, pathOf("p", forward.Stream, "batch"))
+	b := newBench(t, pathOf("p", upstream.Stream, "batch"))
 	b.register(enginesOf("batch", 3, 64)...)
 	b.lacks["m/"] = 10 * time.Second
 	answer := b.ended(b.admit("p", prompt("m", 100)), fasthttp.StatusServiceUnavailable, NoRoom)
@@ -261,7 +261,7 @@
 // TestWhatWillBeLateIsToldWhenToComeBack: where something is there only after the target, and a client may
 // come back by then, it is told so, and whoever plans still hears of it.
 func TestWhatWillBeLateIsToldWhenToComeBack(t *testing.T) {
-	b := newBench(t, pathOf("p", forward.Stream, "batch"))
+	b := newBench(t, pathOf("p", upstream.Stream, "batch"))
 	coming := engineOf("batch", 0, 64)
 	coming.Plan = &registry.Plan{Coming: []registry.Coming{{Target: registry.Target{Model: "m"}, Ready: b.now + ms(1000)}}, Told: b.now}
 	b.register(coming)
@@ -278,7 +278,7 @@
 }
 
 func TestNothingIsHeldForMoreThanHalfOfItsTimeWithoutAWord(t *testing.T) {
-	b := newBench(t, pathOf("p", forward.Once, "plain"))
+	b := newBench(t, pathOf("p", upstream.Once, "plain"))
 	b.edges = 3
 	b.register(engineOf("plain", 0, 1))
 	for range 2 {
@@ -300,12 +300,12 @@
 }
 
 func TestARecordGoesWhereTheNewestTableSendsIt(t *testing.T) {
-	b := newBench(t, pathOf("p", forward.Once, "plain"))
+	b := newBench(t, pathOf("p", upstream.Once, "plain"))
 	r := b.admit("p")
 	if r.stage != Held {
 		t.Fatal(r.stage)
 	}
-	b.index = sectionOf(pathOf("p", forward.Once, "other"))
+	b.index = sectionOf(pathOf("p", upstream.Once, "other"))
 	b.register(append(enginesOf("plain", 1, 6), enginesOf("other", 1, 6)...)...)
 	b.core.Pass(b.world())
 	if send := b.sent(r); send.Pool != "other" {
@@ -323,7 +323,7 @@
 }
 
 func TestAnEnginesOwnFailureGoesOnUnlessItMayBeTriedElsewhere(t *testing.T) {
-	b := newBench(t, pathOf("again", forward.Repeatable, "plain"), pathOf("once", forward.Once, "plain"))
+	b := newBench(t, pathOf("again", upstream.Repeatable, "plain"), pathOf("once", upstream.Once, "plain"))
 	b.register(enginesOf("plain", 2, 6)...)
 	r := b.admit("once")
 	b.sent(r)
@@ -344,9 +344,9 @@
 }
 
 func TestAStreamIsTakenUpBehindItsLastEvent(t *testing.T) {
-	path := pathOf("p", forward.Stream, "plain")
+	path := pathOf("p", upstream.Stream, "plain")
 	path.Resumable = true
-	b := newBench(t, path, pathOf("stream", forward.Stream, "plain"))
+	b := newBench(t, path, pathOf("stream", upstream.Stream, "plain"))
 	b.register(enginesOf("plain", 3, 6)...)
 	r := b.admit("p", func(r *Record) { r.Ask.LastEvent, r.Ask.Resumes = "3", true })
 	if send := b.sent(r); send.LastEvent != "3" || !send.Resumes {
@@ -371,8 +371,8 @@
 // run is what a simulated engine side knows of one record.
 type run struct {
 	record   *Record
-	path     *forward.Path
-	class    forward.Class
+	path     *upstream.Path
+	class    upstream.Class
 	ran      int
 	arrivals int
 	// sends counts arrivals and those that were refused ahead of the news of a load, engines where they were.
@@ -395,9 +395,9 @@
 	}()
 	for seed := range uint64(400) {
 		random := rand.New(rand.NewPCG(seed, 7))
-		resumable := pathOf("resume", forward.Stream, "plain")
+		resumable := pathOf("resume", upstream.Stream, "plain")
 		resumable.Resumable = true
-		paths := []forward.Path{pathOf("once", forward.Once, "plain"), pathOf("again", forward.Repeatable, "plain", "other"), pathOf("stream", forward.Stream, "batch"), resumable}
+		paths := []upstream.Path{pathOf("once", upstream.Once, "plain"), pathOf("again", upstream.Repeatable, "plain", "other"), pathOf("stream", upstream.Stream, "batch"), resumable}
 		for place := range paths {
 			paths[place].Attempts = 1 + random.IntN(3)
 			paths[place].Rank = random.IntN(3)
@@ -407,9 +407,9 @@
 		b.edges = 1 + random.IntN(4)
 		whole := b.index
 		fewer := sectionOf(paths[:2]...)
-		moved := pathOf("once", forward.Once, "other")
+		moved := pathOf("once", upstream.Once, "other")
 		moved.Attempts = paths[0].Attempts
-		elsewhere := sectionOf(append([]forward.Path{moved}, paths[1:]...)...)
+		elsewhere := sectionOf(append([]upstream.Path{moved}, paths[1:]...)...)
 		all := append(append(enginesOf("plain", 3, 2), enginesOf("other", 2, 2)...), enginesOf("batch", 2, 3, "m")...)
 		// One more is to hold the model at some time, and no report says so.
 		loading := engineOf("batch", 2, 3)
@@ -516,7 +516,7 @@
 			case kind < 16:
 				b.lease = random.IntN(4) > 0
 			case kind < 17:
-				b.index = []*forward.Index{whole, whole, fewer, elsewhere}[random.IntN(4)]
+				b.index = []*upstream.Index{whole, whole, fewer, elsewhere}[random.IntN(4)]
 				b.core.Pass(b.world())
 			case kind < 18:
 				some := slices.DeleteFunc(slices.Clone(all), func(*registry.Engine) bool { return random.IntN(3) == 0 })
@@ -533,7 +533,7 @@
 			}
 			for _, r := range runs {
 				read(r)
-				if r.class != forward.Repeatable && !(r.class == forward.Stream && r.path.Resumable) && r.ran > 1 {
+				if r.class != upstream.Repeatable && !(r.class == upstream.Stream && r.path.Resumable) && r.ran > 1 {
 					fail(r, "ran twice")
 				}
 				if r.record.stage == Held && b.now > r.deadline {
@@ -631,7 +631,7 @@
 
 // TestWhatIsStoppedAtEveryLastLookComesToAnEnd: a sender and a core that disagree for good do not go round.
 func TestWhatIsStoppedAtEveryLastLookComesToAnEnd(t *testing.T) {
-	b := newBench(t, pathOf("p", forward.Once, "plain"))
+	b := newBench(t, pathOf("p", upstream.Once, "plain"))
 	b.register(enginesOf("plain", 3, 6)...)
 	r := b.admit("p")
 	rounds := 0
@@ -652,11 +652,11 @@
 
 // TestAttemptsStayWithinTheShareOfConnections: what an engine takes from all daemons is divided over them.
 func TestAttemptsStayWithinTheShareOfConnections(t *testing.T) {
-	path := pathOf("p", forward.Once, "narrow")
+	path := pathOf("p", upstream.Once, "narrow")
 	b := newBench(t, path)
 	section := *b.index.Section
-	section.Pools = append(section.Pools, forward.Pool{Name: "narrow", MostConnections: 10, Catalogue: &forward.Catalogue{}})
-	b.index = forward.NewIndex(&section)
+	section.Pools = append(section.Pools, upstream.Pool{Name: "narrow", MostConnections: 10, Catalogue: &upstream.Catalogue{}})
+	b.index = upstream.NewIndex(&section)
 	b.edges = 3
 	b.register(engineOf("narrow", 0, 64))
 	sent := 0
@@ -690,7 +690,7 @@
 		"back, never in time":  {coming: 3000, left: 2600, low: 866 * time.Millisecond, high: 867 * time.Millisecond},
 		"nothing is known yet": {left: 4000, held: true},
 	} {
-		b := newBench(t, pathOf("p", forward.Stream, "batch"))
+		b := newBench(t, pathOf("p", upstream.Stream, "batch"))
 		engine := engineOf("batch", 0, 64)
 		if c.coming > 0 {
 			engine.Plan = &registry.Plan{Coming: []registry.Coming{{Target: registry.Target{Model: "m"}, Ready: b.now + ms(c.coming)}}, Told: b.now}
@@ -731,7 +731,7 @@
 
 // TestNothingIsHeldUntilItsCallerHasLostPatience: a stream's client leaves in silence long before its deadline.
 func TestNothingIsHeldUntilItsCallerHasLostPatience(t *testing.T) {
-	path := pathOf("p", forward.Stream, "batch")
+	path := pathOf("p", upstream.Stream, "batch")
 	path.DeadlineMs, path.TargetMs, path.GapTargetMs = 20_000, 800, 500
 	b := newBench(t, path)
 	b.core.settings.Patience = Patience{Least: 2 * time.Second, Targets: 4, Gaps: 8}
@@ -761,7 +761,7 @@
 
 // TestWhatAnEngineSaysItLacksIsNotAskedOfItAgain: its report may lag behind.
 func TestWhatAnEngineSaysItLacksIsNotAskedOfItAgain(t *testing.T) {
-	b := newBench(t, pathOf("p", forward.Stream, "batch"))
+	b := newBench(t, pathOf("p", upstream.Stream, "batch"))
 	b.register(enginesOf("batch", 1, 64, "m")...)
 	r := b.admit("p", prompt("m", 100))
 	b.sent(r)
@@ -783,7 +783,7 @@
 		took int
 		held bool
 	}{{100, true}, {900, false}} {
-		path := pathOf("p", forward.Stream, "batch")
+		path := pathOf("p", upstream.Stream, "batch")
 		b := newBench(t, path)
 		with := engineOf("batch", 0, 64, "m")
 		with.Word.Models[0].Adapters = []string{"a1"}
@@ -815,7 +815,7 @@
 // TestNothingIsHeldOrTriedAgainForACallerThatLeftMeanwhile: that the caller left may be heard while an attempt is
 // under way whose sender has just reported how it ended.
 func TestNothingIsHeldOrTriedAgainForACallerThatLeftMeanwhile(t *testing.T) {
-	for _, class := range []forward.Class{forward.Once, forward.Repeatable, forward.Stream} {
+	for _, class := range []upstream.Class{upstream.Once, upstream.Repeatable, upstream.Stream} {
 		for outcome := HeldBack; outcome <= Failed; outcome++ {
 			b := newBench(t, pathOf("p", class, "plain"))
 			b.register(enginesOf("plain", 3, 4)...)
--- a/request/forwarding/demand.go
+++ b/request/forwarding/demand.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/demand"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/process/placement/demand"
 )
 
 // Demand is what is asked of one pool for one model and adapter.
--- a/request/forwarding/engine.go
+++ b/request/forwarding/engine.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
 // engineState is what this daemon itself knows of an engine.
--- a/request/forwarding/move_test.go
+++ b/request/forwarding/move_test.go
@@ -3,9 +3,9 @@
 import (
 	"testing"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
 // emptied is a world in which one engine was shut by rank.
@@ -17,11 +17,11 @@
 }
 
 func moveBench(t *testing.T) *bench {
-	resumable := pathOf("resume", forward.Stream, "plain")
+	resumable := pathOf("resume", upstream.Stream, "plain")
 	resumable.Resumable = true
-	single := pathOf("single", forward.Repeatable, "plain")
+	single := pathOf("single", upstream.Repeatable, "plain")
 	single.Attempts = 1
-	b := newBench(t, resumable, pathOf("stream", forward.Stream, "plain"), pathOf("again", forward.Repeatable, "plain"), pathOf("once", forward.Once, "plain"), single)
+	b := newBench(t, resumable, pathOf("stream", upstream.Stream, "plain"), pathOf("again", upstream.Repeatable, "plain"), pathOf("once", upstream.Once, "plain"), single)
 	b.register(enginesOf("plain", 2, 64)...)
 	return b
 }
@@ -104,7 +104,7 @@
 
 // What a request costs at an engine is told by how much work it is, and by nothing of whose it is.
 func TestWorkIsToldWithTheAttempt(t *testing.T) {
-	path := pathOf("resume", forward.Stream, "batch")
+	path := pathOf("resume", upstream.Stream, "batch")
 	path.GapTargetMs = 400
 	b := newBench(t, path)
 	engine := engineOf("batch", 0, 64, "m")
--- a/request/forwarding/outcomes.go
+++ b/request/forwarding/outcomes.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/outlier"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/outlier"
 )
 
 const (
--- a/request/forwarding/outcomes_test.go
+++ b/request/forwarding/outcomes_test.go
@@ -3,10 +3,10 @@
 import (
 	"testing"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/outlier"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/outlier"
+	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
 // TestEachAttemptIsToldOnceByWhatTheEngineDid: what its own deadline, the caller or this daemon ended says nothing of
@@ -38,7 +38,7 @@
 		"late and nobody looked":    {true, 3000, false, Whole, outlier.Digest{Attempts: 1, Overdue: 1}, false},
 		"overdue, then its failure": {false, 3500, true, Failed, outlier.Digest{Attempts: 1, Overdue: 1}, false},
 	} {
-		b := newBench(t, pathOf("p", forward.Stream, "batch"))
+		b := newBench(t, pathOf("p", upstream.Stream, "batch"))
 		b.register(enginesOf("batch", 1, 64, "m")...)
 		r := b.admit("p", prompt("m", 1500))
 		if send := b.sent(r); send.Engine != engine {
@@ -79,7 +79,7 @@
 		alone       bool
 		least, most int
 	}{{0, true, false, 0, 0}, {0.5, true, false, 60, 160}, {0, false, false, 150, 250}, {0, true, true, 400, 400}} {
-		b := newBench(t, pathOf("p", forward.Stream, "batch"))
+		b := newBench(t, pathOf("p", upstream.Stream, "batch"))
 		b.core.settings.HoldBack = c.hold
 		engines := enginesOf("batch", 2, 64, "m")
 		if c.alone {
--- a/request/forwarding/reason.go
+++ b/request/forwarding/reason.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
 // Reason is why a request earned less than it could have: it was not served, or its answer began too late.
--- a/request/forwarding/reason_test.go
+++ b/request/forwarding/reason_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
 // onlyLoss gives the one loss that a core has counted, and fails if there is another number of them.
@@ -110,7 +110,7 @@
 			b.core.Begun(r, b.world())
 		}},
 	} {
-		b := newBench(t, pathOf("p", forward.Stream, "batch"))
+		b := newBench(t, pathOf("p", upstream.Stream, "batch"))
 		one.play(b)
 		if key := onlyLoss(t, b.core); key.Reason != one.want {
 			t.Errorf("counted under %s, want %s", key.Reason, one.want)
@@ -120,7 +120,7 @@
 
 // TestAnAnswerInTimeIsNoLoss: neither one that begins within its target, nor one whose engine's answer came whole.
 func TestAnAnswerInTimeIsNoLoss(t *testing.T) {
-	b := newBench(t, pathOf("p", forward.Stream, "batch"))
+	b := newBench(t, pathOf("p", upstream.Stream, "batch"))
 	b.register(engineOf("batch", 0, 64, "m"))
 	r := b.admit("p", prompt("m", 100))
 	b.sent(r)
@@ -135,7 +135,7 @@
 
 // TestLossesOfManyModelsAreBounded: models beyond the bound are counted together, and none is forgotten.
 func TestLossesOfManyModelsAreBounded(t *testing.T) {
-	b := newBench(t, pathOf("p", forward.Stream, "batch"))
+	b := newBench(t, pathOf("p", upstream.Stream, "batch"))
 	const models = mostLossKeys + 50
 	for n := range models {
 		b.core.lost(b.record("p", prompt(string(rune('a'+n%26))+time.Duration(n).String(), 1)), ReasonModelAbsent, b.now)
--- a/request/forwarding/record.go
+++ b/request/forwarding/record.go
@@ -5,9 +5,9 @@
 import (
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/wire/dialect"
 )
 
@@ -56,7 +56,7 @@
 type Record struct {
 	Ask dialect.Ask
 	// Path is what served it by the table in force when it was read; nil is none.
-	Path *forward.Path
+	Path *upstream.Path
 	// Host and Prefixed are what it is looked up by, again, before each attempt.
 	Host, Prefixed string
 	Arrived        clock.Mark
@@ -136,11 +136,11 @@
 }
 
 // repeatable says whether the request may run more than once.
-func (r *Record) repeatable() bool { return r.Path != nil && r.Path.Class == forward.Repeatable }
+func (r *Record) repeatable() bool { return r.Path != nil && r.Path.Class == upstream.Repeatable }
 
 // resumable says whether an answer that broke off may go on at another engine.
 func (r *Record) resumable() bool {
-	return r.Path != nil && r.Path.Class == forward.Stream && r.Path.Resumable
+	return r.Path != nil && r.Path.Class == upstream.Stream && r.Path.Resumable
 }
 
 // mayRepeat says whether another attempt may be made although an earlier one may have run.
--- a/request/forwarding/routes.go
+++ b/request/forwarding/routes.go
@@ -6,11 +6,11 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/cresspond/cresspond/epoch/forward"
+	"github.com/cresspond/cresspond/configuration/upstream"
 )
 
 // drawPool draws a pool by the weights of the path, the same for the same attempt.
-func drawPool(path *forward.Path, attempt string) string {
+func drawPool(path *upstream.Path, attempt string) string {
 	var sum uint64
 	for _, share := range path.Shares {
 		sum += uint64(share.Weight)
@@ -29,7 +29,7 @@
 }
 
 // Leads says whether the table in force still sends a request to a pool.
-func Leads(index *forward.Index, host, prefixed, pool string) bool {
+func Leads(index *upstream.Index, host, prefixed, pool string) bool {
 	if index == nil {
 		return false
 	}
@@ -37,8 +37,8 @@
 	return found && leadsTo(path, pool)
 }
 
-func leadsTo(path *forward.Path, pool string) bool {
-	return slices.ContainsFunc(path.Shares, func(share forward.Share) bool { return share.Pool == pool && share.Weight > 0 })
+func leadsTo(path *upstream.Path, pool string) bool {
+	return slices.ContainsFunc(path.Shares, func(share upstream.Share) bool { return share.Pool == pool && share.Weight > 0 })
 }
 
 // rerouted takes up the table in force for a record. It says false when the record has ended.
--- a/request/forwarding/settings.go
+++ b/request/forwarding/settings.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/mechanism"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/process/featuregates"
 )
 
 // Settings are what a deployment may set of forwarding.
@@ -27,7 +27,7 @@
 	// judgement is only counted.
 	HoldBack bool
 	// Off are the mechanisms that an experiment goes without.
-	Off mechanism.Set
+	Off featuregates.Set
 	// ObserveLoss is told of each request that is not served, or late, on the core's own goroutine; nil tells nobody.
 	ObserveLoss func(Loss)
 	// ReportFresh is for how long a report on an engine is believed.
@@ -50,8 +50,8 @@
 // noPatience is for longer than any deadline.
 const noPatience = 24 * time.Hour
 
-func (s Settings) patience(path *forward.Path) time.Duration {
-	if path.Class != forward.Stream || s.Patience == (Patience{}) {
+func (s Settings) patience(path *upstream.Path) time.Duration {
+	if path.Class != upstream.Stream || s.Patience == (Patience{}) {
 		return noPatience
 	}
 	return max(s.Patience.Least, time.Duration(max(s.Patience.Targets*path.TargetMs, s.Patience.Gaps*path.GapTargetMs))*time.Millisecond)
--- a/request/forwarding/simulate_test.go
+++ b/request/forwarding/simulate_test.go
@@ -9,11 +9,11 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/outlier"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/outlier"
+	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
 // timeline runs what is due in order of time.
@@ -92,7 +92,7 @@
 	daemons []*simulated
 	engines []*batcher
 	view    *registry.View
-	index   *forward.Index
+	index   *upstream.Index
 	// perToken is how long a token takes to be read.
 	perToken time.Duration
 	inTime   map[string]int
@@ -111,7 +111,7 @@
 }
 
 func newSimulation(seed uint64, daemons, engines int) *simulation {
-	path := pathOf("p", forward.Stream, "batch")
+	path := pathOf("p", upstream.Stream, "batch")
 	path.Attempts = 1
 	s := &simulation{random: rand.New(rand.NewPCG(seed, 5)), index: sectionOf(path), perToken: time.Second / 25_800, inTime: map[string]int{}, asked: map[string]int{}, lateWorth: 0.5, tail: 10 * time.Second, returned: map[*Record]bool{}}
 	s.now = clock.Mark(time.Hour)
@@ -410,7 +410,7 @@
 	homes := map[string]map[ident.EngineID]int{}
 	count := map[ident.EngineID]int{}
 	for daemon := range 10 {
-		b := newBench(t, pathOf("p", forward.Stream, "batch"))
+		b := newBench(t, pathOf("p", upstream.Stream, "batch"))
 		b.register(enginesOf("batch", 8, 64, "m")...)
 		for thing := range 200 {
 			r := b.admit("p", prompt("m", 1500, "system", fmt.Sprint("thing", thing), fmt.Sprint("own", daemon, thing)))
@@ -447,7 +447,7 @@
 
 // TestAnEngineThatFailsRestsAndIsTriedAgain: with one request at a time until one goes well.
 func TestAnEngineThatFailsRestsAndIsTriedAgain(t *testing.T) {
-	b := newBench(t, pathOf("p", forward.Once, "plain"))
+	b := newBench(t, pathOf("p", upstream.Once, "plain"))
 	b.register(enginesOf("plain", 2, 600)...)
 	bad := ident.EngineID("plain-0")
 	arrivals := func(n int, well bool) (came int) {
@@ -478,7 +478,7 @@
 // TestSmallEnginesAreSharedOutAndNearOnesComeFirst: what a daemon may have at a small engine is its share, and
 // its own zone has the first word while nothing is taken there.
 func TestSmallEnginesAreSharedOutAndNearOnesComeFirst(t *testing.T) {
-	b := newBench(t, pathOf("p", forward.Once, "plain"))
+	b := newBench(t, pathOf("p", upstream.Once, "plain"))
 	engines := enginesOf("plain", 3, 6)
 	for n, engine := range engines {
 		engine.Zone = ident.ZoneID(fmt.Sprint("z", n))
--- a/request/forwarding/size_test.go
+++ b/request/forwarding/size_test.go
@@ -7,10 +7,10 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/registry"
-	"github.com/cresspond/cresspond/wire/fellowapi"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/process/engines/registry"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 // BenchmarkSizeDemands is what one daemon tells of the models and adapters asked of it, and how many bytes that
@@ -27,9 +27,9 @@
 			b.ReportAllocs()
 			size := 0
 			for b.Loop() {
-				request := &fellowapi.PullRequest{}
+				request := &peerapi.PullRequest{}
 				for _, d := range core.Demands(now) {
-					request.Demand = append(request.Demand, &fellowapi.Demand{Pool: d.Pool, Model: d.Model, Adapter: d.Adapter, Held: int64(d.Held), Running: int64(d.Running), Tokens: d.Tokens, Arrivals: d.Arrivals, Rank: int64(d.Rank)})
+					request.Demand = append(request.Demand, &peerapi.Demand{Pool: d.Pool, Model: d.Model, Adapter: d.Adapter, Held: int64(d.Held), Running: int64(d.Running), Tokens: d.Tokens, Arrivals: d.Arrivals, Rank: int64(d.Rank)})
 				}
 				data, err := proto.Marshal(request)
 				if err != nil {
@@ -47,7 +47,7 @@
 func BenchmarkSizeChoose(b *testing.B) {
 	for _, engines := range []int{12, 100, 350, 1400} {
 		b.Run(fmt.Sprint(engines, " engines"), func(b *testing.B) {
-			bench := newBench(b, pathOf("p", forward.Stream, "batch"))
+			bench := newBench(b, pathOf("p", upstream.Stream, "batch"))
 			all := enginesOf("batch", engines, 96, "x", "y", "z")
 			for i := 0; i < len(all); i += 10 {
 				all[i].Word.Models = append(all[i].Word.Models, registry.Held{Model: "m"})
--- a/request/forwarding/speculate.go
+++ b/request/forwarding/speculate.go
@@ -5,10 +5,10 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/mechanism"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/process/engines/registry"
+	"github.com/cresspond/cresspond/process/featuregates"
 )
 
 const (
@@ -37,8 +37,8 @@
 // says so yet. Reports are some hundred ms old, and none come while nobody plans; an engine that has not
 // loaded it says truthfully that it did not run the request. One request goes first, and the others once it
 // was not refused.
-func (c *Core) due(r *Record, w World, pool *forward.Pool) *registry.Engine {
-	if c.settings.Off.Has(mechanism.Speculation) {
+func (c *Core) due(r *Record, w World, pool *upstream.Pool) *registry.Engine {
+	if c.settings.Off.Has(featuregates.Speculation) {
 		return nil
 	}
 	target := registry.Target{Model: r.Ask.Model, Adapter: r.Ask.Adapter}
--- a/request/forwarding/speculate_test.go
+++ b/request/forwarding/speculate_test.go
@@ -6,9 +6,9 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
 // loading is an engine that by the planner's word loads the model until a time, and whose report does not show it.
@@ -27,7 +27,7 @@
 // TestALoadThatIsDueIsNotWaitedForUntilTheNews: reports are late, and while nobody plans none come; what was
 // to be loaded by now is asked for, by one request first.
 func TestALoadThatIsDueIsNotWaitedForUntilTheNews(t *testing.T) {
-	b := newBench(t, pathOf("p", forward.Stream, "batch"))
+	b := newBench(t, pathOf("p", upstream.Stream, "batch"))
 	ready := b.now + ms(300)
 	b.register(b.loading(0, ready))
 	first, second := b.admit("p", prompt("m", 100)), b.admit("p", prompt("m", 100))
@@ -54,7 +54,7 @@
 // TestALoadThatTakesLongerIsAskedForSeldom: each refusal doubles the pause, the request stays with the one
 // engine where its path allows no second, and goes when the engine takes it.
 func TestALoadThatTakesLongerIsAskedForSeldom(t *testing.T) {
-	path := pathOf("p", forward.Stream, "batch")
+	path := pathOf("p", upstream.Stream, "batch")
 	path.Attempts, path.TargetMs = 1, 4000
 	b := newBench(t, path)
 	b.core.settings.RetrySlack = 100
@@ -93,7 +93,7 @@
 
 // TestAGuessNeverSpendsWhatIsKeptForFailures: where the budget is used up, a request waits for the news.
 func TestAGuessNeverSpendsWhatIsKeptForFailures(t *testing.T) {
-	path := pathOf("p", forward.Stream, "batch")
+	path := pathOf("p", upstream.Stream, "batch")
 	path.TargetMs = 4000
 	b := newBench(t, path)
 	b.core.settings.RetryRatio, b.core.settings.RetrySlack = 0, 0
@@ -118,7 +118,7 @@
 
 // TestNothingGoesAheadOfAnOrderThatHasNotLeft: while something must make way, when a load ends is a guess.
 func TestNothingGoesAheadOfAnOrderThatHasNotLeft(t *testing.T) {
-	b := newBench(t, pathOf("p", forward.Stream, "batch"))
+	b := newBench(t, pathOf("p", upstream.Stream, "batch"))
 	engine := b.loading(0, b.now-ms(200))
 	engine.Plan.Retiring = []registry.Target{{Model: "other"}}
 	b.register(engine)
@@ -130,7 +130,7 @@
 // TestAGuessThatNeverLeftDoesNotPassForAnAcceptedOne: the others wait for one that was sent.
 func TestAGuessThatNeverLeftDoesNotPassForAnAcceptedOne(t *testing.T) {
 	for _, outcome := range []Outcome{HeldBack, NeverSent, Left} {
-		b := newBench(t, pathOf("p", forward.Stream, "batch"))
+		b := newBench(t, pathOf("p", upstream.Stream, "batch"))
 		b.register(b.loading(0, b.now-ms(100)))
 		first := b.admit("p", prompt("m", 100))
 		b.sent(first)
