--- a/request/forwarding/unreached_test.go
+++ b/request/forwarding/unreached_test.go
@@ -6,13 +6,13 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/cresspond/cresspond/epoch/forward"
+	"github.com/cresspond/cresspond/configuration/upstream"
 )
 
 // TestAModelWhoseEngineCannotBeReachedCountsAsNotThere: a client is told when the model is likely to be
 // loaded elsewhere, not to ask the same engine again a moment later, and it is wanted of the planner meanwhile.
 func TestAModelWhoseEngineCannotBeReachedCountsAsNotThere(t *testing.T) {
-	path := pathOf("p", forward.Stream, "batch")
+	path := pathOf("p", upstream.Stream, "batch")
 	path.DeadlineMs = 10_000
 	b := newBench(t, path)
 	b.register(engineOf("batch", 0, 64, "m"), engineOf("batch", 1, 64))
@@ -39,7 +39,7 @@
 // that may be taken up waits for the load instead of ending.
 func TestAStreamGoesOnOnceAnotherEngineHasItsModel(t *testing.T) {
 	for _, begun := range []bool{true, false} {
-		path := pathOf("p", forward.Stream, "batch")
+		path := pathOf("p", upstream.Stream, "batch")
 		path.Resumable = true
 		b := newBench(t, path)
 		b.register(engineOf("batch", 0, 64, "m"))
@@ -65,7 +65,7 @@
 
 // TestAStreamThatNothingTakesUpEndsInTime: it isn't held for half of its time.
 func TestAStreamThatNothingTakesUpEndsInTime(t *testing.T) {
-	path := pathOf("p", forward.Stream, "batch")
+	path := pathOf("p", upstream.Stream, "batch")
 	path.Resumable = true
 	b := newBench(t, path)
 	b.register(engineOf("batch", 0, 64, "m"))
@@ -82,7 +82,7 @@
 
 // TestAnUnreachableEngineStillCountsWhereModelsDoNot: on a plain pool a moment's rest is waited for.
 func TestAnUnreachableEngineStillCountsWhereModelsDoNot(t *testing.T) {
-	b := newBench(t, pathOf("p", forward.Repeatable, "plain"))
+	b := newBench(t, pathOf("p", upstream.Repeatable, "plain"))
 	b.register(engineOf("plain", 0, 4))
 	first := b.admit("p")
 	b.sent(first)
--- a/request/forwarding/wait.go
+++ b/request/forwarding/wait.go
@@ -7,9 +7,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/mechanism"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/process/engines/registry"
+	"github.com/cresspond/cresspond/process/featuregates"
 )
 
 // pathKey tells models apart: each has its engines, and its pace.
@@ -68,7 +68,7 @@
 		return true
 	}
 	target := float64(r.Path.TargetMs) * float64(time.Millisecond)
-	if s.Off.Has(mechanism.Shedding) {
+	if s.Off.Has(featuregates.Shedding) {
 		return false
 	}
 	if s.ShedOver <= 0 || target <= 0 || float64(fading(p.first, p.paced, w.Now)) < s.ShedCalm*target {
@@ -158,7 +158,7 @@
 		return c.comeBack(r, w), true
 	case why == noModel:
 		wait, sure := c.loadWait(r, w)
-		if c.settings.Off.Has(mechanism.LoadEstimates) {
+		if c.settings.Off.Has(featuregates.LoadEstimates) {
 			return c.comeBack(r, w), waited >= most
 		}
 		return c.untilLoaded(r, wait, sure, w)
--- a/request/forwarding/warm_test.go
+++ b/request/forwarding/warm_test.go
@@ -3,9 +3,9 @@
 import (
 	"testing"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/registry"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
 // TestAnEngineThatAConnectionIsKeptToIsPreferred: to one that is no better otherwise, and not to one with far less to do.
@@ -14,7 +14,7 @@
 		pool  string
 		model string
 	}{{"batch", "m"}, {"plain", ""}} {
-		b := newBench(t, pathOf("p", forward.Repeatable, one.pool))
+		b := newBench(t, pathOf("p", upstream.Repeatable, one.pool))
 		b.core.meanTokens = 1_000
 		b.register(enginesOf(one.pool, 30, 64, one.model)...)
 		warm := ident.EngineID(one.pool + "-7")
--- a/request/forwarding/window.go
+++ b/request/forwarding/window.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
+	"github.com/cresspond/cresspond/clock"
 )
 
 // window counts one pool's first sends and further ones over a sliding span, and bounds the latter.
--- a/request/forwarding/window_test.go
+++ b/request/forwarding/window_test.go
@@ -5,13 +5,13 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/process/clock"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/upstream"
 )
 
 // Streams that were sent long ago and break off together must not be taken for first sends of now.
 func TestStreamsThatBreakOffTogetherAreNoFirstSendsOfNow(t *testing.T) {
-	resumable := pathOf("resume", forward.Stream, "batch")
+	resumable := pathOf("resume", upstream.Stream, "batch")
 	resumable.Resumable, resumable.Attempts, resumable.DeadlineMs = true, 3, 120_000
 	b := newBench(t, resumable)
 	b.core.settings.RetryRatio, b.core.settings.RetrySlack, b.core.settings.RetryWindow = 0.2, 4, 10*time.Second
--- a/rehearsal/checker/checker.go
+++ b/testbed/checker/checker.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/rehearsal/journal"
+	"github.com/cresspond/cresspond/testbed/journal"
 )
 
 // Finding is the outcome of one rule.
--- a/rehearsal/checker/checker_test.go
+++ b/testbed/checker/checker_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/rehearsal/caller"
-	"github.com/cresspond/cresspond/rehearsal/deployment"
-	"github.com/cresspond/cresspond/rehearsal/journal"
+	"github.com/cresspond/cresspond/testbed/caller"
+	"github.com/cresspond/cresspond/testbed/deployment"
+	"github.com/cresspond/cresspond/testbed/journal"
 	"github.com/cresspond/cresspond/wire/callerapi"
 )
 
--- a/rehearsal/checker/configuration.go
+++ b/testbed/checker/configuration.go
@@ -5,15 +5,15 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/spec"
-	"github.com/cresspond/cresspond/rehearsal/journal"
+	"github.com/cresspond/cresspond/configuration/document"
+	"github.com/cresspond/cresspond/testbed/journal"
 )
 
 type service struct{ engine, route, model, adapter string }
 
 // services lists what one bundle allows.
 func services(body []byte) map[service]bool {
-	parsed, faults := spec.Parse(body)
+	parsed, faults := document.Parse(body)
 	out := map[service]bool{}
 	if len(faults) > 0 {
 		return out
--- a/rehearsal/checker/draining.go
+++ b/testbed/checker/draining.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/cresspond/cresspond/rehearsal/journal"
+	"github.com/cresspond/cresspond/testbed/journal"
 )
 
 func drained(h *History) Finding {
--- a/rehearsal/checker/history.go
+++ b/testbed/checker/history.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"github.com/cresspond/cresspond/rehearsal/caller"
-	"github.com/cresspond/cresspond/rehearsal/journal"
+	"github.com/cresspond/cresspond/testbed/caller"
+	"github.com/cresspond/cresspond/testbed/journal"
 )
 
 // Act is one thing done to the fleet.
--- a/rehearsal/checker/load.go
+++ b/testbed/checker/load.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/rehearsal/journal"
+	"github.com/cresspond/cresspond/testbed/journal"
 )
 
 // Retries counts arrivals at engines beyond the first of each attempt.
--- a/rehearsal/checker/orders.go
+++ b/testbed/checker/orders.go
@@ -5,9 +5,9 @@
 	"strings"
 	"time"
 
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/snowflake"
-	"github.com/cresspond/cresspond/rehearsal/journal"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/workerid/snowflake"
+	"github.com/cresspond/cresspond/testbed/journal"
 )
 
 func isOrder(line journal.Line) bool {
--- a/rehearsal/checker/refusals.go
+++ b/testbed/checker/refusals.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"github.com/cresspond/cresspond/rehearsal/journal"
+	"github.com/cresspond/cresspond/testbed/journal"
 	"github.com/cresspond/cresspond/wire/callerapi"
 )
 
--- a/rehearsal/checker/requests.go
+++ b/testbed/checker/requests.go
@@ -3,7 +3,7 @@
 import (
 	"strings"
 
-	"github.com/cresspond/cresspond/rehearsal/journal"
+	"github.com/cresspond/cresspond/testbed/journal"
 	"github.com/cresspond/cresspond/wire/callerapi"
 )
 
--- a/rehearsal/cmd/rehearse/all.go
+++ b/testbed/cmd/testbed/all.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"github.com/cresspond/cresspond/rehearsal/checker"
-	"github.com/cresspond/cresspond/rehearsal/scenario"
+	"github.com/cresspond/cresspond/testbed/checker"
+	"github.com/cresspond/cresspond/testbed/scenario"
 	"github.com/cresspond/cresspond/wire/callerapi"
 )
 
--- a/rehearsal/cmd/rehearse/compare.go
+++ b/testbed/cmd/testbed/compare.go
@@ -11,7 +11,7 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"github.com/cresspond/cresspond/rehearsal/compare"
+	"github.com/cresspond/cresspond/testbed/compare"
 )
 
 // comparison is what `rehearse compare` is asked for.
--- a/rehearsal/cmd/rehearse/days.go
+++ b/testbed/cmd/testbed/days.go
@@ -6,7 +6,7 @@
 	"github.com/alecthomas/kingpin/v2"
 	"github.com/go-playground/validator/v10"
 
-	"github.com/cresspond/cresspond/rehearsal/days"
+	"github.com/cresspond/cresspond/testbed/scenariogen"
 )
 
 // daysOptions say which days of trouble are to be written.
@@ -33,11 +33,11 @@
 	if err := validator.New(validator.WithRequiredStructEnabled()).Struct(options); err != nil {
 		return err
 	}
-	site, err := days.ReadSite(options.Site)
+	site, err := scenariogen.ReadSite(options.Site)
 	if err != nil {
 		return err
 	}
-	for _, day := range days.Generate(site, options.Seed, options.Count) {
+	for _, day := range scenariogen.Generate(site, options.Seed, options.Count) {
 		path, err := day.Write(options.Out)
 		if err != nil {
 			return err
--- a/rehearsal/cmd/rehearse/days_test.go
+++ b/testbed/cmd/testbed/days_test.go
@@ -7,7 +7,7 @@
 )
 
 // siteFile is a made-up site.
-var siteFile = filepath.Join("..", "..", "days", "testdata", "small.toml")
+var siteFile = filepath.Join("..", "..", "scenariogen", "testdata", "small.toml")
 
 func TestDaysAreWrittenToTheFolder(t *testing.T) {
 	folder := t.TempDir()
--- a/rehearsal/cmd/rehearse/main.go
+++ b/testbed/cmd/testbed/main.go
@@ -19,13 +19,13 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"github.com/cresspond/cresspond/rehearsal/checker"
-	"github.com/cresspond/cresspond/rehearsal/deployment"
-	"github.com/cresspond/cresspond/rehearsal/engine"
-	"github.com/cresspond/cresspond/rehearsal/fleet"
-	"github.com/cresspond/cresspond/rehearsal/journal"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/day"
-	"github.com/cresspond/cresspond/rehearsal/scenario"
+	"github.com/cresspond/cresspond/testbed/checker"
+	"github.com/cresspond/cresspond/testbed/deployment"
+	"github.com/cresspond/cresspond/testbed/engine"
+	"github.com/cresspond/cresspond/testbed/fleet"
+	"github.com/cresspond/cresspond/testbed/journal"
+	platformscenario "github.com/cresspond/cresspond/testbed/platformtest/scenario"
+	"github.com/cresspond/cresspond/testbed/scenario"
 	"github.com/cresspond/cresspond/wire/callerapi"
 )
 
@@ -48,7 +48,7 @@
 	runScenario := run.Flag("scenario", "What happens: "+strings.Join(scenario.Names(), ", ")+".").Default("day").Enum(scenario.Names()...)
 	runSeed := run.Flag("seed", "Seed of the run.").Default("1").Uint64()
 	runScale := run.Flag("scale", "Share of the deployment's load.").Default("1").Float64()
-	runActs := run.Flag("act", "On the users' platform: a trouble that happens; give it once for each, in order. "+strings.Join(day.Names(), ", ")+".").Enums(day.Names()...)
+	runActs := run.Flag("act", "On the users' platform: a trouble that happens; give it once for each, in order. "+strings.Join(platformscenario.Names(), ", ")+".").Enums(platformscenario.Names()...)
 	runCount := run.Flag("acts", "On the users' platform: how many troubles are drawn from the seed, where none is named.").Default("8").Int()
 	runProgram := run.Flag("cresspondd", "The daemon to run; by default the one beside this program.").String()
 	runFolder := run.Flag("folder", "Folder for logs and journals; by default a new one, removed after a run without violations.").String()
@@ -90,7 +90,7 @@
 	switch chosenCommand {
 	case run.FullCommand():
 		if *runName == "platform" {
-			err = rehearsePlatform(day.Options{Seed: *runSeed, Program: *runProgram, Folder: *runFolder, Acts: *runActs, Count: *runCount, Scale: *runScale}, *runKeep)
+			err = rehearsePlatform(platformscenario.Options{Seed: *runSeed, Program: *runProgram, Folder: *runFolder, Acts: *runActs, Count: *runCount, Scale: *runScale}, *runKeep)
 			break
 		}
 		err = rehearse(*runName, *runScenario, *runSeed, *runScale, *runProgram, *runFolder, *runKeep, *runResult)
--- a/rehearsal/cmd/rehearse/platform.go
+++ b/testbed/cmd/testbed/platform.go
@@ -9,13 +9,13 @@
 	"text/tabwriter"
 	"time"
 
-	"github.com/cresspond/cresspond/rehearsal/platformkit/day"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/history"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/judge"
+	platformchecker "github.com/cresspond/cresspond/testbed/platformtest/checker"
+	"github.com/cresspond/cresspond/testbed/platformtest/history"
+	platformscenario "github.com/cresspond/cresspond/testbed/platformtest/scenario"
 )
 
 // rehearsePlatform plays a short day on the users' platform, and judges it by their rules.
-func rehearsePlatform(options day.Options, keep bool) error {
+func rehearsePlatform(options platformscenario.Options, keep bool) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
@@ -33,17 +33,17 @@
 	}
 	options.Say = sayer()
 	fmt.Printf("the users' platform, seed %d, scale %g, folder %s\n", options.Seed, options.Scale, options.Folder)
-	h, err := day.Play(context.Background(), options)
+	h, err := platformscenario.Play(context.Background(), options)
 	if err != nil {
 		return err
 	}
 	bad := judged(h)
-	for _, log := range day.Logs(options.Folder) {
+	for _, log := range platformscenario.Logs(options.Folder) {
 		bad++
 		fmt.Println("  a process says in its log that something broke:", log)
 	}
 	platformFigures(h)
-	if stalled := day.Troubled(h); stalled > 0 {
+	if stalled := platformscenario.Troubled(h); stalled > 0 {
 		fmt.Printf("this machine itself stalled for %v of %v, which excuses what the rules excuse\n", stalled.Round(time.Millisecond), h.Ended.Since(h.Began).Round(time.Second))
 	}
 	if bad > 0 {
@@ -57,7 +57,7 @@
 
 // judged prints the judge's table and says how many rules were broken.
 func judged(h *history.History) int {
-	findings := judge.Judge(h, day.Bounds)
+	findings := platformchecker.Judge(h, platformscenario.Bounds)
 	bad := 0
 	out := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(out, "\nrule\tchecked\tviolations")
--- a/rehearsal/cmd/rehearse/scale.go
+++ b/testbed/cmd/testbed/scale.go
@@ -11,7 +11,7 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"github.com/cresspond/cresspond/rehearsal/scale"
+	"github.com/cresspond/cresspond/testbed/scale"
 )
 
 // addScale adds the verbs of the scale run; what it gives runs the one that was chosen.
--- a/rehearsal/endtoend/bundle_test.go
+++ b/testbed/endtoend/bundle_test.go
@@ -10,26 +10,26 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/epoch/spec"
-	"github.com/cresspond/cresspond/process/config"
-	"github.com/cresspond/cresspond/process/daemon"
-	"github.com/cresspond/cresspond/rehearsal/engine"
+	"github.com/cresspond/cresspond/configuration/document"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/daemon"
+	"github.com/cresspond/cresspond/process/daemonconfig"
+	"github.com/cresspond/cresspond/testbed/engine"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
 // forwarding is a bundle on opaque requests alone.
-func forwarding(revision uint64, paths int) spec.Spec {
-	section := &forward.Section{Revision: revision, Pools: []forward.Pool{{Name: "p"}, {Name: "q"}}}
+func forwarding(revision uint64, paths int) document.Spec {
+	section := &upstream.Section{Revision: revision, Pools: []upstream.Pool{{Name: "p"}, {Name: "q"}}}
 	for i := range paths {
 		section.Paths = append(section.Paths, path(fmt.Sprint("r", i), "p"))
 	}
-	return spec.Spec{Name: "opaque", Forward: section}
+	return document.Spec{Name: "opaque", Forward: section}
 }
 
-func path(name, pool string) forward.Path {
-	return forward.Path{Name: name, Host: "a.example", Prefix: "/" + name + "/", Class: forward.Once, DeadlineMs: 1000, Attempts: 1,
-		Shares: []forward.Share{{Pool: pool, Weight: 1}}, Note: json.RawMessage(`{"kept":"` + name + `"}`)}
+func path(name, pool string) upstream.Path {
+	return upstream.Path{Name: name, Host: "a.example", Prefix: "/" + name + "/", Class: upstream.Once, DeadlineMs: 1000, Attempts: 1,
+		Shares: []upstream.Share{{Pool: pool, Weight: 1}}, Note: json.RawMessage(`{"kept":"` + name + `"}`)}
 }
 
 // together brings up a group of daemons without any bundle; each may have options of its own.
@@ -43,7 +43,7 @@
 			b = &bench{t: t, platform: first.platform}
 			b.place()
 		}
-		b.name, b.settle = fmt.Sprint("d", i), func(c *config.Config) { c.OneStep = oneStep }
+		b.name, b.settle = fmt.Sprint("d", i), func(c *daemonconfig.Config) { c.OneStep = oneStep }
 		if options != nil {
 			b.options = options(i)
 		}
@@ -107,13 +107,13 @@
 	return status, word
 }
 
-func (b *bench) patched(base uint64, patch forward.Patch) (int, operatorapi.Error) {
+func (b *bench) patched(base uint64, patch upstream.Patch) (int, operatorapi.Error) {
 	b.t.Helper()
 	status, word, _ := b.clear("PATCH", fmt.Sprintf("?operator=ana&base=%d", base), encode(b.t, patch))
 	return status, word
 }
 
-func (b *bench) newest() (read spec.Spec) {
+func (b *bench) newest() (read document.Spec) {
 	b.t.Helper()
 	status, _, data := b.clear("GET", "", nil)
 	if status != 200 {
@@ -126,7 +126,7 @@
 }
 
 // same compares two sections by what they say; indenting a bundle indents the notes in it too.
-func same(t *testing.T, a, b *forward.Section) bool {
+func same(t *testing.T, a, b *upstream.Section) bool {
 	t.Helper()
 	first, err := json.Marshal(a)
 	if err != nil {
@@ -169,21 +169,21 @@
 		if status, word := b.applied(5, encode(t, bad)); status != 400 || len(word.Faults) != 1 || word.Faults[0].Path != "forward.paths[1].shares[0].pool" {
 			t.Error("a faulty bundle:", status, word)
 		}
-		if status, word := b.patched(5, forward.Patch{Revision: 6, Remove: forward.Names{Pools: []string{"p"}}}); status != 400 {
+		if status, word := b.patched(5, upstream.Patch{Revision: 6, Remove: upstream.Names{Pools: []string{"p"}}}); status != 400 {
 			t.Error("a change that takes a pool from under its paths:", status, word)
 		}
 		if got := b.newest(); !same(t, got.Forward, forwarding(5, 3).Forward) {
 			t.Errorf("read back %+v", got.Forward)
 		}
 	}
-	change := forward.Patch{Revision: 6, Upsert: forward.Items{Paths: []forward.Path{path("new", "q"), path("r1", "q")}}, Remove: forward.Names{Paths: []string{"r0"}}}
+	change := upstream.Patch{Revision: 6, Upsert: upstream.Items{Paths: []upstream.Path{path("new", "q"), path("r1", "q")}}, Remove: upstream.Names{Paths: []string{"r0"}}}
 	for i, b := range group {
 		if status, word := b.patched(5, change); !taken(status) {
 			t.Error("a change:", i, status, word)
 		}
 	}
 	want := forwarding(6, 3)
-	want.Forward.Paths = []forward.Path{path("r1", "q"), path("r2", "p"), path("new", "q")}
+	want.Forward.Paths = []upstream.Path{path("r1", "q"), path("r2", "p"), path("new", "q")}
 	if got := group[2].newest(); !same(t, got.Forward, want.Forward) {
 		t.Errorf("read back %+v", got.Forward)
 	}
--- a/rehearsal/endtoend/caller_test.go
+++ b/testbed/endtoend/caller_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/spec"
-	"github.com/cresspond/cresspond/rehearsal/engine"
-	"github.com/cresspond/cresspond/rehearsal/journal"
+	"github.com/cresspond/cresspond/configuration/document"
+	"github.com/cresspond/cresspond/testbed/engine"
+	"github.com/cresspond/cresspond/testbed/journal"
 	"github.com/cresspond/cresspond/wire/callerapi"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
@@ -404,7 +404,7 @@
 }
 
 func TestHoldingIsBounded(t *testing.T) {
-	b := start(t, func(s *spec.Spec) { s.Limits.MostHeld = 5 }, engine.Config{Slots: 1, PieceTime: 20 * time.Millisecond})
+	b := start(t, func(s *document.Spec) { s.Limits.MostHeld = 5 }, engine.Config{Slots: 1, PieceTime: 20 * time.Millisecond})
 	var wait sync.WaitGroup
 	outcomes := make(chan string, 40)
 	for i := range 40 {
@@ -438,7 +438,7 @@
 	// A stand-in that gets no processor frees a slot later than its last byte tells, and must refuse what comes for
 	// it. So the count is made again with a fresh one, three times in all: who floods does so each time.
 	for count := 1; ; count++ {
-		b := startAgain(t, func(s *spec.Spec) { s.Engines[0].Slots = 4 }, engine.Config{Slots: 2, PieceTime: 5 * time.Millisecond})
+		b := startAgain(t, func(s *document.Spec) { s.Engines[0].Slots = 4 }, engine.Config{Slots: 2, PieceTime: 5 * time.Millisecond})
 		var wait sync.WaitGroup
 		for i := range 12 {
 			wait.Add(1)
--- a/rehearsal/endtoend/cutoff_test.go
+++ b/testbed/endtoend/cutoff_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/process/config"
+	"github.com/cresspond/cresspond/process/daemonconfig"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
@@ -19,7 +19,7 @@
 }
 
 // add brings up one more routing daemon, whose settings name only some seeds.
-func (p *parted) add(name string, seeds []string, settle func(*config.Config)) *bench {
+func (p *parted) add(name string, seeds []string, settle func(*daemonconfig.Config)) *bench {
 	p.t.Helper()
 	b := &bench{t: p.t, platform: p.core[0].platform}
 	b.place()
@@ -28,7 +28,7 @@
 		p.t.Fatal(err)
 	}
 	p.t.Cleanup(func() { listener.Close() })
-	b.name, b.reached, b.serve, b.seeds, b.settle = name, listener.Addr().String(), []config.Role{config.Route}, seeds, settle
+	b.name, b.reached, b.serve, b.seeds, b.settle = name, listener.Addr().String(), []daemonconfig.Role{daemonconfig.Route}, seeds, settle
 	go p.links.Carry(listener, b.name, b.fellow)
 	b.run()
 	return b
@@ -37,7 +37,7 @@
 // A leader that is cut off from the other members, and from nobody else, neither confirms nor refuses anything for
 // good: neither by the log nor by what it knows beside it.
 func TestALeaderThatIsCutOffRefusesNothingForGood(t *testing.T) {
-	p := part(t, 1, func(c *config.Config) { c.OneStep = true })
+	p := part(t, 1, func(c *daemonconfig.Config) { c.OneStep = true })
 	leader := leaderOf(p.core)
 	p.cut(leader, p.core)
 	yes := true
--- a/rehearsal/endtoend/disk_test.go
+++ b/testbed/endtoend/disk_test.go
@@ -8,11 +8,11 @@
 	"sync/atomic"
 	"testing"
 
-	"github.com/cresspond/cresspond/process/config"
-	"github.com/cresspond/cresspond/process/daemon"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/raft"
-	"github.com/cresspond/cresspond/process/replica"
+	"github.com/cresspond/cresspond/daemon"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/raft"
+	"github.com/cresspond/cresspond/process/consensus/replica"
+	"github.com/cresspond/cresspond/process/daemonconfig"
 )
 
 // full is a data folder that may take no more bytes.
@@ -30,7 +30,9 @@
 
 // waiting has a daemon wait where its disk is in trouble. Each attempt arrives once, so that nothing but the
 // disk is in the way of a request.
-func waiting(c *config.Config) { c.Trouble, c.Attempts = config.WaitOnTrouble, config.LocalAttempts }
+func waiting(c *daemonconfig.Config) {
+	c.Trouble, c.Attempts = daemonconfig.WaitOnTrouble, daemonconfig.LocalAttempts
+}
 
 func TestALeaderWithAFullDiskStepsAsideAndComesBack(t *testing.T) {
 	fulls := make([]*atomic.Bool, 3)
--- a/rehearsal/endtoend/granted_test.go
+++ b/testbed/endtoend/granted_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/process/actor"
-	"github.com/cresspond/cresspond/process/clock"
+	"github.com/cresspond/cresspond/actor"
+	"github.com/cresspond/cresspond/clock"
 )
 
 const (
--- a/rehearsal/endtoend/harness_test.go
+++ b/testbed/endtoend/harness_test.go
@@ -22,14 +22,14 @@
 	"github.com/apex/log/handlers/discard"
 	"github.com/apex/log/handlers/memory"
 
-	"github.com/cresspond/cresspond/epoch/spec"
-	"github.com/cresspond/cresspond/process/config"
-	"github.com/cresspond/cresspond/process/daemon"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/rehearsal/caller"
-	"github.com/cresspond/cresspond/rehearsal/engine"
-	"github.com/cresspond/cresspond/rehearsal/journal"
-	"github.com/cresspond/cresspond/rehearsal/platform"
+	"github.com/cresspond/cresspond/configuration/document"
+	"github.com/cresspond/cresspond/daemon"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/daemonconfig"
+	"github.com/cresspond/cresspond/testbed/caller"
+	"github.com/cresspond/cresspond/testbed/engine"
+	"github.com/cresspond/cresspond/testbed/journal"
+	"github.com/cresspond/cresspond/testbed/platform"
 	"github.com/cresspond/cresspond/wire/callerapi"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 	"github.com/cresspond/cresspond/wire/platformapi"
@@ -56,11 +56,11 @@
 	seeds   []string
 	options []daemon.Option
 	// settle changes the settings of a daemon that is not ordinary.
-	settle func(*config.Config)
+	settle func(*daemonconfig.Config)
 	ran    bool
 	// reached is where others reach it, if something stands between; serve is what it serves, if not all.
 	reached string
-	serve   []config.Role
+	serve   []daemonconfig.Role
 }
 
 var benches atomic.Int64
@@ -108,21 +108,21 @@
 	}
 }
 
-func testSpec(engines, slots int) spec.Spec {
-	s := spec.Spec{
-		Name: "bench", Zones: []spec.Zone{{Name: "here"}, {Name: "there"}},
-		Models:   []spec.Model{{Name: "m", Size: 10}, {Name: "other", Size: 10}},
-		Adapters: []spec.Adapter{{Name: "a", Model: "m"}, {Name: "b", Model: "other"}},
-		Routes: []spec.Route{
+func testSpec(engines, slots int) document.Spec {
+	s := document.Spec{
+		Name: "bench", Zones: []document.Zone{{Name: "here"}, {Name: "there"}},
+		Models:   []document.Model{{Name: "m", Size: 10}, {Name: "other", Size: 10}},
+		Adapters: []document.Adapter{{Name: "a", Model: "m"}, {Name: "b", Model: "other"}},
+		Routes: []document.Route{
 			{Name: "r", House: "h", Worth: 10, Models: []string{"m"}, Adapters: []string{"a"}},
 			{Name: "high", House: "h", Worth: 90, Models: []string{"m"}},
 			{Name: "rival", House: "k", Worth: 10, Models: []string{"m"}},
 		},
-		Store:  spec.Store{LoadsAtOnce: 4},
-		Limits: spec.Limits{MostBodyBytes: 4096, MostHeld: 50, MostHeldBytes: 1 << 20, MostDeadlineMs: 30000, SeatIdleMs: 20000, RetryShare: 0.1},
+		Store:  document.Store{LoadsAtOnce: 4},
+		Limits: document.Limits{MostBodyBytes: 4096, MostHeld: 50, MostHeldBytes: 1 << 20, MostDeadlineMs: 30000, SeatIdleMs: 20000, RetryShare: 0.1},
 	}
 	for i := range engines {
-		s.Engines = append(s.Engines, spec.Engine{ID: ident.EngineID(fmt.Sprintf("e%d", i)), Zone: "here", Room: 25, AdapterPlaces: 4, Slots: slots})
+		s.Engines = append(s.Engines, document.Engine{ID: ident.EngineID(fmt.Sprintf("e%d", i)), Zone: "here", Room: 25, AdapterPlaces: 4, Slots: slots})
 	}
 	return s
 }
@@ -137,14 +137,14 @@
 }
 
 // start brings up a daemon and its engines, rolls a bundle and waits until model m is held by all engines that should hold it.
-func start(t *testing.T, change func(*spec.Spec), configs ...engine.Config) *bench {
+func start(t *testing.T, change func(*document.Spec), configs ...engine.Config) *bench {
 	t.Helper()
 	t.Parallel()
 	return startAgain(t, change, configs...)
 }
 
 // startAgain does the same in a test that may have begun with another.
-func startAgain(t *testing.T, change func(*spec.Spec), configs ...engine.Config) *bench {
+func startAgain(t *testing.T, change func(*document.Spec), configs ...engine.Config) *bench {
 	t.Helper()
 	b := standIns(t, configs...)
 	if slices.ContainsFunc(configs, func(c engine.Config) bool { return c.Fault != "" }) {
@@ -158,7 +158,7 @@
 }
 
 // several brings up a group of daemons that serve everything, with one engine; each may have options of its own.
-func several(t *testing.T, size int, options func(i int) []daemon.Option, settle ...func(*config.Config)) []*bench {
+func several(t *testing.T, size int, options func(i int) []daemon.Option, settle ...func(*daemonconfig.Config)) []*bench {
 	t.Helper()
 	first := prepare(t, engine.Config{Slots: 8})
 	out, seeds := []*bench{}, []string{}
@@ -252,7 +252,7 @@
 }
 
 // begin rolls the first bundle and waits until the engines hold what they should.
-func (b *bench) begin(change func(*spec.Spec), configs ...engine.Config) {
+func (b *bench) begin(change func(*document.Spec), configs ...engine.Config) {
 	b.t.Helper()
 	slots := 4
 	if len(configs) > 0 && configs[0].Slots > 0 {
@@ -270,9 +270,9 @@
 
 // run starts the daemon on its data folder.
 func (b *bench) run() {
-	settings := config.Default()
+	settings := daemonconfig.Default()
 	settings.Name, settings.Zone, settings.Listen, settings.FellowListen = b.name, "here", b.address, b.fellow
-	settings.Seeds, settings.Serve, settings.FellowAddress = b.seeds, []config.Role{config.Route, config.Control, config.Place}, b.reached
+	settings.Seeds, settings.Serve, settings.FellowAddress = b.seeds, []daemonconfig.Role{daemonconfig.Route, daemonconfig.Control, daemonconfig.Place}, b.reached
 	if b.serve != nil {
 		settings.Serve = b.serve
 	}
--- a/rehearsal/endtoend/leaving_test.go
+++ b/testbed/endtoend/leaving_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/apex/log/handlers/memory"
 
-	"github.com/cresspond/cresspond/process/config"
-	"github.com/cresspond/cresspond/rehearsal/fleet"
+	"github.com/cresspond/cresspond/process/daemonconfig"
+	"github.com/cresspond/cresspond/testbed/fleet"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
@@ -28,7 +28,7 @@
 	core, edges []*bench
 }
 
-func part(t *testing.T, edges int, settle func(*config.Config)) *parted {
+func part(t *testing.T, edges int, settle func(*daemonconfig.Config)) *parted {
 	t.Helper()
 	first := prepare(t)
 	p := &parted{t: t, links: fleet.NewLinks()}
@@ -47,10 +47,10 @@
 		b.logs = memory.New()
 		b.name, b.reached = fmt.Sprint("core", i), listener.Addr().String()
 		if i < 3 {
-			b.serve, seeds = []config.Role{config.Control, config.Place}, append(seeds, b.reached)
+			b.serve, seeds = []daemonconfig.Role{daemonconfig.Control, daemonconfig.Place}, append(seeds, b.reached)
 			p.core = append(p.core, b)
 		} else {
-			b.name, b.serve = fmt.Sprint("edge", i-3), []config.Role{config.Route}
+			b.name, b.serve = fmt.Sprint("edge", i-3), []daemonconfig.Role{daemonconfig.Route}
 			p.edges = append(p.edges, b)
 		}
 		go p.links.Carry(listener, b.name, b.fellow)
@@ -114,7 +114,7 @@
 
 func TestALeaverIsKnownEverywhereThoughItsLeaderWasCutOff(t *testing.T) {
 	// Engines here beat once, so that none is taken for silent where its leaving is looked for.
-	p := part(t, 3, func(c *config.Config) { c.Bounds.BeatMs = 600000 })
+	p := part(t, 3, func(c *daemonconfig.Config) { c.Bounds.BeatMs = 600000 })
 	p.register("r0", "r1", "r2")
 	leader := leaderOf(p.core)
 	var followers []*bench
--- a/rehearsal/endtoend/life_test.go
+++ b/testbed/endtoend/life_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/process/config"
-	"github.com/cresspond/cresspond/rehearsal/engine"
+	"github.com/cresspond/cresspond/process/daemonconfig"
+	"github.com/cresspond/cresspond/testbed/engine"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
@@ -18,7 +18,9 @@
 func TestAStoppingDaemonServesUntilThePlatformHasMovedOn(t *testing.T) {
 	b := prepare(t, engine.Config{Slots: 4, PieceTime: 300 * time.Millisecond})
 	readiness := free(t)
-	b.settle = func(c *config.Config) { c.ReadyListen, c.Attempts, c.DrainMs = readiness, config.LocalAttempts, 60000 }
+	b.settle = func(c *daemonconfig.Config) {
+		c.ReadyListen, c.Attempts, c.DrainMs = readiness, daemonconfig.LocalAttempts, 60000
+	}
 	b.run()
 	b.await("the group acts", func() bool { return b.status().Raft != nil && b.status().Raft.Role == "leader" })
 	b.begin(nil, engine.Config{Slots: 4})
--- a/rehearsal/endtoend/linearizable_test.go
+++ b/testbed/endtoend/linearizable_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/epoch/spec"
-	"github.com/cresspond/cresspond/process/linearizability"
+	"github.com/cresspond/cresspond/configuration/document"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/process/consensus/linearizability"
 )
 
 const (
@@ -68,7 +68,7 @@
 	made := raceOrder{method: "PUT", order: &linearizability.Order{Digest: name, Base: base, Revision: revision, Validity: linearizability.Sound}}
 	if base > 0 && random.IntN(4) == 0 {
 		made.method = "PATCH"
-		made.body = encode(r.t, forward.Patch{Revision: revision, Upsert: forward.Items{Paths: []forward.Path{path(name, "q")}}})
+		made.body = encode(r.t, upstream.Patch{Revision: revision, Upsert: upstream.Items{Paths: []upstream.Path{path(name, "q")}}})
 	} else {
 		bundle := forwarding(revision, 1)
 		bundle.Name, made.order.Content = name, name
@@ -95,7 +95,7 @@
 	noted := r.note(linearizability.Call{Client: who, Read: &linearizability.Read{}})
 	for range racerSendings {
 		status, _, data, _ := r.core[random.IntN(len(r.core))].bundleCall("GET", "", nil)
-		var bundle spec.Spec
+		var bundle document.Spec
 		if status != 200 || json.Unmarshal(data, &bundle) != nil || bundle.Forward == nil {
 			continue
 		}
--- a/rehearsal/endtoend/opaque_test.go
+++ b/testbed/endtoend/opaque_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/epoch/spec"
-	"github.com/cresspond/cresspond/process/daemon"
+	"github.com/cresspond/cresspond/configuration/document"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/daemon"
 	"github.com/cresspond/cresspond/wire/dialect"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
@@ -86,7 +86,7 @@
 func TestOpaqueRequestsFollowBundlesAndEngines(t *testing.T) {
 	all := together(t, 3, true, func(int) []daemon.Option { return []daemon.Option{daemon.WithForwarding(dialect.Own())} })
 	bundle := forwarding(1, 2)
-	bundle.Forward.Paths[1].Class, bundle.Forward.Paths[1].Attempts = forward.Repeatable, 3
+	bundle.Forward.Paths[1].Class, bundle.Forward.Paths[1].Attempts = upstream.Repeatable, 3
 	// An answer to what may be there somewhere is not that it is nowhere.
 	if status, _, _ := all[0].ask("/r0/x", "early"); status != 503 {
 		t.Error("before any bundle:", status)
@@ -134,7 +134,7 @@
 	everywhere("another engine serves", "/r0/x", 200)
 
 	// Paths come and go with the bundle.
-	if status, word := all[1].acknowledged("PATCH", 1, encode(t, forward.Patch{Revision: 2, Upsert: forward.Items{Paths: []forward.Path{path("new", "p")}}, Remove: forward.Names{Paths: []string{"r0"}}})); status != 200 {
+	if status, word := all[1].acknowledged("PATCH", 1, encode(t, upstream.Patch{Revision: 2, Upsert: upstream.Items{Paths: []upstream.Path{path("new", "p")}}, Remove: upstream.Names{Paths: []string{"r0"}}})); status != 200 {
 		t.Fatal(status, word)
 	}
 	second.beat(all[0], false)
@@ -146,7 +146,7 @@
 func TestAPlannedStopAnswersOpaqueRequests(t *testing.T) {
 	all := together(t, 3, true, func(int) []daemon.Option { return []daemon.Option{daemon.WithForwarding(dialect.Own())} })
 	b := all[1]
-	bundle := spec.Spec{Name: "opaque", Forward: &forward.Section{Revision: 1, Pools: []forward.Pool{{Name: "p"}}, Paths: []forward.Path{path("slow", "p")}}}
+	bundle := document.Spec{Name: "opaque", Forward: &upstream.Section{Revision: 1, Pools: []upstream.Pool{{Name: "p"}}, Paths: []upstream.Path{path("slow", "p")}}}
 	bundle.Forward.Paths[0].DeadlineMs = 20_000
 	if status, word := b.acknowledged("PUT", 0, encode(t, bundle)); status != 200 {
 		t.Fatal(status, word)
--- a/rehearsal/endtoend/operator_test.go
+++ b/testbed/endtoend/operator_test.go
@@ -8,12 +8,12 @@
 	"strings"
 	"testing"
 
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/raft"
-	"github.com/cresspond/cresspond/process/statemachine"
-	"github.com/cresspond/cresspond/rehearsal/engine"
-	"github.com/cresspond/cresspond/wire/fellowapi"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/raft"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/testbed/engine"
 	"github.com/cresspond/cresspond/wire/operatorapi"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 func decode(t *testing.T, response *http.Response, into any) {
@@ -206,15 +206,15 @@
 func TestGarbageFromFellowsIsRefusedAndCounted(t *testing.T) {
 	b := start(t, nil, engine.Config{})
 	group := string(b.status().Group)
-	fellow := fellowapi.NewFellowProtobufClient("http://"+b.fellow, http.DefaultClient)
+	fellow := peerapi.NewFellowProtobufClient("http://"+b.fellow, http.DefaultClient)
 	ctx := context.Background()
-	garbage := []*fellowapi.RaftBatch{
-		{Group: group, Messages: []*fellowapi.RaftMessage{{Kind: 99, From: 1, To: 1, Term: 1}}},
-		{Group: group, Messages: []*fellowapi.RaftMessage{{Kind: uint32(raft.MsgSnapshot), From: 1, To: 1, Term: 1}}},
-		{Group: group, Messages: []*fellowapi.RaftMessage{{Kind: uint32(raft.MsgAppend), From: 1, To: 1, Term: 1, LogIndex: 5, Entries: []*fellowapi.RaftEntry{{Index: 9, Term: 1}}}}},
-		{Group: group, Messages: []*fellowapi.RaftMessage{{Kind: uint32(raft.MsgAppend), From: 1, To: 1, Term: 1, Entries: []*fellowapi.RaftEntry{{Index: 1, Term: 1, Kind: uint32(raft.EntryMembership), Data: []byte("{")}}}}},
+	garbage := []*peerapi.RaftBatch{
+		{Group: group, Messages: []*peerapi.RaftMessage{{Kind: 99, From: 1, To: 1, Term: 1}}},
+		{Group: group, Messages: []*peerapi.RaftMessage{{Kind: uint32(raft.MsgSnapshot), From: 1, To: 1, Term: 1}}},
+		{Group: group, Messages: []*peerapi.RaftMessage{{Kind: uint32(raft.MsgAppend), From: 1, To: 1, Term: 1, LogIndex: 5, Entries: []*peerapi.RaftEntry{{Index: 9, Term: 1}}}}},
+		{Group: group, Messages: []*peerapi.RaftMessage{{Kind: uint32(raft.MsgAppend), From: 1, To: 1, Term: 1, Entries: []*peerapi.RaftEntry{{Index: 1, Term: 1, Kind: uint32(raft.EntryMembership), Data: []byte("{")}}}}},
 		{Group: "", Messages: nil},
-		{Group: group, Messages: []*fellowapi.RaftMessage{{Kind: uint32(raft.MsgHeartbeat), From: 1, To: 1, Term: 99}}},
+		{Group: group, Messages: []*peerapi.RaftMessage{{Kind: uint32(raft.MsgHeartbeat), From: 1, To: 1, Term: 99}}},
 	}
 	for i, batch := range garbage {
 		if _, err := fellow.Raft(ctx, batch); err == nil {
@@ -225,16 +225,16 @@
 		t.Errorf("%d were counted", n)
 	}
 	before := b.counter("fellow_foreign_group")
-	if _, err := fellow.Raft(ctx, &fellowapi.RaftBatch{Group: "another", Messages: []*fellowapi.RaftMessage{{Kind: uint32(raft.MsgHeartbeat), From: 1, To: 2, Term: 99}}}); err == nil {
+	if _, err := fellow.Raft(ctx, &peerapi.RaftBatch{Group: "another", Messages: []*peerapi.RaftMessage{{Kind: uint32(raft.MsgHeartbeat), From: 1, To: 2, Term: 99}}}); err == nil {
 		t.Error("another group's message was taken")
 	}
-	if _, err := fellow.Submit(ctx, &fellowapi.SubmitRequest{Group: "another", Command: []byte(`{"op":"CLOSURE","zone":"here","closed":true}`)}); err == nil {
+	if _, err := fellow.Submit(ctx, &peerapi.SubmitRequest{Group: "another", Command: []byte(`{"op":"CLOSURE","zone":"here","closed":true}`)}); err == nil {
 		t.Error("another group's command was taken")
 	}
-	if _, err := fellow.Submit(ctx, &fellowapi.SubmitRequest{Group: group, Command: []byte(`{"op":"RECLAIM"}`)}); err == nil {
+	if _, err := fellow.Submit(ctx, &peerapi.SubmitRequest{Group: group, Command: []byte(`{"op":"RECLAIM"}`)}); err == nil {
 		t.Error("a command that is the leader's alone was taken")
 	}
-	if _, err := fellow.Pull(ctx, &fellowapi.PullRequest{Group: "another", NodeId: "x", Address: "y"}); err == nil {
+	if _, err := fellow.Pull(ctx, &peerapi.PullRequest{Group: "another", NodeId: "x", Address: "y"}); err == nil {
 		t.Error("another group's pull was served")
 	}
 	if n := b.counter("fellow_foreign_group"); n != before+3 {
--- a/rehearsal/endtoend/order_test.go
+++ b/testbed/endtoend/order_test.go
@@ -16,15 +16,15 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/epoch/spec"
-	"github.com/cresspond/cresspond/process/config"
-	"github.com/cresspond/cresspond/process/daemon"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/raft"
-	"github.com/cresspond/cresspond/process/replica"
-	"github.com/cresspond/cresspond/process/statemachine"
-	"github.com/cresspond/cresspond/rehearsal/fleet"
+	"github.com/cresspond/cresspond/configuration/document"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/daemon"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/raft"
+	"github.com/cresspond/cresspond/process/consensus/replica"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/daemonconfig"
+	"github.com/cresspond/cresspond/testbed/fleet"
 )
 
 // silence is how long an operator's caller waits for an answer, with what a busy machine may add, of the time that
@@ -72,7 +72,7 @@
 		t.Cleanup(func() { listener.Close() })
 		b.name, b.reached = fmt.Sprint("core", i), listener.Addr().String()
 		seeds, o.core = append(seeds, b.reached), append(o.core, b)
-		b.settle = func(c *config.Config) { c.OneStep = true }
+		b.settle = func(c *daemonconfig.Config) { c.OneStep = true }
 		b.options = []daemon.Option{daemon.WithDisk(func(under replica.Disk) replica.Disk {
 			return noting{under, func() {
 				if hook := o.written.Load(); hook != nil {
@@ -125,7 +125,7 @@
 	var revision uint64
 	o.core[0].await("all have the same in force", func() bool {
 		status, _, data, _ := o.core[0].bundleCall("GET", "", nil)
-		var read spec.Spec
+		var read document.Spec
 		if status != 200 || json.Unmarshal(data, &read) != nil {
 			return false
 		}
@@ -270,7 +270,7 @@
 			}
 		}
 		next := base + 1 + random.Uint64N(5)
-		change := forward.Patch{Revision: next, Upsert: forward.Items{Paths: []forward.Path{path(fmt.Sprint("n", round%7), "q")}}, Remove: forward.Names{Paths: []string{fmt.Sprint("n", (round+3)%7)}}}
+		change := upstream.Patch{Revision: next, Upsert: upstream.Items{Paths: []upstream.Path{path(fmt.Sprint("n", round%7), "q")}}, Remove: upstream.Names{Paths: []string{fmt.Sprint("n", (round+3)%7)}}}
 		for try := 0; ; try++ {
 			if try == 8 {
 				// Where the operator reaches only one that is cut off, it would call for ever.
@@ -346,7 +346,7 @@
 	bad := forwarding(6, 2)
 	bad.Forward.Paths[0].DeadlineMs = 0
 	run(1, "forward.paths[0].deadlineMs", "apply", file("bad", encode(t, bad)), "--base", "5")
-	run(0, "revision 9", "patch", file("patch", encode(t, forward.Patch{Revision: 9, Remove: forward.Names{Paths: []string{"r0"}}})), "--base", "5")
+	run(0, "revision 9", "patch", file("patch", encode(t, upstream.Patch{Revision: 9, Remove: upstream.Names{Paths: []string{"r0"}}})), "--base", "5")
 	run(0, "revision 9", "show")
 	run(1, "is missing", "apply", file("sessions", encode(t, testSpec(1, 1))), "--base", "9")
 }
--- a/rehearsal/endtoend/snapshot_test.go
+++ b/testbed/endtoend/snapshot_test.go
@@ -10,18 +10,18 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/process/config"
-	"github.com/cresspond/cresspond/process/daemon"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/raft"
-	"github.com/cresspond/cresspond/process/replica"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/daemon"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/raft"
+	"github.com/cresspond/cresspond/process/consensus/replica"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/daemonconfig"
 )
 
 // shortLogs has each daemon cut its log so often that an absence of seconds ends with a snapshot.
-func shortLogs(c *config.Config) {
+func shortLogs(c *daemonconfig.Config) {
 	waiting(c)
-	c.Compaction = config.Compaction{Entries: 10, Keep: 1}
+	c.Compaction = daemonconfig.Compaction{Entries: 10, Keep: 1}
 }
 
 // restart ends a daemon, lets something happen, and starts it on the same folder.
--- a/rehearsal/endtoend/stopping_test.go
+++ b/testbed/endtoend/stopping_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"github.com/cresspond/cresspond/process/config"
+	"github.com/cresspond/cresspond/process/daemonconfig"
 )
 
 // stopped stops a daemon as planned, and gives its last line.
@@ -23,7 +23,7 @@
 // TestAStopSaysWhatIsNotHandedOver: the first of three leaves nothing behind. The second of them may not be done
 // without, stays until its time is up, and says what it takes along; so does the last.
 func TestAStopSaysWhatIsNotHandedOver(t *testing.T) {
-	p := part(t, 0, func(c *config.Config) { c.DrainMs = 2500 })
+	p := part(t, 0, func(c *daemonconfig.Config) { c.DrainMs = 2500 })
 	p.register("r0", "r1")
 	leader := leaderOf(p.core)
 	var followers []*bench
--- a/rehearsal/engine/engine.go
+++ b/testbed/engine/engine.go
@@ -15,7 +15,7 @@
 	"sync"
 	"time"
 
-	"github.com/cresspond/cresspond/rehearsal/journal"
+	"github.com/cresspond/cresspond/testbed/journal"
 	"github.com/cresspond/cresspond/wire/engineapi"
 )
 
--- a/rehearsal/engine/orders.go
+++ b/testbed/engine/orders.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/rehearsal/journal"
+	"github.com/cresspond/cresspond/testbed/journal"
 	"github.com/cresspond/cresspond/wire/engineapi"
 )
 
--- a/rehearsal/fleet/fleet.go
+++ b/testbed/fleet/fleet.go
@@ -15,10 +15,10 @@
 	"syscall"
 	"time"
 
-	"github.com/cresspond/cresspond/process/config"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/rehearsal/deployment"
-	"github.com/cresspond/cresspond/rehearsal/platform"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/daemonconfig"
+	"github.com/cresspond/cresspond/testbed/deployment"
+	"github.com/cresspond/cresspond/testbed/platform"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 	"github.com/cresspond/cresspond/wire/platformapi"
 )
@@ -126,13 +126,13 @@
 
 // settle writes a daemon's settings.
 func (f *Fleet) settle(p *Process) error {
-	settings := config.Default()
+	settings := daemonconfig.Default()
 	settings.Name, settings.Zone, settings.Listen, settings.FellowListen = p.Name, p.Zone, p.Address, p.Fellow
 	settings.FellowAddress = p.Reached
 	settings.Seeds, settings.Platform = f.seeds, f.Platform.Address()
-	settings.Serve = []config.Role{config.Route}
+	settings.Serve = []daemonconfig.Role{daemonconfig.Route}
 	if p.Core {
-		settings.Serve = []config.Role{config.Control, config.Place}
+		settings.Serve = []daemonconfig.Role{daemonconfig.Control, daemonconfig.Place}
 		settings.Data = f.DataOf(p)
 	}
 	data, err := json.MarshalIndent(settings, "", "  ")
--- a/rehearsal/interleave/interleave.go
+++ b/testbed/interleaving/interleave.go
@@ -1,6 +1,6 @@
-// Package interleave runs a few threads in every order their steps can take, one step at a time, and
+// Package interleaving runs a few threads in every order their steps can take, one step at a time, and
 // checks each outcome. A thread gives up its turn where it calls yield.
-package interleave
+package interleaving
 
 import (
 	"fmt"
--- a/rehearsal/interleave/interleave_test.go
+++ b/testbed/interleaving/interleave_test.go
@@ -1,4 +1,4 @@
-package interleave
+package interleaving
 
 import (
 	"encoding/json"
@@ -7,15 +7,15 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/spec"
-	"github.com/cresspond/cresspond/epoch/table"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/engines"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/replica"
-	"github.com/cresspond/cresspond/process/snowflake"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/document"
+	"github.com/cresspond/cresspond/configuration/routingtable"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/replica"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/engines/discovery"
 	"github.com/cresspond/cresspond/process/workerid"
+	"github.com/cresspond/cresspond/process/workerid/snowflake"
 	"github.com/cresspond/cresspond/request/dispatch"
 	"github.com/cresspond/cresspond/wire/engineapi"
 )
@@ -211,21 +211,21 @@
 	bites(t, expiryCase(-time.Minute))
 }
 
-func bench(zoneShut bool) *table.Table {
-	s := &spec.Spec{
-		Name: "x", Zones: []spec.Zone{{Name: "z"}}, Engines: []spec.Engine{{ID: "e", Zone: "z", Room: 10, Slots: 1}},
-		Models: []spec.Model{{Name: "m", Size: 5}}, Routes: []spec.Route{{Name: "r", House: "h", Models: []string{"m"}}},
-		Limits: spec.Limits{MostHeld: 10, MostHeldBytes: 1000, RetryShare: 0.1, SeatIdleMs: 1000},
+func bench(zoneShut bool) *routingtable.Table {
+	s := &document.Spec{
+		Name: "x", Zones: []document.Zone{{Name: "z"}}, Engines: []document.Engine{{ID: "e", Zone: "z", Room: 10, Slots: 1}},
+		Models: []document.Model{{Name: "m", Size: 5}}, Routes: []document.Route{{Name: "r", House: "h", Models: []string{"m"}}},
+		Limits: document.Limits{MostHeld: 10, MostHeldBytes: 1000, RetryShare: 0.1, SeatIdleMs: 1000},
 	}
 	closures := statemachine.Closures{Zones: map[ident.ZoneID]statemachine.ClosureMark{}}
 	if zoneShut {
 		closures.Epoch, closures.Zones["z"] = 1, statemachine.ClosureMark{}
 	}
-	return table.Build(1, nil, s, closures)
+	return routingtable.Build(1, nil, s, closures)
 }
 
-func engineView() *engines.View {
-	return &engines.View{Engines: map[ident.EngineID]*engines.Engine{"e": {ID: "e", Address: "x", Zone: "z", Condition: engines.Sound,
+func engineView() *discovery.View {
+	return &discovery.View{Engines: map[ident.EngineID]*discovery.Engine{"e": {ID: "e", Address: "x", Zone: "z", Condition: discovery.Sound,
 		Report: engineapi.Report{Models: []engineapi.ModelReport{{Model: "m", State: engineapi.Loaded}}}}}}
 }
 
@@ -233,7 +233,7 @@
 type router struct {
 	core    *dispatch.Core
 	now     clock.Mark
-	table   *table.Table
+	table   *routingtable.Table
 	written map[dispatch.RecordID]bool
 	refused map[dispatch.RecordID]bool
 	sends   []dispatch.Send
--- a/rehearsal/interleave/orders_test.go
+++ b/testbed/interleaving/orders_test.go
@@ -1,4 +1,4 @@
-package interleave
+package interleaving
 
 import (
 	"encoding/json"
@@ -6,11 +6,11 @@
 	"reflect"
 	"testing"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/epoch/spec"
-	"github.com/cresspond/cresspond/process/applying"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/configuration/document"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/rollout/directapply"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
@@ -73,7 +73,7 @@
 	order             statemachine.OrderStanding
 }
 
-func keyOf(standing applying.Standing, call operatorapi.Apply) standingKey {
+func keyOf(standing directapply.Standing, call operatorapi.Apply) standingKey {
 	key := standingKey{revision: standing.Revision, epoch: standing.Epoch, digest: call.Digest, base: call.Base, order: standing.Order}
 	if standing.Proposal != nil {
 		key.newest, key.bundle = standing.Proposal.ID, string(standing.Proposal.Spec)
@@ -89,12 +89,12 @@
 type decisions map[standingKey]decided
 
 type decided struct {
-	standing applying.Standing
+	standing directapply.Standing
 	call     operatorapi.Apply
-	decision applying.Decision
+	decision directapply.Decision
 }
 
-func (d decisions) of(standing applying.Standing, call operatorapi.Apply) applying.Decision {
+func (d decisions) of(standing directapply.Standing, call operatorapi.Apply) directapply.Decision {
 	key := keyOf(standing, call)
 	known, again := d[key]
 	if !again {
@@ -118,7 +118,7 @@
 func carry(l *orderLog, known decisions, call operatorapi.Apply, broken string, out *operatorapi.Applying) func(func()) {
 	return func(yield func()) {
 		out.Outcome = operatorapi.Unknown
-		standing := applying.Look(l.state, call)
+		standing := directapply.Look(l.state, call)
 		yield()
 		decision := known.of(standing, call)
 		switch {
@@ -137,15 +137,15 @@
 		entry := l.put(*decision.Submit)
 		yield()
 		if l.commit(entry) {
-			*out = applying.After(*entry.result)
+			*out = directapply.After(*entry.result)
 		}
 	}
 }
 
 func orderBundle(revision uint64, pool string) []byte {
-	section := &forward.Section{Revision: revision, Pools: []forward.Pool{{Name: pool}}, Paths: []forward.Path{
-		{Name: "r", Host: "h", Prefix: "/", Class: forward.Once, DeadlineMs: 1, Attempts: 1, Shares: []forward.Share{{Pool: pool, Weight: 1}}}}}
-	data, err := json.Marshal(spec.Spec{Name: "b", Forward: section})
+	section := &upstream.Section{Revision: revision, Pools: []upstream.Pool{{Name: pool}}, Paths: []upstream.Path{
+		{Name: "r", Host: "h", Prefix: "/", Class: upstream.Once, DeadlineMs: 1, Attempts: 1, Shares: []upstream.Share{{Pool: pool, Weight: 1}}}}}
+	data, err := json.Marshal(document.Spec{Name: "b", Forward: section})
 	if err != nil {
 		panic(err)
 	}
@@ -158,7 +158,7 @@
 }
 
 func patchCall(base, revision uint64) operatorapi.Apply {
-	patch := &forward.Patch{Revision: revision, Upsert: forward.Items{Pools: []forward.Pool{{Name: "q"}}}}
+	patch := &upstream.Patch{Revision: revision, Upsert: upstream.Items{Pools: []upstream.Pool{{Name: "q"}}}}
 	return operatorapi.Apply{Base: ident.Revision(base), Digest: fmt.Sprint("patch ", base, revision), Patch: patch}
 }
 
@@ -261,7 +261,7 @@
 
 func TestFaultyOrders(t *testing.T) {
 	t.Parallel()
-	unknownPool := &forward.Patch{Revision: 7, Remove: forward.Names{Pools: []string{"p"}}}
+	unknownPool := &upstream.Patch{Revision: 7, Remove: upstream.Names{Pools: []string{"p"}}}
 	faulty := operatorapi.Apply{Base: 5, Digest: "faulty", Patch: unknownPool}
 	// The base that makes it sound comes from another order, and is not its own base.
 	holds(t, orderCase(t, true, "", faulty, faulty, wholeCall(5, 8)))
--- a/rehearsal/journal/journal.go
+++ b/testbed/journal/journal.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
+	"github.com/cresspond/cresspond/clock"
 )
 
 // Kind names a line.
--- a/rehearsal/cutoff/checker_test.go
+++ b/testbed/partitionsim/checker_test.go
@@ -1,13 +1,13 @@
-package cutoff
+package partitionsim
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/membership"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/cluster/membership"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
--- a/rehearsal/cutoff/cutoff_test.go
+++ b/testbed/partitionsim/cutoff_test.go
@@ -1,4 +1,4 @@
-package cutoff
+package partitionsim
 
 import (
 	"os"
@@ -193,7 +193,7 @@
 	return w
 }
 
-// seeds is how many histories are played; more for a search: CRESSPOND_SEEDS=2000 go test ./rehearsal/cutoff
+// seeds is how many histories are played; more for a search: CRESSPOND_SEEDS=2000 go test ./testbed/partitionsim
 func seeds(usual uint64) uint64 {
 	if wanted, err := strconv.ParseUint(os.Getenv("CRESSPOND_SEEDS"), 10, 64); err == nil {
 		return wanted
--- a/rehearsal/cutoff/node_test.go
+++ b/testbed/partitionsim/node_test.go
@@ -1,4 +1,4 @@
-package cutoff
+package partitionsim
 
 import (
 	"context"
@@ -6,14 +6,14 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/membership"
-	"github.com/cresspond/cresspond/process/raft"
-	"github.com/cresspond/cresspond/process/replica"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/cluster/membership"
+	"github.com/cresspond/cresspond/process/consensus/raft"
+	"github.com/cresspond/cresspond/process/consensus/replica"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
 	"github.com/cresspond/cresspond/process/rollout"
-	"github.com/cresspond/cresspond/process/statemachine"
-	"github.com/cresspond/cresspond/wire/fellowapi"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 const (
@@ -82,10 +82,10 @@
 }
 
 type heldPull struct {
-	in       *fellowapi.PullRequest
+	in       *peerapi.PullRequest
 	arrived  clock.Mark
 	gap, end clock.Mark
-	answer   func(*fellowapi.PullReply)
+	answer   func(*peerapi.PullReply)
 }
 
 func firstState(members raft.Membership) raft.Restored {
@@ -365,7 +365,7 @@
 	}
 	n.asking[q] = true
 	asked, force := n.clock(), n.force()
-	in := &fellowapi.PullRequest{Group: group, NodeId: string(n.id()), Address: n.name, Zone: string(n.zone), Serve: n.serve(), Ready: true,
+	in := &peerapi.PullRequest{Group: group, NodeId: string(n.id()), Address: n.name, Zone: string(n.zone), Serve: n.serve(), Ready: true,
 		SpecEpoch: uint64(force.Spec), ClosureEpoch: uint64(force.Closure), RowVersion: 1, Row: true, Everyone: q.everyone, TakesPacked: true, Beats: n.control}
 	hold := time.Duration(0)
 	if q.linked && n.view.Settled {
@@ -381,7 +381,7 @@
 		in.RegistryUrgent = n.urgentOnly(q.address)
 	}
 	n.call(to, hold+membership.PullTimeout, func(answer func(func())) {
-		to.pulled(in, func(reply *fellowapi.PullReply) {
+		to.pulled(in, func(reply *peerapi.PullReply) {
 			answer(func() {
 				n.take(q, membership.Answer{Question: about, Asked: asked, Heard: n.clock(), Reply: reply}, in.RegistryUrgent)
 			})
@@ -423,8 +423,8 @@
 }
 
 // distort breaks what an answer says of its confirmation, where a variant wants that.
-func (n *node) distort(answer membership.Answer) *fellowapi.PullReply {
-	reply := &fellowapi.PullReply{}
+func (n *node) distort(answer membership.Answer) *peerapi.PullReply {
+	reply := &peerapi.PullReply{}
 	// The parts are shared, and nothing is written to them.
 	copyReply(reply, answer.Reply)
 	sinceAsked := answer.Heard.Since(answer.Asked).Milliseconds()
@@ -433,26 +433,26 @@
 		reply.Confirmation = nil
 	case staysWithRelay:
 		if answer.Address == n.view.LeaderAddress || answer.Address == n.view.TellerAddress {
-			reply.Confirmation = &fellowapi.Confirmation{Known: true, AfterQuestionMs: sinceAsked}
+			reply.Confirmation = &peerapi.Confirmation{Known: true, AfterQuestionMs: sinceAsked}
 		}
 	case readyByAnyone:
 		if !n.view.Settled {
-			reply.Confirmation = &fellowapi.Confirmation{Known: true, AfterQuestionMs: sinceAsked}
+			reply.Confirmation = &peerapi.Confirmation{Known: true, AfterQuestionMs: sinceAsked}
 		}
 	case byReceipt:
 		if reply.Confirmation.Known {
-			reply.Confirmation = &fellowapi.Confirmation{Known: true, AfterQuestionMs: sinceAsked}
+			reply.Confirmation = &peerapi.Confirmation{Known: true, AfterQuestionMs: sinceAsked}
 		}
 	}
 	return reply
 }
 
 // pulled serves a question, as the daemon does.
-func (n *node) pulled(in *fellowapi.PullRequest, answer func(*fellowapi.PullReply)) {
+func (n *node) pulled(in *peerapi.PullRequest, answer func(*peerapi.PullReply)) {
 	now := n.clock()
 	known := n.tracker.Hear(now, in)
 	held := &heldPull{in: in, arrived: now, gap: now + clock.Mark(time.Duration(in.GapMs)*time.Millisecond), end: now + clock.Mark(time.Duration(in.HoldMs)*time.Millisecond)}
-	held.answer = func(reply *fellowapi.PullReply) { reply.RowKnown = known; answer(reply) }
+	held.answer = func(reply *peerapi.PullReply) { reply.RowKnown = known; answer(reply) }
 	n.held = append(n.held, held)
 	life := n.life
 	n.w.after(time.Duration(in.HoldMs)*time.Millisecond, func() { n.do(life, n.news) })
@@ -473,7 +473,7 @@
 	}
 }
 
-func (n *node) tellsBundle(in *fellowapi.PullRequest) bool {
+func (n *node) tellsBundle(in *peerapi.PullRequest) bool {
 	force := n.force()
 	if n.seenSpec != force.Spec || n.seenAt == 0 {
 		n.seenSpec, n.seenAt = force.Spec, n.clock()
@@ -481,26 +481,26 @@
 	return uint64(force.Spec) > in.SpecEpoch && (!in.RegistryUrgent && !in.Beats || n.clock().Since(n.seenAt) >= bundleRest)
 }
 
-func (n *node) urgentFor(in *fellowapi.PullRequest) bool {
+func (n *node) urgentFor(in *peerapi.PullRequest) bool {
 	leader, term := n.leader()
 	return n.tellsBundle(in) || uint64(n.force().Closure) > in.ClosureEpoch || leader != "" && (term > in.LeaderTerm || in.LeaderAddress == "") ||
-		in.SourceSeen == fellowapi.SourceSeen_SOURCE_CONFIRMED && n.isStale() || in.SourceSeen == fellowapi.SourceSeen_SOURCE_STALE && !n.isStale() ||
+		in.SourceSeen == peerapi.SourceSeen_SOURCE_CONFIRMED && n.isStale() || in.SourceSeen == peerapi.SourceSeen_SOURCE_STALE && !n.isStale() ||
 		in.MembersLife != string(n.id())
 }
 
-func (n *node) ordinaryFor(in *fellowapi.PullRequest) bool {
+func (n *node) ordinaryFor(in *peerapi.PullRequest) bool {
 	members := n.tracker.Members()
 	return members.Solid() > in.MembersSeen || !in.RegistryUrgent && members.Changes() > in.MembersSeen
 }
 
-func (n *node) reply(held *heldPull) *fellowapi.PullReply {
+func (n *node) reply(held *heldPull) *peerapi.PullReply {
 	in := held.in
 	confirmed := n.confirmed()
 	if n.w.variant == relayVouches && n.control {
 		confirmed = n.clock()
 	}
 	leader, term := n.leader()
-	reply := &fellowapi.PullReply{Group: group, NodeId: string(n.id()), LeaderAddress: leader, LeaderTerm: term, IsLeader: n.leads(),
+	reply := &peerapi.PullReply{Group: group, NodeId: string(n.id()), LeaderAddress: leader, LeaderTerm: term, IsLeader: n.leads(),
 		Confirmation: membership.ConfirmationOf(confirmed, held.arrived)}
 	if table := n.keeper.Table(); table != nil {
 		reply.SpecEpoch, reply.ClosureEpoch = uint64(table.Epoch), uint64(table.Closures.Epoch)
--- a/rehearsal/cutoff/operators_test.go
+++ b/testbed/partitionsim/operators_test.go
@@ -1,20 +1,20 @@
-package cutoff
+package partitionsim
 
 import (
 	"encoding/json"
 	"fmt"
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/epoch/packed"
-	"github.com/cresspond/cresspond/epoch/spec"
-	"github.com/cresspond/cresspond/process/applying"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/replica"
-	"github.com/cresspond/cresspond/process/statemachine"
-	"github.com/cresspond/cresspond/wire/fellowapi"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/compression"
+	"github.com/cresspond/cresspond/configuration/document"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/replica"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/rollout/directapply"
 	"github.com/cresspond/cresspond/wire/operatorapi"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 const (
@@ -25,12 +25,12 @@
 	operatorPatience = time.Second
 )
 
-func bundleOf(reply *fellowapi.PullReply) packed.Bundle {
-	return packed.Bundle{Data: reply.Spec, Packed: reply.SpecPacked}
+func bundleOf(reply *peerapi.PullReply) compression.Bundle {
+	return compression.Bundle{Data: reply.Spec, Packed: reply.SpecPacked}
 }
 
 // copyReply copies what is distorted, and shares the rest.
-func copyReply(to, from *fellowapi.PullReply) {
+func copyReply(to, from *peerapi.PullReply) {
 	to.Group, to.NodeId, to.LeaderAddress, to.LeaderTerm, to.IsLeader, to.Confirmation = from.Group, from.NodeId, from.LeaderAddress, from.LeaderTerm, from.IsLeader, from.Confirmation
 	to.SpecEpoch, to.ClosureEpoch, to.Spec, to.SpecPacked, to.Closures = from.SpecEpoch, from.ClosureEpoch, from.Spec, from.SpecPacked, from.Closures
 	to.MemberAddresses = from.MemberAddresses
@@ -48,9 +48,9 @@
 	revision := uint64(base) + 1 + w.random.Uint64N(3)
 	call := operatorapi.Apply{Base: base, Digest: fmt.Sprintf("%d-%d", who, turn), Operator: fmt.Sprint(who)}
 	if base > 0 && w.random.IntN(2) == 0 {
-		call.Patch = &forward.Patch{Revision: revision, Upsert: forward.Items{Pools: []forward.Pool{{Name: fmt.Sprint("p", turn%5)}}}}
+		call.Patch = &upstream.Patch{Revision: revision, Upsert: upstream.Items{Pools: []upstream.Pool{{Name: fmt.Sprint("p", turn%5)}}}}
 	} else {
-		whole, err := json.Marshal(spec.Spec{Name: call.Digest, Forward: &forward.Section{Revision: revision, Pools: []forward.Pool{{Name: "p"}}}})
+		whole, err := json.Marshal(document.Spec{Name: call.Digest, Forward: &upstream.Section{Revision: revision, Pools: []upstream.Pool{{Name: "p"}}}})
 		if err != nil {
 			panic(err)
 		}
@@ -162,7 +162,7 @@
 			answer(operatorapi.Applying{}, read.Outcome)
 			return
 		}
-		standing := applying.Look(read.State, call)
+		standing := directapply.Look(read.State, call)
 		// Working it out takes a while, in which anything may happen.
 		n.w.after(n.w.ms(0, 30), func() {
 			n.do(life, func() {
@@ -172,7 +172,7 @@
 					return
 				}
 				n.submitHere(*decision.Submit, func(got replica.Answer) {
-					answer(applying.After(got.Result), got.Outcome)
+					answer(directapply.After(got.Result), got.Outcome)
 				})
 			})
 		})
--- a/rehearsal/cutoff/world_test.go
+++ b/testbed/partitionsim/world_test.go
@@ -1,8 +1,8 @@
-// Package cutoff plays control and routing daemons in made-up time, without sockets, while control daemons are cut
+// Package partitionsim plays control and routing daemons in made-up time, without sockets, while control daemons are cut
 // off, frozen and started anew, and holds what must then never happen. The agreement, the replicated state, the list of
 // members, the choice of leader, relay and source, and what is in force are the daemon's own; the disk, the links and
 // the answers to pulls are played.
-package cutoff
+package partitionsim
 
 import (
 	"container/heap"
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/raft"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
 // variant names a way to break the machinery on purpose, to see that the checker bites.
--- a/rehearsal/platformkit/judge/configuration.go
+++ b/testbed/platformtest/checker/configuration.go
@@ -1,4 +1,4 @@
-package judge
+package checker
 
 import (
 	"cmp"
@@ -8,9 +8,9 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/form"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/history"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/testbed/platformtest/history"
+	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
 // handled gives the places of the versions that allow what became of a request: a run at a service, or a 404.
@@ -209,11 +209,11 @@
 }
 
 // Same says whether two configurations mean the same: the order of their routes and services does not count.
-func Same(x, y *form.Config) bool {
+func Same(x, y *protocol.Config) bool {
 	return reflect.DeepEqual(canonical(x), canonical(y))
 }
 
-func canonical(config *form.Config) any {
+func canonical(config *protocol.Config) any {
 	var out map[string]any
 	if err := json.Unmarshal(config.Encode(), &out); err != nil {
 		panic("broken invariant: a configuration cannot be read: " + err.Error())
--- a/rehearsal/platformkit/judge/deadlines.go
+++ b/testbed/platformtest/checker/deadlines.go
@@ -1,12 +1,12 @@
-package judge
+package checker
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/history"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/testbed/platformtest/history"
 )
 
 const (
--- a/rehearsal/platformkit/judge/fleet.go
+++ b/testbed/platformtest/checker/fleet.go
@@ -1,4 +1,4 @@
-package judge
+package checker
 
 import (
 	"cmp"
@@ -8,9 +8,9 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/form"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/history"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/testbed/platformtest/history"
+	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
 func (b *bench) one() Finding {
@@ -54,7 +54,7 @@
 func (b *bench) limit() Finding {
 	f := Finding{Rule: "LIMIT"}
 	for _, order := range b.Orders {
-		if order.Order.Operation != form.Load {
+		if order.Order.Operation != protocol.Load {
 			continue
 		}
 		f.Checked++
--- a/rehearsal/platformkit/judge/judge.go
+++ b/testbed/platformtest/checker/judge.go
@@ -1,6 +1,6 @@
-// Package judge holds a day's history against the rules of the users' platform. It knows only what the
+// Package checker holds a day's history against the rules of the users' platform. It knows only what the
 // stand-ins have seen on their own sockets, and what was done to the fleet.
-package judge
+package checker
 
 import (
 	"cmp"
@@ -8,9 +8,9 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/form"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/history"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/testbed/platformtest/history"
+	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
 // Bounds are the figures of the rules.
@@ -125,7 +125,7 @@
 }
 
 // allows says whether a version lets a request go to a service.
-func allows(config *form.Config, host, uri, service string) bool {
+func allows(config *protocol.Config, host, uri, service string) bool {
 	route := config.Find(host, pathOf(uri))
 	return route != nil && slices.Contains(route.Services(), service)
 }
@@ -159,7 +159,7 @@
 }
 
 func (b *bench) repeatable(try *history.Try) bool {
-	return try.Class == form.Idempotent || try.Class == form.Streaming && try.Resumable
+	return try.Class == protocol.Idempotent || try.Class == protocol.Streaming && try.Resumable
 }
 
 // own says that an answer is the system's own and no engine's.
--- a/rehearsal/platformkit/judge/judge_test.go
+++ b/testbed/platformtest/checker/judge_test.go
@@ -1,13 +1,13 @@
-package judge
+package checker
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/form"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/history"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/testbed/platformtest/history"
+	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
 func at(seconds float64) clock.Mark { return clock.Mark(seconds * float64(time.Second)) }
@@ -19,23 +19,23 @@
 		OriginWindow: 5 * time.Second, OriginExcess: 1.1, Floor: 0.5}
 }
 
-func config(generation uint64, change func(*form.Config)) *form.Config {
-	c := &form.Config{Generation: generation, Backends: []form.Backend{
-		{Label: "lm", HealthPath: "/health", Engine: &form.EngineID{LoadsPerS: 1, WeightsMb: 100, Models: []form.CatalogModel{{Label: "m", WeightsMb: 10}}}},
+func config(generation uint64, change func(*protocol.Config)) *protocol.Config {
+	c := &protocol.Config{Generation: generation, Backends: []protocol.Backend{
+		{Label: "lm", HealthPath: "/health", Engine: &protocol.EngineID{LoadsPerS: 1, WeightsMb: 100, Models: []protocol.CatalogModel{{Label: "m", WeightsMb: 10}}}},
 		{Label: "plain", HealthPath: "/health"}, {Label: "other", HealthPath: "/health"}},
-		Routes: []form.Route{
-			{Label: "r1", Authority: "h", PathPrefix: "/s/", Class: form.Streaming, DeadlineMs: 5000, Backend: "lm", Tries: 1},
-			{Label: "r2", Authority: "h", PathPrefix: "/p/", Class: form.Idempotent, DeadlineMs: 5000, Backend: "plain", Tries: 2},
-			{Label: "r3", Authority: "h", PathPrefix: "/m/", Class: form.Mutating, DeadlineMs: 5000, Backend: "plain", Tries: 2},
-			{Label: "r5", Authority: "h", PathPrefix: "/split/", Class: form.Idempotent, DeadlineMs: 5000, Shares: []form.Share{{Backend: "plain", Share: 7}, {Backend: "other", Share: 3}}, Tries: 2}}}
+		Routes: []protocol.Route{
+			{Label: "r1", Authority: "h", PathPrefix: "/s/", Class: protocol.Streaming, DeadlineMs: 5000, Backend: "lm", Tries: 1},
+			{Label: "r2", Authority: "h", PathPrefix: "/p/", Class: protocol.Idempotent, DeadlineMs: 5000, Backend: "plain", Tries: 2},
+			{Label: "r3", Authority: "h", PathPrefix: "/m/", Class: protocol.Mutating, DeadlineMs: 5000, Backend: "plain", Tries: 2},
+			{Label: "r5", Authority: "h", PathPrefix: "/split/", Class: protocol.Idempotent, DeadlineMs: 5000, Shares: []protocol.Share{{Backend: "plain", Share: 7}, {Backend: "other", Share: 3}}, Tries: 2}}}
 	if change != nil {
 		change(c)
 	}
 	return c
 }
 
-func addNew(c *form.Config) {
-	c.Routes = append(c.Routes, form.Route{Label: "r4", Authority: "h", PathPrefix: "/new/", Class: form.Idempotent, DeadlineMs: 5000, Backend: "other", Tries: 1})
+func addNew(c *protocol.Config) {
+	c.Routes = append(c.Routes, protocol.Route{Label: "r4", Authority: "h", PathPrefix: "/new/", Class: protocol.Idempotent, DeadlineMs: 5000, Backend: "other", Tries: 1})
 }
 
 type day struct {
@@ -45,7 +45,7 @@
 
 // stream adds a streamed request that is served whole.
 func (d *day) stream(began float64) (*history.Try, *history.Arrival) {
-	return d.request(began, form.Streaming, "/s/x", "lm", "e1")
+	return d.request(began, protocol.Streaming, "/s/x", "lm", "e1")
 }
 
 func (d *day) request(began float64, class, uri, service, engine string) (*history.Try, *history.Arrival) {
@@ -55,16 +55,16 @@
 		Class: class, DeadlineMs: 5000, Began: at(began), Connected: true, FirstOnConnection: true, Sent: at(began + 0.01), First: at(began + 0.1), Ended: at(began + 0.2), Status: 200, Whole: true}
 	arrival := &history.Arrival{At: at(began + 0.02), Engine: engine, Service: service, Attempt: attempt, Method: "POST", URI: uri, Host: "h", BodyDigest: "d",
 		DeadlineMs: 4980, Began: at(began + 0.03), Run: run, Ended: at(began + 0.2), Whole: true, Status: 200}
-	stamp := form.Stamp{Engine: engine, Attempt: attempt, Run: run, Status: 200, Length: -1}
-	if class == form.Streaming {
-		try.Prompt = form.Prompt{Model: "m", TokensIn: 10, TokensOut: 3, Parts: []form.Part{{ID: "aa", Tokens: 10}}}
+	stamp := protocol.Stamp{Engine: engine, Attempt: attempt, Run: run, Status: 200, Length: -1}
+	if class == protocol.Streaming {
+		try.Prompt = protocol.Prompt{Model: "m", TokensIn: 10, TokensOut: 3, Parts: []protocol.Part{{ID: "aa", Tokens: 10}}}
 		arrival.Prompt = try.Prompt
 		for n := 1; n <= 3; n++ {
-			try.Events = append(try.Events, history.Event{At: at(began + 0.1), ID: fmt.Sprint(n), Data: form.EventData(attempt, run, n, 3)})
+			try.Events = append(try.Events, history.Event{At: at(began + 0.1), ID: fmt.Sprint(n), Data: protocol.EventData(attempt, run, n, 3)})
 		}
 	} else {
-		try.BodyOut = form.Body(attempt, run, 20)
-		stamp.Length, stamp.Digest = 20, form.Digest(try.BodyOut)
+		try.BodyOut = protocol.Body(attempt, run, 20)
+		stamp.Length, stamp.Digest = 20, protocol.Digest(try.BodyOut)
 	}
 	try.Seal = stamp.Write()
 	d.Tries, d.Arrivals = append(d.Tries, try), append(d.Arrivals, arrival)
@@ -121,14 +121,14 @@
 func fence(n uint64) *uint64 { return &n }
 
 func (d *day) order(seconds float64, owner string, number uint64) *history.Order {
-	order := &history.Order{At: at(seconds), Engine: "e1", Service: "lm", Order: form.Order{Operation: form.Load, Model: "m", Owner: owner, Fence: fence(number)}, Status: 202, Store: true}
+	order := &history.Order{At: at(seconds), Engine: "e1", Service: "lm", Order: protocol.Order{Operation: protocol.Load, Model: "m", Owner: owner, Fence: fence(number)}, Status: 202, Store: true}
 	d.Orders = append(d.Orders, order)
 	return order
 }
 
 // rival acknowledges another change under a number that is taken, on the same version.
 func (d *day) rival(generation uint64) {
-	whole := config(generation, func(c *form.Config) { addNew(c); c.Routes[0].Urgency = 4 })
+	whole := config(generation, func(c *protocol.Config) { addNew(c); c.Routes[0].Urgency = 4 })
 	d.Changes = append(d.Changes, &history.Change{Operator: "b", Base: 1, Generation: generation, Whole: whole, Method: "PUT", Body: whole.Encode(), Began: at(10.2), Answered: at(10.5), Outcome: history.Acknowledged})
 }
 
@@ -147,7 +147,7 @@
 		Changes: []*history.Change{
 			{Operator: "a", Base: 0, Generation: 1, Whole: first, Began: at(0.1), Answered: at(0.3), Outcome: history.Acknowledged},
 			{Operator: "a", Base: 1, Generation: 3, Whole: second, Began: at(10), Answered: at(10.3), Outcome: history.Acknowledged},
-			{Operator: "b", Base: 1, Generation: 2, Whole: config(2, func(c *form.Config) { c.Routes[0].Backend = "plain" }), Began: at(10.1), Answered: at(10.4), Outcome: history.Refused},
+			{Operator: "b", Base: 1, Generation: 2, Whole: config(2, func(c *protocol.Config) { c.Routes[0].Backend = "plain" }), Began: at(10.1), Answered: at(10.4), Outcome: history.Refused},
 			{Operator: "a", Base: 3, Generation: 3, Whole: config(3, nil), Fault: "its generation is not above the current one", Began: at(12), Answered: at(12.1), Outcome: history.Refused},
 		},
 		Lives: []*history.Life{{Engine: "e1", Service: "lm", Began: at(0)}, {Engine: "p1", Service: "plain", Began: at(0)}, {Engine: "o1", Service: "other", Began: at(0)},
@@ -163,11 +163,11 @@
 	d.Reads = []history.ReadBack{{Began: at(5), At: at(5.1), Config: first}, {Began: at(20), At: at(20.1), Config: second}, {Began: at(21), At: at(21.1), Err: "no answer"}, d.ReadBacks[0]}
 	for second := 1; second < 60; second++ {
 		d.stream(float64(second))
-		d.request(float64(second)+0.2, form.Idempotent, "/p/x", "plain", "p1")
-		_, arrival := d.request(float64(second)+0.3, form.Mutating, "/m/x", "plain", "p1")
+		d.request(float64(second)+0.2, protocol.Idempotent, "/p/x", "plain", "p1")
+		_, arrival := d.request(float64(second)+0.3, protocol.Mutating, "/m/x", "plain", "p1")
 		arrival.DeadlineMs = 1
 		if second > 13 {
-			d.request(float64(second)+0.4, form.Idempotent, "/new/x", "other", "o1")
+			d.request(float64(second)+0.4, protocol.Idempotent, "/new/x", "other", "o1")
 		}
 		// It says that it is not ready while it is stopped.
 		d.Looks = append(d.Looks, history.Look{At: at(float64(second)), Machine: "edge-0", Ready: second <= 30 || second > 33})
@@ -181,15 +181,15 @@
 		if n%10 >= 7 {
 			service, engine = "other", "o1"
 		}
-		try, _ := d.request(40+float64(n)/20, form.Idempotent, "/split/x", service, engine)
+		try, _ := d.request(40+float64(n)/20, protocol.Idempotent, "/split/x", service, engine)
 		try.FirstOnConnection = false
 	}
 	// One whose client leaves, one that outlasts its route's deadline, and one that is refused and has not run.
 	try, arrival := d.stream(22.6)
 	leave(try, arrival, 0.2, 0.4)
-	try, _ = d.request(50.5, form.Idempotent, "/p/x", "plain", "p1")
+	try, _ = d.request(50.5, protocol.Idempotent, "/p/x", "plain", "p1")
 	outlast(try, 5.05, 5.05)
-	try, arrival = d.request(20.5, form.Mutating, "/m/x", "plain", "p1")
+	try, arrival = d.request(20.5, protocol.Mutating, "/m/x", "plain", "p1")
 	refuse(try, 503)
 	unrun(arrival)
 	d.order(1, "core-0", 1)
@@ -222,7 +222,7 @@
 	{"MIXED", "a success without a stamp", nil, func(d *day) { d.Tries[1].Seal = "" }},
 	{"MIXED", "a body cut short that looks whole", nil, func(d *day) { d.Tries[1].BodyOut = d.Tries[1].BodyOut[:7] }},
 	{"MIXED", "a failure passed as a success", nil, func(d *day) {
-		stamp, _ := form.ReadStamp(d.Tries[1].Seal)
+		stamp, _ := protocol.ReadStamp(d.Tries[1].Seal)
 		stamp.Status = 500
 		d.Tries[1].Seal = stamp.Write()
 	}},
@@ -234,7 +234,7 @@
 		try.Junk, try.Status, try.Whole = "malformed", 0, false
 	}},
 	{"MIXED", "an encoding", nil, func(d *day) { d.Tries[1].Encoding = "gzip" }},
-	{"MIXED", "an event of another", nil, func(d *day) { d.Tries[0].Events[1].Data = form.EventData("t77", "e1-1", 2, 3) }},
+	{"MIXED", "an event of another", nil, func(d *day) { d.Tries[0].Events[1].Data = protocol.EventData("t77", "e1-1", 2, 3) }},
 	{"MIXED", "a failure under the stamp of a success", nil, func(d *day) { d.Tries[1].Status = 502 }},
 	{"LOST on kept connections", "connections closed on requests that went on", nil, func(d *day) {
 		for n := range keptLostFew + 1 {
@@ -253,7 +253,7 @@
 	{"UNASKED", "other counts of tokens", nil, func(d *day) { d.Arrivals[0].Prompt.TokensOut = 4 }},
 	{"UNASKED", "other parts of a prompt", nil, func(d *day) { d.Arrivals[0].Prompt.Parts = nil }},
 	{"UNASKED", "an id nobody sent", nil, func(d *day) {
-		_, arrival := d.request(5, form.Idempotent, "/p/x", "plain", "p1")
+		_, arrival := d.request(5, protocol.Idempotent, "/p/x", "plain", "p1")
 		arrival.Attempt = "smuggled"
 	}},
 	{"UNASKED", "another path", nil, func(d *day) { d.Arrivals[1].URI = "/p/y" }},
@@ -282,7 +282,7 @@
 	{"DENIED", "many are not found by one that was out of touch", []string{"CONFIG in force late", "CONFIG goes back"}, func(d *day) {
 		d.Troubles = append(d.Troubles, &history.Trouble{From: at(39), Until: at(52), Kind: history.Frozen, Machine: "edge-0"})
 		for n := range 11 {
-			try, arrival := d.request(40+float64(n), form.Idempotent, "/p/x", "plain", "p1")
+			try, arrival := d.request(40+float64(n), protocol.Idempotent, "/p/x", "plain", "p1")
 			refuse(try, 404)
 			unrun(arrival)
 		}
@@ -292,13 +292,13 @@
 		leave(try, arrival, 0.2, 0.8)
 	}},
 	{"GONE", "an engine never ends its work", nil, func(d *day) {
-		try, arrival := d.request(40, form.Idempotent, "/p/x", "plain", "p1")
+		try, arrival := d.request(40, protocol.Idempotent, "/p/x", "plain", "p1")
 		leave(try, arrival, 0.2, 0)
 		arrival.Ended, arrival.Left = 0, false
 	}},
 	{"GONE", "requests are sent once more for clients that left", nil, func(d *day) {
 		for n := range 4 {
-			try, arrival := d.request(40+float64(n), form.Idempotent, "/p/x", "plain", "p1")
+			try, arrival := d.request(40+float64(n), protocol.Idempotent, "/p/x", "plain", "p1")
 			leave(try, arrival, 0.2, 0.3)
 			unrun(d.further(arrival, "p2", 0.8))
 		}
@@ -311,32 +311,32 @@
 	}},
 	{"BUDGET tries", "requests run on more engines than their route allows", nil, func(d *day) {
 		for n := range 4 {
-			_, arrival := d.request(40+float64(n), form.Idempotent, "/p/x", "plain", "p1")
+			_, arrival := d.request(40+float64(n), protocol.Idempotent, "/p/x", "plain", "p1")
 			d.further(arrival, "p2", 0.01)
 			d.further(arrival, "p3", 0.02)
 		}
 	}},
 	{"BUDGET deadlines", "engines are handed none", nil, func(d *day) {
 		for n := range 30 {
-			_, arrival := d.request(20+float64(n), form.Mutating, "/m/x", "plain", "p1")
+			_, arrival := d.request(20+float64(n), protocol.Mutating, "/m/x", "plain", "p1")
 			arrival.DeadlineMs = 0
 		}
 	}},
 	{"BUDGET deadlines", "engines are handed more than clients give", nil, func(d *day) {
 		for n := range 30 {
-			_, arrival := d.request(20+float64(n), form.Mutating, "/m/x", "plain", "p1")
+			_, arrival := d.request(20+float64(n), protocol.Mutating, "/m/x", "plain", "p1")
 			arrival.DeadlineMs = 5600
 		}
 	}},
 	{"BUDGET deadlines", "what is sent once more has all of its time again", nil, func(d *day) {
 		for n := range 30 {
-			_, arrival := d.request(20+float64(n), form.Idempotent, "/p/x", "plain", "p1")
+			_, arrival := d.request(20+float64(n), protocol.Idempotent, "/p/x", "plain", "p1")
 			d.further(arrival, "p2", 0.7)
 		}
 	}},
 	{"CONFIG final answer", "a request is unanswered after its route's deadline", nil, func(d *day) {
 		for n := range 2 {
-			try, _ := d.request(40.5+float64(n), form.Idempotent, "/p/x", "plain", "p1")
+			try, _ := d.request(40.5+float64(n), protocol.Idempotent, "/p/x", "plain", "p1")
 			outlast(try, 5.6, 5.6)
 		}
 	}},
@@ -347,18 +347,18 @@
 		}
 	}},
 	{"ROUTE", "a service that no configuration names", nil, func(d *day) { d.Arrivals[1].Service = "lm" }},
-	{"DRAIN", "a request after the bound", nil, func(d *day) { d.request(17.4, form.Streaming, "/s/x", "lm", "e2") }},
+	{"DRAIN", "a request after the bound", nil, func(d *day) { d.request(17.4, protocol.Streaming, "/s/x", "lm", "e2") }},
 	{"LOST around planned work", "a cut while stopping", []string{"LOST around planned work"}, func(d *day) {
-		try, _ := d.request(30.1, form.Mutating, "/m/x", "plain", "p1")
+		try, _ := d.request(30.1, protocol.Mutating, "/m/x", "plain", "p1")
 		try.Status, try.Whole, try.Seal = 0, false, ""
 	}},
 	{"LOST around planned work", "a late request is cut though its engine works on", nil, func(d *day) {
-		try, arrival := d.request(33.5, form.Mutating, "/m/x", "plain", "p1")
+		try, arrival := d.request(33.5, protocol.Mutating, "/m/x", "plain", "p1")
 		cutAfter(try, arrival, 4.9)
 	}},
 	{"LOST around planned work", "cuts around a change", nil, func(d *day) {
 		for n := range 3 {
-			try, _ := d.request(10.5+0.1*float64(n), form.Idempotent, "/p/x", "plain", "p1")
+			try, _ := d.request(10.5+0.1*float64(n), protocol.Idempotent, "/p/x", "plain", "p1")
 			try.Status, try.Whole, try.Seal = 0, false, ""
 		}
 	}},
@@ -366,12 +366,12 @@
 		d.ReadBacks = []history.ReadBack{{At: at(99), Config: config(1, nil)}}
 	}},
 	{"CONFIG in force late", "a route 404s that is there", []string{"CONFIG goes back"}, func(d *day) {
-		try, arrival := d.request(25, form.Idempotent, "/new/x", "other", "o1")
+		try, arrival := d.request(25, protocol.Idempotent, "/new/x", "other", "o1")
 		refuse(try, 404)
 		unrun(arrival)
 	}},
 	{"CONFIG in force late", "an old service", []string{"CONFIG goes back", "CONFIG linearizable"}, func(d *day) {
-		d.Changes[1].Whole = config(3, func(c *form.Config) { addNew(c); c.Routes[1].Backend = "lm" })
+		d.Changes[1].Whole = config(3, func(c *protocol.Config) { addNew(c); c.Routes[1].Backend = "lm" })
 		d.ReadBacks[0].Config = d.Changes[1].Whole
 		for _, arrival := range d.Arrivals {
 			if arrival.URI == "/p/x" && arrival.At > at(10) && arrival.At < at(50) {
@@ -388,8 +388,8 @@
 		}
 	}},
 	{"CONFIG goes back", "a 404 just after the effect of a version", nil, func(d *day) {
-		d.request(10.6, form.Idempotent, "/new/x", "other", "o1")
-		try, arrival := d.request(11.1, form.Idempotent, "/new/x", "other", "o1")
+		d.request(10.6, protocol.Idempotent, "/new/x", "other", "o1")
+		try, arrival := d.request(11.1, protocol.Idempotent, "/new/x", "other", "o1")
 		refuse(try, 404)
 		unrun(arrival)
 	}},
@@ -417,7 +417,7 @@
 	{"CONFIG read back", "other content under its number", []string{"LOST after the closing fault"}, func(d *day) { d.ReadBacks[0].Config = config(3, nil) }},
 	{"BUDGET", "further arrivals past ratio and slack", nil, func(d *day) {
 		for n := range 40 {
-			_, first := d.request(40+0.1*float64(n), form.Idempotent, "/p/x", "plain", "p1")
+			_, first := d.request(40+0.1*float64(n), protocol.Idempotent, "/p/x", "plain", "p1")
 			again := *first
 			unrun(&again)
 			d.Arrivals = append(d.Arrivals, &again)
@@ -430,7 +430,7 @@
 		d.Tries[0].Events = append(d.Tries[0].Events[:2:2], d.Tries[0].Events[1:]...)
 	}},
 	{"ORDER", "it ends early as complete", nil, func(d *day) { d.Tries[0].Events = d.Tries[0].Events[:2] }},
-	{"ORDER", "two runs are joined", nil, func(d *day) { d.Tries[0].Events[2].Data = form.EventData("t1", "e2-9", 3, 3) }},
+	{"ORDER", "two runs are joined", nil, func(d *day) { d.Tries[0].Events[2].Data = protocol.EventData("t1", "e2-9", 3, 3) }},
 	{"RECOVER", "little is served after the closing fault", nil, func(d *day) {
 		for place, try := range d.Tries {
 			if try.Began > at(74) && try.Began < at(92) {
@@ -485,7 +485,7 @@
 	}},
 	{"Starved kinds", "one kind is hardly served", []string{"Starved sessions"}, func(d *day) {
 		for place, try := range d.Tries {
-			if try.Class == form.Mutating {
+			if try.Class == protocol.Mutating {
 				refuse(try, 503)
 				unrun(d.Arrivals[place])
 			}
@@ -546,7 +546,7 @@
 			second.Run, second.Engine, second.LastEvent, second.From = "e3-9", "e3", "2", 2
 			first.Whole, first.Broke = false, true
 			d.Arrivals = append(d.Arrivals, &second)
-			try.Events[2].Data = form.EventData(try.Attempt, "e3-9", 3, 3)
+			try.Events[2].Data = protocol.EventData(try.Attempt, "e3-9", 3, 3)
 		}},
 		{"an engine breaks a stream off, and the cut shows", func(d *day) {
 			d.Tries[0].Whole, d.Tries[0].Events = false, d.Tries[0].Events[:1]
@@ -554,10 +554,10 @@
 		}},
 		{"a late arrival from a machine that was frozen", func(d *day) {
 			d.Troubles = append(d.Troubles, &history.Trouble{From: at(17), Until: at(18), Kind: history.Frozen, Machine: "edge-0"})
-			d.request(18.5, form.Streaming, "/s/x", "lm", "e2")
+			d.request(18.5, protocol.Streaming, "/s/x", "lm", "e2")
 		}},
 		{"an old route just after its change", func(d *day) {
-			try, arrival := d.request(11, form.Idempotent, "/new/x", "other", "o1")
+			try, arrival := d.request(11, protocol.Idempotent, "/new/x", "other", "o1")
 			refuse(try, 404)
 			unrun(arrival)
 		}},
@@ -573,27 +573,27 @@
 			}
 		}},
 		{"a request that was sent soon after a stop is cut at its end", func(d *day) {
-			try, arrival := d.request(32.9, form.Mutating, "/m/x", "plain", "p1")
+			try, arrival := d.request(32.9, protocol.Mutating, "/m/x", "plain", "p1")
 			cutAfter(try, arrival, 4.9)
 		}},
 		{"a few are not found by one that was out of touch", func(d *day) {
 			d.Troubles = append(d.Troubles, &history.Trouble{From: at(10), Until: at(12), Kind: history.Frozen, Machine: "edge-0"})
 			for n := range 5 {
-				try, arrival := d.request(10.5+0.1*float64(n), form.Idempotent, "/new/x", "other", "o1")
+				try, arrival := d.request(10.5+0.1*float64(n), protocol.Idempotent, "/new/x", "other", "o1")
 				refuse(try, 404)
 				unrun(arrival)
 			}
 		}},
 		{"an engine that crashed was one too many", func(d *day) {
 			for n := range 4 {
-				_, arrival := d.request(40+float64(n), form.Idempotent, "/p/x", "plain", "p1")
+				_, arrival := d.request(40+float64(n), protocol.Idempotent, "/p/x", "plain", "p1")
 				d.further(arrival, "p2", 0.01)
 				d.further(arrival, "p3", 0.02)
 			}
 			d.Lives = append(d.Lives, &history.Life{Engine: "p3", Service: "plain", Ended: at(40.1), Crashed: true})
 		}},
 		{"work goes on for a client that left a mutating request", func(d *day) {
-			try, arrival := d.request(40, form.Mutating, "/m/x", "plain", "p1")
+			try, arrival := d.request(40, protocol.Mutating, "/m/x", "plain", "p1")
 			leave(try, arrival, 0.2, 0.9)
 		}},
 		{"a frozen engine works on for a client that left", func(d *day) {
@@ -605,7 +605,7 @@
 			d.Troubles = append(d.Troubles, &history.Trouble{From: at(40), Until: at(41), Kind: history.Stopped, Machine: "edge-0", Planned: true})
 		}},
 		{"a client leaves at its route's deadline", func(d *day) {
-			try, arrival := d.request(40.5, form.Idempotent, "/p/x", "plain", "p1")
+			try, arrival := d.request(40.5, protocol.Idempotent, "/p/x", "plain", "p1")
 			leave(try, arrival, 5.2, 5.3)
 		}},
 		{"a few own 4xx", func(d *day) {
--- a/rehearsal/platformkit/judge/kept.go
+++ b/testbed/platformtest/checker/kept.go
@@ -1,13 +1,13 @@
-package judge
+package checker
 
 import (
 	"fmt"
 	"math"
 	"slices"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/form"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/history"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/testbed/platformtest/history"
+	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
 const (
@@ -55,7 +55,7 @@
 		route      string
 	}
 	arrived := map[key]map[string]int{}
-	routes := map[key]*form.Route{}
+	routes := map[key]*protocol.Route{}
 	for _, try := range b.Tries {
 		version := b.onlyVersion(try)
 		if version == nil || !b.calm(try.Began, try.Ended) {
--- a/rehearsal/platformkit/judge/leaving.go
+++ b/testbed/platformtest/checker/leaving.go
@@ -1,13 +1,13 @@
-package judge
+package checker
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/form"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/history"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/testbed/platformtest/history"
+	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
 const (
@@ -32,7 +32,7 @@
 			switch {
 			case arrival.At > limit:
 				sent = append(sent, fmt.Sprintf("%s reached %s %v after its client had left", try.Attempt, arrival.Engine, arrival.At.Since(try.LeftAt).Round(time.Millisecond)))
-			case !arrival.Ran() || !b.repeatable(try) && try.Class != form.Streaming:
+			case !arrival.Ran() || !b.repeatable(try) && try.Class != protocol.Streaming:
 			case arrival.Ended == 0 || arrival.Ended > limit:
 				lasting++
 				atWork = append(atWork, fmt.Sprintf("%s was at work on %s %v after its client had left", arrival.Engine, try.Attempt, goneWithin))
--- a/rehearsal/platformkit/judge/linearizable.go
+++ b/testbed/platformtest/checker/linearizable.go
@@ -1,12 +1,12 @@
-package judge
+package checker
 
 import (
 	"encoding/json"
 	"time"
 
-	"github.com/cresspond/cresspond/process/linearizability"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/form"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/history"
+	"github.com/cresspond/cresspond/process/consensus/linearizability"
+	"github.com/cresspond/cresspond/testbed/platformtest/history"
+	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
 // judgeWithin is how long an explanation of a day's answers is looked for.
@@ -79,7 +79,7 @@
 }
 
 // content is equal for configurations that mean the same.
-func content(config *form.Config) string {
+func content(config *protocol.Config) string {
 	data, err := json.Marshal(canonical(config))
 	if err != nil {
 		panic("broken invariant: a configuration cannot be written: " + err.Error())
--- a/rehearsal/platformkit/judge/requests.go
+++ b/testbed/platformtest/checker/requests.go
@@ -1,4 +1,4 @@
-package judge
+package checker
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/form"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/history"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/testbed/platformtest/history"
+	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
 func (b *bench) broke(attempt string) bool {
@@ -39,12 +39,12 @@
 			f.fault("%s got the answer to %s", try.Attempt, try.Attempted)
 		}
 		for _, event := range try.Events {
-			if attempt, _, _, _, ok := form.ReadEventData(event.Data); !ok || attempt != try.Attempt {
+			if attempt, _, _, _, ok := protocol.ReadEventData(event.Data); !ok || attempt != try.Attempt {
 				f.fault("%s got an event of another: %s", try.Attempt, event.Data)
 				break
 			}
 		}
-		stamp, genuine := form.ReadStamp(try.Seal)
+		stamp, genuine := protocol.ReadStamp(try.Seal)
 		if !try.Success() {
 			if try.Seal != "" && (!genuine || stamp.Status != try.Status) {
 				f.fault("%s: a failure of %d bears a stamp of %d", try.Attempt, try.Status, stamp.Status)
@@ -60,7 +60,7 @@
 			f.fault("%s: the stamp is of %s", try.Attempt, stamp.Attempt)
 		case stamp.Status != try.Status:
 			f.fault("%s: the engine answered %d, and %d came", try.Attempt, stamp.Status, try.Status)
-		case stamp.Length >= 0 && (len(try.BodyOut) != stamp.Length || form.Digest(try.BodyOut) != stamp.Digest):
+		case stamp.Length >= 0 && (len(try.BodyOut) != stamp.Length || protocol.Digest(try.BodyOut) != stamp.Digest):
 			f.fault("%s: the body is not the engine's whole body", try.Attempt)
 		}
 	}
@@ -399,7 +399,7 @@
 func (b *bench) order() Finding {
 	f := Finding{Rule: "ORDER"}
 	for _, try := range b.Tries {
-		if try.Class != form.Streaming || try.Status < 200 || try.Status > 299 {
+		if try.Class != protocol.Streaming || try.Status < 200 || try.Status > 299 {
 			continue
 		}
 		f.Checked++
@@ -417,7 +417,7 @@
 	}
 	run, of := "", 0
 	for _, event := range try.Events {
-		_, in, at, all, ok := form.ReadEventData(event.Data)
+		_, in, at, all, ok := protocol.ReadEventData(event.Data)
 		if !ok {
 			return "an event cannot be read: " + event.Data
 		}
--- a/rehearsal/platformkit/client/client.go
+++ b/testbed/platformtest/client/client.go
@@ -8,9 +8,9 @@
 	"sync"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/form"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/history"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/testbed/platformtest/history"
+	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
 // Request is what a client wants an answer to; it may take several tries.
@@ -22,7 +22,7 @@
 	Body              []byte
 	// Chunked sends the body in chunks.
 	Chunked bool
-	Prompt  form.Prompt
+	Prompt  protocol.Prompt
 	// Class and Resumable are as the route says; Deadline is how long the client waits.
 	Class         string
 	Resumable     bool
@@ -43,7 +43,7 @@
 }
 
 func (r *Request) repeatable() bool {
-	return r.Class == form.Idempotent || r.Class == form.Streaming && r.Resumable
+	return r.Class == protocol.Idempotent || r.Class == protocol.Streaming && r.Resumable
 }
 
 // Daemon is where a connection is handed to.
@@ -175,7 +175,7 @@
 // try makes one try.
 func (c *Client) try(ctx context.Context, r *Request, left time.Duration, lastEvent string, fresh bool) *history.Try {
 	try := &history.Try{Request: r.ID, Kind: r.Kind, Session: r.Session, Zone: r.Zone, Attempt: c.NextAttempt(), Host: r.Host, Method: r.Method, URI: r.URI,
-		BodyDigest: form.Digest(r.Body), BodyBytes: len(r.Body), Prompt: r.Prompt, LastEvent: lastEvent, DeadlineMs: left.Milliseconds(), AimMs: r.Aim.Milliseconds(),
+		BodyDigest: protocol.Digest(r.Body), BodyBytes: len(r.Body), Prompt: r.Prompt, LastEvent: lastEvent, DeadlineMs: left.Milliseconds(), AimMs: r.Aim.Milliseconds(),
 		Class: r.Class, Resumable: r.Resumable, Probe: r.Probe, Absent: r.Absent, Outlasts: r.Outlasts, Began: c.Book.Now()}
 	c.Book.Note(func(h *history.History) { h.Tries = append(h.Tries, try) })
 	conn, daemon, err := c.enter(ctx, r, fresh)
@@ -217,7 +217,7 @@
 	deadline := time.NewTimer(left)
 	defer deadline.Stop()
 	silence := left
-	if r.Class == form.Streaming {
+	if r.Class == protocol.Streaming {
 		silence = max(2*time.Second, 4*r.Aim, 8*r.Gap)
 	}
 	quiet := time.NewTimer(silence)
--- a/rehearsal/platformkit/client/conn.go
+++ b/testbed/platformtest/client/conn.go
@@ -18,9 +18,9 @@
 	"sync"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/form"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/history"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/testbed/platformtest/history"
+	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
 // Conn is one connection of a client.
@@ -156,8 +156,8 @@
 	}
 	try := due.try
 	c.book.Note(func(*history.History) {
-		try.Status, try.Attempted, try.Seal, try.Encoding = response.StatusCode, response.Header.Get(form.Attempt), response.Header.Get(form.Seal), response.Header.Get("Content-Encoding")
-		if after, err := strconv.ParseFloat(response.Header.Get(form.RetryAfter), 64); err == nil {
+		try.Status, try.Attempted, try.Seal, try.Encoding = response.StatusCode, response.Header.Get(protocol.Attempt), response.Header.Get(protocol.Seal), response.Header.Get("Content-Encoding")
+		if after, err := strconv.ParseFloat(response.Header.Get(protocol.RetryAfter), 64); err == nil {
 			try.HasRetryAfter, try.RetryAfterMs = true, int64(after*1000)
 		}
 	})
@@ -170,7 +170,7 @@
 	}
 	c.mutex.Lock()
 	c.closes = c.closes || response.Close || err != nil
-	for _, field := range strings.Split(response.Header.Get(form.KeepAlive), ",") {
+	for _, field := range strings.Split(response.Header.Get(protocol.KeepAlive), ",") {
 		if value, ok := strings.CutPrefix(strings.TrimSpace(field), "timeout="); ok {
 			if seconds, err := strconv.Atoi(value); err == nil {
 				c.until = c.book.Now() + clock.Mark(time.Duration(seconds)*time.Second)
@@ -240,8 +240,8 @@
 			event.ID, some = strings.TrimSpace(line[3:]), true
 		case strings.HasPrefix(line, "data:"):
 			event.Data, some = strings.TrimSpace(line[5:]), true
-		case strings.HasPrefix(line, strings.ToLower(form.WeightVersions)+":"):
-			event.Version, some = strings.TrimSpace(line[len(form.WeightVersions)+1:]), true
+		case strings.HasPrefix(line, strings.ToLower(protocol.WeightVersions)+":"):
+			event.Version, some = strings.TrimSpace(line[len(protocol.WeightVersions)+1:]), true
 		case line != "":
 			some = true
 		}
@@ -250,16 +250,16 @@
 
 // Wire writes a request as bytes.
 func Wire(r *Request, attempt string, left time.Duration, lastEvent string) []byte {
-	header := http.Header{form.Attempt: {attempt}, form.Deadline: {strconv.FormatInt(left.Milliseconds(), 10)}}
+	header := http.Header{protocol.Attempt: {attempt}, protocol.Deadline: {strconv.FormatInt(left.Milliseconds(), 10)}}
 	if r.Prompt.Model != "" {
-		header.Set(form.Model, r.Prompt.WriteModel())
-		header.Set(form.TokenCounts, r.Prompt.WriteCounts())
+		header.Set(protocol.Model, r.Prompt.WriteModel())
+		header.Set(protocol.TokenCounts, r.Prompt.WriteCounts())
 		if len(r.Prompt.Parts) > 0 {
-			header.Set(form.PromptPrefix, r.Prompt.WriteParts())
+			header.Set(protocol.PromptPrefix, r.Prompt.WriteParts())
 		}
 	}
 	if lastEvent != "" {
-		header.Set(form.LastEvent, lastEvent)
+		header.Set(protocol.LastEvent, lastEvent)
 	}
 	for name, value := range r.Header {
 		header.Set(name, value)
--- a/rehearsal/platformkit/contract/answers_test.go
+++ b/testbed/platformtest/contract/answers_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"github.com/cresspond/cresspond/rehearsal/platformkit/form"
+	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
 func TestEachClassIsServedWhole(t *testing.T) {
@@ -16,7 +16,7 @@
 		if !try.Success() || try.Attempted != try.Attempt {
 			t.Errorf("%s: %+v", class, try)
 		}
-		if stamp, genuine := form.ReadStamp(try.Seal); !genuine || stamp.Attempt != try.Attempt {
+		if stamp, genuine := protocol.ReadStamp(try.Seal); !genuine || stamp.Attempt != try.Attempt {
 			t.Errorf("%s: the stamp %q", class, try.Seal)
 		}
 	}
--- a/rehearsal/platformkit/contract/faults_test.go
+++ b/testbed/platformtest/contract/faults_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/rehearsal/platformkit/engine"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/history"
+	"github.com/cresspond/cresspond/testbed/platformtest/engine"
+	"github.com/cresspond/cresspond/testbed/platformtest/history"
 )
 
 // TestAnAnswerCutAtAnyByteNeverLooksWhole: an engine closes or resets after each byte of its answer, in each
--- a/rehearsal/platformkit/contract/fixture_test.go
+++ b/testbed/platformtest/contract/fixture_test.go
@@ -17,15 +17,15 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/client"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/engine"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/fleet"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/form"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/history"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/judge"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/loopback"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/operator"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/testbed/platformtest/checker"
+	"github.com/cresspond/cresspond/testbed/platformtest/client"
+	"github.com/cresspond/cresspond/testbed/platformtest/engine"
+	"github.com/cresspond/cresspond/testbed/platformtest/fleet"
+	"github.com/cresspond/cresspond/testbed/platformtest/history"
+	"github.com/cresspond/cresspond/testbed/platformtest/loopback"
+	"github.com/cresspond/cresspond/testbed/platformtest/operator"
+	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
 // host is what clients ask for.
@@ -99,26 +99,26 @@
 
 const ms = time.Millisecond
 
-var bounds = judge.Bounds{Contact: 3000 * ms, Drain: 2000 * ms, Grace: 8000 * ms, LossSlack: 200 * ms, Apply: 2000 * ms, Revert: 250 * ms, StretchMax: 5000 * ms,
+var bounds = checker.Bounds{Contact: 3000 * ms, Drain: 2000 * ms, Grace: 8000 * ms, LossSlack: 200 * ms, Apply: 2000 * ms, Revert: 250 * ms, StretchMax: 5000 * ms,
 	Recovery: 12 * time.Second, Ack: 4000 * ms, RetryWindow: 10 * time.Second, RetryRatio: 0.2, RetrySlack: 100000, Lease: 3000 * ms, Unfreeze: 300 * ms,
 	OriginWindow: 5 * time.Second, OriginExcess: 1.1}
 
 // config has for each service a plain pool and a model pool, and a path of each class.
-func config() *form.Config {
-	c := &form.Config{Generation: 1, Limits: form.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 1 << 20, HeaderTimeoutMs: 3000, IdleTimeoutMs: 30000}}
+func config() *protocol.Config {
+	c := &protocol.Config{Generation: 1, Limits: protocol.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 1 << 20, HeaderTimeoutMs: 3000, IdleTimeoutMs: 30000}}
 	for n := range services {
 		plain, model := fmt.Sprintf("plain-%d", n), fmt.Sprintf("model-%d", n)
-		c.Backends = append(c.Backends, form.Backend{Label: plain, HealthPath: "/health", MaxConns: 60, Protocol: "h1"},
-			form.Backend{Label: model, HealthPath: "/health", MaxConns: 60, Protocol: "h1", Engine: &form.EngineID{Slots: 8, KVCapacity: 4000, KVTokenBytes: 1000, LinkMbps: 1000, Stride: 2,
-				Models: []form.CatalogModel{{Label: "m", WeightsMb: 50, LoadTimeS: 0.05, Adapters: 2, AdapterSizeMb: 1}}, WeightsMb: 100, AdapterCapacity: 2, LoadsPerS: 5}})
+		c.Backends = append(c.Backends, protocol.Backend{Label: plain, HealthPath: "/health", MaxConns: 60, Protocol: "h1"},
+			protocol.Backend{Label: model, HealthPath: "/health", MaxConns: 60, Protocol: "h1", Engine: &protocol.EngineID{Slots: 8, KVCapacity: 4000, KVTokenBytes: 1000, LinkMbps: 1000, Stride: 2,
+				Models: []protocol.CatalogModel{{Label: "m", WeightsMb: 50, LoadTimeS: 0.05, Adapters: 2, AdapterSizeMb: 1}}, WeightsMb: 100, AdapterCapacity: 2, LoadsPerS: 5}})
 		route := func(name, class, backend string, resumable bool) {
-			c.Routes = append(c.Routes, form.Route{Label: fmt.Sprintf("%s-%d", name, n), Authority: host, PathPrefix: fmt.Sprintf("/%s/%d/", name, n), Class: class, DeadlineMs: 20000, TargetMs: 1000, Backend: backend,
-				Tries: 3, Affine: class == form.Streaming, Resumable: resumable, GapTargetMs: 400})
+			c.Routes = append(c.Routes, protocol.Route{Label: fmt.Sprintf("%s-%d", name, n), Authority: host, PathPrefix: fmt.Sprintf("/%s/%d/", name, n), Class: class, DeadlineMs: 20000, TargetMs: 1000, Backend: backend,
+				Tries: 3, Affine: class == protocol.Streaming, Resumable: resumable, GapTargetMs: 400})
 		}
-		route("again", form.Idempotent, plain, false)
-		route("once", form.Mutating, plain, false)
-		route("stream", form.Streaming, model, false)
-		route("resume", form.Streaming, model, true)
+		route("again", protocol.Idempotent, plain, false)
+		route("once", protocol.Mutating, plain, false)
+		route("stream", protocol.Streaming, model, false)
+		route("resume", protocol.Streaming, model, true)
 	}
 	return c
 }
@@ -151,7 +151,7 @@
 	b.t.Helper()
 	c := config().Backend(fmt.Sprintf("model-%d", b.number))
 	return b.start(engine.Config{Service: c.Label, Model: true, Pace: engine.Pace{Slots: 8, Waiting: 8, Memory: 4000, Step: 300 * time.Microsecond, ReadPerMs: 1000, ReadAtOnce: 500, Stride: 2},
-		Room: engine.Room{Catalogue: *c.Engine, DiskShare: 0.5, AdapterTime: ms}, Store: &engine.Store{}, Initially: []form.Holding{{Label: "m", Generation: 1}}}, change)
+		Room: engine.Room{Catalogue: *c.Engine, DiskShare: 0.5, AdapterTime: ms}, Store: &engine.Store{}, Initially: []protocol.Holding{{Label: "m", Generation: 1}}}, change)
 }
 
 func (b *bench) start(c engine.Config, change func(*engine.Config)) *engine.Engine {
@@ -180,12 +180,12 @@
 		Deadline: 15 * time.Second, Aim: 2 * time.Second, Gap: time.Second}
 	switch class {
 	case "again":
-		r.Class = form.Idempotent
+		r.Class = protocol.Idempotent
 	case "once":
-		r.Class = form.Mutating
+		r.Class = protocol.Mutating
 	default:
-		r.Class, r.Resumable = form.Streaming, class == "resume"
-		r.Prompt = form.Prompt{Model: "m", TokensIn: 100, TokensOut: 12, Parts: []form.Part{{ID: "aa", Tokens: 60}, {ID: fmt.Sprintf("%x", b.number), Tokens: 40}}}
+		r.Class, r.Resumable = protocol.Streaming, class == "resume"
+		r.Prompt = protocol.Prompt{Model: "m", TokensIn: 100, TokensOut: 12, Parts: []protocol.Part{{ID: "aa", Tokens: 60}, {ID: fmt.Sprintf("%x", b.number), Tokens: 40}}}
 	}
 	return r
 }
@@ -290,7 +290,7 @@
 	h.Tries = slices.DeleteFunc(h.Tries, func(try *history.Try) bool { return !strings.Contains(try.URI, mine) })
 	h.Arrivals = slices.DeleteFunc(h.Arrivals, func(a *history.Arrival) bool { return !strings.Contains(a.URI, mine) })
 	checked := 0
-	for _, finding := range judge.Judge(h, bounds) {
+	for _, finding := range checker.Judge(h, bounds) {
 		if slices.Contains(onAnswers, finding.Rule) {
 			checked += finding.Checked
 			for _, violation := range finding.Violations {
@@ -329,7 +329,7 @@
 func (b *bench) wire(r *client.Request) (attempt string, data []byte) {
 	attempt = attempts()
 	b.book.Note(func(h *history.History) {
-		h.Tries = append(h.Tries, &history.Try{Request: r.ID, Kind: r.Kind, Attempt: attempt, Host: r.Host, Method: r.Method, URI: r.URI, BodyDigest: form.Digest(r.Body), Prompt: r.Prompt, Class: r.Class, Resumable: r.Resumable,
+		h.Tries = append(h.Tries, &history.Try{Request: r.ID, Kind: r.Kind, Attempt: attempt, Host: r.Host, Method: r.Method, URI: r.URI, BodyDigest: protocol.Digest(r.Body), Prompt: r.Prompt, Class: r.Class, Resumable: r.Resumable,
 			Daemon: "edge-0", Began: b.book.Now()})
 	})
 	return attempt, client.Wire(r, attempt, r.Deadline, "")
--- a/rehearsal/platformkit/contract/leaving_test.go
+++ b/testbed/platformtest/contract/leaving_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/rehearsal/platformkit/engine"
+	"github.com/cresspond/cresspond/testbed/platformtest/engine"
 )
 
 // TestAnEngineThatIsDeletedFirstGetsNothingLate: it says at once that it is gone, beats on as if it were ready, and
--- a/rehearsal/platformkit/contract/operator_test.go
+++ b/testbed/platformtest/contract/operator_test.go
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/rehearsal/platformkit/form"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/history"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/judge"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/operator"
+	"github.com/cresspond/cresspond/testbed/platformtest/checker"
+	"github.com/cresspond/cresspond/testbed/platformtest/history"
+	"github.com/cresspond/cresspond/testbed/platformtest/operator"
+	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
 // TestTheOperatorsPage goes through the page on the operator in one order, since all tests share one group.
@@ -22,7 +22,7 @@
 	defer cancel()
 	o := operator.New("contract", 7, b.book, shared.fleet.Controls)
 	current := config()
-	read := func() *form.Config {
+	read := func() *protocol.Config {
 		t.Helper()
 		back := o.Get(ctx, false)
 		if back.Config == nil {
@@ -30,11 +30,11 @@
 		}
 		return back.Config
 	}
-	if !judge.Same(read(), current) {
+	if !checker.Same(read(), current) {
 		t.Fatal("what is read back is not what was sent")
 	}
 	put := func(base uint64, body []byte) int {
-		status, _ := b.call(http.MethodPut, form.PathConfig, map[string]string{"If-Match": fmt.Sprint(base), "Content-Type": "application/json"}, body)
+		status, _ := b.call(http.MethodPut, protocol.PathConfig, map[string]string{"If-Match": fmt.Sprint(base), "Content-Type": "application/json"}, body)
 		return status
 	}
 	// The same again is acknowledged again.
@@ -43,25 +43,25 @@
 	}
 	next := current.Clone()
 	next.Generation = 4
-	next.Routes = append(next.Routes, form.Route{Label: "later", Authority: host, PathPrefix: "/later/", Class: form.Idempotent, DeadlineMs: 1000, Backend: "plain-0", Tries: 1})
+	next.Routes = append(next.Routes, protocol.Route{Label: "later", Authority: host, PathPrefix: "/later/", Class: protocol.Idempotent, DeadlineMs: 1000, Backend: "plain-0", Tries: 1})
 	if status := put(0, next.Encode()); status != 412 {
 		t.Errorf("on an old version: %d", status)
 	}
-	for what, spoil := range map[string]func(*form.Config){
-		"an unknown service": func(c *form.Config) { c.Routes[0].Backend = "nobody" },
-		"an unknown share": func(c *form.Config) {
-			c.Routes[0].Shares = []form.Share{{Backend: "nobody", Share: 1}}
+	for what, spoil := range map[string]func(*protocol.Config){
+		"an unknown service": func(c *protocol.Config) { c.Routes[0].Backend = "nobody" },
+		"an unknown share": func(c *protocol.Config) {
+			c.Routes[0].Shares = []protocol.Share{{Backend: "nobody", Share: 1}}
 			c.Routes[0].Backend = ""
 		},
-		"host and prefix": func(c *form.Config) { c.Routes[1].PathPrefix = c.Routes[0].PathPrefix },
-		"weights of 0": func(c *form.Config) {
-			c.Routes[0].Shares = []form.Share{{Backend: "plain-0"}}
+		"host and prefix": func(c *protocol.Config) { c.Routes[1].PathPrefix = c.Routes[0].PathPrefix },
+		"weights of 0": func(c *protocol.Config) {
+			c.Routes[0].Shares = []protocol.Share{{Backend: "plain-0"}}
 			c.Routes[0].Backend = ""
 		},
-		"a deadline of 0":     func(c *form.Config) { c.Routes[0].DeadlineMs = 0 },
-		"the same generation": func(c *form.Config) { c.Generation = 1; c.Routes[0].TargetMs++ },
-		"an older generation": func(c *form.Config) { c.Generation = 0 },
-		"host in capitals too": func(c *form.Config) {
+		"a deadline of 0":     func(c *protocol.Config) { c.Routes[0].DeadlineMs = 0 },
+		"the same generation": func(c *protocol.Config) { c.Generation = 1; c.Routes[0].TargetMs++ },
+		"an older generation": func(c *protocol.Config) { c.Generation = 0 },
+		"host in capitals too": func(c *protocol.Config) {
 			c.Routes[1].PathPrefix, c.Routes[1].Authority = c.Routes[0].PathPrefix, "FRONT.example"
 		},
 	} {
@@ -76,7 +76,7 @@
 			t.Errorf("%.20q: %d", raw, status)
 		}
 	}
-	if !judge.Same(read(), current) {
+	if !checker.Same(read(), current) {
 		t.Fatal("something that was refused is in force")
 	}
 	if change := o.Put(ctx, 1, next, ""); change.Outcome != history.Acknowledged {
@@ -114,7 +114,7 @@
 			t.Errorf("%+v", change)
 		}
 	}
-	if won != 1 || !judge.Same(read(), current) {
+	if won != 1 || !checker.Same(read(), current) {
 		t.Errorf("%d won", won)
 	}
 	for _, change := range changes {
@@ -123,22 +123,22 @@
 		}
 	}
 	// Named items change, and all else stays as it was sent.
-	patch := form.Patch{Generation: 40}
+	patch := protocol.Patch{Generation: 40}
 	moved := *current.Named("later")
-	moved.Backend, moved.Shares = "", []form.Share{{Backend: "plain-0", Share: 3}, {Backend: "plain-1", Share: 1}}
-	patch.Upsert.Routes = []form.Route{moved, {Label: "newer", Authority: host, PathPrefix: "/newer/", Class: form.Mutating, DeadlineMs: 700, Backend: "plain-0", Tries: 1}}
-	patch.Upsert.Backends = []form.Backend{{Label: "extra", HealthPath: "/h", MaxConns: 3, Protocol: "h1"}}
-	if change := o.Patch(ctx, current, patch, ""); change.Outcome != history.Acknowledged || !judge.Same(read(), change.Whole) {
+	moved.Backend, moved.Shares = "", []protocol.Share{{Backend: "plain-0", Share: 3}, {Backend: "plain-1", Share: 1}}
+	patch.Upsert.Routes = []protocol.Route{moved, {Label: "newer", Authority: host, PathPrefix: "/newer/", Class: protocol.Mutating, DeadlineMs: 700, Backend: "plain-0", Tries: 1}}
+	patch.Upsert.Backends = []protocol.Backend{{Label: "extra", HealthPath: "/h", MaxConns: 3, Protocol: "h1"}}
+	if change := o.Patch(ctx, current, patch, ""); change.Outcome != history.Acknowledged || !checker.Same(read(), change.Whole) {
 		t.Fatalf("%+v", change)
 	}
 	current = current.Apply(patch)
-	gone := form.Patch{Generation: 41}
+	gone := protocol.Patch{Generation: 41}
 	gone.Remove.Routes, gone.Remove.Backends = []string{"newer", "later", "was-never-there"}, []string{"extra"}
-	if change := o.Patch(ctx, current, gone, ""); change.Outcome != history.Acknowledged || !judge.Same(read(), change.Whole) {
+	if change := o.Patch(ctx, current, gone, ""); change.Outcome != history.Acknowledged || !checker.Same(read(), change.Whole) {
 		t.Errorf("%+v", change)
 	}
 	current = current.Apply(gone)
-	broken := form.Patch{Generation: 42}
+	broken := protocol.Patch{Generation: 42}
 	broken.Remove.Backends = []string{"plain-0"}
 	if change := o.Patch(ctx, current, broken, "a route names an unknown service"); change.Outcome != history.Refused {
 		t.Errorf("a service that routes name was removed: %+v", change)
@@ -147,9 +147,9 @@
 	large := current.Clone()
 	large.Generation = 50
 	for n := range 3000 {
-		large.Routes = append(large.Routes, form.Route{Label: fmt.Sprintf("many-%d", n), Authority: host, PathPrefix: fmt.Sprintf("/many/%d/", n), Class: form.Idempotent, DeadlineMs: 1000, Backend: "plain-0", Tries: 1})
+		large.Routes = append(large.Routes, protocol.Route{Label: fmt.Sprintf("many-%d", n), Authority: host, PathPrefix: fmt.Sprintf("/many/%d/", n), Class: protocol.Idempotent, DeadlineMs: 1000, Backend: "plain-0", Tries: 1})
 	}
-	if change := o.Put(ctx, 41, large, ""); change.Outcome != history.Acknowledged || !judge.Same(read(), large) {
+	if change := o.Put(ctx, 41, large, ""); change.Outcome != history.Acknowledged || !checker.Same(read(), large) {
 		t.Errorf("%+v", change)
 	}
 }
@@ -157,7 +157,7 @@
 // TestFieldsThatNobodyKnowsComeBack: an operator reads back what it sent, also what the product does not read.
 func TestFieldsThatNobodyKnowsComeBack(t *testing.T) {
 	b := newBench(t)
-	_, text := b.call(http.MethodGet, form.PathConfig, nil, nil)
+	_, text := b.call(http.MethodGet, protocol.PathConfig, nil, nil)
 	var whole map[string]any
 	if err := json.Unmarshal(text, &whole); err != nil {
 		t.Fatal(err)
--- a/rehearsal/platformkit/contract/registering_test.go
+++ b/testbed/platformtest/contract/registering_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/rehearsal/platformkit/engine"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/fleet"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/form"
+	"github.com/cresspond/cresspond/testbed/platformtest/engine"
+	"github.com/cresspond/cresspond/testbed/platformtest/fleet"
+	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
 // call makes a call at the control daemon as engines and operators do: an answer that promises nothing (a 5xx, 408 or
@@ -49,31 +49,31 @@
 }
 
 // register sends a beat in an engine's name.
-func (b *bench) register(id string, beat form.Registration) (int, []byte) {
+func (b *bench) register(id string, beat protocol.Registration) (int, []byte) {
 	data, _ := json.Marshal(beat)
-	return b.call(http.MethodPut, form.PathEngines+id, map[string]string{"Content-Type": "application/json"}, data)
+	return b.call(http.MethodPut, protocol.PathEngines+id, map[string]string{"Content-Type": "application/json"}, data)
 }
 
 // TestARegistrationIsAcknowledgedInShort: an acknowledgement is a 2xx of 4 KiB at most that can be read.
 func TestARegistrationIsAcknowledgedInShort(t *testing.T) {
 	b := newBench(t)
-	beat := form.Registration{Backend: fmt.Sprintf("plain-%d", b.number), Address: "127.0.0.1:9", Zone: "a", Generation: "v1", Slots: 1, State: form.StateReady, CallSeq: 1}
+	beat := protocol.Registration{Backend: fmt.Sprintf("plain-%d", b.number), Address: "127.0.0.1:9", Zone: "a", Generation: "v1", Slots: 1, State: protocol.StateReady, CallSeq: 1}
 	status, body := b.register("i-contract-a", beat)
-	var answer form.Registered
+	var answer protocol.Registered
 	if status < 200 || status > 299 || len(body) > 4096 || len(body) > 0 && json.Unmarshal(body, &answer) != nil {
 		t.Errorf("%d %q", status, body)
 	}
 	for what, spoil := range map[string][]byte{"no JSON": []byte("{"), "another form": []byte("[]"), "nothing": nil} {
-		if status, _ := b.call(http.MethodPut, form.PathEngines+"i-contract-b", nil, spoil); status < 400 || status > 499 {
+		if status, _ := b.call(http.MethodPut, protocol.PathEngines+"i-contract-b", nil, spoil); status < 400 || status > 499 {
 			t.Errorf("%s: %d", what, status)
 		}
 	}
-	if status, _ := b.call(http.MethodDelete, form.PathEngines+"i-contract-a", nil, nil); status < 200 || status > 299 {
+	if status, _ := b.call(http.MethodDelete, protocol.PathEngines+"i-contract-a", nil, nil); status < 200 || status > 299 {
 		t.Errorf("leaving: %d", status)
 	}
 	// Leaving again, and of one that nobody knows, is no failure: the first answer may have been lost.
 	for _, id := range []string{"i-contract-a", "i-contract-never"} {
-		if status, _ := b.call(http.MethodDelete, form.PathEngines+id, nil, nil); status < 200 || status > 299 {
+		if status, _ := b.call(http.MethodDelete, protocol.PathEngines+id, nil, nil); status < 200 || status > 299 {
 			t.Errorf("leaving of %s: %d", id, status)
 		}
 	}
@@ -83,18 +83,18 @@
 func TestALateBeatOfOneThatDrainsChangesNothing(t *testing.T) {
 	b := newBench(t)
 	e := b.plain(func(c *engine.Config) { c.Controls = nil })
-	beat := form.Registration{Backend: e.Config.Service, Address: e.Config.Address, Zone: "a", Generation: "v1", Slots: 8, State: form.StateReady, CallSeq: 5}
+	beat := protocol.Registration{Backend: e.Config.Service, Address: e.Config.Address, Zone: "a", Generation: "v1", Slots: 8, State: protocol.StateReady, CallSeq: 5}
 	b.register(e.Current(), beat)
 	b.known("once", 1)
 	draining := beat
-	draining.State, draining.CallSeq = form.StateDraining, 6
+	draining.State, draining.CallSeq = protocol.StateDraining, 6
 	if status, _ := b.register(e.Current(), draining); status != 200 {
 		t.Fatal(status)
 	}
 	b.await("it gets nothing new", func() bool { return !b.ask(b.request("once")).Success() })
 	// A beat that was sent before, and comes after.
 	b.register(e.Current(), beat)
-	if status, _ := b.call(http.MethodDelete, form.PathEngines+e.Current(), nil, nil); status != 200 {
+	if status, _ := b.call(http.MethodDelete, protocol.PathEngines+e.Current(), nil, nil); status != 200 {
 		t.Fatal(status)
 	}
 	late := beat
--- a/rehearsal/platformkit/contract/requests_test.go
+++ b/testbed/platformtest/contract/requests_test.go
@@ -11,10 +11,10 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/rehearsal/platformkit/client"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/engine"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/form"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/history"
+	"github.com/cresspond/cresspond/testbed/platformtest/client"
+	"github.com/cresspond/cresspond/testbed/platformtest/engine"
+	"github.com/cresspond/cresspond/testbed/platformtest/history"
+	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
 // TestMethodPathAndBodyGoUnchanged: whatever a path looks like, the engine sees the client's own bytes.
@@ -88,7 +88,7 @@
 	}
 	for name := range e.LastHead() {
 		switch name {
-		case form.Attempt, form.Deadline, form.Target, form.Urgency, "Content-Length", "Host", "Connection", "Transfer-Encoding":
+		case protocol.Attempt, protocol.Deadline, protocol.Target, protocol.Urgency, "Content-Length", "Host", "Connection", "Transfer-Encoding":
 		default:
 			t.Errorf("the head got %s: %v", name, e.LastHead()[name])
 		}
@@ -127,7 +127,7 @@
 		{"a prefix without its slash", func(r *client.Request) { r.URI = fmt.Sprintf("/again/%d", b.number) }, 404},
 		{"the host in capitals", func(r *client.Request) { r.Host = strings.ToUpper(host) }, 200},
 		{"the host with a port", func(r *client.Request) { r.Host = host + ":8080" }, 200},
-		{"no id", func(r *client.Request) { r.Header = map[string]string{form.Attempt: ""} }, 400},
+		{"no id", func(r *client.Request) { r.Header = map[string]string{protocol.Attempt: ""} }, 400},
 	} {
 		r := b.request("again")
 		r.Absent = one.status == 404
@@ -160,7 +160,7 @@
 	for place, attempt := range sent {
 		response := b.response(reader)
 		body, err := io.ReadAll(response.Body)
-		if err != nil || response.StatusCode != 200 || response.Header.Get(form.Attempt) != attempt || !bytes.Contains(body, []byte(attempt)) {
+		if err != nil || response.StatusCode != 200 || response.Header.Get(protocol.Attempt) != attempt || !bytes.Contains(body, []byte(attempt)) {
 			t.Fatalf("answer %d to %s: %d %v %v %q", place, attempt, response.StatusCode, response.Header, err, body)
 		}
 	}
@@ -267,7 +267,7 @@
 		b.t.Fatal(err)
 	}
 	defer conn.Close()
-	try := &history.Try{Request: r.ID, Kind: r.Kind, Attempt: attempts(), Host: r.Host, Method: r.Method, URI: r.URI, BodyDigest: form.Digest(r.Body), Class: r.Class, Resumable: r.Resumable,
+	try := &history.Try{Request: r.ID, Kind: r.Kind, Attempt: attempts(), Host: r.Host, Method: r.Method, URI: r.URI, BodyDigest: protocol.Digest(r.Body), Class: r.Class, Resumable: r.Resumable,
 		Prompt: r.Prompt, LastEvent: lastEvent, Began: b.book.Now(), DeadlineMs: r.Deadline.Milliseconds()}
 	b.book.Note(func(h *history.History) { h.Tries = append(h.Tries, try) })
 	client.Send(context.Background(), conn, r, try, r.Deadline, lastEvent)
--- a/rehearsal/platformkit/engine/batch.go
+++ b/testbed/platformtest/engine/batch.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/form"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
 // Pace is how fast an engine is, and how much it takes at once.
@@ -29,7 +29,7 @@
 // Job is one request in an engine's hands.
 type Job struct {
 	Number   uint64
-	Prompt   form.Prompt
+	Prompt   protocol.Prompt
 	Urgency  int
 	Deadline clock.Mark
 	// From is the last event that the caller has already; the run goes on behind it.
@@ -210,7 +210,7 @@
 }
 
 // chain gives the keys of a prompt's parts.
-func chain(prompt form.Prompt) []string {
+func chain(prompt protocol.Prompt) []string {
 	key := prompt.WriteModel() + "|"
 	keys := make([]string, 0, len(prompt.Parts))
 	for _, part := range prompt.Parts {
--- a/rehearsal/platformkit/engine/batch_test.go
+++ b/testbed/platformtest/engine/batch_test.go
@@ -5,16 +5,16 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/form"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
 func pace() Pace {
 	return Pace{Slots: 2, Waiting: 1, Memory: 100, Step: time.Millisecond, PerRun: time.Millisecond, ReadPerMs: 10, ReadAtOnce: 20, Stride: 2}
 }
 
-func job(number uint64, in, out int, parts ...form.Part) *Job {
-	return &Job{Number: number, Urgency: 5, Prompt: form.Prompt{Model: "m", TokensIn: in, TokensOut: out, Parts: parts}}
+func job(number uint64, in, out int, parts ...protocol.Part) *Job {
+	return &Job{Number: number, Urgency: 5, Prompt: protocol.Prompt{Model: "m", TokensIn: in, TokensOut: out, Parts: parts}}
 }
 
 // through runs a batch until it idles and gives the events of each job, the time it took, and how often one was put back.
@@ -60,18 +60,18 @@
 
 func TestKeptPartsAreNotReadAgainAndThoseUnusedLongestGiveWay(t *testing.T) {
 	b := NewBatch(pace())
-	shared := form.Part{ID: "aa", Tokens: 20}
-	first := job(1, 30, 2, shared, form.Part{ID: "b1", Tokens: 10})
+	shared := protocol.Part{ID: "aa", Tokens: 20}
+	first := job(1, 30, 2, shared, protocol.Part{ID: "b1", Tokens: 10})
 	b.Offer(first)
 	through(t, b)
-	second := job(2, 30, 2, shared, form.Part{ID: "b2", Tokens: 10})
+	second := job(2, 30, 2, shared, protocol.Part{ID: "b2", Tokens: 10})
 	b.Offer(second)
 	through(t, b)
 	if first.Read != 30 || second.Read != 10 || second.Kept != 20 {
 		t.Fatal(first.Read, second.Read, second.Kept)
 	}
 	// A part behind one that is not kept is read again.
-	third := job(3, 30, 2, form.Part{ID: "cc", Tokens: 20}, form.Part{ID: "b2", Tokens: 10})
+	third := job(3, 30, 2, protocol.Part{ID: "cc", Tokens: 20}, protocol.Part{ID: "b2", Tokens: 10})
 	b.Offer(third)
 	through(t, b)
 	if third.Read != 30 {
@@ -148,7 +148,7 @@
 }
 
 func room() Room {
-	return Room{Catalogue: form.EngineID{WeightsMb: 100, AdapterCapacity: 1, Models: []form.CatalogModel{
+	return Room{Catalogue: protocol.EngineID{WeightsMb: 100, AdapterCapacity: 1, Models: []protocol.CatalogModel{
 		{Label: "m", WeightsMb: 60, LoadTimeS: 2, Adapters: 3, AdapterSizeMb: 5}, {Label: "n", WeightsMb: 60, LoadTimeS: 1}, {Label: "o", WeightsMb: 30, LoadTimeS: 1}}},
 		DiskShare: 0.5, AdapterTime: time.Millisecond, FenceChecked: true}
 }
@@ -156,14 +156,14 @@
 func TestOrdersAreTakenOneAtATimeAndAnsweredByThePage(t *testing.T) {
 	fence := func(n uint64) *uint64 { return &n }
 	h := NewHoldings(room(), nil, map[string]bool{})
-	order := func(operation, model, adapter string) form.Order {
-		return form.Order{Operation: operation, Model: model, Adapter: adapter, Owner: "o", Fence: fence(5)}
+	order := func(operation, model, adapter string) protocol.Order {
+		return protocol.Order{Operation: operation, Model: model, Adapter: adapter, Owner: "o", Fence: fence(5)}
 	}
-	stale, unowned, unexpected := order(form.Load, "m", ""), order(form.Load, "m", ""), order(form.Load, "m", "")
+	stale, unowned, unexpected := order(protocol.Load, "m", ""), order(protocol.Load, "m", ""), order(protocol.Load, "m", "")
 	stale.Fence, unowned.Owner, unexpected.Expected = fence(4), "", fence(7)
 	for _, step := range []struct {
 		what   string
-		order  form.Order
+		order  protocol.Order
 		status int
 		over   bool
 		store  bool
@@ -171,24 +171,24 @@
 	}{
 		{"no owner", unowned, http.StatusBadRequest, false, false, 0},
 		{"no such order", order("grow", "m", ""), http.StatusBadRequest, false, false, 0},
-		{"no such model", order(form.Load, "x", ""), http.StatusBadRequest, false, false, 0},
-		{"an adapter without its model", order(form.Load, "m", "a1"), http.StatusMisdirectedRequest, false, false, 0},
+		{"no such model", order(protocol.Load, "x", ""), http.StatusBadRequest, false, false, 0},
+		{"an adapter without its model", order(protocol.Load, "m", "a1"), http.StatusMisdirectedRequest, false, false, 0},
 		{"another call-seq", unexpected, http.StatusConflict, false, false, 0},
-		{"a load", order(form.Load, "m", ""), http.StatusAccepted, false, true, 2 * time.Second},
+		{"a load", order(protocol.Load, "m", ""), http.StatusAccepted, false, true, 2 * time.Second},
 		{"a lower fence", stale, http.StatusPreconditionFailed, false, false, 0},
-		{"held already", order(form.Load, "m", ""), http.StatusOK, false, false, 0},
-		{"an adapter", order(form.Load, "m", "a1"), http.StatusAccepted, false, false, time.Millisecond},
-		{"no such adapter", order(form.Load, "m", "a4"), http.StatusBadRequest, false, false, 0},
-		{"an eviction", order(form.Evict, "m", ""), http.StatusAccepted, false, false, 0},
-		{"from its own disk", order(form.Load, "m", ""), http.StatusAccepted, false, false, time.Second},
-		{"over the room", order(form.Load, "n", ""), http.StatusAccepted, true, true, time.Second},
+		{"held already", order(protocol.Load, "m", ""), http.StatusOK, false, false, 0},
+		{"an adapter", order(protocol.Load, "m", "a1"), http.StatusAccepted, false, false, time.Millisecond},
+		{"no such adapter", order(protocol.Load, "m", "a4"), http.StatusBadRequest, false, false, 0},
+		{"an eviction", order(protocol.Evict, "m", ""), http.StatusAccepted, false, false, 0},
+		{"from its own disk", order(protocol.Load, "m", ""), http.StatusAccepted, false, false, time.Second},
+		{"over the room", order(protocol.Load, "n", ""), http.StatusAccepted, true, true, time.Second},
 	} {
 		got := h.Take(step.order)
 		if got.Status != step.status || got.Over != step.over || got.Store != step.store || got.Takes != step.takes {
 			t.Errorf("%s: %+v", step.what, got)
 		}
 		if got.Status == http.StatusAccepted {
-			if again := h.Take(order(form.Load, "o", "")); again.Status != http.StatusConflict {
+			if again := h.Take(order(protocol.Load, "o", "")); again.Status != http.StatusConflict {
 				t.Errorf("%s: another order beside it got %d", step.what, again.Status)
 			}
 			h.Finish(1)
--- a/rehearsal/platformkit/engine/beat.go
+++ b/testbed/platformtest/engine/beat.go
@@ -9,8 +9,8 @@
 	"net/http"
 	"time"
 
-	"github.com/cresspond/cresspond/rehearsal/platformkit/form"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/history"
+	"github.com/cresspond/cresspond/testbed/platformtest/history"
+	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
 // mostAnswer is the longest acknowledgement that is taken for one.
@@ -85,8 +85,8 @@
 		return false
 	}
 	c.seq++
-	beat := form.Registration{Backend: c.Config.Service, Address: c.Config.Address, Zone: c.Config.Zone, Generation: c.Config.Software, Slots: c.slots(),
-		State: form.StateReady, CallSeq: c.seq}
+	beat := protocol.Registration{Backend: c.Config.Service, Address: c.Config.Address, Zone: c.Config.Zone, Generation: c.Config.Software, Slots: c.slots(),
+		State: protocol.StateReady, CallSeq: c.seq}
 	if left := c.Config.Cold - c.Book.Now().Since(c.began); left > 0 {
 		beat.ColdLeftMs = left.Milliseconds()
 	}
@@ -96,7 +96,7 @@
 	}
 	leaving := c.leaving.Load()
 	if leaving {
-		beat.State = form.StateDraining
+		beat.State = protocol.StateDraining
 		if by := c.remaining.Load(); by != 0 {
 			beat.RemainingMs = max(0, time.Duration(by-int64(c.Book.Now())).Milliseconds())
 		}
@@ -108,13 +108,13 @@
 		return false
 	}
 	asked := c.Book.Now()
-	status, body, err := call(c.ctx, c.client, http.MethodPut, daemon, form.PathEngines+c.id, encode(beat))
+	status, body, err := call(c.ctx, c.client, http.MethodPut, daemon, protocol.PathEngines+c.id, encode(beat))
 	if err != nil || status < 200 || status > 299 || len(body) > mostAnswer || c.Book.Now().Since(asked) > time.Second {
 		c.target = ""
 		c.turn++
 		return false
 	}
-	var answer form.Registered
+	var answer protocol.Registered
 	if json.Unmarshal(body, &answer) == nil {
 		c.target = answer.BeatTarget
 	}
@@ -136,7 +136,7 @@
 	daemon := list[c.seq%uint64(len(list))]
 	time.AfterFunc(c.Config.LateBy, func() {
 		// Whatever the answer is, nobody waits for it any more.
-		_, _, _ = call(context.Background(), c.client, http.MethodPut, daemon, form.PathEngines+c.id, beat)
+		_, _, _ = call(context.Background(), c.client, http.MethodPut, daemon, protocol.PathEngines+c.id, beat)
 	})
 }
 
@@ -148,7 +148,7 @@
 		return true
 	}
 	for _, daemon := range list() {
-		status, _, err := call(l.ctx, client, http.MethodDelete, daemon, form.PathEngines+l.id, nil)
+		status, _, err := call(l.ctx, client, http.MethodDelete, daemon, protocol.PathEngines+l.id, nil)
 		if err == nil && status >= 200 && status < 300 {
 			l.Book.Note(func(*history.History) {
 				if l.record.DrainAcked == 0 {
--- a/rehearsal/platformkit/engine/engine.go
+++ b/testbed/platformtest/engine/engine.go
@@ -14,10 +14,10 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/cresspond/cresspond/process/actor"
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/form"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/history"
+	"github.com/cresspond/cresspond/actor"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/testbed/platformtest/history"
+	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
 // Config is what a stand-in is told. It stays over its lives.
@@ -43,7 +43,7 @@
 	Room  Room
 	Store *Store
 	// Initially is what its first life holds; later lives start empty.
-	Initially []form.Holding
+	Initially []protocol.Holding
 
 	// Slots, Waiting, Work, SlowFull and AnswerBytes are of a plain engine. When nearly full its work takes
 	// SlowFull times as long.
@@ -144,7 +144,7 @@
 
 type agedReport struct {
 	at     clock.Mark
-	report form.Report
+	report protocol.Report
 }
 
 // sink is where a job's signs go.
@@ -174,7 +174,7 @@
 		box: actor.NewMailbox[func()](256), hurry: make(chan struct{}, 1), acked: make(chan struct{}), newest: 1, sinks: map[*Job]*sink{},
 		began: e.Book.Now(), random: rand.New(rand.NewPCG(e.Config.Seed, uint64(e.lives)))}
 	l.batch = NewBatch(e.Config.Pace)
-	var initial []form.Holding
+	var initial []protocol.Holding
 	if e.lives == 1 {
 		initial = e.Config.Initially
 	}
@@ -517,7 +517,7 @@
 
 // remember keeps what a report will show once it is old enough.
 func (l *life) remember() {
-	report := form.Report{Phase: "colocated", Models: l.holdings.List(), Saturated: l.holdings.doing != nil, CallSeq: l.holdings.callSeq, KVSize: l.Config.Pace.Memory, ServedModels: 0}
+	report := protocol.Report{Phase: "colocated", Models: l.holdings.List(), Saturated: l.holdings.doing != nil, CallSeq: l.holdings.callSeq, KVSize: l.Config.Pace.Memory, ServedModels: 0}
 	if l.Config.Model {
 		report.Queued, report.Active = l.batch.Queued(), l.batch.Active()
 		report.KVInUse, _ = l.batch.Memory()
@@ -536,7 +536,7 @@
 }
 
 // report gives what a report shows now.
-func (l *life) report() (report form.Report) {
+func (l *life) report() (report protocol.Report) {
 	l.do(func() {
 		l.remember()
 		report = l.reports[0].report
@@ -545,7 +545,7 @@
 }
 
 // take takes an order.
-func (l *life) take(order form.Order) int {
+func (l *life) take(order protocol.Order) int {
 	noted := &history.Order{At: l.Book.Now(), Engine: l.id, Service: l.Config.Service, Order: order}
 	status := 0
 	l.do(func() {
@@ -564,7 +564,7 @@
 		}
 		l.order = noted
 		concerned := func(job *Job) bool { return l.holdings.Concerned(job.Prompt.Model, job.Prompt.Adapter) }
-		if l.Config.Model && order.Operation == form.Evict {
+		if l.Config.Model && order.Operation == protocol.Evict {
 			for _, job := range l.batch.Drop(concerned) {
 				l.tell([]Sign{{Job: job, Expired: true}})
 			}
@@ -589,7 +589,7 @@
 // settle carries an eviction out once nothing that it concerns runs.
 func (l *life) settle() {
 	doing := l.holdings.doing
-	if doing == nil || doing.Operation != form.Evict {
+	if doing == nil || doing.Operation != protocol.Evict {
 		return
 	}
 	if !l.batch.Works(func(job *Job) bool { return l.holdings.Concerned(job.Prompt.Model, job.Prompt.Adapter) }) {
@@ -599,12 +599,12 @@
 
 func (l *life) carryOut() {
 	done := l.holdings.Finish(l.newest)
-	if done.Operation == form.Evict {
-		l.batch.Forget(form.Prompt{Model: done.Model, Adapter: done.Adapter}.WriteModel())
+	if done.Operation == protocol.Evict {
+		l.batch.Forget(protocol.Prompt{Model: done.Model, Adapter: done.Adapter}.WriteModel())
 		if done.Adapter == "" {
 			if model := l.holdings.model(done.Model); model != nil {
 				for n := 1; n <= model.Adapters; n++ {
-					l.batch.Forget(form.Prompt{Model: done.Model, Adapter: adapterName(n)}.WriteModel())
+					l.batch.Forget(protocol.Prompt{Model: done.Model, Adapter: adapterName(n)}.WriteModel())
 				}
 			}
 		}
--- a/rehearsal/platformkit/engine/engine_test.go
+++ b/testbed/platformtest/engine/engine_test.go
@@ -13,22 +13,22 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/client"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/engine"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/form"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/history"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/judge"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/loopback"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/testbed/platformtest/checker"
+	"github.com/cresspond/cresspond/testbed/platformtest/client"
+	"github.com/cresspond/cresspond/testbed/platformtest/engine"
+	"github.com/cresspond/cresspond/testbed/platformtest/history"
+	"github.com/cresspond/cresspond/testbed/platformtest/loopback"
+	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
 func modelConfig() engine.Config {
 	return engine.Config{Name: "lm", Service: "lm", Zone: "a", Address: loopback.Host() + ":0", HealthPath: "/health", MaxConns: 50, Model: true,
 		Pace: engine.Pace{Slots: 4, Waiting: 2, Memory: 4000, Step: 200 * time.Microsecond, PerRun: 50 * time.Microsecond, ReadPerMs: 1000, ReadAtOnce: 500, Stride: 2},
-		Room: engine.Room{Catalogue: form.EngineID{WeightsMb: 100, AdapterCapacity: 2, Models: []form.CatalogModel{
+		Room: engine.Room{Catalogue: protocol.EngineID{WeightsMb: 100, AdapterCapacity: 2, Models: []protocol.CatalogModel{
 			{Label: "m", WeightsMb: 50, LoadTimeS: 0.01, Adapters: 2, AdapterSizeMb: 1}, {Label: "n", WeightsMb: 40, LoadTimeS: 0.01}, {Label: "big", WeightsMb: 90, LoadTimeS: 0.01}}},
 			DiskShare: 0.5, AdapterTime: time.Millisecond},
-		Initially: []form.Holding{{Label: "m", Generation: 1}}, ReportLag: 5 * time.Millisecond, Seed: 1}
+		Initially: []protocol.Holding{{Label: "m", Generation: 1}}, ReportLag: 5 * time.Millisecond, Seed: 1}
 }
 
 func plainConfig() engine.Config {
@@ -59,12 +59,12 @@
 }
 
 func streamed(out int) *client.Request {
-	return &client.Request{ID: "r", Kind: "k", Host: "h", Method: http.MethodPost, URI: "/s/x", Body: []byte("prompt"), Class: form.Streaming, Deadline: 30 * time.Second, Aim: time.Second, Gap: time.Second,
-		Prompt: form.Prompt{Model: "m", TokensIn: 100, TokensOut: out, Parts: []form.Part{{ID: "aa", Tokens: 60}, {ID: "bb", Tokens: 40}}}}
+	return &client.Request{ID: "r", Kind: "k", Host: "h", Method: http.MethodPost, URI: "/s/x", Body: []byte("prompt"), Class: protocol.Streaming, Deadline: 30 * time.Second, Aim: time.Second, Gap: time.Second,
+		Prompt: protocol.Prompt{Model: "m", TokensIn: 100, TokensOut: out, Parts: []protocol.Part{{ID: "aa", Tokens: 60}, {ID: "bb", Tokens: 40}}}}
 }
 
 func plain() *client.Request {
-	return &client.Request{ID: "r", Kind: "k", Host: "h", Method: http.MethodPost, URI: "/p/x?q=1", Body: bytes.Repeat([]byte("b"), 2000), Class: form.Mutating, Deadline: 30 * time.Second, Aim: time.Second}
+	return &client.Request{ID: "r", Kind: "k", Host: "h", Method: http.MethodPost, URI: "/p/x?q=1", Body: bytes.Repeat([]byte("b"), 2000), Class: protocol.Mutating, Deadline: 30 * time.Second, Aim: time.Second}
 }
 
 // once sends one request and gives its last try as written down.
@@ -100,12 +100,12 @@
 
 // verdict holds what was seen against the rules on answers.
 func (s *stand) verdict(rules ...string) (violations []string) {
-	whole := &form.Config{Generation: 1, Routes: []form.Route{
-		{Label: "s", Authority: "h", PathPrefix: "/s/", Class: form.Streaming, DeadlineMs: 30000, Backend: "lm"}, {Label: "p", Authority: "h", PathPrefix: "/p/", Class: form.Mutating, DeadlineMs: 30000, Backend: "plain"}}}
+	whole := &protocol.Config{Generation: 1, Routes: []protocol.Route{
+		{Label: "s", Authority: "h", PathPrefix: "/s/", Class: protocol.Streaming, DeadlineMs: 30000, Backend: "lm"}, {Label: "p", Authority: "h", PathPrefix: "/p/", Class: protocol.Mutating, DeadlineMs: 30000, Backend: "plain"}}}
 	s.book.Note(func(h *history.History) {
 		h.Changes = []*history.Change{{Generation: 1, Whole: whole, Outcome: history.Acknowledged, Began: h.Began, Answered: h.Began}}
 	})
-	for _, finding := range judge.Judge(s.book.Read(), judge.Bounds{RetryWindow: time.Second, OriginWindow: time.Second}) {
+	for _, finding := range checker.Judge(s.book.Read(), checker.Bounds{RetryWindow: time.Second, OriginWindow: time.Second}) {
 		for _, rule := range rules {
 			if finding.Rule == rule {
 				violations = append(violations, finding.Violations...)
@@ -158,7 +158,7 @@
 	t.Parallel()
 	s := start(t, modelConfig())
 	r := streamed(9)
-	r.Header = map[string]string{form.LastEvent: "3"}
+	r.Header = map[string]string{protocol.LastEvent: "3"}
 	try := s.once(r)
 	if len(try.Events) != 2 || try.Events[0].ID != "4" || !try.Whole {
 		t.Fatalf("%+v", try)
@@ -177,9 +177,9 @@
 	s := start(t, modelConfig())
 	absent, adapter, other, version, nameless := streamed(4), streamed(4), streamed(4), streamed(4), streamed(4)
 	absent.Prompt.Model, adapter.Prompt.Adapter = "n", "a1"
-	other.Header = map[string]string{form.Target: "i-other-1"}
-	version.Header = map[string]string{form.ExpectVersion: "2"}
-	nameless.Header = map[string]string{form.Attempt: ""}
+	other.Header = map[string]string{protocol.Target: "i-other-1"}
+	version.Header = map[string]string{protocol.ExpectVersion: "2"}
+	nameless.Header = map[string]string{protocol.Attempt: ""}
 	for _, one := range []struct {
 		what   string
 		r      *client.Request
@@ -241,9 +241,9 @@
 }
 
 // order posts an order and gives the status, or 0 without an answer.
-func (s *stand) order(order form.Order) int {
+func (s *stand) order(order protocol.Order) int {
 	data, _ := json.Marshal(order)
-	response, err := http.Post("http://"+s.engine.Config.Address+form.PathOrder, "application/json", bytes.NewReader(data))
+	response, err := http.Post("http://"+s.engine.Config.Address+protocol.PathOrder, "application/json", bytes.NewReader(data))
 	if err != nil {
 		return 0
 	}
@@ -251,8 +251,8 @@
 	return response.StatusCode
 }
 
-func (s *stand) report() (report form.Report) {
-	response, err := http.Get("http://" + s.engine.Config.Address + form.PathReport)
+func (s *stand) report() (report protocol.Report) {
+	response, err := http.Get("http://" + s.engine.Config.Address + protocol.PathReport)
 	if err != nil {
 		return report
 	}
@@ -265,7 +265,7 @@
 	t.Parallel()
 	s := start(t, modelConfig())
 	fence := uint64(1)
-	load := form.Order{Operation: form.Load, Model: "n", Owner: "o", Fence: &fence}
+	load := protocol.Order{Operation: protocol.Load, Model: "n", Owner: "o", Fence: &fence}
 	if status := s.order(load); status != 202 {
 		t.Fatal(status)
 	}
@@ -274,12 +274,12 @@
 		t.Fatalf("%+v", report)
 	}
 	s.engine.LoseOrders(1)
-	if status := s.order(form.Order{Operation: form.Evict, Model: "n", Owner: "o", Fence: &fence}); status != 0 {
+	if status := s.order(protocol.Order{Operation: protocol.Evict, Model: "n", Owner: "o", Fence: &fence}); status != 0 {
 		t.Fatal(status)
 	}
 	await(t, "the order without an answer shows", func() bool { return len(s.report().Models) == 1 && s.report().CallSeq == 2 })
 	id := s.engine.Current()
-	if status := s.order(form.Order{Operation: form.Load, Model: "big", Owner: "o", Fence: &fence}); status != 202 && status != 0 {
+	if status := s.order(protocol.Order{Operation: protocol.Load, Model: "big", Owner: "o", Fence: &fence}); status != 202 && status != 0 {
 		t.Fatal(status)
 	}
 	await(t, "the engine has fallen", func() bool { return s.engine.Current() == "" })
@@ -306,7 +306,7 @@
 		return len(h.Arrivals) == 1 && h.Arrivals[0].Ran()
 	})
 	fence := uint64(1)
-	if status := s.order(form.Order{Operation: form.Evict, Model: "m", Owner: "o", Fence: &fence}); status != 202 {
+	if status := s.order(protocol.Order{Operation: protocol.Evict, Model: "m", Owner: "o", Fence: &fence}); status != 202 {
 		t.Fatal(status)
 	}
 	other := &client.Client{Book: s.book, NextAttempt: client.NewAttempts(5), Enter: s.client.Enter}
@@ -325,7 +325,7 @@
 // controls is a list of control daemons that answer as they are told.
 type controls struct {
 	mutex  sync.Mutex
-	beats  []form.Registration
+	beats  []protocol.Registration
 	gone   []string
 	answer func(number int, w http.ResponseWriter, r *http.Request)
 	server *httptest.Server
@@ -336,9 +336,9 @@
 	c.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		data, _ := io.ReadAll(r.Body)
 		c.mutex.Lock()
-		var beat form.Registration
+		var beat protocol.Registration
 		if r.Method == http.MethodDelete {
-			c.gone = append(c.gone, strings.TrimPrefix(r.URL.Path, form.PathEngines))
+			c.gone = append(c.gone, strings.TrimPrefix(r.URL.Path, protocol.PathEngines))
 		} else if json.Unmarshal(data, &beat) == nil {
 			c.beats = append(c.beats, beat)
 		}
@@ -354,10 +354,10 @@
 
 func (c *controls) address() string { return strings.TrimPrefix(c.server.URL, "http://") }
 
-func (c *controls) heard() ([]form.Registration, []string) {
+func (c *controls) heard() ([]protocol.Registration, []string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return append([]form.Registration{}, c.beats...), append([]string{}, c.gone...)
+	return append([]protocol.Registration{}, c.beats...), append([]string{}, c.gone...)
 }
 
 func TestAnEngineBeatsGoesOnToTheNextDaemonAndFollowsItsTarget(t *testing.T) {
@@ -380,7 +380,7 @@
 	await(t, "beats go to the target", func() bool { beats, _ := second.heard(); return len(beats) > 3 })
 	beats, _ := second.heard()
 	for place, beat := range beats {
-		if beat.Backend != "lm" || beat.State != form.StateReady || len(beat.Models) != 1 || beat.Address != s.engine.Config.Address || place > 0 && beat.CallSeq <= beats[place-1].CallSeq {
+		if beat.Backend != "lm" || beat.State != protocol.StateReady || len(beat.Models) != 1 || beat.Address != s.engine.Config.Address || place > 0 && beat.CallSeq <= beats[place-1].CallSeq {
 			t.Fatalf("%+v", beats)
 		}
 	}
@@ -409,7 +409,7 @@
 	s.engine.Leave(0)
 	await(t, "it says that it drains", func() bool {
 		beats, _ := c.heard()
-		return len(beats) > 0 && beats[len(beats)-1].State == form.StateDraining
+		return len(beats) > 0 && beats[len(beats)-1].State == protocol.StateDraining
 	})
 	if try := s.once(streamed(4)); try.Status != 200 {
 		t.Errorf("%+v", try)
@@ -632,7 +632,7 @@
 	}
 	beats, _ := c.heard()
 	for _, beat := range beats {
-		if beat.State != form.StateReady {
+		if beat.State != protocol.StateReady {
 			t.Fatalf("%+v", beat)
 		}
 	}
--- a/rehearsal/platformkit/engine/holdings.go
+++ b/testbed/platformtest/engine/holdings.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"github.com/cresspond/cresspond/rehearsal/platformkit/form"
+	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
 // Store is the store of weights of a service; each load takes longer in proportion beyond some at once.
@@ -37,7 +37,7 @@
 
 // Room is what an engine may hold, and how fast it gets it.
 type Room struct {
-	Catalogue form.EngineID
+	Catalogue protocol.EngineID
 	// DiskShare is the part of a load's time that it takes from the engine's own disk.
 	DiskShare   float64
 	AdapterTime time.Duration
@@ -49,16 +49,16 @@
 // Holdings is what an engine holds, and the one order that it may carry out.
 type Holdings struct {
 	room   Room
-	models []form.Holding
+	models []protocol.Holding
 	// had are the models that its disk has.
 	had     map[string]bool
 	callSeq uint64
 	fence   uint64
-	doing   *form.Order
+	doing   *protocol.Order
 }
 
 // NewHoldings begins a life.
-func NewHoldings(room Room, initial []form.Holding, had map[string]bool) *Holdings {
+func NewHoldings(room Room, initial []protocol.Holding, had map[string]bool) *Holdings {
 	h := &Holdings{room: room, had: had}
 	for _, holding := range initial {
 		holding.Adapters = slices.Clone(holding.Adapters)
@@ -78,7 +78,7 @@
 	Store bool
 }
 
-func (h *Holdings) model(label string) *form.CatalogModel {
+func (h *Holdings) model(label string) *protocol.CatalogModel {
 	for place := range h.room.Catalogue.Models {
 		if h.room.Catalogue.Models[place].Label == label {
 			return &h.room.Catalogue.Models[place]
@@ -88,7 +88,7 @@
 }
 
 // Held gives what is there of a model.
-func (h *Holdings) Held(label string) *form.Holding {
+func (h *Holdings) Held(label string) *protocol.Holding {
 	for place := range h.models {
 		if h.models[place].Label == label {
 			return &h.models[place]
@@ -118,7 +118,7 @@
 	return mb, places
 }
 
-func adapterKnown(model *form.CatalogModel, name string) bool {
+func adapterKnown(model *protocol.CatalogModel, name string) bool {
 	for n := 1; n <= model.Adapters; n++ {
 		if name == adapterName(n) {
 			return true
@@ -128,8 +128,8 @@
 }
 
 // Take decides on an order.
-func (h *Holdings) Take(order form.Order) Verdict {
-	if order.Owner == "" || order.Fence == nil || order.Operation != form.Load && order.Operation != form.Evict {
+func (h *Holdings) Take(order protocol.Order) Verdict {
+	if order.Owner == "" || order.Fence == nil || order.Operation != protocol.Load && order.Operation != protocol.Evict {
 		return Verdict{Status: http.StatusBadRequest}
 	}
 	model := h.model(order.Model)
@@ -143,14 +143,14 @@
 	if h.doing != nil || order.Expected != nil && *order.Expected != h.callSeq {
 		return Verdict{Status: http.StatusConflict}
 	}
-	if order.Adapter != "" && h.Held(order.Model) == nil && order.Operation == form.Load {
+	if order.Adapter != "" && h.Held(order.Model) == nil && order.Operation == protocol.Load {
 		return Verdict{Status: http.StatusMisdirectedRequest}
 	}
-	if h.Holds(order.Model, order.Adapter) == (order.Operation == form.Load) {
+	if h.Holds(order.Model, order.Adapter) == (order.Operation == protocol.Load) {
 		return Verdict{Status: http.StatusOK}
 	}
 	verdict := Verdict{Status: http.StatusAccepted}
-	if order.Operation == form.Load {
+	if order.Operation == protocol.Load {
 		mb, places := h.used()
 		if order.Adapter != "" {
 			verdict.Over = places+1 > h.room.Catalogue.AdapterCapacity || mb+model.AdapterSizeMb > h.room.Catalogue.WeightsMb
@@ -175,33 +175,33 @@
 }
 
 // Finish carries the order under way out.
-func (h *Holdings) Finish(newest uint64) form.Order {
+func (h *Holdings) Finish(newest uint64) protocol.Order {
 	order := *h.doing
 	h.doing = nil
 	held := h.Held(order.Model)
 	switch {
-	case order.Operation == form.Load && order.Adapter == "":
-		h.models = append(h.models, form.Holding{Label: order.Model, Generation: newest, Adapters: []string{}})
+	case order.Operation == protocol.Load && order.Adapter == "":
+		h.models = append(h.models, protocol.Holding{Label: order.Model, Generation: newest, Adapters: []string{}})
 		h.had[order.Model] = true
-	case order.Operation == form.Load && held != nil:
+	case order.Operation == protocol.Load && held != nil:
 		held.Adapters = append(slices.Clone(held.Adapters), order.Adapter)
-	case order.Operation == form.Evict && order.Adapter == "":
-		h.models = slices.DeleteFunc(slices.Clone(h.models), func(other form.Holding) bool { return other.Label == order.Model })
-	case order.Operation == form.Evict && held != nil:
+	case order.Operation == protocol.Evict && order.Adapter == "":
+		h.models = slices.DeleteFunc(slices.Clone(h.models), func(other protocol.Holding) bool { return other.Label == order.Model })
+	case order.Operation == protocol.Evict && held != nil:
 		held.Adapters = slices.DeleteFunc(slices.Clone(held.Adapters), func(name string) bool { return name == order.Adapter })
 	}
 	return order
 }
 
 // List copies what is held.
-func (h *Holdings) List() []form.Holding {
-	out := []form.Holding{}
+func (h *Holdings) List() []protocol.Holding {
+	out := []protocol.Holding{}
 	for _, held := range h.models {
 		adapters := slices.Clone(held.Adapters)
 		if adapters == nil {
 			adapters = []string{}
 		}
-		out = append(out, form.Holding{Label: held.Label, Generation: held.Generation, Adapters: adapters})
+		out = append(out, protocol.Holding{Label: held.Label, Generation: held.Generation, Adapters: adapters})
 	}
 	return out
 }
--- a/rehearsal/platformkit/engine/server.go
+++ b/testbed/platformtest/engine/server.go
@@ -14,9 +14,9 @@
 	"strings"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/form"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/history"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/testbed/platformtest/history"
+	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
 // accept takes connections until the life ends.
@@ -200,7 +200,7 @@
 func (k *link) head(w io.Writer, status int, header http.Header, attempt string, length int) error {
 	response := http.Response{StatusCode: status, ProtoMajor: 1, ProtoMinor: 1, Header: header, ContentLength: int64(length)}
 	if attempt != "" {
-		header.Set(form.Attempt, attempt)
+		header.Set(protocol.Attempt, attempt)
 	}
 	if length < 0 {
 		// The library writes chunked framing itself when it writes a body; here the body comes later.
@@ -213,7 +213,7 @@
 		header.Set("Connection", "close")
 		k.broke = true
 	} else if k.Config.TellIdle && k.Config.IdleClose >= time.Second {
-		header.Set(form.KeepAlive, fmt.Sprintf("timeout=%d", int(k.Config.IdleClose/time.Second)))
+		header.Set(protocol.KeepAlive, fmt.Sprintf("timeout=%d", int(k.Config.IdleClose/time.Second)))
 	}
 	var buffer bytes.Buffer
 	fmt.Fprintf(&buffer, "HTTP/1.1 %03d %s\r\n", response.StatusCode, http.StatusText(status))
@@ -240,17 +240,17 @@
 // answer serves one request; false ends the connection.
 func (k *link) answer(in incoming) bool {
 	switch in.request.URL.Path {
-	case form.PathReport:
-		return k.short(k.conn, http.StatusOK, http.Header{"Content-Type": {"application/json"}}, in.request.Header.Get(form.Attempt), encode(k.report()))
-	case form.PathOrder:
+	case protocol.PathReport:
+		return k.short(k.conn, http.StatusOK, http.Header{"Content-Type": {"application/json"}}, in.request.Header.Get(protocol.Attempt), encode(k.report()))
+	case protocol.PathOrder:
 		return k.answerOrder(in)
 	}
-	attempt := in.request.Header.Get(form.Attempt)
+	attempt := in.request.Header.Get(protocol.Attempt)
 	probe := in.request.Method == http.MethodGet && in.request.URL.Path == k.Config.HealthPath
 	arrival := &history.Arrival{At: k.Book.Now(), Engine: k.id, Service: k.Config.Service, Attempt: attempt, Method: in.request.Method, URI: in.request.RequestURI,
-		Host: in.request.Host, BodyDigest: form.Digest(in.body), Target: in.request.Header.Get(form.Target), LastEvent: in.request.Header.Get(form.LastEvent), Probe: probe}
-	arrival.DeadlineMs, _ = strconv.ParseInt(in.request.Header.Get(form.Deadline), 10, 64)
-	prompt, err := form.ReadPrompt(in.request.Header.Get(form.Model), in.request.Header.Get(form.TokenCounts), in.request.Header.Get(form.PromptPrefix))
+		Host: in.request.Host, BodyDigest: protocol.Digest(in.body), Target: in.request.Header.Get(protocol.Target), LastEvent: in.request.Header.Get(protocol.LastEvent), Probe: probe}
+	arrival.DeadlineMs, _ = strconv.ParseInt(in.request.Header.Get(protocol.Deadline), 10, 64)
+	prompt, err := protocol.ReadPrompt(in.request.Header.Get(protocol.Model), in.request.Header.Get(protocol.TokenCounts), in.request.Header.Get(protocol.PromptPrefix))
 	arrival.Prompt = prompt
 	k.Book.Note(func(h *history.History) { h.Arrivals = append(h.Arrivals, arrival) })
 	fault := (*Fault)(nil)
@@ -278,10 +278,10 @@
 }
 
 // turnAway answers what is not run at all.
-func (k *link) turnAway(o *out, request *http.Request, arrival *history.Arrival, prompt form.Prompt, err error) (turned, ok bool) {
+func (k *link) turnAway(o *out, request *http.Request, arrival *history.Arrival, prompt protocol.Prompt, err error) (turned, ok bool) {
 	refuse := func(status int, header http.Header) (bool, bool) {
 		if status != http.StatusMisdirectedRequest {
-			header.Set(form.NotExecuted, "1")
+			header.Set(protocol.NotExecuted, "1")
 		}
 		k.Book.Note(func(*history.History) {
 			arrival.Status, arrival.NotRun, arrival.Ended = status, true, k.Book.Now()
@@ -289,7 +289,7 @@
 		return true, k.short(o, status, header, arrival.Attempt, nil)
 	}
 	if arrival.Target != "" && arrival.Target != k.id {
-		return refuse(http.StatusMisdirectedRequest, http.Header{form.Instance: {k.id}})
+		return refuse(http.StatusMisdirectedRequest, http.Header{protocol.Instance: {k.id}})
 	}
 	if arrival.Probe {
 		return false, true
@@ -302,7 +302,7 @@
 	}
 	status := 0
 	k.do(func() {
-		switch expected := request.Header.Get(form.ExpectVersion); {
+		switch expected := request.Header.Get(protocol.ExpectVersion); {
 		case k.holdings.Concerned(prompt.Model, prompt.Adapter):
 			status = http.StatusServiceUnavailable
 		case !k.holdings.Holds(prompt.Model, prompt.Adapter):
@@ -312,15 +312,15 @@
 		}
 	})
 	if status != 0 {
-		return refuse(status, http.Header{form.Instance: {k.id}})
+		return refuse(status, http.Header{protocol.Instance: {k.id}})
 	}
 	return false, true
 }
 
 // run has a request done and writes its answer.
-func (k *link) run(o *out, request *http.Request, arrival *history.Arrival, prompt form.Prompt) bool {
+func (k *link) run(o *out, request *http.Request, arrival *history.Arrival, prompt protocol.Prompt) bool {
 	job := &Job{Prompt: prompt, Urgency: 5, Probe: arrival.Probe, Hangs: o.fault != nil && o.fault.Kind == Hang}
-	if urgency, err := strconv.Atoi(request.Header.Get(form.Urgency)); err == nil {
+	if urgency, err := strconv.Atoi(request.Header.Get(protocol.Urgency)); err == nil {
 		job.Urgency = urgency
 	}
 	if arrival.DeadlineMs > 0 {
@@ -386,7 +386,7 @@
 	k.Book.Note(func(*history.History) {
 		arrival.Status, arrival.NotRun, arrival.Ended = http.StatusServiceUnavailable, true, k.Book.Now()
 	})
-	return k.short(o, http.StatusServiceUnavailable, http.Header{form.NotExecuted: {"1"}}, arrival.Attempt, nil)
+	return k.short(o, http.StatusServiceUnavailable, http.Header{protocol.NotExecuted: {"1"}}, arrival.Attempt, nil)
 }
 
 func (k *link) answerProbe(o *out, arrival *history.Arrival) bool {
@@ -395,7 +395,7 @@
 		status = http.StatusServiceUnavailable
 	}
 	k.Book.Note(func(*history.History) { arrival.Status, arrival.Ended, arrival.Whole = status, k.Book.Now(), true })
-	return k.short(o, status, http.Header{form.Instance: {k.id}}, arrival.Attempt, nil)
+	return k.short(o, status, http.Header{protocol.Instance: {k.id}}, arrival.Attempt, nil)
 }
 
 // misname gives the attempt id that an answer bears.
@@ -418,7 +418,7 @@
 	if !ok {
 		return k.left(arrival)
 	}
-	status, body := http.StatusOK, form.Body(arrival.Attempt, run, k.Config.AnswerBytes)
+	status, body := http.StatusOK, protocol.Body(arrival.Attempt, run, k.Config.AnswerBytes)
 	switch {
 	case last.Expired:
 		status, body = http.StatusGatewayTimeout, []byte("the deadline has passed\n")
@@ -430,7 +430,7 @@
 
 // send writes a whole answer of a run.
 func (k *link) send(o *out, arrival *history.Arrival, run string, status int, body []byte) bool {
-	stamp := form.Stamp{Engine: k.id, Attempt: arrival.Attempt, Run: run, Status: status, Length: len(body), Digest: form.Digest(body)}
+	stamp := protocol.Stamp{Engine: k.id, Attempt: arrival.Attempt, Run: run, Status: status, Length: len(body), Digest: protocol.Digest(body)}
 	k.Book.Note(func(*history.History) { arrival.Status = status })
 	if o.fault != nil && o.fault.Kind == Junk {
 		k.Book.Note(func(*history.History) { arrival.Broke, arrival.Ended = true, k.Book.Now() })
@@ -438,7 +438,7 @@
 		return false
 	}
 	write := func(w io.Writer, attempt string) error {
-		header := http.Header{form.Seal: {stamp.Write()}, "Content-Type": {"application/octet-stream"}}
+		header := http.Header{protocol.Seal: {stamp.Write()}, "Content-Type": {"application/octet-stream"}}
 		if !k.Config.Chunked {
 			if err := k.head(w, status, header, attempt, len(body)); err != nil {
 				return err
@@ -484,10 +484,10 @@
 		k.leave(job)
 		return k.send(o, arrival, run, max(500, o.fault.Status), []byte("a failure of the engine's own\n"))
 	}
-	stamp := form.Stamp{Engine: k.id, Attempt: arrival.Attempt, Run: run, Status: http.StatusOK, Length: -1}
+	stamp := protocol.Stamp{Engine: k.id, Attempt: arrival.Attempt, Run: run, Status: http.StatusOK, Length: -1}
 	upgrades := k.upgrades.Load()
 	generation := k.generation(arrival.Prompt.Model)
-	header := http.Header{form.Seal: {stamp.Write()}, "Content-Type": {"text/event-stream"}, form.WeightVersions: {strconv.FormatUint(generation, 10)}}
+	header := http.Header{protocol.Seal: {stamp.Write()}, "Content-Type": {"text/event-stream"}, protocol.WeightVersions: {strconv.FormatUint(generation, 10)}}
 	if k.head(o, http.StatusOK, header, o.misname(arrival.Attempt), -1) != nil {
 		k.leave(job)
 		return k.left(arrival)
@@ -495,13 +495,13 @@
 	chunks := httputil.NewChunkedWriter(o)
 	for {
 		if sign.Event > 0 {
-			event := fmt.Sprintf("id: %d\ndata: %s\n\n", sign.Event, form.EventData(arrival.Attempt, run, sign.Event, all))
+			event := fmt.Sprintf("id: %d\ndata: %s\n\n", sign.Event, protocol.EventData(arrival.Attempt, run, sign.Event, all))
 			if now := k.upgrades.Load(); now != upgrades {
 				// An event at which the version changes says so in its first line.
 				upgrades = now
 				if newer := k.generation(arrival.Prompt.Model); newer != generation {
 					generation = newer
-					event = fmt.Sprintf("%s: %d\n%s", strings.ToLower(form.WeightVersions), generation, event)
+					event = fmt.Sprintf("%s: %d\n%s", strings.ToLower(protocol.WeightVersions), generation, event)
 				}
 			}
 			k.Book.Note(func(*history.History) { arrival.Events = sign.Event })
@@ -531,7 +531,7 @@
 	}
 	k.Book.Note(func(*history.History) { arrival.Ended, arrival.Whole = k.Book.Now(), !arrival.Broke })
 	if o.fault != nil && (o.fault.Kind == Surplus || o.fault.Kind == LateSurplus) {
-		more := []byte("HTTP/1.1 200 OK\r\n" + form.Attempt + ": 5a" + arrival.Attempt + "\r\n" + form.Seal + ": " + stamp.Write() + "\r\nContent-Length: 2\r\n\r\nok")
+		more := []byte("HTTP/1.1 200 OK\r\n" + protocol.Attempt + ": 5a" + arrival.Attempt + "\r\n" + protocol.Seal + ": " + stamp.Write() + "\r\nContent-Length: 2\r\n\r\nok")
 		if o.fault.Kind == Surplus {
 			_, _ = k.conn.Write(more)
 		} else {
@@ -553,10 +553,10 @@
 
 // answerOrder takes an order.
 func (k *link) answerOrder(in incoming) bool {
-	if target := in.request.Header.Get(form.Target); target != "" && target != k.id {
-		return k.short(k.conn, http.StatusMisdirectedRequest, http.Header{form.Instance: {k.id}}, "", nil)
+	if target := in.request.Header.Get(protocol.Target); target != "" && target != k.id {
+		return k.short(k.conn, http.StatusMisdirectedRequest, http.Header{protocol.Instance: {k.id}}, "", nil)
 	}
-	var order form.Order
+	var order protocol.Order
 	if json.Unmarshal(in.body, &order) != nil || !k.Config.Model {
 		return k.short(k.conn, http.StatusBadRequest, http.Header{}, "", nil)
 	}
--- a/rehearsal/platformkit/fleet/entry.go
+++ b/testbed/platformtest/fleet/entry.go
@@ -7,9 +7,9 @@
 	"sync"
 	"time"
 
-	"github.com/cresspond/cresspond/rehearsal/platformkit/client"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/form"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/history"
+	"github.com/cresspond/cresspond/testbed/platformtest/client"
+	"github.com/cresspond/cresspond/testbed/platformtest/history"
+	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
 // Entry hands new connections to edge machines: those that say they are ready, the client's zone first.
@@ -58,7 +58,7 @@
 
 // Ready asks one machine.
 func (e *Entry) Ready(ctx context.Context, m *Machine) bool {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+m.Readiness()+form.PathReady, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+m.Readiness()+protocol.PathReady, nil)
 	if err != nil {
 		return false
 	}
--- a/rehearsal/platformkit/fleet/fleet.go
+++ b/testbed/platformtest/fleet/fleet.go
@@ -15,10 +15,10 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/history"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/judge"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/loopback"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/testbed/platformtest/checker"
+	"github.com/cresspond/cresspond/testbed/platformtest/history"
+	"github.com/cresspond/cresspond/testbed/platformtest/loopback"
 )
 
 // Ports are the same on all machines.
@@ -43,7 +43,7 @@
 	Zones           []string
 	// Cores and Edges count; they stand in the zones in turn.
 	Cores, Edges int
-	Bounds       judge.Bounds
+	Bounds       checker.Bounds
 	CatchUp      time.Duration
 	BeatPeriod   time.Duration
 	Staleness    time.Duration
--- a/rehearsal/platformkit/history/history.go
+++ b/testbed/platformtest/history/history.go
@@ -7,8 +7,8 @@
 	"slices"
 	"sync"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/form"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
 // Arrival is one request as it came to an engine, and what became of it there.
@@ -23,7 +23,7 @@
 	Target          string
 	LastEvent       string
 	DeadlineMs      int64
-	Prompt          form.Prompt
+	Prompt          protocol.Prompt
 	// Probe is a request for the health page.
 	Probe bool
 	// Status is what the engine answered with; zero is nothing. NotRun: turned away by its own word.
@@ -51,7 +51,7 @@
 	At      clock.Mark
 	Engine  string
 	Service string
-	Order   form.Order
+	Order   protocol.Order
 	Status  int
 	// Over says that it would have gone beyond the engine's room.
 	Over bool
@@ -70,7 +70,7 @@
 	DrainAsked, DrainAcked clock.Mark
 	DrainBy                string
 	// Holds is what it held at its start.
-	Holds []form.Holding
+	Holds []protocol.Holding
 	Slots int
 	// Crashed says that the end was not planned.
 	Crashed bool
@@ -95,7 +95,7 @@
 	Host, Method, URI      string
 	BodyDigest             string
 	BodyBytes              int
-	Prompt                 form.Prompt
+	Prompt                 protocol.Prompt
 	LastEvent              string
 	// DeadlineMs is what the try said; AimMs and Class what its route says, where the client knows.
 	DeadlineMs int64
@@ -160,7 +160,7 @@
 	Base       uint64
 	Generation uint64
 	// Whole is the configuration that it makes; nil if it cannot be known.
-	Whole *form.Config
+	Whole *protocol.Config
 	// Fault says why it is invalid; empty is valid.
 	Fault           string
 	Patch           bool
@@ -186,7 +186,7 @@
 type ReadBack struct {
 	Began  clock.Mark
 	At     clock.Mark
-	Config *form.Config
+	Config *protocol.Config
 	Raw    []byte
 	Err    string
 }
--- a/rehearsal/platformkit/operator/operator.go
+++ b/testbed/platformtest/operator/operator.go
@@ -15,8 +15,8 @@
 	"sync"
 	"time"
 
-	"github.com/cresspond/cresspond/rehearsal/platformkit/form"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/history"
+	"github.com/cresspond/cresspond/testbed/platformtest/history"
+	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
 // Operator is one operator.
@@ -63,7 +63,7 @@
 	// A second of silence, and more for large bodies.
 	ctx, cancel := context.WithTimeout(ctx, time.Second+time.Duration(len(body)/1000)*time.Millisecond)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+daemon+form.PathConfig, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+daemon+protocol.PathConfig, bytes.NewReader(body))
 	if err != nil {
 		return answer{daemon: daemon, err: err}
 	}
@@ -136,7 +136,7 @@
 }
 
 // Put sends a whole configuration. What makes it invalid is told by fault; empty is valid.
-func (o *Operator) Put(ctx context.Context, base uint64, config *form.Config, fault string) *history.Change {
+func (o *Operator) Put(ctx context.Context, base uint64, config *protocol.Config, fault string) *history.Change {
 	return o.change(ctx, http.MethodPut, history.Change{Base: base, Generation: config.Generation, Whole: config, Fault: fault}, config.Encode())
 }
 
@@ -146,7 +146,7 @@
 }
 
 // Patch changes named items of a configuration that the operator knows whole.
-func (o *Operator) Patch(ctx context.Context, on *form.Config, patch form.Patch, fault string) *history.Change {
+func (o *Operator) Patch(ctx context.Context, on *protocol.Config, patch protocol.Patch, fault string) *history.Change {
 	body, err := json.Marshal(patch)
 	if err != nil {
 		panic("broken invariant: a patch cannot be written: " + err.Error())
@@ -175,7 +175,7 @@
 	case last.status != http.StatusOK:
 		back.Err = fmt.Sprintf("status %d", last.status)
 	default:
-		config := new(form.Config)
+		config := new(protocol.Config)
 		if err := json.Unmarshal(last.body, config); err != nil {
 			back.Err = err.Error()
 		} else {
--- a/rehearsal/platformkit/form/form.go
+++ b/testbed/platformtest/protocol/form.go
@@ -1,6 +1,6 @@
-// Package form is the users' platform's own forms, as its stand-ins speak them: names in heads, bodies,
+// Package protocol is the users' platform's own forms, as its stand-ins speak them: names in heads, bodies,
 // and what a configuration allows. It is written apart from the translation, so that no mistake is shared.
-package form
+package protocol
 
 import (
 	"encoding/json"
--- a/rehearsal/platformkit/form/prompt.go
+++ b/testbed/platformtest/protocol/prompt.go
@@ -1,4 +1,4 @@
-package form
+package protocol
 
 import (
 	"fmt"
--- a/rehearsal/platformkit/day/acts.go
+++ b/testbed/platformtest/scenario/acts.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"context"
@@ -8,11 +8,11 @@
 	"sync"
 	"time"
 
-	"github.com/cresspond/cresspond/rehearsal/platformkit/engine"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/fleet"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/form"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/history"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/operator"
+	"github.com/cresspond/cresspond/testbed/platformtest/engine"
+	"github.com/cresspond/cresspond/testbed/platformtest/fleet"
+	"github.com/cresspond/cresspond/testbed/platformtest/history"
+	"github.com/cresspond/cresspond/testbed/platformtest/operator"
+	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
 // act is one trouble, or piece of planned work, and the rest after it.
@@ -360,7 +360,7 @@
 }
 
 // took makes a configuration the current one, as what later changes build on.
-func (d *Day) took(config *form.Config) {
+func (d *Day) took(config *protocol.Config) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.current = config
@@ -409,9 +409,9 @@
 	d.mutex.Lock()
 	on := d.current
 	d.mutex.Unlock()
-	patch := form.Patch{Generation: on.Generation + 1 + uint64(d.draw(3))}
+	patch := protocol.Patch{Generation: on.Generation + 1 + uint64(d.draw(3))}
 	label := fmt.Sprintf("added-%d", patch.Generation)
-	added := form.Route{Label: label, Authority: host, PathPrefix: "/" + label + "/", Class: form.Idempotent, DeadlineMs: 3000, TargetMs: 500, Urgency: 1, Backend: "notes", Tries: 2}
+	added := protocol.Route{Label: label, Authority: host, PathPrefix: "/" + label + "/", Class: protocol.Idempotent, DeadlineMs: 3000, TargetMs: 500, Urgency: 1, Backend: "notes", Tries: 2}
 	patch.Upsert.Routes = append(patch.Upsert.Routes, added)
 	removed := ""
 	for _, route := range on.Routes {
@@ -422,7 +422,7 @@
 	}
 	moved := *on.Named("note")
 	if moved.Backend != "" {
-		moved.Backend, moved.Shares = "", []form.Share{{Backend: "notes", Share: 80}, {Backend: "spare", Share: 20}}
+		moved.Backend, moved.Shares = "", []protocol.Share{{Backend: "notes", Share: 80}, {Backend: "spare", Share: 20}}
 	} else {
 		moved.Backend, moved.Shares = "notes", nil
 	}
@@ -477,13 +477,13 @@
 	changes := make([]*history.Change, 2)
 	var done sync.WaitGroup
 	for n, o := range []interface {
-		Put(context.Context, uint64, *form.Config, string) *history.Change
+		Put(context.Context, uint64, *protocol.Config, string) *history.Change
 	}{d.one, d.two} {
 		next := on.Clone()
 		next.Generation = on.Generation + 1 + uint64(n)*apart
 		next.Named("mail").TargetMs = int64(500 + n)
 		// The loser's version would show: it sends notes where no other version does.
-		next.Routes = append(next.Routes, form.Route{Label: fmt.Sprintf("race-%d-%d", next.Generation, n), Authority: host, PathPrefix: fmt.Sprintf("/race-%d-%d/", next.Generation, n), Class: form.Idempotent,
+		next.Routes = append(next.Routes, protocol.Route{Label: fmt.Sprintf("race-%d-%d", next.Generation, n), Authority: host, PathPrefix: fmt.Sprintf("/race-%d-%d/", next.Generation, n), Class: protocol.Idempotent,
 			DeadlineMs: 3000, TargetMs: 500, Urgency: 1, Backend: "spare", Tries: 2})
 		done.Add(1)
 		go func() { defer done.Done(); changes[n] = o.Put(ctx, on.Generation, next, "") }()
@@ -542,13 +542,13 @@
 	d.mutex.Lock()
 	on := d.current
 	d.mutex.Unlock()
-	for _, spoil := range []func(*form.Config){
-		func(c *form.Config) { c.Generation = on.Generation },
-		func(c *form.Config) { c.Routes[0].Backend = "nobody" },
-		func(c *form.Config) { c.Routes[1].PathPrefix = c.Routes[0].PathPrefix },
-		func(c *form.Config) { c.Routes[2].DeadlineMs = 0 },
-		func(c *form.Config) {
-			c.Routes[2].Backend, c.Routes[2].Shares = "", []form.Share{{Backend: "notes"}, {Backend: "spare"}}
+	for _, spoil := range []func(*protocol.Config){
+		func(c *protocol.Config) { c.Generation = on.Generation },
+		func(c *protocol.Config) { c.Routes[0].Backend = "nobody" },
+		func(c *protocol.Config) { c.Routes[1].PathPrefix = c.Routes[0].PathPrefix },
+		func(c *protocol.Config) { c.Routes[2].DeadlineMs = 0 },
+		func(c *protocol.Config) {
+			c.Routes[2].Backend, c.Routes[2].Shares = "", []protocol.Share{{Backend: "notes"}, {Backend: "spare"}}
 		},
 	} {
 		next := on.Clone()
--- a/rehearsal/platformkit/day/day.go
+++ b/testbed/platformtest/scenario/day.go
@@ -1,6 +1,6 @@
-// Package day plays a short day on the users' platform: a fleet of processes as they are deployed, stand-ins
+// Package scenario plays a short day on the users' platform: a fleet of processes as they are deployed, stand-ins
 // for engines, clients and operators around them, troubles at times drawn from a seed, and the judge at the end.
-package day
+package scenario
 
 import (
 	"context"
@@ -12,21 +12,21 @@
 	"sync"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/client"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/engine"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/fleet"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/form"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/history"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/judge"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/loopback"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/operator"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/testbed/platformtest/checker"
+	"github.com/cresspond/cresspond/testbed/platformtest/client"
+	"github.com/cresspond/cresspond/testbed/platformtest/engine"
+	"github.com/cresspond/cresspond/testbed/platformtest/fleet"
+	"github.com/cresspond/cresspond/testbed/platformtest/history"
+	"github.com/cresspond/cresspond/testbed/platformtest/loopback"
+	"github.com/cresspond/cresspond/testbed/platformtest/operator"
+	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
 const ms = time.Millisecond
 
 // Bounds are those of the deployments the users have.
-var Bounds = judge.Bounds{Contact: 3000 * ms, Drain: 2000 * ms, Grace: 8000 * ms, LossSlack: 200 * ms, Apply: 2000 * ms, Revert: 250 * ms, StretchMax: 5000 * ms,
+var Bounds = checker.Bounds{Contact: 3000 * ms, Drain: 2000 * ms, Grace: 8000 * ms, LossSlack: 200 * ms, Apply: 2000 * ms, Revert: 250 * ms, StretchMax: 5000 * ms,
 	Recovery: 12 * time.Second, Ack: 4000 * ms, RetryWindow: 10 * time.Second, RetryRatio: 0.2, RetrySlack: 58, Lease: 3000 * ms, Unfreeze: 300 * ms,
 	OriginWindow: 5 * time.Second, OriginExcess: 1.1, Floor: 0.5}
 
@@ -60,7 +60,7 @@
 	engines []*engine.Engine
 	named   int
 	// current is the newest configuration that was acknowledged.
-	current *form.Config
+	current *protocol.Config
 	// added are paths of routes that were added later, gone those of routes that were removed.
 	added, gone []string
 	// favourite shifts which models are asked for most; rush multiplies what is sent.
@@ -246,31 +246,31 @@
 
 func modelName(n int) string { return fmt.Sprintf("model-%d", n) }
 
-func catalogue() form.EngineID {
-	c := form.EngineID{Slots: 8, KVCapacity: 12000, KVTokenBytes: 1000, LinkMbps: 1000, Stride: 2, WeightsMb: 100, AdapterCapacity: 4, LoadsPerS: 2}
+func catalogue() protocol.EngineID {
+	c := protocol.EngineID{Slots: 8, KVCapacity: 12000, KVTokenBytes: 1000, LinkMbps: 1000, Stride: 2, WeightsMb: 100, AdapterCapacity: 4, LoadsPerS: 2}
 	for n := range models {
-		c.Models = append(c.Models, form.CatalogModel{Label: modelName(n), WeightsMb: []float64{30, 45}[n%2], LoadTimeS: []float64{0.3, 0.5}[n%2], Adapters: 3, AdapterSizeMb: 1})
+		c.Models = append(c.Models, protocol.CatalogModel{Label: modelName(n), WeightsMb: []float64{30, 45}[n%2], LoadTimeS: []float64{0.3, 0.5}[n%2], Adapters: 3, AdapterSizeMb: 1})
 	}
 	return c
 }
 
 // initially spreads the models over the engines of the first start, the busy ones on more of them.
-func initially(n int) []form.Holding {
-	holding := func(model int) form.Holding { return form.Holding{Label: modelName(model), Generation: 1} }
-	return [][]form.Holding{{holding(0), holding(1)}, {holding(0), holding(2)}, {holding(1), holding(4)}, {holding(3), holding(5)}}[n%4]
+func initially(n int) []protocol.Holding {
+	holding := func(model int) protocol.Holding { return protocol.Holding{Label: modelName(model), Generation: 1} }
+	return [][]protocol.Holding{{holding(0), holding(1)}, {holding(0), holding(2)}, {holding(1), holding(4)}, {holding(3), holding(5)}}[n%4]
 }
 
-func firstConfig() *form.Config {
+func firstConfig() *protocol.Config {
 	rooms := catalogue()
-	return &form.Config{Generation: 1,
-		Backends: []form.Backend{{Label: "lm", HealthPath: "/health", MaxConns: 100, Protocol: "h1", Engine: &rooms},
+	return &protocol.Config{Generation: 1,
+		Backends: []protocol.Backend{{Label: "lm", HealthPath: "/health", MaxConns: 100, Protocol: "h1", Engine: &rooms},
 			{Label: "notes", HealthPath: "/health", MaxConns: 60, Protocol: "h1"}, {Label: "spare", HealthPath: "/health", MaxConns: 60, Protocol: "h1"}},
-		Routes: []form.Route{
-			{Label: "triage", Authority: "ci.example", PathPrefix: "/triage/", Class: form.Streaming, DeadlineMs: 6000, TargetMs: 1500, Urgency: 1, Backend: "lm", Tries: 2, Affine: true, GapTargetMs: 400},
-			{Label: "draft", Authority: "ci.example", PathPrefix: "/draft/", Class: form.Streaming, DeadlineMs: 10000, TargetMs: 4000, Urgency: 2, Backend: "lm", Tries: 3, Affine: true, Resumable: true, GapTargetMs: 400},
-			{Label: "note", Authority: "ci.example", PathPrefix: "/note/", Class: form.Idempotent, DeadlineMs: 3000, TargetMs: 500, Urgency: 1, Backend: "notes", Tries: 3},
-			{Label: "mail", Authority: "ci.example", PathPrefix: "/mail/", Class: form.Mutating, DeadlineMs: 3000, TargetMs: 500, Urgency: 0, Backend: "notes", Tries: 3}},
-		Limits: form.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 4 << 20, HeaderTimeoutMs: 3000, IdleTimeoutMs: 15000}}
+		Routes: []protocol.Route{
+			{Label: "triage", Authority: "ci.example", PathPrefix: "/triage/", Class: protocol.Streaming, DeadlineMs: 6000, TargetMs: 1500, Urgency: 1, Backend: "lm", Tries: 2, Affine: true, GapTargetMs: 400},
+			{Label: "draft", Authority: "ci.example", PathPrefix: "/draft/", Class: protocol.Streaming, DeadlineMs: 10000, TargetMs: 4000, Urgency: 2, Backend: "lm", Tries: 3, Affine: true, Resumable: true, GapTargetMs: 400},
+			{Label: "note", Authority: "ci.example", PathPrefix: "/note/", Class: protocol.Idempotent, DeadlineMs: 3000, TargetMs: 500, Urgency: 1, Backend: "notes", Tries: 3},
+			{Label: "mail", Authority: "ci.example", PathPrefix: "/mail/", Class: protocol.Mutating, DeadlineMs: 3000, TargetMs: 500, Urgency: 0, Backend: "notes", Tries: 3}},
+		Limits: protocol.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 4 << 20, HeaderTimeoutMs: 3000, IdleTimeoutMs: 15000}}
 }
 
 // newEngine starts an engine at an address, or at one of its own.
@@ -298,7 +298,7 @@
 	return e, nil
 }
 
-func (d *Day) newModel(zone string, holds []form.Holding, address string) (*engine.Engine, error) {
+func (d *Day) newModel(zone string, holds []protocol.Holding, address string) (*engine.Engine, error) {
 	rooms := catalogue()
 	return d.newEngine(engine.Config{Service: "lm", MaxConns: 100, Model: true, Initially: holds, Store: d.store,
 		Pace: engine.Pace{Slots: rooms.Slots, Waiting: 6, Memory: rooms.KVCapacity, Step: 3 * ms, PerRun: 300 * time.Microsecond, ReadPerMs: 20, ReadAtOnce: 400, Stride: rooms.Stride},
--- a/rehearsal/platformkit/day/machine.go
+++ b/testbed/platformtest/scenario/machine.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"context"
@@ -6,8 +6,8 @@
 	"path/filepath"
 	"time"
 
-	"github.com/cresspond/cresspond/process/clock"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/history"
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/testbed/platformtest/history"
 )
 
 // The rehearsal's own machine may stall: other work takes its disk or its processors. What the rules say of a
--- a/rehearsal/platformkit/day/nodes.go
+++ b/testbed/platformtest/scenario/nodes.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"context"
@@ -8,17 +8,17 @@
 	"net/http"
 	"time"
 
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/ranking"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/engine"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/fleet"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/nodehealth"
+	"github.com/cresspond/cresspond/testbed/platformtest/engine"
+	"github.com/cresspond/cresspond/testbed/platformtest/fleet"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
 // rankingActs are played only where they are named: they last long, and engines are ranked and drained meanwhile.
 // Whether anything is lost or run twice the judge says, as on any day.
 var rankingActs = []act{
-	{name: "node-stall", rest: time.Second, ranking: string(ranking.Drain), play: func(d *Day, ctx context.Context) error {
+	{name: "node-stall", rest: time.Second, ranking: string(nodehealth.Drain), play: func(d *Day, ctx context.Context) error {
 		list, err := d.ranked(ctx)
 		if err != nil {
 			return err
@@ -33,16 +33,16 @@
 		// What is left there goes on elsewhere or ends, and it returns by trial.
 		d.pause(ctx, 3*time.Second)
 		worse.Slow(1)
-		return d.awaitStage(ctx, worse, ranking.Sound)
+		return d.awaitStage(ctx, worse, nodehealth.Sound)
 	}},
-	{name: "node-planner-lost", rest: 4 * time.Second, ranking: string(ranking.Drain), play: func(d *Day, ctx context.Context) error {
+	{name: "node-planner-lost", rest: 4 * time.Second, ranking: string(nodehealth.Drain), play: func(d *Day, ctx context.Context) error {
 		list, err := d.ranked(ctx)
 		if err != nil {
 			return err
 		}
 		worse := list[d.draw(len(list))]
 		worse.Slow(100)
-		if err := d.awaitStage(ctx, worse, ranking.Suspect); err != nil {
+		if err := d.awaitStage(ctx, worse, nodehealth.Suspect); err != nil {
 			return err
 		}
 		// Whoever plans falls while it makes up its mind.
@@ -57,9 +57,9 @@
 			return err
 		}
 		worse.Slow(1)
-		return d.awaitStage(ctx, worse, ranking.Sound)
+		return d.awaitStage(ctx, worse, nodehealth.Sound)
 	}},
-	{name: "node-flap", rest: time.Second, ranking: string(ranking.Drain), play: func(d *Day, ctx context.Context) error {
+	{name: "node-flap", rest: time.Second, ranking: string(nodehealth.Drain), play: func(d *Day, ctx context.Context) error {
 		list, err := d.ranked(ctx)
 		if err != nil {
 			return err
@@ -76,7 +76,7 @@
 		}
 		return nil
 	}},
-	{name: "node-loaded", rest: time.Second, ranking: string(ranking.Drain), play: func(d *Day, ctx context.Context) error {
+	{name: "node-loaded", rest: time.Second, ranking: string(nodehealth.Drain), play: func(d *Day, ctx context.Context) error {
 		// Much traffic, and nobody is sick.
 		if _, err := d.ranked(ctx); err != nil {
 			return err
@@ -179,7 +179,7 @@
 	return err
 }
 
-func (d *Day) awaitStage(ctx context.Context, of *engine.Engine, stage ranking.Stage) error {
+func (d *Day) awaitStage(ctx context.Context, of *engine.Engine, stage nodehealth.Stage) error {
 	id := ident.EngineID(of.Current())
 	return d.await(ctx, "the engine's stage is "+stage.String(), func() bool {
 		page, err := d.nodes(ctx)
--- a/rehearsal/platformkit/day/traffic.go
+++ b/testbed/platformtest/scenario/traffic.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"bytes"
@@ -8,9 +8,9 @@
 	"net/http"
 	"time"
 
-	"github.com/cresspond/cresspond/rehearsal/platformkit/client"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/fleet"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/form"
+	"github.com/cresspond/cresspond/testbed/platformtest/client"
+	"github.com/cresspond/cresspond/testbed/platformtest/fleet"
+	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
 func contains(text []byte, part string) bool { return bytes.Contains(text, []byte(part)) }
@@ -28,10 +28,10 @@
 }
 
 var kinds = []kind{
-	{"triage", 5, form.Streaming, false, 5 * time.Second, 1500 * ms, 500, 16, 2},
-	{"draft", 3, form.Streaming, true, 9 * time.Second, 4 * time.Second, 300, 60, 2},
-	{"note", 6, form.Idempotent, false, 2500 * ms, 500 * ms, 0, 0, 3},
-	{"mail", 3, form.Mutating, false, 2500 * ms, 500 * ms, 0, 0, 2},
+	{"triage", 5, protocol.Streaming, false, 5 * time.Second, 1500 * ms, 500, 16, 2},
+	{"draft", 3, protocol.Streaming, true, 9 * time.Second, 4 * time.Second, 300, 60, 2},
+	{"note", 6, protocol.Idempotent, false, 2500 * ms, 500 * ms, 0, 0, 3},
+	{"mail", 3, protocol.Mutating, false, 2500 * ms, 500 * ms, 0, 0, 2},
 }
 
 const host = "ci.example"
@@ -71,7 +71,7 @@
 	number := d.requests
 	favourite := d.favourite
 	path := "/" + k.name + "/"
-	if k.class == form.Idempotent && len(d.added) > 0 && random.IntN(3) == 0 {
+	if k.class == protocol.Idempotent && len(d.added) > 0 && random.IntN(3) == 0 {
 		path = d.added[random.IntN(len(d.added))]
 	}
 	d.mutex.Unlock()
@@ -86,8 +86,8 @@
 		model := (int(float64(models)*random.Float64()*random.Float64()) + favourite) % models
 		session := random.IntN(24)
 		r.Session = fmt.Sprintf("%s-%d-%d", k.name, model, session)
-		r.Prompt = form.Prompt{Model: modelName(model), TokensIn: k.in, TokensOut: 2 + random.IntN(2*k.out-2),
-			Parts: []form.Part{{ID: fmt.Sprintf("%x", 0xa000+model), Tokens: k.in / 3}, {ID: fmt.Sprintf("%x", 0xb0000+model*100+session), Tokens: k.in - k.in/3}}}
+		r.Prompt = protocol.Prompt{Model: modelName(model), TokensIn: k.in, TokensOut: 2 + random.IntN(2*k.out-2),
+			Parts: []protocol.Part{{ID: fmt.Sprintf("%x", 0xa000+model), Tokens: k.in / 3}, {ID: fmt.Sprintf("%x", 0xb0000+model*100+session), Tokens: k.in - k.in/3}}}
 		switch {
 		case r.LeavesAfter > 0:
 			r.Prompt.TokensOut = leaverTokens
@@ -145,7 +145,7 @@
 		id := fmt.Sprintf("p%d", d.requests)
 		d.mutex.Unlock()
 		c := &client.Client{Book: d.Book, NextAttempt: d.attempts}
-		r := &client.Request{ID: id, Kind: "probe", Host: host, Method: http.MethodPost, URI: path + "probe", Class: form.Idempotent, Deadline: 2 * time.Second, Tries: 1, Probe: true, Absent: absent,
+		r := &client.Request{ID: id, Kind: "probe", Host: host, Method: http.MethodPost, URI: path + "probe", Class: protocol.Idempotent, Deadline: 2 * time.Second, Tries: 1, Probe: true, Absent: absent,
 			At: &client.Daemon{Name: m.Name, Address: m.Front()}}
 		d.sending.Add(1)
 		go func() { defer d.sending.Done(); c.Do(context.Background(), r) }()
--- a/rehearsal/proof/comments_test.go
+++ b/testbed/repocheck/comments_test.go
@@ -1,4 +1,4 @@
-package proof
+package repocheck
 
 import (
 	"fmt"
--- a/rehearsal/proof/proof_test.go
+++ b/testbed/repocheck/proof_test.go
@@ -1,5 +1,5 @@
-// Package proof holds docs/proof.md to what there is.
-package proof
+// Package repocheck holds docs/proof.md to what there is.
+package repocheck
 
 import (
 	"io/fs"
@@ -10,11 +10,11 @@
 	"strings"
 	"testing"
 
-	"github.com/cresspond/cresspond/rehearsal/checker"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/day"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/history"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/judge"
-	"github.com/cresspond/cresspond/rehearsal/scenario"
+	"github.com/cresspond/cresspond/testbed/checker"
+	platformchecker "github.com/cresspond/cresspond/testbed/platformtest/checker"
+	"github.com/cresspond/cresspond/testbed/platformtest/history"
+	platformscenario "github.com/cresspond/cresspond/testbed/platformtest/scenario"
+	"github.com/cresspond/cresspond/testbed/scenario"
 )
 
 const root = "../.."
@@ -62,12 +62,12 @@
 			t.Errorf("there is no scenario %s", found[1])
 		}
 	}
-	for _, name := range day.Names() {
+	for _, name := range platformscenario.Names() {
 		if !strings.Contains(page, "`"+name+"`") {
 			t.Errorf("act %s is not named", name)
 		}
 	}
-	for _, finding := range judge.Judge(&history.History{}, judge.Bounds{}) {
+	for _, finding := range platformchecker.Judge(&history.History{}, platformchecker.Bounds{}) {
 		if rule, _, _ := strings.Cut(finding.Rule, " "); !strings.Contains(page, rule) {
 			t.Errorf("the rule %s is not named", finding.Rule)
 		}
