--- a/rehearsal/scale/deployed.go
+++ b/testbed/scale/deployed.go
@@ -14,7 +14,7 @@
 	"github.com/pelletier/go-toml/v2"
 	"github.com/valyala/fasthttp"
 
-	"github.com/cresspond/cresspond/rehearsal/platformkit/form"
+	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
 // boot is the users' platform's settings file, as far as a scale run needs it.
@@ -60,16 +60,16 @@
 
 // configuration is the bundle of a size as the users' operator sends it.
 func configuration(size Size, revision uint64) []byte {
-	c := form.Config{Generation: revision, Limits: form.Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 4 << 20, HeaderTimeoutMs: 3000, IdleTimeoutMs: 15000}}
+	c := protocol.Config{Generation: revision, Limits: protocol.Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 4 << 20, HeaderTimeoutMs: 3000, IdleTimeoutMs: 15000}}
 	for i := range size.Paths {
-		c.Routes = append(c.Routes, form.Route{Label: fmt.Sprintf("path-%06d", i), Authority: fmt.Sprintf("host-%d.example", i%97), PathPrefix: fmt.Sprintf("/p%06d/", i),
-			Class: form.Streaming, DeadlineMs: 10000 + int64(revision%10), TargetMs: 1300, Urgency: i % 3, Backend: poolName, Tries: 2, Affine: true, Resumable: i%2 == 0, GapTargetMs: 400})
+		c.Routes = append(c.Routes, protocol.Route{Label: fmt.Sprintf("path-%06d", i), Authority: fmt.Sprintf("host-%d.example", i%97), PathPrefix: fmt.Sprintf("/p%06d/", i),
+			Class: protocol.Streaming, DeadlineMs: 10000 + int64(revision%10), TargetMs: 1300, Urgency: i % 3, Backend: poolName, Tries: 2, Affine: true, Resumable: i%2 == 0, GapTargetMs: 400})
 	}
-	engine := &form.EngineID{Slots: hollowSlots, KVCapacity: 120000, KVTokenBytes: 131072, LinkMbps: 1000, Stride: 2, WeightsMb: 83000, AdapterCapacity: 8, LoadsPerS: 2}
+	engine := &protocol.EngineID{Slots: hollowSlots, KVCapacity: 120000, KVTokenBytes: 131072, LinkMbps: 1000, Stride: 2, WeightsMb: 83000, AdapterCapacity: 8, LoadsPerS: 2}
 	for i := range size.Models {
-		engine.Models = append(engine.Models, form.CatalogModel{Label: modelName(i), WeightsMb: 20000, LoadTimeS: 2, Adapters: size.Adapters / size.Models, AdapterSizeMb: 40})
+		engine.Models = append(engine.Models, protocol.CatalogModel{Label: modelName(i), WeightsMb: 20000, LoadTimeS: 2, Adapters: size.Adapters / size.Models, AdapterSizeMb: 40})
 	}
-	c.Backends = []form.Backend{{Label: poolName, HealthPath: "/health", MaxConns: 500, Protocol: "h1", Engine: engine}}
+	c.Backends = []protocol.Backend{{Label: poolName, HealthPath: "/health", MaxConns: 500, Protocol: "h1", Engine: engine}}
 	return c.Encode()
 }
 
@@ -80,25 +80,25 @@
 	if !deployed {
 		return e.body
 	}
-	return form.Registration{Backend: poolName, Address: e.address, Zone: string(e.body.Zone), Generation: e.body.Software, Slots: e.body.Slots, State: form.StateReady,
+	return protocol.Registration{Backend: poolName, Address: e.address, Zone: string(e.body.Zone), Generation: e.body.Software, Slots: e.body.Slots, State: protocol.StateReady,
 		Phase: e.body.Phase, Models: e.holdings.list(), CallSeq: e.body.CallSeq}
 }
 
 // holdings is what a deployed engine holds; an order is done at once.
 type holdings struct {
 	mutex  sync.Mutex
-	models []form.Holding
+	models []protocol.Holding
 	taken  uint64
 	active int
 }
 
-func (h *holdings) list() []form.Holding {
+func (h *holdings) list() []protocol.Holding {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return slices.Clone(h.models)
 }
 
-func (h *holdings) order(o form.Order) int {
+func (h *holdings) order(o protocol.Order) int {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if o.Expected != nil && *o.Expected != h.taken {
@@ -106,13 +106,13 @@
 	}
 	h.taken++
 	models := slices.Clone(h.models)
-	at := slices.IndexFunc(models, func(one form.Holding) bool { return one.Label == o.Model })
+	at := slices.IndexFunc(models, func(one protocol.Holding) bool { return one.Label == o.Model })
 	switch {
-	case o.Adapter == "" && o.Operation == form.Load && at < 0:
-		models = append(models, form.Holding{Label: o.Model, Generation: 1, Adapters: []string{}})
-	case o.Adapter == "" && o.Operation == form.Evict && at >= 0:
+	case o.Adapter == "" && o.Operation == protocol.Load && at < 0:
+		models = append(models, protocol.Holding{Label: o.Model, Generation: 1, Adapters: []string{}})
+	case o.Adapter == "" && o.Operation == protocol.Evict && at >= 0:
 		models = slices.Delete(models, at, at+1)
-	case at >= 0 && o.Operation == form.Load:
+	case at >= 0 && o.Operation == protocol.Load:
 		models[at].Adapters = append(slices.Clone(models[at].Adapters), o.Adapter)
 	case at >= 0:
 		models[at].Adapters = slices.DeleteFunc(slices.Clone(models[at].Adapters), func(one string) bool { return one == o.Adapter })
@@ -121,16 +121,16 @@
 	return fasthttp.StatusAccepted
 }
 
-func (h *holdings) report() form.Report {
+func (h *holdings) report() protocol.Report {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return form.Report{Phase: "colocated", Models: h.models, CallSeq: h.taken, Active: h.active, KVInUse: int64(h.active) * 1000, KVSize: 120000, ServedModels: len(h.models)}
+	return protocol.Report{Phase: "colocated", Models: h.models, CallSeq: h.taken, Active: h.active, KVInUse: int64(h.active) * 1000, KVSize: 120000, ServedModels: len(h.models)}
 }
 
 // answer has an engine answer at its address until ctx ends.
 func (h *hollowEngines) answer(ctx context.Context, e *hollowEngine) error {
 	for _, held := range e.body.Models {
-		e.holdings.models = append(e.holdings.models, form.Holding{Label: held.Model, Generation: held.Generation, Adapters: held.Adapters})
+		e.holdings.models = append(e.holdings.models, protocol.Holding{Label: held.Model, Generation: held.Generation, Adapters: held.Adapters})
 	}
 	listener, err := net.Listen("tcp", e.address)
 	if err != nil {
@@ -138,7 +138,7 @@
 	}
 	server := &fasthttp.Server{NoDefaultServerHeader: true, Handler: func(ctx *fasthttp.RequestCtx) {
 		switch string(ctx.Path()) {
-		case form.PathReport:
+		case protocol.PathReport:
 			h.polled.Add(1)
 			data, err := json.Marshal(e.holdings.report())
 			if err != nil {
@@ -146,9 +146,9 @@
 			}
 			ctx.SetContentType("application/json")
 			ctx.SetBody(data)
-		case form.PathOrder:
+		case protocol.PathOrder:
 			h.ordered.Add(1)
-			var order form.Order
+			var order protocol.Order
 			if json.Unmarshal(ctx.PostBody(), &order) != nil {
 				ctx.SetStatusCode(fasthttp.StatusBadRequest)
 				return
@@ -157,10 +157,10 @@
 		default:
 			ctx.SetStatusCode(fasthttp.StatusNotFound)
 		}
-		ctx.Response.Header.Set(form.Instance, string(e.id))
-		if attempt := ctx.Request.Header.Peek(form.Attempt); len(attempt) > 0 {
+		ctx.Response.Header.Set(protocol.Instance, string(e.id))
+		if attempt := ctx.Request.Header.Peek(protocol.Attempt); len(attempt) > 0 {
 			// Every engine answer carries back the id that it was asked under.
-			ctx.Response.Header.SetBytesV(form.Attempt, attempt)
+			ctx.Response.Header.SetBytesV(protocol.Attempt, attempt)
 		}
 	}}
 	go func() { _ = server.Serve(listener) }()
--- a/rehearsal/scale/engines.go
+++ b/testbed/scale/engines.go
@@ -12,8 +12,8 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/rehearsal/platformkit/form"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
@@ -118,7 +118,7 @@
 	}
 	path := operatorapi.PathEngines + "/"
 	if h.deployed {
-		path = form.PathEngines
+		path = protocol.PathEngines
 	}
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+h.control[e.turn%len(h.control)]+path+string(e.id), bytes.NewReader(data))
 	if err != nil {
--- a/rehearsal/scale/fleet.go
+++ b/testbed/scale/fleet.go
@@ -17,7 +17,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/cresspond/cresspond/process/config"
+	"github.com/cresspond/cresspond/process/daemonconfig"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
@@ -40,7 +40,7 @@
 	name string
 	// address serves pages for looking, control operators and engines where it is of the core.
 	address, control string
-	settings         config.Config
+	settings         daemonconfig.Config
 	core             bool
 	process          *process
 }
@@ -127,14 +127,14 @@
 		}
 		ip := f.addresses.ip()
 		at := func(port int) string { return net.JoinHostPort(ip, strconv.Itoa(first+port)) }
-		s := config.Default()
-		s.Name, s.Zone, s.Log, s.Attempts, s.Trouble = m.name, zoneName(i%size.Zones), "warn", config.LocalAttempts, config.WaitOnTrouble
-		s.Serve = []config.Role{config.Route}
+		s := daemonconfig.Default()
+		s.Name, s.Zone, s.Log, s.Attempts, s.Trouble = m.name, zoneName(i%size.Zones), "warn", daemonconfig.LocalAttempts, daemonconfig.WaitOnTrouble
+		s.Serve = []daemonconfig.Role{daemonconfig.Route}
 		s.Bounds.BeatMs, s.OneStep = o.Beat.Milliseconds(), true
 		s.Listen, s.FellowListen = at(portFront), at(portFellow)
 		m.address = s.Listen
 		if m.core {
-			s.Serve = []config.Role{config.Control, config.Place}
+			s.Serve = []daemonconfig.Role{daemonconfig.Control, daemonconfig.Place}
 			s.Data = filepath.Join(folder, m.name+".data")
 			seeds = append(seeds, s.FellowListen)
 			m.control = s.Listen
--- a/rehearsal/scale/host.go
+++ b/testbed/scale/host.go
@@ -11,14 +11,14 @@
 	"github.com/apex/log"
 	"github.com/apex/log/handlers/discard"
 
-	"github.com/cresspond/cresspond/process/config"
-	"github.com/cresspond/cresspond/process/daemon"
+	"github.com/cresspond/cresspond/daemon"
+	"github.com/cresspond/cresspond/process/daemonconfig"
 )
 
 // HostCommand is what the runner sends to a host: a daemon to start, or the name of one to stop.
 type HostCommand struct {
-	Start *config.Config `json:"start,omitempty"`
-	Stop  string         `json:"stop,omitempty"`
+	Start *daemonconfig.Config `json:"start,omitempty"`
+	Stop  string               `json:"stop,omitempty"`
 }
 
 // HostEvent is what a host sends back when a daemon has ended.
@@ -95,7 +95,7 @@
 	}
 }
 
-func (h *host) start(settings config.Config) {
+func (h *host) start(settings daemonconfig.Config) {
 	one := hostedDaemon{make(chan struct{}), make(chan struct{})}
 	h.mutex.Lock()
 	h.daemons[settings.Name] = one
--- a/rehearsal/scale/measure.go
+++ b/testbed/scale/measure.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"time"
 
-	"github.com/cresspond/cresspond/rehearsal/platformkit/form"
+	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
@@ -74,7 +74,7 @@
 	s.revision++
 	path, head, raw := fmt.Sprintf("%s?operator=ana&base=%d", operatorapi.PathBundle, s.revision-1), map[string]string(nil), bundle(s.size, s.revision)
 	if s.Deployed {
-		path, head, raw = form.PathConfig, map[string]string{"If-Match": fmt.Sprint(s.revision - 1)}, configuration(s.size, s.revision)
+		path, head, raw = protocol.PathConfig, map[string]string{"If-Match": fmt.Sprint(s.revision - 1)}, configuration(s.size, s.revision)
 	}
 	var last error
 	// An order whose answer was lost is sent again unchanged; it finds itself.
--- a/rehearsal/scale/scale_test.go
+++ b/testbed/scale/scale_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"github.com/cresspond/cresspond/epoch/spec"
+	"github.com/cresspond/cresspond/configuration/document"
 )
 
 // A known plane with known noise is found again, within its own errors.
@@ -102,7 +102,7 @@
 
 func TestBundleIsSound(t *testing.T) {
 	raw := bundle(Size{Paths: 50, Models: 140, Adapters: 87000}, 3)
-	parsed, faults := spec.Parse(raw)
+	parsed, faults := document.Parse(raw)
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
--- a/rehearsal/scenario/behind.go
+++ b/testbed/scenario/behind.go
@@ -7,7 +7,7 @@
 	"syscall"
 	"time"
 
-	"github.com/cresspond/cresspond/rehearsal/fleet"
+	"github.com/cresspond/cresspond/testbed/fleet"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
--- a/rehearsal/scenario/bundles.go
+++ b/testbed/scenario/bundles.go
@@ -5,8 +5,8 @@
 	"net/http"
 	"strings"
 
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/rehearsal/checker"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/testbed/checker"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
--- a/rehearsal/scenario/day.go
+++ b/testbed/scenario/day.go
@@ -6,9 +6,9 @@
 	"sync"
 	"time"
 
-	"github.com/cresspond/cresspond/rehearsal/checker"
-	"github.com/cresspond/cresspond/rehearsal/fleet"
-	"github.com/cresspond/cresspond/rehearsal/journal"
+	"github.com/cresspond/cresspond/testbed/checker"
+	"github.com/cresspond/cresspond/testbed/fleet"
+	"github.com/cresspond/cresspond/testbed/journal"
 )
 
 // Begin brings the fleet up, rolls the first bundle and waits until it serves.
--- a/rehearsal/scenario/growth.go
+++ b/testbed/scenario/growth.go
@@ -6,7 +6,7 @@
 	"syscall"
 	"time"
 
-	"github.com/cresspond/cresspond/rehearsal/journal"
+	"github.com/cresspond/cresspond/testbed/journal"
 )
 
 // Growth rolls bundles that grow by many routes, under load, one of them while a control daemon is frozen.
--- a/rehearsal/scenario/leaving.go
+++ b/testbed/scenario/leaving.go
@@ -5,10 +5,10 @@
 	"fmt"
 	"time"
 
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/rehearsal/checker"
-	"github.com/cresspond/cresspond/rehearsal/fleet"
-	"github.com/cresspond/cresspond/rehearsal/journal"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/testbed/checker"
+	"github.com/cresspond/cresspond/testbed/fleet"
+	"github.com/cresspond/cresspond/testbed/journal"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
--- a/rehearsal/scenario/load.go
+++ b/testbed/scenario/load.go
@@ -6,8 +6,8 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/cresspond/cresspond/rehearsal/caller"
-	"github.com/cresspond/cresspond/rehearsal/deployment"
+	"github.com/cresspond/cresspond/testbed/caller"
+	"github.com/cresspond/cresspond/testbed/deployment"
 	"github.com/cresspond/cresspond/wire/callerapi"
 )
 
--- a/rehearsal/scenario/loss.go
+++ b/testbed/scenario/loss.go
@@ -6,8 +6,8 @@
 	"os"
 	"time"
 
-	"github.com/cresspond/cresspond/rehearsal/checker"
-	"github.com/cresspond/cresspond/rehearsal/fleet"
+	"github.com/cresspond/cresspond/testbed/checker"
+	"github.com/cresspond/cresspond/testbed/fleet"
 )
 
 // whole says whether the group has all its voters, each of them a core daemon that runs.
--- a/rehearsal/scenario/market.go
+++ b/testbed/scenario/market.go
@@ -6,9 +6,9 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/cresspond/cresspond/rehearsal/checker"
-	"github.com/cresspond/cresspond/rehearsal/deployment"
-	"github.com/cresspond/cresspond/rehearsal/fleet"
+	"github.com/cresspond/cresspond/testbed/checker"
+	"github.com/cresspond/cresspond/testbed/deployment"
+	"github.com/cresspond/cresspond/testbed/fleet"
 	"github.com/cresspond/cresspond/wire/callerapi"
 )
 
--- a/rehearsal/scenario/overhead.go
+++ b/testbed/scenario/overhead.go
@@ -11,9 +11,9 @@
 	"slices"
 	"time"
 
-	"github.com/cresspond/cresspond/rehearsal/deployment"
-	"github.com/cresspond/cresspond/rehearsal/fleet"
-	"github.com/cresspond/cresspond/rehearsal/journal"
+	"github.com/cresspond/cresspond/testbed/deployment"
+	"github.com/cresspond/cresspond/testbed/fleet"
+	"github.com/cresspond/cresspond/testbed/journal"
 	"github.com/cresspond/cresspond/wire/callerapi"
 	"github.com/cresspond/cresspond/wire/engineapi"
 )
--- a/rehearsal/scenario/readback.go
+++ b/testbed/scenario/readback.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"slices"
 
-	"github.com/cresspond/cresspond/process/statemachine"
-	"github.com/cresspond/cresspond/rehearsal/checker"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/testbed/checker"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
--- a/rehearsal/scenario/resend.go
+++ b/testbed/scenario/resend.go
@@ -8,9 +8,9 @@
 	"syscall"
 	"time"
 
-	"github.com/cresspond/cresspond/rehearsal/caller"
-	"github.com/cresspond/cresspond/rehearsal/checker"
-	"github.com/cresspond/cresspond/rehearsal/fleet"
+	"github.com/cresspond/cresspond/testbed/caller"
+	"github.com/cresspond/cresspond/testbed/checker"
+	"github.com/cresspond/cresspond/testbed/fleet"
 	"github.com/cresspond/cresspond/wire/callerapi"
 )
 
--- a/rehearsal/scenario/rolling.go
+++ b/testbed/scenario/rolling.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
-	"github.com/cresspond/cresspond/rehearsal/checker"
-	"github.com/cresspond/cresspond/rehearsal/fleet"
-	"github.com/cresspond/cresspond/rehearsal/journal"
+	"github.com/cresspond/cresspond/testbed/checker"
+	"github.com/cresspond/cresspond/testbed/fleet"
+	"github.com/cresspond/cresspond/testbed/journal"
 )
 
 // Rolling restarts every daemon as planned, one after the other, under load, and replaces engines one
--- a/rehearsal/scenario/scenario.go
+++ b/testbed/scenario/scenario.go
@@ -9,10 +9,10 @@
 	"syscall"
 	"time"
 
-	"github.com/cresspond/cresspond/rehearsal/checker"
-	"github.com/cresspond/cresspond/rehearsal/deployment"
-	"github.com/cresspond/cresspond/rehearsal/fleet"
-	"github.com/cresspond/cresspond/rehearsal/journal"
+	"github.com/cresspond/cresspond/testbed/checker"
+	"github.com/cresspond/cresspond/testbed/deployment"
+	"github.com/cresspond/cresspond/testbed/fleet"
+	"github.com/cresspond/cresspond/testbed/journal"
 )
 
 // Run is one rehearsal in hand.
--- a/rehearsal/scenario/splits.go
+++ b/testbed/scenario/splits.go
@@ -7,8 +7,8 @@
 	"syscall"
 	"time"
 
-	"github.com/cresspond/cresspond/rehearsal/checker"
-	"github.com/cresspond/cresspond/rehearsal/fleet"
+	"github.com/cresspond/cresspond/testbed/checker"
+	"github.com/cresspond/cresspond/testbed/fleet"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
--- a/rehearsal/scenario/storms.go
+++ b/testbed/scenario/storms.go
@@ -6,11 +6,11 @@
 	"syscall"
 	"time"
 
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/rehearsal/checker"
-	"github.com/cresspond/cresspond/rehearsal/deployment"
-	"github.com/cresspond/cresspond/rehearsal/fleet"
-	"github.com/cresspond/cresspond/rehearsal/journal"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/testbed/checker"
+	"github.com/cresspond/cresspond/testbed/deployment"
+	"github.com/cresspond/cresspond/testbed/fleet"
+	"github.com/cresspond/cresspond/testbed/journal"
 )
 
 // killEngines ends some engines at once; the caller starts them again.
--- a/rehearsal/scenario/watch.go
+++ b/testbed/scenario/watch.go
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
-	"github.com/cresspond/cresspond/rehearsal/checker"
-	"github.com/cresspond/cresspond/rehearsal/fleet"
-	"github.com/cresspond/cresspond/rehearsal/journal"
+	"github.com/cresspond/cresspond/testbed/checker"
+	"github.com/cresspond/cresspond/testbed/fleet"
+	"github.com/cresspond/cresspond/testbed/journal"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
--- a/rehearsal/days/generate.go
+++ b/testbed/scenariogen/generate.go
@@ -1,4 +1,4 @@
-package days
+package scenariogen
 
 import (
 	"fmt"
--- a/rehearsal/days/scenes.go
+++ b/testbed/scenariogen/scenes.go
@@ -1,4 +1,4 @@
-package days
+package scenariogen
 
 // scene is a group of troubles that belong together.
 type scene struct {
--- a/rehearsal/days/scenes_control.go
+++ b/testbed/scenariogen/scenes_control.go
@@ -1,4 +1,4 @@
-package days
+package scenariogen
 
 // crossedTroubles puts two troubles of control into each other's recovery: as a counted machine comes back, something
 // else strikes control, and the next machine is lost as soon as the tolerance has room again.
--- a/rehearsal/days/scenes_engines.go
+++ b/testbed/scenariogen/scenes_engines.go
@@ -1,4 +1,4 @@
-package days
+package scenariogen
 
 // spoiledAnswers has engines spoil or lose answers while others fail, and control has a trouble of its own.
 func spoiledAnswers(t *timeline, at float64) float64 {
--- a/rehearsal/days/site.go
+++ b/testbed/scenariogen/site.go
@@ -1,11 +1,11 @@
-// Package days writes days of trouble for a deployment that a site file describes.
+// Package scenariogen writes days of trouble for a deployment that a site file describes.
 //
 // A day is a list of troubles at set times, as a site file holds them under [[day]]. The days made here put kinds
 // together that a site's own days keep apart: a trouble in the recovery from another, the same one again as soon as
 // the first is over, changes of the configuration in flight at both edges of a cut. Everything is drawn from a seed;
 // the same site, seed and count give the same days, byte for byte. Losses of counted machines stay inside what the
 // site tolerates, so whatever rule breaks is broken by the system and not by the day.
-package days
+package scenariogen
 
 import (
 	"fmt"
--- a/wire/engineapi/engineapi.go
+++ b/wire/engineapi/engineapi.go
@@ -1,7 +1,7 @@
 // Package engineapi holds the forms that engines speak: the piece stream, orders and reports.
 package engineapi
 
-import "github.com/cresspond/cresspond/process/ident"
+import "github.com/cresspond/cresspond/ident"
 
 const (
 	// PathGenerate is where an engine takes requests.
--- a/wire/fellowapi/doc.go
+++ /dev/null
@@ -1,3 +0,0 @@
-// Package fellowapi holds the messages and the twirp service that daemons speak among themselves, generated from
-// fellow.proto, and the translation of raft's messages to and from them.
-package fellowapi
--- a/wire/operatorapi/bundle.go
+++ b/wire/operatorapi/bundle.go
@@ -5,9 +5,9 @@
 	"encoding/hex"
 	"strconv"
 
-	"github.com/cresspond/cresspond/epoch/forward"
-	"github.com/cresspond/cresspond/epoch/spec"
-	"github.com/cresspond/cresspond/process/ident"
+	"github.com/cresspond/cresspond/configuration/document"
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/ident"
 )
 
 const (
@@ -25,8 +25,8 @@
 	Digest   string `json:"digest"`
 	Operator string `json:"operator"`
 	// Whole is a bundle that spec.Read can read; whether it is sound, the leader checks.
-	Whole []byte         `json:"whole,omitempty"`
-	Patch *forward.Patch `json:"patch,omitempty"`
+	Whole []byte          `json:"whole,omitempty"`
+	Patch *upstream.Patch `json:"patch,omitempty"`
 }
 
 // Digest makes a call's digest from all that its sender said, as the sender said it.
@@ -60,11 +60,11 @@
 	Revision ident.Revision `json:"revision,omitempty"`
 	Epoch    ident.Epoch    `json:"epoch,omitempty"`
 	// Acknowledged says that it is in force at all daemons in contact with the leader.
-	Acknowledged bool           `json:"acknowledged,omitempty"`
-	InForceAt    []ident.NodeID `json:"inForceAt,omitempty"`
-	Missing      []ident.NodeID `json:"missing,omitempty"`
-	Faults       []spec.Fault   `json:"faults,omitempty"`
-	Reason       string         `json:"reason,omitempty"`
+	Acknowledged bool             `json:"acknowledged,omitempty"`
+	InForceAt    []ident.NodeID   `json:"inForceAt,omitempty"`
+	Missing      []ident.NodeID   `json:"missing,omitempty"`
+	Faults       []document.Fault `json:"faults,omitempty"`
+	Reason       string           `json:"reason,omitempty"`
 }
 
 // Bundle is the newest bundle, as it was handed in or merged.
--- a/wire/operatorapi/engines.go
+++ b/wire/operatorapi/engines.go
@@ -1,6 +1,6 @@
 package operatorapi
 
-import "github.com/cresspond/cresspond/process/ident"
+import "github.com/cresspond/cresspond/ident"
 
 // PathEngines lists the engines that register themselves; an engine's own path is behind it and a slash.
 const PathEngines = "/v1/engines"
--- a/wire/operatorapi/nodes.go
+++ b/wire/operatorapi/nodes.go
@@ -1,6 +1,6 @@
 package operatorapi
 
-import "github.com/cresspond/cresspond/process/ident"
+import "github.com/cresspond/cresspond/ident"
 
 // PathNodes lists the engines by how their nodes behave, the worst first, and takes what operators say of one.
 const PathNodes = "/v1/nodes"
--- a/wire/operatorapi/operatorapi.go
+++ b/wire/operatorapi/operatorapi.go
@@ -6,9 +6,9 @@
 	"encoding/json"
 	"slices"
 
-	"github.com/cresspond/cresspond/epoch/spec"
-	"github.com/cresspond/cresspond/process/ident"
-	"github.com/cresspond/cresspond/process/statemachine"
+	"github.com/cresspond/cresspond/configuration/document"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
 const (
@@ -108,19 +108,19 @@
 	// Without it the change is committed, and in force wherever it got to.
 	Acknowledged bool `json:"acknowledged,omitempty"`
 	// InForceAt lists the daemons that have the change in force, Missing those that may be serving without it.
-	InForceAt []ident.NodeID `json:"inForceAt,omitempty"`
-	Missing   []ident.NodeID `json:"missing,omitempty"`
-	Faults    []spec.Fault   `json:"faults,omitempty"`
+	InForceAt []ident.NodeID   `json:"inForceAt,omitempty"`
+	Missing   []ident.NodeID   `json:"missing,omitempty"`
+	Faults    []document.Fault `json:"faults,omitempty"`
 }
 
 // Error is the body of an answer that is no success.
 type Error struct {
-	Outcome string       `json:"outcome"`
-	Reason  string       `json:"reason"`
-	Field   string       `json:"field,omitempty"`
-	Faults  []spec.Fault `json:"faults,omitempty"`
-	Winner  string       `json:"winner,omitempty"`
-	Epoch   ident.Epoch  `json:"epoch,omitempty"`
+	Outcome string           `json:"outcome"`
+	Reason  string           `json:"reason"`
+	Field   string           `json:"field,omitempty"`
+	Faults  []document.Fault `json:"faults,omitempty"`
+	Winner  string           `json:"winner,omitempty"`
+	Epoch   ident.Epoch      `json:"epoch,omitempty"`
 	// Revision is the one in force, said of calls that name one as their base.
 	Revision ident.Revision `json:"revision,omitempty"`
 	// Closures is what won over a closure that lost its race.
--- a/wire/fellowapi/fellow.twirp.go
+++ b/wire/peerapi/fellow.twirp.go
@@ -3,7 +3,7 @@
 
 // The forms that cresspond's own processes speak to each other, over twirp.
 
-package fellowapi
+package peerapi
 
 import context "context"
 import fmt "fmt"
--- a/wire/fellowapi/fuzz_test.go
+++ b/wire/peerapi/fuzz_test.go
@@ -1,4 +1,4 @@
-package fellowapi
+package peerapi
 
 import (
 	"reflect"
@@ -6,7 +6,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/cresspond/cresspond/process/raft"
+	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
 // FuzzRaftMessages: what is read as raft messages is sound, and reads the same again when it is sent on.
--- a/wire/fellowapi/raft.go
+++ b/wire/peerapi/raft.go
@@ -1,7 +1,7 @@
-package fellowapi
+package peerapi
 
 import (
-	"github.com/cresspond/cresspond/process/raft"
+	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
 // FromRaft gives the wire form of raft messages.
--- a/wire/fellowapi/raft_test.go
+++ b/wire/peerapi/raft_test.go
@@ -1,4 +1,4 @@
-package fellowapi
+package peerapi
 
 import (
 	"math"
@@ -8,7 +8,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/cresspond/cresspond/process/raft"
+	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
 func members() raft.Membership {
--- a/wire/platformapi/platformapi.go
+++ b/wire/platformapi/platformapi.go
@@ -1,7 +1,7 @@
 // Package platformapi holds the forms of the platform: its lagging list of engines.
 package platformapi
 
-import "github.com/cresspond/cresspond/process/ident"
+import "github.com/cresspond/cresspond/ident"
 
 // PathEngines is where the list is read.
 const PathEngines = "/engines"
