--- a/connection/adminapi/engines.go
+++ b/connection/adminapi/engines.go
@@ -17,8 +17,8 @@
 
 // Registrar takes what engines say of themselves.
 type Registrar interface {
-	Register(ctx context.Context, word registry.Word) registry.Outcome
-	Deregister(ctx context.Context, id ident.EngineID) registry.Outcome
+	Register(ctx context.Context, word registry.Registration) registry.Response
+	Deregister(ctx context.Context, id ident.EngineID) registry.Response
 	// Engines lists them as this daemon knows them.
 	Engines() operatorapi.Engines
 }
@@ -61,10 +61,10 @@
 			fail(ctx, fasthttp.StatusBadRequest, operatorapi.Error{Outcome: "invalid", Reason: reason, Field: field})
 			return
 		}
-		word := registry.Word{ID: ident.EngineID(id), Pool: body.Pool, Address: body.Address, Zone: body.Zone, Software: body.Software, Slots: body.Slots,
-			Leaving: body.Leaving, LeaveMs: body.LeaveMs, ColdMs: body.ColdMs, Phase: body.Phase, CallSeq: body.CallSeq}
+		word := registry.Registration{ID: ident.EngineID(id), Pool: body.Pool, Address: body.Address, Zone: body.Zone, Software: body.Software, Slots: body.Slots,
+			Draining: body.Leaving, TerminatesInMs: body.LeaveMs, SlowStartMs: body.ColdMs, Phase: body.Phase, CallSeq: body.CallSeq}
 		for _, held := range body.Models {
-			word.Models = append(word.Models, registry.Held{Model: held.Model, Generation: held.Generation, Adapters: held.Adapters})
+			word.Models = append(word.Models, registry.LoadedModel{Model: held.Model, Generation: held.Generation, Adapters: held.Adapters})
 		}
 		d.registered(ctx, d.daemon.Register(context.Background(), word))
 	}
@@ -86,12 +86,12 @@
 	return field, strings.TrimSuffix(fmt.Sprintf("must satisfy %s=%s", found[0].Tag(), found[0].Param()), "=")
 }
 
-func (d *Desk) registered(ctx *fasthttp.RequestCtx, outcome registry.Outcome) {
-	switch outcome.Verdict {
+func (d *Desk) registered(ctx *fasthttp.RequestCtx, outcome registry.Response) {
+	switch outcome.Outcome {
 	case registry.Acknowledged:
-		answer(ctx, fasthttp.StatusOK, operatorapi.Registered{Outcome: string(outcome.Verdict)})
+		answer(ctx, fasthttp.StatusOK, operatorapi.Registered{Outcome: string(outcome.Outcome)})
 	case registry.Invalid:
-		fail(ctx, fasthttp.StatusBadRequest, operatorapi.Error{Outcome: string(outcome.Verdict), Reason: outcome.Reason, Field: outcome.Field})
+		fail(ctx, fasthttp.StatusBadRequest, operatorapi.Error{Outcome: string(outcome.Outcome), Reason: outcome.Reason, Field: outcome.Field})
 	default:
 		fail(ctx, fasthttp.StatusServiceUnavailable, operatorapi.Error{Outcome: string(registry.Unknown), Reason: "the control group gave no answer in time; say it again to another daemon"})
 	}
--- a/connection/adminapi/fuzz_test.go
+++ b/connection/adminapi/fuzz_test.go
@@ -15,13 +15,13 @@
 // noting is a daemon that notes what it was told and takes all of it.
 type noting struct {
 	Daemon
-	words    []registry.Word
+	words    []registry.Registration
 	commands []statemachine.Command
 }
 
-func (n *noting) Register(_ context.Context, word registry.Word) registry.Outcome {
+func (n *noting) Register(_ context.Context, word registry.Registration) registry.Response {
 	n.words = append(n.words, word)
-	return registry.Outcome{Verdict: registry.Acknowledged}
+	return registry.Response{Outcome: registry.Acknowledged}
 }
 
 func (n *noting) Command(_ context.Context, command statemachine.Command) (operatorapi.Answer, bool) {
@@ -60,7 +60,7 @@
 			t.Fatalf("%s was answered with %d, and taken: %t", path, status, taken)
 		}
 		for _, word := range daemon.words {
-			if word.ID != "e-1" || word.Pool == "" || word.Address == "" || word.Slots < 1 || word.LeaveMs < 0 || word.ColdMs < 0 {
+			if word.ID != "e-1" || word.Pool == "" || word.Address == "" || word.Slots < 1 || word.TerminatesInMs < 0 || word.SlowStartMs < 0 {
 				t.Fatalf("%+v", word)
 			}
 		}
--- a/connection/gateway/cost_test.go
+++ b/connection/gateway/cost_test.go
@@ -57,7 +57,7 @@
 func registerAt(f *fixture, listeners ...net.Listener) {
 	view := &registry.View{Engines: map[ident.EngineID]*registry.Engine{}, Pools: map[string][]*registry.Engine{}}
 	for n, listener := range listeners {
-		engine := &registry.Engine{Word: registry.Word{ID: ident.EngineID(fmt.Sprint("e", n)), Pool: "p", Address: listener.Addr().String(), Slots: 64}}
+		engine := &registry.Engine{Registration: registry.Registration{ID: ident.EngineID(fmt.Sprint("e", n)), Pool: "p", Address: listener.Addr().String(), Slots: 64}}
 		view.Engines[engine.ID] = engine
 		view.Pools["p"] = append(view.Pools["p"], engine)
 	}
--- a/connection/gateway/gateway_test.go
+++ b/connection/gateway/gateway_test.go
@@ -95,7 +95,7 @@
 }
 
 func (s *standIn) registered(pool string) *registry.Engine {
-	return &registry.Engine{Word: registry.Word{ID: s.id, Pool: pool, Address: s.listener.Addr().String(), Slots: 64}}
+	return &registry.Engine{Registration: registry.Registration{ID: s.id, Pool: pool, Address: s.listener.Addr().String(), Slots: 64}}
 }
 
 // whole is a sealed answer of a length.
--- a/daemon/bounds_test.go
+++ b/daemon/bounds_test.go
@@ -136,7 +136,7 @@
 	if _, err := compression.Unpack(compression.Pack(bundle)); err != nil {
 		t.Fatal(err)
 	}
-	word := registry.Word{ID: "e", Pool: "p", Address: "a:1", Slots: 1, CallSeq: 1, Leaving: true}
+	word := registry.Registration{ID: "e", Pool: "p", Address: "a:1", Slots: 1, CallSeq: 1, Draining: true}
 	for _, leads := range []bool{true, false} {
 		for _, after := range []time.Duration{0, 100 * time.Millisecond, 700 * time.Millisecond, 5 * time.Second} {
 			t.Run(fmt.Sprintf("leads %t, %v after the cut", leads, after), func(t *testing.T) {
@@ -152,12 +152,12 @@
 					if took := measure(func() { _, known = d.NewestBundle(t.Context()) }); took > applyLimit-applyMargin || known {
 						t.Errorf("reading back: %t after %v", known, took)
 					}
-					var outcome registry.Outcome
-					if took := measure(func() { outcome = d.Register(t.Context(), word) }); took > leaveLimit || outcome.Verdict != registry.Unknown {
-						t.Errorf("a leaving: %s after %v", outcome.Verdict, took)
+					var outcome registry.Response
+					if took := measure(func() { outcome = d.Register(t.Context(), word) }); took > leaveLimit || outcome.Outcome != registry.Unknown {
+						t.Errorf("a leaving: %s after %v", outcome.Outcome, took)
 					}
-					if took := measure(func() { outcome = d.Deregister(t.Context(), "f") }); took > leaveLimit || outcome.Verdict != registry.Unknown {
-						t.Errorf("an end: %s after %v", outcome.Verdict, took)
+					if took := measure(func() { outcome = d.Deregister(t.Context(), "f") }); took > leaveLimit || outcome.Outcome != registry.Unknown {
+						t.Errorf("an end: %s after %v", outcome.Outcome, took)
 					}
 				})
 			})
--- a/daemon/contact_test.go
+++ b/daemon/contact_test.go
@@ -22,7 +22,7 @@
 	settings := daemonconfig.Default()
 	settings.Serve = []daemonconfig.Role{daemonconfig.Route}
 	d := &Daemon{config: settings, clock: contactClock{clock.Mark(time.Minute)}}
-	if contact := d.contact(); contact.May || contact.Horizon != clock.Mark(time.Minute) {
+	if contact := d.contact(); contact.CanDetectTimeouts || contact.Horizon != clock.Mark(time.Minute) {
 		t.Errorf("%+v", contact)
 	}
 }
@@ -45,8 +45,8 @@
 		peer := membership.Fellow{NodeID: "peer#1", Address: "peer", Serve: []string{string(daemonconfig.Control)}, Heard: ago(c.heardPeer)}
 		view := &membership.View{Fellows: map[ident.NodeID]membership.Fellow{"peer#1": peer}, HeardLeader: ago(c.heardLeader)}
 		got := contactOf(view, "self#1", now, func(string) clock.Mark { return ago(c.heardPeer) }, period, func() bool { return c.alone })
-		if got.May != c.may {
-			t.Errorf("%s: may judge %t", name, got.May)
+		if got.CanDetectTimeouts != c.may {
+			t.Errorf("%s: may judge %t", name, got.CanDetectTimeouts)
 		}
 	}
 }
--- a/daemon/fellow.go
+++ b/daemon/fellow.go
@@ -573,7 +573,7 @@
 	wantsLost := !d.hearWants(in)
 	d.nodes.hear(in)
 	d.hearOutcomes(in)
-	d.registry.Saw(ident.NodeID(in.NodeId), cursorOf(in))
+	d.registry.RecordAcknowledgement(ident.NodeID(in.NodeId), cursorOf(in))
 	d.hearDraining(in.Draining)
 	if !wantsLost {
 		d.holdBack(ctx, in)
--- a/daemon/forward.go
+++ b/daemon/forward.go
@@ -109,7 +109,7 @@
 		view := d.forwardSide.view()
 		d.forwardSide.pools.Sweep(func(id ident.EngineID) bool {
 			engine, known := view.Engines[id]
-			return known && !engine.Gone
+			return known && !engine.Deregistered
 		})
 		d.forwardSide.actor.Ask(func(core *forwarding.Core, _ forwarding.World) { core.Forget(view) })
 	}
--- a/daemon/held.go
+++ b/daemon/held.go
@@ -106,13 +106,13 @@
 		in.SourceSeen == peerapi.SourceSeen_SOURCE_CONFIRMED && d.stale(),
 		in.SourceSeen == peerapi.SourceSeen_SOURCE_STALE && !d.stale(),
 		// Numbers of another life count for nothing.
-		in.RegistryLife != string(d.nodeID) || d.registry.Urgent() > in.RegistryWhole || len(in.RegistryWanted) > 0,
+		in.RegistryLife != string(d.nodeID) || d.registry.LatestUrgentChange() > in.RegistryWhole || len(in.RegistryWanted) > 0,
 		in.MembersLife != string(d.nodeID),
 		d.drainingNow.Load() && d.toldNews.draining.Load() != in.DrainingVersion:
 		return urgent
 	// Of how busy engines are there is always something new; control daemons, who tell it across zones, let it wait
 	// for the end of the hold.
-	case !in.RegistryUrgent && (d.registry.Solid() > in.RegistryWhole || !in.Beats && d.registry.Newest() > in.RegistryWhole),
+	case !in.RegistryUrgent && (d.registry.LatestNonLoadChange() > in.RegistryWhole || !in.Beats && d.registry.LatestChange() > in.RegistryWhole),
 		d.members.Solid() > in.MembersSeen || !in.RegistryUrgent && d.members.Changes() > in.MembersSeen,
 		plans != (in.PlannerAddress == self) || in.PlannerAddress == "" && planner != "",
 		plans && d.toldNews.lacks.Load() != in.LacksVersion:
@@ -167,7 +167,7 @@
 // registryNews does so when the registry changed.
 func (d *Daemon) registryNews() {
 	how := ordinary
-	if newest := d.registry.Urgent(); newest != d.urgentTold.Swap(newest) {
+	if newest := d.registry.LatestUrgentChange(); newest != d.urgentTold.Swap(newest) {
 		how = urgent
 	}
 	d.bell.ring(how)
--- a/daemon/leaving.go
+++ b/daemon/leaving.go
@@ -80,10 +80,10 @@
 	bounded, cancel := context.WithTimeout(context.Background(), tellLimit)
 	defer cancel()
 	seen := make(chan bool, len(peers))
-	change := d.registry.Solid()
+	change := d.registry.LatestNonLoadChange()
 	for _, peer := range peers {
 		go func() {
-			seen <- d.registry.AwaitReach(bounded, change, tellLimit, func() []ident.NodeID { return []ident.NodeID{peer} })
+			seen <- d.registry.AwaitPropagation(bounded, change, tellLimit, func() []ident.NodeID { return []ident.NodeID{peer} })
 		}()
 	}
 	for range peers {
--- a/daemon/poolplanning.go
+++ b/daemon/poolplanning.go
@@ -227,7 +227,7 @@
 func (p poolPlanner) First() bool { return !p.Leads() }
 
 // Tell spreads the plan.
-func (p poolPlanner) Tell(plans map[ident.EngineID]registry.Plan) { p.registry.TellPlan(plans) }
+func (p poolPlanner) Tell(plans map[ident.EngineID]registry.Plan) { p.registry.PublishPlans(plans) }
 
 // PoolTarget names a model, or one adapter of it, of a pool.
 type PoolTarget struct{ Pool, Model, Adapter string }
--- a/daemon/ranking.go
+++ b/daemon/ranking.go
@@ -300,7 +300,7 @@
 		}
 	}
 	for id, mark := range closures.Engines {
-		if engine := view.Engines[id]; mark.Ranking == nil || engine != nil && !engine.Gone {
+		if engine := view.Engines[id]; mark.Ranking == nil || engine != nil && !engine.Deregistered {
 			delete(n.vanished, id)
 			continue
 		}
@@ -362,7 +362,7 @@
 	}
 	out := nodehealth.Fleet{}
 	for id, engine := range view.Engines {
-		if engine.Gone {
+		if engine.Deregistered {
 			continue
 		}
 		one := nodehealth.Engine{ID: id, Pool: engine.Pool, Zone: engine.Zone, Open: engine.Usable() && open(id, engine.Zone)}
@@ -381,7 +381,7 @@
 	return out
 }
 
-func adaptersOf(held registry.Held) []nodehealth.Target {
+func adaptersOf(held registry.LoadedModel) []nodehealth.Target {
 	out := make([]nodehealth.Target, 0, len(held.Adapters))
 	for _, adapter := range held.Adapters {
 		out = append(out, nodehealth.Target{Model: held.Model, Adapter: adapter})
--- a/daemon/ranking_test.go
+++ b/daemon/ranking_test.go
@@ -16,7 +16,7 @@
 func viewOf(ids ...ident.EngineID) *registry.View {
 	view := &registry.View{Engines: map[ident.EngineID]*registry.Engine{}}
 	for _, id := range ids {
-		view.Engines[id] = &registry.Engine{Word: registry.Word{ID: id, Pool: "p"}}
+		view.Engines[id] = &registry.Engine{Registration: registry.Registration{ID: id, Pool: "p"}}
 	}
 	return view
 }
--- a/daemon/registry.go
+++ b/daemon/registry.go
@@ -30,65 +30,65 @@
 func (d *Daemon) Registry() *registry.Registry { return d.registry }
 
 // Register takes what an engine says of itself.
-func (d *Daemon) Register(ctx context.Context, word registry.Word) registry.Outcome {
+func (d *Daemon) Register(ctx context.Context, word registry.Registration) registry.Response {
 	if !d.config.Serves(daemonconfig.Control) {
-		return registry.Outcome{Verdict: registry.Unknown}
+		return registry.Response{Outcome: registry.Unknown}
 	}
-	hearing, ok := d.registry.Hear(word)
+	hearing, ok := d.registry.ReceiveHeartbeat(word)
 	if !ok {
-		return registry.Outcome{Verdict: registry.Unknown}
+		return registry.Response{Outcome: registry.Unknown}
 	}
 	d.counters.engineBeats.Add(1)
-	if hearing.Late {
+	if hearing.Stale {
 		d.counters.engineBeatsLate.Add(1)
 	}
-	if !word.Leaving {
-		return registry.Outcome{Verdict: registry.Acknowledged}
+	if !word.Draining {
+		return registry.Response{Outcome: registry.Acknowledged}
 	}
 	return d.leave(ctx, word.ID, hearing)
 }
 
 // Deregister takes an engine's word that it is gone.
-func (d *Daemon) Deregister(ctx context.Context, id ident.EngineID) registry.Outcome {
+func (d *Daemon) Deregister(ctx context.Context, id ident.EngineID) registry.Response {
 	if !d.config.Serves(daemonconfig.Control) {
-		return registry.Outcome{Verdict: registry.Unknown}
+		return registry.Response{Outcome: registry.Unknown}
 	}
-	hearing, ok := d.registry.End(id)
+	hearing, ok := d.registry.Deregister(id)
 	if !ok {
-		return registry.Outcome{Verdict: registry.Unknown}
+		return registry.Response{Outcome: registry.Unknown}
 	}
 	return d.leave(ctx, id, hearing)
 }
 
 // leave has the group write down that an engine leaves. All hear of it from here meanwhile, since it does no
 // harm to know it early; the acknowledgement rests on the group, so that it outlives this daemon.
-func (d *Daemon) leave(ctx context.Context, id ident.EngineID, hearing registry.Hearing) registry.Outcome {
+func (d *Daemon) leave(ctx context.Context, id ident.EngineID, hearing registry.HeartbeatResult) registry.Response {
 	bounded, cancel := context.WithTimeout(ctx, leaveLimit)
 	defer cancel()
-	if hearing.Left {
+	if hearing.DrainCommitted {
 		// Said again: it is written down, and need only have had the time to get about.
-		d.awaitReach(bounded, hearing.Change, leaveReach-d.clock.Elapsed().Since(hearing.LeftAt))
+		d.awaitReach(bounded, hearing.Change, leaveReach-d.clock.Elapsed().Since(hearing.DrainCommittedAt))
 		d.counters.leavesAcknowledged.Add(1)
-		return registry.Outcome{Verdict: registry.Acknowledged}
+		return registry.Response{Outcome: registry.Acknowledged}
 	}
 	answer, ok := d.submit(bounded, statemachine.Command{Op: statemachine.OpLeave, Engine: id})
 	if !ok || answer.Verdict != statemachine.Done {
 		d.counters.leavesUnknown.Add(1)
-		return registry.Outcome{Verdict: registry.Unknown}
+		return registry.Response{Outcome: registry.Unknown}
 	}
-	d.registry.Leave([]ident.EngineID{id}, false, true)
+	d.registry.MarkDraining([]ident.EngineID{id}, false, true)
 	d.counters.leavesAcknowledged.Add(1)
-	return registry.Outcome{Verdict: registry.Acknowledged}
+	return registry.Response{Outcome: registry.Acknowledged}
 }
 
 // awaitLeave is called at the leader when a leave is committed: it waits until all in contact know.
 func (d *Daemon) awaitLeave(ctx context.Context, id ident.EngineID) {
-	change := d.registry.Leave([]ident.EngineID{id}, false, true)
+	change := d.registry.MarkDraining([]ident.EngineID{id}, false, true)
 	d.awaitReach(ctx, change, leaveReach)
 }
 
 func (d *Daemon) awaitReach(ctx context.Context, change uint64, within time.Duration) bool {
-	return d.registry.AwaitReach(ctx, change, within, func() []ident.NodeID {
+	return d.registry.AwaitPropagation(ctx, change, within, func() []ident.NodeID {
 		var peers []ident.NodeID
 		for _, fellow := range d.members.View().InContact(d.clock.Elapsed(), membership.ContactWindow) {
 			if fellow.NodeID != d.nodeID {
@@ -113,34 +113,34 @@
 	d.leavesNoted = state.Leaves
 	if len(lately) > 0 || len(before) > 0 {
 		go func() {
-			d.registry.Remember(before)
-			d.registry.Leave(lately, false, true)
+			d.registry.RecordDepartures(before)
+			d.registry.MarkDraining(lately, false, true)
 		}()
 	}
 }
 
 // Engines lists the engines that register themselves, as this daemon knows them.
 func (d *Daemon) Engines() operatorapi.Engines {
-	view, beats, now := d.registry.View(), d.registry.Beats(), d.clock.Elapsed()
+	view, beats, now := d.registry.View(), d.registry.LastHeartbeats(), d.clock.Elapsed()
 	out := operatorapi.Engines{Version: view.Version, Engines: []operatorapi.RegisteredEngine{}}
 	for id, engine := range view.Engines {
-		row := operatorapi.RegisteredEngine{ID: id, HeardMsAgo: now.Since(max(beats[id].Heard, engine.Heard)).Milliseconds(), Condition: operatorapi.EngineUsable,
+		row := operatorapi.RegisteredEngine{ID: id, HeardMsAgo: now.Since(max(beats[id].Received, engine.LastHeartbeat)).Milliseconds(), Condition: operatorapi.EngineUsable,
 			Registration: operatorapi.Registration{Pool: engine.Pool, Address: engine.Address, Zone: engine.Zone, Software: engine.Software, Slots: engine.Slots,
-				Leaving: engine.Leaving, LeaveMs: engine.LeaveMs, ColdMs: max(0, engine.ColdMs-now.Since(engine.Heard).Milliseconds()), Phase: engine.Phase,
+				Leaving: engine.Draining, LeaveMs: engine.TerminatesInMs, ColdMs: max(0, engine.SlowStartMs-now.Since(engine.LastHeartbeat).Milliseconds()), Phase: engine.Phase,
 				Models: []operatorapi.HeldModel{}, CallSeq: max(beats[id].CallSeq, engine.CallSeq)}}
 		switch {
-		case engine.Gone:
+		case engine.Deregistered:
 			row.Condition = operatorapi.EngineGone
-		case engine.Silent:
+		case engine.TimedOut:
 			row.Condition = operatorapi.EngineSilent
-		case engine.Leaving:
+		case engine.Draining:
 			row.Condition = operatorapi.EngineLeaving
 		}
 		for _, held := range engine.Models() {
 			row.Models = append(row.Models, operatorapi.HeldModel{Model: held.Model, Generation: held.Generation, Adapters: held.Adapters})
 		}
 		if engine.Plan != nil {
-			row.Claim, row.Turn = engine.Plan.Claim, engine.Plan.Turn
+			row.Claim, row.Turn = engine.Plan.Claim, engine.Plan.Sequence
 		}
 		out.Engines = append(out.Engines, row)
 	}
@@ -157,27 +157,27 @@
 	for _, id := range in.RegistryWanted {
 		wanted = append(wanted, ident.EngineID(id))
 	}
-	question := registry.Question{Cursor: cursorOf(in), Wanted: wanted}
+	question := registry.DeltaRequest{Cursor: cursorOf(in), FullRecordsOf: wanted}
 	if !in.Beats {
 		// How busy far engines are is told seldom; control daemons pass it on, and so are told all.
 		question.Zone = d.members.ZoneOf(ident.NodeID(in.NodeId))
 	}
 	switch {
 	case in.RegistryUrgent:
-		question.Kind = registry.UrgentOnly
+		question.Filter = registry.UrgentOnly
 	case in.Beats && d.config.Serves(daemonconfig.Control):
 		// Only those who may have to judge an engine's silence need to hear of each beat.
-		question.Kind = registry.WithBeats
+		question.Filter = registry.WithHeartbeats
 	}
-	difference := d.registry.Since(question)
-	reply.RegistryLife, reply.RegistrySeen, reply.RegistryWhole = difference.Life, difference.Seen, difference.Cursor.Whole
-	reply.RegistryAfresh, reply.RegistryMore = difference.Afresh, difference.More
+	difference := d.registry.DeltaSince(question)
+	reply.RegistryLife, reply.RegistrySeen, reply.RegistryWhole = difference.Incarnation, difference.Seen, difference.Cursor.Complete
+	reply.RegistryAfresh, reply.RegistryMore = difference.FullResync, difference.More
 	reply.Engines = registry.Encode(d.clock.Elapsed(), difference.Records)
 }
 
 // cursorOf is how much of this daemon's changes an asker has.
 func cursorOf(in *peerapi.PullRequest) registry.Cursor {
-	return registry.Cursor{Life: in.RegistryLife, Seen: in.RegistrySeen, Whole: in.RegistryWhole}
+	return registry.Cursor{Incarnation: in.RegistryLife, Seen: in.RegistrySeen, Complete: in.RegistryWhole}
 }
 
 // followsRegistry says whether a question is one of those that go on, or of a daemon that has lost control. A
@@ -202,8 +202,8 @@
 		// What is heard in short is counted apart, so that all can be asked for when that is needed.
 		peer += " urgent"
 	}
-	cursor, wanted := d.registry.Asked(peer)
-	request.RegistryLife, request.RegistrySeen, request.RegistryWhole = cursor.Life, cursor.Seen, cursor.Whole
+	cursor, wanted := d.registry.NextRequest(peer)
+	request.RegistryLife, request.RegistrySeen, request.RegistryWhole = cursor.Incarnation, cursor.Seen, cursor.Complete
 	request.Beats = d.config.Serves(daemonconfig.Control)
 	request.LacksVersion, request.DrainingVersion = d.heardNews.lacks.Load(), d.heardNews.draining.Load()
 	for _, id := range wanted {
@@ -214,8 +214,8 @@
 	if err != nil || !d.ofOurs(reply) {
 		return reply, err
 	}
-	d.registry.Learn(peer, registry.Difference{Cursor: registry.Cursor{Life: reply.RegistryLife, Seen: reply.RegistrySeen, Whole: reply.RegistryWhole},
-		Afresh: reply.RegistryAfresh, More: reply.RegistryMore, Records: registry.Decode(d.clock.Elapsed(), reply.Engines)}, wanted)
+	d.registry.ApplyDelta(peer, registry.Delta{Cursor: registry.Cursor{Incarnation: reply.RegistryLife, Seen: reply.RegistrySeen, Complete: reply.RegistryWhole},
+		FullResync: reply.RegistryAfresh, More: reply.RegistryMore, Records: registry.Decode(d.clock.Elapsed(), reply.Engines)}, wanted)
 	if !reply.RegistryMore && !request.RegistryUrgent {
 		d.hearsay.note(address, asked)
 	}
@@ -274,18 +274,18 @@
 
 // contact says how well this daemon hears what other control daemons hear. One that is cut off from any that
 // lives can't tell an engine's silence from its own deafness; nor can several that were cut off from a majority together.
-func (d *Daemon) contact() registry.Contact {
+func (d *Daemon) contact() registry.Connectivity {
 	now := d.clock.Elapsed()
 	if !d.config.Serves(daemonconfig.Control) {
 		// It judges nobody, so it need not look through the fleet for it.
-		return registry.Contact{Horizon: now}
+		return registry.Connectivity{Horizon: now}
 	}
 	return contactOf(d.members.View(), d.nodeID, now, d.hearsay.of, d.beatPeriod(), d.alone)
 }
 
 // contactOf is contact for a view; heard is up to when a control daemon at an address has told all that it heard.
-func contactOf(view *membership.View, self ident.NodeID, now clock.Mark, heard func(address string) clock.Mark, period time.Duration, alone func() bool) registry.Contact {
-	out, others := registry.Contact{Horizon: now}, 0
+func contactOf(view *membership.View, self ident.NodeID, now clock.Mark, heard func(address string) clock.Mark, period time.Duration, alone func() bool) registry.Connectivity {
+	out, others := registry.Connectivity{Horizon: now}, 0
 	for _, fellow := range view.Fellows {
 		if fellow.NodeID == self || !fellow.Serves(string(daemonconfig.Control)) || now.Since(fellow.Heard) > membership.ContactWindow {
 			continue
@@ -293,7 +293,7 @@
 		others++
 		out.Horizon = min(out.Horizon, heard(fellow.Address))
 	}
-	out.May = now.Since(out.Horizon) <= period && (others > 0 || alone()) && now.Since(view.HeardLeader) <= membership.ContactWindow
+	out.CanDetectTimeouts = now.Since(out.Horizon) <= period && (others > 0 || alone()) && now.Since(view.HeardLeader) <= membership.ContactWindow
 	return out
 }
 
--- a/process/engines/registry/converge_test.go
+++ b/process/engines/registry/converge_test.go
@@ -22,8 +22,8 @@
 	cores  []*Core
 	names  []string
 	// engines are the newest words; late holds words that are still under way.
-	engines map[ident.EngineID]*Word
-	late    []Word
+	engines map[ident.EngineID]*Registration
+	late    []Registration
 	ended   map[ident.EngineID]bool
 	turn    uint64
 }
@@ -31,7 +31,7 @@
 const controls = 3
 
 func newWorld(seed uint64) *world {
-	w := &world{random: rand.New(rand.NewPCG(seed, 7)), engines: map[ident.EngineID]*Word{}, ended: map[ident.EngineID]bool{}}
+	w := &world{random: rand.New(rand.NewPCG(seed, 7)), engines: map[ident.EngineID]*Registration{}, ended: map[ident.EngineID]bool{}}
 	for i := range controls + 3 {
 		w.names = append(w.names, fmt.Sprint("d", i))
 		w.cores = append(w.cores, NewCore(w.names[i], i < controls, time.Second, 0))
@@ -55,7 +55,7 @@
 	case n < 7:
 		word := w.engines[id]
 		if word == nil {
-			word = &Word{ID: id, Pool: "p", Slots: 4, Zone: ident.ZoneID(fmt.Sprint("z", id[1]%2))}
+			word = &Registration{ID: id, Pool: "p", Slots: 4, Zone: ident.ZoneID(fmt.Sprint("z", id[1]%2))}
 			w.engines[id] = word
 		}
 		word.CallSeq += 1 + uint64(w.random.IntN(2))
@@ -66,33 +66,33 @@
 			word.Address = fmt.Sprint("a", w.random.IntN(4))
 		}
 		if w.random.IntN(25) == 0 {
-			word.Leaving = true
+			word.Draining = true
 		}
 		if w.random.IntN(4) == 0 {
 			w.late = append(w.late, *word)
 			return
 		}
-		w.cores[at].Hear(w.now, *word)
+		w.cores[at].ReceiveHeartbeat(w.now, *word)
 	case n < 9:
 		if len(w.late) > 0 {
 			i := w.random.IntN(len(w.late))
-			w.cores[at].Hear(w.now, w.late[i])
+			w.cores[at].ReceiveHeartbeat(w.now, w.late[i])
 			if w.random.IntN(2) == 0 {
 				w.late = append(w.late[:i], w.late[i+1:]...)
 			}
 		}
 	case n == 9:
 		if w.random.IntN(6) == 0 {
-			w.cores[at].End(w.now, id)
+			w.cores[at].Deregister(w.now, id)
 			w.ended[id] = true
 		}
 	case n == 10:
 		w.turn++
-		w.cores[at].TellPlan(w.now, map[ident.EngineID]Plan{id: {Claim: ident.ClaimNumber(w.turn / 5), Turn: w.turn, Active: w.random.IntN(9),
-			Models: []Held{{Model: fmt.Sprint("m", w.random.IntN(2))}}, Coming: []Coming{{Target: Target{Model: fmt.Sprint("m", w.random.IntN(2))}}}}})
+		w.cores[at].PublishPlans(w.now, map[ident.EngineID]Plan{id: {Claim: ident.ClaimNumber(w.turn / 5), Sequence: w.turn, Active: w.random.IntN(9),
+			Models: []LoadedModel{{Model: fmt.Sprint("m", w.random.IntN(2))}}, PendingLoads: []PendingLoad{{Target: Target{Model: fmt.Sprint("m", w.random.IntN(2))}}}}})
 	case n == 11:
 		// Now and then one judges that should not: that must be put right all the same.
-		w.cores[at].Judge(w.now, time.Second, Contact{May: true, Horizon: w.now})
+		w.cores[at].Tick(w.now, time.Second, Connectivity{CanDetectTimeouts: true, Horizon: w.now})
 	case n == 12 && w.random.IntN(4) == 0:
 		// A daemon's next life knows nothing.
 		i := w.random.IntN(len(w.cores))
@@ -108,22 +108,22 @@
 	if asker == asked {
 		return false
 	}
-	peer, kind := fmt.Sprint(asked), Everything
+	peer, kind := fmt.Sprint(asked), AllChanges
 	switch {
 	case asker < controls && asked < controls:
-		kind = WithBeats
+		kind = WithHeartbeats
 	case asked < controls && (asker+asked)%controls == 1:
 		// One of the control daemons is asked for what is urgent only; the others tell all.
 		kind, peer = UrgentOnly, peer+" urgent"
 	}
-	cursor, wanted := w.cores[asker].Asked(peer)
-	difference := w.cores[asked].Since(Question{Cursor: cursor, Wanted: wanted, Kind: kind, Zone: w.zone(asker)}, 1+w.random.IntN(4))
+	cursor, wanted := w.cores[asker].NextRequest(peer)
+	difference := w.cores[asked].DeltaSince(DeltaRequest{Cursor: cursor, FullRecordsOf: wanted, Filter: kind, Zone: w.zone(asker)}, 1+w.random.IntN(4))
 	if w.random.IntN(10) == 0 {
 		// The reply is lost.
 		return true
 	}
-	w.cores[asker].Learn(w.now, peer, difference, wanted)
-	_, more := w.cores[asker].Asked(peer)
+	w.cores[asker].ApplyDelta(w.now, peer, difference, wanted)
+	_, more := w.cores[asker].NextRequest(peer)
 	return len(difference.Records) > 0 || difference.More || len(more) > 0
 }
 
@@ -134,9 +134,9 @@
 		w.now += clock.Mark(time.Second)
 		came := false
 		for _, c := range w.cores {
-			before := c.Newest()
-			c.Judge(w.now, time.Second, Contact{})
-			came = came || c.Newest() != before
+			before := c.LatestChange()
+			c.Tick(w.now, time.Second, Connectivity{})
+			came = came || c.LatestChange() != before
 		}
 		for asker := range w.cores {
 			for asked := range w.cores {
@@ -158,10 +158,10 @@
 			continue
 		}
 		copied := *engine
-		copied.Heard, copied.Known, copied.CallSeq, copied.ColdMs = 0, 0, 0, 0
+		copied.LastHeartbeat, copied.FirstSeen, copied.CallSeq, copied.SlowStartMs = 0, 0, 0, 0
 		if copied.Plan != nil {
 			plan := *copied.Plan
-			plan.Told = 0
+			plan.Received = 0
 			copied.Plan = &plan
 		}
 		out[id] = copied
@@ -179,7 +179,7 @@
 			w.step()
 			for i, c := range w.cores {
 				for id, engine := range c.View().Engines {
-					if w.ended[id] && engine.Gone != c.left[id].gone {
+					if w.ended[id] && engine.Deregistered != c.left[id].gone {
 						return fmt.Sprintf("%s at d%d is gone in one way and not in the other", id, i)
 					}
 				}
@@ -191,7 +191,7 @@
 		// Who may have to judge an engine's silence has heard of its newest beat.
 		for i, c := range w.cores[1:controls] {
 			for id, engine := range c.View().Engines {
-				if got, want := c.Beats()[id].CallSeq, w.cores[0].Beats()[id].CallSeq; engine.Usable() && got != want {
+				if got, want := c.LastHeartbeats()[id].CallSeq, w.cores[0].LastHeartbeats()[id].CallSeq; engine.Usable() && got != want {
 					return fmt.Sprintf("d%d knows of beat %d of %s, d0 of %d", i+1, got, id, want)
 				}
 			}
--- a/process/engines/registry/core.go
+++ b/process/engines/registry/core.go
@@ -29,11 +29,11 @@
 // Cursor is how much of a peer's changes has been seen.
 type Cursor struct {
 	// Life tells one life of a peer from the next, which counts its changes anew.
-	Life string
-	Seen uint64
+	Incarnation string
+	Seen        uint64
 	// Whole is the change up to which nothing is lacking. Between it and Seen, what changed again is told later,
 	// so while a long difference is under way Whole stays behind.
-	Whole uint64
+	Complete uint64
 }
 
 // Record is what one daemon tells another of an engine.
@@ -41,47 +41,47 @@
 	ID      ident.EngineID
 	CallSeq uint64
 	// Digest stands for the newest word's content, so that a beat that brings nothing new needs no words.
-	Digest uint64
-	Heard  clock.Mark
+	Digest        uint64
+	LastHeartbeat clock.Mark
 	// Word is nil where the hearer has it already.
-	Word                  *Word
-	Leaving, Silent, Gone bool
+	Registration                     *Registration
+	Draining, TimedOut, Deregistered bool
 	// Plan is nil where the hearer has it already, or there is none; Part says how much of it is told, and
 	// PlanDigest stands for the rest.
 	Plan       *Plan
-	Part       PlanPart
+	PlanExtent PlanExtent
 	PlanDigest uint64
 }
 
 // PlanPart is how much of a plan is told.
-type PlanPart int
+type PlanExtent int
 
 const (
 	// WholePlan tells all of it.
-	WholePlan PlanPart = iota
+	FullPlan PlanExtent = iota
 	// LoadsOnly leaves out what the engine holds, and what comes and goes.
 	LoadsOnly
 	// HeadOnly tells only which plan it is.
-	HeadOnly
+	VersionOnly
 )
 
 // Kind is which changes are asked for.
-type Kind int
+type ChangeFilter int
 
 const (
 	// Everything is all changes.
-	Everything Kind = iota
+	AllChanges ChangeFilter = iota
 	// WithBeats is every beat as well.
-	WithBeats
+	WithHeartbeats
 	// UrgentOnly is who came, and who must not be sent to; the rest is heard from another peer.
 	UrgentOnly
 )
 
 // Question is what a peer asks.
-type Question struct {
+type DeltaRequest struct {
 	Cursor
-	Wanted []ident.EngineID
-	Kind   Kind
+	FullRecordsOf []ident.EngineID
+	Filter        ChangeFilter
 	// Zone is where the asker stands; empty is not told.
 	Zone ident.ZoneID
 }
@@ -94,35 +94,35 @@
 }
 
 // Difference is what changed at a daemon since a cursor.
-type Difference struct {
+type Delta struct {
 	Cursor
 	// Afresh says that it tells of everything; More, that it goes on in the next.
-	Afresh, More bool
-	Records      []Record
+	FullResync, More bool
+	Records          []Record
 }
 
 // Contact is how well a control daemon hears what the others hear.
-type Contact struct {
+type Connectivity struct {
 	// May is false where it is cut off, so that missing beats may well have come elsewhere.
-	May bool
+	CanDetectTimeouts bool
 	// Horizon is the moment up to which all beats heard by the others are known here.
 	Horizon clock.Mark
 }
 
 // Hearing is what became of a word.
-type Hearing struct {
+type HeartbeatResult struct {
 	// Late words were heard before, or came after a newer one.
-	Late bool
+	Stale bool
 	// Left says that the group has written down that the engine leaves, and LeftAt since when that is known here.
-	Left   bool
-	LeftAt clock.Mark
+	DrainCommitted   bool
+	DrainCommittedAt clock.Mark
 	// Change numbers the newest change of the engine here.
 	Change uint64
 }
 
 // entry is one engine. Its parts carry the number of their last change, so that a peer is sent only what it lacks.
 type entry struct {
-	word Word
+	word Registration
 	// worded is false for an engine of which only its leaving is known.
 	worded         bool
 	digest         uint64
@@ -199,32 +199,32 @@
 }
 
 // Newest numbers the last change that all are told of.
-func (c *Core) Newest() uint64 { return c.newest }
+func (c *Core) LatestChange() uint64 { return c.newest }
 
 // Urgent numbers the last change that must not wait for others: who came, and who must not be sent to.
-func (c *Core) Urgent() uint64 { return c.urgent }
+func (c *Core) LatestUrgentChange() uint64 { return c.urgent }
 
 // Solid numbers the last change that tells of anything but loads.
-func (c *Core) Solid() uint64 { return c.solid }
+func (c *Core) LatestNonLoadChange() uint64 { return c.solid }
 
 // Hear takes what an engine says of itself to this daemon.
-func (c *Core) Hear(now clock.Mark, word Word) Hearing {
+func (c *Core) ReceiveHeartbeat(now clock.Mark, word Registration) HeartbeatResult {
 	word = tidy(word)
 	departed, left := c.left[word.ID]
-	hearing := Hearing{Left: left && departed.committed, LeftAt: departed.at}
+	hearing := HeartbeatResult{DrainCommitted: left && departed.committed, DrainCommittedAt: departed.at}
 	if left && departed.gone {
 		// An id that is gone never comes back.
-		hearing.Late = true
+		hearing.Stale = true
 		return hearing
 	}
 	e := c.entry(now, word.ID)
-	hearing.Late = e.worded && word.CallSeq <= e.word.CallSeq || c.replaced(e, word.Address)
-	if !hearing.Late {
+	hearing.Stale = e.worded && word.CallSeq <= e.word.CallSeq || c.replaced(e, word.Address)
+	if !hearing.Stale {
 		c.takeWord(e, word, digestOf(word), now, false)
 		c.beat(e)
 		c.displace(now, e)
 	}
-	if word.Leaving {
+	if word.Draining {
 		// Leaving never ends, so even a late word of it counts.
 		c.leave(now, e, false)
 	}
@@ -242,15 +242,15 @@
 }
 
 // End takes an engine's word to this daemon that it is gone.
-func (c *Core) End(now clock.Mark, id ident.EngineID) Hearing {
-	change := c.Leave(now, id, true, false)
+func (c *Core) Deregister(now clock.Mark, id ident.EngineID) HeartbeatResult {
+	change := c.MarkDraining(now, id, true, false)
 	departed := c.left[id]
-	return Hearing{Left: departed.committed, LeftAt: departed.at, Change: change}
+	return HeartbeatResult{DrainCommitted: departed.committed, DrainCommittedAt: departed.at, Change: change}
 }
 
 // Leave notes that an engine leaves, or is gone; committed, that the group has written it down. It gives the
 // number of the engine's newest change.
-func (c *Core) Leave(now clock.Mark, id ident.EngineID, gone, committed bool) uint64 {
+func (c *Core) MarkDraining(now clock.Mark, id ident.EngineID, gone, committed bool) uint64 {
 	known, again := c.left[id]
 	if !again {
 		known.at = now
@@ -266,10 +266,10 @@
 }
 
 // Remember notes ids that left so long ago that nobody need be told.
-func (c *Core) Remember(now clock.Mark, ids []ident.EngineID) {
+func (c *Core) RecordDepartures(now clock.Mark, ids []ident.EngineID) {
 	for _, id := range ids {
 		if e := c.entries[id]; e != nil {
-			c.Leave(now, id, false, true)
+			c.MarkDraining(now, id, false, true)
 			continue
 		}
 		c.depart(id, departure{committed: true, at: now, gone: c.left[id].gone})
@@ -310,7 +310,7 @@
 	if e := c.entries[id]; e != nil {
 		return e
 	}
-	e := &entry{word: Word{ID: id}, known: now, heard: now}
+	e := &entry{word: Registration{ID: id}, known: now, heard: now}
 	departed, left := c.left[id]
 	e.leaving, e.gone = left, departed.gone
 	e.byChange, e.byBeat, e.byUrgency = c.byChange.PushBack(e), c.byBeat.PushBack(e), c.byUrgency.PushBack(e)
@@ -320,8 +320,8 @@
 }
 
 // takeWord is the one place where an engine's word is replaced.
-func (c *Core) takeWord(e *entry, word Word, digest uint64, heard clock.Mark, silent bool) {
-	coldTo := heard + clock.Mark(time.Duration(word.ColdMs)*time.Millisecond)
+func (c *Core) takeWord(e *entry, word Registration, digest uint64, heard clock.Mark, silent bool) {
+	coldTo := heard + clock.Mark(time.Duration(word.SlowStartMs)*time.Millisecond)
 	moved := coldTo.Since(e.coldTo)
 	fresh := !e.worded || digest != e.digest || max(moved, -moved) > coldSlack && max(coldTo, e.coldTo) > heard
 	changes := fresh || silent != e.silent
@@ -334,7 +334,7 @@
 		word.Models = nil
 	}
 	e.word, e.worded, e.digest, e.heard, e.silent = word, true, digest, heard, silent
-	if word.Leaving {
+	if word.Draining {
 		e.leaving = true
 	}
 	if !changes {
@@ -403,11 +403,11 @@
 }
 
 // TellPlan takes the planner's word.
-func (c *Core) TellPlan(now clock.Mark, plans map[ident.EngineID]Plan) {
+func (c *Core) PublishPlans(now clock.Mark, plans map[ident.EngineID]Plan) {
 	for _, id := range slices.Sorted(maps.Keys(plans)) {
 		if e := c.entries[id]; e != nil {
 			plan := plans[id]
-			plan.Told = now
+			plan.Received = now
 			c.takePlan(now, e, &plan, digestOfPlan(&plan), true)
 		}
 	}
@@ -415,13 +415,13 @@
 
 // older says whether a plan is older than another, or the same.
 func older(claim ident.ClaimNumber, turn uint64, than *Plan) bool {
-	return than != nil && cmp.Or(cmp.Compare(claim, than.Claim), cmp.Compare(turn, than.Turn)) <= 0
+	return than != nil && cmp.Or(cmp.Compare(claim, than.Claim), cmp.Compare(turn, than.Sequence)) <= 0
 }
 
 // takePlan is the one place where an engine's plan is replaced. first says that it comes from the planner here,
 // which bounds how often all are told of loads.
 func (c *Core) takePlan(now clock.Mark, e *entry, plan *Plan, digest uint64, first bool) {
-	if e.gone || older(plan.Claim, plan.Turn, e.plan) {
+	if e.gone || older(plan.Claim, plan.Sequence, e.plan) {
 		return
 	}
 	same := e.plan != nil && digest == e.planDigest
@@ -463,7 +463,7 @@
 }
 
 // Asked is the cursor to ask a peer with, and the engines of which its whole word is wanted.
-func (c *Core) Asked(peer string) (Cursor, []ident.EngineID) {
+func (c *Core) NextRequest(peer string) (Cursor, []ident.EngineID) {
 	wants := c.wants[peer]
 	for id, wanted := range wants {
 		// What came from elsewhere meanwhile is wanted no more.
@@ -480,15 +480,15 @@
 }
 
 // Since gives what changed here since a cursor, at most so many records, and what is wanted besides.
-func (c *Core) Since(question Question, most int) Difference {
-	out := Difference{Cursor: Cursor{Life: c.life, Seen: c.changes}}
-	seen, whole := question.Seen, min(question.Cursor.Whole, question.Seen)
-	if question.Life != c.life || seen > c.changes {
-		seen, whole, out.Afresh = 0, 0, true
+func (c *Core) DeltaSince(question DeltaRequest, most int) Delta {
+	out := Delta{Cursor: Cursor{Incarnation: c.life, Seen: c.changes}}
+	seen, whole := question.Seen, min(question.Cursor.Complete, question.Seen)
+	if question.Incarnation != c.life || seen > c.changes {
+		seen, whole, out.FullResync = 0, 0, true
 	}
 	order, numberOf := c.byChange, func(e *entry) uint64 { return e.changed }
-	switch question.Kind {
-	case WithBeats:
+	switch question.Filter {
+	case WithHeartbeats:
 		order, numberOf = c.byBeat, func(e *entry) uint64 { return e.beaten }
 	case UrgentOnly:
 		order, numberOf = c.byUrgency, func(e *entry) uint64 { return e.urgent }
@@ -507,30 +507,30 @@
 		changed = changed[:most]
 		out.More, out.Seen = true, numberOf(changed[most-1])
 	}
-	if out.Cursor.Whole = out.Seen; out.More {
-		out.Cursor.Whole = whole
+	if out.Cursor.Complete = out.Seen; out.More {
+		out.Cursor.Complete = whole
 	}
 	// An asker that knew another life of this daemon, or hears most from elsewhere, has nearly all of it: it is
 	// told in short what there is, and asks for what it lacks.
-	short := out.Afresh && question.Life != "" || question.Kind == UrgentOnly
+	short := out.FullResync && question.Incarnation != "" || question.Filter == UrgentOnly
 	for _, e := range changed {
 		near := question.Zone == "" || e.word.Zone == question.Zone
-		if question.Kind == Everything && e.solid <= whole && e.loadsAt(near) <= whole {
+		if question.Filter == AllChanges && e.solid <= whole && e.loadsAt(near) <= whole {
 			continue
 		}
 		record := e.record(whole, near, short)
-		if question.Kind == WithBeats && !e.planned {
+		if question.Filter == WithHeartbeats && !e.planned {
 			// Control daemons all hear loads from the planner itself; passed on, each would come once from every one.
 			if e.solid <= whole && e.heardAt <= whole {
 				continue
 			}
-			if record.Part == LoadsOnly {
-				record.Plan, record.Part, record.PlanDigest = nil, WholePlan, 0
+			if record.PlanExtent == LoadsOnly {
+				record.Plan, record.PlanExtent, record.PlanDigest = nil, FullPlan, 0
 			}
 		}
 		out.Records = append(out.Records, record)
 	}
-	for _, id := range question.Wanted {
+	for _, id := range question.FullRecordsOf {
 		if e := c.entries[id]; e != nil {
 			out.Records = append(out.Records, e.record(0, true, false))
 		}
@@ -548,28 +548,28 @@
 
 // record tells what changed of an engine since a change, to one that is near or not.
 func (e *entry) record(since uint64, near, short bool) Record {
-	out := Record{ID: e.word.ID, CallSeq: e.word.CallSeq, Digest: e.digest, Heard: e.heard, Leaving: e.leaving, Silent: e.silent, Gone: e.gone}
+	out := Record{ID: e.word.ID, CallSeq: e.word.CallSeq, Digest: e.digest, LastHeartbeat: e.heard, Draining: e.leaving, TimedOut: e.silent, Deregistered: e.gone}
 	if !short && e.worded && e.wordAt > since {
 		copied := e.word
-		out.Word = &copied
+		out.Registration = &copied
 	}
 	if e.plan == nil {
 		return out
 	}
 	switch {
 	case short:
-		out.Plan, out.Part = e.plan, HeadOnly
+		out.Plan, out.PlanExtent = e.plan, VersionOnly
 	case e.planAt > since:
 		out.Plan, out.PlanDigest = e.plan, e.planDigest
 	case e.loadsAt(near) > since:
-		out.Plan, out.Part, out.PlanDigest = e.plan, LoadsOnly, e.planDigest
+		out.Plan, out.PlanExtent, out.PlanDigest = e.plan, LoadsOnly, e.planDigest
 	}
 	return out
 }
 
 // Learn takes what a peer told; asked are the engines that were wanted of it.
-func (c *Core) Learn(now clock.Mark, peer string, difference Difference, asked []ident.EngineID) {
-	if known := c.cursors[peer]; known.Life != difference.Life || known.Seen < difference.Seen || known.Whole < difference.Cursor.Whole {
+func (c *Core) ApplyDelta(now clock.Mark, peer string, difference Delta, asked []ident.EngineID) {
+	if known := c.cursors[peer]; known.Incarnation != difference.Incarnation || known.Seen < difference.Seen || known.Complete < difference.Cursor.Complete {
 		c.cursors[peer] = difference.Cursor
 	}
 	wants := c.wants[peer]
@@ -586,7 +586,7 @@
 		}
 		wanted := want{callSeq: record.CallSeq, digest: record.Digest}
 		if record.Plan != nil {
-			wanted.claim, wanted.turn = record.Plan.Claim, record.Plan.Turn
+			wanted.claim, wanted.turn = record.Plan.Claim, record.Plan.Sequence
 		}
 		wants[record.ID] = wanted
 	}
@@ -595,62 +595,62 @@
 // learn joins a record with what is known; it says false where all that the peer knows is wanted.
 func (c *Core) learn(now clock.Mark, r Record) bool {
 	e := c.entries[r.ID]
-	if e == nil && r.Word == nil && !r.Leaving && !r.Gone {
+	if e == nil && r.Registration == nil && !r.Draining && !r.Deregistered {
 		return false
 	}
 	if e == nil {
-		if r.Gone && now.Since(r.Heard) > forgetAfter {
+		if r.Deregistered && now.Since(r.LastHeartbeat) > forgetAfter {
 			return true
 		}
 		e = c.entry(now, r.ID)
 	}
 	lacking := false
 	switch {
-	case !e.worded && r.Word == nil:
+	case !e.worded && r.Registration == nil:
 		// Only of one that leaves nothing else need be known.
-		e.heard = min(e.heard, r.Heard)
+		e.heard = min(e.heard, r.LastHeartbeat)
 	case !e.worded || r.CallSeq > e.word.CallSeq || r.CallSeq == e.word.CallSeq && r.Digest > e.digest:
 		// Two contents under one number are an engine's slip; daemons then agree on one by its digest.
 		switch {
-		case r.Word != nil:
-			c.takeWord(e, *r.Word, r.Digest, r.Heard, r.Silent)
+		case r.Registration != nil:
+			c.takeWord(e, *r.Registration, r.Digest, r.LastHeartbeat, r.TimedOut)
 		case r.Digest == e.digest:
 			word := e.word
 			word.CallSeq = r.CallSeq
 			// What was said of a slow start was said at the earlier beat.
-			word.ColdMs = max(0, e.coldTo.Since(r.Heard).Milliseconds())
-			c.takeWord(e, word, e.digest, r.Heard, r.Silent)
+			word.SlowStartMs = max(0, e.coldTo.Since(r.LastHeartbeat).Milliseconds())
+			c.takeWord(e, word, e.digest, r.LastHeartbeat, r.TimedOut)
 		default:
 			lacking = true
 		}
 	case r.CallSeq == e.word.CallSeq:
 		// Each way of a word makes it look later than it was, so the earliest is the truest.
-		e.heard = min(e.heard, r.Heard)
-		if r.Silent && !e.silent {
+		e.heard = min(e.heard, r.LastHeartbeat)
+		if r.TimedOut && !e.silent {
 			e.silent = true
 			c.changedAtOnce(e)
 		}
-	case r.Silent && !e.silent:
+	case r.TimedOut && !e.silent:
 		// Whoever took it for silent has not heard the newest beat, and has told others: they hear otherwise now.
 		c.changedAtOnce(e)
 	}
-	if r.Leaving || r.Gone {
-		c.leave(now, e, r.Gone)
+	if r.Draining || r.Deregistered {
+		c.leave(now, e, r.Deregistered)
 	}
 	return c.learnPlan(now, e, r) && !lacking
 }
 
 // learnPlan joins what is told of a plan; it says false where more of it is wanted.
 func (c *Core) learnPlan(now clock.Mark, e *entry, r Record) bool {
-	if r.Plan == nil || e.gone || older(r.Plan.Claim, r.Plan.Turn, e.plan) {
+	if r.Plan == nil || e.gone || older(r.Plan.Claim, r.Plan.Sequence, e.plan) {
 		return true
 	}
 	switch {
-	case r.Part == WholePlan:
+	case r.PlanExtent == FullPlan:
 		c.takePlan(now, e, r.Plan, r.PlanDigest, false)
-	case r.Part == LoadsOnly && e.plan != nil && r.PlanDigest == e.planDigest:
+	case r.PlanExtent == LoadsOnly && e.plan != nil && r.PlanDigest == e.planDigest:
 		next := *e.plan
-		next.Claim, next.Turn, next.Told = r.Plan.Claim, r.Plan.Turn, r.Plan.Told
+		next.Claim, next.Sequence, next.Received = r.Plan.Claim, r.Plan.Sequence, r.Plan.Received
 		next.Active, next.Queued, next.MemoryUsed, next.Memory = r.Plan.Active, r.Plan.Queued, r.Plan.MemoryUsed, r.Plan.Memory
 		c.takePlan(now, e, &next, e.planDigest, false)
 	default:
@@ -660,7 +660,7 @@
 }
 
 // Judge lets time pass, with engines beating every period: it decides who is silent, where this daemon can know, and forgets whom nobody needs.
-func (c *Core) Judge(now clock.Mark, period time.Duration, contact Contact) {
+func (c *Core) Tick(now clock.Mark, period time.Duration, contact Connectivity) {
 	c.period = period
 	// A daemon that stood still has missed what was said meanwhile.
 	if now.Since(c.judged) > max(2*c.period, time.Second) {
@@ -669,7 +669,7 @@
 	c.judged = now
 	limit := time.Duration(missedBeats * float64(c.period))
 	horizon := min(now, contact.Horizon)
-	mayJudge := c.control && contact.May && now.Since(c.listening) >= 2*c.period
+	mayJudge := c.control && contact.CanDetectTimeouts && now.Since(c.listening) >= 2*c.period
 	var ended, quieted, followed, forgotten, loaded []*entry
 	for at := c.byChange.Front(); at != nil; at = at.Next() {
 		e := at.Value.(*entry)
@@ -730,16 +730,16 @@
 }
 
 // Beat is the newest beat of an engine that is known here, by whichever control daemon heard it.
-type Beat struct {
-	CallSeq uint64
-	Heard   clock.Mark
+type LastHeartbeat struct {
+	CallSeq  uint64
+	Received clock.Mark
 }
 
 // Beats gives each engine's newest beat. A view holds older ones, since a beat that brings nothing new changes none.
-func (c *Core) Beats() map[ident.EngineID]Beat {
-	out := make(map[ident.EngineID]Beat, len(c.entries))
+func (c *Core) LastHeartbeats() map[ident.EngineID]LastHeartbeat {
+	out := make(map[ident.EngineID]LastHeartbeat, len(c.entries))
 	for id, e := range c.entries {
-		out[id] = Beat{CallSeq: e.word.CallSeq, Heard: e.heard}
+		out[id] = LastHeartbeat{CallSeq: e.word.CallSeq, Received: e.heard}
 	}
 	return out
 }
@@ -764,8 +764,8 @@
 			// Of an engine that only its leaving is known of there is nothing to show.
 			continue
 		}
-		shown := &Engine{Word: e.word, Heard: e.heard, Silent: e.silent, Gone: e.gone, Known: e.known, Plan: e.plan}
-		shown.Leaving = e.leaving
+		shown := &Engine{Registration: e.word, LastHeartbeat: e.heard, TimedOut: e.silent, Deregistered: e.gone, FirstSeen: e.known, Plan: e.plan}
+		shown.Draining = e.leaving
 		next.Engines[id] = shown
 		pools[shown.Pool] = true
 	}
@@ -773,7 +773,7 @@
 		delete(next.Pools, pool)
 	}
 	for _, engine := range next.Engines {
-		if pools[engine.Pool] && !engine.Gone {
+		if pools[engine.Pool] && !engine.Deregistered {
 			next.Pools[engine.Pool] = append(next.Pools[engine.Pool], engine)
 		}
 	}
--- a/process/engines/registry/core_test.go
+++ b/process/engines/registry/core_test.go
@@ -11,45 +11,45 @@
 
 const second = clock.Mark(time.Second)
 
-var soleControl = func(now clock.Mark) Contact { return Contact{May: true, Horizon: now} }
+var soleControl = func(now clock.Mark) Connectivity { return Connectivity{CanDetectTimeouts: true, Horizon: now} }
 
-func engineWord(id string, callSeq uint64) Word {
-	return Word{ID: ident.EngineID(id), Pool: "p", Address: "10.0.0.1:" + id[1:], Zone: "z", Slots: 4, CallSeq: callSeq,
-		Models: []Held{{Model: "m", Generation: 1, Adapters: []string{"a1"}}}}
+func engineWord(id string, callSeq uint64) Registration {
+	return Registration{ID: ident.EngineID(id), Pool: "p", Address: "10.0.0.1:" + id[1:], Zone: "z", Slots: 4, CallSeq: callSeq,
+		Models: []LoadedModel{{Model: "m", Generation: 1, Adapters: []string{"a1"}}}}
 }
 
 func TestOfTwoWordsTheHigherCallSeqCounts(t *testing.T) {
 	c := NewCore("one", true, time.Second, 0)
 	newer, older := engineWord("e1", 5), engineWord("e1", 4)
 	newer.Slots, older.Slots = 8, 2
-	if c.Hear(second, newer).Late {
+	if c.ReceiveHeartbeat(second, newer).Stale {
 		t.Error("the first word is not late")
 	}
-	if !c.Hear(second, older).Late {
+	if !c.ReceiveHeartbeat(second, older).Stale {
 		t.Error("an older word is late")
 	}
 	same := newer
 	same.Slots = 9
-	if !c.Hear(second, same).Late || c.View().Engines["e1"].Slots != 8 {
+	if !c.ReceiveHeartbeat(second, same).Stale || c.View().Engines["e1"].Slots != 8 {
 		t.Error("a word of the same number with other content is dropped")
 	}
 }
 
 func TestWhoIsGoneNeverComesBack(t *testing.T) {
 	c := NewCore("one", true, time.Second, 0)
-	c.Hear(second, engineWord("e1", 1))
-	c.End(second, "e1")
-	c.Hear(2*second, engineWord("e1", 9))
-	if engine := c.View().Engines["e1"]; !engine.Gone || engine.Usable() {
+	c.ReceiveHeartbeat(second, engineWord("e1", 1))
+	c.Deregister(second, "e1")
+	c.ReceiveHeartbeat(2*second, engineWord("e1", 9))
+	if engine := c.View().Engines["e1"]; !engine.Deregistered || engine.Usable() {
 		t.Errorf("%+v", engine)
 	}
 	// Nor one that ended before it was ever heard of, nor after it was forgotten.
-	c.End(second, "e2")
+	c.Deregister(second, "e2")
 	for now := second; now < 700*second; now += second {
-		c.Judge(now, time.Second, soleControl(now))
+		c.Tick(now, time.Second, soleControl(now))
 	}
-	c.Hear(700*second, engineWord("e2", 9))
-	c.Hear(700*second, engineWord("e1", 12))
+	c.ReceiveHeartbeat(700*second, engineWord("e2", 9))
+	c.ReceiveHeartbeat(700*second, engineWord("e1", 12))
 	for id, engine := range c.View().Engines {
 		if engine.Usable() {
 			t.Errorf("%s is back: %+v", id, engine)
@@ -59,30 +59,30 @@
 
 func TestSilenceIsJudgedOnlyAfterListening(t *testing.T) {
 	c := NewCore("one", true, time.Second, 0)
-	c.Learn(second, "peer", Difference{Cursor: Cursor{Life: "other", Seen: 1}, Afresh: true, Records: []Record{func() Record {
+	c.ApplyDelta(second, "peer", Delta{Cursor: Cursor{Incarnation: "other", Seen: 1}, FullResync: true, Records: []Record{func() Record {
 		word := engineWord("e1", 7)
-		return Record{ID: "e1", CallSeq: 7, Digest: digestOf(word), Heard: -100 * second, Word: &word}
+		return Record{ID: "e1", CallSeq: 7, Digest: digestOf(word), LastHeartbeat: -100 * second, Registration: &word}
 	}()}}, nil)
 	silentAt := clock.Mark(0)
 	for now := second; now < 20*second && silentAt == 0; now += second / 4 {
-		c.Judge(now, time.Second, soleControl(now))
-		if c.View().Engines["e1"].Silent {
+		c.Tick(now, time.Second, soleControl(now))
+		if c.View().Engines["e1"].TimedOut {
 			silentAt = now
 		}
 	}
 	if silentAt < second+3*second || silentAt > 6*second {
 		t.Errorf("silent at %v", time.Duration(silentAt))
 	}
-	c.Hear(21*second, engineWord("e1", 8))
+	c.ReceiveHeartbeat(21*second, engineWord("e1", 8))
 	if !c.View().Engines["e1"].Usable() {
 		t.Error("a beat ends silence")
 	}
 	// One that slept, or is out of touch, judges nobody.
 	for now := 60 * second; now < 63*second; now += second / 2 {
-		c.Judge(now, time.Second, soleControl(now))
+		c.Tick(now, time.Second, soleControl(now))
 	}
 	for now := 63 * second; now < 70*second; now += second / 2 {
-		c.Judge(now, time.Second, Contact{Horizon: now})
+		c.Tick(now, time.Second, Connectivity{Horizon: now})
 	}
 	if !c.View().Engines["e1"].Usable() {
 		t.Error("judged without having listened")
@@ -92,9 +92,9 @@
 func TestAnEdgeJudgesNobody(t *testing.T) {
 	c := NewCore("one", false, time.Second, 0)
 	word := engineWord("e1", 7)
-	c.Learn(second, "peer", Difference{Cursor: Cursor{Life: "other", Seen: 1}, Records: []Record{{ID: "e1", CallSeq: 7, Digest: digestOf(word), Heard: second, Word: &word}}}, nil)
+	c.ApplyDelta(second, "peer", Delta{Cursor: Cursor{Incarnation: "other", Seen: 1}, Records: []Record{{ID: "e1", CallSeq: 7, Digest: digestOf(word), LastHeartbeat: second, Registration: &word}}}, nil)
 	for now := second; now < 2000*second; now += second / 2 {
-		c.Judge(now, time.Second, soleControl(now))
+		c.Tick(now, time.Second, soleControl(now))
 	}
 	if engine := c.View().Engines["e1"]; engine == nil || !engine.Usable() {
 		t.Errorf("%+v", engine)
@@ -103,21 +103,21 @@
 
 func TestWhoFollowsAtAnAddressEndsWhoWasThere(t *testing.T) {
 	c := NewCore("one", true, time.Second, 0)
-	c.Hear(second, engineWord("e1", 7))
+	c.ReceiveHeartbeat(second, engineWord("e1", 7))
 	next := engineWord("e2", 1)
 	next.Address = engineWord("e1", 7).Address
-	c.Hear(2*second, next)
+	c.ReceiveHeartbeat(2*second, next)
 	if c.View().Engines["e1"].Usable() || !c.View().Engines["e2"].Usable() {
 		t.Error("the one heard later counts")
 	}
 	// A late word of the old one, from a frozen machine's buffers, does not end the new one for good.
-	c.Hear(2*second+1, engineWord("e1", 8))
+	c.ReceiveHeartbeat(2*second+1, engineWord("e1", 8))
 	for now := 3 * second; now < 10*second; now += second / 2 {
 		next.CallSeq++
-		c.Hear(now, next)
-		c.Judge(now, time.Second, soleControl(now))
+		c.ReceiveHeartbeat(now, next)
+		c.Tick(now, time.Second, soleControl(now))
 	}
-	if e1, e2 := c.View().Engines["e1"], c.View().Engines["e2"]; !e1.Gone || !e2.Usable() {
+	if e1, e2 := c.View().Engines["e1"], c.View().Engines["e2"]; !e1.Deregistered || !e2.Usable() {
 		t.Errorf("%+v %+v", e1, e2)
 	}
 }
@@ -127,10 +127,10 @@
 	c := NewCore("one", true, time.Second, 0)
 	first, next := engineWord("e1", 7), engineWord("e2", 1)
 	next.Address = first.Address
-	c.Hear(second, first)
-	c.Hear(4*second, next)
+	c.ReceiveHeartbeat(second, first)
+	c.ReceiveHeartbeat(4*second, next)
 	first.CallSeq++
-	if hearing := c.Hear(5*second, first); !hearing.Late {
+	if hearing := c.ReceiveHeartbeat(5*second, first); !hearing.Stale {
 		t.Error("it is taken for one that still lives")
 	}
 	if e1, e2 := c.View().Engines["e1"], c.View().Engines["e2"]; e1.Usable() || !e2.Usable() {
@@ -138,10 +138,10 @@
 	}
 	// Where the one that followed has fallen silent, there is nobody to protect.
 	for now := 5 * second; now < 12*second; now += second / 4 {
-		c.Judge(now, time.Second, soleControl(now))
+		c.Tick(now, time.Second, soleControl(now))
 	}
 	first.CallSeq++
-	c.Hear(12*second, first)
+	c.ReceiveHeartbeat(12*second, first)
 	if c.View().Engines["e2"].Usable() {
 		t.Error("one that is silent is in use")
 	}
@@ -152,20 +152,20 @@
 func TestWhoSaysItIsGoneAndServesOnStaysOut(t *testing.T) {
 	told, heard := NewCore("one", true, time.Second, 0), NewCore("two", true, time.Second, 0)
 	for _, c := range []*Core{told, heard} {
-		c.Hear(second, engineWord("e1", 5))
-		c.Hear(second, engineWord("e2", 5))
+		c.ReceiveHeartbeat(second, engineWord("e1", 5))
+		c.ReceiveHeartbeat(second, engineWord("e2", 5))
 	}
-	told.End(2*second, "e1")
-	heard.Leave(2*second, "e1", false, true)
+	told.Deregister(2*second, "e1")
+	heard.MarkDraining(2*second, "e1", false, true)
 	for at, callSeq := range []uint64{6, 3, 9, 7, 12, 4} {
 		now := 2*second + clock.Mark(at)*second/2
 		for _, c := range []*Core{told, heard} {
-			hearing := c.Hear(now, engineWord("e1", callSeq))
-			c.Judge(now, time.Second, soleControl(now))
+			hearing := c.ReceiveHeartbeat(now, engineWord("e1", callSeq))
+			c.Tick(now, time.Second, soleControl(now))
 			if c.View().Engines["e1"].Usable() {
 				t.Errorf("it is back by beat %d: %+v", callSeq, hearing)
 			}
-			if hearing.Left != (c == heard) {
+			if hearing.DrainCommitted != (c == heard) {
 				t.Errorf("beat %d: %+v", callSeq, hearing)
 			}
 		}
@@ -175,16 +175,16 @@
 func TestOnlyWhatAPeerLacksIsTold(t *testing.T) {
 	one, two := NewCore("one", true, time.Second, 0), NewCore("two", false, time.Second, 0)
 	for i := range 10 {
-		one.Hear(second, engineWord(fmt.Sprint("e", i), 1))
+		one.ReceiveHeartbeat(second, engineWord(fmt.Sprint("e", i), 1))
 	}
-	pull := func(beats bool, most int) Difference {
-		cursor, wanted := two.Asked("one")
-		question := Question{Cursor: cursor, Wanted: wanted}
+	pull := func(beats bool, most int) Delta {
+		cursor, wanted := two.NextRequest("one")
+		question := DeltaRequest{Cursor: cursor, FullRecordsOf: wanted}
 		if beats {
-			question.Kind = WithBeats
+			question.Filter = WithHeartbeats
 		}
-		difference := one.Since(question, most)
-		two.Learn(second, "one", difference, wanted)
+		difference := one.DeltaSince(question, most)
+		two.ApplyDelta(second, "one", difference, wanted)
 		return difference
 	}
 	told := 0
@@ -201,30 +201,30 @@
 	if n := len(pull(false, 3).Records); n != 0 {
 		t.Errorf("%d told again", n)
 	}
-	one.Hear(2*second, engineWord("e1", 2))
+	one.ReceiveHeartbeat(2*second, engineWord("e1", 2))
 	if n := len(pull(false, 3).Records); n != 0 {
 		t.Errorf("%d told of a beat that brought nothing new", n)
 	}
-	one.Hear(2*second, engineWord("e2", 2))
-	if d := pull(true, 3); len(d.Records) != 1 || d.Records[0].Word != nil || two.Beats()["e2"] != (Beat{CallSeq: 2, Heard: 2 * second}) {
+	one.ReceiveHeartbeat(2*second, engineWord("e2", 2))
+	if d := pull(true, 3); len(d.Records) != 1 || d.Records[0].Registration != nil || two.LastHeartbeats()["e2"] != (LastHeartbeat{CallSeq: 2, Received: 2 * second}) {
 		t.Errorf("%+v", d)
 	}
-	one.Leave(3*second, "e3", false, true)
-	if d := pull(false, 3); len(d.Records) != 1 || d.Records[0].Word != nil || two.View().Engines["e3"].Usable() {
+	one.MarkDraining(3*second, "e3", false, true)
+	if d := pull(false, 3); len(d.Records) != 1 || d.Records[0].Registration != nil || two.View().Engines["e3"].Usable() {
 		t.Errorf("%+v", d)
 	}
 }
 
 func TestOfWhatIsUrgentAllIsToldInShort(t *testing.T) {
 	control, edge := NewCore("one", true, time.Second, 0), NewCore("two", false, time.Second, 0)
-	pull := func() Difference {
-		cursor, wanted := edge.Asked("one urgent")
-		difference := control.Since(Question{Cursor: cursor, Wanted: wanted, Kind: UrgentOnly}, 100)
-		edge.Learn(second, "one urgent", difference, wanted)
+	pull := func() Delta {
+		cursor, wanted := edge.NextRequest("one urgent")
+		difference := control.DeltaSince(DeltaRequest{Cursor: cursor, FullRecordsOf: wanted, Filter: UrgentOnly}, 100)
+		edge.ApplyDelta(second, "one urgent", difference, wanted)
 		return difference
 	}
-	control.Hear(second, engineWord("e1", 1))
-	if d := pull(); len(d.Records) != 1 || d.Records[0].Word != nil {
+	control.ReceiveHeartbeat(second, engineWord("e1", 1))
+	if d := pull(); len(d.Records) != 1 || d.Records[0].Registration != nil {
 		t.Errorf("%+v", d.Records)
 	}
 	// It knew nothing of that one, so it asks for it.
@@ -232,23 +232,23 @@
 		t.Error("the engine that came is not known")
 	}
 	more := engineWord("e1", 2)
-	more.Models = append(more.Models, Held{Model: "n", Generation: 1})
-	control.Hear(2*second, more)
-	control.TellPlan(2*second, map[ident.EngineID]Plan{"e1": {Claim: 1, Turn: 1}})
+	more.Models = append(more.Models, LoadedModel{Model: "n", Generation: 1})
+	control.ReceiveHeartbeat(2*second, more)
+	control.PublishPlans(2*second, map[ident.EngineID]Plan{"e1": {Claim: 1, Sequence: 1}})
 	if d := pull(); len(d.Records) != 0 {
 		t.Errorf("what is held is not urgent: %+v", d.Records)
 	}
-	control.Hear(3*second, engineWord("e2", 1))
+	control.ReceiveHeartbeat(3*second, engineWord("e2", 1))
 	if pull(); pull().More || !edge.View().Engines["e2"].Usable() {
 		t.Error("who came later is urgent too")
 	}
-	control.Leave(4*second, "e1", false, true)
+	control.MarkDraining(4*second, "e1", false, true)
 	if pull(); edge.View().Engines["e1"].Usable() {
 		t.Error("leaving is urgent")
 	}
-	control.Judge(4*second, time.Second, Contact{})
+	control.Tick(4*second, time.Second, Connectivity{})
 	for now := 5 * second; now < 10*second; now += second / 2 {
-		control.Judge(now, time.Second, soleControl(now))
+		control.Tick(now, time.Second, soleControl(now))
 	}
 	if pull(); edge.View().Engines["e2"].Usable() {
 		t.Error("silence is urgent")
@@ -258,15 +258,15 @@
 func TestWhoHeardTheNewestBeatSaysSoToThoseWhoWereToldOfSilence(t *testing.T) {
 	judge, hearer, edge := NewCore("one", true, time.Second, 0), NewCore("two", true, time.Second, 0), NewCore("three", false, time.Second, 0)
 	tell := func(from, to *Core, name string) {
-		cursor, wanted := to.Asked(name)
-		to.Learn(20*second, name, from.Since(Question{Cursor: cursor, Wanted: wanted}, 100), wanted)
+		cursor, wanted := to.NextRequest(name)
+		to.ApplyDelta(20*second, name, from.DeltaSince(DeltaRequest{Cursor: cursor, FullRecordsOf: wanted}, 100), wanted)
 	}
-	judge.Hear(second, engineWord("e1", 1))
+	judge.ReceiveHeartbeat(second, engineWord("e1", 1))
 	tell(judge, hearer, "one")
 	tell(hearer, edge, "two")
-	hearer.Hear(2*second, engineWord("e1", 2))
+	hearer.ReceiveHeartbeat(2*second, engineWord("e1", 2))
 	for now := second; now < 10*second; now += second / 2 {
-		judge.Judge(now, time.Second, soleControl(now))
+		judge.Tick(now, time.Second, soleControl(now))
 	}
 	tell(judge, edge, "one")
 	if edge.View().Engines["e1"].Usable() {
@@ -283,21 +283,21 @@
 func TestAnotherLifeOfAPeerIsToldInShortAndAskedForWhatIsLacking(t *testing.T) {
 	before, edge := NewCore("one", true, time.Second, 0), NewCore("two", false, time.Second, 0)
 	for i := range 8 {
-		before.Hear(second, engineWord(fmt.Sprint("e", i), 1))
+		before.ReceiveHeartbeat(second, engineWord(fmt.Sprint("e", i), 1))
 	}
-	pull := func(from *Core) Difference {
-		cursor, wanted := edge.Asked("one")
-		difference := from.Since(Question{Cursor: cursor, Wanted: wanted}, 100)
-		edge.Learn(second, "one", difference, wanted)
+	pull := func(from *Core) Delta {
+		cursor, wanted := edge.NextRequest("one")
+		difference := from.DeltaSince(DeltaRequest{Cursor: cursor, FullRecordsOf: wanted}, 100)
+		edge.ApplyDelta(second, "one", difference, wanted)
 		return difference
 	}
 	pull(before)
 	after := NewCore("one'", true, time.Second, 2*second)
 	for i := range 9 {
-		after.Hear(3*second, engineWord(fmt.Sprint("e", i), 2))
+		after.ReceiveHeartbeat(3*second, engineWord(fmt.Sprint("e", i), 2))
 	}
 	for _, record := range pull(after).Records {
-		if record.Word != nil {
+		if record.Registration != nil {
 			t.Errorf("%s is told whole", record.ID)
 		}
 	}
@@ -308,38 +308,38 @@
 
 func TestLoadsAreToldNowAndThen(t *testing.T) {
 	c := NewCore("one", true, time.Second, 0)
-	c.Hear(second, engineWord("e1", 1))
-	c.TellPlan(second, map[ident.EngineID]Plan{"e1": {Claim: 1, Turn: 1, Active: 1}})
-	seen := c.Since(Question{}, 100).Cursor
-	c.TellPlan(second+second/10, map[ident.EngineID]Plan{"e1": {Claim: 1, Turn: 2, Active: 2}})
-	if d := c.Since(Question{Cursor: seen}, 100); len(d.Records) != 0 || c.View().Engines["e1"].Plan.Active != 2 {
+	c.ReceiveHeartbeat(second, engineWord("e1", 1))
+	c.PublishPlans(second, map[ident.EngineID]Plan{"e1": {Claim: 1, Sequence: 1, Active: 1}})
+	seen := c.DeltaSince(DeltaRequest{}, 100).Cursor
+	c.PublishPlans(second+second/10, map[ident.EngineID]Plan{"e1": {Claim: 1, Sequence: 2, Active: 2}})
+	if d := c.DeltaSince(DeltaRequest{Cursor: seen}, 100); len(d.Records) != 0 || c.View().Engines["e1"].Plan.Active != 2 {
 		t.Errorf("%+v", d.Records)
 	}
-	c.Judge(2*second, time.Second, Contact{})
-	if d := c.Since(Question{Cursor: seen}, 100); len(d.Records) != 1 || d.Records[0].Part != LoadsOnly {
+	c.Tick(2*second, time.Second, Connectivity{})
+	if d := c.DeltaSince(DeltaRequest{Cursor: seen}, 100); len(d.Records) != 1 || d.Records[0].PlanExtent != LoadsOnly {
 		t.Errorf("%+v", d.Records)
 	}
 	// Those of another zone hear of it more seldom, where there are many.
 	many := NewCore("many", true, time.Second, 0)
 	for i := range 200 {
-		many.Hear(second, engineWord(fmt.Sprint("e", i), 1))
+		many.ReceiveHeartbeat(second, engineWord(fmt.Sprint("e", i), 1))
 	}
-	many.TellPlan(second, map[ident.EngineID]Plan{"e1": {Claim: 1, Turn: 1, Active: 1}})
-	there := many.Since(Question{}, 1000).Cursor
-	many.TellPlan(2*second, map[ident.EngineID]Plan{"e1": {Claim: 1, Turn: 2, Active: 2}})
-	if d := many.Since(Question{Cursor: there, Zone: "z"}, 1000); len(d.Records) != 1 {
+	many.PublishPlans(second, map[ident.EngineID]Plan{"e1": {Claim: 1, Sequence: 1, Active: 1}})
+	there := many.DeltaSince(DeltaRequest{}, 1000).Cursor
+	many.PublishPlans(2*second, map[ident.EngineID]Plan{"e1": {Claim: 1, Sequence: 2, Active: 2}})
+	if d := many.DeltaSince(DeltaRequest{Cursor: there, Zone: "z"}, 1000); len(d.Records) != 1 {
 		t.Errorf("its own zone is not told: %+v", d.Records)
 	}
-	if d := many.Since(Question{Cursor: there, Zone: "y"}, 1000); len(d.Records) != 0 {
+	if d := many.DeltaSince(DeltaRequest{Cursor: there, Zone: "y"}, 1000); len(d.Records) != 0 {
 		t.Errorf("another zone is told at once: %+v", d.Records)
 	}
-	many.Judge(3*second, time.Second, Contact{})
-	if d := many.Since(Question{Cursor: there, Zone: "y"}, 1000); len(d.Records) != 1 || d.Records[0].Plan.Active != 2 {
+	many.Tick(3*second, time.Second, Connectivity{})
+	if d := many.DeltaSince(DeltaRequest{Cursor: there, Zone: "y"}, 1000); len(d.Records) != 1 || d.Records[0].Plan.Active != 2 {
 		t.Errorf("another zone is never told: %+v", d.Records)
 	}
 	// What it is to hold is told at once.
-	c.TellPlan(2*second+1, map[ident.EngineID]Plan{"e1": {Claim: 1, Turn: 3, Active: 2, Retiring: []Target{{Model: "m"}}}})
-	if d := c.Since(Question{Cursor: seen}, 100); len(d.Records) != 1 || d.Records[0].Part != WholePlan {
+	c.PublishPlans(2*second+1, map[ident.EngineID]Plan{"e1": {Claim: 1, Sequence: 3, Active: 2, Retiring: []Target{{Model: "m"}}}})
+	if d := c.DeltaSince(DeltaRequest{Cursor: seen}, 100); len(d.Records) != 1 || d.Records[0].PlanExtent != FullPlan {
 		t.Errorf("%+v", d.Records)
 	}
 }
@@ -349,39 +349,39 @@
 func TestControlDaemonsHearLoadsFromThePlannerAlone(t *testing.T) {
 	planner, relay, third := NewCore("one", true, time.Second, 0), NewCore("two", true, time.Second, 0), NewCore("three", true, time.Second, 0)
 	tell := func(from, to *Core, now clock.Mark, peer string) []Record {
-		cursor, wanted := to.Asked(peer)
-		told := from.Since(Question{Cursor: cursor, Wanted: wanted, Kind: WithBeats}, 100)
-		to.Learn(now, peer, told, wanted)
+		cursor, wanted := to.NextRequest(peer)
+		told := from.DeltaSince(DeltaRequest{Cursor: cursor, FullRecordsOf: wanted, Filter: WithHeartbeats}, 100)
+		to.ApplyDelta(now, peer, told, wanted)
 		return told.Records
 	}
-	planner.Hear(second, engineWord("e1", 1))
-	planner.TellPlan(second, map[ident.EngineID]Plan{"e1": {Claim: 1, Turn: 1, Active: 1, Models: []Held{{Model: "m"}}}})
+	planner.ReceiveHeartbeat(second, engineWord("e1", 1))
+	planner.PublishPlans(second, map[ident.EngineID]Plan{"e1": {Claim: 1, Sequence: 1, Active: 1, Models: []LoadedModel{{Model: "m"}}}})
 	tell(planner, relay, second, "planner")
 	if told := tell(relay, third, second, "relay"); len(told) != 1 || third.View().Engines["e1"].Plan.Active != 1 {
 		t.Fatalf("what stands where is passed on: %+v", told)
 	}
-	solid := relay.Solid()
-	planner.TellPlan(3*second, map[ident.EngineID]Plan{"e1": {Claim: 1, Turn: 2, Active: 9, Models: []Held{{Model: "m"}}}})
-	if told := tell(planner, relay, 3*second, "planner"); len(told) != 1 || told[0].Part != LoadsOnly || relay.View().Engines["e1"].Plan.Active != 9 {
+	solid := relay.LatestNonLoadChange()
+	planner.PublishPlans(3*second, map[ident.EngineID]Plan{"e1": {Claim: 1, Sequence: 2, Active: 9, Models: []LoadedModel{{Model: "m"}}}})
+	if told := tell(planner, relay, 3*second, "planner"); len(told) != 1 || told[0].PlanExtent != LoadsOnly || relay.View().Engines["e1"].Plan.Active != 9 {
 		t.Fatalf("the planner tells of loads: %+v", told)
 	}
-	if relay.Solid() != solid || relay.Newest() <= solid {
-		t.Errorf("loads alone are news of their own kind: %d, %d, %d", solid, relay.Solid(), relay.Newest())
+	if relay.LatestNonLoadChange() != solid || relay.LatestChange() <= solid {
+		t.Errorf("loads alone are news of their own kind: %d, %d, %d", solid, relay.LatestNonLoadChange(), relay.LatestChange())
 	}
 	if told := tell(relay, third, 3*second, "relay"); len(told) != 0 {
 		t.Errorf("loads are not passed on: %+v", told)
 	}
 	// A beat is told, without them.
-	relay.Hear(4*second, engineWord("e1", 2))
+	relay.ReceiveHeartbeat(4*second, engineWord("e1", 2))
 	if told := tell(relay, third, 4*second, "relay"); len(told) != 1 || told[0].CallSeq != 2 || told[0].Plan != nil {
 		t.Errorf("%+v", told)
 	}
 	// Daemons that only route hear of them from any control daemon.
-	if told := relay.Since(Question{Zone: "z"}, 100); len(told.Records) != 1 || told.Records[0].Plan.Active != 9 {
+	if told := relay.DeltaSince(DeltaRequest{Zone: "z"}, 100); len(told.Records) != 1 || told.Records[0].Plan.Active != 9 {
 		t.Errorf("%+v", told)
 	}
 	// So does a control daemon from whoever plans next.
-	relay.TellPlan(6*second, map[ident.EngineID]Plan{"e1": {Claim: 2, Turn: 1, Active: 5, Models: []Held{{Model: "m"}}}})
+	relay.PublishPlans(6*second, map[ident.EngineID]Plan{"e1": {Claim: 2, Sequence: 1, Active: 5, Models: []LoadedModel{{Model: "m"}}}})
 	if tell(relay, third, 6*second, "relay"); third.View().Engines["e1"].Plan.Active != 5 {
 		t.Errorf("%+v", third.View().Engines["e1"].Plan)
 	}
--- a/process/engines/registry/fuzz_test.go
+++ b/process/engines/registry/fuzz_test.go
@@ -15,11 +15,11 @@
 // judged and told on.
 func FuzzRecords(f *testing.F) {
 	now := clock.Mark(time.Hour)
-	word := tidy(Word{ID: "e", Pool: "p", Address: "10.0.0.1:1", Zone: "z", Slots: 4, Models: []Held{{Model: "m", Adapters: []string{"a"}}}, CallSeq: 3})
+	word := tidy(Registration{ID: "e", Pool: "p", Address: "10.0.0.1:1", Zone: "z", Slots: 4, Models: []LoadedModel{{Model: "m", Adapters: []string{"a"}}}, CallSeq: 3})
 	for _, records := range [][]Record{
-		{{ID: "e", Word: &word, CallSeq: 3, Digest: digestOf(word), Heard: now - clock.Mark(time.Second)}},
-		{{ID: "e", CallSeq: 3, Digest: 7, Leaving: true, Gone: true, Heard: now}},
-		{{ID: "e", Word: &word, CallSeq: 4, Plan: &Plan{Claim: 2, Turn: 3, Retiring: []Target{{"m", ""}}, Coming: []Coming{{Target{"n", ""}, now}}}}},
+		{{ID: "e", Registration: &word, CallSeq: 3, Digest: digestOf(word), LastHeartbeat: now - clock.Mark(time.Second)}},
+		{{ID: "e", CallSeq: 3, Digest: 7, Draining: true, Deregistered: true, LastHeartbeat: now}},
+		{{ID: "e", Registration: &word, CallSeq: 4, Plan: &Plan{Claim: 2, Sequence: 3, Retiring: []Target{{"m", ""}}, PendingLoads: []PendingLoad{{Target{"n", ""}, now}}}}},
 	} {
 		data, err := proto.Marshal(&peerapi.PullReply{RegistryLife: "l", RegistrySeen: 3, Engines: Encode(now, records)})
 		if err != nil {
@@ -45,11 +45,11 @@
 		}
 		records := Decode(now, reply.Engines)
 		for _, r := range records {
-			if r.ID == "" || r.Heard > now || r.Plan != nil && r.Plan.Told > now {
+			if r.ID == "" || r.LastHeartbeat > now || r.Plan != nil && r.Plan.Received > now {
 				t.Fatalf("%+v was heard later than it was told", r)
 			}
-			if r.Word != nil && (r.Word.Slots < 0 || r.Word.LeaveMs < 0 || r.Word.ColdMs < 0) {
-				t.Fatalf("%+v says less than nothing", r.Word)
+			if r.Registration != nil && (r.Registration.Slots < 0 || r.Registration.TerminatesInMs < 0 || r.Registration.SlowStartMs < 0) {
+				t.Fatalf("%+v says less than nothing", r.Registration)
 			}
 			if r.Plan == nil {
 				continue
@@ -64,13 +64,13 @@
 			}
 		}
 		core := NewCore("life", true, time.Second, now)
-		core.Learn(now, "peer", Difference{Cursor: Cursor{Life: reply.RegistryLife, Seen: reply.RegistrySeen}, Records: records}, nil)
-		core.Judge(now, time.Second, Contact{})
+		core.ApplyDelta(now, "peer", Delta{Cursor: Cursor{Incarnation: reply.RegistryLife, Seen: reply.RegistrySeen}, Records: records}, nil)
+		core.Tick(now, time.Second, Connectivity{})
 		for id, e := range core.View().Engines {
 			if id == "" || e.ID != ident.EngineID(id) {
 				t.Fatalf("%q is known as %+v", id, e)
 			}
 		}
-		Encode(now, core.Since(Question{}, 1<<20).Records)
+		Encode(now, core.DeltaSince(DeltaRequest{}, 1<<20).Records)
 	})
 }
--- a/process/engines/registry/registry.go
+++ b/process/engines/registry/registry.go
@@ -22,7 +22,7 @@
 	clock   clock.Clock
 	core    *Core
 	period  func() time.Duration
-	contact func() Contact
+	contact func() Connectivity
 	life    string
 	box     *actor.Mailbox[func(now clock.Mark)]
 	view    atomic.Pointer[View]
@@ -43,7 +43,7 @@
 
 // New makes the actor of one life of a daemon. period is how often engines beat; contact says how well a
 // control daemon hears the others.
-func New(c clock.Clock, life string, control bool, period func() time.Duration, contact func() Contact) *Registry {
+func New(c clock.Clock, life string, control bool, period func() time.Duration, contact func() Connectivity) *Registry {
 	r := &Registry{clock: c, core: NewCore(life, control, period(), c.Elapsed()), period: period, contact: contact, life: life,
 		box: actor.NewMailbox[func(clock.Mark)](1024), reach: reach{seen: map[ident.NodeID]uint64{}, told: make(chan struct{})}}
 	r.view.Store(r.core.View())
@@ -56,7 +56,7 @@
 		event(r.clock.Elapsed())
 		r.publish()
 	}, func() {
-		r.core.Judge(r.clock.Elapsed(), r.period(), r.contact())
+		r.core.Tick(r.clock.Elapsed(), r.period(), r.contact())
 		r.publish()
 	})
 }
@@ -65,13 +65,13 @@
 func (r *Registry) View() *View { return r.view.Load() }
 
 // Newest numbers the newest change that all are told of.
-func (r *Registry) Newest() uint64 { return r.newest.Load() }
+func (r *Registry) LatestChange() uint64 { return r.newest.Load() }
 
 // Urgent numbers the newest change that must not wait for others: who came, and who must not be sent to.
-func (r *Registry) Urgent() uint64 { return r.urgent.Load() }
+func (r *Registry) LatestUrgentChange() uint64 { return r.urgent.Load() }
 
 // Solid numbers the last change that tells of anything but how busy engines are.
-func (r *Registry) Solid() uint64 { return r.solid.Load() }
+func (r *Registry) LatestNonLoadChange() uint64 { return r.solid.Load() }
 
 // Subscribe has notify called after each change of the view; it must not wait.
 func (r *Registry) Subscribe(notify func()) {
@@ -101,16 +101,16 @@
 	}
 	r.putOff = 0
 	gather := min(time.Duration(len(r.view.Load().Engines))*gatherEach, gatherMost)
-	if passed := now.Since(r.published); passed < gather && len(r.unpublished) == 0 && r.core.Urgent() == r.urgent.Load() {
+	if passed := now.Since(r.published); passed < gather && len(r.unpublished) == 0 && r.core.LatestUrgentChange() == r.urgent.Load() {
 		if r.core.Changed() && !r.gathering {
 			r.gathering = true
 			time.AfterFunc(gather-passed, func() { r.box.Send(func(clock.Mark) { r.gathering = false }) })
 		}
 		return
 	}
-	r.newest.Store(r.core.Newest())
-	r.urgent.Store(r.core.Urgent())
-	r.solid.Store(r.core.Solid())
+	r.newest.Store(r.core.LatestChange())
+	r.urgent.Store(r.core.LatestUrgentChange())
+	r.solid.Store(r.core.LatestNonLoadChange())
 	next := r.core.View()
 	changed := next != r.view.Load()
 	r.view.Store(next)
@@ -155,81 +155,81 @@
 }
 
 // Hear takes what an engine says of itself.
-func (r *Registry) Hear(word Word) (hearing Hearing, ok bool) {
-	ok = r.ask(func(now clock.Mark) { hearing = r.core.Hear(now, word) })
+func (r *Registry) ReceiveHeartbeat(word Registration) (hearing HeartbeatResult, ok bool) {
+	ok = r.ask(func(now clock.Mark) { hearing = r.core.ReceiveHeartbeat(now, word) })
 	return hearing, ok
 }
 
 // End takes an engine's word that it is gone.
-func (r *Registry) End(id ident.EngineID) (hearing Hearing, ok bool) {
-	ok = r.change(func(now clock.Mark) { hearing = r.core.End(now, id) })
+func (r *Registry) Deregister(id ident.EngineID) (hearing HeartbeatResult, ok bool) {
+	ok = r.change(func(now clock.Mark) { hearing = r.core.Deregister(now, id) })
 	return hearing, ok
 }
 
 // Leave notes that engines leave, or are gone; committed, that the group has written it down. It gives the
 // number of the newest change that this made.
-func (r *Registry) Leave(ids []ident.EngineID, gone, committed bool) (change uint64) {
+func (r *Registry) MarkDraining(ids []ident.EngineID, gone, committed bool) (change uint64) {
 	r.change(func(now clock.Mark) {
 		for _, id := range ids {
-			change = max(change, r.core.Leave(now, id, gone, committed))
+			change = max(change, r.core.MarkDraining(now, id, gone, committed))
 		}
 	})
 	return change
 }
 
 // Remember notes ids that left so long ago that nobody need be told.
-func (r *Registry) Remember(ids []ident.EngineID) {
-	r.ask(func(now clock.Mark) { r.core.Remember(now, ids) })
+func (r *Registry) RecordDepartures(ids []ident.EngineID) {
+	r.ask(func(now clock.Mark) { r.core.RecordDepartures(now, ids) })
 }
 
 // TellPlan takes the planner's word on engines; it spreads like all else.
-func (r *Registry) TellPlan(plans map[ident.EngineID]Plan) {
-	r.box.Send(func(now clock.Mark) { r.core.TellPlan(now, plans) })
+func (r *Registry) PublishPlans(plans map[ident.EngineID]Plan) {
+	r.box.Send(func(now clock.Mark) { r.core.PublishPlans(now, plans) })
 }
 
 // Beats gives each engine's newest beat to any control daemon, as far as is known here.
-func (r *Registry) Beats() (beats map[ident.EngineID]Beat) {
-	r.ask(func(clock.Mark) { beats = r.core.Beats() })
+func (r *Registry) LastHeartbeats() (beats map[ident.EngineID]LastHeartbeat) {
+	r.ask(func(clock.Mark) { beats = r.core.LastHeartbeats() })
 	return beats
 }
 
 // Asked is the cursor to ask a peer with, and the engines that are wanted whole.
-func (r *Registry) Asked(peer string) (cursor Cursor, wanted []ident.EngineID) {
-	r.ask(func(clock.Mark) { cursor, wanted = r.core.Asked(peer) })
+func (r *Registry) NextRequest(peer string) (cursor Cursor, wanted []ident.EngineID) {
+	r.ask(func(clock.Mark) { cursor, wanted = r.core.NextRequest(peer) })
 	return cursor, wanted
 }
 
 // Since answers a peer's question.
-func (r *Registry) Since(question Question) (difference Difference) {
+func (r *Registry) DeltaSince(question DeltaRequest) (difference Delta) {
 	newest := r.newest.Load()
-	if question.Kind == UrgentOnly {
+	if question.Filter == UrgentOnly {
 		newest = r.urgent.Load()
 	}
-	if question.Life == r.life && question.Kind != WithBeats && len(question.Wanted) == 0 && question.Cursor.Whole >= newest {
+	if question.Incarnation == r.life && question.Filter != WithHeartbeats && len(question.FullRecordsOf) == 0 && question.Cursor.Complete >= newest {
 		// Nothing is new, so the actor need not be woken.
-		return Difference{Cursor: question.Cursor}
+		return Delta{Cursor: question.Cursor}
 	}
-	r.ask(func(clock.Mark) { difference = r.core.Since(question, mostRecords) })
+	r.ask(func(clock.Mark) { difference = r.core.DeltaSince(question, mostRecords) })
 	return difference
 }
 
 // Learn takes what a peer told, and returns when it is in the view.
-func (r *Registry) Learn(peer string, difference Difference, asked []ident.EngineID) {
-	if len(difference.Records) == 0 && !difference.Afresh {
-		r.box.Send(func(now clock.Mark) { r.core.Learn(now, peer, difference, asked) })
+func (r *Registry) ApplyDelta(peer string, difference Delta, asked []ident.EngineID) {
+	if len(difference.Records) == 0 && !difference.FullResync {
+		r.box.Send(func(now clock.Mark) { r.core.ApplyDelta(now, peer, difference, asked) })
 		return
 	}
-	r.change(func(now clock.Mark) { r.core.Learn(now, peer, difference, asked) })
+	r.change(func(now clock.Mark) { r.core.ApplyDelta(now, peer, difference, asked) })
 }
 
 // Saw notes how much of this daemon's changes a peer has.
-func (r *Registry) Saw(peer ident.NodeID, cursor Cursor) {
-	if cursor.Life == r.life {
-		r.reach.saw(peer, cursor.Whole)
+func (r *Registry) RecordAcknowledgement(peer ident.NodeID, cursor Cursor) {
+	if cursor.Incarnation == r.life {
+		r.reach.saw(peer, cursor.Complete)
 	}
 }
 
 // AwaitReach waits until all peers asked for have seen a change here, or until within has passed.
-func (r *Registry) AwaitReach(ctx context.Context, change uint64, within time.Duration, peers func() []ident.NodeID) bool {
+func (r *Registry) AwaitPropagation(ctx context.Context, change uint64, within time.Duration, peers func() []ident.NodeID) bool {
 	return r.reach.await(ctx, change, within, peers)
 }
--- a/process/engines/registry/size_test.go
+++ b/process/engines/registry/size_test.go
@@ -20,10 +20,10 @@
 const beatEvery = 1200 * time.Millisecond
 
 // wordOf is an engine's word with three models of two adapters each.
-func wordOf(number int, callSeq uint64) Word {
-	word := Word{ID: ident.EngineID(fmt.Sprintf("i-%08x", number)), Pool: "pool", Address: fmt.Sprintf("10.%d.%d.9:8080", number/250, number%250), Zone: "zone-7", Software: "v1", Slots: 96, Phase: "colocated", CallSeq: callSeq}
+func wordOf(number int, callSeq uint64) Registration {
+	word := Registration{ID: ident.EngineID(fmt.Sprintf("i-%08x", number)), Pool: "pool", Address: fmt.Sprintf("10.%d.%d.9:8080", number/250, number%250), Zone: "zone-7", Software: "v1", Slots: 96, Phase: "colocated", CallSeq: callSeq}
 	for at := range 3 {
-		word.Models = append(word.Models, Held{Model: fmt.Sprintf("model%04x", (number+at)%140), Generation: 1, Adapters: []string{fmt.Sprint("a", number%600), fmt.Sprint("b", number%600)}})
+		word.Models = append(word.Models, LoadedModel{Model: fmt.Sprintf("model%04x", (number+at)%140), Generation: 1, Adapters: []string{fmt.Sprint("a", number%600), fmt.Sprint("b", number%600)}})
 	}
 	return word
 }
@@ -31,7 +31,7 @@
 func fullCore(engines int) *Core {
 	c := NewCore("life", true, beatEvery, 0)
 	for i := range engines {
-		c.Hear(0, wordOf(i, 1))
+		c.ReceiveHeartbeat(0, wordOf(i, 1))
 	}
 	c.View()
 	return c
@@ -45,7 +45,7 @@
 			b.ReportAllocs()
 			turn := 0
 			for b.Loop() {
-				c.Hear(clock.Mark(turn), wordOf(turn%engines, 2+uint64(turn/engines)))
+				c.ReceiveHeartbeat(clock.Mark(turn), wordOf(turn%engines, 2+uint64(turn/engines)))
 				c.View()
 				turn++
 			}
@@ -63,7 +63,7 @@
 			for b.Loop() {
 				word := wordOf(turn%engines, 2+uint64(turn/engines))
 				word.Slots = 90 + turn%7 + turn/engines%3
-				c.Hear(clock.Mark(turn), word)
+				c.ReceiveHeartbeat(clock.Mark(turn), word)
 				c.View()
 				turn++
 			}
@@ -79,7 +79,7 @@
 			b.ReportAllocs()
 			now := clock.Mark(time.Second)
 			for b.Loop() {
-				c.Judge(now, beatEvery, Contact{May: true, Horizon: now})
+				c.Tick(now, beatEvery, Connectivity{CanDetectTimeouts: true, Horizon: now})
 				now++
 			}
 		})
@@ -101,16 +101,16 @@
 			b.ReportAllocs()
 			size := 0
 			for b.Loop() {
-				size = encoded(b, c.Since(Question{Cursor: Cursor{}}, engines).Records)
+				size = encoded(b, c.DeltaSince(DeltaRequest{Cursor: Cursor{}}, engines).Records)
 			}
 			b.ReportMetric(float64(size)/float64(engines), "bytes/engine")
 		})
 		b.Run(fmt.Sprint("learn all of ", engines, " engines"), func(b *testing.B) {
-			all := fullCore(engines).Since(Question{Cursor: Cursor{}}, engines)
+			all := fullCore(engines).DeltaSince(DeltaRequest{Cursor: Cursor{}}, engines)
 			b.ReportAllocs()
 			for b.Loop() {
 				c := NewCore("other", false, beatEvery, 0)
-				c.Learn(1, "peer", all, nil)
+				c.ApplyDelta(1, "peer", all, nil)
 				c.View()
 			}
 		})
@@ -118,32 +118,32 @@
 	for _, what := range []string{"word", "plan", "load", "beat"} {
 		b.Run("one "+what, func(b *testing.B) {
 			c := fullCore(1400)
-			kind := Everything
+			kind := AllChanges
 			if what == "beat" {
-				kind = WithBeats
+				kind = WithHeartbeats
 			}
-			planned := Plan{Claim: 3, Turn: 999, Models: wordOf(7, 1).Models, Active: 40, Queued: 1, MemoryUsed: 60000, Memory: 123322}
+			planned := Plan{Claim: 3, Sequence: 999, Models: wordOf(7, 1).Models, Active: 40, Queued: 1, MemoryUsed: 60000, Memory: 123322}
 			if what == "load" {
-				c.TellPlan(1, map[ident.EngineID]Plan{"i-00000007": planned})
+				c.PublishPlans(1, map[ident.EngineID]Plan{"i-00000007": planned})
 			}
-			seen := c.Since(Question{Cursor: Cursor{}, Kind: WithBeats}, 1400).Cursor
+			seen := c.DeltaSince(DeltaRequest{Cursor: Cursor{}, Filter: WithHeartbeats}, 1400).Cursor
 			switch what {
 			case "word":
 				word := wordOf(7, 2)
 				word.Slots = 12
-				c.Hear(1, word)
+				c.ReceiveHeartbeat(1, word)
 			case "plan":
-				c.TellPlan(1, map[ident.EngineID]Plan{"i-00000007": planned})
+				c.PublishPlans(1, map[ident.EngineID]Plan{"i-00000007": planned})
 			case "load":
 				// What it holds is as before, and so long after that all are told.
-				planned.Turn, planned.Active, planned.MemoryUsed = 1050, 71, 90000
-				c.TellPlan(clock.Mark(time.Minute), map[ident.EngineID]Plan{"i-00000007": planned})
+				planned.Sequence, planned.Active, planned.MemoryUsed = 1050, 71, 90000
+				c.PublishPlans(clock.Mark(time.Minute), map[ident.EngineID]Plan{"i-00000007": planned})
 			case "beat":
-				c.Hear(1, wordOf(7, 2))
+				c.ReceiveHeartbeat(1, wordOf(7, 2))
 			}
 			size := 0
 			for b.Loop() {
-				size = encoded(b, c.Since(Question{Cursor: seen, Kind: kind}, 1400).Records)
+				size = encoded(b, c.DeltaSince(DeltaRequest{Cursor: seen, Filter: kind}, 1400).Records)
 			}
 			b.ReportMetric(float64(size), "bytes")
 		})
--- a/process/engines/registry/wire.go
+++ b/process/engines/registry/wire.go
@@ -31,15 +31,15 @@
 func Encode(now clock.Mark, records []Record) []*peerapi.RegisteredEngine {
 	out := make([]*peerapi.RegisteredEngine, 0, len(records))
 	for _, r := range records {
-		row := &peerapi.RegisteredEngine{Id: string(r.ID), CallSeq: r.CallSeq, Digest: r.Digest, HeardMsAgo: msSince(now, r.Heard),
-			Ends: r.Leaving, Silent: r.Silent, Gone: r.Gone}
-		if word := r.Word; word != nil {
-			row.Worded, row.Leaving = true, word.Leaving
+		row := &peerapi.RegisteredEngine{Id: string(r.ID), CallSeq: r.CallSeq, Digest: r.Digest, HeardMsAgo: msSince(now, r.LastHeartbeat),
+			Ends: r.Draining, Silent: r.TimedOut, Gone: r.Deregistered}
+		if word := r.Registration; word != nil {
+			row.Worded, row.Leaving = true, word.Draining
 			row.Pool, row.Address, row.Zone, row.Software, row.Slots = word.Pool, word.Address, string(word.Zone), word.Software, int64(word.Slots)
-			row.LeaveMs, row.ColdMs, row.Phase, row.Models = word.LeaveMs, word.ColdMs, word.Phase, encodeHeld(word.Models)
+			row.LeaveMs, row.ColdMs, row.Phase, row.Models = word.TerminatesInMs, word.SlowStartMs, word.Phase, encodeHeld(word.Models)
 		}
 		if plan := r.Plan; plan != nil {
-			row.Plan = encodePlan(now, plan, r.Part)
+			row.Plan = encodePlan(now, plan, r.PlanExtent)
 			row.Plan.Digest = r.PlanDigest
 		}
 		out = append(out, row)
@@ -54,26 +54,26 @@
 		if row.GetId() == "" {
 			continue
 		}
-		r := Record{ID: ident.EngineID(row.Id), CallSeq: row.CallSeq, Digest: row.Digest, Heard: msAgo(told, max(0, row.HeardMsAgo)),
-			Leaving: row.Ends, Silent: row.Silent, Gone: row.Gone}
+		r := Record{ID: ident.EngineID(row.Id), CallSeq: row.CallSeq, Digest: row.Digest, LastHeartbeat: msAgo(told, max(0, row.HeardMsAgo)),
+			Draining: row.Ends, TimedOut: row.Silent, Deregistered: row.Gone}
 		if row.Worded {
-			r.Word = &Word{ID: r.ID, Pool: row.Pool, Address: row.Address, Zone: ident.ZoneID(row.Zone), Software: row.Software, Slots: int(counted(row.Slots)),
-				Leaving: row.Leaving, LeaveMs: counted(row.LeaveMs), ColdMs: min(counted(row.ColdMs), mostAgo.Milliseconds()), Phase: row.Phase, Models: decodeHeld(row.Models), CallSeq: row.CallSeq}
+			r.Registration = &Registration{ID: r.ID, Pool: row.Pool, Address: row.Address, Zone: ident.ZoneID(row.Zone), Software: row.Software, Slots: int(counted(row.Slots)),
+				Draining: row.Leaving, TerminatesInMs: counted(row.LeaveMs), SlowStartMs: min(counted(row.ColdMs), mostAgo.Milliseconds()), Phase: row.Phase, Models: decodeHeld(row.Models), CallSeq: row.CallSeq}
 		}
 		if plan := row.Plan; plan != nil {
-			r.Plan, r.Part, r.PlanDigest = decodePlan(told, plan), PlanPart(plan.Part), plan.Digest
+			r.Plan, r.PlanExtent, r.PlanDigest = decodePlan(told, plan), PlanExtent(plan.Part), plan.Digest
 		}
 		out = append(out, r)
 	}
 	return out
 }
 
-func encodePlan(now clock.Mark, plan *Plan, part PlanPart) *peerapi.EnginePlan {
-	out := &peerapi.EnginePlan{Claim: uint64(plan.Claim), Turn: plan.Turn, Part: int64(part)}
-	if part == HeadOnly {
+func encodePlan(now clock.Mark, plan *Plan, part PlanExtent) *peerapi.EnginePlan {
+	out := &peerapi.EnginePlan{Claim: uint64(plan.Claim), Turn: plan.Sequence, Part: int64(part)}
+	if part == VersionOnly {
 		return out
 	}
-	out.Active, out.Queued, out.MemoryUsed, out.Memory, out.ToldMsAgo = int64(plan.Active), int64(plan.Queued), plan.MemoryUsed, plan.Memory, msSince(now, plan.Told)
+	out.Active, out.Queued, out.MemoryUsed, out.Memory, out.ToldMsAgo = int64(plan.Active), int64(plan.Queued), plan.MemoryUsed, plan.Memory, msSince(now, plan.Received)
 	if part == LoadsOnly {
 		return out
 	}
@@ -81,7 +81,7 @@
 	for _, target := range plan.Retiring {
 		out.Retiring = append(out.Retiring, &peerapi.PlanTarget{Model: target.Model, Adapter: target.Adapter})
 	}
-	for _, coming := range plan.Coming {
+	for _, coming := range plan.PendingLoads {
 		out.Coming = append(out.Coming, &peerapi.PlanTarget{Model: coming.Model, Adapter: coming.Adapter, ReadyMs: -msSince(now, coming.Ready)})
 	}
 	for _, weight := range plan.Weights {
@@ -91,8 +91,8 @@
 }
 
 func decodePlan(told clock.Mark, plan *peerapi.EnginePlan) *Plan {
-	out := &Plan{Claim: ident.ClaimNumber(plan.Claim), Turn: plan.Turn, Active: int(counted(plan.Active)), Queued: int(counted(plan.Queued)),
-		MemoryUsed: counted(plan.MemoryUsed), Memory: counted(plan.Memory), Told: msAgo(told, max(0, plan.ToldMsAgo))}
+	out := &Plan{Claim: ident.ClaimNumber(plan.Claim), Sequence: plan.Turn, Active: int(counted(plan.Active)), Queued: int(counted(plan.Queued)),
+		MemoryUsed: counted(plan.MemoryUsed), Memory: counted(plan.Memory), Received: msAgo(told, max(0, plan.ToldMsAgo))}
 	if plan.ModelsKnown {
 		out.Models = decodeHeld(plan.Models)
 	}
@@ -100,7 +100,7 @@
 		out.Retiring = append(out.Retiring, Target{target.Model, target.Adapter})
 	}
 	for _, target := range plan.Coming {
-		out.Coming = append(out.Coming, Coming{Target{target.Model, target.Adapter}, msAgo(told, -target.ReadyMs)})
+		out.PendingLoads = append(out.PendingLoads, PendingLoad{Target{target.Model, target.Adapter}, msAgo(told, -target.ReadyMs)})
 	}
 	for _, weight := range plan.Weights {
 		out.Weights = append(out.Weights, outlier.Weight{Zone: ident.ZoneID(weight.Zone), Share: float64(min(counted(weight.Percent), 100)) / 100})
@@ -108,7 +108,7 @@
 	return out
 }
 
-func encodeHeld(models []Held) []*peerapi.HeldModel {
+func encodeHeld(models []LoadedModel) []*peerapi.HeldModel {
 	out := make([]*peerapi.HeldModel, 0, len(models))
 	for _, held := range models {
 		out = append(out, &peerapi.HeldModel{Model: held.Model, Generation: held.Generation, Adapters: held.Adapters})
@@ -116,10 +116,10 @@
 	return out
 }
 
-func decodeHeld(models []*peerapi.HeldModel) []Held {
-	out := make([]Held, 0, len(models))
+func decodeHeld(models []*peerapi.HeldModel) []LoadedModel {
+	out := make([]LoadedModel, 0, len(models))
 	for _, held := range models {
-		out = append(out, Held{Model: held.Model, Generation: held.Generation, Adapters: held.Adapters})
+		out = append(out, LoadedModel{Model: held.Model, Generation: held.Generation, Adapters: held.Adapters})
 	}
 	return out
 }
--- a/process/engines/registry/word.go
+++ b/process/engines/registry/word.go
@@ -10,8 +10,8 @@
 )
 
 // tidy puts a word's lists in order, so that the same content always looks the same.
-func tidy(word Word) Word {
-	byModel := func(a, b Held) int { return cmp.Compare(a.Model, b.Model) }
+func tidy(word Registration) Registration {
+	byModel := func(a, b LoadedModel) int { return cmp.Compare(a.Model, b.Model) }
 	inOrder := slices.IsSortedFunc(word.Models, byModel)
 	for _, held := range word.Models {
 		inOrder = inOrder && slices.IsSorted(held.Adapters)
@@ -44,7 +44,7 @@
 	d.Write([]byte(s))
 }
 
-func (d digest) held(models []Held) {
+func (d digest) held(models []LoadedModel) {
 	d.count(uint64(len(models)))
 	for _, held := range models {
 		d.text(held.Model)
@@ -57,17 +57,17 @@
 }
 
 // digestOf stands for all of a word that is worth telling: not its number, nor the count-down of its slow start.
-func digestOf(word Word) uint64 {
+func digestOf(word Registration) uint64 {
 	d := newDigest()
 	for _, s := range []string{string(word.ID), word.Pool, word.Address, string(word.Zone), word.Software, word.Phase} {
 		d.text(s)
 	}
 	d.count(uint64(word.Slots))
 	leaving := uint64(0)
-	if word.Leaving {
+	if word.Draining {
 		leaving = 1
 	}
-	if word.LeaveMs > 0 {
+	if word.TerminatesInMs > 0 {
 		// The time left runs down with each beat; that there is so little is what counts.
 		leaving = 2
 	}
@@ -93,7 +93,7 @@
 		d.text(target.Model)
 		d.text(target.Adapter)
 	}
-	for _, coming := range plan.Coming {
+	for _, coming := range plan.PendingLoads {
 		d.text(coming.Model)
 		d.text(coming.Adapter)
 	}
@@ -105,7 +105,7 @@
 }
 
 // sameButModels says whether two words differ at most in what is held, and in the count-down of a slow start.
-func sameButModels(a, b Word) bool {
+func sameButModels(a, b Registration) bool {
 	return a.Pool == b.Pool && a.Address == b.Address && a.Zone == b.Zone && a.Software == b.Software && a.Slots == b.Slots &&
-		a.Leaving == b.Leaving && a.LeaveMs > 0 == (b.LeaveMs > 0) && a.Phase == b.Phase
+		a.Draining == b.Draining && a.TerminatesInMs > 0 == (b.TerminatesInMs > 0) && a.Phase == b.Phase
 }
--- a/process/placement/poolplacement/actor.go
+++ b/process/placement/poolplacement/actor.go
@@ -211,7 +211,7 @@
 	if plans := a.planner.Plans(now); len(plans) > 0 {
 		a.turn++
 		for id, plan := range plans {
-			plan.Claim, plan.Turn = number, a.turn
+			plan.Claim, plan.Sequence = number, a.turn
 			plans[id] = plan
 		}
 		a.around.Tell(plans)
--- a/process/placement/poolplacement/actor_test.go
+++ b/process/placement/poolplacement/actor_test.go
@@ -82,7 +82,7 @@
 	if address == "" {
 		return Report{}, errors.New("no address")
 	}
-	return Report{Models: []registry.Held{}, Memory: 100000}, nil
+	return Report{Models: []registry.LoadedModel{}, Memory: 100000}, nil
 }
 
 func (w *frozenWorld) Order(_ context.Context, _ string, order Order, mayLeave func() bool) Answer {
@@ -121,7 +121,7 @@
 	for place := range engines {
 		id, model := ident.EngineID(fmt.Sprint("e", place)), fmt.Sprint("m", place)
 		catalogue.Models = append(catalogue.Models, upstream.Model{Name: model, SizeMb: 90, LoadMs: 1000})
-		w.view.Engines[id] = &registry.Engine{Word: registry.Word{ID: id, Pool: "p", Address: "there:" + string(id), Slots: 8, Models: []registry.Held{}}}
+		w.view.Engines[id] = &registry.Engine{Registration: registry.Registration{ID: id, Pool: "p", Address: "there:" + string(id), Slots: 8, Models: []registry.LoadedModel{}}}
 		w.view.Pools["p"] = append(w.view.Pools["p"], w.view.Engines[id])
 		w.demand = append(w.demand, Demand{Pool: "p", Model: model, Held: 3, Tokens: 500, Arrivals: 3, Oldest: time.Second})
 	}
--- a/process/placement/poolplacement/batch_test.go
+++ b/process/placement/poolplacement/batch_test.go
@@ -357,7 +357,7 @@
 	r := Report{Taken: e.taken, Saturated: e.order != nil, Active: len(e.running), Memory: 150000, MemoryUsed: int64(2000 * len(e.running))}
 	for _, model := range f.truth.Models {
 		if adapters, has := e.models[model.Name]; has {
-			r.Models = append(r.Models, registry.Held{Model: model.Name, Generation: 1, Adapters: slices.Clone(adapters)})
+			r.Models = append(r.Models, registry.LoadedModel{Model: model.Name, Generation: 1, Adapters: slices.Clone(adapters)})
 		}
 	}
 	return r
@@ -424,11 +424,11 @@
 func (f *fakeFleet) view() *registry.View {
 	view := &registry.View{Version: f.version, Engines: map[ident.EngineID]*registry.Engine{}, Pools: map[string][]*registry.Engine{}}
 	for _, e := range f.engines {
-		made := &registry.Engine{Word: registry.Word{ID: e.id, Pool: "p", Address: e.address, Slots: fakeSlots, Leaving: e.leaving}, Gone: e.gone}
+		made := &registry.Engine{Registration: registry.Registration{ID: e.id, Pool: "p", Address: e.address, Slots: fakeSlots, Draining: e.leaving}, Deregistered: e.gone}
 		if plan, has := f.told[e.id]; has {
 			made.Plan = &plan
 		} else {
-			made.Word.Models = f.report(e).Models
+			made.Registration.Models = f.report(e).Models
 		}
 		view.Engines[e.id] = made
 		view.Pools["p"] = append(view.Pools["p"], made)
--- a/process/placement/poolplacement/emptying_test.go
+++ b/process/placement/poolplacement/emptying_test.go
@@ -19,7 +19,7 @@
 		section := &upstream.Section{Pools: []upstream.Pool{{Name: "pool", Catalogue: catalogue}}, Paths: []upstream.Path{{Name: "a", Shares: []upstream.Share{{Pool: "pool", Weight: 1}}}}}
 		view := &registry.View{Engines: map[ident.EngineID]*registry.Engine{}, Pools: map[string][]*registry.Engine{}}
 		for _, id := range []ident.EngineID{"holds", "free"} {
-			engine := &registry.Engine{Word: registry.Word{ID: id, Pool: "pool", Address: string(id), Slots: 8}}
+			engine := &registry.Engine{Registration: registry.Registration{ID: id, Pool: "pool", Address: string(id), Slots: 8}}
 			view.Engines[id] = engine
 			view.Pools["pool"] = append(view.Pools["pool"], engine)
 		}
@@ -40,7 +40,7 @@
 			for _, ask := range planner.Due(now) {
 				report := Report{Memory: 1000}
 				if ask.Engine == "holds" {
-					report.Models = []registry.Held{{Model: "m"}}
+					report.Models = []registry.LoadedModel{{Model: "m"}}
 				}
 				planner.Reported(now, now, ask.Engine, report, true)
 			}
--- a/process/placement/poolplacement/engine.go
+++ b/process/placement/poolplacement/engine.go
@@ -67,13 +67,13 @@
 }
 
 // held finds a model that the newest report shows.
-func (e *engine) held(model string) (registry.Held, bool) {
+func (e *engine) held(model string) (registry.LoadedModel, bool) {
 	for _, held := range e.report.Models {
 		if held.Model == model {
 			return held, true
 		}
 	}
-	return registry.Held{}, false
+	return registry.LoadedModel{}, false
 }
 
 // holds says whether the newest report shows a target.
--- a/process/placement/poolplacement/grown_test.go
+++ b/process/placement/poolplacement/grown_test.go
@@ -54,7 +54,7 @@
 	for i := range engines {
 		report := Report{Active: 20, MemoryUsed: 50000, Memory: 150000}
 		for at := range 3 {
-			report.Models = append(report.Models, registry.Held{Model: fmt.Sprintf("model%04x", (3*i+at)%models), Generation: 1})
+			report.Models = append(report.Models, registry.LoadedModel{Model: fmt.Sprintf("model%04x", (3*i+at)%models), Generation: 1})
 		}
 		p.Reported(now, now, ident.EngineID(fmt.Sprintf("i-%08x", i)), report, true)
 	}
--- a/process/placement/poolplacement/judge_test.go
+++ b/process/placement/poolplacement/judge_test.go
@@ -32,7 +32,7 @@
 		f.outcomes = []outlier.Observation{{Zone: "z", Digests: digests}}
 		f.step()
 		if plan, spoken := f.spoken[ill]; spoken {
-			plan.Told = f.now
+			plan.Received = f.now
 			told, toldAt = plan.Weight("z", f.now), f.now
 			delete(f.spoken, ill)
 		}
@@ -56,17 +56,17 @@
 
 // TestASharePassesWithThePlanAndFadesWithIt: nothing believes a share that nobody has told for long.
 func TestASharePassesWithThePlanAndFadesWithIt(t *testing.T) {
-	plan := &registry.Plan{Told: clock.Mark(time.Hour), Weights: []outlier.Weight{{Share: 0.5}, {Zone: "a", Share: 0}}}
+	plan := &registry.Plan{Received: clock.Mark(time.Hour), Weights: []outlier.Weight{{Share: 0.5}, {Zone: "a", Share: 0}}}
 	shares := func(at clock.Mark) (out []float64) {
 		for _, zone := range []ident.ZoneID{"a", "b"} {
 			out = append(out, plan.Weight(zone, at))
 		}
 		return out
 	}
-	if got := shares(plan.Told); !slices.Equal(got, []float64{0, 0.5}) {
+	if got := shares(plan.Received); !slices.Equal(got, []float64{0, 0.5}) {
 		t.Error(got)
 	}
-	if got := shares(plan.Told + clock.Mark(10*time.Second)); !slices.Equal(got, []float64{1, 1}) {
+	if got := shares(plan.Received + clock.Mark(10*time.Second)); !slices.Equal(got, []float64{1, 1}) {
 		t.Error(got)
 	}
 	if (*registry.Plan)(nil).Weight("a", 0) != 1 {
--- a/process/placement/poolplacement/lag_test.go
+++ b/process/placement/poolplacement/lag_test.go
@@ -16,7 +16,7 @@
 	planner *Planner
 	now     clock.Mark
 	in      Input
-	held    []registry.Held
+	held    []registry.LoadedModel
 	taken   uint64
 	stamp   ident.MintedID
 	// lag is how far behind the truth the engine's reports are.
@@ -25,9 +25,9 @@
 
 const loneEngine = ident.EngineID("i-1")
 
-func newLone(t *testing.T, catalogue upstream.Catalogue, lag time.Duration, held ...registry.Held) *lone {
+func newLone(t *testing.T, catalogue upstream.Catalogue, lag time.Duration, held ...registry.LoadedModel) *lone {
 	t.Helper()
-	listed := &registry.Engine{Word: registry.Word{ID: loneEngine, Pool: "p", Address: "a", Slots: 64}}
+	listed := &registry.Engine{Registration: registry.Registration{ID: loneEngine, Pool: "p", Address: "a", Slots: 64}}
 	view := &registry.View{Version: 1, Engines: map[ident.EngineID]*registry.Engine{loneEngine: listed}, Pools: map[string][]*registry.Engine{"p": {listed}}}
 	l := &lone{t: t, now: clock.Mark(time.Hour), lag: lag, held: held, in: Input{Section: &upstream.Section{Revision: 1, Pools: []upstream.Pool{{Name: "p", Catalogue: &catalogue}}}, View: view}}
 	l.planner = NewPlanner(DefaultSettings("x", fakeLease), l.now-clock.Mark(time.Minute))
@@ -80,7 +80,7 @@
 func TestAnOrderIsSettledAsSoonAsReportsCanShowIt(t *testing.T) {
 	for _, lag := range []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond} {
 		catalogue := upstream.Catalogue{Slots: 64, RoomMb: 100, AdapterPlaces: 200, LoadsPerSecond: 2, Models: []upstream.Model{{Name: "m", SizeMb: 10, LoadMs: 1000, Adapters: 100}}}
-		l := newLone(t, catalogue, lag, registry.Held{Model: "m"})
+		l := newLone(t, catalogue, lag, registry.LoadedModel{Model: "m"})
 		total, rounds := time.Duration(0), 0
 		for i := range 80 {
 			adapter := "a" + string(rune('A'+i))
@@ -90,7 +90,7 @@
 				t.Fatalf("adapter %d: %+v", i, orders)
 			}
 			took := l.play(orders[0], 10*time.Millisecond, func() {
-				l.held = []registry.Held{{Model: "m", Adapters: append(l.held[0].Adapters[:len(l.held[0].Adapters):len(l.held[0].Adapters)], adapter)}}
+				l.held = []registry.LoadedModel{{Model: "m", Adapters: append(l.held[0].Adapters[:len(l.held[0].Adapters):len(l.held[0].Adapters)], adapter)}}
 			})
 			if i >= 40 {
 				total += took
@@ -115,7 +115,7 @@
 		t.Fatalf("%+v", orders)
 	}
 	asked := l.planner.Counters.Reports
-	took := l.play(orders[0], 2*time.Second, func() { l.held = []registry.Held{{Model: "m"}} })
+	took := l.play(orders[0], 2*time.Second, func() { l.held = []registry.LoadedModel{{Model: "m"}} })
 	if most := l.lag + l.planner.settings.Look; took > most {
 		t.Errorf("settled %v after its end, where reports lag %v", took, l.lag)
 	}
--- a/process/placement/poolplacement/missing_test.go
+++ b/process/placement/poolplacement/missing_test.go
@@ -51,7 +51,7 @@
 }
 
 func (s *scarce) report(n int, model string) {
-	s.planner.Reported(s.now, s.now, ident.EngineID(fmt.Sprintf("i-%08x", n)), Report{Active: 6, Models: []registry.Held{{Model: model, Generation: 1}}}, true)
+	s.planner.Reported(s.now, s.now, ident.EngineID(fmt.Sprintf("i-%08x", n)), Report{Active: 6, Models: []registry.LoadedModel{{Model: model, Generation: 1}}}, true)
 }
 
 func (s *scarce) step(demand []Demand) []Order {
--- a/process/placement/poolplacement/plan.go
+++ b/process/placement/poolplacement/plan.go
@@ -168,7 +168,7 @@
 	for name, made := range p.pools {
 		for _, listed := range in.View.Pools[name] {
 			e := p.engines[listed.ID]
-			if listed.Gone {
+			if listed.Deregistered {
 				continue
 			}
 			if e == nil || e.address != listed.Address {
@@ -186,7 +186,7 @@
 	}
 	for id, e := range p.engines {
 		listed := in.View.Engines[id]
-		if listed == nil || listed.Gone || listed.Pool != e.pool.name {
+		if listed == nil || listed.Deregistered || listed.Pool != e.pool.name {
 			if e.flight != nil {
 				p.Counters.Void++
 			}
--- a/process/placement/poolplacement/room_test.go
+++ b/process/placement/poolplacement/room_test.go
@@ -31,10 +31,10 @@
 		catalogue.Models = append(catalogue.Models, upstream.Model{Name: fmt.Sprint("m", i), SizeMb: 10, LoadMs: 2000})
 	}
 	for i := range engines {
-		listed := &registry.Engine{Word: registry.Word{ID: ident.EngineID(fmt.Sprint("i-", i)), Pool: "p", Address: fmt.Sprint(i), Slots: 64}}
+		listed := &registry.Engine{Registration: registry.Registration{ID: ident.EngineID(fmt.Sprint("i-", i)), Pool: "p", Address: fmt.Sprint(i), Slots: 64}}
 		view.Engines[listed.ID] = listed
 		view.Pools["p"] = append(view.Pools["p"], listed)
-		f.reports[listed.ID] = Report{Models: []registry.Held{{Model: fmt.Sprint("m", i)}}, Memory: 1000}
+		f.reports[listed.ID] = Report{Models: []registry.LoadedModel{{Model: fmt.Sprint("m", i)}}, Memory: 1000}
 	}
 	f.in = Input{Section: &upstream.Section{Revision: 1, Pools: []upstream.Pool{{Name: "p", Catalogue: catalogue}}}, View: view}
 	f.planner = NewPlanner(DefaultSettings("x", fakeLease), f.now-clock.Mark(time.Minute))
--- a/process/placement/poolplacement/size_test.go
+++ b/process/placement/poolplacement/size_test.go
@@ -27,7 +27,7 @@
 func sizeView(engines int) *registry.View {
 	view := &registry.View{Version: 1, Engines: map[ident.EngineID]*registry.Engine{}, Pools: map[string][]*registry.Engine{}}
 	for i := range engines {
-		e := &registry.Engine{Word: registry.Word{ID: ident.EngineID(fmt.Sprintf("i-%08x", i)), Pool: "pool", Address: fmt.Sprintf("10.%d.%d.9:8080", i/250, i%250), Slots: 96}}
+		e := &registry.Engine{Registration: registry.Registration{ID: ident.EngineID(fmt.Sprintf("i-%08x", i)), Pool: "pool", Address: fmt.Sprintf("10.%d.%d.9:8080", i/250, i%250), Slots: 96}}
 		view.Engines[e.ID] = e
 		view.Pools["pool"] = append(view.Pools["pool"], e)
 	}
@@ -53,7 +53,7 @@
 	for i := range engines {
 		report := Report{Active: 20, MemoryUsed: 50000, Memory: 120000}
 		for at := range 2 {
-			report.Models = append(report.Models, registry.Held{Model: fmt.Sprintf("model%04x", (2*i+at)%sizeModels), Generation: 1})
+			report.Models = append(report.Models, registry.LoadedModel{Model: fmt.Sprintf("model%04x", (2*i+at)%sizeModels), Generation: 1})
 		}
 		p.Reported(now, now, ident.EngineID(fmt.Sprintf("i-%08x", i)), report, true)
 	}
@@ -79,7 +79,7 @@
 func BenchmarkSizeReport(b *testing.B) {
 	section, view := sizeSection(87000), sizeView(1400)
 	p, now := settled(1400, section, view, nil)
-	report := Report{Models: []registry.Held{{Model: "model0001", Generation: 1}, {Model: "model0002", Generation: 1}}, Active: 20, MemoryUsed: 50000, Memory: 120000}
+	report := Report{Models: []registry.LoadedModel{{Model: "model0001", Generation: 1}, {Model: "model0002", Generation: 1}}, Active: 20, MemoryUsed: 50000, Memory: 120000}
 	b.ReportAllocs()
 	turn := 0
 	for b.Loop() {
--- a/process/placement/poolplacement/tell.go
+++ b/process/placement/poolplacement/tell.go
@@ -38,7 +38,7 @@
 		if f.Kind == Evict {
 			plan.Retiring = append(plan.Retiring, f.Target())
 		} else {
-			plan.Coming = append(plan.Coming, registry.Coming{Target: f.Target(), Ready: f.ready})
+			plan.PendingLoads = append(plan.PendingLoads, registry.PendingLoad{Target: f.Target(), Ready: f.ready})
 		}
 	}
 	if p.settings.TellShares {
@@ -54,7 +54,7 @@
 		if model := e.pool.models[e.intent.Model]; e.intent.Adapter == "" && model != nil {
 			ready += clock.Mark(time.Duration(model.LoadMs) * time.Millisecond)
 		}
-		plan.Coming = append(plan.Coming, registry.Coming{Target: e.intent.Target, Ready: max(ready, now)})
+		plan.PendingLoads = append(plan.PendingLoads, registry.PendingLoad{Target: e.intent.Target, Ready: max(ready, now)})
 	}
 	return plan
 }
@@ -65,8 +65,8 @@
 // differs says whether something is worth telling anew.
 func differs(e *engine, next registry.Plan, since time.Duration) bool {
 	told := &e.told
-	if !slices.Equal(told.Retiring, next.Retiring) || !slices.EqualFunc(told.Coming, next.Coming, func(a, b registry.Coming) bool { return a.Target == b.Target }) ||
-		!slices.EqualFunc(told.Models, next.Models, func(a, b registry.Held) bool {
+	if !slices.Equal(told.Retiring, next.Retiring) || !slices.EqualFunc(told.PendingLoads, next.PendingLoads, func(a, b registry.PendingLoad) bool { return a.Target == b.Target }) ||
+		!slices.EqualFunc(told.Models, next.Models, func(a, b registry.LoadedModel) bool {
 			return a.Model == b.Model && a.Generation == b.Generation && slices.Equal(a.Adapters, b.Adapters)
 		}) {
 		return true
--- a/process/placement/poolplacement/types.go
+++ b/process/placement/poolplacement/types.go
@@ -65,7 +65,7 @@
 
 // Report is what an engine says of itself when asked; it lags by some hundred milliseconds.
 type Report struct {
-	Models []registry.Held
+	Models []registry.LoadedModel
 	// Saturated says that an order is under way, Taken how many orders were taken in this life.
 	Saturated bool
 	Taken     uint64
--- a/request/forwarding/choose.go
+++ b/request/forwarding/choose.go
@@ -280,7 +280,7 @@
 	}
 	score := max(0, float64(r.Ask.TokensIn)-kept) + float64(state.reading)
 	active := float64(state.inFlight)
-	if plan := engine.Plan; plan != nil && w.Now.Since(plan.Told) < c.settings.ReportFresh {
+	if plan := engine.Plan; plan != nil && w.Now.Since(plan.Received) < c.settings.ReportFresh {
 		since := max(0, state.inFlight-state.ownThen)
 		active = max(active, float64(plan.Active+since))
 		if plan.Memory > 0 && plan.MemoryUsed+int64(r.needs+since*r.needs) > plan.Memory {
@@ -324,7 +324,7 @@
 }
 
 func (c candidate) cold(w World) bool {
-	return c.engine.ColdMs > 0 && c.engine.ColdMs > w.Now.Since(c.engine.Heard).Milliseconds()
+	return c.engine.SlowStartMs > 0 && c.engine.SlowStartMs > w.Now.Since(c.engine.LastHeartbeat).Milliseconds()
 }
 
 // worse is the smoothed share of an engine's failures that its choice goes by.
--- a/request/forwarding/core_test.go
+++ b/request/forwarding/core_test.go
@@ -75,9 +75,9 @@
 }
 
 func engineOf(pool string, n, slots int, models ...string) *registry.Engine {
-	engine := &registry.Engine{Word: registry.Word{ID: ident.EngineID(fmt.Sprintf("%s-%d", pool, n)), Pool: pool, Address: "a", Slots: slots}}
+	engine := &registry.Engine{Registration: registry.Registration{ID: ident.EngineID(fmt.Sprintf("%s-%d", pool, n)), Pool: pool, Address: "a", Slots: slots}}
 	for _, model := range models {
-		engine.Word.Models = append(engine.Word.Models, registry.Held{Model: model})
+		engine.Registration.Models = append(engine.Registration.Models, registry.LoadedModel{Model: model})
 	}
 	return engine
 }
@@ -243,7 +243,7 @@
 	// One that comes in time is waited for, and goes when it is there.
 	delete(b.lacks, "m/")
 	coming := engineOf("batch", 0, 64)
-	coming.Plan = &registry.Plan{Coming: []registry.Coming{{Target: registry.Target{Model: "m"}, Ready: b.now + ms(300)}}, Told: b.now}
+	coming.Plan = &registry.Plan{PendingLoads: []registry.PendingLoad{{Target: registry.Target{Model: "m"}, Ready: b.now + ms(300)}}, Received: b.now}
 	b.register(coming)
 	r := b.admit("p", prompt("m", 100))
 	if r.stage != Held {
@@ -263,7 +263,7 @@
 func TestWhatWillBeLateIsToldWhenToComeBack(t *testing.T) {
 	b := newBench(t, pathOf("p", upstream.Stream, "batch"))
 	coming := engineOf("batch", 0, 64)
-	coming.Plan = &registry.Plan{Coming: []registry.Coming{{Target: registry.Target{Model: "m"}, Ready: b.now + ms(1000)}}, Told: b.now}
+	coming.Plan = &registry.Plan{PendingLoads: []registry.PendingLoad{{Target: registry.Target{Model: "m"}, Ready: b.now + ms(1000)}}, Received: b.now}
 	b.register(coming)
 	answer := b.ended(b.admit("p", prompt("m", 100)), fasthttp.StatusServiceUnavailable, NoRoom)
 	if answer.ComeBack < time.Second || answer.ComeBack > 4*time.Second/3 {
@@ -413,7 +413,7 @@
 		all := append(append(enginesOf("plain", 3, 2), enginesOf("other", 2, 2)...), enginesOf("batch", 2, 3, "m")...)
 		// One more is to hold the model at some time, and no report says so.
 		loading := engineOf("batch", 2, 3)
-		loading.Plan = &registry.Plan{Coming: []registry.Coming{{Target: registry.Target{Model: "m"}, Ready: b.now + ms(random.IntN(3000))}}}
+		loading.Plan = &registry.Plan{PendingLoads: []registry.PendingLoad{{Target: registry.Target{Model: "m"}, Ready: b.now + ms(random.IntN(3000))}}}
 		all = append(all, loading)
 		b.register(all...)
 		runs := []*run{}
@@ -693,7 +693,7 @@
 		b := newBench(t, pathOf("p", upstream.Stream, "batch"))
 		engine := engineOf("batch", 0, 64)
 		if c.coming > 0 {
-			engine.Plan = &registry.Plan{Coming: []registry.Coming{{Target: registry.Target{Model: "m"}, Ready: b.now + ms(c.coming)}}, Told: b.now}
+			engine.Plan = &registry.Plan{PendingLoads: []registry.PendingLoad{{Target: registry.Target{Model: "m"}, Ready: b.now + ms(c.coming)}}, Received: b.now}
 		}
 		if c.lack > 0 {
 			b.lacks["m/"] = time.Duration(c.lack) * time.Millisecond
@@ -786,7 +786,7 @@
 		path := pathOf("p", upstream.Stream, "batch")
 		b := newBench(t, path)
 		with := engineOf("batch", 0, 64, "m")
-		with.Word.Models[0].Adapters = []string{"a1"}
+		with.Registration.Models[0].Adapters = []string{"a1"}
 		asks := func(r *Record) { r.Ask.Adapter = "a2" }
 		for range 20 {
 			b.register(with)
@@ -796,7 +796,7 @@
 			}
 			b.now += ms(c.took + 250)
 			both := engineOf("batch", 0, 64, "m")
-			both.Word.Models[0].Adapters = []string{"a1", "a2"}
+			both.Registration.Models[0].Adapters = []string{"a1", "a2"}
 			b.register(both)
 			b.core.Pass(b.world())
 			b.sent(r)
--- a/request/forwarding/engine.go
+++ b/request/forwarding/engine.go
@@ -92,15 +92,15 @@
 
 // hear takes up a new report.
 func (e *engineState) hear(plan *registry.Plan) {
-	if plan != nil && plan.Told != e.told {
-		e.told, e.ownThen = plan.Told, e.inFlight
+	if plan != nil && plan.Received != e.told {
+		e.told, e.ownThen = plan.Received, e.inFlight
 	}
 }
 
 // running is how many requests run and wait there, this daemon's newest included.
 func (e *engineState) running(engine *registry.Engine, w World, s Settings) int {
 	running := e.inFlight
-	if plan := engine.Plan; plan != nil && w.Now.Since(plan.Told) < s.ReportFresh {
+	if plan := engine.Plan; plan != nil && w.Now.Since(plan.Received) < s.ReportFresh {
 		e.hear(plan)
 		running = max(running, plan.Active+plan.Queued+max(0, e.inFlight-e.ownThen))
 	}
--- a/request/forwarding/move_test.go
+++ b/request/forwarding/move_test.go
@@ -108,7 +108,7 @@
 	path.GapTargetMs = 400
 	b := newBench(t, path)
 	engine := engineOf("batch", 0, 64, "m")
-	engine.Plan = &registry.Plan{Active: 7, Queued: 2, Told: b.now, Models: []registry.Held{{Model: "m"}}}
+	engine.Plan = &registry.Plan{Active: 7, Queued: 2, Received: b.now, Models: []registry.LoadedModel{{Model: "m"}}}
 	b.register(engine)
 	one := b.sent(b.admit("resume", prompt("m", 1000, "a", "b")))
 	if one.Running != 10 || one.Reading != 1000 || one.GapTargetMs != 400 {
--- a/request/forwarding/outliers_test.go
+++ b/request/forwarding/outliers_test.go
@@ -92,7 +92,7 @@
 				if copied.Plan != nil {
 					plan = *copied.Plan
 				}
-				plan.Told, plan.Weights = s.now, weights[copied.ID]
+				plan.Received, plan.Weights = s.now, weights[copied.ID]
 				copied.Plan = &plan
 				engine.registered = &copied
 			}
--- a/request/forwarding/reason.go
+++ b/request/forwarding/reason.go
@@ -190,8 +190,8 @@
 		if engine.Plan == nil {
 			continue
 		}
-		modelComes = modelComes || slices.ContainsFunc(engine.Plan.Coming, func(one registry.Coming) bool { return one.Model == r.Ask.Model && one.Adapter == "" })
-		adapterComes = adapterComes || slices.ContainsFunc(engine.Plan.Coming, func(one registry.Coming) bool { return one.Model == r.Ask.Model && one.Adapter == r.Ask.Adapter })
+		modelComes = modelComes || slices.ContainsFunc(engine.Plan.PendingLoads, func(one registry.PendingLoad) bool { return one.Model == r.Ask.Model && one.Adapter == "" })
+		adapterComes = adapterComes || slices.ContainsFunc(engine.Plan.PendingLoads, func(one registry.PendingLoad) bool { return one.Model == r.Ask.Model && one.Adapter == r.Ask.Adapter })
 	}
 	switch {
 	case modelStands && r.Ask.Adapter != "" && adapterComes:
--- a/request/forwarding/reason_test.go
+++ b/request/forwarding/reason_test.go
@@ -28,7 +28,7 @@
 func TestEachLossBearsOneReason(t *testing.T) {
 	coming := func(model, adapter string) *registry.Engine {
 		engine := engineOf("batch", 1, 64)
-		engine.Plan = &registry.Plan{Coming: []registry.Coming{{Target: registry.Target{Model: model, Adapter: adapter}, Ready: ms(1_900_000)}}}
+		engine.Plan = &registry.Plan{PendingLoads: []registry.PendingLoad{{Target: registry.Target{Model: model, Adapter: adapter}, Ready: ms(1_900_000)}}}
 		return engine
 	}
 	withAdapter := func(r *Record) { r.Ask.Model, r.Ask.Adapter, r.Ask.TokensIn = "m", "a1", 100 }
--- a/request/forwarding/simulate_test.go
+++ b/request/forwarding/simulate_test.go
@@ -139,7 +139,7 @@
 			for _, engine := range s.engines {
 				copied := *engine.registered
 				if plan := plans[copied.ID]; plan != nil {
-					plan.Told = s.now
+					plan.Received = s.now
 					if s.judge != nil {
 						plan.Weights = s.judge.Weights(s.now, copied.ID)
 					}
--- a/request/forwarding/size_test.go
+++ b/request/forwarding/size_test.go
@@ -50,7 +50,7 @@
 			bench := newBench(b, pathOf("p", upstream.Stream, "batch"))
 			all := enginesOf("batch", engines, 96, "x", "y", "z")
 			for i := 0; i < len(all); i += 10 {
-				all[i].Word.Models = append(all[i].Word.Models, registry.Held{Model: "m"})
+				all[i].Registration.Models = append(all[i].Registration.Models, registry.LoadedModel{Model: "m"})
 			}
 			bench.register(all...)
 			b.ReportAllocs()
--- a/request/forwarding/speculate.go
+++ b/request/forwarding/speculate.go
@@ -70,7 +70,7 @@
 	if engine.Plan == nil || len(engine.Plan.Retiring) > 0 {
 		return 0, false
 	}
-	for _, one := range engine.Plan.Coming {
+	for _, one := range engine.Plan.PendingLoads {
 		if one.Target == target {
 			return one.Ready, true
 		}
--- a/request/forwarding/speculate_test.go
+++ b/request/forwarding/speculate_test.go
@@ -14,7 +14,7 @@
 // loading is an engine that by the planner's word loads the model until a time, and whose report does not show it.
 func (b *bench) loading(n int, ready clock.Mark) *registry.Engine {
 	engine := engineOf("batch", n, 64)
-	engine.Plan = &registry.Plan{Coming: []registry.Coming{{Target: registry.Target{Model: "m"}, Ready: ready}}, Told: b.now}
+	engine.Plan = &registry.Plan{PendingLoads: []registry.PendingLoad{{Target: registry.Target{Model: "m"}, Ready: ready}}, Received: b.now}
 	return engine
 }
 
--- a/request/forwarding/wait.go
+++ b/request/forwarding/wait.go
@@ -224,7 +224,7 @@
 		if engine.Plan == nil || !engine.Usable() {
 			continue
 		}
-		for _, one := range engine.Plan.Coming {
+		for _, one := range engine.Plan.PendingLoads {
 			if one.Model != r.Ask.Model {
 				continue
 			}
