--- a/cmd/cresspond/closures.go
+++ b/cmd/cresspond/closures.go
@@ -40,7 +40,7 @@
 	})
 }
 
-func epochOf(number *uint64) *ident.Epoch {
-	epoch := ident.Epoch(*number)
+func epochOf(number *uint64) *ident.Version {
+	epoch := ident.Version(*number)
 	return &epoch
 }
--- a/cmd/cresspond/proposals.go
+++ b/cmd/cresspond/proposals.go
@@ -18,7 +18,7 @@
 	base := propose.Flag("base", "The epoch in force that this bundle builds on; 0 for the first.").Required().Uint64()
 	note := propose.Flag("note", "A note for the reviewers.").String()
 	c.onAs(propose, func(t *tool, operator string) error {
-		return t.propose(*file, operatorapi.Propose{ProposalID: *id, Base: ident.Epoch(*base), Operator: operator, Note: *note})
+		return t.propose(*file, operatorapi.Propose{ProposalID: *id, Base: ident.Version(*base), Operator: operator, Note: *note})
 	})
 
 	for _, act := range []struct{ name, help, path string }{
--- a/configuration/routingtable/table.go
+++ b/configuration/routingtable/table.go
@@ -22,7 +22,7 @@
 
 // Table is one epoch of the spec together with one epoch of the closures.
 type Table struct {
-	Epoch    ident.Epoch
+	Epoch    ident.Version
 	Closures statemachine.Closures
 	Spec     *document.Spec
 	// Raw is the bundle as it was proposed, byte for byte.
@@ -39,7 +39,7 @@
 }
 
 // Build makes the table for a bundle.
-func Build(epoch ident.Epoch, raw []byte, parsed *document.Spec, closures statemachine.Closures) *Table {
+func Build(epoch ident.Version, raw []byte, parsed *document.Spec, closures statemachine.Closures) *Table {
 	t := &Table{
 		Epoch: epoch, Closures: closures, Spec: parsed, Raw: raw,
 		routes: make(map[string]*Route, len(parsed.Routes)), engines: map[ident.EngineID]document.Engine{},
--- a/connection/adminapi/operators.go
+++ b/connection/adminapi/operators.go
@@ -204,7 +204,7 @@
 }
 
 // close carries out a closure or an opening, which names the closures it builds on.
-func (d *Desk) close(ctx *fasthttp.RequestCtx, command statemachine.Command, base *ident.Epoch, closed *bool, closedField string) {
+func (d *Desk) close(ctx *fasthttp.RequestCtx, command statemachine.Command, base *ident.Version, closed *bool, closedField string) {
 	missing := ""
 	switch {
 	case closed == nil:
--- a/connection/gateway/gateway_test.go
+++ b/connection/gateway/gateway_test.go
@@ -148,7 +148,7 @@
 			return isEmptied != nil && (*isEmptied)(engine)
 		}
 		return forwarding.World{Now: clock.System{}.Elapsed(), Emptied: emptied, Open: func(engine *registry.Engine) bool { return !emptied(engine) }, Index: f.index.Load(), Current: !f.old.Load(), View: f.view.Load(), Edges: 1, Leased: f.held.Load(),
-			Mint: func() (ident.MintedID, bool) { return ident.MintedID(minted.Add(1)), f.held.Load() }}
+			Mint: func() (ident.SnowflakeID, bool) { return ident.SnowflakeID(minted.Add(1)), f.held.Load() }}
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
--- a/daemon/fellow.go
+++ b/daemon/fellow.go
@@ -133,7 +133,7 @@
 
 // Recall gives back a bundle that was in force here.
 func (d *Daemon) Recall(_ context.Context, in *peerapi.RecallRequest) (*peerapi.Recalled, error) {
-	raw, _ := d.keeper.Recall(ident.Epoch(in.Epoch))
+	raw, _ := d.keeper.Recall(ident.Version(in.Epoch))
 	out := &peerapi.Recalled{Spec: raw}
 	if t := d.keeper.Table(); t != nil {
 		out.Closures = rollout.EncodeClosures(t.Closures)
@@ -274,7 +274,7 @@
 	if got.Outcome != replica.Applied || got.Result.Verdict != statemachine.Done {
 		return answer, got.Outcome
 	}
-	var specEpoch, closureEpoch ident.Epoch
+	var specEpoch, closureEpoch ident.Version
 	switch command.Op {
 	case statemachine.OpRoll:
 		specEpoch = got.Result.Proposal.Epoch
@@ -321,7 +321,7 @@
 // refuseAsLeader refuses a command for good, if a majority confirms that this daemon leads and what it knows is not
 // older than what is committed. Otherwise nothing is said: whoever leads by now may take the command.
 func (d *Daemon) refuseAsLeader(ctx context.Context, held *replica.Replica, command statemachine.Command) (operatorapi.Answer, replica.Outcome) {
-	var committed ident.Epoch
+	var committed ident.Version
 	if outcome := held.Read(ctx, func(state *statemachine.State) { committed = state.Epoch() }); outcome != replica.Applied {
 		return operatorapi.Answer{}, outcome
 	}
@@ -437,12 +437,12 @@
 		if epoch == 0 {
 			epoch = uint64(state.Epoch())
 		}
-		if found, ok := state.At(ident.Epoch(epoch)); ok {
+		if found, ok := state.At(ident.Version(epoch)); ok {
 			return encode(found)
 		}
 	case "history":
 		list := []statemachine.Proposal{}
-		for epoch := ident.Epoch(1); epoch <= state.Epoch(); epoch++ {
+		for epoch := ident.Version(1); epoch <= state.Epoch(); epoch++ {
 			// Of bundles that were applied in one step only so many are known.
 			if found, ok := state.At(epoch); ok {
 				brief := *found
@@ -491,7 +491,7 @@
 }
 
 // InForce is what this daemon has in force.
-func (d *Daemon) InForce() (spec, closure ident.Epoch) {
+func (d *Daemon) InForce() (spec, closure ident.Version) {
 	if t := d.keeper.Table(); t != nil {
 		return t.Epoch, t.Closures.Epoch
 	}
@@ -619,7 +619,7 @@
 		return
 	}
 	if len(reply.Spec) > 0 || len(reply.Closures) > 0 {
-		d.keeper.Offer(ident.Epoch(reply.SpecEpoch), compression.Bundle{Data: reply.Spec, Packed: reply.SpecPacked}, rollout.DecodeClosures(reply.Closures))
+		d.keeper.Offer(ident.Version(reply.SpecEpoch), compression.Bundle{Data: reply.Spec, Packed: reply.SpecPacked}, rollout.DecodeClosures(reply.Closures))
 	}
 	d.hearDraining(reply.Draining)
 	d.heardNews.draining.Store(reply.DrainingVersion)
--- a/daemon/forward.go
+++ b/daemon/forward.go
@@ -258,7 +258,7 @@
 			return d.forwardSide.pools.Warm(engine.ID, engine.Address, pool, careful)
 		},
 		Edges: d.edges(now), Lacks: d.PoolLack, Open: d.engineOpen, Emptied: d.engineEmptied, Leased: d.generator.Held(),
-		Mint: func() (ident.MintedID, bool) {
+		Mint: func() (ident.SnowflakeID, bool) {
 			id, verdict := d.generator.Mint()
 			return id, verdict == snowflake.Minted
 		},
--- a/daemon/held.go
+++ b/daemon/held.go
@@ -76,14 +76,14 @@
 
 // bundleSeen is since when a bundle is in force here, as far as was looked.
 type bundleSeen struct {
-	epoch ident.Epoch
+	epoch ident.Version
 	at    clock.Mark
 }
 
 // tellsBundle says whether an asker is told the bundle in force here. A bundle is large, and who asks for what is
 // urgent only has it from its teller in a moment, who serves control from the group's log: these are told here only if
 // they still lack it after a while.
-func (d *Daemon) tellsBundle(epoch ident.Epoch, in *peerapi.PullRequest) bool {
+func (d *Daemon) tellsBundle(epoch ident.Version, in *peerapi.PullRequest) bool {
 	seen := d.bundleSeen.Load()
 	if seen == nil || seen.epoch != epoch {
 		seen = &bundleSeen{epoch, d.clock.Elapsed()}
--- a/daemon/held_test.go
+++ b/daemon/held_test.go
@@ -22,7 +22,7 @@
 	d := &Daemon{clock: at}
 	all := &peerapi.PullRequest{SpecEpoch: 3}
 	inShort := &peerapi.PullRequest{SpecEpoch: 3, RegistryUrgent: true}
-	tells := func(epoch ident.Epoch, in *peerapi.PullRequest) bool { return d.tellsBundle(epoch, in) }
+	tells := func(epoch ident.Version, in *peerapi.PullRequest) bool { return d.tellsBundle(epoch, in) }
 	if tells(3, all) || tells(3, inShort) || tells(2, inShort) {
 		t.Error("what is known is told")
 	}
--- a/daemon/pages.go
+++ b/daemon/pages.go
@@ -195,7 +195,7 @@
 	if kind == "closure" {
 		epoch = known.Closure
 	}
-	out := operatorapi.Trace{Change: change, Rows: []operatorapi.TraceRow{}, Epoch: ident.Epoch(epoch), Known: number > 0 && number <= epoch}
+	out := operatorapi.Trace{Change: change, Rows: []operatorapi.TraceRow{}, Epoch: ident.Version(epoch), Known: number > 0 && number <= epoch}
 	now := d.clock.Elapsed()
 	unheard := known.Serving
 	for _, fellow := range d.members.View().InContact(now, time.Minute) {
--- a/daemon/poolplanning.go
+++ b/daemon/poolplanning.go
@@ -197,8 +197,8 @@
 }
 
 // heardClaim is the highest claim number that this daemon has heard of, so that none is ever given out twice.
-func (d *Daemon) heardClaim() ident.ClaimNumber {
-	var highest ident.ClaimNumber
+func (d *Daemon) heardClaim() ident.FencingToken {
+	var highest ident.FencingToken
 	if d.pools == nil {
 		return 0
 	}
@@ -211,7 +211,7 @@
 }
 
 // Mint stamps an order, LeaseHeld says whether the lease it was minted under still holds.
-func (p poolPlanner) Mint() (ident.MintedID, snowflake.Outcome) { return p.generator.Mint() }
+func (p poolPlanner) Mint() (ident.SnowflakeID, snowflake.Outcome) { return p.generator.Mint() }
 
 // LeaseHeld says whether the lease of the worker id still holds.
 func (p poolPlanner) LeaseHeld() bool { return p.generator.Held() }
--- a/daemon/ranking.go
+++ b/daemon/ranking.go
@@ -38,7 +38,7 @@
 	box *actor.Mailbox[any]
 	// ranker is there while the claim is held; claim is the one it was made for.
 	ranker *nodehealth.Ranker
-	claim  ident.ClaimNumber
+	claim  ident.FencingToken
 	// asked says that an act is under way, stepNext when the next step is due.
 	asked    bool
 	stepNext clock.Mark
@@ -59,7 +59,7 @@
 
 // rankingState is what others may see of the ranker.
 type rankingState struct {
-	claim    ident.ClaimNumber
+	claim    ident.FencingToken
 	rows     []nodehealth.Row
 	counters nodehealth.Counters
 	emptying map[ident.EngineID]bool
--- a/daemon/routing.go
+++ b/daemon/routing.go
@@ -516,7 +516,7 @@
 }
 
 // Mint stamps an order.
-func (p planning) Mint() (ident.MintedID, snowflake.Outcome) { return p.generator.Mint() }
+func (p planning) Mint() (ident.SnowflakeID, snowflake.Outcome) { return p.generator.Mint() }
 
 // Order sends an order.
 func (p planning) Order(ctx context.Context, address string, order engineapi.Order, limit time.Duration, mayLeave func() bool) (*engineapi.OrderAnswer, bool) {
--- a/process/cluster/membership/membership.go
+++ b/process/cluster/membership/membership.go
@@ -38,8 +38,8 @@
 	Heard   clock.Mark
 	// Met is when this life was first heard of here, if that was after the view's own beginning.
 	Met          clock.Mark
-	SpecEpoch    ident.Epoch
-	ClosureEpoch ident.Epoch
+	SpecEpoch    ident.Version
+	ClosureEpoch ident.Version
 	Ready        bool
 	Steps        []*peerapi.Step
 }
@@ -61,7 +61,7 @@
 	// HeardLeader and HeardAny are when a pull was last answered.
 	HeardLeader, HeardAny clock.Mark
 	// NewestSpec and NewestClosure are the highest epochs anyone told of.
-	NewestSpec, NewestClosure ident.Epoch
+	NewestSpec, NewestClosure ident.Version
 	// Settled says that this daemon has made sure that what it has is not old.
 	Settled bool
 	// BeforeAll says that this life began before any bundle was in force, so nothing can have run before it.
@@ -102,7 +102,7 @@
 	// it says whether anything does.
 	Wants(request *peerapi.PullRequest, onlyWaiting bool) bool
 	// InForce is what this daemon has in force.
-	InForce() (spec, closure ident.Epoch)
+	InForce() (spec, closure ident.Version)
 	// Learn takes over what a reply brought, and returns when it is in force.
 	Learn(reply *peerapi.PullReply)
 	// PullFrom asks another daemon.
@@ -198,7 +198,7 @@
 		told    chan *peerapi.PullReply
 	}
 	waiter struct {
-		spec, closure ident.Epoch
+		spec, closure ident.Version
 		until         clock.Mark
 		serving       func() []ident.NodeID
 		done          chan Reach
@@ -272,7 +272,7 @@
 
 // AwaitReach waits until every daemon that may be serving, and every one in contact, has the epochs in
 // force, or until within has passed.
-func (m *Membership) AwaitReach(ctx context.Context, spec, closure ident.Epoch, within time.Duration, serving func() []ident.NodeID) Reach {
+func (m *Membership) AwaitReach(ctx context.Context, spec, closure ident.Version, within time.Duration, serving func() []ident.NodeID) Reach {
 	w := &waiter{spec: spec, closure: closure, until: m.clock.Elapsed() + clock.Mark(within), serving: serving, done: make(chan Reach, 1)}
 	if !m.box.Send(w) {
 		return Reach{}
@@ -444,7 +444,7 @@
 
 func rowOf(request *peerapi.PullRequest) Row {
 	return Row{Fellow: Fellow{NodeID: ident.NodeID(request.NodeId), Address: request.Address, Zone: ident.ZoneID(request.Zone), Serve: request.Serve,
-		SpecEpoch: ident.Epoch(request.SpecEpoch), ClosureEpoch: ident.Epoch(request.ClosureEpoch), Ready: request.Ready, Steps: request.Steps}}
+		SpecEpoch: ident.Version(request.SpecEpoch), ClosureEpoch: ident.Version(request.ClosureEpoch), Ready: request.Ready, Steps: request.Steps}}
 }
 
 func encodeTold(told []Told) []*peerapi.Contact {
@@ -461,7 +461,7 @@
 	out := make([]Told, 0, len(contacts))
 	for _, contact := range contacts {
 		out = append(out, Told{Row: Row{Version: contact.RowVersion, Fellow: Fellow{NodeID: ident.NodeID(contact.NodeId), Address: contact.Address,
-			Zone: ident.ZoneID(contact.Zone), Serve: contact.Serve, SpecEpoch: ident.Epoch(contact.SpecEpoch), ClosureEpoch: ident.Epoch(contact.ClosureEpoch),
+			Zone: ident.ZoneID(contact.Zone), Serve: contact.Serve, SpecEpoch: ident.Version(contact.SpecEpoch), ClosureEpoch: ident.Version(contact.ClosureEpoch),
 			Ready: contact.Ready}},
 			Age: time.Duration(contact.HeardMsAgo) * time.Millisecond, Late: contact.Late, Direct: contact.Direct, Ended: contact.Ended})
 	}
--- a/process/cluster/membership/pace_test.go
+++ b/process/cluster/membership/pace_test.go
@@ -35,17 +35,17 @@
 func (l *lone) Describe() *peerapi.PullRequest {
 	return &peerapi.PullRequest{Group: "g", NodeId: "self#1", Address: "self", Serve: []string{controlRole}, Ready: true, SpecEpoch: 1}
 }
-func (l *lone) Wants(*peerapi.PullRequest, bool) bool { return false }
-func (l *lone) InForce() (spec, closure ident.Epoch)  { return 1, 0 }
-func (l *lone) Learn(*peerapi.PullReply)              {}
-func (l *lone) Leads() bool                           { return false }
-func (l *lone) FirstRollAgo() time.Duration           { return 0 }
-func (l *lone) EnlistedAt() clock.Mark                { return 1 }
-func (l *lone) Plans() bool                           { return false }
-func (l *lone) ConfirmedAsLeader() clock.Mark         { return 0 }
-func (l *lone) SourceTurned(Turned)                   {}
-func (l *lone) News()                                 {}
-func (l *lone) Beat()                                 {}
+func (l *lone) Wants(*peerapi.PullRequest, bool) bool  { return false }
+func (l *lone) InForce() (spec, closure ident.Version) { return 1, 0 }
+func (l *lone) Learn(*peerapi.PullReply)               {}
+func (l *lone) Leads() bool                            { return false }
+func (l *lone) FirstRollAgo() time.Duration            { return 0 }
+func (l *lone) EnlistedAt() clock.Mark                 { return 1 }
+func (l *lone) Plans() bool                            { return false }
+func (l *lone) ConfirmedAsLeader() clock.Mark          { return 0 }
+func (l *lone) SourceTurned(Turned)                    {}
+func (l *lone) News()                                  {}
+func (l *lone) Beat()                                  {}
 func (l *lone) PullFrom(ctx context.Context, address string, request *peerapi.PullRequest) (*peerapi.PullReply, error) {
 	at := time.Now()
 	select {
--- a/process/cluster/membership/tracker.go
+++ b/process/cluster/membership/tracker.go
@@ -38,10 +38,10 @@
 }
 
 // InForce is what a daemon has in force.
-type InForce struct{ Spec, Closure ident.Epoch }
+type InForce struct{ Spec, Closure ident.Version }
 
 // covers says whether what is in force is at least what a source announces.
-func (f InForce) covers(spec, closure ident.Epoch) bool {
+func (f InForce) covers(spec, closure ident.Version) bool {
 	return f.Spec >= spec && f.Closure >= closure
 }
 
@@ -112,14 +112,14 @@
 	if changed {
 		turned = &Turned{answer.Address, stale}
 	}
-	if word.confirmed > 0 && t.mayConfirm(answer) && force.covers(ident.Epoch(reply.SpecEpoch), ident.Epoch(reply.ClosureEpoch)) {
+	if word.confirmed > 0 && t.mayConfirm(answer) && force.covers(ident.Version(reply.SpecEpoch), ident.Version(reply.ClosureEpoch)) {
 		t.members.Confirm(word.confirmed)
 	}
 	t.members.hearMembers(reply.MemberAddresses)
 	t.hearOfLeader(answer, word, stale)
 	t.hearOfPlanner(answer.Address, reply)
-	t.view.NewestSpec = max(t.view.NewestSpec, ident.Epoch(reply.SpecEpoch))
-	t.view.NewestClosure = max(t.view.NewestClosure, ident.Epoch(reply.ClosureEpoch))
+	t.view.NewestSpec = max(t.view.NewestSpec, ident.Version(reply.SpecEpoch))
+	t.view.NewestClosure = max(t.view.NewestClosure, ident.Version(reply.ClosureEpoch))
 	t.learnMembers(now, answer)
 	return turned
 }
--- a/process/consensus/recovery/recovery.go
+++ b/process/consensus/recovery/recovery.go
@@ -26,11 +26,11 @@
 	Address     string
 	Group       ident.GroupID
 	LeaderMsAgo int64
-	SpecEpoch   ident.Epoch
-	Bundles     map[ident.Epoch][]byte
+	SpecEpoch   ident.Version
+	Bundles     map[ident.Version][]byte
 	Closures    *statemachine.Closures
 	TenureUntil ident.GroupTime
-	Claim       ident.ClaimNumber
+	Claim       ident.FencingToken
 }
 
 // aliveWithin is how lately a leader must have been heard for the group to count as alive.
@@ -50,9 +50,9 @@
 	if err != nil {
 		return Witness{}, eris.Wrapf(err, "%s cannot be asked", address)
 	}
-	w := Witness{Address: address, Group: ident.GroupID(identity.Group), LeaderMsAgo: identity.LeaderMsAgo, SpecEpoch: ident.Epoch(identity.SpecEpoch),
-		TenureUntil: ident.GroupTime(identity.TenureUntilMs), Claim: ident.ClaimNumber(identity.Claim), Bundles: map[ident.Epoch][]byte{}}
-	for epoch := ident.Epoch(1); epoch <= w.SpecEpoch; epoch++ {
+	w := Witness{Address: address, Group: ident.GroupID(identity.Group), LeaderMsAgo: identity.LeaderMsAgo, SpecEpoch: ident.Version(identity.SpecEpoch),
+		TenureUntil: ident.GroupTime(identity.TenureUntilMs), Claim: ident.FencingToken(identity.Claim), Bundles: map[ident.Version][]byte{}}
+	for epoch := ident.Version(1); epoch <= w.SpecEpoch; epoch++ {
 		recalled, err := client.Recall(ctx, &peerapi.RecallRequest{Epoch: uint64(epoch)})
 		if err != nil {
 			return Witness{}, eris.Wrapf(err, "%s cannot be asked for epoch %d", address, epoch)
@@ -70,7 +70,7 @@
 	Group ident.GroupID
 	State *statemachine.State
 	// Lost lists epochs that were in force once, and whose bundle nobody holds any more.
-	Lost []ident.Epoch
+	Lost []ident.Version
 }
 
 // Make weighs the folder's own state against the witnesses. It refuses while the group may be alive.
@@ -124,7 +124,7 @@
 
 // takeBundles fills the history up to the highest epoch anyone holds.
 func (p *Plan) takeBundles(witnesses []Witness) {
-	var highest ident.Epoch
+	var highest ident.Version
 	for _, w := range witnesses {
 		highest = max(highest, w.SpecEpoch)
 	}
--- a/process/consensus/recovery/recovery_test.go
+++ b/process/consensus/recovery/recovery_test.go
@@ -38,7 +38,7 @@
 		}
 	}
 	for i, id := range []string{"one", "two"} {
-		apply(statemachine.Command{Op: statemachine.OpPropose, ProposalID: id, Base: ident.Epoch(i), Operator: "ana", Spec: bundle(t, id)})
+		apply(statemachine.Command{Op: statemachine.OpPropose, ProposalID: id, Base: ident.Version(i), Operator: "ana", Spec: bundle(t, id)})
 		apply(statemachine.Command{Op: statemachine.OpReview, ProposalID: id, Operator: "berta"})
 		apply(statemachine.Command{Op: statemachine.OpSign, ProposalID: id, Operator: "berta"})
 		apply(statemachine.Command{Op: statemachine.OpRoll, ProposalID: id, Operator: "ana"})
@@ -52,7 +52,7 @@
 func witness(t *testing.T) Witness {
 	closures := statemachine.Closures{Epoch: 4, Zones: map[ident.ZoneID]statemachine.ClosureMark{"y": {Epoch: 4}}}
 	return Witness{Address: "w", Group: "g", LeaderMsAgo: 60000, SpecEpoch: 4, Closures: &closures, TenureUntil: ident.GroupTime(wall.UnixMilli()) + 90000, Claim: 7,
-		Bundles: map[ident.Epoch][]byte{2: bundle(t, "two"), 4: bundle(t, "four")}}
+		Bundles: map[ident.Version][]byte{2: bundle(t, "two"), 4: bundle(t, "four")}}
 }
 
 func TestTheNextGenerationTakesTheHighestOfAll(t *testing.T) {
@@ -64,7 +64,7 @@
 	if plan.Group != "g.1" || s.Epoch() != 4 || len(plan.Lost) != 1 || plan.Lost[0] != 3 {
 		t.Fatalf("%s, epoch %d, lost %v", plan.Group, s.Epoch(), plan.Lost)
 	}
-	for epoch, name := range map[ident.Epoch]string{1: "one", 2: "two", 4: "four"} {
+	for epoch, name := range map[ident.Version]string{1: "one", 2: "two", 4: "four"} {
 		if p, ok := s.At(epoch); !ok || string(p.Spec) != string(bundle(t, name)) {
 			t.Errorf("epoch %d is not whole", epoch)
 		}
@@ -95,7 +95,7 @@
 	foreign := witness(t)
 	foreign.Group = "other"
 	faulty := witness(t)
-	faulty.Bundles = map[ident.Epoch][]byte{4: []byte("{}")}
+	faulty.Bundles = map[ident.Version][]byte{4: []byte("{}")}
 	for name, witnesses := range map[string][]Witness{
 		"nobody is asked": nil, "the group is alive": {witness(t), alive}, "a daemon is of another group": {foreign}, "a daemon holds a faulty bundle": {faulty},
 	} {
--- a/process/consensus/replica/actor.go
+++ b/process/consensus/replica/actor.go
@@ -52,7 +52,7 @@
 	// ConfirmedUntil is, where this member leads, up to when a majority has confirmed that; Spec and Closures are what
 	// is committed by the state applied so far.
 	ConfirmedUntil clock.Mark
-	Spec, Closures ident.Epoch
+	Spec, Closures ident.Version
 	// Applied is how far the state is, Digest its newest digest.
 	Applied raft.Index
 	Digest  raft.StateDigest
--- a/process/consensus/replica/orders_test.go
+++ b/process/consensus/replica/orders_test.go
@@ -34,7 +34,7 @@
 type simOrders struct {
 	*sim
 	// acked and refused hold the calls that had a clear answer, by digest, with the epoch and the base.
-	acked   map[string]ident.Epoch
+	acked   map[string]ident.Version
 	refused map[string]bool
 	base    map[string]ident.Revision
 	// newest is the highest revision that was acknowledged.
@@ -326,7 +326,7 @@
 		}
 		state := n.core.state
 		wonOn := map[ident.Revision]string{}
-		for epoch := ident.Epoch(1); epoch <= state.Epoch(); epoch++ {
+		for epoch := ident.Version(1); epoch <= state.Epoch(); epoch++ {
 			found, ok := state.At(epoch)
 			if !ok {
 				if epoch > state.Dropped {
@@ -361,7 +361,7 @@
 		config.CompactEvery, config.Keep = 12, 3
 		config.Orders = limits
 	}
-	o := &simOrders{sim: newAdjustedSim(t, seed, size, sound, adjust), acked: map[string]ident.Epoch{}, refused: map[string]bool{}, base: map[string]ident.Revision{},
+	o := &simOrders{sim: newAdjustedSim(t, seed, size, sound, adjust), acked: map[string]ident.Version{}, refused: map[string]bool{}, base: map[string]ident.Revision{},
 		orders: map[string]*linearizability.Order{}}
 	if seed%4 == 3 {
 		o.lossy = 0.2
@@ -387,7 +387,7 @@
 	if wanted, err := strconv.ParseUint(os.Getenv("CRESSPOND_SEEDS"), 10, 64); err == nil {
 		seeds = wanted
 	}
-	acked, refused, resends, crashes, calls, unclear, dropped := 0, 0, 0, 0, 0, 0, ident.Epoch(0)
+	acked, refused, resends, crashes, calls, unclear, dropped := 0, 0, 0, 0, 0, 0, ident.Version(0)
 	for seed := range seeds {
 		size := []int{3, 3, 5, 3, 1, 3}[seed%6]
 		limits := statemachine.DefaultLimits()
--- a/process/consensus/replica/simulation_test.go
+++ b/process/consensus/replica/simulation_test.go
@@ -68,9 +68,9 @@
 	violations  []string
 	leaderOf    map[raft.Term]raft.MemberID
 	applied     map[raft.Index]string
-	minted      map[ident.MintedID]string
+	minted      map[ident.SnowflakeID]string
 	mints       int
-	ackedEpoch  ident.Epoch
+	ackedEpoch  ident.Version
 	firstNow    ident.GroupTime
 	firstAt     clock.Mark
 	acks, reads int
@@ -184,7 +184,7 @@
 func newSimWith(t *testing.T, seed uint64, config Config, broken brk) *sim {
 	size := config.Voters
 	s := &sim{t: t, random: rand.New(rand.NewPCG(seed, 99)), broken: broken, now: clock.Mark(time.Hour), cut: map[[2]int]bool{}, loss: 0.02, faults: true, calm: seed%2 == 1,
-		size: size, leaderOf: map[raft.Term]raft.MemberID{}, applied: map[raft.Index]string{}, minted: map[ident.MintedID]string{}, asked: map[uint64]func(Answer){}, notices: map[raft.NoticeKind]int{}, lostDisks: map[raft.MemberID]raft.Restored{}, config: config}
+		size: size, leaderOf: map[raft.Term]raft.MemberID{}, applied: map[raft.Index]string{}, minted: map[ident.SnowflakeID]string{}, asked: map[uint64]func(Answer){}, notices: map[raft.NoticeKind]int{}, lostDisks: map[raft.MemberID]raft.Restored{}, config: config}
 	var members raft.Membership
 	for i := range size {
 		members.Members = append(members.Members, raft.Member{ID: raft.MemberID(i + 1), Name: fmt.Sprint("core-", i), Address: fmt.Sprint(i), Voter: true})
@@ -649,7 +649,7 @@
 				return
 			}
 			// The state may be read only until the answer is handled, so a read is looked at here.
-			var seen ident.Epoch
+			var seen ident.Version
 			if a.State != nil {
 				seen = a.State.Closures.Epoch
 			}
--- a/process/consensus/statemachine/apply_test.go
+++ b/process/consensus/statemachine/apply_test.go
@@ -153,10 +153,10 @@
 			}
 		}
 		whole := 0
-		for epoch := ident.Epoch(1); epoch <= state.Epoch(); epoch++ {
+		for epoch := ident.Version(1); epoch <= state.Epoch(); epoch++ {
 			if found, ok := state.At(epoch); ok && len(found.Spec) > 0 {
 				whole++
-				if epoch <= state.Epoch()-ident.Epoch(c.whole) {
+				if epoch <= state.Epoch()-ident.Version(c.whole) {
 					t.Errorf("%d orders of %d bytes: epoch %d is kept whole", c.orders, c.bytes, epoch)
 				}
 			}
@@ -165,7 +165,7 @@
 			t.Errorf("%d orders of %d bytes: %d are kept whole, want %d", c.orders, c.bytes, whole, c.whole)
 		}
 		for i := range c.orders {
-			if r := state.do(t, Command{Op: OpApply, Digest: fmt.Sprint("d", i), BaseRevision: ident.Revision(i), Revision: ident.Revision(i + 1), Spec: []byte("x")}); r.Verdict != Done || r.Proposal.Epoch != ident.Epoch(i+1) {
+			if r := state.do(t, Command{Op: OpApply, Digest: fmt.Sprint("d", i), BaseRevision: ident.Revision(i), Revision: ident.Revision(i + 1), Spec: []byte("x")}); r.Verdict != Done || r.Proposal.Epoch != ident.Version(i+1) {
 				t.Errorf("order %d again: %+v", i, r)
 			}
 		}
@@ -203,7 +203,7 @@
 	state := New()
 	for i, id := range []string{"a", "b", "c"} {
 		for _, c := range []Command{
-			{Op: OpPropose, ProposalID: id, Base: ident.Epoch(i), Operator: "ana", Spec: []byte("x")}, {Op: OpReview, ProposalID: id, Operator: "berta"},
+			{Op: OpPropose, ProposalID: id, Base: ident.Version(i), Operator: "ana", Spec: []byte("x")}, {Op: OpReview, ProposalID: id, Operator: "berta"},
 			{Op: OpSign, ProposalID: id, Operator: "chen"}, {Op: OpRoll, ProposalID: id, Operator: "ana"},
 		} {
 			if r := state.do(t, c); r.Verdict != Done {
--- a/process/consensus/statemachine/bundles.go
+++ b/process/consensus/statemachine/bundles.go
@@ -10,13 +10,13 @@
 )
 
 // Epoch is the spec epoch in force; zero before the first roll.
-func (s *State) Epoch() ident.Epoch { return s.Dropped + ident.Epoch(len(s.History)) }
+func (s *State) Epoch() ident.Version { return s.Dropped + ident.Version(len(s.History)) }
 
 // InForce gives the proposal that is in force.
 func (s *State) InForce() (*Proposal, bool) { return s.At(s.Epoch()) }
 
 // At gives the proposal that was put in force with this epoch.
-func (s *State) At(epoch ident.Epoch) (*Proposal, bool) {
+func (s *State) At(epoch ident.Version) (*Proposal, bool) {
 	var id string
 	switch {
 	case epoch == 0 || epoch > s.Epoch():
@@ -90,7 +90,7 @@
 	// The first epoch tells when the group's first bundle came, so it stays.
 	if known && (!old.Applied || old.Epoch <= 1) {
 		if s.Lasting == nil {
-			s.Lasting = map[ident.Epoch]string{}
+			s.Lasting = map[ident.Version]string{}
 		}
 		s.Lasting[s.Dropped] = id
 		return false
@@ -122,6 +122,6 @@
 }
 
 // epochBefore is the epoch that lies so far back; zero where there is none.
-func epochBefore(epoch ident.Epoch, back uint64) ident.Epoch {
-	return epoch - min(epoch, ident.Epoch(back))
+func epochBefore(epoch ident.Version, back uint64) ident.Version {
+	return epoch - min(epoch, ident.Version(back))
 }
--- a/process/consensus/statemachine/claims.go
+++ b/process/consensus/statemachine/claims.go
@@ -28,10 +28,10 @@
 
 // Claim is the right to plan and to command engines.
 type Claim struct {
-	Number ident.ClaimNumber `json:"number"`
-	NodeID ident.NodeID      `json:"nodeId"`
-	Until  ident.GroupTime   `json:"until"`
-	Now    ident.GroupTime   `json:"now"`
+	Number ident.FencingToken `json:"number"`
+	NodeID ident.NodeID       `json:"nodeId"`
+	Until  ident.GroupTime    `json:"until"`
+	Now    ident.GroupTime    `json:"now"`
 	// Orders is the call-seq each engine must show before its reports tell of all orders given under this
 	// claim and those before: its holder says so before each order leaves.
 	Orders     map[ident.EngineID]uint64 `json:"orders,omitempty"`
--- a/process/consensus/statemachine/closures.go
+++ b/process/consensus/statemachine/closures.go
@@ -10,7 +10,7 @@
 
 // Closures is which zones are shut and which engines an operator is draining.
 type Closures struct {
-	Epoch   ident.Epoch                    `json:"epoch"`
+	Epoch   ident.Version                  `json:"epoch"`
 	Zones   map[ident.ZoneID]ClosureMark   `json:"zones"`
 	Engines map[ident.EngineID]ClosureMark `json:"engines"`
 	// Kept lists the engines that the ranking may not shut.
@@ -21,7 +21,7 @@
 
 // ClosureAct is one closure or opening, so that one sent again finds itself.
 type ClosureAct struct {
-	Epoch    ident.Epoch    `json:"epoch"`
+	Epoch    ident.Version  `json:"epoch"`
 	Operator string         `json:"operator"`
 	Zone     ident.ZoneID   `json:"zone,omitempty"`
 	Engine   ident.EngineID `json:"engine,omitempty"`
@@ -40,25 +40,25 @@
 type ClosureMark struct {
 	Operator string          `json:"operator"`
 	At       ident.GroupTime `json:"at"`
-	Epoch    ident.Epoch     `json:"epoch"`
+	Epoch    ident.Version   `json:"epoch"`
 	// Ranking is there where the ranking closed it.
 	Ranking *RankingMark `json:"ranking,omitempty"`
 }
 
 // RankingMark says under which claim an engine was ranked, by which stamped record, and why.
 type RankingMark struct {
-	Claim  ident.ClaimNumber `json:"claim"`
-	Stamp  ident.MintedID    `json:"stamp"`
-	Reason string            `json:"reason,omitempty"`
+	Claim  ident.FencingToken `json:"claim"`
+	Stamp  ident.SnowflakeID  `json:"stamp"`
+	Reason string             `json:"reason,omitempty"`
 }
 
 // RankingOrder is the newest order of the ranking that was taken. Its stamp is minted, so that a copy of it, or of an
 // earlier one, is known.
 type RankingOrder struct {
-	Claim  ident.ClaimNumber `json:"claim"`
-	Stamp  ident.MintedID    `json:"stamp"`
-	Engine ident.EngineID    `json:"engine,omitempty"`
-	Closed bool              `json:"closed,omitempty"`
+	Claim  ident.FencingToken `json:"claim"`
+	Stamp  ident.SnowflakeID  `json:"stamp"`
+	Engine ident.EngineID     `json:"engine,omitempty"`
+	Closed bool               `json:"closed,omitempty"`
 }
 
 // rankingOrder is what tells one order of the ranking from all others.
@@ -165,7 +165,7 @@
 }
 
 // act is what a CLOSURE or KEEP leaves behind if it makes this closure epoch.
-func (c Command) act(epoch ident.Epoch) ClosureAct {
+func (c Command) act(epoch ident.Version) ClosureAct {
 	return ClosureAct{Epoch: epoch, Operator: c.Operator, Zone: c.Zone, Engine: c.Engine, Closed: c.Closed, Keep: c.Op == OpKeep}
 }
 
--- a/process/consensus/statemachine/closures_test.go
+++ b/process/consensus/statemachine/closures_test.go
@@ -9,7 +9,7 @@
 
 // closure is the closure or opening number i of a chain in which each builds on the one before.
 func closure(i int) Command {
-	return Command{Op: OpClosure, Operator: "ana", Zone: ident.ZoneID(fmt.Sprint("z", i/2)), Closed: i%2 == 0, Base: ident.Epoch(i), Based: true}
+	return Command{Op: OpClosure, Operator: "ana", Zone: ident.ZoneID(fmt.Sprint("z", i/2)), Closed: i%2 == 0, Base: ident.Version(i), Based: true}
 }
 
 // TestAnOldClosureSentAgainIsNeverRefused sends every closure of a long chain again at its end.
--- a/process/consensus/statemachine/command.go
+++ b/process/consensus/statemachine/command.go
@@ -59,11 +59,11 @@
 	// SpanMs is how long a tenure or a claim lasts, stamped by the leader from its config.
 	SpanMs int64 `json:"spanMs,omitempty"`
 
-	ProposalID string      `json:"proposalId,omitempty"`
-	Base       ident.Epoch `json:"base,omitempty"`
-	Operator   string      `json:"operator,omitempty"`
-	Note       string      `json:"note,omitempty"`
-	Spec       []byte      `json:"spec,omitempty"`
+	ProposalID string        `json:"proposalId,omitempty"`
+	Base       ident.Version `json:"base,omitempty"`
+	Operator   string        `json:"operator,omitempty"`
+	Note       string        `json:"note,omitempty"`
+	Spec       []byte        `json:"spec,omitempty"`
 	// Packed says that Spec is compressed. Revision is the operator's own number of the bundle, BaseRevision
 	// the one it builds on, and Digest tells one operator's call from all others.
 	Packed       bool           `json:"packed,omitempty"`
@@ -97,7 +97,7 @@
 	// Resume is, with CLAIM, the asker's word that it goes on where it stood, if its claim lapsed and nobody got another.
 	Resume bool `json:"resume,omitempty"`
 	// Above is, with CLAIM, the highest claim number that the asker has heard of; a fresh claim is above it.
-	Above ident.ClaimNumber `json:"above,omitempty"`
+	Above ident.FencingToken `json:"above,omitempty"`
 }
 
 // Told is what a planner of pools tells the group before its orders leave.
--- a/process/consensus/statemachine/fuzz_test.go
+++ b/process/consensus/statemachine/fuzz_test.go
@@ -62,7 +62,7 @@
 		if !bytes.Equal(first, again.Snapshot()) {
 			t.Fatal("it is another state once it was written and read")
 		}
-		for epoch := ident.Epoch(0); epoch <= state.Epoch(); epoch++ {
+		for epoch := ident.Version(0); epoch <= state.Epoch(); epoch++ {
 			state.At(epoch)
 		}
 		state.LeftSince(0)
--- a/process/consensus/statemachine/memory_test.go
+++ b/process/consensus/statemachine/memory_test.go
@@ -225,7 +225,7 @@
 	for i := 2; i < 20; i++ {
 		state.win(t, i)
 	}
-	for epoch, want := range map[ident.Epoch]string{1: AppliedID("d0"), 2: "signed", 20: AppliedID("d19"), 17: AppliedID("d16")} {
+	for epoch, want := range map[ident.Version]string{1: AppliedID("d0"), 2: "signed", 20: AppliedID("d19"), 17: AppliedID("d16")} {
 		if found, ok := state.At(epoch); !ok || found.ID != want || found.Epoch != epoch {
 			t.Errorf("epoch %d is %+v, want %s", epoch, found, want)
 		}
--- a/process/consensus/statemachine/proposals.go
+++ b/process/consensus/statemachine/proposals.go
@@ -31,15 +31,15 @@
 
 // Proposal is one bundle on its way to being in force.
 type Proposal struct {
-	ID       string      `json:"proposalId"`
-	Base     ident.Epoch `json:"base"`
-	Stage    Stage       `json:"stage"`
-	Proposed Mark        `json:"proposed"`
-	Reviews  []Mark      `json:"reviews,omitempty"`
-	Signs    []Mark      `json:"signs,omitempty"`
-	Rolled   *Mark       `json:"rolled,omitempty"`
-	Epoch    ident.Epoch `json:"epoch,omitempty"`
-	Spec     []byte      `json:"spec,omitempty"`
+	ID       string        `json:"proposalId"`
+	Base     ident.Version `json:"base"`
+	Stage    Stage         `json:"stage"`
+	Proposed Mark          `json:"proposed"`
+	Reviews  []Mark        `json:"reviews,omitempty"`
+	Signs    []Mark        `json:"signs,omitempty"`
+	Rolled   *Mark         `json:"rolled,omitempty"`
+	Epoch    ident.Version `json:"epoch,omitempty"`
+	Spec     []byte        `json:"spec,omitempty"`
 	// Packed says that Spec is compressed; Bundle gives it back.
 	Packed   bool           `json:"packed,omitempty"`
 	Revision ident.Revision `json:"revision,omitempty"`
@@ -71,7 +71,7 @@
 }
 
 // lostTo answers one whose base is no longer, or not yet, in force.
-func (s *State) lostTo(base ident.Epoch) Result {
+func (s *State) lostTo(base ident.Version) Result {
 	result := Result{Verdict: Conflict, Reason: "the base is not the epoch in force"}
 	if winner, ok := s.At(base + 1); ok {
 		result.Winner = winner.ID
--- a/process/consensus/statemachine/ranking_test.go
+++ b/process/consensus/statemachine/ranking_test.go
@@ -19,7 +19,7 @@
 	return s.Apply(data)
 }
 
-func ranked(node ident.NodeID, claim ident.ClaimNumber, engine ident.EngineID, closed bool) Command {
+func ranked(node ident.NodeID, claim ident.FencingToken, engine ident.EngineID, closed bool) Command {
 	return Command{Op: OpClosure, NodeID: node, Operator: "ranking", Engine: engine, Closed: closed, Ranking: &RankingMark{Claim: claim, Stamp: 7, Reason: "stall"}}
 }
 
@@ -34,7 +34,7 @@
 func TestOnlyTheClaimRanks(t *testing.T) {
 	for name, c := range map[string]struct {
 		node  ident.NodeID
-		claim ident.ClaimNumber
+		claim ident.FencingToken
 		at    ident.GroupTime
 		want  Verdict
 	}{
--- a/process/consensus/statemachine/repeats_test.go
+++ b/process/consensus/statemachine/repeats_test.go
@@ -35,14 +35,14 @@
 	apply := func(digest string, base, revision ident.Revision) Command {
 		return Command{Op: OpApply, Digest: digest, BaseRevision: base, Revision: revision, Spec: []byte(bundle), Operator: operator}
 	}
-	closure := func(base ident.Epoch, closed bool, by string) Command {
+	closure := func(base ident.Version, closed bool, by string) Command {
 		return Command{Op: OpClosure, Engine: "e", Closed: closed, Base: base, Based: true, Operator: by}
 	}
-	keep := func(base ident.Epoch, kept bool, by string) Command {
+	keep := func(base ident.Version, kept bool, by string) Command {
 		return Command{Op: OpKeep, Engine: "e", Closed: kept, Base: base, Based: true, Operator: by}
 	}
 	claim := Command{Op: OpClaim, NodeID: "a#1", SpanMs: 3000, TellsAll: true, Orders: map[ident.EngineID]uint64{"e": 4}, OrdersTurn: 2}
-	ranking := func(stamp ident.MintedID, closed bool) Command {
+	ranking := func(stamp ident.SnowflakeID, closed bool) Command {
 		return Command{Op: OpClosure, NodeID: "a#1", Engine: "e", Closed: closed, Operator: "ranking", Ranking: &RankingMark{Claim: 1, Stamp: stamp}}
 	}
 	enlist := func(node ident.NodeID) Command { return Command{Op: OpEnlist, NodeID: node, Address: "x:1"} }
--- a/process/consensus/statemachine/sound.go
+++ b/process/consensus/statemachine/sound.go
@@ -23,8 +23,8 @@
 	}
 	for place, id := range s.History {
 		// The oldest bundles are forgotten, but not their places.
-		if proposal := s.Proposals[id]; proposal != nil && (proposal.Stage != Rolled || proposal.Epoch != s.Dropped+ident.Epoch(place)+1) {
-			return eris.Errorf("epoch %d is proposal %q, which was not put in force with it", s.Dropped+ident.Epoch(place)+1, id)
+		if proposal := s.Proposals[id]; proposal != nil && (proposal.Stage != Rolled || proposal.Epoch != s.Dropped+ident.Version(place)+1) {
+			return eris.Errorf("epoch %d is proposal %q, which was not put in force with it", s.Dropped+ident.Version(place)+1, id)
 		}
 	}
 	return nil
--- a/process/consensus/statemachine/statemachine.go
+++ b/process/consensus/statemachine/statemachine.go
@@ -46,7 +46,7 @@
 	Closures *Closures       `json:"closures,omitempty"`
 	Claim    *Claim          `json:"claim,omitempty"`
 	// Epoch is the spec epoch in force after the command, Revision the operators' own number of it.
-	Epoch    ident.Epoch    `json:"epoch,omitempty"`
+	Epoch    ident.Version  `json:"epoch,omitempty"`
 	Revision ident.Revision `json:"revision,omitempty"`
 	// Winner names the proposal that was rolled on the base a loser built on.
 	Winner string `json:"winner,omitempty"`
@@ -58,10 +58,10 @@
 	Workers   *workerid.Table      `json:"workers"`
 	Proposals map[string]*Proposal `json:"proposals"`
 	// History lists the proposals in force by epoch, the newest last; it begins after the Dropped oldest ones.
-	History []string    `json:"history"`
-	Dropped ident.Epoch `json:"dropped,omitempty"`
+	History []string      `json:"history"`
+	Dropped ident.Version `json:"dropped,omitempty"`
 	// Lasting holds, of the dropped epochs, the proposals that stay known: the first, and all that were signed off.
-	Lasting map[ident.Epoch]string `json:"lasting,omitempty"`
+	Lasting map[ident.Version]string `json:"lasting,omitempty"`
 	// Revision is the operators' own number of the bundle in force: it rises with each bundle.
 	Revision ident.Revision `json:"revision,omitempty"`
 	// ProvenFrom is the lowest base on which an order that is not remembered is proved never to have been taken.
--- a/process/consensus/statemachine/statemachine_test.go
+++ b/process/consensus/statemachine/statemachine_test.go
@@ -18,7 +18,7 @@
 	names := []string{"ana", "berta", "chen"}
 	return Command{
 		Op: ops[int(raw[0])%len(ops)], At: ident.GroupTime(raw[1]) * 700, NodeID: ident.NodeID(names[raw[2]%3]), WorkerID: ident.WorkerID(raw[3] % 3),
-		SpanMs: 30000, GapMs: 3000, ProposalID: fmt.Sprint("p", raw[4]%6), Base: ident.Epoch(raw[5] % 3), Operator: names[raw[2]%3],
+		SpanMs: 30000, GapMs: 3000, ProposalID: fmt.Sprint("p", raw[4]%6), Base: ident.Version(raw[5] % 3), Operator: names[raw[2]%3],
 		Spec: []byte{raw[6] % 2}, Zone: ident.ZoneID(names[raw[3]%3]), Closed: raw[6]%2 == 0,
 	}
 }
@@ -32,7 +32,7 @@
 	properties.Property("invariants hold and snapshots change nothing", prop.ForAll(func(history [][]uint8) string {
 		straight, snapped := New(), New()
 		var now ident.GroupTime
-		var claims ident.ClaimNumber
+		var claims ident.FencingToken
 		for i, raw := range history {
 			data, err := json.Marshal(command(raw))
 			if err != nil {
@@ -60,7 +60,7 @@
 			now, claims = straight.Now, straight.Claim.Number
 			for epoch, id := range straight.History {
 				p := straight.Proposals[id]
-				if p.Stage != Rolled || p.Epoch != ident.Epoch(epoch+1) || p.Base != ident.Epoch(epoch) {
+				if p.Stage != Rolled || p.Epoch != ident.Version(epoch+1) || p.Base != ident.Version(epoch) {
 					return fmt.Sprintf("%s stands at epoch %d as %s on base %d", id, epoch+1, p.Stage, p.Base)
 				}
 				signedByOther := false
--- a/process/engines/registry/converge_test.go
+++ b/process/engines/registry/converge_test.go
@@ -88,7 +88,7 @@
 		}
 	case n == 10:
 		w.turn++
-		w.cores[at].TellPlan(w.now, map[ident.EngineID]Plan{id: {Claim: ident.ClaimNumber(w.turn / 5), Turn: w.turn, Active: w.random.IntN(9),
+		w.cores[at].TellPlan(w.now, map[ident.EngineID]Plan{id: {Claim: ident.FencingToken(w.turn / 5), Turn: w.turn, Active: w.random.IntN(9),
 			Models: []Held{{Model: fmt.Sprint("m", w.random.IntN(2))}}, Coming: []Coming{{Target: Target{Model: fmt.Sprint("m", w.random.IntN(2))}}}}})
 	case n == 11:
 		// Now and then one judges that should not: that must be put right all the same.
--- a/process/engines/registry/core.go
+++ b/process/engines/registry/core.go
@@ -89,7 +89,7 @@
 // want is what is to be had of an engine that another told of in short.
 type want struct {
 	callSeq, digest uint64
-	claim           ident.ClaimNumber
+	claim           ident.FencingToken
 	turn            uint64
 }
 
@@ -414,7 +414,7 @@
 }
 
 // older says whether a plan is older than another, or the same.
-func older(claim ident.ClaimNumber, turn uint64, than *Plan) bool {
+func older(claim ident.FencingToken, turn uint64, than *Plan) bool {
 	return than != nil && cmp.Or(cmp.Compare(claim, than.Claim), cmp.Compare(turn, than.Turn)) <= 0
 }
 
--- a/process/engines/registry/types.go
+++ b/process/engines/registry/types.go
@@ -49,7 +49,7 @@
 
 // Plan is what the planner last told of an engine. Of two the one with the higher claim, then turn, counts.
 type Plan struct {
-	Claim ident.ClaimNumber
+	Claim ident.FencingToken
 	Turn  uint64
 	// Models is what its newest report showed; Retiring is about to be unloaded and gets nothing new.
 	Models   []Held
--- a/process/engines/registry/wire.go
+++ b/process/engines/registry/wire.go
@@ -91,7 +91,7 @@
 }
 
 func decodePlan(told clock.Mark, plan *peerapi.EnginePlan) *Plan {
-	out := &Plan{Claim: ident.ClaimNumber(plan.Claim), Turn: plan.Turn, Active: int(counted(plan.Active)), Queued: int(counted(plan.Queued)),
+	out := &Plan{Claim: ident.FencingToken(plan.Claim), Turn: plan.Turn, Active: int(counted(plan.Active)), Queued: int(counted(plan.Queued)),
 		MemoryUsed: counted(plan.MemoryUsed), Memory: counted(plan.Memory), Told: msAgo(told, max(0, plan.ToldMsAgo))}
 	if plan.ModelsKnown {
 		out.Models = decodeHeld(plan.Models)
--- a/process/placement/plannerlease/claim.go
+++ b/process/placement/plannerlease/claim.go
@@ -12,7 +12,7 @@
 )
 
 type holding struct {
-	number ident.ClaimNumber
+	number ident.FencingToken
 	until  clock.Mark
 }
 
@@ -28,7 +28,7 @@
 func NewHolder(c clock.Clock, margin time.Duration) *Holder { return &Holder{clock: c, margin: margin} }
 
 // Held gives the claim that is held now.
-func (h *Holder) Held() (ident.ClaimNumber, bool) {
+func (h *Holder) Held() (ident.FencingToken, bool) {
 	held := h.held.Load()
 	if held == nil || h.clock.Elapsed() >= held.until {
 		return 0, false
@@ -37,7 +37,7 @@
 }
 
 // Commands says whether engines may be commanded under this claim now.
-func (h *Holder) Commands(number ident.ClaimNumber) bool {
+func (h *Holder) Commands(number ident.FencingToken) bool {
 	held, now := h.Held()
 	return now && held == number
 }
--- a/process/placement/poolplacement/actor.go
+++ b/process/placement/poolplacement/actor.go
@@ -24,7 +24,7 @@
 	// Claim asks the group for the claim, or for more time under it, and tells what is about to be ordered.
 	Claim(ctx context.Context, told *statemachine.Told, whole bool) ClaimAnswer
 	// Mint stamps an order; LeaseHeld says whether what was minted may still be used.
-	Mint() (ident.MintedID, snowflake.Outcome)
+	Mint() (ident.SnowflakeID, snowflake.Outcome)
 	LeaseHeld() bool
 	// MayStand says whether this daemon should try for the claim, First whether it should before others.
 	MayStand() bool
@@ -41,7 +41,7 @@
 
 // Condition is what others may see of the planner.
 type Condition struct {
-	Claim    ident.ClaimNumber
+	Claim    ident.FencingToken
 	Held     bool
 	Engines  int
 	InFlight int
@@ -61,7 +61,7 @@
 	claim    *plannerlease.Holder
 	planner  *Planner
 	// plannerOf is the claim that the planner was made for.
-	plannerOf ident.ClaimNumber
+	plannerOf ident.FencingToken
 	asking    bool
 	// askNext is when the group is asked next; until then there is nothing to be had.
 	askNext   clock.Mark
@@ -197,7 +197,7 @@
 }
 
 // plan asks for reports, tells what is planned, and sends the orders.
-func (a *Actor) plan(ctx context.Context, now clock.Mark, number ident.ClaimNumber) {
+func (a *Actor) plan(ctx context.Context, now clock.Mark, number ident.FencingToken) {
 	if !a.rest.over(now) {
 		// Whoever has an order is still asked, so that its end is seen.
 		a.askForReports(ctx, now)
@@ -239,7 +239,7 @@
 
 // send tells the group of the orders first, so that a successor counts the loads and keeps quiet after the
 // last however this daemon ends, and then sends them.
-func (a *Actor) send(ctx context.Context, number ident.ClaimNumber, told *statemachine.Told, orders []Order, addresses map[ident.EngineID]string) {
+func (a *Actor) send(ctx context.Context, number ident.FencingToken, told *statemachine.Told, orders []Order, addresses map[ident.EngineID]string) {
 	mayLeave := func() bool { return a.claim.Commands(number) && a.around.LeaseHeld() }
 	asked := a.clock.Elapsed()
 	give := func(order Order) {
--- a/process/placement/poolplacement/actor_test.go
+++ b/process/placement/poolplacement/actor_test.go
@@ -26,7 +26,7 @@
 	section  *upstream.Section
 	view     *registry.View
 	demand   []Demand
-	holder   ident.ClaimNumber
+	holder   ident.FencingToken
 	passedOn bool
 	// asks counts the questions for the claim.
 	asks int
@@ -66,11 +66,11 @@
 	at := ident.GroupTime(w.now / clock.Mark(time.Millisecond))
 	return ClaimAnswer{Granted: &statemachine.Claim{Number: w.holder, Now: at, Until: at.Add(3 * time.Second)}}
 }
-func (w *frozenWorld) Mint() (ident.MintedID, snowflake.Outcome) { return 1, snowflake.Minted }
-func (w *frozenWorld) LeaseHeld() bool                           { return true }
-func (w *frozenWorld) MayStand() bool                            { return true }
-func (w *frozenWorld) First() bool                               { return true }
-func (w *frozenWorld) Tell(map[ident.EngineID]registry.Plan)     {}
+func (w *frozenWorld) Mint() (ident.SnowflakeID, snowflake.Outcome) { return 1, snowflake.Minted }
+func (w *frozenWorld) LeaseHeld() bool                              { return true }
+func (w *frozenWorld) MayStand() bool                               { return true }
+func (w *frozenWorld) First() bool                                  { return true }
+func (w *frozenWorld) Tell(map[ident.EngineID]registry.Plan)        {}
 func (w *frozenWorld) freeze(span time.Duration) {
 	w.Lock()
 	w.now += clock.Mark(span)
--- a/process/placement/poolplacement/batch_test.go
+++ b/process/placement/poolplacement/batch_test.go
@@ -72,7 +72,7 @@
 	state   *statemachine.State
 	holder  ident.NodeID
 	claim   *statemachine.Claim
-	stamp   ident.MintedID
+	stamp   ident.SnowflakeID
 	version uint64
 	// told is what daemons hear of engines, some time after it was told.
 	told     map[ident.EngineID]registry.Plan
@@ -94,7 +94,7 @@
 	// mute tells the group of no order.
 	mute bool
 	// newest is the claim of the newest order that reached an engine, newestAt when it did.
-	newest   ident.ClaimNumber
+	newest   ident.FencingToken
 	newestAt clock.Mark
 
 	faults                                       []string
--- a/process/placement/poolplacement/flight.go
+++ b/process/placement/poolplacement/flight.go
@@ -54,7 +54,7 @@
 }
 
 // Stamp notes the id and the claim that an order is sent under.
-func (p *Planner) Stamp(engine ident.EngineID, stamp ident.MintedID, claim ident.ClaimNumber) (Order, string, bool) {
+func (p *Planner) Stamp(engine ident.EngineID, stamp ident.SnowflakeID, claim ident.FencingToken) (Order, string, bool) {
 	e := p.engines[engine]
 	if e == nil || e.flight == nil {
 		return Order{}, "", false
--- a/process/placement/poolplacement/lag_test.go
+++ b/process/placement/poolplacement/lag_test.go
@@ -18,7 +18,7 @@
 	in      Input
 	held    []registry.Held
 	taken   uint64
-	stamp   ident.MintedID
+	stamp   ident.SnowflakeID
 	// lag is how far behind the truth the engine's reports are.
 	lag time.Duration
 }
--- a/process/placement/poolplacement/room_test.go
+++ b/process/placement/poolplacement/room_test.go
@@ -18,7 +18,7 @@
 	planner *Planner
 	now     clock.Mark
 	in      Input
-	stamp   ident.MintedID
+	stamp   ident.SnowflakeID
 	reports map[ident.EngineID]Report
 }
 
--- a/process/placement/poolplacement/types.go
+++ b/process/placement/poolplacement/types.go
@@ -34,8 +34,8 @@
 	Expected uint64
 	// Owner and Claim are the fence. Stamp is the minted id of this order: it stays on our side.
 	Owner string
-	Claim ident.ClaimNumber
-	Stamp ident.MintedID
+	Claim ident.FencingToken
+	Stamp ident.SnowflakeID
 }
 
 // Target is what the order is about.
--- a/process/placement/sessionplacement/actor.go
+++ b/process/placement/sessionplacement/actor.go
@@ -21,7 +21,7 @@
 	// Claim asks the group for the claim, or for more time under it, and reports what was ordered.
 	Claim(ctx context.Context, orders map[ident.EngineID]uint64, turn uint64) (*statemachine.Claim, bool)
 	// Mint stamps an order.
-	Mint() (ident.MintedID, snowflake.Outcome)
+	Mint() (ident.SnowflakeID, snowflake.Outcome)
 	// Order sends an order; see enginelink.Order.
 	Order(ctx context.Context, address string, order engineapi.Order, limit time.Duration, mayLeave func() bool) (*engineapi.OrderAnswer, bool)
 	// MayStand says whether this daemon should try for the claim.
@@ -30,7 +30,7 @@
 
 // Condition is what others may see of the planner.
 type Condition struct {
-	Claim    ident.ClaimNumber
+	Claim    ident.FencingToken
 	Held     bool
 	InFlight int
 	Lacks    []Lack
@@ -132,7 +132,7 @@
 // announceLimit bounds the wait until the group has written down that orders are about to leave.
 const announceLimit = 1500 * time.Millisecond
 
-func (a *Actor) plan(ctx context.Context, number ident.ClaimNumber) {
+func (a *Actor) plan(ctx context.Context, number ident.FencingToken) {
 	given := a.planner.Step(a.around.Input())
 	if len(given) == 0 {
 		return
--- a/process/placement/sessionplacement/orders.go
+++ b/process/placement/sessionplacement/orders.go
@@ -89,7 +89,7 @@
 }
 
 // Stamp notes the id an order was sent under.
-func (p *Planner) Stamp(engine ident.EngineID, stamp ident.MintedID, claim ident.ClaimNumber) (engineapi.Order, bool) {
+func (p *Planner) Stamp(engine ident.EngineID, stamp ident.SnowflakeID, claim ident.FencingToken) (engineapi.Order, bool) {
 	inFlight := p.inFlight[engine]
 	if inFlight == nil {
 		return engineapi.Order{}, false
--- a/process/placement/sessionplacement/placement_test.go
+++ b/process/placement/sessionplacement/placement_test.go
@@ -45,7 +45,7 @@
 	engines  map[ident.EngineID]*fakeEngine
 	demand   []Demand
 	seats    []Assignments
-	stamp    ident.MintedID
+	stamp    ident.SnowflakeID
 	lastLoad clock.Mark
 	faults   []string
 	loads    int
--- a/process/rollout/directapply/applying.go
+++ b/process/rollout/directapply/applying.go
@@ -26,7 +26,7 @@
 // Newest is the newest bundle; the proposal is nil before the first.
 type Newest struct {
 	Revision ident.Revision         `json:"revision"`
-	Epoch    ident.Epoch            `json:"epoch"`
+	Epoch    ident.Version          `json:"epoch"`
 	Proposal *statemachine.Proposal `json:"proposal,omitempty"`
 }
 
@@ -109,12 +109,12 @@
 	return operatorapi.Applying{Outcome: operatorapi.Invalid, Reason: result.Reason}
 }
 
-func conflict(revision ident.Revision, epoch ident.Epoch) operatorapi.Applying {
+func conflict(revision ident.Revision, epoch ident.Version) operatorapi.Applying {
 	return operatorapi.Applying{Outcome: operatorapi.Conflicted, Revision: revision, Epoch: epoch, Reason: "another bundle is in force than the one this call builds on"}
 }
 
 // unproven is no clear answer: neither an acknowledgement nor a refusal could be proved.
-func unproven(revision ident.Revision, epoch ident.Epoch) operatorapi.Applying {
+func unproven(revision ident.Revision, epoch ident.Version) operatorapi.Applying {
 	return operatorapi.Applying{Outcome: operatorapi.Unknown, Revision: revision, Epoch: epoch, Reason: "whether this call was taken is not known any more: read the bundle in force and build on that"}
 }
 
--- a/process/rollout/rollout.go
+++ b/process/rollout/rollout.go
@@ -36,10 +36,10 @@
 )
 
 // SpecChange and ClosureChange name changes for the tracer.
-func SpecChange(epoch ident.Epoch) string { return fmt.Sprintf("spec:%d", epoch) }
+func SpecChange(epoch ident.Version) string { return fmt.Sprintf("spec:%d", epoch) }
 
 // ClosureChange names one epoch of the closures.
-func ClosureChange(epoch ident.Epoch) string { return fmt.Sprintf("closure:%d", epoch) }
+func ClosureChange(epoch ident.Version) string { return fmt.Sprintf("closure:%d", epoch) }
 
 // mostPastBytes bounds the bundles kept for recall, mostPackedBytes those among them that came packed: they
 // are put in force in one step, come often, and the group itself keeps the newest.
@@ -70,7 +70,7 @@
 }
 
 type offer struct {
-	epoch    ident.Epoch
+	epoch    ident.Version
 	bundle   compression.Bundle
 	closures *statemachine.Closures
 	// past says that it was in force before, and is only to be remembered.
@@ -92,7 +92,7 @@
 func (k *Keeper) Table() *routingtable.Table { return k.table.Load() }
 
 // Recall gives a bundle that was in force here in this life.
-func (k *Keeper) Recall(epoch ident.Epoch) ([]byte, bool) {
+func (k *Keeper) Recall(epoch ident.Version) ([]byte, bool) {
 	found, known := k.past.Load(epoch)
 	if !known {
 		return nil, false
@@ -105,17 +105,17 @@
 func (k *Keeper) Steps() []Step { return *k.steps.Load() }
 
 // Offer hands in what was learned; either part may be empty. It returns when the offer is in force or passed by.
-func (k *Keeper) Offer(epoch ident.Epoch, bundle compression.Bundle, closures *statemachine.Closures) {
+func (k *Keeper) Offer(epoch ident.Version, bundle compression.Bundle, closures *statemachine.Closures) {
 	k.send(offer{epoch: epoch, bundle: bundle, closures: closures})
 }
 
 // Remember hands in a bundle that was in force before this life began.
-func (k *Keeper) Remember(epoch ident.Epoch, raw []byte) {
+func (k *Keeper) Remember(epoch ident.Version, raw []byte) {
 	k.send(offer{epoch: epoch, bundle: compression.Bundle{Data: raw}, past: true})
 }
 
 // Lacks says whether an earlier bundle would be kept if it were handed in.
-func (k *Keeper) Lacks(epoch ident.Epoch) bool { return uint64(epoch) > k.dropped.Load() }
+func (k *Keeper) Lacks(epoch ident.Version) bool { return uint64(epoch) > k.dropped.Load() }
 
 func (k *Keeper) send(o offer) {
 	o.done = make(chan struct{})
@@ -129,7 +129,7 @@
 }
 
 // keep remembers a bundle, and drops the oldest ones where they grow too many.
-func (k *Keeper) keep(epoch ident.Epoch, bundle compression.Bundle) {
+func (k *Keeper) keep(epoch ident.Version, bundle compression.Bundle) {
 	if _, known := k.past.LoadOrStore(epoch, bundle); known {
 		return
 	}
@@ -149,8 +149,8 @@
 	}
 }
 
-func (k *Keeper) oldest(epoch ident.Epoch) ident.Epoch {
-	k.past.Range(func(key, _ any) bool { epoch = min(epoch, key.(ident.Epoch)); return true })
+func (k *Keeper) oldest(epoch ident.Version) ident.Version {
+	k.past.Range(func(key, _ any) bool { epoch = min(epoch, key.(ident.Version)); return true })
 	return epoch
 }
 
@@ -246,7 +246,7 @@
 	}
 }
 
-func (k *Keeper) closureEpoch() ident.Epoch {
+func (k *Keeper) closureEpoch() ident.Version {
 	if held := k.table.Load(); held != nil {
 		return held.Closures.Epoch
 	}
--- a/process/rollout/rollout_test.go
+++ b/process/rollout/rollout_test.go
@@ -19,7 +19,7 @@
 )
 
 // bundleOf is the bundle of an epoch; another variant is other bytes under the same number.
-func bundleOf(t testing.TB, epoch ident.Epoch, variant string) []byte {
+func bundleOf(t testing.TB, epoch ident.Version, variant string) []byte {
 	raw, err := json.Marshal(document.Spec{Name: variant, Forward: &upstream.Section{Revision: uint64(epoch), Pools: []upstream.Pool{{Name: "p"}}}})
 	if err != nil {
 		t.Fatal(err)
@@ -28,7 +28,7 @@
 }
 
 // seen is what one observer saw in force, one after the other.
-type seen struct{ bundles, closures []ident.Epoch }
+type seen struct{ bundles, closures []ident.Version }
 
 func (s *seen) look(k *Keeper) {
 	if held := k.Table(); held != nil {
@@ -36,7 +36,7 @@
 	}
 }
 
-func rises(epochs []ident.Epoch) bool {
+func rises(epochs []ident.Version) bool {
 	for place := 1; place < len(epochs); place++ {
 		if epochs[place] < epochs[place-1] {
 			return false
@@ -65,12 +65,12 @@
 		const offerers = 4
 		inForce := &seen{}
 		keeper, end := run(inForce)
-		var newest, newestClosure ident.Epoch
+		var newest, newestClosure ident.Version
 		var offered sync.WaitGroup
 		readers := make([]seen, offerers)
 		for offerer := range offerers {
 			for place := offerer; place < len(offers); place += offerers {
-				epoch, closure := ident.Epoch(offers[place]%13), ident.Epoch(offers[place]/13)
+				epoch, closure := ident.Version(offers[place]%13), ident.Version(offers[place]/13)
 				if offers[place]%7 != 0 {
 					newest, newestClosure = max(newest, epoch), max(newestClosure, closure)
 				}
@@ -79,7 +79,7 @@
 			go func() {
 				defer offered.Done()
 				for place := offerer; place < len(offers); place += offerers {
-					epoch, closure := ident.Epoch(offers[place]%13), ident.Epoch(offers[place]/13)
+					epoch, closure := ident.Version(offers[place]%13), ident.Version(offers[place]/13)
 					raw := bundleOf(t, epoch, "same")
 					bundle, closures := compression.Bundle{Data: raw}, &statemachine.Closures{Epoch: closure}
 					switch {
--- a/process/workerid/snowflake/snowflake.go
+++ b/process/workerid/snowflake/snowflake.go
@@ -122,7 +122,7 @@
 func (g *Generator) Refusals() uint64 { return g.refusals.Load() }
 
 // Mint gives the next id, or why there is none.
-func (g *Generator) Mint() (ident.MintedID, Outcome) {
+func (g *Generator) Mint() (ident.SnowflakeID, Outcome) {
 	for {
 		held := g.window.Load()
 		now := g.clock.Elapsed()
@@ -162,12 +162,12 @@
 		if g.window.Load() != held {
 			continue
 		}
-		return ident.MintedID(stamp<<(workerBits+sequenceBits) | uint64(held.worker)<<sequenceBits | next&sequenceMask), Minted
+		return ident.SnowflakeID(stamp<<(workerBits+sequenceBits) | uint64(held.worker)<<sequenceBits | next&sequenceMask), Minted
 	}
 }
 
 // Parts takes an id apart.
-func Parts(id ident.MintedID) (at ident.GroupTime, worker ident.WorkerID, sequence int) {
+func Parts(id ident.SnowflakeID) (at ident.GroupTime, worker ident.WorkerID, sequence int) {
 	raw := uint64(id)
 	return ident.GroupTime(raw>>(workerBits+sequenceBits)) + Epoch,
 		ident.WorkerID(raw >> sequenceBits & (1<<workerBits - 1)), int(raw & sequenceMask)
--- a/request/dispatch/core_test.go
+++ b/request/dispatch/core_test.go
@@ -23,7 +23,7 @@
 	return World{Now: now, Table: routingtable.Build(1, nil, s, statemachine.Closures{}), Zone: "z",
 		Engines: &discovery.View{Engines: map[ident.EngineID]*discovery.Engine{"e": {ID: "e", Zone: "z", Condition: discovery.Sound, Asked: now,
 			Report: engineapi.Report{Models: []engineapi.ModelReport{{Model: "m", State: engineapi.Loaded}}}}}},
-		Mint: func() (ident.MintedID, snowflake.Outcome) {
+		Mint: func() (ident.SnowflakeID, snowflake.Outcome) {
 			if minted {
 				return 1, snowflake.Minted
 			}
--- a/request/dispatch/events.go
+++ b/request/dispatch/events.go
@@ -71,4 +71,4 @@
 func (Tick) dispatchEvent()            {}
 
 // MintFunc mints the ids by which queued and retried requests are stamped.
-type MintFunc func() (ident.MintedID, snowflake.Outcome)
+type MintFunc func() (ident.SnowflakeID, snowflake.Outcome)
--- a/request/dispatch/record.go
+++ b/request/dispatch/record.go
@@ -61,7 +61,7 @@
 	Engine   ident.EngineID
 	Attempts int
 	// Stamps are the minted ids of its queueing and of each retry.
-	Stamps []ident.MintedID
+	Stamps []ident.SnowflakeID
 	// assigned is the engine that must be used, found at this daemon or by the session's owner.
 	assigned        ident.EngineID
 	assignmentAsked bool
--- a/request/forwarding/core.go
+++ b/request/forwarding/core.go
@@ -25,7 +25,7 @@
 	Edges int
 	// Leased says whether a worker id is held, Mint mints under it.
 	Leased bool
-	Mint   func() (ident.MintedID, bool)
+	Mint   func() (ident.SnowflakeID, bool)
 	// Open says whether operators let new requests go to an engine: neither it nor its zone is closed. Nil is yes.
 	Open func(*registry.Engine) bool
 	// Emptied says that an engine is shut because its node is sick, so that what can go on elsewhere does. Nil is never.
--- a/request/forwarding/core_test.go
+++ b/request/forwarding/core_test.go
@@ -29,7 +29,7 @@
 	index          *upstream.Index
 	view           *registry.View
 	edges          int
-	minted         ident.MintedID
+	minted         ident.SnowflakeID
 	lacks          map[string]time.Duration
 	made           int
 }
@@ -57,7 +57,7 @@
 func (b *bench) world() World {
 	return World{Now: b.now, Index: b.index, Current: b.current, View: b.view, Edges: b.edges,
 		Leased: b.lease,
-		Mint:   func() (ident.MintedID, bool) { b.minted++; return b.minted, b.lease },
+		Mint:   func() (ident.SnowflakeID, bool) { b.minted++; return b.minted, b.lease },
 		Lacks: func(_, model, adapter string) (time.Duration, bool) {
 			wait, lacks := b.lacks[model+"/"+adapter]
 			return wait, lacks
--- a/request/forwarding/record.go
+++ b/request/forwarding/record.go
@@ -79,7 +79,7 @@
 	tried    []ident.EngineID
 	engine   ident.EngineID
 	// stamps are the minted ids of its queueing and of each retry.
-	stamps []ident.MintedID
+	stamps []ident.SnowflakeID
 	// mayHaveRun says that an attempt may have run, so no refusal may be promised.
 	mayHaveRun bool
 	// begun says that the caller has bytes of an answer, callerLeft that it waits for none any more.
--- a/request/forwarding/simulate_test.go
+++ b/request/forwarding/simulate_test.go
@@ -122,7 +122,7 @@
 	for range daemons {
 		d := &simulated{core: NewCore(DefaultSettings())}
 		d.world = func() World {
-			return World{Now: s.now, Zone: d.zone, Index: s.index, Current: true, View: s.view, Edges: daemons, Leased: true, Mint: func() (ident.MintedID, bool) { return 1, true }}
+			return World{Now: s.now, Zone: d.zone, Index: s.index, Current: true, View: s.view, Edges: daemons, Leased: true, Mint: func() (ident.SnowflakeID, bool) { return 1, true }}
 		}
 		s.daemons = append(s.daemons, d)
 	}
--- a/testbed/checker/orders.go
+++ b/testbed/checker/orders.go
@@ -46,7 +46,7 @@
 }
 
 func workerOf(stamp string) string {
-	var id ident.MintedID
+	var id ident.SnowflakeID
 	_, _ = fmt.Sscanf(stamp, "%d", &id)
 	_, worker, _ := snowflake.Parts(id)
 	return fmt.Sprint(worker)
--- a/testbed/endtoend/harness_test.go
+++ b/testbed/endtoend/harness_test.go
@@ -359,7 +359,7 @@
 
 func (b *bench) propose(id string, base uint64, operator string, bundle []byte) (int, operatorapi.Error) {
 	b.t.Helper()
-	body, err := operatorapi.Propose{ProposalID: id, Base: ident.Epoch(base), Operator: operator, Spec: bundle}.Encode()
+	body, err := operatorapi.Propose{ProposalID: id, Base: ident.Version(base), Operator: operator, Spec: bundle}.Encode()
 	if err != nil {
 		b.t.Fatal(err)
 	}
--- a/testbed/endtoend/operator_test.go
+++ b/testbed/endtoend/operator_test.go
@@ -151,7 +151,7 @@
 // answer was lost finds itself when it is asked for again.
 func TestOfTwoClosuresOnOneBaseOneLoses(t *testing.T) {
 	b := start(t, nil, engine.Config{})
-	shut := func(zone, operator string, closed bool, base ident.Epoch) (int, operatorapi.Error) {
+	shut := func(zone, operator string, closed bool, base ident.Version) (int, operatorapi.Error) {
 		return b.answered(operatorapi.PathZone, encode(t, operatorapi.Zone{Zone: ident.ZoneID(zone), Closed: &closed, Base: &base, Operator: operator}))
 	}
 	for round := range 10 {
--- a/testbed/interleaving/interleave_test.go
+++ b/testbed/interleaving/interleave_test.go
@@ -90,7 +90,7 @@
 		start := snowflake.Epoch + 1_000_000
 		now := second
 		group := workerid.New()
-		var ids []ident.MintedID
+		var ids []ident.SnowflakeID
 		current := &yieldingClock{now: &now}
 		first := snowflake.New(switching{current}, 0)
 		grant, _ := group.Acquire("first", start, 30*time.Second)
@@ -140,8 +140,8 @@
 	}
 }
 
-func noTwins(ids []ident.MintedID) error {
-	seen := map[ident.MintedID]bool{}
+func noTwins(ids []ident.SnowflakeID) error {
+	seen := map[ident.SnowflakeID]bool{}
 	for _, id := range ids {
 		if seen[id] {
 			return fmt.Errorf("id %d was minted twice", id)
@@ -172,7 +172,7 @@
 			grant.LeaseExpiry += ident.GroupTime(-margin / time.Millisecond)
 		}
 		first.Take(grant, now)
-		var ids []ident.MintedID
+		var ids []ident.SnowflakeID
 		minter := func(yield func()) {
 			for range 3 {
 				yield()
@@ -237,7 +237,7 @@
 	written map[dispatch.RecordID]bool
 	refused map[dispatch.RecordID]bool
 	sends   []dispatch.Send
-	stamp   ident.MintedID
+	stamp   ident.SnowflakeID
 	// blind leaves the last look out; hasty tells a refusal to all that are late, sent or not.
 	blind, hasty bool
 	lookedAfter  bool
@@ -249,7 +249,7 @@
 }
 
 func (r *router) step(event dispatch.Event) {
-	effects := r.core.Step(dispatch.World{Now: r.now, Table: r.table, Engines: engineView(), Zone: "z", Mint: func() (ident.MintedID, snowflake.Outcome) {
+	effects := r.core.Step(dispatch.World{Now: r.now, Table: r.table, Engines: engineView(), Zone: "z", Mint: func() (ident.SnowflakeID, snowflake.Outcome) {
 		r.stamp++
 		return r.stamp, snowflake.Minted
 	}}, event)
@@ -407,7 +407,7 @@
 		now := second
 		type order struct {
 			at    clock.Mark
-			claim ident.ClaimNumber
+			claim ident.FencingToken
 		}
 		var orders []order
 		planner := func(name ident.NodeID, rounds int) func(func()) {
--- a/testbed/interleaving/orders_test.go
+++ b/testbed/interleaving/orders_test.go
@@ -65,7 +65,7 @@
 // standingKey is all of a standing and a call that a decision can rest on: a digest stands for a call's content.
 type standingKey struct {
 	revision          ident.Revision
-	epoch, takenEpoch ident.Epoch
+	epoch, takenEpoch ident.Version
 	newest, taken     string
 	bundle            string
 	digest            string
--- a/testbed/partitionsim/checker_test.go
+++ b/testbed/partitionsim/checker_test.go
@@ -101,7 +101,7 @@
 	}
 }
 
-func (w *world) acknowledged(spec, closure ident.Epoch) {
+func (w *world) acknowledged(spec, closure ident.Version) {
 	w.acks = append(w.acks, acknowledgement{w.now, membership.InForce{Spec: spec, Closure: closure}})
 }
 
@@ -277,7 +277,7 @@
 }
 
 // sawRead checks a configuration that was read back.
-func (w *world) sawRead(n, source *node, asked, arrived clock.Mark, newest, got ident.Epoch) {
+func (w *world) sawRead(n, source *node, asked, arrived clock.Mark, newest, got ident.Version) {
 	w.reads++
 	if got < newest {
 		w.fault(ruleRead, "%s gives epoch %d by the word of %s, and %d was acknowledged before it was asked", n.name, got, source.name, newest)
--- a/testbed/partitionsim/node_test.go
+++ b/testbed/partitionsim/node_test.go
@@ -48,7 +48,7 @@
 	refs   uint64
 	asked  map[uint64]func(replica.Answer)
 	// offered is the newest that was handed to the keeper by the log.
-	offeredSpec, offeredClosure ident.Epoch
+	offeredSpec, offeredClosure ident.Version
 
 	keeper   *rollout.Keeper
 	stop     context.CancelFunc
@@ -64,7 +64,7 @@
 	// toldAll is when each address last told all.
 	toldAll  map[string]clock.Mark
 	seenAt   clock.Mark
-	seenSpec ident.Epoch
+	seenSpec ident.Version
 	stale    bool
 
 	// checked is what the checker saw of this life.
@@ -400,7 +400,7 @@
 		reply := answer.Reply
 		before := n.force()
 		if len(reply.Spec) > 0 || len(reply.Closures) > 0 {
-			n.keeper.Offer(ident.Epoch(reply.SpecEpoch), bundleOf(reply), rollout.DecodeClosures(reply.Closures))
+			n.keeper.Offer(ident.Version(reply.SpecEpoch), bundleOf(reply), rollout.DecodeClosures(reply.Closures))
 		}
 		if q.linked && !urgentOnly {
 			n.toldAll[q.address] = max(n.toldAll[q.address], answer.Asked)
@@ -411,7 +411,7 @@
 	}
 	force := n.force()
 	if n.w.variant == aheadOfForce && answer.Err == nil {
-		force.Spec, force.Closure = max(force.Spec, ident.Epoch(answer.Reply.SpecEpoch)), max(force.Closure, ident.Epoch(answer.Reply.ClosureEpoch))
+		force.Spec, force.Closure = max(force.Spec, ident.Version(answer.Reply.SpecEpoch)), max(force.Closure, ident.Version(answer.Reply.ClosureEpoch))
 	}
 	if turned := n.tracker.Take(now, answer, force); turned != nil && turned.Stale {
 		n.w.left++
--- a/testbed/partitionsim/operators_test.go
+++ b/testbed/partitionsim/operators_test.go
@@ -227,7 +227,7 @@
 			}
 			leader.read(func(answer replica.Answer) {
 				got := answer
-				epoch := ident.Epoch(0)
+				epoch := ident.Version(0)
 				if got.Outcome == replica.Applied {
 					epoch = got.State.Epoch()
 				}
--- a/testbed/scenario/bundles.go
+++ b/testbed/scenario/bundles.go
@@ -17,7 +17,7 @@
 
 func (r *Run) rollBody(note string, base uint64, body []byte) error {
 	id := fmt.Sprintf("%s-%d", note, r.Seed)
-	if _, err := r.Ask(operatorapi.PathPropose, operatorapi.Propose{ProposalID: id, Base: ident.Epoch(base), Operator: "ana", Spec: body}, nil); err != nil {
+	if _, err := r.Ask(operatorapi.PathPropose, operatorapi.Propose{ProposalID: id, Base: ident.Version(base), Operator: "ana", Spec: body}, nil); err != nil {
 		return err
 	}
 	return r.finishRoll(id, body)
@@ -57,7 +57,7 @@
 	for _, name := range []string{"race-a", "race-b"} {
 		id := fmt.Sprintf("%s-%d", name, r.Seed)
 		bodies[id] = r.Fleet.Deployment.Spec(name, r.without)
-		if _, err := r.Ask(operatorapi.PathPropose, operatorapi.Propose{ProposalID: id, Base: ident.Epoch(base), Operator: "ana", Spec: bodies[id]}, nil); err != nil {
+		if _, err := r.Ask(operatorapi.PathPropose, operatorapi.Propose{ProposalID: id, Base: ident.Version(base), Operator: "ana", Spec: bodies[id]}, nil); err != nil {
 			return err
 		}
 		for _, step := range []struct{ path, operator string }{{operatorapi.PathReview, "berta"}, {operatorapi.PathSign, "chen"}} {
@@ -96,13 +96,13 @@
 // RefuseOnes hands in bundles that must never be in force: one with faults, one signed by its author.
 func (r *Run) RefuseOnes(base uint64) error {
 	bad := []byte(strings.Replace(string(r.Fleet.Deployment.Spec("bad", nil)), `"zones"`, `"zonen"`, 1))
-	status, err := r.Ask(operatorapi.PathPropose, operatorapi.Propose{ProposalID: "bad", Base: ident.Epoch(base), Operator: "ana", Spec: bad}, nil)
+	status, err := r.Ask(operatorapi.PathPropose, operatorapi.Propose{ProposalID: "bad", Base: ident.Version(base), Operator: "ana", Spec: bad}, nil)
 	if status != http.StatusBadRequest {
 		return fmt.Errorf("a bundle with faults was answered with %d: %w", status, err)
 	}
 	r.Act(checker.Act{Kind: checker.Refused, Subject: "a bundle with faults", Body: bad})
 	own := r.Fleet.Deployment.Spec("own", r.without)
-	if _, err := r.Ask(operatorapi.PathPropose, operatorapi.Propose{ProposalID: "own", Base: ident.Epoch(base), Operator: "ana", Spec: own}, nil); err != nil {
+	if _, err := r.Ask(operatorapi.PathPropose, operatorapi.Propose{ProposalID: "own", Base: ident.Version(base), Operator: "ana", Spec: own}, nil); err != nil {
 		return err
 	}
 	if _, err := r.Ask(operatorapi.PathReview, operatorapi.Act{ProposalID: "own", Operator: "berta"}, nil); err != nil {
--- a/testbed/scenario/operators.go
+++ b/testbed/scenario/operators.go
@@ -65,7 +65,7 @@
 }
 
 // closureEpoch reads the epoch that a closure would build on.
-func (r *Run) closureEpoch() (base ident.Epoch, err error) {
+func (r *Run) closureEpoch() (base ident.Version, err error) {
 	err = r.Await("the closures can be read", func() bool {
 		for _, p := range r.anyDaemon() {
 			var closures statemachine.Closures
--- a/wire/engineapi/engineapi.go
+++ b/wire/engineapi/engineapi.go
@@ -60,8 +60,8 @@
 	Model   string    `json:"model"`
 	Adapter string    `json:"adapter,omitempty"`
 	// Stamp is the minted id of this order, Claim the number of the claim it is given under.
-	Stamp ident.MintedID    `json:"stamp,string"`
-	Claim ident.ClaimNumber `json:"claim"`
+	Stamp ident.SnowflakeID  `json:"stamp,string"`
+	Claim ident.FencingToken `json:"claim"`
 }
 
 // OrderAnswer says only that an order was taken or refused, never that it is done.
--- a/wire/operatorapi/bundle.go
+++ b/wire/operatorapi/bundle.go
@@ -58,7 +58,7 @@
 	Outcome ApplyOutcome `json:"outcome"`
 	// Revision and Epoch are what was in force when the answer was made.
 	Revision ident.Revision `json:"revision,omitempty"`
-	Epoch    ident.Epoch    `json:"epoch,omitempty"`
+	Epoch    ident.Version  `json:"epoch,omitempty"`
 	// Acknowledged says that it is in force at all daemons in contact with the leader.
 	Acknowledged bool             `json:"acknowledged,omitempty"`
 	InForceAt    []ident.NodeID   `json:"inForceAt,omitempty"`
@@ -70,7 +70,7 @@
 // Bundle is the newest bundle, as it was handed in or merged.
 type Bundle struct {
 	Revision ident.Revision
-	Epoch    ident.Epoch
+	Epoch    ident.Version
 	// Spec is the bundle's bytes; nothing before the first.
 	Spec []byte
 }
--- a/wire/operatorapi/engines.go
+++ b/wire/operatorapi/engines.go
@@ -44,8 +44,8 @@
 	// HeardMsAgo is when any control daemon last heard it, as far as the answering daemon knows.
 	HeardMsAgo int64 `json:"heardMsAgo"`
 	// Claim and Turn are of the planner's newest word on it.
-	Claim ident.ClaimNumber `json:"claim,omitempty"`
-	Turn  uint64            `json:"turn,omitempty"`
+	Claim ident.FencingToken `json:"claim,omitempty"`
+	Turn  uint64             `json:"turn,omitempty"`
 }
 
 // Engines is the list.
--- a/wire/operatorapi/nodes.go
+++ b/wire/operatorapi/nodes.go
@@ -35,11 +35,11 @@
 // Nodes is the list.
 type Nodes struct {
 	// Mode is what ranking is used for: off, watch or drain.
-	Mode  string            `json:"mode"`
-	Claim ident.ClaimNumber `json:"claim"`
+	Mode  string             `json:"mode"`
+	Claim ident.FencingToken `json:"claim"`
 	// ClosureEpoch is the one that the list was made under, and that what operators say builds on.
-	ClosureEpoch ident.Epoch `json:"closureEpoch"`
-	Nodes        []Node      `json:"nodes"`
+	ClosureEpoch ident.Version `json:"closureEpoch"`
+	Nodes        []Node        `json:"nodes"`
 	// Asked is whether the engine that was asked about may be drained: allowed, or why not.
 	Asked       string `json:"asked,omitempty"`
 	AskedReason string `json:"askedReason,omitempty"`
--- a/wire/operatorapi/operatorapi.go
+++ b/wire/operatorapi/operatorapi.go
@@ -51,7 +51,7 @@
 // Propose hands in a bundle; Spec is kept byte for byte.
 type Propose struct {
 	ProposalID string          `json:"proposalId"`
-	Base       ident.Epoch     `json:"base"`
+	Base       ident.Version   `json:"base"`
 	Operator   string          `json:"operator"`
 	Note       string          `json:"note"`
 	Spec       json.RawMessage `json:"spec"`
@@ -61,10 +61,10 @@
 func (p Propose) Encode() ([]byte, error) {
 	raw := bytes.TrimSpace(p.Spec)
 	head, err := json.Marshal(struct {
-		ProposalID string      `json:"proposalId"`
-		Base       ident.Epoch `json:"base"`
-		Operator   string      `json:"operator"`
-		Note       string      `json:"note"`
+		ProposalID string        `json:"proposalId"`
+		Base       ident.Version `json:"base"`
+		Operator   string        `json:"operator"`
+		Note       string        `json:"note"`
 	}{p.ProposalID, p.Base, p.Operator, p.Note})
 	if err != nil {
 		return nil, err
@@ -81,10 +81,10 @@
 
 // Zone closes or opens a zone. Base is the closure epoch it builds on.
 type Zone struct {
-	Zone     ident.ZoneID `json:"zone"`
-	Closed   *bool        `json:"closed"`
-	Base     *ident.Epoch `json:"base"`
-	Operator string       `json:"operator"`
+	Zone     ident.ZoneID   `json:"zone"`
+	Closed   *bool          `json:"closed"`
+	Base     *ident.Version `json:"base"`
+	Operator string         `json:"operator"`
 }
 
 // Lost declares that a life of a daemon will never serve again.
@@ -97,7 +97,7 @@
 type Drain struct {
 	Engine   ident.EngineID `json:"engine"`
 	Draining *bool          `json:"draining"`
-	Base     *ident.Epoch   `json:"base"`
+	Base     *ident.Version `json:"base"`
 	Operator string         `json:"operator"`
 }
 
@@ -120,7 +120,7 @@
 	Field   string           `json:"field,omitempty"`
 	Faults  []document.Fault `json:"faults,omitempty"`
 	Winner  string           `json:"winner,omitempty"`
-	Epoch   ident.Epoch      `json:"epoch,omitempty"`
+	Epoch   ident.Version    `json:"epoch,omitempty"`
 	// Revision is the one in force, said of calls that name one as their base.
 	Revision ident.Revision `json:"revision,omitempty"`
 	// Closures is what won over a closure that lost its race.
@@ -137,8 +137,8 @@
 	NotReady     string        `json:"notReady,omitempty"`
 	Group        ident.GroupID `json:"group,omitempty"`
 	Leader       string        `json:"leader,omitempty"`
-	SpecEpoch    ident.Epoch   `json:"specEpoch"`
-	ClosureEpoch ident.Epoch   `json:"closureEpoch"`
+	SpecEpoch    ident.Version `json:"specEpoch"`
+	ClosureEpoch ident.Version `json:"closureEpoch"`
 	// ConfirmedMsAgo is how long ago a majority of the control group confirmed that no newer epochs had been
 	// acknowledged; it is missing where that never was.
 	ConfirmedMsAgo *int64         `json:"confirmedMsAgo,omitempty"`
@@ -174,21 +174,21 @@
 
 // PlannerStatus is where the planner stands.
 type PlannerStatus struct {
-	Held     bool              `json:"held"`
-	Claim    ident.ClaimNumber `json:"claim,omitempty"`
-	InFlight int               `json:"inFlight"`
+	Held     bool               `json:"held"`
+	Claim    ident.FencingToken `json:"claim,omitempty"`
+	InFlight int                `json:"inFlight"`
 }
 
 // Fellow is another daemon as this one knows it.
 type Fellow struct {
-	NodeID       ident.NodeID `json:"nodeId"`
-	Address      string       `json:"address"`
-	Zone         ident.ZoneID `json:"zone"`
-	Serve        []string     `json:"serve"`
-	HeardMsAgo   int64        `json:"heardMsAgo"`
-	SpecEpoch    ident.Epoch  `json:"specEpoch"`
-	ClosureEpoch ident.Epoch  `json:"closureEpoch"`
-	Ready        bool         `json:"ready"`
+	NodeID       ident.NodeID  `json:"nodeId"`
+	Address      string        `json:"address"`
+	Zone         ident.ZoneID  `json:"zone"`
+	Serve        []string      `json:"serve"`
+	HeardMsAgo   int64         `json:"heardMsAgo"`
+	SpecEpoch    ident.Version `json:"specEpoch"`
+	ClosureEpoch ident.Version `json:"closureEpoch"`
+	Ready        bool          `json:"ready"`
 }
 
 // Engine is an engine as this daemon knows it.
@@ -205,10 +205,10 @@
 
 // Trace follows one change through all daemons.
 type Trace struct {
-	Change string      `json:"change"`
-	Rows   []TraceRow  `json:"rows"`
-	Known  bool        `json:"known"`
-	Epoch  ident.Epoch `json:"epoch"`
+	Change string        `json:"change"`
+	Rows   []TraceRow    `json:"rows"`
+	Known  bool          `json:"known"`
+	Epoch  ident.Version `json:"epoch"`
 	// Acknowledged says that every daemon that may be serving has the change, or a later one.
 	Acknowledged bool `json:"acknowledged"`
 }
