--- a/daemon/fellow.go
+++ b/daemon/fellow.go
@@ -14,6 +14,7 @@
 	"github.com/cresspond/cresspond/configuration/document"
 	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/process/cluster/membership"
+	"github.com/cresspond/cresspond/process/cluster/raftcodec"
 	"github.com/cresspond/cresspond/process/consensus/raft"
 	"github.com/cresspond/cresspond/process/consensus/replica"
 	"github.com/cresspond/cresspond/process/consensus/statemachine"
@@ -74,7 +75,7 @@
 
 // Raft takes raft messages.
 func (d *Daemon) Raft(_ context.Context, in *peerapi.RaftBatch) (*peerapi.Nothing, error) {
-	messages, sound := peerapi.ToRaft(in.Messages)
+	messages, sound := raftcodec.Decode(in.Messages)
 	if !sound || in.Group == "" {
 		d.counters.garbage.Add(1)
 		return nil, twirp.NewError(twirp.InvalidArgument, "these are no raft messages")
--- a/process/cluster/peerclient/fellows.go
+++ b/process/cluster/peerclient/fellows.go
@@ -15,6 +15,7 @@
 	"golang.org/x/sys/unix"
 
 	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/cluster/raftcodec"
 	"github.com/cresspond/cresspond/process/consensus/raft"
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
@@ -155,7 +156,7 @@
 				messages, size, limit = append(messages, following.messages...), size+weight, max(limit, longer)
 			}
 			ctx, cancel := context.WithTimeout(l.ctx, limit)
-			_, err := client.Raft(ctx, &peerapi.RaftBatch{Group: string(next.group), Address: l.self, Messages: peerapi.FromRaft(messages)})
+			_, err := client.Raft(ctx, &peerapi.RaftBatch{Group: string(next.group), Address: l.self, Messages: raftcodec.Encode(messages)})
 			cancel()
 			if err != nil {
 				l.Failed.Add(1)
--- a/wire/peerapi/fuzz_test.go
+++ b/process/cluster/raftcodec/fuzz_test.go
@@ -1,4 +1,4 @@
-package peerapi
+package raftcodec
 
 import (
 	"reflect"
@@ -7,28 +7,29 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/cresspond/cresspond/process/consensus/raft"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// FuzzRaftMessages: what is read as raft messages is sound, and reads the same again when it is sent on.
-func FuzzRaftMessages(f *testing.F) {
+// FuzzDecodedMessagesRoundTrip: what is read as raft messages is sound, and reads the same again when it is sent on.
+func FuzzDecodedMessagesRoundTrip(f *testing.F) {
 	membership := raft.Membership{Members: []raft.Member{{ID: 1, Name: "a", Address: "x:1", Voter: true}}}
 	for _, messages := range [][]raft.Message{
 		{{Kind: raft.MsgPreVote, From: 1, To: 2, Term: 3}},
 		{{Kind: raft.MsgAppend, From: 1, To: 2, Term: 3, LogIndex: 4, LogTerm: 2, Commit: 4, Entries: []raft.Entry{{Term: 3, Index: 5, Data: []byte("x")}, {Term: 3, Index: 6, Kind: raft.EntryMembership, Data: membership.Encode()}}}},
 		{{Kind: raft.MsgSnapshot, From: 1, To: 2, Term: 3, Snapshot: &raft.Snapshot{Index: 9, Term: 2, Membership: membership, Data: []byte("{}")}}},
 	} {
-		data, err := proto.Marshal(&RaftBatch{Group: "g", Messages: FromRaft(messages)})
+		data, err := proto.Marshal(&peerapi.RaftBatch{Group: "g", Messages: Encode(messages)})
 		if err != nil {
 			f.Fatal(err)
 		}
 		f.Add(data)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var batch RaftBatch
+		var batch peerapi.RaftBatch
 		if proto.Unmarshal(data, &batch) != nil {
 			return
 		}
-		messages, sound := ToRaft(batch.Messages)
+		messages, sound := Decode(batch.Messages)
 		if !sound {
 			return
 		}
@@ -42,7 +43,7 @@
 				}
 			}
 		}
-		again, sound := ToRaft(FromRaft(messages))
+		again, sound := Decode(Encode(messages))
 		if !sound || !reflect.DeepEqual(normal(messages), normal(again)) {
 			t.Fatalf("%+v became %+v", messages, again)
 		}
--- a/wire/peerapi/raft.go
+++ b/process/cluster/raftcodec/raftcodec.go
@@ -1,27 +1,31 @@
-package peerapi
+// Package raftcodec converts raft's messages to and from their protobuf form. It stands apart from the generated code
+// (wire/peerapi), which lies below process/ and knows nothing of raft's types. Encode is called by the sending end
+// (process/cluster/peerclient), Decode by the receiving one (daemon).
+package raftcodec
 
 import (
 	"github.com/cresspond/cresspond/process/consensus/raft"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// FromRaft gives the wire form of raft messages.
-func FromRaft(messages []raft.Message) []*RaftMessage {
-	out := make([]*RaftMessage, 0, len(messages))
+// Encode gives the wire form of raft messages.
+func Encode(messages []raft.Message) []*peerapi.RaftMessage {
+	out := make([]*peerapi.RaftMessage, 0, len(messages))
 	for _, m := range messages {
-		wire := &RaftMessage{
+		wire := &peerapi.RaftMessage{
 			Kind: uint32(m.Kind), From: uint64(m.From), To: uint64(m.To), Term: uint64(m.Term),
 			LogIndex: uint64(m.LogIndex), LogTerm: uint64(m.LogTerm), Commit: uint64(m.Commit),
 			Reject: m.Reject, Hint: uint64(m.Hint), ReadMark: m.ReadMark,
 			SnapshotOffset: m.Offset, SnapshotSize: m.Size, TakesParts: m.TakesParts,
 		}
 		if digest := m.StateDigest; digest != nil {
-			wire.StateDigest = &RaftStateDigest{Index: uint64(digest.Index), Form: digest.Form, Sum: digest.Sum, Differs: digest.Differs}
+			wire.StateDigest = &peerapi.RaftStateDigest{Index: uint64(digest.Index), Form: digest.Form, Sum: digest.Sum, Differs: digest.Differs}
 		}
 		for _, entry := range m.Entries {
-			wire.Entries = append(wire.Entries, &RaftEntry{Term: uint64(entry.Term), Index: uint64(entry.Index), Kind: uint32(entry.Kind), Data: entry.Data})
+			wire.Entries = append(wire.Entries, &peerapi.RaftEntry{Term: uint64(entry.Term), Index: uint64(entry.Index), Kind: uint32(entry.Kind), Data: entry.Data})
 		}
 		if m.Snapshot != nil {
-			wire.Snapshot = &RaftSnapshot{Index: uint64(m.Snapshot.Index), Term: uint64(m.Snapshot.Term),
+			wire.Snapshot = &peerapi.RaftSnapshot{Index: uint64(m.Snapshot.Index), Term: uint64(m.Snapshot.Term),
 				Membership: m.Snapshot.Membership.Encode(), Data: m.Snapshot.Data, Checksum: m.Snapshot.Checksum}
 		}
 		out = append(out, wire)
@@ -29,11 +33,11 @@
 	return out
 }
 
-// ToRaft reads the wire form; it says false where a message can't be of a sound member.
-func ToRaft(wires []*RaftMessage) ([]raft.Message, bool) {
+// Decode reads the wire form; it says false where a message can't be of a sound member.
+func Decode(wires []*peerapi.RaftMessage) ([]raft.Message, bool) {
 	out := make([]raft.Message, 0, len(wires))
 	for _, w := range wires {
-		m, readable := w.toRaft()
+		m, readable := decodeMessage(w)
 		// A member speaks to itself without the wire.
 		if !readable || m.From == m.To || m.Validate() != nil {
 			return nil, false
@@ -43,7 +47,7 @@
 	return out, true
 }
 
-func (w *RaftMessage) toRaft() (raft.Message, bool) {
+func decodeMessage(w *peerapi.RaftMessage) (raft.Message, bool) {
 	if w == nil || w.Kind > uint32(raft.MsgSnapshotReply) {
 		return raft.Message{}, false
 	}
--- a/wire/peerapi/raft_test.go
+++ b/process/cluster/raftcodec/raftcodec_test.go
@@ -1,4 +1,4 @@
-package peerapi
+package raftcodec
 
 import (
 	"math"
@@ -9,6 +9,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/cresspond/cresspond/process/consensus/raft"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 func members() raft.Membership {
@@ -18,15 +19,15 @@
 // overTheWire is what the receiver reads of messages.
 func overTheWire(t *testing.T, messages []raft.Message) ([]raft.Message, bool) {
 	t.Helper()
-	data, err := proto.Marshal(&RaftBatch{Group: "g", Messages: FromRaft(messages)})
+	data, err := proto.Marshal(&peerapi.RaftBatch{Group: "g", Messages: Encode(messages)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	var batch RaftBatch
+	var batch peerapi.RaftBatch
 	if err := proto.Unmarshal(data, &batch); err != nil {
 		t.Fatal(err)
 	}
-	return ToRaft(batch.Messages)
+	return Decode(batch.Messages)
 }
 
 func TestMessagesArriveAsTheyWereSent(t *testing.T) {
@@ -48,44 +49,46 @@
 	if _, readable := overTheWire(t, []raft.Message{sound}); !readable {
 		t.Fatal("a sound one is refused")
 	}
-	for name, change := range map[string]func(*RaftMessage){
-		"unknown kind":      func(m *RaftMessage) { m.Kind = 12 },
-		"a kind that wraps": func(m *RaftMessage) { m.Kind = 256 + uint32(raft.MsgHeartbeat) },
-		"no sender":         func(m *RaftMessage) { m.From = 0 },
-		"its own sender":    func(m *RaftMessage) { m.From = m.To },
-		"no term":           func(m *RaftMessage) { m.Term = 0 },
-		"absurd term":       func(m *RaftMessage) { m.Term = math.MaxUint64 },
-		"absurd commit":     func(m *RaftMessage) { m.Commit = math.MaxUint64 },
-		"entries":           func(m *RaftMessage) { m.Entries = []*RaftEntry{{Term: 4, Index: 1}} },
-		"no entry":          func(m *RaftMessage) { m.Kind, m.Entries = uint32(raft.MsgAppend), []*RaftEntry{nil} },
-		"an entry that wraps": func(m *RaftMessage) {
-			m.Kind, m.Entries = uint32(raft.MsgAppend), []*RaftEntry{{Term: 4, Index: 1, Kind: 256}}
+	for name, change := range map[string]func(*peerapi.RaftMessage){
+		"unknown kind":      func(m *peerapi.RaftMessage) { m.Kind = 12 },
+		"a kind that wraps": func(m *peerapi.RaftMessage) { m.Kind = 256 + uint32(raft.MsgHeartbeat) },
+		"no sender":         func(m *peerapi.RaftMessage) { m.From = 0 },
+		"its own sender":    func(m *peerapi.RaftMessage) { m.From = m.To },
+		"no term":           func(m *peerapi.RaftMessage) { m.Term = 0 },
+		"absurd term":       func(m *peerapi.RaftMessage) { m.Term = math.MaxUint64 },
+		"absurd commit":     func(m *peerapi.RaftMessage) { m.Commit = math.MaxUint64 },
+		"entries":           func(m *peerapi.RaftMessage) { m.Entries = []*peerapi.RaftEntry{{Term: 4, Index: 1}} },
+		"no entry":          func(m *peerapi.RaftMessage) { m.Kind, m.Entries = uint32(raft.MsgAppend), []*peerapi.RaftEntry{nil} },
+		"an entry that wraps": func(m *peerapi.RaftMessage) {
+			m.Kind, m.Entries = uint32(raft.MsgAppend), []*peerapi.RaftEntry{{Term: 4, Index: 1, Kind: 256}}
 		},
-		"a snapshot": func(m *RaftMessage) { m.Snapshot = &RaftSnapshot{Index: 1, Term: 1, Membership: members().Encode()} },
-		"snapshot's membership": func(m *RaftMessage) {
-			m.Kind, m.Snapshot = uint32(raft.MsgSnapshot), &RaftSnapshot{Index: 1, Term: 1, Membership: []byte("{")}
+		"a snapshot": func(m *peerapi.RaftMessage) {
+			m.Snapshot = &peerapi.RaftSnapshot{Index: 1, Term: 1, Membership: members().Encode()}
 		},
-		"snapshot's checksum": func(m *RaftMessage) {
-			m.Kind, m.Snapshot = uint32(raft.MsgSnapshot), &RaftSnapshot{Index: 1, Term: 1, Membership: members().Encode(), Data: []byte("x"), Checksum: []byte("short")}
+		"snapshot's membership": func(m *peerapi.RaftMessage) {
+			m.Kind, m.Snapshot = uint32(raft.MsgSnapshot), &peerapi.RaftSnapshot{Index: 1, Term: 1, Membership: []byte("{")}
 		},
-		"a part beyond the whole": func(m *RaftMessage) {
+		"snapshot's checksum": func(m *peerapi.RaftMessage) {
+			m.Kind, m.Snapshot = uint32(raft.MsgSnapshot), &peerapi.RaftSnapshot{Index: 1, Term: 1, Membership: members().Encode(), Data: []byte("x"), Checksum: []byte("short")}
+		},
+		"a part beyond the whole": func(m *peerapi.RaftMessage) {
 			m.Kind, m.SnapshotOffset, m.SnapshotSize = uint32(raft.MsgSnapshot), 9, 9
-			m.Snapshot = &RaftSnapshot{Index: 1, Term: 1, Membership: members().Encode(), Data: []byte("x")}
+			m.Snapshot = &peerapi.RaftSnapshot{Index: 1, Term: 1, Membership: members().Encode(), Data: []byte("x")}
 		},
 	} {
-		messages := FromRaft([]raft.Message{sound, sound})
+		messages := Encode([]raft.Message{sound, sound})
 		change(messages[1])
-		if _, readable := ToRaft(messages); readable {
+		if _, readable := Decode(messages); readable {
 			t.Errorf("%s: taken", name)
 		}
 	}
-	if _, readable := ToRaft([]*RaftMessage{nil}); readable {
+	if _, readable := Decode([]*peerapi.RaftMessage{nil}); readable {
 		t.Error("nothing was taken for a message")
 	}
 }
 
-// FuzzToRaft: whatever comes over the wire is refused or can be taken by a member without ending it.
-func FuzzToRaft(f *testing.F) {
+// FuzzDecodedMessagesAreSafeToStep: whatever comes over the wire is refused or can be taken by a member without ending it.
+func FuzzDecodedMessagesAreSafeToStep(f *testing.F) {
 	whole := raft.Snapshot{Index: 7, Term: 3, Membership: members(), Data: []byte("{}")}
 	for _, message := range []raft.Message{
 		{Kind: raft.MsgAppend, From: 1, To: 2, Term: 4, LogIndex: 7, LogTerm: 3, Entries: []raft.Entry{{Term: 4, Index: 8}}},
@@ -93,18 +96,18 @@
 		{Kind: raft.MsgHeartbeat, From: 1, To: 2, Term: 4, Commit: 9, StateDigest: &raft.StateDigest{Index: 8, Form: 1, Sum: 5}},
 		{Kind: raft.MsgVote, From: 1, To: 2, Term: 4, LogIndex: 9, LogTerm: 3},
 	} {
-		data, err := proto.Marshal(&RaftBatch{Group: "g", Messages: FromRaft([]raft.Message{message})})
+		data, err := proto.Marshal(&peerapi.RaftBatch{Group: "g", Messages: Encode([]raft.Message{message})})
 		if err != nil {
 			f.Fatal(err)
 		}
 		f.Add(data)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var batch RaftBatch
+		var batch peerapi.RaftBatch
 		if proto.Unmarshal(data, &batch) != nil {
 			return
 		}
-		messages, readable := ToRaft(batch.Messages)
+		messages, readable := Decode(batch.Messages)
 		if !readable {
 			return
 		}
