--- a/daemon/attempts.go
+++ b/daemon/attemptowners.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"maps"
 	"slices"
 	"strconv"
 	"time"
@@ -10,7 +9,6 @@
 	"github.com/twitchtv/twirp"
 
 	"github.com/cresspond/cresspond/clock"
-	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/process/cluster/affinity"
 	"github.com/cresspond/cresspond/process/cluster/deduplication"
 	"github.com/cresspond/cresspond/process/cluster/membership"
@@ -26,9 +24,6 @@
 	doubtSpan = 8 * time.Second
 	// homeLimit bounds the wait for a home's answer.
 	homeLimit = 200 * time.Millisecond
-	// rememberAtOnce is how many attempts are handed over in one message.
-	rememberAtOnce = 1000
-	rehomeEvery    = 300 * time.Millisecond
 )
 
 // homes are the daemons to ask about an attempt.
@@ -160,18 +155,6 @@
 		Digest: request.Digest, Age: d.clock.Elapsed().Since(arrived), Act: act}
 }
 
-// Refuse makes sure, before a caller is told that its work never runs, that no other daemon has sent it
-// or will: the word that may be given comes back.
-func (r routing) Refuse(flight *dispatch.Call, wanted dispatch.Answer) dispatch.Answer {
-	switch r.askHomes(r.askFor(deduplication.Refuse, flight.ID, flight.Request, flight.Arrived)) {
-	case deduplication.Replay, deduplication.Other:
-		return dispatch.Answer{Kind: dispatch.Replay, Status: 409, Reason: "this attempt id was taken by another daemon and is not run again"}
-	case deduplication.Doubt:
-		return dispatch.Answer{Kind: dispatch.Unknown, Status: wanted.Status, Reason: wanted.Reason + "; whether another daemon has this attempt cannot be told now", RetryAfter: max(wanted.RetryAfter, time.Second)}
-	}
-	return wanted
-}
-
 // young says whether this life may lack attempts of the one before. Where it saw the group before any
 // bundle was in force, nothing can have run that it does not know of.
 func (d *Daemon) young() bool {
@@ -210,99 +193,3 @@
 	})
 	return &peerapi.Nothing{}, nil
 }
-
-// runRehoming hands attempts to the homes they come to have as daemons come and go.
-func (d *Daemon) runRehoming(ctx context.Context) {
-	ticker := time.NewTicker(rehomeEvery)
-	defer ticker.Stop()
-	before := map[string]ident.NodeID{}
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-ticker.C:
-		}
-		now := d.homeLives()
-		d.rehome(ctx, before, now)
-		before = now
-	}
-}
-
-// homeLives lists the daemons in sight that can be homes, by address.
-func (d *Daemon) homeLives() map[string]ident.NodeID {
-	out := map[string]ident.NodeID{}
-	for _, fellow := range d.members.View().InContact(d.clock.Elapsed(), sightWindow) {
-		if fellow.Ready {
-			out[fellow.Address] = fellow.NodeID
-		}
-	}
-	return out
-}
-
-func addressesOf(lives map[string]ident.NodeID) []string {
-	out := make([]string, 0, len(lives))
-	for address := range lives {
-		out = append(out, address)
-	}
-	slices.Sort(out)
-	return out
-}
-
-// handOver gives all that is remembered here to the homes it has without this daemon.
-func (d *Daemon) handOver(ctx context.Context) {
-	after := d.homeLives()
-	before := maps.Clone(after)
-	before[d.config.ReachedAt()] = d.nodeID
-	delete(after, d.config.ReachedAt())
-	d.rehome(ctx, before, after)
-}
-
-// rehome tells each home that an attempt has now, and did not have before in the same life.
-func (d *Daemon) rehome(ctx context.Context, before, after map[string]ident.NodeID) {
-	same := len(before) == len(after)
-	for address, life := range after {
-		same = same && before[address] == life
-	}
-	if same {
-		return
-	}
-	d.rehomeSeats(ctx, before, after)
-	oldAddresses, newAddresses := addressesOf(before), addressesOf(after)
-	batches, wholes := map[string][]*peerapi.AttemptMemory{}, map[string]bool{}
-	young, self := d.young(), d.config.ReachedAt()
-	d.attempts.Do(func(now clock.Mark, memory *deduplication.Memory) {
-		memory.Each(func(attempt string, entry deduplication.Entry) {
-			for _, home := range newcomers("attempt "+attempt, before, after, oldAddresses, newAddresses) {
-				if home == self {
-					continue
-				}
-				batches[home] = append(batches[home], &peerapi.AttemptMemory{Attempt: attempt, Owner: entry.Owner, Digest: entry.Digest,
-					AgeMs: now.Since(entry.At).Milliseconds(), Refused: entry.Refused})
-			}
-		})
-		for address, life := range after {
-			// A life that follows another is told whether this is all that it shares with this daemon.
-			if before[address] != life && address != self {
-				wholes[address] = !young || memory.Whole(address)
-				batches[address] = append(batches[address], nil...)
-			}
-		}
-	})
-	for home, batch := range batches {
-		told := true
-		for part := range slices.Chunk(batch, rememberAtOnce) {
-			bounded, cancel := context.WithTimeout(ctx, time.Second)
-			// A home that misses this is not the only one that knows.
-			_, err := d.links.To(home).Remember(bounded, &peerapi.Attempts{Attempts: part})
-			cancel()
-			told = told && err == nil
-			d.counters.attemptsMoved.Add(uint64(len(part)))
-		}
-		if told && wholes[home] {
-			bounded, cancel := context.WithTimeout(ctx, time.Second)
-			// One that misses this counts as young for some seconds more.
-			_, _ = d.links.To(home).Remember(bounded, &peerapi.Attempts{From: self, Whole: true})
-			cancel()
-		}
-	}
-}
--- /dev/null
+++ b/daemon/changetrace.go
@@ -0,0 +1,66 @@
+package daemon
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/rollout"
+	"github.com/cresspond/cresspond/wire/operatorapi"
+)
+
+// trace gathers every daemon's steps for one change; state tells the newest epochs of the group.
+func (d *Daemon) trace(change string, state []byte) []byte {
+	var known newest
+	_ = json.Unmarshal(state, &known)
+	kind, number := "", uint64(0)
+	if before, after, found := strings.Cut(change, ":"); found {
+		kind = before
+		_, _ = fmt.Sscanf(after, "%d", &number)
+	}
+	epoch := known.Spec
+	if kind == "closure" {
+		epoch = known.Closure
+	}
+	out := operatorapi.Trace{Change: change, Rows: []operatorapi.TraceRow{}, Epoch: ident.Epoch(epoch), Known: number > 0 && number <= epoch}
+	now := d.clock.Elapsed()
+	unheard := known.Serving
+	for _, fellow := range d.members.View().InContact(now, time.Minute) {
+		row := operatorapi.TraceRow{NodeID: fellow.NodeID, Zone: fellow.Zone, HeardMsAgo: now.Since(fellow.Heard).Milliseconds()}
+		if at := slices.Index(unheard, fellow.NodeID); at >= 0 {
+			row.Serving, unheard = true, slices.Delete(unheard, at, at+1)
+		}
+		for _, step := range fellow.Steps {
+			if step.Change != change {
+				continue
+			}
+			switch step.Step {
+			case rollout.Learned:
+				row.LearnedMs = step.UnixMs
+			case rollout.Built:
+				row.BuiltMs = step.UnixMs
+			case rollout.InForce:
+				row.InForceMs = step.UnixMs
+			}
+		}
+		held := fellow.SpecEpoch
+		if kind == "closure" {
+			held = fellow.ClosureEpoch
+		}
+		row.Missing = uint64(held) < number
+		out.Rows = append(out.Rows, row)
+	}
+	for _, node := range unheard {
+		// It may be serving and has not been heard for long, so the change can't count as in force there.
+		out.Rows = append(out.Rows, operatorapi.TraceRow{NodeID: node, HeardMsAgo: -1, Missing: true, Serving: true})
+	}
+	out.Acknowledged = out.Known && !slices.ContainsFunc(out.Rows, func(row operatorapi.TraceRow) bool { return row.Serving && row.Missing })
+	data, err := json.Marshal(out)
+	if err != nil {
+		panic("broken invariant: a trace cannot be encoded: " + err.Error())
+	}
+	return data
+}
--- /dev/null
+++ b/daemon/commands.go
@@ -0,0 +1,208 @@
+package daemon
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"time"
+
+	"github.com/twitchtv/twirp"
+
+	"github.com/cresspond/cresspond/configuration/document"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/replica"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/wire/operatorapi"
+	"github.com/cresspond/cresspond/wire/peerapi"
+)
+
+// lostAfter is how long a daemon must have been silent before it may be declared lost.
+const lostAfter = 10 * time.Second
+
+// submitLimit is how long a leader's answer is waited for; a command that is sent again finds itself, so one
+// that may have gone to a leader who is cut off is better sent again soon.
+const submitLimit = 1200 * time.Millisecond
+
+// reachLimit is how long an acknowledgement waits for daemons in contact.
+const reachLimit = 1800 * time.Millisecond
+
+// ops lists the commands that may come from outside the leader.
+var ops = map[statemachine.Op]bool{
+	statemachine.OpAcquire: true, statemachine.OpRenew: true, statemachine.OpRelease: true,
+	statemachine.OpPropose: true, statemachine.OpReview: true, statemachine.OpSign: true, statemachine.OpRoll: true,
+	statemachine.OpClosure: true, statemachine.OpKeep: true, statemachine.OpEnlist: true, statemachine.OpLost: true, statemachine.OpClaim: true, statemachine.OpDropClaim: true,
+	statemachine.OpLeave: true,
+}
+
+// Command brings an operator's command to the leader, and gives up when ctx ends.
+func (d *Daemon) Command(ctx context.Context, command statemachine.Command) (operatorapi.Answer, bool) {
+	return d.submit(ctx, command)
+}
+
+// submit brings a command to the leader, again and again until ctx ends. All commands may be sent
+// again: each finds what it did before.
+func (d *Daemon) submit(ctx context.Context, command statemachine.Command) (operatorapi.Answer, bool) {
+	ticker := time.NewTicker(100 * time.Millisecond)
+	defer ticker.Stop()
+	for {
+		if answer, ok := d.submitOnce(ctx, command); ok {
+			return answer, true
+		}
+		select {
+		case <-ctx.Done():
+			return operatorapi.Answer{}, false
+		case <-ticker.C:
+		}
+	}
+}
+
+// submitOnce brings a command to the leader, following one redirect.
+func (d *Daemon) submitOnce(ctx context.Context, command statemachine.Command) (operatorapi.Answer, bool) {
+	if answer, outcome := d.lead(ctx, command); outcome != replica.NotLeader {
+		return answer, outcome == replica.Applied
+	}
+	data, err := json.Marshal(command)
+	if err != nil {
+		panic("broken invariant: a command cannot be encoded: " + err.Error())
+	}
+	address := d.leaderAddress()
+	for range 2 {
+		if address == "" || address == d.config.ReachedAt() {
+			return operatorapi.Answer{}, false
+		}
+		limit := submitLimit
+		if command.Op.Spreads() {
+			// The leader answers these when they are everywhere, or when it has waited long enough for that.
+			limit += reachLimit
+		}
+		bounded, cancel := d.whileLeader(ctx, address, limit)
+		reply, err := d.links.To(address).Submit(bounded, &peerapi.SubmitRequest{Group: string(d.Group()), Command: data})
+		cancel()
+		if err != nil {
+			return operatorapi.Answer{}, false
+		}
+		if reply.Outcome == string(replica.NotLeader) {
+			address = reply.LeaderAddress
+			continue
+		}
+		var answer operatorapi.Answer
+		if json.Unmarshal(reply.Result, &answer) != nil {
+			return operatorapi.Answer{}, false
+		}
+		return answer, reply.Outcome == string(replica.Applied)
+	}
+	return operatorapi.Answer{}, false
+}
+
+// Submit takes a command, if this daemon leads.
+func (d *Daemon) Submit(ctx context.Context, in *peerapi.SubmitRequest) (*peerapi.SubmitReply, error) {
+	if err := d.ours(in.Group); err != nil {
+		return nil, err
+	}
+	var command statemachine.Command
+	if err := json.Unmarshal(in.Command, &command); err != nil || !ops[command.Op] {
+		d.counters.garbage.Add(1)
+		return nil, twirp.NewError(twirp.InvalidArgument, "this is no command")
+	}
+	answer, outcome := d.lead(ctx, command)
+	return d.submitReply(answer, outcome)
+}
+
+// submitReply tells another daemon what the leader answered, or who leads.
+func (d *Daemon) submitReply(answer any, outcome replica.Outcome) (*peerapi.SubmitReply, error) {
+	if outcome == replica.NotLeader {
+		return d.redirect(), nil
+	}
+	data, err := json.Marshal(answer)
+	if err != nil {
+		return nil, twirp.InternalErrorWith(err)
+	}
+	return &peerapi.SubmitReply{Outcome: string(outcome), Result: data}, nil
+}
+
+// lead carries a command out as the leader.
+func (d *Daemon) lead(ctx context.Context, command statemachine.Command) (operatorapi.Answer, replica.Outcome) {
+	held := d.replica.Load()
+	if held == nil || !held.Condition().Leads {
+		return operatorapi.Answer{}, replica.NotLeader
+	}
+	if command.Op == statemachine.OpPropose {
+		// A bundle with faults never gets into the log.
+		parsed, faults := document.Parse(command.Spec)
+		if len(faults) > 0 {
+			return operatorapi.Answer{Result: statemachine.Result{Verdict: statemachine.Malformed, Reason: "the bundle has faults"}, Faults: faults}, replica.Applied
+		}
+		if parsed.Forward != nil {
+			command.Revision = ident.Revision(parsed.Forward.Revision)
+		}
+	}
+	if _, refused := d.refusal(command); refused {
+		return d.refuseAsLeader(ctx, held, command)
+	}
+	began := d.clock.Elapsed()
+	got := held.Submit(ctx, command)
+	answer := operatorapi.Answer{Result: got.Result}
+	if command.Op == statemachine.OpLeave && got.Outcome == replica.Applied {
+		d.awaitLeave(ctx, command.Engine)
+		return answer, got.Outcome
+	}
+	if got.Outcome != replica.Applied || got.Result.Verdict != statemachine.Done {
+		return answer, got.Outcome
+	}
+	var specEpoch, closureEpoch ident.Epoch
+	switch command.Op {
+	case statemachine.OpRoll:
+		specEpoch = got.Result.Proposal.Epoch
+	case statemachine.OpClosure, statemachine.OpKeep, statemachine.OpLost:
+		closureEpoch = got.Result.Closures.Epoch
+	default:
+		return answer, got.Outcome
+	}
+	// Acknowledged means: on a majority's disks, and in force at every daemon that may be serving.
+	reach := d.members.AwaitReach(ctx, specEpoch, closureEpoch, reachLimit-d.clock.Elapsed().Since(began),
+		func() []ident.NodeID { return held.Condition().Serving })
+	answer.InForceAt, answer.Missing, answer.Acknowledged = reach.Have, reach.Lack, reach.All
+	return answer, got.Outcome
+}
+
+// refusal says why a command is refused by what this daemon knows beside the log, if it is.
+func (d *Daemon) refusal(command statemachine.Command) (operatorapi.Answer, bool) {
+	refuse := func(verdict statemachine.Verdict, reason string) (operatorapi.Answer, bool) {
+		return operatorapi.Answer{Result: statemachine.Result{Verdict: verdict, Reason: reason}}, true
+	}
+	switch t := d.keeper.Table(); {
+	case command.Op == statemachine.OpClosure && command.Closed && t != nil:
+		// A name that the bundle does not know is a slip: called closed, it would shut nothing. Engines that
+		// register themselves stand in no bundle, and a bundle on them need not name zones.
+		_, engineKnown := t.Engine(command.Engine)
+		engineKnown = engineKnown || t.Forward != nil
+		zoneKnown := t.HasZone(command.Zone) || t.Forward != nil && len(t.Spec.Zones) == 0
+		if command.Engine != "" && !engineKnown || command.Zone != "" && !zoneKnown {
+			return refuse(statemachine.Missing, "the bundle in force has no such zone or engine")
+		}
+	case command.Op == statemachine.OpLost:
+		fellow, known := d.members.View().Fellows[command.Lost]
+		if !known {
+			break
+		}
+		// One that speaks is not lost: it can be stopped as planned, and then needs no such word.
+		if ago := d.clock.Elapsed().Since(fellow.Heard); ago < lostAfter {
+			return refuse(statemachine.Conflict, fmt.Sprintf("%s was heard %d ms ago; stop it instead", command.Lost, ago.Milliseconds()))
+		}
+	}
+	return operatorapi.Answer{}, false
+}
+
+// refuseAsLeader refuses a command for good, if a majority confirms that this daemon leads and what it knows is not
+// older than what is committed. Otherwise nothing is said: whoever leads by now may take the command.
+func (d *Daemon) refuseAsLeader(ctx context.Context, held *replica.Replica, command statemachine.Command) (operatorapi.Answer, replica.Outcome) {
+	var committed ident.Epoch
+	if outcome := held.Read(ctx, func(state *statemachine.State) { committed = state.Epoch() }); outcome != replica.Applied {
+		return operatorapi.Answer{}, outcome
+	}
+	answer, refused := d.refusal(command)
+	if inForce, _ := d.InForce(); !refused || inForce < committed {
+		return operatorapi.Answer{}, replica.Unknown
+	}
+	return answer, replica.Applied
+}
--- a/daemon/history.go
+++ b/daemon/configurationhistory.go
@@ -10,6 +10,7 @@
 	"github.com/cresspond/cresspond/configuration/document"
 	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/rollout"
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
@@ -78,3 +79,13 @@
 	}
 	return recalled.Spec
 }
+
+// Recall gives back a bundle that was in force here.
+func (d *Daemon) Recall(_ context.Context, in *peerapi.RecallRequest) (*peerapi.Recalled, error) {
+	raw, _ := d.keeper.Recall(ident.Epoch(in.Epoch))
+	out := &peerapi.Recalled{Spec: raw}
+	if t := d.keeper.Table(); t != nil {
+		out.Closures = rollout.EncodeClosures(t.Closures)
+	}
+	return out, nil
+}
--- /dev/null
+++ b/daemon/counters.go
@@ -0,0 +1,268 @@
+package daemon
+
+import (
+	"fmt"
+	"strings"
+	"sync/atomic"
+
+	"github.com/cresspond/cresspond/process/consensus/replica"
+	"github.com/cresspond/cresspond/process/daemonconfig"
+	"github.com/cresspond/cresspond/process/engines/nodehealth"
+	"github.com/cresspond/cresspond/process/placement/poolplacement"
+	"github.com/cresspond/cresspond/request/forwarding"
+)
+
+type counters struct {
+	foreignGroup, garbage, acquired, renewed, tenureFailed          atomic.Uint64
+	bytesOwnZone, bytesOtherZone, junkEngines, lastLookStops        atomic.Uint64
+	permitsUnasked, attemptCalls, attemptDoubts, attemptsMoved      atomic.Uint64
+	engineBeats, engineBeatsLate, leavesAcknowledged, leavesUnknown atomic.Uint64
+	memberTroubles, listenerTroubles, notHandedOver, turnedStale    atomic.Uint64
+	// ordersUnproven counts operators' calls whose fate the replicated state could not prove any more.
+	ordersUnproven atomic.Uint64
+	// group counts what this daemon's members of the control group noticed, over all their lives.
+	group replica.Counters
+}
+
+// Counters lists this daemon's counters, a line each.
+func (d *Daemon) Counters() string {
+	var out strings.Builder
+	d.EachCounter(func(name string, value uint64) { fmt.Fprintf(&out, "%s %d\n", name, value) })
+	for _, loss := range d.Losses() {
+		fmt.Fprintf(&out, "opaque_losses{path=%q,model=%q,reason=%q} %d\n", loss.Path, loss.Model, loss.Reason, loss.Count)
+	}
+	return out.String()
+}
+
+// EachCounter gives this daemon's counters and levels by name.
+func (d *Daemon) EachCounter(say func(name string, value uint64)) {
+	c := &d.counters
+	say("fellow_foreign_group", c.foreignGroup.Load())
+	say("fellow_garbage", c.garbage.Load())
+	t := &d.links.Traffic
+	say("fellow_bytes_sent", t.Sent.Load())
+	say("fellow_bytes_received", t.Received.Load())
+	say("fellow_calls_made", t.Asked.Load())
+	say("fellow_calls_served", t.Answered.Load())
+	say("fellow_connections_opened", t.Opened.Load())
+	say("member_troubles", c.memberTroubles.Load())
+	say("listener_troubles", c.listenerTroubles.Load())
+	say("orders_unproven", c.ordersUnproven.Load())
+	say("stop_not_handed_over", c.notHandedOver.Load())
+	say("tenure_acquired", c.acquired.Load())
+	say("tenure_renewed", c.renewed.Load())
+	say("tenure_lost", c.tenureFailed.Load())
+	say("mint_refused", d.generator.Refusals())
+	say("pulls", d.members.Pulls.Load())
+	say("pulls_failed", d.members.Failed.Load())
+	say("sources_left_as_stale", d.members.StaleSources.Load())
+	say("turned_stale", c.turnedStale.Load())
+	if confirmed := d.confirmed(); confirmed > 0 {
+		say("confirmed_ms_ago", uint64(max(0, d.clock.Elapsed().Since(confirmed).Milliseconds())))
+	}
+	say("raft_sent", d.links.Sent.Load())
+	say("raft_dropped", d.links.Dropped.Load())
+	say("raft_failed", d.links.Failed.Load())
+	if held := d.replica.Load(); held != nil {
+		say("raft_refused", held.Refused.Load())
+	}
+	say("raft_malformed", c.group.MessagesRefused.Load())
+	say("snapshots_sent", c.group.SnapshotsSent.Load())
+	say("snapshots_taken", c.group.SnapshotsTaken.Load())
+	say("snapshots_refused", c.group.SnapshotsRefused.Load())
+	say("states_differ", c.group.StatesDiffer.Load())
+	say("offers_refused", d.keeper.Refused.Load())
+	w := &d.watcher.Counters
+	say("engine_reports_failed", w.FailedReports.Load())
+	say("engine_reports_junk", w.JunkReports.Load())
+	say("engine_lives", w.Lives.Load())
+	say("engine_set_aside", w.SetAsides.Load())
+	say("engines_registered", uint64(len(d.registry.View().Engines)))
+	if d.config.Serves(daemonconfig.Control) {
+		say("engine_beats", c.engineBeats.Load())
+		say("engine_beats_late", c.engineBeatsLate.Load())
+		say("leaves_acknowledged", c.leavesAcknowledged.Load())
+		say("leaves_unknown", c.leavesUnknown.Load())
+	}
+	if d.config.Serves(daemonconfig.Route) {
+		s := d.dispatch.Snapshot()
+		say("requests_invalid", d.door.Invalid.Load())
+		say("requests_let_in", s.Counters.Admitted)
+		say("requests_held", s.Counters.Queued)
+		say("requests_held_now", uint64(s.Queued))
+		say("requests_refused", s.Counters.RefusedHere)
+		say("requests_refused_as_hopeless", s.Counters.Hopeless)
+		say("requests_replayed", s.Counters.Replays)
+		say("requests_whole", s.Counters.Whole)
+		say("requests_broken_off", s.Counters.CutOff)
+		say("requests_lost", s.Counters.Lost)
+		say("callers_left", s.Counters.CallersLeft)
+		say("sessions_reseated", s.Counters.Reseated)
+		say("goes_first", s.FirstAttempts)
+		say("goes_again", s.Retries)
+		say("goes_again_denied", s.Denied)
+		say("goes_refused_by_engine", s.Counters.EngineRefusals)
+		say("goes_held_back", s.Counters.Withdrawn)
+		say("attempt_calls", c.attemptCalls.Load())
+		say("attempt_doubts", c.attemptDoubts.Load())
+		say("attempts_moved", c.attemptsMoved.Load())
+		say("permits_unasked", c.permitsUnasked.Load())
+		say("goes_stopped_at_last_look", c.lastLookStops.Load())
+		say("bytes_own_zone", c.bytesOwnZone.Load())
+		say("bytes_other_zone", c.bytesOtherZone.Load())
+		say("engines_junk_streams", c.junkEngines.Load())
+	}
+	d.countForwarding(say)
+	d.nodes.count(say)
+	if d.config.Serves(daemonconfig.Place) {
+		p := d.placer.Condition().Counters
+		say("orders", p.Orders)
+		say("orders_done", p.Done)
+		say("orders_refused", p.Refused)
+		say("orders_void", p.Void)
+		say("orders_never_arrived", p.NeverArrived)
+		say("orders_failed", p.Failed)
+		d.pools.count(say)
+	}
+}
+
+// countForwarding lists the counters of opaque requests.
+func (d *Daemon) countForwarding(say func(name string, value uint64)) {
+	side := &d.forwardSide
+	if side.gateway == nil {
+		return
+	}
+	var c forwarding.Counters
+	held := 0
+	side.actor.Ask(func(core *forwarding.Core, _ forwarding.World) { c, held = core.Counters, core.HeldNow() })
+	say("opaque_read", side.gateway.Counters.Read.Load())
+	say("opaque_unreadable", side.gateway.Counters.Unreadable.Load())
+	say("opaque_too_large", side.gateway.Counters.TooLarge.Load())
+	say("opaque_open", uint64(max(0, side.gateway.Open())))
+	say("opaque_no_path", c.NoPath)
+	say("opaque_held", c.Held)
+	say("opaque_held_now", uint64(held))
+	for place, count := range c.HeldFor {
+		say("opaque_held_for_"+forwarding.LackNames[place], count)
+	}
+	for place, count := range c.EndedFor {
+		say("opaque_ended_"+strings.ReplaceAll(forwarding.CauseNames[place], "-", "_"), count)
+	}
+	say("opaque_shed", c.Shed)
+	say("opaque_refused", c.Refused)
+	say("opaque_lost", c.Broken)
+	say("opaque_broken_off", c.BrokenOff)
+	say("opaque_whole", c.Whole)
+	say("opaque_engine_failures", c.Failed)
+	say("opaque_callers_left", c.CallersLeft)
+	say("opaque_streams", side.gateway.Counters.Streams.Load())
+	say("opaque_streams_resumed", c.Resumed)
+	say("attempts_moved_off", c.Moved)
+	say("attempts_stayed_at_emptied", c.Stayed)
+	say("opaque_events", side.gateway.Counters.Events.Load())
+	say("opaque_unsealed", side.gateway.Counters.Unsealed.Load())
+	say("attempts_first", c.Sent)
+	say("attempts_again", c.SentAgain)
+	say("attempts_again_denied", c.AgainDenied)
+	say("attempts_speculative", c.Speculative)
+	say("attempts_speculative_refused", c.SpeculativeRefused)
+	say("attempts_held_back", c.HeldBack)
+	say("attempts_never_sent", c.NeverSent)
+	say("attempts_refused_by_engine", c.EngineRefused)
+	say("attempts_misdirected", c.Misdirected)
+	say("attempts_lost", c.Lost)
+	say("attempts_junk", c.Junk)
+	say("attempts_cut", c.Cut)
+	say("choices_of_last_resort", c.LastResort)
+	p := &side.pools.Counters
+	busy, idle := side.pools.Open()
+	say("engine_connections_busy", uint64(max(0, busy)))
+	say("engine_connections_idle", uint64(idle))
+	say("engine_connections_dialled", p.Dialled.Load())
+	say("engine_connections_failed", p.DialsFailed.Load())
+	say("engine_connections_reused", p.Reused.Load())
+	say("engine_connections_found_stale", p.FoundStale.Load())
+	say("engine_connections_dropped_idle", p.DroppedIdle.Load())
+	say("engine_answers_surplus", p.Surplus.Load())
+	say("engine_answers_foreign", p.Foreign.Load())
+	say("engine_answers_junk", p.Junk.Load())
+	say("engine_bytes_sent", p.BytesSent.Load())
+	say("engine_bytes_received", p.BytesReceived.Load())
+}
+
+func (p *poolPlanning) count(say func(name string, value uint64)) {
+	if p == nil || p.placer == nil {
+		return
+	}
+	c := p.condition().Counters
+	say("pool_orders", c.Orders)
+	say("pool_loads", c.Loads)
+	say("pool_unloads", c.Evicts)
+	say("pool_adapter_loads", c.AdapterLoads)
+	say("pool_adapter_unloads", c.AdapterEvicts)
+	say("pool_orders_done", c.Done)
+	say("pool_orders_held_already", c.Already)
+	say("pool_orders_refused", c.Refused)
+	say("pool_orders_never_arrived", c.NeverArrived)
+	say("pool_orders_failed", c.Failed)
+	say("pool_orders_unsent", c.Unsent)
+	say("pool_orders_void", c.Void)
+	say("pool_plans_cancelled", c.Cancelled)
+	say("pool_reports", c.Reports)
+	say("pool_reports_failed", c.FailedReports)
+	say("pool_reports_stale", c.StaleReports)
+	for obstacle, count := range c.Unplaced {
+		say("pool_unplaced_for_"+poolplacement.ObstacleNames[obstacle], count)
+	}
+	judged := p.condition().Judged
+	say("engine_outcomes_heard", judged.Attempts)
+	say("engine_outcomes_wrong", judged.Wrong)
+	say("engine_outcomes_dropped", judged.DigestsDropped)
+	say("engines_ejected", judged.Ejections)
+	say("engines_ejected_again", judged.Relapses)
+	say("engines_slowed", judged.Slowed)
+	say("engines_returned", judged.Returns)
+	say("engines_spared", judged.Spared)
+}
+
+// count lists the counters of the ranking.
+func (n *nodeRanking) count(say func(name string, value uint64)) {
+	if !n.on() {
+		return
+	}
+	if n.recorder != nil {
+		say("ranking_digests_told", n.told.Load())
+		say("ranking_measurements_dropped", n.recorder.Dropped())
+	}
+	if !n.plans() {
+		return
+	}
+	state := n.state.Load()
+	c := state.counters
+	say("ranking_digests_heard", c.Digests)
+	say("ranking_digests_dropped", c.DigestsDropped)
+	say("ranking_steps", c.Steps)
+	say("ranking_step_us", uint64(state.took.Microseconds()))
+	say("ranking_suspected", c.Suspected)
+	say("ranking_cleared", c.Cleared)
+	say("ranking_drains", c.Drains)
+	say("ranking_releases", c.Releases)
+	say("ranking_relapses", c.Relapses)
+	say("ranking_sounded", c.Sounded)
+	for place, count := range c.Refused {
+		if why := nodehealth.Refusal(place); why != nodehealth.Allowed {
+			say("ranking_refused_"+why.Name(), count)
+		}
+	}
+	say("ranking_acts_done", n.acts.done.Load())
+	say("ranking_acts_refused", n.acts.refused.Load())
+	say("ranking_acts_unknown", n.acts.unknown.Load())
+	say("ranking_acts_unleased", n.acts.unleased.Load())
+	drained := uint64(0)
+	for _, row := range state.rows {
+		if row.Stage == nodehealth.Drained {
+			drained++
+		}
+	}
+	say("ranking_drained_now", drained)
+}
--- /dev/null
+++ b/daemon/demand.go
@@ -0,0 +1,152 @@
+package daemon
+
+import (
+	"slices"
+	"time"
+
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/daemonconfig"
+	"github.com/cresspond/cresspond/process/engines/outlier"
+	"github.com/cresspond/cresspond/process/placement/demand"
+	"github.com/cresspond/cresspond/process/placement/poolplacement"
+	"github.com/cresspond/cresspond/wire/peerapi"
+)
+
+const (
+	wantsKept   = 10 * time.Second
+	demandFresh = 2 * time.Second
+)
+
+// mostOutcomes bounds what is kept of others' outcomes until the planner takes them.
+const mostOutcomes = 2000
+
+// Wants adds what this daemon holds and asks for, for whoever plans; it says whether anything waits. Where only
+// what waits is worth a question, nothing is added if nothing does.
+func (d *Daemon) Wants(request *peerapi.PullRequest, onlyWaiting bool) (waits bool) {
+	if !d.config.Serves(daemonconfig.Route) {
+		return false
+	}
+	var all []*peerapi.Demand
+	var seated []*peerapi.Seat
+	snapshot := d.dispatch.Snapshot()
+	for _, demand := range snapshot.Demands {
+		all = append(all, &peerapi.Demand{Model: demand.Model, Adapter: demand.Adapter, Worth: demand.Worth, Held: int64(demand.Queued), Running: int64(demand.Running)})
+	}
+	all = append(all, d.forwardDemands()...)
+	for _, seat := range snapshot.Seats {
+		seated = append(seated, &peerapi.Seat{Engine: string(seat.Engine), Model: seat.Model, Adapter: seat.Adapter, Sessions: int64(seat.Sessions)})
+	}
+	waits = slices.ContainsFunc(all, func(demand *peerapi.Demand) bool { return demand.Held > 0 })
+	if onlyWaiting && !waits {
+		return false
+	}
+	message := d.wants.Next(d.clock.Elapsed(), request.PlannerAddress, all, seated)
+	request.Wants, request.WantsBase, request.Demand, request.Seats = message.Seq, message.Base, message.Demand, message.Seats
+	for _, one := range d.forwardOutcomes() {
+		request.Outcomes = append(request.Outcomes, &peerapi.EngineOutcomes{Engine: string(one.Engine), Attempts: int64(one.Attempts), Failures: int64(one.Failures),
+			Refusals: int64(one.Refusals), Overdue: int64(one.Overdue)})
+	}
+	if !onlyWaiting {
+		request.Nodes = d.nodes.tell()
+	}
+	return waits
+}
+
+// forwardDemands lists what opaque requests ask for here, for whoever plans.
+func (d *Daemon) forwardDemands() []*peerapi.Demand {
+	if d.forwardSide.actor == nil {
+		return nil
+	}
+	demands := d.forwardSide.actor.Demands()
+	out := make([]*peerapi.Demand, 0, len(demands))
+	for _, one := range demands {
+		out = append(out, &peerapi.Demand{Pool: one.Pool, Model: one.Model, Adapter: one.Adapter, Held: int64(one.Held), Running: int64(one.Running),
+			Tokens: one.Tokens, Arrivals: one.Arrivals, OldestMs: one.Oldest.Milliseconds(), Rank: int64(one.Rank)})
+	}
+	return out
+}
+
+// hearWants takes what an asker holds and asks for; it says false where what that builds on is not known.
+func (d *Daemon) hearWants(in *peerapi.PullRequest) bool {
+	if in.Wants == 0 {
+		return true
+	}
+	d.fleetMutex.Lock()
+	defer d.fleetMutex.Unlock()
+	heard := d.fleetWants[ident.NodeID(in.NodeId)]
+	if heard == nil {
+		heard = &demand.Receiver{}
+		d.fleetWants[ident.NodeID(in.NodeId)] = heard
+	}
+	return heard.Take(d.clock.Elapsed(), demand.Message{Seq: in.Wants, Base: in.WantsBase, Demand: in.Demand, Seats: in.Seats})
+}
+
+// heardDemand adds up what this daemon and all others were lately heard to ask for.
+func (d *Daemon) heardDemand(now clock.Mark, own []*peerapi.Demand) []poolplacement.Demand {
+	var out []poolplacement.Demand
+	take := func(demand *peerapi.Demand, ago time.Duration, share float64) {
+		if demand.Pool == "" {
+			return
+		}
+		one := poolplacement.Demand{Pool: demand.Pool, Model: demand.Model, Adapter: demand.Adapter, Held: int(demand.Held), Running: int(demand.Running),
+			Tokens: demand.Tokens * share, Arrivals: demand.Arrivals * share, Rank: int(demand.Rank)}
+		if demand.Held > 0 {
+			one.Oldest = time.Duration(demand.OldestMs)*time.Millisecond + ago
+		}
+		out = append(out, one)
+	}
+	for _, demand := range own {
+		take(demand, 0, 1)
+	}
+	d.fleetMutex.Lock()
+	defer d.fleetMutex.Unlock()
+	for node, heard := range d.fleetWants {
+		ago := now.Since(heard.At)
+		if ago < demandFresh {
+			heard.Each(now, take)
+		}
+		if ago > wantsKept {
+			delete(d.fleetWants, node)
+		}
+	}
+	return out
+}
+
+// forwardOutcomes gives what became of attempts at engines since it was last asked for.
+func (d *Daemon) forwardOutcomes() []outlier.Digest {
+	if d.forwardSide.actor == nil {
+		return nil
+	}
+	return d.forwardSide.actor.Outcomes()
+}
+
+// hearOutcomes takes what an asker saw of engines, where this daemon plans.
+func (d *Daemon) hearOutcomes(in *peerapi.PullRequest) {
+	if len(in.Outcomes) == 0 || !d.Plans() {
+		return
+	}
+	told := outlier.Observation{Zone: ident.ZoneID(in.Zone)}
+	for _, one := range in.Outcomes {
+		told.Digests = append(told.Digests, outlier.Digest{Engine: ident.EngineID(one.Engine), Attempts: int(one.Attempts), Failures: int(one.Failures),
+			Refusals: int(one.Refusals), Overdue: int(one.Overdue)})
+	}
+	d.fleetMutex.Lock()
+	defer d.fleetMutex.Unlock()
+	if len(d.fleetOutcomes) < mostOutcomes {
+		d.fleetOutcomes = append(d.fleetOutcomes, told)
+	}
+}
+
+// heardOutcomes gives what this daemon and others saw of engines since it was last asked for.
+func (d *Daemon) heardOutcomes() []outlier.Observation {
+	own := d.forwardOutcomes()
+	d.fleetMutex.Lock()
+	defer d.fleetMutex.Unlock()
+	out := d.fleetOutcomes
+	d.fleetOutcomes = nil
+	if len(own) > 0 {
+		out = append(out, outlier.Observation{Zone: d.config.Zone, Digests: own})
+	}
+	return out
+}
--- /dev/null
+++ b/daemon/dispatch.go
@@ -0,0 +1,184 @@
+package daemon
+
+import (
+	"errors"
+	"time"
+
+	"github.com/cresspond/cresspond/connection/enginestream"
+	"github.com/cresspond/cresspond/process/cluster/deduplication"
+	"github.com/cresspond/cresspond/request/dispatch"
+	"github.com/cresspond/cresspond/request/relay"
+	"github.com/cresspond/cresspond/wire/callerapi"
+	"github.com/cresspond/cresspond/wire/engineapi"
+)
+
+const (
+	// stallLimit is how long the next piece of a stream is waited for.
+	stallLimit = 8 * time.Second
+	// runOver is how long a stream that began in time may go on past its deadline.
+	runOver = 15 * time.Second
+	// enoughTime is how much time a go must have had for its failure to count against the engine.
+	enoughTime = 2 * time.Second
+)
+
+// routing is the daemon as the dispatch actor sees it.
+type routing struct{ *Daemon }
+
+// World is what the request path may look at now.
+func (d *Daemon) World() dispatch.World {
+	_, notReady := d.members.Ready()
+	return dispatch.World{
+		Lacks: d.lacksNow(),
+		Now:   d.clock.Elapsed(), Table: d.keeper.Table(), Engines: d.watcher.View(), NotReady: notReady, Mint: d.generator.Mint,
+		Zone: d.config.Zone, ShareAssignments: true, Admission: true,
+	}
+}
+
+// lastLook is the last check before the first byte: what it reads is what is in force at that moment.
+func (d *Daemon) lastLook(flight *dispatch.Call, send dispatch.Send) string {
+	t := d.keeper.Table()
+	engine := d.watcher.View().Engines[send.Engine]
+	switch {
+	case t == nil || !t.Allows(flight.Request.Route, flight.Request.Model, flight.Request.Adapter):
+		return "the spec in force no longer allows this"
+	case !t.Open(send.Engine):
+		return "the engine's zone is closed, or it is being drained"
+	case engine == nil || engine.Address != send.Address || !engine.Usable():
+		return "the engine is leaving or not sound"
+	case d.clock.Elapsed() >= send.Deadline:
+		return "the deadline has passed"
+	case send.Stamped && !d.generator.Held():
+		return "the worker id has lapsed"
+	case flight.Context().Err() != nil:
+		return "the caller has left"
+	}
+	if ready, why := d.members.Ready(); !ready {
+		return why
+	}
+	return ""
+}
+
+// errBroken makes the connection end without its last chunk.
+var errBroken = errors.New("the answer is not whole")
+
+// Carry runs one go to its end.
+func (d *Daemon) Carry(flight *dispatch.Call, send dispatch.Send, firstPiece func()) (dispatch.AttemptOutcome, string) {
+	giveBack, granted := d.askPermit(flight, send)
+	if !granted {
+		return dispatch.Withdrawn, "no slot of the engine is free"
+	}
+	refused := false
+	defer func() { giveBack(refused) }()
+	// The homes are asked while the engine is dialled; the first byte waits for both.
+	claimed := make(chan deduplication.Decision, 1)
+	go func() {
+		claimed <- d.askHomes(d.askFor(deduplication.Claim, flight.ID, flight.Request, flight.Arrived))
+	}()
+	var claim deduplication.Decision
+	departed := false
+	left := send.Deadline.Since(d.clock.Elapsed())
+	began := false
+	result := enginestream.Carry(flight.Context(), enginestream.Go{
+		Address: send.Address, Attempt: flight.Request.Attempt,
+		Work: engineapi.Generate{Model: flight.Request.Model, Adapter: flight.Request.Adapter, Prefix: flight.Request.Prefix,
+			Prompt: flight.Prompt, Session: flight.Request.Session, DeadlineMs: max(1, left.Milliseconds())},
+		MayLeave: func() string {
+			claim = <-claimed
+			reason := ""
+			if !mayGo(claim, flight.Request.Repeatable) {
+				reason = "this attempt may be another daemon's"
+			} else if reason = d.lastLook(flight, send); reason != "" {
+				d.counters.lastLookStops.Add(1)
+			}
+			departed = reason == ""
+			return reason
+		},
+		Piece: func(line []byte) bool {
+			if !began {
+				began = true
+				firstPiece()
+			}
+			return flight.Piece(line)
+		},
+		FirstLimit: max(left, time.Millisecond), StallLimit: d.stallLimit, Limit: left + d.runOver,
+	})
+	if outcome, reason := d.afterClaim(flight, result.Outcome, claim, claimed, departed); outcome != result.Outcome {
+		return outcome, reason
+	}
+	bytes := uint64(result.Sent + result.Received)
+	if send.Zone == d.config.Zone {
+		d.counters.bytesOwnZone.Add(bytes)
+	} else {
+		d.counters.bytesOtherZone.Add(bytes)
+	}
+	refused = result.Outcome == dispatch.EngineRefused || result.Outcome == dispatch.NeverSent
+	switch result.Outcome {
+	case dispatch.Whole:
+		d.watcher.GoWent(send.Engine, true)
+	case dispatch.Lost, dispatch.NeverSent, dispatch.Cut:
+		// One that began late and ran into its own deadline says nothing against the engine.
+		if d.clock.Elapsed() < send.Deadline || left >= enoughTime {
+			d.watcher.GoWent(send.Engine, false)
+		}
+	}
+	if result.Junk {
+		d.counters.junkEngines.Add(1)
+		d.watcher.SetAside(send.Engine)
+	}
+	if began {
+		switch result.Outcome {
+		case dispatch.Whole:
+			flight.Finish(nil, nil)
+		default:
+			last := relay.Line(callerapi.Piece{Attempt: flight.Request.Attempt, N: result.Pieces, Outcome: callerapi.BrokenOff, Reason: result.Reason})
+			flight.Finish(last, errBroken)
+		}
+	}
+	return result.Outcome, result.Reason
+}
+
+// mayGo says whether a go may leave on what the homes said. Where they can't be asked, only the caller's
+// own word that the work may run twice lets it go.
+func mayGo(claim deduplication.Decision, repeatable bool) bool {
+	return claim == deduplication.May || claim == deduplication.Doubt && repeatable
+}
+
+// afterClaim frees the claim of a go that provably never ran, so that the same attempt may come again
+// anywhere, and says what becomes of one that the homes held back.
+func (d *Daemon) afterClaim(flight *dispatch.Call, outcome dispatch.AttemptOutcome, claim deduplication.Decision, claimed <-chan deduplication.Decision, departed bool) (dispatch.AttemptOutcome, string) {
+	if departed && outcome != dispatch.EngineRefused {
+		return outcome, ""
+	}
+	if claim == "" {
+		// The engine could not even be dialled; the claim may be on its way still.
+		claim = <-claimed
+	}
+	if mayGo(claim, flight.Request.Repeatable) || claim == deduplication.Doubt {
+		d.askHomes(d.askFor(deduplication.Free, flight.ID, flight.Request, flight.Arrived))
+	}
+	switch claim {
+	case deduplication.Replay:
+		return dispatch.KnownElsewhere, "this attempt id is known to another daemon and is not run again"
+	case deduplication.Other:
+		return dispatch.KnownElsewhere, "this attempt id stands for another request"
+	case deduplication.Refused:
+		return dispatch.RefusedElsewhere, "another daemon refused this attempt meanwhile"
+	case deduplication.Doubt:
+		if !flight.Request.Repeatable {
+			return dispatch.Doubted, "whether this attempt has run through another daemon cannot be told now"
+		}
+	}
+	return outcome, ""
+}
+
+// Refuse makes sure, before a caller is told that its work never runs, that no other daemon has sent it
+// or will: the word that may be given comes back.
+func (r routing) Refuse(flight *dispatch.Call, wanted dispatch.Answer) dispatch.Answer {
+	switch r.askHomes(r.askFor(deduplication.Refuse, flight.ID, flight.Request, flight.Arrived)) {
+	case deduplication.Replay, deduplication.Other:
+		return dispatch.Answer{Kind: dispatch.Replay, Status: 409, Reason: "this attempt id was taken by another daemon and is not run again"}
+	case deduplication.Doubt:
+		return dispatch.Answer{Kind: dispatch.Unknown, Status: wanted.Status, Reason: wanted.Reason + "; whether another daemon has this attempt cannot be told now", RetryAfter: max(wanted.RetryAfter, time.Second)}
+	}
+	return wanted
+}
--- /dev/null
+++ b/daemon/drainingengines.go
@@ -0,0 +1,25 @@
+package daemon
+
+import (
+	"time"
+
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/wire/peerapi"
+)
+
+func (d *Daemon) drainingEngines() []*peerapi.DrainingEngine {
+	var out []*peerapi.DrainingEngine
+	now := d.clock.Elapsed()
+	for id, engine := range d.watcher.View().Engines {
+		if engine.Draining {
+			out = append(out, &peerapi.DrainingEngine{Engine: string(id), Address: engine.Address, KnownMsAgo: now.Since(engine.DrainKnown).Milliseconds()})
+		}
+	}
+	return out
+}
+
+func (d *Daemon) hearDraining(leaving []*peerapi.DrainingEngine) {
+	for _, engine := range leaving {
+		d.watcher.HeardDraining(ident.EngineID(engine.Engine), engine.Address, time.Duration(engine.KnownMsAgo)*time.Millisecond)
+	}
+}
--- /dev/null
+++ b/daemon/enginelist.go
@@ -0,0 +1,37 @@
+package daemon
+
+import (
+	"cmp"
+	"slices"
+
+	"github.com/cresspond/cresspond/wire/operatorapi"
+)
+
+// Engines lists the engines that register themselves, as this daemon knows them.
+func (d *Daemon) Engines() operatorapi.Engines {
+	view, beats, now := d.registry.View(), d.registry.Beats(), d.clock.Elapsed()
+	out := operatorapi.Engines{Version: view.Version, Engines: []operatorapi.RegisteredEngine{}}
+	for id, engine := range view.Engines {
+		row := operatorapi.RegisteredEngine{ID: id, HeardMsAgo: now.Since(max(beats[id].Heard, engine.Heard)).Milliseconds(), Condition: operatorapi.EngineUsable,
+			Registration: operatorapi.Registration{Pool: engine.Pool, Address: engine.Address, Zone: engine.Zone, Software: engine.Software, Slots: engine.Slots,
+				Leaving: engine.Leaving, LeaveMs: engine.LeaveMs, ColdMs: max(0, engine.ColdMs-now.Since(engine.Heard).Milliseconds()), Phase: engine.Phase,
+				Models: []operatorapi.HeldModel{}, CallSeq: max(beats[id].CallSeq, engine.CallSeq)}}
+		switch {
+		case engine.Gone:
+			row.Condition = operatorapi.EngineGone
+		case engine.Silent:
+			row.Condition = operatorapi.EngineSilent
+		case engine.Leaving:
+			row.Condition = operatorapi.EngineLeaving
+		}
+		for _, held := range engine.Models() {
+			row.Models = append(row.Models, operatorapi.HeldModel{Model: held.Model, Generation: held.Generation, Adapters: held.Adapters})
+		}
+		if engine.Plan != nil {
+			row.Claim, row.Turn = engine.Plan.Claim, engine.Plan.Turn
+		}
+		out.Engines = append(out.Engines, row)
+	}
+	slices.SortFunc(out.Engines, func(a, b operatorapi.RegisteredEngine) int { return cmp.Compare(a.ID, b.ID) })
+	return out
+}
--- /dev/null
+++ b/daemon/engineslots.go
@@ -0,0 +1,115 @@
+package daemon
+
+import (
+	"context"
+	"strconv"
+	"time"
+
+	"github.com/twitchtv/twirp"
+
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/cluster/affinity"
+	"github.com/cresspond/cresspond/process/cluster/membership"
+	"github.com/cresspond/cresspond/process/daemonconfig"
+	"github.com/cresspond/cresspond/process/engines/admission"
+	"github.com/cresspond/cresspond/process/engines/priority"
+	"github.com/cresspond/cresspond/request/dispatch"
+	"github.com/cresspond/cresspond/wire/peerapi"
+)
+
+const (
+	// keeperWindow is how lately a daemon must have been heard to keep slots.
+	keeperWindow = 1500 * time.Millisecond
+	// permitWait is how long a bid waits at the keeper before it is weighed anew here.
+	permitWait  = 150 * time.Millisecond
+	permitLimit = 400 * time.Millisecond
+	slotSettles = 10 * time.Millisecond
+)
+
+// keeperOf is the address of the daemon that keeps an engine's slots.
+func (d *Daemon) keeperOf(engine ident.EngineID) string {
+	routers := d.fellowsFor(keeperWindow, func(f membership.Fellow) bool { return f.Serves(string(daemonconfig.Route)) })
+	keeper, _ := affinity.Owners("engine "+string(engine), routers)
+	return keeper
+}
+
+// askPermit asks the engine's keeper for a slot. A keeper that can't be reached must not hold up the go:
+// the engine's own refusal then bounds what it gets.
+func (d *Daemon) askPermit(flight *dispatch.Call, send dispatch.Send) (giveBack func(refused bool), granted bool) {
+	keeper := d.keeperOf(send.Engine)
+	request := &peerapi.PermitRequest{Engine: string(send.Engine), Id: string(d.nodeID) + "/" + strconv.FormatUint(d.permitIDs.Add(1), 10),
+		NodeId: string(d.nodeID), Seated: send.Assigned, Worth: send.Worth, Rank: int64(send.Rank), House: send.Tenant}
+	client := peerapi.Fellow(d)
+	if keeper != "" && keeper != d.config.ReachedAt() {
+		client = d.links.To(keeper)
+	}
+	ctx, cancel := context.WithTimeout(flight.Context(), permitLimit)
+	defer cancel()
+	reply, err := client.Permit(ctx, request)
+	if err != nil {
+		d.counters.permitsUnasked.Add(1)
+		return func(bool) {}, flight.Context().Err() == nil
+	}
+	if !reply.Granted {
+		return nil, false
+	}
+	return func(refused bool) {
+		// An engine frees a slot a moment after its last byte, so the slot is not given on at once.
+		time.AfterFunc(slotSettles, func() {
+			ctx, cancel := context.WithTimeout(context.Background(), permitLimit)
+			defer cancel()
+			// A keeper that misses this hears it from the daemon's silence, or takes the slot back in time.
+			_, _ = client.Permit(ctx, &peerapi.PermitRequest{Engine: request.Engine, Id: request.Id, Release: true, Refused: refused})
+		})
+	}, true
+}
+
+// Permit serves bids for the slots of engines kept here.
+func (d *Daemon) Permit(ctx context.Context, in *peerapi.PermitRequest) (*peerapi.PermitReply, error) {
+	if in.Engine == "" || in.Id == "" {
+		return nil, twirp.NewError(twirp.InvalidArgument, "a permit is for an engine, and has an id")
+	}
+	if !d.config.Serves(daemonconfig.Route) {
+		return nil, twirp.NewError(twirp.FailedPrecondition, "this daemon keeps no slots")
+	}
+	if in.Release {
+		d.slots.Release(ident.EngineID(in.Engine), in.Id, in.Refused)
+		return &peerapi.PermitReply{}, nil
+	}
+	granted := d.slots.Ask(ctx, admission.Ask{ID: in.Id, Node: ident.NodeID(in.NodeId), Engine: ident.EngineID(in.Engine),
+		Bid: priority.Bid{Assigned: in.Seated, Worth: in.Worth, Rank: int(in.Rank), Tenant: in.House}, Until: d.clock.Elapsed() + clock.Mark(permitWait)})
+	return &peerapi.PermitReply{Granted: granted}, nil
+}
+
+// yard is what the keeper of slots may look at.
+func (d *Daemon) yard() admission.View {
+	now, t, view := d.clock.Elapsed(), d.keeper.Table(), d.watcher.View()
+	return admission.View{
+		Now: now,
+		Capacity: func(id ident.EngineID) int {
+			engine, known := view.Engines[id]
+			if t == nil || !known || !engine.Usable() {
+				return 0
+			}
+			allowed, _ := t.Engine(id)
+			return engine.Capacity(now, allowed.Slots)
+		},
+		Busy: func(id ident.EngineID) int {
+			if engine, known := view.Engines[id]; known {
+				return engine.Report.Busy
+			}
+			return 0
+		},
+		Asked: func(id ident.EngineID) clock.Mark {
+			if engine, known := view.Engines[id]; known {
+				return engine.Asked
+			}
+			return 0
+		},
+		Alive: func(node ident.NodeID) bool {
+			fellow, known := d.members.View().Fellows[node]
+			return node == d.nodeID || known && now.Since(fellow.Heard) < 3*time.Second
+		},
+	}
+}
--- /dev/null
+++ b/daemon/forwarding.go
@@ -0,0 +1,150 @@
+package daemon
+
+import (
+	"context"
+	"sync/atomic"
+	"time"
+
+	"github.com/apex/log"
+
+	"github.com/cresspond/cresspond/configuration/upstream"
+	"github.com/cresspond/cresspond/connection/gateway"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/daemonconfig"
+	"github.com/cresspond/cresspond/process/engines/connectionpool"
+	"github.com/cresspond/cresspond/process/engines/registry"
+	"github.com/cresspond/cresspond/process/workerid/snowflake"
+	"github.com/cresspond/cresspond/request/forwarding"
+	"github.com/cresspond/cresspond/wire/dialect"
+)
+
+// forwardSide is what a daemon that forwards opaque requests has beside the rest.
+type forwardSide struct {
+	dialect  dialect.Dialect
+	settings forwarding.Settings
+	patience forwarding.Patience
+	// view gives the registered engines.
+	view func() *registry.View
+
+	actor   *forwarding.Actor
+	pools   *connectionpool.Pools
+	gateway *gateway.Gateway
+	// edges is how many daemons route, as last counted, edgesAt when that was.
+	edges, edgesAt atomic.Int64
+}
+
+// WithForwarding has the daemon serve the paths of opaque requests that a bundle names.
+func WithForwarding(d dialect.Dialect) Option {
+	return func(daemon *Daemon) { daemon.forwardSide.dialect = d }
+}
+
+// forwardSettings takes what forwarding is held to from the daemon's own settings.
+func forwardSettings(c daemonconfig.Config) forwarding.Settings {
+	s := forwarding.DefaultSettings()
+	s.RetryRatio, s.RetrySlack, s.RetryWindow = c.Bounds.RetryRatio, c.Bounds.RetrySlack, time.Duration(c.Bounds.RetryWindowMs)*time.Millisecond
+	s.Off = c.Experiments.Off()
+	return s
+}
+
+// WithPatience says for how long the deployment's clients wait for a stream in silence.
+func WithPatience(patience forwarding.Patience) Option {
+	return func(d *Daemon) { d.forwardSide.patience = patience }
+}
+
+// WithEngineView replaces where the registered engines are looked up.
+func WithEngineView(view func() *registry.View) Option {
+	return func(d *Daemon) { d.forwardSide.view = view }
+}
+
+// forwards says whether opaque requests are served here.
+func (d *Daemon) forwards() bool {
+	return d.forwardSide.dialect != nil && d.config.Serves(daemonconfig.Route)
+}
+
+// startForwarding puts the request path together.
+func (d *Daemon) startForwarding(ctx context.Context) {
+	side := &d.forwardSide
+	side.settings = forwardSettings(d.config)
+	side.settings.Patience = side.patience
+	if d.config.Log == log.DebugLevel.String() {
+		side.settings.ObserveLoss = d.logLoss
+	}
+	if side.view == nil {
+		side.view = d.registry.View
+	}
+	side.pools = connectionpool.New(d.clock, side.dialect)
+	side.actor = forwarding.NewActor(side.settings, d.forwardWorld)
+	side.gateway = gateway.New(gateway.Surroundings{
+		Clock: d.clock, Dialect: side.dialect, Index: d.forwardIndex, View: side.view, Current: d.tableIsCurrent, Held: d.generator.Held, EngineOpen: d.engineOpen,
+		Draining: d.draining.Load, Settings: side.settings, Recorder: d.nodes.recorder,
+	}, side.actor, side.pools)
+	go side.actor.Run(ctx)
+	go d.runSweeps(ctx)
+}
+
+// logLoss writes a line for a request that was not served, or late.
+func (d *Daemon) logLoss(loss forwarding.Loss) {
+	d.log.WithFields(log.Fields{"path": loss.Path, "model": loss.Model, "reason": loss.Reason.String(), "lack": loss.Lack, "returned": loss.Returned,
+		"waitedMs": loss.Waited.Milliseconds(), "heldMs": loss.Held.Milliseconds(), "attempts": loss.Attempts}).Debug("request lost or late")
+}
+
+// sweepEvery is how often connections that engines have let go of are closed here too.
+const sweepEvery = 5 * time.Second
+
+func (d *Daemon) runSweeps(ctx context.Context) {
+	ticker := time.NewTicker(sweepEvery)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+		view := d.forwardSide.view()
+		d.forwardSide.pools.Sweep(func(id ident.EngineID) bool {
+			engine, known := view.Engines[id]
+			return known && !engine.Gone
+		})
+		d.forwardSide.actor.Ask(func(core *forwarding.Core, _ forwarding.World) { core.Forget(view) })
+	}
+}
+
+// answerMargin is how long before a stopping daemon lets go all that it still has must have its answer.
+const answerMargin = 700 * time.Millisecond
+
+// stopForwarding has all opaque requests answered in time before the limit; what it gives back calls that off.
+func (d *Daemon) stopForwarding(limit context.Context) func() {
+	if d.forwardSide.gateway == nil {
+		return func() {}
+	}
+	until, bounded := limit.Deadline()
+	if !bounded {
+		return func() {}
+	}
+	timer := time.AfterFunc(time.Until(until)-answerMargin, d.forwardSide.gateway.Stop)
+	return func() { timer.Stop() }
+}
+
+// forwardIndex is the bundle's section in force; nil is none.
+func (d *Daemon) forwardIndex() *upstream.Index {
+	if t := d.keeper.Table(); t != nil {
+		return t.Forward
+	}
+	return nil
+}
+
+// forwardWorld is what forwarding may look at now.
+func (d *Daemon) forwardWorld() forwarding.World {
+	now := d.clock.Elapsed()
+	return forwarding.World{
+		Now: now, Index: d.forwardIndex(), Current: d.tableIsCurrent(), View: d.forwardSide.view(), Zone: d.config.Zone,
+		Warm: func(engine *registry.Engine, pool string, careful bool) bool {
+			return d.forwardSide.pools.Warm(engine.ID, engine.Address, pool, careful)
+		},
+		Edges: d.edges(now), Lacks: d.PoolLack, Open: d.engineOpen, Emptied: d.engineEmptied, Leased: d.generator.Held(),
+		Mint: func() (ident.MintedID, bool) {
+			id, verdict := d.generator.Mint()
+			return id, verdict == snowflake.Minted
+		},
+	}
+}
--- a/daemon/freshness.go
+++ b/daemon/freshness.go
@@ -42,30 +42,6 @@
 	return confirmed == 0 || d.clock.Elapsed().Since(confirmed) > membership.StaleAfter
 }
 
-// memberAddresses are where the group's members are, by the log of this one.
-func (d *Daemon) memberAddresses() (out []string) {
-	held := d.replica.Load()
-	if held == nil {
-		return nil
-	}
-	for _, member := range held.Condition().Members.Members {
-		if member.Address != "" {
-			out = append(out, member.Address)
-		}
-	}
-	return out
-}
-
-// SourceTurned writes down that a source of news came to be stale, or is so no more.
-func (d *Daemon) SourceTurned(turned membership.Turned) {
-	line := d.log.WithField("address", turned.Address)
-	if turned.Stale {
-		line.Warn("a source of news is left: no majority of the control group has confirmed it lately")
-		return
-	}
-	line.Info("a source of news is confirmed by a majority of the control group")
-}
-
 // noteStale writes down that what is in force here came to be unconfirmed, or is so no more.
 func (d *Daemon) noteStale(stale bool) {
 	if stale {
--- /dev/null
+++ b/daemon/groupidentity.go
@@ -0,0 +1,89 @@
+package daemon
+
+import (
+	"context"
+
+	"github.com/rotisserie/eris"
+	"github.com/twitchtv/twirp"
+
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/daemonconfig"
+	"github.com/cresspond/cresspond/wire/peerapi"
+)
+
+// Group is the group this daemon knows.
+func (d *Daemon) Group() ident.GroupID { return *d.group.Load() }
+
+// learnGroup takes up the group's name; it says false when another is known already.
+func (d *Daemon) learnGroup(group ident.GroupID) bool {
+	known := d.group.Load()
+	if group == "" || *known == group {
+		return true
+	}
+	if group.Succeeds(*known) {
+		if !d.group.CompareAndSwap(known, &group) {
+			return d.Group() == group
+		}
+		// What the lost generation granted counts no more, and the next may not know of this daemon.
+		d.generator.Drop()
+		d.enlistedAt.Store(0)
+		d.log.WithField("group", string(group)).Warn("the group was recovered; following its next generation")
+		if life := d.memberLife.Load(); life != nil && remembers(life.store) {
+			life.end(superseded{eris.Errorf("this data folder belongs to group %s, which was recovered as %s; move the folder away, and the machine joins as a new member", *known, group)})
+		}
+		return true
+	}
+	if *known != "" {
+		d.counters.foreignGroup.Add(1)
+		return false
+	}
+	return d.group.CompareAndSwap(known, &group) || d.Group() == group
+}
+
+// ours says whether a message is of this daemon's group; one that names none is from a fresh daemon.
+func (d *Daemon) ours(group string) error {
+	known := d.Group()
+	if ident.GroupID(group).Succeeds(known) {
+		// The group was recovered after its majority was lost: this is its next generation.
+		d.learnGroup(ident.GroupID(group))
+		return nil
+	}
+	if group != "" && known != "" && group != string(known) {
+		d.counters.foreignGroup.Add(1)
+		return twirp.NewError(twirp.FailedPrecondition, "this daemon belongs to another group")
+	}
+	return nil
+}
+
+// ofOurs says whether a reply is of this daemon's group, or of one where neither knows a group yet.
+func (d *Daemon) ofOurs(reply *peerapi.PullReply) bool {
+	known := d.Group()
+	return known == "" || reply.Group == "" || reply.Group == string(known) || ident.GroupID(reply.Group).Succeeds(known)
+}
+
+func (d *Daemon) identity() *peerapi.Identity {
+	out := &peerapi.Identity{NodeId: string(d.nodeID), Group: string(d.Group()), ServesControl: d.config.Serves(daemonconfig.Control), JoinOnly: d.config.JoinOnly}
+	if folder := d.held(); folder != nil {
+		out.MemberId = uint64(folder.Member)
+		if remembered, err := folder.Group(); err == nil && remembered != "" {
+			out.Group = string(remembered)
+		}
+	}
+	if t := d.keeper.Table(); t != nil {
+		out.SpecEpoch, out.ClosureEpoch = uint64(t.Epoch), uint64(t.Closures.Epoch)
+	}
+	out.LeaderMsAgo = -1
+	if heard := d.members.View().HeardLeader; heard > 0 {
+		out.LeaderMsAgo = d.clock.Elapsed().Since(heard).Milliseconds()
+	}
+	out.TenureUntilMs = int64(d.generator.Ceiling())
+	if d.config.Serves(daemonconfig.Place) {
+		out.Claim = uint64(max(d.placer.Condition().Claim, d.pools.condition().Claim))
+	}
+	return out
+}
+
+// Identify says who this is.
+func (d *Daemon) Identify(context.Context, *peerapi.Nothing) (*peerapi.Identity, error) {
+	return d.identity(), nil
+}
--- a/daemon/leaving.go
+++ b/daemon/handover.go
@@ -31,18 +31,6 @@
 	logEntries keptThing = "log entries"
 )
 
-const (
-	// tellLimit bounds the wait for another control daemon to see the newest that engines said here.
-	tellLimit = 300 * time.Millisecond
-	// lastVoteLimit bounds how long a member stays for its vote and its copy of the log where too few others speak and
-	// hold all: time for an election, and for one that stands ready to get a vote.
-	lastVoteLimit = 4 * time.Second
-	// elsewhereLimit bounds the wait for the same word after its end.
-	elsewhereLimit = 400 * time.Millisecond
-	// elsewhereEvery is how often the leader is asked for it.
-	elsewhereEvery = 25 * time.Millisecond
-)
-
 // keptThings collects what could not be handed over before the end.
 type keptThings struct {
 	mutex  sync.Mutex
@@ -63,6 +51,18 @@
 	return slices.Clone(k.things)
 }
 
+const (
+	// tellLimit bounds the wait for another control daemon to see the newest that engines said here.
+	tellLimit = 300 * time.Millisecond
+	// lastVoteLimit bounds how long a member stays for its vote and its copy of the log where too few others speak and
+	// hold all: time for an election, and for one that stands ready to get a vote.
+	lastVoteLimit = 4 * time.Second
+	// elsewhereLimit bounds the wait for the same word after its end.
+	elsewhereLimit = 400 * time.Millisecond
+	// elsewhereEvery is how often the leader is asked for it.
+	elsewhereEvery = 25 * time.Millisecond
+)
+
 // tellBeats waits until another control daemon has seen all that engines said here, except for how busy they are.
 func (d *Daemon) tellBeats(kept *keptThings) {
 	if !d.config.Serves(daemonconfig.Control) || len(d.registry.View().Engines) == 0 {
--- a/daemon/resting.go
+++ b/daemon/idlelistener.go
@@ -10,8 +10,6 @@
 	// bundle in force says nothing longer. A server waits for longer than callerReadLimit only while a connection rests.
 	callerReadLimit = 20 * time.Second
 	restLimit       = time.Minute
-	// mostRest bounds what a bundle may say.
-	mostRest = 10 * time.Minute
 )
 
 // restingListener lets connections rest for as long as the bundle in force allows callers to.
@@ -45,12 +43,3 @@
 	}
 	return c.TCPConn.SetReadDeadline(at)
 }
-
-// callerRest is how long callers may leave a kept connection at rest, by the bundle in force.
-func (d *Daemon) callerRest() time.Duration {
-	index := d.forwardIndex()
-	if index == nil {
-		return 0
-	}
-	return min(time.Duration(index.Section.Limits.IdleTimeoutMs)*time.Millisecond, mostRest)
-}
--- /dev/null
+++ b/daemon/leader.go
@@ -0,0 +1,71 @@
+package daemon
+
+import (
+	"context"
+	"time"
+
+	"github.com/cresspond/cresspond/process/consensus/replica"
+	"github.com/cresspond/cresspond/wire/peerapi"
+)
+
+// Leads says whether this daemon leads the group.
+func (d *Daemon) Leads() bool {
+	held := d.replica.Load()
+	return held != nil && held.Condition().Leads
+}
+
+// leaderAddress is where the leader is, as far as this daemon knows.
+func (d *Daemon) leaderAddress() string {
+	address, _ := d.leaderAndTerm()
+	return address
+}
+
+// leaderAndTerm is where the leader is and in which term it leads, as far as this daemon knows.
+func (d *Daemon) leaderAndTerm() (string, uint64) {
+	if held := d.replica.Load(); held != nil {
+		if condition := held.Condition(); condition.Leader.Address != "" {
+			return condition.Leader.Address, uint64(condition.Term)
+		}
+	}
+	view := d.members.View()
+	return view.LeaderAddress, view.LeaderTerm
+}
+
+func (d *Daemon) redirect() *peerapi.SubmitReply {
+	return &peerapi.SubmitReply{Outcome: string(replica.NotLeader), LeaderAddress: d.leaderAddress()}
+}
+
+// whileLeader bounds a question to the leader by a time, and by another being known to lead.
+func (d *Daemon) whileLeader(ctx context.Context, address string, limit time.Duration) (context.Context, context.CancelFunc) {
+	bounded, cancel := context.WithTimeout(ctx, limit)
+	go func() {
+		ticker := time.NewTicker(100 * time.Millisecond)
+		defer ticker.Stop()
+		for {
+			select {
+			case <-bounded.Done():
+				return
+			case <-ticker.C:
+				if leader := d.leaderAddress(); leader != "" && leader != address {
+					cancel()
+				}
+			}
+		}
+	}()
+	return bounded, cancel
+}
+
+// FirstRollAgo is, where this daemon leads, how long any bundle has been in force: negative while none
+// was, and zero where this daemon can't tell.
+func (d *Daemon) FirstRollAgo() time.Duration {
+	held := d.replica.Load()
+	if held == nil {
+		return 0
+	}
+	condition := held.Condition()
+	// A recovered group may have lost its first bundles, so it can't tell when the first came.
+	if !condition.Leads || condition.Group.Recovered() {
+		return 0
+	}
+	return condition.FirstRollAgo
+}
--- a/daemon/listener.go
+++ b/daemon/listener.go
@@ -97,10 +97,6 @@
 	}
 }
 
-// acceptLimit is how long a fresh daemon lets callers wait to be accepted at most: less than the second that they
-// wait for their request to be read.
-const acceptLimit = 900 * time.Millisecond
-
 // gate is shut until it is opened, once and for all.
 type gate struct {
 	once   sync.Once
@@ -130,10 +126,3 @@
 	l.gate.open()
 	return l.Listener.Close()
 }
-
-// admitCallers opens the door to callers once there is what it takes to serve and to hold their requests.
-func (d *Daemon) admitCallers() {
-	if d.forwardIndex() != nil && d.generator.Held() && len(d.registry.View().Engines) > 0 {
-		d.callers.open()
-	}
-}
--- a/daemon/held.go
+++ b/daemon/longpoll.go
@@ -9,10 +9,6 @@
 
 	"github.com/cresspond/cresspond/clock"
 	"github.com/cresspond/cresspond/ident"
-	"github.com/cresspond/cresspond/process/placement/demand"
-	"github.com/cresspond/cresspond/process/placement/poolplacement"
-	"github.com/cresspond/cresspond/process/placement/sessionplacement"
-	"github.com/cresspond/cresspond/request/dispatch"
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
@@ -64,62 +60,8 @@
 	v.draining.Store(rand.Uint64() >> 1)
 }
 
-// heldLacks is what the planner here said last that it will not load soon, as told to others.
-type heldLacks struct {
-	lacks []sessionplacement.Lack
-	pools []poolplacement.Lack
-}
-
-// bundleRest is for how long a new bundle is left to the teller of an asker that asks here for what is urgent only,
-// and to the log of one that serves control.
-const bundleRest = 400 * time.Millisecond
-
-// bundleSeen is since when a bundle is in force here, as far as was looked.
-type bundleSeen struct {
-	epoch ident.Epoch
-	at    clock.Mark
-}
-
-// tellsBundle says whether an asker is told the bundle in force here. A bundle is large, and who asks for what is
-// urgent only has it from its teller in a moment, who serves control from the group's log: these are told here only if
-// they still lack it after a while.
-func (d *Daemon) tellsBundle(epoch ident.Epoch, in *peerapi.PullRequest) bool {
-	seen := d.bundleSeen.Load()
-	if seen == nil || seen.epoch != epoch {
-		seen = &bundleSeen{epoch, d.clock.Elapsed()}
-		d.bundleSeen.Store(seen)
-	}
-	return uint64(epoch) > in.SpecEpoch && (!in.RegistryUrgent && !in.Beats || d.clock.Elapsed().Since(seen.at) >= bundleRest)
-}
-
-// newsFor says whether there is anything that an asker does not know.
-func (d *Daemon) newsFor(in *peerapi.PullRequest) urgency {
-	spec, closure := d.InForce()
-	leader, term := d.leaderAndTerm()
-	planner, plans, self := d.members.View().PlannerAddress, d.Plans(), d.config.ReachedAt()
-	switch {
-	case d.tellsBundle(spec, in) || uint64(closure) > in.ClosureEpoch,
-		// An asker that knows of a newer leader has no use for this one.
-		leader != "" && (term > in.LeaderTerm || in.LeaderAddress == ""),
-		in.Group == "" && d.Group() != "",
-		// Whoever relies on this daemon must hear at once that it can't any more, or can again.
-		in.SourceSeen == peerapi.SourceSeen_SOURCE_CONFIRMED && d.stale(),
-		in.SourceSeen == peerapi.SourceSeen_SOURCE_STALE && !d.stale(),
-		// Numbers of another life count for nothing.
-		in.RegistryLife != string(d.nodeID) || d.registry.Urgent() > in.RegistryWhole || len(in.RegistryWanted) > 0,
-		in.MembersLife != string(d.nodeID),
-		d.drainingNow.Load() && d.toldNews.draining.Load() != in.DrainingVersion:
-		return urgent
-	// Of how busy engines are there is always something new; control daemons, who tell it across zones, let it wait
-	// for the end of the hold.
-	case !in.RegistryUrgent && (d.registry.Solid() > in.RegistryWhole || !in.Beats && d.registry.Newest() > in.RegistryWhole),
-		d.members.Solid() > in.MembersSeen || !in.RegistryUrgent && d.members.Changes() > in.MembersSeen,
-		plans != (in.PlannerAddress == self) || in.PlannerAddress == "" && planner != "",
-		plans && d.toldNews.lacks.Load() != in.LacksVersion:
-		return ordinary
-	}
-	return nothingNew
-}
+// mostHold bounds how long an answer is held back, whatever the asker says.
+const mostHold = 2 * time.Second
 
 // holdBack waits until there is news for an asker, for as long as it lets its answer be held back.
 func (d *Daemon) holdBack(ctx context.Context, in *peerapi.PullRequest) {
@@ -158,8 +100,56 @@
 	}
 }
 
-// mostHold bounds how long an answer is held back, whatever the asker says.
-const mostHold = 2 * time.Second
+// newsFor says whether there is anything that an asker does not know.
+func (d *Daemon) newsFor(in *peerapi.PullRequest) urgency {
+	spec, closure := d.InForce()
+	leader, term := d.leaderAndTerm()
+	planner, plans, self := d.members.View().PlannerAddress, d.Plans(), d.config.ReachedAt()
+	switch {
+	case d.tellsBundle(spec, in) || uint64(closure) > in.ClosureEpoch,
+		// An asker that knows of a newer leader has no use for this one.
+		leader != "" && (term > in.LeaderTerm || in.LeaderAddress == ""),
+		in.Group == "" && d.Group() != "",
+		// Whoever relies on this daemon must hear at once that it can't any more, or can again.
+		in.SourceSeen == peerapi.SourceSeen_SOURCE_CONFIRMED && d.stale(),
+		in.SourceSeen == peerapi.SourceSeen_SOURCE_STALE && !d.stale(),
+		// Numbers of another life count for nothing.
+		in.RegistryLife != string(d.nodeID) || d.registry.Urgent() > in.RegistryWhole || len(in.RegistryWanted) > 0,
+		in.MembersLife != string(d.nodeID),
+		d.drainingNow.Load() && d.toldNews.draining.Load() != in.DrainingVersion:
+		return urgent
+	// Of how busy engines are there is always something new; control daemons, who tell it across zones, let it wait
+	// for the end of the hold.
+	case !in.RegistryUrgent && (d.registry.Solid() > in.RegistryWhole || !in.Beats && d.registry.Newest() > in.RegistryWhole),
+		d.members.Solid() > in.MembersSeen || !in.RegistryUrgent && d.members.Changes() > in.MembersSeen,
+		plans != (in.PlannerAddress == self) || in.PlannerAddress == "" && planner != "",
+		plans && d.toldNews.lacks.Load() != in.LacksVersion:
+		return ordinary
+	}
+	return nothingNew
+}
+
+// bundleRest is for how long a new bundle is left to the teller of an asker that asks here for what is urgent only,
+// and to the log of one that serves control.
+const bundleRest = 400 * time.Millisecond
+
+// bundleSeen is since when a bundle is in force here, as far as was looked.
+type bundleSeen struct {
+	epoch ident.Epoch
+	at    clock.Mark
+}
+
+// tellsBundle says whether an asker is told the bundle in force here. A bundle is large, and who asks for what is
+// urgent only has it from its teller in a moment, who serves control from the group's log: these are told here only if
+// they still lack it after a while.
+func (d *Daemon) tellsBundle(epoch ident.Epoch, in *peerapi.PullRequest) bool {
+	seen := d.bundleSeen.Load()
+	if seen == nil || seen.epoch != epoch {
+		seen = &bundleSeen{epoch, d.clock.Elapsed()}
+		d.bundleSeen.Store(seen)
+	}
+	return uint64(epoch) > in.SpecEpoch && (!in.RegistryUrgent && !in.Beats || d.clock.Elapsed().Since(seen.at) >= bundleRest)
+}
 
 // News wakes those whose answers are held back, when the list of members changed.
 func (d *Daemon) News() { d.bell.ring(ordinary) }
@@ -174,6 +164,16 @@
 	d.admitCallers()
 }
 
+// beatNews is what a beat looks at.
+type beatNews struct {
+	leader     string
+	term       uint64
+	leads      bool
+	stale      bool
+	draining   int
+	drainKnown clock.Mark
+}
+
 // Beat looks for news that nobody else tells of. Only the actor of members calls it.
 func (d *Daemon) Beat() {
 	leader, term := d.leaderAndTerm()
@@ -206,95 +206,3 @@
 		d.bell.ring(ordinary)
 	}
 }
-
-// beatNews is what a beat looks at.
-type beatNews struct {
-	leader     string
-	term       uint64
-	leads      bool
-	stale      bool
-	draining   int
-	drainKnown clock.Mark
-}
-
-// lackSlack is by how much a wait must have changed for others to be told.
-const lackSlack = 400 * time.Millisecond
-
-// like says whether two words on what is lacking are so near each other that others need not be told.
-func (h *heldLacks) like(other *heldLacks) bool {
-	if len(h.lacks) != len(other.lacks) || len(h.pools) != len(other.pools) {
-		return false
-	}
-	near := func(a, b time.Duration) bool { return max(a-b, b-a) <= max(lackSlack, b/4) }
-	for i, lack := range h.lacks {
-		if known := other.lacks[i]; lack.Model != known.Model || lack.Adapter != known.Adapter || !near(lack.Wait, known.Wait) {
-			return false
-		}
-	}
-	for i, lack := range h.pools {
-		if known := other.pools[i]; lack.Pool != known.Pool || lack.Model != known.Model || lack.Adapter != known.Adapter || !near(lack.Wait, known.Wait) {
-			return false
-		}
-	}
-	return true
-}
-
-// tellLacks puts what will not be loaded soon into a reply, where this daemon plans and the asker has it not.
-func (d *Daemon) tellLacks(in *peerapi.PullRequest, reply *peerapi.PullReply) {
-	held := d.heldLacks.Load()
-	if !reply.Plans || held == nil {
-		return
-	}
-	reply.LacksVersion = d.toldNews.lacks.Load()
-	if reply.LacksVersion == in.LacksVersion {
-		return
-	}
-	for _, lack := range held.lacks {
-		reply.Lacks = append(reply.Lacks, &peerapi.Lack{Model: lack.Model, Adapter: lack.Adapter, WaitMs: lack.Wait.Milliseconds()})
-	}
-	for _, lack := range held.pools {
-		reply.Lacks = append(reply.Lacks, &peerapi.Lack{Pool: lack.Pool, Model: lack.Model, Adapter: lack.Adapter, WaitMs: lack.Wait.Milliseconds()})
-	}
-}
-
-// learnLacks takes the planner's word on what will not be loaded soon.
-func (d *Daemon) learnLacks(reply *peerapi.PullReply) {
-	if !reply.Plans || reply.LacksVersion == 0 {
-		return
-	}
-	now := d.clock.Elapsed()
-	if reply.LacksVersion == d.heardNews.lacks.Load() {
-		// The same as before, said again.
-		if known := d.lacks.Load(); known != nil {
-			d.lacks.Store(&heardLacks{now, known.waits})
-		}
-		if known := d.poolLacks.Load(); known != nil {
-			d.poolLacks.Store(&heardPoolLacks{now, known.waits})
-		}
-		return
-	}
-	lacks := make(map[dispatch.Wanted]time.Duration, len(reply.Lacks))
-	for _, lack := range reply.Lacks {
-		if lack.Pool == "" {
-			lacks[dispatch.Wanted{Model: lack.Model, Adapter: lack.Adapter}] = time.Duration(lack.WaitMs) * time.Millisecond
-		}
-	}
-	d.hearPoolLacks(reply.Lacks)
-	d.lacks.Store(&heardLacks{now, lacks})
-	d.heardNews.lacks.Store(reply.LacksVersion)
-}
-
-// hearWants takes what an asker holds and asks for; it says false where what that builds on is not known.
-func (d *Daemon) hearWants(in *peerapi.PullRequest) bool {
-	if in.Wants == 0 {
-		return true
-	}
-	d.fleetMutex.Lock()
-	defer d.fleetMutex.Unlock()
-	heard := d.fleetWants[ident.NodeID(in.NodeId)]
-	if heard == nil {
-		heard = &demand.Receiver{}
-		d.fleetWants[ident.NodeID(in.NodeId)] = heard
-	}
-	return heard.Take(d.clock.Elapsed(), demand.Message{Seq: in.Wants, Base: in.WantsBase, Demand: in.Demand, Seats: in.Seats})
-}
--- a/daemon/member.go
+++ b/daemon/member.go
@@ -2,23 +2,15 @@
 
 import (
 	"context"
-	"crypto/rand"
-	"encoding/hex"
 	"errors"
-	"slices"
 	"time"
 
-	"github.com/apex/log"
 	"github.com/rotisserie/eris"
 
-	"github.com/cresspond/cresspond/ident"
-	"github.com/cresspond/cresspond/process/consensus/bootstrap"
 	"github.com/cresspond/cresspond/process/consensus/raft"
 	"github.com/cresspond/cresspond/process/consensus/replica"
-	"github.com/cresspond/cresspond/process/consensus/statemachine"
 	"github.com/cresspond/cresspond/process/consensus/store"
 	"github.com/cresspond/cresspond/process/daemonconfig"
-	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 const (
@@ -31,8 +23,6 @@
 	// more than once: something is wrong with this machine or build, and joining over and over would not mend it.
 	firstDifferPause = 10 * time.Second
 	mostDifferPause  = 10 * time.Minute
-	// joinEvery is how often a member that does not vote yet asks to be taken in.
-	joinEvery = 250 * time.Millisecond
 	// letGoLimit is how long a stopping daemon waits for its disk.
 	letGoLimit = 500 * time.Millisecond
 )
@@ -197,204 +187,3 @@
 	made.Run(ctx)
 	return nil
 }
-
-// groupTurned writes down what changed in this member's part in the group.
-func (d *Daemon) groupTurned(before, after replica.Condition) {
-	line := d.log.WithField("term", uint64(after.Term))
-	switch {
-	case after.Leads && !before.Leads:
-		line.Info("leads the group")
-	case before.Leads && !after.Leads:
-		line.Info("leads the group no more")
-	case after.Stalled != before.Stalled:
-		line.WithField("stalled", after.Stalled).Info("the disk holds this member up, or does no more")
-	}
-	if after.Leads && len(after.Differing) > 0 && !slices.Equal(before.Differing, after.Differing) {
-		line.WithField("members", after.Differing).Warn("the states of these members differ from a majority's")
-	}
-	if after.Leads && !slices.Equal(before.Members.Members, after.Members.Members) {
-		var voters, learners []string
-		for _, member := range after.Members.Members {
-			if member.Voter {
-				voters = append(voters, member.Name)
-			} else {
-				learners = append(learners, member.Name)
-			}
-		}
-		line.WithFields(log.Fields{"voters": voters, "learners": learners}).Info("the group has other members")
-	}
-}
-
-// groupNotices writes down what members of the group noticed of each other. A snapshot that is refused again and
-// again is one line.
-func (d *Daemon) groupNotices() func(raft.Notice) {
-	var refused raft.Notice
-	return func(notice raft.Notice) {
-		line := d.log.WithFields(log.Fields{"peer": uint64(notice.Peer), "index": uint64(notice.Index), "bytes": notice.Bytes})
-		switch notice.Kind {
-		case raft.NoticeSnapshotSent, raft.NoticeSnapshotTaken:
-			line.Info(notice.Kind.String())
-		case raft.NoticeSnapshotRefused:
-			if notice.Peer != refused.Peer || notice.Index != refused.Index {
-				line.WithError(notice.Err).Warn(notice.Kind.String())
-			}
-			refused = notice
-		case raft.NoticeStateDiffers:
-			// A leader's view of its peers is written down where it changes.
-			if notice.Err != nil {
-				line.WithError(notice.Err).Warn(notice.Kind.String())
-			}
-		}
-	}
-}
-
-// seeds are the addresses at which the fleet may be found: those that were told, and the members of the group
-// as this machine's disk remembers them, since the told ones may be gone.
-func (d *Daemon) seeds() []string {
-	out := d.current.Load().Seeds
-	held := d.replica.Load()
-	if held == nil {
-		return out
-	}
-	out = slices.Clip(out)
-	for _, member := range held.Condition().Members.Members {
-		if member.Address != "" && !slices.Contains(out, member.Address) {
-			out = append(out, member.Address)
-		}
-	}
-	return out
-}
-
-// remembers says whether a data folder belongs to a group already.
-func remembers(held *store.Store) bool {
-	group, err := held.Group()
-	return err != nil || group != ""
-}
-
-func (d *Daemon) findGroup(ctx context.Context, held *store.Store) (ident.GroupID, raft.Restored, error) {
-	var none raft.Restored
-	remembered, err := held.Group()
-	if err != nil {
-		return "", none, err
-	}
-	if remembered != "" {
-		restored, err := held.Load()
-		return remembered, restored, err
-	}
-	ticker := time.NewTicker(200 * time.Millisecond)
-	defer ticker.Stop()
-	for {
-		decision, group, members := bootstrap.Decide(held.Member, d.askSeeds(ctx))
-		switch decision {
-		case bootstrap.Join:
-			return group, none, nil
-		case bootstrap.Form:
-			return d.form(held, members)
-		}
-		select {
-		case <-ctx.Done():
-			return "", none, nil
-		case group := <-d.adopted:
-			return group, none, nil
-		case <-ticker.C:
-		}
-	}
-}
-
-// form writes the first state of a new group; it counts once it is synced.
-func (d *Daemon) form(held *store.Store, members raft.Membership) (ident.GroupID, raft.Restored, error) {
-	var raw [8]byte
-	if _, err := rand.Read(raw[:]); err != nil {
-		panic("broken invariant: no randomness: " + err.Error())
-	}
-	group := ident.GroupID(hex.EncodeToString(raw[:]))
-	first := raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: statemachine.New().Snapshot()}
-	if err := held.Write(group, raft.Save{HardState: raft.HardState{Term: 1}, Snapshot: &first}); err != nil {
-		return "", raft.Restored{}, err
-	}
-	d.log.WithField("members", len(members.Members)).Info("formed a new group")
-	restored, err := held.Load()
-	return group, restored, err
-}
-
-// askSeeds asks all seeds who they are. Once one of them tells of a group nobody else is waited for: a seed
-// that is gone for good must not hold up a machine that comes in its place.
-func (d *Daemon) askSeeds(ctx context.Context) []bootstrap.Seed {
-	seeds := d.Config().Seeds
-	out := make([]bootstrap.Seed, len(seeds))
-	type said struct {
-		place    int
-		identity *peerapi.Identity
-	}
-	answers := make(chan said, len(seeds))
-	bounded, cancel := context.WithTimeout(ctx, time.Second)
-	defer cancel()
-	for place, address := range seeds {
-		out[place].Address = address
-		go func() {
-			if address == d.config.ReachedAt() {
-				answers <- said{place, d.identity()}
-				return
-			}
-			// A seed that does not answer is told by its lack of an identity.
-			identity, err := d.links.To(address).Identify(bounded, &peerapi.Nothing{})
-			if err != nil {
-				identity = nil
-			}
-			answers <- said{place, identity}
-		}()
-	}
-	for range seeds {
-		answer := <-answers
-		if answer.identity == nil {
-			continue
-		}
-		out[answer.place] = seedOf(out[answer.place].Address, answer.identity)
-		if answer.identity.Group != "" {
-			break
-		}
-	}
-	return out
-}
-
-func seedOf(address string, identity *peerapi.Identity) bootstrap.Seed {
-	return bootstrap.Seed{Address: address, Answered: true, Member: raft.MemberID(identity.MemberId), Name: ident.NodeID(identity.NodeId).Name(),
-		Group: ident.GroupID(identity.Group), ServesControl: identity.ServesControl, JoinOnly: identity.JoinOnly}
-}
-
-// runJoin asks to be taken in until this member votes.
-func (d *Daemon) runJoin(ctx context.Context, made *replica.Replica, self raft.Member) {
-	ticker := time.NewTicker(joinEvery)
-	defer ticker.Stop()
-	for {
-		condition := made.Condition()
-		member, known := condition.Members.Find(self.ID)
-		leader := d.members.View().LeaderAddress
-		if d.draining.Load() {
-			// While it goes on, another that stands ready may take its place.
-			if known && member.Voter && leader != "" && leader != self.Address {
-				d.askToJoin(ctx, leader, self, true)
-			}
-			leader = ""
-		}
-		// One that hears no leader, while others do, may have been let go without its knowing.
-		outside := !known || !member.Voter || condition.Leader.ID == 0
-		if outside && leader != "" && leader != self.Address {
-			d.askToJoin(ctx, leader, self, false)
-		}
-		select {
-		case <-ctx.Done():
-			return
-		case <-ticker.C:
-		}
-	}
-}
-
-// askToJoin tells the leader that this member wants to be taken in, or that it stops. It says whether the leader
-// agreed: to one that stops, that nothing rests on its copy of the log. A lost call is made again on the next beat.
-func (d *Daemon) askToJoin(ctx context.Context, leader string, self raft.Member, leaving bool) bool {
-	bounded, cancel := context.WithTimeout(ctx, time.Second)
-	defer cancel()
-	reply, err := d.links.To(leader).Join(bounded, &peerapi.JoinRequest{Group: string(d.Group()), MemberId: uint64(self.ID), Name: self.Name, Address: self.Address, Leaving: leaving})
-	return err == nil && reply.Outcome == string(replica.Applied)
-}
--- /dev/null
+++ b/daemon/membernotices.go
@@ -0,0 +1,60 @@
+package daemon
+
+import (
+	"slices"
+
+	"github.com/apex/log"
+
+	"github.com/cresspond/cresspond/process/consensus/raft"
+	"github.com/cresspond/cresspond/process/consensus/replica"
+)
+
+// groupTurned writes down what changed in this member's part in the group.
+func (d *Daemon) groupTurned(before, after replica.Condition) {
+	line := d.log.WithField("term", uint64(after.Term))
+	switch {
+	case after.Leads && !before.Leads:
+		line.Info("leads the group")
+	case before.Leads && !after.Leads:
+		line.Info("leads the group no more")
+	case after.Stalled != before.Stalled:
+		line.WithField("stalled", after.Stalled).Info("the disk holds this member up, or does no more")
+	}
+	if after.Leads && len(after.Differing) > 0 && !slices.Equal(before.Differing, after.Differing) {
+		line.WithField("members", after.Differing).Warn("the states of these members differ from a majority's")
+	}
+	if after.Leads && !slices.Equal(before.Members.Members, after.Members.Members) {
+		var voters, learners []string
+		for _, member := range after.Members.Members {
+			if member.Voter {
+				voters = append(voters, member.Name)
+			} else {
+				learners = append(learners, member.Name)
+			}
+		}
+		line.WithFields(log.Fields{"voters": voters, "learners": learners}).Info("the group has other members")
+	}
+}
+
+// groupNotices writes down what members of the group noticed of each other. A snapshot that is refused again and
+// again is one line.
+func (d *Daemon) groupNotices() func(raft.Notice) {
+	var refused raft.Notice
+	return func(notice raft.Notice) {
+		line := d.log.WithFields(log.Fields{"peer": uint64(notice.Peer), "index": uint64(notice.Index), "bytes": notice.Bytes})
+		switch notice.Kind {
+		case raft.NoticeSnapshotSent, raft.NoticeSnapshotTaken:
+			line.Info(notice.Kind.String())
+		case raft.NoticeSnapshotRefused:
+			if notice.Peer != refused.Peer || notice.Index != refused.Index {
+				line.WithError(notice.Err).Warn(notice.Kind.String())
+			}
+			refused = notice
+		case raft.NoticeStateDiffers:
+			// A leader's view of its peers is written down where it changes.
+			if notice.Err != nil {
+				line.WithError(notice.Err).Warn(notice.Kind.String())
+			}
+		}
+	}
+}
--- /dev/null
+++ b/daemon/nodedigests.go
@@ -0,0 +1,86 @@
+package daemon
+
+import (
+	"time"
+
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/nodehealth"
+	"github.com/cresspond/cresspond/process/engines/registry"
+	"github.com/cresspond/cresspond/wire/peerapi"
+)
+
+// tellNodesEvery is how often a daemon tells what it measured.
+const tellNodesEvery = time.Second
+
+const (
+	// mostClasses and mostBuckets bound what one telling may hold of an engine.
+	mostClasses = 500
+	mostBuckets = 300
+)
+
+// tell gives what was measured since it was last told, for whoever plans.
+func (n *nodeRanking) tell() []*peerapi.NodeDigest {
+	if n.recorder == nil {
+		return nil
+	}
+	now := n.clock.Elapsed()
+	n.toldMutex.Lock()
+	defer n.toldMutex.Unlock()
+	if now.Since(n.toldAt) < tellNodesEvery {
+		return nil
+	}
+	n.toldAt = now
+	digests := n.recorder.Take()
+	n.told.Add(uint64(len(digests)))
+	return encodeDigests(digests)
+}
+
+// hear takes what an asker measured, where this daemon plans.
+func (n *nodeRanking) hear(in *peerapi.PullRequest) {
+	if len(in.Nodes) == 0 || !n.on() || !n.plans() || !n.pools.condition().Held {
+		return
+	}
+	// What finds no room is lost: the next telling brings as much again.
+	n.box.Offer(heardNodes{ident.ZoneID(in.Zone), decodeDigests(n.registry.View(), in.Nodes)})
+}
+
+// encodeDigests puts the digests of one engine together. Its pool is known to whoever plans.
+func encodeDigests(digests []nodehealth.Digest) []*peerapi.NodeDigest {
+	var out []*peerapi.NodeDigest
+	for _, digest := range digests {
+		if len(out) == 0 || out[len(out)-1].Engine != string(digest.Engine) {
+			out = append(out, &peerapi.NodeDigest{Engine: string(digest.Engine)})
+		}
+		class := &peerapi.NodeClass{Kind: uint32(digest.Class.Kind), Model: digest.Class.Model, TargetMs: digest.Class.TargetMs,
+			Load: uint32(digest.Class.Load), Size: uint32(digest.Class.Size)}
+		for _, bucket := range digest.Buckets {
+			class.Values, class.Counts = append(class.Values, bucket.Value), append(class.Counts, bucket.Count)
+		}
+		last := out[len(out)-1]
+		last.Classes = append(last.Classes, class)
+	}
+	return out
+}
+
+// decodeDigests reads what another daemon measured; what makes no sense, or is of no engine that is known, is left out.
+func decodeDigests(view *registry.View, nodes []*peerapi.NodeDigest) []nodehealth.Digest {
+	var out []nodehealth.Digest
+	for _, node := range nodes {
+		engine := view.Engines[ident.EngineID(node.Engine)]
+		if engine == nil || len(node.Classes) > mostClasses {
+			continue
+		}
+		for _, class := range node.Classes {
+			if class.Kind > uint32(nodehealth.Connect) || class.Load > 64 || class.Size > 64 || len(class.Values) != len(class.Counts) || len(class.Values) > mostBuckets {
+				continue
+			}
+			digest := nodehealth.Digest{Engine: engine.ID, Class: nodehealth.Class{Kind: nodehealth.Kind(class.Kind), Pool: engine.Pool, Model: class.Model,
+				TargetMs: class.TargetMs, Load: uint8(class.Load), Size: uint8(class.Size)}}
+			for place, value := range class.Values {
+				digest.Buckets = append(digest.Buckets, nodehealth.Bucket{Value: value, Count: class.Counts[place]})
+			}
+			out = append(out, digest)
+		}
+	}
+	return out
+}
--- a/daemon/ranking.go
+++ b/daemon/noderanking.go
@@ -20,7 +20,6 @@
 	"github.com/cresspond/cresspond/process/engines/nodehealth"
 	"github.com/cresspond/cresspond/process/engines/registry"
 	"github.com/cresspond/cresspond/process/workerid/snowflake"
-	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 // nodeRanking is a daemon's part in ranking engines: where it routes it measures and tells, where it plans it ranks
@@ -85,8 +84,6 @@
 const (
 	// rankEvery is how often engines are ranked, where a step takes less than a tenth of that.
 	rankEvery = time.Second
-	// tellNodesEvery is how often a daemon tells what it measured.
-	tellNodesEvery = time.Second
 	// wantedFor is for how long something counts as asked for.
 	wantedFor = 30 * time.Second
 	// vanishedFor is after what time the mark of an engine that is gone is taken away.
@@ -120,79 +117,6 @@
 	}
 }
 
-// tell gives what was measured since it was last told, for whoever plans.
-func (n *nodeRanking) tell() []*peerapi.NodeDigest {
-	if n.recorder == nil {
-		return nil
-	}
-	now := n.clock.Elapsed()
-	n.toldMutex.Lock()
-	defer n.toldMutex.Unlock()
-	if now.Since(n.toldAt) < tellNodesEvery {
-		return nil
-	}
-	n.toldAt = now
-	digests := n.recorder.Take()
-	n.told.Add(uint64(len(digests)))
-	return encodeDigests(digests)
-}
-
-// encodeDigests puts the digests of one engine together. Its pool is known to whoever plans.
-func encodeDigests(digests []nodehealth.Digest) []*peerapi.NodeDigest {
-	var out []*peerapi.NodeDigest
-	for _, digest := range digests {
-		if len(out) == 0 || out[len(out)-1].Engine != string(digest.Engine) {
-			out = append(out, &peerapi.NodeDigest{Engine: string(digest.Engine)})
-		}
-		class := &peerapi.NodeClass{Kind: uint32(digest.Class.Kind), Model: digest.Class.Model, TargetMs: digest.Class.TargetMs,
-			Load: uint32(digest.Class.Load), Size: uint32(digest.Class.Size)}
-		for _, bucket := range digest.Buckets {
-			class.Values, class.Counts = append(class.Values, bucket.Value), append(class.Counts, bucket.Count)
-		}
-		last := out[len(out)-1]
-		last.Classes = append(last.Classes, class)
-	}
-	return out
-}
-
-const (
-	// mostClasses and mostBuckets bound what one telling may hold of an engine.
-	mostClasses = 500
-	mostBuckets = 300
-)
-
-// decodeDigests reads what another daemon measured; what makes no sense, or is of no engine that is known, is left out.
-func decodeDigests(view *registry.View, nodes []*peerapi.NodeDigest) []nodehealth.Digest {
-	var out []nodehealth.Digest
-	for _, node := range nodes {
-		engine := view.Engines[ident.EngineID(node.Engine)]
-		if engine == nil || len(node.Classes) > mostClasses {
-			continue
-		}
-		for _, class := range node.Classes {
-			if class.Kind > uint32(nodehealth.Connect) || class.Load > 64 || class.Size > 64 || len(class.Values) != len(class.Counts) || len(class.Values) > mostBuckets {
-				continue
-			}
-			digest := nodehealth.Digest{Engine: engine.ID, Class: nodehealth.Class{Kind: nodehealth.Kind(class.Kind), Pool: engine.Pool, Model: class.Model,
-				TargetMs: class.TargetMs, Load: uint8(class.Load), Size: uint8(class.Size)}}
-			for place, value := range class.Values {
-				digest.Buckets = append(digest.Buckets, nodehealth.Bucket{Value: value, Count: class.Counts[place]})
-			}
-			out = append(out, digest)
-		}
-	}
-	return out
-}
-
-// hear takes what an asker measured, where this daemon plans.
-func (n *nodeRanking) hear(in *peerapi.PullRequest) {
-	if len(in.Nodes) == 0 || !n.on() || !n.plans() || !n.pools.condition().Held {
-		return
-	}
-	// What finds no room is lost: the next telling brings as much again.
-	n.box.Offer(heardNodes{ident.ZoneID(in.Zone), decodeDigests(n.registry.View(), in.Nodes)})
-}
-
 func (n *nodeRanking) take(event any) {
 	switch e := event.(type) {
 	case heardNodes:
@@ -207,23 +131,6 @@
 	}
 }
 
-func (n *nodeRanking) noteActed(e actedOn) {
-	logged := n.log.WithFields(log.Fields{"engine": string(e.act.Engine), "drain": e.act.Drain, "score": round(e.act.Standing.Score)})
-	switch {
-	case !e.known:
-		n.acts.unknown.Add(1)
-		logged.Warn("ranking: the group gave no answer")
-	case e.verdict != statemachine.Done:
-		n.acts.refused.Add(1)
-		logged.WithField("reason", e.reason).Warn("ranking: the group refused")
-	default:
-		n.acts.done.Add(1)
-		logged.WithFields(log.Fields{"kind": e.act.Standing.Kind.String(), "value": e.act.Standing.Value, "others": e.act.Standing.Peers}).Info("ranking: carried out")
-	}
-}
-
-func round(score float64) float64 { return float64(int(100*score)) / 100 }
-
 // beat ranks, while this daemon holds the claim.
 func (n *nodeRanking) beat(ctx context.Context) {
 	condition := n.pools.condition()
@@ -315,8 +222,6 @@
 	return out
 }
 
-func sortedIDs(fleet nodehealth.Fleet) []ident.EngineID { return slices.Sorted(maps.Keys(fleet)) }
-
 // act has the group shut or open an engine, stamped and under the claim that was ranked under.
 func (n *nodeRanking) act(ctx context.Context, act nodehealth.Act) {
 	stamp, verdict := n.generator.Mint()
@@ -336,6 +241,21 @@
 	}()
 }
 
+func (n *nodeRanking) noteActed(e actedOn) {
+	logged := n.log.WithFields(log.Fields{"engine": string(e.act.Engine), "drain": e.act.Drain, "score": round(e.act.Standing.Score)})
+	switch {
+	case !e.known:
+		n.acts.unknown.Add(1)
+		logged.Warn("ranking: the group gave no answer")
+	case e.verdict != statemachine.Done:
+		n.acts.refused.Add(1)
+		logged.WithField("reason", e.reason).Warn("ranking: the group refused")
+	default:
+		n.acts.done.Add(1)
+		logged.WithFields(log.Fields{"kind": e.act.Standing.Kind.String(), "value": e.act.Standing.Value, "others": e.act.Standing.Peers}).Info("ranking: carried out")
+	}
+}
+
 func reasonOf(act nodehealth.Act) string {
 	if !act.Drain {
 		return ""
@@ -347,6 +267,8 @@
 	return fmt.Sprintf("%s %.1f times that of others: %.0f against %.0f %s", act.Standing.Kind, act.Standing.Score, act.Standing.Value, act.Standing.Peers, unit)
 }
 
+func round(score float64) float64 { return float64(int(100*score)) / 100 }
+
 // fleet is what the ranker may know of the registered engines. Of who asks for what, only whether anyone does.
 func (n *nodeRanking) fleet(now clock.Mark, view *registry.View, closures statemachine.Closures, open func(ident.EngineID, ident.ZoneID) bool) nodehealth.Fleet {
 	for _, demand := range n.heardDemand(now, n.forwardDemands()) {
@@ -389,47 +311,23 @@
 	return out
 }
 
+func sortedIDs(fleet nodehealth.Fleet) []ident.EngineID { return slices.Sorted(maps.Keys(fleet)) }
+
 // emptying lists the engines whose models are to be loaded elsewhere before they are drained.
 func (n *nodeRanking) emptying() map[ident.EngineID]bool { return n.state.Load().emptying }
 
-// count lists the counters of the ranking.
-func (n *nodeRanking) count(say func(name string, value uint64)) {
-	if !n.on() {
-		return
+// mode is what ranking is used for here; settings put together without any are those of a daemon that ranks nothing.
+func (n *nodeRanking) mode() nodehealth.Mode {
+	if n.settings.Mode == "" {
+		return nodehealth.Off
 	}
-	if n.recorder != nil {
-		say("ranking_digests_told", n.told.Load())
-		say("ranking_measurements_dropped", n.recorder.Dropped())
-	}
-	if !n.plans() {
-		return
-	}
-	state := n.state.Load()
-	c := state.counters
-	say("ranking_digests_heard", c.Digests)
-	say("ranking_digests_dropped", c.DigestsDropped)
-	say("ranking_steps", c.Steps)
-	say("ranking_step_us", uint64(state.took.Microseconds()))
-	say("ranking_suspected", c.Suspected)
-	say("ranking_cleared", c.Cleared)
-	say("ranking_drains", c.Drains)
-	say("ranking_releases", c.Releases)
-	say("ranking_relapses", c.Relapses)
-	say("ranking_sounded", c.Sounded)
-	for place, count := range c.Refused {
-		if why := nodehealth.Refusal(place); why != nodehealth.Allowed {
-			say("ranking_refused_"+why.Name(), count)
-		}
-	}
-	say("ranking_acts_done", n.acts.done.Load())
-	say("ranking_acts_refused", n.acts.refused.Load())
-	say("ranking_acts_unknown", n.acts.unknown.Load())
-	say("ranking_acts_unleased", n.acts.unleased.Load())
-	drained := uint64(0)
-	for _, row := range state.rows {
-		if row.Stage == nodehealth.Drained {
-			drained++
-		}
+	return n.settings.Mode
+}
+
+// limits are the bounds that operators' drains are held to.
+func (n *nodeRanking) limits() nodehealth.Settings {
+	if n.settings == (nodehealth.Settings{}) {
+		return nodehealth.DefaultSettings()
 	}
-	say("ranking_drained_now", drained)
+	return n.settings
 }
--- a/daemon/nodes.go
+++ b/daemon/noderankingpage.go
@@ -124,19 +124,3 @@
 	}
 	asked.reply <- out
 }
-
-// mode is what ranking is used for here; settings put together without any are those of a daemon that ranks nothing.
-func (n *nodeRanking) mode() nodehealth.Mode {
-	if n.settings.Mode == "" {
-		return nodehealth.Off
-	}
-	return n.settings.Mode
-}
-
-// limits are the bounds that operators' drains are held to.
-func (n *nodeRanking) limits() nodehealth.Settings {
-	if n.settings == (nodehealth.Settings{}) {
-		return nodehealth.DefaultSettings()
-	}
-	return n.settings
-}
--- /dev/null
+++ b/daemon/planner.go
@@ -0,0 +1,25 @@
+package daemon
+
+import (
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/daemonconfig"
+)
+
+// Plans says whether this daemon plans.
+func (d *Daemon) Plans() bool {
+	return d.config.Serves(daemonconfig.Place) && (d.placer.Condition().Held || d.pools.condition().Held)
+}
+
+// heardClaim is the highest claim number that this daemon has heard of, so that none is ever given out twice.
+func (d *Daemon) heardClaim() ident.ClaimNumber {
+	var highest ident.ClaimNumber
+	if d.pools == nil {
+		return 0
+	}
+	for _, engine := range d.registry.View().Engines {
+		if engine.Plan != nil {
+			highest = max(highest, engine.Plan.Claim)
+		}
+	}
+	return highest
+}
--- /dev/null
+++ b/daemon/pull.go
@@ -0,0 +1,179 @@
+package daemon
+
+import (
+	"context"
+	"time"
+
+	"github.com/twitchtv/twirp"
+
+	"github.com/cresspond/cresspond/configuration/compression"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/cluster/membership"
+	"github.com/cresspond/cresspond/process/daemonconfig"
+	"github.com/cresspond/cresspond/process/engines/registry"
+	"github.com/cresspond/cresspond/process/rollout"
+	"github.com/cresspond/cresspond/wire/peerapi"
+)
+
+// Describe is this daemon's own row, as told in each pull.
+func (d *Daemon) Describe() *peerapi.PullRequest {
+	request := &peerapi.PullRequest{
+		Group: string(d.Group()), NodeId: string(d.nodeID), Address: d.config.ReachedAt(), Zone: string(d.config.Zone), Serve: d.serve(),
+		Ready: !d.draining.Load(), TakesPacked: true,
+	}
+	spec, closure := d.InForce()
+	request.SpecEpoch, request.ClosureEpoch = uint64(spec), uint64(closure)
+	for _, step := range d.keeper.Steps() {
+		request.Steps = append(request.Steps, &peerapi.Step{Change: step.Change, Step: step.Step, UnixMs: step.At.UnixMilli()})
+	}
+	request.Draining = d.drainingEngines()
+	return request
+}
+
+// Pull serves a peer's question; what is asked with every_ms may be held back until something is new.
+func (d *Daemon) Pull(ctx context.Context, in *peerapi.PullRequest) (*peerapi.PullReply, error) {
+	// One that still follows the lost generation of a recovered group is served, and so learns of this one.
+	if !d.Group().Succeeds(ident.GroupID(in.Group)) {
+		if err := d.ours(in.Group); err != nil {
+			return nil, err
+		}
+	}
+	if in.NodeId == "" || in.Address == "" {
+		d.counters.garbage.Add(1)
+		return nil, twirp.NewError(twirp.InvalidArgument, "a pull says who asks")
+	}
+	arrived := d.clock.Elapsed()
+	rowKnown := d.members.Served(in)
+	wantsLost := !d.hearWants(in)
+	d.nodes.hear(in)
+	d.hearOutcomes(in)
+	d.registry.Saw(ident.NodeID(in.NodeId), cursorOf(in))
+	d.hearDraining(in.Draining)
+	if !wantsLost {
+		d.holdBack(ctx, in)
+	}
+	leader, term := d.leaderAndTerm()
+	// The confirmation is read before what it vouches for, which can only be newer.
+	confirmation := membership.ConfirmationOf(d.confirmed(), arrived)
+	reply := &peerapi.PullReply{Confirmation: confirmation, Group: string(d.Group()), NodeId: string(d.nodeID), LeaderAddress: leader, LeaderTerm: term, IsLeader: d.Leads(), FirstRollMsAgo: d.FirstRollAgo().Milliseconds(),
+		RowKnown: rowKnown, WantsLost: wantsLost, Plans: d.Plans(), PlannerAddress: d.members.View().PlannerAddress}
+	if t := d.keeper.Table(); t != nil {
+		reply.SpecEpoch, reply.ClosureEpoch = uint64(t.Epoch), uint64(t.Closures.Epoch)
+		if d.tellsBundle(t.Epoch, in) {
+			reply.Spec = t.Raw
+			if t.Bundle.Packed && in.TakesPacked {
+				reply.Spec, reply.SpecPacked = t.Bundle.Data, true
+			}
+		}
+		if in.ClosureEpoch < uint64(t.Closures.Epoch) {
+			reply.Closures = rollout.EncodeClosures(t.Closures)
+		}
+	}
+	if membership.WantsMembers(in) {
+		reply.MemberAddresses = d.memberAddresses()
+	}
+	d.members.Tell(in, reply)
+	reply.Draining, reply.DrainingVersion = d.drainingEngines(), d.toldNews.draining.Load()
+	d.tellRegistry(in, reply)
+	d.tellLacks(in, reply)
+	return reply, nil
+}
+
+// Learn takes over what a reply brought.
+func (d *Daemon) Learn(reply *peerapi.PullReply) {
+	if !d.learnGroup(ident.GroupID(reply.Group)) {
+		// What another group confirmed proves nothing here.
+		reply.Confirmation = &peerapi.Confirmation{}
+		return
+	}
+	if len(reply.Spec) > 0 || len(reply.Closures) > 0 {
+		d.keeper.Offer(ident.Epoch(reply.SpecEpoch), compression.Bundle{Data: reply.Spec, Packed: reply.SpecPacked}, rollout.DecodeClosures(reply.Closures))
+	}
+	d.hearDraining(reply.Draining)
+	d.heardNews.draining.Store(reply.DrainingVersion)
+	d.learnLacks(reply)
+}
+
+// PullFrom asks another daemon, and takes over what it tells of engines.
+func (d *Daemon) PullFrom(ctx context.Context, address string, request *peerapi.PullRequest) (*peerapi.PullReply, error) {
+	reply, err := d.pullFrom(ctx, address, request)
+	if request.Wants > 0 && (err != nil || reply.WantsLost) {
+		d.wants.Lost()
+	}
+	return reply, err
+}
+
+func (d *Daemon) pullFrom(ctx context.Context, address string, request *peerapi.PullRequest) (*peerapi.PullReply, error) {
+	if !followsRegistry(request) {
+		return d.links.To(address).Pull(ctx, request)
+	}
+	peer := address
+	if request.RegistryUrgent = d.isSecond(address); request.RegistryUrgent {
+		// What is heard in short is counted apart, so that all can be asked for when that is needed.
+		peer += " urgent"
+	}
+	cursor, wanted := d.registry.Asked(peer)
+	request.RegistryLife, request.RegistrySeen, request.RegistryWhole = cursor.Life, cursor.Seen, cursor.Whole
+	request.Beats = d.config.Serves(daemonconfig.Control)
+	request.LacksVersion, request.DrainingVersion = d.heardNews.lacks.Load(), d.heardNews.draining.Load()
+	for _, id := range wanted {
+		request.RegistryWanted = append(request.RegistryWanted, string(id))
+	}
+	asked := d.clock.Elapsed()
+	reply, err := d.links.To(address).Pull(ctx, request)
+	if err != nil || !d.ofOurs(reply) {
+		return reply, err
+	}
+	d.registry.Learn(peer, registry.Difference{Cursor: registry.Cursor{Life: reply.RegistryLife, Seen: reply.RegistrySeen, Whole: reply.RegistryWhole},
+		Afresh: reply.RegistryAfresh, More: reply.RegistryMore, Records: registry.Decode(d.clock.Elapsed(), reply.Engines)}, wanted)
+	if !reply.RegistryMore && !request.RegistryUrgent {
+		d.hearsay.note(address, asked)
+	}
+	return reply, nil
+}
+
+// pace is how often this daemon asks others again. Where attempts are known to the fleet, all must soon know
+// who came and went, so that each attempt's homes are agreed on; else there is time.
+func (d *Daemon) pace() membership.Pace {
+	if d.config.Attempts == daemonconfig.LocalAttempts {
+		return membership.Pace{Least: 600 * time.Millisecond, Most: 750 * time.Millisecond}
+	}
+	return membership.Pace{Least: 150 * time.Millisecond, Most: 750 * time.Millisecond}
+}
+
+// memberAddresses are where the group's members are, by the log of this one.
+func (d *Daemon) memberAddresses() (out []string) {
+	held := d.replica.Load()
+	if held == nil {
+		return nil
+	}
+	for _, member := range held.Condition().Members.Members {
+		if member.Address != "" {
+			out = append(out, member.Address)
+		}
+	}
+	return out
+}
+
+// SourceTurned writes down that a source of news came to be stale, or is so no more.
+func (d *Daemon) SourceTurned(turned membership.Turned) {
+	line := d.log.WithField("address", turned.Address)
+	if turned.Stale {
+		line.Warn("a source of news is left: no majority of the control group has confirmed it lately")
+		return
+	}
+	line.Info("a source of news is confirmed by a majority of the control group")
+}
+
+// tellerFresh is how lately the teller must have told all for others to be asked for what is urgent only.
+const tellerFresh = 2500 * time.Millisecond
+
+// isSecond says whether an address is one of those of which only what is urgent is asked, because the teller tells the rest.
+func (d *Daemon) isSecond(address string) bool {
+	teller := d.members.View().TellerAddress
+	return !d.config.Serves(daemonconfig.Control) && teller != "" && teller != address && d.clock.Elapsed().Since(d.hearsay.of(teller)) <= tellerFresh
+}
+
+// followsRegistry says whether a question is one of those that go on, or of a daemon that has lost control. A
+// look at any daemon now and then must not bring the whole registry along.
+func followsRegistry(in *peerapi.PullRequest) bool { return in.EveryMs > 0 || in.Everyone }
--- /dev/null
+++ b/daemon/raftservice.go
@@ -0,0 +1,43 @@
+package daemon
+
+import (
+	"context"
+
+	"github.com/twitchtv/twirp"
+
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/daemonconfig"
+	"github.com/cresspond/cresspond/wire/peerapi"
+)
+
+// Raft takes raft messages.
+func (d *Daemon) Raft(_ context.Context, in *peerapi.RaftBatch) (*peerapi.Nothing, error) {
+	messages, sound := peerapi.ToRaft(in.Messages)
+	if !sound || in.Group == "" {
+		d.counters.garbage.Add(1)
+		return nil, twirp.NewError(twirp.InvalidArgument, "these are no raft messages")
+	}
+	if err := d.ours(in.Group); err != nil {
+		return nil, err
+	}
+	if !d.config.Serves(daemonconfig.Control) {
+		return nil, twirp.NewError(twirp.FailedPrecondition, "this daemon does not serve control")
+	}
+	held := d.replica.Load()
+	if held == nil {
+		folder := d.held()
+		for _, message := range messages {
+			// Only a group that was told this folder's identity can name it.
+			if folder != nil && message.To == folder.Member {
+				select {
+				case d.adopted <- ident.GroupID(in.Group):
+				default:
+				}
+				break
+			}
+		}
+		return &peerapi.Nothing{}, nil
+	}
+	held.Receive(ident.GroupID(in.Group), in.Address, messages)
+	return &peerapi.Nothing{}, nil
+}
--- /dev/null
+++ b/daemon/reads.go
@@ -0,0 +1,120 @@
+package daemon
+
+import (
+	"context"
+	"encoding/json"
+	"strconv"
+	"time"
+
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/replica"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/rollout/directapply"
+	"github.com/cresspond/cresspond/wire/peerapi"
+)
+
+// readLimit is how long a leader's answer to a read is waited for.
+const readLimit = 700 * time.Millisecond
+
+// Look reads part of the state through whoever leads.
+func (d *Daemon) Look(ctx context.Context, what, key string) ([]byte, bool) {
+	ticker := time.NewTicker(100 * time.Millisecond)
+	defer ticker.Stop()
+	for {
+		result, outcome := d.look(ctx, what, key)
+		if outcome == replica.Applied {
+			return result, true
+		}
+		if address := d.leaderAddress(); address != "" && address != d.config.ReachedAt() {
+			bounded, cancel := d.whileLeader(ctx, address, readLimit)
+			reply, err := d.links.To(address).Read(bounded, &peerapi.ReadRequest{Group: string(d.Group()), What: what, Key: key})
+			cancel()
+			if err == nil && reply.Outcome == string(replica.Applied) {
+				return reply.Result, true
+			}
+		}
+		select {
+		case <-ctx.Done():
+			return nil, false
+		case <-ticker.C:
+		}
+	}
+}
+
+// Read answers a linearizable read, if this daemon leads.
+func (d *Daemon) Read(ctx context.Context, in *peerapi.ReadRequest) (*peerapi.ReadReply, error) {
+	if err := d.ours(in.Group); err != nil {
+		return nil, err
+	}
+	if in.What == nodesRead {
+		return d.readNodes(ctx, in.Key), nil
+	}
+	result, outcome := d.look(ctx, in.What, in.Key)
+	return &peerapi.ReadReply{Outcome: string(outcome), Result: result, LeaderAddress: d.leaderAddress()}, nil
+}
+
+// look reads part of the state at a linearizable point; a result of nothing means that it isn't there.
+func (d *Daemon) look(ctx context.Context, what, key string) ([]byte, replica.Outcome) {
+	held := d.replica.Load()
+	if held == nil || !held.Condition().Leads {
+		return nil, replica.NotLeader
+	}
+	var result []byte
+	outcome := held.Read(ctx, func(state *statemachine.State) { result = lookUp(state, what, key) })
+	if what == "trace" && outcome == replica.Applied {
+		result = d.trace(key, result)
+	}
+	return result, outcome
+}
+
+// newest is what a trace needs of the state.
+type newest struct {
+	Spec    uint64         `json:"spec"`
+	Closure uint64         `json:"closure"`
+	Serving []ident.NodeID `json:"serving"`
+}
+
+func lookUp(state *statemachine.State, what, key string) []byte {
+	encode := func(value any) []byte {
+		data, err := json.Marshal(value)
+		if err != nil {
+			panic("broken invariant: the state cannot be encoded: " + err.Error())
+		}
+		return data
+	}
+	switch what {
+	case "spec":
+		epoch, err := strconv.ParseUint(key, 10, 64)
+		if err != nil {
+			return nil
+		}
+		if epoch == 0 {
+			epoch = uint64(state.Epoch())
+		}
+		if found, ok := state.At(ident.Epoch(epoch)); ok {
+			return encode(found)
+		}
+	case "history":
+		list := []statemachine.Proposal{}
+		for epoch := ident.Epoch(1); epoch <= state.Epoch(); epoch++ {
+			// Of bundles that were applied in one step only so many are known.
+			if found, ok := state.At(epoch); ok {
+				brief := *found
+				brief.Spec = nil
+				list = append(list, brief)
+			}
+		}
+		return encode(list)
+	case "proposal":
+		if found := state.Proposals[key]; found != nil {
+			return encode(found)
+		}
+	case "bundle":
+		return encode(directapply.NewestOf(state))
+	case "closures":
+		return encode(state.Closures)
+	case "trace":
+		return encode(newest{Spec: uint64(state.Epoch()), Closure: uint64(state.Closures.Epoch), Serving: state.ServingNow()})
+	}
+	return nil
+}
--- /dev/null
+++ b/daemon/registryexchange.go
@@ -0,0 +1,40 @@
+package daemon
+
+import (
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/daemonconfig"
+	"github.com/cresspond/cresspond/process/engines/registry"
+	"github.com/cresspond/cresspond/wire/peerapi"
+)
+
+// tellRegistry puts into a reply what changed here since the asker's last question.
+func (d *Daemon) tellRegistry(in *peerapi.PullRequest, reply *peerapi.PullReply) {
+	if !followsRegistry(in) {
+		return
+	}
+	wanted := make([]ident.EngineID, 0, len(in.RegistryWanted))
+	for _, id := range in.RegistryWanted {
+		wanted = append(wanted, ident.EngineID(id))
+	}
+	question := registry.Question{Cursor: cursorOf(in), Wanted: wanted}
+	if !in.Beats {
+		// How busy far engines are is told seldom; control daemons pass it on, and so are told all.
+		question.Zone = d.members.ZoneOf(ident.NodeID(in.NodeId))
+	}
+	switch {
+	case in.RegistryUrgent:
+		question.Kind = registry.UrgentOnly
+	case in.Beats && d.config.Serves(daemonconfig.Control):
+		// Only those who may have to judge an engine's silence need to hear of each beat.
+		question.Kind = registry.WithBeats
+	}
+	difference := d.registry.Since(question)
+	reply.RegistryLife, reply.RegistrySeen, reply.RegistryWhole = difference.Life, difference.Seen, difference.Cursor.Whole
+	reply.RegistryAfresh, reply.RegistryMore = difference.Afresh, difference.More
+	reply.Engines = registry.Encode(d.clock.Elapsed(), difference.Records)
+}
+
+// cursorOf is how much of this daemon's changes an asker has.
+func cursorOf(in *peerapi.PullRequest) registry.Cursor {
+	return registry.Cursor{Life: in.RegistryLife, Seen: in.RegistrySeen, Whole: in.RegistryWhole}
+}
--- /dev/null
+++ b/daemon/rehoming.go
@@ -0,0 +1,142 @@
+package daemon
+
+import (
+	"context"
+	"maps"
+	"slices"
+	"time"
+
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/cluster/affinity"
+	"github.com/cresspond/cresspond/process/cluster/deduplication"
+	"github.com/cresspond/cresspond/process/cluster/membership"
+	"github.com/cresspond/cresspond/wire/peerapi"
+)
+
+const (
+	// rememberAtOnce is how many attempts are handed over in one message.
+	rememberAtOnce = 1000
+	rehomeEvery    = 300 * time.Millisecond
+)
+
+// runRehoming hands attempts to the homes they come to have as daemons come and go.
+func (d *Daemon) runRehoming(ctx context.Context) {
+	ticker := time.NewTicker(rehomeEvery)
+	defer ticker.Stop()
+	before := map[string]ident.NodeID{}
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+		now := d.homeLives()
+		d.rehome(ctx, before, now)
+		before = now
+	}
+}
+
+// homeLives lists the daemons in sight that can be homes, by address.
+func (d *Daemon) homeLives() map[string]ident.NodeID {
+	out := map[string]ident.NodeID{}
+	for _, fellow := range d.members.View().InContact(d.clock.Elapsed(), sightWindow) {
+		if fellow.Ready {
+			out[fellow.Address] = fellow.NodeID
+		}
+	}
+	return out
+}
+
+func addressesOf(lives map[string]ident.NodeID) []string {
+	out := make([]string, 0, len(lives))
+	for address := range lives {
+		out = append(out, address)
+	}
+	slices.Sort(out)
+	return out
+}
+
+// newcomers lists the homes that something has now, and did not have before in the same life.
+func newcomers(key string, before, after map[string]ident.NodeID, oldAddresses, newAddresses []string) []string {
+	oldFirst, oldSecond := affinity.Owners(key, oldAddresses)
+	newFirst, newSecond := affinity.Owners(key, newAddresses)
+	var out []string
+	for _, home := range []string{newFirst, newSecond} {
+		if home != "" && ((home != oldFirst && home != oldSecond) || before[home] != after[home]) {
+			out = append(out, home)
+		}
+	}
+	return out
+}
+
+// handOver gives all that is remembered here to the homes it has without this daemon.
+func (d *Daemon) handOver(ctx context.Context) {
+	after := d.homeLives()
+	before := maps.Clone(after)
+	before[d.config.ReachedAt()] = d.nodeID
+	delete(after, d.config.ReachedAt())
+	d.rehome(ctx, before, after)
+}
+
+// rehome tells each home that an attempt has now, and did not have before in the same life.
+func (d *Daemon) rehome(ctx context.Context, before, after map[string]ident.NodeID) {
+	same := len(before) == len(after)
+	for address, life := range after {
+		same = same && before[address] == life
+	}
+	if same {
+		return
+	}
+	d.rehomeSeats(ctx, before, after)
+	oldAddresses, newAddresses := addressesOf(before), addressesOf(after)
+	batches, wholes := map[string][]*peerapi.AttemptMemory{}, map[string]bool{}
+	young, self := d.young(), d.config.ReachedAt()
+	d.attempts.Do(func(now clock.Mark, memory *deduplication.Memory) {
+		memory.Each(func(attempt string, entry deduplication.Entry) {
+			for _, home := range newcomers("attempt "+attempt, before, after, oldAddresses, newAddresses) {
+				if home == self {
+					continue
+				}
+				batches[home] = append(batches[home], &peerapi.AttemptMemory{Attempt: attempt, Owner: entry.Owner, Digest: entry.Digest,
+					AgeMs: now.Since(entry.At).Milliseconds(), Refused: entry.Refused})
+			}
+		})
+		for address, life := range after {
+			// A life that follows another is told whether this is all that it shares with this daemon.
+			if before[address] != life && address != self {
+				wholes[address] = !young || memory.Whole(address)
+				batches[address] = append(batches[address], nil...)
+			}
+		}
+	})
+	for home, batch := range batches {
+		told := true
+		for part := range slices.Chunk(batch, rememberAtOnce) {
+			bounded, cancel := context.WithTimeout(ctx, time.Second)
+			// A home that misses this is not the only one that knows.
+			_, err := d.links.To(home).Remember(bounded, &peerapi.Attempts{Attempts: part})
+			cancel()
+			told = told && err == nil
+			d.counters.attemptsMoved.Add(uint64(len(part)))
+		}
+		if told && wholes[home] {
+			bounded, cancel := context.WithTimeout(ctx, time.Second)
+			// One that misses this counts as young for some seconds more.
+			_, _ = d.links.To(home).Remember(bounded, &peerapi.Attempts{From: self, Whole: true})
+			cancel()
+		}
+	}
+}
+
+// fellowsFor lists, in order, the addresses of daemons heard within the window that fit and are not stopping.
+func (d *Daemon) fellowsFor(window time.Duration, fits func(membership.Fellow) bool) []string {
+	var addresses []string
+	for _, fellow := range d.members.View().InContact(d.clock.Elapsed(), window) {
+		if fellow.Ready && fits(fellow) {
+			addresses = append(addresses, fellow.Address)
+		}
+	}
+	slices.Sort(addresses)
+	return addresses
+}
--- /dev/null
+++ b/daemon/server.go
@@ -0,0 +1,185 @@
+package daemon
+
+import (
+	"errors"
+	"net/http"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"github.com/cresspond/cresspond/configuration/document"
+	"github.com/cresspond/cresspond/connection/gateway"
+	"github.com/cresspond/cresspond/connection/sessionapi"
+	"github.com/cresspond/cresspond/process/daemonconfig"
+	"github.com/cresspond/cresspond/wire/callerapi"
+	"github.com/cresspond/cresspond/wire/operatorapi"
+)
+
+const (
+	mostCallerBody = 4 << 20
+	// mostHeader bounds a request's head; what bundles allow is less.
+	mostHeader = 32 << 10
+	// mostBundleBody leaves room for a bundle's largest size and what is said around it.
+	mostBundleBody = document.MostBytes + 64<<10
+)
+
+// bodyLimit lets only what holds a bundle be as large as a bundle may be.
+func bodyLimit(header *fasthttp.RequestHeader) fasthttp.RequestConfig {
+	// Bundles are put in force in one step by PUT and PATCH, whatever a deployment calls the path.
+	method := string(header.Method())
+	if string(header.RequestURI()) == operatorapi.PathPropose || method == http.MethodPut || method == http.MethodPatch {
+		return fasthttp.RequestConfig{MaxRequestBodySize: mostBundleBody}
+	}
+	return fasthttp.RequestConfig{}
+}
+
+// quiet drops the library's own lines: broken connections are counted, not told.
+type quiet struct{}
+
+// Printf drops a line.
+func (quiet) Printf(string, ...any) {}
+
+// badRequest answers what could not even be read as HTTP.
+func badRequest(ctx *fasthttp.RequestCtx, err error) {
+	status := fasthttp.StatusBadRequest
+	var small *fasthttp.ErrSmallBuffer
+	switch {
+	case err == fasthttp.ErrBodyTooLarge:
+		status = fasthttp.StatusRequestEntityTooLarge
+	case errors.As(err, &small):
+		status = fasthttp.StatusRequestHeaderFieldsTooLarge
+	}
+	sessionapi.Fail(ctx, status, callerapi.Error{Outcome: callerapi.Invalid, Reason: "the request cannot be read: " + err.Error()})
+	ctx.SetConnectionClose()
+}
+
+// badCall is badRequest where callers come in: how large a body is read there follows from the table in force, and
+// that may be old.
+func (d *Daemon) badCall(ctx *fasthttp.RequestCtx, err error) {
+	if err == fasthttp.ErrBodyTooLarge && d.isForwarded(ctx, string(ctx.Path())) {
+		d.forwardSide.gateway.Unread(ctx, fasthttp.StatusRequestEntityTooLarge)
+		return
+	}
+	badRequest(ctx, err)
+}
+
+// mostConnections is how many connections a listener keeps open: what callers take must leave descriptors for
+// engines, peers and files.
+func mostConnections(descriptors int) int {
+	const (
+		most, least = 8192, 64
+		forFiles    = 200
+		share       = 60
+	)
+	if descriptors == 0 {
+		return most
+	}
+	return max(least, min(most, (descriptors-forFiles)*share/100))
+}
+
+// server is one listener's server.
+func (d *Daemon) server(handle fasthttp.RequestHandler, limits func(*fasthttp.RequestHeader) fasthttp.RequestConfig) *fasthttp.Server {
+	return &fasthttp.Server{
+		Handler: handle, Name: "cresspond", MaxRequestBodySize: mostCallerBody, HeaderReceived: limits, ReadTimeout: callerReadLimit, WriteTimeout: 5 * time.Minute,
+		IdleTimeout: restLimit, NoDefaultServerHeader: true, Concurrency: mostConnections(d.config.Machine.MostFds), CloseOnShutdown: true, Logger: quiet{}, ReadBufferSize: mostHeader,
+		// A form is some caller's body like any other, and goes on byte for byte.
+		ErrorHandler: badRequest, DisablePreParseMultipartForm: true,
+	}
+}
+
+// handle serves what comes to Listen.
+func (d *Daemon) handle(ctx *fasthttp.RequestCtx) {
+	d.letGo(ctx)
+	path := string(ctx.Path())
+	switch {
+	case d.isForwarded(ctx, path):
+		d.forwardSide.gateway.Handle(ctx)
+	case d.config.Serves(daemonconfig.Route) && d.config.OpaqueOnly:
+		// Nothing else is served there, not even by a daemon put together without forwarding.
+		sessionapi.Fail(ctx, fasthttp.StatusServiceUnavailable, callerapi.Error{Outcome: callerapi.Unknown, Reason: "no paths are in force here yet"})
+	case path == callerapi.PathGenerate && d.config.Serves(daemonconfig.Route):
+		d.door.Handle(ctx)
+	default:
+		d.operate(ctx)
+	}
+}
+
+// letGo lets whoever is answered by a stopping daemon connect elsewhere next time.
+func (d *Daemon) letGo(ctx *fasthttp.RequestCtx) {
+	if d.draining.Load() {
+		ctx.SetConnectionClose()
+	}
+}
+
+// handleOperator serves what comes to OperatorListen.
+func (d *Daemon) handleOperator(ctx *fasthttp.RequestCtx) {
+	d.letGo(ctx)
+	d.operate(ctx)
+}
+
+// operate serves operators and engines.
+func (d *Daemon) operate(ctx *fasthttp.RequestCtx) {
+	for _, handler := range d.control {
+		if handler.Handle(ctx) {
+			return
+		}
+	}
+	d.desk.Handle(ctx, string(ctx.Path()))
+}
+
+// readyPages are what ReadyListen serves: it is for looking only.
+var readyPages = []string{operatorapi.PathReady, operatorapi.PathLive, operatorapi.PathCounters, operatorapi.PathStatus}
+
+// handleReady serves what comes to ReadyListen.
+func (d *Daemon) handleReady(ctx *fasthttp.RequestCtx) {
+	for _, handler := range d.ready {
+		if handler.Handle(ctx) {
+			return
+		}
+	}
+	path := string(ctx.Path())
+	if !slices.Contains(readyPages, path) {
+		ctx.SetStatusCode(fasthttp.StatusNotFound)
+		return
+	}
+	d.desk.Handle(ctx, path)
+	if path == operatorapi.PathReady && ctx.Response.StatusCode() != fasthttp.StatusOK && d.draining.Load() {
+		select {
+		case d.unreadyTold <- struct{}{}:
+		default:
+		}
+	}
+}
+
+// isForwarded says whether a request is for the gateway: all that the product itself does not serve, and
+// what the bundle in force names outright.
+func (d *Daemon) isForwarded(ctx *fasthttp.RequestCtx, path string) bool {
+	if !d.forwards() {
+		return false
+	}
+	if d.config.OpaqueOnly || !strings.HasPrefix(path, "/v1/") && !slices.Contains(readyPages, path) {
+		return true
+	}
+	index := d.forwardIndex()
+	if index == nil {
+		return false
+	}
+	_, found := index.Lookup(string(ctx.Request.Header.Host()), path)
+	return found
+}
+
+// callerLimits lets a request be as large as the bundle in force allows on paths of opaque requests.
+func (d *Daemon) callerLimits(header *fasthttp.RequestHeader) fasthttp.RequestConfig {
+	index := d.forwardIndex()
+	if !d.forwards() || index == nil {
+		return bodyLimit(header)
+	}
+	if !d.config.OpaqueOnly {
+		if _, found := index.Lookup(string(header.Host()), gateway.PathOf(header.RequestURI())); !found {
+			return bodyLimit(header)
+		}
+	}
+	return fasthttp.RequestConfig{MaxRequestBodySize: int(index.Section.Limits.MostBodyBytes)}
+}
--- /dev/null
+++ b/daemon/sessionaffinity.go
@@ -0,0 +1,163 @@
+package daemon
+
+import (
+	"context"
+	"time"
+
+	"github.com/twitchtv/twirp"
+
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/cluster/affinity"
+	"github.com/cresspond/cresspond/process/cluster/membership"
+	"github.com/cresspond/cresspond/request/dispatch"
+	"github.com/cresspond/cresspond/wire/peerapi"
+)
+
+// seatLimit bounds the question to a session's home; a daemon that gets no answer decides alone.
+const seatLimit = 300 * time.Millisecond
+
+// seatHomes are the addresses of the two daemons that keep a session's seat.
+// Any daemon can be a home, whatever it serves, so that the restart of a lone routing daemon loses none.
+func (d *Daemon) seatHomes(session string) (first, second string) {
+	// A daemon that is stopping hands its seats over, and takes no more.
+	return affinity.Owners(session, d.fellowsFor(3*time.Second, func(membership.Fellow) bool { return true }))
+}
+
+// seatAt asks one home; nil means that it can't be reached.
+func (d *Daemon) seatAt(home string, request *peerapi.SeatRequest) *peerapi.SeatReply {
+	if home == "" {
+		return nil
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), seatLimit)
+	defer cancel()
+	ask := d.links.To(home).Seat
+	if home == d.config.ReachedAt() {
+		ask = d.Seat
+	}
+	reply, err := ask(ctx, request)
+	if err != nil {
+		return nil
+	}
+	return reply
+}
+
+// Assignment asks for a session's seat, and remembers it here too, so that it outlives its homes.
+func (r routing) Assignment(ask dispatch.AskAssignment) (ident.EngineID, bool) {
+	engine, found := r.seatOf(ask)
+	if found {
+		r.home.Note(r.clock.Elapsed(), ask.Session, engine)
+	}
+	return engine, found
+}
+
+// seatOf asks a session's homes. The first decides; the second keeps a copy, and knows better where the
+// first is gone or has just come back with nothing. Where neither knew of it, and daemons were lost
+// lately, all are asked.
+func (r routing) seatOf(ask dispatch.AskAssignment) (ident.EngineID, bool) {
+	if ask.Engine != "" && ask.Replaces == "" && r.lostLately() {
+		if engine, known := r.askAllForSeat(ask.Session); known {
+			ask.Engine = engine
+		}
+	}
+	first, second := r.seatHomes(ask.Session)
+	request := &peerapi.SeatRequest{Session: ask.Session, Model: ask.Model, Adapter: ask.Adapter, Engine: string(ask.Engine), Replaces: string(ask.Replaces)}
+	decided := r.seatAt(first, request)
+	if decided != nil && (!decided.Found || !decided.Fresh) {
+		return ident.EngineID(decided.Engine), decided.Found
+	}
+	copied := r.seatAt(second, request)
+	switch {
+	case copied == nil && decided == nil:
+		// Homes that can't be reached must not hold up the session: the wish stands.
+		return ask.Engine, ask.Engine != ""
+	case copied == nil:
+		return ident.EngineID(decided.Engine), true
+	case decided != nil && !copied.Fresh && copied.Found && copied.Engine != decided.Engine:
+		// The first home had forgotten, so it is told what the second one knows.
+		r.seatAt(first, &peerapi.SeatRequest{Session: ask.Session, Engine: copied.Engine, Replaces: decided.Engine})
+	}
+	return ident.EngineID(copied.Engine), copied.Found
+}
+
+// lostLately says whether daemons were lost or have begun anew so lately that seats may have gone with them.
+func (d *Daemon) lostLately() bool {
+	now := d.clock.Elapsed()
+	for _, fellow := range d.members.View().Fellows {
+		silent := now.Since(fellow.Heard)
+		if fellow.Ready && (silent > keeperWindow && silent <= sightWindow+doubtSpan || now.Since(fellow.Met) < doubtSpan) {
+			return true
+		}
+	}
+	return false
+}
+
+// askAllForSeat asks every daemon in sight for a session's seat; the one used last counts.
+func (d *Daemon) askAllForSeat(session string) (ident.EngineID, bool) {
+	asked := addressesOf(d.homeLives())
+	replies := make(chan *peerapi.SeatReply, len(asked))
+	for _, address := range asked {
+		go func() { replies <- d.seatAt(address, &peerapi.SeatRequest{Session: session}) }()
+	}
+	var newest *peerapi.SeatReply
+	for range asked {
+		if reply := <-replies; reply != nil && reply.Found && (newest == nil || reply.UsedMsAgo < newest.UsedMsAgo) {
+			newest = reply
+		}
+	}
+	if newest == nil {
+		return "", false
+	}
+	return ident.EngineID(newest.Engine), true
+}
+
+// EndAssignment tells a session's homes that it has ended.
+func (r routing) EndAssignment(session string) {
+	first, second := r.seatHomes(session)
+	// A home that misses this forgets the seat when it has been idle long enough.
+	for _, home := range []string{first, second} {
+		r.seatAt(home, &peerapi.SeatRequest{Session: session, Ended: true})
+	}
+}
+
+// Seat answers for the sessions whose home this daemon is.
+func (d *Daemon) Seat(_ context.Context, in *peerapi.SeatRequest) (*peerapi.SeatReply, error) {
+	if in.Session == "" {
+		return nil, twirp.NewError(twirp.InvalidArgument, "a seat belongs to a session")
+	}
+	if in.Ended {
+		d.home.End(in.Session)
+		return &peerapi.SeatReply{}, nil
+	}
+	if in.Engine == "" {
+		// Only asked for: nothing is claimed, nor does it count as used.
+		engine, used, found := d.home.Find(d.clock.Elapsed(), d.seatIdle(), in.Session)
+		return &peerapi.SeatReply{Engine: string(engine), Found: found, UsedMsAgo: used.Milliseconds()}, nil
+	}
+	engine, found, fresh := d.home.Claim(d.clock.Elapsed(), d.seatIdle(), in.Session, ident.EngineID(in.Engine), ident.EngineID(in.Replaces))
+	return &peerapi.SeatReply{Engine: string(engine), Found: found, Fresh: fresh}, nil
+}
+
+func (d *Daemon) seatIdle() time.Duration {
+	if t := d.keeper.Table(); t != nil {
+		return t.SeatIdle()
+	}
+	return time.Minute
+}
+
+// rehomeSeats gives the seats whose home this daemon was to the homes that have come to be.
+func (d *Daemon) rehomeSeats(ctx context.Context, before, after map[string]ident.NodeID) {
+	self := d.config.ReachedAt()
+	oldAddresses, newAddresses := addressesOf(before), addressesOf(after)
+	unreached := map[string]bool{}
+	for session, engine := range d.home.All() {
+		oldFirst, oldSecond := affinity.Owners(session, oldAddresses)
+		if ctx.Err() != nil || oldFirst != self && oldSecond != self {
+			continue
+		}
+		for _, home := range newcomers(session, before, after, oldAddresses, newAddresses) {
+			if home != self && !unreached[home] {
+				unreached[home] = d.seatAt(home, &peerapi.SeatRequest{Session: session, Engine: string(engine)}) == nil
+			}
+		}
+	}
+}
--- /dev/null
+++ b/daemon/sessionplanning.go
@@ -0,0 +1,78 @@
+package daemon
+
+import (
+	"context"
+	"time"
+
+	"github.com/cresspond/cresspond/connection/enginestream"
+	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/daemonconfig"
+	"github.com/cresspond/cresspond/process/placement/sessionplacement"
+	"github.com/cresspond/cresspond/process/workerid/snowflake"
+	"github.com/cresspond/cresspond/wire/engineapi"
+	"github.com/cresspond/cresspond/wire/peerapi"
+)
+
+// planning is the daemon as the placement actor sees it.
+type planning struct{ *Daemon }
+
+// Input gathers what the plan looks at.
+func (p planning) Input() sessionplacement.Input {
+	now := p.clock.Elapsed()
+	in := sessionplacement.Input{Now: now, Table: p.keeper.Table(), Engines: p.watcher.View()}
+	if p.config.Serves(daemonconfig.Route) {
+		snapshot := p.dispatch.Snapshot()
+		for _, demand := range snapshot.Demands {
+			in.Demand = append(in.Demand, sessionplacement.Demand(demand))
+		}
+		for _, seat := range snapshot.Seats {
+			in.Assignments = append(in.Assignments, sessionplacement.Assignments(seat))
+		}
+	}
+	p.fleetMutex.Lock()
+	defer p.fleetMutex.Unlock()
+	for node, heard := range p.fleetWants {
+		// Demand goes stale soon; seats are believed for longer, so a daemon cut off keeps them.
+		if now.Since(heard.At) > wantsKept {
+			delete(p.fleetWants, node)
+			continue
+		}
+		if now.Since(heard.At) < demandFresh {
+			heard.Each(now, func(demand *peerapi.Demand, _ time.Duration, _ float64) {
+				if demand.Pool == "" {
+					in.Demand = append(in.Demand, sessionplacement.Demand{Model: demand.Model, Adapter: demand.Adapter, Worth: demand.Worth, Queued: int(demand.Held), Running: int(demand.Running)})
+				}
+			})
+		}
+		for _, seat := range heard.Seats {
+			in.Assignments = append(in.Assignments, sessionplacement.Assignments{Engine: ident.EngineID(seat.Engine), Model: seat.Model, Adapter: seat.Adapter, Sessions: int(seat.Sessions)})
+		}
+	}
+	return in
+}
+
+// Claim asks the group for the claim.
+func (p planning) Claim(ctx context.Context, orders map[ident.EngineID]uint64, turn uint64) (*statemachine.Claim, bool) {
+	answer, ok := p.submitOnce(ctx, statemachine.Command{Op: statemachine.OpClaim, NodeID: p.nodeID, Orders: orders, OrdersTurn: turn, Above: p.heardClaim()})
+	if !ok || answer.Verdict != statemachine.Done || answer.Claim == nil {
+		return nil, false
+	}
+	return answer.Claim, true
+}
+
+// Mint stamps an order.
+func (p planning) Mint() (ident.MintedID, snowflake.Outcome) { return p.generator.Mint() }
+
+// Order sends an order.
+func (p planning) Order(ctx context.Context, address string, order engineapi.Order, limit time.Duration, mayLeave func() bool) (*engineapi.OrderAnswer, bool) {
+	return enginestream.Order(ctx, address, order, limit, func() bool { return mayLeave() && p.generator.Held() })
+}
+
+// MayStand says whether this daemon should try to plan.
+func (p planning) MayStand() bool {
+	ready, _ := p.Ready()
+	// A bundle without engines of the platform's list leaves nothing to plan for sessions.
+	t := p.keeper.Table()
+	return ready && p.generator.Held() && (p.pools == nil || t != nil && len(t.Spec.Engines) > 0)
+}
--- /dev/null
+++ b/daemon/status.go
@@ -0,0 +1,71 @@
+package daemon
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/cresspond/cresspond/process/consensus/raft"
+	"github.com/cresspond/cresspond/process/daemonconfig"
+	"github.com/cresspond/cresspond/wire/operatorapi"
+)
+
+// Status is this daemon's own word.
+func (d *Daemon) Status() operatorapi.Status {
+	now := d.clock.Elapsed()
+	ready, why := d.Ready()
+	out := operatorapi.Status{NodeID: d.nodeID, Version: d.version, Zone: d.config.Zone, Serve: d.serve(), Ready: ready, NotReady: why,
+		Group: d.Group(), Leader: d.leaderAddress(), Fellows: []operatorapi.Fellow{}, Engines: []operatorapi.Engine{}}
+	t := d.keeper.Table()
+	if t != nil {
+		out.SpecEpoch, out.ClosureEpoch = t.Epoch, t.Closures.Epoch
+	}
+	if confirmed := d.confirmed(); confirmed > 0 {
+		ago := max(0, now.Since(confirmed).Milliseconds())
+		out.ConfirmedMsAgo = &ago
+	}
+	if worker, held := d.generator.Worker(); held {
+		number := int64(worker)
+		out.WorkerID = &number
+	}
+	if held := d.replica.Load(); held != nil {
+		condition := held.Condition()
+		out.Raft = &operatorapi.RaftStatus{Role: condition.Role.String(), Term: uint64(condition.Term), Commit: uint64(condition.Commit), Stalled: condition.Stalled,
+			Applied: uint64(condition.Applied), StateDigest: digestText(condition.Digest)}
+		if folder := d.held(); folder != nil {
+			self, _ := condition.Members.Find(folder.Member)
+			out.Raft.Voter = self.Voter
+		}
+		for _, member := range condition.Members.Members {
+			out.Raft.Members = append(out.Raft.Members, operatorapi.RaftMember{Name: member.Name, Address: member.Address, Voter: member.Voter,
+				Differs: slices.Contains(condition.Differing, member.ID)})
+		}
+	}
+	if d.config.Serves(daemonconfig.Place) {
+		condition := d.placer.Condition()
+		out.Planner = &operatorapi.PlannerStatus{Held: condition.Held, Claim: condition.Claim, InFlight: condition.InFlight}
+	}
+	for _, fellow := range d.members.View().InContact(now, 30*time.Second) {
+		out.Fellows = append(out.Fellows, operatorapi.Fellow{NodeID: fellow.NodeID, Address: fellow.Address, Zone: fellow.Zone, Serve: fellow.Serve,
+			HeardMsAgo: now.Since(fellow.Heard).Milliseconds(), SpecEpoch: fellow.SpecEpoch, ClosureEpoch: fellow.ClosureEpoch, Ready: fellow.Ready})
+	}
+	for _, engine := range d.watcher.View().Engines {
+		row := operatorapi.Engine{ID: engine.ID, Address: engine.Address, Zone: engine.Zone, Condition: string(engine.Condition), Draining: engine.Draining,
+			Open: t != nil && t.Open(engine.ID), CallSeq: engine.Report.CallSeq, Models: []string{}}
+		for _, held := range engine.Report.Models {
+			row.Models = append(row.Models, held.Model+":"+string(held.State))
+		}
+		out.Engines = append(out.Engines, row)
+	}
+	slices.SortFunc(out.Engines, func(a, b operatorapi.Engine) int { return strings.Compare(string(a.ID), string(b.ID)) })
+	return out
+}
+
+// digestText shows a digest of the state so that two members' can be compared by eye; empty before the first.
+func digestText(digest raft.StateDigest) string {
+	if digest.Index == 0 {
+		return ""
+	}
+	return fmt.Sprintf("%d:%016x", digest.Index, digest.Sum)
+}
--- /dev/null
+++ b/daemon/workerlease.go
@@ -0,0 +1,77 @@
+package daemon
+
+import (
+	"context"
+	"time"
+
+	"github.com/rotisserie/eris"
+
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+)
+
+// tenureMargin is taken off the end of each tenure for clock-rate error.
+const tenureMargin = time.Second
+
+// runTenancy acquires a worker id and renews it.
+func (d *Daemon) runTenancy(ctx context.Context) {
+	// Nothing can be held before a worker id is, so a fresh daemon looks often whether there is a leader to ask yet.
+	const beat, freshBeat = 250 * time.Millisecond, 50 * time.Millisecond
+	renewEvery := d.replicaConfig.Tenure / 3
+	ticker := time.NewTicker(freshBeat)
+	defer ticker.Stop()
+	var renewed clock.Mark
+	for {
+		asked := d.clock.Elapsed()
+		worker, held := d.generator.Worker()
+		if !d.draining.Load() && d.enlistedAt.Load() == 0 {
+			d.enlist(ctx)
+		}
+		switch {
+		case d.draining.Load():
+		case !held:
+			result, ok := d.submitOnce(ctx, statemachine.Command{Op: statemachine.OpAcquire, NodeID: d.nodeID})
+			if ok && result.Grant != nil {
+				d.generator.Take(*result.Grant, asked)
+				renewed = asked
+				ticker.Reset(beat)
+				d.counters.acquired.Add(1)
+				d.log.WithField("workerId", int64(result.Grant.WorkerID)).Info("worker id acquired")
+				d.admitCallers()
+			}
+		case asked.Since(renewed) >= renewEvery:
+			result, ok := d.submitOnce(ctx, statemachine.Command{Op: statemachine.OpRenew, NodeID: d.nodeID, WorkerID: worker})
+			switch {
+			case ok && result.Grant != nil:
+				d.generator.Take(*result.Grant, asked)
+				renewed = asked
+				d.counters.renewed.Add(1)
+			case ok && result.Verdict == statemachine.Mismatch:
+				// The group no longer knows this tenure: nothing may be minted under it from now on.
+				d.generator.Drop()
+				d.counters.tenureFailed.Add(1)
+				d.log.Warn("worker id lost")
+			}
+		}
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+	}
+}
+
+// enlist has the group write down that this life may be serving, so that no change counts as in force
+// everywhere without it.
+func (d *Daemon) enlist(ctx context.Context) {
+	answer, ok := d.submitOnce(ctx, statemachine.Command{Op: statemachine.OpEnlist, NodeID: d.nodeID, Address: d.config.ReachedAt()})
+	switch {
+	case ok && answer.Verdict == statemachine.Done:
+		d.enlistedAt.Store(int64(d.clock.Elapsed()))
+	case ok && answer.Verdict == statemachine.Forbidden:
+		d.stepAside(eris.New(answer.Reason))
+	}
+}
+
+// EnlistedAt is when the group wrote this life down; zero before.
+func (d *Daemon) EnlistedAt() clock.Mark { return clock.Mark(d.enlistedAt.Load()) }
