--- a/daemon/raftservice.go
+++ b/daemon/raftservice.go
@@ -6,13 +6,14 @@
 	"github.com/twitchtv/twirp"
 
 	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/cluster/raftcodec"
 	"github.com/cresspond/cresspond/process/daemonconfig"
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 // Raft takes raft messages.
 func (d *Daemon) Raft(_ context.Context, in *peerapi.RaftBatch) (*peerapi.Nothing, error) {
-	messages, sound := peerapi.ToRaft(in.Messages)
+	messages, sound := raftcodec.Decode(in.Messages)
 	if !sound || in.Group == "" {
 		d.counters.garbage.Add(1)
 		return nil, twirp.NewError(twirp.InvalidArgument, "these are no raft messages")
