--- a/daemon/commands.go
+++ b/daemon/commands.go
@@ -149,7 +149,7 @@
 	if got.Outcome != replica.Applied || got.Result.Verdict != statemachine.Done {
 		return answer, got.Outcome
 	}
-	var specEpoch, closureEpoch ident.Epoch
+	var specEpoch, closureEpoch ident.Version
 	switch command.Op {
 	case statemachine.OpRoll:
 		specEpoch = got.Result.Proposal.Epoch
@@ -196,7 +196,7 @@
 // refuseAsLeader refuses a command for good, if a majority confirms that this daemon leads and what it knows is not
 // older than what is committed. Otherwise nothing is said: whoever leads by now may take the command.
 func (d *Daemon) refuseAsLeader(ctx context.Context, held *replica.Replica, command statemachine.Command) (operatorapi.Answer, replica.Outcome) {
-	var committed ident.Epoch
+	var committed ident.Version
 	if outcome := held.Read(ctx, func(state *statemachine.State) { committed = state.Epoch() }); outcome != replica.Applied {
 		return operatorapi.Answer{}, outcome
 	}
--- a/daemon/configuration.go
+++ b/daemon/configuration.go
@@ -40,7 +40,7 @@
 }
 
 // InForce is what this daemon has in force.
-func (d *Daemon) InForce() (spec, closure ident.Epoch) {
+func (d *Daemon) InForce() (spec, closure ident.Version) {
 	if t := d.keeper.Table(); t != nil {
 		return t.Epoch, t.Closures.Epoch
 	}
--- a/daemon/configurationhistory.go
+++ b/daemon/configurationhistory.go
@@ -52,7 +52,7 @@
 }
 
 // fetchBundle asks the group for an earlier bundle, and a fellow where there is no group.
-func (d *Daemon) fetchBundle(ctx context.Context, epoch ident.Epoch) []byte {
+func (d *Daemon) fetchBundle(ctx context.Context, epoch ident.Version) []byte {
 	bounded, cancel := context.WithTimeout(ctx, historyLimit)
 	defer cancel()
 	if d.leaderAddress() != "" {
@@ -82,7 +82,7 @@
 
 // Recall gives back a bundle that was in force here.
 func (d *Daemon) Recall(_ context.Context, in *peerapi.RecallRequest) (*peerapi.Recalled, error) {
-	raw, _ := d.keeper.Recall(ident.Epoch(in.Epoch))
+	raw, _ := d.keeper.Recall(ident.Version(in.Epoch))
 	out := &peerapi.Recalled{Spec: raw}
 	if t := d.keeper.Table(); t != nil {
 		out.Closures = rollout.EncodeClosures(t.Closures)
--- a/daemon/planner.go
+++ b/daemon/planner.go
@@ -11,8 +11,8 @@
 }
 
 // heardClaim is the highest claim number that this daemon has heard of, so that none is ever given out twice.
-func (d *Daemon) heardClaim() ident.ClaimNumber {
-	var highest ident.ClaimNumber
+func (d *Daemon) heardClaim() ident.FencingToken {
+	var highest ident.FencingToken
 	if d.pools == nil {
 		return 0
 	}
--- a/daemon/pull.go
+++ b/daemon/pull.go
@@ -87,7 +87,7 @@
 		return
 	}
 	if len(reply.Spec) > 0 || len(reply.Closures) > 0 {
-		d.keeper.Offer(ident.Epoch(reply.SpecEpoch), compression.Bundle{Data: reply.Spec, Packed: reply.SpecPacked}, rollout.DecodeClosures(reply.Closures))
+		d.keeper.Offer(ident.Version(reply.SpecEpoch), compression.Bundle{Data: reply.Spec, Packed: reply.SpecPacked}, rollout.DecodeClosures(reply.Closures))
 	}
 	d.hearDraining(reply.Draining)
 	d.heardNews.draining.Store(reply.DrainingVersion)
--- a/daemon/reads.go
+++ b/daemon/reads.go
@@ -91,12 +91,12 @@
 		if epoch == 0 {
 			epoch = uint64(state.Epoch())
 		}
-		if found, ok := state.At(ident.Epoch(epoch)); ok {
+		if found, ok := state.At(ident.Version(epoch)); ok {
 			return encode(found)
 		}
 	case "history":
 		list := []statemachine.Proposal{}
-		for epoch := ident.Epoch(1); epoch <= state.Epoch(); epoch++ {
+		for epoch := ident.Version(1); epoch <= state.Epoch(); epoch++ {
 			// Of bundles that were applied in one step only so many are known.
 			if found, ok := state.At(epoch); ok {
 				brief := *found
