--- a/process/engines/registry/converge_test.go
+++ b/process/engines/registry/converge_test.go
@@ -16,22 +16,22 @@
 )
 
 // world is a few daemons, control and others, and engines whose words reach them in any order, or late, or not.
-type world struct {
+type cluster struct {
 	random *rand.Rand
 	now    clock.Mark
 	cores  []*Core
 	names  []string
 	// engines are the newest words; late holds words that are still under way.
-	engines map[ident.EngineID]*Registration
-	late    []Registration
-	ended   map[ident.EngineID]bool
-	turn    uint64
+	engines      map[ident.EngineID]*Registration
+	delayed      []Registration
+	deregistered map[ident.EngineID]bool
+	turn         uint64
 }
 
 const controls = 3
 
-func newWorld(seed uint64) *world {
-	w := &world{random: rand.New(rand.NewPCG(seed, 7)), engines: map[ident.EngineID]*Registration{}, ended: map[ident.EngineID]bool{}}
+func newWorld(seed uint64) *cluster {
+	w := &cluster{random: rand.New(rand.NewPCG(seed, 7)), engines: map[ident.EngineID]*Registration{}, deregistered: map[ident.EngineID]bool{}}
 	for i := range controls + 3 {
 		w.names = append(w.names, fmt.Sprint("d", i))
 		w.cores = append(w.cores, NewCore(w.names[i], i < controls, time.Second, 0))
@@ -40,51 +40,51 @@
 }
 
 // zone is where a daemon stands that only routes; control daemons are told all.
-func (w *world) zone(at int) ident.ZoneID {
+func (w *cluster) zone(at int) ident.ZoneID {
 	if at < controls {
 		return ""
 	}
 	return ident.ZoneID(fmt.Sprint("z", at%2))
 }
 
-func (w *world) step() {
+func (w *cluster) step() {
 	w.now += clock.Mark(time.Duration(w.random.IntN(400)) * time.Millisecond)
 	at := w.random.IntN(controls)
 	id := ident.EngineID(fmt.Sprint("e", w.random.IntN(6)))
 	switch n := w.random.IntN(20); {
 	case n < 7:
-		word := w.engines[id]
-		if word == nil {
-			word = &Registration{ID: id, Pool: "p", Slots: 4, Zone: ident.ZoneID(fmt.Sprint("z", id[1]%2))}
-			w.engines[id] = word
+		registration := w.engines[id]
+		if registration == nil {
+			registration = &Registration{ID: id, Pool: "p", Slots: 4, Zone: ident.ZoneID(fmt.Sprint("z", id[1]%2))}
+			w.engines[id] = registration
 		}
-		word.CallSeq += 1 + uint64(w.random.IntN(2))
+		registration.CallSeq += 1 + uint64(w.random.IntN(2))
 		if w.random.IntN(3) == 0 {
-			word.Slots = w.random.IntN(4) + 1
+			registration.Slots = w.random.IntN(4) + 1
 		}
-		if word.Address == "" || w.random.IntN(6) == 0 {
-			word.Address = fmt.Sprint("a", w.random.IntN(4))
+		if registration.Address == "" || w.random.IntN(6) == 0 {
+			registration.Address = fmt.Sprint("a", w.random.IntN(4))
 		}
 		if w.random.IntN(25) == 0 {
-			word.Draining = true
+			registration.Draining = true
 		}
 		if w.random.IntN(4) == 0 {
-			w.late = append(w.late, *word)
+			w.delayed = append(w.delayed, *registration)
 			return
 		}
-		w.cores[at].ReceiveHeartbeat(w.now, *word)
+		w.cores[at].ReceiveHeartbeat(w.now, *registration)
 	case n < 9:
-		if len(w.late) > 0 {
-			i := w.random.IntN(len(w.late))
-			w.cores[at].ReceiveHeartbeat(w.now, w.late[i])
+		if len(w.delayed) > 0 {
+			i := w.random.IntN(len(w.delayed))
+			w.cores[at].ReceiveHeartbeat(w.now, w.delayed[i])
 			if w.random.IntN(2) == 0 {
-				w.late = append(w.late[:i], w.late[i+1:]...)
+				w.delayed = append(w.delayed[:i], w.delayed[i+1:]...)
 			}
 		}
 	case n == 9:
 		if w.random.IntN(6) == 0 {
 			w.cores[at].Deregister(w.now, id)
-			w.ended[id] = true
+			w.deregistered[id] = true
 		}
 	case n == 10:
 		w.turn++
@@ -104,7 +104,7 @@
 }
 
 // pull has one daemon learn from another; it says whether anything came.
-func (w *world) pull(asker, asked int) bool {
+func (w *cluster) pull(asker, asked int) bool {
 	if asker == asked {
 		return false
 	}
@@ -117,18 +117,18 @@
 		kind, peer = UrgentOnly, peer+" urgent"
 	}
 	cursor, wanted := w.cores[asker].NextRequest(peer)
-	difference := w.cores[asked].DeltaSince(DeltaRequest{Cursor: cursor, FullRecordsOf: wanted, Filter: kind, Zone: w.zone(asker)}, 1+w.random.IntN(4))
+	delta := w.cores[asked].DeltaSince(DeltaRequest{Cursor: cursor, FullRecordsOf: wanted, Filter: kind, Zone: w.zone(asker)}, 1+w.random.IntN(4))
 	if w.random.IntN(10) == 0 {
 		// The reply is lost.
 		return true
 	}
-	w.cores[asker].ApplyDelta(w.now, peer, difference, wanted)
+	w.cores[asker].ApplyDelta(w.now, peer, delta, wanted)
 	_, more := w.cores[asker].NextRequest(peer)
-	return len(difference.Records) > 0 || difference.More || len(more) > 0
+	return len(delta.Records) > 0 || delta.More || len(more) > 0
 }
 
 // settle lets all daemons ask each other until nothing new comes.
-func (w *world) settle() bool {
+func (w *cluster) converge() bool {
 	for range 400 {
 		// What is held of loads is told in time.
 		w.now += clock.Mark(time.Second)
@@ -151,7 +151,7 @@
 }
 
 // usable is what a daemon would send to, without what differs from daemon to daemon by nature.
-func usable(c *Core) map[ident.EngineID]Engine {
+func usableEngines(c *Core) map[ident.EngineID]Engine {
 	out := map[ident.EngineID]Engine{}
 	for id, engine := range c.View().Engines {
 		if !engine.Usable() {
@@ -179,13 +179,13 @@
 			w.step()
 			for i, c := range w.cores {
 				for id, engine := range c.View().Engines {
-					if w.ended[id] && engine.Deregistered != c.left[id].gone {
+					if w.deregistered[id] && engine.Deregistered != c.departures[id].deregistered {
 						return fmt.Sprintf("%s at d%d is gone in one way and not in the other", id, i)
 					}
 				}
 			}
 		}
-		if !w.settle() {
+		if !w.converge() {
 			return "they talk for ever"
 		}
 		// Who may have to judge an engine's silence has heard of its newest beat.
@@ -196,13 +196,13 @@
 				}
 			}
 		}
-		want := usable(w.cores[0])
+		want := usableEngines(w.cores[0])
 		for i, c := range w.cores {
-			if got := usable(c); !reflect.DeepEqual(got, want) {
+			if got := usableEngines(c); !reflect.DeepEqual(got, want) {
 				return fmt.Sprintf("d%d knows\n%+v, d0\n%+v", i, got, want)
 			}
-			for id := range w.ended {
-				if engine := c.View().Engines[id]; engine != nil && engine.Usable() && c.left[id].gone {
+			for id := range w.deregistered {
+				if engine := c.View().Engines[id]; engine != nil && engine.Usable() && c.departures[id].deregistered {
 					return fmt.Sprintf("%s is back at d%d", id, i)
 				}
 			}
--- a/process/engines/registry/core_test.go
+++ b/process/engines/registry/core_test.go
@@ -11,16 +11,16 @@
 
 const second = clock.Mark(time.Second)
 
-var soleControl = func(now clock.Mark) Connectivity { return Connectivity{CanDetectTimeouts: true, Horizon: now} }
+var connected = func(now clock.Mark) Connectivity { return Connectivity{CanDetectTimeouts: true, Horizon: now} }
 
-func engineWord(id string, callSeq uint64) Registration {
+func testRegistration(id string, callSeq uint64) Registration {
 	return Registration{ID: ident.EngineID(id), Pool: "p", Address: "10.0.0.1:" + id[1:], Zone: "z", Slots: 4, CallSeq: callSeq,
 		Models: []LoadedModel{{Model: "m", Generation: 1, Adapters: []string{"a1"}}}}
 }
 
 func TestOfTwoWordsTheHigherCallSeqCounts(t *testing.T) {
 	c := NewCore("one", true, time.Second, 0)
-	newer, older := engineWord("e1", 5), engineWord("e1", 4)
+	newer, older := testRegistration("e1", 5), testRegistration("e1", 4)
 	newer.Slots, older.Slots = 8, 2
 	if c.ReceiveHeartbeat(second, newer).Stale {
 		t.Error("the first word is not late")
@@ -37,19 +37,19 @@
 
 func TestWhoIsGoneNeverComesBack(t *testing.T) {
 	c := NewCore("one", true, time.Second, 0)
-	c.ReceiveHeartbeat(second, engineWord("e1", 1))
+	c.ReceiveHeartbeat(second, testRegistration("e1", 1))
 	c.Deregister(second, "e1")
-	c.ReceiveHeartbeat(2*second, engineWord("e1", 9))
+	c.ReceiveHeartbeat(2*second, testRegistration("e1", 9))
 	if engine := c.View().Engines["e1"]; !engine.Deregistered || engine.Usable() {
 		t.Errorf("%+v", engine)
 	}
 	// Nor one that ended before it was ever heard of, nor after it was forgotten.
 	c.Deregister(second, "e2")
 	for now := second; now < 700*second; now += second {
-		c.Tick(now, time.Second, soleControl(now))
+		c.Tick(now, time.Second, connected(now))
 	}
-	c.ReceiveHeartbeat(700*second, engineWord("e2", 9))
-	c.ReceiveHeartbeat(700*second, engineWord("e1", 12))
+	c.ReceiveHeartbeat(700*second, testRegistration("e2", 9))
+	c.ReceiveHeartbeat(700*second, testRegistration("e1", 12))
 	for id, engine := range c.View().Engines {
 		if engine.Usable() {
 			t.Errorf("%s is back: %+v", id, engine)
@@ -60,12 +60,12 @@
 func TestSilenceIsJudgedOnlyAfterListening(t *testing.T) {
 	c := NewCore("one", true, time.Second, 0)
 	c.ApplyDelta(second, "peer", Delta{Cursor: Cursor{Incarnation: "other", Seen: 1}, FullResync: true, Records: []Record{func() Record {
-		word := engineWord("e1", 7)
-		return Record{ID: "e1", CallSeq: 7, Digest: digestOf(word), LastHeartbeat: -100 * second, Registration: &word}
+		registration := testRegistration("e1", 7)
+		return Record{ID: "e1", CallSeq: 7, Digest: digestOfRegistration(registration), LastHeartbeat: -100 * second, Registration: &registration}
 	}()}}, nil)
 	silentAt := clock.Mark(0)
 	for now := second; now < 20*second && silentAt == 0; now += second / 4 {
-		c.Tick(now, time.Second, soleControl(now))
+		c.Tick(now, time.Second, connected(now))
 		if c.View().Engines["e1"].TimedOut {
 			silentAt = now
 		}
@@ -73,13 +73,13 @@
 	if silentAt < second+3*second || silentAt > 6*second {
 		t.Errorf("silent at %v", time.Duration(silentAt))
 	}
-	c.ReceiveHeartbeat(21*second, engineWord("e1", 8))
+	c.ReceiveHeartbeat(21*second, testRegistration("e1", 8))
 	if !c.View().Engines["e1"].Usable() {
 		t.Error("a beat ends silence")
 	}
 	// One that slept, or is out of touch, judges nobody.
 	for now := 60 * second; now < 63*second; now += second / 2 {
-		c.Tick(now, time.Second, soleControl(now))
+		c.Tick(now, time.Second, connected(now))
 	}
 	for now := 63 * second; now < 70*second; now += second / 2 {
 		c.Tick(now, time.Second, Connectivity{Horizon: now})
@@ -91,10 +91,10 @@
 
 func TestAnEdgeJudgesNobody(t *testing.T) {
 	c := NewCore("one", false, time.Second, 0)
-	word := engineWord("e1", 7)
-	c.ApplyDelta(second, "peer", Delta{Cursor: Cursor{Incarnation: "other", Seen: 1}, Records: []Record{{ID: "e1", CallSeq: 7, Digest: digestOf(word), LastHeartbeat: second, Registration: &word}}}, nil)
+	registration := testRegistration("e1", 7)
+	c.ApplyDelta(second, "peer", Delta{Cursor: Cursor{Incarnation: "other", Seen: 1}, Records: []Record{{ID: "e1", CallSeq: 7, Digest: digestOfRegistration(registration), LastHeartbeat: second, Registration: &registration}}}, nil)
 	for now := second; now < 2000*second; now += second / 2 {
-		c.Tick(now, time.Second, soleControl(now))
+		c.Tick(now, time.Second, connected(now))
 	}
 	if engine := c.View().Engines["e1"]; engine == nil || !engine.Usable() {
 		t.Errorf("%+v", engine)
@@ -103,19 +103,19 @@
 
 func TestWhoFollowsAtAnAddressEndsWhoWasThere(t *testing.T) {
 	c := NewCore("one", true, time.Second, 0)
-	c.ReceiveHeartbeat(second, engineWord("e1", 7))
-	next := engineWord("e2", 1)
-	next.Address = engineWord("e1", 7).Address
+	c.ReceiveHeartbeat(second, testRegistration("e1", 7))
+	next := testRegistration("e2", 1)
+	next.Address = testRegistration("e1", 7).Address
 	c.ReceiveHeartbeat(2*second, next)
 	if c.View().Engines["e1"].Usable() || !c.View().Engines["e2"].Usable() {
 		t.Error("the one heard later counts")
 	}
 	// A late word of the old one, from a frozen machine's buffers, does not end the new one for good.
-	c.ReceiveHeartbeat(2*second+1, engineWord("e1", 8))
+	c.ReceiveHeartbeat(2*second+1, testRegistration("e1", 8))
 	for now := 3 * second; now < 10*second; now += second / 2 {
 		next.CallSeq++
 		c.ReceiveHeartbeat(now, next)
-		c.Tick(now, time.Second, soleControl(now))
+		c.Tick(now, time.Second, connected(now))
 	}
 	if e1, e2 := c.View().Engines["e1"], c.View().Engines["e2"]; !e1.Deregistered || !e2.Usable() {
 		t.Errorf("%+v %+v", e1, e2)
@@ -125,12 +125,12 @@
 // TestALateBeatDoesNotDisplaceWhoFollowed: beats may come seconds late, and an address is given on sooner.
 func TestALateBeatDoesNotDisplaceWhoFollowed(t *testing.T) {
 	c := NewCore("one", true, time.Second, 0)
-	first, next := engineWord("e1", 7), engineWord("e2", 1)
+	first, next := testRegistration("e1", 7), testRegistration("e2", 1)
 	next.Address = first.Address
 	c.ReceiveHeartbeat(second, first)
 	c.ReceiveHeartbeat(4*second, next)
 	first.CallSeq++
-	if hearing := c.ReceiveHeartbeat(5*second, first); !hearing.Stale {
+	if result := c.ReceiveHeartbeat(5*second, first); !result.Stale {
 		t.Error("it is taken for one that still lives")
 	}
 	if e1, e2 := c.View().Engines["e1"], c.View().Engines["e2"]; e1.Usable() || !e2.Usable() {
@@ -138,7 +138,7 @@
 	}
 	// Where the one that followed has fallen silent, there is nobody to protect.
 	for now := 5 * second; now < 12*second; now += second / 4 {
-		c.Tick(now, time.Second, soleControl(now))
+		c.Tick(now, time.Second, connected(now))
 	}
 	first.CallSeq++
 	c.ReceiveHeartbeat(12*second, first)
@@ -152,21 +152,21 @@
 func TestWhoSaysItIsGoneAndServesOnStaysOut(t *testing.T) {
 	told, heard := NewCore("one", true, time.Second, 0), NewCore("two", true, time.Second, 0)
 	for _, c := range []*Core{told, heard} {
-		c.ReceiveHeartbeat(second, engineWord("e1", 5))
-		c.ReceiveHeartbeat(second, engineWord("e2", 5))
+		c.ReceiveHeartbeat(second, testRegistration("e1", 5))
+		c.ReceiveHeartbeat(second, testRegistration("e2", 5))
 	}
 	told.Deregister(2*second, "e1")
 	heard.MarkDraining(2*second, "e1", false, true)
 	for at, callSeq := range []uint64{6, 3, 9, 7, 12, 4} {
 		now := 2*second + clock.Mark(at)*second/2
 		for _, c := range []*Core{told, heard} {
-			hearing := c.ReceiveHeartbeat(now, engineWord("e1", callSeq))
-			c.Tick(now, time.Second, soleControl(now))
+			result := c.ReceiveHeartbeat(now, testRegistration("e1", callSeq))
+			c.Tick(now, time.Second, connected(now))
 			if c.View().Engines["e1"].Usable() {
-				t.Errorf("it is back by beat %d: %+v", callSeq, hearing)
+				t.Errorf("it is back by beat %d: %+v", callSeq, result)
 			}
-			if hearing.DrainCommitted != (c == heard) {
-				t.Errorf("beat %d: %+v", callSeq, hearing)
+			if result.DrainCommitted != (c == heard) {
+				t.Errorf("beat %d: %+v", callSeq, result)
 			}
 		}
 	}
@@ -175,23 +175,23 @@
 func TestOnlyWhatAPeerLacksIsTold(t *testing.T) {
 	one, two := NewCore("one", true, time.Second, 0), NewCore("two", false, time.Second, 0)
 	for i := range 10 {
-		one.ReceiveHeartbeat(second, engineWord(fmt.Sprint("e", i), 1))
+		one.ReceiveHeartbeat(second, testRegistration(fmt.Sprint("e", i), 1))
 	}
 	pull := func(beats bool, most int) Delta {
 		cursor, wanted := two.NextRequest("one")
-		question := DeltaRequest{Cursor: cursor, FullRecordsOf: wanted}
+		request := DeltaRequest{Cursor: cursor, FullRecordsOf: wanted}
 		if beats {
-			question.Filter = WithHeartbeats
+			request.Filter = WithHeartbeats
 		}
-		difference := one.DeltaSince(question, most)
-		two.ApplyDelta(second, "one", difference, wanted)
-		return difference
+		delta := one.DeltaSince(request, most)
+		two.ApplyDelta(second, "one", delta, wanted)
+		return delta
 	}
 	told := 0
 	for {
-		difference := pull(false, 3)
-		told += len(difference.Records)
-		if !difference.More {
+		delta := pull(false, 3)
+		told += len(delta.Records)
+		if !delta.More {
 			break
 		}
 	}
@@ -201,11 +201,11 @@
 	if n := len(pull(false, 3).Records); n != 0 {
 		t.Errorf("%d told again", n)
 	}
-	one.ReceiveHeartbeat(2*second, engineWord("e1", 2))
+	one.ReceiveHeartbeat(2*second, testRegistration("e1", 2))
 	if n := len(pull(false, 3).Records); n != 0 {
 		t.Errorf("%d told of a beat that brought nothing new", n)
 	}
-	one.ReceiveHeartbeat(2*second, engineWord("e2", 2))
+	one.ReceiveHeartbeat(2*second, testRegistration("e2", 2))
 	if d := pull(true, 3); len(d.Records) != 1 || d.Records[0].Registration != nil || two.LastHeartbeats()["e2"] != (LastHeartbeat{CallSeq: 2, Received: 2 * second}) {
 		t.Errorf("%+v", d)
 	}
@@ -219,11 +219,11 @@
 	control, edge := NewCore("one", true, time.Second, 0), NewCore("two", false, time.Second, 0)
 	pull := func() Delta {
 		cursor, wanted := edge.NextRequest("one urgent")
-		difference := control.DeltaSince(DeltaRequest{Cursor: cursor, FullRecordsOf: wanted, Filter: UrgentOnly}, 100)
-		edge.ApplyDelta(second, "one urgent", difference, wanted)
-		return difference
+		delta := control.DeltaSince(DeltaRequest{Cursor: cursor, FullRecordsOf: wanted, Filter: UrgentOnly}, 100)
+		edge.ApplyDelta(second, "one urgent", delta, wanted)
+		return delta
 	}
-	control.ReceiveHeartbeat(second, engineWord("e1", 1))
+	control.ReceiveHeartbeat(second, testRegistration("e1", 1))
 	if d := pull(); len(d.Records) != 1 || d.Records[0].Registration != nil {
 		t.Errorf("%+v", d.Records)
 	}
@@ -231,14 +231,14 @@
 	if pull(); !edge.View().Engines["e1"].Usable() {
 		t.Error("the engine that came is not known")
 	}
-	more := engineWord("e1", 2)
+	more := testRegistration("e1", 2)
 	more.Models = append(more.Models, LoadedModel{Model: "n", Generation: 1})
 	control.ReceiveHeartbeat(2*second, more)
 	control.PublishPlans(2*second, map[ident.EngineID]Plan{"e1": {Claim: 1, Sequence: 1}})
 	if d := pull(); len(d.Records) != 0 {
 		t.Errorf("what is held is not urgent: %+v", d.Records)
 	}
-	control.ReceiveHeartbeat(3*second, engineWord("e2", 1))
+	control.ReceiveHeartbeat(3*second, testRegistration("e2", 1))
 	if pull(); pull().More || !edge.View().Engines["e2"].Usable() {
 		t.Error("who came later is urgent too")
 	}
@@ -248,7 +248,7 @@
 	}
 	control.Tick(4*second, time.Second, Connectivity{})
 	for now := 5 * second; now < 10*second; now += second / 2 {
-		control.Tick(now, time.Second, soleControl(now))
+		control.Tick(now, time.Second, connected(now))
 	}
 	if pull(); edge.View().Engines["e2"].Usable() {
 		t.Error("silence is urgent")
@@ -261,12 +261,12 @@
 		cursor, wanted := to.NextRequest(name)
 		to.ApplyDelta(20*second, name, from.DeltaSince(DeltaRequest{Cursor: cursor, FullRecordsOf: wanted}, 100), wanted)
 	}
-	judge.ReceiveHeartbeat(second, engineWord("e1", 1))
+	judge.ReceiveHeartbeat(second, testRegistration("e1", 1))
 	tell(judge, hearer, "one")
 	tell(hearer, edge, "two")
-	hearer.ReceiveHeartbeat(2*second, engineWord("e1", 2))
+	hearer.ReceiveHeartbeat(2*second, testRegistration("e1", 2))
 	for now := second; now < 10*second; now += second / 2 {
-		judge.Tick(now, time.Second, soleControl(now))
+		judge.Tick(now, time.Second, connected(now))
 	}
 	tell(judge, edge, "one")
 	if edge.View().Engines["e1"].Usable() {
@@ -283,18 +283,18 @@
 func TestAnotherLifeOfAPeerIsToldInShortAndAskedForWhatIsLacking(t *testing.T) {
 	before, edge := NewCore("one", true, time.Second, 0), NewCore("two", false, time.Second, 0)
 	for i := range 8 {
-		before.ReceiveHeartbeat(second, engineWord(fmt.Sprint("e", i), 1))
+		before.ReceiveHeartbeat(second, testRegistration(fmt.Sprint("e", i), 1))
 	}
 	pull := func(from *Core) Delta {
 		cursor, wanted := edge.NextRequest("one")
-		difference := from.DeltaSince(DeltaRequest{Cursor: cursor, FullRecordsOf: wanted}, 100)
-		edge.ApplyDelta(second, "one", difference, wanted)
-		return difference
+		delta := from.DeltaSince(DeltaRequest{Cursor: cursor, FullRecordsOf: wanted}, 100)
+		edge.ApplyDelta(second, "one", delta, wanted)
+		return delta
 	}
 	pull(before)
 	after := NewCore("one'", true, time.Second, 2*second)
 	for i := range 9 {
-		after.ReceiveHeartbeat(3*second, engineWord(fmt.Sprint("e", i), 2))
+		after.ReceiveHeartbeat(3*second, testRegistration(fmt.Sprint("e", i), 2))
 	}
 	for _, record := range pull(after).Records {
 		if record.Registration != nil {
@@ -308,7 +308,7 @@
 
 func TestLoadsAreToldNowAndThen(t *testing.T) {
 	c := NewCore("one", true, time.Second, 0)
-	c.ReceiveHeartbeat(second, engineWord("e1", 1))
+	c.ReceiveHeartbeat(second, testRegistration("e1", 1))
 	c.PublishPlans(second, map[ident.EngineID]Plan{"e1": {Claim: 1, Sequence: 1, Active: 1}})
 	seen := c.DeltaSince(DeltaRequest{}, 100).Cursor
 	c.PublishPlans(second+second/10, map[ident.EngineID]Plan{"e1": {Claim: 1, Sequence: 2, Active: 2}})
@@ -322,7 +322,7 @@
 	// Those of another zone hear of it more seldom, where there are many.
 	many := NewCore("many", true, time.Second, 0)
 	for i := range 200 {
-		many.ReceiveHeartbeat(second, engineWord(fmt.Sprint("e", i), 1))
+		many.ReceiveHeartbeat(second, testRegistration(fmt.Sprint("e", i), 1))
 	}
 	many.PublishPlans(second, map[ident.EngineID]Plan{"e1": {Claim: 1, Sequence: 1, Active: 1}})
 	there := many.DeltaSince(DeltaRequest{}, 1000).Cursor
@@ -354,7 +354,7 @@
 		to.ApplyDelta(now, peer, told, wanted)
 		return told.Records
 	}
-	planner.ReceiveHeartbeat(second, engineWord("e1", 1))
+	planner.ReceiveHeartbeat(second, testRegistration("e1", 1))
 	planner.PublishPlans(second, map[ident.EngineID]Plan{"e1": {Claim: 1, Sequence: 1, Active: 1, Models: []LoadedModel{{Model: "m"}}}})
 	tell(planner, relay, second, "planner")
 	if told := tell(relay, third, second, "relay"); len(told) != 1 || third.View().Engines["e1"].Plan.Active != 1 {
@@ -372,7 +372,7 @@
 		t.Errorf("loads are not passed on: %+v", told)
 	}
 	// A beat is told, without them.
-	relay.ReceiveHeartbeat(4*second, engineWord("e1", 2))
+	relay.ReceiveHeartbeat(4*second, testRegistration("e1", 2))
 	if told := tell(relay, third, 4*second, "relay"); len(told) != 1 || told[0].CallSeq != 2 || told[0].Plan != nil {
 		t.Errorf("%+v", told)
 	}
--- a/process/engines/registry/fuzz_test.go
+++ b/process/engines/registry/fuzz_test.go
@@ -15,11 +15,11 @@
 // judged and told on.
 func FuzzRecords(f *testing.F) {
 	now := clock.Mark(time.Hour)
-	word := tidy(Registration{ID: "e", Pool: "p", Address: "10.0.0.1:1", Zone: "z", Slots: 4, Models: []LoadedModel{{Model: "m", Adapters: []string{"a"}}}, CallSeq: 3})
+	registration := normalize(Registration{ID: "e", Pool: "p", Address: "10.0.0.1:1", Zone: "z", Slots: 4, Models: []LoadedModel{{Model: "m", Adapters: []string{"a"}}}, CallSeq: 3})
 	for _, records := range [][]Record{
-		{{ID: "e", Registration: &word, CallSeq: 3, Digest: digestOf(word), LastHeartbeat: now - clock.Mark(time.Second)}},
+		{{ID: "e", Registration: &registration, CallSeq: 3, Digest: digestOfRegistration(registration), LastHeartbeat: now - clock.Mark(time.Second)}},
 		{{ID: "e", CallSeq: 3, Digest: 7, Draining: true, Deregistered: true, LastHeartbeat: now}},
-		{{ID: "e", Registration: &word, CallSeq: 4, Plan: &Plan{Claim: 2, Sequence: 3, Retiring: []Target{{"m", ""}}, PendingLoads: []PendingLoad{{Target{"n", ""}, now}}}}},
+		{{ID: "e", Registration: &registration, CallSeq: 4, Plan: &Plan{Claim: 2, Sequence: 3, Retiring: []Target{{"m", ""}}, PendingLoads: []PendingLoad{{Target{"n", ""}, now}}}}},
 	} {
 		data, err := proto.Marshal(&peerapi.PullReply{RegistryLife: "l", RegistrySeen: 3, Engines: Encode(now, records)})
 		if err != nil {
--- a/process/engines/registry/size_test.go
+++ b/process/engines/registry/size_test.go
@@ -17,21 +17,21 @@
 
 var engineCounts = []int{12, 100, 350, 1400}
 
-const beatEvery = 1200 * time.Millisecond
+const heartbeatPeriod = 1200 * time.Millisecond
 
 // wordOf is an engine's word with three models of two adapters each.
-func wordOf(number int, callSeq uint64) Registration {
-	word := Registration{ID: ident.EngineID(fmt.Sprintf("i-%08x", number)), Pool: "pool", Address: fmt.Sprintf("10.%d.%d.9:8080", number/250, number%250), Zone: "zone-7", Software: "v1", Slots: 96, Phase: "colocated", CallSeq: callSeq}
+func registrationOf(number int, callSeq uint64) Registration {
+	registration := Registration{ID: ident.EngineID(fmt.Sprintf("i-%08x", number)), Pool: "pool", Address: fmt.Sprintf("10.%d.%d.9:8080", number/250, number%250), Zone: "zone-7", Software: "v1", Slots: 96, Phase: "colocated", CallSeq: callSeq}
 	for at := range 3 {
-		word.Models = append(word.Models, LoadedModel{Model: fmt.Sprintf("model%04x", (number+at)%140), Generation: 1, Adapters: []string{fmt.Sprint("a", number%600), fmt.Sprint("b", number%600)}})
+		registration.Models = append(registration.Models, LoadedModel{Model: fmt.Sprintf("model%04x", (number+at)%140), Generation: 1, Adapters: []string{fmt.Sprint("a", number%600), fmt.Sprint("b", number%600)}})
 	}
-	return word
+	return registration
 }
 
 func fullCore(engines int) *Core {
-	c := NewCore("life", true, beatEvery, 0)
+	c := NewCore("life", true, heartbeatPeriod, 0)
 	for i := range engines {
-		c.ReceiveHeartbeat(0, wordOf(i, 1))
+		c.ReceiveHeartbeat(0, registrationOf(i, 1))
 	}
 	c.View()
 	return c
@@ -45,7 +45,7 @@
 			b.ReportAllocs()
 			turn := 0
 			for b.Loop() {
-				c.ReceiveHeartbeat(clock.Mark(turn), wordOf(turn%engines, 2+uint64(turn/engines)))
+				c.ReceiveHeartbeat(clock.Mark(turn), registrationOf(turn%engines, 2+uint64(turn/engines)))
 				c.View()
 				turn++
 			}
@@ -61,9 +61,9 @@
 			b.ReportAllocs()
 			turn := 0
 			for b.Loop() {
-				word := wordOf(turn%engines, 2+uint64(turn/engines))
-				word.Slots = 90 + turn%7 + turn/engines%3
-				c.ReceiveHeartbeat(clock.Mark(turn), word)
+				registration := registrationOf(turn%engines, 2+uint64(turn/engines))
+				registration.Slots = 90 + turn%7 + turn/engines%3
+				c.ReceiveHeartbeat(clock.Mark(turn), registration)
 				c.View()
 				turn++
 			}
@@ -79,7 +79,7 @@
 			b.ReportAllocs()
 			now := clock.Mark(time.Second)
 			for b.Loop() {
-				c.Tick(now, beatEvery, Connectivity{CanDetectTimeouts: true, Horizon: now})
+				c.Tick(now, heartbeatPeriod, Connectivity{CanDetectTimeouts: true, Horizon: now})
 				now++
 			}
 		})
@@ -109,7 +109,7 @@
 			all := fullCore(engines).DeltaSince(DeltaRequest{Cursor: Cursor{}}, engines)
 			b.ReportAllocs()
 			for b.Loop() {
-				c := NewCore("other", false, beatEvery, 0)
+				c := NewCore("other", false, heartbeatPeriod, 0)
 				c.ApplyDelta(1, "peer", all, nil)
 				c.View()
 			}
@@ -122,16 +122,16 @@
 			if what == "beat" {
 				kind = WithHeartbeats
 			}
-			planned := Plan{Claim: 3, Sequence: 999, Models: wordOf(7, 1).Models, Active: 40, Queued: 1, MemoryUsed: 60000, Memory: 123322}
+			planned := Plan{Claim: 3, Sequence: 999, Models: registrationOf(7, 1).Models, Active: 40, Queued: 1, MemoryUsed: 60000, Memory: 123322}
 			if what == "load" {
 				c.PublishPlans(1, map[ident.EngineID]Plan{"i-00000007": planned})
 			}
 			seen := c.DeltaSince(DeltaRequest{Cursor: Cursor{}, Filter: WithHeartbeats}, 1400).Cursor
 			switch what {
 			case "word":
-				word := wordOf(7, 2)
-				word.Slots = 12
-				c.ReceiveHeartbeat(1, word)
+				registration := registrationOf(7, 2)
+				registration.Slots = 12
+				c.ReceiveHeartbeat(1, registration)
 			case "plan":
 				c.PublishPlans(1, map[ident.EngineID]Plan{"i-00000007": planned})
 			case "load":
@@ -139,7 +139,7 @@
 				planned.Sequence, planned.Active, planned.MemoryUsed = 1050, 71, 90000
 				c.PublishPlans(clock.Mark(time.Minute), map[ident.EngineID]Plan{"i-00000007": planned})
 			case "beat":
-				c.ReceiveHeartbeat(1, wordOf(7, 2))
+				c.ReceiveHeartbeat(1, registrationOf(7, 2))
 			}
 			size := 0
 			for b.Loop() {
--- a/process/engines/registry/types.go
+++ b/process/engines/registry/types.go
@@ -65,11 +65,11 @@
 }
 
 // weightsBelieved is for how long a share is believed; a planner that still goes by it tells it anew well before.
-const weightsBelieved = 8 * time.Second
+const weightsValidFor = 8 * time.Second
 
 // Weight is the share of its usual requests that an engine is to get from daemons of a zone.
 func (p *Plan) Weight(zone ident.ZoneID, now clock.Mark) float64 {
-	if p == nil || len(p.Weights) == 0 || now.Since(p.Received) > weightsBelieved {
+	if p == nil || len(p.Weights) == 0 || now.Since(p.Received) > weightsValidFor {
 		return 1
 	}
 	return outlier.WeightFor(p.Weights, zone)
@@ -107,9 +107,9 @@
 			}
 		}
 	}
-	for _, held := range e.Models() {
-		if held.Model == model {
-			return adapter == "" || slices.Contains(held.Adapters, adapter)
+	for _, loaded := range e.Models() {
+		if loaded.Model == model {
+			return adapter == "" || slices.Contains(loaded.Adapters, adapter)
 		}
 	}
 	return false
--- a/process/engines/registry/wire.go
+++ b/process/engines/registry/wire.go
@@ -11,32 +11,32 @@
 
 // Moments travel as how long ago, or how long until: daemons share no clock.
 
-func msSince(now, earlier clock.Mark) int64 { return now.Since(earlier).Milliseconds() }
+func millisecondsSince(now, earlier clock.Mark) int64 { return now.Since(earlier).Milliseconds() }
 
 // mostAgo bounds what is read of moments: more would not fit into a duration, and turn the past into the future.
-const mostAgo = 365 * 24 * time.Hour
+const maxElapsed = 365 * 24 * time.Hour
 
-func msAgo(now clock.Mark, ms int64) clock.Mark {
-	most := mostAgo.Milliseconds()
+func momentAgo(now clock.Mark, ms int64) clock.Mark {
+	most := maxElapsed.Milliseconds()
 	return now - clock.Mark(time.Duration(min(max(ms, -most), most))*time.Millisecond)
 }
 
 // counted is a count or a time left as it was told; there is none below zero.
-func counted(told int64) int64 { return min(max(told, 0), mostCounted) }
+func clampCount(count int64) int64 { return min(max(count, 0), maxCount) }
 
 // mostCounted keeps sums of counts far from overflow.
-const mostCounted = 1 << 53
+const maxCount = 1 << 53
 
 // Encode gives the wire form of records, as told now.
 func Encode(now clock.Mark, records []Record) []*peerapi.RegisteredEngine {
 	out := make([]*peerapi.RegisteredEngine, 0, len(records))
 	for _, r := range records {
-		row := &peerapi.RegisteredEngine{Id: string(r.ID), CallSeq: r.CallSeq, Digest: r.Digest, HeardMsAgo: msSince(now, r.LastHeartbeat),
+		row := &peerapi.RegisteredEngine{Id: string(r.ID), CallSeq: r.CallSeq, Digest: r.Digest, HeardMsAgo: millisecondsSince(now, r.LastHeartbeat),
 			Ends: r.Draining, Silent: r.TimedOut, Gone: r.Deregistered}
-		if word := r.Registration; word != nil {
-			row.Worded, row.Leaving = true, word.Draining
-			row.Pool, row.Address, row.Zone, row.Software, row.Slots = word.Pool, word.Address, string(word.Zone), word.Software, int64(word.Slots)
-			row.LeaveMs, row.ColdMs, row.Phase, row.Models = word.TerminatesInMs, word.SlowStartMs, word.Phase, encodeHeld(word.Models)
+		if registration := r.Registration; registration != nil {
+			row.Worded, row.Leaving = true, registration.Draining
+			row.Pool, row.Address, row.Zone, row.Software, row.Slots = registration.Pool, registration.Address, string(registration.Zone), registration.Software, int64(registration.Slots)
+			row.LeaveMs, row.ColdMs, row.Phase, row.Models = registration.TerminatesInMs, registration.SlowStartMs, registration.Phase, encodeModels(registration.Models)
 		}
 		if plan := r.Plan; plan != nil {
 			row.Plan = encodePlan(now, plan, r.PlanExtent)
@@ -48,20 +48,20 @@
 }
 
 // Decode reads records that were told at a moment; rows without an id are dropped.
-func Decode(told clock.Mark, rows []*peerapi.RegisteredEngine) []Record {
+func Decode(received clock.Mark, rows []*peerapi.RegisteredEngine) []Record {
 	out := make([]Record, 0, len(rows))
 	for _, row := range rows {
 		if row.GetId() == "" {
 			continue
 		}
-		r := Record{ID: ident.EngineID(row.Id), CallSeq: row.CallSeq, Digest: row.Digest, LastHeartbeat: msAgo(told, max(0, row.HeardMsAgo)),
+		r := Record{ID: ident.EngineID(row.Id), CallSeq: row.CallSeq, Digest: row.Digest, LastHeartbeat: momentAgo(received, max(0, row.HeardMsAgo)),
 			Draining: row.Ends, TimedOut: row.Silent, Deregistered: row.Gone}
 		if row.Worded {
-			r.Registration = &Registration{ID: r.ID, Pool: row.Pool, Address: row.Address, Zone: ident.ZoneID(row.Zone), Software: row.Software, Slots: int(counted(row.Slots)),
-				Draining: row.Leaving, TerminatesInMs: counted(row.LeaveMs), SlowStartMs: min(counted(row.ColdMs), mostAgo.Milliseconds()), Phase: row.Phase, Models: decodeHeld(row.Models), CallSeq: row.CallSeq}
+			r.Registration = &Registration{ID: r.ID, Pool: row.Pool, Address: row.Address, Zone: ident.ZoneID(row.Zone), Software: row.Software, Slots: int(clampCount(row.Slots)),
+				Draining: row.Leaving, TerminatesInMs: clampCount(row.LeaveMs), SlowStartMs: min(clampCount(row.ColdMs), maxElapsed.Milliseconds()), Phase: row.Phase, Models: decodeModels(row.Models), CallSeq: row.CallSeq}
 		}
 		if plan := row.Plan; plan != nil {
-			r.Plan, r.PlanExtent, r.PlanDigest = decodePlan(told, plan), PlanExtent(plan.Part), plan.Digest
+			r.Plan, r.PlanExtent, r.PlanDigest = decodePlan(received, plan), PlanExtent(plan.Part), plan.Digest
 		}
 		out = append(out, r)
 	}
@@ -73,16 +73,16 @@
 	if part == VersionOnly {
 		return out
 	}
-	out.Active, out.Queued, out.MemoryUsed, out.Memory, out.ToldMsAgo = int64(plan.Active), int64(plan.Queued), plan.MemoryUsed, plan.Memory, msSince(now, plan.Received)
+	out.Active, out.Queued, out.MemoryUsed, out.Memory, out.ToldMsAgo = int64(plan.Active), int64(plan.Queued), plan.MemoryUsed, plan.Memory, millisecondsSince(now, plan.Received)
 	if part == LoadsOnly {
 		return out
 	}
-	out.Models, out.ModelsKnown = encodeHeld(plan.Models), plan.Models != nil
+	out.Models, out.ModelsKnown = encodeModels(plan.Models), plan.Models != nil
 	for _, target := range plan.Retiring {
 		out.Retiring = append(out.Retiring, &peerapi.PlanTarget{Model: target.Model, Adapter: target.Adapter})
 	}
 	for _, coming := range plan.PendingLoads {
-		out.Coming = append(out.Coming, &peerapi.PlanTarget{Model: coming.Model, Adapter: coming.Adapter, ReadyMs: -msSince(now, coming.Ready)})
+		out.Coming = append(out.Coming, &peerapi.PlanTarget{Model: coming.Model, Adapter: coming.Adapter, ReadyMs: -millisecondsSince(now, coming.Ready)})
 	}
 	for _, weight := range plan.Weights {
 		out.Weights = append(out.Weights, &peerapi.EngineWeight{Zone: string(weight.Zone), Percent: int64(percent(weight.Share))})
@@ -90,36 +90,36 @@
 	return out
 }
 
-func decodePlan(told clock.Mark, plan *peerapi.EnginePlan) *Plan {
-	out := &Plan{Claim: ident.FencingToken(plan.Claim), Sequence: plan.Turn, Active: int(counted(plan.Active)), Queued: int(counted(plan.Queued)),
-		MemoryUsed: counted(plan.MemoryUsed), Memory: counted(plan.Memory), Received: msAgo(told, max(0, plan.ToldMsAgo))}
+func decodePlan(received clock.Mark, plan *peerapi.EnginePlan) *Plan {
+	out := &Plan{Claim: ident.FencingToken(plan.Claim), Sequence: plan.Turn, Active: int(clampCount(plan.Active)), Queued: int(clampCount(plan.Queued)),
+		MemoryUsed: clampCount(plan.MemoryUsed), Memory: clampCount(plan.Memory), Received: momentAgo(received, max(0, plan.ToldMsAgo))}
 	if plan.ModelsKnown {
-		out.Models = decodeHeld(plan.Models)
+		out.Models = decodeModels(plan.Models)
 	}
 	for _, target := range plan.Retiring {
 		out.Retiring = append(out.Retiring, Target{target.Model, target.Adapter})
 	}
 	for _, target := range plan.Coming {
-		out.PendingLoads = append(out.PendingLoads, PendingLoad{Target{target.Model, target.Adapter}, msAgo(told, -target.ReadyMs)})
+		out.PendingLoads = append(out.PendingLoads, PendingLoad{Target{target.Model, target.Adapter}, momentAgo(received, -target.ReadyMs)})
 	}
 	for _, weight := range plan.Weights {
-		out.Weights = append(out.Weights, outlier.Weight{Zone: ident.ZoneID(weight.Zone), Share: float64(min(counted(weight.Percent), 100)) / 100})
+		out.Weights = append(out.Weights, outlier.Weight{Zone: ident.ZoneID(weight.Zone), Share: float64(min(clampCount(weight.Percent), 100)) / 100})
 	}
 	return out
 }
 
-func encodeHeld(models []LoadedModel) []*peerapi.HeldModel {
+func encodeModels(models []LoadedModel) []*peerapi.HeldModel {
 	out := make([]*peerapi.HeldModel, 0, len(models))
-	for _, held := range models {
-		out = append(out, &peerapi.HeldModel{Model: held.Model, Generation: held.Generation, Adapters: held.Adapters})
+	for _, loaded := range models {
+		out = append(out, &peerapi.HeldModel{Model: loaded.Model, Generation: loaded.Generation, Adapters: loaded.Adapters})
 	}
 	return out
 }
 
-func decodeHeld(models []*peerapi.HeldModel) []LoadedModel {
+func decodeModels(models []*peerapi.HeldModel) []LoadedModel {
 	out := make([]LoadedModel, 0, len(models))
-	for _, held := range models {
-		out = append(out, LoadedModel{Model: held.Model, Generation: held.Generation, Adapters: held.Adapters})
+	for _, loaded := range models {
+		out = append(out, LoadedModel{Model: loaded.Model, Generation: loaded.Generation, Adapters: loaded.Adapters})
 	}
 	return out
 }
