--- a/process/engines/registry/word.go
+++ b/process/engines/registry/digest.go
@@ -1,33 +1,12 @@
 package registry
 
 import (
-	"cmp"
 	"encoding/binary"
 	"hash"
 	"hash/fnv"
 	"math"
-	"slices"
 )
 
-// tidy puts a word's lists in order, so that the same content always looks the same.
-func normalize(registration Registration) Registration {
-	byModel := func(a, b LoadedModel) int { return cmp.Compare(a.Model, b.Model) }
-	inOrder := slices.IsSortedFunc(registration.Models, byModel)
-	for _, loaded := range registration.Models {
-		inOrder = inOrder && slices.IsSorted(loaded.Adapters)
-	}
-	if inOrder {
-		return registration
-	}
-	registration.Models = slices.Clone(registration.Models)
-	slices.SortStableFunc(registration.Models, byModel)
-	for i := range registration.Models {
-		registration.Models[i].Adapters = slices.Clone(registration.Models[i].Adapters)
-		slices.Sort(registration.Models[i].Adapters)
-	}
-	return registration
-}
-
 // digest sums up what is put into it.
 type digestWriter struct{ hash.Hash64 }
 
@@ -103,9 +82,3 @@
 	}
 	return d.Sum64()
 }
-
-// sameButModels says whether two words differ at most in what is held, and in the count-down of a slow start.
-func equalExceptModels(a, b Registration) bool {
-	return a.Pool == b.Pool && a.Address == b.Address && a.Zone == b.Zone && a.Software == b.Software && a.Slots == b.Slots &&
-		a.Draining == b.Draining && a.TerminatesInMs > 0 == (b.TerminatesInMs > 0) && a.Phase == b.Phase
-}
