--- a/process/engines/registry/converge_test.go
+++ b/process/engines/registry/converge_test.go
@@ -169,7 +169,7 @@
 	return out
 }
 
-func TestDaemonsAgreeWhateverTheOrder(t *testing.T) {
+func TestDaemonsConvergeInAnyOrder(t *testing.T) {
 	parameters := gopter.DefaultTestParameters()
 	parameters.MinSuccessfulTests = 400
 	properties := gopter.NewProperties(parameters)
--- a/process/engines/registry/size_test.go
+++ b/process/engines/registry/size_test.go
@@ -37,8 +37,8 @@
 	return c
 }
 
-// BenchmarkSizeBeat is one beat that brings nothing new, and the look at the view that follows it.
-func BenchmarkSizeBeat(b *testing.B) {
+// BenchmarkSizeHeartbeat is one beat that brings nothing new, and the look at the view that follows it.
+func BenchmarkSizeHeartbeat(b *testing.B) {
 	for _, engines := range engineCounts {
 		b.Run(fmt.Sprint(engines, " engines"), func(b *testing.B) {
 			c := fullCore(engines)
@@ -71,8 +71,8 @@
 	}
 }
 
-// BenchmarkSizeJudge is one look at who has fallen silent.
-func BenchmarkSizeJudge(b *testing.B) {
+// BenchmarkSizeTick is one look at who has fallen silent.
+func BenchmarkSizeTick(b *testing.B) {
 	for _, engines := range engineCounts {
 		b.Run(fmt.Sprint(engines, " engines"), func(b *testing.B) {
 			c := fullCore(engines)
@@ -86,8 +86,8 @@
 	}
 }
 
-// BenchmarkSizeTell is what is told, in bytes for each engine: all of it to one that is new, and one change.
-func BenchmarkSizeTell(b *testing.B) {
+// BenchmarkSizeDelta is what is told, in bytes for each engine: all of it to one that is new, and one change.
+func BenchmarkSizeDelta(b *testing.B) {
 	encoded := func(b *testing.B, records []Record) int {
 		data, err := proto.Marshal(&peerapi.PullReply{Engines: Encode(0, records)})
 		if err != nil {
