--- a/daemon/apply.go
+++ b/daemon/apply.go
@@ -143,7 +143,7 @@
 // says Unknown is final all the same: no other leader could prove more.
 func (d *Daemon) leadApply(ctx context.Context, call operatorapi.Apply) (operatorapi.Applying, replica.Outcome) {
 	held := d.replica.Load()
-	if held == nil || !held.Condition().Leads {
+	if held == nil || !held.Status().IsLeader {
 		return operatorapi.Applying{}, replica.NotLeader
 	}
 	if !d.config.OneStep {
--- a/daemon/bounds_test.go
+++ b/daemon/bounds_test.go
@@ -86,15 +86,15 @@
 		}
 		leader := raft.MemberID(0)
 		for leader == 0 {
-			<-time.After(replica.Tick)
+			<-time.After(replica.TickInterval)
 			for id, one := range all {
-				if one.Condition().Leads {
+				if one.Status().IsLeader {
 					leader = id
 				}
 			}
 		}
 		// All know who leads before it is cut off.
-		<-time.After(5 * replica.Tick)
+		<-time.After(5 * replica.TickInterval)
 		self := leader
 		if !leads {
 			self = leader%3 + 1
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -200,7 +200,7 @@
 	}
 	d.replicaConfig.Voters, d.replicaConfig.Build = c.Voters, version
 	if c.Compaction.Entries > 0 {
-		d.replicaConfig.CompactEvery, d.replicaConfig.Keep = c.Compaction.Entries, c.Compaction.Keep
+		d.replicaConfig.CompactEntries, d.replicaConfig.RetainEntries = c.Compaction.Entries, c.Compaction.Keep
 	}
 	d.log = logger.WithField("node", string(d.nodeID))
 	for _, option := range options {
@@ -576,7 +576,7 @@
 func (d *Daemon) runTenancy(ctx context.Context) {
 	// Nothing can be held before a worker id is, so a fresh daemon looks often whether there is a leader to ask yet.
 	const beat, freshBeat = 250 * time.Millisecond, 50 * time.Millisecond
-	renewEvery := d.replicaConfig.Tenure / 3
+	renewEvery := d.replicaConfig.WorkerLease / 3
 	ticker := time.NewTicker(freshBeat)
 	defer ticker.Stop()
 	var renewed clock.Mark
--- a/daemon/fellow.go
+++ b/daemon/fellow.go
@@ -148,14 +148,14 @@
 		return nil, err
 	}
 	held := d.replica.Load()
-	if held == nil || !held.Condition().Leads {
+	if held == nil || !held.Status().IsLeader {
 		return d.redirect(), nil
 	}
 	if in.MemberId == 0 || in.Name == "" || in.Address == "" || in.Group == "" {
 		return nil, twirp.NewError(twirp.InvalidArgument, "a member needs an identity, a name and an address")
 	}
 	if in.Leaving {
-		if held.Leave(ctx, raft.MemberID(in.MemberId)) {
+		if held.AnnounceLeaving(ctx, raft.MemberID(in.MemberId)) {
 			return &peerapi.SubmitReply{Outcome: string(replica.Applied)}, nil
 		}
 		// It was heard, and is not to end yet.
@@ -178,7 +178,7 @@
 // leaderAndTerm is where the leader is and in which term it leads, as far as this daemon knows.
 func (d *Daemon) leaderAndTerm() (string, uint64) {
 	if held := d.replica.Load(); held != nil {
-		if condition := held.Condition(); condition.Leader.Address != "" {
+		if condition := held.Status(); condition.Leader.Address != "" {
 			return condition.Leader.Address, uint64(condition.Term)
 		}
 	}
@@ -189,7 +189,7 @@
 // Leads says whether this daemon leads the group.
 func (d *Daemon) Leads() bool {
 	held := d.replica.Load()
-	return held != nil && held.Condition().Leads
+	return held != nil && held.Status().IsLeader
 }
 
 // FirstRollAgo is, where this daemon leads, how long any bundle has been in force: negative while none
@@ -199,12 +199,12 @@
 	if held == nil {
 		return 0
 	}
-	condition := held.Condition()
+	condition := held.Status()
 	// A recovered group may have lost its first bundles, so it can't tell when the first came.
-	if !condition.Leads || condition.Group.Recovered() {
+	if !condition.IsLeader || condition.Group.Recovered() {
 		return 0
 	}
-	return condition.FirstRollAgo
+	return condition.SinceFirstRollout
 }
 
 // Plans says whether this daemon plans.
@@ -249,7 +249,7 @@
 // lead carries a command out as the leader.
 func (d *Daemon) lead(ctx context.Context, command statemachine.Command) (operatorapi.Answer, replica.Outcome) {
 	held := d.replica.Load()
-	if held == nil || !held.Condition().Leads {
+	if held == nil || !held.Status().IsLeader {
 		return operatorapi.Answer{}, replica.NotLeader
 	}
 	if command.Op == statemachine.OpPropose {
@@ -286,7 +286,7 @@
 	}
 	// Acknowledged means: on a majority's disks, and in force at every daemon that may be serving.
 	reach := d.members.AwaitReach(ctx, specEpoch, closureEpoch, reachLimit-d.clock.Elapsed().Since(began),
-		func() []ident.NodeID { return held.Condition().Serving })
+		func() []ident.NodeID { return held.Status().ServingDaemons })
 	answer.InForceAt, answer.Missing, answer.Acknowledged = reach.Have, reach.Lack, reach.All
 	return answer, got.Outcome
 }
@@ -403,7 +403,7 @@
 // look reads part of the state at a linearizable point; a result of nothing means that it isn't there.
 func (d *Daemon) look(ctx context.Context, what, key string) ([]byte, replica.Outcome) {
 	held := d.replica.Load()
-	if held == nil || !held.Condition().Leads {
+	if held == nil || !held.Status().IsLeader {
 		return nil, replica.NotLeader
 	}
 	var result []byte
--- a/daemon/freshness.go
+++ b/daemon/freshness.go
@@ -15,15 +15,15 @@
 		return 0
 	}
 	// The condition is read first: what is in force is looked at later, so it can only be newer.
-	condition := held.Condition()
-	if !condition.Leads {
+	condition := held.Status()
+	if !condition.IsLeader {
 		return 0
 	}
 	table := d.keeper.Table()
 	switch {
-	case table == nil && condition.Spec > 0:
+	case table == nil && condition.ConfigurationVersion > 0:
 		return 0
-	case table != nil && (table.Epoch < condition.Spec || table.Closures.Epoch < condition.Closures):
+	case table != nil && (table.Epoch < condition.ConfigurationVersion || table.Closures.Epoch < condition.ClosuresVersion):
 		// It is committed and its table is still being built.
 		return 0
 	}
@@ -48,7 +48,7 @@
 	if held == nil {
 		return nil
 	}
-	for _, member := range held.Condition().Members.Members {
+	for _, member := range held.Status().Membership.Members {
 		if member.Address != "" {
 			out = append(out, member.Address)
 		}
--- a/daemon/leaving.go
+++ b/daemon/leaving.go
@@ -101,9 +101,9 @@
 	if held == nil || life == nil {
 		return
 	}
-	condition := held.Condition()
-	self, known := condition.Members.Find(life.store.Member)
-	if !known || !self.Voter || len(condition.Members.Voters()) == 1 {
+	condition := held.Status()
+	self, known := condition.Membership.Find(life.store.Member)
+	if !known || !self.Voter || len(condition.Membership.Voters()) == 1 {
 		return
 	}
 	bounded, cancel := context.WithTimeout(limit, lastVoteLimit)
@@ -129,10 +129,10 @@
 	for {
 		leader := d.leaderAddress()
 		switch held := d.replica.Load(); {
-		case held != nil && held.Condition().Leads:
+		case held != nil && held.Status().IsLeader:
 			if now := d.clock.Elapsed(); now.Since(offered) > handOverEvery {
 				offered = now
-				held.HandOver()
+				held.TransferLeadership()
 			}
 		case leader != "" && leader != self.Address && d.askToJoin(ctx, leader, self, true):
 			return true
--- a/daemon/life.go
+++ b/daemon/life.go
@@ -96,11 +96,11 @@
 	defer ticker.Stop()
 	for {
 		held := d.replica.Load()
-		if held == nil || !held.Condition().Leads {
+		if held == nil || !held.Status().IsLeader {
 			return
 		}
 		// An heir that does not take the office is asked again, or another is.
-		held.HandOver()
+		held.TransferLeadership()
 		select {
 		case <-limit.Done():
 			kept.add(leadership)
--- a/daemon/member.go
+++ b/daemon/member.go
@@ -97,7 +97,7 @@
 		}
 		line := d.log.WithError(err)
 		switch {
-		case errors.As(err, new(*replica.StateDiffersError)):
+		case errors.As(err, new(*replica.StateDivergedError)):
 			if err := store.SetAside(d.config.Data); err != nil {
 				d.log.WithError(err).Warn("the state that differs cannot be set aside yet")
 				break
@@ -186,7 +186,7 @@
 		group = ""
 	}
 	made, err := replica.New(self, group, restored, d.replicaConfig, d.clock, d.aroundDisk(life.store), d.links,
-		replica.WithChanged(d.stateChanged), replica.WithTurned(d.groupTurned), replica.WithCounters(&d.counters.group), replica.WithNoticed(d.groupNotices()), replica.WithFatal(life.end))
+		replica.WithConfigurationChangeHandler(d.stateChanged), replica.WithStatusChangeHandler(d.groupTurned), replica.WithCounters(&d.counters.group), replica.WithNoticeHandler(d.groupNotices()), replica.WithFatalHandler(life.end))
 	if err != nil {
 		return eris.Wrap(err, "the data folder cannot be read")
 	}
@@ -199,22 +199,22 @@
 }
 
 // groupTurned writes down what changed in this member's part in the group.
-func (d *Daemon) groupTurned(before, after replica.Condition) {
+func (d *Daemon) groupTurned(before, after replica.Status) {
 	line := d.log.WithField("term", uint64(after.Term))
 	switch {
-	case after.Leads && !before.Leads:
+	case after.IsLeader && !before.IsLeader:
 		line.Info("leads the group")
-	case before.Leads && !after.Leads:
+	case before.IsLeader && !after.IsLeader:
 		line.Info("leads the group no more")
-	case after.Stalled != before.Stalled:
-		line.WithField("stalled", after.Stalled).Info("the disk holds this member up, or does no more")
+	case after.DiskStalled != before.DiskStalled:
+		line.WithField("stalled", after.DiskStalled).Info("the disk holds this member up, or does no more")
 	}
-	if after.Leads && len(after.Differing) > 0 && !slices.Equal(before.Differing, after.Differing) {
-		line.WithField("members", after.Differing).Warn("the states of these members differ from a majority's")
+	if after.IsLeader && len(after.DivergentMembers) > 0 && !slices.Equal(before.DivergentMembers, after.DivergentMembers) {
+		line.WithField("members", after.DivergentMembers).Warn("the states of these members differ from a majority's")
 	}
-	if after.Leads && !slices.Equal(before.Members.Members, after.Members.Members) {
+	if after.IsLeader && !slices.Equal(before.Membership.Members, after.Membership.Members) {
 		var voters, learners []string
-		for _, member := range after.Members.Members {
+		for _, member := range after.Membership.Members {
 			if member.Voter {
 				voters = append(voters, member.Name)
 			} else {
@@ -257,7 +257,7 @@
 		return out
 	}
 	out = slices.Clip(out)
-	for _, member := range held.Condition().Members.Members {
+	for _, member := range held.Status().Membership.Members {
 		if member.Address != "" && !slices.Contains(out, member.Address) {
 			out = append(out, member.Address)
 		}
@@ -367,8 +367,8 @@
 	ticker := time.NewTicker(joinEvery)
 	defer ticker.Stop()
 	for {
-		condition := made.Condition()
-		member, known := condition.Members.Find(self.ID)
+		condition := made.Status()
+		member, known := condition.Membership.Find(self.ID)
 		leader := d.members.View().LeaderAddress
 		if d.draining.Load() {
 			// While it goes on, another that stands ready may take its place.
--- a/daemon/pages.go
+++ b/daemon/pages.go
@@ -40,16 +40,16 @@
 		out.WorkerID = &number
 	}
 	if held := d.replica.Load(); held != nil {
-		condition := held.Condition()
-		out.Raft = &operatorapi.RaftStatus{Role: condition.Role.String(), Term: uint64(condition.Term), Commit: uint64(condition.Commit), Stalled: condition.Stalled,
-			Applied: uint64(condition.Applied), StateDigest: digestText(condition.Digest)}
+		condition := held.Status()
+		out.Raft = &operatorapi.RaftStatus{Role: condition.Role.String(), Term: uint64(condition.Term), Commit: uint64(condition.CommitIndex), Stalled: condition.DiskStalled,
+			Applied: uint64(condition.AppliedIndex), StateDigest: digestText(condition.Digest)}
 		if folder := d.held(); folder != nil {
-			self, _ := condition.Members.Find(folder.Member)
+			self, _ := condition.Membership.Find(folder.Member)
 			out.Raft.Voter = self.Voter
 		}
-		for _, member := range condition.Members.Members {
+		for _, member := range condition.Membership.Members {
 			out.Raft.Members = append(out.Raft.Members, operatorapi.RaftMember{Name: member.Name, Address: member.Address, Voter: member.Voter,
-				Differs: slices.Contains(condition.Differing, member.ID)})
+				Differs: slices.Contains(condition.DivergentMembers, member.ID)})
 		}
 	}
 	if d.config.Serves(daemonconfig.Place) {
@@ -120,13 +120,13 @@
 	say("raft_dropped", d.links.Dropped.Load())
 	say("raft_failed", d.links.Failed.Load())
 	if held := d.replica.Load(); held != nil {
-		say("raft_refused", held.Refused.Load())
+		say("raft_refused", held.Rejected.Load())
 	}
-	say("raft_malformed", c.group.MessagesRefused.Load())
+	say("raft_malformed", c.group.MessagesRejected.Load())
 	say("snapshots_sent", c.group.SnapshotsSent.Load())
-	say("snapshots_taken", c.group.SnapshotsTaken.Load())
-	say("snapshots_refused", c.group.SnapshotsRefused.Load())
-	say("states_differ", c.group.StatesDiffer.Load())
+	say("snapshots_taken", c.group.SnapshotsInstalled.Load())
+	say("snapshots_refused", c.group.SnapshotsRejected.Load())
+	say("states_differ", c.group.StateDivergences.Load())
 	say("offers_refused", d.keeper.Refused.Load())
 	w := &d.watcher.Counters
 	say("engine_reports_failed", w.FailedReports.Load())
--- a/daemon/poolplanning.go
+++ b/daemon/poolplanning.go
@@ -35,7 +35,7 @@
 func WithPoolPlanning(client poolplacement.EngineClient, settings poolplacement.Settings) Option {
 	return func(d *Daemon) {
 		d.pools = &poolPlanning{client: client, settings: settings}
-		d.replicaConfig.ClaimSpan, d.replicaConfig.ClaimGap = settings.Span, settings.Gap
+		d.replicaConfig.PlannerLease, d.replicaConfig.PlannerLeaseGap = settings.Span, settings.Gap
 	}
 }
 
@@ -193,7 +193,7 @@
 	case answer.Verdict == statemachine.Done:
 		return poolplacement.ClaimAnswer{Granted: answer.Claim}
 	}
-	return poolplacement.ClaimAnswer{Wait: time.Duration(answer.Claim.FreeAt(p.replicaConfig.ClaimGap)-answer.Claim.Now) * time.Millisecond}
+	return poolplacement.ClaimAnswer{Wait: time.Duration(answer.Claim.FreeAt(p.replicaConfig.PlannerLeaseGap)-answer.Claim.Now) * time.Millisecond}
 }
 
 // heardClaim is the highest claim number that this daemon has heard of, so that none is ever given out twice.
--- a/daemon/registry.go
+++ b/daemon/registry.go
@@ -300,5 +300,5 @@
 // alone says whether this daemon is the whole group.
 func (d *Daemon) alone() bool {
 	held := d.replica.Load()
-	return held != nil && len(held.Condition().Members.Voters()) == 1 && held.Condition().Leads
+	return held != nil && len(held.Status().Membership.Voters()) == 1 && held.Status().IsLeader
 }
--- a/process/consensus/replica/actor_test.go
+++ b/process/consensus/replica/actor_test.go
@@ -28,7 +28,7 @@
 
 func (noDisk) Write(ident.GroupID, raft.Save) error { return nil }
 
-func follower(t *testing.T, links Links, options ...Option) *Replica {
+func follower(t *testing.T, links Transport, options ...Option) *Replica {
 	t.Helper()
 	members := raft.Membership{Members: []raft.Member{{ID: 1, Voter: true}, {ID: 2, Voter: true}, {ID: 3, Voter: true}}}
 	restored := raft.Restored{HardState: raft.HardState{Term: 2}, Snapshot: raft.Snapshot{Index: 10, Term: 1, Membership: members, Data: statemachine.New().Snapshot()}}
@@ -43,7 +43,7 @@
 	for place := range messages {
 		messages[place].From, messages[place].To = 2, 1
 	}
-	r.take(received{group: "group", address: "127.0.0.1:2", messages: messages})
+	r.handleEvent(messagesReceived{group: "group", address: "127.0.0.1:2", messages: messages})
 }
 
 // A member that is told that a majority holds another state ends its part: nothing that follows is answered by it.
@@ -51,8 +51,8 @@
 	var fatal error
 	var noticed []raft.Notice
 	links := &sentMessages{}
-	r := follower(t, links, WithFatal(func(err error) { fatal = err }), WithNoticed(func(n raft.Notice) { noticed = append(noticed, n) }))
-	r.core.digests.keep(10, 7, 0)
+	r := follower(t, links, WithFatalHandler(func(err error) { fatal = err }), WithNoticeHandler(func(n raft.Notice) { noticed = append(noticed, n) }))
+	r.core.digests.record(10, 7, 0)
 	asks := raft.Message{Kind: raft.MsgHeartbeat, Term: 2, Commit: 10, StateDigest: &raft.StateDigest{Index: 10, Form: r.core.digests.form, Sum: 8}}
 	r.told(asks)
 	if len(links.all) != 1 || links.all[0].StateDigest == nil || links.all[0].StateDigest.Sum != 7 {
@@ -77,7 +77,7 @@
 	told.Differs = true
 	before := len(links.all)
 	r.told(raft.Message{Kind: raft.MsgHeartbeat, Term: 2, Commit: 10, StateDigest: &told}, raft.Message{Kind: raft.MsgHeartbeat, Term: 2, Commit: 10})
-	if !errors.As(fatal, new(*StateDiffersError)) || len(noticed) != 1 || r.Counters.StatesDiffer.Load() != 1 {
+	if !errors.As(fatal, new(*StateDivergedError)) || len(noticed) != 1 || r.Counters.StateDivergences.Load() != 1 {
 		t.Errorf("%v, noticed %+v", fatal, noticed)
 	}
 	if len(links.all) != before {
@@ -94,14 +94,14 @@
 		r.told(raft.Message{Kind: raft.MsgSnapshot, Term: 2, Size: uint64(len(junk)), Snapshot: &raft.Snapshot{Index: 50, Term: 2, Membership: members, Data: []byte(junk)}})
 	}
 	r.told(raft.Message{Kind: raft.MsgAppend, Term: 2, LogIndex: 10, LogTerm: 1, Entries: []raft.Entry{{Term: 2, Index: 12}}})
-	if r.Counters.SnapshotsRefused.Load() != 5 || r.Counters.MessagesRefused.Load() != 1 {
-		t.Errorf("%d snapshots and %d messages refused", r.Counters.SnapshotsRefused.Load(), r.Counters.MessagesRefused.Load())
+	if r.Counters.SnapshotsRejected.Load() != 5 || r.Counters.MessagesRejected.Load() != 1 {
+		t.Errorf("%d snapshots and %d messages refused", r.Counters.SnapshotsRejected.Load(), r.Counters.MessagesRejected.Load())
 	}
 	state := statemachine.New()
 	state.Revision = 5
 	whole := state.Snapshot()
 	r.told(raft.Message{Kind: raft.MsgSnapshot, Term: 2, Size: uint64(len(whole)), Snapshot: &raft.Snapshot{Index: 50, Term: 2, Membership: members, Data: whole}})
-	if r.core.State().Revision != 5 || r.Counters.SnapshotsTaken.Load() != 1 {
+	if r.core.State().Revision != 5 || r.Counters.SnapshotsInstalled.Load() != 1 {
 		t.Errorf("a sound one was not taken after that: revision %d", r.core.State().Revision)
 	}
 }
@@ -109,10 +109,10 @@
 // A disk that failed ends the member's part as before.
 func TestFailedWriteEndsTheMember(t *testing.T) {
 	var fatal error
-	r := follower(t, &sentMessages{}, WithFatal(func(err error) { fatal = err }))
-	r.outstanding = append(r.outstanding, r.clock.Elapsed())
+	r := follower(t, &sentMessages{}, WithFatalHandler(func(err error) { fatal = err }))
+	r.unsyncedSince = append(r.unsyncedSince, r.clock.Elapsed())
 	broken := errors.New("no space")
-	r.take(written{err: broken})
+	r.handleEvent(writeFinished{err: broken})
 	if !errors.Is(fatal, broken) {
 		t.Errorf("%v", fatal)
 	}
--- a/process/consensus/replica/confirmation.go
+++ b/process/consensus/replica/confirmation.go
@@ -7,50 +7,50 @@
 
 // mostRounds bounds the rounds of heartbeats whose start is remembered. Where a majority is silent for longer,
 // the leader steps down.
-const mostRounds = 64
+const maxUnansweredRounds = 64
 
 // confirmation tells up to when a majority has confirmed that this member leads. A round of heartbeats counts from
 // the moment at which it was sent, not from its replies: a reply that lay in a buffer while this process or machine
 // stood still vouches for no later moment.
-type confirmation struct {
+type leadershipConfirmation struct {
 	// rounds are those sent and not yet answered by a majority, the oldest first.
-	rounds []sentRound
-	newest uint64
-	term   raft.Term
-	leads  bool
+	unanswered  []heartbeatRound
+	newestRound uint64
+	term        raft.Term
+	isLeader    bool
 	// elected is when this member became the leader. Its first commit proves that a majority followed it later.
-	elected clock.Mark
+	electedAt clock.Mark
 	// until is the start of the newest round that a majority replied to; zero where this member does not lead.
-	until clock.Mark
+	confirmedUntil clock.Mark
 }
 
-type sentRound struct {
+type heartbeatRound struct {
 	number uint64
-	sent   clock.Mark
+	sentAt clock.Mark
 }
 
 // observe takes up what the agreement core did at a moment; it must be called after each of its steps.
-func (c *confirmation) observe(now clock.Mark, core *raft.Core) {
+func (c *leadershipConfirmation) observe(now clock.Mark, core *raft.Core) {
 	if core.Role() != raft.Leader {
-		*c = confirmation{newest: core.HeartbeatRound()}
+		*c = leadershipConfirmation{newestRound: core.HeartbeatRound()}
 		return
 	}
-	if !c.leads || c.term != core.Term() {
-		*c = confirmation{newest: core.HeartbeatRound(), term: core.Term(), leads: true, elected: now}
+	if !c.isLeader || c.term != core.Term() {
+		*c = leadershipConfirmation{newestRound: core.HeartbeatRound(), term: core.Term(), isLeader: true, electedAt: now}
 	}
-	if number := core.HeartbeatRound(); number != c.newest {
-		c.newest = number
-		c.rounds = append(c.rounds, sentRound{number, now})
-		if len(c.rounds) > mostRounds {
-			c.rounds = c.rounds[1:]
+	if number := core.HeartbeatRound(); number != c.newestRound {
+		c.newestRound = number
+		c.unanswered = append(c.unanswered, heartbeatRound{number, now})
+		if len(c.unanswered) > maxUnansweredRounds {
+			c.unanswered = c.unanswered[1:]
 		}
 	}
-	if c.until < c.elected && core.CommittedInTerm() {
-		c.until = c.elected
+	if c.confirmedUntil < c.electedAt && core.CommittedInTerm() {
+		c.confirmedUntil = c.electedAt
 	}
 	answered := core.QuorumRound()
-	for len(c.rounds) > 0 && c.rounds[0].number <= answered {
-		c.until = c.rounds[0].sent
-		c.rounds = c.rounds[1:]
+	for len(c.unanswered) > 0 && c.unanswered[0].number <= answered {
+		c.confirmedUntil = c.unanswered[0].sentAt
+		c.unanswered = c.unanswered[1:]
 	}
 }
--- a/process/consensus/replica/core.go
+++ b/process/consensus/replica/core.go
@@ -18,17 +18,17 @@
 type Config struct {
 	Timing raft.Timing
 	// Tenure is how long a worker id is granted for.
-	Tenure time.Duration
+	WorkerLease time.Duration
 	// ClaimSpan is how long the planner's claim lasts, ClaimGap the quiet time between two claims.
-	ClaimSpan, ClaimGap time.Duration
+	PlannerLease, PlannerLeaseGap time.Duration
 	// Voters is how many machines are to vote.
 	Voters int
 	// CompactEvery is how many entries are applied between snapshots, Keep how many stay before one.
-	CompactEvery, Keep int
+	CompactEntries, RetainEntries int
 	// CompactBytes and KeepBytes bound the same by size: a few large bundles weigh as much as all else.
-	CompactBytes, KeepBytes int
+	CompactBytes, RetainBytes int
 	// Orders bounds what is remembered of operators' orders; all members must have the same.
-	Orders statemachine.Limits
+	HistoryLimits statemachine.Limits
 	// Build names what was built: only members of one build compare digests of their states.
 	Build string
 }
@@ -36,10 +36,10 @@
 // DefaultConfig gives the times of the design.
 func DefaultConfig() Config {
 	return Config{
-		Timing: raft.Timing{Heartbeat: 2, Election: 16},
-		Tenure: 30 * time.Second, ClaimSpan: 4 * time.Second, ClaimGap: 3 * time.Second,
-		Voters: DefaultVoters, CompactEvery: 2000, Keep: 200, CompactBytes: 8 << 20, KeepBytes: 2 << 20,
-		Orders: statemachine.DefaultLimits(),
+		Timing:      raft.Timing{Heartbeat: 2, Election: 16},
+		WorkerLease: 30 * time.Second, PlannerLease: 4 * time.Second, PlannerLeaseGap: 3 * time.Second,
+		Voters: DefaultVoters, CompactEntries: 2000, RetainEntries: 200, CompactBytes: 8 << 20, RetainBytes: 2 << 20,
+		HistoryLimits: statemachine.DefaultLimits(),
 	}
 }
 
@@ -56,31 +56,31 @@
 )
 
 // Answer is what the asker with this Ref is told.
-type Answer struct {
-	Ref     uint64
-	Outcome Outcome
-	Result  statemachine.Result
+type Response struct {
+	RequestID uint64
+	Outcome   Outcome
+	Result    statemachine.Result
 	// State is given to a read: it may be read until the answer is handled, and not kept.
 	State *statemachine.State
 }
 
 // Effects is what a step wants done.
 type Effects struct {
-	Save    *raft.Save
-	Later   []raft.Message
-	Now     []raft.Message
-	Answers []Answer
+	Save      *raft.Save
+	Later     []raft.Message
+	Now       []raft.Message
+	Responses []Response
 	// Changed says that the spec in force, the closures or the engines that left are others than before.
-	Changed bool
+	ConfigurationChanged bool
 	// Notices tell what an operator may want to know.
 	Notices []raft.Notice
 	// GiveUp says why this member may serve its state no longer and must join anew; nil otherwise.
-	GiveUp error
+	Fatal error
 }
 
-type pending struct {
-	ref  uint64
-	term raft.Term
+type proposal struct {
+	requestID uint64
+	term      raft.Term
 }
 
 // Core is one member's agreement and replicated state.
@@ -89,48 +89,48 @@
 	raft   *raft.Core
 	state  *statemachine.State
 
-	applied      raft.Index
-	sinceCompact int
+	applied              raft.Index
+	entriesSinceSnapshot int
 	// sizes are those of the entries applied since the last snapshot, bytes their sum.
-	sizes   []int
-	bytes   int
-	pending map[raft.Index]pending
-	reads   map[uint64]raft.Index
+	entrySizes         []int
+	bytesSinceSnapshot int
+	proposals          map[raft.Index]proposal
+	reads              map[uint64]raft.Index
 
 	// heard is when each member last said something here.
-	heard map[raft.MemberID]clock.Mark
+	lastContact map[raft.MemberID]clock.Mark
 	// leaving is when each member last said that it stops.
 	leaving map[raft.MemberID]clock.Mark
 
 	// timeMark is when, on this machine's clock, the group's time was last seen to rise.
-	timeMark clock.Mark
+	groupTimeAt clock.Mark
 	// began is when this member started, and restored the last entry it found on its disk: whatever stands there was
 	// stamped before.
-	began    clock.Mark
-	restored raft.Index
-	wall     func() time.Time
+	startedAt    clock.Mark
+	lastRestored raft.Index
+	wallClock    func() time.Time
 	// ledSince is when this member began to lead with all before it applied.
-	ledSince  clock.Mark
-	leads     bool
-	reclaimAt raft.Index
+	leaderSince  clock.Mark
+	isLeader     bool
+	reclaimIndex raft.Index
 	// confirmed is up to when a majority has confirmed that this member leads.
-	confirmed confirmation
+	leadership leadershipConfirmation
 
-	digests digests
+	digests digestTracker
 	// checked is the state read from the snapshot that is being installed.
-	checked *statemachine.State
+	validated *statemachine.State
 }
 
 // NewCore makes a member from what its disk holds.
 func NewCore(config Config, member *raft.Core, snapshot []byte, now clock.Mark, wall func() time.Time) (*Core, error) {
-	state, err := statemachine.Restore(snapshot, statemachine.WithLimits(config.Orders))
+	state, err := statemachine.Restore(snapshot, statemachine.WithLimits(config.HistoryLimits))
 	if err != nil {
 		return nil, err
 	}
-	c := &Core{config: config, raft: member, state: state, applied: member.SnapshotIndex(), timeMark: now, began: now, restored: member.LastIndex(), wall: wall,
-		pending: map[raft.Index]pending{}, reads: map[uint64]raft.Index{}, heard: map[raft.MemberID]clock.Mark{}, leaving: map[raft.MemberID]clock.Mark{},
+	c := &Core{config: config, raft: member, state: state, applied: member.SnapshotIndex(), groupTimeAt: now, startedAt: now, lastRestored: member.LastIndex(), wallClock: wall,
+		proposals: map[raft.Index]proposal{}, reads: map[uint64]raft.Index{}, lastContact: map[raft.MemberID]clock.Mark{}, leaving: map[raft.MemberID]clock.Mark{},
 		digests: newDigests(statemachine.Form(config.Build))}
-	member.CheckSnapshots(c.checkSnapshot)
+	member.CheckSnapshots(c.validateSnapshot)
 	return c, nil
 }
 
@@ -138,9 +138,9 @@
 func (c *Core) Raft() *raft.Core { return c.raft }
 
 // checkSnapshot reads a leader's snapshot before it takes the place of this member's state.
-func (c *Core) checkSnapshot(snapshot raft.Snapshot) error {
-	state, err := statemachine.Restore(snapshot.Data, statemachine.WithLimits(c.config.Orders))
-	c.checked = state
+func (c *Core) validateSnapshot(snapshot raft.Snapshot) error {
+	state, err := statemachine.Restore(snapshot.Data, statemachine.WithLimits(c.config.HistoryLimits))
+	c.validated = state
 	return err
 }
 
@@ -148,51 +148,51 @@
 func (c *Core) Digest() raft.StateDigest { return c.digests.newest() }
 
 // Differing lists the members whose state differed from a majority's when this leader last compared them.
-func (c *Core) Differing() []raft.MemberID { return slices.Clone(c.digests.differing) }
+func (c *Core) DivergentMembers() []raft.MemberID { return slices.Clone(c.digests.divergent) }
 
 // State gives the replicated state, for looking only.
 func (c *Core) State() *statemachine.State { return c.state }
 
 // Leads says whether this member leads and has applied all that was committed before.
-func (c *Core) Leads() bool { return c.leads }
+func (c *Core) IsLeader() bool { return c.isLeader }
 
 // ConfirmedUntil is the latest moment at which a majority is known to have followed this member as the leader: all
 // that was acknowledged before it, by whichever leader, is applied here. Zero where this member does not lead.
 func (c *Core) ConfirmedUntil() clock.Mark {
-	if !c.leads {
+	if !c.isLeader {
 		return 0
 	}
-	return c.confirmed.until
+	return c.leadership.confirmedUntil
 }
 
 // groupNow is the group's time as the leader stamps it: the last in the log, carried on by elapsed
 // time. The time of day is asked once, when the group is new.
-func (c *Core) groupNow(now clock.Mark) ident.GroupTime {
+func (c *Core) groupTime(now clock.Mark) ident.GroupTime {
 	if c.state.Now == 0 {
-		return ident.GroupTime(c.wall().UnixMilli())
+		return ident.GroupTime(c.wallClock().UnixMilli())
 	}
-	return c.state.Now.Add(now.Since(c.timeMark))
+	return c.state.Now.Add(now.Since(c.groupTimeAt))
 }
 
 // FirstRollAgo is how long ago the first bundle came in force, in the group's time; negative when none has.
-func (c *Core) FirstRollAgo(now clock.Mark) time.Duration {
+func (c *Core) SinceFirstRollout(now clock.Mark) time.Duration {
 	first, any := c.state.At(1)
 	if !any || first.Rolled == nil {
 		return -1
 	}
-	return max(time.Millisecond, time.Duration(c.groupNow(now)-first.Rolled.At)*time.Millisecond)
+	return max(time.Millisecond, time.Duration(c.groupTime(now)-first.Rolled.At)*time.Millisecond)
 }
 
 // Submit puts a command forward; the answer comes with its ref.
 func (c *Core) Submit(now clock.Mark, ref uint64, command statemachine.Command) Effects {
-	if !c.leads {
-		return Effects{Answers: []Answer{{Ref: ref, Outcome: NotLeader}}}
+	if !c.isLeader {
+		return Effects{Responses: []Response{{RequestID: ref, Outcome: NotLeader}}}
 	}
 	// All that depends on time or config is stamped here, so that apply is the same everywhere.
-	command.At = c.groupNow(now)
-	command.SpanMs = c.config.Tenure.Milliseconds()
+	command.At = c.groupTime(now)
+	command.SpanMs = c.config.WorkerLease.Milliseconds()
 	if command.Op == statemachine.OpClaim {
-		command.SpanMs, command.GapMs = c.config.ClaimSpan.Milliseconds(), c.config.ClaimGap.Milliseconds()
+		command.SpanMs, command.GapMs = c.config.PlannerLease.Milliseconds(), c.config.PlannerLeaseGap.Milliseconds()
 	}
 	data, err := json.Marshal(command)
 	if err != nil {
@@ -200,64 +200,64 @@
 	}
 	effects := c.raft.Step(raft.Propose{Data: data})
 	if effects.Proposed == 0 {
-		out := c.carry(now, effects)
-		out.Answers = append(out.Answers, Answer{Ref: ref, Outcome: NotLeader})
+		out := c.processRaftEffects(now, effects)
+		out.Responses = append(out.Responses, Response{RequestID: ref, Outcome: NotLeader})
 		return out
 	}
-	c.pending[effects.Proposed] = pending{ref: ref, term: effects.ProposedTerm}
-	return c.carry(now, effects)
+	c.proposals[effects.Proposed] = proposal{requestID: ref, term: effects.ProposedTerm}
+	return c.processRaftEffects(now, effects)
 }
 
 // Read asks for a linearizable look at the state.
 func (c *Core) Read(now clock.Mark, ref uint64) Effects {
-	return c.carry(now, c.raft.Step(raft.Read{Ref: ref}))
+	return c.processRaftEffects(now, c.raft.Step(raft.Read{Ref: ref}))
 }
 
 // Step passes an event on to the agreement core.
 func (c *Core) Step(now clock.Mark, event raft.Event) Effects {
 	if received, ok := event.(raft.Receive); ok {
-		c.heard[received.Message.From] = now
+		c.lastContact[received.Message.From] = now
 	}
 	effects := c.raft.Step(event)
-	out := c.carry(now, effects)
+	out := c.processRaftEffects(now, effects)
 	if received, ok := event.(raft.Receive); ok {
-		c.compareDigests(received.Message, &out)
+		c.handleDigest(received.Message, &out)
 	}
 	if _, beat := event.(raft.Tick); beat {
-		c.reclaim(now, &out)
+		c.reclaimExpiredLeases(now, &out)
 	}
 	return out
 }
 
 // MembershipPlan is what a leader's next change of the membership depends on.
 func (c *Core) MembershipPlan(now clock.Mark, joins map[raft.MemberID]raft.Member) MembershipPlan {
-	return MembershipPlan{Self: c.raft.ID(), Current: c.raft.Membership(), Last: c.raft.LastIndex(), Wanted: c.config.Voters, Joins: joins,
-		Standing: func(id raft.MemberID) Standing {
+	return MembershipPlan{Self: c.raft.ID(), Current: c.raft.Membership(), LastIndex: c.raft.LastIndex(), DesiredVoters: c.config.Voters, JoinRequests: joins,
+		Progress: func(id raft.MemberID) Progress {
 			// Who was heard before this member led has had no reason to speak to it since.
 			said, leaves := c.leaving[id]
 			match, missing := c.raft.MatchOf(id), 0
-			if match+caughtUpWithin >= c.raft.LastIndex() {
+			if match+caughtUpEntries >= c.raft.LastIndex() {
 				// Who lacks more is not ready whatever that holds.
 				missing = c.raft.BytesAfter(match)
 			}
-			return Standing{Match: match, Missing: missing, Silent: now.Since(max(c.heard[id], c.ledSince)), Leaving: leaves && now.Since(said) < leavingFor}
+			return Progress{Match: match, MissingBytes: missing, SinceContact: now.Since(max(c.lastContact[id], c.leaderSince)), Leaving: leaves && now.Since(said) < leavingValidity}
 		}}
 }
 
 // Leave notes a member's word that it stops. While it says so nobody else must wait for it to fall silent.
-func (c *Core) Leave(now clock.Mark, id raft.MemberID) { c.leaving[id] = now }
+func (c *Core) MarkLeaving(now clock.Mark, id raft.MemberID) { c.leaving[id] = now }
 
 // reclaim is the leader's expiry check.
-func (c *Core) reclaim(now clock.Mark, out *Effects) {
+func (c *Core) reclaimExpiredLeases(now clock.Mark, out *Effects) {
 	// A new leader lets a full lease pass first: holders may have renewed with one who is gone.
-	if !c.leads || now.Since(c.ledSince) < c.config.Tenure || c.reclaimAt > c.applied {
+	if !c.isLeader || now.Since(c.leaderSince) < c.config.WorkerLease || c.reclaimIndex > c.applied {
 		return
 	}
-	if !c.state.Workers.Due(c.groupNow(now)) {
+	if !c.state.Workers.Due(c.groupTime(now)) {
 		return
 	}
 	more := c.Submit(now, 0, statemachine.Command{Op: statemachine.OpReclaim})
-	c.reclaimAt = c.raft.LastIndex()
+	c.reclaimIndex = c.raft.LastIndex()
 	out.merge(more)
 }
 
@@ -271,87 +271,87 @@
 	}
 	e.Later = append(e.Later, more.Later...)
 	e.Now = append(e.Now, more.Now...)
-	e.Answers = append(e.Answers, more.Answers...)
-	e.Changed = e.Changed || more.Changed
+	e.Responses = append(e.Responses, more.Responses...)
+	e.ConfigurationChanged = e.ConfigurationChanged || more.ConfigurationChanged
 	e.Notices = append(e.Notices, more.Notices...)
-	if e.GiveUp == nil {
-		e.GiveUp = more.GiveUp
+	if e.Fatal == nil {
+		e.Fatal = more.Fatal
 	}
 }
 
 // carry applies what was committed and turns raft effects into the replica's.
-func (c *Core) carry(now clock.Mark, effects raft.Effects) Effects {
+func (c *Core) processRaftEffects(now clock.Mark, effects raft.Effects) Effects {
 	out := Effects{Save: effects.Save, Later: effects.Later, Now: effects.Now, Notices: effects.Notices}
-	if effects.Save != nil && effects.Save.TruncateFrom > 0 && effects.Save.TruncateFrom <= c.restored {
+	if effects.Save != nil && effects.Save.TruncateFrom > 0 && effects.Save.TruncateFrom <= c.lastRestored {
 		// What takes the place of entries found on disk may have been stamped at any time since.
-		c.restored = effects.Save.TruncateFrom - 1
+		c.lastRestored = effects.Save.TruncateFrom - 1
 	}
 	specBefore, closuresBefore, leavesBefore := c.state.Epoch(), c.state.Closures.Epoch, c.state.Leaves
 	if effects.Install != nil {
 		// It was read by checkSnapshot before the log was given up for it.
-		c.state, c.applied, c.timeMark, c.checked = c.checked, effects.Install.Index, now, nil
-		c.digests.forget()
-		c.sinceCompact, c.sizes, c.bytes = 0, c.sizes[:0], 0
+		c.state, c.applied, c.groupTimeAt, c.validated = c.validated, effects.Install.Index, now, nil
+		c.digests.reset()
+		c.entriesSinceSnapshot, c.entrySizes, c.bytesSinceSnapshot = 0, c.entrySizes[:0], 0
 	}
 	for _, entry := range effects.Committed {
 		c.apply(now, entry, &out)
 	}
 	for _, read := range effects.Reads {
 		if !read.OK {
-			out.Answers = append(out.Answers, Answer{Ref: read.Ref, Outcome: NotLeader})
+			out.Responses = append(out.Responses, Response{RequestID: read.Ref, Outcome: NotLeader})
 			continue
 		}
 		c.reads[read.Ref] = read.Index
 	}
 	for _, ref := range slices.Sorted(maps.Keys(c.reads)) {
 		if c.applied >= c.reads[ref] {
-			out.Answers = append(out.Answers, Answer{Ref: ref, Outcome: Applied, State: c.state})
+			out.Responses = append(out.Responses, Response{RequestID: ref, Outcome: Applied, State: c.state})
 			delete(c.reads, ref)
 		}
 	}
-	c.noteLeading(now, &out)
-	c.confirmed.observe(now, c.raft)
-	c.askForDigests(now, out.Now)
-	out.Changed = c.state.Epoch() != specBefore || c.state.Closures.Epoch != closuresBefore || c.state.Leaves != leavesBefore
-	if c.sinceCompact >= c.config.CompactEvery || c.config.CompactBytes > 0 && c.bytes >= c.config.CompactBytes {
-		keep := c.keep()
-		c.sinceCompact, c.sizes, c.bytes = 0, c.sizes[:0], 0
-		out.merge(c.carry(now, c.raft.Step(raft.Compact{Index: c.applied, Data: c.state.Snapshot(), Keep: keep})))
+	c.updateLeadership(now, &out)
+	c.leadership.observe(now, c.raft)
+	c.attachDigests(now, out.Now)
+	out.ConfigurationChanged = c.state.Epoch() != specBefore || c.state.Closures.Epoch != closuresBefore || c.state.Leaves != leavesBefore
+	if c.entriesSinceSnapshot >= c.config.CompactEntries || c.config.CompactBytes > 0 && c.bytesSinceSnapshot >= c.config.CompactBytes {
+		keep := c.retainedEntries()
+		c.entriesSinceSnapshot, c.entrySizes, c.bytesSinceSnapshot = 0, c.entrySizes[:0], 0
+		out.merge(c.processRaftEffects(now, c.raft.Step(raft.Compact{Index: c.applied, Data: c.state.Snapshot(), Keep: keep})))
 	}
 	return out
 }
 
 // askForDigests has a leader's heartbeats carry the digest that its peers are asked to compare.
-func (c *Core) askForDigests(now clock.Mark, messages []raft.Message) {
-	if !c.leads {
+func (c *Core) attachDigests(now clock.Mark, messages []raft.Message) {
+	if !c.isLeader {
 		return
 	}
-	c.digests.begin(now, c.raft.ID(), c.raft.Membership())
+	c.digests.startComparison(now, c.raft.ID(), c.raft.Membership())
 	for place := range messages {
 		if messages[place].Kind == raft.MsgHeartbeat {
-			messages[place].StateDigest = c.digests.ask(messages[place].To, c.raft.Membership())
+			messages[place].StateDigest = c.digests.requestFor(messages[place].To, c.raft.Membership())
 		}
 	}
 }
 
 // compareDigests takes the digest that came with a message: a leader's question, or a peer's answer.
-func (c *Core) compareDigests(message raft.Message, out *Effects) {
+func (c *Core) handleDigest(message raft.Message, out *Effects) {
 	switch {
 	case message.StateDigest == nil || message.Term != c.raft.Term():
 	case message.Kind == raft.MsgHeartbeat && c.raft.LeaderID() == message.From:
-		c.answerDigest(message, out)
-	case message.Kind == raft.MsgHeartbeatReply && c.leads:
-		found := c.digests.take(c.raft.ID(), message.From, *message.StateDigest, c.raft.Membership())
-		if found.differs {
+		c.replyWithDigest(message, out)
+	case message.Kind == raft.MsgHeartbeatReply && c.isLeader:
+		found := c.digests.recordReply(c.raft.ID(), message.From, *message.StateDigest, c.raft.Membership())
+		if found.divergent {
 			out.Notices = append(out.Notices, raft.Notice{Kind: raft.NoticeStateDiffers, Peer: message.From, Index: message.StateDigest.Index})
 		}
-		c.giveUp(found.self, out)
+		c.stopServing(found.selfDiverged, out)
 	}
 }
 
-func (c *Core) answerDigest(message raft.Message, out *Effects) {
-	answer, err := c.digests.answer(*message.StateDigest)
-	c.giveUp(err, out)
+func (c *Core) replyWithDigest(message raft.Message, out *Effects) {
+	answer, err := c.digests.replyTo(*message.StateDigest)
+	c.stopServing(err, out)
 	for place := range out.Now {
 		if reply := &out.Now[place]; reply.Kind == raft.MsgHeartbeatReply && reply.To == message.From {
 			reply.StateDigest = answer
@@ -360,86 +360,86 @@
 }
 
 // giveUp says that this member's state is not what a majority holds.
-func (c *Core) giveUp(why error, out *Effects) {
+func (c *Core) stopServing(why error, out *Effects) {
 	if why == nil {
 		return
 	}
-	out.GiveUp = why
+	out.Fatal = why
 	out.Notices = append(out.Notices, raft.Notice{Kind: raft.NoticeStateDiffers, Peer: c.raft.ID(), Index: c.applied, Err: why})
 }
 
 // keep is how many entries stay before a snapshot.
-func (c *Core) keep() int {
-	if c.config.KeepBytes == 0 {
-		return c.config.Keep
+func (c *Core) retainedEntries() int {
+	if c.config.RetainBytes == 0 {
+		return c.config.RetainEntries
 	}
-	room := c.config.KeepBytes
-	for kept := 0; kept < min(c.config.Keep, len(c.sizes)); kept++ {
-		if room -= c.sizes[len(c.sizes)-1-kept]; room < 0 {
+	room := c.config.RetainBytes
+	for kept := 0; kept < min(c.config.RetainEntries, len(c.entrySizes)); kept++ {
+		if room -= c.entrySizes[len(c.entrySizes)-1-kept]; room < 0 {
 			return kept
 		}
 	}
-	return c.config.Keep
+	return c.config.RetainEntries
 }
 
 func (c *Core) apply(now clock.Mark, entry raft.Entry, out *Effects) {
 	c.applied = entry.Index
-	c.sinceCompact++
-	c.sizes = append(c.sizes, len(entry.Data))
-	c.bytes += len(entry.Data)
+	c.entriesSinceSnapshot++
+	c.entrySizes = append(c.entrySizes, len(entry.Data))
+	c.bytesSinceSnapshot += len(entry.Data)
 	var result statemachine.Result
 	if entry.Kind == raft.EntryCommand {
 		before := c.state.Now
 		result = c.state.Apply(entry.Data)
 		switch {
 		case c.state.Now <= before:
-		case entry.Index <= c.restored:
+		case entry.Index <= c.lastRestored:
 			// It was stamped before this member started, however late it is applied: the time since has passed.
-			c.timeMark = c.began
+			c.groupTimeAt = c.startedAt
 		default:
-			c.timeMark = now
+			c.groupTimeAt = now
 		}
 	}
 	if c.digests.due(entry.Index) {
 		digest := c.state.Digest()
-		c.digests.keep(entry.Index, digest.Sum, digest.Bytes)
+		c.digests.record(entry.Index, digest.Sum, digest.Bytes)
 	}
-	waiting, ok := c.pending[entry.Index]
+	waiting, ok := c.proposals[entry.Index]
 	if !ok {
 		return
 	}
-	delete(c.pending, entry.Index)
-	if waiting.ref == 0 {
+	delete(c.proposals, entry.Index)
+	if waiting.requestID == 0 {
 		return
 	}
 	// Another leader's entry in that place means that the command was never committed.
 	if waiting.term != entry.Term {
-		out.Answers = append(out.Answers, Answer{Ref: waiting.ref, Outcome: NotLeader})
+		out.Responses = append(out.Responses, Response{RequestID: waiting.requestID, Outcome: NotLeader})
 		return
 	}
-	out.Answers = append(out.Answers, Answer{Ref: waiting.ref, Outcome: Applied, Result: result})
+	out.Responses = append(out.Responses, Response{RequestID: waiting.requestID, Outcome: Applied, Result: result})
 }
 
 // noteLeading is the one place where this member begins or ceases to lead.
-func (c *Core) noteLeading(now clock.Mark, out *Effects) {
+func (c *Core) updateLeadership(now clock.Mark, out *Effects) {
 	leads := c.raft.Role() == raft.Leader && c.raft.CommittedInTerm() && c.applied == c.raft.CommitIndex()
-	if c.raft.Role() == raft.Leader && c.leads {
+	if c.raft.Role() == raft.Leader && c.isLeader {
 		return
 	}
-	if leads == c.leads {
+	if leads == c.isLeader {
 		return
 	}
-	c.leads = leads
-	c.digests.stop()
+	c.isLeader = leads
+	c.digests.stopComparing()
 	if leads {
-		c.ledSince, c.reclaimAt = now, 0
+		c.leaderSince, c.reclaimIndex = now, 0
 		return
 	}
 	// Whoever waits is told the truth: nobody here knows whether the command will be committed.
-	for _, index := range slices.Sorted(maps.Keys(c.pending)) {
-		if waiting := c.pending[index]; waiting.ref != 0 {
-			out.Answers = append(out.Answers, Answer{Ref: waiting.ref, Outcome: Unknown})
+	for _, index := range slices.Sorted(maps.Keys(c.proposals)) {
+		if waiting := c.proposals[index]; waiting.requestID != 0 {
+			out.Responses = append(out.Responses, Response{RequestID: waiting.requestID, Outcome: Unknown})
 		}
-		delete(c.pending, index)
+		delete(c.proposals, index)
 	}
 }
--- a/process/consensus/replica/digests_test.go
+++ b/process/consensus/replica/digests_test.go
@@ -103,7 +103,7 @@
 		if len(s.gaveUp) > 0 || s.notices[raft.NoticeStateDiffers] == 0 {
 			t.Errorf("seed %d: %v gave up, %d noticed", seed, s.gaveUp, s.notices[raft.NoticeStateDiffers])
 		}
-		if leader := s.leader(); leader == nil || len(leader.core.Differing()) == 0 {
+		if leader := s.leader(); leader == nil || len(leader.core.DivergentMembers()) == 0 {
 			t.Errorf("seed %d: nobody is said to differ", seed)
 		}
 	}
@@ -125,7 +125,7 @@
 func TestWithoutDigestsADifferingStateStays(t *testing.T) {
 	s := calmSim(t, 1, 3)
 	for _, n := range s.nodes {
-		n.core.digests.step = 1 << 40
+		n.core.digests.interval = 1 << 40
 	}
 	parted(s.nodes[(s.leader().place+1)%3], 1)
 	s.runFor(time.Minute)
--- a/process/consensus/replica/leaving.go
+++ b/process/consensus/replica/leaving.go
@@ -8,13 +8,13 @@
 // HeldWithout says whether this member leads, and of the voters a majority that does without one of them speaks and
 // holds all that is committed. Only then may that one end for good: if another is lost right after it, or was just
 // before, those who are left still have every entry, and enough votes to go on once one more stands ready.
-func (c *Core) HeldWithout(now clock.Mark, leaving raft.MemberID) bool {
-	if !c.Leads() {
+func (c *Core) SafeToStop(now clock.Mark, leaving raft.MemberID) bool {
+	if !c.IsLeader() {
 		return false
 	}
 	voters, holding := c.raft.Membership().Voters(), 0
 	for _, id := range voters {
-		speaks := id == c.raft.ID() || now.Since(max(c.heard[id], c.ledSince)) < aliveWithin
+		speaks := id == c.raft.ID() || now.Since(max(c.lastContact[id], c.leaderSince)) < aliveTimeout
 		if id != leaving && speaks && c.raft.MatchOf(id) >= c.raft.CommitIndex() {
 			holding++
 		}
--- a/process/consensus/replica/leaving_test.go
+++ b/process/consensus/replica/leaving_test.go
@@ -8,7 +8,7 @@
 )
 
 // heldWithoutItsOwn is HeldWithout with the mistake of counting the one that leaves.
-func heldWithoutItsOwn(c *Core, now clock.Mark) bool { return c.HeldWithout(now, 0) }
+func heldWithoutItsOwn(c *Core, now clock.Mark) bool { return c.SafeToStop(now, 0) }
 
 // TestOneThatLeavesWaitsForTheOthers: while another's disk stalls, what is committed stands on the leader and on the one
 // that leaves, so it may not end; the one whose disk stalls may. Later both may.
@@ -18,29 +18,29 @@
 		s := calmSim(t, seed, 3)
 		here := s.here()
 		leader, leaving, stalled := here[0].core, here[1].id, here[2]
-		if !leader.HeldWithout(s.now, leaving) {
+		if !leader.SafeToStop(s.now, leaving) {
 			t.Errorf("seed %d: it may not end though all hold all", seed)
 		}
 		stalled.stallUntil = s.now + clock.Mark(3*time.Second)
 		ahead := func() bool { return leader.raft.CommitIndex() > leader.raft.MatchOf(stalled.id) }
 		s.until(2500*time.Millisecond, ahead)
-		if !ahead() || !leader.Leads() {
+		if !ahead() || !leader.IsLeader() {
 			t.Fatalf("seed %d: nothing was committed without the one whose disk stalls", seed)
 		}
-		if leader.HeldWithout(s.now, leaving) {
+		if leader.SafeToStop(s.now, leaving) {
 			t.Errorf("seed %d: it may end, and the leader alone holds the last entry", seed)
 		}
-		if !leader.HeldWithout(s.now, stalled.id) {
+		if !leader.SafeToStop(s.now, stalled.id) {
 			t.Errorf("seed %d: one that holds nothing of its own may not end", seed)
 		}
 		if heldWithoutItsOwn(leader, s.now) {
 			caught++
 		}
-		if here[1].core.HeldWithout(s.now, stalled.id) {
+		if here[1].core.SafeToStop(s.now, stalled.id) {
 			t.Errorf("seed %d: a follower says who may end", seed)
 		}
 		s.runFor(5 * time.Second)
-		if !leader.HeldWithout(s.now, leaving) {
+		if !leader.SafeToStop(s.now, leaving) {
 			t.Errorf("seed %d: it may not end though the stalled disk goes on", seed)
 		}
 	}
--- a/process/consensus/replica/members.go
+++ b/process/consensus/replica/members.go
@@ -13,46 +13,46 @@
 	// silentVoter is how long a voter must have said nothing before one that stands ready takes its place. It
 	// is longer than what a busy machine or a short freeze takes, and leaves a replaced machine time to vote
 	// within the few seconds that deployments allow.
-	silentVoter = 2 * time.Second
+	voterTimeout = 2 * time.Second
 	// aliveWithin is how lately a voter must have spoken to count towards the majority that holds without another.
-	aliveWithin = time.Second
+	aliveTimeout = time.Second
 	// forgetLearner is how long a member that does not vote may be silent before it is let go: it asks again.
-	forgetLearner = 20 * time.Second
+	learnerTimeout = 20 * time.Second
 	// leavingFor is how long a member's word that it stops is believed after it was last said.
-	leavingFor = 2 * time.Second
+	leavingValidity = 2 * time.Second
 	// caughtUpWithin is how many entries a member may lack and still count as caught up.
-	caughtUpWithin = 8
+	caughtUpEntries = 8
 	// caughtUpBytes is how many bytes those entries may hold: a twentieth of a second on a link of 10 Mbit/s.
 	caughtUpBytes = 64 << 10
 	// identityGone is how long an identity must have been silent before another of the same machine takes its place.
 	// Who lives answers every heartbeat.
-	identityGone = 500 * time.Millisecond
+	previousIdentityTimeout = 500 * time.Millisecond
 	// DefaultVoters is how many machines vote where nothing else is said: the group stands losing one.
 	DefaultVoters = 3
 )
 
 // Standing is what a leader knows of one member.
-type Standing struct {
+type Progress struct {
 	// Match is how far its log is known to agree with the leader's.
 	Match raft.Index
 	// Missing is how many bytes the entries hold that it lacks.
-	Missing int
+	MissingBytes int
 	// Silent is how long it has said nothing.
-	Silent time.Duration
+	SinceContact time.Duration
 	// Leaving says that it stops, for a while or for good.
 	Leaving bool
 }
 
 // MembershipPlan is all that a leader's next change of the membership depends on.
 type MembershipPlan struct {
-	Self    raft.MemberID
-	Current raft.Membership
-	Last    raft.Index
+	Self      raft.MemberID
+	Current   raft.Membership
+	LastIndex raft.Index
 	// Wanted is how many machines are to vote.
-	Wanted int
+	DesiredVoters int
 	// Standing tells of each member, Joins lists those that asked to be taken in.
-	Standing func(raft.MemberID) Standing
-	Joins    map[raft.MemberID]raft.Member
+	Progress     func(raft.MemberID) Progress
+	JoinRequests map[raft.MemberID]raft.Member
 }
 
 // Next says the next single step by which those who asked are taken in: first as learners; then, once they
@@ -63,12 +63,12 @@
 	ready := p.ready()
 	steps := []func() (raft.Membership, bool){
 		p.admit,
-		func() (raft.Membership, bool) { return p.removeOldIdentity(ready) },
+		func() (raft.Membership, bool) { return p.removePreviousIdentity(ready) },
 		p.removeSurplus,
-		func() (raft.Membership, bool) { return p.fillFreePlace(ready) },
+		func() (raft.Membership, bool) { return p.fillVacancy(ready) },
 		func() (raft.Membership, bool) { return p.promoteForLeaving(ready) },
 		func() (raft.Membership, bool) { return p.removeAbsent(ready) },
-		p.forgetSilentLearner,
+		p.removeUnreachableLearner,
 	}
 	for _, step := range steps {
 		if next, ok := step(); ok {
@@ -79,7 +79,7 @@
 }
 
 // removeOldIdentity lets go of what a machine was before its disk was lost: its new identity says that it is gone.
-func (p MembershipPlan) removeOldIdentity(ready []raft.Member) (raft.Membership, bool) {
+func (p MembershipPlan) removePreviousIdentity(ready []raft.Member) (raft.Membership, bool) {
 	for _, learner := range ready {
 		for _, old := range p.Current.Members {
 			sameMachine := old.Name == learner.Name || old.Address == learner.Address
@@ -88,7 +88,7 @@
 			}
 			// One that still speaks is not gone: two machines may have been given one name, and a learner that has
 			// just ended may be the older of two.
-			if p.Standing(old.ID).Silent > identityGone && p.holdsWithout(old.ID) {
+			if p.Progress(old.ID).SinceContact > previousIdentityTimeout && p.quorumAliveWithout(old.ID) {
 				return p.Current.Without(old.ID), true
 			}
 		}
@@ -100,24 +100,24 @@
 // came last.
 func (p MembershipPlan) removeSurplus() (raft.Membership, bool) {
 	voters := p.Current.Voters()
-	if len(voters) <= p.Wanted || len(voters)%2 != 0 {
+	if len(voters) <= p.DesiredVoters || len(voters)%2 != 0 {
 		return raft.Membership{}, false
 	}
-	surplus, found := p.mostAbsent()
+	surplus, found := p.absentVoter()
 	for place := len(voters) - 1; place >= 0 && !found; place-- {
 		surplus, found = voters[place], voters[place] != p.Self
 	}
-	if !found || !p.holdsWithout(surplus) {
+	if !found || !p.quorumAliveWithout(surplus) {
 		return raft.Membership{}, false
 	}
 	return p.Current.Without(surplus), true
 }
 
 // fillFreePlace gives a vote where there are too few.
-func (p MembershipPlan) fillFreePlace(ready []raft.Member) (raft.Membership, bool) {
+func (p MembershipPlan) fillVacancy(ready []raft.Member) (raft.Membership, bool) {
 	voters := len(p.Current.Voters())
 	// An even number of voters stands losing no more than one less would, so they come to be two at a time.
-	if voters < p.Wanted && (voters%2 == 0 && len(ready) > 0 || len(ready) > 1) {
+	if voters < p.DesiredVoters && (voters%2 == 0 && len(ready) > 0 || len(ready) > 1) {
 		return p.promote(ready[0]), true
 	}
 	return raft.Membership{}, false
@@ -127,9 +127,9 @@
 // answers: so at each moment between any one machine may be lost. Where the voter is silent that order is the worse one,
 // as four voters of whom one is gone need all others.
 func (p MembershipPlan) promoteForLeaving(ready []raft.Member) (raft.Membership, bool) {
-	leaving, found := p.mostAbsent()
+	leaving, found := p.absentVoter()
 	voters := len(p.Current.Voters())
-	if !found || len(ready) == 0 || p.Standing(leaving).Silent >= aliveWithin || voters < p.Wanted || voters%2 == 0 {
+	if !found || len(ready) == 0 || p.Progress(leaving).SinceContact >= aliveTimeout || voters < p.DesiredVoters || voters%2 == 0 {
 		return raft.Membership{}, false
 	}
 	return p.promote(ready[0]), true
@@ -137,17 +137,17 @@
 
 // removeAbsent lets go of a voter that is silent or stops, to make room for one that stands ready.
 func (p MembershipPlan) removeAbsent(ready []raft.Member) (raft.Membership, bool) {
-	absent, found := p.mostAbsent()
-	if !found || len(ready) == 0 || !p.holdsWithout(absent) {
+	absent, found := p.absentVoter()
+	if !found || len(ready) == 0 || !p.quorumAliveWithout(absent) {
 		return raft.Membership{}, false
 	}
 	return p.Current.Without(absent), true
 }
 
 // forgetSilentLearner lets go of a learner that has long said nothing.
-func (p MembershipPlan) forgetSilentLearner() (raft.Membership, bool) {
+func (p MembershipPlan) removeUnreachableLearner() (raft.Membership, bool) {
 	for _, member := range p.Current.Members {
-		if !member.Voter && p.Standing(member.ID).Silent > forgetLearner {
+		if !member.Voter && p.Progress(member.ID).SinceContact > learnerTimeout {
 			return p.Current.Without(member.ID), true
 		}
 	}
@@ -161,10 +161,10 @@
 
 // admit takes in the next of those who asked.
 func (p MembershipPlan) admit() (raft.Membership, bool) {
-	for _, id := range slices.Sorted(maps.Keys(p.Joins)) {
-		wanted := p.Joins[id]
+	for _, id := range slices.Sorted(maps.Keys(p.JoinRequests)) {
+		wanted := p.JoinRequests[id]
 		if _, known := p.Current.Find(id); known {
-			delete(p.Joins, id)
+			delete(p.JoinRequests, id)
 			continue
 		}
 		wanted.Voter = false
@@ -177,8 +177,8 @@
 func (p MembershipPlan) ready() []raft.Member {
 	var out []raft.Member
 	for _, member := range p.Current.Members {
-		standing := p.Standing(member.ID)
-		if !member.Voter && !standing.Leaving && p.caughtUp(standing) && standing.Silent < aliveWithin {
+		standing := p.Progress(member.ID)
+		if !member.Voter && !standing.Leaving && p.caughtUp(standing) && standing.SinceContact < aliveTimeout {
 			out = append(out, member)
 		}
 	}
@@ -188,15 +188,15 @@
 // caughtUp says whether a member lacks no more than one message holds. It need not hold all: the entry that makes it
 // a voter is committed only when a majority of the new voters holds that entry and all before it, so no majority can
 // lack what was acknowledged. What it lacks only holds up the next commit if another is lost at this very moment.
-func (p MembershipPlan) caughtUp(standing Standing) bool {
-	return standing.Match > 0 && standing.Match+caughtUpWithin >= p.Last && standing.Missing <= caughtUpBytes
+func (p MembershipPlan) caughtUp(standing Progress) bool {
+	return standing.Match > 0 && standing.Match+caughtUpEntries >= p.LastIndex && standing.MissingBytes <= caughtUpBytes
 }
 
 // mostAbsent finds the voter that has been silent for longest, and for too long, or else one that stops.
-func (p MembershipPlan) mostAbsent() (raft.MemberID, bool) {
+func (p MembershipPlan) absentVoter() (raft.MemberID, bool) {
 	var absent []raft.MemberID
 	for _, id := range p.Current.Voters() {
-		if standing := p.Standing(id); id != p.Self && (standing.Leaving || standing.Silent > silentVoter) {
+		if standing := p.Progress(id); id != p.Self && (standing.Leaving || standing.SinceContact > voterTimeout) {
 			absent = append(absent, id)
 		}
 	}
@@ -204,19 +204,19 @@
 		return 0, false
 	}
 	return slices.MaxFunc(absent, func(a, b raft.MemberID) int {
-		return cmp.Or(cmp.Compare(p.Standing(a).Silent, p.Standing(b).Silent), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(p.Progress(a).SinceContact, p.Progress(b).SinceContact), cmp.Compare(a, b))
 	}), true
 }
 
 // holdsWithout says whether the voters that speak are a majority of those who are left without one.
-func (p MembershipPlan) holdsWithout(leaving raft.MemberID) bool {
+func (p MembershipPlan) quorumAliveWithout(leaving raft.MemberID) bool {
 	left, alive := 0, 0
 	for _, id := range p.Current.Voters() {
 		if id == leaving {
 			continue
 		}
 		left++
-		if id == p.Self || p.Standing(id).Silent < aliveWithin {
+		if id == p.Self || p.Progress(id).SinceContact < aliveTimeout {
 			alive++
 		}
 	}
--- a/process/consensus/replica/members_test.go
+++ b/process/consensus/replica/members_test.go
@@ -10,7 +10,7 @@
 // planCase is a membership plan of three voters and what is known of them.
 type planCase struct {
 	voters, learners []raft.Member
-	standing         map[raft.MemberID]Standing
+	standing         map[raft.MemberID]Progress
 }
 
 const planLast = raft.Index(100)
@@ -22,12 +22,12 @@
 		current.Members = append(current.Members, voter)
 	}
 	current.Members = append(current.Members, c.learners...)
-	return MembershipPlan{Self: 1, Current: current, Last: planLast, Wanted: 3, Joins: map[raft.MemberID]raft.Member{},
-		Standing: func(id raft.MemberID) Standing {
+	return MembershipPlan{Self: 1, Current: current, LastIndex: planLast, DesiredVoters: 3, JoinRequests: map[raft.MemberID]raft.Member{},
+		Progress: func(id raft.MemberID) Progress {
 			if known, ok := c.standing[id]; ok {
 				return known
 			}
-			return Standing{Match: planLast}
+			return Progress{Match: planLast}
 		}}.Next()
 }
 
@@ -38,28 +38,28 @@
 func TestTheNextMembership(t *testing.T) {
 	voters := []raft.Member{machine(1, "a"), machine(2, "b"), machine(3, "c")}
 	spare, reborn := machine(4, "d"), machine(5, "b")
-	silent := Standing{Match: planLast, Silent: 3 * time.Second}
-	leaving := Standing{Match: planLast, Leaving: true}
+	silent := Progress{Match: planLast, SinceContact: 3 * time.Second}
+	leaving := Progress{Match: planLast, Leaving: true}
 	for name, c := range map[string]struct {
 		planCase
 		votes []raft.MemberID
 		none  bool
 	}{
-		"nobody leaves while nobody stands ready":                        {planCase: planCase{voters, nil, map[raft.MemberID]Standing{2: silent}}, none: true},
-		"one that speaks and leaves goes after another votes":            {planCase: planCase{voters, []raft.Member{spare}, map[raft.MemberID]Standing{2: leaving}}, votes: []raft.MemberID{1, 2, 3, 4}},
-		"and goes once that one does":                                    {planCase: planCase{append(voters[:3:3], spare), nil, map[raft.MemberID]Standing{2: leaving}}, votes: []raft.MemberID{1, 3, 4}},
+		"nobody leaves while nobody stands ready":                        {planCase: planCase{voters, nil, map[raft.MemberID]Progress{2: silent}}, none: true},
+		"one that speaks and leaves goes after another votes":            {planCase: planCase{voters, []raft.Member{spare}, map[raft.MemberID]Progress{2: leaving}}, votes: []raft.MemberID{1, 2, 3, 4}},
+		"and goes once that one does":                                    {planCase: planCase{append(voters[:3:3], spare), nil, map[raft.MemberID]Progress{2: leaving}}, votes: []raft.MemberID{1, 3, 4}},
 		"if it stays after all, the last that came goes":                 {planCase: planCase{append(voters[:3:3], spare), nil, nil}, votes: []raft.MemberID{1, 2, 3}},
-		"one that is silent goes before another votes":                   {planCase: planCase{voters, []raft.Member{spare}, map[raft.MemberID]Standing{2: silent}}, votes: []raft.MemberID{1, 3}},
-		"the silent goes before the one that leaves":                     {planCase: planCase{voters, []raft.Member{spare}, map[raft.MemberID]Standing{2: leaving, 3: silent}}, votes: []raft.MemberID{1, 2}},
+		"one that is silent goes before another votes":                   {planCase: planCase{voters, []raft.Member{spare}, map[raft.MemberID]Progress{2: silent}}, votes: []raft.MemberID{1, 3}},
+		"the silent goes before the one that leaves":                     {planCase: planCase{voters, []raft.Member{spare}, map[raft.MemberID]Progress{2: leaving, 3: silent}}, votes: []raft.MemberID{1, 2}},
 		"a free place is taken":                                          {planCase: planCase{voters[:2], []raft.Member{spare}, nil}, votes: []raft.MemberID{1, 2, 4}},
-		"an old identity goes once it is silent":                         {planCase: planCase{voters, []raft.Member{reborn}, map[raft.MemberID]Standing{2: {Match: planLast, Silent: 600 * time.Millisecond}}}, votes: []raft.MemberID{1, 3}},
+		"an old identity goes once it is silent":                         {planCase: planCase{voters, []raft.Member{reborn}, map[raft.MemberID]Progress{2: {Match: planLast, SinceContact: 600 * time.Millisecond}}}, votes: []raft.MemberID{1, 3}},
 		"an old identity that speaks stays":                              {planCase: planCase{voters, []raft.Member{reborn}, nil}, none: true},
-		"nobody takes a place who lacks more than eight entries":         {planCase: planCase{voters, []raft.Member{spare}, map[raft.MemberID]Standing{2: silent, 4: {Match: planLast - 9}}}, none: true},
-		"nobody takes a place who lacks large entries":                   {planCase: planCase{voters, []raft.Member{spare}, map[raft.MemberID]Standing{2: silent, 4: {Match: planLast - 1, Missing: 65 << 10}}}, none: true},
-		"one may take a place that lacks eight small entries":            {planCase: planCase{voters, []raft.Member{spare}, map[raft.MemberID]Standing{2: silent, 4: {Match: planLast - 8, Missing: 8 << 10}}}, votes: []raft.MemberID{1, 3}},
-		"nobody goes without whom no majority speaks":                    {planCase: planCase{voters, []raft.Member{spare}, map[raft.MemberID]Standing{2: silent, 3: {Match: planLast, Silent: 1500 * time.Millisecond}}}, none: true},
-		"a learner that leaves takes no place":                           {planCase: planCase{voters, []raft.Member{spare}, map[raft.MemberID]Standing{2: silent, 4: leaving}}, none: true},
-		"a learner lets no other identity of its machine go that speaks": {planCase: planCase{voters[:2], []raft.Member{spare, machine(6, "d")}, map[raft.MemberID]Standing{6: {}}}, votes: []raft.MemberID{1, 2, 4}},
+		"nobody takes a place who lacks more than eight entries":         {planCase: planCase{voters, []raft.Member{spare}, map[raft.MemberID]Progress{2: silent, 4: {Match: planLast - 9}}}, none: true},
+		"nobody takes a place who lacks large entries":                   {planCase: planCase{voters, []raft.Member{spare}, map[raft.MemberID]Progress{2: silent, 4: {Match: planLast - 1, MissingBytes: 65 << 10}}}, none: true},
+		"one may take a place that lacks eight small entries":            {planCase: planCase{voters, []raft.Member{spare}, map[raft.MemberID]Progress{2: silent, 4: {Match: planLast - 8, MissingBytes: 8 << 10}}}, votes: []raft.MemberID{1, 3}},
+		"nobody goes without whom no majority speaks":                    {planCase: planCase{voters, []raft.Member{spare}, map[raft.MemberID]Progress{2: silent, 3: {Match: planLast, SinceContact: 1500 * time.Millisecond}}}, none: true},
+		"a learner that leaves takes no place":                           {planCase: planCase{voters, []raft.Member{spare}, map[raft.MemberID]Progress{2: silent, 4: leaving}}, none: true},
+		"a learner lets no other identity of its machine go that speaks": {planCase: planCase{voters[:2], []raft.Member{spare, machine(6, "d")}, map[raft.MemberID]Progress{6: {}}}, votes: []raft.MemberID{1, 2, 4}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			next, found := c.next()
--- a/process/consensus/replica/orders_test.go
+++ b/process/consensus/replica/orders_test.go
@@ -67,7 +67,7 @@
 		}
 		life := to.life
 		o.refs++
-		o.asked[o.refs] = func(a Answer) {
+		o.asked[o.refs] = func(a Response) {
 			if a.Outcome != Applied {
 				back(unknown)
 				return
@@ -87,7 +87,7 @@
 					return
 				}
 				o.refs++
-				o.asked[o.refs] = func(b Answer) {
+				o.asked[o.refs] = func(b Response) {
 					if b.Outcome != Applied {
 						back(unknown)
 						return
@@ -211,7 +211,7 @@
 			return
 		}
 		o.refs++
-		o.asked[o.refs] = func(a Answer) {
+		o.asked[o.refs] = func(a Response) {
 			if a.Outcome == Applied {
 				seen(a.State)
 			}
@@ -358,8 +358,8 @@
 func newOrders(t *testing.T, seed uint64, size int, limits statemachine.Limits) *simOrders {
 	adjust := func(config *Config) {
 		// So few entries between snapshots that members which lag are sent one, and those that restart read one.
-		config.CompactEvery, config.Keep = 12, 3
-		config.Orders = limits
+		config.CompactEntries, config.RetainEntries = 12, 3
+		config.HistoryLimits = limits
 	}
 	o := &simOrders{sim: newAdjustedSim(t, seed, size, sound, adjust), acked: map[string]ident.Version{}, refused: map[string]bool{}, base: map[string]ident.Revision{},
 		orders: map[string]*linearizability.Order{}}
--- a/process/consensus/replica/second_loss_test.go
+++ b/process/consensus/replica/second_loss_test.go
@@ -117,11 +117,11 @@
 			return
 		}
 		mayEnd := false
-		if leader := n.sim.leader(); n.core.Leads() {
+		if leader := n.sim.leader(); n.core.IsLeader() {
 			n.carryOut(n.core.Step(n.sim.now, raft.Transfer{}))
 		} else if leader != nil {
-			leader.core.Leave(n.sim.now, n.id)
-			mayEnd = leader.core.HeldWithout(n.sim.now, n.id)
+			leader.core.MarkLeaving(n.sim.now, n.id)
+			mayEnd = leader.core.SafeToStop(n.sim.now, n.id)
 		}
 		if late := n.sim.now.Since(ends); late >= 0 && (mayEnd || n.sim.endsUnheld) || late > mostWait {
 			end()
@@ -172,7 +172,7 @@
 	if leader == nil {
 		return
 	}
-	s.ask(leader, &statemachine.Command{Op: statemachine.OpClosure, Zone: "z", Closed: closed}, func(a Answer) {
+	s.ask(leader, &statemachine.Command{Op: statemachine.OpClosure, Zone: "z", Closed: closed}, func(a Response) {
 		if a.Outcome == Applied && a.Result.Closures != nil {
 			s.acks++
 			s.ackedEpoch = max(s.ackedEpoch, a.Result.Closures.Epoch)
@@ -209,8 +209,8 @@
 	}
 	if leader := s.leader(); leader != nil {
 		for _, member := range leader.core.raft.Membership().Members {
-			ready := leader.core.raft.MatchOf(member.ID)+caughtUpWithin >= leader.core.raft.LastIndex()
-			fmt.Fprintf(&out, "%t %t,", ready, leader.core.Leads())
+			ready := leader.core.raft.MatchOf(member.ID)+caughtUpEntries >= leader.core.raft.LastIndex()
+			fmt.Fprintf(&out, "%t %t,", ready, leader.core.IsLeader())
 		}
 	}
 	return out.String()
@@ -420,10 +420,10 @@
 	ready := p.ready()
 	for _, step := range []func() (raft.Membership, bool){
 		p.admit,
-		func() (raft.Membership, bool) { return p.removeOldIdentity(ready) },
-		func() (raft.Membership, bool) { return p.fillFreePlace(ready) },
+		func() (raft.Membership, bool) { return p.removePreviousIdentity(ready) },
+		func() (raft.Membership, bool) { return p.fillVacancy(ready) },
 		func() (raft.Membership, bool) { return p.removeAbsent(ready) },
-		p.forgetSilentLearner,
+		p.removeUnreachableLearner,
 	} {
 		if next, ok := step(); ok {
 			return next, true
@@ -434,7 +434,7 @@
 
 // removeWithNobodyReady lets go of whoever is absent, whether or not another can take the place.
 func removeWithNobodyReady(p MembershipPlan) (raft.Membership, bool) {
-	if absent, found := p.mostAbsent(); found {
+	if absent, found := p.absentVoter(); found {
 		return p.Current.Without(absent), true
 	}
 	return p.Next()
--- a/process/consensus/replica/simulation_test.go
+++ b/process/consensus/replica/simulation_test.go
@@ -75,7 +75,7 @@
 	firstAt     clock.Mark
 	acks, reads int
 	refs        uint64
-	asked       map[uint64]func(Answer)
+	asked       map[uint64]func(Response)
 	crashes     int
 	// calm leaves time between troubles, so that a leader lasts long enough to reclaim what lapsed.
 	calm bool
@@ -163,7 +163,7 @@
 
 func simConfig(size int) Config {
 	config := DefaultConfig()
-	config.CompactEvery, config.Keep = 40, 10
+	config.CompactEntries, config.RetainEntries = 40, 10
 	config.Voters = size
 	return config
 }
@@ -184,7 +184,7 @@
 func newSimWith(t *testing.T, seed uint64, config Config, broken brk) *sim {
 	size := config.Voters
 	s := &sim{t: t, random: rand.New(rand.NewPCG(seed, 99)), broken: broken, now: clock.Mark(time.Hour), cut: map[[2]int]bool{}, loss: 0.02, faults: true, calm: seed%2 == 1,
-		size: size, leaderOf: map[raft.Term]raft.MemberID{}, applied: map[raft.Index]string{}, minted: map[ident.SnowflakeID]string{}, asked: map[uint64]func(Answer){}, notices: map[raft.NoticeKind]int{}, lostDisks: map[raft.MemberID]raft.Restored{}, config: config}
+		size: size, leaderOf: map[raft.Term]raft.MemberID{}, applied: map[raft.Index]string{}, minted: map[ident.SnowflakeID]string{}, asked: map[uint64]func(Response){}, notices: map[raft.NoticeKind]int{}, lostDisks: map[raft.MemberID]raft.Restored{}, config: config}
 	var members raft.Membership
 	for i := range size {
 		members.Members = append(members.Members, raft.Member{ID: raft.MemberID(i + 1), Name: fmt.Sprint("core-", i), Address: fmt.Sprint(i), Voter: true})
@@ -218,21 +218,21 @@
 }
 
 func (n *simNode) tick(life int) {
-	n.sim.after(Tick+n.sim.ms(0, 4), func() {
+	n.sim.after(TickInterval+n.sim.ms(0, 4), func() {
 		if n.life != life || !n.up {
 			return
 		}
 		if n.sim.now >= n.frozenUntil {
-			if late := n.sim.now.Since(n.beaten); n.beaten > 0 && late > n.sim.config.Timing.Span(Tick) {
+			if late := n.sim.now.Since(n.beaten); n.beaten > 0 && late > n.sim.config.Timing.Span(TickInterval) {
 				n.carryOut(n.core.Step(n.sim.now, raft.StandDown{}))
 			}
 			n.beaten = n.sim.now
-			if !n.stalled && len(n.since) > 0 && n.sim.now.Since(n.since[0]) > stallAfter {
+			if !n.stalled && len(n.since) > 0 && n.sim.now.Since(n.since[0]) > diskStallTimeout {
 				n.stalled = true
 				n.carryOut(n.core.Step(n.sim.now, raft.DiskStalled{Stalled: true}))
 			}
 			n.carryOut(n.core.Step(n.sim.now, raft.Tick{}))
-			if n.core.Leads() {
+			if n.core.IsLeader() {
 				if next, ok := n.sim.nextMembership(n.core.MembershipPlan(n.sim.now, n.joins)); ok {
 					n.carryOut(n.core.Step(n.sim.now, raft.ProposeMembership{Membership: next}))
 				}
@@ -254,7 +254,7 @@
 	}
 	wanted := raft.Member{ID: n.id, Name: fmt.Sprint("core-", n.place), Address: fmt.Sprint(n.place)}
 	for _, other := range n.sim.nodes {
-		if other.up && other.core.Leads() && !n.sim.cut[[2]int{n.place, other.place}] {
+		if other.up && other.core.IsLeader() && !n.sim.cut[[2]int{n.place, other.place}] {
 			other.joins[n.id] = wanted
 		}
 	}
@@ -364,8 +364,8 @@
 			s.fault("member %d refused a message of %d, as if it were not sound: %v", n.id, notice.Peer, notice.Err)
 		}
 	}
-	if effects.GiveUp != nil {
-		n.giveUpState(effects.GiveUp)
+	if effects.Fatal != nil {
+		n.giveUpState(effects.Fatal)
 		return
 	}
 	n.checkApplied()
@@ -389,9 +389,9 @@
 	case len(n.queue) == 0:
 		defer n.send(effects.Later)
 	}
-	for _, answer := range effects.Answers {
-		if reply := s.asked[answer.Ref]; reply != nil {
-			delete(s.asked, answer.Ref)
+	for _, answer := range effects.Responses {
+		if reply := s.asked[answer.RequestID]; reply != nil {
+			delete(s.asked, answer.RequestID)
 			reply(answer)
 		}
 	}
@@ -634,7 +634,7 @@
 }
 
 // ask sends a command or a read to a node over the network, and its answer back.
-func (s *sim) ask(to *simNode, command *statemachine.Command, answer func(Answer)) {
+func (s *sim) ask(to *simNode, command *statemachine.Command, answer func(Response)) {
 	s.refs++
 	ref := s.refs
 	if s.random.Float64() < s.loss {
@@ -644,7 +644,7 @@
 		if !to.up || s.now < to.frozenUntil {
 			return
 		}
-		s.asked[ref] = func(a Answer) {
+		s.asked[ref] = func(a Response) {
 			if s.random.Float64() < s.loss {
 				return
 			}
@@ -664,7 +664,7 @@
 			if s.broken == readsUnasked && to.core.raft.Role() == raft.Leader {
 				reply := s.asked[ref]
 				delete(s.asked, ref)
-				reply(Answer{Outcome: Applied, State: to.core.state})
+				reply(Response{Outcome: Applied, State: to.core.state})
 				return
 			}
 			to.carryOut(to.core.Read(s.now, ref))
@@ -728,7 +728,7 @@
 			command = statemachine.Command{Op: statemachine.OpRenew, NodeID: h.node(), WorkerID: worker}
 		}
 		life := h.life
-		s.ask(s.some(1)[0], &command, func(a Answer) {
+		s.ask(s.some(1)[0], &command, func(a Response) {
 			if h.life != life || a.Outcome != Applied || a.Result.Grant == nil {
 				return
 			}
@@ -761,7 +761,7 @@
 			last = 0
 		}
 		for _, n := range h.sim.nodes {
-			h.sim.ask(n, &statemachine.Command{Op: statemachine.OpRelease, NodeID: h.node(), WorkerID: worker, Last: last}, func(Answer) {})
+			h.sim.ask(n, &statemachine.Command{Op: statemachine.OpRelease, NodeID: h.node(), WorkerID: worker, Last: last}, func(Response) {})
 		}
 	}
 	h.begin()
@@ -776,7 +776,7 @@
 		to := s.some(1)[0]
 		if s.random.IntN(2) == 0 {
 			command := statemachine.Command{Op: statemachine.OpClosure, Zone: ident.ZoneID(fmt.Sprint(s.random.IntN(3))), Closed: s.random.IntN(2) == 0}
-			s.ask(to, &command, func(a Answer) {
+			s.ask(to, &command, func(a Response) {
 				if a.Outcome == Applied && a.Result.Closures != nil {
 					s.acks++
 					s.ackedEpoch = max(s.ackedEpoch, a.Result.Closures.Epoch)
@@ -784,7 +784,7 @@
 			})
 		} else {
 			before := s.ackedEpoch
-			s.ask(to, nil, func(a Answer) {
+			s.ask(to, nil, func(a Response) {
 				if a.Outcome != Applied {
 					return
 				}
@@ -1052,7 +1052,7 @@
 // leader finds who leads.
 func (s *sim) leader() *simNode {
 	for _, n := range s.nodes {
-		if n.up && s.now >= n.frozenUntil && n.core.Leads() {
+		if n.up && s.now >= n.frozenUntil && n.core.IsLeader() {
 			return n
 		}
 	}
@@ -1078,7 +1078,7 @@
 			s.runFor(time.Second)
 			victim.carryOut(victim.core.Step(s.now, raft.Transfer{}))
 			s.until(time.Second, func() bool { leader := s.leader(); return leader != nil && leader != victim })
-			s.leader().core.Leave(s.now, victim.id)
+			s.leader().core.MarkLeaving(s.now, victim.id)
 			s.runFor(300 * time.Millisecond)
 			// While it still runs the other has its vote, so that the next may be lost as soon as it ends.
 			members := s.leader().core.raft.Membership()
@@ -1112,7 +1112,7 @@
 		stopped := s.some(1)[0]
 		stopped.carryOut(stopped.core.Step(s.now, raft.Transfer{}))
 		s.runFor(time.Second)
-		s.leader().core.Leave(s.now, stopped.id)
+		s.leader().core.MarkLeaving(s.now, stopped.id)
 		s.runFor(time.Second)
 		stopped.crash()
 		s.runFor(30 * time.Second)
@@ -1183,7 +1183,7 @@
 		frozen.frozenUntil = s.now + clock.Mark(4*time.Second)
 		s.runFor(4 * time.Second)
 		s.until(time.Second, func() bool { return frozen.beaten >= frozen.frozenUntil })
-		if frozen.core.Leads() {
+		if frozen.core.IsLeader() {
 			t.Errorf("seed %d: it still believes that it leads after its first beat", seed)
 		}
 	}
@@ -1199,7 +1199,7 @@
 		var shut func(number int)
 		shut = func(number int) {
 			command := statemachine.Command{Op: statemachine.OpClosure, Zone: "z", Closed: acks%2 == 0}
-			s.ask(s.nodes[number%3], &command, func(a Answer) {
+			s.ask(s.nodes[number%3], &command, func(a Response) {
 				if a.Outcome == Applied {
 					acks++
 				}
--- a/process/consensus/replica/slow_link_test.go
+++ b/process/consensus/replica/slow_link_test.go
@@ -20,7 +20,7 @@
 func (s *sim) fill(t *testing.T, count, size int) {
 	for range count {
 		answered := false
-		s.ask(s.leader(), &statemachine.Command{Op: statemachine.OpReview, Spec: bytes.Repeat([]byte{'x'}, size*3/4)}, func(Answer) { answered = true })
+		s.ask(s.leader(), &statemachine.Command{Op: statemachine.OpReview, Spec: bytes.Repeat([]byte{'x'}, size*3/4)}, func(Response) { answered = true })
 		if s.until(5*time.Second, func() bool { return answered }); !answered {
 			t.Fatal("a command was not answered")
 		}
@@ -62,10 +62,10 @@
 
 // promoteWhateverTheLag takes a learner for ready as soon as it is known.
 func promoteWhateverTheLag(p MembershipPlan) (raft.Membership, bool) {
-	known := p.Standing
-	p.Standing = func(id raft.MemberID) Standing {
+	known := p.Progress
+	p.Progress = func(id raft.MemberID) Progress {
 		standing := known(id)
-		standing.Match, standing.Missing = p.Last, 0
+		standing.Match, standing.MissingBytes = p.LastIndex, 0
 		return standing
 	}
 	return p.Next()
--- a/process/consensus/replica/snapshots_test.go
+++ b/process/consensus/replica/snapshots_test.go
@@ -14,7 +14,7 @@
 // cutOften is a group whose log is cut so often that every absence ends with a snapshot.
 func cutOften(t *testing.T, seed uint64, size, every, keep int) *sim {
 	config := simConfig(size)
-	config.CompactEvery, config.Keep = every, keep
+	config.CompactEntries, config.RetainEntries = every, keep
 	return newSimWith(t, seed, config, sound)
 }
 
--- a/process/consensus/replica/soak_test.go
+++ b/process/consensus/replica/soak_test.go
@@ -33,7 +33,7 @@
 
 func newSoak(t *testing.T, seed uint64, every, keep int) *soak {
 	config := simConfig(3)
-	config.CompactEvery, config.Keep = every, keep
+	config.CompactEntries, config.RetainEntries = every, keep
 	s := &soak{sim: newSimWith(t, seed, config, sound), rng: rand.New(rand.NewPCG(seed, 11))}
 	s.faults, s.loss = false, 0
 	s.runFor(5 * time.Second)
@@ -52,7 +52,7 @@
 	done := false
 	took := s.until(30*time.Second, func() bool {
 		if leader := s.leader(); leader != nil && !done && s.now%(200*clock.Mark(time.Millisecond)) < 10*clock.Mark(time.Millisecond) {
-			s.ask(leader, &command, func(a Answer) { done = done || a.Outcome == Applied && a.Result.Verdict == statemachine.Done })
+			s.ask(leader, &command, func(a Response) { done = done || a.Outcome == Applied && a.Result.Verdict == statemachine.Done })
 		}
 		return done
 	})
--- a/process/consensus/replica/time_test.go
+++ b/process/consensus/replica/time_test.go
@@ -40,14 +40,14 @@
 
 	kept := start()
 	kept.Step(now, raft.Receive{Message: raft.Message{Kind: raft.MsgAppend, From: 2, To: 1, Term: 2, LogIndex: 3, LogTerm: 1, Commit: 3}})
-	if got, want := kept.groupNow(now), ident.GroupTime(1_000_100).Add(since); got != want {
+	if got, want := kept.groupTime(now), ident.GroupTime(1_000_100).Add(since); got != want {
 		t.Errorf("what stood on disk was stamped before this life: the time is %d, not %d", got, want)
 	}
 
 	replaced := start()
 	replaced.Step(now, raft.Receive{Message: raft.Message{Kind: raft.MsgAppend, From: 2, To: 1, Term: 2, LogIndex: 2, LogTerm: 1,
 		Entries: []raft.Entry{stamped(t, 3, 2, 1_070_000)}, Commit: 3}})
-	if got, want := replaced.groupNow(now), ident.GroupTime(1_070_000); got != want {
+	if got, want := replaced.groupTime(now), ident.GroupTime(1_070_000); got != want {
 		t.Errorf("what took its place was stamped later: the time is %d, not %d", got, want)
 	}
 }
--- a/testbed/interleaving/interleave_test.go
+++ b/testbed/interleaving/interleave_test.go
@@ -416,7 +416,7 @@
 					asked := now
 					yield()
 					result := state.Apply(encode(statemachine.Command{Op: statemachine.OpClaim, NodeID: name, At: ident.GroupTime(now / 1e6),
-						SpanMs: config.ClaimSpan.Milliseconds(), GapMs: gap.Milliseconds()}))
+						SpanMs: config.PlannerLease.Milliseconds(), GapMs: gap.Milliseconds()}))
 					yield()
 					if result.Verdict != statemachine.Done {
 						continue
@@ -453,7 +453,7 @@
 
 func TestTwoPlanners(t *testing.T) {
 	t.Parallel()
-	gap := replica.DefaultConfig().ClaimGap
+	gap := replica.DefaultConfig().PlannerLeaseGap
 	holds(t, plannersCase(gap, false))
 	bites(t, plannersCase(gap, true))
 }
--- a/testbed/partitionsim/node_test.go
+++ b/testbed/partitionsim/node_test.go
@@ -46,7 +46,7 @@
 	writes []write
 	beaten clock.Mark
 	refs   uint64
-	asked  map[uint64]func(replica.Answer)
+	asked  map[uint64]func(replica.Response)
 	// offered is the newest that was handed to the keeper by the log.
 	offeredSpec, offeredClosure ident.Version
 
@@ -123,7 +123,7 @@
 
 func (n *node) start() {
 	n.life++
-	n.up, n.writes, n.beaten, n.asked, n.asking, n.held, n.toldAll = true, nil, 0, map[uint64]func(replica.Answer){}, map[question]bool{}, nil, map[string]clock.Mark{}
+	n.up, n.writes, n.beaten, n.asked, n.asking, n.held, n.toldAll = true, nil, 0, map[uint64]func(replica.Response){}, map[question]bool{}, nil, map[string]clock.Mark{}
 	n.enlisted, n.beats, n.rowTold, n.offeredSpec, n.offeredClosure, n.seenSpec, n.stale, n.checked = 0, 0, false, 0, 0, 0, false, seenOfLife{}
 	ctx, cancel := context.WithCancel(context.Background())
 	n.stop = cancel
@@ -149,8 +149,8 @@
 		n.w.t.Fatal(err)
 	}
 	n.core = core
-	n.every(replica.Tick, func() {
-		if late := n.clock().Since(n.beaten); n.beaten > 0 && late > config.Timing.Span(replica.Tick) {
+	n.every(replica.TickInterval, func() {
+		if late := n.clock().Since(n.beaten); n.beaten > 0 && late > config.Timing.Span(replica.TickInterval) {
 			n.carryOut(n.core.Step(n.clock(), raft.StandDown{}))
 		}
 		n.beaten = n.clock()
@@ -183,9 +183,9 @@
 	default:
 		defer n.sendRaft(effects.Later)
 	}
-	for _, answer := range effects.Answers {
-		if taken := n.asked[answer.Ref]; taken != nil {
-			delete(n.asked, answer.Ref)
+	for _, answer := range effects.Responses {
+		if taken := n.asked[answer.RequestID]; taken != nil {
+			delete(n.asked, answer.RequestID)
 			taken(answer)
 		}
 	}
@@ -268,7 +268,7 @@
 }
 
 // leads says whether this node takes itself for the leader.
-func (n *node) leads() bool { return n.core != nil && n.core.Leads() }
+func (n *node) leads() bool { return n.core != nil && n.core.IsLeader() }
 
 func (n *node) confirmedAsLeader() clock.Mark {
 	if !n.leads() {
@@ -539,7 +539,7 @@
 // submit brings a command to the leader, following one redirect; done is called where it was applied.
 func (n *node) submit(command statemachine.Command, done func(statemachine.Result)) {
 	if n.leads() {
-		n.submitHere(command, func(answer replica.Answer) {
+		n.submitHere(command, func(answer replica.Response) {
 			if answer.Outcome == replica.Applied {
 				done(answer.Result)
 			}
@@ -565,7 +565,7 @@
 			})
 			return
 		}
-		to.submitHere(command, func(got replica.Answer) {
+		to.submitHere(command, func(got replica.Response) {
 			answer(func() {
 				if got.Outcome == replica.Applied {
 					done(got.Result)
@@ -575,16 +575,16 @@
 	}, func() {})
 }
 
-func (n *node) submitHere(command statemachine.Command, answer func(replica.Answer)) {
+func (n *node) submitHere(command statemachine.Command, answer func(replica.Response)) {
 	n.refs++
 	n.asked[n.refs] = answer
 	n.carryOut(n.core.Submit(n.clock(), n.refs, command))
 }
 
 // read looks at the state as the leader does.
-func (n *node) read(look func(answer replica.Answer)) {
+func (n *node) read(look func(answer replica.Response)) {
 	if n.w.variant == readsUnasked {
-		look(replica.Answer{Outcome: replica.Applied, State: n.core.State()})
+		look(replica.Response{Outcome: replica.Applied, State: n.core.State()})
 		return
 	}
 	n.refs++
--- a/testbed/partitionsim/operators_test.go
+++ b/testbed/partitionsim/operators_test.go
@@ -157,7 +157,7 @@
 // lead carries a call out at whoever takes itself for the leader.
 func (n *node) lead(call operatorapi.Apply, answer func(operatorapi.Applying, replica.Outcome)) {
 	life := n.life
-	n.read(func(read replica.Answer) {
+	n.read(func(read replica.Response) {
 		if read.Outcome != replica.Applied {
 			answer(operatorapi.Applying{}, read.Outcome)
 			return
@@ -171,7 +171,7 @@
 					answer(decision.Answer, replica.Applied)
 					return
 				}
-				n.submitHere(*decision.Submit, func(got replica.Answer) {
+				n.submitHere(*decision.Submit, func(got replica.Response) {
 					answer(directapply.After(got.Result), got.Outcome)
 				})
 			})
@@ -204,8 +204,8 @@
 	newest := w.newestAcked(asked).Spec
 	to.do(to.life, func() {
 		arrived := w.now
-		seen := func(source *node) func(replica.Answer) {
-			return func(answer replica.Answer) {
+		seen := func(source *node) func(replica.Response) {
+			return func(answer replica.Response) {
 				if answer.Outcome == replica.Applied {
 					w.sawRead(to, source, asked, arrived, newest, answer.State.Epoch())
 				}
@@ -225,7 +225,7 @@
 				back(func() {})
 				return
 			}
-			leader.read(func(answer replica.Answer) {
+			leader.read(func(answer replica.Response) {
 				got := answer
 				epoch := ident.Version(0)
 				if got.Outcome == replica.Applied {
