--- a/cmd/cresspond/client.go
+++ b/cmd/cresspond/client.go
@@ -10,6 +10,7 @@
 	"os"
 	"strings"
 
+	"github.com/cresspond/cresspond/process/rollout"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
@@ -163,7 +164,7 @@
 	if t.asJSON {
 		return showIndented(data)
 	}
-	var answer operatorapi.Answer
+	var answer rollout.Response
 	if err := json.Unmarshal(data, &answer); err != nil {
 		return err
 	}
@@ -172,7 +173,7 @@
 }
 
 // showAnswer prints what a change of an operator came to.
-func showAnswer(answer operatorapi.Answer) {
+func showAnswer(answer rollout.Response) {
 	if proposal := answer.Proposal; proposal != nil {
 		fmt.Printf("%s is %s", proposal.ID, proposal.Stage)
 		if proposal.Epoch > 0 {
--- a/configuration/routingtable/registered_test.go
+++ b/configuration/routingtable/registered_test.go
@@ -3,14 +3,14 @@
 import (
 	"testing"
 
+	"github.com/cresspond/cresspond/configuration/closure"
 	"github.com/cresspond/cresspond/configuration/document"
 	"github.com/cresspond/cresspond/configuration/upstream"
 	"github.com/cresspond/cresspond/ident"
-	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
 func TestRegisteredEnginesAreOpenUnlessShutOrDrained(t *testing.T) {
-	closures := statemachine.Closures{Zones: map[ident.ZoneID]statemachine.ClosureMark{"shut": {}}, Engines: map[ident.EngineID]statemachine.ClosureMark{"drained": {}}}
+	closures := closure.Set{Zones: map[ident.ZoneID]closure.Record{"shut": {}}, Engines: map[ident.EngineID]closure.Record{"drained": {}}}
 	built := Build(1, nil, &document.Spec{Name: "opaque", Forward: &upstream.Section{Revision: 1}}, closures)
 	for _, c := range []struct {
 		engine ident.EngineID
@@ -25,7 +25,7 @@
 	if built.Open("a") {
 		t.Error("an engine that stands in no bundle is open")
 	}
-	if !Build(1, nil, &document.Spec{}, statemachine.Closures{}).OpenRegistered("a", "here") {
+	if !Build(1, nil, &document.Spec{}, closure.Set{}).OpenRegistered("a", "here") {
 		t.Error("without any closures")
 	}
 }
--- a/configuration/routingtable/size_test.go
+++ b/configuration/routingtable/size_test.go
@@ -5,10 +5,10 @@
 	"fmt"
 	"testing"
 
+	"github.com/cresspond/cresspond/configuration/closure"
 	"github.com/cresspond/cresspond/configuration/compression"
 	"github.com/cresspond/cresspond/configuration/document"
 	"github.com/cresspond/cresspond/configuration/upstream"
-	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
 // What a bundle costs by its paths, for docs/CAPACITY.md: go test -run - -bench Size ./configuration/routingtable
@@ -82,7 +82,7 @@
 		b.Run(fmt.Sprint("build ", paths, " paths"), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				Build(1, raw, parsed, statemachine.Closures{})
+				Build(1, raw, parsed, closure.Set{})
 			}
 		})
 	}
--- a/configuration/routingtable/table.go
+++ b/configuration/routingtable/table.go
@@ -6,11 +6,11 @@
 	"slices"
 	"time"
 
+	"github.com/cresspond/cresspond/configuration/closure"
 	"github.com/cresspond/cresspond/configuration/compression"
 	"github.com/cresspond/cresspond/configuration/document"
 	"github.com/cresspond/cresspond/configuration/upstream"
 	"github.com/cresspond/cresspond/ident"
-	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
 // Route is one route ready for look-up.
@@ -23,7 +23,7 @@
 // Table is one epoch of the spec together with one epoch of the closures.
 type Table struct {
 	Epoch    ident.Epoch
-	Closures statemachine.Closures
+	Closures closure.Set
 	Spec     *document.Spec
 	// Raw is the bundle as it was proposed, byte for byte.
 	Raw []byte
@@ -39,7 +39,7 @@
 }
 
 // Build makes the table for a bundle.
-func Build(epoch ident.Epoch, raw []byte, parsed *document.Spec, closures statemachine.Closures) *Table {
+func Build(epoch ident.Epoch, raw []byte, parsed *document.Spec, closures closure.Set) *Table {
 	t := &Table{
 		Epoch: epoch, Closures: closures, Spec: parsed, Raw: raw,
 		routes: make(map[string]*Route, len(parsed.Routes)), engines: map[ident.EngineID]document.Engine{},
@@ -71,7 +71,7 @@
 }
 
 // WithClosures gives the same bundle under other closures.
-func (t *Table) WithClosures(closures statemachine.Closures) *Table {
+func (t *Table) WithClosures(closures closure.Set) *Table {
 	copied := *t
 	copied.Closures = closures
 	return &copied
--- a/connection/adminapi/fuzz_test.go
+++ b/connection/adminapi/fuzz_test.go
@@ -9,6 +9,7 @@
 	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/process/consensus/statemachine"
 	"github.com/cresspond/cresspond/process/engines/registry"
+	"github.com/cresspond/cresspond/process/rollout"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
@@ -24,9 +25,9 @@
 	return registry.Outcome{Verdict: registry.Acknowledged}
 }
 
-func (n *noting) Command(_ context.Context, command statemachine.Command) (operatorapi.Answer, bool) {
+func (n *noting) Command(_ context.Context, command statemachine.Command) (rollout.Response, bool) {
 	n.commands = append(n.commands, command)
-	return operatorapi.Answer{Result: statemachine.Result{Verdict: statemachine.Done}}, true
+	return rollout.Response{Result: statemachine.Result{Verdict: statemachine.Done}}, true
 }
 
 func (n *noting) Nodes(context.Context, ident.EngineID) (operatorapi.Nodes, bool) {
--- a/connection/adminapi/nodes_test.go
+++ b/connection/adminapi/nodes_test.go
@@ -11,6 +11,7 @@
 	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/process/consensus/statemachine"
 	"github.com/cresspond/cresspond/process/engines/nodehealth"
+	"github.com/cresspond/cresspond/process/rollout"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
@@ -26,9 +27,9 @@
 	return p.page, !p.silent
 }
 
-func (p *planning) Command(_ context.Context, command statemachine.Command) (operatorapi.Answer, bool) {
+func (p *planning) Command(_ context.Context, command statemachine.Command) (rollout.Response, bool) {
 	p.commands = append(p.commands, command)
-	return operatorapi.Answer{Result: statemachine.Result{Verdict: statemachine.Done}, Acknowledged: true}, true
+	return rollout.Response{Result: statemachine.Result{Verdict: statemachine.Done}, Acknowledged: true}, true
 }
 
 func post(p *planning, body string) (int, operatorapi.Error) {
--- a/connection/adminapi/operators.go
+++ b/connection/adminapi/operators.go
@@ -15,12 +15,13 @@
 
 	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/process/consensus/statemachine"
+	"github.com/cresspond/cresspond/process/rollout"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
 // Daemon is what the desk needs of its daemon.
 type Daemon interface {
-	Command(ctx context.Context, command statemachine.Command) (operatorapi.Answer, bool)
+	Command(ctx context.Context, command statemachine.Command) (rollout.Response, bool)
 	Look(ctx context.Context, what, key string) ([]byte, bool)
 	Ready() (bool, string)
 	Status() operatorapi.Status
--- a/connection/sessionapi/fuzz_test.go
+++ b/connection/sessionapi/fuzz_test.go
@@ -8,9 +8,9 @@
 	"github.com/valyala/fasthttp"
 
 	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/closure"
 	"github.com/cresspond/cresspond/configuration/document"
 	"github.com/cresspond/cresspond/configuration/routingtable"
-	"github.com/cresspond/cresspond/process/consensus/statemachine"
 	"github.com/cresspond/cresspond/wire/callerapi"
 )
 
@@ -19,7 +19,7 @@
 func FuzzGenerate(f *testing.F) {
 	bundle := &document.Spec{Name: "s", Models: []document.Model{{Name: "m"}}, Routes: []document.Route{{Name: "r", House: "h", Models: []string{"m"}}},
 		Limits: document.Limits{MostBodyBytes: 1 << 16, MostDeadlineMs: 60000}}
-	tables := routingtable.Build(1, nil, bundle, statemachine.Closures{})
+	tables := routingtable.Build(1, nil, bundle, closure.Set{})
 	door := New(context.Background(), clock.System{}, func() *routingtable.Table { return tables }, nil)
 	whole, err := json.Marshal(callerapi.Generate{Route: "r", House: "h", Model: "m", Prompt: "p", DeadlineMs: 1000})
 	if err != nil {
--- a/daemon/fellow.go
+++ b/daemon/fellow.go
@@ -20,7 +20,6 @@
 	"github.com/cresspond/cresspond/process/daemonconfig"
 	"github.com/cresspond/cresspond/process/rollout"
 	"github.com/cresspond/cresspond/process/rollout/directapply"
-	"github.com/cresspond/cresspond/wire/operatorapi"
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
@@ -246,16 +245,16 @@
 }
 
 // lead carries a command out as the leader.
-func (d *Daemon) lead(ctx context.Context, command statemachine.Command) (operatorapi.Answer, replica.Outcome) {
+func (d *Daemon) lead(ctx context.Context, command statemachine.Command) (rollout.Response, replica.Outcome) {
 	held := d.replica.Load()
 	if held == nil || !held.Condition().Leads {
-		return operatorapi.Answer{}, replica.NotLeader
+		return rollout.Response{}, replica.NotLeader
 	}
 	if command.Op == statemachine.OpPropose {
 		// A bundle with faults never gets into the log.
 		parsed, faults := document.Parse(command.Spec)
 		if len(faults) > 0 {
-			return operatorapi.Answer{Result: statemachine.Result{Verdict: statemachine.Malformed, Reason: "the bundle has faults"}, Faults: faults}, replica.Applied
+			return rollout.Response{Result: statemachine.Result{Verdict: statemachine.Malformed, Reason: "the bundle has faults"}, Faults: faults}, replica.Applied
 		}
 		if parsed.Forward != nil {
 			command.Revision = ident.Revision(parsed.Forward.Revision)
@@ -266,7 +265,7 @@
 	}
 	began := d.clock.Elapsed()
 	got := held.Submit(ctx, command)
-	answer := operatorapi.Answer{Result: got.Result}
+	answer := rollout.Response{Result: got.Result}
 	if command.Op == statemachine.OpLeave && got.Outcome == replica.Applied {
 		d.awaitLeave(ctx, command.Engine)
 		return answer, got.Outcome
@@ -291,9 +290,9 @@
 }
 
 // refusal says why a command is refused by what this daemon knows beside the log, if it is.
-func (d *Daemon) refusal(command statemachine.Command) (operatorapi.Answer, bool) {
-	refuse := func(verdict statemachine.Verdict, reason string) (operatorapi.Answer, bool) {
-		return operatorapi.Answer{Result: statemachine.Result{Verdict: verdict, Reason: reason}}, true
+func (d *Daemon) refusal(command statemachine.Command) (rollout.Response, bool) {
+	refuse := func(verdict statemachine.Verdict, reason string) (rollout.Response, bool) {
+		return rollout.Response{Result: statemachine.Result{Verdict: verdict, Reason: reason}}, true
 	}
 	switch t := d.keeper.Table(); {
 	case command.Op == statemachine.OpClosure && command.Closed && t != nil:
@@ -315,25 +314,25 @@
 			return refuse(statemachine.Conflict, fmt.Sprintf("%s was heard %d ms ago; stop it instead", command.Lost, ago.Milliseconds()))
 		}
 	}
-	return operatorapi.Answer{}, false
+	return rollout.Response{}, false
 }
 
 // refuseAsLeader refuses a command for good, if a majority confirms that this daemon leads and what it knows is not
 // older than what is committed. Otherwise nothing is said: whoever leads by now may take the command.
-func (d *Daemon) refuseAsLeader(ctx context.Context, held *replica.Replica, command statemachine.Command) (operatorapi.Answer, replica.Outcome) {
+func (d *Daemon) refuseAsLeader(ctx context.Context, held *replica.Replica, command statemachine.Command) (rollout.Response, replica.Outcome) {
 	var committed ident.Epoch
 	if outcome := held.Read(ctx, func(state *statemachine.State) { committed = state.Epoch() }); outcome != replica.Applied {
-		return operatorapi.Answer{}, outcome
+		return rollout.Response{}, outcome
 	}
 	answer, refused := d.refusal(command)
 	if inForce, _ := d.InForce(); !refused || inForce < committed {
-		return operatorapi.Answer{}, replica.Unknown
+		return rollout.Response{}, replica.Unknown
 	}
 	return answer, replica.Applied
 }
 
 // submitOnce brings a command to the leader, following one redirect.
-func (d *Daemon) submitOnce(ctx context.Context, command statemachine.Command) (operatorapi.Answer, bool) {
+func (d *Daemon) submitOnce(ctx context.Context, command statemachine.Command) (rollout.Response, bool) {
 	if answer, outcome := d.lead(ctx, command); outcome != replica.NotLeader {
 		return answer, outcome == replica.Applied
 	}
@@ -344,7 +343,7 @@
 	address := d.leaderAddress()
 	for range 2 {
 		if address == "" || address == d.config.ReachedAt() {
-			return operatorapi.Answer{}, false
+			return rollout.Response{}, false
 		}
 		limit := submitLimit
 		if command.Op.Spreads() {
@@ -355,24 +354,24 @@
 		reply, err := d.links.To(address).Submit(bounded, &peerapi.SubmitRequest{Group: string(d.Group()), Command: data})
 		cancel()
 		if err != nil {
-			return operatorapi.Answer{}, false
+			return rollout.Response{}, false
 		}
 		if reply.Outcome == string(replica.NotLeader) {
 			address = reply.LeaderAddress
 			continue
 		}
-		var answer operatorapi.Answer
+		var answer rollout.Response
 		if json.Unmarshal(reply.Result, &answer) != nil {
-			return operatorapi.Answer{}, false
+			return rollout.Response{}, false
 		}
 		return answer, reply.Outcome == string(replica.Applied)
 	}
-	return operatorapi.Answer{}, false
+	return rollout.Response{}, false
 }
 
 // submit brings a command to the leader, again and again until ctx ends. All commands may be sent
 // again: each finds what it did before.
-func (d *Daemon) submit(ctx context.Context, command statemachine.Command) (operatorapi.Answer, bool) {
+func (d *Daemon) submit(ctx context.Context, command statemachine.Command) (rollout.Response, bool) {
 	ticker := time.NewTicker(100 * time.Millisecond)
 	defer ticker.Stop()
 	for {
@@ -381,7 +380,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return operatorapi.Answer{}, false
+			return rollout.Response{}, false
 		case <-ticker.C:
 		}
 	}
--- a/daemon/pages.go
+++ b/daemon/pages.go
@@ -17,7 +17,7 @@
 )
 
 // Command brings an operator's command to the leader, and gives up when ctx ends.
-func (d *Daemon) Command(ctx context.Context, command statemachine.Command) (operatorapi.Answer, bool) {
+func (d *Daemon) Command(ctx context.Context, command statemachine.Command) (rollout.Response, bool) {
 	return d.submit(ctx, command)
 }
 
--- a/daemon/ranking.go
+++ b/daemon/ranking.go
@@ -14,6 +14,7 @@
 
 	"github.com/cresspond/cresspond/actor"
 	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/closure"
 	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/process/consensus/statemachine"
 	"github.com/cresspond/cresspond/process/daemonconfig"
@@ -282,7 +283,7 @@
 	}
 }
 
-func anyRanked(closures statemachine.Closures) bool {
+func anyRanked(closures closure.Set) bool {
 	for _, mark := range closures.Engines {
 		if mark.Ranking != nil {
 			return true
@@ -292,7 +293,7 @@
 }
 
 // forgotten lists the openings of engines that were shut by rank and are gone, so that their marks don't pile up.
-func (n *nodeRanking) forgotten(now clock.Mark, view *registry.View, closures statemachine.Closures) []nodehealth.Act {
+func (n *nodeRanking) forgotten(now clock.Mark, view *registry.View, closures closure.Set) []nodehealth.Act {
 	var out []nodehealth.Act
 	for id := range n.vanished {
 		if _, shut := closures.Engines[id]; !shut {
@@ -326,7 +327,7 @@
 		return
 	}
 	command := statemachine.Command{Op: statemachine.OpClosure, NodeID: n.nodeID, Operator: rankingName, Engine: act.Engine, Closed: act.Drain,
-		Ranking: &statemachine.RankingMark{Claim: n.claim, Stamp: stamp, Reason: reasonOf(act)}}
+		Ranking: &closure.Ranking{Claim: n.claim, Stamp: stamp, Reason: reasonOf(act)}}
 	n.asked = true
 	go func() {
 		bounded, cancel := context.WithTimeout(ctx, actLimit)
@@ -348,7 +349,7 @@
 }
 
 // fleet is what the ranker may know of the registered engines. Of who asks for what, only whether anyone does.
-func (n *nodeRanking) fleet(now clock.Mark, view *registry.View, closures statemachine.Closures, open func(ident.EngineID, ident.ZoneID) bool) nodehealth.Fleet {
+func (n *nodeRanking) fleet(now clock.Mark, view *registry.View, closures closure.Set, open func(ident.EngineID, ident.ZoneID) bool) nodehealth.Fleet {
 	for _, demand := range n.heardDemand(now, n.forwardDemands()) {
 		n.wanted[wantedKey{demand.Pool, nodehealth.Target{Model: demand.Model}}] = now
 		if demand.Adapter != "" {
--- a/process/consensus/recovery/recovery.go
+++ b/process/consensus/recovery/recovery.go
@@ -11,6 +11,7 @@
 
 	"github.com/rotisserie/eris"
 
+	"github.com/cresspond/cresspond/configuration/closure"
 	"github.com/cresspond/cresspond/configuration/document"
 	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/process/consensus/raft"
@@ -28,7 +29,7 @@
 	LeaderMsAgo int64
 	SpecEpoch   ident.Epoch
 	Bundles     map[ident.Epoch][]byte
-	Closures    *statemachine.Closures
+	Closures    *closure.Set
 	TenureUntil ident.GroupTime
 	Claim       ident.ClaimNumber
 }
--- a/process/consensus/recovery/recovery_test.go
+++ b/process/consensus/recovery/recovery_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"github.com/cresspond/cresspond/configuration/closure"
 	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/process/consensus/statemachine"
 	"github.com/cresspond/cresspond/process/workerid"
@@ -50,7 +51,7 @@
 }
 
 func witness(t *testing.T) Witness {
-	closures := statemachine.Closures{Epoch: 4, Zones: map[ident.ZoneID]statemachine.ClosureMark{"y": {Epoch: 4}}}
+	closures := closure.Set{Epoch: 4, Zones: map[ident.ZoneID]closure.Record{"y": {Epoch: 4}}}
 	return Witness{Address: "w", Group: "g", LeaderMsAgo: 60000, SpecEpoch: 4, Closures: &closures, TenureUntil: ident.GroupTime(wall.UnixMilli()) + 90000, Claim: 7,
 		Bundles: map[ident.Epoch][]byte{2: bundle(t, "two"), 4: bundle(t, "four")}}
 }
--- a/process/consensus/statemachine/closures.go
+++ b/process/consensus/statemachine/closures.go
@@ -5,20 +5,10 @@
 	"maps"
 	"slices"
 
+	"github.com/cresspond/cresspond/configuration/closure"
 	"github.com/cresspond/cresspond/ident"
 )
 
-// Closures is which zones are shut and which engines an operator is draining.
-type Closures struct {
-	Epoch   ident.Epoch                    `json:"epoch"`
-	Zones   map[ident.ZoneID]ClosureMark   `json:"zones"`
-	Engines map[ident.EngineID]ClosureMark `json:"engines"`
-	// Kept lists the engines that the ranking may not shut.
-	Kept map[ident.EngineID]ClosureMark `json:"kept,omitempty"`
-	// Lost lists the lives of daemons that an operator declared lost: one that hears of itself here stops.
-	Lost map[ident.NodeID]ClosureMark `json:"lost,omitempty"`
-}
-
 // ClosureAct is one closure or opening, so that one sent again finds itself.
 type ClosureAct struct {
 	Epoch    ident.Epoch    `json:"epoch"`
@@ -36,22 +26,6 @@
 	mostLost = 64
 )
 
-// ClosureMark says who closed what, and when.
-type ClosureMark struct {
-	Operator string          `json:"operator"`
-	At       ident.GroupTime `json:"at"`
-	Epoch    ident.Epoch     `json:"epoch"`
-	// Ranking is there where the ranking closed it.
-	Ranking *RankingMark `json:"ranking,omitempty"`
-}
-
-// RankingMark says under which claim an engine was ranked, by which stamped record, and why.
-type RankingMark struct {
-	Claim  ident.ClaimNumber `json:"claim"`
-	Stamp  ident.MintedID    `json:"stamp"`
-	Reason string            `json:"reason,omitempty"`
-}
-
 // RankingOrder is the newest order of the ranking that was taken. Its stamp is minted, so that a copy of it, or of an
 // earlier one, is known.
 type RankingOrder struct {
@@ -82,7 +56,7 @@
 		}
 		s.Ranked = c.rankingOrder()
 	}
-	mark := ClosureMark{Operator: c.Operator, At: s.Now, Epoch: s.Closures.Epoch + 1, Ranking: c.Ranking}
+	mark := closure.Record{Operator: c.Operator, At: s.Now, Epoch: s.Closures.Epoch + 1, Ranking: c.Ranking}
 	next := s.Closures.Clone()
 	changed := false
 	if before, shut := next.Engines[c.Engine]; shut && c.Closed && before.Ranking != nil && c.Ranking == nil {
@@ -144,7 +118,7 @@
 		}
 	}
 	next := s.Closures.Clone()
-	mark := ClosureMark{Operator: c.Operator, At: s.Now, Epoch: next.Epoch + 1}
+	mark := closure.Record{Operator: c.Operator, At: s.Now, Epoch: next.Epoch + 1}
 	if setClosure(next.Kept, c.Engine, c.Closed, mark) {
 		next.Epoch++
 		for len(next.Kept) > mostKept {
@@ -219,12 +193,12 @@
 }
 
 // raiseClosures puts the next closures in force. Refusals on bases that have passed need not be known any more.
-func (s *State) raiseClosures(next Closures) {
+func (s *State) raiseClosures(next closure.Set) {
 	s.Closures = next
 	s.RefusedActs = slices.DeleteFunc(s.RefusedActs, func(act ClosureAct) bool { return act.Epoch <= next.Epoch })
 }
 
-func setClosure[K comparable](marks map[K]ClosureMark, key K, closed bool, mark ClosureMark) bool {
+func setClosure[K comparable](marks map[K]closure.Record, key K, closed bool, mark closure.Record) bool {
 	_, already := marks[key]
 	if already == closed {
 		return false
@@ -236,21 +210,3 @@
 	}
 	return true
 }
-
-// Clone copies the closures, so that readers keep what they hold.
-func (c Closures) Clone() Closures {
-	out := Closures{Epoch: c.Epoch, Zones: map[ident.ZoneID]ClosureMark{}, Engines: map[ident.EngineID]ClosureMark{}, Lost: map[ident.NodeID]ClosureMark{}, Kept: map[ident.EngineID]ClosureMark{}}
-	for engine, mark := range c.Kept {
-		out.Kept[engine] = mark
-	}
-	for zone, mark := range c.Zones {
-		out.Zones[zone] = mark
-	}
-	for engine, mark := range c.Engines {
-		out.Engines[engine] = mark
-	}
-	for node, mark := range c.Lost {
-		out.Lost[node] = mark
-	}
-	return out
-}
--- a/process/consensus/statemachine/closures_test.go
+++ b/process/consensus/statemachine/closures_test.go
@@ -7,8 +7,8 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// closure is the closure or opening number i of a chain in which each builds on the one before.
-func closure(i int) Command {
+// closureCommand is the closure or opening number i of a chain in which each builds on the one before.
+func closureCommand(i int) Command {
 	return Command{Op: OpClosure, Operator: "ana", Zone: ident.ZoneID(fmt.Sprint("z", i/2)), Closed: i%2 == 0, Base: ident.Epoch(i), Based: true}
 }
 
@@ -17,7 +17,7 @@
 	const closures = 3 * mostActs
 	state := New()
 	for i := range closures {
-		if r := state.do(t, closure(i)); r.Verdict != Done {
+		if r := state.do(t, closureCommand(i)); r.Verdict != Done {
 			t.Fatal(i, r)
 		}
 	}
@@ -26,11 +26,11 @@
 		if i < closures-mostActs {
 			want = Unproven
 		}
-		if r := state.do(t, closure(i)); r.Verdict != want || state.Closures.Epoch != closures {
+		if r := state.do(t, closureCommand(i)); r.Verdict != want || state.Closures.Epoch != closures {
 			t.Errorf("closure %d was taken, and sent again: %s %s", i, r.Verdict, r.Reason)
 		}
 	}
-	rival := closure(closures - 1)
+	rival := closureCommand(closures - 1)
 	rival.Operator = "berta"
 	if r := state.do(t, rival); r.Verdict != Conflict || r.Winner != "ana" {
 		t.Errorf("the newest closure's rival: %+v", r)
@@ -56,7 +56,7 @@
 	if len(refused) != mostActs || state.Closures.Epoch != 0 {
 		t.Errorf("%d were refused, epoch %d", len(refused), state.Closures.Epoch)
 	}
-	state.do(t, closure(0))
+	state.do(t, closureCommand(0))
 	for i := range 2 * mostActs {
 		restored, err := Restore(state.Snapshot())
 		if err != nil {
--- a/process/consensus/statemachine/command.go
+++ b/process/consensus/statemachine/command.go
@@ -1,6 +1,7 @@
 package statemachine
 
 import (
+	"github.com/cresspond/cresspond/configuration/closure"
 	"github.com/cresspond/cresspond/ident"
 )
 
@@ -78,7 +79,7 @@
 	// is found or refused; earlier builds did not.
 	Based bool `json:"based,omitempty"`
 	// Ranking is, with CLOSURE, the word of whoever plans that it ranks the engine so; no operator's closure has it.
-	Ranking *RankingMark `json:"ranking,omitempty"`
+	Ranking *closure.Ranking `json:"ranking,omitempty"`
 	// Address is where a daemon that enlists is reached, Lost which one is declared lost.
 	Address string       `json:"address,omitempty"`
 	Lost    ident.NodeID `json:"lost,omitempty"`
--- a/process/consensus/statemachine/digest_test.go
+++ b/process/consensus/statemachine/digest_test.go
@@ -8,6 +8,7 @@
 	"strings"
 	"testing"
 
+	"github.com/cresspond/cresspond/configuration/closure"
 	"github.com/cresspond/cresspond/ident"
 )
 
@@ -65,7 +66,7 @@
 		"workers":  func(s *State) { s.Workers.Floors[3] = 4 },
 		"history":  func(s *State) { s.History = append(s.History, "x") },
 		"revision": func(s *State) { s.Revision++ },
-		"closures": func(s *State) { s.Closures.Zones["z"] = ClosureMark{} },
+		"closures": func(s *State) { s.Closures.Zones["z"] = closure.Record{} },
 		"claim":    func(s *State) { s.Claim.Number++ },
 		"serving":  func(s *State) { s.Serving["n"] = Serving{} },
 		"left":     func(s *State) { s.Leaves++ },
--- a/process/consensus/statemachine/ranking_test.go
+++ b/process/consensus/statemachine/ranking_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"testing"
 
+	"github.com/cresspond/cresspond/configuration/closure"
 	"github.com/cresspond/cresspond/ident"
 )
 
@@ -20,7 +21,7 @@
 }
 
 func ranked(node ident.NodeID, claim ident.ClaimNumber, engine ident.EngineID, closed bool) Command {
-	return Command{Op: OpClosure, NodeID: node, Operator: "ranking", Engine: engine, Closed: closed, Ranking: &RankingMark{Claim: claim, Stamp: 7, Reason: "stall"}}
+	return Command{Op: OpClosure, NodeID: node, Operator: "ranking", Engine: engine, Closed: closed, Ranking: &closure.Ranking{Claim: claim, Stamp: 7, Reason: "stall"}}
 }
 
 func withClaim(t *testing.T, node ident.NodeID) *State {
@@ -51,13 +52,13 @@
 		}
 	}
 	s := withClaim(t, "p")
-	if got := do(t, s, 2000, Command{Op: OpClosure, NodeID: "p", Zone: "z", Engine: "e", Closed: true, Ranking: &RankingMark{Claim: 1}}); got.Verdict != Malformed {
+	if got := do(t, s, 2000, Command{Op: OpClosure, NodeID: "p", Zone: "z", Engine: "e", Closed: true, Ranking: &closure.Ranking{Claim: 1}}); got.Verdict != Malformed {
 		t.Fatalf("the ranking shuts no zones: %+v", got)
 	}
 	// The mark says by what, and outlasts a snapshot.
 	do(t, s, 2000, ranked("p", 1, "e", true))
 	restored, err := Restore(s.Snapshot())
-	if err != nil || restored.Closures.Engines["e"].Ranking == nil || *restored.Closures.Engines["e"].Ranking != (RankingMark{1, 7, "stall"}) {
+	if err != nil || restored.Closures.Engines["e"].Ranking == nil || *restored.Closures.Engines["e"].Ranking != (closure.Ranking{Claim: 1, Stamp: 7, Reason: "stall"}) {
 		t.Fatalf("%+v %v", restored.Closures, err)
 	}
 }
--- a/process/consensus/statemachine/repeats_test.go
+++ b/process/consensus/statemachine/repeats_test.go
@@ -5,6 +5,7 @@
 	"reflect"
 	"testing"
 
+	"github.com/cresspond/cresspond/configuration/closure"
 	"github.com/cresspond/cresspond/ident"
 )
 
@@ -35,7 +36,7 @@
 	apply := func(digest string, base, revision ident.Revision) Command {
 		return Command{Op: OpApply, Digest: digest, BaseRevision: base, Revision: revision, Spec: []byte(bundle), Operator: operator}
 	}
-	closure := func(base ident.Epoch, closed bool, by string) Command {
+	closureCommand := func(base ident.Epoch, closed bool, by string) Command {
 		return Command{Op: OpClosure, Engine: "e", Closed: closed, Base: base, Based: true, Operator: by}
 	}
 	keep := func(base ident.Epoch, kept bool, by string) Command {
@@ -43,7 +44,7 @@
 	}
 	claim := Command{Op: OpClaim, NodeID: "a#1", SpanMs: 3000, TellsAll: true, Orders: map[ident.EngineID]uint64{"e": 4}, OrdersTurn: 2}
 	ranking := func(stamp ident.MintedID, closed bool) Command {
-		return Command{Op: OpClosure, NodeID: "a#1", Engine: "e", Closed: closed, Operator: "ranking", Ranking: &RankingMark{Claim: 1, Stamp: stamp}}
+		return Command{Op: OpClosure, NodeID: "a#1", Engine: "e", Closed: closed, Operator: "ranking", Ranking: &closure.Ranking{Claim: 1, Stamp: stamp}}
 	}
 	enlist := func(node ident.NodeID) Command { return Command{Op: OpEnlist, NodeID: node, Address: "x:1"} }
 	release := Command{Op: OpRelease, NodeID: "a#1", WorkerID: 0, Last: 1500}
@@ -67,9 +68,9 @@
 		{"APPLY", nil, apply("d", 0, 1), []Command{apply("d2", 1, 2), apply("d3", 2, 3)}, nil},
 		{"APPLY that lost", []Command{apply("d2", 0, 1)}, apply("d", 0, 1), []Command{apply("d3", 1, 2)}, nil},
 		{"APPLY on a base to come", []Command{apply("d1", 0, 1)}, apply("d", 2, 3), []Command{apply("d2", 1, 2)}, nil},
-		{"CLOSURE", nil, closure(0, true, operator), []Command{closure(1, false, "berta")}, nil},
-		{"CLOSURE, opening", []Command{closure(0, true, operator)}, closure(1, false, operator), []Command{closure(2, true, "berta")}, nil},
-		{"CLOSURE by the ranking", []Command{claim}, ranking(7, true), []Command{closure(1, false, operator)}, nil},
+		{"CLOSURE", nil, closureCommand(0, true, operator), []Command{closureCommand(1, false, "berta")}, nil},
+		{"CLOSURE, opening", []Command{closureCommand(0, true, operator)}, closureCommand(1, false, operator), []Command{closureCommand(2, true, "berta")}, nil},
+		{"CLOSURE by the ranking", []Command{claim}, ranking(7, true), []Command{closureCommand(1, false, operator)}, nil},
 		{"CLOSURE by the ranking, overtaken", []Command{claim}, ranking(7, true), []Command{ranking(8, false)}, nil},
 		{"KEEP", nil, keep(0, true, operator), []Command{keep(1, false, "berta")}, nil},
 		{"KEEP taken back", []Command{keep(0, true, operator)}, keep(1, false, operator), []Command{keep(2, true, "berta")}, nil},
--- a/process/consensus/statemachine/serving.go
+++ b/process/consensus/statemachine/serving.go
@@ -5,6 +5,7 @@
 	"maps"
 	"slices"
 
+	"github.com/cresspond/cresspond/configuration/closure"
 	"github.com/cresspond/cresspond/ident"
 )
 
@@ -51,7 +52,7 @@
 	delete(s.Serving, c.Lost)
 	next := s.Closures.Clone()
 	next.Epoch++
-	next.Lost[c.Lost] = ClosureMark{Operator: c.Operator, At: s.Now, Epoch: next.Epoch}
+	next.Lost[c.Lost] = closure.Record{Operator: c.Operator, At: s.Now, Epoch: next.Epoch}
 	for len(next.Lost) > mostLost {
 		oldest := slices.MinFunc(slices.Sorted(maps.Keys(next.Lost)), func(a, b ident.NodeID) int {
 			return cmp.Compare(next.Lost[a].Epoch, next.Lost[b].Epoch)
--- a/process/consensus/statemachine/statemachine.go
+++ b/process/consensus/statemachine/statemachine.go
@@ -9,6 +9,7 @@
 
 	"github.com/rotisserie/eris"
 
+	"github.com/cresspond/cresspond/configuration/closure"
 	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/process/workerid"
 )
@@ -43,7 +44,7 @@
 	Reason   string          `json:"reason,omitempty"`
 	Grant    *workerid.Grant `json:"grant,omitempty"`
 	Proposal *Proposal       `json:"proposal,omitempty"`
-	Closures *Closures       `json:"closures,omitempty"`
+	Closures *closure.Set    `json:"closures,omitempty"`
 	Claim    *Claim          `json:"claim,omitempty"`
 	// Epoch is the spec epoch in force after the command, Revision the operators' own number of it.
 	Epoch    ident.Epoch    `json:"epoch,omitempty"`
@@ -70,7 +71,7 @@
 	// the revision in force has passed that base. Refused holds those that an earlier build wrote down without it.
 	RefusedAhead []RefusedOrder `json:"refusedAhead,omitempty"`
 	Refused      []string       `json:"refused,omitempty"`
-	Closures     Closures       `json:"closures"`
+	Closures     closure.Set    `json:"closures"`
 	// Acts lists the newest closures and openings.
 	Acts []ClosureAct `json:"acts,omitempty"`
 	// RefusedActs lists the closures that were refused while their base was above the closures in force, until
@@ -108,7 +109,7 @@
 	s := &State{
 		Workers:   workerid.New(),
 		Proposals: map[string]*Proposal{},
-		Closures:  Closures{Zones: map[ident.ZoneID]ClosureMark{}, Engines: map[ident.EngineID]ClosureMark{}},
+		Closures:  closure.Set{Zones: map[ident.ZoneID]closure.Record{}, Engines: map[ident.EngineID]closure.Record{}},
 		Serving:   map[ident.NodeID]Serving{},
 		limits:    DefaultLimits(),
 	}
--- a/process/placement/sessionplacement/placement_test.go
+++ b/process/placement/sessionplacement/placement_test.go
@@ -11,10 +11,10 @@
 	"time"
 
 	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/closure"
 	"github.com/cresspond/cresspond/configuration/document"
 	"github.com/cresspond/cresspond/configuration/routingtable"
 	"github.com/cresspond/cresspond/ident"
-	"github.com/cresspond/cresspond/process/consensus/statemachine"
 	"github.com/cresspond/cresspond/process/engines/discovery"
 	"github.com/cresspond/cresspond/wire/engineapi"
 )
@@ -76,7 +76,7 @@
 		s.Adapters = append(s.Adapters, document.Adapter{Name: fmt.Sprint("x", i), Model: fmt.Sprint("m", i)})
 		s.Routes = append(s.Routes, document.Route{Name: fmt.Sprint("r", i), House: "h", Worth: int64(10 * (i + 1)), Models: []string{fmt.Sprint("m", i)}, Adapters: []string{fmt.Sprint("x", i)}})
 	}
-	y.table = routingtable.Build(1, nil, s, statemachine.Closures{})
+	y.table = routingtable.Build(1, nil, s, closure.Set{})
 	return y
 }
 
--- a/process/rollout/rollout.go
+++ b/process/rollout/rollout.go
@@ -14,11 +14,11 @@
 	"github.com/rotisserie/eris"
 
 	"github.com/cresspond/cresspond/actor"
+	"github.com/cresspond/cresspond/configuration/closure"
 	"github.com/cresspond/cresspond/configuration/compression"
 	"github.com/cresspond/cresspond/configuration/document"
 	"github.com/cresspond/cresspond/configuration/routingtable"
 	"github.com/cresspond/cresspond/ident"
-	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
 // Step is one thing this daemon did with one change; the tracer shows them.
@@ -58,7 +58,7 @@
 	table atomic.Pointer[routingtable.Table]
 	steps atomic.Pointer[[]Step]
 	// early holds closures learned before any spec.
-	early statemachine.Closures
+	early closure.Set
 	// past holds the bundles that were in force here, so that a lost group's can be recalled.
 	past                   sync.Map
 	pastBytes, packedBytes int
@@ -72,7 +72,7 @@
 type offer struct {
 	epoch    ident.Epoch
 	bundle   compression.Bundle
-	closures *statemachine.Closures
+	closures *closure.Set
 	// past says that it was in force before, and is only to be remembered.
 	past bool
 	done chan struct{}
@@ -105,7 +105,7 @@
 func (k *Keeper) Steps() []Step { return *k.steps.Load() }
 
 // Offer hands in what was learned; either part may be empty. It returns when the offer is in force or passed by.
-func (k *Keeper) Offer(epoch ident.Epoch, bundle compression.Bundle, closures *statemachine.Closures) {
+func (k *Keeper) Offer(epoch ident.Epoch, bundle compression.Bundle, closures *closure.Set) {
 	k.send(offer{epoch: epoch, bundle: bundle, closures: closures})
 }
 
@@ -254,7 +254,7 @@
 }
 
 // EncodeClosures and DecodeClosures are the form in which closures travel between daemons.
-func EncodeClosures(closures statemachine.Closures) []byte {
+func EncodeClosures(closures closure.Set) []byte {
 	data, err := json.Marshal(closures)
 	if err != nil {
 		panic("broken invariant: closures cannot be encoded: " + err.Error())
@@ -263,8 +263,8 @@
 }
 
 // DecodeClosures reads them; it gives nil for garbage.
-func DecodeClosures(data []byte) *statemachine.Closures {
-	var closures statemachine.Closures
+func DecodeClosures(data []byte) *closure.Set {
+	var closures closure.Set
 	if len(data) == 0 || json.Unmarshal(data, &closures) != nil {
 		return nil
 	}
--- a/process/rollout/rollout_test.go
+++ b/process/rollout/rollout_test.go
@@ -11,11 +11,11 @@
 	"github.com/leanovate/gopter/gen"
 	"github.com/leanovate/gopter/prop"
 
+	"github.com/cresspond/cresspond/configuration/closure"
 	"github.com/cresspond/cresspond/configuration/compression"
 	"github.com/cresspond/cresspond/configuration/document"
 	"github.com/cresspond/cresspond/configuration/upstream"
 	"github.com/cresspond/cresspond/ident"
-	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
 // bundleOf is the bundle of an epoch; another variant is other bytes under the same number.
@@ -70,18 +70,18 @@
 		readers := make([]seen, offerers)
 		for offerer := range offerers {
 			for place := offerer; place < len(offers); place += offerers {
-				epoch, closure := ident.Epoch(offers[place]%13), ident.Epoch(offers[place]/13)
+				epoch, closureEpoch := ident.Epoch(offers[place]%13), ident.Epoch(offers[place]/13)
 				if offers[place]%7 != 0 {
-					newest, newestClosure = max(newest, epoch), max(newestClosure, closure)
+					newest, newestClosure = max(newest, epoch), max(newestClosure, closureEpoch)
 				}
 			}
 			offered.Add(1)
 			go func() {
 				defer offered.Done()
 				for place := offerer; place < len(offers); place += offerers {
-					epoch, closure := ident.Epoch(offers[place]%13), ident.Epoch(offers[place]/13)
+					epoch, closureEpoch := ident.Epoch(offers[place]%13), ident.Epoch(offers[place]/13)
 					raw := bundleOf(t, epoch, "same")
-					bundle, closures := compression.Bundle{Data: raw}, &statemachine.Closures{Epoch: closure}
+					bundle, closures := compression.Bundle{Data: raw}, &closure.Set{Epoch: closureEpoch}
 					switch {
 					case offers[place]%7 == 0:
 						bundle.Data, closures = []byte("garbage"), nil
--- a/request/dispatch/core_test.go
+++ b/request/dispatch/core_test.go
@@ -6,10 +6,10 @@
 	"time"
 
 	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/closure"
 	"github.com/cresspond/cresspond/configuration/document"
 	"github.com/cresspond/cresspond/configuration/routingtable"
 	"github.com/cresspond/cresspond/ident"
-	"github.com/cresspond/cresspond/process/consensus/statemachine"
 	"github.com/cresspond/cresspond/process/engines/discovery"
 	"github.com/cresspond/cresspond/process/workerid/snowflake"
 	"github.com/cresspond/cresspond/wire/engineapi"
@@ -20,7 +20,7 @@
 	s := &document.Spec{Name: "x", Zones: []document.Zone{{Name: "z"}}, Engines: []document.Engine{{ID: "e", Zone: "z", Room: 10, Slots: 1}},
 		Models: []document.Model{{Name: "m", Size: 5}}, Routes: []document.Route{{Name: "r", House: "h", Models: []string{"m"}}},
 		Limits: document.Limits{MostHeld: 10, MostHeldBytes: 1000, RetryShare: 0.1, SeatIdleMs: 60000}}
-	return World{Now: now, Table: routingtable.Build(1, nil, s, statemachine.Closures{}), Zone: "z",
+	return World{Now: now, Table: routingtable.Build(1, nil, s, closure.Set{}), Zone: "z",
 		Engines: &discovery.View{Engines: map[ident.EngineID]*discovery.Engine{"e": {ID: "e", Zone: "z", Condition: discovery.Sound, Asked: now,
 			Report: engineapi.Report{Models: []engineapi.ModelReport{{Model: "m", State: engineapi.Loaded}}}}}},
 		Mint: func() (ident.MintedID, snowflake.Outcome) {
@@ -153,7 +153,7 @@
 	// Two engines hold the model; the owner says that the session is assigned to the one that would not be picked.
 	s := w.Table.Spec
 	s.Engines = append(s.Engines, document.Engine{ID: "f", Zone: "z", Room: 10, Slots: 1})
-	w.Table = routingtable.Build(1, nil, s, statemachine.Closures{})
+	w.Table = routingtable.Build(1, nil, s, closure.Set{})
 	other := *w.Engines.Engines["e"]
 	other.ID = "f"
 	w.Engines.Engines["f"] = &other
--- a/testbed/endtoend/machine_test.go
+++ b/testbed/endtoend/machine_test.go
@@ -8,11 +8,11 @@
 	"time"
 
 	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/closure"
 	"github.com/cresspond/cresspond/daemon"
 	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/process/consensus/raft"
 	"github.com/cresspond/cresspond/process/consensus/replica"
-	"github.com/cresspond/cresspond/process/consensus/statemachine"
 	"github.com/cresspond/cresspond/testbed/caller"
 	"github.com/cresspond/cresspond/testbed/journal"
 	"github.com/cresspond/cresspond/wire/callerapi"
@@ -191,7 +191,7 @@
 	callers.goOn(10)
 	callers.stop()
 	// The group's time went on as the machines' running time did, whatever the time of day said.
-	var closures statemachine.Closures
+	var closures closure.Set
 	all[0].get(operatorapi.PathClosures, &closures)
 	for _, mark := range closures.Zones {
 		if off := time.Until(time.UnixMilli(int64(mark.At))); off > time.Since(began)+time.Minute || off < -time.Since(began)-time.Minute {
--- a/testbed/endtoend/operator_test.go
+++ b/testbed/endtoend/operator_test.go
@@ -8,6 +8,7 @@
 	"strings"
 	"testing"
 
+	"github.com/cresspond/cresspond/configuration/closure"
 	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/process/consensus/raft"
 	"github.com/cresspond/cresspond/process/consensus/statemachine"
@@ -170,7 +171,7 @@
 		if now != base+1 {
 			t.Fatalf("round %d: from epoch %d to %d", round, base, now)
 		}
-		var closures statemachine.Closures
+		var closures closure.Set
 		b.get(operatorapi.PathClosures, &closures)
 		if round%2 == 0 && len(closures.Zones) != 1 {
 			t.Fatalf("round %d: %v are shut", round, closures.Zones)
--- a/testbed/interleaving/interleave_test.go
+++ b/testbed/interleaving/interleave_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/closure"
 	"github.com/cresspond/cresspond/configuration/document"
 	"github.com/cresspond/cresspond/configuration/routingtable"
 	"github.com/cresspond/cresspond/ident"
@@ -217,9 +218,9 @@
 		Models: []document.Model{{Name: "m", Size: 5}}, Routes: []document.Route{{Name: "r", House: "h", Models: []string{"m"}}},
 		Limits: document.Limits{MostHeld: 10, MostHeldBytes: 1000, RetryShare: 0.1, SeatIdleMs: 1000},
 	}
-	closures := statemachine.Closures{Zones: map[ident.ZoneID]statemachine.ClosureMark{}}
+	closures := closure.Set{Zones: map[ident.ZoneID]closure.Record{}}
 	if zoneShut {
-		closures.Epoch, closures.Zones["z"] = 1, statemachine.ClosureMark{}
+		closures.Epoch, closures.Zones["z"] = 1, closure.Record{}
 	}
 	return routingtable.Build(1, nil, s, closures)
 }
--- a/testbed/scenario/bundles.go
+++ b/testbed/scenario/bundles.go
@@ -6,6 +6,7 @@
 	"strings"
 
 	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/rollout"
 	"github.com/cresspond/cresspond/testbed/checker"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
@@ -25,7 +26,7 @@
 
 func (r *Run) finishRoll(id string, body []byte) error {
 	for _, step := range []struct{ path, operator string }{{operatorapi.PathReview, "berta"}, {operatorapi.PathSign, "chen"}, {operatorapi.PathRoll, "ana"}} {
-		var answer operatorapi.Answer
+		var answer rollout.Response
 		status, err := r.Ask(step.path, operatorapi.Act{ProposalID: id, Operator: step.operator}, &answer)
 		if err != nil {
 			return err
@@ -38,7 +39,7 @@
 }
 
 // rolled notes what a roll was answered with, and follows one that is not acknowledged until it is.
-func (r *Run) rolled(id string, status int, answer operatorapi.Answer, body []byte) {
+func (r *Run) rolled(id string, status int, answer rollout.Response, body []byte) {
 	act := checker.Act{Kind: checker.Rolled, Subject: fmt.Sprintf("epoch %d (%s), in force at %d daemons", answer.Proposal.Epoch, id, len(answer.InForceAt)),
 		Epoch: uint64(answer.Proposal.Epoch), Body: body}
 	if status == http.StatusOK {
@@ -69,7 +70,7 @@
 	type outcome struct {
 		id     string
 		status int
-		answer operatorapi.Answer
+		answer rollout.Response
 	}
 	outcomes := make(chan outcome, len(bodies))
 	for id := range bodies {
--- a/testbed/scenario/operators.go
+++ b/testbed/scenario/operators.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
+	"github.com/cresspond/cresspond/configuration/closure"
 	"github.com/cresspond/cresspond/ident"
-	"github.com/cresspond/cresspond/process/consensus/statemachine"
 	"github.com/cresspond/cresspond/testbed/checker"
 	"github.com/cresspond/cresspond/testbed/fleet"
 	"github.com/cresspond/cresspond/testbed/journal"
@@ -68,7 +68,7 @@
 func (r *Run) closureEpoch() (base ident.Epoch, err error) {
 	err = r.Await("the closures can be read", func() bool {
 		for _, p := range r.anyDaemon() {
-			var closures statemachine.Closures
+			var closures closure.Set
 			if _, err := r.Fleet.Get(p, operatorapi.PathClosures, &closures); err == nil {
 				base = closures.Epoch
 				return true
--- a/testbed/scenario/readback.go
+++ b/testbed/scenario/readback.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"slices"
 
+	"github.com/cresspond/cresspond/configuration/closure"
 	"github.com/cresspond/cresspond/process/consensus/statemachine"
 	"github.com/cresspond/cresspond/testbed/checker"
 	"github.com/cresspond/cresspond/wire/operatorapi"
@@ -35,7 +36,7 @@
 		}
 		r.history.ReadBacks = append(r.history.ReadBacks, back)
 	}
-	var closures statemachine.Closures
+	var closures closure.Set
 	for _, p := range r.anyDaemon() {
 		if data, err := r.Fleet.Get(p, operatorapi.PathClosures, nil); err == nil && json.Unmarshal(data, &closures) == nil {
 			break
--- a/wire/operatorapi/operatorapi.go
+++ b/wire/operatorapi/operatorapi.go
@@ -6,9 +6,9 @@
 	"encoding/json"
 	"slices"
 
+	"github.com/cresspond/cresspond/configuration/closure"
 	"github.com/cresspond/cresspond/configuration/document"
 	"github.com/cresspond/cresspond/ident"
-	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
 const (
@@ -101,18 +101,6 @@
 	Operator string         `json:"operator"`
 }
 
-// Answer is what an act gives back.
-type Answer struct {
-	statemachine.Result
-	// Acknowledged says of a roll or a closure that it is in force at every daemon that may be serving.
-	// Without it the change is committed, and in force wherever it got to.
-	Acknowledged bool `json:"acknowledged,omitempty"`
-	// InForceAt lists the daemons that have the change in force, Missing those that may be serving without it.
-	InForceAt []ident.NodeID   `json:"inForceAt,omitempty"`
-	Missing   []ident.NodeID   `json:"missing,omitempty"`
-	Faults    []document.Fault `json:"faults,omitempty"`
-}
-
 // Error is the body of an answer that is no success.
 type Error struct {
 	Outcome string           `json:"outcome"`
@@ -124,7 +112,7 @@
 	// Revision is the one in force, said of calls that name one as their base.
 	Revision ident.Revision `json:"revision,omitempty"`
 	// Closures is what won over a closure that lost its race.
-	Closures *statemachine.Closures `json:"closures,omitempty"`
+	Closures *closure.Set `json:"closures,omitempty"`
 }
 
 // Status is one daemon's own word.
