--- a/daemon/noderanking.go
+++ b/daemon/noderanking.go
@@ -208,7 +208,7 @@
 		}
 	}
 	for id, mark := range closures.Engines {
-		if engine := view.Engines[id]; mark.Ranking == nil || engine != nil && !engine.Gone {
+		if engine := view.Engines[id]; mark.Ranking == nil || engine != nil && !engine.Deregistered {
 			delete(n.vanished, id)
 			continue
 		}
@@ -285,7 +285,7 @@
 	}
 	out := nodehealth.Fleet{}
 	for id, engine := range view.Engines {
-		if engine.Gone {
+		if engine.Deregistered {
 			continue
 		}
 		one := nodehealth.Engine{ID: id, Pool: engine.Pool, Zone: engine.Zone, Open: engine.Usable() && open(id, engine.Zone)}
@@ -304,7 +304,7 @@
 	return out
 }
 
-func adaptersOf(held registry.Held) []nodehealth.Target {
+func adaptersOf(held registry.LoadedModel) []nodehealth.Target {
 	out := make([]nodehealth.Target, 0, len(held.Adapters))
 	for _, adapter := range held.Adapters {
 		out = append(out, nodehealth.Target{Model: held.Model, Adapter: adapter})
