--- a/testbed/cmd/testbed/main.go
+++ b/testbed/cmd/testbed/main.go
@@ -51,6 +51,7 @@
 	runActs := run.Flag("act", "On the users' platform: a trouble that happens; give it once for each, in order. "+strings.Join(platformscenario.Names(), ", ")+".").Enums(platformscenario.Names()...)
 	runCount := run.Flag("acts", "On the users' platform: how many troubles are drawn from the seed, where none is named.").Default("8").Int()
 	runProgram := run.Flag("cresspondd", "The daemon to run; by default the one beside this program.").String()
+	runOther := run.Flag("other-program", "Another build of the daemon, which every second machine starts with; machines change from one to the other under way.").String()
 	runFolder := run.Flag("folder", "Folder for logs and journals; by default a new one, removed after a run without violations.").String()
 	runKeep := run.Flag("keep", "Keep the folder.").Bool()
 	runResult := run.Flag("result", "File to write the outcome to, as JSON.").String()
@@ -90,16 +91,16 @@
 	switch chosenCommand {
 	case run.FullCommand():
 		if *runName == "platform" {
-			err = rehearsePlatform(platformscenario.Options{Seed: *runSeed, Program: *runProgram, Folder: *runFolder, Acts: *runActs, Count: *runCount, Scale: *runScale}, *runKeep)
+			err = rehearsePlatform(platformscenario.Options{Seed: *runSeed, Program: *runProgram, OtherProgram: *runOther, Folder: *runFolder, Acts: *runActs, Count: *runCount, Scale: *runScale}, *runKeep)
 			break
 		}
-		err = rehearse(*runName, *runScenario, *runSeed, *runScale, *runProgram, *runFolder, *runKeep, *runResult)
+		err = rehearse(*runName, *runScenario, *runSeed, *runScale, programs{*runProgram, *runOther}, *runFolder, *runKeep, *runResult)
 	case all.FullCommand():
 		err = rehearseAll(*allSeeds, *allScale, *allProgram, *allParallel, *allScenarios)
 	case over.FullCommand():
-		err = overhead(*overRounds, *overEach, *overProgram)
+		err = overhead(*overRounds, *overEach, programs{daemon: *overProgram})
 	case up.FullCommand():
-		err = bringUp(*upName, *upProgram, *upFolder, *upOnce)
+		err = bringUp(*upName, programs{daemon: *upProgram}, *upFolder, *upOnce)
 	case stand.FullCommand():
 		err = beEngine(*standName, *standID, *standListen, *standJournal)
 	case daysVerb.FullCommand():
@@ -136,25 +137,36 @@
 		LoadTime: 600 * time.Millisecond, AdapterTime: 150 * time.Millisecond, PieceTime: 12 * time.Millisecond, ReportLag: 150 * time.Millisecond}, writer).Serve(listener)
 }
 
+// programs are the builds of the daemon that a fleet runs. An empty daemon is the one beside this program; an empty
+// other is none.
+type programs struct {
+	daemon, other string
+}
+
 // lay prepares a fleet.
-func lay(name, program, folder string) (*fleet.Fleet, error) {
+func lay(name string, run programs, folder string) (*fleet.Fleet, error) {
 	d, _ := deployment.Named(name)
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	if program == "" {
-		program = filepath.Join(filepath.Dir(self), "cresspondd")
+	if run.daemon == "" {
+		run.daemon = filepath.Join(filepath.Dir(self), "cresspondd")
 	}
-	if _, err := os.Stat(program); err != nil {
-		return nil, fmt.Errorf("the daemon cannot be run: %w", err)
+	if run.other == "" {
+		run.other = run.daemon
+	}
+	for _, program := range []string{run.daemon, run.other} {
+		if _, err := os.Stat(program); err != nil {
+			return nil, fmt.Errorf("the daemon cannot be run: %w", err)
+		}
 	}
 	if folder == "" {
 		if folder, err = os.MkdirTemp("", "rehearse-"); err != nil {
 			return nil, err
 		}
 	}
-	return fleet.New(d, folder, program, self)
+	return fleet.New(d, folder, [2]string{run.daemon, run.other}, self)
 }
 
 func sayer() func(string, ...any) {
@@ -164,8 +176,8 @@
 	}
 }
 
-func rehearse(name, what string, seed uint64, scale float64, program, folder string, keep bool, result string) error {
-	f, err := lay(name, program, folder)
+func rehearse(name, what string, seed uint64, scale float64, run programs, folder string, keep bool, result string) error {
+	f, err := lay(name, run, folder)
 	if err != nil {
 		return err
 	}
@@ -300,11 +312,11 @@
 	out.Flush()
 }
 
-func overhead(rounds, each int, program string) error {
+func overhead(rounds, each int, run programs) error {
 	if rounds < 1 || each < 1 {
 		return fmt.Errorf("there must be at least one round of one request")
 	}
-	f, err := lay("small", program, "")
+	f, err := lay("small", run, "")
 	if err != nil {
 		return err
 	}
@@ -314,8 +326,8 @@
 	return scenario.New(f, 1, sayer()).Overhead(ctx, rounds, each)
 }
 
-func bringUp(name, program, folder string, once bool) error {
-	f, err := lay(name, program, folder)
+func bringUp(name string, run programs, folder string, once bool) error {
+	f, err := lay(name, run, folder)
 	if err != nil {
 		return err
 	}
--- a/testbed/cmd/testbed/platform.go
+++ b/testbed/cmd/testbed/platform.go
@@ -23,8 +23,13 @@
 	if options.Program == "" {
 		options.Program = filepath.Join(filepath.Dir(self), "cresspond-platform")
 	}
-	if _, err := os.Stat(options.Program); err != nil {
-		return fmt.Errorf("the daemon cannot be run: %w", err)
+	for _, program := range []string{options.Program, options.OtherProgram} {
+		if program == "" {
+			continue
+		}
+		if _, err := os.Stat(program); err != nil {
+			return fmt.Errorf("the daemon cannot be run: %w", err)
+		}
 	}
 	if options.Folder == "" {
 		if options.Folder, err = os.MkdirTemp("", "rehearse-"); err != nil {
--- a/testbed/fleet/fleet.go
+++ b/testbed/fleet/fleet.go
@@ -33,8 +33,10 @@
 	Reached string
 	Journal string
 	Core    bool
-	args    []string
-	log     string
+	// build is the index of the build that a daemon runs from its next start on.
+	build int
+	args  []string
+	log   string
 
 	mutex sync.Mutex
 	cmd   *exec.Cmd
@@ -50,7 +52,7 @@
 	Engines    []*Process
 	Platform   *platform.Platform
 	Links      *Links
-	program    string
+	builds     [2]string
 	seeds      []string
 	moved      int
 	self       string
@@ -60,9 +62,10 @@
 	client     *http.Client
 }
 
-// New lays a fleet out in a folder; program is the cresspondd to run, self the rehearse program.
-func New(d deployment.Deployment, folder, program, self string) (*Fleet, error) {
-	f := &Fleet{Links: NewLinks(), Deployment: d, Folder: folder, program: program, self: self, leaving: map[string]bool{}, gone: map[string]bool{},
+// New lays a fleet out in a folder. Its daemons run the two builds of cresspondd in turn, which may be the same; self
+// is this program.
+func New(d deployment.Deployment, folder string, builds [2]string, self string) (*Fleet, error) {
+	f := &Fleet{Links: NewLinks(), Deployment: d, Folder: folder, builds: builds, self: self, leaving: map[string]bool{}, gone: map[string]bool{},
 		client: &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, err
@@ -84,7 +87,7 @@
 		if err != nil {
 			return err
 		}
-		p := &Process{Name: name, Zone: zone, Address: listen, Fellow: fellow, Core: core, log: filepath.Join(folder, name+".log")}
+		p := &Process{Name: name, Zone: zone, Address: listen, Fellow: fellow, Core: core, build: len(f.Daemons) % len(f.builds), log: filepath.Join(folder, name+".log")}
 		if p.Reached, err = f.link(p, number); err != nil {
 			return err
 		}
@@ -140,10 +143,19 @@
 		return err
 	}
 	path := filepath.Join(f.Folder, p.Name+".json")
-	p.args = []string{f.program, "--config", path}
+	p.args = []string{f.builds[p.build], "--config", path}
 	return os.WriteFile(path, data, 0o600)
 }
 
+// SwapBuild gives a stopped daemon the other build for its next start.
+func (f *Fleet) SwapBuild(p *Process) {
+	p.build = 1 - p.build
+	p.args[0] = f.builds[p.build]
+}
+
+// Build is the path of the program that a daemon runs from its next start on.
+func (f *Fleet) Build(p *Process) string { return f.builds[p.build] }
+
 // Wipe empties a core daemon's data folder, as a replaced or lost disk would.
 func (f *Fleet) Wipe(p *Process) error { return os.RemoveAll(f.DataOf(p)) }
 
--- a/testbed/platformtest/fleet/fleet.go
+++ b/testbed/platformtest/fleet/fleet.go
@@ -40,7 +40,9 @@
 type Plan struct {
 	// Program is what is run, Folder where its settings, logs and disks are.
 	Program, Folder string
-	Zones           []string
+	// OtherProgram is another build that every second machine starts with; empty is none.
+	OtherProgram string
+	Zones        []string
 	// Cores and Edges count; they stand in the zones in turn.
 	Cores, Edges int
 	Bounds       checker.Bounds
@@ -58,6 +60,7 @@
 	folder                string
 
 	mutex    sync.Mutex
+	program  string
 	cmd      *exec.Cmd
 	ended    chan struct{}
 	expected bool
@@ -112,7 +115,8 @@
 }
 
 func (f *Fleet) add(class string, number int) *Machine {
-	m := &Machine{Name: fmt.Sprintf("%s-%d", class, number), Class: class, Zone: f.Plan.Zones[number%len(f.Plan.Zones)], IP: loopback.Host()}
+	m := &Machine{Name: fmt.Sprintf("%s-%d", class, number), Class: class, Zone: f.Plan.Zones[number%len(f.Plan.Zones)], IP: loopback.Host(),
+		program: f.Plan.startProgram(len(f.Machines))}
 	m.folder = filepath.Join(f.Plan.Folder, m.Name)
 	f.Machines = append(f.Machines, m)
 	return m
@@ -234,7 +238,7 @@
 		return err
 	}
 	defer log.Close()
-	cmd := exec.Command(f.Plan.Program)
+	cmd := exec.Command(m.Program())
 	cmd.Env = append(append(os.Environ(), "CRESSPOND_CONFIG="+m.folder+".toml"), f.Plan.Environment...)
 	cmd.Stdout, cmd.Stderr = log, log
 	// A runner that dies takes its fleet with it.
--- a/testbed/platformtest/scenario/acts.go
+++ b/testbed/platformtest/scenario/acts.go
@@ -26,12 +26,15 @@
 
 // Names lists the acts.
 func Names() (out []string) {
-	for _, one := range append(slices.Clone(acts), rankingActs...) {
+	for _, one := range allActs() {
 		out = append(out, one.name)
 	}
 	return out
 }
 
+// allActs are those that may be named; only acts are drawn.
+func allActs() []act { return slices.Concat(acts, rankingActs, buildFaults) }
+
 // The rest after trouble with the core is longer than contact, so that rules that need calm get some.
 var acts = []act{
 	{name: "engine-crash", rest: 2 * time.Second, play: func(d *Day, ctx context.Context) error {
@@ -201,12 +204,7 @@
 	{name: "edge-kill", rest: 2 * time.Second, play: func(d *Day, ctx context.Context) error { return d.bounce(ctx, d.any(fleet.Edge)) }},
 	{name: "edge-freeze", rest: 2 * time.Second, play: func(d *Day, ctx context.Context) error { return d.freeze(ctx, d.any(fleet.Edge)) }},
 	{name: "edge-stop", rest: time.Second, play: func(d *Day, ctx context.Context) error {
-		m := d.any(fleet.Edge)
-		if d.Fleet.Stop(m) {
-			d.Say("%s did not end within its grace", m.Name)
-		}
-		d.pause(ctx, 300*ms)
-		return d.Fleet.Again(m)
+		return d.restart(ctx, d.any(fleet.Edge))
 	}},
 	{name: "edge-roll", rest: time.Second, play: func(d *Day, ctx context.Context) error {
 		// All in turn, with much under way.
@@ -214,11 +212,7 @@
 		defer d.hurry(1)
 		for _, m := range d.Fleet.Of(fleet.Edge) {
 			d.pause(ctx, time.Second)
-			if d.Fleet.Stop(m) {
-				d.Say("%s did not end within its grace", m.Name)
-			}
-			d.pause(ctx, 300*ms)
-			if err := d.Fleet.Again(m); err != nil {
+			if err := d.restart(ctx, m); err != nil {
 				return err
 			}
 			d.pause(ctx, 2500*ms)
@@ -254,11 +248,7 @@
 	{name: "core-freeze", rest: 4 * time.Second, play: func(d *Day, ctx context.Context) error { return d.freeze(ctx, d.any(fleet.Core)) }},
 	{name: "core-roll", rest: 4 * time.Second, play: func(d *Day, ctx context.Context) error {
 		for _, m := range d.Fleet.Of(fleet.Core) {
-			if d.Fleet.Stop(m) {
-				d.Say("%s did not end within its grace", m.Name)
-			}
-			d.pause(ctx, 300*ms)
-			if err := d.Fleet.Again(m); err != nil {
+			if err := d.restart(ctx, m); err != nil {
 				return err
 			}
 			d.pause(ctx, 4*time.Second)
--- a/testbed/platformtest/scenario/day.go
+++ b/testbed/platformtest/scenario/day.go
@@ -8,7 +8,6 @@
 	"math/rand/v2"
 	"os"
 	"path/filepath"
-	"slices"
 	"sync"
 	"time"
 
@@ -34,6 +33,9 @@
 type Options struct {
 	Seed            uint64
 	Program, Folder string
+	// OtherProgram is another build of the daemon; empty is none. Every second machine starts with it, and machines
+	// change from one to the other under way.
+	OtherProgram string
 	// Acts are the troubles, in this order; empty draws Count of them from the seed.
 	Acts  []string
 	Count int
@@ -72,6 +74,9 @@
 	requests  int
 }
 
+// catchUp is how long a machine counts as down after an empty disk.
+const catchUp = 4 * time.Second
+
 // waitMost ends a wait that will never end; no verdict rests on it.
 const waitMost = 60 * time.Second
 
@@ -95,7 +100,7 @@
 	if options.Ranking != "" {
 		environment = append(environment, "CRESSPOND_RANKING="+options.Ranking)
 	}
-	if d.Fleet, err = fleet.New(fleet.Plan{Environment: environment, Program: options.Program, Folder: options.Folder, Zones: zones, Cores: 3, Edges: 3, Bounds: Bounds, CatchUp: 4 * time.Second,
+	if d.Fleet, err = fleet.New(fleet.Plan{Environment: environment, Program: options.Program, OtherProgram: options.OtherProgram, Folder: options.Folder, Zones: zones, Cores: 3, Edges: 3, Bounds: Bounds, CatchUp: catchUp,
 		BeatPeriod: 1200 * ms, Staleness: 3 * time.Second, Book: d.Book}); err != nil {
 		return nil, err
 	}
@@ -136,7 +141,7 @@
 	if len(d.Acts) > 0 {
 		for _, name := range d.Acts {
 			found := false
-			for _, one := range append(slices.Clone(acts), rankingActs...) {
+			for _, one := range allActs() {
 				if one.name == name {
 					plan, found = append(plan, one), true
 				}
@@ -151,6 +156,9 @@
 	for _, place := range order[:min(len(order), max(1, d.Count))] {
 		plan = append(plan, acts[place])
 	}
+	if d.OtherProgram != "" {
+		plan = withUpgrade(plan)
+	}
 	return plan, nil
 }
 
--- a/testbed/scenario/scenario.go
+++ b/testbed/scenario/scenario.go
@@ -88,7 +88,8 @@
 	r.Say("%s %s", act.Kind, act.Subject)
 }
 
-// StopGracefully asks a daemon to stop and waits until it has.
+// StopGracefully asks a daemon to stop and waits until it has. Where the fleet has two builds its next start is with
+// the other one, as an upgrade would do it.
 func (r *Run) StopGracefully(p *fleet.Process) {
 	r.Act(checker.Act{Kind: checker.StopAsked, Subject: p.Address})
 	p.Signal(syscall.SIGTERM)
@@ -97,6 +98,7 @@
 	r.mutex.Lock()
 	r.history.Exits = append(r.history.Exits, checker.Exit{Daemon: p.Name, Code: code})
 	r.mutex.Unlock()
+	r.Fleet.SwapBuild(p)
 }
 
 // Crash kills a daemon.
