--- a/testbed/repocheck/proof_test.go
+++ b/testbed/repocheck/proof_page_test.go
@@ -64,7 +64,7 @@
 	}
 	for _, name := range platformscenario.Names() {
 		if !strings.Contains(page, "`"+name+"`") {
-			t.Errorf("act %s is not named", name)
+			t.Errorf("fault %s is not named", name)
 		}
 	}
 	for _, finding := range platformchecker.Judge(&history.History{}, platformchecker.Bounds{}) {
