--- a/Makefile
+++ b/Makefile
@@ -11,12 +11,14 @@
 	ln -sf testbed bin/rehearse
 
 vet:
-	@test -z "$$(gofmt -l . )" || { gofmt -l .; echo "these files are not formatted"; exit 1; }
+	@unformatted=$$(gofmt -s -l .); test -z "$$unformatted" || { echo "$$unformatted"; echo "these files are not formatted by gofmt -s"; exit 1; }
 	go vet ./... ./testbed/...
 
 # Pinned as a tool in go.mod, configured by staticcheck.conf, without exclusions.
 lint:
 	go tool staticcheck ./... ./testbed/...
+	@unreachable=$$(go tool deadcode -test ./... ./testbed/...) || exit 1; \
+		test -z "$$unreachable" || { echo "$$unreachable"; echo "these functions are called from nowhere, not even from tests"; exit 1; }
 
 # What runs daemons over sockets goes by real time: beside simulations that take every core, waits that are
 # ample fail. So those packages run after all others, one at a time, and few of their tests at once.
--- a/daemon/apply.go
+++ b/daemon/apply.go
@@ -33,12 +33,6 @@
 	applyAgain = 50 * time.Millisecond
 )
 
-// WithApplyLimits replaces how long a call to apply a bundle may take, and how much of that it waits for
-// daemons in contact.
-func WithApplyLimits(whole, reach time.Duration) Option {
-	return func(d *Daemon) { d.applyLimit, d.applyReach = whole, reach }
-}
-
 // ApplyBundle brings an operator's call to the leader. The same call may be brought there many times, also to
 // several leaders: whichever copy is committed first counts, and all others find it by its digest.
 func (d *Daemon) ApplyBundle(ctx context.Context, call operatorapi.Apply) operatorapi.Applying {
--- a/daemon/forward.go
+++ b/daemon/forward.go
@@ -57,11 +57,6 @@
 	return func(d *Daemon) { d.forwardSide.patience = patience }
 }
 
-// WithEngineView replaces where the registered engines are looked up.
-func WithEngineView(view func() *registry.View) Option {
-	return func(d *Daemon) { d.forwardSide.view = view }
-}
-
 // forwards says whether opaque requests are served here.
 func (d *Daemon) forwards() bool {
 	return d.forwardSide.dialect != nil && d.config.Serves(daemonconfig.Route)
--- a/request/forwarding/actor.go
+++ b/request/forwarding/actor.go
@@ -10,33 +10,28 @@
 	"github.com/cresspond/cresspond/process/engines/outlier"
 )
 
+// mailboxSize is how many events wait for the actor before a sender has to.
+const mailboxSize = 256
+
 // Actor runs the core over events, one after the other.
 type Actor struct {
 	core    *Core
 	world   func() World
 	mailbox *actor.Mailbox[func(*Core, World)]
-	after   func(time.Duration, func())
 	// waking is when the next look is due, as far as one is ordered.
 	waking clock.Mark
 	held   atomic.Int64
 	ended  chan struct{}
 }
 
-// ActorOption sets one thing of an actor.
-type ActorOption func(*Actor)
-
-// WithTimer replaces how the actor has itself woken.
-func WithTimer(after func(time.Duration, func())) ActorOption {
-	return func(a *Actor) { a.after = after }
-}
-
 // NewActor makes an actor; world gathers what the passes look at.
-func NewActor(settings Settings, world func() World, options ...ActorOption) *Actor {
-	a := &Actor{core: NewCore(settings), world: world, mailbox: actor.NewMailbox[func(*Core, World)](256), ended: make(chan struct{}), after: func(d time.Duration, wake func()) { time.AfterFunc(d, wake) }}
-	for _, option := range options {
-		option(a)
+func NewActor(settings Settings, world func() World) *Actor {
+	return &Actor{
+		core:    NewCore(settings),
+		world:   world,
+		mailbox: actor.NewMailbox[func(*Core, World)](mailboxSize),
+		ended:   make(chan struct{}),
 	}
-	return a
 }
 
 // Run takes events until ctx ends; whoever waits then is answered.
@@ -58,7 +53,7 @@
 		return
 	}
 	a.waking = next
-	a.after(next.Since(now), func() { a.mailbox.Send(func(c *Core, w World) { c.Pass(w) }) })
+	time.AfterFunc(next.Since(now), func() { a.mailbox.Send(func(c *Core, w World) { c.Pass(w) }) })
 }
 
 // NewRecord makes a record with room for its steps.
--- a/testbed/platformtest/client/client.go
+++ b/testbed/platformtest/client/client.go
@@ -4,7 +4,6 @@
 	"context"
 	"fmt"
 	"math/rand/v2"
-	"net/http"
 	"sync"
 	"time"
 
@@ -252,13 +251,3 @@
 		return
 	}
 }
-
-// Count counts a request's headers and body, as its limits do.
-func Count(r *Request) int {
-	return len(Wire(r, "0123456789abcdef", r.Deadline, ""))
-}
-
-// Succeeded says whether the last try has a whole success.
-func Succeeded(tries []*history.Try) bool {
-	return len(tries) > 0 && tries[len(tries)-1].Status < http.StatusMultipleChoices && tries[len(tries)-1].Success()
-}
--- a/testbed/platformtest/client/conn.go
+++ b/testbed/platformtest/client/conn.go
@@ -68,9 +68,6 @@
 // Close closes it.
 func (c *Conn) Close() { c.conn.Close() }
 
-// Raw is the socket itself, for those who write bytes of their own.
-func (c *Conn) Raw() *net.TCPConn { return c.conn }
-
 // Usable says whether another request may be sent on it.
 func (c *Conn) Usable() bool {
 	select {
--- a/testbed/platformtest/fleet/entry.go
+++ b/testbed/platformtest/fleet/entry.go
@@ -53,9 +53,6 @@
 	}
 }
 
-// Wait waits until the watching has ended.
-func (e *Entry) Wait() { e.done.Wait() }
-
 // Ready asks one machine.
 func (e *Entry) Ready(ctx context.Context, m *Machine) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+m.Readiness()+protocol.PathReady, nil)
--- a/testbed/platformtest/fleet/fleet.go
+++ b/testbed/platformtest/fleet/fleet.go
@@ -4,7 +4,6 @@
 
 import (
 	"fmt"
-	"net"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -439,21 +438,6 @@
 	return nil
 }
 
-// Running says whether a machine's process runs.
-func (m *Machine) Running() bool {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	if m.ended == nil {
-		return false
-	}
-	select {
-	case <-m.ended:
-		return false
-	default:
-		return true
-	}
-}
-
 // End kills everything; nothing of it counts as anybody's own end.
 func (f *Fleet) End() {
 	f.mutex.Lock()
@@ -465,13 +449,3 @@
 	}
 	f.waits.Wait()
 }
-
-// Reachable says whether anybody listens at an address.
-func Reachable(address string) bool {
-	conn, err := net.DialTimeout("tcp", address, time.Second)
-	if err != nil {
-		return false
-	}
-	conn.Close()
-	return true
-}
--- a/testbed/platformtest/loopback/loopback.go
+++ b/testbed/platformtest/loopback/loopback.go
@@ -4,7 +4,6 @@
 
 import (
 	"fmt"
-	"net"
 	"os"
 	"sync/atomic"
 )
@@ -16,13 +15,3 @@
 	n := int(given.Add(1))
 	return fmt.Sprintf("127.%d.%d.%d", 194+os.Getpid()>>8&0x1f, os.Getpid()&0xff, 1+n%250)
 }
-
-// Address gives a host with a port that is free.
-func Address() (string, error) {
-	listener, err := net.Listen("tcp", Host()+":0")
-	if err != nil {
-		return "", err
-	}
-	defer listener.Close()
-	return listener.Addr().String(), nil
-}
