--- a/process/placement/poolplacement/actor_test.go
+++ b/process/placement/poolplacement/actor_test.go
@@ -26,7 +26,7 @@
 	section  *upstream.Section
 	view     *registry.View
 	demand   []Demand
-	holder   ident.ClaimNumber
+	holder   ident.FencingToken
 	passedOn bool
 	// asks counts the questions for the claim.
 	asks int
@@ -66,11 +66,11 @@
 	at := ident.GroupTime(w.now / clock.Mark(time.Millisecond))
 	return ClaimAnswer{Granted: &statemachine.Claim{Number: w.holder, Now: at, Until: at.Add(3 * time.Second)}}
 }
-func (w *frozenWorld) Mint() (ident.MintedID, snowflake.Outcome) { return 1, snowflake.Minted }
-func (w *frozenWorld) LeaseHeld() bool                           { return true }
-func (w *frozenWorld) MayStand() bool                            { return true }
-func (w *frozenWorld) First() bool                               { return true }
-func (w *frozenWorld) Tell(map[ident.EngineID]registry.Plan)     {}
+func (w *frozenWorld) Mint() (ident.SnowflakeID, snowflake.Outcome) { return 1, snowflake.Minted }
+func (w *frozenWorld) LeaseHeld() bool                              { return true }
+func (w *frozenWorld) MayStand() bool                               { return true }
+func (w *frozenWorld) First() bool                                  { return true }
+func (w *frozenWorld) Tell(map[ident.EngineID]registry.Plan)        {}
 func (w *frozenWorld) freeze(span time.Duration) {
 	w.Lock()
 	w.now += clock.Mark(span)
@@ -82,7 +82,7 @@
 	if address == "" {
 		return Report{}, errors.New("no address")
 	}
-	return Report{Models: []registry.Held{}, Memory: 100000}, nil
+	return Report{Models: []registry.LoadedModel{}, Memory: 100000}, nil
 }
 
 func (w *frozenWorld) Order(_ context.Context, _ string, order Order, mayLeave func() bool) Answer {
@@ -121,7 +121,7 @@
 	for place := range engines {
 		id, model := ident.EngineID(fmt.Sprint("e", place)), fmt.Sprint("m", place)
 		catalogue.Models = append(catalogue.Models, upstream.Model{Name: model, SizeMb: 90, LoadMs: 1000})
-		w.view.Engines[id] = &registry.Engine{Word: registry.Word{ID: id, Pool: "p", Address: "there:" + string(id), Slots: 8, Models: []registry.Held{}}}
+		w.view.Engines[id] = &registry.Engine{Registration: registry.Registration{ID: id, Pool: "p", Address: "there:" + string(id), Slots: 8, Models: []registry.LoadedModel{}}}
 		w.view.Pools["p"] = append(w.view.Pools["p"], w.view.Engines[id])
 		w.demand = append(w.demand, Demand{Pool: "p", Model: model, Held: 3, Tokens: 500, Arrivals: 3, Oldest: time.Second})
 	}
