--- a/process/consensus/replica/actor.go
+++ b/process/consensus/replica/actor.go
@@ -3,12 +3,9 @@
 import (
 	"context"
 	"math/rand/v2"
-	"slices"
 	"sync/atomic"
 	"time"
 
-	"github.com/rotisserie/eris"
-
 	"github.com/cresspond/cresspond/actor"
 	"github.com/cresspond/cresspond/clock"
 	"github.com/cresspond/cresspond/ident"
@@ -16,11 +13,6 @@
 	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
-// Disk is where a member keeps its state; a write returns when it is synced.
-type Disk interface {
-	Write(group ident.GroupID, save raft.Save) error
-}
-
 // Links carries raft messages to other members; it may lose them, and must not block.
 type Transport interface {
 	Send(group ident.GroupID, member raft.Member, messages []raft.Message)
@@ -29,58 +21,6 @@
 // Tick is how often the core's clock beats.
 const TickInterval = 50 * time.Millisecond
 
-// stallAfter is how long a write may take before this member counts its disk as stalled.
-const diskStallTimeout = 700 * time.Millisecond
-
-// Condition is what others may know of this member, read without asking the actor.
-type Status struct {
-	Group       ident.GroupID
-	Role        raft.Role
-	Term        raft.Term
-	IsLeader    bool
-	Leader      raft.Member
-	Membership  raft.Membership
-	CommitIndex raft.Index
-	DiskStalled bool
-	GroupTime   ident.GroupTime
-	// FirstRollAgo is how long any bundle has been in force by the state applied so far; negative while none was.
-	SinceFirstRollout time.Duration
-	// Serving lists the daemons that may be serving, by the state applied so far.
-	ServingDaemons []ident.NodeID
-	// Claim is the planner's claim by the state applied so far.
-	PlannerLease statemachine.Claim
-	// ConfirmedUntil is, where this member leads, up to when a majority has confirmed that; Spec and Closures are what
-	// is committed by the state applied so far.
-	ConfirmedUntil                        clock.Mark
-	ConfigurationVersion, ClosuresVersion ident.Version
-	// Applied is how far the state is, Digest its newest digest.
-	AppliedIndex raft.Index
-	Digest       raft.StateDigest
-	// Differing lists, at a leader, the members whose state differed from a majority's when last compared.
-	DivergentMembers []raft.MemberID
-}
-
-// Counters count what an operator may want to know of a member.
-type Counters struct {
-	SnapshotsSent, SnapshotsInstalled, SnapshotsRejected, MessagesRejected, StateDivergences atomic.Uint64
-}
-
-// of gives the counter of one kind of notice.
-func (c *Counters) forNotice(kind raft.NoticeKind) *atomic.Uint64 {
-	switch kind {
-	case raft.NoticeSnapshotSent:
-		return &c.SnapshotsSent
-	case raft.NoticeSnapshotTaken:
-		return &c.SnapshotsInstalled
-	case raft.NoticeSnapshotRefused:
-		return &c.SnapshotsRejected
-	case raft.NoticeStateDiffers:
-		return &c.StateDivergences
-	default:
-		return &c.MessagesRejected
-	}
-}
-
 // Replica is the actor around a core.
 type Replica struct {
 	self                  raft.Member
@@ -115,12 +55,6 @@
 	lastAddress  map[raft.MemberID]string
 }
 
-type diskWrite struct {
-	group     ident.GroupID
-	save      *raft.Save
-	afterSync []raft.Message
-}
-
 type (
 	messagesReceived struct {
 		group    ident.GroupID
@@ -145,34 +79,6 @@
 	}
 )
 
-// Option sets one thing of a replica.
-type Option func(*Replica)
-
-// WithChanged calls back, on the actor, when the spec in force, the closures or the engines that left changed. The state may not be kept.
-func WithConfigurationChangeHandler(changed func(*statemachine.State)) Option {
-	return func(r *Replica) { r.onConfigurationChange = changed }
-}
-
-// WithTurned calls back, on the actor, when this member's condition is another than before.
-func WithStatusChangeHandler(turned func(before, after Status)) Option {
-	return func(r *Replica) { r.onStatusChange = turned }
-}
-
-// WithCounters has notices counted where they outlive this replica.
-func WithCounters(counters *Counters) Option {
-	return func(r *Replica) { r.Counters = counters }
-}
-
-// WithNoticed calls back, on the actor, with each notice for an operator.
-func WithNoticeHandler(noticed func(raft.Notice)) Option {
-	return func(r *Replica) { r.onNotice = noticed }
-}
-
-// WithFatal is called when the disk failed, or with a StateDiffersError; this member must then leave.
-func WithFatalHandler(fatal func(error)) Option {
-	return func(r *Replica) { r.onFatal = fatal }
-}
-
 // New makes a replica from what the disk holds.
 func New(self raft.Member, group ident.GroupID, restored raft.Restored, config Config, c clock.Clock, disk Disk, links Transport, options ...Option) (*Replica, error) {
 	random := rand.New(rand.NewPCG(uint64(self.ID), uint64(c.Elapsed())))
@@ -194,9 +100,6 @@
 	return r, nil
 }
 
-// Condition tells where this member stands.
-func (r *Replica) Status() Status { return *r.status.Load() }
-
 // Run runs the actor until ctx ends.
 func (r *Replica) Run(ctx context.Context) {
 	left := make(chan struct{})
@@ -210,82 +113,11 @@
 	<-left
 }
 
-// runDisk is the one place that writes; the actor never waits for it.
-func (r *Replica) runDiskWriter(ctx context.Context) {
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case next := <-r.writeQueue:
-			var err error
-			if next.save != nil {
-				err = r.disk.Write(next.group, *next.save)
-			}
-			if !r.mailbox.Send(writeFinished{next, err}) {
-				return
-			}
-		}
-	}
-}
-
 // Receive takes raft messages from another member.
 func (r *Replica) Receive(group ident.GroupID, address string, messages []raft.Message) {
 	r.mailbox.Offer(messagesReceived{group, address, messages})
 }
 
-// Submit puts a command forward and waits for its answer.
-func (r *Replica) Submit(ctx context.Context, command statemachine.Command) Response {
-	return r.request(ctx, func(answer func(Response)) any { return commandSubmitted{command, answer} })
-}
-
-// Read runs look on the state at a linearizable point.
-func (r *Replica) Read(ctx context.Context, look func(*statemachine.State)) Outcome {
-	return r.request(ctx, func(answer func(Response)) any {
-		return readRequested{func(a Response) {
-			if a.Outcome == Applied {
-				look(a.State)
-			}
-			answer(a)
-		}}
-	}).Outcome
-}
-
-func (r *Replica) request(ctx context.Context, event func(func(Response)) any) Response {
-	answers := make(chan Response, 1)
-	if !r.mailbox.Send(event(func(a Response) { answers <- a })) {
-		return Response{Outcome: NotLeader}
-	}
-	select {
-	case a := <-answers:
-		return a
-	case <-ctx.Done():
-	case <-r.mailbox.Done():
-	}
-	return Response{Outcome: Unknown}
-}
-
-// HandOver asks a leader to pass its office on.
-func (r *Replica) TransferLeadership() { r.mailbox.Send(transferRequested{}) }
-
-// Join asks a leader to take a member into the group, first as a learner.
-func (r *Replica) Join(member raft.Member) { r.mailbox.Send(joinRequested{member}) }
-
-// Leave tells a leader that a member stops. It says whether this member leads, and a majority of the voters holds all
-// that is committed without the one that stops, so that it may end.
-func (r *Replica) AnnounceLeaving(ctx context.Context, member raft.MemberID) bool {
-	held := make(chan bool, 1)
-	if !r.mailbox.Send(leavingAnnounced{member, held}) {
-		return false
-	}
-	select {
-	case answer := <-held:
-		return answer
-	case <-ctx.Done():
-	case <-r.mailbox.Done():
-	}
-	return false
-}
-
 func (r *Replica) handleEvent(event any) {
 	if r.failed {
 		// Whoever waits is told when the actor ends.
@@ -339,49 +171,6 @@
 	}
 }
 
-func (r *Replica) handleWriteFinished(now clock.Mark, e writeFinished) {
-	r.unsyncedSince = r.unsyncedSince[1:]
-	if e.err != nil {
-		r.fail(now, eris.Wrap(e.err, "the disk failed"))
-		return
-	}
-	if r.diskStalled && len(r.unsyncedSince) == 0 {
-		r.diskStalled = false
-		r.execute(r.core.Step(now, raft.DiskStalled{Stalled: false}))
-	}
-	if save := e.write.save; save != nil {
-		last := raft.Persisted{}
-		if n := len(save.Entries); n > 0 {
-			last = raft.Persisted{Index: save.Entries[n-1].Index, Term: save.Entries[n-1].Term}
-		} else if save.Snapshot != nil {
-			last = raft.Persisted{Index: save.Snapshot.Index, Term: save.Snapshot.Term}
-		}
-		if last.Index > 0 {
-			r.execute(r.core.Step(now, last))
-		}
-	}
-	r.send(now, e.write.afterSync)
-}
-
-// giveUp ends this member's part: what a failed write left behind is unknown, or the state is not what a majority
-// holds, so nothing may be said that rests on it. A leader hands over first, so that the others need not wait for an
-// election.
-func (r *Replica) fail(now clock.Mark, why error) {
-	if !r.failed {
-		effects := r.core.Step(now, raft.DiskStalled{Stalled: true})
-		r.failed, r.diskStalled = true, true
-		for _, answer := range effects.Responses {
-			if reply, ok := r.waiters[answer.RequestID]; ok {
-				delete(r.waiters, answer.RequestID)
-				reply(answer)
-			}
-		}
-		r.publishStatus()
-		r.send(now, effects.Now)
-	}
-	r.onFatal(why)
-}
-
 func (r *Replica) tick() {
 	if r.failed {
 		return
@@ -406,14 +195,6 @@
 	}
 }
 
-// notice counts and passes on what an operator may want to know.
-func (r *Replica) reportNotices(notices []raft.Notice) {
-	for _, notice := range notices {
-		r.Counters.forNotice(notice.Kind).Add(1)
-		r.onNotice(notice)
-	}
-}
-
 // abandon ends this member's part with a state that must not be served: whoever waits learns nothing from it.
 func (r *Replica) discardEffects(now clock.Mark, effects Effects) {
 	for _, answer := range effects.Responses {
@@ -473,24 +254,3 @@
 		r.transport.Send(r.group, member, batch)
 	}
 }
-
-func (r *Replica) publishStatus() {
-	core := r.core.Raft()
-	condition := Status{
-		Group: r.group, Role: core.Role(), Term: core.Term(), IsLeader: r.core.IsLeader(), Membership: core.Membership(),
-		CommitIndex: core.CommitIndex(), DiskStalled: r.diskStalled, GroupTime: r.core.State().Now, SinceFirstRollout: r.core.SinceFirstRollout(r.clock.Elapsed()), ServingDaemons: r.core.State().ServingNow(), PlannerLease: r.core.State().Claim,
-		ConfirmedUntil: r.core.ConfirmedUntil(), ConfigurationVersion: r.core.State().Epoch(), ClosuresVersion: r.core.State().Closures.Epoch,
-		AppliedIndex: r.core.applied, Digest: r.core.Digest(), DivergentMembers: r.core.DivergentMembers(),
-	}
-	condition.Leader, _ = condition.Membership.Find(core.LeaderID())
-	before := r.status.Swap(&condition)
-	if before != nil && before.notablyDiffers(condition) {
-		r.onStatusChange(*before, condition)
-	}
-}
-
-// otherThan says whether what an operator would want to know is different.
-func (c *Status) notablyDiffers(next Status) bool {
-	return c.IsLeader != next.IsLeader || c.DiskStalled != next.DiskStalled || !slices.Equal(c.Membership.Members, next.Membership.Members) ||
-		!slices.Equal(c.DivergentMembers, next.DivergentMembers)
-}
--- a/process/consensus/replica/confirmation.go
+++ b/process/consensus/replica/leadership.go
@@ -1,8 +1,12 @@
 package replica
 
 import (
+	"maps"
+	"slices"
+
 	"github.com/cresspond/cresspond/clock"
 	"github.com/cresspond/cresspond/process/consensus/raft"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
 // mostRounds bounds the rounds of heartbeats whose start is remembered. Where a majority is silent for longer,
@@ -54,3 +58,53 @@
 		c.unanswered = c.unanswered[1:]
 	}
 }
+
+// Leads says whether this member leads and has applied all that was committed before.
+func (c *Core) IsLeader() bool { return c.isLeader }
+
+// ConfirmedUntil is the latest moment at which a majority is known to have followed this member as the leader: all
+// that was acknowledged before it, by whichever leader, is applied here. Zero where this member does not lead.
+func (c *Core) ConfirmedUntil() clock.Mark {
+	if !c.isLeader {
+		return 0
+	}
+	return c.leadership.confirmedUntil
+}
+
+// noteLeading is the one place where this member begins or ceases to lead.
+func (c *Core) updateLeadership(now clock.Mark, out *Effects) {
+	leads := c.raft.Role() == raft.Leader && c.raft.CommittedInTerm() && c.applied == c.raft.CommitIndex()
+	if c.raft.Role() == raft.Leader && c.isLeader {
+		return
+	}
+	if leads == c.isLeader {
+		return
+	}
+	c.isLeader = leads
+	c.digests.stopComparing()
+	if leads {
+		c.leaderSince, c.reclaimIndex = now, 0
+		return
+	}
+	// Whoever waits is told the truth: nobody here knows whether the command will be committed.
+	for _, index := range slices.Sorted(maps.Keys(c.proposals)) {
+		if waiting := c.proposals[index]; waiting.requestID != 0 {
+			out.Responses = append(out.Responses, Response{RequestID: waiting.requestID, Outcome: Unknown})
+		}
+		delete(c.proposals, index)
+	}
+}
+
+// reclaim is the leader's expiry check.
+func (c *Core) reclaimExpiredLeases(now clock.Mark, out *Effects) {
+	// A new leader lets a full lease pass first: holders may have renewed with one who is gone.
+	if !c.isLeader || now.Since(c.leaderSince) < c.config.WorkerLease || c.reclaimIndex > c.applied {
+		return
+	}
+	if !c.state.Workers.Due(c.groupTime(now)) {
+		return
+	}
+	more := c.Submit(now, 0, statemachine.Command{Op: statemachine.OpReclaim})
+	c.reclaimIndex = c.raft.LastIndex()
+	out.merge(more)
+}
--- a/process/consensus/replica/leaving.go
+++ b/process/consensus/replica/leaving_members.go
@@ -21,3 +21,6 @@
 	}
 	return holding > len(voters)/2
 }
+
+// Leave notes a member's word that it stops. While it says so nobody else must wait for it to fall silent.
+func (c *Core) MarkLeaving(now clock.Mark, id raft.MemberID) { c.leaving[id] = now }
--- a/process/consensus/replica/members.go
+++ b/process/consensus/replica/membership_plan.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"github.com/cresspond/cresspond/clock"
 	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
@@ -222,3 +223,18 @@
 	}
 	return left > 0 && 2*alive > left
 }
+
+// MembershipPlan is what a leader's next change of the membership depends on.
+func (c *Core) MembershipPlan(now clock.Mark, joins map[raft.MemberID]raft.Member) MembershipPlan {
+	return MembershipPlan{Self: c.raft.ID(), Current: c.raft.Membership(), LastIndex: c.raft.LastIndex(), DesiredVoters: c.config.Voters, JoinRequests: joins,
+		Progress: func(id raft.MemberID) Progress {
+			// Who was heard before this member led has had no reason to speak to it since.
+			said, leaves := c.leaving[id]
+			match, missing := c.raft.MatchOf(id), 0
+			if match+caughtUpEntries >= c.raft.LastIndex() {
+				// Who lacks more is not ready whatever that holds.
+				missing = c.raft.BytesAfter(match)
+			}
+			return Progress{Match: match, MissingBytes: missing, SinceContact: now.Since(max(c.lastContact[id], c.leaderSince)), Leaving: leaves && now.Since(said) < leavingValidity}
+		}}
+}
--- /dev/null
+++ b/process/consensus/replica/notices.go
@@ -0,0 +1,36 @@
+package replica
+
+import (
+	"sync/atomic"
+
+	"github.com/cresspond/cresspond/process/consensus/raft"
+)
+
+// Counters count what an operator may want to know of a member.
+type Counters struct {
+	SnapshotsSent, SnapshotsInstalled, SnapshotsRejected, MessagesRejected, StateDivergences atomic.Uint64
+}
+
+// of gives the counter of one kind of notice.
+func (c *Counters) forNotice(kind raft.NoticeKind) *atomic.Uint64 {
+	switch kind {
+	case raft.NoticeSnapshotSent:
+		return &c.SnapshotsSent
+	case raft.NoticeSnapshotTaken:
+		return &c.SnapshotsInstalled
+	case raft.NoticeSnapshotRefused:
+		return &c.SnapshotsRejected
+	case raft.NoticeStateDiffers:
+		return &c.StateDivergences
+	default:
+		return &c.MessagesRejected
+	}
+}
+
+// notice counts and passes on what an operator may want to know.
+func (r *Replica) reportNotices(notices []raft.Notice) {
+	for _, notice := range notices {
+		r.Counters.forNotice(notice.Kind).Add(1)
+		r.onNotice(notice)
+	}
+}
