--- a/process/consensus/replica/actor.go
+++ b/process/consensus/replica/actor.go
@@ -214,12 +214,12 @@
 		return
 	}
 	switch {
-	case effects.Save != nil || len(effects.Later) > 0 && len(r.unsyncedSince) > 0 && !r.diskStalled:
+	case effects.Save != nil || len(effects.MessagesAfterSave) > 0 && len(r.unsyncedSince) > 0 && !r.diskStalled:
 		r.unsyncedSince = append(r.unsyncedSince, now)
-		r.writeQueue <- diskWrite{group: r.group, save: effects.Save, afterSync: effects.Later}
+		r.writeQueue <- diskWrite{group: r.group, save: effects.Save, afterSync: effects.MessagesAfterSave}
 	case len(r.unsyncedSince) == 0:
 		// Nothing unsynced lies before these, so they need not pass by the disk.
-		defer r.send(now, effects.Later)
+		defer r.send(now, effects.MessagesAfterSave)
 	}
 	// With a stalled disk the rest is not said at all: a member that can't write is silent.
 	for _, answer := range effects.Responses {
@@ -232,7 +232,7 @@
 		r.onConfigurationChange(r.core.State())
 	}
 	r.publishStatus()
-	r.send(now, effects.Now)
+	r.send(now, effects.Messages)
 }
 
 // send groups messages by member; those to this member itself are taken at once.
--- a/process/consensus/replica/core.go
+++ b/process/consensus/replica/core.go
@@ -18,7 +18,7 @@
 	raft   *raft.Core
 	state  *statemachine.State
 
-	applied              raft.Index
+	appliedIndex         raft.Index
 	entriesSinceSnapshot int
 	// sizes are those of the entries applied since the last snapshot, bytes their sum.
 	entrySizes         []int
@@ -56,7 +56,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Core{config: config, raft: member, state: state, applied: member.SnapshotIndex(), groupTimeAt: now, startedAt: now, lastRestored: member.LastIndex(), wallClock: wall,
+	c := &Core{config: config, raft: member, state: state, appliedIndex: member.SnapshotIndex(), groupTimeAt: now, startedAt: now, lastRestored: member.LastIndex(), wallClock: wall,
 		proposals: map[raft.Index]proposal{}, reads: map[uint64]raft.Index{}, lastContact: map[raft.MemberID]clock.Mark{}, leaving: map[raft.MemberID]clock.Mark{},
 		digests: newDigests(statemachine.Form(config.Build))}
 	member.CheckSnapshots(c.validateSnapshot)
@@ -87,7 +87,7 @@
 
 // carry applies what was committed and turns raft effects into the replica's.
 func (c *Core) processRaftEffects(now clock.Mark, effects raft.Effects) Effects {
-	out := Effects{Save: effects.Save, Later: effects.Later, Now: effects.Now, Notices: effects.Notices}
+	out := Effects{Save: effects.Save, MessagesAfterSave: effects.Later, Messages: effects.Now, Notices: effects.Notices}
 	if effects.Save != nil && effects.Save.TruncateFrom > 0 && effects.Save.TruncateFrom <= c.lastRestored {
 		// What takes the place of entries found on disk may have been stamped at any time since.
 		c.lastRestored = effects.Save.TruncateFrom - 1
@@ -95,7 +95,7 @@
 	specBefore, closuresBefore, leavesBefore := c.state.Epoch(), c.state.Closures.Epoch, c.state.Leaves
 	if effects.Install != nil {
 		// It was read by checkSnapshot before the log was given up for it.
-		c.state, c.applied, c.groupTimeAt, c.validated = c.validated, effects.Install.Index, now, nil
+		c.state, c.appliedIndex, c.groupTimeAt, c.validated = c.validated, effects.Install.Index, now, nil
 		c.digests.reset()
 		c.entriesSinceSnapshot, c.entrySizes, c.bytesSinceSnapshot = 0, c.entrySizes[:0], 0
 	}
@@ -110,25 +110,25 @@
 		c.reads[read.Ref] = read.Index
 	}
 	for _, ref := range slices.Sorted(maps.Keys(c.reads)) {
-		if c.applied >= c.reads[ref] {
+		if c.appliedIndex >= c.reads[ref] {
 			out.Responses = append(out.Responses, Response{RequestID: ref, Outcome: Applied, State: c.state})
 			delete(c.reads, ref)
 		}
 	}
 	c.updateLeadership(now, &out)
 	c.leadership.observe(now, c.raft)
-	c.attachDigests(now, out.Now)
+	c.attachDigests(now, out.Messages)
 	out.ConfigurationChanged = c.state.Epoch() != specBefore || c.state.Closures.Epoch != closuresBefore || c.state.Leaves != leavesBefore
 	if c.entriesSinceSnapshot >= c.config.CompactEntries || c.config.CompactBytes > 0 && c.bytesSinceSnapshot >= c.config.CompactBytes {
 		keep := c.retainedEntries()
 		c.entriesSinceSnapshot, c.entrySizes, c.bytesSinceSnapshot = 0, c.entrySizes[:0], 0
-		out.merge(c.processRaftEffects(now, c.raft.Step(raft.Compact{Index: c.applied, Data: c.state.Snapshot(), Keep: keep})))
+		out.merge(c.processRaftEffects(now, c.raft.Step(raft.Compact{Index: c.appliedIndex, Data: c.state.Snapshot(), Keep: keep})))
 	}
 	return out
 }
 
 func (c *Core) apply(now clock.Mark, entry raft.Entry, out *Effects) {
-	c.applied = entry.Index
+	c.appliedIndex = entry.Index
 	c.entriesSinceSnapshot++
 	c.entrySizes = append(c.entrySizes, len(entry.Data))
 	c.bytesSinceSnapshot += len(entry.Data)
--- a/process/consensus/replica/digest_exchange.go
+++ b/process/consensus/replica/digest_exchange.go
@@ -44,8 +44,8 @@
 func (c *Core) replyWithDigest(message raft.Message, out *Effects) {
 	answer, err := c.digests.replyTo(*message.StateDigest)
 	c.stopServing(err, out)
-	for place := range out.Now {
-		if reply := &out.Now[place]; reply.Kind == raft.MsgHeartbeatReply && reply.To == message.From {
+	for place := range out.Messages {
+		if reply := &out.Messages[place]; reply.Kind == raft.MsgHeartbeatReply && reply.To == message.From {
 			reply.StateDigest = answer
 		}
 	}
@@ -57,5 +57,5 @@
 		return
 	}
 	out.Fatal = why
-	out.Notices = append(out.Notices, raft.Notice{Kind: raft.NoticeStateDiffers, Peer: c.raft.ID(), Index: c.applied, Err: why})
+	out.Notices = append(out.Notices, raft.Notice{Kind: raft.NoticeStateDiffers, Peer: c.raft.ID(), Index: c.appliedIndex, Err: why})
 }
--- a/process/consensus/replica/digests_test.go
+++ b/process/consensus/replica/digests_test.go
@@ -23,7 +23,7 @@
 		if first == nil {
 			first = n
 		}
-		if !n.up || n.core.applied != first.core.applied || n.core.state.Digest() != first.core.state.Digest() {
+		if !n.up || n.core.appliedIndex != first.core.appliedIndex || n.core.state.Digest() != first.core.state.Digest() {
 			return false
 		}
 	}
--- a/process/consensus/replica/disk.go
+++ b/process/consensus/replica/disk.go
@@ -81,7 +81,7 @@
 			}
 		}
 		r.publishStatus()
-		r.send(now, effects.Now)
+		r.send(now, effects.Messages)
 	}
 	r.onFatal(why)
 }
--- a/process/consensus/replica/effects.go
+++ b/process/consensus/replica/effects.go
@@ -6,10 +6,10 @@
 
 // Effects is what a step wants done.
 type Effects struct {
-	Save      *raft.Save
-	Later     []raft.Message
-	Now       []raft.Message
-	Responses []Response
+	Save              *raft.Save
+	MessagesAfterSave []raft.Message
+	Messages          []raft.Message
+	Responses         []Response
 	// Changed says that the spec in force, the closures or the engines that left are others than before.
 	ConfigurationChanged bool
 	// Notices tell what an operator may want to know.
@@ -26,8 +26,8 @@
 	default:
 		e.Save.Merge(*more.Save)
 	}
-	e.Later = append(e.Later, more.Later...)
-	e.Now = append(e.Now, more.Now...)
+	e.MessagesAfterSave = append(e.MessagesAfterSave, more.MessagesAfterSave...)
+	e.Messages = append(e.Messages, more.Messages...)
 	e.Responses = append(e.Responses, more.Responses...)
 	e.ConfigurationChanged = e.ConfigurationChanged || more.ConfigurationChanged
 	e.Notices = append(e.Notices, more.Notices...)
--- a/process/consensus/replica/leadership.go
+++ b/process/consensus/replica/leadership.go
@@ -73,7 +73,7 @@
 
 // noteLeading is the one place where this member begins or ceases to lead.
 func (c *Core) updateLeadership(now clock.Mark, out *Effects) {
-	leads := c.raft.Role() == raft.Leader && c.raft.CommittedInTerm() && c.applied == c.raft.CommitIndex()
+	leads := c.raft.Role() == raft.Leader && c.raft.CommittedInTerm() && c.appliedIndex == c.raft.CommitIndex()
 	if c.raft.Role() == raft.Leader && c.isLeader {
 		return
 	}
@@ -98,7 +98,7 @@
 // reclaim is the leader's expiry check.
 func (c *Core) reclaimExpiredLeases(now clock.Mark, out *Effects) {
 	// A new leader lets a full lease pass first: holders may have renewed with one who is gone.
-	if !c.isLeader || now.Since(c.leaderSince) < c.config.WorkerLease || c.reclaimIndex > c.applied {
+	if !c.isLeader || now.Since(c.leaderSince) < c.config.WorkerLease || c.reclaimIndex > c.appliedIndex {
 		return
 	}
 	if !c.state.Workers.Due(c.groupTime(now)) {
--- a/process/consensus/replica/members_test.go
+++ b/process/consensus/replica/members_test.go
@@ -10,7 +10,7 @@
 // planCase is a membership plan of three voters and what is known of them.
 type planCase struct {
 	voters, learners []raft.Member
-	standing         map[raft.MemberID]Progress
+	progress         map[raft.MemberID]Progress
 }
 
 const planLast = raft.Index(100)
@@ -24,7 +24,7 @@
 	current.Members = append(current.Members, c.learners...)
 	return MembershipPlan{Self: 1, Current: current, LastIndex: planLast, DesiredVoters: 3, JoinRequests: map[raft.MemberID]raft.Member{},
 		Progress: func(id raft.MemberID) Progress {
-			if known, ok := c.standing[id]; ok {
+			if known, ok := c.progress[id]; ok {
 				return known
 			}
 			return Progress{Match: planLast}
--- a/process/consensus/replica/membership_plan.go
+++ b/process/consensus/replica/membership_plan.go
@@ -61,7 +61,7 @@
 // or where a place is free. A voter is let go only if another stands ready and a majority holds without it, so that a
 // machine that may only be restarting never shrinks the group. Every step differs in one voter from the one before.
 func (p MembershipPlan) Next() (raft.Membership, bool) {
-	ready := p.ready()
+	ready := p.readyLearners()
 	steps := []func() (raft.Membership, bool){
 		p.admit,
 		func() (raft.Membership, bool) { return p.removePreviousIdentity(ready) },
@@ -175,7 +175,7 @@
 }
 
 // ready lists the learners that have caught up and speak, the longest in the group first.
-func (p MembershipPlan) ready() []raft.Member {
+func (p MembershipPlan) readyLearners() []raft.Member {
 	var out []raft.Member
 	for _, member := range p.Current.Members {
 		standing := p.Progress(member.ID)
--- a/process/consensus/replica/second_loss_test.go
+++ b/process/consensus/replica/second_loss_test.go
@@ -417,7 +417,7 @@
 
 // removeBeforePromote is the rule without promoteForLeaving: who leaves goes first, and another comes after.
 func removeBeforePromote(p MembershipPlan) (raft.Membership, bool) {
-	ready := p.ready()
+	ready := p.readyLearners()
 	for _, step := range []func() (raft.Membership, bool){
 		p.admit,
 		func() (raft.Membership, bool) { return p.removePreviousIdentity(ready) },
--- a/process/consensus/replica/simulation_test.go
+++ b/process/consensus/replica/simulation_test.go
@@ -371,8 +371,8 @@
 	n.checkApplied()
 	n.checkDurable()
 	switch {
-	case effects.Save != nil || len(effects.Later) > 0 && len(n.queue) > 0 && !n.stalled:
-		n.queue = append(n.queue, simWrite{effects.Save, effects.Later})
+	case effects.Save != nil || len(effects.MessagesAfterSave) > 0 && len(n.queue) > 0 && !n.stalled:
+		n.queue = append(n.queue, simWrite{effects.Save, effects.MessagesAfterSave})
 		n.since = append(n.since, s.now)
 		if len(n.queue) == 1 {
 			n.writeNext(n.life)
@@ -384,10 +384,10 @@
 				last := effects.Save.Entries[len(effects.Save.Entries)-1]
 				n.carryOut(n.core.Step(s.now, raft.Persisted{Index: last.Index, Term: last.Term}))
 			}
-			n.send(effects.Later)
+			n.send(effects.MessagesAfterSave)
 		}
 	case len(n.queue) == 0:
-		defer n.send(effects.Later)
+		defer n.send(effects.MessagesAfterSave)
 	}
 	for _, answer := range effects.Responses {
 		if reply := s.asked[answer.RequestID]; reply != nil {
@@ -395,7 +395,7 @@
 			reply(answer)
 		}
 	}
-	n.send(effects.Now)
+	n.send(effects.Messages)
 }
 
 // giveUpState does what the daemon does: it hands over, sets its files aside and comes back as another member.
@@ -405,7 +405,7 @@
 		s.fault("member %d gave up a sound state: %v", n.id, why)
 	}
 	s.gaveUp = append(s.gaveUp, n.id)
-	n.send(n.core.Step(s.now, raft.DiskStalled{Stalled: true}).Now)
+	n.send(n.core.Step(s.now, raft.DiskStalled{Stalled: true}).Messages)
 	n.crash()
 	n.empty()
 	s.after(s.ms(200, 500), n.revive)
@@ -568,10 +568,10 @@
 // checkDurable holds that what a leader applies is on the disks of a majority, or was on those that were lost since.
 func (n *simNode) checkDurable() {
 	s := n.sim
-	if n.core.raft.Role() != raft.Leader || n.core.applied <= s.highest {
+	if n.core.raft.Role() != raft.Leader || n.core.appliedIndex <= s.highest {
 		return
 	}
-	s.highest = n.core.applied
+	s.highest = n.core.appliedIndex
 	voters, holding := n.core.raft.Membership().Voters(), 0
 	for _, id := range voters {
 		disk := s.lostDisks[id]
@@ -582,12 +582,12 @@
 		if count := len(disk.Entries); count > 0 {
 			last = max(last, disk.Entries[count-1].Index)
 		}
-		if last >= n.core.applied {
+		if last >= n.core.appliedIndex {
 			holding++
 		}
 	}
 	if holding <= len(voters)/2 {
-		s.fault("member %d applied %d, and it is on the disks of %d of %d voters", n.id, n.core.applied, holding, len(voters))
+		s.fault("member %d applied %d, and it is on the disks of %d of %d voters", n.id, n.core.appliedIndex, holding, len(voters))
 	}
 }
 
@@ -605,12 +605,12 @@
 	if ran, passed := time.Duration(n.core.state.Now-s.firstNow)*time.Millisecond, s.now.Since(s.firstAt); s.firstNow > 0 && ran > passed+passed/50+time.Second {
 		s.fault("the group's time ran %v ahead at member %d", ran-passed, n.id)
 	}
-	if term, ok := n.core.raft.EntryTerm(n.core.applied); ok {
+	if term, ok := n.core.raft.EntryTerm(n.core.appliedIndex); ok {
 		digest := fmt.Sprint(term)
-		if known, seen := s.applied[n.core.applied]; seen && known != digest {
-			s.fault("member %d applied term %s at %d, and another applied term %s", n.id, digest, n.core.applied, known)
+		if known, seen := s.applied[n.core.appliedIndex]; seen && known != digest {
+			s.fault("member %d applied term %s at %d, and another applied term %s", n.id, digest, n.core.appliedIndex, known)
 		}
-		s.applied[n.core.applied] = digest
+		s.applied[n.core.appliedIndex] = digest
 	}
 	if s.broken == floorForgotten {
 		clear(n.core.state.Workers.Floors)
--- a/process/consensus/replica/status.go
+++ b/process/consensus/replica/status.go
@@ -53,7 +53,7 @@
 		Group: r.group, Role: core.Role(), Term: core.Term(), IsLeader: r.core.IsLeader(), Membership: core.Membership(),
 		CommitIndex: core.CommitIndex(), DiskStalled: r.diskStalled, GroupTime: r.core.State().Now, SinceFirstRollout: r.core.SinceFirstRollout(r.clock.Elapsed()), ServingDaemons: r.core.State().ServingNow(), PlannerLease: r.core.State().Claim,
 		ConfirmedUntil: r.core.ConfirmedUntil(), ConfigurationVersion: r.core.State().Epoch(), ClosuresVersion: r.core.State().Closures.Epoch,
-		AppliedIndex: r.core.applied, Digest: r.core.Digest(), DivergentMembers: r.core.DivergentMembers(),
+		AppliedIndex: r.core.appliedIndex, Digest: r.core.Digest(), DivergentMembers: r.core.DivergentMembers(),
 	}
 	condition.Leader, _ = condition.Membership.Find(core.LeaderID())
 	before := r.status.Swap(&condition)
--- a/testbed/partitionsim/node_test.go
+++ b/testbed/partitionsim/node_test.go
@@ -175,13 +175,13 @@
 // carryOut does what a step of the core wants done.
 func (n *node) carryOut(effects replica.Effects) {
 	switch {
-	case effects.Save != nil || len(effects.Later) > 0 && len(n.writes) > 0:
-		n.writes = append(n.writes, write{effects.Save, effects.Later})
+	case effects.Save != nil || len(effects.MessagesAfterSave) > 0 && len(n.writes) > 0:
+		n.writes = append(n.writes, write{effects.Save, effects.MessagesAfterSave})
 		if len(n.writes) == 1 {
 			n.writeNext()
 		}
 	default:
-		defer n.sendRaft(effects.Later)
+		defer n.sendRaft(effects.MessagesAfterSave)
 	}
 	for _, answer := range effects.Responses {
 		if taken := n.asked[answer.RequestID]; taken != nil {
@@ -190,7 +190,7 @@
 		}
 	}
 	n.offer()
-	n.sendRaft(effects.Now)
+	n.sendRaft(effects.Messages)
 }
 
 func (n *node) writeNext() {
