--- a/Makefile
+++ b/Makefile
@@ -57,4 +57,4 @@
 
 # Needs protoc, protoc-gen-go and protoc-gen-twirp; what they make is committed.
 generate:
-	protoc --go_out=. --go_opt=paths=source_relative --twirp_out=. --twirp_opt=paths=source_relative wire/peerapi/fellow.proto
+	protoc --go_out=. --go_opt=paths=source_relative --twirp_out=. --twirp_opt=paths=source_relative wire/peerapi/peer.proto
--- a/daemon/apply.go
+++ b/daemon/apply.go
@@ -74,7 +74,7 @@
 }
 
 func (d *Daemon) applyRequest(call operatorapi.Apply) *peerapi.ApplyRequest {
-	request := &peerapi.ApplyRequest{Group: string(d.Group()), Base: uint64(call.Base), Digest: call.Digest, Operator: call.Operator}
+	request := &peerapi.ApplyRequest{Group: string(d.Group()), BaseVersion: uint64(call.Base), Digest: call.Digest, Operator: call.Operator}
 	if call.Patch != nil {
 		data, err := json.Marshal(call.Patch)
 		if err != nil {
@@ -82,7 +82,7 @@
 		}
 		request.Patch = compression.Pack(data)
 	} else {
-		request.Whole = compression.Pack(call.Whole)
+		request.Bundle = compression.Pack(call.Whole)
 	}
 	return request
 }
@@ -92,8 +92,8 @@
 	until, _ := ctx.Deadline()
 	bounded, cancel := d.whileLeader(ctx, address, time.Until(until))
 	defer cancel()
-	sent := &peerapi.ApplyRequest{Group: request.Group, Base: request.Base, Digest: request.Digest, Operator: request.Operator,
-		Whole: request.Whole, Patch: request.Patch, WithinMs: time.Until(until).Milliseconds()}
+	sent := &peerapi.ApplyRequest{Group: request.Group, BaseVersion: request.BaseVersion, Digest: request.Digest, Operator: request.Operator,
+		Bundle: request.Bundle, Patch: request.Patch, TimeoutMs: time.Until(until).Milliseconds()}
 	reply, err := d.links.To(address).Apply(bounded, sent)
 	if err != nil {
 		return answer, "", replica.Unknown
@@ -117,7 +117,7 @@
 		d.counters.garbage.Add(1)
 		return twirp.NewError(twirp.InvalidArgument, "this is no call to apply a bundle")
 	}
-	call := operatorapi.Apply{Base: ident.Revision(in.Base), Digest: in.Digest, Operator: in.Operator}
+	call := operatorapi.Apply{Base: ident.Revision(in.BaseVersion), Digest: in.Digest, Operator: in.Operator}
 	if len(in.Patch) > 0 {
 		data, err := compression.Unpack(in.Patch)
 		call.Patch = &upstream.Patch{}
@@ -126,14 +126,14 @@
 		}
 	} else {
 		var err error
-		if call.Whole, err = compression.Unpack(in.Whole); err != nil {
+		if call.Whole, err = compression.Unpack(in.Bundle); err != nil {
 			return nil, garbage()
 		}
 	}
-	if call.Digest == "" || len(call.Digest) > mostDigest || in.WithinMs <= 0 {
+	if call.Digest == "" || len(call.Digest) > mostDigest || in.TimeoutMs <= 0 {
 		return nil, garbage()
 	}
-	bounded, cancel := context.WithTimeout(ctx, min(time.Duration(in.WithinMs)*time.Millisecond, d.applyLimit))
+	bounded, cancel := context.WithTimeout(ctx, min(time.Duration(in.TimeoutMs)*time.Millisecond, d.applyLimit))
 	defer cancel()
 	answer, outcome := d.leadApply(bounded, call)
 	return d.submitReply(answer, outcome)
--- a/daemon/attempts.go
+++ b/daemon/attempts.go
@@ -125,7 +125,7 @@
 			client = d.links.To(home)
 			d.counters.attemptCalls.Add(1)
 		}
-		request := &peerapi.AttemptRequest{Attempt: ask.Attempt, Owner: ask.Owner, Digest: ask.Digest, AgeMs: ask.Age.Milliseconds(), Act: string(ask.Act), Partner: h.knowers[home]}
+		request := &peerapi.AttemptRequest{Attempt: ask.Attempt, Owner: ask.Owner, Digest: ask.Digest, AgeMs: ask.Age.Milliseconds(), Action: string(ask.Act), OtherOwnerAddress: h.knowers[home]}
 		go func() {
 			reply, err := client.Attempt(ctx, request)
 			if err != nil {
@@ -140,7 +140,7 @@
 		if answer.reply == nil {
 			continue
 		}
-		heard.Given = append(heard.Given, deduplication.Answer(answer.reply.Word))
+		heard.Given = append(heard.Given, deduplication.Answer(answer.reply.Outcome))
 		_, knows := h.knowers[answer.home]
 		heard.Knew = heard.Knew || knows && (local || !answer.reply.Fresh)
 		// A daemon that may be cut off must not be the only one that knows.
@@ -181,16 +181,16 @@
 
 // Attempt answers for the attempts whose home this daemon is.
 func (d *Daemon) Attempt(_ context.Context, in *peerapi.AttemptRequest) (*peerapi.AttemptReply, error) {
-	act := deduplication.Act(in.Act)
+	act := deduplication.Act(in.Action)
 	if in.Attempt == "" || in.Owner == "" || act != deduplication.Claim && act != deduplication.Refuse && act != deduplication.Free {
 		d.counters.garbage.Add(1)
 		return nil, twirp.NewError(twirp.InvalidArgument, "this asks nothing about an attempt")
 	}
 	reply, young := &peerapi.AttemptReply{}, d.young()
 	if !d.attempts.Do(func(now clock.Mark, memory *deduplication.Memory) {
-		reply.Word = string(memory.Take(now, deduplication.Ask{Attempt: in.Attempt, Owner: in.Owner, Digest: in.Digest,
+		reply.Outcome = string(memory.Take(now, deduplication.Ask{Attempt: in.Attempt, Owner: in.Owner, Digest: in.Digest,
 			Age: time.Duration(in.AgeMs) * time.Millisecond, Act: act}))
-		reply.Fresh = young && !memory.Whole(in.Partner)
+		reply.Fresh = young && !memory.Whole(in.OtherOwnerAddress)
 	}) {
 		return nil, twirp.NewError(twirp.Unavailable, "this daemon is stopping")
 	}
@@ -198,17 +198,17 @@
 }
 
 // Remember takes attempts over from another home.
-func (d *Daemon) Remember(_ context.Context, in *peerapi.Attempts) (*peerapi.Nothing, error) {
+func (d *Daemon) Remember(_ context.Context, in *peerapi.RememberRequest) (*peerapi.Empty, error) {
 	d.attempts.Do(func(now clock.Mark, memory *deduplication.Memory) {
 		for _, one := range in.Attempts {
 			memory.Learn(now, one.Attempt, deduplication.Entry{Owner: one.Owner, Digest: one.Digest, Refused: one.Refused,
 				At: now - clock.Mark(time.Duration(one.AgeMs)*time.Millisecond)})
 		}
-		if in.From != "" && in.Whole {
+		if in.From != "" && in.Complete {
 			memory.LearnWhole(in.From)
 		}
 	})
-	return &peerapi.Nothing{}, nil
+	return &peerapi.Empty{}, nil
 }
 
 // runRehoming hands attempts to the homes they come to have as daemons come and go.
@@ -268,7 +268,7 @@
 	}
 	d.rehomeSeats(ctx, before, after)
 	oldAddresses, newAddresses := addressesOf(before), addressesOf(after)
-	batches, wholes := map[string][]*peerapi.AttemptMemory{}, map[string]bool{}
+	batches, wholes := map[string][]*peerapi.AttemptRecord{}, map[string]bool{}
 	young, self := d.young(), d.config.ReachedAt()
 	d.attempts.Do(func(now clock.Mark, memory *deduplication.Memory) {
 		memory.Each(func(attempt string, entry deduplication.Entry) {
@@ -276,7 +276,7 @@
 				if home == self {
 					continue
 				}
-				batches[home] = append(batches[home], &peerapi.AttemptMemory{Attempt: attempt, Owner: entry.Owner, Digest: entry.Digest,
+				batches[home] = append(batches[home], &peerapi.AttemptRecord{Attempt: attempt, Owner: entry.Owner, Digest: entry.Digest,
 					AgeMs: now.Since(entry.At).Milliseconds(), Refused: entry.Refused})
 			}
 		})
@@ -293,7 +293,7 @@
 		for part := range slices.Chunk(batch, rememberAtOnce) {
 			bounded, cancel := context.WithTimeout(ctx, time.Second)
 			// A home that misses this is not the only one that knows.
-			_, err := d.links.To(home).Remember(bounded, &peerapi.Attempts{Attempts: part})
+			_, err := d.links.To(home).Remember(bounded, &peerapi.RememberRequest{Attempts: part})
 			cancel()
 			told = told && err == nil
 			d.counters.attemptsMoved.Add(uint64(len(part)))
@@ -301,7 +301,7 @@
 		if told && wholes[home] {
 			bounded, cancel := context.WithTimeout(ctx, time.Second)
 			// One that misses this counts as young for some seconds more.
-			_, _ = d.links.To(home).Remember(bounded, &peerapi.Attempts{From: self, Whole: true})
+			_, _ = d.links.To(home).Remember(bounded, &peerapi.RememberRequest{From: self, Complete: true})
 			cancel()
 		}
 	}
--- a/daemon/fellow.go
+++ b/daemon/fellow.go
@@ -74,7 +74,7 @@
 }
 
 // Raft takes raft messages.
-func (d *Daemon) Raft(_ context.Context, in *peerapi.RaftBatch) (*peerapi.Nothing, error) {
+func (d *Daemon) Raft(_ context.Context, in *peerapi.RaftBatch) (*peerapi.Empty, error) {
 	messages, sound := raftcodec.Decode(in.Messages)
 	if !sound || in.Group == "" {
 		d.counters.garbage.Add(1)
@@ -99,10 +99,10 @@
 				break
 			}
 		}
-		return &peerapi.Nothing{}, nil
+		return &peerapi.Empty{}, nil
 	}
 	held.Receive(ident.GroupID(in.Group), in.Address, messages)
-	return &peerapi.Nothing{}, nil
+	return &peerapi.Empty{}, nil
 }
 
 func (d *Daemon) identity() *peerapi.Identity {
@@ -114,13 +114,13 @@
 		}
 	}
 	if t := d.keeper.Table(); t != nil {
-		out.SpecEpoch, out.ClosureEpoch = uint64(t.Epoch), uint64(t.Closures.Epoch)
+		out.ConfigurationVersion, out.ClosureVersion = uint64(t.Epoch), uint64(t.Closures.Epoch)
 	}
 	out.LeaderMsAgo = -1
 	if heard := d.members.View().HeardLeader; heard > 0 {
 		out.LeaderMsAgo = d.clock.Elapsed().Since(heard).Milliseconds()
 	}
-	out.TenureUntilMs = int64(d.generator.Ceiling())
+	out.LeaseUntilMs = int64(d.generator.Ceiling())
 	if d.config.Serves(daemonconfig.Place) {
 		out.Claim = uint64(max(d.placer.Condition().Claim, d.pools.condition().Claim))
 	}
@@ -128,14 +128,14 @@
 }
 
 // Identify says who this is.
-func (d *Daemon) Identify(context.Context, *peerapi.Nothing) (*peerapi.Identity, error) {
+func (d *Daemon) Identify(context.Context, *peerapi.Empty) (*peerapi.Identity, error) {
 	return d.identity(), nil
 }
 
 // Recall gives back a bundle that was in force here.
-func (d *Daemon) Recall(_ context.Context, in *peerapi.RecallRequest) (*peerapi.Recalled, error) {
-	raw, _ := d.keeper.Recall(ident.Epoch(in.Epoch))
-	out := &peerapi.Recalled{Spec: raw}
+func (d *Daemon) Recall(_ context.Context, in *peerapi.RecallRequest) (*peerapi.RecallReply, error) {
+	raw, _ := d.keeper.Recall(ident.Epoch(in.Version))
+	out := &peerapi.RecallReply{Configuration: raw}
 	if t := d.keeper.Table(); t != nil {
 		out.Closures = rollout.EncodeClosures(t.Closures)
 	}
@@ -502,13 +502,13 @@
 // Describe is this daemon's own row, as told in each pull.
 func (d *Daemon) Describe() *peerapi.PullRequest {
 	request := &peerapi.PullRequest{
-		Group: string(d.Group()), NodeId: string(d.nodeID), Address: d.config.ReachedAt(), Zone: string(d.config.Zone), Serve: d.serve(),
-		Ready: !d.draining.Load(), TakesPacked: true,
+		Group: string(d.Group()), NodeId: string(d.nodeID), Address: d.config.ReachedAt(), Zone: string(d.config.Zone), Roles: d.serve(),
+		Ready: !d.draining.Load(), AcceptsCompressed: true,
 	}
 	spec, closure := d.InForce()
-	request.SpecEpoch, request.ClosureEpoch = uint64(spec), uint64(closure)
+	request.ConfigurationVersion, request.ClosureVersion = uint64(spec), uint64(closure)
 	for _, step := range d.keeper.Steps() {
-		request.Steps = append(request.Steps, &peerapi.Step{Change: step.Change, Step: step.Step, UnixMs: step.At.UnixMilli()})
+		request.Steps = append(request.Steps, &peerapi.RolloutStep{Change: step.Change, Step: step.Step, UnixMs: step.At.UnixMilli()})
 	}
 	request.Draining = d.drainingEngines()
 	return request
@@ -521,21 +521,21 @@
 		return false
 	}
 	var all []*peerapi.Demand
-	var seated []*peerapi.Seat
+	var seated []*peerapi.EngineSessions
 	snapshot := d.dispatch.Snapshot()
 	for _, demand := range snapshot.Demands {
-		all = append(all, &peerapi.Demand{Model: demand.Model, Adapter: demand.Adapter, Worth: demand.Worth, Held: int64(demand.Queued), Running: int64(demand.Running)})
+		all = append(all, &peerapi.Demand{Model: demand.Model, Adapter: demand.Adapter, Value: demand.Worth, Queued: int64(demand.Queued), Running: int64(demand.Running)})
 	}
 	all = append(all, d.forwardDemands()...)
 	for _, seat := range snapshot.Seats {
-		seated = append(seated, &peerapi.Seat{Engine: string(seat.Engine), Model: seat.Model, Adapter: seat.Adapter, Sessions: int64(seat.Sessions)})
+		seated = append(seated, &peerapi.EngineSessions{Engine: string(seat.Engine), Model: seat.Model, Adapter: seat.Adapter, Sessions: int64(seat.Sessions)})
 	}
-	waits = slices.ContainsFunc(all, func(demand *peerapi.Demand) bool { return demand.Held > 0 })
+	waits = slices.ContainsFunc(all, func(demand *peerapi.Demand) bool { return demand.Queued > 0 })
 	if onlyWaiting && !waits {
 		return false
 	}
 	message := d.wants.Next(d.clock.Elapsed(), request.PlannerAddress, all, seated)
-	request.Wants, request.WantsBase, request.Demand, request.Seats = message.Seq, message.Base, message.Demand, message.Seats
+	request.DemandVersion, request.DemandBaseVersion, request.Demand, request.Sessions = message.Seq, message.Base, message.Demand, message.Seats
 	for _, one := range d.forwardOutcomes() {
 		request.Outcomes = append(request.Outcomes, &peerapi.EngineOutcomes{Engine: string(one.Engine), Attempts: int64(one.Attempts), Failures: int64(one.Failures),
 			Refusals: int64(one.Refusals), Overdue: int64(one.Overdue)})
@@ -582,17 +582,17 @@
 	leader, term := d.leaderAndTerm()
 	// The confirmation is read before what it vouches for, which can only be newer.
 	confirmation := membership.ConfirmationOf(d.confirmed(), arrived)
-	reply := &peerapi.PullReply{Confirmation: confirmation, Group: string(d.Group()), NodeId: string(d.nodeID), LeaderAddress: leader, LeaderTerm: term, IsLeader: d.Leads(), FirstRollMsAgo: d.FirstRollAgo().Milliseconds(),
-		RowKnown: rowKnown, WantsLost: wantsLost, Plans: d.Plans(), PlannerAddress: d.members.View().PlannerAddress}
+	reply := &peerapi.PullReply{Confirmation: confirmation, Group: string(d.Group()), NodeId: string(d.nodeID), LeaderAddress: leader, LeaderTerm: term, IsLeader: d.Leads(), FirstRolloutMsAgo: d.FirstRollAgo().Milliseconds(),
+		KnownAttributesVersion: rowKnown, DemandBaseUnknown: wantsLost, IsPlanner: d.Plans(), PlannerAddress: d.members.View().PlannerAddress}
 	if t := d.keeper.Table(); t != nil {
-		reply.SpecEpoch, reply.ClosureEpoch = uint64(t.Epoch), uint64(t.Closures.Epoch)
+		reply.ConfigurationVersion, reply.ClosureVersion = uint64(t.Epoch), uint64(t.Closures.Epoch)
 		if d.tellsBundle(t.Epoch, in) {
-			reply.Spec = t.Raw
-			if t.Bundle.Packed && in.TakesPacked {
-				reply.Spec, reply.SpecPacked = t.Bundle.Data, true
+			reply.Configuration = t.Raw
+			if t.Bundle.Packed && in.AcceptsCompressed {
+				reply.Configuration, reply.ConfigurationCompressed = t.Bundle.Data, true
 			}
 		}
-		if in.ClosureEpoch < uint64(t.Closures.Epoch) {
+		if in.ClosureVersion < uint64(t.Closures.Epoch) {
 			reply.Closures = rollout.EncodeClosures(t.Closures)
 		}
 	}
@@ -619,8 +619,8 @@
 		reply.Confirmation = &peerapi.Confirmation{}
 		return
 	}
-	if len(reply.Spec) > 0 || len(reply.Closures) > 0 {
-		d.keeper.Offer(ident.Epoch(reply.SpecEpoch), compression.Bundle{Data: reply.Spec, Packed: reply.SpecPacked}, rollout.DecodeClosures(reply.Closures))
+	if len(reply.Configuration) > 0 || len(reply.Closures) > 0 {
+		d.keeper.Offer(ident.Epoch(reply.ConfigurationVersion), compression.Bundle{Data: reply.Configuration, Packed: reply.ConfigurationCompressed}, rollout.DecodeClosures(reply.Closures))
 	}
 	d.hearDraining(reply.Draining)
 	d.heardNews.draining.Store(reply.DrainingVersion)
--- a/daemon/forward.go
+++ b/daemon/forward.go
@@ -322,7 +322,7 @@
 	demands := d.forwardSide.actor.Demands()
 	out := make([]*peerapi.Demand, 0, len(demands))
 	for _, one := range demands {
-		out = append(out, &peerapi.Demand{Pool: one.Pool, Model: one.Model, Adapter: one.Adapter, Held: int64(one.Held), Running: int64(one.Running),
+		out = append(out, &peerapi.Demand{Pool: one.Pool, Model: one.Model, Adapter: one.Adapter, Queued: int64(one.Held), Running: int64(one.Running),
 			Tokens: one.Tokens, Arrivals: one.Arrivals, OldestMs: one.Oldest.Milliseconds(), Rank: int64(one.Rank)})
 	}
 	return out
--- a/daemon/held.go
+++ b/daemon/held.go
@@ -89,7 +89,7 @@
 		seen = &bundleSeen{epoch, d.clock.Elapsed()}
 		d.bundleSeen.Store(seen)
 	}
-	return uint64(epoch) > in.SpecEpoch && (!in.RegistryUrgent && !in.Beats || d.clock.Elapsed().Since(seen.at) >= bundleRest)
+	return uint64(epoch) > in.ConfigurationVersion && (!in.RegistryUrgentOnly && !in.EveryHeartbeat || d.clock.Elapsed().Since(seen.at) >= bundleRest)
 }
 
 // newsFor says whether there is anything that an asker does not know.
@@ -98,24 +98,24 @@
 	leader, term := d.leaderAndTerm()
 	planner, plans, self := d.members.View().PlannerAddress, d.Plans(), d.config.ReachedAt()
 	switch {
-	case d.tellsBundle(spec, in) || uint64(closure) > in.ClosureEpoch,
+	case d.tellsBundle(spec, in) || uint64(closure) > in.ClosureVersion,
 		// An asker that knows of a newer leader has no use for this one.
 		leader != "" && (term > in.LeaderTerm || in.LeaderAddress == ""),
 		in.Group == "" && d.Group() != "",
 		// Whoever relies on this daemon must hear at once that it can't any more, or can again.
-		in.SourceSeen == peerapi.SourceSeen_SOURCE_CONFIRMED && d.stale(),
-		in.SourceSeen == peerapi.SourceSeen_SOURCE_STALE && !d.stale(),
+		in.SourceFreshness == peerapi.SourceFreshness_SOURCE_CONFIRMED && d.stale(),
+		in.SourceFreshness == peerapi.SourceFreshness_SOURCE_STALE && !d.stale(),
 		// Numbers of another life count for nothing.
-		in.RegistryLife != string(d.nodeID) || d.registry.Urgent() > in.RegistryWhole || len(in.RegistryWanted) > 0,
-		in.MembersLife != string(d.nodeID),
+		in.RegistryIncarnation != string(d.nodeID) || d.registry.Urgent() > in.RegistryComplete || len(in.RegistryRefetch) > 0,
+		in.MembersIncarnation != string(d.nodeID),
 		d.drainingNow.Load() && d.toldNews.draining.Load() != in.DrainingVersion:
 		return urgent
 	// Of how busy engines are there is always something new; control daemons, who tell it across zones, let it wait
 	// for the end of the hold.
-	case !in.RegistryUrgent && (d.registry.Solid() > in.RegistryWhole || !in.Beats && d.registry.Newest() > in.RegistryWhole),
-		d.members.Solid() > in.MembersSeen || !in.RegistryUrgent && d.members.Changes() > in.MembersSeen,
+	case !in.RegistryUrgentOnly && (d.registry.Solid() > in.RegistryComplete || !in.EveryHeartbeat && d.registry.Newest() > in.RegistryComplete),
+		d.members.Solid() > in.MembersSeen || !in.RegistryUrgentOnly && d.members.Changes() > in.MembersSeen,
 		plans != (in.PlannerAddress == self) || in.PlannerAddress == "" && planner != "",
-		plans && d.toldNews.lacks.Load() != in.LacksVersion:
+		plans && d.toldNews.lacks.Load() != in.ShortagesVersion:
 		return ordinary
 	}
 	return nothingNew
@@ -123,13 +123,13 @@
 
 // holdBack waits until there is news for an asker, for as long as it lets its answer be held back.
 func (d *Daemon) holdBack(ctx context.Context, in *peerapi.PullRequest) {
-	hold := min(time.Duration(in.HoldMs)*time.Millisecond, mostHold)
+	hold := min(time.Duration(in.MaxWaitMs)*time.Millisecond, mostHold)
 	if hold <= 0 {
 		return
 	}
 	limit := time.NewTimer(hold)
 	defer limit.Stop()
-	gap := time.NewTimer(min(time.Duration(in.GapMs)*time.Millisecond, hold))
+	gap := time.NewTimer(min(time.Duration(in.BatchDelayMs)*time.Millisecond, hold))
 	defer gap.Stop()
 	gapPassed := false
 	for {
@@ -242,28 +242,28 @@
 // tellLacks puts what will not be loaded soon into a reply, where this daemon plans and the asker has it not.
 func (d *Daemon) tellLacks(in *peerapi.PullRequest, reply *peerapi.PullReply) {
 	held := d.heldLacks.Load()
-	if !reply.Plans || held == nil {
+	if !reply.IsPlanner || held == nil {
 		return
 	}
-	reply.LacksVersion = d.toldNews.lacks.Load()
-	if reply.LacksVersion == in.LacksVersion {
+	reply.ShortagesVersion = d.toldNews.lacks.Load()
+	if reply.ShortagesVersion == in.ShortagesVersion {
 		return
 	}
 	for _, lack := range held.lacks {
-		reply.Lacks = append(reply.Lacks, &peerapi.Lack{Model: lack.Model, Adapter: lack.Adapter, WaitMs: lack.Wait.Milliseconds()})
+		reply.Shortages = append(reply.Shortages, &peerapi.Shortage{Model: lack.Model, Adapter: lack.Adapter, WaitMs: lack.Wait.Milliseconds()})
 	}
 	for _, lack := range held.pools {
-		reply.Lacks = append(reply.Lacks, &peerapi.Lack{Pool: lack.Pool, Model: lack.Model, Adapter: lack.Adapter, WaitMs: lack.Wait.Milliseconds()})
+		reply.Shortages = append(reply.Shortages, &peerapi.Shortage{Pool: lack.Pool, Model: lack.Model, Adapter: lack.Adapter, WaitMs: lack.Wait.Milliseconds()})
 	}
 }
 
 // learnLacks takes the planner's word on what will not be loaded soon.
 func (d *Daemon) learnLacks(reply *peerapi.PullReply) {
-	if !reply.Plans || reply.LacksVersion == 0 {
+	if !reply.IsPlanner || reply.ShortagesVersion == 0 {
 		return
 	}
 	now := d.clock.Elapsed()
-	if reply.LacksVersion == d.heardNews.lacks.Load() {
+	if reply.ShortagesVersion == d.heardNews.lacks.Load() {
 		// The same as before, said again.
 		if known := d.lacks.Load(); known != nil {
 			d.lacks.Store(&heardLacks{now, known.waits})
@@ -273,20 +273,20 @@
 		}
 		return
 	}
-	lacks := make(map[dispatch.Wanted]time.Duration, len(reply.Lacks))
-	for _, lack := range reply.Lacks {
+	lacks := make(map[dispatch.Wanted]time.Duration, len(reply.Shortages))
+	for _, lack := range reply.Shortages {
 		if lack.Pool == "" {
 			lacks[dispatch.Wanted{Model: lack.Model, Adapter: lack.Adapter}] = time.Duration(lack.WaitMs) * time.Millisecond
 		}
 	}
-	d.hearPoolLacks(reply.Lacks)
+	d.hearPoolLacks(reply.Shortages)
 	d.lacks.Store(&heardLacks{now, lacks})
-	d.heardNews.lacks.Store(reply.LacksVersion)
+	d.heardNews.lacks.Store(reply.ShortagesVersion)
 }
 
 // hearWants takes what an asker holds and asks for; it says false where what that builds on is not known.
 func (d *Daemon) hearWants(in *peerapi.PullRequest) bool {
-	if in.Wants == 0 {
+	if in.DemandVersion == 0 {
 		return true
 	}
 	d.fleetMutex.Lock()
@@ -296,5 +296,5 @@
 		heard = &demand.Receiver{}
 		d.fleetWants[ident.NodeID(in.NodeId)] = heard
 	}
-	return heard.Take(d.clock.Elapsed(), demand.Message{Seq: in.Wants, Base: in.WantsBase, Demand: in.Demand, Seats: in.Seats})
+	return heard.Take(d.clock.Elapsed(), demand.Message{Seq: in.DemandVersion, Base: in.DemandBaseVersion, Demand: in.Demand, Seats: in.Sessions})
 }
--- a/daemon/held_test.go
+++ b/daemon/held_test.go
@@ -20,8 +20,8 @@
 func TestABundleIsToldOnceUnlessItsTellerFails(t *testing.T) {
 	at := &heldClock{now: minute}
 	d := &Daemon{clock: at}
-	all := &peerapi.PullRequest{SpecEpoch: 3}
-	inShort := &peerapi.PullRequest{SpecEpoch: 3, RegistryUrgent: true}
+	all := &peerapi.PullRequest{ConfigurationVersion: 3}
+	inShort := &peerapi.PullRequest{ConfigurationVersion: 3, RegistryUrgentOnly: true}
 	tells := func(epoch ident.Epoch, in *peerapi.PullRequest) bool { return d.tellsBundle(epoch, in) }
 	if tells(3, all) || tells(3, inShort) || tells(2, inShort) {
 		t.Error("what is known is told")
@@ -36,7 +36,7 @@
 	if !tells(4, inShort) {
 		t.Error("one whose teller failed is never told")
 	}
-	control := &peerapi.PullRequest{SpecEpoch: 4, Beats: true}
+	control := &peerapi.PullRequest{ConfigurationVersion: 4, EveryHeartbeat: true}
 	if tells(5, control) || tells(5, inShort) || !tells(5, all) {
 		t.Error("the next bundle is left to the teller again, and to the log")
 	}
--- a/daemon/history.go
+++ b/daemon/history.go
@@ -69,12 +69,12 @@
 	if len(fellows) == 0 {
 		return nil
 	}
-	recalled, err := d.links.To(fellows[rand.IntN(len(fellows))].Address).Recall(bounded, &peerapi.RecallRequest{Epoch: uint64(epoch)})
+	recalled, err := d.links.To(fellows[rand.IntN(len(fellows))].Address).Recall(bounded, &peerapi.RecallRequest{Version: uint64(epoch)})
 	if err != nil {
 		return nil
 	}
-	if _, faults := document.Parse(recalled.Spec); len(faults) > 0 {
+	if _, faults := document.Parse(recalled.Configuration); len(faults) > 0 {
 		return nil
 	}
-	return recalled.Spec
+	return recalled.Configuration
 }
--- a/daemon/member.go
+++ b/daemon/member.go
@@ -337,7 +337,7 @@
 				return
 			}
 			// A seed that does not answer is told by its lack of an identity.
-			identity, err := d.links.To(address).Identify(bounded, &peerapi.Nothing{})
+			identity, err := d.links.To(address).Identify(bounded, &peerapi.Empty{})
 			if err != nil {
 				identity = nil
 			}
--- a/daemon/poolplanning.go
+++ b/daemon/poolplanning.go
@@ -160,9 +160,9 @@
 		if demand.Pool == "" {
 			return
 		}
-		one := poolplacement.Demand{Pool: demand.Pool, Model: demand.Model, Adapter: demand.Adapter, Held: int(demand.Held), Running: int(demand.Running),
+		one := poolplacement.Demand{Pool: demand.Pool, Model: demand.Model, Adapter: demand.Adapter, Held: int(demand.Queued), Running: int(demand.Running),
 			Tokens: demand.Tokens * share, Arrivals: demand.Arrivals * share, Rank: int(demand.Rank)}
-		if demand.Held > 0 {
+		if demand.Queued > 0 {
 			one.Oldest = time.Duration(demand.OldestMs)*time.Millisecond + ago
 		}
 		out = append(out, one)
@@ -238,7 +238,7 @@
 }
 
 // hearPoolLacks takes the planner's word on what will not be loaded soon.
-func (d *Daemon) hearPoolLacks(lacks []*peerapi.Lack) {
+func (d *Daemon) hearPoolLacks(lacks []*peerapi.Shortage) {
 	waits := map[PoolTarget]time.Duration{}
 	for _, lack := range lacks {
 		if lack.Pool != "" {
--- a/daemon/registry.go
+++ b/daemon/registry.go
@@ -153,41 +153,41 @@
 	if !followsRegistry(in) {
 		return
 	}
-	wanted := make([]ident.EngineID, 0, len(in.RegistryWanted))
-	for _, id := range in.RegistryWanted {
+	wanted := make([]ident.EngineID, 0, len(in.RegistryRefetch))
+	for _, id := range in.RegistryRefetch {
 		wanted = append(wanted, ident.EngineID(id))
 	}
 	question := registry.Question{Cursor: cursorOf(in), Wanted: wanted}
-	if !in.Beats {
+	if !in.EveryHeartbeat {
 		// How busy far engines are is told seldom; control daemons pass it on, and so are told all.
 		question.Zone = d.members.ZoneOf(ident.NodeID(in.NodeId))
 	}
 	switch {
-	case in.RegistryUrgent:
+	case in.RegistryUrgentOnly:
 		question.Kind = registry.UrgentOnly
-	case in.Beats && d.config.Serves(daemonconfig.Control):
+	case in.EveryHeartbeat && d.config.Serves(daemonconfig.Control):
 		// Only those who may have to judge an engine's silence need to hear of each beat.
 		question.Kind = registry.WithBeats
 	}
 	difference := d.registry.Since(question)
-	reply.RegistryLife, reply.RegistrySeen, reply.RegistryWhole = difference.Life, difference.Seen, difference.Cursor.Whole
-	reply.RegistryAfresh, reply.RegistryMore = difference.Afresh, difference.More
+	reply.RegistryIncarnation, reply.RegistrySeen, reply.RegistryComplete = difference.Life, difference.Seen, difference.Cursor.Whole
+	reply.RegistryFullResync, reply.RegistryMore = difference.Afresh, difference.More
 	reply.Engines = registry.Encode(d.clock.Elapsed(), difference.Records)
 }
 
 // cursorOf is how much of this daemon's changes an asker has.
 func cursorOf(in *peerapi.PullRequest) registry.Cursor {
-	return registry.Cursor{Life: in.RegistryLife, Seen: in.RegistrySeen, Whole: in.RegistryWhole}
+	return registry.Cursor{Life: in.RegistryIncarnation, Seen: in.RegistrySeen, Whole: in.RegistryComplete}
 }
 
 // followsRegistry says whether a question is one of those that go on, or of a daemon that has lost control. A
 // look at any daemon now and then must not bring the whole registry along.
-func followsRegistry(in *peerapi.PullRequest) bool { return in.EveryMs > 0 || in.Everyone }
+func followsRegistry(in *peerapi.PullRequest) bool { return in.IntervalMs > 0 || in.AllMembers }
 
 // PullFrom asks another daemon, and takes over what it tells of engines.
 func (d *Daemon) PullFrom(ctx context.Context, address string, request *peerapi.PullRequest) (*peerapi.PullReply, error) {
 	reply, err := d.pullFrom(ctx, address, request)
-	if request.Wants > 0 && (err != nil || reply.WantsLost) {
+	if request.DemandVersion > 0 && (err != nil || reply.DemandBaseUnknown) {
 		d.wants.Lost()
 	}
 	return reply, err
@@ -198,25 +198,25 @@
 		return d.links.To(address).Pull(ctx, request)
 	}
 	peer := address
-	if request.RegistryUrgent = d.isSecond(address); request.RegistryUrgent {
+	if request.RegistryUrgentOnly = d.isSecond(address); request.RegistryUrgentOnly {
 		// What is heard in short is counted apart, so that all can be asked for when that is needed.
 		peer += " urgent"
 	}
 	cursor, wanted := d.registry.Asked(peer)
-	request.RegistryLife, request.RegistrySeen, request.RegistryWhole = cursor.Life, cursor.Seen, cursor.Whole
-	request.Beats = d.config.Serves(daemonconfig.Control)
-	request.LacksVersion, request.DrainingVersion = d.heardNews.lacks.Load(), d.heardNews.draining.Load()
+	request.RegistryIncarnation, request.RegistrySeen, request.RegistryComplete = cursor.Life, cursor.Seen, cursor.Whole
+	request.EveryHeartbeat = d.config.Serves(daemonconfig.Control)
+	request.ShortagesVersion, request.DrainingVersion = d.heardNews.lacks.Load(), d.heardNews.draining.Load()
 	for _, id := range wanted {
-		request.RegistryWanted = append(request.RegistryWanted, string(id))
+		request.RegistryRefetch = append(request.RegistryRefetch, string(id))
 	}
 	asked := d.clock.Elapsed()
 	reply, err := d.links.To(address).Pull(ctx, request)
 	if err != nil || !d.ofOurs(reply) {
 		return reply, err
 	}
-	d.registry.Learn(peer, registry.Difference{Cursor: registry.Cursor{Life: reply.RegistryLife, Seen: reply.RegistrySeen, Whole: reply.RegistryWhole},
-		Afresh: reply.RegistryAfresh, More: reply.RegistryMore, Records: registry.Decode(d.clock.Elapsed(), reply.Engines)}, wanted)
-	if !reply.RegistryMore && !request.RegistryUrgent {
+	d.registry.Learn(peer, registry.Difference{Cursor: registry.Cursor{Life: reply.RegistryIncarnation, Seen: reply.RegistrySeen, Whole: reply.RegistryComplete},
+		Afresh: reply.RegistryFullResync, More: reply.RegistryMore, Records: registry.Decode(d.clock.Elapsed(), reply.Engines)}, wanted)
+	if !reply.RegistryMore && !request.RegistryUrgentOnly {
 		d.hearsay.note(address, asked)
 	}
 	return reply, nil
--- a/daemon/routing.go
+++ b/daemon/routing.go
@@ -251,7 +251,7 @@
 func (d *Daemon) askPermit(flight *dispatch.Call, send dispatch.Send) (giveBack func(refused bool), granted bool) {
 	keeper := d.keeperOf(send.Engine)
 	request := &peerapi.PermitRequest{Engine: string(send.Engine), Id: string(d.nodeID) + "/" + strconv.FormatUint(d.permitIDs.Add(1), 10),
-		NodeId: string(d.nodeID), Seated: send.Assigned, Worth: send.Worth, Rank: int64(send.Rank), House: send.Tenant}
+		NodeId: string(d.nodeID), HasAssignment: send.Assigned, Value: send.Worth, Rank: int64(send.Rank), Tenant: send.Tenant}
 	client := peerapi.Fellow(d)
 	if keeper != "" && keeper != d.config.ReachedAt() {
 		client = d.links.To(keeper)
@@ -290,7 +290,7 @@
 		return &peerapi.PermitReply{}, nil
 	}
 	granted := d.slots.Ask(ctx, admission.Ask{ID: in.Id, Node: ident.NodeID(in.NodeId), Engine: ident.EngineID(in.Engine),
-		Bid: priority.Bid{Assigned: in.Seated, Worth: in.Worth, Rank: int(in.Rank), Tenant: in.House}, Until: d.clock.Elapsed() + clock.Mark(permitWait)})
+		Bid: priority.Bid{Assigned: in.HasAssignment, Worth: in.Value, Rank: int(in.Rank), Tenant: in.Tenant}, Until: d.clock.Elapsed() + clock.Mark(permitWait)})
 	return &peerapi.PermitReply{Granted: granted}, nil
 }
 
@@ -490,7 +490,7 @@
 		if now.Since(heard.At) < demandFresh {
 			heard.Each(now, func(demand *peerapi.Demand, _ time.Duration, _ float64) {
 				if demand.Pool == "" {
-					in.Demand = append(in.Demand, sessionplacement.Demand{Model: demand.Model, Adapter: demand.Adapter, Worth: demand.Worth, Queued: int(demand.Held), Running: int(demand.Running)})
+					in.Demand = append(in.Demand, sessionplacement.Demand{Model: demand.Model, Adapter: demand.Adapter, Worth: demand.Value, Queued: int(demand.Queued), Running: int(demand.Running)})
 				}
 			})
 		}
--- a/process/cluster/membership/freshness.go
+++ b/process/cluster/membership/freshness.go
@@ -60,15 +60,15 @@
 }
 
 // Source is how an address's news was confirmed when it was last heard.
-func (c *Core) Source(address string) peerapi.SourceSeen {
+func (c *Core) Source(address string) peerapi.SourceFreshness {
 	p := c.peers[address]
 	switch {
 	case p == nil || !p.told:
-		return peerapi.SourceSeen_SOURCE_NOT_SEEN
+		return peerapi.SourceFreshness_SOURCE_UNKNOWN
 	case p.stale:
-		return peerapi.SourceSeen_SOURCE_STALE
+		return peerapi.SourceFreshness_SOURCE_STALE
 	}
-	return peerapi.SourceSeen_SOURCE_CONFIRMED
+	return peerapi.SourceFreshness_SOURCE_CONFIRMED
 }
 
 // hearSource notes a source's word; of one that is only asked now and then nothing is kept. turned says that it was
@@ -88,7 +88,7 @@
 // WantsMembers says whether an asker is to be told where the group's members are: one that asks again and again, and to
 // whom the answering daemon's news is not confirmed. In calm that is its first question alone.
 func WantsMembers(request *peerapi.PullRequest) bool {
-	return request.SourceSeen == peerapi.SourceSeen_SOURCE_STALE || request.SourceSeen == peerapi.SourceSeen_SOURCE_NOT_SEEN && request.EveryMs > 0
+	return request.SourceFreshness == peerapi.SourceFreshness_SOURCE_STALE || request.SourceFreshness == peerapi.SourceFreshness_SOURCE_UNKNOWN && request.IntervalMs > 0
 }
 
 // mostMemberAddresses bounds the addresses of members that are believed of one source.
--- a/process/cluster/membership/freshness_test.go
+++ b/process/cluster/membership/freshness_test.go
@@ -27,7 +27,7 @@
 
 // answerFrom is a reply that took 10 ms each way, whose source was confirmed so long before the question arrived.
 func answerFrom(address string, now clock.Mark, before time.Duration, change func(*peerapi.PullReply)) Answer {
-	reply := &peerapi.PullReply{Group: "g", NodeId: address + "#1", LeaderAddress: "l1", LeaderTerm: 3, IsLeader: address == "l1", SpecEpoch: 7,
+	reply := &peerapi.PullReply{Group: "g", NodeId: address + "#1", LeaderAddress: "l1", LeaderTerm: 3, IsLeader: address == "l1", ConfigurationVersion: 7,
 		Confirmation: ConfirmationOf(ms(3600000)-clock.Mark(before), ms(3600000))}
 	if change != nil {
 		change(reply)
@@ -184,7 +184,7 @@
 func TestAStaleLeaderCantSayThatNothingEverRan(t *testing.T) {
 	for before, wanted := range map[time.Duration]bool{100 * time.Millisecond: true, 1100 * time.Millisecond: false} {
 		tracker, now := tracked()
-		tracker.Take(now, answerFrom("l1", now, before, func(r *peerapi.PullReply) { r.FirstRollMsAgo = -1 }), force)
+		tracker.Take(now, answerFrom("l1", now, before, func(r *peerapi.PullReply) { r.FirstRolloutMsAgo = -1 }), force)
 		if view := tracker.Refresh(now, Own{InForce: force}); view.BeforeAll != wanted {
 			t.Errorf("confirmed %v ago: %t", before, view.BeforeAll)
 		}
--- a/process/cluster/membership/membership.go
+++ b/process/cluster/membership/membership.go
@@ -41,7 +41,7 @@
 	SpecEpoch    ident.Epoch
 	ClosureEpoch ident.Epoch
 	Ready        bool
-	Steps        []*peerapi.Step
+	Steps        []*peerapi.RolloutStep
 }
 
 // Serves says whether the fellow has a role.
@@ -234,7 +234,7 @@
 // Run runs the actor.
 func (m *Membership) Run(ctx context.Context) {
 	described := m.fleet.Describe()
-	m.control = slices.Contains(described.Serve, controlRole)
+	m.control = slices.Contains(described.Roles, controlRole)
 	m.tracker = NewTracker(m.view.Load().Started, ident.NodeID(described.NodeId), m.self, m.control)
 	m.box.Run(ctx, pullEvery, func(event any) { m.take(ctx, event) }, func() { m.beat(ctx) })
 }
@@ -255,7 +255,7 @@
 
 // Tell puts into a reply what the asker lacks of the list of members.
 func (m *Membership) Tell(request *peerapi.PullRequest, reply *peerapi.PullReply) {
-	if !request.Everyone && request.EveryMs == 0 {
+	if !request.AllMembers && request.IntervalMs == 0 {
 		return
 	}
 	event := telling{request, make(chan *peerapi.PullReply, 1)}
@@ -264,8 +264,8 @@
 	}
 	select {
 	case told := <-event.told:
-		reply.Contacts, reply.Everyone = told.Contacts, told.Everyone
-		reply.MembersLife, reply.MembersSeen, reply.MembersAfresh = told.MembersLife, told.MembersSeen, told.MembersAfresh
+		reply.Members, reply.AllMembers = told.Members, told.AllMembers
+		reply.MembersIncarnation, reply.MembersSeen, reply.MembersFullResync = told.MembersIncarnation, told.MembersSeen, told.MembersFullResync
 	case <-m.box.Done():
 	}
 }
@@ -370,7 +370,7 @@
 	m.asking[q] = true
 	now, daemons, planner := m.clock.Elapsed(), len(m.view.Load().Fellows), m.tracker.planner
 	request := m.fleet.Describe()
-	request.RowVersion, request.Row, request.Everyone = m.row.Version, true, q.everyone
+	request.AttributesVersion, request.HasAttributes, request.AllMembers = m.row.Version, true, q.everyone
 	m.tracker.Fill(request, Question{Address: q.address, Linked: q.linked})
 	hold := time.Duration(0)
 	if q.linked {
@@ -393,7 +393,7 @@
 			hold = min(hold, m.pace.busyHold(daemons))
 		}
 		if q.linked {
-			request.HoldMs, request.GapMs, request.EveryMs = hold.Milliseconds(), gapFor(daemons).Milliseconds(), max(hold, pullEvery).Milliseconds()
+			request.MaxWaitMs, request.BatchDelayMs, request.IntervalMs = hold.Milliseconds(), gapFor(daemons).Milliseconds(), max(hold, pullEvery).Milliseconds()
 		}
 		bounded, cancel := context.WithTimeout(ctx, hold+PullTimeout)
 		defer cancel()
@@ -443,27 +443,27 @@
 const everyoneWindow = 5 * time.Second
 
 func rowOf(request *peerapi.PullRequest) Row {
-	return Row{Fellow: Fellow{NodeID: ident.NodeID(request.NodeId), Address: request.Address, Zone: ident.ZoneID(request.Zone), Serve: request.Serve,
-		SpecEpoch: ident.Epoch(request.SpecEpoch), ClosureEpoch: ident.Epoch(request.ClosureEpoch), Ready: request.Ready, Steps: request.Steps}}
+	return Row{Fellow: Fellow{NodeID: ident.NodeID(request.NodeId), Address: request.Address, Zone: ident.ZoneID(request.Zone), Serve: request.Roles,
+		SpecEpoch: ident.Epoch(request.ConfigurationVersion), ClosureEpoch: ident.Epoch(request.ClosureVersion), Ready: request.Ready, Steps: request.Steps}}
 }
 
-func encodeTold(told []Told) []*peerapi.Contact {
-	out := make([]*peerapi.Contact, 0, len(told))
+func encodeTold(told []Told) []*peerapi.Member {
+	out := make([]*peerapi.Member, 0, len(told))
 	for _, one := range told {
-		out = append(out, &peerapi.Contact{NodeId: string(one.NodeID), Address: one.Address, Zone: string(one.Zone), Serve: one.Serve, HeardMsAgo: one.Age.Milliseconds(),
-			SpecEpoch: uint64(one.SpecEpoch), ClosureEpoch: uint64(one.ClosureEpoch), Ready: one.Ready, RowVersion: one.Version,
-			Late: one.Late, Direct: one.Direct, Ended: one.Ended})
+		out = append(out, &peerapi.Member{NodeId: string(one.NodeID), Address: one.Address, Zone: string(one.Zone), Roles: one.Serve, LastContactMsAgo: one.Age.Milliseconds(),
+			ConfigurationVersion: uint64(one.SpecEpoch), ClosureVersion: uint64(one.ClosureEpoch), Ready: one.Ready, AttributesVersion: one.Version,
+			Overdue: one.Late, Direct: one.Direct, Ended: one.Ended})
 	}
 	return out
 }
 
-func decodeTold(contacts []*peerapi.Contact) []Told {
+func decodeTold(contacts []*peerapi.Member) []Told {
 	out := make([]Told, 0, len(contacts))
 	for _, contact := range contacts {
-		out = append(out, Told{Row: Row{Version: contact.RowVersion, Fellow: Fellow{NodeID: ident.NodeID(contact.NodeId), Address: contact.Address,
-			Zone: ident.ZoneID(contact.Zone), Serve: contact.Serve, SpecEpoch: ident.Epoch(contact.SpecEpoch), ClosureEpoch: ident.Epoch(contact.ClosureEpoch),
+		out = append(out, Told{Row: Row{Version: contact.AttributesVersion, Fellow: Fellow{NodeID: ident.NodeID(contact.NodeId), Address: contact.Address,
+			Zone: ident.ZoneID(contact.Zone), Serve: contact.Roles, SpecEpoch: ident.Epoch(contact.ConfigurationVersion), ClosureEpoch: ident.Epoch(contact.ClosureVersion),
 			Ready: contact.Ready}},
-			Age: time.Duration(contact.HeardMsAgo) * time.Millisecond, Late: contact.Late, Direct: contact.Direct, Ended: contact.Ended})
+			Age: time.Duration(contact.LastContactMsAgo) * time.Millisecond, Late: contact.Overdue, Direct: contact.Direct, Ended: contact.Ended})
 	}
 	return out
 }
--- a/process/cluster/membership/pace_test.go
+++ b/process/cluster/membership/pace_test.go
@@ -33,7 +33,7 @@
 }
 
 func (l *lone) Describe() *peerapi.PullRequest {
-	return &peerapi.PullRequest{Group: "g", NodeId: "self#1", Address: "self", Serve: []string{controlRole}, Ready: true, SpecEpoch: 1}
+	return &peerapi.PullRequest{Group: "g", NodeId: "self#1", Address: "self", Roles: []string{controlRole}, Ready: true, ConfigurationVersion: 1}
 }
 func (l *lone) Wants(*peerapi.PullRequest, bool) bool { return false }
 func (l *lone) InForce() (spec, closure ident.Epoch)  { return 1, 0 }
@@ -49,18 +49,18 @@
 func (l *lone) PullFrom(ctx context.Context, address string, request *peerapi.PullRequest) (*peerapi.PullReply, error) {
 	at := time.Now()
 	select {
-	case <-time.After(time.Duration(request.HoldMs) * time.Millisecond):
+	case <-time.After(time.Duration(request.MaxWaitMs) * time.Millisecond):
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if request.EveryMs > 0 {
+	if request.IntervalMs > 0 {
 		l.asked = append(l.asked, asked{at, time.Now(), request})
 	}
-	return &peerapi.PullReply{Group: "g", NodeId: "other#1", IsLeader: true, LeaderAddress: "other", LeaderTerm: 2, SpecEpoch: 1,
-		MembersLife: "other#1", MembersSeen: uint64(len(l.asked)), Contacts: []*peerapi.Contact{
-			{NodeId: "other#1", Address: "other", Serve: []string{controlRole}, RowVersion: 1, SpecEpoch: 1, Ready: true, Direct: true}}}, nil
+	return &peerapi.PullReply{Group: "g", NodeId: "other#1", IsLeader: true, LeaderAddress: "other", LeaderTerm: 2, ConfigurationVersion: 1,
+		MembersIncarnation: "other#1", MembersSeen: uint64(len(l.asked)), Members: []*peerapi.Member{
+			{NodeId: "other#1", Address: "other", Roles: []string{controlRole}, AttributesVersion: 1, ConfigurationVersion: 1, Ready: true, Direct: true}}}, nil
 }
 
 // TestABeatIsHeardOfWithinTheHold: a beat rings no bell, since it brings nothing new. That another control daemon
--- a/process/cluster/membership/size_test.go
+++ b/process/cluster/membership/size_test.go
@@ -94,7 +94,7 @@
 
 func toldBytes(b *testing.B, told []Told) int {
 	b.Helper()
-	data, err := proto.Marshal(&peerapi.PullReply{Contacts: encodeTold(told)})
+	data, err := proto.Marshal(&peerapi.PullReply{Members: encodeTold(told)})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/process/cluster/membership/tracker.go
+++ b/process/cluster/membership/tracker.go
@@ -87,14 +87,14 @@
 // Fill puts into a question what the asker knows of the group and of the daemon that it asks.
 func (t *Tracker) Fill(request *peerapi.PullRequest, question Question) {
 	request.LeaderAddress, request.LeaderTerm, request.PlannerAddress = t.view.LeaderAddress, t.view.LeaderTerm, t.planner
-	request.SourceSeen = t.members.Source(question.Address)
+	request.SourceFreshness = t.members.Source(question.Address)
 	if !question.Linked {
 		return
 	}
 	cursor, tellRow := t.members.Asked(question.Address)
-	request.MembersLife, request.MembersSeen, request.Row = cursor.Life, cursor.Seen, tellRow
+	request.MembersIncarnation, request.MembersSeen, request.HasAttributes = cursor.Life, cursor.Seen, tellRow
 	if !tellRow {
-		request.Zone, request.Serve, request.Steps = "", nil, nil
+		request.Zone, request.Roles, request.Steps = "", nil, nil
 	}
 }
 
@@ -112,14 +112,14 @@
 	if changed {
 		turned = &Turned{answer.Address, stale}
 	}
-	if word.confirmed > 0 && t.mayConfirm(answer) && force.covers(ident.Epoch(reply.SpecEpoch), ident.Epoch(reply.ClosureEpoch)) {
+	if word.confirmed > 0 && t.mayConfirm(answer) && force.covers(ident.Epoch(reply.ConfigurationVersion), ident.Epoch(reply.ClosureVersion)) {
 		t.members.Confirm(word.confirmed)
 	}
 	t.members.hearMembers(reply.MemberAddresses)
 	t.hearOfLeader(answer, word, stale)
 	t.hearOfPlanner(answer.Address, reply)
-	t.view.NewestSpec = max(t.view.NewestSpec, ident.Epoch(reply.SpecEpoch))
-	t.view.NewestClosure = max(t.view.NewestClosure, ident.Epoch(reply.ClosureEpoch))
+	t.view.NewestSpec = max(t.view.NewestSpec, ident.Epoch(reply.ConfigurationVersion))
+	t.view.NewestClosure = max(t.view.NewestClosure, ident.Epoch(reply.ClosureVersion))
 	t.learnMembers(now, answer)
 	return turned
 }
@@ -177,7 +177,7 @@
 		// One that was followed by another and has not noticed yet, or that may have been.
 	case reply.IsLeader:
 		view.HeardLeader, view.LeaderAddress, view.LeaderTerm = max(view.HeardLeader, answer.Asked), answer.Address, reply.LeaderTerm
-		ago := time.Duration(reply.FirstRollMsAgo) * time.Millisecond
+		ago := time.Duration(reply.FirstRolloutMsAgo) * time.Millisecond
 		// That there was no bundle is known only up to when a majority confirmed the leader.
 		if ago >= 0 || word.confirmed >= view.Started {
 			view.BeforeAll = view.BeforeAll || beforeAll(ago, answer.Asked.Since(view.Started))
@@ -191,7 +191,7 @@
 // hearOfPlanner takes a word on who plans. Who plans says so; others have it from there.
 func (t *Tracker) hearOfPlanner(address string, reply *peerapi.PullReply) {
 	switch {
-	case reply.Plans:
+	case reply.IsPlanner:
 		t.planner = address
 	case t.planner == address:
 		t.planner = ""
@@ -202,39 +202,39 @@
 
 func (t *Tracker) learnMembers(now clock.Mark, answer Answer) {
 	reply := answer.Reply
-	told := decodeTold(reply.Contacts)
+	told := decodeTold(reply.Members)
 	switch {
-	case reply.Everyone:
+	case reply.AllMembers:
 		t.members.LearnEveryone(now, told)
 	case answer.Linked:
-		t.members.RowKnown(answer.Address, reply.RowKnown)
+		t.members.RowKnown(answer.Address, reply.KnownAttributesVersion)
 		// It vouches for the moment of the answer, unless that lay about for long.
 		until := min(answer.Heard, answer.Asked+clock.Mark(answer.Hold+answerSlack))
-		t.members.Learn(now, answer.Address, Cursor{Life: reply.MembersLife, Seen: reply.MembersSeen}, reply.MembersAfresh, told, until)
+		t.members.Learn(now, answer.Address, Cursor{Life: reply.MembersIncarnation, Seen: reply.MembersSeen}, reply.MembersFullResync, told, until)
 	}
 }
 
 // Hear notes a question that was asked here, and gives the version of the asker's row that is known here.
 func (t *Tracker) Hear(now clock.Mark, request *peerapi.PullRequest) (known uint64) {
 	row := rowOf(request)
-	row.Version, row.Whole = request.RowVersion, request.Row
-	return t.members.Hear(now, row, time.Duration(request.EveryMs)*time.Millisecond)
+	row.Version, row.Whole = request.AttributesVersion, request.HasAttributes
+	return t.members.Hear(now, row, time.Duration(request.IntervalMs)*time.Millisecond)
 }
 
 // Tell gives what an asker lacks of the list of members.
 func (t *Tracker) Tell(now clock.Mark, request *peerapi.PullRequest) *peerapi.PullReply {
 	reply := &peerapi.PullReply{}
-	if request.Everyone {
-		reply.Contacts, reply.Everyone = encodeTold(t.members.Everyone(now, everyoneWindow)), true
+	if request.AllMembers {
+		reply.Members, reply.AllMembers = encodeTold(t.members.Everyone(now, everyoneWindow)), true
 		return reply
 	}
 	since := t.members.Since
-	if request.RegistryUrgent {
+	if request.RegistryUrgentOnly {
 		// The asker's relay tells it the rest.
 		since = t.members.SolidSince
 	}
-	told, next, afresh := since(now, Cursor{Life: request.MembersLife, Seen: request.MembersSeen})
-	reply.Contacts, reply.MembersLife, reply.MembersSeen, reply.MembersAfresh = encodeTold(told), next.Life, next.Seen, afresh
+	told, next, afresh := since(now, Cursor{Life: request.MembersIncarnation, Seen: request.MembersSeen})
+	reply.Members, reply.MembersIncarnation, reply.MembersSeen, reply.MembersFullResync = encodeTold(told), next.Life, next.Seen, afresh
 	return reply
 }
 
--- a/process/cluster/peerclient/size_test.go
+++ b/process/cluster/peerclient/size_test.go
@@ -28,7 +28,7 @@
 	asking := New(ctx, "127.0.0.1:1", "127.0.0.1:1")
 	before, calls := processorTime(b), 0
 	for b.Loop() {
-		if _, err := asking.To(listener.Addr().String()).Identify(ctx, &peerapi.Nothing{}); err != nil {
+		if _, err := asking.To(listener.Addr().String()).Identify(ctx, &peerapi.Empty{}); err != nil {
 			b.Fatal(err)
 		}
 		calls++
--- a/process/cluster/peerclient/traffic_test.go
+++ b/process/cluster/peerclient/traffic_test.go
@@ -12,7 +12,7 @@
 // answering answers one kind of call; the rest is never asked here.
 type answering struct{ peerapi.Fellow }
 
-func (answering) Identify(context.Context, *peerapi.Nothing) (*peerapi.Identity, error) {
+func (answering) Identify(context.Context, *peerapi.Empty) (*peerapi.Identity, error) {
 	return &peerapi.Identity{NodeId: "asked"}, nil
 }
 
@@ -31,7 +31,7 @@
 	asking := New(ctx, "127.0.0.1:1", "127.0.0.1:1")
 	const calls = 20
 	for range calls {
-		if _, err := asking.To(listener.Addr().String()).Identify(ctx, &peerapi.Nothing{}); err != nil {
+		if _, err := asking.To(listener.Addr().String()).Identify(ctx, &peerapi.Empty{}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -66,7 +66,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	asking := New(ctx, "127.0.0.1:1", "127.0.0.1:1")
-	if _, err := asking.To(listener.Addr().String()).Identify(ctx, &peerapi.Nothing{}); err != nil {
+	if _, err := asking.To(listener.Addr().String()).Identify(ctx, &peerapi.Empty{}); err != nil {
 		t.Fatal(err)
 	}
 	for name := range <-heads {
--- a/process/consensus/recovery/recovery.go
+++ b/process/consensus/recovery/recovery.go
@@ -46,19 +46,19 @@
 // Ask hears one daemon.
 func Ask(ctx context.Context, address string) (Witness, error) {
 	client := peerapi.NewFellowProtobufClient("http://"+address, http.DefaultClient)
-	identity, err := client.Identify(ctx, &peerapi.Nothing{})
+	identity, err := client.Identify(ctx, &peerapi.Empty{})
 	if err != nil {
 		return Witness{}, eris.Wrapf(err, "%s cannot be asked", address)
 	}
-	w := Witness{Address: address, Group: ident.GroupID(identity.Group), LeaderMsAgo: identity.LeaderMsAgo, SpecEpoch: ident.Epoch(identity.SpecEpoch),
-		TenureUntil: ident.GroupTime(identity.TenureUntilMs), Claim: ident.ClaimNumber(identity.Claim), Bundles: map[ident.Epoch][]byte{}}
+	w := Witness{Address: address, Group: ident.GroupID(identity.Group), LeaderMsAgo: identity.LeaderMsAgo, SpecEpoch: ident.Epoch(identity.ConfigurationVersion),
+		TenureUntil: ident.GroupTime(identity.LeaseUntilMs), Claim: ident.ClaimNumber(identity.Claim), Bundles: map[ident.Epoch][]byte{}}
 	for epoch := ident.Epoch(1); epoch <= w.SpecEpoch; epoch++ {
-		recalled, err := client.Recall(ctx, &peerapi.RecallRequest{Epoch: uint64(epoch)})
+		recalled, err := client.Recall(ctx, &peerapi.RecallRequest{Version: uint64(epoch)})
 		if err != nil {
 			return Witness{}, eris.Wrapf(err, "%s cannot be asked for epoch %d", address, epoch)
 		}
-		if len(recalled.Spec) > 0 {
-			w.Bundles[epoch] = recalled.Spec
+		if len(recalled.Configuration) > 0 {
+			w.Bundles[epoch] = recalled.Configuration
 		}
 		w.Closures = rollout.DecodeClosures(recalled.Closures)
 	}
--- a/process/engines/registry/fuzz_test.go
+++ b/process/engines/registry/fuzz_test.go
@@ -21,19 +21,19 @@
 		{{ID: "e", CallSeq: 3, Digest: 7, Leaving: true, Gone: true, Heard: now}},
 		{{ID: "e", Word: &word, CallSeq: 4, Plan: &Plan{Claim: 2, Turn: 3, Retiring: []Target{{"m", ""}}, Coming: []Coming{{Target{"n", ""}, now}}}}},
 	} {
-		data, err := proto.Marshal(&peerapi.PullReply{RegistryLife: "l", RegistrySeen: 3, Engines: Encode(now, records)})
+		data, err := proto.Marshal(&peerapi.PullReply{RegistryIncarnation: "l", RegistrySeen: 3, Engines: Encode(now, records)})
 		if err != nil {
 			f.Fatal(err)
 		}
 		f.Add(data)
 	}
 	// A time so long ago that it does not fit.
-	far, err := proto.Marshal(&peerapi.PullReply{Engines: []*peerapi.RegisteredEngine{{Id: "e", HeardMsAgo: 1 << 62, Worded: true, Plan: &peerapi.EnginePlan{ToldMsAgo: 1 << 61, Coming: []*peerapi.PlanTarget{{Model: "m", ReadyMs: -1 << 62}}}}}})
+	far, err := proto.Marshal(&peerapi.PullReply{Engines: []*peerapi.RegisteredEngine{{Id: "e", LastContactMsAgo: 1 << 62, HasReport: true, Plan: &peerapi.EnginePlan{AgeMs: 1 << 61, Loading: []*peerapi.PlanTarget{{Model: "m", ReadyMs: -1 << 62}}}}}})
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(far)
-	below, err := proto.Marshal(&peerapi.PullReply{Engines: []*peerapi.RegisteredEngine{{Id: "e", Worded: true, Slots: -1, LeaveMs: -2, ColdMs: -3, Plan: &peerapi.EnginePlan{Active: -1, Queued: -1, Memory: -1, MemoryUsed: -1, Weights: []*peerapi.EngineWeight{{Percent: -4}, {Percent: 400}}}}}})
+	below, err := proto.Marshal(&peerapi.PullReply{Engines: []*peerapi.RegisteredEngine{{Id: "e", HasReport: true, Slots: -1, DrainMs: -2, SlowStartMs: -3, Plan: &peerapi.EnginePlan{Active: -1, Queued: -1, Memory: -1, MemoryUsed: -1, Weights: []*peerapi.EngineWeight{{Percent: -4}, {Percent: 400}}}}}})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -64,7 +64,7 @@
 			}
 		}
 		core := NewCore("life", true, time.Second, now)
-		core.Learn(now, "peer", Difference{Cursor: Cursor{Life: reply.RegistryLife, Seen: reply.RegistrySeen}, Records: records}, nil)
+		core.Learn(now, "peer", Difference{Cursor: Cursor{Life: reply.RegistryIncarnation, Seen: reply.RegistrySeen}, Records: records}, nil)
 		core.Judge(now, time.Second, Contact{})
 		for id, e := range core.View().Engines {
 			if id == "" || e.ID != ident.EngineID(id) {
--- a/process/engines/registry/wire.go
+++ b/process/engines/registry/wire.go
@@ -31,12 +31,12 @@
 func Encode(now clock.Mark, records []Record) []*peerapi.RegisteredEngine {
 	out := make([]*peerapi.RegisteredEngine, 0, len(records))
 	for _, r := range records {
-		row := &peerapi.RegisteredEngine{Id: string(r.ID), CallSeq: r.CallSeq, Digest: r.Digest, HeardMsAgo: msSince(now, r.Heard),
-			Ends: r.Leaving, Silent: r.Silent, Gone: r.Gone}
+		row := &peerapi.RegisteredEngine{Id: string(r.ID), CallSeq: r.CallSeq, Digest: r.Digest, LastContactMsAgo: msSince(now, r.Heard),
+			Departing: r.Leaving, Unresponsive: r.Silent, Removed: r.Gone}
 		if word := r.Word; word != nil {
-			row.Worded, row.Leaving = true, word.Leaving
+			row.HasReport, row.Draining = true, word.Leaving
 			row.Pool, row.Address, row.Zone, row.Software, row.Slots = word.Pool, word.Address, string(word.Zone), word.Software, int64(word.Slots)
-			row.LeaveMs, row.ColdMs, row.Phase, row.Models = word.LeaveMs, word.ColdMs, word.Phase, encodeHeld(word.Models)
+			row.DrainMs, row.SlowStartMs, row.Phase, row.Models = word.LeaveMs, word.ColdMs, word.Phase, encodeHeld(word.Models)
 		}
 		if plan := r.Plan; plan != nil {
 			row.Plan = encodePlan(now, plan, r.Part)
@@ -54,14 +54,14 @@
 		if row.GetId() == "" {
 			continue
 		}
-		r := Record{ID: ident.EngineID(row.Id), CallSeq: row.CallSeq, Digest: row.Digest, Heard: msAgo(told, max(0, row.HeardMsAgo)),
-			Leaving: row.Ends, Silent: row.Silent, Gone: row.Gone}
-		if row.Worded {
+		r := Record{ID: ident.EngineID(row.Id), CallSeq: row.CallSeq, Digest: row.Digest, Heard: msAgo(told, max(0, row.LastContactMsAgo)),
+			Leaving: row.Departing, Silent: row.Unresponsive, Gone: row.Removed}
+		if row.HasReport {
 			r.Word = &Word{ID: r.ID, Pool: row.Pool, Address: row.Address, Zone: ident.ZoneID(row.Zone), Software: row.Software, Slots: int(counted(row.Slots)),
-				Leaving: row.Leaving, LeaveMs: counted(row.LeaveMs), ColdMs: min(counted(row.ColdMs), mostAgo.Milliseconds()), Phase: row.Phase, Models: decodeHeld(row.Models), CallSeq: row.CallSeq}
+				Leaving: row.Draining, LeaveMs: counted(row.DrainMs), ColdMs: min(counted(row.SlowStartMs), mostAgo.Milliseconds()), Phase: row.Phase, Models: decodeHeld(row.Models), CallSeq: row.CallSeq}
 		}
 		if plan := row.Plan; plan != nil {
-			r.Plan, r.Part, r.PlanDigest = decodePlan(told, plan), PlanPart(plan.Part), plan.Digest
+			r.Plan, r.Part, r.PlanDigest = decodePlan(told, plan), PlanPart(plan.Detail), plan.Digest
 		}
 		out = append(out, r)
 	}
@@ -69,11 +69,11 @@
 }
 
 func encodePlan(now clock.Mark, plan *Plan, part PlanPart) *peerapi.EnginePlan {
-	out := &peerapi.EnginePlan{Claim: uint64(plan.Claim), Turn: plan.Turn, Part: int64(part)}
+	out := &peerapi.EnginePlan{Claim: uint64(plan.Claim), Turn: plan.Turn, Detail: int64(part)}
 	if part == HeadOnly {
 		return out
 	}
-	out.Active, out.Queued, out.MemoryUsed, out.Memory, out.ToldMsAgo = int64(plan.Active), int64(plan.Queued), plan.MemoryUsed, plan.Memory, msSince(now, plan.Told)
+	out.Active, out.Queued, out.MemoryUsed, out.Memory, out.AgeMs = int64(plan.Active), int64(plan.Queued), plan.MemoryUsed, plan.Memory, msSince(now, plan.Told)
 	if part == LoadsOnly {
 		return out
 	}
@@ -82,7 +82,7 @@
 		out.Retiring = append(out.Retiring, &peerapi.PlanTarget{Model: target.Model, Adapter: target.Adapter})
 	}
 	for _, coming := range plan.Coming {
-		out.Coming = append(out.Coming, &peerapi.PlanTarget{Model: coming.Model, Adapter: coming.Adapter, ReadyMs: -msSince(now, coming.Ready)})
+		out.Loading = append(out.Loading, &peerapi.PlanTarget{Model: coming.Model, Adapter: coming.Adapter, ReadyMs: -msSince(now, coming.Ready)})
 	}
 	for _, weight := range plan.Weights {
 		out.Weights = append(out.Weights, &peerapi.EngineWeight{Zone: string(weight.Zone), Percent: int64(percent(weight.Share))})
@@ -92,14 +92,14 @@
 
 func decodePlan(told clock.Mark, plan *peerapi.EnginePlan) *Plan {
 	out := &Plan{Claim: ident.ClaimNumber(plan.Claim), Turn: plan.Turn, Active: int(counted(plan.Active)), Queued: int(counted(plan.Queued)),
-		MemoryUsed: counted(plan.MemoryUsed), Memory: counted(plan.Memory), Told: msAgo(told, max(0, plan.ToldMsAgo))}
+		MemoryUsed: counted(plan.MemoryUsed), Memory: counted(plan.Memory), Told: msAgo(told, max(0, plan.AgeMs))}
 	if plan.ModelsKnown {
 		out.Models = decodeHeld(plan.Models)
 	}
 	for _, target := range plan.Retiring {
 		out.Retiring = append(out.Retiring, Target{target.Model, target.Adapter})
 	}
-	for _, target := range plan.Coming {
+	for _, target := range plan.Loading {
 		out.Coming = append(out.Coming, Coming{Target{target.Model, target.Adapter}, msAgo(told, -target.ReadyMs)})
 	}
 	for _, weight := range plan.Weights {
@@ -108,15 +108,15 @@
 	return out
 }
 
-func encodeHeld(models []Held) []*peerapi.HeldModel {
-	out := make([]*peerapi.HeldModel, 0, len(models))
+func encodeHeld(models []Held) []*peerapi.LoadedModel {
+	out := make([]*peerapi.LoadedModel, 0, len(models))
 	for _, held := range models {
-		out = append(out, &peerapi.HeldModel{Model: held.Model, Generation: held.Generation, Adapters: held.Adapters})
+		out = append(out, &peerapi.LoadedModel{Model: held.Model, Generation: held.Generation, Adapters: held.Adapters})
 	}
 	return out
 }
 
-func decodeHeld(models []*peerapi.HeldModel) []Held {
+func decodeHeld(models []*peerapi.LoadedModel) []Held {
 	out := make([]Held, 0, len(models))
 	for _, held := range models {
 		out = append(out, Held{Model: held.Model, Generation: held.Generation, Adapters: held.Adapters})
--- a/process/placement/demand/demand.go
+++ b/process/placement/demand/demand.go
@@ -36,7 +36,7 @@
 type Message struct {
 	Seq, Base uint64
 	Demand    []*peerapi.Demand
-	Seats     []*peerapi.Seat
+	Seats     []*peerapi.EngineSessions
 }
 
 type announced struct {
@@ -55,7 +55,7 @@
 }
 
 // Next makes the next message to an address.
-func (t *Sender) Next(now clock.Mark, to string, all []*peerapi.Demand, seats []*peerapi.Seat) Message {
+func (t *Sender) Next(now clock.Mark, to string, all []*peerapi.Demand, seats []*peerapi.EngineSessions) Message {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	out := Message{Seq: t.seq + 1, Base: t.seq, Seats: seats}
@@ -95,7 +95,7 @@
 }
 
 // idle says that nothing of it waited or ran.
-func (t announced) idle() bool { return t.demand.Held == 0 && t.demand.Running == 0 }
+func (t announced) idle() bool { return t.demand.Queued == 0 && t.demand.Running == 0 }
 
 // left is the share of a rate that is left after a time.
 func left(since time.Duration) float64 { return math.Exp2(-float64(since) / float64(Half)) }
@@ -106,10 +106,10 @@
 	// That nothing runs any more is announced too, or the sum over many daemons that each ask for little would be far off;
 	// but not at once, since what was asked for a moment ago is likely to be asked for again.
 	begins, ends := was.Running == 0 && demand.Running > 0, was.Running > 0 && demand.Running == 0
-	if was.Held > 0 != (demand.Held > 0) || begins || ends && now.Since(before.at) >= endSlack || was.Worth != demand.Worth || was.Held > 0 && was.Rank != demand.Rank {
+	if was.Queued > 0 != (demand.Queued > 0) || begins || ends && now.Since(before.at) >= endSlack || was.Value != demand.Value || was.Queued > 0 && was.Rank != demand.Rank {
 		return false
 	}
-	if demand.Held > 0 {
+	if demand.Queued > 0 {
 		grown := time.Duration(was.OldestMs)*time.Millisecond + now.Since(before.at)
 		if off := time.Duration(demand.OldestMs)*time.Millisecond - grown; max(off, -off) > oldestSlack {
 			return false
@@ -117,7 +117,7 @@
 	}
 	share := left(now.Since(before.at))
 	like := func(a, b, least float64) bool { return math.Abs(a-b) <= max(least, a/4) }
-	return like(float64(was.Held), float64(demand.Held), 1) && like(float64(was.Running), float64(demand.Running), 2) &&
+	return like(float64(was.Queued), float64(demand.Queued), 1) && like(float64(was.Running), float64(demand.Running), 2) &&
 		like(was.Tokens*share, demand.Tokens, 1) && like(was.Arrivals*share, demand.Arrivals, 0.1)
 }
 
@@ -125,7 +125,7 @@
 type Receiver struct {
 	// At is when it last announced anything.
 	At    clock.Mark
-	Seats []*peerapi.Seat
+	Seats []*peerapi.EngineSessions
 	seq   uint64
 	known map[Key]announced
 }
@@ -143,7 +143,7 @@
 	}
 	h.seq, h.At, h.Seats = m.Seq, now, m.Seats
 	for _, demand := range m.Demand {
-		if demand.Held == 0 && demand.Running == 0 && demand.Tokens == 0 && demand.Arrivals == 0 {
+		if demand.Queued == 0 && demand.Running == 0 && demand.Tokens == 0 && demand.Arrivals == 0 {
 			delete(h.known, KeyOf(demand))
 			continue
 		}
--- a/process/placement/demand/demand_test.go
+++ b/process/placement/demand/demand_test.go
@@ -14,7 +14,7 @@
 )
 
 func demand(model string, held, running int64, oldest time.Duration) *peerapi.Demand {
-	return &peerapi.Demand{Pool: "p", Model: model, Held: held, Running: running, OldestMs: oldest.Milliseconds(), Tokens: float64(running) * 10, Arrivals: 1}
+	return &peerapi.Demand{Pool: "p", Model: model, Queued: held, Running: running, OldestMs: oldest.Milliseconds(), Tokens: float64(running) * 10, Arrivals: 1}
 }
 
 func gather(h *Receiver, now clock.Mark) map[string]*peerapi.Demand {
@@ -22,7 +22,7 @@
 	h.Each(now, func(one *peerapi.Demand, ago time.Duration, share float64) {
 		copied := proto.Clone(one).(*peerapi.Demand)
 		copied.Tokens, copied.Arrivals = copied.Tokens*share, copied.Arrivals*share
-		if copied.Held > 0 {
+		if copied.Queued > 0 {
 			copied.OldestMs += ago.Milliseconds()
 		}
 		out[one.Model] = copied
@@ -54,7 +54,7 @@
 			var all []*peerapi.Demand
 			for name, one := range asked {
 				one = proto.Clone(one).(*peerapi.Demand)
-				if one.Held > 0 {
+				if one.Queued > 0 {
 					one.OldestMs = now.Since(since[name]).Milliseconds()
 				}
 				all = append(all, one)
--- a/request/forwarding/size_test.go
+++ b/request/forwarding/size_test.go
@@ -29,7 +29,7 @@
 			for b.Loop() {
 				request := &peerapi.PullRequest{}
 				for _, d := range core.Demands(now) {
-					request.Demand = append(request.Demand, &peerapi.Demand{Pool: d.Pool, Model: d.Model, Adapter: d.Adapter, Held: int64(d.Held), Running: int64(d.Running), Tokens: d.Tokens, Arrivals: d.Arrivals, Rank: int64(d.Rank)})
+					request.Demand = append(request.Demand, &peerapi.Demand{Pool: d.Pool, Model: d.Model, Adapter: d.Adapter, Queued: int64(d.Held), Running: int64(d.Running), Tokens: d.Tokens, Arrivals: d.Arrivals, Rank: int64(d.Rank)})
 				}
 				data, err := proto.Marshal(request)
 				if err != nil {
--- a/testbed/partitionsim/node_test.go
+++ b/testbed/partitionsim/node_test.go
@@ -365,8 +365,8 @@
 	}
 	n.asking[q] = true
 	asked, force := n.clock(), n.force()
-	in := &peerapi.PullRequest{Group: group, NodeId: string(n.id()), Address: n.name, Zone: string(n.zone), Serve: n.serve(), Ready: true,
-		SpecEpoch: uint64(force.Spec), ClosureEpoch: uint64(force.Closure), RowVersion: 1, Row: true, Everyone: q.everyone, TakesPacked: true, Beats: n.control}
+	in := &peerapi.PullRequest{Group: group, NodeId: string(n.id()), Address: n.name, Zone: string(n.zone), Roles: n.serve(), Ready: true,
+		ConfigurationVersion: uint64(force.Spec), ClosureVersion: uint64(force.Closure), AttributesVersion: 1, HasAttributes: true, AllMembers: q.everyone, AcceptsCompressed: true, EveryHeartbeat: n.control}
 	hold := time.Duration(0)
 	if q.linked && n.view.Settled {
 		hold = edgeHold
@@ -377,13 +377,13 @@
 	about := membership.Question{Address: q.address, Linked: q.linked, Hold: hold}
 	n.tracker.Fill(in, about)
 	if q.linked {
-		in.HoldMs, in.GapMs, in.EveryMs = hold.Milliseconds(), 50, max(hold, beatEvery).Milliseconds()
-		in.RegistryUrgent = n.urgentOnly(q.address)
+		in.MaxWaitMs, in.BatchDelayMs, in.IntervalMs = hold.Milliseconds(), 50, max(hold, beatEvery).Milliseconds()
+		in.RegistryUrgentOnly = n.urgentOnly(q.address)
 	}
 	n.call(to, hold+membership.PullTimeout, func(answer func(func())) {
 		to.pulled(in, func(reply *peerapi.PullReply) {
 			answer(func() {
-				n.take(q, membership.Answer{Question: about, Asked: asked, Heard: n.clock(), Reply: reply}, in.RegistryUrgent)
+				n.take(q, membership.Answer{Question: about, Asked: asked, Heard: n.clock(), Reply: reply}, in.RegistryUrgentOnly)
 			})
 		})
 	}, func() {
@@ -399,8 +399,8 @@
 		answer.Reply = n.distort(answer)
 		reply := answer.Reply
 		before := n.force()
-		if len(reply.Spec) > 0 || len(reply.Closures) > 0 {
-			n.keeper.Offer(ident.Epoch(reply.SpecEpoch), bundleOf(reply), rollout.DecodeClosures(reply.Closures))
+		if len(reply.Configuration) > 0 || len(reply.Closures) > 0 {
+			n.keeper.Offer(ident.Epoch(reply.ConfigurationVersion), bundleOf(reply), rollout.DecodeClosures(reply.Closures))
 		}
 		if q.linked && !urgentOnly {
 			n.toldAll[q.address] = max(n.toldAll[q.address], answer.Asked)
@@ -411,7 +411,7 @@
 	}
 	force := n.force()
 	if n.w.variant == aheadOfForce && answer.Err == nil {
-		force.Spec, force.Closure = max(force.Spec, ident.Epoch(answer.Reply.SpecEpoch)), max(force.Closure, ident.Epoch(answer.Reply.ClosureEpoch))
+		force.Spec, force.Closure = max(force.Spec, ident.Epoch(answer.Reply.ConfigurationVersion)), max(force.Closure, ident.Epoch(answer.Reply.ClosureVersion))
 	}
 	if turned := n.tracker.Take(now, answer, force); turned != nil && turned.Stale {
 		n.w.left++
@@ -451,11 +451,11 @@
 func (n *node) pulled(in *peerapi.PullRequest, answer func(*peerapi.PullReply)) {
 	now := n.clock()
 	known := n.tracker.Hear(now, in)
-	held := &heldPull{in: in, arrived: now, gap: now + clock.Mark(time.Duration(in.GapMs)*time.Millisecond), end: now + clock.Mark(time.Duration(in.HoldMs)*time.Millisecond)}
-	held.answer = func(reply *peerapi.PullReply) { reply.RowKnown = known; answer(reply) }
+	held := &heldPull{in: in, arrived: now, gap: now + clock.Mark(time.Duration(in.BatchDelayMs)*time.Millisecond), end: now + clock.Mark(time.Duration(in.MaxWaitMs)*time.Millisecond)}
+	held.answer = func(reply *peerapi.PullReply) { reply.KnownAttributesVersion = known; answer(reply) }
 	n.held = append(n.held, held)
 	life := n.life
-	n.w.after(time.Duration(in.HoldMs)*time.Millisecond, func() { n.do(life, n.news) })
+	n.w.after(time.Duration(in.MaxWaitMs)*time.Millisecond, func() { n.do(life, n.news) })
 	n.news()
 }
 
@@ -478,19 +478,19 @@
 	if n.seenSpec != force.Spec || n.seenAt == 0 {
 		n.seenSpec, n.seenAt = force.Spec, n.clock()
 	}
-	return uint64(force.Spec) > in.SpecEpoch && (!in.RegistryUrgent && !in.Beats || n.clock().Since(n.seenAt) >= bundleRest)
+	return uint64(force.Spec) > in.ConfigurationVersion && (!in.RegistryUrgentOnly && !in.EveryHeartbeat || n.clock().Since(n.seenAt) >= bundleRest)
 }
 
 func (n *node) urgentFor(in *peerapi.PullRequest) bool {
 	leader, term := n.leader()
-	return n.tellsBundle(in) || uint64(n.force().Closure) > in.ClosureEpoch || leader != "" && (term > in.LeaderTerm || in.LeaderAddress == "") ||
-		in.SourceSeen == peerapi.SourceSeen_SOURCE_CONFIRMED && n.isStale() || in.SourceSeen == peerapi.SourceSeen_SOURCE_STALE && !n.isStale() ||
-		in.MembersLife != string(n.id())
+	return n.tellsBundle(in) || uint64(n.force().Closure) > in.ClosureVersion || leader != "" && (term > in.LeaderTerm || in.LeaderAddress == "") ||
+		in.SourceFreshness == peerapi.SourceFreshness_SOURCE_CONFIRMED && n.isStale() || in.SourceFreshness == peerapi.SourceFreshness_SOURCE_STALE && !n.isStale() ||
+		in.MembersIncarnation != string(n.id())
 }
 
 func (n *node) ordinaryFor(in *peerapi.PullRequest) bool {
 	members := n.tracker.Members()
-	return members.Solid() > in.MembersSeen || !in.RegistryUrgent && members.Changes() > in.MembersSeen
+	return members.Solid() > in.MembersSeen || !in.RegistryUrgentOnly && members.Changes() > in.MembersSeen
 }
 
 func (n *node) reply(held *heldPull) *peerapi.PullReply {
@@ -503,11 +503,11 @@
 	reply := &peerapi.PullReply{Group: group, NodeId: string(n.id()), LeaderAddress: leader, LeaderTerm: term, IsLeader: n.leads(),
 		Confirmation: membership.ConfirmationOf(confirmed, held.arrived)}
 	if table := n.keeper.Table(); table != nil {
-		reply.SpecEpoch, reply.ClosureEpoch = uint64(table.Epoch), uint64(table.Closures.Epoch)
+		reply.ConfigurationVersion, reply.ClosureVersion = uint64(table.Epoch), uint64(table.Closures.Epoch)
 		if n.tellsBundle(in) {
-			reply.Spec, reply.SpecPacked = table.Bundle.Data, table.Bundle.Packed
+			reply.Configuration, reply.ConfigurationCompressed = table.Bundle.Data, table.Bundle.Packed
 		}
-		if in.ClosureEpoch < uint64(table.Closures.Epoch) {
+		if in.ClosureVersion < uint64(table.Closures.Epoch) {
 			reply.Closures = rollout.EncodeClosures(table.Closures)
 		}
 	}
@@ -516,10 +516,10 @@
 			reply.MemberAddresses = append(reply.MemberAddresses, member.Address)
 		}
 	}
-	if in.Everyone || in.EveryMs > 0 {
+	if in.AllMembers || in.IntervalMs > 0 {
 		told := n.tracker.Tell(n.clock(), in)
-		reply.Contacts, reply.Everyone = told.Contacts, told.Everyone
-		reply.MembersLife, reply.MembersSeen, reply.MembersAfresh = told.MembersLife, told.MembersSeen, told.MembersAfresh
+		reply.Members, reply.AllMembers = told.Members, told.AllMembers
+		reply.MembersIncarnation, reply.MembersSeen, reply.MembersFullResync = told.MembersIncarnation, told.MembersSeen, told.MembersFullResync
 	}
 	return reply
 }
--- a/testbed/partitionsim/operators_test.go
+++ b/testbed/partitionsim/operators_test.go
@@ -26,15 +26,15 @@
 )
 
 func bundleOf(reply *peerapi.PullReply) compression.Bundle {
-	return compression.Bundle{Data: reply.Spec, Packed: reply.SpecPacked}
+	return compression.Bundle{Data: reply.Configuration, Packed: reply.ConfigurationCompressed}
 }
 
 // copyReply copies what is distorted, and shares the rest.
 func copyReply(to, from *peerapi.PullReply) {
 	to.Group, to.NodeId, to.LeaderAddress, to.LeaderTerm, to.IsLeader, to.Confirmation = from.Group, from.NodeId, from.LeaderAddress, from.LeaderTerm, from.IsLeader, from.Confirmation
-	to.SpecEpoch, to.ClosureEpoch, to.Spec, to.SpecPacked, to.Closures = from.SpecEpoch, from.ClosureEpoch, from.Spec, from.SpecPacked, from.Closures
+	to.ConfigurationVersion, to.ClosureVersion, to.Configuration, to.ConfigurationCompressed, to.Closures = from.ConfigurationVersion, from.ClosureVersion, from.Configuration, from.ConfigurationCompressed, from.Closures
 	to.MemberAddresses = from.MemberAddresses
-	to.Contacts, to.Everyone, to.MembersLife, to.MembersSeen, to.MembersAfresh, to.RowKnown = from.Contacts, from.Everyone, from.MembersLife, from.MembersSeen, from.MembersAfresh, from.RowKnown
+	to.Members, to.AllMembers, to.MembersIncarnation, to.MembersSeen, to.MembersFullResync, to.KnownAttributesVersion = from.Members, from.AllMembers, from.MembersIncarnation, from.MembersSeen, from.MembersFullResync, from.KnownAttributesVersion
 }
 
 // operator changes the configuration again and again, and sends each call until it has a clear answer.
--- a/wire/peerapi/doc.go
+++ b/wire/peerapi/doc.go
@@ -1,3 +1,3 @@
 // Package peerapi holds the messages and the twirp service that daemons speak among themselves, generated from
-// fellow.proto.
+// peer.proto.
 package peerapi
