--- a/testbed/endtoend/operator_test.go
+++ b/testbed/endtoend/operator_test.go
@@ -8,6 +8,7 @@
 	"strings"
 	"testing"
 
+	"github.com/cresspond/cresspond/configuration/closure"
 	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/process/consensus/raft"
 	"github.com/cresspond/cresspond/process/consensus/statemachine"
@@ -151,7 +152,7 @@
 // answer was lost finds itself when it is asked for again.
 func TestOfTwoClosuresOnOneBaseOneLoses(t *testing.T) {
 	b := start(t, nil, engine.Config{})
-	shut := func(zone, operator string, closed bool, base ident.Epoch) (int, operatorapi.Error) {
+	shut := func(zone, operator string, closed bool, base ident.Version) (int, operatorapi.Error) {
 		return b.answered(operatorapi.PathZone, encode(t, operatorapi.Zone{Zone: ident.ZoneID(zone), Closed: &closed, Base: &base, Operator: operator}))
 	}
 	for round := range 10 {
@@ -170,7 +171,7 @@
 		if now != base+1 {
 			t.Fatalf("round %d: from epoch %d to %d", round, base, now)
 		}
-		var closures statemachine.Closures
+		var closures closure.Set
 		b.get(operatorapi.PathClosures, &closures)
 		if round%2 == 0 && len(closures.Zones) != 1 {
 			t.Fatalf("round %d: %v are shut", round, closures.Zones)
--- a/testbed/scenario/bundles.go
+++ b/testbed/scenario/bundles.go
@@ -6,6 +6,7 @@
 	"strings"
 
 	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/rollout"
 	"github.com/cresspond/cresspond/testbed/checker"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
@@ -17,7 +18,7 @@
 
 func (r *Run) rollBody(note string, base uint64, body []byte) error {
 	id := fmt.Sprintf("%s-%d", note, r.Seed)
-	if _, err := r.Ask(operatorapi.PathPropose, operatorapi.Propose{ProposalID: id, Base: ident.Epoch(base), Operator: "ana", Spec: body}, nil); err != nil {
+	if _, err := r.Ask(operatorapi.PathPropose, operatorapi.Propose{ProposalID: id, Base: ident.Version(base), Operator: "ana", Spec: body}, nil); err != nil {
 		return err
 	}
 	return r.finishRoll(id, body)
@@ -25,7 +26,7 @@
 
 func (r *Run) finishRoll(id string, body []byte) error {
 	for _, step := range []struct{ path, operator string }{{operatorapi.PathReview, "berta"}, {operatorapi.PathSign, "chen"}, {operatorapi.PathRoll, "ana"}} {
-		var answer operatorapi.Answer
+		var answer rollout.Response
 		status, err := r.Ask(step.path, operatorapi.Act{ProposalID: id, Operator: step.operator}, &answer)
 		if err != nil {
 			return err
@@ -38,7 +39,7 @@
 }
 
 // rolled notes what a roll was answered with, and follows one that is not acknowledged until it is.
-func (r *Run) rolled(id string, status int, answer operatorapi.Answer, body []byte) {
+func (r *Run) rolled(id string, status int, answer rollout.Response, body []byte) {
 	act := checker.Act{Kind: checker.Rolled, Subject: fmt.Sprintf("epoch %d (%s), in force at %d daemons", answer.Proposal.Epoch, id, len(answer.InForceAt)),
 		Epoch: uint64(answer.Proposal.Epoch), Body: body}
 	if status == http.StatusOK {
@@ -57,7 +58,7 @@
 	for _, name := range []string{"race-a", "race-b"} {
 		id := fmt.Sprintf("%s-%d", name, r.Seed)
 		bodies[id] = r.Fleet.Deployment.Spec(name, r.without)
-		if _, err := r.Ask(operatorapi.PathPropose, operatorapi.Propose{ProposalID: id, Base: ident.Epoch(base), Operator: "ana", Spec: bodies[id]}, nil); err != nil {
+		if _, err := r.Ask(operatorapi.PathPropose, operatorapi.Propose{ProposalID: id, Base: ident.Version(base), Operator: "ana", Spec: bodies[id]}, nil); err != nil {
 			return err
 		}
 		for _, step := range []struct{ path, operator string }{{operatorapi.PathReview, "berta"}, {operatorapi.PathSign, "chen"}} {
@@ -69,7 +70,7 @@
 	type outcome struct {
 		id     string
 		status int
-		answer operatorapi.Answer
+		answer rollout.Response
 	}
 	outcomes := make(chan outcome, len(bodies))
 	for id := range bodies {
@@ -96,13 +97,13 @@
 // RefuseOnes hands in bundles that must never be in force: one with faults, one signed by its author.
 func (r *Run) RefuseOnes(base uint64) error {
 	bad := []byte(strings.Replace(string(r.Fleet.Deployment.Spec("bad", nil)), `"zones"`, `"zonen"`, 1))
-	status, err := r.Ask(operatorapi.PathPropose, operatorapi.Propose{ProposalID: "bad", Base: ident.Epoch(base), Operator: "ana", Spec: bad}, nil)
+	status, err := r.Ask(operatorapi.PathPropose, operatorapi.Propose{ProposalID: "bad", Base: ident.Version(base), Operator: "ana", Spec: bad}, nil)
 	if status != http.StatusBadRequest {
 		return fmt.Errorf("a bundle with faults was answered with %d: %w", status, err)
 	}
 	r.Act(checker.Act{Kind: checker.Refused, Subject: "a bundle with faults", Body: bad})
 	own := r.Fleet.Deployment.Spec("own", r.without)
-	if _, err := r.Ask(operatorapi.PathPropose, operatorapi.Propose{ProposalID: "own", Base: ident.Epoch(base), Operator: "ana", Spec: own}, nil); err != nil {
+	if _, err := r.Ask(operatorapi.PathPropose, operatorapi.Propose{ProposalID: "own", Base: ident.Version(base), Operator: "ana", Spec: own}, nil); err != nil {
 		return err
 	}
 	if _, err := r.Ask(operatorapi.PathReview, operatorapi.Act{ProposalID: "own", Operator: "berta"}, nil); err != nil {
