--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -136,7 +136,7 @@
 	}
 	d.replicaConfig.Voters, d.replicaConfig.Build = c.Voters, version
 	if c.Compaction.Entries > 0 {
-		d.replicaConfig.CompactEvery, d.replicaConfig.Keep = c.Compaction.Entries, c.Compaction.Keep
+		d.replicaConfig.CompactEntries, d.replicaConfig.RetainEntries = c.Compaction.Entries, c.Compaction.Keep
 	}
 	d.log = logger.WithField("node", string(d.nodeID))
 	for _, option := range options {
--- a/daemon/pull.go
+++ b/daemon/pull.go
@@ -147,7 +147,7 @@
 	if held == nil {
 		return nil
 	}
-	for _, member := range held.Condition().Members.Members {
+	for _, member := range held.Status().Membership.Members {
 		if member.Address != "" {
 			out = append(out, member.Address)
 		}
