--- a/daemon/longpoll.go
+++ b/daemon/longpoll.go
@@ -65,13 +65,13 @@
 
 // holdBack waits until there is news for an asker, for as long as it lets its answer be held back.
 func (d *Daemon) holdBack(ctx context.Context, in *peerapi.PullRequest) {
-	hold := min(time.Duration(in.HoldMs)*time.Millisecond, mostHold)
+	hold := min(time.Duration(in.MaxWaitMs)*time.Millisecond, mostHold)
 	if hold <= 0 {
 		return
 	}
 	limit := time.NewTimer(hold)
 	defer limit.Stop()
-	gap := time.NewTimer(min(time.Duration(in.GapMs)*time.Millisecond, hold))
+	gap := time.NewTimer(min(time.Duration(in.BatchDelayMs)*time.Millisecond, hold))
 	defer gap.Stop()
 	gapPassed := false
 	for {
@@ -106,24 +106,24 @@
 	leader, term := d.leaderAndTerm()
 	planner, plans, self := d.members.View().PlannerAddress, d.Plans(), d.config.ReachedAt()
 	switch {
-	case d.tellsBundle(spec, in) || uint64(closure) > in.ClosureEpoch,
+	case d.tellsBundle(spec, in) || uint64(closure) > in.ClosureVersion,
 		// An asker that knows of a newer leader has no use for this one.
 		leader != "" && (term > in.LeaderTerm || in.LeaderAddress == ""),
 		in.Group == "" && d.Group() != "",
 		// Whoever relies on this daemon must hear at once that it can't any more, or can again.
-		in.SourceSeen == peerapi.SourceSeen_SOURCE_CONFIRMED && d.stale(),
-		in.SourceSeen == peerapi.SourceSeen_SOURCE_STALE && !d.stale(),
+		in.SourceFreshness == peerapi.SourceFreshness_SOURCE_CONFIRMED && d.stale(),
+		in.SourceFreshness == peerapi.SourceFreshness_SOURCE_STALE && !d.stale(),
 		// Numbers of another life count for nothing.
-		in.RegistryLife != string(d.nodeID) || d.registry.LatestUrgentChange() > in.RegistryWhole || len(in.RegistryWanted) > 0,
-		in.MembersLife != string(d.nodeID),
+		in.RegistryIncarnation != string(d.nodeID) || d.registry.LatestUrgentChange() > in.RegistryComplete || len(in.RegistryRefetch) > 0,
+		in.MembersIncarnation != string(d.nodeID),
 		d.drainingNow.Load() && d.toldNews.draining.Load() != in.DrainingVersion:
 		return urgent
 	// Of how busy engines are there is always something new; control daemons, who tell it across zones, let it wait
 	// for the end of the hold.
-	case !in.RegistryUrgent && (d.registry.LatestNonLoadChange() > in.RegistryWhole || !in.Beats && d.registry.LatestChange() > in.RegistryWhole),
-		d.members.Solid() > in.MembersSeen || !in.RegistryUrgent && d.members.Changes() > in.MembersSeen,
+	case !in.RegistryUrgentOnly && (d.registry.LatestNonLoadChange() > in.RegistryComplete || !in.EveryHeartbeat && d.registry.LatestChange() > in.RegistryComplete),
+		d.members.Solid() > in.MembersSeen || !in.RegistryUrgentOnly && d.members.Changes() > in.MembersSeen,
 		plans != (in.PlannerAddress == self) || in.PlannerAddress == "" && planner != "",
-		plans && d.toldNews.lacks.Load() != in.LacksVersion:
+		plans && d.toldNews.lacks.Load() != in.ShortagesVersion:
 		return ordinary
 	}
 	return nothingNew
@@ -148,7 +148,7 @@
 		seen = &bundleSeen{epoch, d.clock.Elapsed()}
 		d.bundleSeen.Store(seen)
 	}
-	return uint64(epoch) > in.SpecEpoch && (!in.RegistryUrgent && !in.Beats || d.clock.Elapsed().Since(seen.at) >= bundleRest)
+	return uint64(epoch) > in.ConfigurationVersion && (!in.RegistryUrgentOnly && !in.EveryHeartbeat || d.clock.Elapsed().Since(seen.at) >= bundleRest)
 }
 
 // News wakes those whose answers are held back, when the list of members changed.
--- a/daemon/member.go
+++ b/daemon/member.go
@@ -87,7 +87,7 @@
 		}
 		line := d.log.WithError(err)
 		switch {
-		case errors.As(err, new(*replica.StateDiffersError)):
+		case errors.As(err, new(*replica.StateDivergedError)):
 			if err := store.SetAside(d.config.Data); err != nil {
 				d.log.WithError(err).Warn("the state that differs cannot be set aside yet")
 				break
@@ -176,7 +176,7 @@
 		group = ""
 	}
 	made, err := replica.New(self, group, restored, d.replicaConfig, d.clock, d.aroundDisk(life.store), d.links,
-		replica.WithChanged(d.stateChanged), replica.WithTurned(d.groupTurned), replica.WithCounters(&d.counters.group), replica.WithNoticed(d.groupNotices()), replica.WithFatal(life.end))
+		replica.WithConfigurationChangeHandler(d.stateChanged), replica.WithStatusChangeHandler(d.groupTurned), replica.WithCounters(&d.counters.group), replica.WithNoticeHandler(d.groupNotices()), replica.WithFatalHandler(life.end))
 	if err != nil {
 		return eris.Wrap(err, "the data folder cannot be read")
 	}
--- a/daemon/pull.go
+++ b/daemon/pull.go
@@ -18,13 +18,13 @@
 // Describe is this daemon's own row, as told in each pull.
 func (d *Daemon) Describe() *peerapi.PullRequest {
 	request := &peerapi.PullRequest{
-		Group: string(d.Group()), NodeId: string(d.nodeID), Address: d.config.ReachedAt(), Zone: string(d.config.Zone), Serve: d.serve(),
-		Ready: !d.draining.Load(), TakesPacked: true,
+		Group: string(d.Group()), NodeId: string(d.nodeID), Address: d.config.ReachedAt(), Zone: string(d.config.Zone), Roles: d.serve(),
+		Ready: !d.draining.Load(), AcceptsCompressed: true,
 	}
 	spec, closure := d.InForce()
-	request.SpecEpoch, request.ClosureEpoch = uint64(spec), uint64(closure)
+	request.ConfigurationVersion, request.ClosureVersion = uint64(spec), uint64(closure)
 	for _, step := range d.keeper.Steps() {
-		request.Steps = append(request.Steps, &peerapi.Step{Change: step.Change, Step: step.Step, UnixMs: step.At.UnixMilli()})
+		request.Steps = append(request.Steps, &peerapi.RolloutStep{Change: step.Change, Step: step.Step, UnixMs: step.At.UnixMilli()})
 	}
 	request.Draining = d.drainingEngines()
 	return request
@@ -55,17 +55,17 @@
 	leader, term := d.leaderAndTerm()
 	// The confirmation is read before what it vouches for, which can only be newer.
 	confirmation := membership.ConfirmationOf(d.confirmed(), arrived)
-	reply := &peerapi.PullReply{Confirmation: confirmation, Group: string(d.Group()), NodeId: string(d.nodeID), LeaderAddress: leader, LeaderTerm: term, IsLeader: d.Leads(), FirstRollMsAgo: d.FirstRollAgo().Milliseconds(),
-		RowKnown: rowKnown, WantsLost: wantsLost, Plans: d.Plans(), PlannerAddress: d.members.View().PlannerAddress}
+	reply := &peerapi.PullReply{Confirmation: confirmation, Group: string(d.Group()), NodeId: string(d.nodeID), LeaderAddress: leader, LeaderTerm: term, IsLeader: d.Leads(), FirstRolloutMsAgo: d.FirstRollAgo().Milliseconds(),
+		KnownAttributesVersion: rowKnown, DemandBaseUnknown: wantsLost, IsPlanner: d.Plans(), PlannerAddress: d.members.View().PlannerAddress}
 	if t := d.keeper.Table(); t != nil {
-		reply.SpecEpoch, reply.ClosureEpoch = uint64(t.Epoch), uint64(t.Closures.Epoch)
+		reply.ConfigurationVersion, reply.ClosureVersion = uint64(t.Epoch), uint64(t.Closures.Epoch)
 		if d.tellsBundle(t.Epoch, in) {
-			reply.Spec = t.Raw
-			if t.Bundle.Packed && in.TakesPacked {
-				reply.Spec, reply.SpecPacked = t.Bundle.Data, true
+			reply.Configuration = t.Raw
+			if t.Bundle.Packed && in.AcceptsCompressed {
+				reply.Configuration, reply.ConfigurationCompressed = t.Bundle.Data, true
 			}
 		}
-		if in.ClosureEpoch < uint64(t.Closures.Epoch) {
+		if in.ClosureVersion < uint64(t.Closures.Epoch) {
 			reply.Closures = rollout.EncodeClosures(t.Closures)
 		}
 	}
@@ -86,8 +86,8 @@
 		reply.Confirmation = &peerapi.Confirmation{}
 		return
 	}
-	if len(reply.Spec) > 0 || len(reply.Closures) > 0 {
-		d.keeper.Offer(ident.Version(reply.SpecEpoch), compression.Bundle{Data: reply.Spec, Packed: reply.SpecPacked}, rollout.DecodeClosures(reply.Closures))
+	if len(reply.Configuration) > 0 || len(reply.Closures) > 0 {
+		d.keeper.Offer(ident.Version(reply.ConfigurationVersion), compression.Bundle{Data: reply.Configuration, Packed: reply.ConfigurationCompressed}, rollout.DecodeClosures(reply.Closures))
 	}
 	d.hearDraining(reply.Draining)
 	d.heardNews.draining.Store(reply.DrainingVersion)
@@ -97,7 +97,7 @@
 // PullFrom asks another daemon, and takes over what it tells of engines.
 func (d *Daemon) PullFrom(ctx context.Context, address string, request *peerapi.PullRequest) (*peerapi.PullReply, error) {
 	reply, err := d.pullFrom(ctx, address, request)
-	if request.Wants > 0 && (err != nil || reply.WantsLost) {
+	if request.DemandVersion > 0 && (err != nil || reply.DemandBaseUnknown) {
 		d.wants.Lost()
 	}
 	return reply, err
@@ -108,25 +108,25 @@
 		return d.links.To(address).Pull(ctx, request)
 	}
 	peer := address
-	if request.RegistryUrgent = d.isSecond(address); request.RegistryUrgent {
+	if request.RegistryUrgentOnly = d.isSecond(address); request.RegistryUrgentOnly {
 		// What is heard in short is counted apart, so that all can be asked for when that is needed.
 		peer += " urgent"
 	}
 	cursor, wanted := d.registry.NextRequest(peer)
-	request.RegistryLife, request.RegistrySeen, request.RegistryWhole = cursor.Incarnation, cursor.Seen, cursor.Complete
-	request.Beats = d.config.Serves(daemonconfig.Control)
-	request.LacksVersion, request.DrainingVersion = d.heardNews.lacks.Load(), d.heardNews.draining.Load()
+	request.RegistryIncarnation, request.RegistrySeen, request.RegistryComplete = cursor.Incarnation, cursor.Seen, cursor.Complete
+	request.EveryHeartbeat = d.config.Serves(daemonconfig.Control)
+	request.ShortagesVersion, request.DrainingVersion = d.heardNews.lacks.Load(), d.heardNews.draining.Load()
 	for _, id := range wanted {
-		request.RegistryWanted = append(request.RegistryWanted, string(id))
+		request.RegistryRefetch = append(request.RegistryRefetch, string(id))
 	}
 	asked := d.clock.Elapsed()
 	reply, err := d.links.To(address).Pull(ctx, request)
 	if err != nil || !d.ofOurs(reply) {
 		return reply, err
 	}
-	d.registry.ApplyDelta(peer, registry.Delta{Cursor: registry.Cursor{Incarnation: reply.RegistryLife, Seen: reply.RegistrySeen, Complete: reply.RegistryWhole},
-		FullResync: reply.RegistryAfresh, More: reply.RegistryMore, Records: registry.Decode(d.clock.Elapsed(), reply.Engines)}, wanted)
-	if !reply.RegistryMore && !request.RegistryUrgent {
+	d.registry.ApplyDelta(peer, registry.Delta{Cursor: registry.Cursor{Incarnation: reply.RegistryIncarnation, Seen: reply.RegistrySeen, Complete: reply.RegistryComplete},
+		FullResync: reply.RegistryFullResync, More: reply.RegistryMore, Records: registry.Decode(d.clock.Elapsed(), reply.Engines)}, wanted)
+	if !reply.RegistryMore && !request.RegistryUrgentOnly {
 		d.hearsay.note(address, asked)
 	}
 	return reply, nil
@@ -147,7 +147,7 @@
 	if held == nil {
 		return nil
 	}
-	for _, member := range held.Condition().Members.Members {
+	for _, member := range held.Status().Membership.Members {
 		if member.Address != "" {
 			out = append(out, member.Address)
 		}
@@ -176,4 +176,4 @@
 
 // followsRegistry says whether a question is one of those that go on, or of a daemon that has lost control. A
 // look at any daemon now and then must not bring the whole registry along.
-func followsRegistry(in *peerapi.PullRequest) bool { return in.EveryMs > 0 || in.Everyone }
+func followsRegistry(in *peerapi.PullRequest) bool { return in.IntervalMs > 0 || in.AllMembers }
--- a/daemon/rehoming.go
+++ b/daemon/rehoming.go
@@ -90,7 +90,7 @@
 	}
 	d.rehomeSeats(ctx, before, after)
 	oldAddresses, newAddresses := addressesOf(before), addressesOf(after)
-	batches, wholes := map[string][]*peerapi.AttemptMemory{}, map[string]bool{}
+	batches, wholes := map[string][]*peerapi.AttemptRecord{}, map[string]bool{}
 	young, self := d.young(), d.config.ReachedAt()
 	d.attempts.Do(func(now clock.Mark, memory *deduplication.Memory) {
 		memory.Each(func(attempt string, entry deduplication.Entry) {
@@ -98,7 +98,7 @@
 				if home == self {
 					continue
 				}
-				batches[home] = append(batches[home], &peerapi.AttemptMemory{Attempt: attempt, Owner: entry.Owner, Digest: entry.Digest,
+				batches[home] = append(batches[home], &peerapi.AttemptRecord{Attempt: attempt, Owner: entry.Owner, Digest: entry.Digest,
 					AgeMs: now.Since(entry.At).Milliseconds(), Refused: entry.Refused})
 			}
 		})
@@ -115,7 +115,7 @@
 		for part := range slices.Chunk(batch, rememberAtOnce) {
 			bounded, cancel := context.WithTimeout(ctx, time.Second)
 			// A home that misses this is not the only one that knows.
-			_, err := d.links.To(home).Remember(bounded, &peerapi.Attempts{Attempts: part})
+			_, err := d.links.To(home).Remember(bounded, &peerapi.RememberRequest{Attempts: part})
 			cancel()
 			told = told && err == nil
 			d.counters.attemptsMoved.Add(uint64(len(part)))
@@ -123,7 +123,7 @@
 		if told && wholes[home] {
 			bounded, cancel := context.WithTimeout(ctx, time.Second)
 			// One that misses this counts as young for some seconds more.
-			_, _ = d.links.To(home).Remember(bounded, &peerapi.Attempts{From: self, Whole: true})
+			_, _ = d.links.To(home).Remember(bounded, &peerapi.RememberRequest{From: self, Complete: true})
 			cancel()
 		}
 	}
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -30,16 +30,16 @@
 		out.WorkerID = &number
 	}
 	if held := d.replica.Load(); held != nil {
-		condition := held.Condition()
-		out.Raft = &operatorapi.RaftStatus{Role: condition.Role.String(), Term: uint64(condition.Term), Commit: uint64(condition.Commit), Stalled: condition.Stalled,
-			Applied: uint64(condition.Applied), StateDigest: digestText(condition.Digest)}
+		condition := held.Status()
+		out.Raft = &operatorapi.RaftStatus{Role: condition.Role.String(), Term: uint64(condition.Term), Commit: uint64(condition.CommitIndex), Stalled: condition.DiskStalled,
+			Applied: uint64(condition.AppliedIndex), StateDigest: digestText(condition.Digest)}
 		if folder := d.held(); folder != nil {
-			self, _ := condition.Members.Find(folder.Member)
+			self, _ := condition.Membership.Find(folder.Member)
 			out.Raft.Voter = self.Voter
 		}
-		for _, member := range condition.Members.Members {
+		for _, member := range condition.Membership.Members {
 			out.Raft.Members = append(out.Raft.Members, operatorapi.RaftMember{Name: member.Name, Address: member.Address, Voter: member.Voter,
-				Differs: slices.Contains(condition.Differing, member.ID)})
+				Differs: slices.Contains(condition.DivergentMembers, member.ID)})
 		}
 	}
 	if d.config.Serves(daemonconfig.Place) {
