--- a/daemon/groupidentity.go
+++ b/daemon/groupidentity.go
@@ -70,13 +70,13 @@
 		}
 	}
 	if t := d.keeper.Table(); t != nil {
-		out.SpecEpoch, out.ClosureEpoch = uint64(t.Epoch), uint64(t.Closures.Epoch)
+		out.ConfigurationVersion, out.ClosureVersion = uint64(t.Epoch), uint64(t.Closures.Epoch)
 	}
 	out.LeaderMsAgo = -1
 	if heard := d.members.View().HeardLeader; heard > 0 {
 		out.LeaderMsAgo = d.clock.Elapsed().Since(heard).Milliseconds()
 	}
-	out.TenureUntilMs = int64(d.generator.Ceiling())
+	out.LeaseUntilMs = int64(d.generator.Ceiling())
 	if d.config.Serves(daemonconfig.Place) {
 		out.Claim = uint64(max(d.placer.Condition().Claim, d.pools.condition().Claim))
 	}
@@ -84,6 +84,6 @@
 }
 
 // Identify says who this is.
-func (d *Daemon) Identify(context.Context, *peerapi.Nothing) (*peerapi.Identity, error) {
+func (d *Daemon) Identify(context.Context, *peerapi.Empty) (*peerapi.Identity, error) {
 	return d.identity(), nil
 }
--- a/daemon/joingroup.go
+++ b/daemon/joingroup.go
@@ -40,7 +40,7 @@
 		return out
 	}
 	out = slices.Clip(out)
-	for _, member := range held.Condition().Members.Members {
+	for _, member := range held.Status().Membership.Members {
 		if member.Address != "" && !slices.Contains(out, member.Address) {
 			out = append(out, member.Address)
 		}
@@ -120,7 +120,7 @@
 				return
 			}
 			// A seed that does not answer is told by its lack of an identity.
-			identity, err := d.links.To(address).Identify(bounded, &peerapi.Nothing{})
+			identity, err := d.links.To(address).Identify(bounded, &peerapi.Empty{})
 			if err != nil {
 				identity = nil
 			}
@@ -150,8 +150,8 @@
 	ticker := time.NewTicker(joinEvery)
 	defer ticker.Stop()
 	for {
-		condition := made.Condition()
-		member, known := condition.Members.Find(self.ID)
+		condition := made.Status()
+		member, known := condition.Membership.Find(self.ID)
 		leader := d.members.View().LeaderAddress
 		if d.draining.Load() {
 			// While it goes on, another that stands ready may take its place.
@@ -188,14 +188,14 @@
 		return nil, err
 	}
 	held := d.replica.Load()
-	if held == nil || !held.Condition().Leads {
+	if held == nil || !held.Status().IsLeader {
 		return d.redirect(), nil
 	}
 	if in.MemberId == 0 || in.Name == "" || in.Address == "" || in.Group == "" {
 		return nil, twirp.NewError(twirp.InvalidArgument, "a member needs an identity, a name and an address")
 	}
 	if in.Leaving {
-		if held.Leave(ctx, raft.MemberID(in.MemberId)) {
+		if held.AnnounceLeaving(ctx, raft.MemberID(in.MemberId)) {
 			return &peerapi.SubmitReply{Outcome: string(replica.Applied)}, nil
 		}
 		// It was heard, and is not to end yet.
--- a/daemon/raftservice.go
+++ b/daemon/raftservice.go
@@ -12,7 +12,7 @@
 )
 
 // Raft takes raft messages.
-func (d *Daemon) Raft(_ context.Context, in *peerapi.RaftBatch) (*peerapi.Nothing, error) {
+func (d *Daemon) Raft(_ context.Context, in *peerapi.RaftBatch) (*peerapi.Empty, error) {
 	messages, sound := raftcodec.Decode(in.Messages)
 	if !sound || in.Group == "" {
 		d.counters.garbage.Add(1)
@@ -37,8 +37,8 @@
 				break
 			}
 		}
-		return &peerapi.Nothing{}, nil
+		return &peerapi.Empty{}, nil
 	}
 	held.Receive(ident.GroupID(in.Group), in.Address, messages)
-	return &peerapi.Nothing{}, nil
+	return &peerapi.Empty{}, nil
 }
--- a/daemon/workerlease.go
+++ b/daemon/workerlease.go
@@ -17,7 +17,7 @@
 func (d *Daemon) runTenancy(ctx context.Context) {
 	// Nothing can be held before a worker id is, so a fresh daemon looks often whether there is a leader to ask yet.
 	const beat, freshBeat = 250 * time.Millisecond, 50 * time.Millisecond
-	renewEvery := d.replicaConfig.Tenure / 3
+	renewEvery := d.replicaConfig.WorkerLease / 3
 	ticker := time.NewTicker(freshBeat)
 	defer ticker.Stop()
 	var renewed clock.Mark
--- a/process/consensus/recovery/recovery.go
+++ b/process/consensus/recovery/recovery.go
@@ -11,6 +11,7 @@
 
 	"github.com/rotisserie/eris"
 
+	"github.com/cresspond/cresspond/configuration/closure"
 	"github.com/cresspond/cresspond/configuration/document"
 	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/process/consensus/raft"
@@ -28,7 +29,7 @@
 	LeaderMsAgo int64
 	SpecEpoch   ident.Version
 	Bundles     map[ident.Version][]byte
-	Closures    *statemachine.Closures
+	Closures    *closure.Set
 	TenureUntil ident.GroupTime
 	Claim       ident.FencingToken
 }
@@ -46,19 +47,19 @@
 // Ask hears one daemon.
 func Ask(ctx context.Context, address string) (Witness, error) {
 	client := peerapi.NewFellowProtobufClient("http://"+address, http.DefaultClient)
-	identity, err := client.Identify(ctx, &peerapi.Nothing{})
+	identity, err := client.Identify(ctx, &peerapi.Empty{})
 	if err != nil {
 		return Witness{}, eris.Wrapf(err, "%s cannot be asked", address)
 	}
-	w := Witness{Address: address, Group: ident.GroupID(identity.Group), LeaderMsAgo: identity.LeaderMsAgo, SpecEpoch: ident.Version(identity.SpecEpoch),
-		TenureUntil: ident.GroupTime(identity.TenureUntilMs), Claim: ident.FencingToken(identity.Claim), Bundles: map[ident.Version][]byte{}}
+	w := Witness{Address: address, Group: ident.GroupID(identity.Group), LeaderMsAgo: identity.LeaderMsAgo, SpecEpoch: ident.Version(identity.ConfigurationVersion),
+		TenureUntil: ident.GroupTime(identity.LeaseUntilMs), Claim: ident.FencingToken(identity.Claim), Bundles: map[ident.Version][]byte{}}
 	for epoch := ident.Version(1); epoch <= w.SpecEpoch; epoch++ {
-		recalled, err := client.Recall(ctx, &peerapi.RecallRequest{Epoch: uint64(epoch)})
+		recalled, err := client.Recall(ctx, &peerapi.RecallRequest{Version: uint64(epoch)})
 		if err != nil {
 			return Witness{}, eris.Wrapf(err, "%s cannot be asked for epoch %d", address, epoch)
 		}
-		if len(recalled.Spec) > 0 {
-			w.Bundles[epoch] = recalled.Spec
+		if len(recalled.Configuration) > 0 {
+			w.Bundles[epoch] = recalled.Configuration
 		}
 		w.Closures = rollout.DecodeClosures(recalled.Closures)
 	}
--- a/process/engines/registry/wire.go
+++ b/process/engines/registry/wire.go
@@ -31,12 +31,12 @@
 func Encode(now clock.Mark, records []Record) []*peerapi.RegisteredEngine {
 	out := make([]*peerapi.RegisteredEngine, 0, len(records))
 	for _, r := range records {
-		row := &peerapi.RegisteredEngine{Id: string(r.ID), CallSeq: r.CallSeq, Digest: r.Digest, HeardMsAgo: millisecondsSince(now, r.LastHeartbeat),
-			Ends: r.Draining, Silent: r.TimedOut, Gone: r.Deregistered}
+		row := &peerapi.RegisteredEngine{Id: string(r.ID), CallSeq: r.CallSeq, Digest: r.Digest, LastContactMsAgo: millisecondsSince(now, r.LastHeartbeat),
+			Departing: r.Draining, Unresponsive: r.TimedOut, Removed: r.Deregistered}
 		if registration := r.Registration; registration != nil {
-			row.Worded, row.Leaving = true, registration.Draining
+			row.HasReport, row.Draining = true, registration.Draining
 			row.Pool, row.Address, row.Zone, row.Software, row.Slots = registration.Pool, registration.Address, string(registration.Zone), registration.Software, int64(registration.Slots)
-			row.LeaveMs, row.ColdMs, row.Phase, row.Models = registration.TerminatesInMs, registration.SlowStartMs, registration.Phase, encodeModels(registration.Models)
+			row.DrainMs, row.SlowStartMs, row.Phase, row.Models = registration.TerminatesInMs, registration.SlowStartMs, registration.Phase, encodeModels(registration.Models)
 		}
 		if plan := r.Plan; plan != nil {
 			row.Plan = encodePlan(now, plan, r.PlanExtent)
@@ -54,14 +54,14 @@
 		if row.GetId() == "" {
 			continue
 		}
-		r := Record{ID: ident.EngineID(row.Id), CallSeq: row.CallSeq, Digest: row.Digest, LastHeartbeat: momentAgo(received, max(0, row.HeardMsAgo)),
-			Draining: row.Ends, TimedOut: row.Silent, Deregistered: row.Gone}
-		if row.Worded {
+		r := Record{ID: ident.EngineID(row.Id), CallSeq: row.CallSeq, Digest: row.Digest, LastHeartbeat: momentAgo(received, max(0, row.LastContactMsAgo)),
+			Draining: row.Departing, TimedOut: row.Unresponsive, Deregistered: row.Removed}
+		if row.HasReport {
 			r.Registration = &Registration{ID: r.ID, Pool: row.Pool, Address: row.Address, Zone: ident.ZoneID(row.Zone), Software: row.Software, Slots: int(clampCount(row.Slots)),
-				Draining: row.Leaving, TerminatesInMs: clampCount(row.LeaveMs), SlowStartMs: min(clampCount(row.ColdMs), maxElapsed.Milliseconds()), Phase: row.Phase, Models: decodeModels(row.Models), CallSeq: row.CallSeq}
+				Draining: row.Draining, TerminatesInMs: clampCount(row.DrainMs), SlowStartMs: min(clampCount(row.SlowStartMs), maxElapsed.Milliseconds()), Phase: row.Phase, Models: decodeModels(row.Models), CallSeq: row.CallSeq}
 		}
 		if plan := row.Plan; plan != nil {
-			r.Plan, r.PlanExtent, r.PlanDigest = decodePlan(received, plan), PlanExtent(plan.Part), plan.Digest
+			r.Plan, r.PlanExtent, r.PlanDigest = decodePlan(received, plan), PlanExtent(plan.Detail), plan.Digest
 		}
 		out = append(out, r)
 	}
@@ -69,11 +69,11 @@
 }
 
 func encodePlan(now clock.Mark, plan *Plan, part PlanExtent) *peerapi.EnginePlan {
-	out := &peerapi.EnginePlan{Claim: uint64(plan.Claim), Turn: plan.Sequence, Part: int64(part)}
+	out := &peerapi.EnginePlan{Claim: uint64(plan.Claim), Turn: plan.Sequence, Detail: int64(part)}
 	if part == VersionOnly {
 		return out
 	}
-	out.Active, out.Queued, out.MemoryUsed, out.Memory, out.ToldMsAgo = int64(plan.Active), int64(plan.Queued), plan.MemoryUsed, plan.Memory, millisecondsSince(now, plan.Received)
+	out.Active, out.Queued, out.MemoryUsed, out.Memory, out.AgeMs = int64(plan.Active), int64(plan.Queued), plan.MemoryUsed, plan.Memory, millisecondsSince(now, plan.Received)
 	if part == LoadsOnly {
 		return out
 	}
@@ -82,7 +82,7 @@
 		out.Retiring = append(out.Retiring, &peerapi.PlanTarget{Model: target.Model, Adapter: target.Adapter})
 	}
 	for _, coming := range plan.PendingLoads {
-		out.Coming = append(out.Coming, &peerapi.PlanTarget{Model: coming.Model, Adapter: coming.Adapter, ReadyMs: -millisecondsSince(now, coming.Ready)})
+		out.Loading = append(out.Loading, &peerapi.PlanTarget{Model: coming.Model, Adapter: coming.Adapter, ReadyMs: -millisecondsSince(now, coming.Ready)})
 	}
 	for _, weight := range plan.Weights {
 		out.Weights = append(out.Weights, &peerapi.EngineWeight{Zone: string(weight.Zone), Percent: int64(percent(weight.Share))})
@@ -92,14 +92,14 @@
 
 func decodePlan(received clock.Mark, plan *peerapi.EnginePlan) *Plan {
 	out := &Plan{Claim: ident.FencingToken(plan.Claim), Sequence: plan.Turn, Active: int(clampCount(plan.Active)), Queued: int(clampCount(plan.Queued)),
-		MemoryUsed: clampCount(plan.MemoryUsed), Memory: clampCount(plan.Memory), Received: momentAgo(received, max(0, plan.ToldMsAgo))}
+		MemoryUsed: clampCount(plan.MemoryUsed), Memory: clampCount(plan.Memory), Received: momentAgo(received, max(0, plan.AgeMs))}
 	if plan.ModelsKnown {
 		out.Models = decodeModels(plan.Models)
 	}
 	for _, target := range plan.Retiring {
 		out.Retiring = append(out.Retiring, Target{target.Model, target.Adapter})
 	}
-	for _, target := range plan.Coming {
+	for _, target := range plan.Loading {
 		out.PendingLoads = append(out.PendingLoads, PendingLoad{Target{target.Model, target.Adapter}, momentAgo(received, -target.ReadyMs)})
 	}
 	for _, weight := range plan.Weights {
@@ -108,15 +108,15 @@
 	return out
 }
 
-func encodeModels(models []LoadedModel) []*peerapi.HeldModel {
-	out := make([]*peerapi.HeldModel, 0, len(models))
+func encodeModels(models []LoadedModel) []*peerapi.LoadedModel {
+	out := make([]*peerapi.LoadedModel, 0, len(models))
 	for _, loaded := range models {
-		out = append(out, &peerapi.HeldModel{Model: loaded.Model, Generation: loaded.Generation, Adapters: loaded.Adapters})
+		out = append(out, &peerapi.LoadedModel{Model: loaded.Model, Generation: loaded.Generation, Adapters: loaded.Adapters})
 	}
 	return out
 }
 
-func decodeModels(models []*peerapi.HeldModel) []LoadedModel {
+func decodeModels(models []*peerapi.LoadedModel) []LoadedModel {
 	out := make([]LoadedModel, 0, len(models))
 	for _, loaded := range models {
 		out = append(out, LoadedModel{Model: loaded.Model, Generation: loaded.Generation, Adapters: loaded.Adapters})
--- a/testbed/partitionsim/operators_test.go
+++ b/testbed/partitionsim/operators_test.go
@@ -26,15 +26,15 @@
 )
 
 func bundleOf(reply *peerapi.PullReply) compression.Bundle {
-	return compression.Bundle{Data: reply.Spec, Packed: reply.SpecPacked}
+	return compression.Bundle{Data: reply.Configuration, Packed: reply.ConfigurationCompressed}
 }
 
 // copyReply copies what is distorted, and shares the rest.
 func copyReply(to, from *peerapi.PullReply) {
 	to.Group, to.NodeId, to.LeaderAddress, to.LeaderTerm, to.IsLeader, to.Confirmation = from.Group, from.NodeId, from.LeaderAddress, from.LeaderTerm, from.IsLeader, from.Confirmation
-	to.SpecEpoch, to.ClosureEpoch, to.Spec, to.SpecPacked, to.Closures = from.SpecEpoch, from.ClosureEpoch, from.Spec, from.SpecPacked, from.Closures
+	to.ConfigurationVersion, to.ClosureVersion, to.Configuration, to.ConfigurationCompressed, to.Closures = from.ConfigurationVersion, from.ClosureVersion, from.Configuration, from.ConfigurationCompressed, from.Closures
 	to.MemberAddresses = from.MemberAddresses
-	to.Contacts, to.Everyone, to.MembersLife, to.MembersSeen, to.MembersAfresh, to.RowKnown = from.Contacts, from.Everyone, from.MembersLife, from.MembersSeen, from.MembersAfresh, from.RowKnown
+	to.Members, to.AllMembers, to.MembersIncarnation, to.MembersSeen, to.MembersFullResync, to.KnownAttributesVersion = from.Members, from.AllMembers, from.MembersIncarnation, from.MembersSeen, from.MembersFullResync, from.KnownAttributesVersion
 }
 
 // operator changes the configuration again and again, and sends each call until it has a clear answer.
@@ -157,7 +157,7 @@
 // lead carries a call out at whoever takes itself for the leader.
 func (n *node) lead(call operatorapi.Apply, answer func(operatorapi.Applying, replica.Outcome)) {
 	life := n.life
-	n.read(func(read replica.Answer) {
+	n.read(func(read replica.Response) {
 		if read.Outcome != replica.Applied {
 			answer(operatorapi.Applying{}, read.Outcome)
 			return
@@ -171,7 +171,7 @@
 					answer(decision.Answer, replica.Applied)
 					return
 				}
-				n.submitHere(*decision.Submit, func(got replica.Answer) {
+				n.submitHere(*decision.Submit, func(got replica.Response) {
 					answer(directapply.After(got.Result), got.Outcome)
 				})
 			})
@@ -204,8 +204,8 @@
 	newest := w.newestAcked(asked).Spec
 	to.do(to.life, func() {
 		arrived := w.now
-		seen := func(source *node) func(replica.Answer) {
-			return func(answer replica.Answer) {
+		seen := func(source *node) func(replica.Response) {
+			return func(answer replica.Response) {
 				if answer.Outcome == replica.Applied {
 					w.sawRead(to, source, asked, arrived, newest, answer.State.Epoch())
 				}
@@ -225,7 +225,7 @@
 				back(func() {})
 				return
 			}
-			leader.read(func(answer replica.Answer) {
+			leader.read(func(answer replica.Response) {
 				got := answer
 				epoch := ident.Version(0)
 				if got.Outcome == replica.Applied {
