--- a/daemon/admitcallers.go
+++ b/daemon/admitcallers.go
@@ -6,23 +6,23 @@
 
 // acceptLimit is how long a fresh daemon lets callers wait to be accepted at most: less than the second that they
 // wait for their request to be read.
-const acceptLimit = 900 * time.Millisecond
+const callerGateLimit = 900 * time.Millisecond
 
 // admitCallers opens the door to callers once there is what it takes to serve and to hold their requests.
 func (d *Daemon) admitCallers() {
 	if d.forwardIndex() != nil && d.generator.Held() && len(d.registry.View().Engines) > 0 {
-		d.callers.open()
+		d.callerGate.open()
 	}
 }
 
 // callerRest is how long callers may leave a kept connection at rest, by the bundle in force.
-func (d *Daemon) callerRest() time.Duration {
+func (d *Daemon) callerKeepAlive() time.Duration {
 	index := d.forwardIndex()
 	if index == nil {
 		return 0
 	}
-	return min(time.Duration(index.Section.Limits.IdleTimeoutMs)*time.Millisecond, mostRest)
+	return min(time.Duration(index.Section.Limits.IdleTimeoutMs)*time.Millisecond, maxKeepAlive)
 }
 
 // mostRest bounds what a bundle may say.
-const mostRest = 10 * time.Minute
+const maxKeepAlive = 10 * time.Minute
--- a/daemon/applybundle.go
+++ b/daemon/applybundle.go
@@ -28,9 +28,9 @@
 	// applyMargin is left for the answer's way back.
 	applyMargin = 60 * time.Millisecond
 	// mostDigest bounds the digest of a call that another daemon passes on.
-	mostDigest = 256
+	maxDigestBytes = 256
 	// applyAgain is how soon a leader is looked for again.
-	applyAgain = 50 * time.Millisecond
+	applyRetryEvery = 50 * time.Millisecond
 )
 
 // WithApplyLimits replaces how long a call to apply a bundle may take, and how much of that it waits for
@@ -44,12 +44,12 @@
 func (d *Daemon) ApplyBundle(ctx context.Context, call operatorapi.Apply) operatorapi.Applying {
 	bounded, cancel := context.WithTimeout(ctx, d.applyLimit)
 	defer cancel()
-	ticker := time.NewTicker(applyAgain)
+	ticker := time.NewTicker(applyRetryEvery)
 	defer ticker.Stop()
 	var request *peerapi.ApplyRequest
 	told := ""
 	for {
-		answer, outcome := d.leadApply(bounded, call)
+		answer, outcome := d.applyAsLeader(bounded, call)
 		if outcome == replica.Applied {
 			return answer
 		}
@@ -107,14 +107,14 @@
 
 // Apply takes an operator's call, if this daemon leads.
 func (d *Daemon) Apply(ctx context.Context, in *peerapi.ApplyRequest) (*peerapi.SubmitReply, error) {
-	if err := d.ours(in.Group); err != nil {
+	if err := d.checkGroup(in.Group); err != nil {
 		return nil, err
 	}
 	if !d.Leads() {
-		return d.redirect(), nil
+		return d.notLeaderReply(), nil
 	}
 	garbage := func() error {
-		d.counters.garbage.Add(1)
+		d.counters.malformedMessages.Add(1)
 		return twirp.NewError(twirp.InvalidArgument, "this is no call to apply a bundle")
 	}
 	call := operatorapi.Apply{Base: ident.Revision(in.Base), Digest: in.Digest, Operator: in.Operator}
@@ -130,18 +130,18 @@
 			return nil, garbage()
 		}
 	}
-	if call.Digest == "" || len(call.Digest) > mostDigest || in.WithinMs <= 0 {
+	if call.Digest == "" || len(call.Digest) > maxDigestBytes || in.WithinMs <= 0 {
 		return nil, garbage()
 	}
 	bounded, cancel := context.WithTimeout(ctx, min(time.Duration(in.WithinMs)*time.Millisecond, d.applyLimit))
 	defer cancel()
-	answer, outcome := d.leadApply(bounded, call)
+	answer, outcome := d.applyAsLeader(bounded, call)
 	return d.submitReply(answer, outcome)
 }
 
 // leadApply carries a call out as the leader. Whatever it answers but Unknown is proved by the state. An answer that
 // says Unknown is final all the same: no other leader could prove more.
-func (d *Daemon) leadApply(ctx context.Context, call operatorapi.Apply) (operatorapi.Applying, replica.Outcome) {
+func (d *Daemon) applyAsLeader(ctx context.Context, call operatorapi.Apply) (operatorapi.Applying, replica.Outcome) {
 	held := d.replica.Load()
 	if held == nil || !held.Condition().Leads {
 		return operatorapi.Applying{}, replica.NotLeader
@@ -153,7 +153,7 @@
 	if outcome := held.Read(ctx, func(state *statemachine.State) { standing = directapply.Look(state, call) }); outcome != replica.Applied {
 		return operatorapi.Applying{}, outcome
 	}
-	decision, inTime := d.decide(ctx, call, standing)
+	decision, inTime := d.decideApply(ctx, call, standing)
 	if !inTime {
 		return operatorapi.Applying{}, replica.Unknown
 	}
@@ -169,20 +169,20 @@
 	case operatorapi.Applied:
 		d.awaitContacts(ctx, &answer)
 	case operatorapi.Unknown:
-		d.counters.ordersUnproven.Add(1)
+		d.counters.appliesUnproven.Add(1)
 	}
 	return answer, replica.Applied
 }
 
 // decide works a call out, one at a time: each may hold some megabytes for some tenths of a second. It says
 // false when the time ran out.
-func (d *Daemon) decide(ctx context.Context, call operatorapi.Apply, standing directapply.Standing) (directapply.Decision, bool) {
+func (d *Daemon) decideApply(ctx context.Context, call operatorapi.Apply, standing directapply.Standing) (directapply.Decision, bool) {
 	select {
-	case d.applying <- struct{}{}:
+	case d.applySlot <- struct{}{}:
 	case <-ctx.Done():
 		return directapply.Decision{}, false
 	}
-	defer func() { <-d.applying }()
+	defer func() { <-d.applySlot }()
 	return standing.Decide(call), true
 }
 
--- a/daemon/attemptowners.go
+++ b/daemon/attemptowners.go
@@ -19,48 +19,48 @@
 
 const (
 	// sightWindow is how lately a daemon must have been heard to be in sight.
-	sightWindow = 3 * time.Second
+	contactWindow = 3 * time.Second
 	// doubtSpan is how long one that fell silent, or has just begun, leaves doubt about what it knew.
-	doubtSpan = 8 * time.Second
+	uncertainWindow = 8 * time.Second
 	// homeLimit bounds the wait for a home's answer.
-	homeLimit = 200 * time.Millisecond
+	ownerLimit = 200 * time.Millisecond
 )
 
 // homes are the daemons to ask about an attempt.
-type homes struct {
+type attemptOwners struct {
 	// ask lists their addresses; knowers holds those that would know of an earlier claim, with each one's partner.
-	ask     []string
-	knowers map[string]string
+	query    []string
+	informed map[string]string
 	// alone says that no other daemon is known.
-	alone bool
+	onlyDaemon bool
 	// fewInSight says that most routing daemons may be on the other side of a split.
-	fewInSight bool
+	minoritySide bool
 }
 
 // homesOf finds the homes of an attempt: those it has among the daemons in sight, and those it had
 // among all that were heard before the latest of them fell silent.
-func homesOf(attempt string, view *membership.View, now clock.Mark, self string) homes {
-	leaderSeen := view.HeardLeader > 0 && now.Since(view.HeardLeader) <= sightWindow
+func selectAttemptOwners(attempt string, view *membership.View, now clock.Mark, self string) attemptOwners {
+	leaderSeen := view.HeardLeader > 0 && now.Since(view.HeardLeader) <= contactWindow
 	var current, before, stopping []string
 	routersSeen, routersKnown := 0, 0
 	for _, fellow := range view.Fellows {
 		silent := now.Since(fellow.Heard)
 		if !fellow.Ready {
 			// One that stops hands its memory on, and is asked while it is there.
-			if silent <= sightWindow {
+			if silent <= contactWindow {
 				stopping = append(stopping, fellow.Address)
 			}
 			continue
 		}
-		if silent <= sightWindow {
+		if silent <= contactWindow {
 			current = append(current, fellow.Address)
 		}
-		if silent <= sightWindow+doubtSpan {
+		if silent <= contactWindow+uncertainWindow {
 			before = append(before, fellow.Address)
 		}
-		if fellow.Serves(string(daemonconfig.Route)) && (silent <= sightWindow+doubtSpan || !leaderSeen) {
+		if fellow.Serves(string(daemonconfig.Route)) && (silent <= contactWindow+uncertainWindow || !leaderSeen) {
 			routersKnown++
-			if silent <= sightWindow {
+			if silent <= contactWindow {
 				routersSeen++
 			}
 		}
@@ -69,9 +69,9 @@
 		// Where all stop together, they are each other's homes to the last.
 		before, stopping = stopping, nil
 	}
-	h := homes{knowers: map[string]string{}, alone: len(before) <= 1 && len(stopping) == 0}
+	h := attemptOwners{informed: map[string]string{}, onlyDaemon: len(before) <= 1 && len(stopping) == 0}
 	// Where the two halves of a split are equal, the one that sees the leader goes on.
-	h.fewInSight = 2*routersSeen < routersKnown || 2*routersSeen == routersKnown && !leaderSeen
+	h.minoritySide = 2*routersSeen < routersKnown || 2*routersSeen == routersKnown && !leaderSeen
 	key := "attempt " + attempt
 	add := func(from []string, knows bool) {
 		slices.Sort(from)
@@ -80,47 +80,47 @@
 			if home == "" {
 				continue
 			}
-			if !slices.Contains(h.ask, home) {
-				h.ask = append(h.ask, home)
+			if !slices.Contains(h.query, home) {
+				h.query = append(h.query, home)
 			}
 			if knows {
-				h.knowers[home] = partner
+				h.informed[home] = partner
 			}
 		}
 	}
 	add(before, true)
 	add(current, false)
 	add(slices.Concat(before, stopping), false)
-	if !slices.Contains(h.ask, self) {
+	if !slices.Contains(h.query, self) {
 		// What this daemon remembers itself costs nothing to ask.
-		h.ask = append(h.ask, self)
+		h.query = append(h.query, self)
 	}
 	return h
 }
 
 // askHomes puts one question to all homes of an attempt at once, and weighs what they say.
-func (d *Daemon) askHomes(ask deduplication.Ask) deduplication.Decision {
+func (d *Daemon) queryAttemptOwners(ask deduplication.Ask) deduplication.Decision {
 	self := d.config.ReachedAt()
 	// Where each attempt arrives once, no other daemon and no earlier life can know of one.
 	local := d.config.Attempts == daemonconfig.LocalAttempts
-	h := homes{ask: []string{self}, knowers: map[string]string{self: ""}, alone: true}
+	h := attemptOwners{query: []string{self}, informed: map[string]string{self: ""}, onlyDaemon: true}
 	if !local {
-		h = homesOf(ask.Attempt, d.members.View(), d.clock.Elapsed(), self)
+		h = selectAttemptOwners(ask.Attempt, d.members.View(), d.clock.Elapsed(), self)
 	}
 	type said struct {
 		home  string
 		reply *peerapi.AttemptReply
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), homeLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), ownerLimit)
 	defer cancel()
-	answers := make(chan said, len(h.ask))
-	for _, home := range h.ask {
+	answers := make(chan said, len(h.query))
+	for _, home := range h.query {
 		client := peerapi.Fellow(d)
 		if home != self {
 			client = d.links.To(home)
-			d.counters.attemptCalls.Add(1)
+			d.counters.attemptQueries.Add(1)
 		}
-		request := &peerapi.AttemptRequest{Attempt: ask.Attempt, Owner: ask.Owner, Digest: ask.Digest, AgeMs: ask.Age.Milliseconds(), Act: string(ask.Act), Partner: h.knowers[home]}
+		request := &peerapi.AttemptRequest{Attempt: ask.Attempt, Owner: ask.Owner, Digest: ask.Digest, AgeMs: ask.Age.Milliseconds(), Act: string(ask.Act), Partner: h.informed[home]}
 		go func() {
 			reply, err := client.Attempt(ctx, request)
 			if err != nil {
@@ -130,46 +130,46 @@
 		}()
 	}
 	var heard deduplication.Answers
-	for range h.ask {
+	for range h.query {
 		answer := <-answers
 		if answer.reply == nil {
 			continue
 		}
 		heard.Given = append(heard.Given, deduplication.Answer(answer.reply.Word))
-		_, knows := h.knowers[answer.home]
+		_, knows := h.informed[answer.home]
 		heard.Knew = heard.Knew || knows && (local || !answer.reply.Fresh)
 		// A daemon that may be cut off must not be the only one that knows.
-		heard.Written = heard.Written || answer.home != self || h.alone
+		heard.Written = heard.Written || answer.home != self || h.onlyDaemon
 	}
-	heard.Knew = heard.Knew && !h.fewInSight
+	heard.Knew = heard.Knew && !h.minoritySide
 	verdict := deduplication.Decide(heard)
 	if verdict == deduplication.Doubt {
-		d.counters.attemptDoubts.Add(1)
+		d.counters.attemptsUncertain.Add(1)
 	}
 	return verdict
 }
 
 // askFor makes the question about one record of this daemon.
-func (d *Daemon) askFor(act deduplication.Act, id dispatch.RecordID, request dispatch.Request, arrived clock.Mark) deduplication.Ask {
+func (d *Daemon) attemptQuery(act deduplication.Act, id dispatch.RecordID, request dispatch.Request, arrived clock.Mark) deduplication.Ask {
 	return deduplication.Ask{Attempt: request.Attempt, Owner: string(d.nodeID) + "/" + strconv.FormatUint(uint64(id), 10),
 		Digest: request.Digest, Age: d.clock.Elapsed().Since(arrived), Act: act}
 }
 
 // young says whether this life may lack attempts of the one before. Where it saw the group before any
 // bundle was in force, nothing can have run that it does not know of.
-func (d *Daemon) young() bool {
+func (d *Daemon) recentlyStarted() bool {
 	view := d.members.View()
-	return !view.BeforeAll && d.clock.Elapsed().Since(view.Started) < doubtSpan
+	return !view.BeforeAll && d.clock.Elapsed().Since(view.Started) < uncertainWindow
 }
 
 // Attempt answers for the attempts whose home this daemon is.
 func (d *Daemon) Attempt(_ context.Context, in *peerapi.AttemptRequest) (*peerapi.AttemptReply, error) {
 	act := deduplication.Act(in.Act)
 	if in.Attempt == "" || in.Owner == "" || act != deduplication.Claim && act != deduplication.Refuse && act != deduplication.Free {
-		d.counters.garbage.Add(1)
+		d.counters.malformedMessages.Add(1)
 		return nil, twirp.NewError(twirp.InvalidArgument, "this asks nothing about an attempt")
 	}
-	reply, young := &peerapi.AttemptReply{}, d.young()
+	reply, young := &peerapi.AttemptReply{}, d.recentlyStarted()
 	if !d.attempts.Do(func(now clock.Mark, memory *deduplication.Memory) {
 		reply.Word = string(memory.Take(now, deduplication.Ask{Attempt: in.Attempt, Owner: in.Owner, Digest: in.Digest,
 			Age: time.Duration(in.AgeMs) * time.Millisecond, Act: act}))
--- a/daemon/attemptowners_test.go
+++ b/daemon/attemptowners_test.go
@@ -32,7 +32,7 @@
 		random := rand.New(rand.NewPCG(seed, 1))
 		view := fleetOf(2 + random.IntN(10))
 		attempt := fmt.Sprint("attempt-", seed)
-		written := homesOf(attempt, view, minute, "10.0.0.0:1").ask
+		written := selectAttemptOwners(attempt, view, minute, "10.0.0.0:1").query
 		dead := map[string]bool{}
 		ids := make([]ident.NodeID, 0, len(view.Fellows))
 		for id := range view.Fellows {
@@ -59,14 +59,14 @@
 			view.Fellows[id] = membership.Fellow{NodeID: id, Address: fmt.Sprintf("10.0.1.%d:1", i), Serve: []string{"route"}, Heard: now, Ready: true}
 		}
 		view.HeardLeader = now
-		later := homesOf(attempt, view, now, "10.0.0.1:1")
+		later := selectAttemptOwners(attempt, view, now, "10.0.0.1:1")
 		knows, meets := false, false
-		for _, home := range later.ask {
+		for _, home := range later.query {
 			if dead[home] {
 				continue
 			}
 			fresh := home[:6] == "10.0.1"
-			_, knower := later.knowers[home]
+			_, knower := later.informed[home]
 			knows = knows || knower && !fresh
 			meets = meets || slices.Contains(written, home)
 		}
@@ -88,7 +88,7 @@
 	// The broken variant forgets those who fell silent at once: that must show.
 	caught := false
 	for seed := range uint64(20_000) {
-		caught = caught || run(seed, sightWindow+doubtSpan+time.Second)
+		caught = caught || run(seed, contactWindow+uncertainWindow+time.Second)
 	}
 	if !caught {
 		t.Error("forgetting the silent at once was not caught")
@@ -100,7 +100,7 @@
 		for there := 0; there <= size; there++ {
 			for _, leaderHere := range []bool{true, false} {
 				// Each side hears its own daemons now, and heard the others two seconds before the sight window's end.
-				now := minute + clock.Mark(sightWindow+2*time.Second)
+				now := minute + clock.Mark(contactWindow+2*time.Second)
 				side := func(from, to int, seesLeader bool) bool {
 					if from == to {
 						return false
@@ -115,7 +115,7 @@
 					if seesLeader {
 						view.HeardLeader = now
 					}
-					return !homesOf("x", view, now, fmt.Sprintf("10.0.0.%d:1", from)).fewInSight
+					return !selectAttemptOwners("x", view, now, fmt.Sprintf("10.0.0.%d:1", from)).minoritySide
 				}
 				here, other := side(0, there, leaderHere), side(there, size, !leaderHere)
 				if here && other {
--- a/daemon/calllimits_test.go
+++ b/daemon/calllimits_test.go
@@ -106,7 +106,7 @@
 		d.learnGroup(group)
 		d.links = peerclient.New(ctx, settings.FellowAddress, "", peerclient.WithTransport(silent{}))
 		d.members = membership.New(now, d, d.seeds, settings.FellowAddress, d.pace())
-		d.registry = registry.New(now, string(d.nodeID), true, d.beatPeriod, d.contact)
+		d.registry = registry.New(now, string(d.nodeID), true, d.heartbeatPeriod, d.controlContact)
 		go d.registry.Run(ctx)
 		d.replica.Store(all[self])
 		if got := d.leaderAddress(); got != fmt.Sprint("core-", leader) {
@@ -153,10 +153,10 @@
 						t.Errorf("reading back: %t after %v", known, took)
 					}
 					var outcome registry.Outcome
-					if took := measure(func() { outcome = d.Register(t.Context(), word) }); took > leaveLimit || outcome.Verdict != registry.Unknown {
+					if took := measure(func() { outcome = d.Register(t.Context(), word) }); took > departureLimit || outcome.Verdict != registry.Unknown {
 						t.Errorf("a leaving: %s after %v", outcome.Verdict, took)
 					}
-					if took := measure(func() { outcome = d.Deregister(t.Context(), "f") }); took > leaveLimit || outcome.Verdict != registry.Unknown {
+					if took := measure(func() { outcome = d.Deregister(t.Context(), "f") }); took > departureLimit || outcome.Verdict != registry.Unknown {
 						t.Errorf("an end: %s after %v", outcome.Verdict, took)
 					}
 				})
--- a/daemon/changetrace.go
+++ b/daemon/changetrace.go
@@ -13,8 +13,8 @@
 )
 
 // trace gathers every daemon's steps for one change; state tells the newest epochs of the group.
-func (d *Daemon) trace(change string, state []byte) []byte {
-	var known newest
+func (d *Daemon) changeTrace(change string, state []byte) []byte {
+	var known traceState
 	_ = json.Unmarshal(state, &known)
 	kind, number := "", uint64(0)
 	if before, after, found := strings.Cut(change, ":"); found {
--- a/daemon/commands.go
+++ b/daemon/commands.go
@@ -27,7 +27,7 @@
 const reachLimit = 1800 * time.Millisecond
 
 // ops lists the commands that may come from outside the leader.
-var ops = map[statemachine.Op]bool{
+var forwardableOps = map[statemachine.Op]bool{
 	statemachine.OpAcquire: true, statemachine.OpRenew: true, statemachine.OpRelease: true,
 	statemachine.OpPropose: true, statemachine.OpReview: true, statemachine.OpSign: true, statemachine.OpRoll: true,
 	statemachine.OpClosure: true, statemachine.OpKeep: true, statemachine.OpEnlist: true, statemachine.OpLost: true, statemachine.OpClaim: true, statemachine.OpDropClaim: true,
@@ -58,7 +58,7 @@
 
 // submitOnce brings a command to the leader, following one redirect.
 func (d *Daemon) submitOnce(ctx context.Context, command statemachine.Command) (operatorapi.Answer, bool) {
-	if answer, outcome := d.lead(ctx, command); outcome != replica.NotLeader {
+	if answer, outcome := d.submitAsLeader(ctx, command); outcome != replica.NotLeader {
 		return answer, outcome == replica.Applied
 	}
 	data, err := json.Marshal(command)
@@ -96,22 +96,22 @@
 
 // Submit takes a command, if this daemon leads.
 func (d *Daemon) Submit(ctx context.Context, in *peerapi.SubmitRequest) (*peerapi.SubmitReply, error) {
-	if err := d.ours(in.Group); err != nil {
+	if err := d.checkGroup(in.Group); err != nil {
 		return nil, err
 	}
 	var command statemachine.Command
-	if err := json.Unmarshal(in.Command, &command); err != nil || !ops[command.Op] {
-		d.counters.garbage.Add(1)
+	if err := json.Unmarshal(in.Command, &command); err != nil || !forwardableOps[command.Op] {
+		d.counters.malformedMessages.Add(1)
 		return nil, twirp.NewError(twirp.InvalidArgument, "this is no command")
 	}
-	answer, outcome := d.lead(ctx, command)
+	answer, outcome := d.submitAsLeader(ctx, command)
 	return d.submitReply(answer, outcome)
 }
 
 // submitReply tells another daemon what the leader answered, or who leads.
 func (d *Daemon) submitReply(answer any, outcome replica.Outcome) (*peerapi.SubmitReply, error) {
 	if outcome == replica.NotLeader {
-		return d.redirect(), nil
+		return d.notLeaderReply(), nil
 	}
 	data, err := json.Marshal(answer)
 	if err != nil {
@@ -121,7 +121,7 @@
 }
 
 // lead carries a command out as the leader.
-func (d *Daemon) lead(ctx context.Context, command statemachine.Command) (operatorapi.Answer, replica.Outcome) {
+func (d *Daemon) submitAsLeader(ctx context.Context, command statemachine.Command) (operatorapi.Answer, replica.Outcome) {
 	held := d.replica.Load()
 	if held == nil || !held.Condition().Leads {
 		return operatorapi.Answer{}, replica.NotLeader
@@ -143,7 +143,7 @@
 	got := held.Submit(ctx, command)
 	answer := operatorapi.Answer{Result: got.Result}
 	if command.Op == statemachine.OpLeave && got.Outcome == replica.Applied {
-		d.awaitLeave(ctx, command.Engine)
+		d.awaitDepartureKnown(ctx, command.Engine)
 		return answer, got.Outcome
 	}
 	if got.Outcome != replica.Applied || got.Result.Verdict != statemachine.Done {
@@ -170,7 +170,7 @@
 	refuse := func(verdict statemachine.Verdict, reason string) (operatorapi.Answer, bool) {
 		return operatorapi.Answer{Result: statemachine.Result{Verdict: verdict, Reason: reason}}, true
 	}
-	switch t := d.keeper.Table(); {
+	switch t := d.rollout.Table(); {
 	case command.Op == statemachine.OpClosure && command.Closed && t != nil:
 		// A name that the bundle does not know is a slip: called closed, it would shut nothing. Engines that
 		// register themselves stand in no bundle, and a bundle on them need not name zones.
--- a/daemon/configuration.go
+++ b/daemon/configuration.go
@@ -9,39 +9,39 @@
 
 // stateChanged is called by the replica when the spec in force or the closures are others.
 func (d *Daemon) stateChanged(state *statemachine.State) {
-	d.noteLeft(state)
+	d.applyDepartures(state)
 	closures := state.Closures.Clone()
 	epoch, inForce := state.Epoch(), statemachine.Proposal{}
 	if found, ok := state.InForce(); ok {
 		inForce = *found
 	}
 	// Not waited for: unpacking a bundle and building its table must not hold up the group.
-	go d.keeper.Offer(epoch, inForce.Packing(), &closures)
+	go d.rollout.Offer(epoch, inForce.Packing(), &closures)
 }
 
 // swapped is called after each change that is in force here.
-func (d *Daemon) swapped() {
-	if t := d.keeper.Table(); t != nil {
+func (d *Daemon) configurationChanged() {
+	if t := d.rollout.Table(); t != nil {
 		if mark, lost := t.Closures.Lost[d.nodeID]; lost {
-			d.stepAside(eris.Errorf("this daemon was declared lost by %s, and so must not serve; start it again", mark.Operator))
+			d.abort(eris.Errorf("this daemon was declared lost by %s, and so must not serve; start it again", mark.Operator))
 		}
 	}
 	d.bell.ring(urgent)
-	d.poke()
-	d.moveOff()
+	d.wakeRequestPath()
+	d.migrateFromDrained()
 	d.admitCallers()
 }
 
-func (d *Daemon) poke() {
+func (d *Daemon) wakeRequestPath() {
 	d.dispatch.Poke()
-	if d.forwardSide.actor != nil {
-		d.forwardSide.actor.Poke()
+	if d.forwarding.actor != nil {
+		d.forwarding.actor.Poke()
 	}
 }
 
 // InForce is what this daemon has in force.
 func (d *Daemon) InForce() (spec, closure ident.Version) {
-	if t := d.keeper.Table(); t != nil {
+	if t := d.rollout.Table(); t != nil {
 		return t.Epoch, t.Closures.Epoch
 	}
 	return 0, 0
--- a/daemon/configurationhistory.go
+++ b/daemon/configurationhistory.go
@@ -16,9 +16,9 @@
 
 const (
 	// historyEvery is how often earlier bundles that are lacking are asked for, historyAtOnce how many.
-	historyEvery  = 500 * time.Millisecond
-	historyAtOnce = 8
-	historyLimit  = 2 * time.Second
+	historyEvery = 500 * time.Millisecond
+	historyBatch = 8
+	historyLimit = 2 * time.Second
 )
 
 // runHistory fetches the bundles that were in force before this life began, so that they outlive the
@@ -32,27 +32,27 @@
 			return
 		case <-ticker.C:
 		}
-		t := d.keeper.Table()
+		t := d.rollout.Table()
 		// Bundles that are applied in one step come often and are large, and the group itself keeps the newest.
 		if t == nil || t.Forward != nil {
 			continue
 		}
 		asked := 0
 		// The newest first, since the bound on their size drops the oldest.
-		for epoch := t.Epoch - 1; epoch >= 1 && asked < historyAtOnce && d.keeper.Lacks(epoch); epoch-- {
-			if _, known := d.keeper.Recall(epoch); known {
+		for epoch := t.Epoch - 1; epoch >= 1 && asked < historyBatch && d.rollout.Lacks(epoch); epoch-- {
+			if _, known := d.rollout.Recall(epoch); known {
 				continue
 			}
 			asked++
-			if raw := d.fetchBundle(ctx, epoch); len(raw) > 0 {
-				d.keeper.Remember(epoch, raw)
+			if raw := d.fetchConfiguration(ctx, epoch); len(raw) > 0 {
+				d.rollout.Remember(epoch, raw)
 			}
 		}
 	}
 }
 
 // fetchBundle asks the group for an earlier bundle, and a fellow where there is no group.
-func (d *Daemon) fetchBundle(ctx context.Context, epoch ident.Version) []byte {
+func (d *Daemon) fetchConfiguration(ctx context.Context, epoch ident.Version) []byte {
 	bounded, cancel := context.WithTimeout(ctx, historyLimit)
 	defer cancel()
 	if d.leaderAddress() != "" {
@@ -66,7 +66,7 @@
 		}
 		return nil
 	}
-	fellows := d.members.View().InContact(d.clock.Elapsed(), sightWindow)
+	fellows := d.members.View().InContact(d.clock.Elapsed(), contactWindow)
 	if len(fellows) == 0 {
 		return nil
 	}
@@ -82,9 +82,9 @@
 
 // Recall gives back a bundle that was in force here.
 func (d *Daemon) Recall(_ context.Context, in *peerapi.RecallRequest) (*peerapi.Recalled, error) {
-	raw, _ := d.keeper.Recall(ident.Version(in.Epoch))
+	raw, _ := d.rollout.Recall(ident.Version(in.Epoch))
 	out := &peerapi.Recalled{Spec: raw}
-	if t := d.keeper.Table(); t != nil {
+	if t := d.rollout.Table(); t != nil {
 		out.Closures = rollout.EncodeClosures(t.Closures)
 	}
 	return out, nil
--- a/daemon/controlcontact.go
+++ b/daemon/controlcontact.go
@@ -12,35 +12,35 @@
 )
 
 // hearsay is up to when each other control daemon has told all that it heard.
-type hearsay struct {
-	mutex sync.Mutex
-	upTo  map[string]clock.Mark
+type syncTimes struct {
+	mutex     sync.Mutex
+	byAddress map[string]clock.Mark
 }
 
-func (h *hearsay) note(address string, asked clock.Mark) {
+func (h *syncTimes) record(address string, asked clock.Mark) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	if h.upTo == nil {
-		h.upTo = map[string]clock.Mark{}
+	if h.byAddress == nil {
+		h.byAddress = map[string]clock.Mark{}
 	}
-	h.upTo[address] = max(h.upTo[address], asked)
+	h.byAddress[address] = max(h.byAddress[address], asked)
 }
 
-func (h *hearsay) of(address string) clock.Mark {
+func (h *syncTimes) latest(address string) clock.Mark {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return h.upTo[address]
+	return h.byAddress[address]
 }
 
 // contact says how well this daemon hears what other control daemons hear. One that is cut off from any that
 // lives can't tell an engine's silence from its own deafness; nor can several that were cut off from a majority together.
-func (d *Daemon) contact() registry.Contact {
+func (d *Daemon) controlContact() registry.Contact {
 	now := d.clock.Elapsed()
 	if !d.config.Serves(daemonconfig.Control) {
 		// It judges nobody, so it need not look through the fleet for it.
 		return registry.Contact{Horizon: now}
 	}
-	return contactOf(d.members.View(), d.nodeID, now, d.hearsay.of, d.beatPeriod(), d.alone)
+	return contactOf(d.members.View(), d.nodeID, now, d.registrySyncTimes.latest, d.heartbeatPeriod(), d.soleVoter)
 }
 
 // contactOf is contact for a view; heard is up to when a control daemon at an address has told all that it heard.
@@ -58,7 +58,7 @@
 }
 
 // alone says whether this daemon is the whole group.
-func (d *Daemon) alone() bool {
+func (d *Daemon) soleVoter() bool {
 	held := d.replica.Load()
 	return held != nil && len(held.Condition().Members.Voters()) == 1 && held.Condition().Leads
 }
--- a/daemon/controlcontact_test.go
+++ b/daemon/controlcontact_test.go
@@ -22,7 +22,7 @@
 	settings := daemonconfig.Default()
 	settings.Serve = []daemonconfig.Role{daemonconfig.Route}
 	d := &Daemon{config: settings, clock: contactClock{clock.Mark(time.Minute)}}
-	if contact := d.contact(); contact.May || contact.Horizon != clock.Mark(time.Minute) {
+	if contact := d.controlContact(); contact.May || contact.Horizon != clock.Mark(time.Minute) {
 		t.Errorf("%+v", contact)
 	}
 }
--- a/daemon/counters.go
+++ b/daemon/counters.go
@@ -13,13 +13,13 @@
 )
 
 type counters struct {
-	foreignGroup, garbage, acquired, renewed, tenureFailed          atomic.Uint64
-	bytesOwnZone, bytesOtherZone, junkEngines, lastLookStops        atomic.Uint64
-	permitsUnasked, attemptCalls, attemptDoubts, attemptsMoved      atomic.Uint64
-	engineBeats, engineBeatsLate, leavesAcknowledged, leavesUnknown atomic.Uint64
-	memberTroubles, listenerTroubles, notHandedOver, turnedStale    atomic.Uint64
+	foreignGroup, malformedMessages, leasesAcquired, leasesRenewed, leasesLost        atomic.Uint64
+	bytesOwnZone, bytesOtherZone, malformedStreams, finalCheckStops                   atomic.Uint64
+	slotRequestsFailed, attemptQueries, attemptsUncertain, attemptsTransferred        atomic.Uint64
+	engineHeartbeats, engineHeartbeatsLate, departuresAcknowledged, departuresUnknown atomic.Uint64
+	memberFaults, listenerFaults, notHandedOver, turnedStale                          atomic.Uint64
 	// ordersUnproven counts operators' calls whose fate the replicated state could not prove any more.
-	ordersUnproven atomic.Uint64
+	appliesUnproven atomic.Uint64
 	// group counts what this daemon's members of the control group noticed, over all their lives.
 	group replica.Counters
 }
@@ -38,20 +38,20 @@
 func (d *Daemon) EachCounter(say func(name string, value uint64)) {
 	c := &d.counters
 	say("fellow_foreign_group", c.foreignGroup.Load())
-	say("fellow_garbage", c.garbage.Load())
+	say("fellow_garbage", c.malformedMessages.Load())
 	t := &d.links.Traffic
 	say("fellow_bytes_sent", t.Sent.Load())
 	say("fellow_bytes_received", t.Received.Load())
 	say("fellow_calls_made", t.Asked.Load())
 	say("fellow_calls_served", t.Answered.Load())
 	say("fellow_connections_opened", t.Opened.Load())
-	say("member_troubles", c.memberTroubles.Load())
-	say("listener_troubles", c.listenerTroubles.Load())
-	say("orders_unproven", c.ordersUnproven.Load())
+	say("member_troubles", c.memberFaults.Load())
+	say("listener_troubles", c.listenerFaults.Load())
+	say("orders_unproven", c.appliesUnproven.Load())
 	say("stop_not_handed_over", c.notHandedOver.Load())
-	say("tenure_acquired", c.acquired.Load())
-	say("tenure_renewed", c.renewed.Load())
-	say("tenure_lost", c.tenureFailed.Load())
+	say("tenure_acquired", c.leasesAcquired.Load())
+	say("tenure_renewed", c.leasesRenewed.Load())
+	say("tenure_lost", c.leasesLost.Load())
 	say("mint_refused", d.generator.Refusals())
 	say("pulls", d.members.Pulls.Load())
 	say("pulls_failed", d.members.Failed.Load())
@@ -71,7 +71,7 @@
 	say("snapshots_taken", c.group.SnapshotsTaken.Load())
 	say("snapshots_refused", c.group.SnapshotsRefused.Load())
 	say("states_differ", c.group.StatesDiffer.Load())
-	say("offers_refused", d.keeper.Refused.Load())
+	say("offers_refused", d.rollout.Refused.Load())
 	w := &d.watcher.Counters
 	say("engine_reports_failed", w.FailedReports.Load())
 	say("engine_reports_junk", w.JunkReports.Load())
@@ -79,14 +79,14 @@
 	say("engine_set_aside", w.SetAsides.Load())
 	say("engines_registered", uint64(len(d.registry.View().Engines)))
 	if d.config.Serves(daemonconfig.Control) {
-		say("engine_beats", c.engineBeats.Load())
-		say("engine_beats_late", c.engineBeatsLate.Load())
-		say("leaves_acknowledged", c.leavesAcknowledged.Load())
-		say("leaves_unknown", c.leavesUnknown.Load())
+		say("engine_beats", c.engineHeartbeats.Load())
+		say("engine_beats_late", c.engineHeartbeatsLate.Load())
+		say("leaves_acknowledged", c.departuresAcknowledged.Load())
+		say("leaves_unknown", c.departuresUnknown.Load())
 	}
 	if d.config.Serves(daemonconfig.Route) {
 		s := d.dispatch.Snapshot()
-		say("requests_invalid", d.door.Invalid.Load())
+		say("requests_invalid", d.sessionAPI.Invalid.Load())
 		say("requests_let_in", s.Counters.Admitted)
 		say("requests_held", s.Counters.Queued)
 		say("requests_held_now", uint64(s.Queued))
@@ -103,32 +103,32 @@
 		say("goes_again_denied", s.Denied)
 		say("goes_refused_by_engine", s.Counters.EngineRefusals)
 		say("goes_held_back", s.Counters.Withdrawn)
-		say("attempt_calls", c.attemptCalls.Load())
-		say("attempt_doubts", c.attemptDoubts.Load())
-		say("attempts_moved", c.attemptsMoved.Load())
-		say("permits_unasked", c.permitsUnasked.Load())
-		say("goes_stopped_at_last_look", c.lastLookStops.Load())
+		say("attempt_calls", c.attemptQueries.Load())
+		say("attempt_doubts", c.attemptsUncertain.Load())
+		say("attempts_moved", c.attemptsTransferred.Load())
+		say("permits_unasked", c.slotRequestsFailed.Load())
+		say("goes_stopped_at_last_look", c.finalCheckStops.Load())
 		say("bytes_own_zone", c.bytesOwnZone.Load())
 		say("bytes_other_zone", c.bytesOtherZone.Load())
-		say("engines_junk_streams", c.junkEngines.Load())
+		say("engines_junk_streams", c.malformedStreams.Load())
 	}
-	d.countForwarding(say)
-	d.nodes.count(say)
+	d.eachForwardingCounter(say)
+	d.nodeRanking.eachCounter(say)
 	if d.config.Serves(daemonconfig.Place) {
-		p := d.placer.Condition().Counters
+		p := d.sessionPlacer.Condition().Counters
 		say("orders", p.Orders)
 		say("orders_done", p.Done)
 		say("orders_refused", p.Refused)
 		say("orders_void", p.Void)
 		say("orders_never_arrived", p.NeverArrived)
 		say("orders_failed", p.Failed)
-		d.pools.count(say)
+		d.poolPlanning.eachCounter(say)
 	}
 }
 
 // countForwarding lists the counters of opaque requests.
-func (d *Daemon) countForwarding(say func(name string, value uint64)) {
-	side := &d.forwardSide
+func (d *Daemon) eachForwardingCounter(say func(name string, value uint64)) {
+	side := &d.forwarding
 	if side.gateway == nil {
 		return
 	}
@@ -190,7 +190,7 @@
 	say("engine_bytes_received", p.BytesReceived.Load())
 }
 
-func (p *poolPlanning) count(say func(name string, value uint64)) {
+func (p *poolPlanning) eachCounter(say func(name string, value uint64)) {
 	if p == nil || p.placer == nil {
 		return
 	}
@@ -226,12 +226,12 @@
 }
 
 // count lists the counters of the ranking.
-func (n *nodeRanking) count(say func(name string, value uint64)) {
+func (n *nodeRanking) eachCounter(say func(name string, value uint64)) {
 	if !n.on() {
 		return
 	}
 	if n.recorder != nil {
-		say("ranking_digests_told", n.told.Load())
+		say("ranking_digests_told", n.digestsSent.Load())
 		say("ranking_measurements_dropped", n.recorder.Dropped())
 	}
 	if !n.plans() {
@@ -254,10 +254,10 @@
 			say("ranking_refused_"+why.Name(), count)
 		}
 	}
-	say("ranking_acts_done", n.acts.done.Load())
-	say("ranking_acts_refused", n.acts.refused.Load())
-	say("ranking_acts_unknown", n.acts.unknown.Load())
-	say("ranking_acts_unleased", n.acts.unleased.Load())
+	say("ranking_acts_done", n.decisionsMade.done.Load())
+	say("ranking_acts_refused", n.decisionsMade.refused.Load())
+	say("ranking_acts_unknown", n.decisionsMade.unknown.Load())
+	say("ranking_acts_unleased", n.decisionsMade.unleased.Load())
 	drained := uint64(0)
 	for _, row := range state.rows {
 		if row.Stage == nodehealth.Drained {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -42,80 +42,80 @@
 	clock   clock.Clock
 	log     log.Interface
 
-	links    *peerclient.Links
-	keeper   *rollout.Keeper
-	members  *membership.Membership
-	registry *registry.Registry
-	hearsay  hearsay
+	links             *peerclient.Links
+	rollout           *rollout.Keeper
+	members           *membership.Membership
+	registry          *registry.Registry
+	registrySyncTimes syncTimes
 	// leavesNoted is how many leaves of the replicated state the registry was told of; only the replica's actor uses it.
-	leavesNoted uint64
-	watcher     *discovery.Watcher
-	generator   *snowflake.Generator
-	dispatch    *dispatch.Actor
-	door        *sessionapi.Door
-	desk        *adminapi.Desk
-	placer      *sessionplacement.Actor
-	home        *affinity.Table
-	slots       *admission.Keeper
-	attempts    *deduplication.Actor
-	permitIDs   atomic.Uint64
-
-	replicaConfig replica.Config
-	memberLife    atomic.Pointer[membershipLife]
-	replica       atomic.Pointer[replica.Replica]
-	group         atomic.Pointer[ident.GroupID]
-	adopted       chan ident.GroupID
-	draining      atomic.Bool
+	departuresApplied uint64
+	watcher           *discovery.Watcher
+	generator         *snowflake.Generator
+	dispatch          *dispatch.Actor
+	sessionAPI        *sessionapi.Door
+	adminAPI          *adminapi.Desk
+	sessionPlacer     *sessionplacement.Actor
+	affinityTable     *affinity.Table
+	engineSlots       *admission.Keeper
+	attempts          *deduplication.Actor
+	slotRequestIDs    atomic.Uint64
+
+	replicaConfig     replica.Config
+	memberIncarnation atomic.Pointer[memberIncarnation]
+	replica           atomic.Pointer[replica.Replica]
+	group             atomic.Pointer[ident.GroupID]
+	adoptedGroup      chan ident.GroupID
+	draining          atomic.Bool
 	// memberEnds says that this daemon's member of the group ends before the daemon does, and no other life follows.
-	memberEnds atomic.Bool
+	memberRetired atomic.Bool
 	// enlistedAt is when the group wrote this life down as one that may be serving; zero before.
 	enlistedAt atomic.Int64
-	broken     chan error
+	fatal      chan error
 	// callers is shut until callers are accepted.
-	callers *gate
+	callerGate *gate
 
 	// pools plans for engines that register themselves, where the daemon was put together so.
-	pools *poolPlanning
+	poolPlanning *poolPlanning
 
 	// lacks is what the planner last said that it will not load soon.
-	lacks atomic.Pointer[heardLacks]
+	unplaced atomic.Pointer[receivedUnplaced]
 	// poolLacks is the same of the pools.
-	poolLacks atomic.Pointer[heardPoolLacks]
+	poolUnplaced atomic.Pointer[receivedPoolUnplaced]
 
 	// bell wakes those whose answers are held back. toldNews are the versions told from here, heardNews those
 	// heard; beatNews, urgentTold, drainingNow, heldLacks and bundleSeen are what was last found new.
-	bell                *bell
-	toldNews, heardNews versions
-	beatNews            beatNews
-	urgentTold          atomic.Uint64
-	drainingNow         atomic.Bool
-	heldLacks           atomic.Pointer[heldLacks]
-	bundleSeen          atomic.Pointer[bundleSeen]
-
-	fleetMutex sync.Mutex
-	fleetWants map[ident.NodeID]*demand.Receiver
+	bell                           *bell
+	sentVersions, receivedVersions versions
+	lastPolled                     polledState
+	urgentNotified                 atomic.Uint64
+	enginesDraining                atomic.Bool
+	unplacedReport                 atomic.Pointer[unplacedReport]
+	configurationSeen              atomic.Pointer[configurationSeen]
+
+	peerDemandMutex sync.Mutex
+	peerDemand      map[ident.NodeID]*demand.Receiver
 	// fleetOutcomes is what others saw of engines, until the planner takes it.
-	fleetOutcomes []outlier.Observation
+	peerOutcomes []outlier.Observation
 	// wants tells whoever plans what is asked for here.
-	wants demand.Sender
+	demandSender demand.Sender
 
 	// stallLimit is how long the next piece of a stream is waited for, runOver how long one may outlast its deadline.
-	stallLimit, runOver time.Duration
+	stallLimit, overrunLimit time.Duration
 	// applying bounds how many orders to apply a bundle are worked out at once.
-	applying               chan struct{}
+	applySlot              chan struct{}
 	applyLimit, applyReach time.Duration
 	// aroundDisk stands between the member and its data folder.
-	aroundDisk func(replica.Disk) replica.Disk
+	wrapDisk func(replica.Disk) replica.Disk
 
 	// controlMakers and readyMakers make what stands before the desk, at the operators' and the readiness address.
-	controlMakers, readyMakers []func(*Daemon) Handler
-	control, ready             []Handler
+	controlMakers, readinessMakers     []func(*Daemon) Handler
+	controlHandlers, readinessHandlers []Handler
 	// unreadyTold says that the platform was told while this daemon stops that it takes nothing new.
-	unreadyTold chan struct{}
+	unreadyAnswered chan struct{}
 
-	forwardSide forwardSide
+	forwarding forwardingPath
 	// nodes ranks engines by how their nodes behave.
-	nodes *nodeRanking
+	nodeRanking *nodeRanking
 
 	counters counters
 }
@@ -130,9 +130,9 @@
 		config: c, version: version, clock: clock.System{},
 		// Each life of a daemon is a holder of its own, so an earlier life's ids can't be minted again.
 		nodeID:        ident.NodeID(c.Name + "#" + hex.EncodeToString(life[:])),
-		replicaConfig: replica.DefaultConfig(), adopted: make(chan ident.GroupID, 1), broken: make(chan error, 4), unreadyTold: make(chan struct{}, 8),
-		applying: make(chan struct{}, 1), applyLimit: applyLimit, applyReach: applyReach,
-		fleetWants: map[ident.NodeID]*demand.Receiver{}, home: affinity.NewTable(), aroundDisk: func(disk replica.Disk) replica.Disk { return disk }, stallLimit: stallLimit, runOver: runOver,
+		replicaConfig: replica.DefaultConfig(), adoptedGroup: make(chan ident.GroupID, 1), fatal: make(chan error, 4), unreadyAnswered: make(chan struct{}, 8),
+		applySlot: make(chan struct{}, 1), applyLimit: applyLimit, applyReach: applyReach,
+		peerDemand: map[ident.NodeID]*demand.Receiver{}, affinityTable: affinity.NewTable(), wrapDisk: func(disk replica.Disk) replica.Disk { return disk }, stallLimit: stallLimit, overrunLimit: overrunLimit,
 	}
 	d.replicaConfig.Voters, d.replicaConfig.Build = c.Voters, version
 	if c.Compaction.Entries > 0 {
@@ -144,10 +144,10 @@
 	}
 	none := ident.GroupID("")
 	d.group.Store(&none)
-	d.generator = snowflake.New(d.clock, tenureMargin)
+	d.generator = snowflake.New(d.clock, leaseMargin)
 	d.current.Store(&c)
-	d.bell, d.callers = newBell(), newGate()
-	d.toldNews.beginAnywhere()
+	d.bell, d.callerGate = newBell(), newGate()
+	d.sentVersions.randomize()
 	return d
 }
 
@@ -168,7 +168,7 @@
 	d.log.WithField("seeds", next.Seeds).Info("settings read again")
 }
 
-func (d *Daemon) serve() []string {
+func (d *Daemon) roleNames() []string {
 	out := make([]string, 0, len(d.config.Serve))
 	for _, role := range d.config.Serve {
 		out = append(out, string(role))
--- a/daemon/demand.go
+++ b/daemon/demand.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	wantsKept   = 10 * time.Second
-	demandFresh = 2 * time.Second
+	peerDemandRetained = 10 * time.Second
+	demandFresh        = 2 * time.Second
 )
 
 // mostOutcomes bounds what is kept of others' outcomes until the planner takes them.
-const mostOutcomes = 2000
+const maxPeerOutcomes = 2000
 
 // Wants adds what this daemon holds and asks for, for whoever plans; it says whether anything waits. Where only
 // what waits is worth a question, nothing is added if nothing does.
@@ -41,24 +41,24 @@
 	if onlyWaiting && !waits {
 		return false
 	}
-	message := d.wants.Next(d.clock.Elapsed(), request.PlannerAddress, all, seated)
+	message := d.demandSender.Next(d.clock.Elapsed(), request.PlannerAddress, all, seated)
 	request.Wants, request.WantsBase, request.Demand, request.Seats = message.Seq, message.Base, message.Demand, message.Seats
 	for _, one := range d.forwardOutcomes() {
 		request.Outcomes = append(request.Outcomes, &peerapi.EngineOutcomes{Engine: string(one.Engine), Attempts: int64(one.Attempts), Failures: int64(one.Failures),
 			Refusals: int64(one.Refusals), Overdue: int64(one.Overdue)})
 	}
 	if !onlyWaiting {
-		request.Nodes = d.nodes.tell()
+		request.Nodes = d.nodeRanking.takeDigests()
 	}
 	return waits
 }
 
 // forwardDemands lists what opaque requests ask for here, for whoever plans.
 func (d *Daemon) forwardDemands() []*peerapi.Demand {
-	if d.forwardSide.actor == nil {
+	if d.forwarding.actor == nil {
 		return nil
 	}
-	demands := d.forwardSide.actor.Demands()
+	demands := d.forwarding.actor.Demands()
 	out := make([]*peerapi.Demand, 0, len(demands))
 	for _, one := range demands {
 		out = append(out, &peerapi.Demand{Pool: one.Pool, Model: one.Model, Adapter: one.Adapter, Held: int64(one.Held), Running: int64(one.Running),
@@ -68,22 +68,22 @@
 }
 
 // hearWants takes what an asker holds and asks for; it says false where what that builds on is not known.
-func (d *Daemon) hearWants(in *peerapi.PullRequest) bool {
+func (d *Daemon) receiveDemand(in *peerapi.PullRequest) bool {
 	if in.Wants == 0 {
 		return true
 	}
-	d.fleetMutex.Lock()
-	defer d.fleetMutex.Unlock()
-	heard := d.fleetWants[ident.NodeID(in.NodeId)]
+	d.peerDemandMutex.Lock()
+	defer d.peerDemandMutex.Unlock()
+	heard := d.peerDemand[ident.NodeID(in.NodeId)]
 	if heard == nil {
 		heard = &demand.Receiver{}
-		d.fleetWants[ident.NodeID(in.NodeId)] = heard
+		d.peerDemand[ident.NodeID(in.NodeId)] = heard
 	}
 	return heard.Take(d.clock.Elapsed(), demand.Message{Seq: in.Wants, Base: in.WantsBase, Demand: in.Demand, Seats: in.Seats})
 }
 
 // heardDemand adds up what this daemon and all others were lately heard to ask for.
-func (d *Daemon) heardDemand(now clock.Mark, own []*peerapi.Demand) []poolplacement.Demand {
+func (d *Daemon) collectDemand(now clock.Mark, own []*peerapi.Demand) []poolplacement.Demand {
 	var out []poolplacement.Demand
 	take := func(demand *peerapi.Demand, ago time.Duration, share float64) {
 		if demand.Pool == "" {
@@ -99,15 +99,15 @@
 	for _, demand := range own {
 		take(demand, 0, 1)
 	}
-	d.fleetMutex.Lock()
-	defer d.fleetMutex.Unlock()
-	for node, heard := range d.fleetWants {
+	d.peerDemandMutex.Lock()
+	defer d.peerDemandMutex.Unlock()
+	for node, heard := range d.peerDemand {
 		ago := now.Since(heard.At)
 		if ago < demandFresh {
 			heard.Each(now, take)
 		}
-		if ago > wantsKept {
-			delete(d.fleetWants, node)
+		if ago > peerDemandRetained {
+			delete(d.peerDemand, node)
 		}
 	}
 	return out
@@ -115,14 +115,14 @@
 
 // forwardOutcomes gives what became of attempts at engines since it was last asked for.
 func (d *Daemon) forwardOutcomes() []outlier.Digest {
-	if d.forwardSide.actor == nil {
+	if d.forwarding.actor == nil {
 		return nil
 	}
-	return d.forwardSide.actor.Outcomes()
+	return d.forwarding.actor.Outcomes()
 }
 
 // hearOutcomes takes what an asker saw of engines, where this daemon plans.
-func (d *Daemon) hearOutcomes(in *peerapi.PullRequest) {
+func (d *Daemon) receiveOutcomes(in *peerapi.PullRequest) {
 	if len(in.Outcomes) == 0 || !d.Plans() {
 		return
 	}
@@ -131,20 +131,20 @@
 		told.Digests = append(told.Digests, outlier.Digest{Engine: ident.EngineID(one.Engine), Attempts: int(one.Attempts), Failures: int(one.Failures),
 			Refusals: int(one.Refusals), Overdue: int(one.Overdue)})
 	}
-	d.fleetMutex.Lock()
-	defer d.fleetMutex.Unlock()
-	if len(d.fleetOutcomes) < mostOutcomes {
-		d.fleetOutcomes = append(d.fleetOutcomes, told)
+	d.peerDemandMutex.Lock()
+	defer d.peerDemandMutex.Unlock()
+	if len(d.peerOutcomes) < maxPeerOutcomes {
+		d.peerOutcomes = append(d.peerOutcomes, told)
 	}
 }
 
 // heardOutcomes gives what this daemon and others saw of engines since it was last asked for.
-func (d *Daemon) heardOutcomes() []outlier.Observation {
+func (d *Daemon) takeOutcomes() []outlier.Observation {
 	own := d.forwardOutcomes()
-	d.fleetMutex.Lock()
-	defer d.fleetMutex.Unlock()
-	out := d.fleetOutcomes
-	d.fleetOutcomes = nil
+	d.peerDemandMutex.Lock()
+	defer d.peerDemandMutex.Unlock()
+	out := d.peerOutcomes
+	d.peerOutcomes = nil
 	if len(own) > 0 {
 		out = append(out, outlier.Observation{Zone: d.config.Zone, Digests: own})
 	}
--- a/daemon/dispatch.go
+++ b/daemon/dispatch.go
@@ -16,27 +16,27 @@
 	// stallLimit is how long the next piece of a stream is waited for.
 	stallLimit = 8 * time.Second
 	// runOver is how long a stream that began in time may go on past its deadline.
-	runOver = 15 * time.Second
+	overrunLimit = 15 * time.Second
 	// enoughTime is how much time a go must have had for its failure to count against the engine.
-	enoughTime = 2 * time.Second
+	fairAttemptTime = 2 * time.Second
 )
 
 // routing is the daemon as the dispatch actor sees it.
-type routing struct{ *Daemon }
+type requestPath struct{ *Daemon }
 
 // World is what the request path may look at now.
 func (d *Daemon) World() dispatch.World {
 	_, notReady := d.members.Ready()
 	return dispatch.World{
-		Lacks: d.lacksNow(),
-		Now:   d.clock.Elapsed(), Table: d.keeper.Table(), Engines: d.watcher.View(), NotReady: notReady, Mint: d.generator.Mint,
+		Lacks: d.unplacedNow(),
+		Now:   d.clock.Elapsed(), Table: d.rollout.Table(), Engines: d.watcher.View(), NotReady: notReady, Mint: d.generator.Mint,
 		Zone: d.config.Zone, ShareAssignments: true, Admission: true,
 	}
 }
 
 // lastLook is the last check before the first byte: what it reads is what is in force at that moment.
-func (d *Daemon) lastLook(flight *dispatch.Call, send dispatch.Send) string {
-	t := d.keeper.Table()
+func (d *Daemon) finalCheck(flight *dispatch.Call, send dispatch.Send) string {
+	t := d.rollout.Table()
 	engine := d.watcher.View().Engines[send.Engine]
 	switch {
 	case t == nil || !t.Allows(flight.Request.Route, flight.Request.Model, flight.Request.Adapter):
@@ -59,11 +59,11 @@
 }
 
 // errBroken makes the connection end without its last chunk.
-var errBroken = errors.New("the answer is not whole")
+var errIncompleteAnswer = errors.New("the answer is not whole")
 
 // Carry runs one go to its end.
 func (d *Daemon) Carry(flight *dispatch.Call, send dispatch.Send, firstPiece func()) (dispatch.AttemptOutcome, string) {
-	giveBack, granted := d.askPermit(flight, send)
+	giveBack, granted := d.requestSlot(flight, send)
 	if !granted {
 		return dispatch.Withdrawn, "no slot of the engine is free"
 	}
@@ -72,7 +72,7 @@
 	// The homes are asked while the engine is dialled; the first byte waits for both.
 	claimed := make(chan deduplication.Decision, 1)
 	go func() {
-		claimed <- d.askHomes(d.askFor(deduplication.Claim, flight.ID, flight.Request, flight.Arrived))
+		claimed <- d.queryAttemptOwners(d.attemptQuery(deduplication.Claim, flight.ID, flight.Request, flight.Arrived))
 	}()
 	var claim deduplication.Decision
 	departed := false
@@ -85,10 +85,10 @@
 		MayLeave: func() string {
 			claim = <-claimed
 			reason := ""
-			if !mayGo(claim, flight.Request.Repeatable) {
+			if !mayStart(claim, flight.Request.Repeatable) {
 				reason = "this attempt may be another daemon's"
-			} else if reason = d.lastLook(flight, send); reason != "" {
-				d.counters.lastLookStops.Add(1)
+			} else if reason = d.finalCheck(flight, send); reason != "" {
+				d.counters.finalCheckStops.Add(1)
 			}
 			departed = reason == ""
 			return reason
@@ -100,7 +100,7 @@
 			}
 			return flight.Piece(line)
 		},
-		FirstLimit: max(left, time.Millisecond), StallLimit: d.stallLimit, Limit: left + d.runOver,
+		FirstLimit: max(left, time.Millisecond), StallLimit: d.stallLimit, Limit: left + d.overrunLimit,
 	})
 	if outcome, reason := d.afterClaim(flight, result.Outcome, claim, claimed, departed); outcome != result.Outcome {
 		return outcome, reason
@@ -117,12 +117,12 @@
 		d.watcher.GoWent(send.Engine, true)
 	case dispatch.Lost, dispatch.NeverSent, dispatch.Cut:
 		// One that began late and ran into its own deadline says nothing against the engine.
-		if d.clock.Elapsed() < send.Deadline || left >= enoughTime {
+		if d.clock.Elapsed() < send.Deadline || left >= fairAttemptTime {
 			d.watcher.GoWent(send.Engine, false)
 		}
 	}
 	if result.Junk {
-		d.counters.junkEngines.Add(1)
+		d.counters.malformedStreams.Add(1)
 		d.watcher.SetAside(send.Engine)
 	}
 	if began {
@@ -131,7 +131,7 @@
 			flight.Finish(nil, nil)
 		default:
 			last := relay.Line(callerapi.Piece{Attempt: flight.Request.Attempt, N: result.Pieces, Outcome: callerapi.BrokenOff, Reason: result.Reason})
-			flight.Finish(last, errBroken)
+			flight.Finish(last, errIncompleteAnswer)
 		}
 	}
 	return result.Outcome, result.Reason
@@ -139,7 +139,7 @@
 
 // mayGo says whether a go may leave on what the homes said. Where they can't be asked, only the caller's
 // own word that the work may run twice lets it go.
-func mayGo(claim deduplication.Decision, repeatable bool) bool {
+func mayStart(claim deduplication.Decision, repeatable bool) bool {
 	return claim == deduplication.May || claim == deduplication.Doubt && repeatable
 }
 
@@ -153,8 +153,8 @@
 		// The engine could not even be dialled; the claim may be on its way still.
 		claim = <-claimed
 	}
-	if mayGo(claim, flight.Request.Repeatable) || claim == deduplication.Doubt {
-		d.askHomes(d.askFor(deduplication.Free, flight.ID, flight.Request, flight.Arrived))
+	if mayStart(claim, flight.Request.Repeatable) || claim == deduplication.Doubt {
+		d.queryAttemptOwners(d.attemptQuery(deduplication.Free, flight.ID, flight.Request, flight.Arrived))
 	}
 	switch claim {
 	case deduplication.Replay:
@@ -173,8 +173,8 @@
 
 // Refuse makes sure, before a caller is told that its work never runs, that no other daemon has sent it
 // or will: the word that may be given comes back.
-func (r routing) Refuse(flight *dispatch.Call, wanted dispatch.Answer) dispatch.Answer {
-	switch r.askHomes(r.askFor(deduplication.Refuse, flight.ID, flight.Request, flight.Arrived)) {
+func (r requestPath) Refuse(flight *dispatch.Call, wanted dispatch.Answer) dispatch.Answer {
+	switch r.queryAttemptOwners(r.attemptQuery(deduplication.Refuse, flight.ID, flight.Request, flight.Arrived)) {
 	case deduplication.Replay, deduplication.Other:
 		return dispatch.Answer{Kind: dispatch.Replay, Status: 409, Reason: "this attempt id was taken by another daemon and is not run again"}
 	case deduplication.Doubt:
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -14,16 +14,16 @@
 const (
 	// noticeLag is how long a stopping daemon whose readiness nobody asks for at an address of its own goes on
 	// taking connections that are still handed to it.
-	noticeLag = 1500 * time.Millisecond
+	defaultDrainNotice = 1500 * time.Millisecond
 	// mostNotice bounds that time where readiness is asked for: it is asked once a second, and counts twice. What
 	// is sent within three seconds of the signal may outlast the daemon; what comes later would have to be finished.
-	mostNotice = 2700 * time.Millisecond
+	maxDrainNotice = 2700 * time.Millisecond
 	// missesSeen is how many answers of not being ready keep new connections away, and lastHandedOver how long
 	// a connection that was handed over before may be on its way.
-	missesSeen     = 2
-	lastHandedOver = 300 * time.Millisecond
+	unreadyAnswersNeeded = 2
+	connectionInTransit  = 300 * time.Millisecond
 	// handOverEvery is how often a stopping leader offers its office.
-	handOverEvery = 300 * time.Millisecond
+	leadershipTransferEvery = 300 * time.Millisecond
 	// claimLimit bounds the word that the planner's claim is free, releaseLimit the release of the worker id.
 	claimLimit   = time.Second
 	releaseLimit = 400 * time.Millisecond
@@ -43,26 +43,26 @@
 	d.draining.Store(true)
 	d.log.Info("draining")
 	defer d.stopForwarding(limit)()
-	var kept keptThings
+	var kept unreleasedSet
 	var wait sync.WaitGroup
-	wait.Go(func() { d.handOffice(limit, &kept) })
-	d.awaitMoved(limit)
+	wait.Go(func() { d.handOverRoles(limit, &kept) })
+	d.awaitNoNewConnections(limit)
 	for _, server := range servers {
 		wait.Go(func() {
 			if err := server.ShutdownWithContext(limit); err != nil {
-				kept.add(openAnswers)
-				d.log.WithField("open", d.door.Open()).Warn("stopped before all answers were written")
+				kept.add(openResponses)
+				d.log.WithField("open", d.sessionAPI.Open()).Warn("stopped before all answers were written")
 			}
 		})
 	}
 	wait.Wait()
 	if d.config.Attempts != daemonconfig.LocalAttempts {
-		d.handOver(limit)
+		d.handOverAttempts(limit)
 		if limit.Err() != nil {
 			kept.add(attemptMemory)
 		}
 	}
-	d.tellBeats(&kept)
+	d.awaitRegistrationsSeen(&kept)
 	bounded, done := context.WithTimeout(context.Background(), releaseLimit)
 	defer done()
 	// Without a tenure too, the group hears that this life serves no more.
@@ -70,7 +70,7 @@
 	if _, ok := d.submit(bounded, statemachine.Command{Op: statemachine.OpRelease, NodeID: d.nodeID, WorkerID: worker, Last: last}); !ok {
 		kept.add(workerID)
 	}
-	d.endMember(limit, &kept)
+	d.retireMember(limit, &kept)
 	if things := kept.list(); len(things) > 0 {
 		d.counters.notHandedOver.Add(uint64(len(things)))
 		d.log.WithField("kept", things).Warn("stopped without handing all over")
@@ -81,18 +81,18 @@
 
 // handOffice gives up what this daemon does for the others: planning, then leading. The group keeps its
 // size: a machine that stops may come back.
-func (d *Daemon) handOffice(limit context.Context, kept *keptThings) {
+func (d *Daemon) handOverRoles(limit context.Context, kept *unreleasedSet) {
 	if d.config.Serves(daemonconfig.Place) {
 		plans := d.Plans()
-		d.placer.StandDown()
-		d.pools.standDown()
+		d.sessionPlacer.StandDown()
+		d.poolPlanning.standDown()
 		bounded, done := context.WithTimeout(limit, claimLimit)
 		if _, ok := d.submitOnce(bounded, statemachine.Command{Op: statemachine.OpDropClaim, NodeID: d.nodeID}); !ok && plans {
 			kept.add(plannersClaim)
 		}
 		done()
 	}
-	ticker := time.NewTicker(handOverEvery)
+	ticker := time.NewTicker(leadershipTransferEvery)
 	defer ticker.Stop()
 	for {
 		held := d.replica.Load()
@@ -111,20 +111,20 @@
 }
 
 // awaitMoved goes on taking new connections until the platform hands over no more of them.
-func (d *Daemon) awaitMoved(limit context.Context) {
-	most := noticeLag
+func (d *Daemon) awaitNoNewConnections(limit context.Context) {
+	most := defaultDrainNotice
 	if d.config.ReadyListen != "" {
 		// Half of the time that there is stays for what was taken last.
-		most = min(mostNotice, time.Duration(d.Config().DrainMs)*time.Millisecond/2)
+		most = min(maxDrainNotice, time.Duration(d.Config().DrainMs)*time.Millisecond/2)
 	}
 	longest := time.NewTimer(most)
 	defer longest.Stop()
 	var moved <-chan time.Time
 	for told := 0; ; {
 		select {
-		case <-d.unreadyTold:
-			if told++; told == missesSeen {
-				moved = time.After(lastHandedOver)
+		case <-d.unreadyAnswered:
+			if told++; told == unreadyAnswersNeeded {
+				moved = time.After(connectionInTransit)
 			}
 		case <-moved:
 			return
--- a/daemon/drainingengines.go
+++ b/daemon/drainingengines.go
@@ -18,7 +18,7 @@
 	return out
 }
 
-func (d *Daemon) hearDraining(leaving []*peerapi.DrainingEngine) {
+func (d *Daemon) receiveDraining(leaving []*peerapi.DrainingEngine) {
 	for _, engine := range leaving {
 		d.watcher.HeardDraining(ident.EngineID(engine.Engine), engine.Address, time.Duration(engine.KnownMsAgo)*time.Millisecond)
 	}
--- a/daemon/engineclosures.go
+++ b/daemon/engineclosures.go
@@ -6,25 +6,25 @@
 
 // engineOpen says whether operators let new requests go to a registered engine.
 func (d *Daemon) engineOpen(engine *registry.Engine) bool {
-	t := d.keeper.Table()
+	t := d.rollout.Table()
 	return t == nil || t.OpenRegistered(engine.ID, engine.Zone)
 }
 
 // engineEmptied says whether the ranking shut a registered engine.
-func (d *Daemon) engineEmptied(engine *registry.Engine) bool {
-	t := d.keeper.Table()
+func (d *Daemon) engineDrainedByRanking(engine *registry.Engine) bool {
+	t := d.rollout.Table()
 	return t != nil && t.Closures.Engines[engine.ID].Ranking != nil
 }
 
 // moveOff has what is under way at engines that the ranking shut go on elsewhere.
-func (d *Daemon) moveOff() {
-	t := d.keeper.Table()
-	if t == nil || d.forwardSide.gateway == nil {
+func (d *Daemon) migrateFromDrained() {
+	t := d.rollout.Table()
+	if t == nil || d.forwarding.gateway == nil {
 		return
 	}
 	for _, mark := range t.Closures.Engines {
 		if mark.Ranking != nil {
-			go d.forwardSide.gateway.MoveOff()
+			go d.forwarding.gateway.MoveOff()
 			return
 		}
 	}
--- a/daemon/engineregistration.go
+++ b/daemon/engineregistration.go
@@ -13,11 +13,11 @@
 
 const (
 	// leaveLimit is how long an engine that leaves waits for its acknowledgement; it then asks the next daemon.
-	leaveLimit = 800 * time.Millisecond
+	departureLimit = 800 * time.Millisecond
 	// leaveReach is how long the acknowledgement waits for all in contact to know.
-	leaveReach = 300 * time.Millisecond
+	departureReach = 300 * time.Millisecond
 	// leftLately is for how long a fresh control daemon tells all of those who left.
-	leftLately = time.Minute
+	recentDeparture = time.Minute
 )
 
 // Registry is what this daemon knows of the engines that register themselves.
@@ -32,14 +32,14 @@
 	if !ok {
 		return registry.Outcome{Verdict: registry.Unknown}
 	}
-	d.counters.engineBeats.Add(1)
+	d.counters.engineHeartbeats.Add(1)
 	if hearing.Late {
-		d.counters.engineBeatsLate.Add(1)
+		d.counters.engineHeartbeatsLate.Add(1)
 	}
 	if !word.Leaving {
 		return registry.Outcome{Verdict: registry.Acknowledged}
 	}
-	return d.leave(ctx, word.ID, hearing)
+	return d.commitDeparture(ctx, word.ID, hearing)
 }
 
 // Deregister takes an engine's word that it is gone.
@@ -51,37 +51,37 @@
 	if !ok {
 		return registry.Outcome{Verdict: registry.Unknown}
 	}
-	return d.leave(ctx, id, hearing)
+	return d.commitDeparture(ctx, id, hearing)
 }
 
 // leave has the group write down that an engine leaves. All hear of it from here meanwhile, since it does no
 // harm to know it early; the acknowledgement rests on the group, so that it outlives this daemon.
-func (d *Daemon) leave(ctx context.Context, id ident.EngineID, hearing registry.Hearing) registry.Outcome {
-	bounded, cancel := context.WithTimeout(ctx, leaveLimit)
+func (d *Daemon) commitDeparture(ctx context.Context, id ident.EngineID, hearing registry.Hearing) registry.Outcome {
+	bounded, cancel := context.WithTimeout(ctx, departureLimit)
 	defer cancel()
 	if hearing.Left {
 		// Said again: it is written down, and need only have had the time to get about.
-		d.awaitReach(bounded, hearing.Change, leaveReach-d.clock.Elapsed().Since(hearing.LeftAt))
-		d.counters.leavesAcknowledged.Add(1)
+		d.awaitPeersInformed(bounded, hearing.Change, departureReach-d.clock.Elapsed().Since(hearing.LeftAt))
+		d.counters.departuresAcknowledged.Add(1)
 		return registry.Outcome{Verdict: registry.Acknowledged}
 	}
 	answer, ok := d.submit(bounded, statemachine.Command{Op: statemachine.OpLeave, Engine: id})
 	if !ok || answer.Verdict != statemachine.Done {
-		d.counters.leavesUnknown.Add(1)
+		d.counters.departuresUnknown.Add(1)
 		return registry.Outcome{Verdict: registry.Unknown}
 	}
 	d.registry.Leave([]ident.EngineID{id}, false, true)
-	d.counters.leavesAcknowledged.Add(1)
+	d.counters.departuresAcknowledged.Add(1)
 	return registry.Outcome{Verdict: registry.Acknowledged}
 }
 
 // awaitLeave is called at the leader when a leave is committed: it waits until all in contact know.
-func (d *Daemon) awaitLeave(ctx context.Context, id ident.EngineID) {
+func (d *Daemon) awaitDepartureKnown(ctx context.Context, id ident.EngineID) {
 	change := d.registry.Leave([]ident.EngineID{id}, false, true)
-	d.awaitReach(ctx, change, leaveReach)
+	d.awaitPeersInformed(ctx, change, departureReach)
 }
 
-func (d *Daemon) awaitReach(ctx context.Context, change uint64, within time.Duration) bool {
+func (d *Daemon) awaitPeersInformed(ctx context.Context, change uint64, within time.Duration) bool {
 	return d.registry.AwaitReach(ctx, change, within, func() []ident.NodeID {
 		var peers []ident.NodeID
 		for _, fellow := range d.members.View().InContact(d.clock.Elapsed(), membership.ContactWindow) {
@@ -94,17 +94,17 @@
 }
 
 // noteLeft takes over who left by the replicated state. It is called on the replica's actor, and so waits for nothing.
-func (d *Daemon) noteLeft(state *statemachine.State) {
+func (d *Daemon) applyDepartures(state *statemachine.State) {
 	lately, before := []ident.EngineID{}, []ident.EngineID{}
 	// After a snapshot all are noted again, which changes nothing.
-	for _, left := range state.LeftSince(d.leavesNoted) {
-		if left.At.Add(leftLately) < state.Now {
+	for _, left := range state.LeftSince(d.departuresApplied) {
+		if left.At.Add(recentDeparture) < state.Now {
 			before = append(before, left.Engine)
 		} else {
 			lately = append(lately, left.Engine)
 		}
 	}
-	d.leavesNoted = state.Leaves
+	d.departuresApplied = state.Leaves
 	if len(lately) > 0 || len(before) > 0 {
 		go func() {
 			d.registry.Remember(before)
@@ -114,6 +114,6 @@
 }
 
 // beatPeriod is how often engines that register themselves beat.
-func (d *Daemon) beatPeriod() time.Duration {
+func (d *Daemon) heartbeatPeriod() time.Duration {
 	return time.Duration(d.Bounds().BeatMs) * time.Millisecond
 }
--- a/daemon/engineslots.go
+++ b/daemon/engineslots.go
@@ -20,35 +20,35 @@
 
 const (
 	// keeperWindow is how lately a daemon must have been heard to keep slots.
-	keeperWindow = 1500 * time.Millisecond
+	slotOwnerWindow = 1500 * time.Millisecond
 	// permitWait is how long a bid waits at the keeper before it is weighed anew here.
-	permitWait  = 150 * time.Millisecond
-	permitLimit = 400 * time.Millisecond
-	slotSettles = 10 * time.Millisecond
+	slotWait         = 150 * time.Millisecond
+	slotRequestLimit = 400 * time.Millisecond
+	slotReuseDelay   = 10 * time.Millisecond
 )
 
 // keeperOf is the address of the daemon that keeps an engine's slots.
-func (d *Daemon) keeperOf(engine ident.EngineID) string {
-	routers := d.fellowsFor(keeperWindow, func(f membership.Fellow) bool { return f.Serves(string(daemonconfig.Route)) })
+func (d *Daemon) slotOwner(engine ident.EngineID) string {
+	routers := d.readyPeers(slotOwnerWindow, func(f membership.Fellow) bool { return f.Serves(string(daemonconfig.Route)) })
 	keeper, _ := affinity.Owners("engine "+string(engine), routers)
 	return keeper
 }
 
 // askPermit asks the engine's keeper for a slot. A keeper that can't be reached must not hold up the go:
 // the engine's own refusal then bounds what it gets.
-func (d *Daemon) askPermit(flight *dispatch.Call, send dispatch.Send) (giveBack func(refused bool), granted bool) {
-	keeper := d.keeperOf(send.Engine)
-	request := &peerapi.PermitRequest{Engine: string(send.Engine), Id: string(d.nodeID) + "/" + strconv.FormatUint(d.permitIDs.Add(1), 10),
+func (d *Daemon) requestSlot(flight *dispatch.Call, send dispatch.Send) (giveBack func(refused bool), granted bool) {
+	keeper := d.slotOwner(send.Engine)
+	request := &peerapi.PermitRequest{Engine: string(send.Engine), Id: string(d.nodeID) + "/" + strconv.FormatUint(d.slotRequestIDs.Add(1), 10),
 		NodeId: string(d.nodeID), Seated: send.Assigned, Worth: send.Worth, Rank: int64(send.Rank), House: send.Tenant}
 	client := peerapi.Fellow(d)
 	if keeper != "" && keeper != d.config.ReachedAt() {
 		client = d.links.To(keeper)
 	}
-	ctx, cancel := context.WithTimeout(flight.Context(), permitLimit)
+	ctx, cancel := context.WithTimeout(flight.Context(), slotRequestLimit)
 	defer cancel()
 	reply, err := client.Permit(ctx, request)
 	if err != nil {
-		d.counters.permitsUnasked.Add(1)
+		d.counters.slotRequestsFailed.Add(1)
 		return func(bool) {}, flight.Context().Err() == nil
 	}
 	if !reply.Granted {
@@ -56,8 +56,8 @@
 	}
 	return func(refused bool) {
 		// An engine frees a slot a moment after its last byte, so the slot is not given on at once.
-		time.AfterFunc(slotSettles, func() {
-			ctx, cancel := context.WithTimeout(context.Background(), permitLimit)
+		time.AfterFunc(slotReuseDelay, func() {
+			ctx, cancel := context.WithTimeout(context.Background(), slotRequestLimit)
 			defer cancel()
 			// A keeper that misses this hears it from the daemon's silence, or takes the slot back in time.
 			_, _ = client.Permit(ctx, &peerapi.PermitRequest{Engine: request.Engine, Id: request.Id, Release: true, Refused: refused})
@@ -74,17 +74,17 @@
 		return nil, twirp.NewError(twirp.FailedPrecondition, "this daemon keeps no slots")
 	}
 	if in.Release {
-		d.slots.Release(ident.EngineID(in.Engine), in.Id, in.Refused)
+		d.engineSlots.Release(ident.EngineID(in.Engine), in.Id, in.Refused)
 		return &peerapi.PermitReply{}, nil
 	}
-	granted := d.slots.Ask(ctx, admission.Ask{ID: in.Id, Node: ident.NodeID(in.NodeId), Engine: ident.EngineID(in.Engine),
-		Bid: priority.Bid{Assigned: in.Seated, Worth: in.Worth, Rank: int(in.Rank), Tenant: in.House}, Until: d.clock.Elapsed() + clock.Mark(permitWait)})
+	granted := d.engineSlots.Ask(ctx, admission.Ask{ID: in.Id, Node: ident.NodeID(in.NodeId), Engine: ident.EngineID(in.Engine),
+		Bid: priority.Bid{Assigned: in.Seated, Worth: in.Worth, Rank: int(in.Rank), Tenant: in.House}, Until: d.clock.Elapsed() + clock.Mark(slotWait)})
 	return &peerapi.PermitReply{Granted: granted}, nil
 }
 
 // yard is what the keeper of slots may look at.
-func (d *Daemon) yard() admission.View {
-	now, t, view := d.clock.Elapsed(), d.keeper.Table(), d.watcher.View()
+func (d *Daemon) slotView() admission.View {
+	now, t, view := d.clock.Elapsed(), d.rollout.Table(), d.watcher.View()
 	return admission.View{
 		Now: now,
 		Capacity: func(id ident.EngineID) int {
--- a/daemon/forwarding.go
+++ b/daemon/forwarding.go
@@ -19,7 +19,7 @@
 )
 
 // forwardSide is what a daemon that forwards opaque requests has beside the rest.
-type forwardSide struct {
+type forwardingPath struct {
 	dialect  dialect.Dialect
 	settings forwarding.Settings
 	patience forwarding.Patience
@@ -30,12 +30,12 @@
 	pools   *connectionpool.Pools
 	gateway *gateway.Gateway
 	// edges is how many daemons route, as last counted, edgesAt when that was.
-	edges, edgesAt atomic.Int64
+	routingDaemons, routingDaemonsAt atomic.Int64
 }
 
 // WithForwarding has the daemon serve the paths of opaque requests that a bundle names.
 func WithForwarding(d dialect.Dialect) Option {
-	return func(daemon *Daemon) { daemon.forwardSide.dialect = d }
+	return func(daemon *Daemon) { daemon.forwarding.dialect = d }
 }
 
 // forwardSettings takes what forwarding is held to from the daemon's own settings.
@@ -48,22 +48,22 @@
 
 // WithPatience says for how long the deployment's clients wait for a stream in silence.
 func WithPatience(patience forwarding.Patience) Option {
-	return func(d *Daemon) { d.forwardSide.patience = patience }
+	return func(d *Daemon) { d.forwarding.patience = patience }
 }
 
 // WithEngineView replaces where the registered engines are looked up.
 func WithEngineView(view func() *registry.View) Option {
-	return func(d *Daemon) { d.forwardSide.view = view }
+	return func(d *Daemon) { d.forwarding.view = view }
 }
 
 // forwards says whether opaque requests are served here.
 func (d *Daemon) forwards() bool {
-	return d.forwardSide.dialect != nil && d.config.Serves(daemonconfig.Route)
+	return d.forwarding.dialect != nil && d.config.Serves(daemonconfig.Route)
 }
 
 // startForwarding puts the request path together.
 func (d *Daemon) startForwarding(ctx context.Context) {
-	side := &d.forwardSide
+	side := &d.forwarding
 	side.settings = forwardSettings(d.config)
 	side.settings.Patience = side.patience
 	if d.config.Log == log.DebugLevel.String() {
@@ -76,7 +76,7 @@
 	side.actor = forwarding.NewActor(side.settings, d.forwardWorld)
 	side.gateway = gateway.New(gateway.Surroundings{
 		Clock: d.clock, Dialect: side.dialect, Index: d.forwardIndex, View: side.view, Current: d.tableIsCurrent, Held: d.generator.Held, EngineOpen: d.engineOpen,
-		Draining: d.draining.Load, Settings: side.settings, Recorder: d.nodes.recorder,
+		Draining: d.draining.Load, Settings: side.settings, Recorder: d.nodeRanking.recorder,
 	}, side.actor, side.pools)
 	go side.actor.Run(ctx)
 	go d.runSweeps(ctx)
@@ -100,12 +100,12 @@
 			return
 		case <-ticker.C:
 		}
-		view := d.forwardSide.view()
-		d.forwardSide.pools.Sweep(func(id ident.EngineID) bool {
+		view := d.forwarding.view()
+		d.forwarding.pools.Sweep(func(id ident.EngineID) bool {
 			engine, known := view.Engines[id]
 			return known && !engine.Gone
 		})
-		d.forwardSide.actor.Ask(func(core *forwarding.Core, _ forwarding.World) { core.Forget(view) })
+		d.forwarding.actor.Ask(func(core *forwarding.Core, _ forwarding.World) { core.Forget(view) })
 	}
 }
 
@@ -114,20 +114,20 @@
 
 // stopForwarding has all opaque requests answered in time before the limit; what it gives back calls that off.
 func (d *Daemon) stopForwarding(limit context.Context) func() {
-	if d.forwardSide.gateway == nil {
+	if d.forwarding.gateway == nil {
 		return func() {}
 	}
 	until, bounded := limit.Deadline()
 	if !bounded {
 		return func() {}
 	}
-	timer := time.AfterFunc(time.Until(until)-answerMargin, d.forwardSide.gateway.Stop)
+	timer := time.AfterFunc(time.Until(until)-answerMargin, d.forwarding.gateway.Stop)
 	return func() { timer.Stop() }
 }
 
 // forwardIndex is the bundle's section in force; nil is none.
 func (d *Daemon) forwardIndex() *upstream.Index {
-	if t := d.keeper.Table(); t != nil {
+	if t := d.rollout.Table(); t != nil {
 		return t.Forward
 	}
 	return nil
@@ -137,11 +137,11 @@
 func (d *Daemon) forwardWorld() forwarding.World {
 	now := d.clock.Elapsed()
 	return forwarding.World{
-		Now: now, Index: d.forwardIndex(), Current: d.tableIsCurrent(), View: d.forwardSide.view(), Zone: d.config.Zone,
+		Now: now, Index: d.forwardIndex(), Current: d.tableIsCurrent(), View: d.forwarding.view(), Zone: d.config.Zone,
 		Warm: func(engine *registry.Engine, pool string, careful bool) bool {
-			return d.forwardSide.pools.Warm(engine.ID, engine.Address, pool, careful)
+			return d.forwarding.pools.Warm(engine.ID, engine.Address, pool, careful)
 		},
-		Edges: d.edges(now), Lacks: d.PoolLack, Open: d.engineOpen, Emptied: d.engineEmptied, Leased: d.generator.Held(),
+		Edges: d.routingDaemonCount(now), Lacks: d.PoolUnplaced, Open: d.engineOpen, Emptied: d.engineDrainedByRanking, Leased: d.generator.Held(),
 		Mint: func() (ident.SnowflakeID, bool) {
 			id, verdict := d.generator.Mint()
 			return id, verdict == snowflake.Minted
--- a/daemon/freshness.go
+++ b/daemon/freshness.go
@@ -19,7 +19,7 @@
 	if !condition.Leads {
 		return 0
 	}
-	table := d.keeper.Table()
+	table := d.rollout.Table()
 	switch {
 	case table == nil && condition.Spec > 0:
 		return 0
@@ -43,7 +43,7 @@
 }
 
 // noteStale writes down that what is in force here came to be unconfirmed, or is so no more.
-func (d *Daemon) noteStale(stale bool) {
+func (d *Daemon) logStale(stale bool) {
 	if stale {
 		d.counters.turnedStale.Add(1)
 	}
--- a/daemon/groupidentity.go
+++ b/daemon/groupidentity.go
@@ -28,8 +28,8 @@
 		d.generator.Drop()
 		d.enlistedAt.Store(0)
 		d.log.WithField("group", string(group)).Warn("the group was recovered; following its next generation")
-		if life := d.memberLife.Load(); life != nil && remembers(life.store) {
-			life.end(superseded{eris.Errorf("this data folder belongs to group %s, which was recovered as %s; move the folder away, and the machine joins as a new member", *known, group)})
+		if life := d.memberIncarnation.Load(); life != nil && belongsToGroup(life.store) {
+			life.fail(superseded{eris.Errorf("this data folder belongs to group %s, which was recovered as %s; move the folder away, and the machine joins as a new member", *known, group)})
 		}
 		return true
 	}
@@ -41,7 +41,7 @@
 }
 
 // ours says whether a message is of this daemon's group; one that names none is from a fresh daemon.
-func (d *Daemon) ours(group string) error {
+func (d *Daemon) checkGroup(group string) error {
 	known := d.Group()
 	if ident.GroupID(group).Succeeds(known) {
 		// The group was recovered after its majority was lost: this is its next generation.
@@ -56,20 +56,20 @@
 }
 
 // ofOurs says whether a reply is of this daemon's group, or of one where neither knows a group yet.
-func (d *Daemon) ofOurs(reply *peerapi.PullReply) bool {
+func (d *Daemon) sameGroup(reply *peerapi.PullReply) bool {
 	known := d.Group()
 	return known == "" || reply.Group == "" || reply.Group == string(known) || ident.GroupID(reply.Group).Succeeds(known)
 }
 
 func (d *Daemon) identity() *peerapi.Identity {
 	out := &peerapi.Identity{NodeId: string(d.nodeID), Group: string(d.Group()), ServesControl: d.config.Serves(daemonconfig.Control), JoinOnly: d.config.JoinOnly}
-	if folder := d.held(); folder != nil {
+	if folder := d.dataFolder(); folder != nil {
 		out.MemberId = uint64(folder.Member)
 		if remembered, err := folder.Group(); err == nil && remembered != "" {
 			out.Group = string(remembered)
 		}
 	}
-	if t := d.keeper.Table(); t != nil {
+	if t := d.rollout.Table(); t != nil {
 		out.SpecEpoch, out.ClosureEpoch = uint64(t.Epoch), uint64(t.Closures.Epoch)
 	}
 	out.LeaderMsAgo = -1
@@ -78,7 +78,7 @@
 	}
 	out.TenureUntilMs = int64(d.generator.Ceiling())
 	if d.config.Serves(daemonconfig.Place) {
-		out.Claim = uint64(max(d.placer.Condition().Claim, d.pools.condition().Claim))
+		out.Claim = uint64(max(d.sessionPlacer.Condition().Claim, d.poolPlanning.condition().Claim))
 	}
 	return out
 }
--- a/daemon/handover.go
+++ b/daemon/handover.go
@@ -14,57 +14,57 @@
 )
 
 // keptThing names what a stopping daemon alone holds.
-type keptThing string
+type unreleased string
 
 const (
 	// leadership ends by an election instead, plannersClaim and workerID by their time.
-	leadership    keptThing = "leadership"
-	plannersClaim keptThing = "planner's claim"
-	workerID      keptThing = "worker id"
+	leadership    unreleased = "leadership"
+	plannersClaim unreleased = "planner's claim"
+	workerID      unreleased = "worker id"
 	// openAnswers are calls of callers and operators that were not answered.
-	openAnswers keptThing = "open answers"
+	openResponses unreleased = "open answers"
 	// attemptMemory is what is remembered for attempts whose home this daemon is.
-	attemptMemory keptThing = "memory of attempts"
+	attemptMemory unreleased = "memory of attempts"
 	// engineNews is what engines said here of themselves that no other control daemon has seen.
-	engineNews keptThing = "news of engines"
+	engineRegistrations unreleased = "news of engines"
 	// logEntries are committed entries that too few other voters hold.
-	logEntries keptThing = "log entries"
+	logEntries unreleased = "log entries"
 )
 
 // keptThings collects what could not be handed over before the end.
-type keptThings struct {
-	mutex  sync.Mutex
-	things []keptThing
+type unreleasedSet struct {
+	mutex     sync.Mutex
+	resources []unreleased
 }
 
-func (k *keptThings) add(thing keptThing) {
+func (k *unreleasedSet) add(thing unreleased) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if !slices.Contains(k.things, thing) {
-		k.things = append(k.things, thing)
+	if !slices.Contains(k.resources, thing) {
+		k.resources = append(k.resources, thing)
 	}
 }
 
-func (k *keptThings) list() []keptThing {
+func (k *unreleasedSet) list() []unreleased {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	return slices.Clone(k.things)
+	return slices.Clone(k.resources)
 }
 
 const (
 	// tellLimit bounds the wait for another control daemon to see the newest that engines said here.
-	tellLimit = 300 * time.Millisecond
+	registrationsSeenLimit = 300 * time.Millisecond
 	// lastVoteLimit bounds how long a member stays for its vote and its copy of the log where too few others speak and
 	// hold all: time for an election, and for one that stands ready to get a vote.
-	lastVoteLimit = 4 * time.Second
+	memberRetireLimit = 4 * time.Second
 	// elsewhereLimit bounds the wait for the same word after its end.
-	elsewhereLimit = 400 * time.Millisecond
+	logReplicatedLimit = 400 * time.Millisecond
 	// elsewhereEvery is how often the leader is asked for it.
-	elsewhereEvery = 25 * time.Millisecond
+	logReplicatedEvery = 25 * time.Millisecond
 )
 
 // tellBeats waits until another control daemon has seen all that engines said here, except for how busy they are.
-func (d *Daemon) tellBeats(kept *keptThings) {
+func (d *Daemon) awaitRegistrationsSeen(kept *unreleasedSet) {
 	if !d.config.Serves(daemonconfig.Control) || len(d.registry.View().Engines) == 0 {
 		return
 	}
@@ -77,13 +77,13 @@
 	if len(peers) == 0 {
 		return
 	}
-	bounded, cancel := context.WithTimeout(context.Background(), tellLimit)
+	bounded, cancel := context.WithTimeout(context.Background(), registrationsSeenLimit)
 	defer cancel()
 	seen := make(chan bool, len(peers))
 	change := d.registry.Solid()
 	for _, peer := range peers {
 		go func() {
-			seen <- d.registry.AwaitReach(bounded, change, tellLimit, func() []ident.NodeID { return []ident.NodeID{peer} })
+			seen <- d.registry.AwaitReach(bounded, change, registrationsSeenLimit, func() []ident.NodeID { return []ident.NodeID{peer} })
 		}()
 	}
 	for range peers {
@@ -91,13 +91,13 @@
 			return
 		}
 	}
-	kept.add(engineNews)
+	kept.add(engineRegistrations)
 }
 
 // endMember ends this daemon's member of the group, after which nothing more can come to rest on its disk. It first
 // waits until the others can do without it, and then for the leader's word that they hold all that was committed.
-func (d *Daemon) endMember(limit context.Context, kept *keptThings) {
-	held, life := d.replica.Load(), d.memberLife.Load()
+func (d *Daemon) retireMember(limit context.Context, kept *unreleasedSet) {
+	held, life := d.replica.Load(), d.memberIncarnation.Load()
 	if held == nil || life == nil {
 		return
 	}
@@ -106,35 +106,35 @@
 	if !known || !self.Voter || len(condition.Members.Voters()) == 1 {
 		return
 	}
-	bounded, cancel := context.WithTimeout(limit, lastVoteLimit)
+	bounded, cancel := context.WithTimeout(limit, memberRetireLimit)
 	defer cancel()
-	if !d.heldElsewhere(bounded, self) {
+	if !d.awaitLogReplicated(bounded, self) {
 		kept.add(logEntries)
 		return
 	}
-	d.memberEnds.Store(true)
+	d.memberRetired.Store(true)
 	life.cancel()
-	last, done := context.WithTimeout(context.Background(), elsewhereLimit)
+	last, done := context.WithTimeout(context.Background(), logReplicatedLimit)
 	defer done()
-	if !d.heldElsewhere(last, self) {
+	if !d.awaitLogReplicated(last, self) {
 		kept.add(logEntries)
 	}
 }
 
 // heldElsewhere asks whoever leads until that one says so; who leads hands over first.
-func (d *Daemon) heldElsewhere(ctx context.Context, self raft.Member) bool {
-	ticker := time.NewTicker(elsewhereEvery)
+func (d *Daemon) awaitLogReplicated(ctx context.Context, self raft.Member) bool {
+	ticker := time.NewTicker(logReplicatedEvery)
 	defer ticker.Stop()
 	offered := clock.Mark(0)
 	for {
 		leader := d.leaderAddress()
 		switch held := d.replica.Load(); {
 		case held != nil && held.Condition().Leads:
-			if now := d.clock.Elapsed(); now.Since(offered) > handOverEvery {
+			if now := d.clock.Elapsed(); now.Since(offered) > leadershipTransferEvery {
 				offered = now
 				held.HandOver()
 			}
-		case leader != "" && leader != self.Address && d.askToJoin(ctx, leader, self, true):
+		case leader != "" && leader != self.Address && d.requestJoin(ctx, leader, self, true):
 			return true
 		}
 		select {
--- a/daemon/idlelistener_test.go
+++ b/daemon/idlelistener_test.go
@@ -21,8 +21,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	listener := &restingListener{Listener: under, read: read, usual: usual, rest: func() time.Duration { return time.Duration(rest.Load()) }}
-	server := &fasthttp.Server{Handler: func(*fasthttp.RequestCtx) {}, ReadTimeout: read, IdleTimeout: usual, Logger: quiet{}}
+	listener := &keepAliveListener{Listener: under, readLimit: read, idleLimit: usual, keepAlive: func() time.Duration { return time.Duration(rest.Load()) }}
+	server := &fasthttp.Server{Handler: func(*fasthttp.RequestCtx) {}, ReadTimeout: read, IdleTimeout: usual, Logger: silentLogger{}}
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() { under.Close() })
 	const request = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
--- a/daemon/joingroup.go
+++ b/daemon/joingroup.go
@@ -49,7 +49,7 @@
 }
 
 // remembers says whether a data folder belongs to a group already.
-func remembers(held *store.Store) bool {
+func belongsToGroup(held *store.Store) bool {
 	group, err := held.Group()
 	return err != nil || group != ""
 }
@@ -67,17 +67,17 @@
 	ticker := time.NewTicker(200 * time.Millisecond)
 	defer ticker.Stop()
 	for {
-		decision, group, members := bootstrap.Decide(held.Member, d.askSeeds(ctx))
+		decision, group, members := bootstrap.Decide(held.Member, d.identifySeeds(ctx))
 		switch decision {
 		case bootstrap.Join:
 			return group, none, nil
 		case bootstrap.Form:
-			return d.form(held, members)
+			return d.bootstrapGroup(held, members)
 		}
 		select {
 		case <-ctx.Done():
 			return "", none, nil
-		case group := <-d.adopted:
+		case group := <-d.adoptedGroup:
 			return group, none, nil
 		case <-ticker.C:
 		}
@@ -85,7 +85,7 @@
 }
 
 // form writes the first state of a new group; it counts once it is synced.
-func (d *Daemon) form(held *store.Store, members raft.Membership) (ident.GroupID, raft.Restored, error) {
+func (d *Daemon) bootstrapGroup(held *store.Store, members raft.Membership) (ident.GroupID, raft.Restored, error) {
 	var raw [8]byte
 	if _, err := rand.Read(raw[:]); err != nil {
 		panic("broken invariant: no randomness: " + err.Error())
@@ -102,7 +102,7 @@
 
 // askSeeds asks all seeds who they are. Once one of them tells of a group nobody else is waited for: a seed
 // that is gone for good must not hold up a machine that comes in its place.
-func (d *Daemon) askSeeds(ctx context.Context) []bootstrap.Seed {
+func (d *Daemon) identifySeeds(ctx context.Context) []bootstrap.Seed {
 	seeds := d.Config().Seeds
 	out := make([]bootstrap.Seed, len(seeds))
 	type said struct {
@@ -156,14 +156,14 @@
 		if d.draining.Load() {
 			// While it goes on, another that stands ready may take its place.
 			if known && member.Voter && leader != "" && leader != self.Address {
-				d.askToJoin(ctx, leader, self, true)
+				d.requestJoin(ctx, leader, self, true)
 			}
 			leader = ""
 		}
 		// One that hears no leader, while others do, may have been let go without its knowing.
 		outside := !known || !member.Voter || condition.Leader.ID == 0
 		if outside && leader != "" && leader != self.Address {
-			d.askToJoin(ctx, leader, self, false)
+			d.requestJoin(ctx, leader, self, false)
 		}
 		select {
 		case <-ctx.Done():
@@ -175,7 +175,7 @@
 
 // askToJoin tells the leader that this member wants to be taken in, or that it stops. It says whether the leader
 // agreed: to one that stops, that nothing rests on its copy of the log. A lost call is made again on the next beat.
-func (d *Daemon) askToJoin(ctx context.Context, leader string, self raft.Member, leaving bool) bool {
+func (d *Daemon) requestJoin(ctx context.Context, leader string, self raft.Member, leaving bool) bool {
 	bounded, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	reply, err := d.links.To(leader).Join(bounded, &peerapi.JoinRequest{Group: string(d.Group()), MemberId: uint64(self.ID), Name: self.Name, Address: self.Address, Leaving: leaving})
@@ -184,12 +184,12 @@
 
 // Join takes a new data folder into the group, if this daemon leads.
 func (d *Daemon) Join(ctx context.Context, in *peerapi.JoinRequest) (*peerapi.SubmitReply, error) {
-	if err := d.ours(in.Group); err != nil {
+	if err := d.checkGroup(in.Group); err != nil {
 		return nil, err
 	}
 	held := d.replica.Load()
 	if held == nil || !held.Condition().Leads {
-		return d.redirect(), nil
+		return d.notLeaderReply(), nil
 	}
 	if in.MemberId == 0 || in.Name == "" || in.Address == "" || in.Group == "" {
 		return nil, twirp.NewError(twirp.InvalidArgument, "a member needs an identity, a name and an address")
--- a/daemon/leader.go
+++ b/daemon/leader.go
@@ -31,7 +31,7 @@
 	return view.LeaderAddress, view.LeaderTerm
 }
 
-func (d *Daemon) redirect() *peerapi.SubmitReply {
+func (d *Daemon) notLeaderReply() *peerapi.SubmitReply {
 	return &peerapi.SubmitReply{Outcome: string(replica.NotLeader), LeaderAddress: d.leaderAddress()}
 }
 
--- a/daemon/listener.go
+++ b/daemon/listener.go
@@ -17,8 +17,8 @@
 const (
 	// listenEvery is how often an address that another has is tried again.
 	listenEvery      = 200 * time.Millisecond
-	firstAcceptPause = 5 * time.Millisecond
-	mostAcceptPause  = 200 * time.Millisecond
+	minAcceptBackoff = 5 * time.Millisecond
+	maxAcceptBackoff = 200 * time.Millisecond
 )
 
 // listen takes an address; where the settings say to wait, for as long as another has it.
@@ -28,7 +28,7 @@
 	for told := false; ; told = true {
 		listener, err := net.Listen("tcp", address)
 		if err == nil {
-			return &steadyListener{Listener: listener, wait: d.config.Trouble == daemonconfig.WaitOnTrouble, troubles: &d.counters.listenerTroubles}, nil
+			return &retryingListener{Listener: listener, retry: d.config.Trouble == daemonconfig.WaitOnTrouble, faults: &d.counters.listenerFaults}, nil
 		}
 		err = eris.Wrapf(err, "%s %s cannot be used", field, address)
 		if d.config.Trouble != daemonconfig.WaitOnTrouble {
@@ -65,7 +65,7 @@
 		}
 		err = eris.Wrapf(err, "%s %s failed", field, address)
 		if d.config.Trouble != daemonconfig.WaitOnTrouble {
-			d.stepAside(err)
+			d.abort(err)
 			return
 		}
 		d.log.WithError(err).Warn("listening again")
@@ -78,20 +78,20 @@
 
 // steadyListener goes on accepting where one connection could not be: the other side may be gone already, or
 // this process may have no descriptor left for the moment. Only its own end ends it.
-type steadyListener struct {
+type retryingListener struct {
 	net.Listener
-	wait     bool
-	troubles *atomic.Uint64
+	retry  bool
+	faults *atomic.Uint64
 }
 
 // Accept takes the next connection.
-func (l *steadyListener) Accept() (net.Conn, error) {
-	for pause := firstAcceptPause; ; pause = min(2*pause, mostAcceptPause) {
+func (l *retryingListener) Accept() (net.Conn, error) {
+	for pause := minAcceptBackoff; ; pause = min(2*pause, maxAcceptBackoff) {
 		conn, err := l.Listener.Accept()
-		if err == nil || !l.wait || errors.Is(err, net.ErrClosed) {
+		if err == nil || !l.retry || errors.Is(err, net.ErrClosed) {
 			return conn, err
 		}
-		l.troubles.Add(1)
+		l.faults.Add(1)
 		// Whoever holds descriptors needs a moment to let go of some.
 		<-time.After(pause)
 	}
--- a/daemon/listener_test.go
+++ b/daemon/listener_test.go
@@ -26,11 +26,11 @@
 
 func TestAListenerWithoutDescriptorsGoesOnAccepting(t *testing.T) {
 	var troubles atomic.Uint64
-	steady := &steadyListener{Listener: &scarce{fails: 3, last: net.ErrClosed}, wait: true, troubles: &troubles}
+	steady := &retryingListener{Listener: &scarce{fails: 3, last: net.ErrClosed}, retry: true, faults: &troubles}
 	if _, err := steady.Accept(); !errors.Is(err, net.ErrClosed) || troubles.Load() != 3 {
 		t.Errorf("%v after %d troubles", err, troubles.Load())
 	}
-	steady = &steadyListener{Listener: &scarce{fails: 3, last: net.ErrClosed}, troubles: &troubles}
+	steady = &retryingListener{Listener: &scarce{fails: 3, last: net.ErrClosed}, faults: &troubles}
 	if _, err := steady.Accept(); !errors.Is(err, syscall.EMFILE) {
 		t.Error("where a person is to look, the trouble was hidden:", err)
 	}
@@ -38,7 +38,7 @@
 
 func TestCallersLeaveDescriptorsForTheRest(t *testing.T) {
 	for descriptors, want := range map[int]int{0: 8192, 4100: 2340, 100: 64, 1 << 20: 8192} {
-		if got := mostConnections(descriptors); got != want {
+		if got := maxConnections(descriptors); got != want {
 			t.Errorf("of %d descriptors callers may take %d, and not %d", descriptors, got, want)
 		}
 	}
@@ -96,10 +96,10 @@
 // was sent later than three seconds after the signal must be answered whole, however long its engine takes.
 func TestAStoppingDaemonTakesNothingTooLateToBeExcused(t *testing.T) {
 	const askedEvery, excusedUntil, onTheWay = time.Second, 3 * time.Second, 200 * time.Millisecond
-	if least := missesSeen*askedEvery + lastHandedOver; mostNotice < least {
-		t.Errorf("connections are taken for %v only, and are handed over for %v", mostNotice, least)
+	if least := unreadyAnswersNeeded*askedEvery + connectionInTransit; maxDrainNotice < least {
+		t.Errorf("connections are taken for %v only, and are handed over for %v", maxDrainNotice, least)
 	}
-	if mostNotice+onTheWay > excusedUntil {
-		t.Errorf("connections are taken for %v, and what comes after %v is not excused", mostNotice, excusedUntil)
+	if maxDrainNotice+onTheWay > excusedUntil {
+		t.Errorf("connections are taken for %v, and what comes after %v is not excused", maxDrainNotice, excusedUntil)
 	}
 }
--- a/daemon/longpoll.go
+++ b/daemon/longpoll.go
@@ -52,20 +52,20 @@
 }
 
 // versions number what is told whole where it changed, by one life's own count.
-type versions struct{ lacks, draining atomic.Uint64 }
+type versions struct{ unplaced, draining atomic.Uint64 }
 
 // beginAnywhere lets two lives never have the same versions.
-func (v *versions) beginAnywhere() {
-	v.lacks.Store(rand.Uint64() >> 1)
+func (v *versions) randomize() {
+	v.unplaced.Store(rand.Uint64() >> 1)
 	v.draining.Store(rand.Uint64() >> 1)
 }
 
 // mostHold bounds how long an answer is held back, whatever the asker says.
-const mostHold = 2 * time.Second
+const maxHold = 2 * time.Second
 
 // holdBack waits until there is news for an asker, for as long as it lets its answer be held back.
-func (d *Daemon) holdBack(ctx context.Context, in *peerapi.PullRequest) {
-	hold := min(time.Duration(in.HoldMs)*time.Millisecond, mostHold)
+func (d *Daemon) awaitUpdate(ctx context.Context, in *peerapi.PullRequest) {
+	hold := min(time.Duration(in.HoldMs)*time.Millisecond, maxHold)
 	if hold <= 0 {
 		return
 	}
@@ -77,7 +77,7 @@
 	for {
 		// Whoever listens first and looks then misses nothing.
 		anyNews, urgentNews := d.bell.listen()
-		switch d.newsFor(in) {
+		switch d.updateUrgency(in) {
 		case urgent:
 			return
 		case ordinary:
@@ -101,12 +101,12 @@
 }
 
 // newsFor says whether there is anything that an asker does not know.
-func (d *Daemon) newsFor(in *peerapi.PullRequest) urgency {
+func (d *Daemon) updateUrgency(in *peerapi.PullRequest) urgency {
 	spec, closure := d.InForce()
 	leader, term := d.leaderAndTerm()
 	planner, plans, self := d.members.View().PlannerAddress, d.Plans(), d.config.ReachedAt()
 	switch {
-	case d.tellsBundle(spec, in) || uint64(closure) > in.ClosureEpoch,
+	case d.sendsConfiguration(spec, in) || uint64(closure) > in.ClosureEpoch,
 		// An asker that knows of a newer leader has no use for this one.
 		leader != "" && (term > in.LeaderTerm || in.LeaderAddress == ""),
 		in.Group == "" && d.Group() != "",
@@ -116,14 +116,14 @@
 		// Numbers of another life count for nothing.
 		in.RegistryLife != string(d.nodeID) || d.registry.Urgent() > in.RegistryWhole || len(in.RegistryWanted) > 0,
 		in.MembersLife != string(d.nodeID),
-		d.drainingNow.Load() && d.toldNews.draining.Load() != in.DrainingVersion:
+		d.enginesDraining.Load() && d.sentVersions.draining.Load() != in.DrainingVersion:
 		return urgent
 	// Of how busy engines are there is always something new; control daemons, who tell it across zones, let it wait
 	// for the end of the hold.
 	case !in.RegistryUrgent && (d.registry.Solid() > in.RegistryWhole || !in.Beats && d.registry.Newest() > in.RegistryWhole),
 		d.members.Solid() > in.MembersSeen || !in.RegistryUrgent && d.members.Changes() > in.MembersSeen,
 		plans != (in.PlannerAddress == self) || in.PlannerAddress == "" && planner != "",
-		plans && d.toldNews.lacks.Load() != in.LacksVersion:
+		plans && d.sentVersions.unplaced.Load() != in.LacksVersion:
 		return ordinary
 	}
 	return nothingNew
@@ -131,10 +131,10 @@
 
 // bundleRest is for how long a new bundle is left to the teller of an asker that asks here for what is urgent only,
 // and to the log of one that serves control.
-const bundleRest = 400 * time.Millisecond
+const configurationDelay = 400 * time.Millisecond
 
 // bundleSeen is since when a bundle is in force here, as far as was looked.
-type bundleSeen struct {
+type configurationSeen struct {
 	epoch ident.Version
 	at    clock.Mark
 }
@@ -142,22 +142,22 @@
 // tellsBundle says whether an asker is told the bundle in force here. A bundle is large, and who asks for what is
 // urgent only has it from its teller in a moment, who serves control from the group's log: these are told here only if
 // they still lack it after a while.
-func (d *Daemon) tellsBundle(epoch ident.Version, in *peerapi.PullRequest) bool {
-	seen := d.bundleSeen.Load()
+func (d *Daemon) sendsConfiguration(epoch ident.Version, in *peerapi.PullRequest) bool {
+	seen := d.configurationSeen.Load()
 	if seen == nil || seen.epoch != epoch {
-		seen = &bundleSeen{epoch, d.clock.Elapsed()}
-		d.bundleSeen.Store(seen)
+		seen = &configurationSeen{epoch, d.clock.Elapsed()}
+		d.configurationSeen.Store(seen)
 	}
-	return uint64(epoch) > in.SpecEpoch && (!in.RegistryUrgent && !in.Beats || d.clock.Elapsed().Since(seen.at) >= bundleRest)
+	return uint64(epoch) > in.SpecEpoch && (!in.RegistryUrgent && !in.Beats || d.clock.Elapsed().Since(seen.at) >= configurationDelay)
 }
 
 // News wakes those whose answers are held back, when the list of members changed.
 func (d *Daemon) News() { d.bell.ring(ordinary) }
 
 // registryNews does so when the registry changed.
-func (d *Daemon) registryNews() {
+func (d *Daemon) registryChanged() {
 	how := ordinary
-	if newest := d.registry.Urgent(); newest != d.urgentTold.Swap(newest) {
+	if newest := d.registry.Urgent(); newest != d.urgentNotified.Swap(newest) {
 		how = urgent
 	}
 	d.bell.ring(how)
@@ -165,7 +165,7 @@
 }
 
 // beatNews is what a beat looks at.
-type beatNews struct {
+type polledState struct {
 	leader     string
 	term       uint64
 	leads      bool
@@ -177,21 +177,21 @@
 // Beat looks for news that nobody else tells of. Only the actor of members calls it.
 func (d *Daemon) Beat() {
 	leader, term := d.leaderAndTerm()
-	now := beatNews{leader: leader, term: term, leads: d.Leads(), stale: d.stale()}
+	now := polledState{leader: leader, term: term, leads: d.Leads(), stale: d.stale()}
 	for id, engine := range d.watcher.View().Engines {
 		if engine.Draining {
 			now.draining++
 			now.drainKnown += engine.DrainKnown + clock.Mark(len(id))
 		}
 	}
-	before := d.beatNews
-	d.beatNews = now
+	before := d.lastPolled
+	d.lastPolled = now
 	if now.draining != before.draining || now.drainKnown != before.drainKnown {
-		d.toldNews.draining.Add(1)
+		d.sentVersions.draining.Add(1)
 	}
-	d.drainingNow.Store(now.draining > 0)
+	d.enginesDraining.Store(now.draining > 0)
 	if now.stale != before.stale {
-		d.noteStale(now.stale)
+		d.logStale(now.stale)
 	}
 	if now != before {
 		d.bell.ring(urgent)
@@ -199,10 +199,10 @@
 	if !d.Plans() {
 		return
 	}
-	held := &heldLacks{lacks: d.placer.Condition().Lacks, pools: d.pools.condition().Lacks}
-	if known := d.heldLacks.Load(); known == nil || !held.like(known) {
-		d.heldLacks.Store(held)
-		d.toldNews.lacks.Add(1)
+	held := &unplacedReport{sessions: d.sessionPlacer.Condition().Lacks, pools: d.poolPlanning.condition().Lacks}
+	if known := d.unplacedReport.Load(); known == nil || !held.similarTo(known) {
+		d.unplacedReport.Store(held)
+		d.sentVersions.unplaced.Add(1)
 		d.bell.ring(ordinary)
 	}
 }
--- a/daemon/longpoll_test.go
+++ b/daemon/longpoll_test.go
@@ -22,7 +22,7 @@
 	d := &Daemon{clock: at}
 	all := &peerapi.PullRequest{SpecEpoch: 3}
 	inShort := &peerapi.PullRequest{SpecEpoch: 3, RegistryUrgent: true}
-	tells := func(epoch ident.Version, in *peerapi.PullRequest) bool { return d.tellsBundle(epoch, in) }
+	tells := func(epoch ident.Version, in *peerapi.PullRequest) bool { return d.sendsConfiguration(epoch, in) }
 	if tells(3, all) || tells(3, inShort) || tells(2, inShort) {
 		t.Error("what is known is told")
 	}
@@ -32,7 +32,7 @@
 	if tells(4, inShort) {
 		t.Error("whoever has a teller is told at once too")
 	}
-	at.now += clock.Mark(bundleRest)
+	at.now += clock.Mark(configurationDelay)
 	if !tells(4, inShort) {
 		t.Error("one whose teller failed is never told")
 	}
@@ -40,7 +40,7 @@
 	if tells(5, control) || tells(5, inShort) || !tells(5, all) {
 		t.Error("the next bundle is left to the teller again, and to the log")
 	}
-	at.now += clock.Mark(bundleRest)
+	at.now += clock.Mark(configurationDelay)
 	if !tells(5, control) {
 		t.Error("a control daemon outside of the group is never told")
 	}
--- a/daemon/member.go
+++ b/daemon/member.go
@@ -15,16 +15,16 @@
 
 const (
 	// firstRetry and mostRetry bound the pause before a data folder that could not be used is tried again.
-	firstRetry = 200 * time.Millisecond
-	mostRetry  = time.Second
+	minMemberBackoff = 200 * time.Millisecond
+	maxMemberBackoff = time.Second
 	// damageLooks is how often a folder must look damaged before its files are set aside: they cannot come back.
-	damageLooks = 2
+	damageConfirmations = 2
 	// firstDifferPause and mostDifferPause bound the pause before this daemon joins once more after its state differed
 	// more than once: something is wrong with this machine or build, and joining over and over would not mend it.
-	firstDifferPause = 10 * time.Second
-	mostDifferPause  = 10 * time.Minute
+	minDifferBackoff = 10 * time.Second
+	maxDifferBackoff = 10 * time.Minute
 	// letGoLimit is how long a stopping daemon waits for its disk.
-	letGoLimit = 500 * time.Millisecond
+	memberStopLimit = 500 * time.Millisecond
 )
 
 // superseded says that a folder belongs to a generation of the group that another has followed.
@@ -32,25 +32,25 @@
 
 // membershipLife is this daemon's own part in the control group: its data folder, and what runs on it.
 // Trouble with the disk ends one such life and begins another, while the daemon goes on.
-type membershipLife struct {
+type memberIncarnation struct {
 	store *store.Store
 	// broken ends the life and says why.
-	broken chan error
-	cancel context.CancelFunc
+	failure chan error
+	cancel  context.CancelFunc
 }
 
 // end ends the life; the first reason stays.
-func (l *membershipLife) end(why error) {
+func (l *memberIncarnation) fail(why error) {
 	select {
-	case l.broken <- why:
+	case l.failure <- why:
 	default:
 	}
 	l.cancel()
 }
 
 // held is the data folder in use; nil while there is none.
-func (d *Daemon) held() *store.Store {
-	if life := d.memberLife.Load(); life != nil {
+func (d *Daemon) dataFolder() *store.Store {
+	if life := d.memberIncarnation.Load(); life != nil {
 		return life.store
 	}
 	return nil
@@ -67,23 +67,23 @@
 // runMember keeps this daemon in its group. Where the settings say to wait, trouble with the disk means that it
 // steps aside, tries again with growing pauses, and joins as a new member if its files are damaged.
 func (d *Daemon) runMember(ctx context.Context, opened *store.Store) {
-	pause, looks := firstRetry, 0
-	differed := differPauses{}
+	pause, looks := minMemberBackoff, 0
+	differed := differBackoff{}
 	for probe := false; ; probe = true {
 		began := d.clock.Elapsed()
-		err := d.runMemberLife(ctx, opened, probe)
+		err := d.runMemberIncarnation(ctx, opened, probe)
 		opened = nil
-		if ctx.Err() != nil || d.memberEnds.Load() {
+		if ctx.Err() != nil || d.memberRetired.Load() {
 			return
 		}
 		if d.config.Trouble != daemonconfig.WaitOnTrouble {
-			d.broken <- err
+			d.fatal <- err
 			return
 		}
-		d.counters.memberTroubles.Add(1)
-		if d.clock.Elapsed().Since(began) > 2*mostRetry {
+		d.counters.memberFaults.Add(1)
+		if d.clock.Elapsed().Since(began) > 2*maxMemberBackoff {
 			// What held for a while was whole.
-			pause, looks = firstRetry, 0
+			pause, looks = minMemberBackoff, 0
 		}
 		line := d.log.WithError(err)
 		switch {
@@ -95,7 +95,7 @@
 			pause = max(pause, differed.next())
 			line.WithField("pause", pause.String()).Warn("gave up a state that differs from what a majority holds; joining as a new member")
 		case errors.As(err, new(superseded)), store.IsDamage(err):
-			if looks++; looks < damageLooks {
+			if looks++; looks < damageConfirmations {
 				line.Warn("the data folder looks damaged")
 				break
 			}
@@ -107,7 +107,7 @@
 				break
 			}
 			line.Warn("set the damaged files aside; joining as a new member")
-		case pause == firstRetry:
+		case pause == minMemberBackoff:
 			line.Warn("out of the group until the disk can be used")
 		}
 		timer := time.NewTimer(pause)
@@ -117,21 +117,21 @@
 			return
 		case <-timer.C:
 		}
-		pause = min(2*pause, mostRetry)
+		pause = min(2*pause, maxMemberBackoff)
 	}
 }
 
 // differPauses are the pauses before joining anew with another state: none at first, then longer and longer.
-type differPauses struct{ pause time.Duration }
+type differBackoff struct{ delay time.Duration }
 
-func (p *differPauses) next() time.Duration {
-	now := p.pause
-	p.pause = min(max(firstDifferPause, 2*p.pause), mostDifferPause)
+func (p *differBackoff) next() time.Duration {
+	now := p.delay
+	p.delay = min(max(minDifferBackoff, 2*p.delay), maxDifferBackoff)
 	return now
 }
 
 // runMemberLife opens the folder, finds the group and runs this member of it until trouble comes.
-func (d *Daemon) runMemberLife(ctx context.Context, opened *store.Store, probe bool) error {
+func (d *Daemon) runMemberIncarnation(ctx context.Context, opened *store.Store, probe bool) error {
 	if opened == nil {
 		var err error
 		if opened, err = store.Open(d.config.Data, NewMember); err != nil {
@@ -147,14 +147,14 @@
 	}
 	bounded, cancel := context.WithCancel(ctx)
 	defer cancel()
-	life := &membershipLife{store: opened, broken: make(chan error, 1), cancel: cancel}
-	d.memberLife.Store(life)
-	defer d.memberLife.Store(nil)
-	if err := d.runControl(bounded, life); err != nil {
-		life.end(err)
+	life := &memberIncarnation{store: opened, failure: make(chan error, 1), cancel: cancel}
+	d.memberIncarnation.Store(life)
+	defer d.memberIncarnation.Store(nil)
+	if err := d.runReplica(bounded, life); err != nil {
+		life.fail(err)
 	}
 	select {
-	case err := <-life.broken:
+	case err := <-life.failure:
 		return err
 	default:
 		return ctx.Err()
@@ -162,7 +162,7 @@
 }
 
 // runControl brings this member into its group, or forms it, and then runs it.
-func (d *Daemon) runControl(ctx context.Context, life *membershipLife) error {
+func (d *Daemon) runReplica(ctx context.Context, life *memberIncarnation) error {
 	group, restored, err := d.findGroup(ctx, life.store)
 	if err != nil || ctx.Err() != nil {
 		return err
@@ -171,12 +171,12 @@
 		return eris.Errorf("the data folder belongs to group %s, and fellows belong to %s", group, d.Group())
 	}
 	self := raft.Member{ID: life.store.Member, Name: d.config.Name, Address: d.config.ReachedAt()}
-	if !remembers(life.store) {
+	if !belongsToGroup(life.store) {
 		// A fresh member belongs to whichever generation addresses it first.
 		group = ""
 	}
-	made, err := replica.New(self, group, restored, d.replicaConfig, d.clock, d.aroundDisk(life.store), d.links,
-		replica.WithChanged(d.stateChanged), replica.WithTurned(d.groupTurned), replica.WithCounters(&d.counters.group), replica.WithNoticed(d.groupNotices()), replica.WithFatal(life.end))
+	made, err := replica.New(self, group, restored, d.replicaConfig, d.clock, d.wrapDisk(life.store), d.links,
+		replica.WithChanged(d.stateChanged), replica.WithTurned(d.logMemberChange), replica.WithCounters(&d.counters.group), replica.WithNoticed(d.noticeLogger()), replica.WithFatal(life.fail))
 	if err != nil {
 		return eris.Wrap(err, "the data folder cannot be read")
 	}
--- a/daemon/membernotices.go
+++ b/daemon/membernotices.go
@@ -10,7 +10,7 @@
 )
 
 // groupTurned writes down what changed in this member's part in the group.
-func (d *Daemon) groupTurned(before, after replica.Condition) {
+func (d *Daemon) logMemberChange(before, after replica.Condition) {
 	line := d.log.WithField("term", uint64(after.Term))
 	switch {
 	case after.Leads && !before.Leads:
@@ -38,7 +38,7 @@
 
 // groupNotices writes down what members of the group noticed of each other. A snapshot that is refused again and
 // again is one line.
-func (d *Daemon) groupNotices() func(raft.Notice) {
+func (d *Daemon) noticeLogger() func(raft.Notice) {
 	var refused raft.Notice
 	return func(notice raft.Notice) {
 		line := d.log.WithFields(log.Fields{"peer": uint64(notice.Peer), "index": uint64(notice.Index), "bytes": notice.Bytes})
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -18,11 +18,11 @@
 
 // Losses lists the requests of paths that were not served here, or late.
 func (d *Daemon) Losses() []metrics.Loss {
-	if d.forwardSide.actor == nil {
+	if d.forwarding.actor == nil {
 		return nil
 	}
 	var losses map[forwarding.LossKey]uint64
-	d.forwardSide.actor.Ask(func(core *forwarding.Core, _ forwarding.World) { losses = core.Losses() })
+	d.forwarding.actor.Ask(func(core *forwarding.Core, _ forwarding.World) { losses = core.Losses() })
 	out := make([]metrics.Loss, 0, len(losses))
 	for key, count := range losses {
 		out = append(out, metrics.Loss{Path: key.Path, Model: key.Model, Reason: key.Reason.String(), Count: count})
--- a/daemon/nodedigests.go
+++ b/daemon/nodedigests.go
@@ -10,38 +10,38 @@
 )
 
 // tellNodesEvery is how often a daemon tells what it measured.
-const tellNodesEvery = time.Second
+const sendDigestsEvery = time.Second
 
 const (
 	// mostClasses and mostBuckets bound what one telling may hold of an engine.
-	mostClasses = 500
-	mostBuckets = 300
+	maxClasses = 500
+	maxBuckets = 300
 )
 
 // tell gives what was measured since it was last told, for whoever plans.
-func (n *nodeRanking) tell() []*peerapi.NodeDigest {
+func (n *nodeRanking) takeDigests() []*peerapi.NodeDigest {
 	if n.recorder == nil {
 		return nil
 	}
 	now := n.clock.Elapsed()
-	n.toldMutex.Lock()
-	defer n.toldMutex.Unlock()
-	if now.Since(n.toldAt) < tellNodesEvery {
+	n.sentMutex.Lock()
+	defer n.sentMutex.Unlock()
+	if now.Since(n.sentAt) < sendDigestsEvery {
 		return nil
 	}
-	n.toldAt = now
+	n.sentAt = now
 	digests := n.recorder.Take()
-	n.told.Add(uint64(len(digests)))
+	n.digestsSent.Add(uint64(len(digests)))
 	return encodeDigests(digests)
 }
 
 // hear takes what an asker measured, where this daemon plans.
-func (n *nodeRanking) hear(in *peerapi.PullRequest) {
-	if len(in.Nodes) == 0 || !n.on() || !n.plans() || !n.pools.condition().Held {
+func (n *nodeRanking) receiveDigests(in *peerapi.PullRequest) {
+	if len(in.Nodes) == 0 || !n.on() || !n.plans() || !n.poolPlanning.condition().Held {
 		return
 	}
 	// What finds no room is lost: the next telling brings as much again.
-	n.box.Offer(heardNodes{ident.ZoneID(in.Zone), decodeDigests(n.registry.View(), in.Nodes)})
+	n.mailbox.Offer(receivedDigests{ident.ZoneID(in.Zone), decodeDigests(n.registry.View(), in.Nodes)})
 }
 
 // encodeDigests puts the digests of one engine together. Its pool is known to whoever plans.
@@ -67,11 +67,11 @@
 	var out []nodehealth.Digest
 	for _, node := range nodes {
 		engine := view.Engines[ident.EngineID(node.Engine)]
-		if engine == nil || len(node.Classes) > mostClasses {
+		if engine == nil || len(node.Classes) > maxClasses {
 			continue
 		}
 		for _, class := range node.Classes {
-			if class.Kind > uint32(nodehealth.Connect) || class.Load > 64 || class.Size > 64 || len(class.Values) != len(class.Counts) || len(class.Values) > mostBuckets {
+			if class.Kind > uint32(nodehealth.Connect) || class.Load > 64 || class.Size > 64 || len(class.Values) != len(class.Counts) || len(class.Values) > maxBuckets {
 				continue
 			}
 			digest := nodehealth.Digest{Engine: engine.ID, Class: nodehealth.Class{Kind: nodehealth.Kind(class.Kind), Pool: engine.Pool, Model: class.Model,
--- a/daemon/nodedigests_test.go
+++ b/daemon/nodedigests_test.go
@@ -35,7 +35,7 @@
 
 // What another daemon tells may be anything; what makes no sense is left out.
 func TestGarbageDigestsAreLeftOut(t *testing.T) {
-	many := make([]uint32, mostBuckets+1)
+	many := make([]uint32, maxBuckets+1)
 	for name, class := range map[string]*peerapi.NodeClass{
 		"kind":     {Kind: 9, Values: []uint32{1}, Counts: []uint32{1}},
 		"load":     {Load: 200, Values: []uint32{1}, Counts: []uint32{1}},
--- a/daemon/noderanking.go
+++ b/daemon/noderanking.go
@@ -30,28 +30,28 @@
 	// recorder is there where requests are forwarded and ranking is not off.
 	recorder *nodehealth.Recorder
 	// toldAt is when digests were last told.
-	toldMutex sync.Mutex
-	toldAt    clock.Mark
-	told      atomic.Uint64
+	sentMutex   sync.Mutex
+	sentAt      clock.Mark
+	digestsSent atomic.Uint64
 
-	box *actor.Mailbox[any]
+	mailbox *actor.Mailbox[any]
 	// ranker is there while the claim is held; claim is the one it was made for.
 	ranker *nodehealth.Ranker
 	claim  ident.FencingToken
 	// asked says that an act is under way, stepNext when the next step is due.
-	asked    bool
-	stepNext clock.Mark
+	actionPending bool
+	stepNext      clock.Mark
 	// vanished is since when an engine that the ranking shut is not registered.
 	vanished map[ident.EngineID]clock.Mark
 	// refusals is why slow engines were not drained at the newest step.
 	refusals map[ident.EngineID]nodehealth.Refusal
 	// asked for lately: only that must not lose its last holder.
-	wanted map[wantedKey]clock.Mark
-	state  atomic.Pointer[rankingState]
-	acts   rankingActs
+	recentDemand  map[demandKey]clock.Mark
+	state         atomic.Pointer[rankingState]
+	decisionsMade actionCounts
 }
 
-type wantedKey struct {
+type demandKey struct {
 	pool   string
 	target nodehealth.Target
 }
@@ -66,16 +66,16 @@
 }
 
 // rankingActs counts what became of what was decided.
-type rankingActs struct{ done, refused, unknown, unleased atomic.Uint64 }
+type actionCounts struct{ done, refused, unknown, unleased atomic.Uint64 }
 
 type (
-	heardNodes struct {
+	receivedDigests struct {
 		zone    ident.ZoneID
 		digests []nodehealth.Digest
 	}
-	actedOn struct {
-		act     nodehealth.Act
-		verdict statemachine.Verdict
+	actionResult struct {
+		action  nodehealth.Act
+		outcome statemachine.Verdict
 		reason  string
 		known   bool
 	}
@@ -85,17 +85,17 @@
 	// rankEvery is how often engines are ranked, where a step takes less than a tenth of that.
 	rankEvery = time.Second
 	// wantedFor is for how long something counts as asked for.
-	wantedFor = 30 * time.Second
+	demandRetained = 30 * time.Second
 	// vanishedFor is after what time the mark of an engine that is gone is taken away.
 	vanishedFor = 30 * time.Second
 	// actLimit bounds how long an act is waited for.
-	actLimit = 5 * time.Second
+	actionLimit = 5 * time.Second
 	// rankingName is who shuts engines by rank.
-	rankingName = "ranking"
+	rankingOperator = "ranking"
 )
 
 func newNodeRanking(d *Daemon) *nodeRanking {
-	n := &nodeRanking{Daemon: d, settings: d.config.Ranking, box: actor.NewMailbox[any](1024), vanished: map[ident.EngineID]clock.Mark{}, refusals: map[ident.EngineID]nodehealth.Refusal{}, wanted: map[wantedKey]clock.Mark{}}
+	n := &nodeRanking{Daemon: d, settings: d.config.Ranking, mailbox: actor.NewMailbox[any](1024), vanished: map[ident.EngineID]clock.Mark{}, refusals: map[ident.EngineID]nodehealth.Refusal{}, recentDemand: map[demandKey]clock.Mark{}}
 	if n.on() && d.forwards() {
 		n.recorder = nodehealth.NewRecorder()
 	}
@@ -108,32 +108,34 @@
 }
 
 // plans says whether this daemon may ever rank. One that never was put together to plan pools can't.
-func (n *nodeRanking) plans() bool { return n.pools != nil && n.config.Serves(daemonconfig.Place) }
+func (n *nodeRanking) plans() bool {
+	return n.poolPlanning != nil && n.config.Serves(daemonconfig.Place)
+}
 
 // run starts the ranker. It runs where ranking is off too, to open what was shut before it was switched off.
-func (n *nodeRanking) run(run func(func(context.Context))) {
+func (n *nodeRanking) start(run func(func(context.Context))) {
 	if n.plans() {
-		run(func(ctx context.Context) { n.box.Run(ctx, rankEvery/4, n.take, func() { n.beat(ctx) }) })
+		run(func(ctx context.Context) { n.mailbox.Run(ctx, rankEvery/4, n.take, func() { n.step(ctx) }) })
 	}
 }
 
 func (n *nodeRanking) take(event any) {
 	switch e := event.(type) {
-	case heardNodes:
+	case receivedDigests:
 		if n.ranker != nil {
 			n.ranker.Take(n.clock.Elapsed(), e.zone, e.digests)
 		}
-	case nodesAsked:
-		n.answer(e)
-	case actedOn:
-		n.asked = false
-		n.noteActed(e)
+	case rankingQuery:
+		n.answerQuery(e)
+	case actionResult:
+		n.actionPending = false
+		n.logActionResult(e)
 	}
 }
 
 // beat ranks, while this daemon holds the claim.
-func (n *nodeRanking) beat(ctx context.Context) {
-	condition := n.pools.condition()
+func (n *nodeRanking) step(ctx context.Context) {
+	condition := n.poolPlanning.condition()
 	if !condition.Held {
 		// Whoever has the claim next begins with what the fleet shows. One that lapsed and goes on is no other.
 		n.state.Store(&rankingState{})
@@ -146,8 +148,8 @@
 	if now < n.stepNext {
 		return
 	}
-	table := n.keeper.Table()
-	if table == nil || !n.on() && !anyRanked(table.Closures) {
+	table := n.rollout.Table()
+	if table == nil || !n.on() && !anyDrainedByRanking(table.Closures) {
 		return
 	}
 	if n.recorder != nil {
@@ -169,9 +171,9 @@
 		state.emptying[id] = true
 	}
 	n.state.Store(state)
-	acts := append(decision.Acts, n.forgotten(now, view, table.Closures)...)
-	if len(acts) > 0 && !n.asked {
-		n.act(ctx, acts[0])
+	acts := append(decision.Acts, n.reopenVanished(now, view, table.Closures)...)
+	if len(acts) > 0 && !n.actionPending {
+		n.submitAction(ctx, acts[0])
 	}
 }
 
@@ -189,7 +191,7 @@
 	}
 }
 
-func anyRanked(closures statemachine.Closures) bool {
+func anyDrainedByRanking(closures statemachine.Closures) bool {
 	for _, mark := range closures.Engines {
 		if mark.Ranking != nil {
 			return true
@@ -199,7 +201,7 @@
 }
 
 // forgotten lists the openings of engines that were shut by rank and are gone, so that their marks don't pile up.
-func (n *nodeRanking) forgotten(now clock.Mark, view *registry.View, closures statemachine.Closures) []nodehealth.Act {
+func (n *nodeRanking) reopenVanished(now clock.Mark, view *registry.View, closures statemachine.Closures) []nodehealth.Act {
 	var out []nodehealth.Act
 	for id := range n.vanished {
 		if _, shut := closures.Engines[id]; !shut {
@@ -223,36 +225,36 @@
 }
 
 // act has the group shut or open an engine, stamped and under the claim that was ranked under.
-func (n *nodeRanking) act(ctx context.Context, act nodehealth.Act) {
+func (n *nodeRanking) submitAction(ctx context.Context, act nodehealth.Act) {
 	stamp, verdict := n.generator.Mint()
 	if verdict != snowflake.Minted {
 		// Without a lease of a worker id nothing is decided.
-		n.acts.unleased.Add(1)
+		n.decisionsMade.unleased.Add(1)
 		return
 	}
-	command := statemachine.Command{Op: statemachine.OpClosure, NodeID: n.nodeID, Operator: rankingName, Engine: act.Engine, Closed: act.Drain,
+	command := statemachine.Command{Op: statemachine.OpClosure, NodeID: n.nodeID, Operator: rankingOperator, Engine: act.Engine, Closed: act.Drain,
 		Ranking: &statemachine.RankingMark{Claim: n.claim, Stamp: stamp, Reason: reasonOf(act)}}
-	n.asked = true
+	n.actionPending = true
 	go func() {
-		bounded, cancel := context.WithTimeout(ctx, actLimit)
+		bounded, cancel := context.WithTimeout(ctx, actionLimit)
 		defer cancel()
 		answer, known := n.submitOnce(bounded, command)
-		n.box.Send(actedOn{act, answer.Verdict, answer.Reason, known})
+		n.mailbox.Send(actionResult{act, answer.Verdict, answer.Reason, known})
 	}()
 }
 
-func (n *nodeRanking) noteActed(e actedOn) {
-	logged := n.log.WithFields(log.Fields{"engine": string(e.act.Engine), "drain": e.act.Drain, "score": round(e.act.Standing.Score)})
+func (n *nodeRanking) logActionResult(e actionResult) {
+	logged := n.log.WithFields(log.Fields{"engine": string(e.action.Engine), "drain": e.action.Drain, "score": round(e.action.Standing.Score)})
 	switch {
 	case !e.known:
-		n.acts.unknown.Add(1)
+		n.decisionsMade.unknown.Add(1)
 		logged.Warn("ranking: the group gave no answer")
-	case e.verdict != statemachine.Done:
-		n.acts.refused.Add(1)
+	case e.outcome != statemachine.Done:
+		n.decisionsMade.refused.Add(1)
 		logged.WithField("reason", e.reason).Warn("ranking: the group refused")
 	default:
-		n.acts.done.Add(1)
-		logged.WithFields(log.Fields{"kind": e.act.Standing.Kind.String(), "value": e.act.Standing.Value, "others": e.act.Standing.Peers}).Info("ranking: carried out")
+		n.decisionsMade.done.Add(1)
+		logged.WithFields(log.Fields{"kind": e.action.Standing.Kind.String(), "value": e.action.Standing.Value, "others": e.action.Standing.Peers}).Info("ranking: carried out")
 	}
 }
 
@@ -271,15 +273,15 @@
 
 // fleet is what the ranker may know of the registered engines. Of who asks for what, only whether anyone does.
 func (n *nodeRanking) fleet(now clock.Mark, view *registry.View, closures statemachine.Closures, open func(ident.EngineID, ident.ZoneID) bool) nodehealth.Fleet {
-	for _, demand := range n.heardDemand(now, n.forwardDemands()) {
-		n.wanted[wantedKey{demand.Pool, nodehealth.Target{Model: demand.Model}}] = now
+	for _, demand := range n.collectDemand(now, n.forwardDemands()) {
+		n.recentDemand[demandKey{demand.Pool, nodehealth.Target{Model: demand.Model}}] = now
 		if demand.Adapter != "" {
-			n.wanted[wantedKey{demand.Pool, nodehealth.Target{Model: demand.Model, Adapter: demand.Adapter}}] = now
+			n.recentDemand[demandKey{demand.Pool, nodehealth.Target{Model: demand.Model, Adapter: demand.Adapter}}] = now
 		}
 	}
-	for key, at := range n.wanted {
-		if now.Since(at) > wantedFor {
-			delete(n.wanted, key)
+	for key, at := range n.recentDemand {
+		if now.Since(at) > demandRetained {
+			delete(n.recentDemand, key)
 		}
 	}
 	out := nodehealth.Fleet{}
@@ -293,7 +295,7 @@
 		_, one.Kept = closures.Kept[id]
 		for _, held := range engine.Models() {
 			for _, target := range append([]nodehealth.Target{{Model: held.Model}}, adaptersOf(held)...) {
-				if _, asked := n.wanted[wantedKey{engine.Pool, target}]; asked && engine.Holds(target.Model, target.Adapter) {
+				if _, asked := n.recentDemand[demandKey{engine.Pool, target}]; asked && engine.Holds(target.Model, target.Adapter) {
 					one.Held = append(one.Held, target)
 				}
 			}
--- a/daemon/noderankingpage.go
+++ b/daemon/noderankingpage.go
@@ -15,14 +15,14 @@
 const nodesRead = "nodes"
 
 // nodesAsked is a question for the ranks.
-type nodesAsked struct {
+type rankingQuery struct {
 	engine ident.EngineID
 	reply  chan operatorapi.Nodes
 }
 
 // Nodes gives the ranks by whoever plans.
 func (d *Daemon) Nodes(ctx context.Context, engine ident.EngineID) (operatorapi.Nodes, bool) {
-	if page, held := d.nodes.page(ctx, engine); held {
+	if page, held := d.nodeRanking.page(ctx, engine); held {
 		return page, true
 	}
 	address := d.members.View().PlannerAddress
@@ -41,7 +41,7 @@
 
 // readNodes answers another daemon that asks for the ranks.
 func (d *Daemon) readNodes(ctx context.Context, engine string) *peerapi.ReadReply {
-	page, held := d.nodes.page(ctx, ident.EngineID(engine))
+	page, held := d.nodeRanking.page(ctx, ident.EngineID(engine))
 	if !held {
 		return &peerapi.ReadReply{Outcome: string(replica.NotLeader)}
 	}
@@ -54,26 +54,26 @@
 
 // page asks this daemon's own ranker; false where it does not plan now.
 func (n *nodeRanking) page(ctx context.Context, engine ident.EngineID) (operatorapi.Nodes, bool) {
-	if !n.plans() || !n.pools.condition().Held {
+	if !n.plans() || !n.poolPlanning.condition().Held {
 		return operatorapi.Nodes{}, false
 	}
-	asked := nodesAsked{engine, make(chan operatorapi.Nodes, 1)}
-	if !n.box.Send(asked) {
+	asked := rankingQuery{engine, make(chan operatorapi.Nodes, 1)}
+	if !n.mailbox.Send(asked) {
 		return operatorapi.Nodes{}, false
 	}
 	select {
 	case page := <-asked.reply:
 		return page, true
-	case <-n.box.Done():
+	case <-n.mailbox.Done():
 	case <-ctx.Done():
 	}
 	return operatorapi.Nodes{}, false
 }
 
 // answer makes the page, in the ranker's own turn.
-func (n *nodeRanking) answer(asked nodesAsked) {
+func (n *nodeRanking) answerQuery(asked rankingQuery) {
 	out := operatorapi.Nodes{Mode: string(n.mode()), Claim: n.claim, Nodes: []operatorapi.Node{}}
-	table := n.keeper.Table()
+	table := n.rollout.Table()
 	if table == nil {
 		asked.reply <- out
 		return
--- a/daemon/options.go
+++ b/daemon/options.go
@@ -19,7 +19,7 @@
 
 // WithStreamLimits replaces how long the next piece is waited for, and how long a stream may outlast its deadline.
 func WithStreamLimits(stall, over time.Duration) Option {
-	return func(d *Daemon) { d.stallLimit, d.runOver = stall, over }
+	return func(d *Daemon) { d.stallLimit, d.overrunLimit = stall, over }
 }
 
 // WithClock replaces the machine's clocks.
@@ -27,7 +27,7 @@
 
 // WithDisk puts something between the member and its data folder.
 func WithDisk(around func(replica.Disk) replica.Disk) Option {
-	return func(d *Daemon) { d.aroundDisk = around }
+	return func(d *Daemon) { d.wrapDisk = around }
 }
 
 // WithControl puts a handler before the desk, for operators and engines.
@@ -37,5 +37,5 @@
 
 // WithReadiness puts a handler before the page that says whether this daemon is ready.
 func WithReadiness(make func(*Daemon) Handler) Option {
-	return func(d *Daemon) { d.readyMakers = append(d.readyMakers, make) }
+	return func(d *Daemon) { d.readinessMakers = append(d.readinessMakers, make) }
 }
--- a/daemon/planner.go
+++ b/daemon/planner.go
@@ -7,13 +7,13 @@
 
 // Plans says whether this daemon plans.
 func (d *Daemon) Plans() bool {
-	return d.config.Serves(daemonconfig.Place) && (d.placer.Condition().Held || d.pools.condition().Held)
+	return d.config.Serves(daemonconfig.Place) && (d.sessionPlacer.Condition().Held || d.poolPlanning.condition().Held)
 }
 
 // heardClaim is the highest claim number that this daemon has heard of, so that none is ever given out twice.
-func (d *Daemon) heardClaim() ident.FencingToken {
+func (d *Daemon) highestClaimSeen() ident.FencingToken {
 	var highest ident.FencingToken
-	if d.pools == nil {
+	if d.poolPlanning == nil {
 		return 0
 	}
 	for _, engine := range d.registry.View().Engines {
--- a/daemon/poolplanning.go
+++ b/daemon/poolplanning.go
@@ -31,13 +31,13 @@
 // The claim's times are the deployment's, so all members of the group must be put together with the same.
 func WithPoolPlanning(client poolplacement.EngineClient, settings poolplacement.Settings) Option {
 	return func(d *Daemon) {
-		d.pools = &poolPlanning{client: client, settings: settings}
+		d.poolPlanning = &poolPlanning{client: client, settings: settings}
 		d.replicaConfig.ClaimSpan, d.replicaConfig.ClaimGap = settings.Span, settings.Gap
 	}
 }
 
 // make makes the actor, before any other of the daemon's runs.
-func (p *poolPlanning) make(d *Daemon) {
+func (p *poolPlanning) build(d *Daemon) {
 	if p == nil {
 		return
 	}
@@ -47,7 +47,7 @@
 	p.placer = poolplacement.NewActor(poolPlanner{d}, p.client, p.settings, d.clock, d.log)
 }
 
-func (p *poolPlanning) run(run func(func(context.Context))) {
+func (p *poolPlanning) start(run func(func(context.Context))) {
 	if p != nil && p.placer != nil {
 		run(p.placer.Run)
 	}
@@ -73,18 +73,18 @@
 func (p poolPlanner) Input() poolplacement.Input {
 	now := p.clock.Elapsed()
 	in := poolplacement.Input{Now: now, View: p.registry.View()}
-	if t := p.keeper.Table(); t != nil && t.Forward != nil {
+	if t := p.rollout.Table(); t != nil && t.Forward != nil {
 		in.Section = t.Forward.Section
 	}
-	in.Demand = p.heardDemand(now, p.forwardDemands())
-	in.Shut, in.Emptying = func(engine *registry.Engine) bool { return !p.engineOpen(engine) }, p.nodes.emptying()
-	in.Outcomes = p.heardOutcomes()
+	in.Demand = p.collectDemand(now, p.forwardDemands())
+	in.Shut, in.Emptying = func(engine *registry.Engine) bool { return !p.engineOpen(engine) }, p.nodeRanking.emptying()
+	in.Outcomes = p.takeOutcomes()
 	return in
 }
 
 // Claim asks the group for the claim.
 func (p poolPlanner) Claim(ctx context.Context, told *statemachine.Told, whole bool) poolplacement.ClaimAnswer {
-	answer, ok := p.submitOnce(ctx, statemachine.Command{Op: statemachine.OpClaim, NodeID: p.nodeID, Told: told, TellsAll: true, Whole: whole, Resume: true, Above: p.heardClaim()})
+	answer, ok := p.submitOnce(ctx, statemachine.Command{Op: statemachine.OpClaim, NodeID: p.nodeID, Told: told, TellsAll: true, Whole: whole, Resume: true, Above: p.highestClaimSeen()})
 	switch {
 	case !ok || answer.Claim == nil:
 		return poolplacement.ClaimAnswer{}
--- a/daemon/pull.go
+++ b/daemon/pull.go
@@ -18,12 +18,12 @@
 // Describe is this daemon's own row, as told in each pull.
 func (d *Daemon) Describe() *peerapi.PullRequest {
 	request := &peerapi.PullRequest{
-		Group: string(d.Group()), NodeId: string(d.nodeID), Address: d.config.ReachedAt(), Zone: string(d.config.Zone), Serve: d.serve(),
+		Group: string(d.Group()), NodeId: string(d.nodeID), Address: d.config.ReachedAt(), Zone: string(d.config.Zone), Serve: d.roleNames(),
 		Ready: !d.draining.Load(), TakesPacked: true,
 	}
 	spec, closure := d.InForce()
 	request.SpecEpoch, request.ClosureEpoch = uint64(spec), uint64(closure)
-	for _, step := range d.keeper.Steps() {
+	for _, step := range d.rollout.Steps() {
 		request.Steps = append(request.Steps, &peerapi.Step{Change: step.Change, Step: step.Step, UnixMs: step.At.UnixMilli()})
 	}
 	request.Draining = d.drainingEngines()
@@ -34,32 +34,32 @@
 func (d *Daemon) Pull(ctx context.Context, in *peerapi.PullRequest) (*peerapi.PullReply, error) {
 	// One that still follows the lost generation of a recovered group is served, and so learns of this one.
 	if !d.Group().Succeeds(ident.GroupID(in.Group)) {
-		if err := d.ours(in.Group); err != nil {
+		if err := d.checkGroup(in.Group); err != nil {
 			return nil, err
 		}
 	}
 	if in.NodeId == "" || in.Address == "" {
-		d.counters.garbage.Add(1)
+		d.counters.malformedMessages.Add(1)
 		return nil, twirp.NewError(twirp.InvalidArgument, "a pull says who asks")
 	}
 	arrived := d.clock.Elapsed()
 	rowKnown := d.members.Served(in)
-	wantsLost := !d.hearWants(in)
-	d.nodes.hear(in)
-	d.hearOutcomes(in)
+	wantsLost := !d.receiveDemand(in)
+	d.nodeRanking.receiveDigests(in)
+	d.receiveOutcomes(in)
 	d.registry.Saw(ident.NodeID(in.NodeId), cursorOf(in))
-	d.hearDraining(in.Draining)
+	d.receiveDraining(in.Draining)
 	if !wantsLost {
-		d.holdBack(ctx, in)
+		d.awaitUpdate(ctx, in)
 	}
 	leader, term := d.leaderAndTerm()
 	// The confirmation is read before what it vouches for, which can only be newer.
 	confirmation := membership.ConfirmationOf(d.confirmed(), arrived)
 	reply := &peerapi.PullReply{Confirmation: confirmation, Group: string(d.Group()), NodeId: string(d.nodeID), LeaderAddress: leader, LeaderTerm: term, IsLeader: d.Leads(), FirstRollMsAgo: d.FirstRollAgo().Milliseconds(),
 		RowKnown: rowKnown, WantsLost: wantsLost, Plans: d.Plans(), PlannerAddress: d.members.View().PlannerAddress}
-	if t := d.keeper.Table(); t != nil {
+	if t := d.rollout.Table(); t != nil {
 		reply.SpecEpoch, reply.ClosureEpoch = uint64(t.Epoch), uint64(t.Closures.Epoch)
-		if d.tellsBundle(t.Epoch, in) {
+		if d.sendsConfiguration(t.Epoch, in) {
 			reply.Spec = t.Raw
 			if t.Bundle.Packed && in.TakesPacked {
 				reply.Spec, reply.SpecPacked = t.Bundle.Data, true
@@ -73,9 +73,9 @@
 		reply.MemberAddresses = d.memberAddresses()
 	}
 	d.members.Tell(in, reply)
-	reply.Draining, reply.DrainingVersion = d.drainingEngines(), d.toldNews.draining.Load()
-	d.tellRegistry(in, reply)
-	d.tellLacks(in, reply)
+	reply.Draining, reply.DrainingVersion = d.drainingEngines(), d.sentVersions.draining.Load()
+	d.addRegistryChanges(in, reply)
+	d.addUnplaced(in, reply)
 	return reply, nil
 }
 
@@ -87,18 +87,18 @@
 		return
 	}
 	if len(reply.Spec) > 0 || len(reply.Closures) > 0 {
-		d.keeper.Offer(ident.Version(reply.SpecEpoch), compression.Bundle{Data: reply.Spec, Packed: reply.SpecPacked}, rollout.DecodeClosures(reply.Closures))
+		d.rollout.Offer(ident.Version(reply.SpecEpoch), compression.Bundle{Data: reply.Spec, Packed: reply.SpecPacked}, rollout.DecodeClosures(reply.Closures))
 	}
-	d.hearDraining(reply.Draining)
-	d.heardNews.draining.Store(reply.DrainingVersion)
-	d.learnLacks(reply)
+	d.receiveDraining(reply.Draining)
+	d.receivedVersions.draining.Store(reply.DrainingVersion)
+	d.receiveUnplaced(reply)
 }
 
 // PullFrom asks another daemon, and takes over what it tells of engines.
 func (d *Daemon) PullFrom(ctx context.Context, address string, request *peerapi.PullRequest) (*peerapi.PullReply, error) {
 	reply, err := d.pullFrom(ctx, address, request)
 	if request.Wants > 0 && (err != nil || reply.WantsLost) {
-		d.wants.Lost()
+		d.demandSender.Lost()
 	}
 	return reply, err
 }
@@ -108,26 +108,26 @@
 		return d.links.To(address).Pull(ctx, request)
 	}
 	peer := address
-	if request.RegistryUrgent = d.isSecond(address); request.RegistryUrgent {
+	if request.RegistryUrgent = d.pullsUrgentOnly(address); request.RegistryUrgent {
 		// What is heard in short is counted apart, so that all can be asked for when that is needed.
 		peer += " urgent"
 	}
 	cursor, wanted := d.registry.Asked(peer)
 	request.RegistryLife, request.RegistrySeen, request.RegistryWhole = cursor.Life, cursor.Seen, cursor.Whole
 	request.Beats = d.config.Serves(daemonconfig.Control)
-	request.LacksVersion, request.DrainingVersion = d.heardNews.lacks.Load(), d.heardNews.draining.Load()
+	request.LacksVersion, request.DrainingVersion = d.receivedVersions.unplaced.Load(), d.receivedVersions.draining.Load()
 	for _, id := range wanted {
 		request.RegistryWanted = append(request.RegistryWanted, string(id))
 	}
 	asked := d.clock.Elapsed()
 	reply, err := d.links.To(address).Pull(ctx, request)
-	if err != nil || !d.ofOurs(reply) {
+	if err != nil || !d.sameGroup(reply) {
 		return reply, err
 	}
 	d.registry.Learn(peer, registry.Difference{Cursor: registry.Cursor{Life: reply.RegistryLife, Seen: reply.RegistrySeen, Whole: reply.RegistryWhole},
 		Afresh: reply.RegistryAfresh, More: reply.RegistryMore, Records: registry.Decode(d.clock.Elapsed(), reply.Engines)}, wanted)
 	if !reply.RegistryMore && !request.RegistryUrgent {
-		d.hearsay.note(address, asked)
+		d.registrySyncTimes.record(address, asked)
 	}
 	return reply, nil
 }
@@ -166,12 +166,12 @@
 }
 
 // tellerFresh is how lately the teller must have told all for others to be asked for what is urgent only.
-const tellerFresh = 2500 * time.Millisecond
+const relayFresh = 2500 * time.Millisecond
 
 // isSecond says whether an address is one of those of which only what is urgent is asked, because the teller tells the rest.
-func (d *Daemon) isSecond(address string) bool {
+func (d *Daemon) pullsUrgentOnly(address string) bool {
 	teller := d.members.View().TellerAddress
-	return !d.config.Serves(daemonconfig.Control) && teller != "" && teller != address && d.clock.Elapsed().Since(d.hearsay.of(teller)) <= tellerFresh
+	return !d.config.Serves(daemonconfig.Control) && teller != "" && teller != address && d.clock.Elapsed().Since(d.registrySyncTimes.latest(teller)) <= relayFresh
 }
 
 // followsRegistry says whether a question is one of those that go on, or of a daemon that has lost control. A
--- a/daemon/raftservice.go
+++ b/daemon/raftservice.go
@@ -15,10 +15,10 @@
 func (d *Daemon) Raft(_ context.Context, in *peerapi.RaftBatch) (*peerapi.Nothing, error) {
 	messages, sound := raftcodec.Decode(in.Messages)
 	if !sound || in.Group == "" {
-		d.counters.garbage.Add(1)
+		d.counters.malformedMessages.Add(1)
 		return nil, twirp.NewError(twirp.InvalidArgument, "these are no raft messages")
 	}
-	if err := d.ours(in.Group); err != nil {
+	if err := d.checkGroup(in.Group); err != nil {
 		return nil, err
 	}
 	if !d.config.Serves(daemonconfig.Control) {
@@ -26,12 +26,12 @@
 	}
 	held := d.replica.Load()
 	if held == nil {
-		folder := d.held()
+		folder := d.dataFolder()
 		for _, message := range messages {
 			// Only a group that was told this folder's identity can name it.
 			if folder != nil && message.To == folder.Member {
 				select {
-				case d.adopted <- ident.GroupID(in.Group):
+				case d.adoptedGroup <- ident.GroupID(in.Group):
 				default:
 				}
 				break
--- a/daemon/reads.go
+++ b/daemon/reads.go
@@ -21,7 +21,7 @@
 	ticker := time.NewTicker(100 * time.Millisecond)
 	defer ticker.Stop()
 	for {
-		result, outcome := d.look(ctx, what, key)
+		result, outcome := d.readAsLeader(ctx, what, key)
 		if outcome == replica.Applied {
 			return result, true
 		}
@@ -43,38 +43,38 @@
 
 // Read answers a linearizable read, if this daemon leads.
 func (d *Daemon) Read(ctx context.Context, in *peerapi.ReadRequest) (*peerapi.ReadReply, error) {
-	if err := d.ours(in.Group); err != nil {
+	if err := d.checkGroup(in.Group); err != nil {
 		return nil, err
 	}
 	if in.What == nodesRead {
 		return d.readNodes(ctx, in.Key), nil
 	}
-	result, outcome := d.look(ctx, in.What, in.Key)
+	result, outcome := d.readAsLeader(ctx, in.What, in.Key)
 	return &peerapi.ReadReply{Outcome: string(outcome), Result: result, LeaderAddress: d.leaderAddress()}, nil
 }
 
 // look reads part of the state at a linearizable point; a result of nothing means that it isn't there.
-func (d *Daemon) look(ctx context.Context, what, key string) ([]byte, replica.Outcome) {
+func (d *Daemon) readAsLeader(ctx context.Context, what, key string) ([]byte, replica.Outcome) {
 	held := d.replica.Load()
 	if held == nil || !held.Condition().Leads {
 		return nil, replica.NotLeader
 	}
 	var result []byte
-	outcome := held.Read(ctx, func(state *statemachine.State) { result = lookUp(state, what, key) })
+	outcome := held.Read(ctx, func(state *statemachine.State) { result = encodeRead(state, what, key) })
 	if what == "trace" && outcome == replica.Applied {
-		result = d.trace(key, result)
+		result = d.changeTrace(key, result)
 	}
 	return result, outcome
 }
 
 // newest is what a trace needs of the state.
-type newest struct {
+type traceState struct {
 	Spec    uint64         `json:"spec"`
 	Closure uint64         `json:"closure"`
 	Serving []ident.NodeID `json:"serving"`
 }
 
-func lookUp(state *statemachine.State, what, key string) []byte {
+func encodeRead(state *statemachine.State, what, key string) []byte {
 	encode := func(value any) []byte {
 		data, err := json.Marshal(value)
 		if err != nil {
@@ -114,7 +114,7 @@
 	case "closures":
 		return encode(state.Closures)
 	case "trace":
-		return encode(newest{Spec: uint64(state.Epoch()), Closure: uint64(state.Closures.Epoch), Serving: state.ServingNow()})
+		return encode(traceState{Spec: uint64(state.Epoch()), Closure: uint64(state.Closures.Epoch), Serving: state.ServingNow()})
 	}
 	return nil
 }
--- a/daemon/registryexchange.go
+++ b/daemon/registryexchange.go
@@ -8,7 +8,7 @@
 )
 
 // tellRegistry puts into a reply what changed here since the asker's last question.
-func (d *Daemon) tellRegistry(in *peerapi.PullRequest, reply *peerapi.PullReply) {
+func (d *Daemon) addRegistryChanges(in *peerapi.PullRequest, reply *peerapi.PullReply) {
 	if !followsRegistry(in) {
 		return
 	}
--- a/daemon/rehoming.go
+++ b/daemon/rehoming.go
@@ -16,13 +16,13 @@
 
 const (
 	// rememberAtOnce is how many attempts are handed over in one message.
-	rememberAtOnce = 1000
-	rehomeEvery    = 300 * time.Millisecond
+	transferBatch = 1000
+	transferEvery = 300 * time.Millisecond
 )
 
 // runRehoming hands attempts to the homes they come to have as daemons come and go.
-func (d *Daemon) runRehoming(ctx context.Context) {
-	ticker := time.NewTicker(rehomeEvery)
+func (d *Daemon) runOwnershipTransfer(ctx context.Context) {
+	ticker := time.NewTicker(transferEvery)
 	defer ticker.Stop()
 	before := map[string]ident.NodeID{}
 	for {
@@ -31,16 +31,16 @@
 			return
 		case <-ticker.C:
 		}
-		now := d.homeLives()
-		d.rehome(ctx, before, now)
+		now := d.liveOwners()
+		d.transferOwnership(ctx, before, now)
 		before = now
 	}
 }
 
 // homeLives lists the daemons in sight that can be homes, by address.
-func (d *Daemon) homeLives() map[string]ident.NodeID {
+func (d *Daemon) liveOwners() map[string]ident.NodeID {
 	out := map[string]ident.NodeID{}
-	for _, fellow := range d.members.View().InContact(d.clock.Elapsed(), sightWindow) {
+	for _, fellow := range d.members.View().InContact(d.clock.Elapsed(), contactWindow) {
 		if fellow.Ready {
 			out[fellow.Address] = fellow.NodeID
 		}
@@ -58,7 +58,7 @@
 }
 
 // newcomers lists the homes that something has now, and did not have before in the same life.
-func newcomers(key string, before, after map[string]ident.NodeID, oldAddresses, newAddresses []string) []string {
+func newOwners(key string, before, after map[string]ident.NodeID, oldAddresses, newAddresses []string) []string {
 	oldFirst, oldSecond := affinity.Owners(key, oldAddresses)
 	newFirst, newSecond := affinity.Owners(key, newAddresses)
 	var out []string
@@ -71,16 +71,16 @@
 }
 
 // handOver gives all that is remembered here to the homes it has without this daemon.
-func (d *Daemon) handOver(ctx context.Context) {
-	after := d.homeLives()
+func (d *Daemon) handOverAttempts(ctx context.Context) {
+	after := d.liveOwners()
 	before := maps.Clone(after)
 	before[d.config.ReachedAt()] = d.nodeID
 	delete(after, d.config.ReachedAt())
-	d.rehome(ctx, before, after)
+	d.transferOwnership(ctx, before, after)
 }
 
 // rehome tells each home that an attempt has now, and did not have before in the same life.
-func (d *Daemon) rehome(ctx context.Context, before, after map[string]ident.NodeID) {
+func (d *Daemon) transferOwnership(ctx context.Context, before, after map[string]ident.NodeID) {
 	same := len(before) == len(after)
 	for address, life := range after {
 		same = same && before[address] == life
@@ -88,13 +88,13 @@
 	if same {
 		return
 	}
-	d.rehomeSeats(ctx, before, after)
+	d.transferAssignments(ctx, before, after)
 	oldAddresses, newAddresses := addressesOf(before), addressesOf(after)
 	batches, wholes := map[string][]*peerapi.AttemptMemory{}, map[string]bool{}
-	young, self := d.young(), d.config.ReachedAt()
+	young, self := d.recentlyStarted(), d.config.ReachedAt()
 	d.attempts.Do(func(now clock.Mark, memory *deduplication.Memory) {
 		memory.Each(func(attempt string, entry deduplication.Entry) {
-			for _, home := range newcomers("attempt "+attempt, before, after, oldAddresses, newAddresses) {
+			for _, home := range newOwners("attempt "+attempt, before, after, oldAddresses, newAddresses) {
 				if home == self {
 					continue
 				}
@@ -112,13 +112,13 @@
 	})
 	for home, batch := range batches {
 		told := true
-		for part := range slices.Chunk(batch, rememberAtOnce) {
+		for part := range slices.Chunk(batch, transferBatch) {
 			bounded, cancel := context.WithTimeout(ctx, time.Second)
 			// A home that misses this is not the only one that knows.
 			_, err := d.links.To(home).Remember(bounded, &peerapi.Attempts{Attempts: part})
 			cancel()
 			told = told && err == nil
-			d.counters.attemptsMoved.Add(uint64(len(part)))
+			d.counters.attemptsTransferred.Add(uint64(len(part)))
 		}
 		if told && wholes[home] {
 			bounded, cancel := context.WithTimeout(ctx, time.Second)
@@ -130,7 +130,7 @@
 }
 
 // fellowsFor lists, in order, the addresses of daemons heard within the window that fit and are not stopping.
-func (d *Daemon) fellowsFor(window time.Duration, fits func(membership.Fellow) bool) []string {
+func (d *Daemon) readyPeers(window time.Duration, fits func(membership.Fellow) bool) []string {
 	var addresses []string
 	for _, fellow := range d.members.View().InContact(d.clock.Elapsed(), window) {
 		if fellow.Ready && fits(fellow) {
--- a/daemon/routingdaemons.go
+++ b/daemon/routingdaemons.go
@@ -9,24 +9,24 @@
 
 const (
 	// edgesCounted is how long a count of the daemons that route is used.
-	edgesCounted = time.Second
+	routingCountValidFor = time.Second
 	// edgesHeard is how lately one must have been heard of to count; one that is only cut off still sends.
-	edgesHeard = time.Minute
+	routingContactWindow = time.Minute
 )
 
 // edges counts the daemons that route; another life of the same daemon is no other.
-func (d *Daemon) edges(now clock.Mark) int {
-	side := &d.forwardSide
-	if counted := side.edges.Load(); counted > 0 && now.Since(clock.Mark(side.edgesAt.Load())) < edgesCounted {
+func (d *Daemon) routingDaemonCount(now clock.Mark) int {
+	side := &d.forwarding
+	if counted := side.routingDaemons.Load(); counted > 0 && now.Since(clock.Mark(side.routingDaemonsAt.Load())) < routingCountValidFor {
 		return int(counted)
 	}
 	names := map[string]bool{d.nodeID.Name(): true}
 	for _, fellow := range d.members.View().Fellows {
-		if now.Since(fellow.Heard) <= edgesHeard && fellow.Serves(string(daemonconfig.Route)) {
+		if now.Since(fellow.Heard) <= routingContactWindow && fellow.Serves(string(daemonconfig.Route)) {
 			names[fellow.NodeID.Name()] = true
 		}
 	}
-	side.edges.Store(int64(len(names)))
-	side.edgesAt.Store(int64(now))
+	side.routingDaemons.Store(int64(len(names)))
+	side.routingDaemonsAt.Store(int64(now))
 	return len(names)
 }
--- a/daemon/run.go
+++ b/daemon/run.go
@@ -42,11 +42,11 @@
 		return err
 	}
 	if d.forwards() && d.config.OpaqueOnly {
-		callerListener = &gatedListener{Listener: callerListener, gate: d.callers}
-		time.AfterFunc(acceptLimit, d.callers.open)
+		callerListener = &gatedListener{Listener: callerListener, gate: d.callerGate}
+		time.AfterFunc(callerGateLimit, d.callerGate.open)
 	}
 	if d.forwards() {
-		callerListener = &restingListener{Listener: callerListener, read: callerReadLimit, usual: restLimit, rest: d.callerRest}
+		callerListener = &keepAliveListener{Listener: callerListener, readLimit: callerReadLimit, idleLimit: keepAliveLimit, keepAlive: d.callerKeepAlive}
 	}
 	defer callerListener.Close()
 	var operatorListener, readyListener net.Listener
@@ -64,53 +64,53 @@
 	}
 
 	d.links = peerclient.New(ctx, d.config.ReachedAt(), d.config.FellowListen)
-	d.keeper = rollout.New(d.clock.Wall, d.swapped)
-	d.watcher = discovery.New(d.clock, d.config.Platform, d.poke)
+	d.rollout = rollout.New(d.clock.Wall, d.configurationChanged)
+	d.watcher = discovery.New(d.clock, d.config.Platform, d.wakeRequestPath)
 	d.members = membership.New(d.clock, d, d.seeds, d.config.ReachedAt(), d.pace())
-	d.registry = registry.New(d.clock, string(d.nodeID), d.config.Serves(daemonconfig.Control), d.beatPeriod, d.contact)
-	d.registry.Subscribe(d.poke)
-	d.registry.Subscribe(d.registryNews)
-	d.dispatch = dispatch.NewActor(routing{d})
-	d.slots = admission.NewKeeper(d.yard)
-	d.placer = sessionplacement.NewActor(planning{d}, d.clock)
-	d.pools.make(d)
-	d.nodes = newNodeRanking(d)
+	d.registry = registry.New(d.clock, string(d.nodeID), d.config.Serves(daemonconfig.Control), d.heartbeatPeriod, d.controlContact)
+	d.registry.Subscribe(d.wakeRequestPath)
+	d.registry.Subscribe(d.registryChanged)
+	d.dispatch = dispatch.NewActor(requestPath{d})
+	d.engineSlots = admission.NewKeeper(d.slotView)
+	d.sessionPlacer = sessionplacement.NewActor(sessionPlanner{d}, d.clock)
+	d.poolPlanning.build(d)
+	d.nodeRanking = newNodeRanking(d)
 	d.attempts = deduplication.NewActor(d.clock)
 	streams, cutStreams := context.WithCancel(context.Background())
 	defer cutStreams()
-	d.door = sessionapi.New(streams, d.clock, d.keeper.Table, d.dispatch)
-	d.desk = adminapi.New(d)
+	d.sessionAPI = sessionapi.New(streams, d.clock, d.rollout.Table, d.dispatch)
+	d.adminAPI = adminapi.New(d)
 	for _, make := range d.controlMakers {
-		d.control = append(d.control, make(d))
+		d.controlHandlers = append(d.controlHandlers, make(d))
 	}
-	for _, make := range d.readyMakers {
-		d.ready = append(d.ready, make(d))
+	for _, make := range d.readinessMakers {
+		d.readinessHandlers = append(d.readinessHandlers, make(d))
 	}
 	if d.forwards() {
 		d.startForwarding(ctx)
 	}
 
 	run := func(actor func(context.Context)) { go actor(ctx) }
-	run(d.keeper.Run)
+	run(d.rollout.Run)
 	run(d.members.Run)
 	run(d.registry.Run)
 	run(d.attempts.Run)
 	if d.config.Attempts != daemonconfig.LocalAttempts {
-		run(d.runRehoming)
+		run(d.runOwnershipTransfer)
 	}
 	run(d.runHistory)
-	run(d.runTenancy)
+	run(d.runWorkerLease)
 	if d.config.Serves(daemonconfig.Route) {
 		run(d.dispatch.Run)
-		run(d.slots.Run)
+		run(d.engineSlots.Run)
 	}
 	if d.config.Serves(daemonconfig.Route) || d.config.Serves(daemonconfig.Place) {
 		run(d.watcher.Run)
 	}
 	if d.config.Serves(daemonconfig.Place) {
-		run(d.placer.Run)
-		d.pools.run(run)
-		d.nodes.run(run)
+		run(d.sessionPlacer.Run)
+		d.poolPlanning.start(run)
+		d.nodeRanking.start(run)
 	}
 
 	fellowServer := &http.Server{Handler: d.links.Traffic.Serve(peerapi.NewFellowServer(d)), ReadHeaderTimeout: 5 * time.Second}
@@ -118,7 +118,7 @@
 	go d.serveOn(ctx, serveFellows, fellowListener, "fellowListen", d.config.FellowListen)
 	defer fellowServer.Close()
 	callerServer := d.server(d.handle, d.callerLimits)
-	callerServer.ErrorHandler = d.badCall
+	callerServer.ErrorHandler = d.badCallerRequest
 	servers := []*fasthttp.Server{callerServer}
 	go d.serveOn(ctx, callerServer, callerListener, "listen", d.config.Listen)
 	if operatorListener != nil {
@@ -146,16 +146,16 @@
 			// A disk that hangs is not waited for: what it was not told to keep was not said either.
 			select {
 			case <-left:
-			case <-time.After(letGoLimit):
+			case <-time.After(memberStopLimit):
 			}
 		}()
 	}
 	d.log.WithFields(log.Fields{"listen": callerListener.Addr().String(), "fellows": fellowListener.Addr().String(),
-		"serve": d.serve(), "zone": string(d.config.Zone), "version": d.version}).Info("started")
+		"serve": d.roleNames(), "zone": string(d.config.Zone), "version": d.version}).Info("started")
 
 	select {
 	case <-stop:
-	case err := <-d.broken:
+	case err := <-d.fatal:
 		d.log.WithError(err).Error("stepping aside")
 		return err
 	}
@@ -164,9 +164,9 @@
 }
 
 // stepAside ends the daemon, once.
-func (d *Daemon) stepAside(why error) {
+func (d *Daemon) abort(why error) {
 	select {
-	case d.broken <- why:
+	case d.fatal <- why:
 	default:
 	}
 }
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	mostCallerBody = 4 << 20
+	maxCallerBody = 4 << 20
 	// mostHeader bounds a request's head; what bundles allow is less.
-	mostHeader = 32 << 10
+	maxHeader = 32 << 10
 	// mostBundleBody leaves room for a bundle's largest size and what is said around it.
-	mostBundleBody = document.MostBytes + 64<<10
+	maxConfigurationBody = document.MostBytes + 64<<10
 )
 
 // bodyLimit lets only what holds a bundle be as large as a bundle may be.
@@ -30,16 +30,16 @@
 	// Bundles are put in force in one step by PUT and PATCH, whatever a deployment calls the path.
 	method := string(header.Method())
 	if string(header.RequestURI()) == operatorapi.PathPropose || method == http.MethodPut || method == http.MethodPatch {
-		return fasthttp.RequestConfig{MaxRequestBodySize: mostBundleBody}
+		return fasthttp.RequestConfig{MaxRequestBodySize: maxConfigurationBody}
 	}
 	return fasthttp.RequestConfig{}
 }
 
 // quiet drops the library's own lines: broken connections are counted, not told.
-type quiet struct{}
+type silentLogger struct{}
 
 // Printf drops a line.
-func (quiet) Printf(string, ...any) {}
+func (silentLogger) Printf(string, ...any) {}
 
 // badRequest answers what could not even be read as HTTP.
 func badRequest(ctx *fasthttp.RequestCtx, err error) {
@@ -57,9 +57,9 @@
 
 // badCall is badRequest where callers come in: how large a body is read there follows from the table in force, and
 // that may be old.
-func (d *Daemon) badCall(ctx *fasthttp.RequestCtx, err error) {
+func (d *Daemon) badCallerRequest(ctx *fasthttp.RequestCtx, err error) {
 	if err == fasthttp.ErrBodyTooLarge && d.isForwarded(ctx, string(ctx.Path())) {
-		d.forwardSide.gateway.Unread(ctx, fasthttp.StatusRequestEntityTooLarge)
+		d.forwarding.gateway.Unread(ctx, fasthttp.StatusRequestEntityTooLarge)
 		return
 	}
 	badRequest(ctx, err)
@@ -67,7 +67,7 @@
 
 // mostConnections is how many connections a listener keeps open: what callers take must leave descriptors for
 // engines, peers and files.
-func mostConnections(descriptors int) int {
+func maxConnections(descriptors int) int {
 	const (
 		most, least = 8192, 64
 		forFiles    = 200
@@ -82,8 +82,8 @@
 // server is one listener's server.
 func (d *Daemon) server(handle fasthttp.RequestHandler, limits func(*fasthttp.RequestHeader) fasthttp.RequestConfig) *fasthttp.Server {
 	return &fasthttp.Server{
-		Handler: handle, Name: "cresspond", MaxRequestBodySize: mostCallerBody, HeaderReceived: limits, ReadTimeout: callerReadLimit, WriteTimeout: 5 * time.Minute,
-		IdleTimeout: restLimit, NoDefaultServerHeader: true, Concurrency: mostConnections(d.config.Machine.MostFds), CloseOnShutdown: true, Logger: quiet{}, ReadBufferSize: mostHeader,
+		Handler: handle, Name: "cresspond", MaxRequestBodySize: maxCallerBody, HeaderReceived: limits, ReadTimeout: callerReadLimit, WriteTimeout: 5 * time.Minute,
+		IdleTimeout: keepAliveLimit, NoDefaultServerHeader: true, Concurrency: maxConnections(d.config.Machine.MostFds), CloseOnShutdown: true, Logger: silentLogger{}, ReadBufferSize: maxHeader,
 		// A form is some caller's body like any other, and goes on byte for byte.
 		ErrorHandler: badRequest, DisablePreParseMultipartForm: true,
 	}
@@ -91,23 +91,23 @@
 
 // handle serves what comes to Listen.
 func (d *Daemon) handle(ctx *fasthttp.RequestCtx) {
-	d.letGo(ctx)
+	d.closeIfDraining(ctx)
 	path := string(ctx.Path())
 	switch {
 	case d.isForwarded(ctx, path):
-		d.forwardSide.gateway.Handle(ctx)
+		d.forwarding.gateway.Handle(ctx)
 	case d.config.Serves(daemonconfig.Route) && d.config.OpaqueOnly:
 		// Nothing else is served there, not even by a daemon put together without forwarding.
 		sessionapi.Fail(ctx, fasthttp.StatusServiceUnavailable, callerapi.Error{Outcome: callerapi.Unknown, Reason: "no paths are in force here yet"})
 	case path == callerapi.PathGenerate && d.config.Serves(daemonconfig.Route):
-		d.door.Handle(ctx)
+		d.sessionAPI.Handle(ctx)
 	default:
-		d.operate(ctx)
+		d.serveOperators(ctx)
 	}
 }
 
 // letGo lets whoever is answered by a stopping daemon connect elsewhere next time.
-func (d *Daemon) letGo(ctx *fasthttp.RequestCtx) {
+func (d *Daemon) closeIfDraining(ctx *fasthttp.RequestCtx) {
 	if d.draining.Load() {
 		ctx.SetConnectionClose()
 	}
@@ -115,18 +115,18 @@
 
 // handleOperator serves what comes to OperatorListen.
 func (d *Daemon) handleOperator(ctx *fasthttp.RequestCtx) {
-	d.letGo(ctx)
-	d.operate(ctx)
+	d.closeIfDraining(ctx)
+	d.serveOperators(ctx)
 }
 
 // operate serves operators and engines.
-func (d *Daemon) operate(ctx *fasthttp.RequestCtx) {
-	for _, handler := range d.control {
+func (d *Daemon) serveOperators(ctx *fasthttp.RequestCtx) {
+	for _, handler := range d.controlHandlers {
 		if handler.Handle(ctx) {
 			return
 		}
 	}
-	d.desk.Handle(ctx, string(ctx.Path()))
+	d.adminAPI.Handle(ctx, string(ctx.Path()))
 }
 
 // readyPages are what ReadyListen serves: it is for looking only.
@@ -134,7 +134,7 @@
 
 // handleReady serves what comes to ReadyListen.
 func (d *Daemon) handleReady(ctx *fasthttp.RequestCtx) {
-	for _, handler := range d.ready {
+	for _, handler := range d.readinessHandlers {
 		if handler.Handle(ctx) {
 			return
 		}
@@ -144,10 +144,10 @@
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 		return
 	}
-	d.desk.Handle(ctx, path)
+	d.adminAPI.Handle(ctx, path)
 	if path == operatorapi.PathReady && ctx.Response.StatusCode() != fasthttp.StatusOK && d.draining.Load() {
 		select {
-		case d.unreadyTold <- struct{}{}:
+		case d.unreadyAnswered <- struct{}{}:
 		default:
 		}
 	}
--- a/daemon/sessionaffinity.go
+++ b/daemon/sessionaffinity.go
@@ -14,21 +14,21 @@
 )
 
 // seatLimit bounds the question to a session's home; a daemon that gets no answer decides alone.
-const seatLimit = 300 * time.Millisecond
+const assignmentLimit = 300 * time.Millisecond
 
 // seatHomes are the addresses of the two daemons that keep a session's seat.
 // Any daemon can be a home, whatever it serves, so that the restart of a lone routing daemon loses none.
-func (d *Daemon) seatHomes(session string) (first, second string) {
+func (d *Daemon) assignmentOwners(session string) (first, second string) {
 	// A daemon that is stopping hands its seats over, and takes no more.
-	return affinity.Owners(session, d.fellowsFor(3*time.Second, func(membership.Fellow) bool { return true }))
+	return affinity.Owners(session, d.readyPeers(3*time.Second, func(membership.Fellow) bool { return true }))
 }
 
 // seatAt asks one home; nil means that it can't be reached.
-func (d *Daemon) seatAt(home string, request *peerapi.SeatRequest) *peerapi.SeatReply {
+func (d *Daemon) queryAssignment(home string, request *peerapi.SeatRequest) *peerapi.SeatReply {
 	if home == "" {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), seatLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), assignmentLimit)
 	defer cancel()
 	ask := d.links.To(home).Seat
 	if home == d.config.ReachedAt() {
@@ -42,10 +42,10 @@
 }
 
 // Assignment asks for a session's seat, and remembers it here too, so that it outlives its homes.
-func (r routing) Assignment(ask dispatch.AskAssignment) (ident.EngineID, bool) {
-	engine, found := r.seatOf(ask)
+func (r requestPath) Assignment(ask dispatch.AskAssignment) (ident.EngineID, bool) {
+	engine, found := r.findAssignment(ask)
 	if found {
-		r.home.Note(r.clock.Elapsed(), ask.Session, engine)
+		r.affinityTable.Note(r.clock.Elapsed(), ask.Session, engine)
 	}
 	return engine, found
 }
@@ -53,19 +53,19 @@
 // seatOf asks a session's homes. The first decides; the second keeps a copy, and knows better where the
 // first is gone or has just come back with nothing. Where neither knew of it, and daemons were lost
 // lately, all are asked.
-func (r routing) seatOf(ask dispatch.AskAssignment) (ident.EngineID, bool) {
-	if ask.Engine != "" && ask.Replaces == "" && r.lostLately() {
-		if engine, known := r.askAllForSeat(ask.Session); known {
+func (r requestPath) findAssignment(ask dispatch.AskAssignment) (ident.EngineID, bool) {
+	if ask.Engine != "" && ask.Replaces == "" && r.peersLostRecently() {
+		if engine, known := r.queryAllForAssignment(ask.Session); known {
 			ask.Engine = engine
 		}
 	}
-	first, second := r.seatHomes(ask.Session)
+	first, second := r.assignmentOwners(ask.Session)
 	request := &peerapi.SeatRequest{Session: ask.Session, Model: ask.Model, Adapter: ask.Adapter, Engine: string(ask.Engine), Replaces: string(ask.Replaces)}
-	decided := r.seatAt(first, request)
+	decided := r.queryAssignment(first, request)
 	if decided != nil && (!decided.Found || !decided.Fresh) {
 		return ident.EngineID(decided.Engine), decided.Found
 	}
-	copied := r.seatAt(second, request)
+	copied := r.queryAssignment(second, request)
 	switch {
 	case copied == nil && decided == nil:
 		// Homes that can't be reached must not hold up the session: the wish stands.
@@ -74,17 +74,17 @@
 		return ident.EngineID(decided.Engine), true
 	case decided != nil && !copied.Fresh && copied.Found && copied.Engine != decided.Engine:
 		// The first home had forgotten, so it is told what the second one knows.
-		r.seatAt(first, &peerapi.SeatRequest{Session: ask.Session, Engine: copied.Engine, Replaces: decided.Engine})
+		r.queryAssignment(first, &peerapi.SeatRequest{Session: ask.Session, Engine: copied.Engine, Replaces: decided.Engine})
 	}
 	return ident.EngineID(copied.Engine), copied.Found
 }
 
 // lostLately says whether daemons were lost or have begun anew so lately that seats may have gone with them.
-func (d *Daemon) lostLately() bool {
+func (d *Daemon) peersLostRecently() bool {
 	now := d.clock.Elapsed()
 	for _, fellow := range d.members.View().Fellows {
 		silent := now.Since(fellow.Heard)
-		if fellow.Ready && (silent > keeperWindow && silent <= sightWindow+doubtSpan || now.Since(fellow.Met) < doubtSpan) {
+		if fellow.Ready && (silent > slotOwnerWindow && silent <= contactWindow+uncertainWindow || now.Since(fellow.Met) < uncertainWindow) {
 			return true
 		}
 	}
@@ -92,11 +92,11 @@
 }
 
 // askAllForSeat asks every daemon in sight for a session's seat; the one used last counts.
-func (d *Daemon) askAllForSeat(session string) (ident.EngineID, bool) {
-	asked := addressesOf(d.homeLives())
+func (d *Daemon) queryAllForAssignment(session string) (ident.EngineID, bool) {
+	asked := addressesOf(d.liveOwners())
 	replies := make(chan *peerapi.SeatReply, len(asked))
 	for _, address := range asked {
-		go func() { replies <- d.seatAt(address, &peerapi.SeatRequest{Session: session}) }()
+		go func() { replies <- d.queryAssignment(address, &peerapi.SeatRequest{Session: session}) }()
 	}
 	var newest *peerapi.SeatReply
 	for range asked {
@@ -111,11 +111,11 @@
 }
 
 // EndAssignment tells a session's homes that it has ended.
-func (r routing) EndAssignment(session string) {
-	first, second := r.seatHomes(session)
+func (r requestPath) EndAssignment(session string) {
+	first, second := r.assignmentOwners(session)
 	// A home that misses this forgets the seat when it has been idle long enough.
 	for _, home := range []string{first, second} {
-		r.seatAt(home, &peerapi.SeatRequest{Session: session, Ended: true})
+		r.queryAssignment(home, &peerapi.SeatRequest{Session: session, Ended: true})
 	}
 }
 
@@ -125,38 +125,38 @@
 		return nil, twirp.NewError(twirp.InvalidArgument, "a seat belongs to a session")
 	}
 	if in.Ended {
-		d.home.End(in.Session)
+		d.affinityTable.End(in.Session)
 		return &peerapi.SeatReply{}, nil
 	}
 	if in.Engine == "" {
 		// Only asked for: nothing is claimed, nor does it count as used.
-		engine, used, found := d.home.Find(d.clock.Elapsed(), d.seatIdle(), in.Session)
+		engine, used, found := d.affinityTable.Find(d.clock.Elapsed(), d.assignmentIdle(), in.Session)
 		return &peerapi.SeatReply{Engine: string(engine), Found: found, UsedMsAgo: used.Milliseconds()}, nil
 	}
-	engine, found, fresh := d.home.Claim(d.clock.Elapsed(), d.seatIdle(), in.Session, ident.EngineID(in.Engine), ident.EngineID(in.Replaces))
+	engine, found, fresh := d.affinityTable.Claim(d.clock.Elapsed(), d.assignmentIdle(), in.Session, ident.EngineID(in.Engine), ident.EngineID(in.Replaces))
 	return &peerapi.SeatReply{Engine: string(engine), Found: found, Fresh: fresh}, nil
 }
 
-func (d *Daemon) seatIdle() time.Duration {
-	if t := d.keeper.Table(); t != nil {
+func (d *Daemon) assignmentIdle() time.Duration {
+	if t := d.rollout.Table(); t != nil {
 		return t.SeatIdle()
 	}
 	return time.Minute
 }
 
 // rehomeSeats gives the seats whose home this daemon was to the homes that have come to be.
-func (d *Daemon) rehomeSeats(ctx context.Context, before, after map[string]ident.NodeID) {
+func (d *Daemon) transferAssignments(ctx context.Context, before, after map[string]ident.NodeID) {
 	self := d.config.ReachedAt()
 	oldAddresses, newAddresses := addressesOf(before), addressesOf(after)
 	unreached := map[string]bool{}
-	for session, engine := range d.home.All() {
+	for session, engine := range d.affinityTable.All() {
 		oldFirst, oldSecond := affinity.Owners(session, oldAddresses)
 		if ctx.Err() != nil || oldFirst != self && oldSecond != self {
 			continue
 		}
-		for _, home := range newcomers(session, before, after, oldAddresses, newAddresses) {
+		for _, home := range newOwners(session, before, after, oldAddresses, newAddresses) {
 			if home != self && !unreached[home] {
-				unreached[home] = d.seatAt(home, &peerapi.SeatRequest{Session: session, Engine: string(engine)}) == nil
+				unreached[home] = d.queryAssignment(home, &peerapi.SeatRequest{Session: session, Engine: string(engine)}) == nil
 			}
 		}
 	}
--- a/daemon/sessionplanning.go
+++ b/daemon/sessionplanning.go
@@ -15,12 +15,12 @@
 )
 
 // planning is the daemon as the placement actor sees it.
-type planning struct{ *Daemon }
+type sessionPlanner struct{ *Daemon }
 
 // Input gathers what the plan looks at.
-func (p planning) Input() sessionplacement.Input {
+func (p sessionPlanner) Input() sessionplacement.Input {
 	now := p.clock.Elapsed()
-	in := sessionplacement.Input{Now: now, Table: p.keeper.Table(), Engines: p.watcher.View()}
+	in := sessionplacement.Input{Now: now, Table: p.rollout.Table(), Engines: p.watcher.View()}
 	if p.config.Serves(daemonconfig.Route) {
 		snapshot := p.dispatch.Snapshot()
 		for _, demand := range snapshot.Demands {
@@ -30,12 +30,12 @@
 			in.Assignments = append(in.Assignments, sessionplacement.Assignments(seat))
 		}
 	}
-	p.fleetMutex.Lock()
-	defer p.fleetMutex.Unlock()
-	for node, heard := range p.fleetWants {
+	p.peerDemandMutex.Lock()
+	defer p.peerDemandMutex.Unlock()
+	for node, heard := range p.peerDemand {
 		// Demand goes stale soon; seats are believed for longer, so a daemon cut off keeps them.
-		if now.Since(heard.At) > wantsKept {
-			delete(p.fleetWants, node)
+		if now.Since(heard.At) > peerDemandRetained {
+			delete(p.peerDemand, node)
 			continue
 		}
 		if now.Since(heard.At) < demandFresh {
@@ -53,8 +53,8 @@
 }
 
 // Claim asks the group for the claim.
-func (p planning) Claim(ctx context.Context, orders map[ident.EngineID]uint64, turn uint64) (*statemachine.Claim, bool) {
-	answer, ok := p.submitOnce(ctx, statemachine.Command{Op: statemachine.OpClaim, NodeID: p.nodeID, Orders: orders, OrdersTurn: turn, Above: p.heardClaim()})
+func (p sessionPlanner) Claim(ctx context.Context, orders map[ident.EngineID]uint64, turn uint64) (*statemachine.Claim, bool) {
+	answer, ok := p.submitOnce(ctx, statemachine.Command{Op: statemachine.OpClaim, NodeID: p.nodeID, Orders: orders, OrdersTurn: turn, Above: p.highestClaimSeen()})
 	if !ok || answer.Verdict != statemachine.Done || answer.Claim == nil {
 		return nil, false
 	}
@@ -62,17 +62,17 @@
 }
 
 // Mint stamps an order.
-func (p planning) Mint() (ident.SnowflakeID, snowflake.Outcome) { return p.generator.Mint() }
+func (p sessionPlanner) Mint() (ident.SnowflakeID, snowflake.Outcome) { return p.generator.Mint() }
 
 // Order sends an order.
-func (p planning) Order(ctx context.Context, address string, order engineapi.Order, limit time.Duration, mayLeave func() bool) (*engineapi.OrderAnswer, bool) {
+func (p sessionPlanner) Order(ctx context.Context, address string, order engineapi.Order, limit time.Duration, mayLeave func() bool) (*engineapi.OrderAnswer, bool) {
 	return enginestream.Order(ctx, address, order, limit, func() bool { return mayLeave() && p.generator.Held() })
 }
 
 // MayStand says whether this daemon should try to plan.
-func (p planning) MayStand() bool {
+func (p sessionPlanner) MayStand() bool {
 	ready, _ := p.Ready()
 	// A bundle without engines of the platform's list leaves nothing to plan for sessions.
-	t := p.keeper.Table()
-	return ready && p.generator.Held() && (p.pools == nil || t != nil && len(t.Spec.Engines) > 0)
+	t := p.rollout.Table()
+	return ready && p.generator.Held() && (p.poolPlanning == nil || t != nil && len(t.Spec.Engines) > 0)
 }
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -15,9 +15,9 @@
 func (d *Daemon) Status() operatorapi.Status {
 	now := d.clock.Elapsed()
 	ready, why := d.Ready()
-	out := operatorapi.Status{NodeID: d.nodeID, Version: d.version, Zone: d.config.Zone, Serve: d.serve(), Ready: ready, NotReady: why,
+	out := operatorapi.Status{NodeID: d.nodeID, Version: d.version, Zone: d.config.Zone, Serve: d.roleNames(), Ready: ready, NotReady: why,
 		Group: d.Group(), Leader: d.leaderAddress(), Fellows: []operatorapi.Fellow{}, Engines: []operatorapi.Engine{}}
-	t := d.keeper.Table()
+	t := d.rollout.Table()
 	if t != nil {
 		out.SpecEpoch, out.ClosureEpoch = t.Epoch, t.Closures.Epoch
 	}
@@ -33,7 +33,7 @@
 		condition := held.Condition()
 		out.Raft = &operatorapi.RaftStatus{Role: condition.Role.String(), Term: uint64(condition.Term), Commit: uint64(condition.Commit), Stalled: condition.Stalled,
 			Applied: uint64(condition.Applied), StateDigest: digestText(condition.Digest)}
-		if folder := d.held(); folder != nil {
+		if folder := d.dataFolder(); folder != nil {
 			self, _ := condition.Members.Find(folder.Member)
 			out.Raft.Voter = self.Voter
 		}
@@ -43,7 +43,7 @@
 		}
 	}
 	if d.config.Serves(daemonconfig.Place) {
-		condition := d.placer.Condition()
+		condition := d.sessionPlacer.Condition()
 		out.Planner = &operatorapi.PlannerStatus{Held: condition.Held, Claim: condition.Claim, InFlight: condition.InFlight}
 	}
 	for _, fellow := range d.members.View().InContact(now, 30*time.Second) {
--- a/daemon/unplaced.go
+++ b/daemon/unplaced.go
@@ -11,38 +11,38 @@
 )
 
 // lacksFresh is for how long the planner's word on what it will not load is believed.
-const lacksFresh = 1500 * time.Millisecond
+const unplacedValidFor = 1500 * time.Millisecond
 
 // lackSlack is by how much a wait must have changed for others to be told.
-const lackSlack = 400 * time.Millisecond
+const unplacedTolerance = 400 * time.Millisecond
 
-type heardLacks struct {
-	heard clock.Mark
-	waits map[dispatch.Wanted]time.Duration
+type receivedUnplaced struct {
+	receivedAt clock.Mark
+	waits      map[dispatch.Wanted]time.Duration
 }
 
-type heardPoolLacks struct {
-	heard clock.Mark
-	waits map[PoolTarget]time.Duration
+type receivedPoolUnplaced struct {
+	receivedAt clock.Mark
+	waits      map[PoolTarget]time.Duration
 }
 
 // PoolTarget names a model, or one adapter of it, of a pool.
 type PoolTarget struct{ Pool, Model, Adapter string }
 
 // heldLacks is what the planner here said last that it will not load soon, as told to others.
-type heldLacks struct {
-	lacks []sessionplacement.Lack
-	pools []poolplacement.Lack
+type unplacedReport struct {
+	sessions []sessionplacement.Lack
+	pools    []poolplacement.Lack
 }
 
 // like says whether two words on what is lacking are so near each other that others need not be told.
-func (h *heldLacks) like(other *heldLacks) bool {
-	if len(h.lacks) != len(other.lacks) || len(h.pools) != len(other.pools) {
+func (h *unplacedReport) similarTo(other *unplacedReport) bool {
+	if len(h.sessions) != len(other.sessions) || len(h.pools) != len(other.pools) {
 		return false
 	}
-	near := func(a, b time.Duration) bool { return max(a-b, b-a) <= max(lackSlack, b/4) }
-	for i, lack := range h.lacks {
-		if known := other.lacks[i]; lack.Model != known.Model || lack.Adapter != known.Adapter || !near(lack.Wait, known.Wait) {
+	near := func(a, b time.Duration) bool { return max(a-b, b-a) <= max(unplacedTolerance, b/4) }
+	for i, lack := range h.sessions {
+		if known := other.sessions[i]; lack.Model != known.Model || lack.Adapter != known.Adapter || !near(lack.Wait, known.Wait) {
 			return false
 		}
 	}
@@ -55,16 +55,16 @@
 }
 
 // tellLacks puts what will not be loaded soon into a reply, where this daemon plans and the asker has it not.
-func (d *Daemon) tellLacks(in *peerapi.PullRequest, reply *peerapi.PullReply) {
-	held := d.heldLacks.Load()
+func (d *Daemon) addUnplaced(in *peerapi.PullRequest, reply *peerapi.PullReply) {
+	held := d.unplacedReport.Load()
 	if !reply.Plans || held == nil {
 		return
 	}
-	reply.LacksVersion = d.toldNews.lacks.Load()
+	reply.LacksVersion = d.sentVersions.unplaced.Load()
 	if reply.LacksVersion == in.LacksVersion {
 		return
 	}
-	for _, lack := range held.lacks {
+	for _, lack := range held.sessions {
 		reply.Lacks = append(reply.Lacks, &peerapi.Lack{Model: lack.Model, Adapter: lack.Adapter, WaitMs: lack.Wait.Milliseconds()})
 	}
 	for _, lack := range held.pools {
@@ -73,18 +73,18 @@
 }
 
 // learnLacks takes the planner's word on what will not be loaded soon.
-func (d *Daemon) learnLacks(reply *peerapi.PullReply) {
+func (d *Daemon) receiveUnplaced(reply *peerapi.PullReply) {
 	if !reply.Plans || reply.LacksVersion == 0 {
 		return
 	}
 	now := d.clock.Elapsed()
-	if reply.LacksVersion == d.heardNews.lacks.Load() {
+	if reply.LacksVersion == d.receivedVersions.unplaced.Load() {
 		// The same as before, said again.
-		if known := d.lacks.Load(); known != nil {
-			d.lacks.Store(&heardLacks{now, known.waits})
+		if known := d.unplaced.Load(); known != nil {
+			d.unplaced.Store(&receivedUnplaced{now, known.waits})
 		}
-		if known := d.poolLacks.Load(); known != nil {
-			d.poolLacks.Store(&heardPoolLacks{now, known.waits})
+		if known := d.poolUnplaced.Load(); known != nil {
+			d.poolUnplaced.Store(&receivedPoolUnplaced{now, known.waits})
 		}
 		return
 	}
@@ -94,32 +94,32 @@
 			lacks[dispatch.Wanted{Model: lack.Model, Adapter: lack.Adapter}] = time.Duration(lack.WaitMs) * time.Millisecond
 		}
 	}
-	d.hearPoolLacks(reply.Lacks)
-	d.lacks.Store(&heardLacks{now, lacks})
-	d.heardNews.lacks.Store(reply.LacksVersion)
+	d.receivePoolUnplaced(reply.Lacks)
+	d.unplaced.Store(&receivedUnplaced{now, lacks})
+	d.receivedVersions.unplaced.Store(reply.LacksVersion)
 }
 
 // hearPoolLacks takes the planner's word on what will not be loaded soon.
-func (d *Daemon) hearPoolLacks(lacks []*peerapi.Lack) {
+func (d *Daemon) receivePoolUnplaced(lacks []*peerapi.Lack) {
 	waits := map[PoolTarget]time.Duration{}
 	for _, lack := range lacks {
 		if lack.Pool != "" {
 			waits[PoolTarget{lack.Pool, lack.Model, lack.Adapter}] = time.Duration(lack.WaitMs) * time.Millisecond
 		}
 	}
-	d.poolLacks.Store(&heardPoolLacks{d.clock.Elapsed(), waits})
+	d.poolUnplaced.Store(&receivedPoolUnplaced{d.clock.Elapsed(), waits})
 }
 
 // lacksNow is what will not be loaded soon, by the newest word of whoever plans.
-func (d *Daemon) lacksNow() map[dispatch.Wanted]time.Duration {
+func (d *Daemon) unplacedNow() map[dispatch.Wanted]time.Duration {
 	if d.Plans() {
 		out := map[dispatch.Wanted]time.Duration{}
-		for _, lack := range d.placer.Condition().Lacks {
+		for _, lack := range d.sessionPlacer.Condition().Lacks {
 			out[dispatch.Wanted{Model: lack.Model, Adapter: lack.Adapter}] = lack.Wait
 		}
 		return out
 	}
-	if heard := d.lacks.Load(); heard != nil && d.clock.Elapsed().Since(heard.heard) < lacksFresh {
+	if heard := d.unplaced.Load(); heard != nil && d.clock.Elapsed().Since(heard.receivedAt) < unplacedValidFor {
 		return heard.waits
 	}
 	return nil
@@ -127,8 +127,8 @@
 
 // PoolLack is for how long something is not likely to be there, by the planner's newest word; the request
 // path asks it before it holds a request.
-func (d *Daemon) PoolLack(pool, model, adapter string) (wait time.Duration, lacking bool) {
-	if condition := d.pools.condition(); condition.Held {
+func (d *Daemon) PoolUnplaced(pool, model, adapter string) (wait time.Duration, lacking bool) {
+	if condition := d.poolPlanning.condition(); condition.Held {
 		for _, lack := range condition.Lacks {
 			if lack.Pool == pool && lack.Model == model && (lack.Adapter == "" || lack.Adapter == adapter) {
 				return lack.Wait, true
@@ -136,8 +136,8 @@
 		}
 		return 0, false
 	}
-	heard := d.poolLacks.Load()
-	if heard == nil || d.clock.Elapsed().Since(heard.heard) >= lacksFresh {
+	heard := d.poolUnplaced.Load()
+	if heard == nil || d.clock.Elapsed().Since(heard.receivedAt) >= unplacedValidFor {
 		return 0, false
 	}
 	if wait, lacking = heard.waits[PoolTarget{pool, model, ""}]; lacking {
--- a/daemon/workerlease.go
+++ b/daemon/workerlease.go
@@ -11,10 +11,10 @@
 )
 
 // tenureMargin is taken off the end of each tenure for clock-rate error.
-const tenureMargin = time.Second
+const leaseMargin = time.Second
 
 // runTenancy acquires a worker id and renews it.
-func (d *Daemon) runTenancy(ctx context.Context) {
+func (d *Daemon) runWorkerLease(ctx context.Context) {
 	// Nothing can be held before a worker id is, so a fresh daemon looks often whether there is a leader to ask yet.
 	const beat, freshBeat = 250 * time.Millisecond, 50 * time.Millisecond
 	renewEvery := d.replicaConfig.Tenure / 3
@@ -25,7 +25,7 @@
 		asked := d.clock.Elapsed()
 		worker, held := d.generator.Worker()
 		if !d.draining.Load() && d.enlistedAt.Load() == 0 {
-			d.enlist(ctx)
+			d.registerServing(ctx)
 		}
 		switch {
 		case d.draining.Load():
@@ -35,7 +35,7 @@
 				d.generator.Take(*result.Grant, asked)
 				renewed = asked
 				ticker.Reset(beat)
-				d.counters.acquired.Add(1)
+				d.counters.leasesAcquired.Add(1)
 				d.log.WithField("workerId", int64(result.Grant.WorkerID)).Info("worker id acquired")
 				d.admitCallers()
 			}
@@ -45,11 +45,11 @@
 			case ok && result.Grant != nil:
 				d.generator.Take(*result.Grant, asked)
 				renewed = asked
-				d.counters.renewed.Add(1)
+				d.counters.leasesRenewed.Add(1)
 			case ok && result.Verdict == statemachine.Mismatch:
 				// The group no longer knows this tenure: nothing may be minted under it from now on.
 				d.generator.Drop()
-				d.counters.tenureFailed.Add(1)
+				d.counters.leasesLost.Add(1)
 				d.log.Warn("worker id lost")
 			}
 		}
@@ -63,13 +63,13 @@
 
 // enlist has the group write down that this life may be serving, so that no change counts as in force
 // everywhere without it.
-func (d *Daemon) enlist(ctx context.Context) {
+func (d *Daemon) registerServing(ctx context.Context) {
 	answer, ok := d.submitOnce(ctx, statemachine.Command{Op: statemachine.OpEnlist, NodeID: d.nodeID, Address: d.config.ReachedAt()})
 	switch {
 	case ok && answer.Verdict == statemachine.Done:
 		d.enlistedAt.Store(int64(d.clock.Elapsed()))
 	case ok && answer.Verdict == statemachine.Forbidden:
-		d.stepAside(eris.New(answer.Reason))
+		d.abort(eris.New(answer.Reason))
 	}
 }
 
