--- a/daemon/controlcontact.go
+++ b/daemon/controlcontact.go
@@ -34,18 +34,18 @@
 
 // contact says how well this daemon hears what other control daemons hear. One that is cut off from any that
 // lives can't tell an engine's silence from its own deafness; nor can several that were cut off from a majority together.
-func (d *Daemon) controlContact() registry.Contact {
+func (d *Daemon) controlContact() registry.Connectivity {
 	now := d.clock.Elapsed()
 	if !d.config.Serves(daemonconfig.Control) {
 		// It judges nobody, so it need not look through the fleet for it.
-		return registry.Contact{Horizon: now}
+		return registry.Connectivity{Horizon: now}
 	}
 	return contactOf(d.members.View(), d.nodeID, now, d.registrySyncTimes.latest, d.heartbeatPeriod(), d.soleVoter)
 }
 
 // contactOf is contact for a view; heard is up to when a control daemon at an address has told all that it heard.
-func contactOf(view *membership.View, self ident.NodeID, now clock.Mark, heard func(address string) clock.Mark, period time.Duration, alone func() bool) registry.Contact {
-	out, others := registry.Contact{Horizon: now}, 0
+func contactOf(view *membership.View, self ident.NodeID, now clock.Mark, heard func(address string) clock.Mark, period time.Duration, alone func() bool) registry.Connectivity {
+	out, others := registry.Connectivity{Horizon: now}, 0
 	for _, fellow := range view.Fellows {
 		if fellow.NodeID == self || !fellow.Serves(string(daemonconfig.Control)) || now.Since(fellow.Heard) > membership.ContactWindow {
 			continue
@@ -53,7 +53,7 @@
 		others++
 		out.Horizon = min(out.Horizon, heard(fellow.Address))
 	}
-	out.May = now.Since(out.Horizon) <= period && (others > 0 || alone()) && now.Since(view.HeardLeader) <= membership.ContactWindow
+	out.CanDetectTimeouts = now.Since(out.Horizon) <= period && (others > 0 || alone()) && now.Since(view.HeardLeader) <= membership.ContactWindow
 	return out
 }
 
--- a/daemon/forwarding.go
+++ b/daemon/forwarding.go
@@ -103,7 +103,7 @@
 		view := d.forwarding.view()
 		d.forwarding.pools.Sweep(func(id ident.EngineID) bool {
 			engine, known := view.Engines[id]
-			return known && !engine.Gone
+			return known && !engine.Deregistered
 		})
 		d.forwarding.actor.Ask(func(core *forwarding.Core, _ forwarding.World) { core.Forget(view) })
 	}
--- a/daemon/handover.go
+++ b/daemon/handover.go
@@ -80,10 +80,10 @@
 	bounded, cancel := context.WithTimeout(context.Background(), registrationsSeenLimit)
 	defer cancel()
 	seen := make(chan bool, len(peers))
-	change := d.registry.Solid()
+	change := d.registry.LatestNonLoadChange()
 	for _, peer := range peers {
 		go func() {
-			seen <- d.registry.AwaitReach(bounded, change, registrationsSeenLimit, func() []ident.NodeID { return []ident.NodeID{peer} })
+			seen <- d.registry.AwaitPropagation(bounded, change, registrationsSeenLimit, func() []ident.NodeID { return []ident.NodeID{peer} })
 		}()
 	}
 	for range peers {
--- a/daemon/poolplanning.go
+++ b/daemon/poolplanning.go
@@ -111,4 +111,4 @@
 func (p poolPlanner) First() bool { return !p.Leads() }
 
 // Tell spreads the plan.
-func (p poolPlanner) Tell(plans map[ident.EngineID]registry.Plan) { p.registry.TellPlan(plans) }
+func (p poolPlanner) Tell(plans map[ident.EngineID]registry.Plan) { p.registry.PublishPlans(plans) }
