--- a/daemon/applybundle.go
+++ b/daemon/applybundle.go
@@ -33,12 +33,6 @@
 	applyRetryEvery = 50 * time.Millisecond
 )
 
-// WithApplyLimits replaces how long a call to apply a bundle may take, and how much of that it waits for
-// daemons in contact.
-func WithApplyLimits(whole, reach time.Duration) Option {
-	return func(d *Daemon) { d.applyLimit, d.applyReach = whole, reach }
-}
-
 // ApplyBundle brings an operator's call to the leader. The same call may be brought there many times, also to
 // several leaders: whichever copy is committed first counts, and all others find it by its digest.
 func (d *Daemon) ApplyBundle(ctx context.Context, call operatorapi.Apply) operatorapi.Applying {
@@ -143,7 +137,7 @@
 // says Unknown is final all the same: no other leader could prove more.
 func (d *Daemon) applyAsLeader(ctx context.Context, call operatorapi.Apply) (operatorapi.Applying, replica.Outcome) {
 	held := d.replica.Load()
-	if held == nil || !held.Condition().Leads {
+	if held == nil || !held.Status().IsLeader {
 		return operatorapi.Applying{}, replica.NotLeader
 	}
 	if !d.config.OneStep {
--- a/daemon/commands.go
+++ b/daemon/commands.go
@@ -123,7 +123,7 @@
 // lead carries a command out as the leader.
 func (d *Daemon) submitAsLeader(ctx context.Context, command statemachine.Command) (rollout.Response, replica.Outcome) {
 	held := d.replica.Load()
-	if held == nil || !held.Condition().Leads {
+	if held == nil || !held.Status().IsLeader {
 		return rollout.Response{}, replica.NotLeader
 	}
 	if command.Op == statemachine.OpPropose {
@@ -160,7 +160,7 @@
 	}
 	// Acknowledged means: on a majority's disks, and in force at every daemon that may be serving.
 	reach := d.members.AwaitReach(ctx, specEpoch, closureEpoch, reachLimit-d.clock.Elapsed().Since(began),
-		func() []ident.NodeID { return held.Condition().Serving })
+		func() []ident.NodeID { return held.Status().ServingDaemons })
 	answer.InForceAt, answer.Missing, answer.Acknowledged = reach.Have, reach.Lack, reach.All
 	return answer, got.Outcome
 }
--- a/daemon/forwarding.go
+++ b/daemon/forwarding.go
@@ -51,11 +51,6 @@
 	return func(d *Daemon) { d.forwarding.patience = patience }
 }
 
-// WithEngineView replaces where the registered engines are looked up.
-func WithEngineView(view func() *registry.View) Option {
-	return func(d *Daemon) { d.forwarding.view = view }
-}
-
 // forwards says whether opaque requests are served here.
 func (d *Daemon) forwards() bool {
 	return d.forwarding.dialect != nil && d.config.Serves(daemonconfig.Route)
--- a/daemon/member.go
+++ b/daemon/member.go
@@ -87,7 +87,7 @@
 		}
 		line := d.log.WithError(err)
 		switch {
-		case errors.As(err, new(*replica.StateDiffersError)):
+		case errors.As(err, new(*replica.StateDivergedError)):
 			if err := store.SetAside(d.config.Data); err != nil {
 				d.log.WithError(err).Warn("the state that differs cannot be set aside yet")
 				break
@@ -176,7 +176,7 @@
 		group = ""
 	}
 	made, err := replica.New(self, group, restored, d.replicaConfig, d.clock, d.wrapDisk(life.store), d.links,
-		replica.WithChanged(d.stateChanged), replica.WithTurned(d.logMemberChange), replica.WithCounters(&d.counters.group), replica.WithNoticed(d.noticeLogger()), replica.WithFatal(life.fail))
+		replica.WithConfigurationChangeHandler(d.stateChanged), replica.WithStatusChangeHandler(d.logMemberChange), replica.WithCounters(&d.counters.group), replica.WithNoticeHandler(d.noticeLogger()), replica.WithFatalHandler(life.fail))
 	if err != nil {
 		return eris.Wrap(err, "the data folder cannot be read")
 	}
