--- a/daemon/configurationhistory.go
+++ b/daemon/configurationhistory.go
@@ -70,20 +70,20 @@
 	if len(fellows) == 0 {
 		return nil
 	}
-	recalled, err := d.links.To(fellows[rand.IntN(len(fellows))].Address).Recall(bounded, &peerapi.RecallRequest{Epoch: uint64(epoch)})
+	recalled, err := d.links.To(fellows[rand.IntN(len(fellows))].Address).Recall(bounded, &peerapi.RecallRequest{Version: uint64(epoch)})
 	if err != nil {
 		return nil
 	}
-	if _, faults := document.Parse(recalled.Spec); len(faults) > 0 {
+	if _, faults := document.Parse(recalled.Configuration); len(faults) > 0 {
 		return nil
 	}
-	return recalled.Spec
+	return recalled.Configuration
 }
 
 // Recall gives back a bundle that was in force here.
-func (d *Daemon) Recall(_ context.Context, in *peerapi.RecallRequest) (*peerapi.Recalled, error) {
-	raw, _ := d.rollout.Recall(ident.Version(in.Epoch))
-	out := &peerapi.Recalled{Spec: raw}
+func (d *Daemon) Recall(_ context.Context, in *peerapi.RecallRequest) (*peerapi.RecallReply, error) {
+	raw, _ := d.rollout.Recall(ident.Version(in.Version))
+	out := &peerapi.RecallReply{Configuration: raw}
 	if t := d.rollout.Table(); t != nil {
 		out.Closures = rollout.EncodeClosures(t.Closures)
 	}
--- a/daemon/demand.go
+++ b/daemon/demand.go
@@ -28,21 +28,21 @@
 		return false
 	}
 	var all []*peerapi.Demand
-	var seated []*peerapi.Seat
+	var seated []*peerapi.EngineSessions
 	snapshot := d.dispatch.Snapshot()
 	for _, demand := range snapshot.Demands {
-		all = append(all, &peerapi.Demand{Model: demand.Model, Adapter: demand.Adapter, Worth: demand.Worth, Held: int64(demand.Queued), Running: int64(demand.Running)})
+		all = append(all, &peerapi.Demand{Model: demand.Model, Adapter: demand.Adapter, Value: demand.Worth, Queued: int64(demand.Queued), Running: int64(demand.Running)})
 	}
 	all = append(all, d.forwardDemands()...)
 	for _, seat := range snapshot.Seats {
-		seated = append(seated, &peerapi.Seat{Engine: string(seat.Engine), Model: seat.Model, Adapter: seat.Adapter, Sessions: int64(seat.Sessions)})
+		seated = append(seated, &peerapi.EngineSessions{Engine: string(seat.Engine), Model: seat.Model, Adapter: seat.Adapter, Sessions: int64(seat.Sessions)})
 	}
-	waits = slices.ContainsFunc(all, func(demand *peerapi.Demand) bool { return demand.Held > 0 })
+	waits = slices.ContainsFunc(all, func(demand *peerapi.Demand) bool { return demand.Queued > 0 })
 	if onlyWaiting && !waits {
 		return false
 	}
 	message := d.demandSender.Next(d.clock.Elapsed(), request.PlannerAddress, all, seated)
-	request.Wants, request.WantsBase, request.Demand, request.Seats = message.Seq, message.Base, message.Demand, message.Seats
+	request.DemandVersion, request.DemandBaseVersion, request.Demand, request.Sessions = message.Seq, message.Base, message.Demand, message.Seats
 	for _, one := range d.forwardOutcomes() {
 		request.Outcomes = append(request.Outcomes, &peerapi.EngineOutcomes{Engine: string(one.Engine), Attempts: int64(one.Attempts), Failures: int64(one.Failures),
 			Refusals: int64(one.Refusals), Overdue: int64(one.Overdue)})
@@ -61,7 +61,7 @@
 	demands := d.forwarding.actor.Demands()
 	out := make([]*peerapi.Demand, 0, len(demands))
 	for _, one := range demands {
-		out = append(out, &peerapi.Demand{Pool: one.Pool, Model: one.Model, Adapter: one.Adapter, Held: int64(one.Held), Running: int64(one.Running),
+		out = append(out, &peerapi.Demand{Pool: one.Pool, Model: one.Model, Adapter: one.Adapter, Queued: int64(one.Held), Running: int64(one.Running),
 			Tokens: one.Tokens, Arrivals: one.Arrivals, OldestMs: one.Oldest.Milliseconds(), Rank: int64(one.Rank)})
 	}
 	return out
@@ -69,7 +69,7 @@
 
 // hearWants takes what an asker holds and asks for; it says false where what that builds on is not known.
 func (d *Daemon) receiveDemand(in *peerapi.PullRequest) bool {
-	if in.Wants == 0 {
+	if in.DemandVersion == 0 {
 		return true
 	}
 	d.peerDemandMutex.Lock()
@@ -79,7 +79,7 @@
 		heard = &demand.Receiver{}
 		d.peerDemand[ident.NodeID(in.NodeId)] = heard
 	}
-	return heard.Take(d.clock.Elapsed(), demand.Message{Seq: in.Wants, Base: in.WantsBase, Demand: in.Demand, Seats: in.Seats})
+	return heard.Take(d.clock.Elapsed(), demand.Message{Seq: in.DemandVersion, Base: in.DemandBaseVersion, Demand: in.Demand, Seats: in.Sessions})
 }
 
 // heardDemand adds up what this daemon and all others were lately heard to ask for.
@@ -89,9 +89,9 @@
 		if demand.Pool == "" {
 			return
 		}
-		one := poolplacement.Demand{Pool: demand.Pool, Model: demand.Model, Adapter: demand.Adapter, Held: int(demand.Held), Running: int(demand.Running),
+		one := poolplacement.Demand{Pool: demand.Pool, Model: demand.Model, Adapter: demand.Adapter, Held: int(demand.Queued), Running: int(demand.Running),
 			Tokens: demand.Tokens * share, Arrivals: demand.Arrivals * share, Rank: int(demand.Rank)}
-		if demand.Held > 0 {
+		if demand.Queued > 0 {
 			one.Oldest = time.Duration(demand.OldestMs)*time.Millisecond + ago
 		}
 		out = append(out, one)
--- a/daemon/unplaced.go
+++ b/daemon/unplaced.go
@@ -57,28 +57,28 @@
 // tellLacks puts what will not be loaded soon into a reply, where this daemon plans and the asker has it not.
 func (d *Daemon) addUnplaced(in *peerapi.PullRequest, reply *peerapi.PullReply) {
 	held := d.unplacedReport.Load()
-	if !reply.Plans || held == nil {
+	if !reply.IsPlanner || held == nil {
 		return
 	}
-	reply.LacksVersion = d.sentVersions.unplaced.Load()
-	if reply.LacksVersion == in.LacksVersion {
+	reply.ShortagesVersion = d.sentVersions.unplaced.Load()
+	if reply.ShortagesVersion == in.ShortagesVersion {
 		return
 	}
 	for _, lack := range held.sessions {
-		reply.Lacks = append(reply.Lacks, &peerapi.Lack{Model: lack.Model, Adapter: lack.Adapter, WaitMs: lack.Wait.Milliseconds()})
+		reply.Shortages = append(reply.Shortages, &peerapi.Shortage{Model: lack.Model, Adapter: lack.Adapter, WaitMs: lack.Wait.Milliseconds()})
 	}
 	for _, lack := range held.pools {
-		reply.Lacks = append(reply.Lacks, &peerapi.Lack{Pool: lack.Pool, Model: lack.Model, Adapter: lack.Adapter, WaitMs: lack.Wait.Milliseconds()})
+		reply.Shortages = append(reply.Shortages, &peerapi.Shortage{Pool: lack.Pool, Model: lack.Model, Adapter: lack.Adapter, WaitMs: lack.Wait.Milliseconds()})
 	}
 }
 
 // learnLacks takes the planner's word on what will not be loaded soon.
 func (d *Daemon) receiveUnplaced(reply *peerapi.PullReply) {
-	if !reply.Plans || reply.LacksVersion == 0 {
+	if !reply.IsPlanner || reply.ShortagesVersion == 0 {
 		return
 	}
 	now := d.clock.Elapsed()
-	if reply.LacksVersion == d.receivedVersions.unplaced.Load() {
+	if reply.ShortagesVersion == d.receivedVersions.unplaced.Load() {
 		// The same as before, said again.
 		if known := d.unplaced.Load(); known != nil {
 			d.unplaced.Store(&receivedUnplaced{now, known.waits})
@@ -88,19 +88,19 @@
 		}
 		return
 	}
-	lacks := make(map[dispatch.Wanted]time.Duration, len(reply.Lacks))
-	for _, lack := range reply.Lacks {
+	lacks := make(map[dispatch.Wanted]time.Duration, len(reply.Shortages))
+	for _, lack := range reply.Shortages {
 		if lack.Pool == "" {
 			lacks[dispatch.Wanted{Model: lack.Model, Adapter: lack.Adapter}] = time.Duration(lack.WaitMs) * time.Millisecond
 		}
 	}
-	d.receivePoolUnplaced(reply.Lacks)
+	d.receivePoolUnplaced(reply.Shortages)
 	d.unplaced.Store(&receivedUnplaced{now, lacks})
-	d.receivedVersions.unplaced.Store(reply.LacksVersion)
+	d.receivedVersions.unplaced.Store(reply.ShortagesVersion)
 }
 
 // hearPoolLacks takes the planner's word on what will not be loaded soon.
-func (d *Daemon) receivePoolUnplaced(lacks []*peerapi.Lack) {
+func (d *Daemon) receivePoolUnplaced(lacks []*peerapi.Shortage) {
 	waits := map[PoolTarget]time.Duration{}
 	for _, lack := range lacks {
 		if lack.Pool != "" {
