--- a/daemon/counters.go
+++ b/daemon/counters.go
@@ -74,9 +74,9 @@
 	say("offers_refused", d.rollout.Refused.Load())
 	w := &d.watcher.Counters
 	say("engine_reports_failed", w.FailedReports.Load())
-	say("engine_reports_junk", w.JunkReports.Load())
-	say("engine_lives", w.Lives.Load())
-	say("engine_set_aside", w.SetAsides.Load())
+	say("engine_reports_junk", w.InvalidReports.Load())
+	say("engine_lives", w.Restarts.Load())
+	say("engine_set_aside", w.Quarantines.Load())
 	say("engines_registered", uint64(len(d.registry.View().Engines)))
 	if d.config.Serves(daemonconfig.Control) {
 		say("engine_beats", c.engineHeartbeats.Load())
@@ -216,13 +216,13 @@
 	}
 	judged := p.condition().Judged
 	say("engine_outcomes_heard", judged.Attempts)
-	say("engine_outcomes_wrong", judged.Wrong)
+	say("engine_outcomes_wrong", judged.Failures)
 	say("engine_outcomes_dropped", judged.DigestsDropped)
 	say("engines_ejected", judged.Ejections)
 	say("engines_ejected_again", judged.Relapses)
-	say("engines_slowed", judged.Slowed)
+	say("engines_slowed", judged.Throttled)
 	say("engines_returned", judged.Returns)
-	say("engines_spared", judged.Spared)
+	say("engines_spared", judged.Suppressed)
 }
 
 // count lists the counters of the ranking.
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -56,7 +56,7 @@
 	adminAPI          *adminapi.Desk
 	sessionPlacer     *sessionplacement.Actor
 	affinityTable     *affinity.Table
-	engineSlots       *admission.Keeper
+	engineSlots       *admission.Controller
 	attempts          *deduplication.Actor
 	slotRequestIDs    atomic.Uint64
 
--- a/daemon/dispatch.go
+++ b/daemon/dispatch.go
@@ -114,16 +114,16 @@
 	refused = result.Outcome == dispatch.EngineRefused || result.Outcome == dispatch.NeverSent
 	switch result.Outcome {
 	case dispatch.Whole:
-		d.watcher.GoWent(send.Engine, true)
+		d.watcher.ReportAttempt(send.Engine, true)
 	case dispatch.Lost, dispatch.NeverSent, dispatch.Cut:
 		// One that began late and ran into its own deadline says nothing against the engine.
 		if d.clock.Elapsed() < send.Deadline || left >= fairAttemptTime {
-			d.watcher.GoWent(send.Engine, false)
+			d.watcher.ReportAttempt(send.Engine, false)
 		}
 	}
 	if result.Junk {
 		d.counters.malformedStreams.Add(1)
-		d.watcher.SetAside(send.Engine)
+		d.watcher.Quarantine(send.Engine)
 	}
 	if began {
 		switch result.Outcome {
--- a/daemon/drainingengines.go
+++ b/daemon/drainingengines.go
@@ -12,7 +12,7 @@
 	now := d.clock.Elapsed()
 	for id, engine := range d.watcher.View().Engines {
 		if engine.Draining {
-			out = append(out, &peerapi.DrainingEngine{Engine: string(id), Address: engine.Address, KnownMsAgo: now.Since(engine.DrainKnown).Milliseconds()})
+			out = append(out, &peerapi.DrainingEngine{Engine: string(id), Address: engine.Address, KnownMsAgo: now.Since(engine.DrainingSince).Milliseconds()})
 		}
 	}
 	return out
@@ -20,6 +20,6 @@
 
 func (d *Daemon) receiveDraining(leaving []*peerapi.DrainingEngine) {
 	for _, engine := range leaving {
-		d.watcher.HeardDraining(ident.EngineID(engine.Engine), engine.Address, time.Duration(engine.KnownMsAgo)*time.Millisecond)
+		d.watcher.ReportDraining(ident.EngineID(engine.Engine), engine.Address, time.Duration(engine.KnownMsAgo)*time.Millisecond)
 	}
 }
--- a/daemon/engineslots.go
+++ b/daemon/engineslots.go
@@ -77,8 +77,8 @@
 		d.engineSlots.Release(ident.EngineID(in.Engine), in.Id, in.Refused)
 		return &peerapi.PermitReply{}, nil
 	}
-	granted := d.engineSlots.Ask(ctx, admission.Ask{ID: in.Id, Node: ident.NodeID(in.NodeId), Engine: ident.EngineID(in.Engine),
-		Bid: priority.Bid{Assigned: in.HasAssignment, Worth: in.Value, Rank: int(in.Rank), Tenant: in.Tenant}, Until: d.clock.Elapsed() + clock.Mark(slotWait)})
+	granted := d.engineSlots.Acquire(ctx, admission.Request{ID: in.Id, Node: ident.NodeID(in.NodeId), Engine: ident.EngineID(in.Engine),
+		Key: priority.Key{Assigned: in.HasAssignment, Value: in.Value, Rank: int(in.Rank), Tenant: in.Tenant}, Deadline: d.clock.Elapsed() + clock.Mark(slotWait)})
 	return &peerapi.PermitReply{Granted: granted}, nil
 }
 
@@ -101,9 +101,9 @@
 			}
 			return 0
 		},
-		Asked: func(id ident.EngineID) clock.Mark {
+		ReportRequested: func(id ident.EngineID) clock.Mark {
 			if engine, known := view.Engines[id]; known {
-				return engine.Asked
+				return engine.ReportRequested
 			}
 			return 0
 		},
--- a/daemon/longpoll.go
+++ b/daemon/longpoll.go
@@ -181,7 +181,7 @@
 	for id, engine := range d.watcher.View().Engines {
 		if engine.Draining {
 			now.draining++
-			now.drainKnown += engine.DrainKnown + clock.Mark(len(id))
+			now.drainKnown += engine.DrainingSince + clock.Mark(len(id))
 		}
 	}
 	before := d.lastPolled
--- a/daemon/readiness.go
+++ b/daemon/readiness.go
@@ -12,7 +12,7 @@
 	if ready, why := d.members.Ready(); !ready {
 		return false, why
 	}
-	if d.config.Serves(daemonconfig.Route) && d.config.Platform != "" && d.watcher.View().ListRead == 0 {
+	if d.config.Serves(daemonconfig.Route) && d.config.Platform != "" && d.watcher.View().ListReads == 0 {
 		return false, "the platform's list of engines has not been read yet"
 	}
 	return true, ""
--- a/daemon/run.go
+++ b/daemon/run.go
@@ -71,7 +71,7 @@
 	d.registry.Subscribe(d.wakeRequestPath)
 	d.registry.Subscribe(d.registryChanged)
 	d.dispatch = dispatch.NewActor(requestPath{d})
-	d.engineSlots = admission.NewKeeper(d.slotView)
+	d.engineSlots = admission.NewController(d.slotView)
 	d.sessionPlacer = sessionplacement.NewActor(sessionPlanner{d}, d.clock)
 	d.poolPlanning.build(d)
 	d.nodeRanking = newNodeRanking(d)
--- a/process/engines/admission/admission.go
+++ b/process/engines/admission/admission.go
@@ -16,13 +16,13 @@
 )
 
 // Ask is one daemon's bid for a slot.
-type Ask struct {
+type Request struct {
 	ID     string
 	Node   ident.NodeID
 	Engine ident.EngineID
-	priority.Bid
+	priority.Key
 	// Until is when the asker stops waiting.
-	Until clock.Mark
+	Deadline clock.Mark
 }
 
 // View is what the keeper looks at in one step.
@@ -31,28 +31,28 @@
 	// Capacity is how many attempts an engine may run at once now, Busy how many it last reported.
 	Capacity, Busy func(ident.EngineID) int
 	// Asked is when the engine's newest report was asked for.
-	Asked func(ident.EngineID) clock.Mark
+	ReportRequested func(ident.EngineID) clock.Mark
 	// Alive says whether a daemon is still heard.
 	Alive func(ident.NodeID) bool
 }
 
 // Answer tells an asker.
-type Answer struct {
+type Decision struct {
 	ID      string
 	Granted bool
 }
 
 type grant struct {
-	node ident.NodeID
-	at   clock.Mark
+	node  ident.NodeID
+	since clock.Mark
 }
 
 type engineSlots struct {
 	granted map[string]grant
-	waiting []Ask
+	waiting []Request
 	// since is when this keeper first heard of the engine.
-	since clock.Mark
-	turns priority.Turns
+	firstSeen clock.Mark
+	served    priority.ServedCounts
 	// refusedAt is when the engine last refused an attempt that had a slot.
 	refusedAt clock.Mark
 }
@@ -69,46 +69,46 @@
 
 const (
 	// learnFor is how long a new keeper goes by the engine's own report, for it doesn't know what was given before it.
-	learnFor = 2 * time.Second
+	learningPeriod = 2 * time.Second
 	// longestAttempt bounds how long a slot stays given when nobody gives it back.
-	longestAttempt = 90 * time.Second
-	maxTenants     = 1000
+	maxSlotDuration = 90 * time.Second
+	maxTenants      = 1000
 )
 
 func (c *Core) slotsOf(now clock.Mark, id ident.EngineID) *engineSlots {
 	slots := c.engines[id]
 	if slots == nil {
-		slots = &engineSlots{granted: map[string]grant{}, since: now, turns: priority.Turns{}}
+		slots = &engineSlots{granted: map[string]grant{}, firstSeen: now, served: priority.ServedCounts{}}
 		c.engines[id] = slots
 	}
 	return slots
 }
 
 // Ask takes a bid; its answer comes now or later.
-func (c *Core) Ask(view View, ask Ask) []Answer {
-	slots := c.slotsOf(view.Now, ask.Engine)
-	slots.waiting = append(slots.waiting, ask)
-	return c.serve(view, ask.Engine, slots)
+func (c *Core) Acquire(view View, request Request) []Decision {
+	slots := c.slotsOf(view.Now, request.Engine)
+	slots.waiting = append(slots.waiting, request)
+	return c.serve(view, request.Engine, slots)
 }
 
 // Release takes a slot back.
-func (c *Core) Release(view View, engine ident.EngineID, id string, refused bool) []Answer {
+func (c *Core) Release(view View, engine ident.EngineID, id string, refused bool) []Decision {
 	slots := c.slotsOf(view.Now, engine)
 	if refused {
 		slots.refusedAt = view.Now
 	}
 	delete(slots.granted, id)
-	slots.waiting = slices.DeleteFunc(slots.waiting, func(a Ask) bool { return a.ID == id })
+	slots.waiting = slices.DeleteFunc(slots.waiting, func(a Request) bool { return a.ID == id })
 	return c.serve(view, engine, slots)
 }
 
 // Tick lets time pass: who waited too long is denied, and slots of daemons that are gone come back.
-func (c *Core) Tick(view View) []Answer {
-	var out []Answer
+func (c *Core) Tick(view View) []Decision {
+	var out []Decision
 	for _, id := range sortedEngines(c.engines) {
 		slots := c.engines[id]
 		for given, g := range slots.granted {
-			if !view.Alive(g.node) || view.Now.Since(g.at) > longestAttempt {
+			if !view.Alive(g.node) || view.Now.Since(g.since) > maxSlotDuration {
 				delete(slots.granted, given)
 			}
 		}
@@ -127,45 +127,45 @@
 }
 
 // serve denies the late, and gives free slots to the highest bids.
-func (c *Core) serve(view View, id ident.EngineID, slots *engineSlots) []Answer {
-	var out []Answer
-	slots.waiting = slices.DeleteFunc(slots.waiting, func(a Ask) bool {
-		late := view.Now >= a.Until
+func (c *Core) serve(view View, id ident.EngineID, slots *engineSlots) []Decision {
+	var out []Decision
+	slots.waiting = slices.DeleteFunc(slots.waiting, func(a Request) bool {
+		late := view.Now >= a.Deadline
 		if late {
 			c.Denied++
-			out = append(out, Answer{ID: a.ID})
+			out = append(out, Decision{ID: a.ID})
 		}
 		return late
 	})
 	free := view.Capacity(id) - len(slots.granted)
-	if view.Now.Since(slots.since) < learnFor {
+	if view.Now.Since(slots.firstSeen) < learningPeriod {
 		free = min(free, view.Capacity(id)-view.Busy(id))
 	}
 	// An engine that refused is not what it was taken for: nothing more goes out before a later report is read.
-	if slots.refusedAt > 0 && discovery.StillRefuses(slots.refusedAt, view.Asked(id), view.Now) {
+	if slots.refusedAt > 0 && discovery.StillRefuses(slots.refusedAt, view.ReportRequested(id), view.Now) {
 		free = 0
 	}
 	for free > 0 && len(slots.waiting) > 0 {
-		slices.SortStableFunc(slots.waiting, func(a, b Ask) int { return slots.turns.Compare(a.Bid, b.Bid) })
+		slices.SortStableFunc(slots.waiting, func(a, b Request) int { return slots.served.Compare(a.Key, b.Key) })
 		best := slots.waiting[0]
 		slots.waiting = slots.waiting[1:]
 		slots.granted[best.ID] = grant{best.Node, view.Now}
-		slots.countTurn(best.Tenant)
+		slots.recordServed(best.Tenant)
 		c.Granted++
-		out = append(out, Answer{ID: best.ID, Granted: true})
+		out = append(out, Decision{ID: best.ID, Granted: true})
 		free--
 	}
 	return out
 }
 
 // countTurn counts a tenant's turn.
-func (d *engineSlots) countTurn(tenant string) {
-	if len(d.turns) > maxTenants {
-		clear(d.turns)
+func (s *engineSlots) recordServed(tenant string) {
+	if len(s.served) > maxTenants {
+		clear(s.served)
 	}
-	d.turns.Serve(tenant, func(yield func(string) bool) {
-		for _, ask := range d.waiting {
-			if !yield(ask.Tenant) {
+	s.served.Serve(tenant, func(yield func(string) bool) {
+		for _, request := range s.waiting {
+			if !yield(request.Tenant) {
 				return
 			}
 		}
@@ -173,19 +173,19 @@
 }
 
 // Keeper is the actor around the core.
-type Keeper struct {
-	core    *Core
-	view    func() View
-	mailbox *actor.Mailbox[any]
-	waiting map[string]chan bool
+type Controller struct {
+	core      *Core
+	view      func() View
+	mailbox   *actor.Mailbox[any]
+	decisions map[string]chan bool
 }
 
 type (
-	asked struct {
-		ask    Ask
-		answer chan bool
+	acquireEvent struct {
+		request  Request
+		decision chan bool
 	}
-	released struct {
+	releaseEvent struct {
 		engine ident.EngineID
 		id     string
 		// refused says that the engine would not take the attempt.
@@ -196,53 +196,53 @@
 const tickPeriod = 20 * time.Millisecond
 
 // NewKeeper makes the actor.
-func NewKeeper(view func() View) *Keeper {
-	return &Keeper{core: NewCore(), view: view, mailbox: actor.NewMailbox[any](4096), waiting: map[string]chan bool{}}
+func NewController(view func() View) *Controller {
+	return &Controller{core: NewCore(), view: view, mailbox: actor.NewMailbox[any](4096), decisions: map[string]chan bool{}}
 }
 
 // Run runs the actor until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
-	k.mailbox.Run(ctx, tickPeriod, k.take, func() { k.deliver(k.core.Tick(k.view())) })
+func (k *Controller) Run(ctx context.Context) {
+	k.mailbox.Run(ctx, tickPeriod, k.handle, func() { k.deliver(k.core.Tick(k.view())) })
 }
 
 // Ask bids for a slot, and waits until it is granted or denied.
-func (k *Keeper) Ask(ctx context.Context, ask Ask) bool {
-	answer := make(chan bool, 1)
-	if !k.mailbox.Send(asked{ask, answer}) {
+func (k *Controller) Acquire(ctx context.Context, request Request) bool {
+	decision := make(chan bool, 1)
+	if !k.mailbox.Send(acquireEvent{request, decision}) {
 		return false
 	}
 	select {
-	case granted := <-answer:
+	case granted := <-decision:
 		return granted
 	case <-ctx.Done():
 		// Whether it was granted meanwhile is not known here, so it is given back in any case.
-		k.Release(ask.Engine, ask.ID, false)
+		k.Release(request.Engine, request.ID, false)
 	case <-k.mailbox.Done():
 	}
 	return false
 }
 
 // Release gives a slot back.
-func (k *Keeper) Release(engine ident.EngineID, id string, refused bool) {
-	k.mailbox.Send(released{engine, id, refused})
+func (k *Controller) Release(engine ident.EngineID, id string, refused bool) {
+	k.mailbox.Send(releaseEvent{engine, id, refused})
 }
 
-func (k *Keeper) take(event any) {
+func (k *Controller) handle(event any) {
 	switch e := event.(type) {
-	case asked:
-		k.waiting[e.ask.ID] = e.answer
-		k.deliver(k.core.Ask(k.view(), e.ask))
-	case released:
-		delete(k.waiting, e.id)
+	case acquireEvent:
+		k.decisions[e.request.ID] = e.decision
+		k.deliver(k.core.Acquire(k.view(), e.request))
+	case releaseEvent:
+		delete(k.decisions, e.id)
 		k.deliver(k.core.Release(k.view(), e.engine, e.id, e.refused))
 	}
 }
 
-func (k *Keeper) deliver(answers []Answer) {
-	for _, answer := range answers {
-		if waiting := k.waiting[answer.ID]; waiting != nil {
-			waiting <- answer.Granted
-			delete(k.waiting, answer.ID)
+func (k *Controller) deliver(decisions []Decision) {
+	for _, decision := range decisions {
+		if waiting := k.decisions[decision.ID]; waiting != nil {
+			waiting <- decision.Granted
+			delete(k.decisions, decision.ID)
 		}
 	}
 }
--- a/process/engines/admission/admission_test.go
+++ b/process/engines/admission/admission_test.go
@@ -12,61 +12,61 @@
 )
 
 // stand is a keeper's core with made-up daemons that ask, run and give back.
-type stand struct {
-	core     *Core
-	now      clock.Mark
-	capacity int
-	asked    clock.Mark
-	dead     map[ident.NodeID]bool
-	answers  map[string]bool
-	running  map[string]clock.Mark
+type simulation struct {
+	core            *Core
+	now             clock.Mark
+	capacity        int
+	reportRequested clock.Mark
+	dead            map[ident.NodeID]bool
+	decisions       map[string]bool
+	running         map[string]clock.Mark
 }
 
-func newStand(capacity int) *stand {
-	return &stand{core: NewCore(), now: clock.Mark(time.Hour), capacity: capacity, dead: map[ident.NodeID]bool{}, answers: map[string]bool{}, running: map[string]clock.Mark{}}
+func newSimulation(capacity int) *simulation {
+	return &simulation{core: NewCore(), now: clock.Mark(time.Hour), capacity: capacity, dead: map[ident.NodeID]bool{}, decisions: map[string]bool{}, running: map[string]clock.Mark{}}
 }
 
-func (s *stand) view() View {
+func (s *simulation) view() View {
 	return View{Now: s.now, Capacity: func(ident.EngineID) int { return s.capacity }, Busy: func(ident.EngineID) int { return 0 },
-		Asked: func(ident.EngineID) clock.Mark { return s.asked }, Alive: func(n ident.NodeID) bool { return !s.dead[n] }}
+		ReportRequested: func(ident.EngineID) clock.Mark { return s.reportRequested }, Alive: func(n ident.NodeID) bool { return !s.dead[n] }}
 }
 
-func (s *stand) hear(answers []Answer) {
+func (s *simulation) apply(answers []Decision) {
 	for _, a := range answers {
-		s.answers[a.ID] = a.Granted
+		s.decisions[a.ID] = a.Granted
 		if a.Granted {
 			s.running[a.ID] = s.now
 		}
 	}
 }
 
-func (s *stand) ask(id string, node ident.NodeID, worth int64, tenant string) {
-	s.hear(s.core.Ask(s.view(), Ask{ID: id, Node: node, Engine: "e", Bid: priority.Bid{Worth: worth, Tenant: tenant}, Until: s.now + clock.Mark(150*time.Millisecond)}))
+func (s *simulation) acquire(id string, node ident.NodeID, value int64, tenant string) {
+	s.apply(s.core.Acquire(s.view(), Request{ID: id, Node: node, Engine: "e", Key: priority.Key{Value: value, Tenant: tenant}, Deadline: s.now + clock.Mark(150*time.Millisecond)}))
 }
 
 func TestNeverMoreThanTheCapacityAndNothingLeaks(t *testing.T) {
 	for seed := range uint64(30) {
 		random := rand.New(rand.NewPCG(seed, 8))
-		s := newStand(4)
+		s := newSimulation(4)
 		granted := 0
 		for i := range 4000 {
 			s.now += clock.Mark(time.Duration(random.IntN(10)) * time.Millisecond)
-			s.asked = s.now
+			s.reportRequested = s.now
 			if random.IntN(3) > 0 {
-				s.ask(fmt.Sprint(i), "n", int64(random.IntN(3)), fmt.Sprint(random.IntN(2)))
+				s.acquire(fmt.Sprint(i), "n", int64(random.IntN(3)), fmt.Sprint(random.IntN(2)))
 			}
 			for id, since := range s.running {
 				if s.now.Since(since) > 30*time.Millisecond {
 					delete(s.running, id)
-					s.hear(s.core.Release(s.view(), "e", id, random.IntN(50) == 0))
+					s.apply(s.core.Release(s.view(), "e", id, random.IntN(50) == 0))
 				}
 			}
-			s.hear(s.core.Tick(s.view()))
+			s.apply(s.core.Tick(s.view()))
 			if len(s.running) > s.capacity {
 				t.Fatalf("seed %d: %d run at once", seed, len(s.running))
 			}
 		}
-		for _, g := range s.answers {
+		for _, g := range s.decisions {
 			if g {
 				granted++
 			}
@@ -74,12 +74,12 @@
 		// Whoever waits is denied in time, and all that was given is given back: nothing may be left.
 		s.capacity = 0
 		s.now += clock.Mark(time.Second)
-		s.hear(s.core.Tick(s.view()))
+		s.apply(s.core.Tick(s.view()))
 		for id := range s.running {
-			s.hear(s.core.Release(s.view(), "e", id, false))
+			s.apply(s.core.Release(s.view(), "e", id, false))
 		}
-		if desk := s.core.engines["e"]; len(desk.granted) != 0 || len(desk.waiting) != 0 {
-			t.Errorf("seed %d: %d slots leaked, %d still wait", seed, len(desk.granted), len(desk.waiting))
+		if slots := s.core.engines["e"]; len(slots.granted) != 0 || len(slots.waiting) != 0 {
+			t.Errorf("seed %d: %d slots leaked, %d still wait", seed, len(slots.granted), len(slots.waiting))
 		}
 		if granted < 1000 {
 			t.Errorf("seed %d: only %d were granted", seed, granted)
@@ -88,18 +88,18 @@
 }
 
 func TestTheHighestBidGetsTheNextSlotAndHousesTakeTurns(t *testing.T) {
-	s := newStand(1)
-	s.ask("first", "n", 1, "a")
+	s := newSimulation(1)
+	s.acquire("first", "n", 1, "a")
 	for i := range 4 {
-		s.ask(fmt.Sprint("a", i), "n", 5, "a")
+		s.acquire(fmt.Sprint("a", i), "n", 5, "a")
 	}
-	s.ask("b0", "m", 5, "b")
-	s.ask("high", "m", 9, "a")
+	s.acquire("b0", "m", 5, "b")
+	s.acquire("high", "m", 9, "a")
 	var order []string
 	last := "first"
 	for range 6 {
 		s.running = map[string]clock.Mark{}
-		s.hear(s.core.Release(s.view(), "e", last, false))
+		s.apply(s.core.Release(s.view(), "e", last, false))
 		if len(s.running) != 1 {
 			t.Fatalf("%d were granted one slot after %v", len(s.running), order)
 		}
@@ -114,30 +114,30 @@
 }
 
 func TestSlotsOfADeadDaemonComeBack(t *testing.T) {
-	s := newStand(1)
-	s.ask("gone", "n", 1, "a")
+	s := newSimulation(1)
+	s.acquire("gone", "n", 1, "a")
 	s.dead["n"] = true
-	s.hear(s.core.Tick(s.view()))
-	s.ask("next", "m", 1, "a")
-	if !s.answers["next"] {
+	s.apply(s.core.Tick(s.view()))
+	s.acquire("next", "m", 1, "a")
+	if !s.decisions["next"] {
 		t.Error("the dead daemon's slot was kept")
 	}
 }
 
 func TestAfterARefusalOnlyALaterReportOpensTheEngine(t *testing.T) {
-	s := newStand(2)
-	s.asked = s.now
-	s.ask("one", "n", 1, "a")
+	s := newSimulation(2)
+	s.reportRequested = s.now
+	s.acquire("one", "n", 1, "a")
 	s.now += clock.Mark(time.Millisecond)
-	s.hear(s.core.Release(s.view(), "e", "one", true))
-	s.ask("two", "n", 1, "a")
-	if s.answers["two"] {
+	s.apply(s.core.Release(s.view(), "e", "one", true))
+	s.acquire("two", "n", 1, "a")
+	if s.decisions["two"] {
 		t.Fatal("a slot was given on the word of an old report")
 	}
 	s.now += clock.Mark(20 * time.Millisecond)
-	s.asked = s.now
-	s.hear(s.core.Tick(s.view()))
-	if !s.answers["two"] {
+	s.reportRequested = s.now
+	s.apply(s.core.Tick(s.view()))
+	if !s.decisions["two"] {
 		t.Error("the later report did not open the engine")
 	}
 }
--- a/process/engines/discovery/engines.go
+++ b/process/engines/discovery/engines.go
@@ -28,13 +28,13 @@
 
 const (
 	// Unheard: listed, and no report has been read yet.
-	Unheard Condition = "unheard"
+	AwaitingReport Condition = "unheard"
 	// Sound: reports come.
-	Sound Condition = "sound"
+	Healthy Condition = "sound"
 	// Suspect: reports fail, so nothing new is sent until some come again.
 	Suspect Condition = "suspect"
 	// SetAside: it sent junk, and rests for a while.
-	SetAside Condition = "set-aside"
+	Quarantined Condition = "set-aside"
 )
 
 // Engine is what is known of one; it is never changed once it is in a view.
@@ -44,36 +44,36 @@
 	Zone     ident.ZoneID
 	Draining bool
 	// DrainKnown is when the draining was first known here.
-	DrainKnown clock.Mark
-	Condition  Condition
-	Report     engineapi.Report
+	DrainingSince clock.Mark
+	Condition     Condition
+	Report        engineapi.Report
 	// Asked is when the newest report was asked for: whatever happened later it can't show.
-	Asked clock.Mark
+	ReportRequested clock.Mark
 	// Life counts the restarts seen: the counter went back, or the address changed.
-	Life int
+	Incarnation int
 	// WarmFrom is when this life, or its return, began; goes ramp up from there.
-	WarmFrom clock.Mark
+	SlowStartFrom clock.Mark
 	// Turned is when its condition last changed.
-	Turned     clock.Mark
-	failed     int
-	good       int
-	asideUntil clock.Mark
-	goesFailed int
+	ConditionSince   clock.Mark
+	failedReports    int
+	goodReports      int
+	quarantinedUntil clock.Mark
+	failedAttempts   int
 	// fullAt is how many goes it ran when it last called itself saturated; zero while that is not known.
-	fullAt int
-	listed clock.Mark
+	saturatedBusy int
+	lastListed    clock.Mark
 }
 
 // Holds says whether the engine reports the model as loaded, with the adapter if one is named.
 func (e *Engine) Holds(model, adapter string) bool {
-	for _, held := range e.Report.Models {
-		if held.Model != model || held.State != engineapi.Loaded {
+	for _, loaded := range e.Report.Models {
+		if loaded.Model != model || loaded.State != engineapi.Loaded {
 			continue
 		}
 		if adapter == "" {
 			return true
 		}
-		for _, name := range held.Adapters {
+		for _, name := range loaded.Adapters {
 			if name == adapter {
 				return true
 			}
@@ -83,101 +83,101 @@
 }
 
 // rampSpan is how long an engine that has just come, or come back, takes to get its whole share of goes.
-const rampSpan = 4 * time.Second
+const slowStartDuration = 4 * time.Second
 
 // Capacity is how many goes the engine may be given at once now. What it called full goes before what the
 // bundle says, and a cold one is let ramp up.
 func (e *Engine) Capacity(now clock.Mark, slots int) int {
-	if e.fullAt > 0 {
-		slots = min(slots, e.fullAt)
+	if e.saturatedBusy > 0 {
+		slots = min(slots, e.saturatedBusy)
 	}
-	if warm := now.Since(e.WarmFrom); warm < rampSpan {
-		return max(1, int(float64(slots)*float64(warm)/float64(rampSpan)))
+	if elapsed := now.Since(e.SlowStartFrom); elapsed < slowStartDuration {
+		return max(1, int(float64(slots)*float64(elapsed)/float64(slowStartDuration)))
 	}
 	return slots
 }
 
 // refusalDoubt bounds how long a refusal is believed when no report comes.
-const refusalDoubt = 2 * time.Second
+const refusalValidFor = 2 * time.Second
 
 // StillRefuses says whether an engine that refused then must be taken to refuse still: only a report
 // that was asked for later can show that there is room again.
-func StillRefuses(then, asked, now clock.Mark) bool {
-	return asked <= then && now.Since(then) < refusalDoubt
+func StillRefuses(refused, reportRequested, now clock.Mark) bool {
+	return reportRequested <= refused && now.Since(refused) < refusalValidFor
 }
 
 // Usable says whether anything new may be sent, as far as its own condition goes.
-func (e *Engine) Usable() bool { return e.Condition == Sound && !e.Draining }
+func (e *Engine) Usable() bool { return e.Condition == Healthy && !e.Draining }
 
 // View is all engines at one moment.
 type View struct {
 	Engines map[ident.EngineID]*Engine
 	// ListRead counts the readings of the platform's list.
-	ListRead int
+	ListReads int
 }
 
 // Counters are raised as things happen.
 type Counters struct {
-	JunkReports, FailedReports, Lives, SetAsides atomic.Uint64
+	InvalidReports, FailedReports, Restarts, Quarantines atomic.Uint64
 }
 
 // Watcher is the actor.
 type Watcher struct {
-	Counters Counters
-	clock    clock.Clock
-	platform string
-	box      *actor.Mailbox[any]
-	view     atomic.Pointer[View]
-	reports  *connectionpool.Pools
-	asked    atomic.Uint64
-	swept    clock.Mark
-	onChange func()
-	asking   map[ident.EngineID]bool
-	listing  bool
+	Counters       Counters
+	clock          clock.Clock
+	platform       string
+	mailbox        *actor.Mailbox[any]
+	view           atomic.Pointer[View]
+	reports        *connectionpool.Pools
+	requests       atomic.Uint64
+	lastSweep      clock.Mark
+	onChange       func()
+	reportsPending map[ident.EngineID]bool
+	listPending    bool
 }
 
 const (
-	pollEvery    = 200 * time.Millisecond
-	askTimeout   = 800 * time.Millisecond
-	failedFor    = 2
-	goodAgainFor = 2
+	pollPeriod             = 200 * time.Millisecond
+	requestTimeout         = 800 * time.Millisecond
+	failedReportsToSuspect = 2
+	goodReportsToRecover   = 2
 	// goesFailedFor is how many goes in a row must fail before an engine rests.
-	goesFailedFor = 3
-	asideFor      = 3 * time.Second
-	forgetAfter   = 30 * time.Second
-	mostReport    = 1 << 20
+	failedAttemptsToQuarantine = 3
+	quarantineDuration         = 3 * time.Second
+	removeAfter                = 30 * time.Second
+	maxReportBytes             = 1 << 20
 	// sweepEvery is how often idle connections are looked through.
-	sweepEvery = 5 * time.Second
+	sweepPeriod = 5 * time.Second
 )
 
 type (
-	listRead struct {
+	listResult struct {
 		list platformapi.List
 		err  error
 	}
-	reportRead struct {
-		id      ident.EngineID
-		address string
-		asked   clock.Mark
-		report  engineapi.Report
-		junk    bool
-		err     error
+	reportResult struct {
+		id        ident.EngineID
+		address   string
+		requested clock.Mark
+		report    engineapi.Report
+		invalid   bool
+		err       error
 	}
-	heardDraining struct {
+	drainingReported struct {
 		id      ident.EngineID
 		address string
 		ago     time.Duration
 	}
-	setAside struct{ id ident.EngineID }
-	goWent   struct {
-		id   ident.EngineID
-		well bool
+	quarantineRequested struct{ id ident.EngineID }
+	attemptEnded        struct {
+		id        ident.EngineID
+		succeeded bool
 	}
 )
 
 // New makes a watcher; onChange is called after each new view.
 func New(c clock.Clock, platform string, onChange func()) *Watcher {
-	w := &Watcher{clock: c, platform: platform, box: actor.NewMailbox[any](256), onChange: onChange, asking: map[ident.EngineID]bool{},
+	w := &Watcher{clock: c, platform: platform, mailbox: actor.NewMailbox[any](256), onChange: onChange, reportsPending: map[ident.EngineID]bool{},
 		reports: connectionpool.New(c, dialect.Own())}
 	w.view.Store(&View{Engines: map[ident.EngineID]*Engine{}})
 	return w
@@ -187,166 +187,168 @@
 func (w *Watcher) View() *View { return w.view.Load() }
 
 // Run runs the actor.
-func (w *Watcher) Run(ctx context.Context) { w.box.Run(ctx, pollEvery, w.take, w.beat) }
+func (w *Watcher) Run(ctx context.Context) { w.mailbox.Run(ctx, pollPeriod, w.handle, w.poll) }
 
 // HeardDraining takes a fellow's word that an engine is leaving.
-func (w *Watcher) HeardDraining(id ident.EngineID, address string, ago time.Duration) {
-	w.box.Offer(heardDraining{id, address, ago})
+func (w *Watcher) ReportDraining(id ident.EngineID, address string, ago time.Duration) {
+	w.mailbox.Offer(drainingReported{id, address, ago})
 }
 
 // GoWent tells how a go ended: reports may come while goes fail, so both are listened to.
-func (w *Watcher) GoWent(id ident.EngineID, well bool) { w.box.Offer(goWent{id, well}) }
+func (w *Watcher) ReportAttempt(id ident.EngineID, succeeded bool) {
+	w.mailbox.Offer(attemptEnded{id, succeeded})
+}
 
 // SetAside rests an engine that sent junk.
-func (w *Watcher) SetAside(id ident.EngineID) { w.box.Offer(setAside{id}) }
+func (w *Watcher) Quarantine(id ident.EngineID) { w.mailbox.Offer(quarantineRequested{id}) }
 
-func (w *Watcher) beat() {
-	if now := w.clock.Elapsed(); now.Since(w.swept) >= sweepEvery {
-		w.swept = now
+func (w *Watcher) poll() {
+	if now := w.clock.Elapsed(); now.Since(w.lastSweep) >= sweepPeriod {
+		w.lastSweep = now
 		w.reports.Sweep(nil)
 	}
-	if w.platform != "" && !w.listing {
-		w.listing = true
+	if w.platform != "" && !w.listPending {
+		w.listPending = true
 		go func() {
-			var read listRead
-			read.err = w.get("", w.platform, platformapi.PathEngines, &read.list)
-			w.box.Send(read)
+			var read listResult
+			read.err = w.fetch("", w.platform, platformapi.PathEngines, &read.list)
+			w.mailbox.Send(read)
 		}()
 	}
 	for id, engine := range w.view.Load().Engines {
-		if w.asking[id] {
+		if w.reportsPending[id] {
 			continue
 		}
-		w.asking[id] = true
+		w.reportsPending[id] = true
 		asked, address := w.clock.Elapsed(), engine.Address
 		go func() {
-			read := reportRead{id: id, address: address, asked: asked}
-			read.err = w.get(id, address, engineapi.PathReport, &read.report)
-			_, read.junk = read.err.(junk)
-			read.junk = read.junk || read.err == nil && !plausible(read.report)
-			w.box.Send(read)
+			read := reportResult{id: id, address: address, requested: asked}
+			read.err = w.fetch(id, address, engineapi.PathReport, &read.report)
+			_, read.invalid = read.err.(invalidBody)
+			read.invalid = read.invalid || read.err == nil && !plausible(read.report)
+			w.mailbox.Send(read)
 		}()
 	}
 }
 
 // junk is an answer that came but can't be understood.
-type junk struct{ error }
+type invalidBody struct{ error }
 
 func plausible(report engineapi.Report) bool {
 	seen := map[string]bool{}
-	for _, held := range report.Models {
-		known := held.State == engineapi.Loading || held.State == engineapi.Loaded || held.State == engineapi.Unloading
-		if held.Model == "" || seen[held.Model] || !known {
+	for _, loaded := range report.Models {
+		known := loaded.State == engineapi.Loading || loaded.State == engineapi.Loaded || loaded.State == engineapi.Unloading
+		if loaded.Model == "" || seen[loaded.Model] || !known {
 			return false
 		}
-		seen[held.Model] = true
+		seen[loaded.Model] = true
 	}
 	return report.Busy >= 0
 }
 
 // get asks once, over a connection that is kept only if all of an answer and nothing more came on it. The question
 // bears an id; an answer that bears another is not taken.
-func (w *Watcher) get(id ident.EngineID, address, path string, into any) error {
+func (w *Watcher) fetch(id ident.EngineID, address, path string, into any) error {
 	head := &fasthttp.RequestHeader{}
 	head.SetMethod(fasthttp.MethodGet)
 	head.SetRequestURI(path)
 	head.SetHost(address)
-	asked := "report-" + strconv.FormatUint(w.asked.Add(1), 16)
-	head.Set(engineapi.HeaderAttempt, asked)
-	answer := w.reports.Send(connectionpool.Attempt{Engine: id, Address: address, ID: asked, Head: head, Dress: func() {}, LastLook: func() string { return "" },
-		Until: w.clock.Elapsed() + clock.Mark(askTimeout), Cancel: &connectionpool.Cancel{}, Unnamed: connectionpool.UnnamedOnClean})
-	if answer.Outcome != connectionpool.Answered {
-		return fmt.Errorf("%s: %s", answer.Outcome, answer.Reason)
+	requestID := "report-" + strconv.FormatUint(w.requests.Add(1), 16)
+	head.Set(engineapi.HeaderAttempt, requestID)
+	response := w.reports.Send(connectionpool.Attempt{Engine: id, Address: address, ID: requestID, Head: head, Dress: func() {}, LastLook: func() string { return "" },
+		Until: w.clock.Elapsed() + clock.Mark(requestTimeout), Cancel: &connectionpool.Cancel{}, Unnamed: connectionpool.UnnamedOnClean})
+	if response.Outcome != connectionpool.Answered {
+		return fmt.Errorf("%s: %s", response.Outcome, response.Reason)
 	}
-	defer answer.Close()
-	if status := answer.Response().StatusCode(); status != fasthttp.StatusOK {
+	defer response.Close()
+	if status := response.Response().StatusCode(); status != fasthttp.StatusOK {
 		return fmt.Errorf("status %d", status)
 	}
-	body, err := io.ReadAll(io.LimitReader(answer, mostReport))
+	body, err := io.ReadAll(io.LimitReader(response, maxReportBytes))
 	if err != nil {
 		return err
 	}
 	if err := json.Unmarshal(body, into); err != nil {
-		return junk{err}
+		return invalidBody{err}
 	}
 	return nil
 }
 
-func (w *Watcher) take(event any) {
+func (w *Watcher) handle(event any) {
 	now := w.clock.Elapsed()
 	old := w.view.Load()
-	next := &View{Engines: maps.Clone(old.Engines), ListRead: old.ListRead}
+	next := &View{Engines: maps.Clone(old.Engines), ListReads: old.ListReads}
 	switch e := event.(type) {
-	case listRead:
-		w.listing = false
+	case listResult:
+		w.listPending = false
 		if e.err != nil {
 			return
 		}
-		next.ListRead++
-		takeList(next, e.list, now)
-	case reportRead:
-		delete(w.asking, e.id)
+		next.ListReads++
+		applyList(next, e.list, now)
+	case reportResult:
+		delete(w.reportsPending, e.id)
 		engine, known := next.Engines[e.id]
 		if !known || engine.Address != e.address {
 			return
 		}
-		next.Engines[e.id] = w.takeReport(*engine, e, now)
-	case heardDraining:
+		next.Engines[e.id] = w.applyReport(*engine, e, now)
+	case drainingReported:
 		engine, known := next.Engines[e.id]
 		if !known || engine.Address != e.address || engine.Draining {
 			return
 		}
-		next.Engines[e.id] = engine.leaving(now - clock.Mark(e.ago))
-	case goWent:
+		next.Engines[e.id] = engine.withDraining(now - clock.Mark(e.ago))
+	case attemptEnded:
 		engine, known := next.Engines[e.id]
-		if !known || e.well && engine.goesFailed == 0 {
+		if !known || e.succeeded && engine.failedAttempts == 0 {
 			return
 		}
 		copied := *engine
-		copied.goesFailed++
-		if e.well {
-			copied.goesFailed = 0
-		} else if copied.goesFailed >= goesFailedFor {
-			w.Counters.SetAsides.Add(1)
-			copied.goesFailed = 0
-			copied.turn(SetAside, now)
+		copied.failedAttempts++
+		if e.succeeded {
+			copied.failedAttempts = 0
+		} else if copied.failedAttempts >= failedAttemptsToQuarantine {
+			w.Counters.Quarantines.Add(1)
+			copied.failedAttempts = 0
+			copied.setCondition(Quarantined, now)
 		}
 		next.Engines[e.id] = &copied
-	case setAside:
+	case quarantineRequested:
 		engine, known := next.Engines[e.id]
 		if !known {
 			return
 		}
-		w.Counters.SetAsides.Add(1)
+		w.Counters.Quarantines.Add(1)
 		copied := *engine
-		copied.turn(SetAside, now)
+		copied.setCondition(Quarantined, now)
 		next.Engines[e.id] = &copied
 	}
 	w.view.Store(next)
 	w.onChange()
 }
 
-func (e *Engine) leaving(known clock.Mark) *Engine {
+func (e *Engine) withDraining(known clock.Mark) *Engine {
 	copied := *e
-	copied.Draining, copied.DrainKnown = true, known
+	copied.Draining, copied.DrainingSince = true, known
 	return &copied
 }
 
 // turn is the one place where an engine's condition changes.
-func (e *Engine) turn(condition Condition, now clock.Mark) {
-	if condition == SetAside {
-		e.asideUntil = now + clock.Mark(asideFor)
+func (e *Engine) setCondition(condition Condition, now clock.Mark) {
+	if condition == Quarantined {
+		e.quarantinedUntil = now + clock.Mark(quarantineDuration)
 	}
-	if condition == Sound && e.Condition != Sound {
-		e.WarmFrom = now
+	if condition == Healthy && e.Condition != Healthy {
+		e.SlowStartFrom = now
 	}
 	if condition != e.Condition {
-		e.failed, e.good, e.Turned = 0, 0, now
+		e.failedReports, e.goodReports, e.ConditionSince = 0, 0, now
 	}
 	e.Condition = condition
 }
 
-func takeList(view *View, list platformapi.List, now clock.Mark) {
+func applyList(view *View, list platformapi.List, now clock.Mark) {
 	for _, row := range list.Engines {
 		if row.ID == "" || row.Address == "" {
 			continue
@@ -355,72 +357,72 @@
 		var copied Engine
 		switch {
 		case !known:
-			copied = Engine{ID: row.ID, Address: row.Address, Zone: row.Zone, Condition: Unheard}
+			copied = Engine{ID: row.ID, Address: row.Address, Zone: row.Zone, Condition: AwaitingReport}
 		case engine.Address != row.Address:
 			// The same name at another address is another machine: nothing known of the old one holds.
-			copied = Engine{ID: row.ID, Address: row.Address, Zone: row.Zone, Condition: Unheard, Life: engine.Life + 1}
+			copied = Engine{ID: row.ID, Address: row.Address, Zone: row.Zone, Condition: AwaitingReport, Incarnation: engine.Incarnation + 1}
 		default:
 			copied = *engine
 		}
-		copied.listed = now
+		copied.lastListed = now
 		if row.Draining && !copied.Draining {
-			copied = *copied.leaving(now)
+			copied = *copied.withDraining(now)
 		}
 		view.Engines[row.ID] = &copied
 	}
 	for id, engine := range view.Engines {
 		// Missing from one reading isn't gone; missing for long and silent is.
-		if now.Since(engine.listed) > forgetAfter && engine.Condition != Sound {
+		if now.Since(engine.lastListed) > removeAfter && engine.Condition != Healthy {
 			delete(view.Engines, id)
 		}
 	}
 }
 
-func (w *Watcher) takeReport(engine Engine, read reportRead, now clock.Mark) *Engine {
+func (w *Watcher) applyReport(engine Engine, read reportResult, now clock.Mark) *Engine {
 	switch {
-	case read.junk:
-		w.Counters.JunkReports.Add(1)
-		w.Counters.SetAsides.Add(1)
-		engine.turn(SetAside, now)
+	case read.invalid:
+		w.Counters.InvalidReports.Add(1)
+		w.Counters.Quarantines.Add(1)
+		engine.setCondition(Quarantined, now)
 	case read.err != nil:
 		w.Counters.FailedReports.Add(1)
-		engine.failed++
-		engine.good = 0
-		if engine.failed >= failedFor && engine.Condition == Sound {
-			engine.turn(Suspect, now)
+		engine.failedReports++
+		engine.goodReports = 0
+		if engine.failedReports >= failedReportsToSuspect && engine.Condition == Healthy {
+			engine.setCondition(Suspect, now)
 		}
 	default:
 		if read.report.CallSeq < engine.Report.CallSeq {
 			// The counter went back: a new life, in which old orders are void and nothing is warm.
-			w.Counters.Lives.Add(1)
-			engine.Life++
-			engine.WarmFrom = now
+			w.Counters.Restarts.Add(1)
+			engine.Incarnation++
+			engine.SlowStartFrom = now
 			// Whoever was leaving has left; the list says so again if the new life leaves too.
-			engine.Draining, engine.fullAt = false, 0
+			engine.Draining, engine.saturatedBusy = false, 0
 		}
 		switch {
 		case read.report.Saturated && read.report.Busy > 0:
-			engine.fullAt = read.report.Busy
-		case read.report.Busy >= engine.fullAt:
+			engine.saturatedBusy = read.report.Busy
+		case read.report.Busy >= engine.saturatedBusy:
 			// It runs as many and has room, so it can take more than was thought.
-			engine.fullAt = 0
+			engine.saturatedBusy = 0
 		}
-		engine.Report, engine.Asked = read.report, read.asked
+		engine.Report, engine.ReportRequested = read.report, read.requested
 		if read.report.Draining && !engine.Draining {
-			engine = *engine.leaving(now)
+			engine = *engine.withDraining(now)
 		}
-		engine.failed = 0
-		engine.good++
+		engine.failedReports = 0
+		engine.goodReports++
 		switch engine.Condition {
-		case Unheard:
-			engine.turn(Sound, now)
+		case AwaitingReport:
+			engine.setCondition(Healthy, now)
 		case Suspect:
-			if engine.good >= goodAgainFor {
-				engine.turn(Sound, now)
+			if engine.goodReports >= goodReportsToRecover {
+				engine.setCondition(Healthy, now)
 			}
-		case SetAside:
-			if now >= engine.asideUntil {
-				engine.turn(Sound, now)
+		case Quarantined:
+			if now >= engine.quarantinedUntil {
+				engine.setCondition(Healthy, now)
 			}
 		}
 	}
--- a/process/engines/discovery/get_test.go
+++ b/process/engines/discovery/get_test.go
@@ -50,8 +50,8 @@
 	return listener.Addr().String(), arrivals
 }
 
-func reportText(taken int64) string {
-	body := fmt.Sprintf(`{"call-seq":%d}`, taken)
+func reportText(callSeq int64) string {
+	body := fmt.Sprintf(`{"call-seq":%d}`, callSeq)
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
@@ -66,10 +66,10 @@
 		return ""
 	})
 	var report engineapi.Report
-	if err := w.get("e", address, engineapi.PathReport, &report); err != nil {
+	if err := w.fetch("e", address, engineapi.PathReport, &report); err != nil {
 		t.Fatal(err)
 	}
-	if err := w.get("e", address, engineapi.PathReport, &report); err == nil || arrivals.Load() != 2 {
+	if err := w.fetch("e", address, engineapi.PathReport, &report); err == nil || arrivals.Load() != 2 {
 		t.Errorf("%v after %d arrivals", err, arrivals.Load())
 	}
 
@@ -91,7 +91,7 @@
 	if count := stale(func(address string) bool {
 		asked++
 		var report engineapi.Report
-		return w.get("s", address, engineapi.PathReport, &report) == nil && report.CallSeq == asked
+		return w.fetch("s", address, engineapi.PathReport, &report) == nil && report.CallSeq == asked
 	}); count != 0 {
 		t.Errorf("%d reports were stale or failed", count)
 	}
--- a/process/engines/outlier/detector.go
+++ b/process/engines/outlier/detector.go
@@ -10,23 +10,23 @@
 
 // Counters are counted over a detector's lifetime.
 type Counters struct {
-	Attempts, Wrong, Ejections, Relapses, Slowed, Returns, DigestsDropped uint64
+	Attempts, Failures, Ejections, Relapses, Throttled, Returns, DigestsDropped uint64
 	// Spared counts the steps in which an engine stood out that the bound left in.
-	Spared uint64
+	Suppressed uint64
 }
 
 // Detector weighs what all daemons saw. It belongs to whoever plans.
 type Detector struct {
-	settings Settings
-	Counters Counters
-	engines  map[ident.EngineID]*observed
-	pools    map[string][]ident.EngineID
-	sums     map[string]poolSum
+	settings  Settings
+	Counters  Counters
+	engines   map[ident.EngineID]*engineState
+	pools     map[string][]ident.EngineID
+	baselines map[string]baseline
 }
 
 // NewDetector makes one that knows nothing yet, and so takes all engines for healthy.
 func NewDetector(settings Settings) *Detector {
-	return &Detector{settings: settings, engines: map[ident.EngineID]*observed{}, sums: map[string]poolSum{}}
+	return &Detector{settings: settings, engines: map[ident.EngineID]*engineState{}, baselines: map[string]baseline{}}
 }
 
 // SetPools takes up which engines each pool has that may be sent to.
@@ -37,13 +37,13 @@
 		for _, id := range engines {
 			known[id] = true
 			if j.engines[id] == nil || j.engines[id].pool != pool {
-				j.engines[id] = &observed{pool: pool, zones: map[ident.ZoneID]*standing{}}
+				j.engines[id] = &engineState{pool: pool, zones: map[ident.ZoneID]*stageState{}}
 			}
 		}
 	}
 	// One that left the list and comes back keeps its standing only while it is remembered elsewhere: it does not
 	// pay to remember engines that never come back.
-	maps.DeleteFunc(j.engines, func(id ident.EngineID, _ *observed) bool { return !known[id] })
+	maps.DeleteFunc(j.engines, func(id ident.EngineID, _ *engineState) bool { return !known[id] })
 }
 
 // Step moves engines between stages; it is to be called about each tenth of a second.
--- a/process/engines/outlier/eject.go
+++ b/process/engines/outlier/eject.go
@@ -12,7 +12,7 @@
 
 // candidate is an engine that stands out for the daemons of a zone.
 type candidate struct {
-	engine *observed
+	engine *engineState
 	id     ident.EngineID
 	zone   ident.ZoneID
 	score  float64
@@ -42,14 +42,14 @@
 	most := j.mostEjected(len(ids))
 	for _, one := range alarmed {
 		if !one.engine.ejected() && out >= most {
-			j.Counters.Spared++
+			j.Counters.Suppressed++
 			continue
 		}
 		if !one.engine.ejected() {
 			out++
 		}
-		if s := one.engine.zones[one.zone]; s.score < j.settings.Alarm && s.late >= j.settings.LateAlarm && s.stage != Trial {
-			j.slow(now, one)
+		if s := one.engine.zones[one.zone]; s.score < j.settings.AlarmThreshold && s.lateScore >= j.settings.LateAlarmThreshold && s.stage != Trial {
+			j.throttle(now, one)
 		} else {
 			j.eject(now, one)
 		}
@@ -58,68 +58,68 @@
 
 // mostEjected is how many of a pool may be ejected or on trial at once: never all.
 func (j *Detector) mostEjected(engines int) int {
-	return min(engines-1, max(1, int(j.settings.MostEjected*float64(engines))))
+	return min(engines-1, max(1, int(j.settings.MaxEjectedFraction*float64(engines))))
 }
 
 // advance moves a standing that time or its trial moves; it says whether it is to be ejected.
-func (j *Detector) advance(now clock.Mark, s *standing) (alarmed bool) {
+func (j *Detector) advance(now clock.Mark, s *stageState) (alarmed bool) {
 	switch s.stage {
 	case Ejected:
-		if now.Since(s.since) >= s.rest {
-			s.move(Trial, now)
+		if now.Since(s.since) >= s.ejectionTime {
+			s.moveTo(Trial, now)
 		}
 	case Trial:
 		switch {
 		case s.passes < 0:
 			return true
-		case s.passes >= j.settings.TrialPasses, now.Since(s.since) >= j.settings.TrialMost:
-			s.move(Ramp, now)
+		case s.passes >= j.settings.TrialPasses, now.Since(s.since) >= j.settings.MaxTrialTime:
+			s.moveTo(SlowStart, now)
 			// Half of the way to the alarm: one that is only well at times needs less to fall out again.
-			s.score, s.late = j.settings.Alarm/2, 0
+			s.score, s.lateScore = j.settings.AlarmThreshold/2, 0
 		}
-	case Ramp:
-		if s.score >= j.settings.Alarm || s.late >= j.settings.LateAlarm {
+	case SlowStart:
+		if s.score >= j.settings.AlarmThreshold || s.lateScore >= j.settings.LateAlarmThreshold {
 			return true
 		}
-		if share := j.share(now, s); share >= 1 {
-			s.move(Healthy, now)
+		if share := j.fraction(now, s); share >= 1 {
+			s.moveTo(Healthy, now)
 			j.Counters.Returns++
 		}
-	case Slowed:
-		if s.score >= j.settings.Alarm || s.late >= j.settings.LateAlarm {
+	case Throttled:
+		if s.score >= j.settings.AlarmThreshold || s.lateScore >= j.settings.LateAlarmThreshold {
 			return true
 		}
-		if now.Since(s.since) >= slowedStep {
+		if now.Since(s.since) >= throttleStep {
 			s.since = now
-			if s.cut *= 2; s.cut >= 1 {
-				s.move(Healthy, now)
+			if s.throttledFraction *= 2; s.throttledFraction >= 1 {
+				s.moveTo(Healthy, now)
 				j.Counters.Returns++
 			}
 		}
 	case Healthy:
-		return s.score >= j.settings.Alarm || s.late >= j.settings.LateAlarm
+		return s.score >= j.settings.AlarmThreshold || s.lateScore >= j.settings.LateAlarmThreshold
 	}
 	return false
 }
 
 const (
 	// slowedStep is how long a slowed engine must be in time for its share to double, leastCut its least share.
-	slowedStep = 2 * time.Second
-	leastCut   = 0.125
+	throttleStep         = 2 * time.Second
+	minThrottledFraction = 0.125
 )
 
 // slow halves an engine's share.
-func (j *Detector) slow(now clock.Mark, one candidate) {
+func (j *Detector) throttle(now clock.Mark, one candidate) {
 	s := one.engine.in(one.zone)
-	if s.stage != Slowed {
-		s.cut = j.share(now, s)
+	if s.stage != Throttled {
+		s.throttledFraction = j.fraction(now, s)
 	}
-	s.cut = max(leastCut, s.cut/2)
-	s.move(Slowed, now)
+	s.throttledFraction = max(minThrottledFraction, s.throttledFraction/2)
+	s.moveTo(Throttled, now)
 	for _, other := range one.engine.zones {
-		other.late = 0
+		other.lateScore = 0
 	}
-	j.Counters.Slowed++
+	j.Counters.Throttled++
 }
 
 // eject puts an engine out for those that see it fail: for the daemons of some zones where others get on with it.
@@ -133,27 +133,27 @@
 		if s.stage == Ejected {
 			continue
 		}
-		if s.stage == Healthy && now.Since(s.since) >= j.settings.Forgiven {
-			s.rest /= 2
+		if s.stage == Healthy && now.Since(s.since) >= j.settings.BackoffDecayPeriod {
+			s.ejectionTime /= 2
 		}
-		if s.rest >= j.settings.RestFirst {
+		if s.ejectionTime >= j.settings.BaseEjectionTime {
 			j.Counters.Relapses++
-			s.rest = min(2*s.rest, j.settings.RestMost)
+			s.ejectionTime = min(2*s.ejectionTime, j.settings.MaxEjectionTime)
 		} else {
-			s.rest = j.settings.RestFirst
+			s.ejectionTime = j.settings.BaseEjectionTime
 		}
 		j.Counters.Ejections++
-		s.move(Ejected, now)
-		s.score, s.late = 0, 0
+		s.moveTo(Ejected, now)
+		s.score, s.lateScore = 0, 0
 	}
 	// What was seen is in the score of its zone and in that of all, and must not be held against it twice.
 	for _, s := range one.engine.zones {
-		s.score, s.late = 0, 0
+		s.score, s.lateScore = 0, 0
 	}
 }
 
 // affectedZones lists the zones whose daemons see an engine fail, if those of another get on with it; else all.
-func (j *Detector) affectedZones(now clock.Mark, e *observed) []ident.ZoneID {
+func (j *Detector) affectedZones(now clock.Mark, e *engineState) []ident.ZoneID {
 	const enough = 3
 	var affected []ident.ZoneID
 	well := false
@@ -161,9 +161,9 @@
 		if zone == "" {
 			continue
 		}
-		all, wrong := e.zones[zone].all.value(now, j.settings.Half), e.zones[zone].wrong.value(now, j.settings.Half)
+		all, wrong := e.zones[zone].attempts.value(now, j.settings.HalfLife), e.zones[zone].failed.value(now, j.settings.HalfLife)
 		switch {
-		case wrong > 0 && wrong/all > j.settings.Sick/2:
+		case wrong > 0 && wrong/all > j.settings.FailingRate/2:
 			affected = append(affected, zone)
 		case all >= enough:
 			well = true
--- a/process/engines/outlier/outlier_test.go
+++ b/process/engines/outlier/outlier_test.go
@@ -30,7 +30,7 @@
 
 func newFleet(engines int, rate float64) *fleet {
 	f := &fleet{detector: NewDetector(DefaultSettings()), now: clock.Mark(time.Hour), random: rand.New(rand.NewPCG(7, uint64(engines))), rate: rate,
-		wrong: func(int, ident.ZoneID) Outcome { return Well }, busy: func(ident.EngineID) bool { return false }, count: make([]int, engines)}
+		wrong: func(int, ident.ZoneID) Outcome { return Success }, busy: func(ident.EngineID) bool { return false }, count: make([]int, engines)}
 	for n := range engines {
 		f.engines = append(f.engines, ident.EngineID(fmt.Sprintf("e%02d", n)))
 	}
@@ -44,15 +44,15 @@
 func (f *fleet) run(span time.Duration, look func()) {
 	for end := f.now + clock.Mark(span); f.now < end; f.now += clock.Mark(100 * time.Millisecond) {
 		for z := range 4 {
-			ledger := NewLedger()
+			ledger := NewRecorder()
 			for n, id := range f.engines {
 				share := WeightFor(f.detector.Weights(f.now, id), zone(z))
 				if f.random.Float64() < f.rate*share/40 {
 					f.count[n]++
-					ledger.Note(id, f.wrong(n, zone(z)))
+					ledger.Record(id, f.wrong(n, zone(z)))
 				}
 			}
-			f.detector.Observe(f.now, Observation{Zone: zone(z), Digests: ledger.Take()}, f.busy)
+			f.detector.Observe(f.now, Observation{Zone: zone(z), Digests: ledger.TakeDigests()}, f.busy)
 		}
 		f.detector.Step(f.now)
 		if look != nil {
@@ -75,7 +75,7 @@
 	if f.random.Float64() < share {
 		return outcome
 	}
-	return Well
+	return Success
 }
 
 func TestAnEngineThatFailsSomeIsEjectedInSecondsAndReturnsByTrialAndRamp(t *testing.T) {
@@ -85,7 +85,7 @@
 			if engine == 4 {
 				return f.often(0.45, outcome)
 			}
-			return Well
+			return Success
 		}
 		ejectedAt := clock.Mark(0)
 		began := f.now
@@ -98,7 +98,7 @@
 			t.Errorf("%d: ejected after %v", outcome, ejectedAt.Since(began))
 		}
 		// Well again: it comes back, in steps none of which more than doubles its share.
-		f.wrong = func(int, ident.ZoneID) Outcome { return Well }
+		f.wrong = func(int, ident.ZoneID) Outcome { return Success }
 		last := 0.0
 		f.run(40*time.Second, func() {
 			share := WeightFor(f.detector.Weights(f.now, "e04"), "z0")
@@ -130,7 +130,7 @@
 				if engine%2 == 0 {
 					return f.often(0.03, Failure)
 				}
-				return Well
+				return Success
 			}
 		}, false},
 		"all full": {func(f *fleet) func(int, ident.ZoneID) Outcome {
@@ -158,14 +158,14 @@
 		if engine == 3 {
 			return f.often(0.9, Overdue)
 		}
-		return Well
+		return Success
 	}
 	least := 1.0
 	f.run(20*time.Second, func() { least = min(least, WeightFor(f.detector.Weights(f.now, "e03"), "z0")) })
-	if c := f.detector.Counters; c.Ejections > 0 || c.Slowed < 2 || least > 0.5 || least < leastCut {
+	if c := f.detector.Counters; c.Ejections > 0 || c.Throttled < 2 || least > 0.5 || least < minThrottledFraction {
 		t.Errorf("down to %.3f, %+v", least, c)
 	}
-	f.wrong = func(int, ident.ZoneID) Outcome { return Well }
+	f.wrong = func(int, ident.ZoneID) Outcome { return Success }
 	f.run(10*time.Second, nil)
 	if share := WeightFor(f.detector.Weights(f.now, "e03"), "z0"); share != 1 {
 		t.Errorf("still at %.2f", share)
@@ -178,7 +178,7 @@
 		if engine == 2 && z == "z1" {
 			return f.often(0.6, Failure)
 		}
-		return Well
+		return Success
 	}
 	there, elsewhere := 0, 0
 	f.run(12*time.Second, func() {
@@ -198,11 +198,11 @@
 func TestObservationsOfADaemonInTroubleAreDropped(t *testing.T) {
 	f := newFleet(20, 1)
 	for range 50 {
-		ledger := NewLedger()
+		ledger := NewRecorder()
 		for _, id := range f.engines[:6] {
-			ledger.Note(id, Failure)
+			ledger.Record(id, Failure)
 		}
-		f.detector.Observe(f.now, Observation{Zone: "z0", Digests: ledger.Take()}, f.busy)
+		f.detector.Observe(f.now, Observation{Zone: "z0", Digests: ledger.TakeDigests()}, f.busy)
 		f.detector.Step(f.now)
 		f.now += clock.Mark(100 * time.Millisecond)
 	}
@@ -218,12 +218,12 @@
 		if engine == 1 && affected {
 			return Failure
 		}
-		return Well
+		return Success
 	}
 	f.run(60*time.Second, nil)
 	s := f.detector.engines["e01"].in("")
-	if s.rest != DefaultSettings().RestMost || f.detector.Counters.Relapses < 3 {
-		t.Errorf("rests %v, %+v", s.rest, f.detector.Counters)
+	if s.ejectionTime != DefaultSettings().MaxEjectionTime || f.detector.Counters.Relapses < 3 {
+		t.Errorf("rests %v, %+v", s.ejectionTime, f.detector.Counters)
 	}
 	before := f.count[1]
 	f.run(60*time.Second, nil)
@@ -236,10 +236,10 @@
 		t.Error(f.detector.Stage("e01", ""))
 	}
 	affected = true
-	rest := s.rest
+	rest := s.ejectionTime
 	f.run(5*time.Second, nil)
-	if s.rest > rest {
-		t.Errorf("rests %v after a minute, before %v", s.rest, rest)
+	if s.ejectionTime > rest {
+		t.Errorf("rests %v after a minute, before %v", s.ejectionTime, rest)
 	}
 }
 
@@ -256,7 +256,7 @@
 		f.wrong = func(engine int, _ ident.ZoneID) Outcome {
 			outcome := Outcome(1 + (engine+int(seed))%3)
 			if len(shares) == 0 {
-				return Well
+				return Success
 			}
 			return f.often(float64(shares[engine%len(shares)])/100, outcome)
 		}
@@ -267,14 +267,14 @@
 			}
 			for _, id := range f.engines {
 				for _, one := range f.detector.Weights(f.now, id) {
-					if one.Share < 0 || one.Share >= 1 {
-						failed = fmt.Sprintf("a share of %f", one.Share)
+					if one.Fraction < 0 || one.Fraction >= 1 {
+						failed = fmt.Sprintf("a share of %f", one.Fraction)
 					}
 				}
 			}
 		}
 		f.run(15*time.Second, look)
-		f.wrong = func(int, ident.ZoneID) Outcome { return Well }
+		f.wrong = func(int, ident.ZoneID) Outcome { return Success }
 		f.run(90*time.Second, look)
 		for _, id := range f.engines {
 			if weights := f.detector.Weights(f.now, id); len(weights) > 0 {
@@ -287,38 +287,38 @@
 }
 
 func TestLedgerReportsEachAttemptOnceAndKeepsReadings(t *testing.T) {
-	l := NewLedger()
-	l.Note("a", Well)
-	l.Note("a", Failure)
-	l.Note("b", Overdue)
-	l.Worse("a")
-	observation := l.Take()
+	l := NewRecorder()
+	l.Record("a", Success)
+	l.Record("a", Failure)
+	l.Record("b", Overdue)
+	l.RecordTruncated("a")
+	observation := l.TakeDigests()
 	if len(observation) != 2 || observation[0] != (Digest{Engine: "a", Attempts: 2, Failures: 2}) || observation[1] != (Digest{Engine: "b", Attempts: 1, Overdue: 1}) {
 		t.Errorf("%+v", observation)
 	}
-	if l.Take() != nil {
+	if l.TakeDigests() != nil {
 		t.Error("told twice")
 	}
 	// One that was told as well and then broke off is an attempt told anew, since no more is left to correct.
-	l.Worse("b")
-	if observation := l.Take(); len(observation) != 1 || observation[0] != (Digest{Engine: "b", Attempts: 1, Failures: 1}) {
+	l.RecordTruncated("b")
+	if observation := l.TakeDigests(); len(observation) != 1 || observation[0] != (Digest{Engine: "b", Attempts: 1, Failures: 1}) {
 		t.Errorf("%+v", observation)
 	}
 	for range 100 {
-		l.First("a", 80*time.Millisecond)
-		l.Gap("a", 40*time.Millisecond)
-		l.Connected("a", 3*time.Millisecond)
+		l.RecordFirstByteExcess("a", 80*time.Millisecond)
+		l.RecordGapExcess("a", 40*time.Millisecond)
+		l.RecordConnect("a", 3*time.Millisecond)
 	}
-	l.First("b", -time.Second)
+	l.RecordFirstByteExcess("b", -time.Second)
 	near := func(a, b time.Duration) bool { return max(a-b, b-a) < time.Millisecond }
-	if a := l.Of("a"); a.Attempts != 2 || a.Failures != 2 || a.Cut != 1 || !near(a.FirstExcess, 80*time.Millisecond) || !near(a.GapExcess, 40*time.Millisecond) || !near(a.Connect, 3*time.Millisecond) {
+	if a := l.Reading("a"); a.Attempts != 2 || a.Failures != 2 || a.Truncated != 1 || !near(a.FirstByteExcess, 80*time.Millisecond) || !near(a.GapExcess, 40*time.Millisecond) || !near(a.Connect, 3*time.Millisecond) {
 		t.Errorf("%+v", a)
 	}
-	if b := l.Of("b"); b.FirstExcess != 0 {
+	if b := l.Reading("b"); b.FirstByteExcess != 0 {
 		t.Errorf("%+v", b)
 	}
-	l.Forget(func(id ident.EngineID) bool { return id == "a" })
-	if b := l.Of("b"); b != (Reading{}) || l.Of("a") == (Reading{}) {
+	l.Prune(func(id ident.EngineID) bool { return id == "a" })
+	if b := l.Reading("b"); b != (Reading{}) || l.Reading("a") == (Reading{}) {
 		t.Errorf("%+v", b)
 	}
 }
--- a/process/engines/outlier/ledger.go
+++ b/process/engines/outlier/recorder.go
@@ -24,21 +24,21 @@
 
 // Reading is what one daemon has seen of one engine lately, smoothed: what ranks engines may read it.
 type Reading struct {
-	Attempts, Failures, Refusals, Overdue, Cut uint64
+	Attempts, Failures, Refusals, Overdue, Truncated uint64
 	// FirstExcess is by how much first bytes came later than expected for their size, GapExcess by how much the
 	// longest pause of a stream was above what its path allows, Connect how long a fresh connection took.
-	FirstExcess, GapExcess, Connect time.Duration
+	FirstByteExcess, GapExcess, Connect time.Duration
 }
 
 // Ledger is one daemon's own account. It belongs to one actor.
-type Ledger struct {
+type Recorder struct {
 	readings map[ident.EngineID]*Reading
 	pending  map[ident.EngineID]*Digest
 }
 
 // NewLedger makes an empty one.
-func NewLedger() *Ledger {
-	return &Ledger{readings: map[ident.EngineID]*Reading{}, pending: map[ident.EngineID]*Digest{}}
+func NewRecorder() *Recorder {
+	return &Recorder{readings: map[ident.EngineID]*Reading{}, pending: map[ident.EngineID]*Digest{}}
 }
 
 // Outcome is what became of one attempt.
@@ -46,7 +46,7 @@
 
 const (
 	// Well: an answer came, or began to come, in time.
-	Well Outcome = iota
+	Success Outcome = iota
 	// Failure: no whole answer came though the engine had the time, or it failed by its own account.
 	Failure
 	// Refusal: the engine stated that it did not run the attempt.
@@ -56,8 +56,8 @@
 )
 
 // Note counts an attempt. One is noted once, by the worst that is known of it at that time.
-func (l *Ledger) Note(engine ident.EngineID, outcome Outcome) {
-	reading, digest := l.reading(engine), l.pending[engine]
+func (l *Recorder) Record(engine ident.EngineID, outcome Outcome) {
+	reading, digest := l.readingOf(engine), l.pending[engine]
 	if digest == nil {
 		digest = &Digest{Engine: engine}
 		l.pending[engine] = digest
@@ -78,9 +78,9 @@
 }
 
 // Worse counts an attempt as a failure that was noted as something better: an answer that began, and broke off.
-func (l *Ledger) Worse(engine ident.EngineID) {
-	l.reading(engine).Failures++
-	l.reading(engine).Cut++
+func (l *Recorder) RecordTruncated(engine ident.EngineID) {
+	l.readingOf(engine).Failures++
+	l.readingOf(engine).Truncated++
 	digest := l.pending[engine]
 	if digest == nil {
 		digest = &Digest{Engine: engine, Attempts: 1}
@@ -90,22 +90,22 @@
 }
 
 // First notes how much later than expected a first byte came; before time counts as none.
-func (l *Ledger) First(engine ident.EngineID, excess time.Duration) {
-	smooth(&l.reading(engine).FirstExcess, max(0, excess))
+func (l *Recorder) RecordFirstByteExcess(engine ident.EngineID, excess time.Duration) {
+	smooth(&l.readingOf(engine).FirstByteExcess, max(0, excess))
 }
 
 // Gap notes by how much the longest pause of a stream was above what its path allows.
-func (l *Ledger) Gap(engine ident.EngineID, excess time.Duration) {
-	smooth(&l.reading(engine).GapExcess, max(0, excess))
+func (l *Recorder) RecordGapExcess(engine ident.EngineID, excess time.Duration) {
+	smooth(&l.readingOf(engine).GapExcess, max(0, excess))
 }
 
 // Connected notes how long a fresh connection took.
-func (l *Ledger) Connected(engine ident.EngineID, took time.Duration) {
-	smooth(&l.reading(engine).Connect, took)
+func (l *Recorder) RecordConnect(engine ident.EngineID, took time.Duration) {
+	smooth(&l.readingOf(engine).Connect, took)
 }
 
 // Of gives what was seen of an engine.
-func (l *Ledger) Of(engine ident.EngineID) Reading {
+func (l *Recorder) Reading(engine ident.EngineID) Reading {
 	if reading := l.readings[engine]; reading != nil {
 		return *reading
 	}
@@ -114,7 +114,7 @@
 
 // Take gives what was not reported yet, by engine, and counts it as reported: what gets lost on its way stays lost, since
 // more comes.
-func (l *Ledger) Take() []Digest {
+func (l *Recorder) TakeDigests() []Digest {
 	if len(l.pending) == 0 {
 		return nil
 	}
@@ -128,7 +128,7 @@
 }
 
 // Forget drops what is known of engines that are not to be kept.
-func (l *Ledger) Forget(keep func(ident.EngineID) bool) {
+func (l *Recorder) Prune(keep func(ident.EngineID) bool) {
 	for engine := range l.readings {
 		if !keep(engine) {
 			delete(l.readings, engine)
@@ -137,7 +137,7 @@
 	}
 }
 
-func (l *Ledger) reading(engine ident.EngineID) *Reading {
+func (l *Recorder) readingOf(engine ident.EngineID) *Reading {
 	reading := l.readings[engine]
 	if reading == nil {
 		reading = &Reading{}
--- a/process/engines/outlier/stage.go
+++ b/process/engines/outlier/stage.go
@@ -19,10 +19,10 @@
 	// Trial: it gets a small share, until enough has gone well.
 	Trial
 	// Ramp: its share doubles with each step, so that no burst meets cold caches and an engine barely well.
-	Ramp
+	SlowStart
 	// Slowed: it is late and no more than that. Its share is halved with each alarm and doubles again while there is
 	// none: where it is slow it gets what it can do, and where it only had too much no harm is done.
-	Slowed
+	Throttled
 )
 
 func (s Stage) String() string {
@@ -30,28 +30,28 @@
 }
 
 // transitions lists the transitions from each stage to the next.
-var transitions = map[Stage][]Stage{Healthy: {Ejected, Slowed}, Ejected: {Trial}, Trial: {Ejected, Ramp}, Ramp: {Ejected, Slowed, Healthy}, Slowed: {Ejected, Slowed, Healthy}}
+var transitions = map[Stage][]Stage{Healthy: {Ejected, Throttled}, Ejected: {Trial}, Trial: {Ejected, SlowStart}, SlowStart: {Ejected, Throttled, Healthy}, Throttled: {Ejected, Throttled, Healthy}}
 
 // standing is an engine seen from one zone, or from all.
-type standing struct {
+type stageState struct {
 	stage Stage
 	since clock.Mark
 	// score is Page's cumulative sum: the logarithm of how much likelier what was seen since it was last zero is
 	// with a failing engine than with a healthy one.
 	score float64
 	// late is the same of what came too late at an engine that has much to do.
-	late float64
-	rest time.Duration
+	lateScore    float64
+	ejectionTime time.Duration
 	// cut is the share of a slowed one.
-	cut float64
+	throttledFraction float64
 	// passes counts what went well on trial.
 	passes int
 	// wrong, lates and all are what was seen lately.
-	wrong, lates, all decaying
+	failed, lateCount, attempts decaying
 }
 
 // move is the one function that changes a stage.
-func (s *standing) move(to Stage, now clock.Mark) {
+func (s *stageState) moveTo(to Stage, now clock.Mark) {
 	if !slices.Contains(transitions[s.stage], to) {
 		panic("broken invariant: an engine may not go from " + s.stage.String() + " to " + to.String())
 	}
@@ -59,23 +59,23 @@
 }
 
 // observed is one engine; the standing of the empty zone is with all.
-type observed struct {
+type engineState struct {
 	pool  string
-	zones map[ident.ZoneID]*standing
+	zones map[ident.ZoneID]*stageState
 }
 
-func (e *observed) in(zone ident.ZoneID) *standing {
+func (e *engineState) in(zone ident.ZoneID) *stageState {
 	one := e.zones[zone]
 	if one == nil {
-		one = &standing{}
+		one = &stageState{}
 		e.zones[zone] = one
 	}
 	return one
 }
 
-func (e *observed) ejected() bool {
+func (e *engineState) ejected() bool {
 	for _, one := range e.zones {
-		if one.stage == Ejected || one.stage == Trial || one.stage == Slowed {
+		if one.stage == Ejected || one.stage == Trial || one.stage == Throttled {
 			return true
 		}
 	}
--- a/process/engines/outlier/weight.go
+++ b/process/engines/outlier/weight.go
@@ -11,8 +11,8 @@
 // Weight is the share of its usual requests that an engine is to get from callers' daemons in a zone; of several
 // that fit the least counts. An empty zone is all.
 type Weight struct {
-	Zone  ident.ZoneID
-	Share float64
+	Zone     ident.ZoneID
+	Fraction float64
 }
 
 // WeightFor is the share for daemons of a zone.
@@ -20,23 +20,23 @@
 	share := 1.0
 	for _, one := range weights {
 		if one.Zone == "" || one.Zone == zone {
-			share = min(share, one.Share)
+			share = min(share, one.Fraction)
 		}
 	}
 	return share
 }
 
 // share is the share of its usual requests that an engine gets.
-func (j *Detector) share(now clock.Mark, s *standing) float64 {
+func (j *Detector) fraction(now clock.Mark, s *stageState) float64 {
 	switch s.stage {
 	case Ejected:
 		return 0
-	case Slowed:
-		return s.cut
+	case Throttled:
+		return s.throttledFraction
 	case Trial:
 		return j.settings.TrialWeight
-	case Ramp:
-		steps := int(now.Since(s.since)/j.settings.RampStep) + 1
+	case SlowStart:
+		steps := int(now.Since(s.since)/j.settings.SlowStartStep) + 1
 		return min(1, j.settings.TrialWeight*float64(int(1)<<min(steps, 30)))
 	}
 	return 1
@@ -50,7 +50,7 @@
 	}
 	var out []Weight
 	for _, zone := range slices.Sorted(maps.Keys(e.zones)) {
-		if share := j.share(now, e.zones[zone]); share < 1 {
+		if share := j.fraction(now, e.zones[zone]); share < 1 {
 			out = append(out, Weight{zone, share})
 		}
 	}
@@ -59,7 +59,7 @@
 
 // Lost says whether what an engine holds had better stand elsewhere too: nearly all goes wrong there, or it was ejected
 // again soon after it came back. For less a load, and what makes way for it, costs more than it saves.
-func (j *Detector) Lost(now clock.Mark, id ident.EngineID) bool {
+func (j *Detector) NeedsReplacement(now clock.Mark, id ident.EngineID) bool {
 	const nearlyAll = 0.7
 	e := j.engines[id]
 	if e == nil || e.zones[""] == nil {
@@ -69,7 +69,7 @@
 	if s.stage != Ejected && s.stage != Trial {
 		return false
 	}
-	return s.rest > j.settings.RestFirst || s.wrong.value(now, j.settings.Half) >= nearlyAll*s.all.value(now, j.settings.Half)
+	return s.ejectionTime > j.settings.BaseEjectionTime || s.failed.value(now, j.settings.HalfLife) >= nearlyAll*s.attempts.value(now, j.settings.HalfLife)
 }
 
 // Stage is where an engine stands with the daemons of a zone.
--- a/process/engines/registry/digest.go
+++ b/process/engines/registry/digest.go
@@ -78,7 +78,7 @@
 	}
 	for _, weight := range plan.Weights {
 		d.writeText(string(weight.Zone))
-		d.writeNumber(percent(weight.Share))
+		d.writeNumber(percent(weight.Fraction))
 	}
 	return d.Sum64()
 }
--- a/process/engines/registry/fuzz_test.go
+++ b/process/engines/registry/fuzz_test.go
@@ -58,8 +58,8 @@
 				t.Fatalf("%+v says less than nothing", r.Plan)
 			}
 			for _, weight := range r.Plan.Weights {
-				if weight.Share < 0 || weight.Share > 1 {
-					t.Fatalf("a share of %v", weight.Share)
+				if weight.Fraction < 0 || weight.Fraction > 1 {
+					t.Fatalf("a share of %v", weight.Fraction)
 				}
 			}
 		}
--- a/process/engines/registry/wire.go
+++ b/process/engines/registry/wire.go
@@ -85,7 +85,7 @@
 		out.Loading = append(out.Loading, &peerapi.PlanTarget{Model: coming.Model, Adapter: coming.Adapter, ReadyMs: -millisecondsSince(now, coming.Ready)})
 	}
 	for _, weight := range plan.Weights {
-		out.Weights = append(out.Weights, &peerapi.EngineWeight{Zone: string(weight.Zone), Percent: int64(percent(weight.Share))})
+		out.Weights = append(out.Weights, &peerapi.EngineWeight{Zone: string(weight.Zone), Percent: int64(percent(weight.Fraction))})
 	}
 	return out
 }
@@ -103,7 +103,7 @@
 		out.PendingLoads = append(out.PendingLoads, PendingLoad{Target{target.Model, target.Adapter}, momentAgo(received, -target.ReadyMs)})
 	}
 	for _, weight := range plan.Weights {
-		out.Weights = append(out.Weights, outlier.Weight{Zone: ident.ZoneID(weight.Zone), Share: float64(min(clampCount(weight.Percent), 100)) / 100})
+		out.Weights = append(out.Weights, outlier.Weight{Zone: ident.ZoneID(weight.Zone), Fraction: float64(min(clampCount(weight.Percent), 100)) / 100})
 	}
 	return out
 }
--- a/process/placement/poolplacement/judge.go
+++ b/process/placement/poolplacement/judge.go
@@ -38,6 +38,6 @@
 	}
 	p.judge.Step(in.Now)
 	for id, e := range p.engines {
-		e.lost = p.settings.LeaveIll && p.judge.Lost(in.Now, id)
+		e.lost = p.settings.LeaveIll && p.judge.NeedsReplacement(in.Now, id)
 	}
 }
--- a/process/placement/poolplacement/judge_test.go
+++ b/process/placement/poolplacement/judge_test.go
@@ -56,7 +56,7 @@
 
 // TestASharePassesWithThePlanAndFadesWithIt: nothing believes a share that nobody has told for long.
 func TestASharePassesWithThePlanAndFadesWithIt(t *testing.T) {
-	plan := &registry.Plan{Received: clock.Mark(time.Hour), Weights: []outlier.Weight{{Share: 0.5}, {Zone: "a", Share: 0}}}
+	plan := &registry.Plan{Received: clock.Mark(time.Hour), Weights: []outlier.Weight{{Fraction: 0.5}, {Zone: "a", Fraction: 0}}}
 	shares := func(at clock.Mark) (out []float64) {
 		for _, zone := range []ident.ZoneID{"a", "b"} {
 			out = append(out, plan.Weight(zone, at))
--- a/process/placement/sessionplacement/lack.go
+++ b/process/placement/sessionplacement/lack.go
@@ -50,7 +50,7 @@
 				// What an operator closed an operator may open, at any time.
 				out = append(out, 0)
 			case !engine.Draining:
-				out = append(out, half(in.Now, engine.Turned))
+				out = append(out, half(in.Now, engine.ConditionSince))
 			}
 			continue
 		}
--- a/process/placement/sessionplacement/orders.go
+++ b/process/placement/sessionplacement/orders.go
@@ -56,7 +56,7 @@
 func (p *Planner) forgetInherited(in Input) {
 	for id, seq := range p.inherited {
 		engine := in.Engines.Engines[id]
-		if engine != nil && (engine.Report.CallSeq >= seq || engine.Asked.Since(p.began) > reportLagLimit) {
+		if engine != nil && (engine.Report.CallSeq >= seq || engine.ReportRequested.Since(p.began) > reportLagLimit) {
 			delete(p.inherited, id)
 		}
 	}
@@ -113,6 +113,6 @@
 func (p *Planner) issue(in Input, engine *discovery.Engine, order engineapi.Order) Directed {
 	p.Counters.Orders++
 	p.ordered[engine.ID] = engine.Report.CallSeq + 1
-	p.inFlight[engine.ID] = &OrderInFlight{Order: order, State: Sending, Sent: in.Now, Expect: engine.Report.CallSeq + 1, Incarnation: engine.Life, address: engine.Address}
+	p.inFlight[engine.ID] = &OrderInFlight{Order: order, State: Sending, Sent: in.Now, Expect: engine.Report.CallSeq + 1, Incarnation: engine.Incarnation, address: engine.Address}
 	return Directed{Engine: engine.ID, Address: engine.Address, Order: order}
 }
--- a/process/placement/sessionplacement/placement_test.go
+++ b/process/placement/sessionplacement/placement_test.go
@@ -88,7 +88,7 @@
 	view := &discovery.View{Engines: map[ident.EngineID]*discovery.Engine{}}
 	for id, e := range y.engines {
 		allowed, _ := y.table.Engine(id)
-		view.Engines[id] = &discovery.Engine{ID: id, Address: string(id), Zone: allowed.Zone, Condition: discovery.Sound, Report: e.shown, Asked: e.asked, Life: e.life}
+		view.Engines[id] = &discovery.Engine{ID: id, Address: string(id), Zone: allowed.Zone, Condition: discovery.Healthy, Report: e.shown, ReportRequested: e.asked, Incarnation: e.life}
 	}
 	return view
 }
--- a/process/placement/sessionplacement/settle.go
+++ b/process/placement/sessionplacement/settle.go
@@ -14,27 +14,27 @@
 	for id, inFlight := range p.inFlight {
 		engine := in.Engines.Engines[id]
 		switch {
-		case engine == nil || engine.Address != inFlight.address || engine.Life != inFlight.Incarnation && inFlight.confirmed:
+		case engine == nil || engine.Address != inFlight.address || engine.Incarnation != inFlight.Incarnation && inFlight.confirmed:
 			// A new incarnation of the engine: what was ordered before is void.
 			p.Counters.Void++
 			delete(p.inFlight, id)
 			delete(p.ordered, id)
 			continue
-		case engine.Life != inFlight.Incarnation:
+		case engine.Incarnation != inFlight.Incarnation:
 			// The new incarnation was not known of when the order left, so it may be the one that got it: only its
 			// reports can tell, and its counter began anew.
-			inFlight.Incarnation, inFlight.Expect = engine.Life, 1
+			inFlight.Incarnation, inFlight.Expect = engine.Incarnation, 1
 			p.ordered[id] = 1
-		case inFlight.answered > 0 && engine.Asked > inFlight.answered:
+		case inFlight.answered > 0 && engine.ReportRequested > inFlight.answered:
 			inFlight.confirmed = true
 		}
-		if engine.Asked <= inFlight.Sent || inFlight.State == Sending {
+		if engine.ReportRequested <= inFlight.Sent || inFlight.State == Sending {
 			continue
 		}
 		if engine.Report.CallSeq < inFlight.Expect {
 			// The report can't yet reflect the order. Only when reports asked for longer after than any lag still lack it, it never arrived.
 			// One that was taken and never shows was taken by an incarnation that has ended unseen.
-			if engine.Asked.Since(inFlight.Sent) > reportLagLimit {
+			if engine.ReportRequested.Since(inFlight.Sent) > reportLagLimit {
 				p.Counters.NeverArrived++
 				delete(p.inFlight, id)
 			}
--- a/request/dispatch/choose.go
+++ b/request/dispatch/choose.go
@@ -20,7 +20,7 @@
 			return assigned, c.room(assigned) > 0
 		}
 		// An engine in doubt for a moment is not gone: its sessions wait a little before they are assigned elsewhere.
-		if assigned != nil && !assigned.Draining && c.world.Table.Open(assigned.ID) && assigned.Condition != discovery.Sound && c.world.Now.Since(assigned.Turned) < assignmentPatience {
+		if assigned != nil && !assigned.Draining && c.world.Table.Open(assigned.ID) && assigned.Condition != discovery.Healthy && c.world.Now.Since(assigned.ConditionSince) < assignmentPatience {
 			return nil, false
 		}
 	}
--- a/request/dispatch/core.go
+++ b/request/dispatch/core.go
@@ -27,7 +27,7 @@
 	// refusedAt is when an engine last refused, or could not be reached.
 	refusedAt     map[ident.EngineID]clock.Mark
 	prefixes      map[string]ident.EngineID
-	turns         priority.Turns
+	turns         priority.ServedCounts
 	queuedBytes   int64
 	queuedCount   int
 	queuedByRoute map[string]int
@@ -43,7 +43,7 @@
 	return &Core{
 		records: map[RecordID]*Record{}, attempts: map[string]RecordID{}, past: map[string]pastAttempt{}, assignments: map[string]*Assignment{},
 		running: map[ident.EngineID]int{}, history: map[ident.EngineID][]ranSince{}, refusedAt: map[ident.EngineID]clock.Mark{},
-		prefixes: map[string]ident.EngineID{}, turns: priority.Turns{}, queuedByRoute: map[string]int{}, Budget: budget.New(0.1),
+		prefixes: map[string]ident.EngineID{}, turns: priority.ServedCounts{}, queuedByRoute: map[string]int{}, Budget: budget.New(0.1),
 	}
 }
 
--- a/request/dispatch/core_test.go
+++ b/request/dispatch/core_test.go
@@ -21,7 +21,7 @@
 		Models: []document.Model{{Name: "m", Size: 5}}, Routes: []document.Route{{Name: "r", House: "h", Models: []string{"m"}}},
 		Limits: document.Limits{MostHeld: 10, MostHeldBytes: 1000, RetryShare: 0.1, SeatIdleMs: 60000}}
 	return World{Now: now, Table: routingtable.Build(1, nil, s, closure.Set{}), Zone: "z",
-		Engines: &discovery.View{Engines: map[ident.EngineID]*discovery.Engine{"e": {ID: "e", Zone: "z", Condition: discovery.Sound, Asked: now,
+		Engines: &discovery.View{Engines: map[ident.EngineID]*discovery.Engine{"e": {ID: "e", Zone: "z", Condition: discovery.Healthy, ReportRequested: now,
 			Report: engineapi.Report{Models: []engineapi.ModelReport{{Model: "m", State: engineapi.Loaded}}}}}},
 		Mint: func() (ident.SnowflakeID, snowflake.Outcome) {
 			if minted {
--- a/request/dispatch/room.go
+++ b/request/dispatch/room.go
@@ -12,10 +12,10 @@
 	if !ok {
 		return 0
 	}
-	if at, refused := c.refusedAt[engine.ID]; refused && discovery.StillRefuses(at, engine.Asked, c.world.Now) {
+	if at, refused := c.refusedAt[engine.ID]; refused && discovery.StillRefuses(at, engine.ReportRequested, c.world.Now) {
 		return 0
 	}
-	if !c.world.Admission && engine.Report.Saturated && engine.Asked > 0 && c.running[engine.ID] > 0 {
+	if !c.world.Admission && engine.Report.Saturated && engine.ReportRequested > 0 && c.running[engine.ID] > 0 {
 		return 0
 	}
 	slots := engine.Capacity(c.world.Now, allowedEngine.Slots)
@@ -25,7 +25,7 @@
 		return slots - own
 	}
 	// What the report shows beyond what this daemon had running when it was asked is others' work.
-	others := max(0, engine.Report.Busy-c.ranAt(engine.ID, engine.Asked))
+	others := max(0, engine.Report.Busy-c.ranAt(engine.ID, engine.ReportRequested))
 	return slots - own - others
 }
 
@@ -41,7 +41,7 @@
 	history := append(c.history[engine], ranSince{c.world.Now, c.running[engine]})
 	if known := c.world.Engines.Engines[engine]; known != nil {
 		// What lies before the last change ahead of the report is never asked for again.
-		for len(history) > 1 && history[1].from <= known.Asked {
+		for len(history) > 1 && history[1].from <= known.ReportRequested {
 			history = history[1:]
 		}
 	}
--- a/request/dispatch/schedule.go
+++ b/request/dispatch/schedule.go
@@ -46,9 +46,9 @@
 	return cmp.Or(c.turns.Compare(c.bidOf(a), c.bidOf(b)), cmp.Compare(a.ID, b.ID))
 }
 
-func (c *Core) bidOf(r *Record) priority.Bid {
+func (c *Core) bidOf(r *Record) priority.Key {
 	assigned := r.Session != "" && (c.assignments[r.Session] != nil || r.assigned != "")
-	return priority.Bid{Assigned: assigned, Worth: r.Worth, Rank: r.Rank, Tenant: r.Tenant}
+	return priority.Key{Assigned: assigned, Value: r.Worth, Rank: r.Rank, Tenant: r.Tenant}
 }
 
 // tryToSend sends a record if there is room for it now.
--- a/request/forwarding/core.go
+++ b/request/forwarding/core.go
@@ -63,7 +63,7 @@
 	// running counts the attempts under way by pool.
 	running map[string]int
 	// ledger is what became of attempts; awaited are those whose answer has not begun.
-	ledger  *outlier.Ledger
+	ledger  *outlier.Recorder
 	awaited []*Record
 	usuals  map[string]*usual
 	// planTook and spreadTook are smoothed times that a planner, and the word of what it did, took lately.
@@ -82,7 +82,7 @@
 // NewCore makes an empty core.
 func NewCore(settings Settings) *Core {
 	return &Core{settings: settings, engines: map[ident.EngineID]*engineState{}, budgets: map[string]*window{},
-		demands: map[demandKey]*demandState{}, paths: map[pathKey]*pathState{}, running: map[string]int{}, ledger: outlier.NewLedger(), usuals: map[string]*usual{}, losses: map[LossKey]uint64{}}
+		demands: map[demandKey]*demandState{}, paths: map[pathKey]*pathState{}, running: map[string]int{}, ledger: outlier.NewRecorder(), usuals: map[string]*usual{}, losses: map[LossKey]uint64{}}
 }
 
 // step gives a record's sender the next thing to do. A record has at most one that is not yet taken.
--- a/request/forwarding/engine.go
+++ b/request/forwarding/engine.go
@@ -65,7 +65,7 @@
 			delete(c.engines, id)
 		}
 	}
-	c.ledger.Forget(func(id ident.EngineID) bool { return c.engines[id] != nil })
+	c.ledger.Prune(func(id ident.EngineID) bool { return c.engines[id] != nil })
 }
 
 // took notes an attempt that is about to leave.
--- a/request/forwarding/outcomes.go
+++ b/request/forwarding/outcomes.go
@@ -83,14 +83,14 @@
 		return
 	}
 	r.noted = true
-	c.ledger.Note(r.engine, outcome)
+	c.ledger.Record(r.engine, outcome)
 }
 
 // noteEnd counts how an attempt ended. What our side or the caller did says nothing of the engine.
 func (c *Core) noteEnd(r *Record, outcome Outcome, w World) {
 	switch outcome {
 	case Whole:
-		c.noteOutcome(r, outlier.Well)
+		c.noteOutcome(r, outlier.Success)
 	case NeverSent:
 		c.noteOutcome(r, outlier.Failure)
 	case Failed, Lost, Junk, Cut:
@@ -98,7 +98,7 @@
 		case w.Now >= r.Deadline && outcome != Failed:
 			// It ran into its own deadline, and was counted when it was overdue, if it was.
 		case r.noted && !r.wasOverdue:
-			c.ledger.Worse(r.engine)
+			c.ledger.RecordTruncated(r.engine)
 		default:
 			c.noteOutcome(r, outlier.Failure)
 		}
@@ -109,10 +109,10 @@
 		}
 	}
 	if r.Seen.Connect > 0 {
-		c.ledger.Connected(r.engine, r.Seen.Connect)
+		c.ledger.RecordConnect(r.engine, r.Seen.Connect)
 	}
 	if r.Path.GapTargetMs > 0 && r.Seen.LongestGap > 0 {
-		c.ledger.Gap(r.engine, r.Seen.LongestGap-time.Duration(r.Path.GapTargetMs)*time.Millisecond)
+		c.ledger.RecordGapExcess(r.engine, r.Seen.LongestGap-time.Duration(r.Path.GapTargetMs)*time.Millisecond)
 	}
 	r.Seen = Seen{}
 	c.forgetAwaited(r)
@@ -121,11 +121,11 @@
 // noteFirst counts an attempt whose first byte has come.
 func (c *Core) noteFirst(r *Record, now clock.Mark) {
 	waited, u := now.Since(r.sentAt), c.usual(r)
-	c.ledger.First(r.engine, waited-u.first.Duration)
+	c.ledger.RecordFirstByteExcess(r.engine, waited-u.first.Duration)
 	if waited > r.overdueAfter {
 		c.noteOutcome(r, outlier.Overdue)
 	} else {
-		c.noteOutcome(r, outlier.Well)
+		c.noteOutcome(r, outlier.Success)
 	}
 	u.note(waited, r.score)
 	c.forgetAwaited(r)
@@ -149,8 +149,8 @@
 			c.noteOutcome(r, outlier.Overdue)
 		}
 	}
-	return c.ledger.Take()
+	return c.ledger.TakeDigests()
 }
 
 // Reading gives what this daemon saw of an engine lately.
-func (c *Core) Reading(engine ident.EngineID) outlier.Reading { return c.ledger.Of(engine) }
+func (c *Core) Reading(engine ident.EngineID) outlier.Reading { return c.ledger.Reading(engine) }
--- a/request/forwarding/outcomes_test.go
+++ b/request/forwarding/outcomes_test.go
@@ -107,5 +107,5 @@
 }
 
 func planWith(b *bench, share float64) *registry.Plan {
-	return &registry.Plan{Received: b.now, Weights: []outlier.Weight{{Share: share}}}
+	return &registry.Plan{Received: b.now, Weights: []outlier.Weight{{Fraction: share}}}
 }
--- a/testbed/interleaving/interleave_test.go
+++ b/testbed/interleaving/interleave_test.go
@@ -226,7 +226,7 @@
 }
 
 func engineView() *discovery.View {
-	return &discovery.View{Engines: map[ident.EngineID]*discovery.Engine{"e": {ID: "e", Address: "x", Zone: "z", Condition: discovery.Sound,
+	return &discovery.View{Engines: map[ident.EngineID]*discovery.Engine{"e": {ID: "e", Address: "x", Zone: "z", Condition: discovery.Healthy,
 		Report: engineapi.Report{Models: []engineapi.ModelReport{{Model: "m", State: engineapi.Loaded}}}}}}
 }
 
