--- a/daemon/calllimits_test.go
+++ b/daemon/calllimits_test.go
@@ -71,7 +71,7 @@
 		for id := range raft.MemberID(3) {
 			members.Members = append(members.Members, raft.Member{ID: id + 1, Name: fmt.Sprint("core-", id+1), Address: fmt.Sprint("core-", id+1), Voter: true})
 		}
-		first := raft.Restored{HardState: raft.HardState{Term: 1}, Snapshot: raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: statemachine.New().Snapshot()}}
+		first := raft.PersistentState{HardState: raft.HardState{Term: 1}, Snapshot: raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: statemachine.New().Snapshot()}}
 		all, cut := map[raft.MemberID]*replica.Replica{}, map[raft.MemberID]*atomic.Bool{}
 		for _, member := range members.Members {
 			cut[member.ID] = &atomic.Bool{}
--- a/daemon/joingroup.go
+++ b/daemon/joingroup.go
@@ -54,8 +54,8 @@
 	return err != nil || group != ""
 }
 
-func (d *Daemon) findGroup(ctx context.Context, held *store.Store) (ident.GroupID, raft.Restored, error) {
-	var none raft.Restored
+func (d *Daemon) findGroup(ctx context.Context, held *store.Store) (ident.GroupID, raft.PersistentState, error) {
+	var none raft.PersistentState
 	remembered, err := held.Group()
 	if err != nil {
 		return "", none, err
@@ -85,7 +85,7 @@
 }
 
 // form writes the first state of a new group; it counts once it is synced.
-func (d *Daemon) form(held *store.Store, members raft.Membership) (ident.GroupID, raft.Restored, error) {
+func (d *Daemon) form(held *store.Store, members raft.Membership) (ident.GroupID, raft.PersistentState, error) {
 	var raw [8]byte
 	if _, err := rand.Read(raw[:]); err != nil {
 		panic("broken invariant: no randomness: " + err.Error())
@@ -93,7 +93,7 @@
 	group := ident.GroupID(hex.EncodeToString(raw[:]))
 	first := raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: statemachine.New().Snapshot()}
 	if err := held.Write(group, raft.Save{HardState: raft.HardState{Term: 1}, Snapshot: &first}); err != nil {
-		return "", raft.Restored{}, err
+		return "", raft.PersistentState{}, err
 	}
 	d.log.WithField("members", len(members.Members)).Info("formed a new group")
 	restored, err := held.Load()
--- a/daemon/membernotices.go
+++ b/daemon/membernotices.go
@@ -43,9 +43,9 @@
 	return func(notice raft.Notice) {
 		line := d.log.WithFields(log.Fields{"peer": uint64(notice.Peer), "index": uint64(notice.Index), "bytes": notice.Bytes})
 		switch notice.Kind {
-		case raft.NoticeSnapshotSent, raft.NoticeSnapshotTaken:
+		case raft.NoticeSnapshotSent, raft.NoticeSnapshotInstalled:
 			line.Info(notice.Kind.String())
-		case raft.NoticeSnapshotRefused:
+		case raft.NoticeSnapshotRejected:
 			if notice.Peer != refused.Peer || notice.Index != refused.Index {
 				line.WithError(notice.Err).Warn(notice.Kind.String())
 			}
--- a/process/cluster/raftcodec/raftcodec.go
+++ b/process/cluster/raftcodec/raftcodec.go
@@ -15,11 +15,11 @@
 		wire := &peerapi.RaftMessage{
 			Kind: uint32(m.Kind), From: uint64(m.From), To: uint64(m.To), Term: uint64(m.Term),
 			LogIndex: uint64(m.LogIndex), LogTerm: uint64(m.LogTerm), Commit: uint64(m.Commit),
-			Reject: m.Reject, Hint: uint64(m.Hint), ReadMark: m.ReadMark,
-			SnapshotOffset: m.Offset, SnapshotSize: m.Size, TakesParts: m.TakesParts,
+			Reject: m.Reject, Hint: uint64(m.Hint), ReadMark: m.HeartbeatRound,
+			SnapshotOffset: m.SnapshotOffset, SnapshotSize: m.SnapshotSize, TakesParts: m.AcceptsChunks,
 		}
 		if digest := m.StateDigest; digest != nil {
-			wire.StateDigest = &peerapi.RaftStateDigest{Index: uint64(digest.Index), Form: digest.Form, Sum: digest.Sum, Differs: digest.Differs}
+			wire.StateDigest = &peerapi.RaftStateDigest{Index: uint64(digest.Index), Form: digest.Format, Sum: digest.Sum, Differs: digest.Differs}
 		}
 		for _, entry := range m.Entries {
 			wire.Entries = append(wire.Entries, &peerapi.RaftEntry{Term: uint64(entry.Term), Index: uint64(entry.Index), Kind: uint32(entry.Kind), Data: entry.Data})
@@ -54,11 +54,11 @@
 	m := raft.Message{
 		Kind: raft.MessageKind(w.Kind), From: raft.MemberID(w.From), To: raft.MemberID(w.To), Term: raft.Term(w.Term),
 		LogIndex: raft.Index(w.LogIndex), LogTerm: raft.Term(w.LogTerm), Commit: raft.Index(w.Commit),
-		Reject: w.Reject, Hint: raft.Index(w.Hint), ReadMark: w.ReadMark,
-		Offset: w.SnapshotOffset, Size: w.SnapshotSize, TakesParts: w.TakesParts,
+		Reject: w.Reject, Hint: raft.Index(w.Hint), HeartbeatRound: w.ReadMark,
+		SnapshotOffset: w.SnapshotOffset, SnapshotSize: w.SnapshotSize, AcceptsChunks: w.TakesParts,
 	}
 	if digest := w.StateDigest; digest != nil {
-		m.StateDigest = &raft.StateDigest{Index: raft.Index(digest.Index), Form: digest.Form, Sum: digest.Sum, Differs: digest.Differs}
+		m.StateDigest = &raft.StateDigest{Index: raft.Index(digest.Index), Format: digest.Form, Sum: digest.Sum, Differs: digest.Differs}
 	}
 	for _, entry := range w.Entries {
 		if entry == nil || entry.Kind > uint32(raft.EntryMembership) {
--- a/process/cluster/raftcodec/raftcodec_test.go
+++ b/process/cluster/raftcodec/raftcodec_test.go
@@ -32,9 +32,9 @@
 
 func TestMessagesArriveAsTheyWereSent(t *testing.T) {
 	sent := []raft.Message{
-		{Kind: raft.MsgSnapshot, From: 1, To: 2, Term: 4, Offset: 5, Size: 9, Snapshot: &raft.Snapshot{Index: 7, Term: 3, Membership: members(), Data: []byte("part"), Checksum: make([]byte, 32)}},
-		{Kind: raft.MsgSnapshotReply, From: 2, To: 1, Term: 4, LogIndex: 7, LogTerm: 3, Offset: 9, Reject: true, TakesParts: true},
-		{Kind: raft.MsgHeartbeat, From: 1, To: 2, Term: 4, Commit: 9, ReadMark: 3, StateDigest: &raft.StateDigest{Index: 8, Form: 1 << 63, Sum: 5, Differs: true}},
+		{Kind: raft.MsgSnapshot, From: 1, To: 2, Term: 4, SnapshotOffset: 5, SnapshotSize: 9, Snapshot: &raft.Snapshot{Index: 7, Term: 3, Membership: members(), Data: []byte("part"), Checksum: make([]byte, 32)}},
+		{Kind: raft.MsgSnapshotReply, From: 2, To: 1, Term: 4, LogIndex: 7, LogTerm: 3, SnapshotOffset: 9, Reject: true, AcceptsChunks: true},
+		{Kind: raft.MsgHeartbeat, From: 1, To: 2, Term: 4, Commit: 9, HeartbeatRound: 3, StateDigest: &raft.StateDigest{Index: 8, Format: 1 << 63, Sum: 5, Differs: true}},
 		{Kind: raft.MsgAppend, From: 1, To: 2, Term: 4, LogIndex: 7, LogTerm: 3, Entries: []raft.Entry{{Term: 4, Index: 8, Kind: raft.EntryMembership, Data: members().Encode()}, {Term: 4, Index: 9, Data: []byte("x")}}},
 	}
 	got, readable := overTheWire(t, sent)
@@ -92,8 +92,8 @@
 	whole := raft.Snapshot{Index: 7, Term: 3, Membership: members(), Data: []byte("{}")}
 	for _, message := range []raft.Message{
 		{Kind: raft.MsgAppend, From: 1, To: 2, Term: 4, LogIndex: 7, LogTerm: 3, Entries: []raft.Entry{{Term: 4, Index: 8}}},
-		{Kind: raft.MsgSnapshot, From: 1, To: 2, Term: 4, Snapshot: &whole, Size: 2},
-		{Kind: raft.MsgHeartbeat, From: 1, To: 2, Term: 4, Commit: 9, StateDigest: &raft.StateDigest{Index: 8, Form: 1, Sum: 5}},
+		{Kind: raft.MsgSnapshot, From: 1, To: 2, Term: 4, Snapshot: &whole, SnapshotSize: 2},
+		{Kind: raft.MsgHeartbeat, From: 1, To: 2, Term: 4, Commit: 9, StateDigest: &raft.StateDigest{Index: 8, Format: 1, Sum: 5}},
 		{Kind: raft.MsgVote, From: 1, To: 2, Term: 4, LogIndex: 9, LogTerm: 3},
 	} {
 		data, err := proto.Marshal(&peerapi.RaftBatch{Group: "g", Messages: Encode([]raft.Message{message})})
@@ -111,7 +111,7 @@
 		if !readable {
 			return
 		}
-		core := raft.New(2, raft.Timing{Heartbeat: 2, Election: 16}, raft.Restored{HardState: raft.HardState{Term: 3},
+		core := raft.New(2, raft.Timing{HeartbeatTicks: 2, ElectionTicks: 16}, raft.PersistentState{HardState: raft.HardState{Term: 3},
 			Snapshot: raft.Snapshot{Index: 5, Term: 3, Membership: members(), Data: []byte("{}")}, Entries: []raft.Entry{{Term: 3, Index: 6}}}, rand.New(rand.NewPCG(1, 1)))
 		for _, message := range messages {
 			before := core.CommitIndex()
--- a/process/consensus/raft/core.go
+++ b/process/consensus/raft/core.go
@@ -7,13 +7,15 @@
 
 // Timing is counted in ticks.
 type Timing struct {
-	Heartbeat int
+	HeartbeatTicks int
 	// Election is the shortest wait for a leader; the longest is twice that.
-	Election int
+	ElectionTicks int
 }
 
 // Span is the shortest wait for a leader in time, where a tick takes so long.
-func (t Timing) Span(tick time.Duration) time.Duration { return time.Duration(t.Election) * tick }
+func (t Timing) ElectionTimeout(tick time.Duration) time.Duration {
+	return time.Duration(t.ElectionTicks) * tick
+}
 
 // Core is the state of one member.
 type Core struct {
@@ -25,52 +27,52 @@
 	vote MemberID
 	role Role
 	// leader is who is known to lead this term; zero when nobody is.
-	leader MemberID
-	log    replicaLog
-	commit Index
-	handed Index
+	leader         MemberID
+	raftLog        raftLog
+	commitIndex    Index
+	deliveredIndex Index
 
-	memberships []membershipAt
+	memberships []membershipEntry
 	votes       map[MemberID]bool
 	peers       map[MemberID]*progress
 
-	sinceLeader int
-	electionIn  int
-	sinceBeat   int
-	sinceCheck  int
-	stalled     bool
+	electionElapsed           int
+	randomizedElectionTimeout int
+	heartbeatElapsed          int
+	quorumCheckElapsed        int
+	diskStalled               bool
 
-	readMark    uint64
-	reads       []pendingRead
-	transferTo  MemberID
-	transferFor int
+	heartbeatRound  uint64
+	pendingReads    []pendingRead
+	transferTarget  MemberID
+	transferElapsed int
 
 	// incoming is what has come of a leader's snapshot, checkSnapshot what looks at it before it is installed.
-	incoming      *incoming
+	incoming      *incomingSnapshot
 	checkSnapshot func(Snapshot) error
 
-	out Effects
+	effects Effects
 }
 
 // Restored is what a member finds on its disk.
-type Restored struct {
+type PersistentState struct {
 	HardState HardState
 	Snapshot  Snapshot
 	Entries   []Entry
 }
 
 // New makes a member from what its disk holds.
-func New(id MemberID, timing Timing, restored Restored, random *rand.Rand) *Core {
+func New(id MemberID, timing Timing, restored PersistentState, random *rand.Rand) *Core {
 	c := &Core{id: id, timing: timing, random: random, term: restored.HardState.Term, vote: restored.HardState.Vote}
-	c.log = newLog(restored.Snapshot, restored.Entries)
-	c.commit, c.handed = restored.Snapshot.Index, restored.Snapshot.Index
-	c.memberships = []membershipAt{{restored.Snapshot.Index, restored.Snapshot.Membership}}
+	c.raftLog = newLog(restored.Snapshot, restored.Entries)
+	c.commitIndex, c.deliveredIndex = restored.Snapshot.Index, restored.Snapshot.Index
+	c.memberships = []membershipEntry{{restored.Snapshot.Index, restored.Snapshot.Membership}}
 	// Entries kept before the snapshot hold memberships that the snapshot's own has replaced.
-	c.noteMemberships(c.log.from(restored.Snapshot.Index+1, len(restored.Entries)))
+	c.adoptMemberships(c.raftLog.entriesFrom(restored.Snapshot.Index+1, len(restored.Entries)))
 	c.become(Follower, 0)
 	// One that has just begun asks sooner: where all were down at once nobody leads, and where somebody does the
 	// others refuse.
-	c.electionIn = max(1, timing.Election/4) + random.IntN(max(1, timing.Election/2))
+	c.randomizedElectionTimeout = max(1, timing.ElectionTicks/4) + random.IntN(max(1, timing.ElectionTicks/2))
 	return c
 }
 
@@ -87,79 +89,79 @@
 func (c *Core) LeaderID() MemberID { return c.leader }
 
 // CommitIndex is the last entry that is known to be committed.
-func (c *Core) CommitIndex() Index { return c.commit }
+func (c *Core) CommitIndex() Index { return c.commitIndex }
 
 // LastIndex is the last entry of this member's log.
-func (c *Core) LastIndex() Index { return c.log.last() }
+func (c *Core) LastIndex() Index { return c.raftLog.lastIndex() }
 
 // SnapshotIndex is the last entry that the newest snapshot covers.
-func (c *Core) SnapshotIndex() Index { return c.log.snapshot.Index }
+func (c *Core) SnapshotIndex() Index { return c.raftLog.snapshot.Index }
 
 // EntryTerm gives the term of a place in the log while it is kept.
-func (c *Core) EntryTerm(index Index) (Term, bool) { return c.log.term(index) }
+func (c *Core) EntryTerm(index Index) (Term, bool) { return c.raftLog.term(index) }
 
-func (c *Core) save() *Save {
-	if c.out.Save == nil {
-		c.out.Save = &Save{}
+func (c *Core) pendingSave() *Save {
+	if c.effects.Save == nil {
+		c.effects.Save = &Save{}
 	}
-	c.out.Save.HardState = HardState{Term: c.term, Vote: c.vote}
-	return c.out.Save
+	c.effects.Save.HardState = HardState{Term: c.term, Vote: c.vote}
+	return c.effects.Save
 }
 
 // Step takes one event and says what must be done about it.
 func (c *Core) Step(event Event) Effects {
-	c.out = Effects{}
+	c.effects = Effects{}
 	switch e := event.(type) {
 	case Tick:
 		c.tick()
 	case Receive:
 		c.receive(e.Message)
 	case Propose:
-		if c.role == Leader && c.transferTo == 0 {
-			c.out.Proposed, c.out.ProposedTerm = c.appendOwn(EntryCommand, e.Data), c.term
+		if c.role == Leader && c.transferTarget == 0 {
+			c.effects.ProposedIndex, c.effects.ProposedTerm = c.appendEntry(EntryCommand, e.Data), c.term
 			c.sendAppends()
 		}
 	case ProposeMembership:
 		c.proposeMembership(e.Membership)
 	case Read:
-		c.read(e.Ref)
+		c.handleRead(e.RequestID)
 	case Persisted:
-		c.persisted(e)
+		c.handlePersisted(e)
 	case DiskStalled:
-		c.stalled = e.Stalled
+		c.diskStalled = e.Stalled
 		// A leader that can't write must not keep the others waiting.
 		if e.Stalled && c.role == Leader {
-			c.startTransfer()
-			c.flushTransfer()
+			c.selectTransferTarget()
+			c.sendTimeoutNow()
 			c.become(Follower, 0)
 		}
-	case StandDown:
+	case StepDown:
 		// Whoever may have been followed by another asks anew, and does no harm until then.
 		if c.role == Leader {
 			c.become(Follower, 0)
 		}
-	case Transfer:
+	case TransferLeadership:
 		if c.role == Leader {
-			c.startTransfer()
-			c.flushTransfer()
+			c.selectTransferTarget()
+			c.sendTimeoutNow()
 		}
 	case Compact:
-		c.compact(e)
+		c.handleCompact(e)
 	}
-	c.handOut()
-	return c.out
+	c.deliverCommitted()
+	return c.effects
 }
 
 // handOut gives the driver what has been committed and not yet handed out.
-func (c *Core) handOut() {
-	if c.commit > c.handed {
-		c.out.Committed = c.log.from(c.handed+1, int(c.commit-c.handed))
-		if len(c.out.Committed) != int(c.commit-c.handed) {
+func (c *Core) deliverCommitted() {
+	if c.commitIndex > c.deliveredIndex {
+		c.effects.Committed = c.raftLog.entriesFrom(c.deliveredIndex+1, int(c.commitIndex-c.deliveredIndex))
+		if len(c.effects.Committed) != int(c.commitIndex-c.deliveredIndex) {
 			panic("broken invariant: committed entries are missing from the log")
 		}
-		c.handed = c.commit
+		c.deliveredIndex = c.commitIndex
 	}
-	if c.incoming != nil && c.incoming.index <= c.commit {
+	if c.incoming != nil && c.incoming.index <= c.commitIndex {
 		// The log got there before the snapshot was whole.
 		c.incoming = nil
 	}
@@ -170,75 +172,75 @@
 		c.tickLeader()
 		return
 	}
-	c.sinceLeader++
-	if c.sinceLeader >= c.electionIn {
-		c.sinceLeader = 0
-		c.electionIn = c.timing.Election + c.random.IntN(c.timing.Election)
+	c.electionElapsed++
+	if c.electionElapsed >= c.randomizedElectionTimeout {
+		c.electionElapsed = 0
+		c.randomizedElectionTimeout = c.timing.ElectionTicks + c.random.IntN(c.timing.ElectionTicks)
 		// One who can't write can't win, and one who is no voter may not ask.
-		if c.isVoter() && !c.stalled {
+		if c.isVoter() && !c.diskStalled {
 			c.campaign(true)
 		}
 	}
 }
 
-func (c *Core) later(message Message) {
+func (c *Core) sendAfterSync(message Message) {
 	message.From = c.id
-	c.out.Later = append(c.out.Later, message)
+	c.effects.AfterSync = append(c.effects.AfterSync, message)
 }
 
-func (c *Core) now(message Message) {
+func (c *Core) sendImmediately(message Message) {
 	message.From = c.id
 	if message.Term == 0 {
 		message.Term = c.term
 	}
-	c.out.Now = append(c.out.Now, message)
+	c.effects.Immediate = append(c.effects.Immediate, message)
 }
 
-func (c *Core) notice(notice Notice) { c.out.Notices = append(c.out.Notices, notice) }
+func (c *Core) addNotice(notice Notice) { c.effects.Notices = append(c.effects.Notices, notice) }
 
 // refuse notes a message that can't be of a sound member; it changes nothing.
-func (c *Core) refuse(m Message, err error) {
-	c.notice(Notice{Kind: NoticeMessageRefused, Peer: m.From, Index: m.LogIndex, Err: err})
+func (c *Core) rejectMessage(message Message, err error) {
+	c.addNotice(Notice{Kind: NoticeMessageRejected, Peer: message.From, Index: message.LogIndex, Err: err})
 }
 
 // validate says what is wrong with a message, by itself and against what this member knows for sure.
-func (c *Core) validate(m Message) error {
-	if err := m.Validate(); err != nil {
+func (c *Core) validateMessage(message Message) error {
+	if err := message.Validate(); err != nil {
 		return err
 	}
 	switch {
-	case m.Term > c.term && m.Term-c.term > mostTermStep:
-		return MalformedError{Kind: m.Kind, Reason: "term far beyond this member's"}
-	case m.fromLeader() && m.Term == c.term && c.role == Leader:
-		return MalformedError{Kind: m.Kind, Reason: "another leads in this leader's term"}
-	case m.Kind == MsgAppend && m.Term >= c.term && m.LogIndex == c.commit && m.LogIndex > 0:
-		if term, held := c.log.term(c.commit); held && term != m.LogTerm {
-			return MalformedError{Kind: m.Kind, Reason: "contradicts a committed entry"}
+	case message.Term > c.term && message.Term-c.term > maxTermIncrease:
+		return MalformedError{Kind: message.Kind, Reason: "term far beyond this member's"}
+	case message.fromLeader() && message.Term == c.term && c.role == Leader:
+		return MalformedError{Kind: message.Kind, Reason: "another leads in this leader's term"}
+	case message.Kind == MsgAppend && message.Term >= c.term && message.LogIndex == c.commitIndex && message.LogIndex > 0:
+		if term, known := c.raftLog.term(c.commitIndex); known && term != message.LogTerm {
+			return MalformedError{Kind: message.Kind, Reason: "contradicts a committed entry"}
 		}
 	}
 	return nil
 }
 
 // receive takes a message, unless it is for another member or can't be of a sound one.
-func (c *Core) receive(m Message) {
-	if m.To != c.id {
+func (c *Core) receive(message Message) {
+	if message.To != c.id {
 		return
 	}
-	if err := c.validate(m); err != nil {
-		c.refuse(m, err)
+	if err := c.validateMessage(message); err != nil {
+		c.rejectMessage(message, err)
 		return
 	}
-	if c.ignoresCandidate(m) {
+	if c.ignoresCandidate(message) {
 		return
 	}
 	switch {
-	case m.Term < c.term:
-		c.answerOldTerm(m)
+	case message.Term < c.term:
+		c.replyToStaleTerm(message)
 		return
-	case m.Term > c.term:
-		c.learnTerm(m)
+	case message.Term > c.term:
+		c.adoptTerm(message)
 	}
-	c.dispatch(m)
+	c.dispatch(message)
 }
 
 // fromLeader says whether only a leader sends messages of this kind to its followers.
@@ -248,67 +250,67 @@
 
 // ignoresCandidate says whether a request for a vote is passed over. While a leader is heard, a voter cut off from it
 // can't force an election; only a leadership transfer may.
-func (c *Core) ignoresCandidate(m Message) bool {
-	if m.Kind != MsgPreVote && m.Kind != MsgVote || m.Hint != 0 || m.From == c.id {
+func (c *Core) ignoresCandidate(message Message) bool {
+	if message.Kind != MsgPreVote && message.Kind != MsgVote || message.Hint != 0 || message.From == c.id {
 		return false
 	}
-	heardLeader := c.role == Leader || (c.leader != 0 && c.sinceLeader < c.timing.Election)
-	if heardLeader && m.Kind == MsgPreVote {
-		c.later(Message{Kind: MsgPreVoteReply, To: m.From, Term: c.term, Reject: true})
+	leaderActive := c.role == Leader || (c.leader != 0 && c.electionElapsed < c.timing.ElectionTicks)
+	if leaderActive && message.Kind == MsgPreVote {
+		c.sendAfterSync(Message{Kind: MsgPreVoteReply, To: message.From, Term: c.term, Reject: true})
 	}
-	return heardLeader
+	return leaderActive
 }
 
 // learnTerm follows a later term. A pre-vote round names one that nobody has entered yet.
-func (c *Core) learnTerm(m Message) {
-	if m.Kind == MsgPreVote || m.Kind == MsgPreVoteReply && !m.Reject {
+func (c *Core) adoptTerm(message Message) {
+	if message.Kind == MsgPreVote || message.Kind == MsgPreVoteReply && !message.Reject {
 		return
 	}
 	leader := MemberID(0)
-	if m.fromLeader() {
-		leader = m.From
+	if message.fromLeader() {
+		leader = message.From
 	}
-	c.enterTerm(m.Term, 0)
+	c.enterTerm(message.Term, 0)
 	c.become(Follower, leader)
 }
 
 // answerOldTerm tells one who lags the term, so that it stops leading or asking.
-func (c *Core) answerOldTerm(m Message) {
+func (c *Core) replyToStaleTerm(message Message) {
 	switch {
-	case m.fromLeader():
-		c.later(Message{Kind: MsgAppendReply, To: m.From, Term: c.term, Reject: true, Hint: c.log.last(), TakesParts: true})
-	case m.Kind == MsgPreVote:
-		c.later(Message{Kind: MsgPreVoteReply, To: m.From, Term: c.term, Reject: true})
+	case message.fromLeader():
+		c.sendAfterSync(Message{Kind: MsgAppendReply, To: message.From, Term: c.term, Reject: true, Hint: c.raftLog.lastIndex(), AcceptsChunks: true})
+	case message.Kind == MsgPreVote:
+		c.sendAfterSync(Message{Kind: MsgPreVoteReply, To: message.From, Term: c.term, Reject: true})
 	}
 }
 
 // dispatch takes a message of this member's term, or a pre-vote round's.
-func (c *Core) dispatch(m Message) {
-	if m.fromLeader() {
-		c.followLeader(m.From)
+func (c *Core) dispatch(message Message) {
+	if message.fromLeader() {
+		c.followLeader(message.From)
 	}
-	switch m.Kind {
+	switch message.Kind {
 	case MsgPreVote:
-		c.takePreVote(m)
+		c.handlePreVote(message)
 	case MsgVote:
-		c.takeVote(m)
+		c.handleVote(message)
 	case MsgPreVoteReply, MsgVoteReply:
-		c.countVote(m)
+		c.handleVoteReply(message)
 	case MsgAppend:
-		c.takeAppend(m)
+		c.handleAppend(message)
 	case MsgHeartbeat:
 		// Heartbeats say how much is committed of what this member surely holds.
-		c.commitTo(min(m.Commit, c.log.last()))
-		c.now(Message{Kind: MsgHeartbeatReply, To: m.From, ReadMark: m.ReadMark, TakesParts: true})
+		c.commitTo(min(message.Commit, c.raftLog.lastIndex()))
+		c.sendImmediately(Message{Kind: MsgHeartbeatReply, To: message.From, HeartbeatRound: message.HeartbeatRound, AcceptsChunks: true})
 	case MsgSnapshot:
-		c.takeSnapshot(m)
+		c.handleSnapshot(message)
 	case MsgAppendReply:
-		c.takeAppendReply(m)
+		c.handleAppendReply(message)
 	case MsgHeartbeatReply:
-		c.takeHeartbeatReply(m)
+		c.handleHeartbeatReply(message)
 	case MsgSnapshotReply:
-		c.takeSnapshotReply(m)
+		c.handleSnapshotReply(message)
 	case MsgTimeoutNow:
-		c.takeTimeoutNow()
+		c.handleTimeoutNow()
 	}
 }
--- a/process/consensus/raft/election.go
+++ b/process/consensus/raft/election.go
@@ -6,25 +6,25 @@
 func (c *Core) become(role Role, leader MemberID) {
 	wasLeader := c.role == Leader
 	c.role, c.leader = role, leader
-	c.sinceLeader, c.sinceBeat, c.sinceCheck = 0, 0, 0
-	c.electionIn = c.timing.Election + c.random.IntN(c.timing.Election)
+	c.electionElapsed, c.heartbeatElapsed, c.quorumCheckElapsed = 0, 0, 0
+	c.randomizedElectionTimeout = c.timing.ElectionTicks + c.random.IntN(c.timing.ElectionTicks)
 	c.votes = map[MemberID]bool{}
-	c.transferTo, c.transferFor = 0, 0
+	c.transferTarget, c.transferElapsed = 0, 0
 	if wasLeader && role != Leader {
 		// A read that waited for a quorum can't be answered by one who no longer leads.
-		for _, read := range c.reads {
-			c.out.Reads = append(c.out.Reads, ReadReady{Ref: read.ref})
+		for _, read := range c.pendingReads {
+			c.effects.ReadStates = append(c.effects.ReadStates, ReadState{RequestID: read.requestID})
 		}
 	}
-	c.reads = nil
+	c.pendingReads = nil
 	c.peers = nil
 	if role == Leader {
 		c.leader = c.id
-		c.fitPeers()
+		c.updatePeers()
 		for _, peer := range c.peers {
-			peer.heard = true
+			peer.recentActive = true
 		}
-		c.appendOwn(EntryEmpty, nil)
+		c.appendEntry(EntryEmpty, nil)
 		c.sendAppends()
 	}
 }
@@ -32,7 +32,7 @@
 // enterTerm moves to a later term; the disk learns of it before anything is said in it.
 func (c *Core) enterTerm(term Term, vote MemberID) {
 	c.term, c.vote = term, vote
-	c.save().HardState = HardState{Term: c.term, Vote: c.vote}
+	c.pendingSave().HardState = HardState{Term: c.term, Vote: c.vote}
 }
 
 // campaign asks for votes; the pre-vote round asks without entering a new term.
@@ -46,56 +46,56 @@
 		c.become(Candidate, 0)
 	}
 	for _, id := range c.Membership().Voters() {
-		message := Message{Kind: kind, To: id, Term: term, LogIndex: c.log.last(), LogTerm: c.log.lastTerm()}
+		message := Message{Kind: kind, To: id, Term: term, LogIndex: c.raftLog.lastIndex(), LogTerm: c.raftLog.lastTerm()}
 		if id == c.id {
 			// The own vote too counts only once it is on disk.
 			message.Kind = kind + 1
 		}
-		c.later(message)
+		c.sendAfterSync(message)
 	}
 }
 
 // takePreVote says whether this member would vote for the sender in the term it names.
-func (c *Core) takePreVote(m Message) {
-	grant := m.Term > c.term && c.log.upToDate(m.LogIndex, m.LogTerm) && !c.stalled
-	reply := Message{Kind: MsgPreVoteReply, To: m.From, Term: m.Term, Reject: !grant}
+func (c *Core) handlePreVote(message Message) {
+	grant := message.Term > c.term && c.raftLog.upToDate(message.LogIndex, message.LogTerm) && !c.diskStalled
+	reply := Message{Kind: MsgPreVoteReply, To: message.From, Term: message.Term, Reject: !grant}
 	if !grant {
 		reply.Term = c.term
 	}
-	c.later(reply)
+	c.sendAfterSync(reply)
 }
 
 // takeVote gives this term's vote once, to a candidate whose log holds all that this one does.
-func (c *Core) takeVote(m Message) {
-	free := c.vote == 0 || c.vote == m.From
-	if !free || c.role == Leader || !c.log.upToDate(m.LogIndex, m.LogTerm) {
-		c.later(Message{Kind: MsgVoteReply, To: m.From, Term: c.term, Reject: true})
+func (c *Core) handleVote(message Message) {
+	available := c.vote == 0 || c.vote == message.From
+	if !available || c.role == Leader || !c.raftLog.upToDate(message.LogIndex, message.LogTerm) {
+		c.sendAfterSync(Message{Kind: MsgVoteReply, To: message.From, Term: c.term, Reject: true})
 		return
 	}
-	c.enterTerm(c.term, m.From)
-	c.sinceLeader = 0
-	c.later(Message{Kind: MsgVoteReply, To: m.From, Term: c.term})
+	c.enterTerm(c.term, message.From)
+	c.electionElapsed = 0
+	c.sendAfterSync(Message{Kind: MsgVoteReply, To: message.From, Term: c.term})
 }
 
 // countVote counts a reply, and leads once a majority has granted.
-func (c *Core) countVote(m Message) {
-	wanted := Candidate
-	if m.Kind == MsgPreVoteReply {
-		wanted = PreCandidate
+func (c *Core) handleVoteReply(message Message) {
+	expectedRole := Candidate
+	if message.Kind == MsgPreVoteReply {
+		expectedRole = PreCandidate
 	}
-	if c.role != wanted {
+	if c.role != expectedRole {
 		return
 	}
-	c.votes[m.From] = !m.Reject
-	if c.majority(func(id MemberID) bool { return c.votes[id] }) {
-		if wanted == PreCandidate {
+	c.votes[message.From] = !message.Reject
+	if c.hasQuorum(func(id MemberID) bool { return c.votes[id] }) {
+		if expectedRole == PreCandidate {
 			c.campaign(false)
 			return
 		}
 		c.become(Leader, c.id)
 		return
 	}
-	if c.majority(func(id MemberID) bool { granted, said := c.votes[id]; return said && !granted }) {
+	if c.hasQuorum(func(id MemberID) bool { granted, replied := c.votes[id]; return replied && !granted }) {
 		c.become(Follower, 0)
 	}
 }
--- a/process/consensus/raft/flow.go
+++ b/process/consensus/raft/flow.go
@@ -6,42 +6,42 @@
 
 const (
 	// largeAppend is from how many bytes of entries on an append counts as large.
-	largeAppend = 16 << 10
+	largeAppendBytes = 16 << 10
 	// slowestBytesPerTick is what the slowest link carries in a tick: 10 Mbit/s, and 50 ms.
-	slowestBytesPerTick = 10_000_000 / 8 / 20
+	slowestLinkBytesPerTick = 10_000_000 / 8 / 20
 	// answerFactor leaves as much time for the disk and the answer as the link takes.
-	answerFactor = 2
+	replyTimeFactor = 2
 )
 
 // sentAppend notes that entries are under way to a member.
-func (p *progress) sentAppend(entries []Entry) {
+func (p *progress) trackAppend(entries []Entry) {
 	size := 0
 	for _, entry := range entries {
 		size += len(entry.Data)
 	}
-	if size < largeAppend {
+	if size < largeAppendBytes {
 		return
 	}
-	p.awaited = entries[len(entries)-1].Index
-	p.awaitedFor = 1 + answerFactor*size/slowestBytesPerTick
+	p.inflightIndex = entries[len(entries)-1].Index
+	p.inflightTicks = 1 + replyTimeFactor*size/slowestLinkBytesPerTick
 }
 
 // awaits says whether a large append is under way.
-func (p *progress) awaits() bool { return p.awaitedFor > 0 }
+func (p *progress) appendInFlight() bool { return p.inflightTicks > 0 }
 
 // answered takes an answer to an append; it says whether one that was awaited has come.
-func (p *progress) answered(m Message) bool {
-	if !p.awaits() || !m.Reject && m.LogIndex < p.awaited {
+func (p *progress) acknowledgeAppend(message Message) bool {
+	if !p.appendInFlight() || !message.Reject && message.LogIndex < p.inflightIndex {
 		return false
 	}
-	p.awaitedFor = 0
+	p.inflightTicks = 0
 	return true
 }
 
 // tick counts what a member is waited for down.
 func (p *progress) tick() {
-	if p.sending != nil {
-		p.sending.wait = max(0, p.sending.wait-1)
+	if p.outgoing != nil {
+		p.outgoing.resendTicks = max(0, p.outgoing.resendTicks-1)
 	}
-	p.awaitedFor = max(0, p.awaitedFor-1)
+	p.inflightTicks = max(0, p.inflightTicks-1)
 }
--- a/process/consensus/raft/flow_test.go
+++ b/process/consensus/raft/flow_test.go
@@ -10,15 +10,15 @@
 func largeLeader(t *testing.T) (leader *Core, sent Message) {
 	t.Helper()
 	members := Membership{Members: []Member{{ID: 1, Voter: true}, {ID: 2}}}
-	leader = New(1, Timing{Heartbeat: 2, Election: 16}, Restored{HardState: HardState{Term: 1}, Snapshot: Snapshot{Index: 1, Term: 1, Membership: members}}, rand.New(rand.NewPCG(1, 1)))
+	leader = New(1, Timing{HeartbeatTicks: 2, ElectionTicks: 16}, PersistentState{HardState: HardState{Term: 1}, Snapshot: Snapshot{Index: 1, Term: 1, Membership: members}}, rand.New(rand.NewPCG(1, 1)))
 	for leader.Role() != Leader {
 		effects := leader.Step(Tick{})
-		for len(effects.Later) > 0 {
-			effects = leader.Step(Receive{effects.Later[0]})
+		for len(effects.AfterSync) > 0 {
+			effects = leader.Step(Receive{effects.AfterSync[0]})
 		}
 	}
 	leader.Step(Receive{Message{Kind: MsgAppendReply, From: 2, To: 1, Term: leader.Term(), LogIndex: leader.LastIndex()}})
-	for _, message := range leader.Step(Propose{Data: bytes.Repeat([]byte{'x'}, 200<<10)}).Now {
+	for _, message := range leader.Step(Propose{Data: bytes.Repeat([]byte{'x'}, 200<<10)}).Immediate {
 		if message.Kind == MsgAppend {
 			sent = message
 		}
@@ -31,7 +31,7 @@
 
 // appends counts the entries that effects send to the second member.
 func appends(effects Effects) (entries int) {
-	for _, message := range effects.Now {
+	for _, message := range effects.Immediate {
 		if message.Kind == MsgAppend {
 			entries += len(message.Entries)
 		}
--- a/process/consensus/raft/group_test.go
+++ b/process/consensus/raft/group_test.go
@@ -68,7 +68,7 @@
 	group *modelGroup
 	id    raft.MemberID
 	core  *raft.Core
-	disk  raft.Restored
+	disk  raft.PersistentState
 	queue []modelWrite
 	state modelState
 	up    bool
@@ -98,7 +98,7 @@
 	g.sums[1] = first.sum
 	for id := raft.MemberID(1); id <= 3; id++ {
 		m := &modelMember{group: g, id: id}
-		m.disk = raft.Restored{HardState: raft.HardState{Term: 1}, Snapshot: raft.Snapshot{Index: 1, Term: 1, Membership: threeVoters(), Data: first.encode()}}
+		m.disk = raft.PersistentState{HardState: raft.HardState{Term: 1}, Snapshot: raft.Snapshot{Index: 1, Term: 1, Membership: threeVoters(), Data: first.encode()}}
 		g.members = append(g.members, m)
 		m.start()
 	}
@@ -112,8 +112,8 @@
 func (m *modelMember) start() {
 	restored := m.disk
 	restored.Entries = slices.Clone(restored.Entries)
-	m.core = raft.New(m.id, raft.Timing{Heartbeat: 2, Election: 10}, restored, m.group.random)
-	m.core.CheckSnapshots(func(snapshot raft.Snapshot) error {
+	m.core = raft.New(m.id, raft.Timing{HeartbeatTicks: 2, ElectionTicks: 10}, restored, m.group.random)
+	m.core.SetSnapshotCheck(func(snapshot raft.Snapshot) error {
 		_, err := decodeModelState(snapshot.Data)
 		return err
 	})
@@ -156,20 +156,20 @@
 	g := m.group
 	for _, notice := range effects.Notices {
 		switch notice.Kind {
-		case raft.NoticeSnapshotTaken:
+		case raft.NoticeSnapshotInstalled:
 			g.installs++
-		case raft.NoticeSnapshotRefused:
+		case raft.NoticeSnapshotRejected:
 			g.refusals++
-		case raft.NoticeMessageRefused:
+		case raft.NoticeMessageRejected:
 			g.fault("member %d refused a sound message: %v", m.id, notice.Err)
 		}
 	}
-	if effects.Install != nil {
-		state, err := decodeModelState(effects.Install.Data)
-		if err != nil || state.index != effects.Install.Index {
-			g.fault("member %d installed an unreadable state at %d", m.id, effects.Install.Index)
+	if effects.InstallSnapshot != nil {
+		state, err := decodeModelState(effects.InstallSnapshot.Data)
+		if err != nil || state.index != effects.InstallSnapshot.Index {
+			g.fault("member %d installed an unreadable state at %d", m.id, effects.InstallSnapshot.Index)
 		}
-		if !bytes.Equal(effects.Install.Data, modelState{state.index, g.sums[state.index]}.encode()) {
+		if !bytes.Equal(effects.InstallSnapshot.Data, modelState{state.index, g.sums[state.index]}.encode()) {
 			g.fault("member %d installed another state at %d", m.id, state.index)
 		}
 		m.state = state
@@ -177,10 +177,10 @@
 	for _, entry := range effects.Committed {
 		m.apply(entry)
 	}
-	if effects.Save != nil || len(effects.Later) > 0 {
-		m.queue = append(m.queue, modelWrite{effects.Save, effects.Later})
+	if effects.Save != nil || len(effects.AfterSync) > 0 {
+		m.queue = append(m.queue, modelWrite{effects.Save, effects.AfterSync})
 	}
-	g.send(effects.Now)
+	g.send(effects.Immediate)
 }
 
 func (m *modelMember) apply(entry raft.Entry) {
@@ -243,10 +243,10 @@
 		if message = g.translated(message); len(g.faults) > 0 {
 			return
 		}
-		if message.Snapshot != nil && message.Size > uint64(len(message.Snapshot.Data)) {
+		if message.Snapshot != nil && message.SnapshotSize > uint64(len(message.Snapshot.Data)) {
 			g.parts++
 		}
-		if g.loss > 0 && message.Snapshot != nil && message.Size > 0 && g.random.IntN(12) == 0 {
+		if g.loss > 0 && message.Snapshot != nil && message.SnapshotSize > 0 && g.random.IntN(12) == 0 {
 			message = g.damaged(message)
 		}
 		g.flight = append(g.flight, message)
@@ -261,10 +261,10 @@
 	if g.old == 0 || message.From != g.old && message.To != g.old {
 		return message
 	}
-	if message.To == g.old && (message.Kind == raft.MsgSnapshotReply || message.Snapshot != nil && uint64(len(message.Snapshot.Data)) != message.Size) {
+	if message.To == g.old && (message.Kind == raft.MsgSnapshotReply || message.Snapshot != nil && uint64(len(message.Snapshot.Data)) != message.SnapshotSize) {
 		g.fault("a member of the build before is sent %d, which it does not know", message.Kind)
 	}
-	message.TakesParts, message.Size, message.Offset = false, 0, 0
+	message.AcceptsChunks, message.SnapshotSize, message.SnapshotOffset = false, 0, 0
 	if message.Snapshot != nil {
 		whole := *message.Snapshot
 		whole.Checksum = nil
@@ -323,7 +323,7 @@
 		return
 	}
 	m.group.cuts++
-	m.step(raft.Compact{Index: m.state.index, Data: m.state.encode(), Keep: 3})
+	m.step(raft.Compact{Index: m.state.index, Data: m.state.encode(), RetainEntries: 3})
 }
 
 // turn is one random step of the scheduler.
@@ -357,7 +357,7 @@
 		return
 	}
 	if g.random.IntN(3) == 0 {
-		m.step(raft.StandDown{})
+		m.step(raft.StepDown{})
 		return
 	}
 	if m.up {
--- a/process/consensus/raft/lag.go
+++ b/process/consensus/raft/lag.go
@@ -2,9 +2,9 @@
 
 // BytesAfter is how many bytes the entries behind an index hold, as far as they are kept.
 func (c *Core) BytesAfter(index Index) int {
-	size := 0
-	for at := len(c.log.entries) - 1; at >= 0 && c.log.entries[at].Index > index; at-- {
-		size += len(c.log.entries[at].Data)
+	total := 0
+	for position := len(c.raftLog.entries) - 1; position >= 0 && c.raftLog.entries[position].Index > index; position-- {
+		total += len(c.raftLog.entries[position].Data)
 	}
-	return size
+	return total
 }
--- a/process/consensus/raft/membership.go
+++ b/process/consensus/raft/membership.go
@@ -4,13 +4,13 @@
 
 // Membership changes, one member at a time.
 
-type membershipAt struct {
+type membershipEntry struct {
 	index      Index
 	membership Membership
 }
 
 // noteMemberships takes up memberships as soon as they stand in the log, committed or not, as single-member change requires.
-func (c *Core) noteMemberships(entries []Entry) {
+func (c *Core) adoptMemberships(entries []Entry) {
 	for _, entry := range entries {
 		if entry.Kind != EntryMembership {
 			continue
@@ -19,8 +19,8 @@
 		if err != nil {
 			panic("broken invariant: a membership in the log cannot be read: " + err.Error())
 		}
-		c.memberships = append(c.memberships, membershipAt{entry.Index, membership})
-		c.fitPeers()
+		c.memberships = append(c.memberships, membershipEntry{entry.Index, membership})
+		c.updatePeers()
 	}
 }
 
@@ -28,14 +28,14 @@
 func (c *Core) Membership() Membership { return c.memberships[len(c.memberships)-1].membership }
 
 // membershipBy is the one in force at index.
-func (c *Core) membershipBy(index Index) Membership {
-	found := c.memberships[0].membership
+func (c *Core) membershipAtIndex(index Index) Membership {
+	membership := c.memberships[0].membership
 	for _, at := range c.memberships {
 		if at.index <= index {
-			found = at.membership
+			membership = at.membership
 		}
 	}
-	return found
+	return membership
 }
 
 func (c *Core) isVoter() bool {
@@ -44,30 +44,30 @@
 }
 
 // fitPeers keeps the leader's table of members in step with the membership.
-func (c *Core) fitPeers() {
+func (c *Core) updatePeers() {
 	if c.role != Leader {
 		return
 	}
 	membership := c.Membership()
-	next := map[MemberID]*progress{}
+	peers := map[MemberID]*progress{}
 	for _, member := range membership.Members {
 		if known := c.peers[member.ID]; known != nil {
-			next[member.ID] = known
+			peers[member.ID] = known
 			continue
 		}
-		next[member.ID] = &progress{next: c.log.last() + 1, probing: true, heard: true}
+		peers[member.ID] = &progress{next: c.raftLog.lastIndex() + 1, probing: true, recentActive: true}
 	}
-	if own := next[c.id]; own != nil {
-		own.match = c.log.stable
+	if self := peers[c.id]; self != nil {
+		self.match = c.raftLog.stableIndex
 	}
-	c.peers = next
+	c.peers = peers
 }
 
-func (c *Core) majority(has func(MemberID) bool) bool {
+func (c *Core) hasQuorum(counted func(MemberID) bool) bool {
 	voters := c.Membership().Voters()
 	count := 0
 	for _, id := range voters {
-		if has(id) {
+		if counted(id) {
 			count++
 		}
 	}
@@ -75,39 +75,39 @@
 }
 
 func (c *Core) membershipCommitted() bool {
-	return c.memberships[len(c.memberships)-1].index <= c.commit
+	return c.memberships[len(c.memberships)-1].index <= c.commitIndex
 }
 
-func (c *Core) dropMembershipsFrom(index Index) {
+func (c *Core) discardMembershipsFrom(index Index) {
 	for len(c.memberships) > 1 && c.memberships[len(c.memberships)-1].index >= index {
 		c.memberships = c.memberships[:len(c.memberships)-1]
 	}
 }
 
 // proposeMembership lets in one change at a time, after the leader has committed in its term.
-func (c *Core) proposeMembership(next Membership) {
-	if c.role != Leader || c.transferTo != 0 || !c.CommittedInTerm() || !c.membershipCommitted() {
+func (c *Core) proposeMembership(proposed Membership) {
+	if c.role != Leader || c.transferTarget != 0 || !c.CommittedInTerm() || !c.membershipCommitted() {
 		return
 	}
-	if len(next.Voters()) == 0 || voterChanges(c.Membership(), next) > 1 {
+	if len(proposed.Voters()) == 0 || voterChanges(c.Membership(), proposed) > 1 {
 		return
 	}
-	c.out.Proposed, c.out.ProposedTerm = c.appendOwn(EntryMembership, next.Encode()), c.term
+	c.effects.ProposedIndex, c.effects.ProposedTerm = c.appendEntry(EntryMembership, proposed.Encode()), c.term
 	c.sendAppends()
 	c.advanceCommit()
 }
 
 // voterChanges counts by how many voters two memberships differ.
-func voterChanges(a, b Membership) int {
+func voterChanges(before, after Membership) int {
 	count := 0
-	av, bv := a.Voters(), b.Voters()
-	for _, id := range av {
-		if !slices.Contains(bv, id) {
+	beforeVoters, afterVoters := before.Voters(), after.Voters()
+	for _, id := range beforeVoters {
+		if !slices.Contains(afterVoters, id) {
 			count++
 		}
 	}
-	for _, id := range bv {
-		if !slices.Contains(av, id) {
+	for _, id := range afterVoters {
+		if !slices.Contains(beforeVoters, id) {
 			count++
 		}
 	}
--- a/process/consensus/raft/membership_model_test.go
+++ b/process/consensus/raft/membership_model_test.go
@@ -53,7 +53,7 @@
 type modelNode struct {
 	id    MemberID
 	core  *Core
-	disk  Restored
+	disk  PersistentState
 	queue []modelWrite
 }
 
@@ -116,7 +116,7 @@
 
 func (sameSource) Uint64() uint64 { return 1 << 62 }
 
-var modelTiming = Timing{Heartbeat: 1, Election: 1024}
+var modelTiming = Timing{HeartbeatTicks: 1, ElectionTicks: 1024}
 
 func newModel(variant modelVariant, budget modelBudget) *model {
 	return &model{variant: variant, budget: budget, nodeIDs: map[string]int{}, sent: map[string]int{}, known: map[string]int{},
@@ -126,11 +126,11 @@
 // cloneCore copies a core so that stepping the copy leaves the original as it is.
 func cloneCore(c *Core) *Core {
 	out := *c
-	out.log.entries = slices.Clone(c.log.entries)
+	out.raftLog.entries = slices.Clone(c.raftLog.entries)
 	out.memberships = slices.Clone(c.memberships)
 	out.votes = maps.Clone(c.votes)
-	out.reads = slices.Clone(c.reads)
-	out.out = Effects{}
+	out.pendingReads = slices.Clone(c.pendingReads)
+	out.effects = Effects{}
 	if c.peers != nil {
 		out.peers = map[MemberID]*progress{}
 		for id, known := range c.peers {
@@ -166,18 +166,18 @@
 	}
 }
 
-func (k *stateKey) message(m Message) {
-	k.number(uint64(m.Kind), uint64(m.From), uint64(m.To), uint64(m.Term), uint64(m.LogIndex), uint64(m.LogTerm), uint64(m.Commit), uint64(m.Hint))
-	k.flag(m.Reject)
-	k.entries(m.Entries)
+func (k *stateKey) message(message Message) {
+	k.number(uint64(message.Kind), uint64(message.From), uint64(message.To), uint64(message.Term), uint64(message.LogIndex), uint64(message.LogTerm), uint64(message.Commit), uint64(message.Hint))
+	k.flag(message.Reject)
+	k.entries(message.Entries)
 }
 
 // key names a member's state; timers are left out.
 func (n *modelNode) key() string {
 	out := make(stateKey, 0, 512)
 	c := n.core
-	out.number(uint64(c.id), uint64(c.term), uint64(c.vote), uint64(c.role), uint64(c.leader), uint64(c.commit), uint64(c.log.stable))
-	out.entries(c.log.entries)
+	out.number(uint64(c.id), uint64(c.term), uint64(c.vote), uint64(c.role), uint64(c.leader), uint64(c.commitIndex), uint64(c.raftLog.stableIndex))
+	out.entries(c.raftLog.entries)
 	for id := MemberID(1); id <= modelMembers; id++ {
 		peer := c.peers[id]
 		out.flag(peer != nil)
@@ -201,9 +201,9 @@
 	return string(out)
 }
 
-func messageKey(m Message) string {
+func messageKey(message Message) string {
 	out := make(stateKey, 0, 128)
-	out.message(m)
+	out.message(message)
 	return string(out)
 }
 
@@ -250,15 +250,15 @@
 	if m.variant == takenWhenCommitted {
 		forgetUncommitted(n.core)
 	}
-	if effects.Save != nil || len(effects.Later) > 0 && len(n.queue) > 0 {
+	if effects.Save != nil || len(effects.AfterSync) > 0 && len(n.queue) > 0 {
 		if effects.Save == nil {
 			effects.Save = &Save{HardState: n.queue[len(n.queue)-1].save.HardState}
 		}
-		n.queue = append(n.queue, modelWrite{effects.Save, effects.Later})
-		effects.Later = nil
+		n.queue = append(n.queue, modelWrite{effects.Save, effects.AfterSync})
+		effects.AfterSync = nil
 	}
-	m.send(n, out, effects.Now)
-	m.send(n, out, effects.Later)
+	m.send(n, out, effects.Immediate)
+	m.send(n, out, effects.AfterSync)
 }
 
 func (m *model) send(n *modelNode, out *[]int, messages []Message) {
@@ -293,34 +293,34 @@
 // forgetUncommitted is the broken rule by which a membership counts only from its commit on.
 func forgetUncommitted(c *Core) {
 	c.memberships = c.memberships[:1]
-	for _, entry := range c.log.entries {
-		if entry.Kind == EntryMembership && entry.Index <= c.commit {
+	for _, entry := range c.raftLog.entries {
+		if entry.Kind == EntryMembership && entry.Index <= c.commitIndex {
 			membership, _ := DecodeMembership(entry.Data)
-			c.memberships = append(c.memberships, membershipAt{entry.Index, membership})
+			c.memberships = append(c.memberships, membershipEntry{entry.Index, membership})
 		}
 	}
-	c.fitPeers()
+	c.updatePeers()
 }
 
 // uncheckedPropose is proposeMembership without the rules that the variant lacks.
 func (m *model) uncheckedPropose(c *Core, next Membership) Effects {
-	c.out = Effects{}
+	c.effects = Effects{}
 	open := c.membershipCommitted() || m.variant == twoUncommitted
 	if m.variant == takenWhenCommitted {
 		open = true
-		for _, entry := range c.log.entries {
-			open = open && (entry.Kind != EntryMembership || entry.Index <= c.commit)
+		for _, entry := range c.raftLog.entries {
+			open = open && (entry.Kind != EntryMembership || entry.Index <= c.commitIndex)
 		}
 	}
 	own := c.CommittedInTerm() || m.variant == beforeOwnCommit
 	single := voterChanges(c.Membership(), next) <= 1 || m.variant == twoVotersAtOnce
 	if c.role == Leader && open && own && single && len(next.Voters()) > 0 {
-		c.out.Proposed = c.appendOwn(EntryMembership, next.Encode())
+		c.effects.ProposedIndex = c.appendEntry(EntryMembership, next.Encode())
 		c.sendAppends()
 		c.advanceCommit()
 	}
-	c.handOut()
-	return c.out
+	c.deliverCommitted()
+	return c.effects
 }
 
 // proposals lists the memberships that a leader might propose.
@@ -594,8 +594,8 @@
 				ledger.leaders[n.core.term] = n.id
 			}
 		}
-		for index := Index(2); index <= n.core.commit; index++ {
-			entry := n.core.log.entries[index-2]
+		for index := Index(2); index <= n.core.commitIndex; index++ {
+			entry := n.core.raftLog.entries[index-2]
 			if int(index)-2 < len(ledger.committed) {
 				if known := ledger.committed[index-2]; known.entry.Term != entry.Term || string(known.entry.Data) != string(entry.Data) {
 					return fmt.Errorf("state machine safety: %d commits another entry than was committed at %d", n.id, index)
@@ -646,7 +646,7 @@
 		if known.entry.Kind == EntryMembership {
 			inForce = m.membership(known.entry.Data)
 		}
-		if term, held := c.log.term(known.entry.Index); c.term > known.by && (!held || term != known.entry.Term) {
+		if term, held := c.raftLog.term(known.entry.Index); c.term > known.by && (!held || term != known.entry.Term) {
 			return fmt.Errorf("leader completeness: %d leads term %d and lacks entry %d, committed in term %d", n.id, c.term, known.entry.Index, known.by)
 		}
 	}
@@ -654,12 +654,12 @@
 		return nil
 	}
 	open, before := 0, c.memberships[0].membership
-	for _, entry := range c.log.entries {
+	for _, entry := range c.raftLog.entries {
 		if entry.Kind != EntryMembership {
 			continue
 		}
 		membership := m.membership(entry.Data)
-		if entry.Index > c.commit && entry.Term == c.term {
+		if entry.Index > c.commitIndex && entry.Term == c.term {
 			open++
 		}
 		if voterChanges(before, membership) > 1 {
@@ -679,9 +679,9 @@
 // matching holds that two logs that agree in one entry agree in all before it.
 func matching(a, b *Core) error {
 	agree := false
-	for at := min(len(a.log.entries), len(b.log.entries)) - 1; at >= 0; at-- {
-		same := a.log.entries[at].Term == b.log.entries[at].Term
-		if same && string(a.log.entries[at].Data) != string(b.log.entries[at].Data) || agree && !same {
+	for at := min(len(a.raftLog.entries), len(b.raftLog.entries)) - 1; at >= 0; at-- {
+		same := a.raftLog.entries[at].Term == b.raftLog.entries[at].Term
+		if same && string(a.raftLog.entries[at].Data) != string(b.raftLog.entries[at].Data) || agree && !same {
 			return fmt.Errorf("log matching: %d and %d differ at %d", a.id, b.id, at+2)
 		}
 		agree = agree || same
@@ -716,7 +716,7 @@
 	}
 	s := &modelState{ledger: intern("", m.known, &m.ledgers, modelLedger{leaders: map[Term]MemberID{}})}
 	for place := range modelMembers {
-		disk := Restored{HardState: HardState{Term: 1}, Snapshot: Snapshot{Index: 1, Term: 1, Membership: members}}
+		disk := PersistentState{HardState: HardState{Term: 1}, Snapshot: Snapshot{Index: 1, Term: 1, Membership: members}}
 		id := MemberID(place + 1)
 		s.nodes[place] = m.node(modelNode{id: id, core: New(id, modelTiming, disk, rand.New(sameSource{})), disk: disk})
 	}
--- a/process/consensus/raft/parts_test.go
+++ b/process/consensus/raft/parts_test.go
@@ -11,12 +11,12 @@
 // leading makes a leader whose log was cut behind what its peers hold, with a snapshot of so many bytes.
 func leading(t *testing.T, bytesOfState int) *raft.Core {
 	t.Helper()
-	restored := raft.Restored{HardState: raft.HardState{Term: 2}, Snapshot: raft.Snapshot{
+	restored := raft.PersistentState{HardState: raft.HardState{Term: 2}, Snapshot: raft.Snapshot{
 		Index: 10, Term: 1, Membership: threeVoters(), Data: bytes.Repeat([]byte{7}, bytesOfState)}}
-	core := raft.New(self, raft.Timing{Heartbeat: 2, Election: 16}, restored, rand.New(rand.NewPCG(1, 1)))
+	core := raft.New(self, raft.Timing{HeartbeatTicks: 2, ElectionTicks: 16}, restored, rand.New(rand.NewPCG(1, 1)))
 	for core.Role() != raft.Candidate {
 		effects := core.Step(raft.Tick{})
-		for _, message := range effects.Later {
+		for _, message := range effects.AfterSync {
 			if message.Kind == raft.MsgPreVote {
 				core.Step(raft.Receive{Message: raft.Message{Kind: raft.MsgPreVoteReply, From: self, To: self, Term: message.Term}})
 				core.Step(raft.Receive{Message: raft.Message{Kind: raft.MsgPreVoteReply, From: leader, To: self, Term: message.Term}})
@@ -34,16 +34,16 @@
 
 // lags has the peer say that it holds nothing, as a member of this build or of the one before.
 func lags(core *raft.Core, takesParts bool) raft.Effects {
-	return core.Step(raft.Receive{Message: raft.Message{Kind: raft.MsgAppendReply, From: third, To: self, Term: core.Term(), Reject: true, TakesParts: takesParts}})
+	return core.Step(raft.Receive{Message: raft.Message{Kind: raft.MsgAppendReply, From: third, To: self, Term: core.Term(), Reject: true, AcceptsChunks: takesParts}})
 }
 
 func holds(core *raft.Core, offset uint64) raft.Effects {
-	return core.Step(raft.Receive{Message: raft.Message{Kind: raft.MsgSnapshotReply, From: third, To: self, Term: core.Term(), LogIndex: 10, LogTerm: 1, Offset: offset, TakesParts: true}})
+	return core.Step(raft.Receive{Message: raft.Message{Kind: raft.MsgSnapshotReply, From: third, To: self, Term: core.Term(), LogIndex: 10, LogTerm: 1, SnapshotOffset: offset, AcceptsChunks: true}})
 }
 
 func snapshotsOf(effects raft.Effects) []raft.Message {
 	var out []raft.Message
-	for _, message := range effects.Now {
+	for _, message := range effects.Immediate {
 		if message.Kind == raft.MsgSnapshot && message.To == third {
 			out = append(out, message)
 		}
@@ -57,11 +57,11 @@
 func TestLeaderResumesASnapshotAfterALoss(t *testing.T) {
 	core := leading(t, largeState)
 	first := snapshotsOf(lags(core, true))
-	if len(first) != 1 || first[0].Offset != 0 || first[0].Size != largeState || len(first[0].Snapshot.Data) != 256<<10 {
+	if len(first) != 1 || first[0].SnapshotOffset != 0 || first[0].SnapshotSize != largeState || len(first[0].Snapshot.Data) != 256<<10 {
 		t.Fatalf("first part: %d messages", len(first))
 	}
 	second := snapshotsOf(holds(core, 256<<10))
-	if len(second) != 1 || second[0].Offset != 256<<10 {
+	if len(second) != 1 || second[0].SnapshotOffset != 256<<10 {
 		t.Fatalf("second part: %+v", len(second))
 	}
 	// A reply that comes twice sends nothing twice, and the second part is lost.
@@ -72,14 +72,14 @@
 	for ticks := 0; len(resent) == 0 && ticks < 40; ticks++ {
 		effects := core.Step(raft.Tick{})
 		resent = snapshotsOf(effects)
-		core.Step(raft.Receive{Message: raft.Message{Kind: raft.MsgHeartbeatReply, From: leader, To: self, Term: core.Term(), TakesParts: true}})
-		core.Step(raft.Receive{Message: raft.Message{Kind: raft.MsgHeartbeatReply, From: third, To: self, Term: core.Term(), TakesParts: true}})
+		core.Step(raft.Receive{Message: raft.Message{Kind: raft.MsgHeartbeatReply, From: leader, To: self, Term: core.Term(), AcceptsChunks: true}})
+		core.Step(raft.Receive{Message: raft.Message{Kind: raft.MsgHeartbeatReply, From: third, To: self, Term: core.Term(), AcceptsChunks: true}})
 	}
-	if len(resent) != 1 || resent[0].Offset != 256<<10 {
+	if len(resent) != 1 || resent[0].SnapshotOffset != 256<<10 {
 		t.Fatalf("not resumed: %d messages", len(resent))
 	}
 	last := snapshotsOf(holds(core, 512<<10))
-	if len(last) != 1 || last[0].Offset+uint64(len(last[0].Snapshot.Data)) != largeState {
+	if len(last) != 1 || last[0].SnapshotOffset+uint64(len(last[0].Snapshot.Data)) != largeState {
 		t.Fatalf("last part: %d messages", len(last))
 	}
 }
@@ -97,7 +97,7 @@
 func TestWholeSnapshotOfAnEarlierBuildIsTaken(t *testing.T) {
 	core := member(10)
 	effects := receive(core, raft.Message{Kind: raft.MsgSnapshot, Term: 2, Snapshot: snapshotAt(15, 2)})
-	if effects.Install == nil {
+	if effects.InstallSnapshot == nil {
 		t.Error("not installed")
 	}
 }
@@ -108,11 +108,11 @@
 	lags(core, true)
 	last := core.LastIndex()
 	for range 30 {
-		last = core.Step(raft.Propose{Data: []byte("command")}).Proposed
+		last = core.Step(raft.Propose{Data: []byte("command")}).ProposedIndex
 	}
 	core.Step(raft.Persisted{Index: last, Term: core.Term()})
-	core.Step(raft.Receive{Message: raft.Message{Kind: raft.MsgAppendReply, From: leader, To: self, Term: core.Term(), LogIndex: last, TakesParts: true}})
-	core.Step(raft.Compact{Index: last, Data: []byte("state"), Keep: 3})
+	core.Step(raft.Receive{Message: raft.Message{Kind: raft.MsgAppendReply, From: leader, To: self, Term: core.Term(), LogIndex: last, AcceptsChunks: true}})
+	core.Step(raft.Compact{Index: last, Data: []byte("state"), RetainEntries: 3})
 	if core.SnapshotIndex() != last {
 		t.Fatal("the log was not cut")
 	}
@@ -123,7 +123,7 @@
 		t.Errorf("the snapshot on its way was given up: %d messages", len(next))
 	}
 	// Once the peer holds it the log goes on from there, and the next cut is whole.
-	effects := core.Step(raft.Receive{Message: raft.Message{Kind: raft.MsgAppendReply, From: third, To: self, Term: core.Term(), LogIndex: 10, TakesParts: true}})
+	effects := core.Step(raft.Receive{Message: raft.Message{Kind: raft.MsgAppendReply, From: third, To: self, Term: core.Term(), LogIndex: 10, AcceptsChunks: true}})
 	if len(snapshotsOf(effects)) != 0 {
 		t.Error("another snapshot is sent")
 	}
@@ -138,15 +138,15 @@
 	for name, snapshot := range map[string]*raft.Snapshot{"checksum": damaged, "empty": empty, "unreadable": snapshotAt(15, 2)} {
 		t.Run(name, func(t *testing.T) {
 			core := member(12)
-			core.CheckSnapshots(func(raft.Snapshot) error { return raft.ErrEmptySnapshot })
-			effects := receive(core, raft.Message{Kind: raft.MsgSnapshot, Term: 2, Snapshot: snapshot, Size: uint64(len(snapshot.Data))})
-			if effects.Install != nil || effects.Save != nil || core.LastIndex() != 12 || core.CommitIndex() != 10 {
+			core.SetSnapshotCheck(func(raft.Snapshot) error { return raft.ErrEmptySnapshot })
+			effects := receive(core, raft.Message{Kind: raft.MsgSnapshot, Term: 2, Snapshot: snapshot, SnapshotSize: uint64(len(snapshot.Data))})
+			if effects.InstallSnapshot != nil || effects.Save != nil || core.LastIndex() != 12 || core.CommitIndex() != 10 {
 				t.Errorf("it changed something: %+v", effects)
 			}
-			if len(effects.Notices) != 1 || effects.Notices[0].Kind != raft.NoticeSnapshotRefused || effects.Notices[0].Err == nil {
+			if len(effects.Notices) != 1 || effects.Notices[0].Kind != raft.NoticeSnapshotRejected || effects.Notices[0].Err == nil {
 				t.Errorf("not counted: %+v", effects.Notices)
 			}
-			asked := append(effects.Now, effects.Later...)
+			asked := append(effects.Immediate, effects.AfterSync...)
 			if len(asked) != 1 || !asked[0].Reject {
 				t.Errorf("not asked for anew: %+v", asked)
 			}
@@ -163,11 +163,11 @@
 	for range 40 {
 		effects := core.Step(raft.Tick{})
 		for _, peer := range []raft.MemberID{leader, third} {
-			core.Step(raft.Receive{Message: raft.Message{Kind: raft.MsgHeartbeatReply, From: peer, To: self, Term: core.Term(), TakesParts: true}})
+			core.Step(raft.Receive{Message: raft.Message{Kind: raft.MsgHeartbeatReply, From: peer, To: self, Term: core.Term(), AcceptsChunks: true}})
 		}
 		if sent := snapshotsOf(effects); len(sent) == 1 {
-			if sent[0].Offset != 0 {
-				t.Errorf("sent again from %d", sent[0].Offset)
+			if sent[0].SnapshotOffset != 0 {
+				t.Errorf("sent again from %d", sent[0].SnapshotOffset)
 			}
 			return
 		}
@@ -182,7 +182,7 @@
 	sent := 0
 	for range 400 {
 		sent += len(snapshotsOf(core.Step(raft.Tick{})))
-		core.Step(raft.Receive{Message: raft.Message{Kind: raft.MsgHeartbeatReply, From: leader, To: self, Term: core.Term(), TakesParts: true}})
+		core.Step(raft.Receive{Message: raft.Message{Kind: raft.MsgHeartbeatReply, From: leader, To: self, Term: core.Term(), AcceptsChunks: true}})
 	}
 	if sent > 2 {
 		t.Errorf("%d parts were sent to a peer that says nothing", sent)
--- a/process/consensus/raft/reads.go
+++ b/process/consensus/raft/reads.go
@@ -5,30 +5,30 @@
 // Linearizable reads by read index.
 
 type pendingRead struct {
-	ref, mark uint64
-	index     Index
-	acks      map[MemberID]bool
+	requestID, round uint64
+	index            Index
+	acks             map[MemberID]bool
 }
 
 // read is answered once a majority has said, after it was asked, that this member still leads.
-func (c *Core) read(ref uint64) {
+func (c *Core) handleRead(ref uint64) {
 	if c.role != Leader || !c.CommittedInTerm() {
-		c.out.Reads = append(c.out.Reads, ReadReady{Ref: ref})
+		c.effects.ReadStates = append(c.effects.ReadStates, ReadState{RequestID: ref})
 		return
 	}
-	c.readMark++
-	c.reads = append(c.reads, pendingRead{ref: ref, mark: c.readMark, index: c.commit, acks: map[MemberID]bool{}})
-	if c.majority(func(id MemberID) bool { return id == c.id }) {
-		last := c.reads[len(c.reads)-1]
-		c.reads = c.reads[:len(c.reads)-1]
-		c.out.Reads = append(c.out.Reads, ReadReady{Ref: ref, Index: last.index, OK: true})
+	c.heartbeatRound++
+	c.pendingReads = append(c.pendingReads, pendingRead{requestID: ref, round: c.heartbeatRound, index: c.commitIndex, acks: map[MemberID]bool{}})
+	if c.hasQuorum(func(id MemberID) bool { return id == c.id }) {
+		last := c.pendingReads[len(c.pendingReads)-1]
+		c.pendingReads = c.pendingReads[:len(c.pendingReads)-1]
+		c.effects.ReadStates = append(c.effects.ReadStates, ReadState{RequestID: ref, Index: last.index, OK: true})
 		return
 	}
 	c.sendHeartbeats()
 }
 
 // HeartbeatRound numbers the newest round of heartbeats that this member sent as the leader.
-func (c *Core) HeartbeatRound() uint64 { return c.readMark }
+func (c *Core) HeartbeatRound() uint64 { return c.heartbeatRound }
 
 // QuorumRound is the newest round of heartbeats that a majority replied to in this leader's term; zero where
 // there is none, or where this member does not lead.
@@ -36,17 +36,17 @@
 	if c.role != Leader {
 		return 0
 	}
-	var answered []uint64
+	var acknowledged []uint64
 	for _, id := range c.Membership().Voters() {
 		if id == c.id {
-			answered = append(answered, c.readMark)
+			acknowledged = append(acknowledged, c.heartbeatRound)
 			continue
 		}
-		answered = append(answered, c.peers[id].repliedRound)
+		acknowledged = append(acknowledged, c.peers[id].acknowledgedRound)
 	}
-	if len(answered) == 0 {
+	if len(acknowledged) == 0 {
 		return 0
 	}
-	slices.Sort(answered)
-	return answered[(len(answered)-1)/2]
+	slices.Sort(acknowledged)
+	return acknowledged[(len(acknowledged)-1)/2]
 }
--- a/process/consensus/raft/replication.go
+++ b/process/consensus/raft/replication.go
@@ -8,33 +8,35 @@
 type progress struct {
 	match, next Index
 	// heard says that the member answered since the last quorum check.
-	heard bool
+	recentActive bool
 	// silent counts the quorum checks since the member last answered.
-	silent int
+	inactiveChecks int
 	// probing sends one append at a time until the logs are known to meet.
 	probing bool
 	// takesParts says that the member takes snapshots in parts.
-	takesParts bool
+	acceptsChunks bool
 	// repliedRound is the newest round of heartbeats that the member replied to.
-	repliedRound uint64
+	acknowledgedRound uint64
 	// awaited is the last entry of a large append under way, awaitedFor how many ticks it may still take.
-	awaited    Index
-	awaitedFor int
+	inflightIndex Index
+	inflightTicks int
 	// sending is the snapshot on its way to the member, if there is one.
-	sending *outgoing
+	outgoing *outgoingSnapshot
 }
 
 // spoke notes that the member answered.
-func (p *progress) spoke(m Message) { p.heard, p.silent, p.takesParts = true, 0, m.TakesParts }
+func (p *progress) recordReply(message Message) {
+	p.recentActive, p.inactiveChecks, p.acceptsChunks = true, 0, message.AcceptsChunks
+}
 
 // mostEntriesPerAppend and mostBytesPerAppend bound one message: a heartbeat waits behind it.
 const (
-	mostEntriesPerAppend = 256
-	mostBytesPerAppend   = 512 << 10
+	maxEntriesPerAppend = 256
+	maxBytesPerAppend   = 512 << 10
 )
 
 // MatchOf is how far a member's log is known to agree; only a leader knows.
-func (c *Core) MatchOf(id MemberID) Index {
+func (c *Core) MatchIndex(id MemberID) Index {
 	if peer := c.peers[id]; peer != nil {
 		return peer.match
 	}
@@ -43,41 +45,41 @@
 
 // CommittedInTerm says whether a leader has committed an entry of its own term.
 func (c *Core) CommittedInTerm() bool {
-	term, ok := c.log.term(c.commit)
+	term, ok := c.raftLog.term(c.commitIndex)
 	return ok && term == c.term
 }
 
 func (c *Core) tickLeader() {
-	c.sinceBeat++
-	c.sinceCheck++
-	if c.transferTo != 0 {
-		if c.transferFor++; c.transferFor > c.timing.Election {
-			c.transferTo, c.transferFor = 0, 0
+	c.heartbeatElapsed++
+	c.quorumCheckElapsed++
+	if c.transferTarget != 0 {
+		if c.transferElapsed++; c.transferElapsed > c.timing.ElectionTicks {
+			c.transferTarget, c.transferElapsed = 0, 0
 		}
 	}
 	for _, peer := range c.peers {
 		peer.tick()
 	}
-	if c.sinceCheck >= c.timing.Election {
-		c.sinceCheck = 0
+	if c.quorumCheckElapsed >= c.timing.ElectionTicks {
+		c.quorumCheckElapsed = 0
 		// Check-quorum: a leader that a majority no longer answers steps down, so it can't mislead those cut off with it.
-		if !c.majority(func(id MemberID) bool { return id == c.id || c.peers[id].heard }) {
+		if !c.hasQuorum(func(id MemberID) bool { return id == c.id || c.peers[id].recentActive }) {
 			c.become(Follower, 0)
 			return
 		}
 		for _, peer := range c.peers {
-			if !peer.heard {
+			if !peer.recentActive {
 				// Nothing is kept for one that says nothing; it tells how much it holds when it is back.
-				peer.silent++
-				peer.sending = nil
+				peer.inactiveChecks++
+				peer.outgoing = nil
 			}
-			peer.heard = false
+			peer.recentActive = false
 		}
 	}
-	if c.sinceBeat >= c.timing.Heartbeat {
-		c.sinceBeat = 0
+	if c.heartbeatElapsed >= c.timing.HeartbeatTicks {
+		c.heartbeatElapsed = 0
 		// Each round has a number of its own, so that its replies can't be taken for those to an earlier one.
-		c.readMark++
+		c.heartbeatRound++
 		c.sendHeartbeats()
 		c.sendAppends()
 	}
@@ -90,30 +92,30 @@
 	if c.role != Follower || c.leader != leader {
 		c.become(Follower, leader)
 	}
-	c.sinceLeader = 0
+	c.electionElapsed = 0
 }
 
 // appendOwn puts an entry of this leader's term at the end of the log.
-func (c *Core) appendOwn(kind EntryKind, data []byte) Index {
-	entry := Entry{Term: c.term, Index: c.log.last() + 1, Kind: kind, Data: data}
-	c.log.entries = append(c.log.entries, entry)
-	save := c.save()
+func (c *Core) appendEntry(kind EntryKind, data []byte) Index {
+	entry := Entry{Term: c.term, Index: c.raftLog.lastIndex() + 1, Kind: kind, Data: data}
+	c.raftLog.entries = append(c.raftLog.entries, entry)
+	save := c.pendingSave()
 	save.Entries = append(save.Entries, entry)
-	c.noteMemberships([]Entry{entry})
+	c.adoptMemberships([]Entry{entry})
 	return entry.Index
 }
 
-func (c *Core) persisted(e Persisted) {
+func (c *Core) handlePersisted(report Persisted) {
 	// A report about entries since cut away proves nothing.
-	if term, ok := c.log.term(e.Index); !ok || term != e.Term {
+	if term, known := c.raftLog.term(report.Index); !known || term != report.Term {
 		return
 	}
-	if e.Index > c.log.stable {
-		c.log.stable = e.Index
+	if report.Index > c.raftLog.stableIndex {
+		c.raftLog.stableIndex = report.Index
 	}
 	if c.role == Leader {
-		if own := c.peers[c.id]; own != nil {
-			own.match = max(own.match, c.log.stable)
+		if self := c.peers[c.id]; self != nil {
+			self.match = max(self.match, c.raftLog.stableIndex)
 		}
 		c.advanceCommit()
 	}
@@ -128,10 +130,10 @@
 		return
 	}
 	slices.Sort(matches)
-	reached := matches[(len(matches)-1)/2]
+	quorumIndex := matches[(len(matches)-1)/2]
 	// Only an entry of the leader's own term may be committed by counting; those before it follow.
-	if term, ok := c.log.term(reached); ok && term == c.term && reached > c.commit {
-		c.commitTo(reached)
+	if term, ok := c.raftLog.term(quorumIndex); ok && term == c.term && quorumIndex > c.commitIndex {
+		c.commitTo(quorumIndex)
 		c.sendAppends()
 		// A leader that has committed its own removal leaves.
 		if !c.isVoter() && c.membershipCommitted() {
@@ -141,15 +143,15 @@
 }
 
 func (c *Core) commitTo(index Index) {
-	if index > c.commit {
-		c.commit = index
+	if index > c.commitIndex {
+		c.commitIndex = index
 	}
 }
 
 func (c *Core) sendHeartbeats() {
 	for _, id := range c.peerIDs() {
 		if peer := c.peers[id]; id != c.id {
-			c.now(Message{Kind: MsgHeartbeat, To: id, Commit: min(peer.match, c.commit), ReadMark: c.readMark})
+			c.sendImmediately(Message{Kind: MsgHeartbeat, To: id, Commit: min(peer.match, c.commitIndex), HeartbeatRound: c.heartbeatRound})
 		}
 	}
 }
@@ -175,89 +177,89 @@
 
 func (c *Core) sendAppend(id MemberID, peer *progress) {
 	previous := peer.next - 1
-	previousTerm, ok := c.log.term(previous)
-	if !ok || (peer.next <= c.log.last() && len(c.log.from(peer.next, 1)) == 0) {
+	previousTerm, ok := c.raftLog.term(previous)
+	if !ok || (peer.next <= c.raftLog.lastIndex() && len(c.raftLog.entriesFrom(peer.next, 1)) == 0) {
 		// What the member lacks is gone from the log, so it gets the whole state, and not on every beat.
-		c.sendSnapshot(id, peer)
+		c.sendSnapshotChunk(id, peer)
 		return
 	}
-	peer.sending = nil
-	if peer.awaits() {
+	peer.outgoing = nil
+	if peer.appendInFlight() {
 		return
 	}
-	entries := c.log.part(peer.next, mostEntriesPerAppend, mostBytesPerAppend)
-	peer.sentAppend(entries)
-	c.now(Message{Kind: MsgAppend, To: id, LogIndex: previous, LogTerm: previousTerm, Entries: entries, Commit: c.commit})
+	entries := c.raftLog.entriesWithin(peer.next, maxEntriesPerAppend, maxBytesPerAppend)
+	peer.trackAppend(entries)
+	c.sendImmediately(Message{Kind: MsgAppend, To: id, LogIndex: previous, LogTerm: previousTerm, Entries: entries, Commit: c.commitIndex})
 	if !peer.probing && len(entries) > 0 {
 		peer.next = entries[len(entries)-1].Index + 1
 	}
 }
 
-func (c *Core) takeAppend(m Message) {
-	if m.LogIndex < c.commit {
+func (c *Core) handleAppend(message Message) {
+	if message.LogIndex < c.commitIndex {
 		// What is committed here can't be other than what the leader has.
-		c.acknowledge(m.From, c.commit)
+		c.acknowledge(message.From, c.commitIndex)
 		return
 	}
-	if term, ok := c.log.term(m.LogIndex); !ok || term != m.LogTerm {
-		c.later(Message{Kind: MsgAppendReply, To: m.From, Term: c.term, Reject: true, LogIndex: m.LogIndex, Hint: min(c.log.last(), m.LogIndex-1), TakesParts: true})
+	if term, ok := c.raftLog.term(message.LogIndex); !ok || term != message.LogTerm {
+		c.sendAfterSync(Message{Kind: MsgAppendReply, To: message.From, Term: c.term, Reject: true, LogIndex: message.LogIndex, Hint: min(c.raftLog.lastIndex(), message.LogIndex-1), AcceptsChunks: true})
 		return
 	}
-	fresh := m.Entries
-	for len(fresh) > 0 {
-		term, ok := c.log.term(fresh[0].Index)
-		if !ok || term != fresh[0].Term {
+	newEntries := message.Entries
+	for len(newEntries) > 0 {
+		term, ok := c.raftLog.term(newEntries[0].Index)
+		if !ok || term != newEntries[0].Term {
 			break
 		}
-		fresh = fresh[1:]
+		newEntries = newEntries[1:]
 	}
-	if len(fresh) > 0 {
-		first := fresh[0].Index
-		save := c.save()
-		if first <= c.log.last() {
-			if first <= c.commit {
+	if len(newEntries) > 0 {
+		first := newEntries[0].Index
+		save := c.pendingSave()
+		if first <= c.raftLog.lastIndex() {
+			if first <= c.commitIndex {
 				panic("broken invariant: a committed entry would be replaced")
 			}
-			c.log.truncateFrom(first)
-			c.dropMembershipsFrom(first)
+			c.raftLog.truncateFrom(first)
+			c.discardMembershipsFrom(first)
 			save.TruncateFrom = first
 		}
-		c.log.entries = append(c.log.entries, fresh...)
-		c.noteMemberships(fresh)
-		save.Entries = append(save.Entries, fresh...)
+		c.raftLog.entries = append(c.raftLog.entries, newEntries...)
+		c.adoptMemberships(newEntries)
+		save.Entries = append(save.Entries, newEntries...)
 	}
-	agreed := m.LogIndex + Index(len(m.Entries))
-	c.commitTo(min(m.Commit, agreed))
-	c.acknowledge(m.From, agreed)
+	matchIndex := message.LogIndex + Index(len(message.Entries))
+	c.commitTo(min(message.Commit, matchIndex))
+	c.acknowledge(message.From, matchIndex)
 }
 
 // acknowledge tells the leader that the log agrees with its own up to index, once that is on disk.
 func (c *Core) acknowledge(leader MemberID, index Index) {
-	c.later(Message{Kind: MsgAppendReply, To: leader, Term: c.term, LogIndex: index, TakesParts: true})
+	c.sendAfterSync(Message{Kind: MsgAppendReply, To: leader, Term: c.term, LogIndex: index, AcceptsChunks: true})
 }
 
-func (c *Core) takeAppendReply(m Message) {
-	peer := c.peers[m.From]
+func (c *Core) handleAppendReply(message Message) {
+	peer := c.peers[message.From]
 	if c.role != Leader || peer == nil {
 		return
 	}
-	peer.spoke(m)
-	awaited := peer.answered(m)
-	if m.Reject {
+	peer.recordReply(message)
+	inflightAcknowledged := peer.acknowledgeAppend(message)
+	if message.Reject {
 		// Fall back to where the logs may meet, never before what is known to agree.
 		peer.probing = true
-		peer.next = max(peer.match+1, min(m.Hint+1, peer.next-1))
-		c.sendAppend(m.From, peer)
+		peer.next = max(peer.match+1, min(message.Hint+1, peer.next-1))
+		c.sendAppend(message.From, peer)
 		return
 	}
-	if m.LogIndex > c.log.last() {
+	if message.LogIndex > c.raftLog.lastIndex() {
 		return
 	}
-	if m.LogIndex > peer.match {
-		peer.match = m.LogIndex
+	if message.LogIndex > peer.match {
+		peer.match = message.LogIndex
 	}
-	if peer.sending != nil && peer.match >= peer.sending.snapshot.Index {
-		peer.sending = nil
+	if peer.outgoing != nil && peer.match >= peer.outgoing.snapshot.Index {
+		peer.outgoing = nil
 	}
 	wasProbing := peer.probing
 	peer.probing = false
@@ -266,34 +268,34 @@
 	if c.role != Leader {
 		return
 	}
-	if (wasProbing || awaited) && peer.next <= c.log.last() {
-		c.sendAppend(m.From, peer)
+	if (wasProbing || inflightAcknowledged) && peer.next <= c.raftLog.lastIndex() {
+		c.sendAppend(message.From, peer)
 	}
-	c.flushTransfer()
+	c.sendTimeoutNow()
 }
 
-func (c *Core) takeHeartbeatReply(m Message) {
-	peer := c.peers[m.From]
+func (c *Core) handleHeartbeatReply(message Message) {
+	peer := c.peers[message.From]
 	if c.role != Leader || peer == nil {
 		return
 	}
-	peer.spoke(m)
-	peer.repliedRound = max(peer.repliedRound, m.ReadMark)
+	peer.recordReply(message)
+	peer.acknowledgedRound = max(peer.acknowledgedRound, message.HeartbeatRound)
 	// Appends may have been lost on the way; a heartbeat's answer is the time to look again.
-	if peer.match < c.log.last() && !peer.awaits() {
+	if peer.match < c.raftLog.lastIndex() && !peer.appendInFlight() {
 		peer.next = peer.match + 1
 		peer.probing = true
 	}
-	kept := c.reads[:0]
-	for _, read := range c.reads {
-		if m.ReadMark >= read.mark {
-			read.acks[m.From] = true
+	unconfirmed := c.pendingReads[:0]
+	for _, read := range c.pendingReads {
+		if message.HeartbeatRound >= read.round {
+			read.acks[message.From] = true
 		}
-		if c.majority(func(id MemberID) bool { return id == c.id || read.acks[id] }) {
-			c.out.Reads = append(c.out.Reads, ReadReady{Ref: read.ref, Index: read.index, OK: true})
+		if c.hasQuorum(func(id MemberID) bool { return id == c.id || read.acks[id] }) {
+			c.effects.ReadStates = append(c.effects.ReadStates, ReadState{RequestID: read.requestID, Index: read.index, OK: true})
 			continue
 		}
-		kept = append(kept, read)
+		unconfirmed = append(unconfirmed, read)
 	}
-	c.reads = kept
+	c.pendingReads = unconfirmed
 }
--- a/process/consensus/raft/save_test.go
+++ b/process/consensus/raft/save_test.go
@@ -10,14 +10,14 @@
 )
 
 // written is what a disk holds after a write.
-func written(disk raft.Restored, save raft.Save) raft.Restored {
+func written(disk raft.PersistentState, save raft.Save) raft.PersistentState {
 	m := modelMember{disk: disk}
 	m.write(save)
 	return m.disk
 }
 
 // randomSave is a write as a core makes them: entries follow each other, and cuts come with a snapshot.
-func randomSave(random *rand.Rand, disk raft.Restored) raft.Save {
+func randomSave(random *rand.Rand, disk raft.PersistentState) raft.Save {
 	last := disk.Snapshot.Index
 	if n := len(disk.Entries); n > 0 {
 		last = max(last, disk.Entries[n-1].Index)
@@ -47,7 +47,7 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	caught := 0
 	for range 20000 {
-		disk := raft.Restored{Snapshot: raft.Snapshot{Index: 10}, Entries: entries(1, 8, 15)}
+		disk := raft.PersistentState{Snapshot: raft.Snapshot{Index: 10}, Entries: entries(1, 8, 15)}
 		one := randomSave(random, disk)
 		after := written(disk, one)
 		two := randomSave(random, after)
@@ -74,7 +74,7 @@
 	}
 }
 
-func sameDisk(a, b raft.Restored) bool {
+func sameDisk(a, b raft.PersistentState) bool {
 	if len(a.Entries) == 0 && len(b.Entries) == 0 {
 		a.Entries, b.Entries = nil, nil
 	}
--- a/process/consensus/raft/snapshot_test.go
+++ b/process/consensus/raft/snapshot_test.go
@@ -22,12 +22,12 @@
 
 // member restores a member with a snapshot at index 10 and entries of term 2 up to last.
 func member(last raft.Index) *raft.Core {
-	restored := raft.Restored{
+	restored := raft.PersistentState{
 		HardState: raft.HardState{Term: 2},
 		Snapshot:  raft.Snapshot{Index: 10, Term: 1, Membership: threeVoters(), Data: []byte("{}")},
 		Entries:   entries(2, 11, last),
 	}
-	return raft.New(self, raft.Timing{Heartbeat: 2, Election: 16}, restored, rand.New(rand.NewPCG(1, 1)))
+	return raft.New(self, raft.Timing{HeartbeatTicks: 2, ElectionTicks: 16}, restored, rand.New(rand.NewPCG(1, 1)))
 }
 
 func entries(term raft.Term, from, to raft.Index) []raft.Entry {
@@ -57,12 +57,12 @@
 
 func wantAcknowledged(t *testing.T, effects raft.Effects, index raft.Index) {
 	t.Helper()
-	for _, message := range effects.Later {
+	for _, message := range effects.AfterSync {
 		if message.Kind == raft.MsgAppendReply && !message.Reject && message.LogIndex == index {
 			return
 		}
 	}
-	t.Errorf("index %d was not acknowledged: %+v", index, effects.Later)
+	t.Errorf("index %d was not acknowledged: %+v", index, effects.AfterSync)
 }
 
 // An entry that this member acknowledged may have been counted for a commit. A snapshot of an earlier place that
@@ -81,8 +81,8 @@
 	wantTerm(t, core, 20, 2)
 	wantAcknowledged(t, effects, 15)
 	// The snapshot proves its own place committed; the state gets there by the entries that the log holds.
-	if core.CommitIndex() != 15 || effects.Install != nil {
-		t.Errorf("commit %d, installed %t", core.CommitIndex(), effects.Install != nil)
+	if core.CommitIndex() != 15 || effects.InstallSnapshot != nil {
+		t.Errorf("commit %d, installed %t", core.CommitIndex(), effects.InstallSnapshot != nil)
 	}
 	if !reflect.DeepEqual(effects.Committed, entries(2, 11, 15)) {
 		t.Errorf("committed %+v", effects.Committed)
@@ -93,7 +93,7 @@
 func TestSnapshotReplacesConflictingLog(t *testing.T) {
 	core := member(20)
 	effects := receive(core, raft.Message{Kind: raft.MsgSnapshot, Term: 3, Snapshot: snapshotAt(15, 3)})
-	if effects.Install == nil || effects.Save == nil || effects.Save.TruncateFrom != 1 {
+	if effects.InstallSnapshot == nil || effects.Save == nil || effects.Save.TruncateFrom != 1 {
 		t.Fatalf("not installed: %+v", effects)
 	}
 	if core.LastIndex() != 15 || core.CommitIndex() != 15 {
@@ -106,7 +106,7 @@
 func TestSnapshotBeyondTheLogIsInstalled(t *testing.T) {
 	core := member(12)
 	effects := receive(core, raft.Message{Kind: raft.MsgSnapshot, Term: 2, Snapshot: snapshotAt(15, 2)})
-	if effects.Install == nil || core.LastIndex() != 15 || core.SnapshotIndex() != 15 {
+	if effects.InstallSnapshot == nil || core.LastIndex() != 15 || core.SnapshotIndex() != 15 {
 		t.Errorf("not installed: %+v", effects)
 	}
 	// Appends go on behind it.
@@ -133,7 +133,7 @@
 	core := member(20)
 	receive(core, raft.Message{Kind: raft.MsgAppend, Term: 2, LogIndex: 20, LogTerm: 2, Commit: 18})
 	effects := receive(core, raft.Message{Kind: raft.MsgSnapshot, Term: 2, Snapshot: snapshotAt(15, 2)})
-	if effects.Install != nil || effects.Save != nil || core.LastIndex() != 20 {
+	if effects.InstallSnapshot != nil || effects.Save != nil || core.LastIndex() != 20 {
 		t.Errorf("state was given up: %+v", effects)
 	}
 	wantAcknowledged(t, effects, 18)
@@ -142,7 +142,7 @@
 // Entries kept before a snapshot hold memberships that the snapshot holds already, in the order of the log.
 func TestMembershipsBeforeTheSnapshotAreNotTakenTwice(t *testing.T) {
 	before := threeVoters().Without(third)
-	restored := raft.Restored{
+	restored := raft.PersistentState{
 		HardState: raft.HardState{Term: 2},
 		Snapshot:  raft.Snapshot{Index: 10, Term: 2, Membership: threeVoters(), Data: []byte("{}")},
 		Entries: []raft.Entry{
@@ -152,7 +152,7 @@
 			{Term: 2, Index: 11, Kind: raft.EntryMembership, Data: before.Encode()},
 		},
 	}
-	core := raft.New(self, raft.Timing{Heartbeat: 2, Election: 16}, restored, rand.New(rand.NewPCG(1, 1)))
+	core := raft.New(self, raft.Timing{HeartbeatTicks: 2, ElectionTicks: 16}, restored, rand.New(rand.NewPCG(1, 1)))
 	if len(core.Membership().Members) != 2 {
 		t.Fatalf("the newest membership is not in force: %+v", core.Membership())
 	}
--- a/process/consensus/raft/types.go
+++ b/process/consensus/raft/types.go
@@ -88,15 +88,15 @@
 
 // With gives a copy in which this member is added or replaced.
 func (m Membership) With(member Member) Membership {
-	out := m.Without(member.ID)
-	out.Members = append(out.Members, member)
-	return out
+	changed := m.Without(member.ID)
+	changed.Members = append(changed.Members, member)
+	return changed
 }
 
 // Without gives a copy that lacks this member.
 func (m Membership) Without(id MemberID) Membership {
-	kept := slices.DeleteFunc(slices.Clone(m.Members), func(member Member) bool { return member.ID == id })
-	return Membership{Members: kept}
+	remaining := slices.DeleteFunc(slices.Clone(m.Members), func(member Member) bool { return member.ID == id })
+	return Membership{Members: remaining}
 }
 
 // MessageKind tells what a message asks or says.
@@ -129,23 +129,23 @@
 
 // Message is what members say to each other.
 type Message struct {
-	Kind     MessageKind
-	From, To MemberID
-	Term     Term
-	LogIndex Index
-	LogTerm  Term
-	Commit   Index
-	Reject   bool
-	Hint     Index
-	ReadMark uint64
-	Entries  []Entry
+	Kind           MessageKind
+	From, To       MemberID
+	Term           Term
+	LogIndex       Index
+	LogTerm        Term
+	Commit         Index
+	Reject         bool
+	Hint           Index
+	HeartbeatRound uint64
+	Entries        []Entry
 	// Snapshot is, in a MsgSnapshot, a part of the leader's snapshot: its Data begins at Offset of Size bytes. A Size
 	// of zero says that Data is the whole, as earlier builds send it.
 	Snapshot *Snapshot
 	// Offset is, in a MsgSnapshotReply, how many bytes are held of the snapshot at LogIndex and LogTerm.
-	Offset, Size uint64
+	SnapshotOffset, SnapshotSize uint64
 	// TakesParts says that the sender of a reply takes snapshots in parts.
-	TakesParts bool
+	AcceptsChunks bool
 	// StateDigest travels with heartbeats and their replies. The core does not look at it.
 	StateDigest *StateDigest
 }
@@ -154,7 +154,7 @@
 type StateDigest struct {
 	Index Index
 	// Form tells builds apart that keep another state: only digests of one form can be compared.
-	Form, Sum uint64
+	Format, Sum uint64
 	// Differs says that a majority's digest is this one, and the receiver's another.
 	Differs bool
 }
@@ -205,26 +205,26 @@
 }
 
 // ReadReady says that the state applied up to Index answers the read asked with Ref.
-type ReadReady struct {
-	Ref   uint64
-	Index Index
-	OK    bool
+type ReadState struct {
+	RequestID uint64
+	Index     Index
+	OK        bool
 }
 
 // Effects is what a step wants done.
 type Effects struct {
 	// Save goes to disk. Later leaves only when this and every earlier save is synced.
-	Save  *Save
-	Later []Message
+	Save      *Save
+	AfterSync []Message
 	// Now may leave at once.
-	Now []Message
+	Immediate []Message
 	// Install is a snapshot the replicated state must take over before Committed is applied.
-	Install   *Snapshot
-	Committed []Entry
-	Reads     []ReadReady
+	InstallSnapshot *Snapshot
+	Committed       []Entry
+	ReadStates      []ReadState
 	// Proposed says where a proposal was put; zero when it was refused.
-	Proposed     Index
-	ProposedTerm Term
+	ProposedIndex Index
+	ProposedTerm  Term
 	// Notices tell what an operator may want to know.
 	Notices []Notice
 }
@@ -236,11 +236,11 @@
 	// NoticeSnapshotSent says that a leader began to send its snapshot to a peer.
 	NoticeSnapshotSent NoticeKind = iota + 1
 	// NoticeSnapshotTaken says that a leader's snapshot took the place of the own state.
-	NoticeSnapshotTaken
+	NoticeSnapshotInstalled
 	// NoticeSnapshotRefused says that a snapshot could not be used, so that the own state was kept.
-	NoticeSnapshotRefused
+	NoticeSnapshotRejected
 	// NoticeMessageRefused says that a message can't be of a sound member, so that it changed nothing.
-	NoticeMessageRefused
+	NoticeMessageRejected
 	// NoticeStateDiffers says that a peer's state, or the own one, is another than it should be.
 	NoticeStateDiffers
 )
@@ -249,11 +249,11 @@
 	switch k {
 	case NoticeSnapshotSent:
 		return "snapshot sent"
-	case NoticeSnapshotTaken:
+	case NoticeSnapshotInstalled:
 		return "snapshot taken"
-	case NoticeSnapshotRefused:
+	case NoticeSnapshotRejected:
 		return "snapshot refused"
-	case NoticeMessageRefused:
+	case NoticeMessageRejected:
 		return "message refused"
 	case NoticeStateDiffers:
 		return "state differs"
@@ -288,7 +288,7 @@
 type ProposeMembership struct{ Membership Membership }
 
 // Read asks for a point at which a read is linearizable.
-type Read struct{ Ref uint64 }
+type Read struct{ RequestID uint64 }
 
 // Persisted says that the log is synced up to this entry.
 type Persisted struct {
@@ -300,25 +300,25 @@
 type DiskStalled struct{ Stalled bool }
 
 // Transfer asks the leader to hand over.
-type Transfer struct{}
+type TransferLeadership struct{}
 
 // StandDown says that this member stood still for so long that another may lead.
-type StandDown struct{}
+type StepDown struct{}
 
 // Compact hands in a snapshot of the applied state; Keep entries stay before it.
 type Compact struct {
-	Index Index
-	Data  []byte
-	Keep  int
+	Index         Index
+	Data          []byte
+	RetainEntries int
 }
 
-func (Tick) raftEvent()              {}
-func (Receive) raftEvent()           {}
-func (Propose) raftEvent()           {}
-func (ProposeMembership) raftEvent() {}
-func (Read) raftEvent()              {}
-func (Persisted) raftEvent()         {}
-func (DiskStalled) raftEvent()       {}
-func (Transfer) raftEvent()          {}
-func (StandDown) raftEvent()         {}
-func (Compact) raftEvent()           {}
+func (Tick) raftEvent()               {}
+func (Receive) raftEvent()            {}
+func (Propose) raftEvent()            {}
+func (ProposeMembership) raftEvent()  {}
+func (Read) raftEvent()               {}
+func (Persisted) raftEvent()          {}
+func (DiskStalled) raftEvent()        {}
+func (TransferLeadership) raftEvent() {}
+func (StepDown) raftEvent()           {}
+func (Compact) raftEvent()            {}
--- a/process/consensus/raft/validate.go
+++ b/process/consensus/raft/validate.go
@@ -12,12 +12,12 @@
 const (
 	// mostTerm and mostIndex bound what a message may name: whatever is above them no group ever reached, and
 	// counting on from there could overflow.
-	mostTerm  Term  = 1 << 48
-	mostIndex Index = 1 << 56
+	maxTerm  Term  = 1 << 48
+	maxIndex Index = 1 << 56
 	// mostTermStep bounds how far a message may raise a member's term at once.
-	mostTermStep Term = 1 << 32
+	maxTermIncrease Term = 1 << 32
 	// mostSnapshotBytes bounds what is gathered of a snapshot that comes in parts.
-	mostSnapshotBytes = 1 << 30
+	maxSnapshotBytes = 1 << 30
 )
 
 // MalformedError says what is wrong with a message.
@@ -32,24 +32,24 @@
 
 // Validate says whether a message can be of a sound member, as far as it tells by itself.
 func (m Message) Validate() error {
-	reason := m.fault()
+	reason := m.invalidReason()
 	if reason == "" {
 		return nil
 	}
 	return MalformedError{Kind: m.Kind, Reason: reason}
 }
 
-func (m Message) fault() string {
+func (m Message) invalidReason() string {
 	switch {
 	case m.Kind < MsgPreVote || m.Kind > MsgSnapshotReply:
 		return "unknown kind"
 	case m.From == 0 || m.To == 0:
 		return "no sender or no receiver"
-	case m.Term == 0 || m.Term > mostTerm || m.LogTerm > mostTerm:
+	case m.Term == 0 || m.Term > maxTerm || m.LogTerm > maxTerm:
 		return "term out of range"
 	case m.LogTerm > m.Term:
 		return "an entry of a later term than the sender's"
-	case m.LogIndex > mostIndex || m.Commit > mostIndex || m.Hint > mostIndex:
+	case m.LogIndex > maxIndex || m.Commit > maxIndex || m.Hint > maxIndex:
 		return "index out of range"
 	case m.From == m.To && m.Kind != MsgPreVoteReply && m.Kind != MsgVoteReply:
 		return "sent by the receiver itself"
@@ -57,21 +57,21 @@
 		return "entries where none belong"
 	case (m.Snapshot != nil) != (m.Kind == MsgSnapshot):
 		return "a snapshot where none belongs, or none where one does"
-	case m.Size > mostSnapshotBytes || m.Offset > mostSnapshotBytes:
+	case m.SnapshotSize > maxSnapshotBytes || m.SnapshotOffset > maxSnapshotBytes:
 		return "snapshot too large"
 	}
 	if m.Snapshot != nil {
-		return m.snapshotFault()
+		return m.invalidSnapshotReason()
 	}
-	return m.entriesFault()
+	return m.invalidEntriesReason()
 }
 
 // entriesFault says whether entries follow the place they are appended to without a hole, in the order of their terms.
-func (m Message) entriesFault() string {
+func (m Message) invalidEntriesReason() string {
 	term := m.LogTerm
-	for place, entry := range m.Entries {
+	for position, entry := range m.Entries {
 		switch {
-		case entry.Index != m.LogIndex+Index(place)+1:
+		case entry.Index != m.LogIndex+Index(position)+1:
 			return "entries are not consecutive"
 		case entry.Term < max(term, 1) || entry.Term > m.Term:
 			return "terms of entries go back or beyond the sender's"
@@ -86,31 +86,31 @@
 		if err != nil {
 			return "membership cannot be read"
 		}
-		if fault := membership.fault(); fault != "" {
-			return fault
+		if reason := membership.invalidReason(); reason != "" {
+			return reason
 		}
 	}
 	return ""
 }
 
-func (m Message) snapshotFault() string {
+func (m Message) invalidSnapshotReason() string {
 	snapshot := m.Snapshot
 	length := uint64(len(snapshot.Data))
 	switch {
-	case snapshot.Index == 0 || snapshot.Index > mostIndex:
+	case snapshot.Index == 0 || snapshot.Index > maxIndex:
 		return "snapshot index out of range"
 	case snapshot.Term == 0 || snapshot.Term > m.Term:
 		return "snapshot term out of range"
 	case len(snapshot.Checksum) != 0 && len(snapshot.Checksum) != sha256.Size:
 		return "checksum has a wrong length"
-	case m.Size == 0 && m.Offset != 0, m.Size > 0 && (m.Offset+length > m.Size || length == 0):
+	case m.SnapshotSize == 0 && m.SnapshotOffset != 0, m.SnapshotSize > 0 && (m.SnapshotOffset+length > m.SnapshotSize || length == 0):
 		return "part lies outside of its snapshot"
 	}
-	return snapshot.Membership.fault()
+	return snapshot.Membership.invalidReason()
 }
 
 // fault says what no membership of a running group can be.
-func (m Membership) fault() string {
+func (m Membership) invalidReason() string {
 	known := map[MemberID]bool{}
 	for _, member := range m.Members {
 		if member.ID == 0 || known[member.ID] {
@@ -126,24 +126,24 @@
 
 // Validate says whether a membership can be one of a running group.
 func (m Membership) Validate() error {
-	if fault := m.fault(); fault != "" {
-		return MalformedError{Reason: fault}
+	if reason := m.invalidReason(); reason != "" {
+		return MalformedError{Reason: reason}
 	}
 	return nil
 }
 
 // checksum is over all that a snapshot is, but its membership: another build may write the same one in other bytes.
 func (s Snapshot) checksum() []byte {
-	sum := sha256.New()
-	var place [16]byte
-	binary.BigEndian.PutUint64(place[:8], uint64(s.Index))
-	binary.BigEndian.PutUint64(place[8:], uint64(s.Term))
-	_, _ = sum.Write(place[:])
-	_, _ = sum.Write(s.Data)
-	return sum.Sum(nil)
+	hash := sha256.New()
+	var position [16]byte
+	binary.BigEndian.PutUint64(position[:8], uint64(s.Index))
+	binary.BigEndian.PutUint64(position[8:], uint64(s.Term))
+	_, _ = hash.Write(position[:])
+	_, _ = hash.Write(s.Data)
+	return hash.Sum(nil)
 }
 
 // sound says whether a snapshot is what its maker sent. One without a checksum can't be told.
-func (s Snapshot) sound() bool {
+func (s Snapshot) checksumMatches() bool {
 	return len(s.Checksum) == 0 || bytes.Equal(s.Checksum, s.checksum())
 }
--- a/process/consensus/raft/validate_test.go
+++ b/process/consensus/raft/validate_test.go
@@ -49,14 +49,14 @@
 		"snapshot at zero":              {Kind: raft.MsgSnapshot, Term: 2, Snapshot: snapshotAt(0, 1)},
 		"snapshot of a later term":      {Kind: raft.MsgSnapshot, Term: 2, Snapshot: snapshotAt(15, 3)},
 		"snapshot without voters":       {Kind: raft.MsgSnapshot, Term: 2, Snapshot: nobodys},
-		"part beyond the whole":         {Kind: raft.MsgSnapshot, Term: 2, Snapshot: snapshotAt(15, 2), Offset: 5, Size: 6},
-		"part without a size":           {Kind: raft.MsgSnapshot, Term: 2, Snapshot: snapshotAt(15, 2), Offset: 5},
-		"absurd size":                   {Kind: raft.MsgSnapshot, Term: 2, Snapshot: snapshotAt(15, 2), Size: math.MaxUint64},
+		"part beyond the whole":         {Kind: raft.MsgSnapshot, Term: 2, Snapshot: snapshotAt(15, 2), SnapshotOffset: 5, SnapshotSize: 6},
+		"part without a size":           {Kind: raft.MsgSnapshot, Term: 2, Snapshot: snapshotAt(15, 2), SnapshotOffset: 5},
+		"absurd size":                   {Kind: raft.MsgSnapshot, Term: 2, Snapshot: snapshotAt(15, 2), SnapshotSize: math.MaxUint64},
 	} {
 		t.Run(name, func(t *testing.T) {
 			core := member(10)
 			effects := receive(core, message)
-			if len(effects.Notices) != 1 || effects.Notices[0].Kind != raft.NoticeMessageRefused || effects.Notices[0].Peer != leader {
+			if len(effects.Notices) != 1 || effects.Notices[0].Kind != raft.NoticeMessageRejected || effects.Notices[0].Peer != leader {
 				t.Fatalf("not refused: %+v", effects)
 			}
 			if !errors.As(effects.Notices[0].Err, new(raft.MalformedError)) {
@@ -85,9 +85,9 @@
 	refused := 0
 	for range 2000 {
 		core := member(20)
-		core.CheckSnapshots(func(raft.Snapshot) error {
+		core.SetSnapshotCheck(func(raft.Snapshot) error {
 			if random.IntN(2) == 0 {
-				return raft.ErrChecksum
+				return raft.ErrChecksumMismatch
 			}
 			return nil
 		})
@@ -117,7 +117,7 @@
 	term := func() raft.Term { return raft.Term(random.IntN(5)) }
 	message := raft.Message{
 		Kind: raft.MessageKind(random.IntN(13)), From: raft.MemberID(random.IntN(5)), To: self, Term: term(), LogIndex: index(), LogTerm: term(),
-		Commit: index(), Reject: random.IntN(2) == 0, Hint: index(), ReadMark: random.Uint64N(9), Offset: random.Uint64N(12), Size: random.Uint64N(12), TakesParts: random.IntN(2) == 0,
+		Commit: index(), Reject: random.IntN(2) == 0, Hint: index(), HeartbeatRound: random.Uint64N(9), SnapshotOffset: random.Uint64N(12), SnapshotSize: random.Uint64N(12), AcceptsChunks: random.IntN(2) == 0,
 	}
 	if random.IntN(3) == 0 {
 		first := message.LogIndex + raft.Index(random.IntN(3))
--- a/process/consensus/replica/actor.go
+++ b/process/consensus/replica/actor.go
@@ -70,9 +70,9 @@
 	switch kind {
 	case raft.NoticeSnapshotSent:
 		return &c.SnapshotsSent
-	case raft.NoticeSnapshotTaken:
+	case raft.NoticeSnapshotInstalled:
 		return &c.SnapshotsTaken
-	case raft.NoticeSnapshotRefused:
+	case raft.NoticeSnapshotRejected:
 		return &c.SnapshotsRefused
 	case raft.NoticeStateDiffers:
 		return &c.StatesDiffer
@@ -174,7 +174,7 @@
 }
 
 // New makes a replica from what the disk holds.
-func New(self raft.Member, group ident.GroupID, restored raft.Restored, config Config, c clock.Clock, disk Disk, links Links, options ...Option) (*Replica, error) {
+func New(self raft.Member, group ident.GroupID, restored raft.PersistentState, config Config, c clock.Clock, disk Disk, links Links, options ...Option) (*Replica, error) {
 	random := rand.New(rand.NewPCG(uint64(self.ID), uint64(c.Elapsed())))
 	member := raft.New(self.ID, config.Timing, restored, random)
 	core, err := NewCore(config, member, restored.Snapshot.Data, c.Elapsed(), c.Wall)
@@ -306,7 +306,7 @@
 		r.waiting[r.refs] = e.answer
 		r.carryOut(r.core.Read(now, r.refs))
 	case handOver:
-		r.carryOut(r.core.Step(now, raft.Transfer{}))
+		r.carryOut(r.core.Step(now, raft.TransferLeadership{}))
 	case leaveSaid:
 		r.core.Leave(now, e.member)
 		e.held <- r.core.HeldWithout(now, e.member)
@@ -391,9 +391,9 @@
 		r.stalled = true
 		r.carryOut(r.core.Step(now, raft.DiskStalled{Stalled: true}))
 	}
-	if late := now.Since(r.beaten); r.beaten > 0 && late > r.core.config.Timing.Span(Tick) {
+	if late := now.Since(r.beaten); r.beaten > 0 && late > r.core.config.Timing.ElectionTimeout(Tick) {
 		// This process stood still for so long that the others may follow another by now.
-		r.carryOut(r.core.Step(now, raft.StandDown{}))
+		r.carryOut(r.core.Step(now, raft.StepDown{}))
 	}
 	r.beaten = now
 	r.carryOut(r.core.Step(now, raft.Tick{}))
--- a/process/consensus/replica/actor_test.go
+++ b/process/consensus/replica/actor_test.go
@@ -31,7 +31,7 @@
 func follower(t *testing.T, links Links, options ...Option) *Replica {
 	t.Helper()
 	members := raft.Membership{Members: []raft.Member{{ID: 1, Voter: true}, {ID: 2, Voter: true}, {ID: 3, Voter: true}}}
-	restored := raft.Restored{HardState: raft.HardState{Term: 2}, Snapshot: raft.Snapshot{Index: 10, Term: 1, Membership: members, Data: statemachine.New().Snapshot()}}
+	restored := raft.PersistentState{HardState: raft.HardState{Term: 2}, Snapshot: raft.Snapshot{Index: 10, Term: 1, Membership: members, Data: statemachine.New().Snapshot()}}
 	made, err := New(members.Members[0], "group", restored, DefaultConfig(), stillClock{}, noDisk{}, links, options...)
 	if err != nil {
 		t.Fatal(err)
@@ -53,7 +53,7 @@
 	links := &sentMessages{}
 	r := follower(t, links, WithFatal(func(err error) { fatal = err }), WithNoticed(func(n raft.Notice) { noticed = append(noticed, n) }))
 	r.core.digests.keep(10, 7, 0)
-	asks := raft.Message{Kind: raft.MsgHeartbeat, Term: 2, Commit: 10, StateDigest: &raft.StateDigest{Index: 10, Form: r.core.digests.form, Sum: 8}}
+	asks := raft.Message{Kind: raft.MsgHeartbeat, Term: 2, Commit: 10, StateDigest: &raft.StateDigest{Index: 10, Format: r.core.digests.form, Sum: 8}}
 	r.told(asks)
 	if len(links.all) != 1 || links.all[0].StateDigest == nil || links.all[0].StateDigest.Sum != 7 {
 		t.Fatalf("the question was answered by %+v", links.all)
@@ -63,7 +63,7 @@
 	}
 	// Another form, an index that was not summed up and an equal sum end nothing.
 	for _, change := range []func(*raft.StateDigest){
-		func(d *raft.StateDigest) { d.Form++ }, func(d *raft.StateDigest) { d.Index-- }, func(d *raft.StateDigest) { d.Sum = 7 },
+		func(d *raft.StateDigest) { d.Format++ }, func(d *raft.StateDigest) { d.Index-- }, func(d *raft.StateDigest) { d.Sum = 7 },
 	} {
 		told := *asks.StateDigest
 		told.Differs = true
@@ -91,7 +91,7 @@
 	r := follower(t, links)
 	members := r.core.raft.Membership()
 	for _, junk := range []string{"", "{", "[]", `{"workers":null}`, `{"proposals":{"p":null}}`} {
-		r.told(raft.Message{Kind: raft.MsgSnapshot, Term: 2, Size: uint64(len(junk)), Snapshot: &raft.Snapshot{Index: 50, Term: 2, Membership: members, Data: []byte(junk)}})
+		r.told(raft.Message{Kind: raft.MsgSnapshot, Term: 2, SnapshotSize: uint64(len(junk)), Snapshot: &raft.Snapshot{Index: 50, Term: 2, Membership: members, Data: []byte(junk)}})
 	}
 	r.told(raft.Message{Kind: raft.MsgAppend, Term: 2, LogIndex: 10, LogTerm: 1, Entries: []raft.Entry{{Term: 2, Index: 12}}})
 	if r.Counters.SnapshotsRefused.Load() != 5 || r.Counters.MessagesRefused.Load() != 1 {
@@ -100,7 +100,7 @@
 	state := statemachine.New()
 	state.Revision = 5
 	whole := state.Snapshot()
-	r.told(raft.Message{Kind: raft.MsgSnapshot, Term: 2, Size: uint64(len(whole)), Snapshot: &raft.Snapshot{Index: 50, Term: 2, Membership: members, Data: whole}})
+	r.told(raft.Message{Kind: raft.MsgSnapshot, Term: 2, SnapshotSize: uint64(len(whole)), Snapshot: &raft.Snapshot{Index: 50, Term: 2, Membership: members, Data: whole}})
 	if r.core.State().Revision != 5 || r.Counters.SnapshotsTaken.Load() != 1 {
 		t.Errorf("a sound one was not taken after that: revision %d", r.core.State().Revision)
 	}
--- a/process/consensus/replica/core.go
+++ b/process/consensus/replica/core.go
@@ -36,7 +36,7 @@
 // DefaultConfig gives the times of the design.
 func DefaultConfig() Config {
 	return Config{
-		Timing: raft.Timing{Heartbeat: 2, Election: 16},
+		Timing: raft.Timing{HeartbeatTicks: 2, ElectionTicks: 16},
 		Tenure: 30 * time.Second, ClaimSpan: 4 * time.Second, ClaimGap: 3 * time.Second,
 		Voters: DefaultVoters, CompactEvery: 2000, Keep: 200, CompactBytes: 8 << 20, KeepBytes: 2 << 20,
 		Orders: statemachine.DefaultLimits(),
@@ -130,7 +130,7 @@
 	c := &Core{config: config, raft: member, state: state, applied: member.SnapshotIndex(), timeMark: now, began: now, restored: member.LastIndex(), wall: wall,
 		pending: map[raft.Index]pending{}, reads: map[uint64]raft.Index{}, heard: map[raft.MemberID]clock.Mark{}, leaving: map[raft.MemberID]clock.Mark{},
 		digests: newDigests(statemachine.Form(config.Build))}
-	member.CheckSnapshots(c.checkSnapshot)
+	member.SetSnapshotCheck(c.checkSnapshot)
 	return c, nil
 }
 
@@ -199,18 +199,18 @@
 		panic("broken invariant: a command cannot be encoded: " + err.Error())
 	}
 	effects := c.raft.Step(raft.Propose{Data: data})
-	if effects.Proposed == 0 {
+	if effects.ProposedIndex == 0 {
 		out := c.carry(now, effects)
 		out.Answers = append(out.Answers, Answer{Ref: ref, Outcome: NotLeader})
 		return out
 	}
-	c.pending[effects.Proposed] = pending{ref: ref, term: effects.ProposedTerm}
+	c.pending[effects.ProposedIndex] = pending{ref: ref, term: effects.ProposedTerm}
 	return c.carry(now, effects)
 }
 
 // Read asks for a linearizable look at the state.
 func (c *Core) Read(now clock.Mark, ref uint64) Effects {
-	return c.carry(now, c.raft.Step(raft.Read{Ref: ref}))
+	return c.carry(now, c.raft.Step(raft.Read{RequestID: ref}))
 }
 
 // Step passes an event on to the agreement core.
@@ -235,7 +235,7 @@
 		Standing: func(id raft.MemberID) Standing {
 			// Who was heard before this member led has had no reason to speak to it since.
 			said, leaves := c.leaving[id]
-			match, missing := c.raft.MatchOf(id), 0
+			match, missing := c.raft.MatchIndex(id), 0
 			if match+caughtUpWithin >= c.raft.LastIndex() {
 				// Who lacks more is not ready whatever that holds.
 				missing = c.raft.BytesAfter(match)
@@ -281,27 +281,27 @@
 
 // carry applies what was committed and turns raft effects into the replica's.
 func (c *Core) carry(now clock.Mark, effects raft.Effects) Effects {
-	out := Effects{Save: effects.Save, Later: effects.Later, Now: effects.Now, Notices: effects.Notices}
+	out := Effects{Save: effects.Save, Later: effects.AfterSync, Now: effects.Immediate, Notices: effects.Notices}
 	if effects.Save != nil && effects.Save.TruncateFrom > 0 && effects.Save.TruncateFrom <= c.restored {
 		// What takes the place of entries found on disk may have been stamped at any time since.
 		c.restored = effects.Save.TruncateFrom - 1
 	}
 	specBefore, closuresBefore, leavesBefore := c.state.Epoch(), c.state.Closures.Epoch, c.state.Leaves
-	if effects.Install != nil {
+	if effects.InstallSnapshot != nil {
 		// It was read by checkSnapshot before the log was given up for it.
-		c.state, c.applied, c.timeMark, c.checked = c.checked, effects.Install.Index, now, nil
+		c.state, c.applied, c.timeMark, c.checked = c.checked, effects.InstallSnapshot.Index, now, nil
 		c.digests.forget()
 		c.sinceCompact, c.sizes, c.bytes = 0, c.sizes[:0], 0
 	}
 	for _, entry := range effects.Committed {
 		c.apply(now, entry, &out)
 	}
-	for _, read := range effects.Reads {
+	for _, read := range effects.ReadStates {
 		if !read.OK {
-			out.Answers = append(out.Answers, Answer{Ref: read.Ref, Outcome: NotLeader})
+			out.Answers = append(out.Answers, Answer{Ref: read.RequestID, Outcome: NotLeader})
 			continue
 		}
-		c.reads[read.Ref] = read.Index
+		c.reads[read.RequestID] = read.Index
 	}
 	for _, ref := range slices.Sorted(maps.Keys(c.reads)) {
 		if c.applied >= c.reads[ref] {
@@ -316,7 +316,7 @@
 	if c.sinceCompact >= c.config.CompactEvery || c.config.CompactBytes > 0 && c.bytes >= c.config.CompactBytes {
 		keep := c.keep()
 		c.sinceCompact, c.sizes, c.bytes = 0, c.sizes[:0], 0
-		out.merge(c.carry(now, c.raft.Step(raft.Compact{Index: c.applied, Data: c.state.Snapshot(), Keep: keep})))
+		out.merge(c.carry(now, c.raft.Step(raft.Compact{Index: c.applied, Data: c.state.Snapshot(), RetainEntries: keep})))
 	}
 	return out
 }
--- a/process/consensus/replica/digests.go
+++ b/process/consensus/replica/digests.go
@@ -59,7 +59,7 @@
 
 // keep takes this member's digest at an index, of a state of so many bytes.
 func (d *digests) keep(index raft.Index, sum uint64, bytes int) {
-	d.kept = append(d.kept, raft.StateDigest{Index: index, Form: d.form, Sum: sum})
+	d.kept = append(d.kept, raft.StateDigest{Index: index, Format: d.form, Sum: sum})
 	d.kept = d.kept[max(0, len(d.kept)-keptDigests):]
 	// Steps are powers of two, so that members whose steps differ still meet at some indexes.
 	for d.step = digestStep; int(d.step)*bytesPerEntry < bytes; d.step *= 2 {
@@ -98,7 +98,7 @@
 	if !known {
 		return nil, nil
 	}
-	if asked.Differs && asked.Form == own.Form && asked.Sum != own.Sum {
+	if asked.Differs && asked.Format == own.Format && asked.Sum != own.Sum {
 		return nil, &StateDiffersError{Index: own.Index, Own: own.Sum, Majority: asked.Sum}
 	}
 	return &own, nil
@@ -157,7 +157,7 @@
 		return verdict{}
 	}
 	d.answered[from] = true
-	if said.Form != d.form {
+	if said.Format != d.form {
 		return verdict{}
 	}
 	d.answers[from] = said.Sum
--- a/process/consensus/replica/leaving.go
+++ b/process/consensus/replica/leaving.go
@@ -15,7 +15,7 @@
 	voters, holding := c.raft.Membership().Voters(), 0
 	for _, id := range voters {
 		speaks := id == c.raft.ID() || now.Since(max(c.heard[id], c.ledSince)) < aliveWithin
-		if id != leaving && speaks && c.raft.MatchOf(id) >= c.raft.CommitIndex() {
+		if id != leaving && speaks && c.raft.MatchIndex(id) >= c.raft.CommitIndex() {
 			holding++
 		}
 	}
--- a/process/consensus/replica/leaving_test.go
+++ b/process/consensus/replica/leaving_test.go
@@ -22,7 +22,7 @@
 			t.Errorf("seed %d: it may not end though all hold all", seed)
 		}
 		stalled.stallUntil = s.now + clock.Mark(3*time.Second)
-		ahead := func() bool { return leader.raft.CommitIndex() > leader.raft.MatchOf(stalled.id) }
+		ahead := func() bool { return leader.raft.CommitIndex() > leader.raft.MatchIndex(stalled.id) }
 		s.until(2500*time.Millisecond, ahead)
 		if !ahead() || !leader.Leads() {
 			t.Fatalf("seed %d: nothing was committed without the one whose disk stalls", seed)
--- a/process/consensus/replica/second_loss_test.go
+++ b/process/consensus/replica/second_loss_test.go
@@ -118,7 +118,7 @@
 		}
 		mayEnd := false
 		if leader := n.sim.leader(); n.core.Leads() {
-			n.carryOut(n.core.Step(n.sim.now, raft.Transfer{}))
+			n.carryOut(n.core.Step(n.sim.now, raft.TransferLeadership{}))
 		} else if leader != nil {
 			leader.core.Leave(n.sim.now, n.id)
 			mayEnd = leader.core.HeldWithout(n.sim.now, n.id)
@@ -209,7 +209,7 @@
 	}
 	if leader := s.leader(); leader != nil {
 		for _, member := range leader.core.raft.Membership().Members {
-			ready := leader.core.raft.MatchOf(member.ID)+caughtUpWithin >= leader.core.raft.LastIndex()
+			ready := leader.core.raft.MatchIndex(member.ID)+caughtUpWithin >= leader.core.raft.LastIndex()
 			fmt.Fprintf(&out, "%t %t,", ready, leader.core.Leads())
 		}
 	}
--- a/process/consensus/replica/simulation_test.go
+++ b/process/consensus/replica/simulation_test.go
@@ -92,7 +92,7 @@
 	gaveUp   []raft.MemberID
 	// highest is the last entry that any leader applied, lostDisks what identities held whose disks were wiped.
 	highest   raft.Index
-	lostDisks map[raft.MemberID]raft.Restored
+	lostDisks map[raft.MemberID]raft.PersistentState
 	// mayGiveUp says that some state was made to differ.
 	mayGiveUp bool
 	// config is the group's.
@@ -115,7 +115,7 @@
 }
 
 type simDisk struct {
-	state raft.Restored
+	state raft.PersistentState
 }
 
 type simWrite struct {
@@ -184,14 +184,14 @@
 func newSimWith(t *testing.T, seed uint64, config Config, broken brk) *sim {
 	size := config.Voters
 	s := &sim{t: t, random: rand.New(rand.NewPCG(seed, 99)), broken: broken, now: clock.Mark(time.Hour), cut: map[[2]int]bool{}, loss: 0.02, faults: true, calm: seed%2 == 1,
-		size: size, leaderOf: map[raft.Term]raft.MemberID{}, applied: map[raft.Index]string{}, minted: map[ident.SnowflakeID]string{}, asked: map[uint64]func(Answer){}, notices: map[raft.NoticeKind]int{}, lostDisks: map[raft.MemberID]raft.Restored{}, config: config}
+		size: size, leaderOf: map[raft.Term]raft.MemberID{}, applied: map[raft.Index]string{}, minted: map[ident.SnowflakeID]string{}, asked: map[uint64]func(Answer){}, notices: map[raft.NoticeKind]int{}, lostDisks: map[raft.MemberID]raft.PersistentState{}, config: config}
 	var members raft.Membership
 	for i := range size {
 		members.Members = append(members.Members, raft.Member{ID: raft.MemberID(i + 1), Name: fmt.Sprint("core-", i), Address: fmt.Sprint(i), Voter: true})
 	}
 	for i := range size {
 		n := &simNode{sim: s, place: i, id: raft.MemberID(i + 1)}
-		n.disk.state = raft.Restored{HardState: raft.HardState{Term: 1}, Snapshot: raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: statemachine.New().Snapshot()}}
+		n.disk.state = raft.PersistentState{HardState: raft.HardState{Term: 1}, Snapshot: raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: statemachine.New().Snapshot()}}
 		s.nodes = append(s.nodes, n)
 		n.start()
 	}
@@ -223,8 +223,8 @@
 			return
 		}
 		if n.sim.now >= n.frozenUntil {
-			if late := n.sim.now.Since(n.beaten); n.beaten > 0 && late > n.sim.config.Timing.Span(Tick) {
-				n.carryOut(n.core.Step(n.sim.now, raft.StandDown{}))
+			if late := n.sim.now.Since(n.beaten); n.beaten > 0 && late > n.sim.config.Timing.ElectionTimeout(Tick) {
+				n.carryOut(n.core.Step(n.sim.now, raft.StepDown{}))
 			}
 			n.beaten = n.sim.now
 			if !n.stalled && len(n.since) > 0 && n.sim.now.Since(n.since[0]) > stallAfter {
@@ -277,7 +277,7 @@
 	n.sim.wipes++
 	n.sim.lostDisks[n.id] = n.disk.state
 	n.id = raft.MemberID(10000*n.sim.wipes + n.place + 1)
-	n.disk.state = raft.Restored{}
+	n.disk.state = raft.PersistentState{}
 }
 
 // replace takes a machine away for good; an empty one comes a little later, with another name at another address.
@@ -360,7 +360,7 @@
 	}
 	for _, notice := range effects.Notices {
 		s.notices[notice.Kind]++
-		if notice.Kind == raft.NoticeMessageRefused {
+		if notice.Kind == raft.NoticeMessageRejected {
 			s.fault("member %d refused a message of %d, as if it were not sound: %v", n.id, notice.Peer, notice.Err)
 		}
 	}
@@ -482,7 +482,7 @@
 			s.damage(&m)
 		}
 		if s.wholeSnapshots {
-			m.TakesParts = false
+			m.AcceptsChunks = false
 		}
 		copies := 1
 		if s.faults && s.random.IntN(50) == 0 {
@@ -890,7 +890,7 @@
 	if n.sim.broken == wipedKeepsName && n.sim.random.IntN(2) == 0 {
 		// The wiped member takes its old name and an empty log, and votes as if it had never voted.
 		members := n.disk.state.Snapshot.Membership
-		n.disk.state = raft.Restored{HardState: raft.HardState{Term: 1}, Snapshot: raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: statemachine.New().Snapshot()}}
+		n.disk.state = raft.PersistentState{HardState: raft.HardState{Term: 1}, Snapshot: raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: statemachine.New().Snapshot()}}
 	}
 	n.start()
 }
@@ -975,7 +975,7 @@
 		}
 	}
 	t.Logf("%d digests compared, notices: %v", compared, notices)
-	if compared == 0 || notices[raft.NoticeSnapshotTaken] == 0 || notices[raft.NoticeStateDiffers] > 0 || notices[raft.NoticeMessageRefused] > 0 {
+	if compared == 0 || notices[raft.NoticeSnapshotInstalled] == 0 || notices[raft.NoticeStateDiffers] > 0 || notices[raft.NoticeMessageRejected] > 0 {
 		t.Errorf("%d digests were compared; notices: %v", compared, notices)
 	}
 	t.Logf("seeds 0 to %d: %d ids minted, %d closures acknowledged, %d reads checked, %d crashes, %d wiped disks, %d machines replaced, %d times the most at once", seeds-1, mints, acks, reads, crashes, wipes, replaced, losses)
@@ -1076,7 +1076,7 @@
 			// The new one first, then the old one stops and hands over.
 			s.add()
 			s.runFor(time.Second)
-			victim.carryOut(victim.core.Step(s.now, raft.Transfer{}))
+			victim.carryOut(victim.core.Step(s.now, raft.TransferLeadership{}))
 			s.until(time.Second, func() bool { leader := s.leader(); return leader != nil && leader != victim })
 			s.leader().core.Leave(s.now, victim.id)
 			s.runFor(300 * time.Millisecond)
@@ -1110,7 +1110,7 @@
 		size := []int{3, 5}[seed%2]
 		s := calmSim(t, seed, size)
 		stopped := s.some(1)[0]
-		stopped.carryOut(stopped.core.Step(s.now, raft.Transfer{}))
+		stopped.carryOut(stopped.core.Step(s.now, raft.TransferLeadership{}))
 		s.runFor(time.Second)
 		s.leader().core.Leave(s.now, stopped.id)
 		s.runFor(time.Second)
@@ -1142,7 +1142,7 @@
 		}, 2500 * time.Millisecond},
 		"the leader stops as planned": {func(s *sim) {
 			leader := s.leader()
-			leader.carryOut(leader.core.Step(s.now, raft.Transfer{}))
+			leader.carryOut(leader.core.Step(s.now, raft.TransferLeadership{}))
 		}, 400 * time.Millisecond},
 		"all are killed": {func(s *sim) {
 			for _, n := range s.nodes {
--- a/process/consensus/replica/snapshots_test.go
+++ b/process/consensus/replica/snapshots_test.go
@@ -44,7 +44,7 @@
 		}
 	}
 	t.Logf("%d seeds: %d digests compared, notices: %v", seeds, compared, notices)
-	if uint64(notices[raft.NoticeSnapshotTaken]) < seeds || notices[raft.NoticeStateDiffers] > 0 {
+	if uint64(notices[raft.NoticeSnapshotInstalled]) < seeds || notices[raft.NoticeStateDiffers] > 0 {
 		t.Errorf("notices: %v", notices)
 	}
 }
@@ -67,7 +67,7 @@
 			} else {
 				// As a build without checksums sends it, cut short.
 				changed.Checksum, changed.Data = nil, changed.Data[:s.random.IntN(len(changed.Data))]
-				m.Size = uint64(len(changed.Data))
+				m.SnapshotSize = uint64(len(changed.Data))
 			}
 			m.Snapshot = &changed
 		}
@@ -75,7 +75,7 @@
 		for _, violation := range s.violations {
 			t.Errorf("seed %d: %s", seed, violation)
 		}
-		refused += s.notices[raft.NoticeSnapshotRefused]
+		refused += s.notices[raft.NoticeSnapshotRejected]
 	}
 	t.Logf("%d refused", refused)
 	if refused == 0 {
@@ -97,7 +97,7 @@
 			state.Claim.OrdersTurn++
 			other := *m.Snapshot
 			other.Checksum, other.Data = nil, state.Snapshot()
-			m.Snapshot, m.Size = &other, uint64(len(other.Data))
+			m.Snapshot, m.SnapshotSize = &other, uint64(len(other.Data))
 			changed++
 		}
 		victim := s.nodes[(s.leader().place+1)%3]
--- a/process/consensus/replica/soak_test.go
+++ b/process/consensus/replica/soak_test.go
@@ -78,7 +78,7 @@
 		}
 	case 2:
 		if leader := s.leader(); leader != nil {
-			leader.carryOut(leader.core.Step(s.now, raft.Transfer{}))
+			leader.carryOut(leader.core.Step(s.now, raft.TransferLeadership{}))
 		}
 	case 3:
 		// Away for long: it comes back to a log that was cut.
@@ -164,7 +164,7 @@
 	for _, fault := range append(keepsUp(found[2], found[3], 3), s.violations...) {
 		t.Error(fault)
 	}
-	if s.notices[raft.NoticeStateDiffers] > 0 || s.notices[raft.NoticeSnapshotTaken] < 20 {
+	if s.notices[raft.NoticeStateDiffers] > 0 || s.notices[raft.NoticeSnapshotInstalled] < 20 {
 		t.Errorf("notices: %v", s.notices)
 	}
 	t.Logf("%d crashes, %d wipes, %d digests compared, notices: %v", s.crashes, s.wipes, s.compared, s.notices)
--- a/process/consensus/replica/time_test.go
+++ b/process/consensus/replica/time_test.go
@@ -26,7 +26,7 @@
 	const begun, since = clock.Mark(time.Hour), 60 * time.Second
 	start := func() *Core {
 		members := raft.Membership{Members: []raft.Member{{ID: 1, Voter: true}, {ID: 2, Voter: true}}}
-		restored := raft.Restored{HardState: raft.HardState{Term: 1},
+		restored := raft.PersistentState{HardState: raft.HardState{Term: 1},
 			Snapshot: raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: statemachine.New().Snapshot()},
 			Entries:  []raft.Entry{stamped(t, 2, 1, 1_000_000), stamped(t, 3, 1, 1_000_100)}}
 		member := raft.New(1, DefaultConfig().Timing, restored, rand.New(rand.NewPCG(1, 1)))
--- a/process/consensus/store/powerloss_test.go
+++ b/process/consensus/store/powerloss_test.go
@@ -33,7 +33,7 @@
 }
 
 // loaded is what a member finds in a folder after its power came back.
-func loaded(t *testing.T, folder string) raft.Restored {
+func loaded(t *testing.T, folder string) raft.PersistentState {
 	t.Helper()
 	s := open(t, folder)
 	defer s.Close()
@@ -157,7 +157,7 @@
 	}
 }
 
-func brief(found raft.Restored) string {
+func brief(found raft.PersistentState) string {
 	return fmt.Sprintf("%+v, snapshot at %d, %d entries", found.HardState, found.Snapshot.Index, len(found.Entries))
 }
 
--- a/process/consensus/store/store.go
+++ b/process/consensus/store/store.go
@@ -317,8 +317,8 @@
 }
 
 // Load reads all that a member needs to go on.
-func (s *Store) Load() (raft.Restored, error) {
-	var out raft.Restored
+func (s *Store) Load() (raft.PersistentState, error) {
+	var out raft.PersistentState
 	term, _, err := s.number("term")
 	if err != nil {
 		return out, err
@@ -373,7 +373,7 @@
 
 // checkLog makes sure that snapshot and entries are one history: the log goes on where the snapshot ends, and holds
 // nothing that a member can't read.
-func checkLog(found raft.Restored) error {
+func checkLog(found raft.PersistentState) error {
 	if len(found.Entries) == 0 {
 		return nil
 	}
--- a/testbed/partitionsim/node_test.go
+++ b/testbed/partitionsim/node_test.go
@@ -42,7 +42,7 @@
 	frozenUntil clock.Mark
 
 	core   *replica.Core
-	disk   raft.Restored
+	disk   raft.PersistentState
 	writes []write
 	beaten clock.Mark
 	refs   uint64
@@ -88,8 +88,8 @@
 	answer   func(*peerapi.PullReply)
 }
 
-func firstState(members raft.Membership) raft.Restored {
-	return raft.Restored{HardState: raft.HardState{Term: 1}, Snapshot: raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: statemachine.New().Snapshot()}}
+func firstState(members raft.Membership) raft.PersistentState {
+	return raft.PersistentState{HardState: raft.HardState{Term: 1}, Snapshot: raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: statemachine.New().Snapshot()}}
 }
 
 func (n *node) id() ident.NodeID { return ident.NodeID(fmt.Sprintf("%s#%d", n.name, n.life)) }
@@ -150,8 +150,8 @@
 	}
 	n.core = core
 	n.every(replica.Tick, func() {
-		if late := n.clock().Since(n.beaten); n.beaten > 0 && late > config.Timing.Span(replica.Tick) {
-			n.carryOut(n.core.Step(n.clock(), raft.StandDown{}))
+		if late := n.clock().Since(n.beaten); n.beaten > 0 && late > config.Timing.ElectionTimeout(replica.Tick) {
+			n.carryOut(n.core.Step(n.clock(), raft.StepDown{}))
 		}
 		n.beaten = n.clock()
 		n.carryOut(n.core.Step(n.clock(), raft.Tick{}))
