--- a/daemon/commands.go
+++ b/daemon/commands.go
@@ -12,7 +12,7 @@
 	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/process/consensus/replica"
 	"github.com/cresspond/cresspond/process/consensus/statemachine"
-	"github.com/cresspond/cresspond/wire/operatorapi"
+	"github.com/cresspond/cresspond/process/rollout"
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
@@ -35,13 +35,13 @@
 }
 
 // Command brings an operator's command to the leader, and gives up when ctx ends.
-func (d *Daemon) Command(ctx context.Context, command statemachine.Command) (operatorapi.Answer, bool) {
+func (d *Daemon) Command(ctx context.Context, command statemachine.Command) (rollout.Response, bool) {
 	return d.submit(ctx, command)
 }
 
 // submit brings a command to the leader, again and again until ctx ends. All commands may be sent
 // again: each finds what it did before.
-func (d *Daemon) submit(ctx context.Context, command statemachine.Command) (operatorapi.Answer, bool) {
+func (d *Daemon) submit(ctx context.Context, command statemachine.Command) (rollout.Response, bool) {
 	ticker := time.NewTicker(100 * time.Millisecond)
 	defer ticker.Stop()
 	for {
@@ -50,14 +50,14 @@
 		}
 		select {
 		case <-ctx.Done():
-			return operatorapi.Answer{}, false
+			return rollout.Response{}, false
 		case <-ticker.C:
 		}
 	}
 }
 
 // submitOnce brings a command to the leader, following one redirect.
-func (d *Daemon) submitOnce(ctx context.Context, command statemachine.Command) (operatorapi.Answer, bool) {
+func (d *Daemon) submitOnce(ctx context.Context, command statemachine.Command) (rollout.Response, bool) {
 	if answer, outcome := d.lead(ctx, command); outcome != replica.NotLeader {
 		return answer, outcome == replica.Applied
 	}
@@ -68,7 +68,7 @@
 	address := d.leaderAddress()
 	for range 2 {
 		if address == "" || address == d.config.ReachedAt() {
-			return operatorapi.Answer{}, false
+			return rollout.Response{}, false
 		}
 		limit := submitLimit
 		if command.Op.Spreads() {
@@ -79,19 +79,19 @@
 		reply, err := d.links.To(address).Submit(bounded, &peerapi.SubmitRequest{Group: string(d.Group()), Command: data})
 		cancel()
 		if err != nil {
-			return operatorapi.Answer{}, false
+			return rollout.Response{}, false
 		}
 		if reply.Outcome == string(replica.NotLeader) {
 			address = reply.LeaderAddress
 			continue
 		}
-		var answer operatorapi.Answer
+		var answer rollout.Response
 		if json.Unmarshal(reply.Result, &answer) != nil {
-			return operatorapi.Answer{}, false
+			return rollout.Response{}, false
 		}
 		return answer, reply.Outcome == string(replica.Applied)
 	}
-	return operatorapi.Answer{}, false
+	return rollout.Response{}, false
 }
 
 // Submit takes a command, if this daemon leads.
@@ -121,16 +121,16 @@
 }
 
 // lead carries a command out as the leader.
-func (d *Daemon) lead(ctx context.Context, command statemachine.Command) (operatorapi.Answer, replica.Outcome) {
+func (d *Daemon) lead(ctx context.Context, command statemachine.Command) (rollout.Response, replica.Outcome) {
 	held := d.replica.Load()
-	if held == nil || !held.Condition().Leads {
-		return operatorapi.Answer{}, replica.NotLeader
+	if held == nil || !held.Status().IsLeader {
+		return rollout.Response{}, replica.NotLeader
 	}
 	if command.Op == statemachine.OpPropose {
 		// A bundle with faults never gets into the log.
 		parsed, faults := document.Parse(command.Spec)
 		if len(faults) > 0 {
-			return operatorapi.Answer{Result: statemachine.Result{Verdict: statemachine.Malformed, Reason: "the bundle has faults"}, Faults: faults}, replica.Applied
+			return rollout.Response{Result: statemachine.Result{Verdict: statemachine.Malformed, Reason: "the bundle has faults"}, Faults: faults}, replica.Applied
 		}
 		if parsed.Forward != nil {
 			command.Revision = ident.Revision(parsed.Forward.Revision)
@@ -141,7 +141,7 @@
 	}
 	began := d.clock.Elapsed()
 	got := held.Submit(ctx, command)
-	answer := operatorapi.Answer{Result: got.Result}
+	answer := rollout.Response{Result: got.Result}
 	if command.Op == statemachine.OpLeave && got.Outcome == replica.Applied {
 		d.awaitLeave(ctx, command.Engine)
 		return answer, got.Outcome
@@ -160,15 +160,15 @@
 	}
 	// Acknowledged means: on a majority's disks, and in force at every daemon that may be serving.
 	reach := d.members.AwaitReach(ctx, specEpoch, closureEpoch, reachLimit-d.clock.Elapsed().Since(began),
-		func() []ident.NodeID { return held.Condition().Serving })
+		func() []ident.NodeID { return held.Status().ServingDaemons })
 	answer.InForceAt, answer.Missing, answer.Acknowledged = reach.Have, reach.Lack, reach.All
 	return answer, got.Outcome
 }
 
 // refusal says why a command is refused by what this daemon knows beside the log, if it is.
-func (d *Daemon) refusal(command statemachine.Command) (operatorapi.Answer, bool) {
-	refuse := func(verdict statemachine.Verdict, reason string) (operatorapi.Answer, bool) {
-		return operatorapi.Answer{Result: statemachine.Result{Verdict: verdict, Reason: reason}}, true
+func (d *Daemon) refusal(command statemachine.Command) (rollout.Response, bool) {
+	refuse := func(verdict statemachine.Verdict, reason string) (rollout.Response, bool) {
+		return rollout.Response{Result: statemachine.Result{Verdict: verdict, Reason: reason}}, true
 	}
 	switch t := d.keeper.Table(); {
 	case command.Op == statemachine.OpClosure && command.Closed && t != nil:
@@ -190,19 +190,19 @@
 			return refuse(statemachine.Conflict, fmt.Sprintf("%s was heard %d ms ago; stop it instead", command.Lost, ago.Milliseconds()))
 		}
 	}
-	return operatorapi.Answer{}, false
+	return rollout.Response{}, false
 }
 
 // refuseAsLeader refuses a command for good, if a majority confirms that this daemon leads and what it knows is not
 // older than what is committed. Otherwise nothing is said: whoever leads by now may take the command.
-func (d *Daemon) refuseAsLeader(ctx context.Context, held *replica.Replica, command statemachine.Command) (operatorapi.Answer, replica.Outcome) {
+func (d *Daemon) refuseAsLeader(ctx context.Context, held *replica.Replica, command statemachine.Command) (rollout.Response, replica.Outcome) {
 	var committed ident.Version
 	if outcome := held.Read(ctx, func(state *statemachine.State) { committed = state.Epoch() }); outcome != replica.Applied {
-		return operatorapi.Answer{}, outcome
+		return rollout.Response{}, outcome
 	}
 	answer, refused := d.refusal(command)
 	if inForce, _ := d.InForce(); !refused || inForce < committed {
-		return operatorapi.Answer{}, replica.Unknown
+		return rollout.Response{}, replica.Unknown
 	}
 	return answer, replica.Applied
 }
--- a/daemon/controlcontact.go
+++ b/daemon/controlcontact.go
@@ -34,18 +34,18 @@
 
 // contact says how well this daemon hears what other control daemons hear. One that is cut off from any that
 // lives can't tell an engine's silence from its own deafness; nor can several that were cut off from a majority together.
-func (d *Daemon) contact() registry.Contact {
+func (d *Daemon) contact() registry.Connectivity {
 	now := d.clock.Elapsed()
 	if !d.config.Serves(daemonconfig.Control) {
 		// It judges nobody, so it need not look through the fleet for it.
-		return registry.Contact{Horizon: now}
+		return registry.Connectivity{Horizon: now}
 	}
 	return contactOf(d.members.View(), d.nodeID, now, d.hearsay.of, d.beatPeriod(), d.alone)
 }
 
 // contactOf is contact for a view; heard is up to when a control daemon at an address has told all that it heard.
-func contactOf(view *membership.View, self ident.NodeID, now clock.Mark, heard func(address string) clock.Mark, period time.Duration, alone func() bool) registry.Contact {
-	out, others := registry.Contact{Horizon: now}, 0
+func contactOf(view *membership.View, self ident.NodeID, now clock.Mark, heard func(address string) clock.Mark, period time.Duration, alone func() bool) registry.Connectivity {
+	out, others := registry.Connectivity{Horizon: now}, 0
 	for _, fellow := range view.Fellows {
 		if fellow.NodeID == self || !fellow.Serves(string(daemonconfig.Control)) || now.Since(fellow.Heard) > membership.ContactWindow {
 			continue
@@ -53,12 +53,12 @@
 		others++
 		out.Horizon = min(out.Horizon, heard(fellow.Address))
 	}
-	out.May = now.Since(out.Horizon) <= period && (others > 0 || alone()) && now.Since(view.HeardLeader) <= membership.ContactWindow
+	out.CanDetectTimeouts = now.Since(out.Horizon) <= period && (others > 0 || alone()) && now.Since(view.HeardLeader) <= membership.ContactWindow
 	return out
 }
 
 // alone says whether this daemon is the whole group.
 func (d *Daemon) alone() bool {
 	held := d.replica.Load()
-	return held != nil && len(held.Condition().Members.Voters()) == 1 && held.Condition().Leads
+	return held != nil && len(held.Status().Membership.Voters()) == 1 && held.Status().IsLeader
 }
--- a/daemon/engineregistration.go
+++ b/daemon/engineregistration.go
@@ -24,65 +24,65 @@
 func (d *Daemon) Registry() *registry.Registry { return d.registry }
 
 // Register takes what an engine says of itself.
-func (d *Daemon) Register(ctx context.Context, word registry.Word) registry.Outcome {
+func (d *Daemon) Register(ctx context.Context, word registry.Registration) registry.Response {
 	if !d.config.Serves(daemonconfig.Control) {
-		return registry.Outcome{Verdict: registry.Unknown}
+		return registry.Response{Outcome: registry.Unknown}
 	}
-	hearing, ok := d.registry.Hear(word)
+	hearing, ok := d.registry.ReceiveHeartbeat(word)
 	if !ok {
-		return registry.Outcome{Verdict: registry.Unknown}
+		return registry.Response{Outcome: registry.Unknown}
 	}
 	d.counters.engineBeats.Add(1)
-	if hearing.Late {
+	if hearing.Stale {
 		d.counters.engineBeatsLate.Add(1)
 	}
-	if !word.Leaving {
-		return registry.Outcome{Verdict: registry.Acknowledged}
+	if !word.Draining {
+		return registry.Response{Outcome: registry.Acknowledged}
 	}
 	return d.leave(ctx, word.ID, hearing)
 }
 
 // Deregister takes an engine's word that it is gone.
-func (d *Daemon) Deregister(ctx context.Context, id ident.EngineID) registry.Outcome {
+func (d *Daemon) Deregister(ctx context.Context, id ident.EngineID) registry.Response {
 	if !d.config.Serves(daemonconfig.Control) {
-		return registry.Outcome{Verdict: registry.Unknown}
+		return registry.Response{Outcome: registry.Unknown}
 	}
-	hearing, ok := d.registry.End(id)
+	hearing, ok := d.registry.Deregister(id)
 	if !ok {
-		return registry.Outcome{Verdict: registry.Unknown}
+		return registry.Response{Outcome: registry.Unknown}
 	}
 	return d.leave(ctx, id, hearing)
 }
 
 // leave has the group write down that an engine leaves. All hear of it from here meanwhile, since it does no
 // harm to know it early; the acknowledgement rests on the group, so that it outlives this daemon.
-func (d *Daemon) leave(ctx context.Context, id ident.EngineID, hearing registry.Hearing) registry.Outcome {
+func (d *Daemon) leave(ctx context.Context, id ident.EngineID, hearing registry.HeartbeatResult) registry.Response {
 	bounded, cancel := context.WithTimeout(ctx, leaveLimit)
 	defer cancel()
-	if hearing.Left {
+	if hearing.DrainCommitted {
 		// Said again: it is written down, and need only have had the time to get about.
-		d.awaitReach(bounded, hearing.Change, leaveReach-d.clock.Elapsed().Since(hearing.LeftAt))
+		d.awaitReach(bounded, hearing.Change, leaveReach-d.clock.Elapsed().Since(hearing.DrainCommittedAt))
 		d.counters.leavesAcknowledged.Add(1)
-		return registry.Outcome{Verdict: registry.Acknowledged}
+		return registry.Response{Outcome: registry.Acknowledged}
 	}
 	answer, ok := d.submit(bounded, statemachine.Command{Op: statemachine.OpLeave, Engine: id})
 	if !ok || answer.Verdict != statemachine.Done {
 		d.counters.leavesUnknown.Add(1)
-		return registry.Outcome{Verdict: registry.Unknown}
+		return registry.Response{Outcome: registry.Unknown}
 	}
-	d.registry.Leave([]ident.EngineID{id}, false, true)
+	d.registry.MarkDraining([]ident.EngineID{id}, false, true)
 	d.counters.leavesAcknowledged.Add(1)
-	return registry.Outcome{Verdict: registry.Acknowledged}
+	return registry.Response{Outcome: registry.Acknowledged}
 }
 
 // awaitLeave is called at the leader when a leave is committed: it waits until all in contact know.
 func (d *Daemon) awaitLeave(ctx context.Context, id ident.EngineID) {
-	change := d.registry.Leave([]ident.EngineID{id}, false, true)
+	change := d.registry.MarkDraining([]ident.EngineID{id}, false, true)
 	d.awaitReach(ctx, change, leaveReach)
 }
 
 func (d *Daemon) awaitReach(ctx context.Context, change uint64, within time.Duration) bool {
-	return d.registry.AwaitReach(ctx, change, within, func() []ident.NodeID {
+	return d.registry.AwaitPropagation(ctx, change, within, func() []ident.NodeID {
 		var peers []ident.NodeID
 		for _, fellow := range d.members.View().InContact(d.clock.Elapsed(), membership.ContactWindow) {
 			if fellow.NodeID != d.nodeID {
@@ -107,8 +107,8 @@
 	d.leavesNoted = state.Leaves
 	if len(lately) > 0 || len(before) > 0 {
 		go func() {
-			d.registry.Remember(before)
-			d.registry.Leave(lately, false, true)
+			d.registry.RecordDepartures(before)
+			d.registry.MarkDraining(lately, false, true)
 		}()
 	}
 }
--- a/daemon/forwarding.go
+++ b/daemon/forwarding.go
@@ -51,11 +51,6 @@
 	return func(d *Daemon) { d.forwardSide.patience = patience }
 }
 
-// WithEngineView replaces where the registered engines are looked up.
-func WithEngineView(view func() *registry.View) Option {
-	return func(d *Daemon) { d.forwardSide.view = view }
-}
-
 // forwards says whether opaque requests are served here.
 func (d *Daemon) forwards() bool {
 	return d.forwardSide.dialect != nil && d.config.Serves(daemonconfig.Route)
@@ -103,7 +98,7 @@
 		view := d.forwardSide.view()
 		d.forwardSide.pools.Sweep(func(id ident.EngineID) bool {
 			engine, known := view.Engines[id]
-			return known && !engine.Gone
+			return known && !engine.Deregistered
 		})
 		d.forwardSide.actor.Ask(func(core *forwarding.Core, _ forwarding.World) { core.Forget(view) })
 	}
--- a/daemon/handover.go
+++ b/daemon/handover.go
@@ -80,10 +80,10 @@
 	bounded, cancel := context.WithTimeout(context.Background(), tellLimit)
 	defer cancel()
 	seen := make(chan bool, len(peers))
-	change := d.registry.Solid()
+	change := d.registry.LatestNonLoadChange()
 	for _, peer := range peers {
 		go func() {
-			seen <- d.registry.AwaitReach(bounded, change, tellLimit, func() []ident.NodeID { return []ident.NodeID{peer} })
+			seen <- d.registry.AwaitPropagation(bounded, change, tellLimit, func() []ident.NodeID { return []ident.NodeID{peer} })
 		}()
 	}
 	for range peers {
@@ -101,9 +101,9 @@
 	if held == nil || life == nil {
 		return
 	}
-	condition := held.Condition()
-	self, known := condition.Members.Find(life.store.Member)
-	if !known || !self.Voter || len(condition.Members.Voters()) == 1 {
+	condition := held.Status()
+	self, known := condition.Membership.Find(life.store.Member)
+	if !known || !self.Voter || len(condition.Membership.Voters()) == 1 {
 		return
 	}
 	bounded, cancel := context.WithTimeout(limit, lastVoteLimit)
@@ -129,10 +129,10 @@
 	for {
 		leader := d.leaderAddress()
 		switch held := d.replica.Load(); {
-		case held != nil && held.Condition().Leads:
+		case held != nil && held.Status().IsLeader:
 			if now := d.clock.Elapsed(); now.Since(offered) > handOverEvery {
 				offered = now
-				held.HandOver()
+				held.TransferLeadership()
 			}
 		case leader != "" && leader != self.Address && d.askToJoin(ctx, leader, self, true):
 			return true
--- a/daemon/membernotices.go
+++ b/daemon/membernotices.go
@@ -10,22 +10,22 @@
 )
 
 // groupTurned writes down what changed in this member's part in the group.
-func (d *Daemon) groupTurned(before, after replica.Condition) {
+func (d *Daemon) groupTurned(before, after replica.Status) {
 	line := d.log.WithField("term", uint64(after.Term))
 	switch {
-	case after.Leads && !before.Leads:
+	case after.IsLeader && !before.IsLeader:
 		line.Info("leads the group")
-	case before.Leads && !after.Leads:
+	case before.IsLeader && !after.IsLeader:
 		line.Info("leads the group no more")
-	case after.Stalled != before.Stalled:
-		line.WithField("stalled", after.Stalled).Info("the disk holds this member up, or does no more")
+	case after.DiskStalled != before.DiskStalled:
+		line.WithField("stalled", after.DiskStalled).Info("the disk holds this member up, or does no more")
 	}
-	if after.Leads && len(after.Differing) > 0 && !slices.Equal(before.Differing, after.Differing) {
-		line.WithField("members", after.Differing).Warn("the states of these members differ from a majority's")
+	if after.IsLeader && len(after.DivergentMembers) > 0 && !slices.Equal(before.DivergentMembers, after.DivergentMembers) {
+		line.WithField("members", after.DivergentMembers).Warn("the states of these members differ from a majority's")
 	}
-	if after.Leads && !slices.Equal(before.Members.Members, after.Members.Members) {
+	if after.IsLeader && !slices.Equal(before.Membership.Members, after.Membership.Members) {
 		var voters, learners []string
-		for _, member := range after.Members.Members {
+		for _, member := range after.Membership.Members {
 			if member.Voter {
 				voters = append(voters, member.Name)
 			} else {
--- a/daemon/poolplanning.go
+++ b/daemon/poolplanning.go
@@ -32,7 +32,7 @@
 func WithPoolPlanning(client poolplacement.EngineClient, settings poolplacement.Settings) Option {
 	return func(d *Daemon) {
 		d.pools = &poolPlanning{client: client, settings: settings}
-		d.replicaConfig.ClaimSpan, d.replicaConfig.ClaimGap = settings.Span, settings.Gap
+		d.replicaConfig.PlannerLease, d.replicaConfig.PlannerLeaseGap = settings.Span, settings.Gap
 	}
 }
 
@@ -91,7 +91,7 @@
 	case answer.Verdict == statemachine.Done:
 		return poolplacement.ClaimAnswer{Granted: answer.Claim}
 	}
-	return poolplacement.ClaimAnswer{Wait: time.Duration(answer.Claim.FreeAt(p.replicaConfig.ClaimGap)-answer.Claim.Now) * time.Millisecond}
+	return poolplacement.ClaimAnswer{Wait: time.Duration(answer.Claim.FreeAt(p.replicaConfig.PlannerLeaseGap)-answer.Claim.Now) * time.Millisecond}
 }
 
 // Mint stamps an order, LeaseHeld says whether the lease it was minted under still holds.
@@ -111,4 +111,4 @@
 func (p poolPlanner) First() bool { return !p.Leads() }
 
 // Tell spreads the plan.
-func (p poolPlanner) Tell(plans map[ident.EngineID]registry.Plan) { p.registry.TellPlan(plans) }
+func (p poolPlanner) Tell(plans map[ident.EngineID]registry.Plan) { p.registry.PublishPlans(plans) }
--- a/daemon/pull.go
+++ b/daemon/pull.go
@@ -47,7 +47,7 @@
 	wantsLost := !d.hearWants(in)
 	d.nodes.hear(in)
 	d.hearOutcomes(in)
-	d.registry.Saw(ident.NodeID(in.NodeId), cursorOf(in))
+	d.registry.RecordAcknowledgement(ident.NodeID(in.NodeId), cursorOf(in))
 	d.hearDraining(in.Draining)
 	if !wantsLost {
 		d.holdBack(ctx, in)
@@ -112,8 +112,8 @@
 		// What is heard in short is counted apart, so that all can be asked for when that is needed.
 		peer += " urgent"
 	}
-	cursor, wanted := d.registry.Asked(peer)
-	request.RegistryLife, request.RegistrySeen, request.RegistryWhole = cursor.Life, cursor.Seen, cursor.Whole
+	cursor, wanted := d.registry.NextRequest(peer)
+	request.RegistryLife, request.RegistrySeen, request.RegistryWhole = cursor.Incarnation, cursor.Seen, cursor.Complete
 	request.Beats = d.config.Serves(daemonconfig.Control)
 	request.LacksVersion, request.DrainingVersion = d.heardNews.lacks.Load(), d.heardNews.draining.Load()
 	for _, id := range wanted {
@@ -124,8 +124,8 @@
 	if err != nil || !d.ofOurs(reply) {
 		return reply, err
 	}
-	d.registry.Learn(peer, registry.Difference{Cursor: registry.Cursor{Life: reply.RegistryLife, Seen: reply.RegistrySeen, Whole: reply.RegistryWhole},
-		Afresh: reply.RegistryAfresh, More: reply.RegistryMore, Records: registry.Decode(d.clock.Elapsed(), reply.Engines)}, wanted)
+	d.registry.ApplyDelta(peer, registry.Delta{Cursor: registry.Cursor{Incarnation: reply.RegistryLife, Seen: reply.RegistrySeen, Complete: reply.RegistryWhole},
+		FullResync: reply.RegistryAfresh, More: reply.RegistryMore, Records: registry.Decode(d.clock.Elapsed(), reply.Engines)}, wanted)
 	if !reply.RegistryMore && !request.RegistryUrgent {
 		d.hearsay.note(address, asked)
 	}
@@ -147,7 +147,7 @@
 	if held == nil {
 		return nil
 	}
-	for _, member := range held.Condition().Members.Members {
+	for _, member := range held.Status().Membership.Members {
 		if member.Address != "" {
 			out = append(out, member.Address)
 		}
--- a/daemon/registryexchange.go
+++ b/daemon/registryexchange.go
@@ -16,25 +16,25 @@
 	for _, id := range in.RegistryWanted {
 		wanted = append(wanted, ident.EngineID(id))
 	}
-	question := registry.Question{Cursor: cursorOf(in), Wanted: wanted}
+	question := registry.DeltaRequest{Cursor: cursorOf(in), FullRecordsOf: wanted}
 	if !in.Beats {
 		// How busy far engines are is told seldom; control daemons pass it on, and so are told all.
 		question.Zone = d.members.ZoneOf(ident.NodeID(in.NodeId))
 	}
 	switch {
 	case in.RegistryUrgent:
-		question.Kind = registry.UrgentOnly
+		question.Filter = registry.UrgentOnly
 	case in.Beats && d.config.Serves(daemonconfig.Control):
 		// Only those who may have to judge an engine's silence need to hear of each beat.
-		question.Kind = registry.WithBeats
+		question.Filter = registry.WithHeartbeats
 	}
-	difference := d.registry.Since(question)
-	reply.RegistryLife, reply.RegistrySeen, reply.RegistryWhole = difference.Life, difference.Seen, difference.Cursor.Whole
-	reply.RegistryAfresh, reply.RegistryMore = difference.Afresh, difference.More
+	difference := d.registry.DeltaSince(question)
+	reply.RegistryLife, reply.RegistrySeen, reply.RegistryWhole = difference.Incarnation, difference.Seen, difference.Cursor.Complete
+	reply.RegistryAfresh, reply.RegistryMore = difference.FullResync, difference.More
 	reply.Engines = registry.Encode(d.clock.Elapsed(), difference.Records)
 }
 
 // cursorOf is how much of this daemon's changes an asker has.
 func cursorOf(in *peerapi.PullRequest) registry.Cursor {
-	return registry.Cursor{Life: in.RegistryLife, Seen: in.RegistrySeen, Whole: in.RegistryWhole}
+	return registry.Cursor{Incarnation: in.RegistryLife, Seen: in.RegistrySeen, Complete: in.RegistryWhole}
 }
