--- a/process/consensus/replica/members.go
+++ b/process/consensus/replica/membership_plan.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"github.com/cresspond/cresspond/clock"
 	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
@@ -60,7 +61,7 @@
 // or where a place is free. A voter is let go only if another stands ready and a majority holds without it, so that a
 // machine that may only be restarting never shrinks the group. Every step differs in one voter from the one before.
 func (p MembershipPlan) Next() (raft.Membership, bool) {
-	ready := p.ready()
+	ready := p.readyLearners()
 	steps := []func() (raft.Membership, bool){
 		p.admit,
 		func() (raft.Membership, bool) { return p.removePreviousIdentity(ready) },
@@ -174,7 +175,7 @@
 }
 
 // ready lists the learners that have caught up and speak, the longest in the group first.
-func (p MembershipPlan) ready() []raft.Member {
+func (p MembershipPlan) readyLearners() []raft.Member {
 	var out []raft.Member
 	for _, member := range p.Current.Members {
 		standing := p.Progress(member.ID)
@@ -222,3 +223,18 @@
 	}
 	return left > 0 && 2*alive > left
 }
+
+// MembershipPlan is what a leader's next change of the membership depends on.
+func (c *Core) MembershipPlan(now clock.Mark, joins map[raft.MemberID]raft.Member) MembershipPlan {
+	return MembershipPlan{Self: c.raft.ID(), Current: c.raft.Membership(), LastIndex: c.raft.LastIndex(), DesiredVoters: c.config.Voters, JoinRequests: joins,
+		Progress: func(id raft.MemberID) Progress {
+			// Who was heard before this member led has had no reason to speak to it since.
+			said, leaves := c.leaving[id]
+			match, missing := c.raft.MatchIndex(id), 0
+			if match+caughtUpEntries >= c.raft.LastIndex() {
+				// Who lacks more is not ready whatever that holds.
+				missing = c.raft.BytesAfter(match)
+			}
+			return Progress{Match: match, MissingBytes: missing, SinceContact: now.Since(max(c.lastContact[id], c.leaderSince)), Leaving: leaves && now.Since(said) < leavingValidity}
+		}}
+}
