--- a/process/consensus/replica/config.go
+++ b/process/consensus/replica/config.go
@@ -29,7 +29,7 @@
 // DefaultConfig gives the times of the design.
 func DefaultConfig() Config {
 	return Config{
-		Timing:      raft.Timing{Heartbeat: 2, Election: 16},
+		Timing:      raft.Timing{HeartbeatTicks: 2, ElectionTicks: 16},
 		WorkerLease: 30 * time.Second, PlannerLease: 4 * time.Second, PlannerLeaseGap: 3 * time.Second,
 		Voters: DefaultVoters, CompactEntries: 2000, RetainEntries: 200, CompactBytes: 8 << 20, RetainBytes: 2 << 20,
 		HistoryLimits: statemachine.DefaultLimits(),
--- a/process/consensus/replica/core.go
+++ b/process/consensus/replica/core.go
@@ -59,7 +59,7 @@
 	c := &Core{config: config, raft: member, state: state, appliedIndex: member.SnapshotIndex(), groupTimeAt: now, startedAt: now, lastRestored: member.LastIndex(), wallClock: wall,
 		proposals: map[raft.Index]proposal{}, reads: map[uint64]raft.Index{}, lastContact: map[raft.MemberID]clock.Mark{}, leaving: map[raft.MemberID]clock.Mark{},
 		digests: newDigests(statemachine.Form(config.Build))}
-	member.CheckSnapshots(c.validateSnapshot)
+	member.SetSnapshotCheck(c.validateSnapshot)
 	return c, nil
 }
 
@@ -87,27 +87,27 @@
 
 // carry applies what was committed and turns raft effects into the replica's.
 func (c *Core) processRaftEffects(now clock.Mark, effects raft.Effects) Effects {
-	out := Effects{Save: effects.Save, MessagesAfterSave: effects.Later, Messages: effects.Now, Notices: effects.Notices}
+	out := Effects{Save: effects.Save, MessagesAfterSave: effects.AfterSync, Messages: effects.Immediate, Notices: effects.Notices}
 	if effects.Save != nil && effects.Save.TruncateFrom > 0 && effects.Save.TruncateFrom <= c.lastRestored {
 		// What takes the place of entries found on disk may have been stamped at any time since.
 		c.lastRestored = effects.Save.TruncateFrom - 1
 	}
 	specBefore, closuresBefore, leavesBefore := c.state.Epoch(), c.state.Closures.Epoch, c.state.Leaves
-	if effects.Install != nil {
+	if effects.InstallSnapshot != nil {
 		// It was read by checkSnapshot before the log was given up for it.
-		c.state, c.appliedIndex, c.groupTimeAt, c.validated = c.validated, effects.Install.Index, now, nil
+		c.state, c.appliedIndex, c.groupTimeAt, c.validated = c.validated, effects.InstallSnapshot.Index, now, nil
 		c.digests.reset()
 		c.entriesSinceSnapshot, c.entrySizes, c.bytesSinceSnapshot = 0, c.entrySizes[:0], 0
 	}
 	for _, entry := range effects.Committed {
 		c.apply(now, entry, &out)
 	}
-	for _, read := range effects.Reads {
+	for _, read := range effects.ReadStates {
 		if !read.OK {
-			out.Responses = append(out.Responses, Response{RequestID: read.Ref, Outcome: NotLeader})
+			out.Responses = append(out.Responses, Response{RequestID: read.RequestID, Outcome: NotLeader})
 			continue
 		}
-		c.reads[read.Ref] = read.Index
+		c.reads[read.RequestID] = read.Index
 	}
 	for _, ref := range slices.Sorted(maps.Keys(c.reads)) {
 		if c.appliedIndex >= c.reads[ref] {
@@ -122,7 +122,7 @@
 	if c.entriesSinceSnapshot >= c.config.CompactEntries || c.config.CompactBytes > 0 && c.bytesSinceSnapshot >= c.config.CompactBytes {
 		keep := c.retainedEntries()
 		c.entriesSinceSnapshot, c.entrySizes, c.bytesSinceSnapshot = 0, c.entrySizes[:0], 0
-		out.merge(c.processRaftEffects(now, c.raft.Step(raft.Compact{Index: c.appliedIndex, Data: c.state.Snapshot(), Keep: keep})))
+		out.merge(c.processRaftEffects(now, c.raft.Step(raft.Compact{Index: c.appliedIndex, Data: c.state.Snapshot(), RetainEntries: keep})))
 	}
 	return out
 }
--- a/process/consensus/replica/membership_plan.go
+++ b/process/consensus/replica/membership_plan.go
@@ -230,7 +230,7 @@
 		Progress: func(id raft.MemberID) Progress {
 			// Who was heard before this member led has had no reason to speak to it since.
 			said, leaves := c.leaving[id]
-			match, missing := c.raft.MatchOf(id), 0
+			match, missing := c.raft.MatchIndex(id), 0
 			if match+caughtUpEntries >= c.raft.LastIndex() {
 				// Who lacks more is not ready whatever that holds.
 				missing = c.raft.BytesAfter(match)
