--- a/process/engines/registry/acknowledgements.go
+++ b/process/engines/registry/acknowledgements.go
@@ -8,51 +8,55 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// reach is how much of this daemon's changes each peer has, by its own word.
+// acknowledgements is how far each peer has this daemon's changes, by the cursors of its requests.
 type acknowledgements struct {
 	mutex    sync.Mutex
 	complete map[ident.NodeID]uint64
-	// told is closed and replaced at each new word.
+	// changed is closed and replaced at each new acknowledgement.
 	changed chan struct{}
 }
 
-// mostPeers bounds the lives that are remembered; those that ended say no more.
+// maxAcknowledgingPeers bounds the node ids that are remembered; a restarted daemon has a new one.
 const maxAcknowledgingPeers = 4096
 
-func (r *acknowledgements) record(peer ident.NodeID, change uint64) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	if r.complete[peer] >= change {
+func (a *acknowledgements) record(peer ident.NodeID, change uint64) {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	if a.complete[peer] >= change {
 		return
 	}
-	if len(r.complete) >= maxAcknowledgingPeers {
-		clear(r.complete)
+	if len(a.complete) >= maxAcknowledgingPeers {
+		clear(a.complete)
 	}
-	r.complete[peer] = change
-	close(r.changed)
-	r.changed = make(chan struct{})
+	a.complete[peer] = change
+	close(a.changed)
+	a.changed = make(chan struct{})
 }
 
-func (r *acknowledgements) missing(change uint64, peers []ident.NodeID) (lacking bool, told <-chan struct{}) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
+// missing reports whether any of the peers has not acknowledged a change, and gives a channel that is closed at the next
+// acknowledgement.
+func (a *acknowledgements) missing(change uint64, peers []ident.NodeID) (missing bool, changed <-chan struct{}) {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
 	for _, peer := range peers {
-		lacking = lacking || r.complete[peer] < change
+		missing = missing || a.complete[peer] < change
 	}
-	return lacking, r.changed
+	return missing, a.changed
 }
 
-func (r *acknowledgements) await(ctx context.Context, change uint64, within time.Duration, peers func() []ident.NodeID) bool {
-	limit := time.NewTimer(within)
-	defer limit.Stop()
+// await waits until none of the peers misses a change; peers is asked anew each time, since they come and go. It returns
+// false when the timeout has passed or ctx has ended first.
+func (a *acknowledgements) await(ctx context.Context, change uint64, timeout time.Duration, peers func() []ident.NodeID) bool {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	for {
-		lacking, changed := r.missing(change, peers())
-		if !lacking {
+		missing, changed := a.missing(change, peers())
+		if !missing {
 			return true
 		}
 		select {
 		case <-changed:
-		case <-limit.C:
+		case <-timer.C:
 			return false
 		case <-ctx.Done():
 			return false
--- a/process/engines/registry/changes.go
+++ b/process/engines/registry/changes.go
@@ -1,28 +1,28 @@
 package registry
 
-// Newest numbers the last change that all are told of.
+// LatestChange is the number of the newest change that all peers get.
 func (c *Core) LatestChange() uint64 { return c.latestChange }
 
-// Urgent numbers the last change that must not wait for others: who came, and who must not be sent to.
+// LatestUrgentChange is the number of the newest urgent change: an engine came, or nothing may be sent to one any more.
 func (c *Core) LatestUrgentChange() uint64 { return c.latestUrgentChange }
 
-// Solid numbers the last change that tells of anything but loads.
+// LatestNonLoadChange is the number of the newest change of anything but load figures.
 func (c *Core) LatestNonLoadChange() uint64 { return c.latestNonLoadChange }
 
-// changedAtOnce numbers a change that all are told of without delay.
+// recordUrgentChange numbers a change that all peers must get without delay.
 func (c *Core) recordUrgentChange(state *engineState) {
 	c.recordChange(state)
 	state.lastUrgentChange, c.latestUrgentChange = c.lastChange, c.lastChange
 	c.byUrgentChange.MoveToBack(state.urgentElement)
 }
 
-// changedNow numbers a change that all are told of.
+// recordChange numbers a change of anything but load figures.
 func (c *Core) recordChange(state *engineState) {
 	c.assignChangeNumber(state)
 	state.nonLoadChange, c.latestNonLoadChange = c.lastChange, c.lastChange
 }
 
-// number numbers a change.
+// assignChangeNumber numbers a change of any kind.
 func (c *Core) assignChangeNumber(state *engineState) {
 	c.lastChange++
 	state.lastChange, state.lastChangeOrHeartbeat, c.latestChange = c.lastChange, c.lastChange, c.lastChange
@@ -31,7 +31,7 @@
 	c.dirty[state.registration.ID] = true
 }
 
-// beat numbers a beat heard here, of which only control daemons are told.
+// recordLocalHeartbeat numbers a heartbeat received here. It changes nothing in a view, and only control daemons get it.
 func (c *Core) recordLocalHeartbeat(state *engineState) {
 	c.lastChange++
 	state.lastChangeOrHeartbeat, state.lastLocalHeartbeat = c.lastChange, c.lastChange
--- a/process/engines/registry/delta.go
+++ b/process/engines/registry/delta.go
@@ -1,156 +1,178 @@
 package registry
 
 import (
+	"container/list"
 	"slices"
 
 	"github.com/cresspond/cresspond/clock"
 	"github.com/cresspond/cresspond/ident"
 )
 
-// Cursor is how much of a peer's changes has been seen.
+// Cursor is how far a peer's changes were applied.
 type Cursor struct {
-	// Life tells one life of a peer from the next, which counts its changes anew.
+	// Incarnation tells a restarted peer, which numbers its changes anew.
 	Incarnation string
-	Seen        uint64
-	// Whole is the change up to which nothing is lacking. Between it and Seen, what changed again is told later,
-	// so while a long difference is under way Whole stays behind.
+	// Seen is the newest change that a delta reached.
+	Seen uint64
+	// Complete is the change up to which nothing is missing. A delta that is cut to the limit moves Seen and not Complete:
+	// engines that change again meanwhile come later, with all that changed since Complete.
 	Complete uint64
 }
 
-// Record is what one daemon tells another of an engine.
+// Record is what one daemon sends another of an engine.
 type Record struct {
 	ID      ident.EngineID
 	CallSeq uint64
-	// Digest stands for the newest word's content, so that a beat that brings nothing new needs no words.
+	// Digest covers the registration, so that a heartbeat without new content is sent without it.
 	Digest        uint64
 	LastHeartbeat clock.Mark
-	// Word is nil where the hearer has it already.
+	// Registration is nil where the receiver should have it already.
 	Registration                     *Registration
 	Draining, TimedOut, Deregistered bool
-	// Plan is nil where the hearer has it already, or there is none; Part says how much of it is told, and
-	// PlanDigest stands for the rest.
+	// Plan is nil where the receiver should have it already, or there is none. PlanExtent says which of its fields are
+	// set, and PlanDigest covers those that are not load figures.
 	Plan       *Plan
 	PlanExtent PlanExtent
 	PlanDigest uint64
 }
 
-// PlanPart is how much of a plan is told.
+// PlanExtent is how much of a plan a record holds. Its numbers are on the wire.
 type PlanExtent int
 
 const (
-	// WholePlan tells all of it.
+	// FullPlan is all of it.
 	FullPlan PlanExtent = iota
-	// LoadsOnly leaves out what the engine holds, and what comes and goes.
+	// LoadsOnly is its version and the load figures.
 	LoadsOnly
-	// HeadOnly tells only which plan it is.
+	// VersionOnly is only its claim and sequence.
 	VersionOnly
 )
 
-// Kind is which changes are asked for.
+// ChangeFilter is which changes a peer asks for.
 type ChangeFilter int
 
 const (
-	// Everything is all changes.
+	// AllChanges is all changes.
 	AllChanges ChangeFilter = iota
-	// WithBeats is every beat as well.
+	// WithHeartbeats is all changes and each heartbeat that the answering daemon received.
 	WithHeartbeats
-	// UrgentOnly is who came, and who must not be sent to; the rest is heard from another peer.
+	// UrgentOnly is the engines that came, and those to which nothing may be sent any more. The peer gets the rest from
+	// another daemon.
 	UrgentOnly
 )
 
-// Question is what a peer asks.
+// DeltaRequest asks a daemon for what changed there.
 type DeltaRequest struct {
 	Cursor
+	// FullRecordsOf are engines of which the peer needs full records, whether they changed or not.
 	FullRecordsOf []ident.EngineID
 	Filter        ChangeFilter
-	// Zone is where the asker stands; empty is not told.
+	// Zone is the asking daemon's; empty is not stated, and gets the load figures as often as the engine's own zone.
 	Zone ident.ZoneID
 }
 
-// Difference is what changed at a daemon since a cursor.
+// Delta is what changed at a daemon after a cursor.
 type Delta struct {
 	Cursor
-	// Afresh says that it tells of everything; More, that it goes on in the next.
+	// FullResync says that it starts from nothing; More that it was cut to the limit.
 	FullResync, More bool
 	Records          []Record
 }
 
-// Since gives what changed here since a cursor, at most so many records, and what is wanted besides.
-func (c *Core) DeltaSince(request DeltaRequest, most int) Delta {
-	out := Delta{Cursor: Cursor{Incarnation: c.incarnation, Seen: c.lastChange}}
-	seen, whole := request.Seen, min(request.Cursor.Complete, request.Seen)
+// DeltaSince gives at most limit records of what changed here after the request's cursor, and the full records asked for.
+func (c *Core) DeltaSince(request DeltaRequest, limit int) Delta {
+	delta := Delta{Cursor: Cursor{Incarnation: c.incarnation, Seen: c.lastChange}}
+	seen, complete := request.Seen, min(request.Cursor.Complete, request.Seen)
 	if request.Incarnation != c.incarnation || seen > c.lastChange {
-		seen, whole, out.FullResync = 0, 0, true
+		seen, complete, delta.FullResync = 0, 0, true
 	}
-	order, numberOf := c.byChange, func(state *engineState) uint64 { return state.lastChange }
-	switch request.Filter {
+	changed, changeNumber := c.changedSince(request.Filter, seen)
+	if len(changed) > limit {
+		changed = changed[:limit]
+		delta.More, delta.Seen = true, changeNumber(changed[limit-1])
+	}
+	if delta.Cursor.Complete = delta.Seen; delta.More {
+		delta.Cursor.Complete = complete
+	}
+	// A peer that knew another incarnation of this daemon, or gets most from elsewhere, has nearly all of it: it gets
+	// abbreviated records, and asks for what it does not have.
+	abbreviated := delta.FullResync && request.Incarnation != "" || request.Filter == UrgentOnly
+	for _, state := range changed {
+		if record, send := state.recordFor(request, complete, abbreviated); send {
+			delta.Records = append(delta.Records, record)
+		}
+	}
+	for _, id := range request.FullRecordsOf {
+		if state := c.engines[id]; state != nil {
+			delta.Records = append(delta.Records, state.recordSince(0, true, false))
+		}
+	}
+	return delta
+}
+
+// changedSince lists the engines that changed after a change number, the oldest change first, so that a cut list says how
+// far it came. changeNumber gives the number that it is ordered by.
+func (c *Core) changedSince(filter ChangeFilter, seen uint64) (changed []*engineState, changeNumber func(*engineState) uint64) {
+	var order *list.List
+	switch filter {
 	case WithHeartbeats:
-		order, numberOf = c.byHeartbeat, func(state *engineState) uint64 { return state.lastChangeOrHeartbeat }
+		order, changeNumber = c.byHeartbeat, func(state *engineState) uint64 { return state.lastChangeOrHeartbeat }
 	case UrgentOnly:
-		order, numberOf = c.byUrgentChange, func(state *engineState) uint64 { return state.lastUrgentChange }
+		order, changeNumber = c.byUrgentChange, func(state *engineState) uint64 { return state.lastUrgentChange }
+	default:
+		order, changeNumber = c.byChange, func(state *engineState) uint64 { return state.lastChange }
 	}
-	var changed []*engineState
-	for at := order.Back(); at != nil; at = at.Prev() {
-		state := at.Value.(*engineState)
-		if numberOf(state) <= seen {
+	for element := order.Back(); element != nil; element = element.Prev() {
+		state := element.Value.(*engineState)
+		if changeNumber(state) <= seen {
 			break
 		}
 		changed = append(changed, state)
 	}
-	// The oldest go first, so that the cursor can tell how far it came.
 	slices.Reverse(changed)
-	if len(changed) > most {
-		changed = changed[:most]
-		out.More, out.Seen = true, numberOf(changed[most-1])
+	return changed, changeNumber
+}
+
+// recordFor gives what a peer that has everything up to complete must get of a changed engine; send is false where that
+// is nothing.
+func (s *engineState) recordFor(request DeltaRequest, complete uint64, abbreviated bool) (record Record, send bool) {
+	sameZone := request.Zone == "" || s.registration.Zone == request.Zone
+	if request.Filter == AllChanges && s.nonLoadChange <= complete && s.load(sameZone).change <= complete {
+		return Record{}, false
 	}
-	if out.Cursor.Complete = out.Seen; out.More {
-		out.Cursor.Complete = whole
+	record = s.recordSince(complete, sameZone, abbreviated)
+	if request.Filter != WithHeartbeats || s.plannedHere {
+		return record, true
 	}
-	// An asker that knew another life of this daemon, or hears most from elsewhere, has nearly all of it: it is
-	// told in short what there is, and asks for what it lacks.
-	short := out.FullResync && request.Incarnation != "" || request.Filter == UrgentOnly
-	for _, state := range changed {
-		near := request.Zone == "" || state.registration.Zone == request.Zone
-		if request.Filter == AllChanges && state.nonLoadChange <= whole && state.loadChange(near) <= whole {
-			continue
-		}
-		record := state.recordSince(whole, near, short)
-		if request.Filter == WithHeartbeats && !state.plannedHere {
-			// Control daemons all hear loads from the planner itself; passed on, each would come once from every one.
-			if state.nonLoadChange <= whole && state.lastLocalHeartbeat <= whole {
-				continue
-			}
-			if record.PlanExtent == LoadsOnly {
-				record.Plan, record.PlanExtent, record.PlanDigest = nil, FullPlan, 0
-			}
-		}
-		out.Records = append(out.Records, record)
+	// Control daemons all get load figures from the planner's daemon; passed on, each would come once from every one.
+	if s.nonLoadChange <= complete && s.lastLocalHeartbeat <= complete {
+		return Record{}, false
 	}
-	for _, id := range request.FullRecordsOf {
-		if state := c.engines[id]; state != nil {
-			out.Records = append(out.Records, state.recordSince(0, true, false))
-		}
+	if record.PlanExtent == LoadsOnly {
+		record.Plan, record.PlanExtent, record.PlanDigest = nil, FullPlan, 0
 	}
-	return out
+	return record, true
 }
 
-// record tells what changed of an engine since a change, to one that is near or not.
-func (e *engineState) recordSince(since uint64, near, short bool) Record {
-	out := Record{ID: e.registration.ID, CallSeq: e.registration.CallSeq, Digest: e.registrationDigest, LastHeartbeat: e.lastHeartbeat, Draining: e.draining, TimedOut: e.timedOut, Deregistered: e.deregistered}
-	if !short && e.registered && e.registrationChange > since {
-		copied := e.registration
-		out.Registration = &copied
+// recordSince gives an engine's flags, and what changed of its registration and plan after a change number. An
+// abbreviated record holds digests and versions only.
+func (s *engineState) recordSince(change uint64, sameZone, abbreviated bool) Record {
+	record := Record{ID: s.registration.ID, CallSeq: s.registration.CallSeq, Digest: s.registrationDigest, LastHeartbeat: s.lastHeartbeat,
+		Draining: s.draining, TimedOut: s.timedOut, Deregistered: s.deregistered}
+	if !abbreviated && s.registered && s.registrationChange > change {
+		registration := s.registration
+		record.Registration = &registration
 	}
-	if e.plan == nil {
-		return out
+	if s.plan == nil {
+		return record
 	}
 	switch {
-	case short:
-		out.Plan, out.PlanExtent = e.plan, VersionOnly
-	case e.planChange > since:
-		out.Plan, out.PlanDigest = e.plan, e.planDigest
-	case e.loadChange(near) > since:
-		out.Plan, out.PlanExtent, out.PlanDigest = e.plan, LoadsOnly, e.planDigest
+	case abbreviated:
+		record.Plan, record.PlanExtent = s.plan, VersionOnly
+	case s.planChange > change:
+		record.Plan, record.PlanDigest = s.plan, s.planDigest
+	case s.load(sameZone).change > change:
+		record.Plan, record.PlanExtent, record.PlanDigest = s.plan, LoadsOnly, s.planDigest
 	}
-	return out
+	return record
 }
--- a/process/engines/registry/digest.go
+++ b/process/engines/registry/digest.go
@@ -7,7 +7,8 @@
 	"math"
 )
 
-// digest sums up what is put into it.
+// digestWriter hashes values into a 64-bit FNV-1a digest. Texts and lists are written with their length first, so that
+// two different sequences of values are not hashed alike.
 type digestWriter struct{ hash.Hash64 }
 
 func newDigestWriter() digestWriter { return digestWriter{fnv.New64a()} }
@@ -18,9 +19,9 @@
 	d.Write(number[:])
 }
 
-func (d digestWriter) writeText(s string) {
-	d.writeNumber(uint64(len(s)))
-	d.Write([]byte(s))
+func (d digestWriter) writeText(text string) {
+	d.writeNumber(uint64(len(text)))
+	d.Write([]byte(text))
 }
 
 func (d digestWriter) writeModels(models []LoadedModel) {
@@ -35,50 +36,51 @@
 	}
 }
 
-// digestOf stands for all of a word that is worth telling: not its number, nor the count-down of its slow start.
+// digestOfRegistration covers everything in a registration that peers must learn of: neither its call-seq nor the
+// countdown of its slow start.
 func digestOfRegistration(registration Registration) uint64 {
-	d := newDigestWriter()
-	for _, s := range []string{string(registration.ID), registration.Pool, registration.Address, string(registration.Zone), registration.Software, registration.Phase} {
-		d.writeText(s)
+	digest := newDigestWriter()
+	for _, text := range []string{string(registration.ID), registration.Pool, registration.Address, string(registration.Zone), registration.Software, registration.Phase} {
+		digest.writeText(text)
 	}
-	d.writeNumber(uint64(registration.Slots))
-	leaving := uint64(0)
+	digest.writeNumber(uint64(registration.Slots))
+	draining := uint64(0)
 	if registration.Draining {
-		leaving = 1
+		draining = 1
 	}
 	if registration.TerminatesInMs > 0 {
-		// The time left runs down with each beat; that there is so little is what counts.
-		leaving = 2
+		// The time left goes down with each heartbeat; what counts is that there is a limit.
+		draining = 2
 	}
-	d.writeNumber(leaving)
-	d.writeModels(registration.Models)
-	return d.Sum64()
+	digest.writeNumber(draining)
+	digest.writeModels(registration.Models)
+	return digest.Sum64()
 }
 
-// percent is a share as it travels.
-func percent(share float64) uint64 { return uint64(math.Round(100 * share)) }
+// percent is a fraction as it is sent to peers.
+func percent(fraction float64) uint64 { return uint64(math.Round(100 * fraction)) }
 
-// digestOfPlan stands for what a plan says that an engine holds, what comes and goes, and what it is to get.
+// digestOfPlan covers a plan without its load figures: the models, what is loaded and unloaded, and the weights.
 func digestOfPlan(plan *Plan) uint64 {
-	d := newDigestWriter()
+	digest := newDigestWriter()
 	known := uint64(0)
 	if plan.Models != nil {
 		known = 1
 	}
-	d.writeNumber(known)
-	d.writeModels(plan.Models)
-	d.writeNumber(uint64(len(plan.Retiring)))
+	digest.writeNumber(known)
+	digest.writeModels(plan.Models)
+	digest.writeNumber(uint64(len(plan.Retiring)))
 	for _, target := range plan.Retiring {
-		d.writeText(target.Model)
-		d.writeText(target.Adapter)
+		digest.writeText(target.Model)
+		digest.writeText(target.Adapter)
 	}
-	for _, coming := range plan.PendingLoads {
-		d.writeText(coming.Model)
-		d.writeText(coming.Adapter)
+	for _, pending := range plan.PendingLoads {
+		digest.writeText(pending.Model)
+		digest.writeText(pending.Adapter)
 	}
 	for _, weight := range plan.Weights {
-		d.writeText(string(weight.Zone))
-		d.writeNumber(percent(weight.Fraction))
+		digest.writeText(string(weight.Zone))
+		digest.writeNumber(percent(weight.Fraction))
 	}
-	return d.Sum64()
+	return digest.Sum64()
 }
--- a/process/engines/registry/load.go
+++ b/process/engines/registry/load.go
@@ -9,7 +9,17 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// TellPlan takes the planner's word.
+const (
+	// The interval between two publications of one engine's load figures in its own zone grows with the number of engines,
+	// within these bounds.
+	minLoadInterval       = 500 * time.Millisecond
+	maxLoadInterval       = time.Second
+	loadIntervalPerEngine = 1500 * time.Microsecond
+	// otherZoneIntervalPerEngine bounds what all engines together publish to other zones to some 170 records a second.
+	otherZoneIntervalPerEngine = 6 * time.Millisecond
+)
+
+// PublishPlans takes the plans of the planner in this daemon. Plans of unknown engines are dropped.
 func (c *Core) PublishPlans(now clock.Mark, plans map[ident.EngineID]Plan) {
 	for _, id := range slices.Sorted(maps.Keys(plans)) {
 		if state := c.engines[id]; state != nil {
@@ -20,46 +30,50 @@
 	}
 }
 
-// takePlan is the one place where an engine's plan is replaced. first says that it comes from the planner here,
-// which bounds how often all are told of loads.
-func (c *Core) setPlan(now clock.Mark, state *engineState, plan *Plan, digest uint64, first bool) {
+// setPlan replaces an engine's plan by a newer one; nothing else does. plannedHere says that it comes from the planner in
+// this daemon, which then bounds how often load figures are published in the engine's zone.
+func (c *Core) setPlan(now clock.Mark, state *engineState, plan *Plan, digest uint64, plannedHere bool) {
 	if state.deregistered || notNewerThan(plan.Claim, plan.Sequence, state.plan) {
 		return
 	}
-	same := state.plan != nil && digest == state.planDigest
-	state.plan, state.planDigest, state.plannedHere = plan, digest, first
-	state.sameZoneLoadPending, state.otherZoneLoadPending, c.dirty[state.registration.ID] = true, true, true
-	if !same {
-		c.recordChange(state)
-		state.planChange, state.sameZoneLoadChange, state.otherZoneLoadChange, state.sameZoneLoadPublished, state.otherZoneLoadPublished, state.sameZoneLoadPending, state.otherZoneLoadPending = state.lastChange, state.lastChange, state.lastChange, now, now, false, false
+	onlyLoads := state.plan != nil && digest == state.planDigest
+	state.plan, state.planDigest, state.plannedHere = plan, digest, plannedHere
+	if onlyLoads {
+		state.sameZoneLoad.pending, state.otherZoneLoad.pending = true, true
+		c.dirty[state.registration.ID] = true
+		c.publishLoads(now, state, plannedHere)
 		return
 	}
-	c.publishLoads(now, state, first)
+	c.recordChange(state)
+	state.planChange = state.lastChange
+	published := loadPublication{change: state.lastChange, published: now}
+	state.sameZoneLoad, state.otherZoneLoad = published, published
 }
 
-// tellLoads has others told of an engine's loads, if it is time. Only the first to hear of them bounds that for
-// its own zone; those of other zones hear of them more seldom still, wherever they are asked.
-func (c *Core) publishLoads(now clock.Mark, state *engineState, first bool) {
-	near := state.sameZoneLoadPending && (!first || now.Since(state.sameZoneLoadPublished) >= c.sameZoneLoadInterval())
-	far := state.otherZoneLoadPending && now.Since(state.otherZoneLoadPublished) >= c.otherZoneLoadInterval()
-	if !near && !far {
+// publishLoads publishes an engine's load figures to those whose interval is over. Within the engine's zone only the
+// planner's daemon keeps to the interval (limited); all daemons keep to the longer one of other zones.
+func (c *Core) publishLoads(now clock.Mark, state *engineState, limited bool) {
+	sameZone := state.sameZoneLoad.pending && (!limited || now.Since(state.sameZoneLoad.published) >= c.sameZoneLoadInterval())
+	otherZones := state.otherZoneLoad.pending && now.Since(state.otherZoneLoad.published) >= c.otherZoneLoadInterval()
+	if !sameZone && !otherZones {
 		return
 	}
 	c.assignChangeNumber(state)
-	if near {
-		state.sameZoneLoadChange, state.sameZoneLoadPublished, state.sameZoneLoadPending = state.lastChange, now, false
+	published := loadPublication{change: state.lastChange, published: now}
+	if sameZone {
+		state.sameZoneLoad = published
 	}
-	if far {
-		state.otherZoneLoadChange, state.otherZoneLoadPublished, state.otherZoneLoadPending = state.lastChange, now, false
+	if otherZones {
+		state.otherZoneLoad = published
 	}
 }
 
-// loadEvery is how often those of its zone are told of one engine's loads.
+// sameZoneLoadInterval is how often one engine's load figures are published in its own zone.
 func (c *Core) sameZoneLoadInterval() time.Duration {
-	return min(max(500*time.Millisecond, time.Duration(len(c.engines))*1500*time.Microsecond), time.Second)
+	return min(max(minLoadInterval, time.Duration(len(c.engines))*loadIntervalPerEngine), maxLoadInterval)
 }
 
-// farEvery is how often those of other zones are: all engines together make so many words a second.
+// otherZoneLoadInterval is how often they are published in other zones.
 func (c *Core) otherZoneLoadInterval() time.Duration {
-	return max(c.sameZoneLoadInterval(), time.Duration(len(c.engines))*6*time.Millisecond)
+	return max(c.sameZoneLoadInterval(), time.Duration(len(c.engines))*otherZoneIntervalPerEngine)
 }
--- a/process/engines/registry/merge.go
+++ b/process/engines/registry/merge.go
@@ -8,115 +8,135 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// want is what is to be had of an engine that another told of in short.
+// maxRequestedRecords bounds how many full records are asked for at once.
+const maxRequestedRecords = 256
+
+// missingVersion is what a peer is known to have of an engine, and this daemon has not.
 type missingVersion struct {
 	callSeq, digest uint64
 	claim           ident.FencingToken
-	turn            uint64
+	// sequence is zero where the peer has no plan.
+	sequence uint64
 }
 
-// Asked is the cursor to ask a peer with, and the engines of which its whole word is wanted.
+// NextRequest gives the cursor to ask a peer with, and the engines of which its full records are needed.
 func (c *Core) NextRequest(peer string) (Cursor, []ident.EngineID) {
-	wants := c.missing[peer]
-	for id, wanted := range wants {
-		// What came from elsewhere meanwhile is wanted no more.
-		if state := c.engines[id]; state != nil && state.satisfies(wanted) {
-			delete(wants, id)
+	missing := c.missing[peer]
+	for id, version := range missing {
+		// It may have come from another peer meanwhile.
+		if state := c.engines[id]; state != nil && state.has(version) {
+			delete(missing, id)
 		}
 	}
-	asked := slices.Sorted(maps.Keys(wants))
-	return c.cursors[peer], asked[:min(len(asked), maxRequestedRecords)]
+	ids := slices.Sorted(maps.Keys(missing))
+	return c.cursors[peer], ids[:min(len(ids), maxRequestedRecords)]
 }
 
-func (e *engineState) satisfies(wanted missingVersion) bool {
-	return e.deregistered || e.registered && (e.registration.CallSeq > wanted.callSeq || e.registrationDigest == wanted.digest) && (wanted.turn == 0 || notNewerThan(wanted.claim, wanted.turn, e.plan))
+// has reports whether an engine's state is at least as new as a version.
+func (s *engineState) has(version missingVersion) bool {
+	if s.deregistered {
+		return true
+	}
+	registrationKnown := s.registered && (s.registration.CallSeq > version.callSeq || s.registrationDigest == version.digest)
+	return registrationKnown && (version.sequence == 0 || notNewerThan(version.claim, version.sequence, s.plan))
 }
 
-// Learn takes what a peer told; asked are the engines that were wanted of it.
-func (c *Core) ApplyDelta(now clock.Mark, peer string, delta Delta, asked []ident.EngineID) {
+// ApplyDelta merges what a peer sent; requested are the engines whose full records it was asked for.
+func (c *Core) ApplyDelta(now clock.Mark, peer string, delta Delta, requested []ident.EngineID) {
 	if known := c.cursors[peer]; known.Incarnation != delta.Incarnation || known.Seen < delta.Seen || known.Complete < delta.Cursor.Complete {
 		c.cursors[peer] = delta.Cursor
 	}
-	wants := c.missing[peer]
-	for _, id := range asked {
-		delete(wants, id)
+	missing := c.missing[peer]
+	for _, id := range requested {
+		delete(missing, id)
 	}
 	for _, record := range delta.Records {
 		if c.applyRecord(now, record) {
 			continue
 		}
-		if wants == nil {
-			wants = map[ident.EngineID]missingVersion{}
-			c.missing[peer] = wants
+		if missing == nil {
+			missing = map[ident.EngineID]missingVersion{}
+			c.missing[peer] = missing
 		}
-		wanted := missingVersion{callSeq: record.CallSeq, digest: record.Digest}
+		version := missingVersion{callSeq: record.CallSeq, digest: record.Digest}
 		if record.Plan != nil {
-			wanted.claim, wanted.turn = record.Plan.Claim, record.Plan.Sequence
+			version.claim, version.sequence = record.Plan.Claim, record.Plan.Sequence
 		}
-		wants[record.ID] = wanted
+		missing[record.ID] = version
 	}
 }
 
-// learn joins a record with what is known; it says false where all that the peer knows is wanted.
-func (c *Core) applyRecord(now clock.Mark, r Record) bool {
-	state := c.engines[r.ID]
-	if state == nil && r.Registration == nil && !r.Draining && !r.Deregistered {
-		return false
-	}
+// applyRecord merges a record; complete is false where the peer's full record is needed.
+func (c *Core) applyRecord(now clock.Mark, record Record) (complete bool) {
+	state := c.engines[record.ID]
 	if state == nil {
-		if r.Deregistered && now.Since(r.LastHeartbeat) > retainUnusableFor {
+		if record.Registration == nil && !record.Draining && !record.Deregistered {
+			return false
+		}
+		if record.Deregistered && now.Since(record.LastHeartbeat) > retainUnusableFor {
 			return true
 		}
-		state = c.findOrCreate(now, r.ID)
+		state = c.findOrCreate(now, record.ID)
+	}
+	complete = c.mergeRegistration(state, record)
+	if record.Draining || record.Deregistered {
+		c.setDraining(now, state, record.Deregistered)
 	}
-	lacking := false
+	return c.mergePlan(now, state, record) && complete
+}
+
+// mergeRegistration merges the registration and the timeout of a record.
+func (c *Core) mergeRegistration(state *engineState, record Record) (complete bool) {
 	switch {
-	case !state.registered && r.Registration == nil:
-		// Only of one that leaves nothing else need be known.
-		state.lastHeartbeat = min(state.lastHeartbeat, r.LastHeartbeat)
-	case !state.registered || r.CallSeq > state.registration.CallSeq || r.CallSeq == state.registration.CallSeq && r.Digest > state.registrationDigest:
-		// Two contents under one number are an engine's slip; daemons then agree on one by its digest.
-		switch {
-		case r.Registration != nil:
-			c.setRegistration(state, *r.Registration, r.Digest, r.LastHeartbeat, r.TimedOut)
-		case r.Digest == state.registrationDigest:
-			registration := state.registration
-			registration.CallSeq = r.CallSeq
-			// What was said of a slow start was said at the earlier beat.
-			registration.SlowStartMs = max(0, state.slowStartEnd.Since(r.LastHeartbeat).Milliseconds())
-			c.setRegistration(state, registration, state.registrationDigest, r.LastHeartbeat, r.TimedOut)
-		default:
-			lacking = true
-		}
-	case r.CallSeq == state.registration.CallSeq:
-		// Each way of a word makes it look later than it was, so the earliest is the truest.
-		state.lastHeartbeat = min(state.lastHeartbeat, r.LastHeartbeat)
-		if r.TimedOut && !state.timedOut {
+	case !state.registered && record.Registration == nil:
+		// Of an engine that drains the rest need not be known.
+		state.lastHeartbeat = min(state.lastHeartbeat, record.LastHeartbeat)
+	case !state.registered || record.CallSeq > state.registration.CallSeq || record.CallSeq == state.registration.CallSeq && record.Digest > state.registrationDigest:
+		return c.mergeNewerRegistration(state, record)
+	case record.CallSeq == state.registration.CallSeq:
+		// Each hop makes a heartbeat look later than it was, so the earliest time is the closest.
+		state.lastHeartbeat = min(state.lastHeartbeat, record.LastHeartbeat)
+		if record.TimedOut && !state.timedOut {
 			state.timedOut = true
 			c.recordUrgentChange(state)
 		}
-	case r.TimedOut && !state.timedOut:
-		// Whoever took it for silent has not heard the newest beat, and has told others: they hear otherwise now.
+	case record.TimedOut && !state.timedOut:
+		// The peer has not got the newest heartbeat, and has passed the timeout on: others get the correction from here.
 		c.recordUrgentChange(state)
 	}
-	if r.Draining || r.Deregistered {
-		c.setDraining(now, state, r.Deregistered)
+	return true
+}
+
+// mergeNewerRegistration takes a record's registration, or the one known here again if only the heartbeat is new.
+func (c *Core) mergeNewerRegistration(state *engineState, record Record) (complete bool) {
+	switch {
+	case record.Registration != nil:
+		c.setRegistration(state, *record.Registration, record.Digest, record.LastHeartbeat, record.TimedOut)
+	case record.Digest == state.registrationDigest:
+		registration := state.registration
+		registration.CallSeq = record.CallSeq
+		// The countdown that is known was stated at an earlier heartbeat.
+		registration.SlowStartMs = max(0, state.slowStartEnd.Since(record.LastHeartbeat).Milliseconds())
+		c.setRegistration(state, registration, state.registrationDigest, record.LastHeartbeat, record.TimedOut)
+	default:
+		return false
 	}
-	return c.applyPlan(now, state, r) && !lacking
+	return true
 }
 
-// learnPlan joins what is told of a plan; it says false where more of it is wanted.
-func (c *Core) applyPlan(now clock.Mark, state *engineState, r Record) bool {
-	if r.Plan == nil || state.deregistered || notNewerThan(r.Plan.Claim, r.Plan.Sequence, state.plan) {
+// mergePlan merges a record's plan; complete is false where the full plan is needed.
+func (c *Core) mergePlan(now clock.Mark, state *engineState, record Record) (complete bool) {
+	if record.Plan == nil || state.deregistered || notNewerThan(record.Plan.Claim, record.Plan.Sequence, state.plan) {
 		return true
 	}
 	switch {
-	case r.PlanExtent == FullPlan:
-		c.setPlan(now, state, r.Plan, r.PlanDigest, false)
-	case r.PlanExtent == LoadsOnly && state.plan != nil && r.PlanDigest == state.planDigest:
+	case record.PlanExtent == FullPlan:
+		c.setPlan(now, state, record.Plan, record.PlanDigest, false)
+	case record.PlanExtent == LoadsOnly && state.plan != nil && record.PlanDigest == state.planDigest:
 		next := *state.plan
-		next.Claim, next.Sequence, next.Received = r.Plan.Claim, r.Plan.Sequence, r.Plan.Received
-		next.Active, next.Queued, next.MemoryUsed, next.Memory = r.Plan.Active, r.Plan.Queued, r.Plan.MemoryUsed, r.Plan.Memory
+		next.Claim, next.Sequence, next.Received = record.Plan.Claim, record.Plan.Sequence, record.Plan.Received
+		next.Active, next.Queued = record.Plan.Active, record.Plan.Queued
+		next.MemoryUsed, next.Memory = record.Plan.MemoryUsed, record.Plan.Memory
 		c.setPlan(now, state, &next, state.planDigest, false)
 	default:
 		return false
--- a/process/engines/registry/receive.go
+++ b/process/engines/registry/receive.go
@@ -8,24 +8,28 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// Hearing is what became of a word.
+// slowStartTolerance is by how much the end of an engine's slow start may move before it is published again.
+const slowStartTolerance = time.Second
+
+// HeartbeatResult says what an engine's call did.
 type HeartbeatResult struct {
-	// Late words were heard before, or came after a newer one.
+	// Stale heartbeats were received before, came after a newer one, or are of an engine that has a successor; they change
+	// nothing but draining.
 	Stale bool
-	// Left says that the group has written down that the engine leaves, and LeftAt since when that is known here.
+	// DrainCommitted says that the consensus group has committed that the engine drains, DrainCommittedAt since when
+	// this daemon knows it.
 	DrainCommitted   bool
 	DrainCommittedAt clock.Mark
-	// Change numbers the newest change of the engine here.
+	// Change is the number of the engine's newest change here.
 	Change uint64
 }
 
-// Hear takes what an engine says of itself to this daemon.
+// ReceiveHeartbeat takes a heartbeat that an engine sent to this daemon.
 func (c *Core) ReceiveHeartbeat(now clock.Mark, registration Registration) HeartbeatResult {
 	registration = normalize(registration)
-	departed, left := c.departures[registration.ID]
-	result := HeartbeatResult{DrainCommitted: left && departed.committed, DrainCommittedAt: departed.since}
-	if left && departed.deregistered {
-		// An id that is gone never comes back.
+	departed, known := c.departures[registration.ID]
+	result := HeartbeatResult{DrainCommitted: known && departed.committed, DrainCommittedAt: departed.since}
+	if known && departed.deregistered {
 		result.Stale = true
 		return result
 	}
@@ -37,15 +41,15 @@
 		c.timeOutPredecessors(now, state)
 	}
 	if registration.Draining {
-		// Leaving never ends, so even a late word of it counts.
+		// Draining is never taken back, so even a stale heartbeat that states it counts.
 		c.setDraining(now, state, false)
 	}
 	result.Change = state.lastChange
 	return result
 }
 
-// replaced says whether an engine was put out of use by one that came after it and beats at its address: what still
-// comes of it was sent before, and must not put that one out of use in turn.
+// isSuperseded reports whether an engine was timed out by a successor that is in use at its address. A heartbeat of it
+// that comes afterwards was sent before, and must not time out the successor in turn.
 func (c *Core) isSuperseded(state *engineState, address string) bool {
 	return state.timedOut && slices.ContainsFunc(c.byAddress[address], func(id ident.EngineID) bool {
 		other := c.engines[id]
@@ -53,39 +57,42 @@
 	})
 }
 
-// takeWord is the one place where an engine's word is replaced.
-func (c *Core) setRegistration(state *engineState, registration Registration, digest uint64, heard clock.Mark, silent bool) {
-	coldTo := heard + clock.Mark(time.Duration(registration.SlowStartMs)*time.Millisecond)
-	moved := coldTo.Since(state.slowStartEnd)
-	fresh := !state.registered || digest != state.registrationDigest || max(moved, -moved) > slowStartTolerance && max(coldTo, state.slowStartEnd) > heard
-	changes := fresh || silent != state.timedOut
-	// Which models it holds can wait for more news of that kind.
-	only := state.registered && silent == state.timedOut && equalExceptModels(state.registration, registration)
+// setRegistration replaces an engine's registration; nothing else does. received is when its heartbeat came, and timedOut
+// whether it is known to have been the last before a timeout.
+func (c *Core) setRegistration(state *engineState, registration Registration, digest uint64, received clock.Mark, timedOut bool) {
+	slowStartEnd := received + clock.Mark(time.Duration(registration.SlowStartMs)*time.Millisecond)
+	moved := slowStartEnd.Since(state.slowStartEnd)
+	slowStartMoved := max(moved, -moved) > slowStartTolerance && max(slowStartEnd, state.slowStartEnd) > received
+	contentChanged := !state.registered || digest != state.registrationDigest || slowStartMoved
+	changed := contentChanged || timedOut != state.timedOut
+	// Which models are loaded is not urgent: it changes nothing in whether an engine may be used.
+	onlyModels := state.registered && timedOut == state.timedOut && equalExceptModels(state.registration, registration)
 	if !state.registered || state.registration.Address != registration.Address {
 		c.reindexAddress(state.registration.ID, state.registration.Address, registration.Address)
 	}
 	if state.deregistered {
 		registration.Models = nil
 	}
-	state.registration, state.registered, state.registrationDigest, state.lastHeartbeat, state.timedOut = registration, true, digest, heard, silent
+	state.registration, state.registered, state.registrationDigest = registration, true, digest
+	state.lastHeartbeat, state.timedOut = received, timedOut
 	if registration.Draining {
 		state.draining = true
 	}
-	if !changes {
+	if !changed {
 		return
 	}
-	if only {
+	if onlyModels {
 		c.recordChange(state)
 	} else {
 		c.recordUrgentChange(state)
 	}
-	if fresh {
-		state.registrationChange, state.slowStartEnd = state.lastChange, coldTo
+	if contentChanged {
+		state.registrationChange, state.slowStartEnd = state.lastChange, slowStartEnd
 	}
 }
 
-// displace puts out of use whoever was at an address before. It is silence and not an end, because a late word
-// read from a frozen machine's buffers must not end the engine that is there now; that follows in Judge.
+// timeOutPredecessors times out the engines that were at an engine's address before it. They are not deregistered yet: a
+// heartbeat delayed in a frozen machine's buffers must not remove the engine that is there now. [Core.Tick] follows up.
 func (c *Core) timeOutPredecessors(now clock.Mark, state *engineState) {
 	for _, id := range c.byAddress[state.registration.Address] {
 		if other := c.engines[id]; other != state && !other.timedOut && !other.deregistered && other.lastHeartbeat <= now {
@@ -95,13 +102,14 @@
 	}
 }
 
-// Beat is the newest beat of an engine that is known here, by whichever control daemon heard it.
+// LastHeartbeat is the newest heartbeat of an engine that is known here, whichever control daemon received it.
 type LastHeartbeat struct {
 	CallSeq  uint64
 	Received clock.Mark
 }
 
-// Beats gives each engine's newest beat. A view holds older ones, since a beat that brings nothing new changes none.
+// LastHeartbeats gives each engine's newest heartbeat. A view holds older ones, since a heartbeat without new content
+// makes no new view.
 func (c *Core) LastHeartbeats() map[ident.EngineID]LastHeartbeat {
 	out := make(map[ident.EngineID]LastHeartbeat, len(c.engines))
 	for id, state := range c.engines {
--- a/process/engines/registry/registration.go
+++ b/process/engines/registry/registration.go
@@ -7,7 +7,7 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// Held is one model that an engine holds, with its adapters.
+// LoadedModel is one model that an engine has loaded, with its adapters.
 type LoadedModel struct {
 	Model      string
 	Generation uint64
@@ -17,33 +17,34 @@
 // Target names a model, or one adapter of it.
 type Target struct{ Model, Adapter string }
 
-// Word is what an engine says of itself when it beats.
+// Registration is what an engine states of itself with each heartbeat.
 type Registration struct {
 	ID       ident.EngineID
 	Pool     string
 	Address  string
 	Zone     ident.ZoneID
 	Software string
+	// Slots is how many requests it runs at once.
 	Slots    int
 	Draining bool
-	// LeaveMs is the time left to an engine that is taken away at short notice; zero is none told.
+	// TerminatesInMs is the time left to an engine that is taken away at short notice; zero is none stated.
 	TerminatesInMs int64
-	// ColdMs is how much longer it is slow from its start.
+	// SlowStartMs is how much longer it is slow after its start.
 	SlowStartMs int64
 	Phase       string
 	Models      []LoadedModel
-	// CallSeq rises with each beat, so that a late one can be known.
+	// CallSeq rises with each heartbeat, so that a delayed one can be recognized.
 	CallSeq uint64
 }
 
-// tidy puts a word's lists in order, so that the same content always looks the same.
+// normalize sorts a registration's lists, so that the same content always has the same digest.
 func normalize(registration Registration) Registration {
 	byModel := func(a, b LoadedModel) int { return cmp.Compare(a.Model, b.Model) }
-	inOrder := slices.IsSortedFunc(registration.Models, byModel)
+	sorted := slices.IsSortedFunc(registration.Models, byModel)
 	for _, loaded := range registration.Models {
-		inOrder = inOrder && slices.IsSorted(loaded.Adapters)
+		sorted = sorted && slices.IsSorted(loaded.Adapters)
 	}
-	if inOrder {
+	if sorted {
 		return registration
 	}
 	registration.Models = slices.Clone(registration.Models)
@@ -55,7 +56,7 @@
 	return registration
 }
 
-// sameButModels says whether two words differ at most in what is held, and in the count-down of a slow start.
+// equalExceptModels reports whether two registrations differ at most in the loaded models and in the countdowns.
 func equalExceptModels(a, b Registration) bool {
 	return a.Pool == b.Pool && a.Address == b.Address && a.Zone == b.Zone && a.Software == b.Software && a.Slots == b.Slots &&
 		a.Draining == b.Draining && a.TerminatesInMs > 0 == (b.TerminatesInMs > 0) && a.Phase == b.Phase
--- a/process/engines/registry/response.go
+++ b/process/engines/registry/response.go
@@ -1,18 +1,19 @@
 package registry
 
-// Verdict is what became of an engine's word.
+// Outcome is how an engine's call ended.
 type Outcome string
 
 const (
-	// Acknowledged words count; a leaving engine's is written down by the group, and on its way to all in contact.
+	// Acknowledged calls count. The draining of an engine is then committed by the consensus group and on its way to all
+	// daemons in contact.
 	Acknowledged Outcome = "acknowledged"
-	// Unknown says that the word may not be everywhere it must be: it is to be said again, to another daemon.
+	// Unknown says that the call may not have reached everyone that it must: the engine is to repeat it at another daemon.
 	Unknown Outcome = "unknown"
-	// Invalid words change nothing.
+	// Invalid calls change nothing.
 	Invalid Outcome = "invalid"
 )
 
-// Outcome is the answer to an engine; Field and Reason say what is wrong with an invalid word.
+// Response is the answer to an engine; Field and Reason say what is wrong with an invalid call.
 type Response struct {
 	Outcome       Outcome
 	Field, Reason string
--- a/process/engines/registry/timeout.go
+++ b/process/engines/registry/timeout.go
@@ -10,84 +10,94 @@
 )
 
 const (
-	// missedBeats is how many periods without a beat make an engine silent.
+	// missedHeartbeats is after how many heartbeat periods without one an engine is timed out.
 	missedHeartbeats = 3.5
-	// forgetAfter is how long an engine that can't be used any more is still told of, so that a daemon that was
-	// out of touch for a while learns of its end.
+	// retainUnusableFor is how long an engine that can't be used any more is kept, so that a daemon that was cut off for a
+	// while learns of its end.
 	retainUnusableFor = 10 * time.Minute
-	// mostEnded bounds those, mostLeft the ids that are known to have left.
-	maxUnusable   = 4096
-	maxDepartures = 8192
-	// mostWanted is how many engines are asked for whole at once.
-	maxRequestedRecords = 256
-	// coldSlack is by how much the end of an engine's slow start may move before all are told.
-	slowStartTolerance = time.Second
+	// maxUnusable bounds how many of them are kept; those with the oldest heartbeats go first.
+	maxUnusable = 4096
 )
 
-// Contact is how well a control daemon hears what the others hear.
+// Connectivity is how well a control daemon gets the heartbeats that the others receive.
 type Connectivity struct {
-	// May is false where it is cut off, so that missing beats may well have come elsewhere.
+	// CanDetectTimeouts is false where it is cut off, so that missing heartbeats may well have come elsewhere.
 	CanDetectTimeouts bool
-	// Horizon is the moment up to which all beats heard by the others are known here.
+	// Horizon is the moment up to which all heartbeats received by other control daemons are known here.
 	Horizon clock.Mark
 }
 
-// Judge lets time pass, with engines beating every period: it decides who is silent, where this daemon can know, and forgets whom nobody needs.
-func (c *Core) Tick(now clock.Mark, period time.Duration, contact Connectivity) {
-	c.heartbeatPeriod = period
-	// A daemon that stood still has missed what was said meanwhile.
+// Tick lets time pass, with engines sending a heartbeat every period: it times engines out where this daemon can know,
+// publishes load figures whose interval is over, and removes engines that nobody needs any more.
+func (c *Core) Tick(now clock.Mark, heartbeatPeriod time.Duration, connectivity Connectivity) {
+	c.heartbeatPeriod = heartbeatPeriod
+	// A daemon that was not running received nothing meanwhile.
 	if now.Since(c.lastTick) > max(2*c.heartbeatPeriod, time.Second) {
 		c.receivingSince = now
 	}
 	c.lastTick = now
+	due := c.dueAt(now, connectivity)
+	for _, state := range due.loadsPending {
+		c.publishLoads(now, state, true)
+	}
+	for _, state := range due.missedHeartbeats {
+		state.timedOut = true
+		c.recordUrgentChange(state)
+	}
+	for _, state := range due.succeeded {
+		c.setDraining(now, state, true)
+	}
+	if len(due.unusable) > maxUnusable {
+		slices.SortFunc(due.unusable, func(a, b *engineState) int {
+			return cmp.Or(cmp.Compare(a.lastHeartbeat, b.lastHeartbeat), cmp.Compare(a.registration.ID, b.registration.ID))
+		})
+		due.expired = due.unusable[:len(due.unusable)-maxUnusable]
+	}
+	for _, state := range due.expired {
+		c.remove(state)
+	}
+}
+
+// due is what one tick finds to be done.
+type due struct {
+	loadsPending []*engineState
+	// missedHeartbeats are to be timed out, succeeded were and have a successor.
+	missedHeartbeats, succeeded []*engineState
+	// unusable engines get nothing new; expired are those among them that are no longer kept.
+	unusable, expired []*engineState
+}
+
+// dueAt looks through all engines and changes none, since a change moves an engine in the list that it reads.
+func (c *Core) dueAt(now clock.Mark, connectivity Connectivity) (out due) {
 	limit := time.Duration(missedHeartbeats * float64(c.heartbeatPeriod))
-	horizon := min(now, contact.Horizon)
-	mayJudge := c.control && contact.CanDetectTimeouts && now.Since(c.receivingSince) >= 2*c.heartbeatPeriod
-	var ended, quieted, followed, forgotten, loaded []*engineState
-	for at := c.byChange.Front(); at != nil; at = at.Next() {
-		state := at.Value.(*engineState)
-		// What was missed before this daemon listened, or knew the engine, says nothing.
+	horizon := min(now, connectivity.Horizon)
+	canDetect := c.control && connectivity.CanDetectTimeouts && now.Since(c.receivingSince) >= 2*c.heartbeatPeriod
+	for element := c.byChange.Front(); element != nil; element = element.Next() {
+		state := element.Value.(*engineState)
+		// What did not come before this daemon was receiving, or knew the engine, proves nothing.
 		quiet := horizon.Since(max(state.lastHeartbeat, state.firstSeen, c.receivingSince))
-		if mayJudge && state.registered && !state.deregistered && quiet > limit {
+		if canDetect && state.registered && !state.deregistered && quiet > limit {
 			switch {
 			case !state.timedOut:
-				quieted = append(quieted, state)
+				out.missedHeartbeats = append(out.missedHeartbeats, state)
 			case c.hasSuccessor(state):
-				followed = append(followed, state)
+				out.succeeded = append(out.succeeded, state)
 			}
 		}
-		if state.sameZoneLoadPending || state.otherZoneLoadPending {
-			loaded = append(loaded, state)
+		if state.sameZoneLoad.pending || state.otherZoneLoad.pending {
+			out.loadsPending = append(out.loadsPending, state)
 		}
 		if state.deregistered || state.timedOut || !state.registered {
-			ended = append(ended, state)
+			out.unusable = append(out.unusable, state)
 			if now.Since(state.lastHeartbeat) > retainUnusableFor {
-				forgotten = append(forgotten, state)
+				out.expired = append(out.expired, state)
 			}
 		}
 	}
-	for _, state := range loaded {
-		c.publishLoads(now, state, true)
-	}
-	for _, state := range quieted {
-		state.timedOut = true
-		c.recordUrgentChange(state)
-	}
-	for _, state := range followed {
-		c.setDraining(now, state, true)
-	}
-	if len(ended) > maxUnusable {
-		slices.SortFunc(ended, func(a, b *engineState) int {
-			return cmp.Or(cmp.Compare(a.lastHeartbeat, b.lastHeartbeat), cmp.Compare(a.registration.ID, b.registration.ID))
-		})
-		forgotten = ended[:len(ended)-maxUnusable]
-	}
-	for _, state := range forgotten {
-		c.remove(state)
-	}
+	return out
 }
 
-// followed says whether another engine beats at a silent one's address.
+// hasSuccessor reports whether another engine has sent a later heartbeat from a timed out one's address.
 func (c *Core) hasSuccessor(state *engineState) bool {
 	return slices.ContainsFunc(c.byAddress[state.registration.Address], func(id ident.EngineID) bool {
 		other := c.engines[id]
--- a/process/engines/registry/view.go
+++ b/process/engines/registry/view.go
@@ -9,63 +9,25 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// Changed says whether the view is not what is known now.
-func (c *Core) Changed() bool { return len(c.dirty) > 0 }
-
-// View gives all engines as they are now; it is a new one only if something changed since the last.
-func (c *Core) View() *View {
-	if len(c.dirty) == 0 {
-		return c.view
-	}
-	next := &View{Version: c.view.Version + 1, Engines: maps.Clone(c.view.Engines), Pools: maps.Clone(c.view.Pools)}
-	pools := map[string]bool{}
-	for id := range c.dirty {
-		if before := next.Engines[id]; before != nil {
-			pools[before.Pool] = true
-			delete(next.Engines, id)
-		}
-		state := c.engines[id]
-		if state == nil || !state.registered {
-			// Of an engine that only its leaving is known of there is nothing to show.
-			continue
-		}
-		shown := &Engine{Registration: state.registration, LastHeartbeat: state.lastHeartbeat, TimedOut: state.timedOut, Deregistered: state.deregistered, FirstSeen: state.firstSeen, Plan: state.plan}
-		shown.Draining = state.draining
-		next.Engines[id] = shown
-		pools[shown.Pool] = true
-	}
-	for pool := range pools {
-		delete(next.Pools, pool)
-	}
-	for _, engine := range next.Engines {
-		if pools[engine.Pool] && !engine.Deregistered {
-			next.Pools[engine.Pool] = append(next.Pools[engine.Pool], engine)
-		}
-	}
-	for pool := range pools {
-		slices.SortFunc(next.Pools[pool], func(a, b *Engine) int { return cmp.Compare(a.ID, b.ID) })
-	}
-	clear(c.dirty)
-	c.view = next
-	return next
-}
-
 // Engine is one registered engine as this daemon knows it. It is never changed once it is in a view.
 type Engine struct {
 	Registration
-	// Heard is when a control daemon last heard a beat, by this daemon's own clock.
+	// LastHeartbeat is when a control daemon last received a heartbeat that changed something, by this daemon's own
+	// clock; see [Core.LastHeartbeats] for the newest.
 	LastHeartbeat clock.Mark
-	// Silent engines have missed their beats; Gone ones said so, or were followed at their address.
+	// TimedOut engines have missed their heartbeats or have a successor at their address. Deregistered ones stated it, or
+	// have missed their heartbeats and have a successor.
 	TimedOut, Deregistered bool
-	// Known is when this daemon first knew of it.
+	// FirstSeen is when this daemon first knew of it.
 	FirstSeen clock.Mark
-	Plan      *Plan
+	// Plan is nil as long as no planner has published one.
+	Plan *Plan
 }
 
-// Usable says whether anything new may be sent to it.
+// Usable reports whether anything new may be sent to it.
 func (e *Engine) Usable() bool { return !e.Draining && !e.Deregistered && !e.TimedOut }
 
-// Models is what the engine holds, by the newest word there is.
+// Models is what the engine has loaded: by the planner, which reads its reports, or else by its own registration.
 func (e *Engine) Models() []LoadedModel {
 	if e.Plan != nil && e.Plan.Models != nil {
 		return e.Plan.Models
@@ -73,7 +35,7 @@
 	return e.Registration.Models
 }
 
-// Holds says whether it holds a model and, unless that is empty, an adapter of it, and is not about to let go of it.
+// Holds reports whether it has loaded a model and, unless that is empty, an adapter of it, and is not about to unload it.
 func (e *Engine) Holds(model, adapter string) bool {
 	if e.Plan != nil {
 		for _, retiring := range e.Plan.Retiring {
@@ -92,9 +54,62 @@
 
 // View is all registered engines at one moment; it is never changed.
 type View struct {
-	// Version rises with each change.
+	// Version rises with each view of this daemon.
 	Version uint64
 	Engines map[ident.EngineID]*Engine
-	// Pools lists the engines of each pool, by id.
+	// Pools lists the engines of each pool that are not deregistered, by id.
 	Pools map[string][]*Engine
 }
+
+// Changed reports whether the next view differs from the last.
+func (c *Core) Changed() bool { return len(c.dirty) > 0 }
+
+// View gives all engines as they are now. It is the last view again if nothing changed since.
+func (c *Core) View() *View {
+	if len(c.dirty) == 0 {
+		return c.view
+	}
+	next := &View{Version: c.view.Version + 1, Engines: maps.Clone(c.view.Engines), Pools: maps.Clone(c.view.Pools)}
+	pools := map[string]bool{}
+	for id := range c.dirty {
+		if before := next.Engines[id]; before != nil {
+			pools[before.Pool] = true
+			delete(next.Engines, id)
+		}
+		state := c.engines[id]
+		if state == nil || !state.registered {
+			// Of an engine without a registration only its draining is known; there is nothing to show.
+			continue
+		}
+		engine := state.snapshot()
+		next.Engines[id] = engine
+		pools[engine.Pool] = true
+	}
+	next.rebuildPools(pools)
+	clear(c.dirty)
+	c.view = next
+	return next
+}
+
+// snapshot gives an engine as views show it.
+func (s *engineState) snapshot() *Engine {
+	engine := &Engine{Registration: s.registration, LastHeartbeat: s.lastHeartbeat, TimedOut: s.timedOut, Deregistered: s.deregistered,
+		FirstSeen: s.firstSeen, Plan: s.plan}
+	engine.Draining = s.draining
+	return engine
+}
+
+// rebuildPools lists the engines of these pools anew.
+func (v *View) rebuildPools(pools map[string]bool) {
+	for pool := range pools {
+		delete(v.Pools, pool)
+	}
+	for _, engine := range v.Engines {
+		if pools[engine.Pool] && !engine.Deregistered {
+			v.Pools[engine.Pool] = append(v.Pools[engine.Pool], engine)
+		}
+	}
+	for pool := range pools {
+		slices.SortFunc(v.Pools[pool], func(a, b *Engine) int { return cmp.Compare(a.ID, b.ID) })
+	}
+}
--- a/process/engines/registry/wire.go
+++ b/process/engines/registry/wire.go
@@ -9,80 +9,100 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// Moments travel as how long ago, or how long until: daemons share no clock.
+// Daemons share no clock, so moments are sent as milliseconds ago, or until.
 
-func millisecondsSince(now, earlier clock.Mark) int64 { return now.Since(earlier).Milliseconds() }
+const (
+	// maxElapsed bounds what is read of moments: more would not fit into a duration, and turn the past into the future.
+	maxElapsed = 365 * 24 * time.Hour
+	// maxCount keeps sums of counts far from overflow.
+	maxCount = 1 << 53
+)
 
-// mostAgo bounds what is read of moments: more would not fit into a duration, and turn the past into the future.
-const maxElapsed = 365 * 24 * time.Hour
+func millisecondsSince(now, earlier clock.Mark) int64 { return now.Since(earlier).Milliseconds() }
 
-func momentAgo(now clock.Mark, ms int64) clock.Mark {
-	most := maxElapsed.Milliseconds()
-	return now - clock.Mark(time.Duration(min(max(ms, -most), most))*time.Millisecond)
+// momentAgo is the moment so many milliseconds before now; a negative number is one to come.
+func momentAgo(now clock.Mark, milliseconds int64) clock.Mark {
+	limit := maxElapsed.Milliseconds()
+	return now - clock.Mark(time.Duration(min(max(milliseconds, -limit), limit))*time.Millisecond)
 }
 
-// counted is a count or a time left as it was told; there is none below zero.
+// clampCount brings a received count into the range from zero to maxCount.
 func clampCount(count int64) int64 { return min(max(count, 0), maxCount) }
 
-// mostCounted keeps sums of counts far from overflow.
-const maxCount = 1 << 53
-
-// Encode gives the wire form of records, as told now.
+// Encode gives the wire form of records that are sent now.
 func Encode(now clock.Mark, records []Record) []*peerapi.RegisteredEngine {
 	out := make([]*peerapi.RegisteredEngine, 0, len(records))
-	for _, r := range records {
-		row := &peerapi.RegisteredEngine{Id: string(r.ID), CallSeq: r.CallSeq, Digest: r.Digest, LastContactMsAgo: millisecondsSince(now, r.LastHeartbeat),
-			Departing: r.Draining, Unresponsive: r.TimedOut, Removed: r.Deregistered}
-		if registration := r.Registration; registration != nil {
-			row.HasReport, row.Draining = true, registration.Draining
-			row.Pool, row.Address, row.Zone, row.Software, row.Slots = registration.Pool, registration.Address, string(registration.Zone), registration.Software, int64(registration.Slots)
-			row.DrainMs, row.SlowStartMs, row.Phase, row.Models = registration.TerminatesInMs, registration.SlowStartMs, registration.Phase, encodeModels(registration.Models)
+	for _, record := range records {
+		row := &peerapi.RegisteredEngine{
+			Id: string(record.ID), CallSeq: record.CallSeq, Digest: record.Digest, LastContactMsAgo: millisecondsSince(now, record.LastHeartbeat),
+			Departing: record.Draining, Unresponsive: record.TimedOut, Removed: record.Deregistered,
+		}
+		if record.Registration != nil {
+			encodeRegistration(row, record.Registration)
 		}
-		if plan := r.Plan; plan != nil {
-			row.Plan = encodePlan(now, plan, r.PlanExtent)
-			row.Plan.Digest = r.PlanDigest
+		if record.Plan != nil {
+			row.Plan = encodePlan(now, record.Plan, record.PlanExtent)
+			row.Plan.Digest = record.PlanDigest
 		}
 		out = append(out, row)
 	}
 	return out
 }
 
-// Decode reads records that were told at a moment; rows without an id are dropped.
+// Decode reads records that were received at a moment; rows without an id are dropped.
 func Decode(received clock.Mark, rows []*peerapi.RegisteredEngine) []Record {
 	out := make([]Record, 0, len(rows))
 	for _, row := range rows {
 		if row.GetId() == "" {
 			continue
 		}
-		r := Record{ID: ident.EngineID(row.Id), CallSeq: row.CallSeq, Digest: row.Digest, LastHeartbeat: momentAgo(received, max(0, row.LastContactMsAgo)),
-			Draining: row.Departing, TimedOut: row.Unresponsive, Deregistered: row.Removed}
+		record := Record{
+			ID: ident.EngineID(row.Id), CallSeq: row.CallSeq, Digest: row.Digest, LastHeartbeat: momentAgo(received, max(0, row.LastContactMsAgo)),
+			Draining: row.Departing, TimedOut: row.Unresponsive, Deregistered: row.Removed,
+		}
 		if row.HasReport {
-			r.Registration = &Registration{ID: r.ID, Pool: row.Pool, Address: row.Address, Zone: ident.ZoneID(row.Zone), Software: row.Software, Slots: int(clampCount(row.Slots)),
-				Draining: row.Draining, TerminatesInMs: clampCount(row.DrainMs), SlowStartMs: min(clampCount(row.SlowStartMs), maxElapsed.Milliseconds()), Phase: row.Phase, Models: decodeModels(row.Models), CallSeq: row.CallSeq}
+			record.Registration = decodeRegistration(row)
 		}
 		if plan := row.Plan; plan != nil {
-			r.Plan, r.PlanExtent, r.PlanDigest = decodePlan(received, plan), PlanExtent(plan.Detail), plan.Digest
+			record.Plan, record.PlanExtent, record.PlanDigest = decodePlan(received, plan), PlanExtent(plan.Detail), plan.Digest
 		}
-		out = append(out, r)
+		out = append(out, record)
 	}
 	return out
 }
 
-func encodePlan(now clock.Mark, plan *Plan, part PlanExtent) *peerapi.EnginePlan {
-	out := &peerapi.EnginePlan{Claim: uint64(plan.Claim), Turn: plan.Sequence, Detail: int64(part)}
-	if part == VersionOnly {
+func encodeRegistration(row *peerapi.RegisteredEngine, registration *Registration) {
+	row.HasReport = true
+	row.Pool, row.Address, row.Zone = registration.Pool, registration.Address, string(registration.Zone)
+	row.Software, row.Slots, row.Phase = registration.Software, int64(registration.Slots), registration.Phase
+	row.Draining, row.DrainMs, row.SlowStartMs = registration.Draining, registration.TerminatesInMs, registration.SlowStartMs
+	row.Models = encodeModels(registration.Models)
+}
+
+func decodeRegistration(row *peerapi.RegisteredEngine) *Registration {
+	return &Registration{
+		ID: ident.EngineID(row.Id), Pool: row.Pool, Address: row.Address, Zone: ident.ZoneID(row.Zone), Software: row.Software,
+		Slots: int(clampCount(row.Slots)), Draining: row.Draining, TerminatesInMs: clampCount(row.DrainMs),
+		SlowStartMs: min(clampCount(row.SlowStartMs), maxElapsed.Milliseconds()), Phase: row.Phase, Models: decodeModels(row.Models), CallSeq: row.CallSeq,
+	}
+}
+
+func encodePlan(now clock.Mark, plan *Plan, extent PlanExtent) *peerapi.EnginePlan {
+	out := &peerapi.EnginePlan{Claim: uint64(plan.Claim), Turn: plan.Sequence, Detail: int64(extent)}
+	if extent == VersionOnly {
 		return out
 	}
-	out.Active, out.Queued, out.MemoryUsed, out.Memory, out.AgeMs = int64(plan.Active), int64(plan.Queued), plan.MemoryUsed, plan.Memory, millisecondsSince(now, plan.Received)
-	if part == LoadsOnly {
+	out.Active, out.Queued, out.MemoryUsed, out.Memory = int64(plan.Active), int64(plan.Queued), plan.MemoryUsed, plan.Memory
+	out.AgeMs = millisecondsSince(now, plan.Received)
+	if extent == LoadsOnly {
 		return out
 	}
 	out.Models, out.ModelsKnown = encodeModels(plan.Models), plan.Models != nil
 	for _, target := range plan.Retiring {
 		out.Retiring = append(out.Retiring, &peerapi.PlanTarget{Model: target.Model, Adapter: target.Adapter})
 	}
-	for _, coming := range plan.PendingLoads {
-		out.Loading = append(out.Loading, &peerapi.PlanTarget{Model: coming.Model, Adapter: coming.Adapter, ReadyMs: -millisecondsSince(now, coming.Ready)})
+	for _, pending := range plan.PendingLoads {
+		out.Loading = append(out.Loading, &peerapi.PlanTarget{Model: pending.Model, Adapter: pending.Adapter, ReadyMs: -millisecondsSince(now, pending.Ready)})
 	}
 	for _, weight := range plan.Weights {
 		out.Weights = append(out.Weights, &peerapi.EngineWeight{Zone: string(weight.Zone), Percent: int64(percent(weight.Fraction))})
@@ -91,8 +111,10 @@
 }
 
 func decodePlan(received clock.Mark, plan *peerapi.EnginePlan) *Plan {
-	out := &Plan{Claim: ident.FencingToken(plan.Claim), Sequence: plan.Turn, Active: int(clampCount(plan.Active)), Queued: int(clampCount(plan.Queued)),
-		MemoryUsed: clampCount(plan.MemoryUsed), Memory: clampCount(plan.Memory), Received: momentAgo(received, max(0, plan.AgeMs))}
+	out := &Plan{
+		Claim: ident.FencingToken(plan.Claim), Sequence: plan.Turn, Active: int(clampCount(plan.Active)), Queued: int(clampCount(plan.Queued)),
+		MemoryUsed: clampCount(plan.MemoryUsed), Memory: clampCount(plan.Memory), Received: momentAgo(received, max(0, plan.AgeMs)),
+	}
 	if plan.ModelsKnown {
 		out.Models = decodeModels(plan.Models)
 	}
