--- a/process/engines/registry/converge_test.go
+++ b/process/engines/registry/converge_test.go
@@ -15,33 +15,34 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// world is a few daemons, control and others, and engines whose words reach them in any order, or late, or not.
+// cluster is a few daemons, control and routing ones, and engines whose heartbeats reach them in any order, late or not at
+// all.
 type cluster struct {
 	random *rand.Rand
 	now    clock.Mark
 	cores  []*Core
 	names  []string
-	// engines are the newest words; late holds words that are still under way.
+	// engines are the newest registrations; delayed holds heartbeats that are still on their way.
 	engines      map[ident.EngineID]*Registration
 	delayed      []Registration
 	deregistered map[ident.EngineID]bool
-	turn         uint64
+	sequence     uint64
 }
 
-const controls = 3
+const controlDaemons = 3
 
-func newWorld(seed uint64) *cluster {
+func newCluster(seed uint64) *cluster {
 	w := &cluster{random: rand.New(rand.NewPCG(seed, 7)), engines: map[ident.EngineID]*Registration{}, deregistered: map[ident.EngineID]bool{}}
-	for i := range controls + 3 {
+	for i := range controlDaemons + 3 {
 		w.names = append(w.names, fmt.Sprint("d", i))
-		w.cores = append(w.cores, NewCore(w.names[i], i < controls, time.Second, 0))
+		w.cores = append(w.cores, NewCore(w.names[i], i < controlDaemons, time.Second, 0))
 	}
 	return w
 }
 
-// zone is where a daemon stands that only routes; control daemons are told all.
+// zone is the zone of a daemon that only routes; control daemons get everything.
 func (w *cluster) zone(at int) ident.ZoneID {
-	if at < controls {
+	if at < controlDaemons {
 		return ""
 	}
 	return ident.ZoneID(fmt.Sprint("z", at%2))
@@ -49,7 +50,7 @@
 
 func (w *cluster) step() {
 	w.now += clock.Mark(time.Duration(w.random.IntN(400)) * time.Millisecond)
-	at := w.random.IntN(controls)
+	at := w.random.IntN(controlDaemons)
 	id := ident.EngineID(fmt.Sprint("e", w.random.IntN(6)))
 	switch n := w.random.IntN(20); {
 	case n < 7:
@@ -87,73 +88,73 @@
 			w.deregistered[id] = true
 		}
 	case n == 10:
-		w.turn++
-		w.cores[at].PublishPlans(w.now, map[ident.EngineID]Plan{id: {Claim: ident.FencingToken(w.turn / 5), Sequence: w.turn, Active: w.random.IntN(9),
+		w.sequence++
+		w.cores[at].PublishPlans(w.now, map[ident.EngineID]Plan{id: {Claim: ident.FencingToken(w.sequence / 5), Sequence: w.sequence, Active: w.random.IntN(9),
 			Models: []LoadedModel{{Model: fmt.Sprint("m", w.random.IntN(2))}}, PendingLoads: []PendingLoad{{Target: Target{Model: fmt.Sprint("m", w.random.IntN(2))}}}}})
 	case n == 11:
-		// Now and then one judges that should not: that must be put right all the same.
+		// Now and then a daemon detects timeouts that should not: that must be repaired all the same.
 		w.cores[at].Tick(w.now, time.Second, Connectivity{CanDetectTimeouts: true, Horizon: w.now})
 	case n == 12 && w.random.IntN(4) == 0:
-		// A daemon's next life knows nothing.
+		// A restarted daemon knows nothing.
 		i := w.random.IntN(len(w.cores))
 		w.names[i] += "'"
-		w.cores[i] = NewCore(w.names[i], i < controls, time.Second, w.now)
+		w.cores[i] = NewCore(w.names[i], i < controlDaemons, time.Second, w.now)
 	default:
 		w.pull(w.random.IntN(len(w.cores)), w.random.IntN(len(w.cores)))
 	}
 }
 
-// pull has one daemon learn from another; it says whether anything came.
-func (w *cluster) pull(asker, asked int) bool {
-	if asker == asked {
+// pull sends one daemon's delta to another; it reports whether anything came.
+func (w *cluster) pull(asking, answering int) bool {
+	if asking == answering {
 		return false
 	}
-	peer, kind := fmt.Sprint(asked), AllChanges
+	peer, kind := fmt.Sprint(answering), AllChanges
 	switch {
-	case asker < controls && asked < controls:
+	case asking < controlDaemons && answering < controlDaemons:
 		kind = WithHeartbeats
-	case asked < controls && (asker+asked)%controls == 1:
-		// One of the control daemons is asked for what is urgent only; the others tell all.
+	case answering < controlDaemons && (asking+answering)%controlDaemons == 1:
+		// One of the control daemons is asked for urgent changes only, the others for all.
 		kind, peer = UrgentOnly, peer+" urgent"
 	}
-	cursor, wanted := w.cores[asker].NextRequest(peer)
-	delta := w.cores[asked].DeltaSince(DeltaRequest{Cursor: cursor, FullRecordsOf: wanted, Filter: kind, Zone: w.zone(asker)}, 1+w.random.IntN(4))
+	cursor, wanted := w.cores[asking].NextRequest(peer)
+	delta := w.cores[answering].DeltaSince(DeltaRequest{Cursor: cursor, FullRecordsOf: wanted, Filter: kind, Zone: w.zone(asking)}, 1+w.random.IntN(4))
 	if w.random.IntN(10) == 0 {
 		// The reply is lost.
 		return true
 	}
-	w.cores[asker].ApplyDelta(w.now, peer, delta, wanted)
-	_, more := w.cores[asker].NextRequest(peer)
+	w.cores[asking].ApplyDelta(w.now, peer, delta, wanted)
+	_, more := w.cores[asking].NextRequest(peer)
 	return len(delta.Records) > 0 || delta.More || len(more) > 0
 }
 
-// settle lets all daemons ask each other until nothing new comes.
+// converge lets all daemons pull from each other until nothing new comes; it returns false if that does not end.
 func (w *cluster) converge() bool {
 	for range 400 {
-		// What is held of loads is told in time.
+		// Pending load figures are published in time.
 		w.now += clock.Mark(time.Second)
-		came := false
-		for _, c := range w.cores {
-			before := c.LatestChange()
-			c.Tick(w.now, time.Second, Connectivity{})
-			came = came || c.LatestChange() != before
-		}
-		for asker := range w.cores {
-			for asked := range w.cores {
-				came = w.pull(asker, asked) || came
+		received := false
+		for _, core := range w.cores {
+			before := core.LatestChange()
+			core.Tick(w.now, time.Second, Connectivity{})
+			received = received || core.LatestChange() != before
+		}
+		for asking := range w.cores {
+			for answering := range w.cores {
+				received = w.pull(asking, answering) || received
 			}
 		}
-		if !came {
+		if !received {
 			return true
 		}
 	}
 	return false
 }
 
-// usable is what a daemon would send to, without what differs from daemon to daemon by nature.
-func usableEngines(c *Core) map[ident.EngineID]Engine {
+// usableEngines is what a daemon would send to, without what differs from daemon to daemon by nature.
+func usableEngines(core *Core) map[ident.EngineID]Engine {
 	out := map[ident.EngineID]Engine{}
-	for id, engine := range c.View().Engines {
+	for id, engine := range core.View().Engines {
 		if !engine.Usable() {
 			continue
 		}
@@ -173,36 +174,36 @@
 	parameters := gopter.DefaultTestParameters()
 	parameters.MinSuccessfulTests = 400
 	properties := gopter.NewProperties(parameters)
-	properties.Property("after any history, all daemons that talked come to the same", prop.ForAll(func(seed uint64, steps int) string {
-		w := newWorld(seed)
+	properties.Property("after any history, all daemons that exchanged changes agree", prop.ForAll(func(seed uint64, steps int) string {
+		w := newCluster(seed)
 		for range steps {
 			w.step()
-			for i, c := range w.cores {
-				for id, engine := range c.View().Engines {
-					if w.deregistered[id] && engine.Deregistered != c.departures[id].deregistered {
-						return fmt.Sprintf("%s at d%d is gone in one way and not in the other", id, i)
+			for i, core := range w.cores {
+				for id, engine := range core.View().Engines {
+					if w.deregistered[id] && engine.Deregistered != core.departures[id].deregistered {
+						return fmt.Sprintf("%s at d%d is deregistered in the view or in the departures, not in both", id, i)
 					}
 				}
 			}
 		}
 		if !w.converge() {
-			return "they talk for ever"
+			return "the daemons never stop exchanging changes"
 		}
-		// Who may have to judge an engine's silence has heard of its newest beat.
-		for i, c := range w.cores[1:controls] {
-			for id, engine := range c.View().Engines {
-				if got, want := c.LastHeartbeats()[id].CallSeq, w.cores[0].LastHeartbeats()[id].CallSeq; engine.Usable() && got != want {
-					return fmt.Sprintf("d%d knows of beat %d of %s, d0 of %d", i+1, got, id, want)
+		// Daemons that may have to detect an engine's timeout know its newest heartbeat.
+		for i, core := range w.cores[1:controlDaemons] {
+			for id, engine := range core.View().Engines {
+				if got, want := core.LastHeartbeats()[id].CallSeq, w.cores[0].LastHeartbeats()[id].CallSeq; engine.Usable() && got != want {
+					return fmt.Sprintf("d%d knows heartbeat %d of %s, d0 knows %d", i+1, got, id, want)
 				}
 			}
 		}
 		want := usableEngines(w.cores[0])
-		for i, c := range w.cores {
-			if got := usableEngines(c); !reflect.DeepEqual(got, want) {
+		for i, core := range w.cores {
+			if got := usableEngines(core); !reflect.DeepEqual(got, want) {
 				return fmt.Sprintf("d%d knows\n%+v, d0\n%+v", i, got, want)
 			}
 			for id := range w.deregistered {
-				if engine := c.View().Engines[id]; engine != nil && engine.Usable() && c.departures[id].deregistered {
+				if engine := core.View().Engines[id]; engine != nil && engine.Usable() && core.departures[id].deregistered {
 					return fmt.Sprintf("%s is back at d%d", id, i)
 				}
 			}
--- a/process/engines/registry/delta_test.go
+++ b/process/engines/registry/delta_test.go
@@ -13,33 +13,33 @@
 	for i := range 10 {
 		one.ReceiveHeartbeat(second, testRegistration(fmt.Sprint("e", i), 1))
 	}
-	pull := func(beats bool, most int) Delta {
+	pull := func(withHeartbeats bool, limit int) Delta {
 		cursor, wanted := two.NextRequest("one")
 		request := DeltaRequest{Cursor: cursor, FullRecordsOf: wanted}
-		if beats {
+		if withHeartbeats {
 			request.Filter = WithHeartbeats
 		}
-		delta := one.DeltaSince(request, most)
+		delta := one.DeltaSince(request, limit)
 		two.ApplyDelta(second, "one", delta, wanted)
 		return delta
 	}
-	told := 0
+	received := 0
 	for {
 		delta := pull(false, 3)
-		told += len(delta.Records)
+		received += len(delta.Records)
 		if !delta.More {
 			break
 		}
 	}
-	if told != 10 || len(two.View().Engines) != 10 {
-		t.Errorf("%d told, %d known", told, len(two.View().Engines))
+	if received != 10 || len(two.View().Engines) != 10 {
+		t.Errorf("%d sent, %d known", received, len(two.View().Engines))
 	}
 	if n := len(pull(false, 3).Records); n != 0 {
-		t.Errorf("%d told again", n)
+		t.Errorf("%d sent again", n)
 	}
 	one.ReceiveHeartbeat(2*second, testRegistration("e1", 2))
 	if n := len(pull(false, 3).Records); n != 0 {
-		t.Errorf("%d told of a beat that brought nothing new", n)
+		t.Errorf("%d sent for a heartbeat without new content", n)
 	}
 	one.ReceiveHeartbeat(2*second, testRegistration("e2", 2))
 	if d := pull(true, 3); len(d.Records) != 1 || d.Records[0].Registration != nil || two.LastHeartbeats()["e2"] != (LastHeartbeat{CallSeq: 2, Received: 2 * second}) {
@@ -63,31 +63,31 @@
 	if d := pull(); len(d.Records) != 1 || d.Records[0].Registration != nil {
 		t.Errorf("%+v", d.Records)
 	}
-	// It knew nothing of that one, so it asks for it.
+	// The edge did not know the engine, so it asks for its full record.
 	if pull(); !edge.View().Engines["e1"].Usable() {
-		t.Error("the engine that came is not known")
+		t.Error("the new engine is not known")
 	}
 	more := testRegistration("e1", 2)
 	more.Models = append(more.Models, LoadedModel{Model: "n", Generation: 1})
 	control.ReceiveHeartbeat(2*second, more)
 	control.PublishPlans(2*second, map[ident.EngineID]Plan{"e1": {Claim: 1, Sequence: 1}})
 	if d := pull(); len(d.Records) != 0 {
-		t.Errorf("what is held is not urgent: %+v", d.Records)
+		t.Errorf("loaded models are sent as urgent: %+v", d.Records)
 	}
 	control.ReceiveHeartbeat(3*second, testRegistration("e2", 1))
 	if pull(); pull().More || !edge.View().Engines["e2"].Usable() {
-		t.Error("who came later is urgent too")
+		t.Error("a later engine is not sent as urgent")
 	}
 	control.MarkDraining(4*second, "e1", false, true)
 	if pull(); edge.View().Engines["e1"].Usable() {
-		t.Error("leaving is urgent")
+		t.Error("draining is not sent as urgent")
 	}
 	control.Tick(4*second, time.Second, Connectivity{})
 	for now := 5 * second; now < 10*second; now += second / 2 {
 		control.Tick(now, time.Second, connected(now))
 	}
 	if pull(); edge.View().Engines["e2"].Usable() {
-		t.Error("silence is urgent")
+		t.Error("a timeout is not sent as urgent")
 	}
 }
 
@@ -109,7 +109,7 @@
 	}
 	for _, record := range pull(after).Records {
 		if record.Registration != nil {
-			t.Errorf("%s is told whole", record.ID)
+			t.Errorf("the record of %s is not abbreviated", record.ID)
 		}
 	}
 	if d := pull(after); len(d.Records) != 1 || len(edge.View().Engines) != 9 {
--- a/process/engines/registry/fuzz_test.go
+++ b/process/engines/registry/fuzz_test.go
@@ -11,8 +11,8 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// FuzzRecords: whatever a peer tells of engines, nothing was heard later than it was told, and it can be learned,
-// judged and told on.
+// FuzzRecords: whatever a peer sends, no heartbeat is later than the moment it was received at, and it can be merged,
+// timed out and sent on.
 func FuzzRecords(f *testing.F) {
 	now := clock.Mark(time.Hour)
 	registration := normalize(Registration{ID: "e", Pool: "p", Address: "10.0.0.1:1", Zone: "z", Slots: 4, Models: []LoadedModel{{Model: "m", Adapters: []string{"a"}}}, CallSeq: 3})
@@ -28,11 +28,11 @@
 		f.Add(data)
 	}
 	// A time so long ago that it does not fit.
-	far, err := proto.Marshal(&peerapi.PullReply{Engines: []*peerapi.RegisteredEngine{{Id: "e", LastContactMsAgo: 1 << 62, HasReport: true, Plan: &peerapi.EnginePlan{AgeMs: 1 << 61, Loading: []*peerapi.PlanTarget{{Model: "m", ReadyMs: -1 << 62}}}}}})
+	tooLongAgo, err := proto.Marshal(&peerapi.PullReply{Engines: []*peerapi.RegisteredEngine{{Id: "e", LastContactMsAgo: 1 << 62, HasReport: true, Plan: &peerapi.EnginePlan{AgeMs: 1 << 61, Loading: []*peerapi.PlanTarget{{Model: "m", ReadyMs: -1 << 62}}}}}})
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(far)
+	f.Add(tooLongAgo)
 	below, err := proto.Marshal(&peerapi.PullReply{Engines: []*peerapi.RegisteredEngine{{Id: "e", HasReport: true, Slots: -1, DrainMs: -2, SlowStartMs: -3, Plan: &peerapi.EnginePlan{Active: -1, Queued: -1, Memory: -1, MemoryUsed: -1, Weights: []*peerapi.EngineWeight{{Percent: -4}, {Percent: 400}}}}}})
 	if err != nil {
 		f.Fatal(err)
@@ -44,26 +44,26 @@
 			return
 		}
 		records := Decode(now, reply.Engines)
-		for _, r := range records {
-			if r.ID == "" || r.LastHeartbeat > now || r.Plan != nil && r.Plan.Received > now {
-				t.Fatalf("%+v was heard later than it was told", r)
+		for _, record := range records {
+			if record.ID == "" || record.LastHeartbeat > now || record.Plan != nil && record.Plan.Received > now {
+				t.Fatalf("%+v was received before it was sent", record)
 			}
-			if r.Registration != nil && (r.Registration.Slots < 0 || r.Registration.TerminatesInMs < 0 || r.Registration.SlowStartMs < 0) {
-				t.Fatalf("%+v says less than nothing", r.Registration)
+			if record.Registration != nil && (record.Registration.Slots < 0 || record.Registration.TerminatesInMs < 0 || record.Registration.SlowStartMs < 0) {
+				t.Fatalf("%+v says less than nothing", record.Registration)
 			}
-			if r.Plan == nil {
+			if record.Plan == nil {
 				continue
 			}
-			if r.Plan.Active < 0 || r.Plan.Queued < 0 || r.Plan.Memory < 0 || r.Plan.MemoryUsed < 0 {
-				t.Fatalf("%+v says less than nothing", r.Plan)
+			if record.Plan.Active < 0 || record.Plan.Queued < 0 || record.Plan.Memory < 0 || record.Plan.MemoryUsed < 0 {
+				t.Fatalf("%+v says less than nothing", record.Plan)
 			}
-			for _, weight := range r.Plan.Weights {
+			for _, weight := range record.Plan.Weights {
 				if weight.Fraction < 0 || weight.Fraction > 1 {
 					t.Fatalf("a share of %v", weight.Fraction)
 				}
 			}
 		}
-		core := NewCore("life", true, time.Second, now)
+		core := NewCore("incarnation", true, time.Second, now)
 		core.ApplyDelta(now, "peer", Delta{Cursor: Cursor{Incarnation: reply.RegistryIncarnation, Seen: reply.RegistrySeen}, Records: records}, nil)
 		core.Tick(now, time.Second, Connectivity{})
 		for id, e := range core.View().Engines {
--- a/process/engines/registry/load_test.go
+++ b/process/engines/registry/load_test.go
@@ -10,19 +10,19 @@
 )
 
 func TestLoadsArePublishedAtIntervals(t *testing.T) {
-	c := NewCore("one", true, time.Second, 0)
-	c.ReceiveHeartbeat(second, testRegistration("e1", 1))
-	c.PublishPlans(second, map[ident.EngineID]Plan{"e1": {Claim: 1, Sequence: 1, Active: 1}})
-	seen := c.DeltaSince(DeltaRequest{}, 100).Cursor
-	c.PublishPlans(second+second/10, map[ident.EngineID]Plan{"e1": {Claim: 1, Sequence: 2, Active: 2}})
-	if d := c.DeltaSince(DeltaRequest{Cursor: seen}, 100); len(d.Records) != 0 || c.View().Engines["e1"].Plan.Active != 2 {
+	core := NewCore("one", true, time.Second, 0)
+	core.ReceiveHeartbeat(second, testRegistration("e1", 1))
+	core.PublishPlans(second, map[ident.EngineID]Plan{"e1": {Claim: 1, Sequence: 1, Active: 1}})
+	seen := core.DeltaSince(DeltaRequest{}, 100).Cursor
+	core.PublishPlans(second+second/10, map[ident.EngineID]Plan{"e1": {Claim: 1, Sequence: 2, Active: 2}})
+	if d := core.DeltaSince(DeltaRequest{Cursor: seen}, 100); len(d.Records) != 0 || core.View().Engines["e1"].Plan.Active != 2 {
 		t.Errorf("%+v", d.Records)
 	}
-	c.Tick(2*second, time.Second, Connectivity{})
-	if d := c.DeltaSince(DeltaRequest{Cursor: seen}, 100); len(d.Records) != 1 || d.Records[0].PlanExtent != LoadsOnly {
+	core.Tick(2*second, time.Second, Connectivity{})
+	if d := core.DeltaSince(DeltaRequest{Cursor: seen}, 100); len(d.Records) != 1 || d.Records[0].PlanExtent != LoadsOnly {
 		t.Errorf("%+v", d.Records)
 	}
-	// Those of another zone hear of it more seldom, where there are many.
+	// Where there are many engines, other zones get load figures less often.
 	many := NewCore("many", true, time.Second, 0)
 	for i := range 200 {
 		many.ReceiveHeartbeat(second, testRegistration(fmt.Sprint("e", i), 1))
@@ -31,61 +31,61 @@
 	there := many.DeltaSince(DeltaRequest{}, 1000).Cursor
 	many.PublishPlans(2*second, map[ident.EngineID]Plan{"e1": {Claim: 1, Sequence: 2, Active: 2}})
 	if d := many.DeltaSince(DeltaRequest{Cursor: there, Zone: "z"}, 1000); len(d.Records) != 1 {
-		t.Errorf("its own zone is not told: %+v", d.Records)
+		t.Errorf("its own zone does not get them: %+v", d.Records)
 	}
 	if d := many.DeltaSince(DeltaRequest{Cursor: there, Zone: "y"}, 1000); len(d.Records) != 0 {
-		t.Errorf("another zone is told at once: %+v", d.Records)
+		t.Errorf("another zone gets them at once: %+v", d.Records)
 	}
 	many.Tick(3*second, time.Second, Connectivity{})
 	if d := many.DeltaSince(DeltaRequest{Cursor: there, Zone: "y"}, 1000); len(d.Records) != 1 || d.Records[0].Plan.Active != 2 {
-		t.Errorf("another zone is never told: %+v", d.Records)
+		t.Errorf("another zone never gets them: %+v", d.Records)
 	}
-	// What it is to hold is told at once.
-	c.PublishPlans(2*second+1, map[ident.EngineID]Plan{"e1": {Claim: 1, Sequence: 3, Active: 2, Retiring: []Target{{Model: "m"}}}})
-	if d := c.DeltaSince(DeltaRequest{Cursor: seen}, 100); len(d.Records) != 1 || d.Records[0].PlanExtent != FullPlan {
+	// Which models it is to unload is published at once.
+	core.PublishPlans(2*second+1, map[ident.EngineID]Plan{"e1": {Claim: 1, Sequence: 3, Active: 2, Retiring: []Target{{Model: "m"}}}})
+	if d := core.DeltaSince(DeltaRequest{Cursor: seen}, 100); len(d.Records) != 1 || d.Records[0].PlanExtent != FullPlan {
 		t.Errorf("%+v", d.Records)
 	}
 }
 
-// The planner alone tells other control daemons how busy engines are; whoever has it from there passes on what
-// stands where, and its own beats, but not that.
+// Control daemons get load figures from the planner's daemon alone; the others pass on the models and the heartbeats that
+// they received themselves, but no load figures.
 func TestControlDaemonsReceiveLoadsFromPlannerOnly(t *testing.T) {
 	planner, relay, third := NewCore("one", true, time.Second, 0), NewCore("two", true, time.Second, 0), NewCore("three", true, time.Second, 0)
-	tell := func(from, to *Core, now clock.Mark, peer string) []Record {
+	send := func(from, to *Core, now clock.Mark, peer string) []Record {
 		cursor, wanted := to.NextRequest(peer)
-		told := from.DeltaSince(DeltaRequest{Cursor: cursor, FullRecordsOf: wanted, Filter: WithHeartbeats}, 100)
-		to.ApplyDelta(now, peer, told, wanted)
-		return told.Records
+		records := from.DeltaSince(DeltaRequest{Cursor: cursor, FullRecordsOf: wanted, Filter: WithHeartbeats}, 100)
+		to.ApplyDelta(now, peer, records, wanted)
+		return records.Records
 	}
 	planner.ReceiveHeartbeat(second, testRegistration("e1", 1))
 	planner.PublishPlans(second, map[ident.EngineID]Plan{"e1": {Claim: 1, Sequence: 1, Active: 1, Models: []LoadedModel{{Model: "m"}}}})
-	tell(planner, relay, second, "planner")
-	if told := tell(relay, third, second, "relay"); len(told) != 1 || third.View().Engines["e1"].Plan.Active != 1 {
-		t.Fatalf("what stands where is passed on: %+v", told)
+	send(planner, relay, second, "planner")
+	if records := send(relay, third, second, "relay"); len(records) != 1 || third.View().Engines["e1"].Plan.Active != 1 {
+		t.Fatalf("models are not passed on: %+v", records)
 	}
 	solid := relay.LatestNonLoadChange()
 	planner.PublishPlans(3*second, map[ident.EngineID]Plan{"e1": {Claim: 1, Sequence: 2, Active: 9, Models: []LoadedModel{{Model: "m"}}}})
-	if told := tell(planner, relay, 3*second, "planner"); len(told) != 1 || told[0].PlanExtent != LoadsOnly || relay.View().Engines["e1"].Plan.Active != 9 {
-		t.Fatalf("the planner tells of loads: %+v", told)
+	if records := send(planner, relay, 3*second, "planner"); len(records) != 1 || records[0].PlanExtent != LoadsOnly || relay.View().Engines["e1"].Plan.Active != 9 {
+		t.Fatalf("the planner's daemon does not send load figures: %+v", records)
 	}
 	if relay.LatestNonLoadChange() != solid || relay.LatestChange() <= solid {
-		t.Errorf("loads alone are news of their own kind: %d, %d, %d", solid, relay.LatestNonLoadChange(), relay.LatestChange())
+		t.Errorf("load figures alone are changes of their own kind: %d, %d, %d", solid, relay.LatestNonLoadChange(), relay.LatestChange())
 	}
-	if told := tell(relay, third, 3*second, "relay"); len(told) != 0 {
-		t.Errorf("loads are not passed on: %+v", told)
+	if records := send(relay, third, 3*second, "relay"); len(records) != 0 {
+		t.Errorf("load figures are passed on: %+v", records)
 	}
-	// A beat is told, without them.
+	// A heartbeat is sent, without them.
 	relay.ReceiveHeartbeat(4*second, testRegistration("e1", 2))
-	if told := tell(relay, third, 4*second, "relay"); len(told) != 1 || told[0].CallSeq != 2 || told[0].Plan != nil {
-		t.Errorf("%+v", told)
+	if records := send(relay, third, 4*second, "relay"); len(records) != 1 || records[0].CallSeq != 2 || records[0].Plan != nil {
+		t.Errorf("%+v", records)
 	}
-	// Daemons that only route hear of them from any control daemon.
-	if told := relay.DeltaSince(DeltaRequest{Zone: "z"}, 100); len(told.Records) != 1 || told.Records[0].Plan.Active != 9 {
-		t.Errorf("%+v", told)
+	// Daemons that only route get them from any control daemon.
+	if records := relay.DeltaSince(DeltaRequest{Zone: "z"}, 100); len(records.Records) != 1 || records.Records[0].Plan.Active != 9 {
+		t.Errorf("%+v", records)
 	}
-	// So does a control daemon from whoever plans next.
+	// So does a control daemon from the next planner.
 	relay.PublishPlans(6*second, map[ident.EngineID]Plan{"e1": {Claim: 2, Sequence: 1, Active: 5, Models: []LoadedModel{{Model: "m"}}}})
-	if tell(relay, third, 6*second, "relay"); third.View().Engines["e1"].Plan.Active != 5 {
+	if send(relay, third, 6*second, "relay"); third.View().Engines["e1"].Plan.Active != 5 {
 		t.Errorf("%+v", third.View().Engines["e1"].Plan)
 	}
 }
--- a/process/engines/registry/size_test.go
+++ b/process/engines/registry/size_test.go
@@ -19,7 +19,7 @@
 
 const heartbeatPeriod = 1200 * time.Millisecond
 
-// wordOf is an engine's word with three models of two adapters each.
+// registrationOf is an engine's registration with three models of two adapters each.
 func registrationOf(number int, callSeq uint64) Registration {
 	registration := Registration{ID: ident.EngineID(fmt.Sprintf("i-%08x", number)), Pool: "pool", Address: fmt.Sprintf("10.%d.%d.9:8080", number/250, number%250), Zone: "zone-7", Software: "v1", Slots: 96, Phase: "colocated", CallSeq: callSeq}
 	for at := range 3 {
@@ -29,25 +29,25 @@
 }
 
 func fullCore(engines int) *Core {
-	c := NewCore("life", true, heartbeatPeriod, 0)
+	core := NewCore("incarnation", true, heartbeatPeriod, 0)
 	for i := range engines {
-		c.ReceiveHeartbeat(0, registrationOf(i, 1))
+		core.ReceiveHeartbeat(0, registrationOf(i, 1))
 	}
-	c.View()
-	return c
+	core.View()
+	return core
 }
 
-// BenchmarkSizeHeartbeat is one beat that brings nothing new, and the look at the view that follows it.
+// BenchmarkSizeHeartbeat is one heartbeat without new content, and the look at the view that follows it.
 func BenchmarkSizeHeartbeat(b *testing.B) {
 	for _, engines := range engineCounts {
 		b.Run(fmt.Sprint(engines, " engines"), func(b *testing.B) {
-			c := fullCore(engines)
+			core := fullCore(engines)
 			b.ReportAllocs()
-			turn := 0
+			iteration := 0
 			for b.Loop() {
-				c.ReceiveHeartbeat(clock.Mark(turn), registrationOf(turn%engines, 2+uint64(turn/engines)))
-				c.View()
-				turn++
+				core.ReceiveHeartbeat(clock.Mark(iteration), registrationOf(iteration%engines, 2+uint64(iteration/engines)))
+				core.View()
+				iteration++
 			}
 		})
 	}
@@ -57,36 +57,36 @@
 func BenchmarkSizeChange(b *testing.B) {
 	for _, engines := range engineCounts {
 		b.Run(fmt.Sprint(engines, " engines"), func(b *testing.B) {
-			c := fullCore(engines)
+			core := fullCore(engines)
 			b.ReportAllocs()
-			turn := 0
+			iteration := 0
 			for b.Loop() {
-				registration := registrationOf(turn%engines, 2+uint64(turn/engines))
-				registration.Slots = 90 + turn%7 + turn/engines%3
-				c.ReceiveHeartbeat(clock.Mark(turn), registration)
-				c.View()
-				turn++
+				registration := registrationOf(iteration%engines, 2+uint64(iteration/engines))
+				registration.Slots = 90 + iteration%7 + iteration/engines%3
+				core.ReceiveHeartbeat(clock.Mark(iteration), registration)
+				core.View()
+				iteration++
 			}
 		})
 	}
 }
 
-// BenchmarkSizeTick is one look at who has fallen silent.
+// BenchmarkSizeTick is one search for engines that time out.
 func BenchmarkSizeTick(b *testing.B) {
 	for _, engines := range engineCounts {
 		b.Run(fmt.Sprint(engines, " engines"), func(b *testing.B) {
-			c := fullCore(engines)
+			core := fullCore(engines)
 			b.ReportAllocs()
 			now := clock.Mark(time.Second)
 			for b.Loop() {
-				c.Tick(now, heartbeatPeriod, Connectivity{CanDetectTimeouts: true, Horizon: now})
+				core.Tick(now, heartbeatPeriod, Connectivity{CanDetectTimeouts: true, Horizon: now})
 				now++
 			}
 		})
 	}
 }
 
-// BenchmarkSizeDelta is what is told, in bytes for each engine: all of it to one that is new, and one change.
+// BenchmarkSizeDelta is what is sent, in bytes for each engine: everything to a new peer, and one change.
 func BenchmarkSizeDelta(b *testing.B) {
 	encoded := func(b *testing.B, records []Record) int {
 		data, err := proto.Marshal(&peerapi.PullReply{Engines: Encode(0, records)})
@@ -97,11 +97,11 @@
 	}
 	for _, engines := range engineCounts {
 		b.Run(fmt.Sprint("all of ", engines, " engines"), func(b *testing.B) {
-			c := fullCore(engines)
+			core := fullCore(engines)
 			b.ReportAllocs()
 			size := 0
 			for b.Loop() {
-				size = encoded(b, c.DeltaSince(DeltaRequest{Cursor: Cursor{}}, engines).Records)
+				size = encoded(b, core.DeltaSince(DeltaRequest{Cursor: Cursor{}}, engines).Records)
 			}
 			b.ReportMetric(float64(size)/float64(engines), "bytes/engine")
 		})
@@ -109,61 +109,61 @@
 			all := fullCore(engines).DeltaSince(DeltaRequest{Cursor: Cursor{}}, engines)
 			b.ReportAllocs()
 			for b.Loop() {
-				c := NewCore("other", false, heartbeatPeriod, 0)
-				c.ApplyDelta(1, "peer", all, nil)
-				c.View()
+				core := NewCore("other", false, heartbeatPeriod, 0)
+				core.ApplyDelta(1, "peer", all, nil)
+				core.View()
 			}
 		})
 	}
-	for _, what := range []string{"word", "plan", "load", "beat"} {
-		b.Run("one "+what, func(b *testing.B) {
-			c := fullCore(1400)
+	for _, content := range []string{"registration", "plan", "load", "heartbeat"} {
+		b.Run("one "+content, func(b *testing.B) {
+			core := fullCore(1400)
 			kind := AllChanges
-			if what == "beat" {
+			if content == "heartbeat" {
 				kind = WithHeartbeats
 			}
 			planned := Plan{Claim: 3, Sequence: 999, Models: registrationOf(7, 1).Models, Active: 40, Queued: 1, MemoryUsed: 60000, Memory: 123322}
-			if what == "load" {
-				c.PublishPlans(1, map[ident.EngineID]Plan{"i-00000007": planned})
+			if content == "load" {
+				core.PublishPlans(1, map[ident.EngineID]Plan{"i-00000007": planned})
 			}
-			seen := c.DeltaSince(DeltaRequest{Cursor: Cursor{}, Filter: WithHeartbeats}, 1400).Cursor
-			switch what {
-			case "word":
+			seen := core.DeltaSince(DeltaRequest{Cursor: Cursor{}, Filter: WithHeartbeats}, 1400).Cursor
+			switch content {
+			case "registration":
 				registration := registrationOf(7, 2)
 				registration.Slots = 12
-				c.ReceiveHeartbeat(1, registration)
+				core.ReceiveHeartbeat(1, registration)
 			case "plan":
-				c.PublishPlans(1, map[ident.EngineID]Plan{"i-00000007": planned})
+				core.PublishPlans(1, map[ident.EngineID]Plan{"i-00000007": planned})
 			case "load":
-				// What it holds is as before, and so long after that all are told.
+				// Its models are as before, and the interval of load figures is over.
 				planned.Sequence, planned.Active, planned.MemoryUsed = 1050, 71, 90000
-				c.PublishPlans(clock.Mark(time.Minute), map[ident.EngineID]Plan{"i-00000007": planned})
-			case "beat":
-				c.ReceiveHeartbeat(1, registrationOf(7, 2))
+				core.PublishPlans(clock.Mark(time.Minute), map[ident.EngineID]Plan{"i-00000007": planned})
+			case "heartbeat":
+				core.ReceiveHeartbeat(1, registrationOf(7, 2))
 			}
 			size := 0
 			for b.Loop() {
-				size = encoded(b, c.DeltaSince(DeltaRequest{Cursor: seen, Filter: kind}, 1400).Records)
+				size = encoded(b, core.DeltaSince(DeltaRequest{Cursor: seen, Filter: kind}, 1400).Records)
 			}
 			b.ReportMetric(float64(size), "bytes")
 		})
 	}
 }
 
-// BenchmarkSizeMemory is what a core and its view keep, for each engine.
+// BenchmarkSizeMemory is the memory that a core and its view take for each engine.
 func BenchmarkSizeMemory(b *testing.B) {
 	for _, engines := range engineCounts {
 		b.Run(fmt.Sprint(engines, " engines"), func(b *testing.B) {
 			const cores = 8
 			for b.Loop() {
-				kept := make([]*Core, 0, cores)
+				retained := make([]*Core, 0, cores)
 				before := heap()
 				for range cores {
-					kept = append(kept, fullCore(engines))
+					retained = append(retained, fullCore(engines))
 				}
 				after := heap()
 				b.ReportMetric(float64(after-before)/cores/float64(engines), "bytes/engine")
-				runtime.KeepAlive(kept)
+				runtime.KeepAlive(retained)
 			}
 		})
 	}
