--- a/process/consensus/replica/actor.go
+++ b/process/consensus/replica/actor.go
@@ -13,48 +13,59 @@
 	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
-// Links carries raft messages to other members; it may lose them, and must not block.
+// Transport carries Raft messages to other members. It may lose them, and must not block.
 type Transport interface {
 	Send(group ident.GroupID, member raft.Member, messages []raft.Message)
 }
 
-// Tick is how often the core's clock beats.
+// TickInterval is the unit of the Raft core's logical clock.
 const TickInterval = 50 * time.Millisecond
 
-// Replica is the actor around a core.
+const (
+	// mailboxCapacity bounds the events that wait for the actor; messages of other members beyond it are dropped.
+	mailboxCapacity = 1024
+	// writeQueueCapacity bounds the writes that wait for the disk; the actor blocks beyond it.
+	writeQueueCapacity = 4096
+)
+
+// Replica is the actor around a core. Its exported methods may be called from any goroutine.
 type Replica struct {
-	self                  raft.Member
-	core                  *Core
-	clock                 clock.Clock
-	disk                  Disk
-	transport             Transport
+	self      raft.Member
+	core      *Core
+	clock     clock.Clock
+	disk      Disk
+	transport Transport
+	mailbox   *actor.Mailbox[any]
+
 	onConfigurationChange func(*statemachine.State)
 	onStatusChange        func(before, after Status)
 	onNotice              func(raft.Notice)
 	onFatal               func(error)
-	mailbox               *actor.Mailbox[any]
 
 	group  ident.GroupID
 	status atomic.Pointer[Status]
-	// Refused counts batches of other groups, for other members, or before a group is known.
+	// Rejected counts messages that were meant for another group or another member.
 	Rejected atomic.Uint64
-	// Counters count notices, by their kinds.
+	// Counters count notices by kind.
 	Counters *Counters
 
+	// waiters holds the functions that answer open requests, by request identifier.
 	lastRequestID uint64
 	waiters       map[uint64]func(Response)
 
+	participation participation
 	writeQueue    chan diskWrite
+	// unsyncedSince is when each write that has not returned yet was queued, the oldest first.
 	unsyncedSince []clock.Mark
-	diskStalled   bool
-	// failed says that a write failed, after which this member says nothing any more.
-	failed bool
-	// beaten is when the last beat came.
-	lastTick     clock.Mark
+
+	lastTick clock.Mark
+	// joinRequests are the members that asked this leader to be taken in, until they are.
 	joinRequests map[raft.MemberID]raft.Member
-	lastAddress  map[raft.MemberID]string
+	// lastAddress is where each member's last message came from.
+	lastAddress map[raft.MemberID]string
 }
 
+// The events of the actor's mailbox.
 type (
 	messagesReceived struct {
 		group    ident.GroupID
@@ -74,13 +85,14 @@
 	joinRequested     struct{ member raft.Member }
 	leavingAnnounced  struct {
 		member raft.MemberID
-		// held is told whether a majority holds all that is committed without this member.
+		// safeToStop receives whether the member may end.
 		safeToStop chan bool
 	}
 )
 
-// New makes a replica from what the disk holds.
-func New(self raft.Member, group ident.GroupID, restored raft.Restored, config Config, c clock.Clock, disk Disk, links Transport, options ...Option) (*Replica, error) {
+// New makes a replica from what the disk holds. An empty group identifier stands for a member that has not joined yet:
+// it joins the group whose messages reach it first. New fails if the snapshot can't be read.
+func New(self raft.Member, group ident.GroupID, restored raft.Restored, config Config, c clock.Clock, disk Disk, transport Transport, options ...Option) (*Replica, error) {
 	random := rand.New(rand.NewPCG(uint64(self.ID), uint64(c.Elapsed())))
 	member := raft.New(self.ID, config.Timing, restored, random)
 	core, err := NewCore(config, member, restored.Snapshot.Data, c.Elapsed(), c.Wall)
@@ -88,10 +100,12 @@
 		return nil, err
 	}
 	r := &Replica{
-		self: self, core: core, clock: c, disk: disk, transport: links, group: group,
-		onConfigurationChange: func(*statemachine.State) {}, onStatusChange: func(_, _ Status) {}, onNotice: func(raft.Notice) {}, Counters: &Counters{}, onFatal: func(error) {},
-		mailbox: actor.NewMailbox[any](1024), waiters: map[uint64]func(Response){},
-		writeQueue: make(chan diskWrite, 4096), joinRequests: map[raft.MemberID]raft.Member{}, lastAddress: map[raft.MemberID]string{},
+		self: self, core: core, clock: c, disk: disk, transport: transport, group: group,
+		mailbox:               actor.NewMailbox[any](mailboxCapacity),
+		onConfigurationChange: func(*statemachine.State) {}, onStatusChange: func(_, _ Status) {},
+		onNotice: func(raft.Notice) {}, onFatal: func(error) {}, Counters: &Counters{},
+		waiters: map[uint64]func(Response){}, writeQueue: make(chan diskWrite, writeQueueCapacity),
+		joinRequests: map[raft.MemberID]raft.Member{}, lastAddress: map[raft.MemberID]string{},
 	}
 	for _, option := range options {
 		option(r)
@@ -100,27 +114,27 @@
 	return r, nil
 }
 
-// Run runs the actor until ctx ends.
+// Run runs the actor until ctx ends. Once it returns nothing writes to the disk any more.
 func (r *Replica) Run(ctx context.Context) {
-	left := make(chan struct{})
+	diskWriterDone := make(chan struct{})
 	go func() {
-		defer close(left)
+		defer close(diskWriterDone)
 		r.runDiskWriter(ctx)
 	}()
 	r.onConfigurationChange(r.core.State())
 	r.mailbox.Run(ctx, TickInterval, r.handleEvent, r.tick)
-	// The folder is in use until the last write has returned, and may be opened again after that.
-	<-left
+	// The data folder is in use until the last write has returned, and may be opened again after that.
+	<-diskWriterDone
 }
 
-// Receive takes raft messages from another member.
+// Receive takes Raft messages from another member, whose address they came from. It drops them where the mailbox is full.
 func (r *Replica) Receive(group ident.GroupID, address string, messages []raft.Message) {
 	r.mailbox.Offer(messagesReceived{group, address, messages})
 }
 
 func (r *Replica) handleEvent(event any) {
-	if r.failed {
-		// Whoever waits is told when the actor ends.
+	if r.participation == failed {
+		// Requests that wait are answered when the actor ends.
 		return
 	}
 	now := r.clock.Elapsed()
@@ -130,13 +144,11 @@
 	case writeFinished:
 		r.handleWriteFinished(now, e)
 	case commandSubmitted:
-		r.lastRequestID++
-		r.waiters[r.lastRequestID] = e.respond
-		r.execute(r.core.Submit(now, r.lastRequestID, e.command))
+		requestID := r.addWaiter(e.respond)
+		r.execute(r.core.Submit(now, requestID, e.command))
 	case readRequested:
-		r.lastRequestID++
-		r.waiters[r.lastRequestID] = e.respond
-		r.execute(r.core.Read(now, r.lastRequestID))
+		requestID := r.addWaiter(e.respond)
+		r.execute(r.core.Read(now, requestID))
 	case transferRequested:
 		r.execute(r.core.Step(now, raft.Transfer{}))
 	case leavingAnnounced:
@@ -149,9 +161,16 @@
 	}
 }
 
-func (r *Replica) receive(now clock.Mark, e messagesReceived) {
-	for _, message := range e.messages {
-		if r.failed {
+// addWaiter assigns the identifier of a new request.
+func (r *Replica) addWaiter(respond func(Response)) uint64 {
+	r.lastRequestID++
+	r.waiters[r.lastRequestID] = respond
+	return r.lastRequestID
+}
+
+func (r *Replica) receive(now clock.Mark, batch messagesReceived) {
+	for _, message := range batch.messages {
+		if r.participation == failed {
 			return
 		}
 		if message.To != r.self.ID {
@@ -159,75 +178,57 @@
 			continue
 		}
 		if r.group == "" {
-			// Only a group that was told this folder's identity can address it, so it may be joined.
-			r.group = e.group
+			// Only a group that this member asked to join knows its identifier and can address it.
+			r.group = batch.group
 		}
-		if r.group != e.group {
+		if r.group != batch.group {
 			r.Rejected.Add(1)
 			continue
 		}
-		r.lastAddress[message.From] = e.address
+		r.lastAddress[message.From] = batch.address
 		r.execute(r.core.Step(now, raft.Receive{Message: message}))
 	}
 }
 
 func (r *Replica) tick() {
-	if r.failed {
+	if r.participation == failed {
 		return
 	}
 	now := r.clock.Elapsed()
-	if !r.diskStalled && len(r.unsyncedSince) > 0 && now.Since(r.unsyncedSince[0]) > diskStallTimeout {
-		r.diskStalled = true
-		r.execute(r.core.Step(now, raft.DiskStalled{Stalled: true}))
-	}
+	r.checkDiskStall(now)
 	if late := now.Since(r.lastTick); r.lastTick > 0 && late > r.core.config.Timing.Span(TickInterval) {
-		// This process stood still for so long that the others may follow another by now.
+		// This process was suspended for so long that the others may follow another leader by now.
 		r.execute(r.core.Step(now, raft.StandDown{}))
 	}
 	r.lastTick = now
 	r.execute(r.core.Step(now, raft.Tick{}))
-	if r.core.IsLeader() {
-		if next, ok := r.core.MembershipPlan(now, r.joinRequests).Next(); ok {
-			r.execute(r.core.Step(now, raft.ProposeMembership{Membership: next}))
-		}
-	} else {
+	if !r.core.IsLeader() {
 		clear(r.joinRequests)
+		return
 	}
-}
-
-// abandon ends this member's part with a state that must not be served: whoever waits learns nothing from it.
-func (r *Replica) discardEffects(now clock.Mark, effects Effects) {
-	for _, answer := range effects.Responses {
-		if reply, ok := r.waiters[answer.RequestID]; ok {
-			delete(r.waiters, answer.RequestID)
-			reply(Response{RequestID: answer.RequestID, Outcome: Unknown})
-		}
+	if next, ok := r.core.MembershipPlan(now, r.joinRequests).Next(); ok {
+		r.execute(r.core.Step(now, raft.ProposeMembership{Membership: next}))
 	}
-	r.fail(now, effects.Fatal)
 }
 
+// execute carries out the effects of a step of the core.
 func (r *Replica) execute(effects Effects) {
 	now := r.clock.Elapsed()
 	r.reportNotices(effects.Notices)
 	if effects.Fatal != nil {
-		r.discardEffects(now, effects)
+		r.discard(now, effects)
 		return
 	}
 	switch {
-	case effects.Save != nil || len(effects.MessagesAfterSave) > 0 && len(r.unsyncedSince) > 0 && !r.diskStalled:
+	case effects.Save != nil || len(effects.MessagesAfterSave) > 0 && len(r.unsyncedSince) > 0 && r.participation == participating:
 		r.unsyncedSince = append(r.unsyncedSince, now)
 		r.writeQueue <- diskWrite{group: r.group, save: effects.Save, afterSync: effects.MessagesAfterSave}
 	case len(r.unsyncedSince) == 0:
-		// Nothing unsynced lies before these, so they need not pass by the disk.
+		// All writes before these messages are synced, so they need not pass through the disk writer.
 		defer r.send(now, effects.MessagesAfterSave)
 	}
-	// With a stalled disk the rest is not said at all: a member that can't write is silent.
-	for _, answer := range effects.Responses {
-		if reply, ok := r.waiters[answer.RequestID]; ok {
-			delete(r.waiters, answer.RequestID)
-			reply(answer)
-		}
-	}
+	// The messages of a member whose disk is stalled match neither case and are dropped: it stays silent.
+	r.respond(effects.Responses)
 	if effects.ConfigurationChanged {
 		r.onConfigurationChange(r.core.State())
 	}
@@ -235,7 +236,17 @@
 	r.send(now, effects.Messages)
 }
 
-// send groups messages by member; those to this member itself are taken at once.
+// discard ends this member's part with a state that must not be served: requests that wait learn nothing from it.
+func (r *Replica) discard(now clock.Mark, effects Effects) {
+	unknown := make([]Response, 0, len(effects.Responses))
+	for _, response := range effects.Responses {
+		unknown = append(unknown, Response{RequestID: response.RequestID, Outcome: Unknown})
+	}
+	r.respond(unknown)
+	r.fail(now, effects.Fatal)
+}
+
+// send groups messages by member. Those to this member itself are handled at once.
 func (r *Replica) send(now clock.Mark, messages []raft.Message) {
 	byMember := map[raft.MemberID][]raft.Message{}
 	for _, message := range messages {
@@ -248,7 +259,8 @@
 	for id, batch := range byMember {
 		member, known := r.core.Raft().Membership().Find(id)
 		if !known {
-			// A fresh member has no membership yet, and a removed one is in none: they are answered where they spoke from.
+			// A new member has no membership yet, and a removed one is in none: they are answered at the address that
+			// their messages came from.
 			member = raft.Member{ID: id, Address: r.lastAddress[id]}
 		}
 		r.transport.Send(r.group, member, batch)
--- a/process/consensus/replica/config.go
+++ b/process/consensus/replica/config.go
@@ -7,26 +7,29 @@
 	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
-// Config holds the times of the group.
+// Config holds the times and sizes of the group. All members must be configured alike.
 type Config struct {
 	Timing raft.Timing
-	// Tenure is how long a worker id is granted for.
+	// WorkerLease is how long a worker id is leased for.
 	WorkerLease time.Duration
-	// ClaimSpan is how long the planner's claim lasts, ClaimGap the quiet time between two claims.
+	// PlannerLease is how long the planner's lease lasts, PlannerLeaseGap the time between the end of one lease and the
+	// start of the next.
 	PlannerLease, PlannerLeaseGap time.Duration
 	// Voters is how many machines are to vote.
 	Voters int
-	// CompactEvery is how many entries are applied between snapshots, Keep how many stay before one.
+	// CompactEntries is how many entries are applied between snapshots, RetainEntries how many are kept before a snapshot
+	// for followers that lag a little.
 	CompactEntries, RetainEntries int
-	// CompactBytes and KeepBytes bound the same by size: a few large bundles weigh as much as all else.
+	// CompactBytes and RetainBytes bound the same by size, in bytes: a few large bundles weigh as much as all else. Zero
+	// stands for no bound.
 	CompactBytes, RetainBytes int
-	// Orders bounds what is remembered of operators' orders; all members must have the same.
+	// HistoryLimits bounds what the state machine remembers of operators' changes.
 	HistoryLimits statemachine.Limits
-	// Build names what was built: only members of one build compare digests of their states.
+	// Build identifies the build: only members of one build compare digests of their states.
 	Build string
 }
 
-// DefaultConfig gives the times of the design.
+// DefaultConfig returns the values of the design. Raft's timing counts in units of TickInterval.
 func DefaultConfig() Config {
 	return Config{
 		Timing:      raft.Timing{Heartbeat: 2, Election: 16},
--- a/process/consensus/replica/core.go
+++ b/process/consensus/replica/core.go
@@ -1,132 +1,121 @@
-// Package replica joins the raft core to the replicated state: a pure core that keeps the group's
-// time, answers commands and reads, and an actor that gives it clock, disk and links.
 package replica
 
 import (
-	"maps"
-	"slices"
 	"time"
 
 	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/process/consensus/raft"
 	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
-// Core is one member's agreement and replicated state.
+// Core is one member's Raft core and replicated state. It is not safe for concurrent use.
 type Core struct {
 	config Config
 	raft   *raft.Core
 	state  *statemachine.State
 
-	appliedIndex         raft.Index
+	appliedIndex raft.Index
+	// entriesSinceSnapshot, entrySizes and bytesSinceSnapshot describe the entries applied since the last snapshot: their
+	// number, the size of each in bytes, and the sum of these.
 	entriesSinceSnapshot int
-	// sizes are those of the entries applied since the last snapshot, bytes their sum.
-	entrySizes         []int
-	bytesSinceSnapshot int
-	proposals          map[raft.Index]proposal
-	reads              map[uint64]raft.Index
+	entrySizes           []int
+	bytesSinceSnapshot   int
 
-	// heard is when each member last said something here.
+	// proposals are the commands that this member proposed as the leader and that are not applied yet, by log index.
+	proposals map[raft.Index]proposal
+	// reads are the confirmed reads that wait for the state to reach an index, by request.
+	reads map[uint64]raft.Index
+
+	// lastContact is when the last message of each member arrived.
 	lastContact map[raft.MemberID]clock.Mark
-	// leaving is when each member last said that it stops.
+	// leaving is when each member last announced that it shuts down.
 	leaving map[raft.MemberID]clock.Mark
 
-	// timeMark is when, on this machine's clock, the group's time was last seen to rise.
+	// groupTimeAt is the moment, on this machine's clock, at which the group's time last advanced.
 	groupTimeAt clock.Mark
-	// began is when this member started, and restored the last entry it found on its disk: whatever stands there was
-	// stamped before.
+	// startedAt is when this member started, and lastRestored the last entry that it found on its disk: entries up to
+	// that one were stamped before the start.
 	startedAt    clock.Mark
 	lastRestored raft.Index
 	wallClock    func() time.Time
-	// ledSince is when this member began to lead with all before it applied.
-	leaderSince  clock.Mark
-	isLeader     bool
+
+	// isLeader says that this member leads and has applied all that was committed before; leaderSince is when it did.
+	isLeader    bool
+	leaderSince clock.Mark
+	// reclaimIndex is the log index of the last reclaim that was proposed; the next one waits until it is applied.
 	reclaimIndex raft.Index
-	// confirmed is up to when a majority has confirmed that this member leads.
-	leadership leadershipConfirmation
+	leadership   leadershipConfirmation
 
 	digests digestTracker
-	// checked is the state read from the snapshot that is being installed.
+	// validated is the state read from the leader's snapshot that is about to be installed.
 	validated *statemachine.State
 }
 
-// NewCore makes a member from what its disk holds.
-func NewCore(config Config, member *raft.Core, snapshot []byte, now clock.Mark, wall func() time.Time) (*Core, error) {
+// NewCore makes a member from what its disk holds: the Raft core restored from the log, and the state of the last
+// snapshot. It fails if the snapshot can't be read. wallClock is read once, when the group is new.
+func NewCore(config Config, member *raft.Core, snapshot []byte, now clock.Mark, wallClock func() time.Time) (*Core, error) {
 	state, err := statemachine.Restore(snapshot, statemachine.WithLimits(config.HistoryLimits))
 	if err != nil {
 		return nil, err
 	}
-	c := &Core{config: config, raft: member, state: state, appliedIndex: member.SnapshotIndex(), groupTimeAt: now, startedAt: now, lastRestored: member.LastIndex(), wallClock: wall,
-		proposals: map[raft.Index]proposal{}, reads: map[uint64]raft.Index{}, lastContact: map[raft.MemberID]clock.Mark{}, leaving: map[raft.MemberID]clock.Mark{},
-		digests: newDigests(statemachine.Form(config.Build))}
+	c := &Core{
+		config: config, raft: member, state: state, appliedIndex: member.SnapshotIndex(),
+		groupTimeAt: now, startedAt: now, lastRestored: member.LastIndex(), wallClock: wallClock,
+		proposals: map[raft.Index]proposal{}, reads: map[uint64]raft.Index{},
+		lastContact: map[raft.MemberID]clock.Mark{}, leaving: map[raft.MemberID]clock.Mark{},
+		digests: newDigests(statemachine.Form(config.Build)),
+	}
 	member.CheckSnapshots(c.validateSnapshot)
 	return c, nil
 }
 
-// Raft gives the agreement core, for looking only.
+// Raft returns the Raft core, for reading only.
 func (c *Core) Raft() *raft.Core { return c.raft }
 
-// State gives the replicated state, for looking only.
+// State returns the replicated state, for reading only.
 func (c *Core) State() *statemachine.State { return c.state }
 
-// Step passes an event on to the agreement core.
+// Step passes an event to the Raft core and performs the leader's periodic duties.
 func (c *Core) Step(now clock.Mark, event raft.Event) Effects {
-	if received, ok := event.(raft.Receive); ok {
+	received, isMessage := event.(raft.Receive)
+	if isMessage {
 		c.lastContact[received.Message.From] = now
 	}
-	effects := c.raft.Step(event)
-	out := c.processRaftEffects(now, effects)
-	if received, ok := event.(raft.Receive); ok {
+	out := c.processRaftEffects(now, c.raft.Step(event))
+	if isMessage {
 		c.handleDigest(received.Message, &out)
 	}
-	if _, beat := event.(raft.Tick); beat {
+	if _, isTick := event.(raft.Tick); isTick {
 		c.reclaimExpiredLeases(now, &out)
 	}
 	return out
 }
 
-// carry applies what was committed and turns raft effects into the replica's.
+// processRaftEffects applies what was committed and turns the Raft core's effects into the replica's.
 func (c *Core) processRaftEffects(now clock.Mark, effects raft.Effects) Effects {
 	out := Effects{Save: effects.Save, MessagesAfterSave: effects.Later, Messages: effects.Now, Notices: effects.Notices}
-	if effects.Save != nil && effects.Save.TruncateFrom > 0 && effects.Save.TruncateFrom <= c.lastRestored {
-		// What takes the place of entries found on disk may have been stamped at any time since.
-		c.lastRestored = effects.Save.TruncateFrom - 1
-	}
-	specBefore, closuresBefore, leavesBefore := c.state.Epoch(), c.state.Closures.Epoch, c.state.Leaves
+	c.noteTruncation(effects.Save)
+	before := c.visibleVersions()
 	if effects.Install != nil {
-		// It was read by checkSnapshot before the log was given up for it.
-		c.state, c.appliedIndex, c.groupTimeAt, c.validated = c.validated, effects.Install.Index, now, nil
-		c.digests.reset()
-		c.entriesSinceSnapshot, c.entrySizes, c.bytesSinceSnapshot = 0, c.entrySizes[:0], 0
+		c.installValidated(now, effects.Install.Index)
 	}
 	for _, entry := range effects.Committed {
 		c.apply(now, entry, &out)
 	}
-	for _, read := range effects.Reads {
-		if !read.OK {
-			out.Responses = append(out.Responses, Response{RequestID: read.Ref, Outcome: NotLeader})
-			continue
-		}
-		c.reads[read.Ref] = read.Index
-	}
-	for _, ref := range slices.Sorted(maps.Keys(c.reads)) {
-		if c.appliedIndex >= c.reads[ref] {
-			out.Responses = append(out.Responses, Response{RequestID: ref, Outcome: Applied, State: c.state})
-			delete(c.reads, ref)
-		}
-	}
+	c.queueReads(effects.Reads, &out)
+	c.answerReads(&out)
 	c.updateLeadership(now, &out)
 	c.leadership.observe(now, c.raft)
 	c.attachDigests(now, out.Messages)
-	out.ConfigurationChanged = c.state.Epoch() != specBefore || c.state.Closures.Epoch != closuresBefore || c.state.Leaves != leavesBefore
-	if c.entriesSinceSnapshot >= c.config.CompactEntries || c.config.CompactBytes > 0 && c.bytesSinceSnapshot >= c.config.CompactBytes {
-		keep := c.retainedEntries()
-		c.entriesSinceSnapshot, c.entrySizes, c.bytesSinceSnapshot = 0, c.entrySizes[:0], 0
-		out.merge(c.processRaftEffects(now, c.raft.Step(raft.Compact{Index: c.appliedIndex, Data: c.state.Snapshot(), Keep: keep})))
+	out.ConfigurationChanged = c.visibleVersions() != before
+	if c.compactionDue() {
+		out.merge(c.compact(now))
 	}
 	return out
 }
 
+// apply applies one committed entry and answers whoever proposed it here.
 func (c *Core) apply(now clock.Mark, entry raft.Entry, out *Effects) {
 	c.appliedIndex = entry.Index
 	c.entriesSinceSnapshot++
@@ -136,31 +125,23 @@
 	if entry.Kind == raft.EntryCommand {
 		before := c.state.Now
 		result = c.state.Apply(entry.Data)
-		switch {
-		case c.state.Now <= before:
-		case entry.Index <= c.lastRestored:
-			// It was stamped before this member started, however late it is applied: the time since has passed.
-			c.groupTimeAt = c.startedAt
-		default:
-			c.groupTimeAt = now
+		if c.state.Now > before {
+			c.groupTimeAt = c.stampedAt(now, entry.Index)
 		}
 	}
 	if c.digests.due(entry.Index) {
 		digest := c.state.Digest()
 		c.digests.record(entry.Index, digest.Sum, digest.Bytes)
 	}
-	waiting, ok := c.proposals[entry.Index]
-	if !ok {
-		return
-	}
-	delete(c.proposals, entry.Index)
-	if waiting.requestID == 0 {
-		return
-	}
-	// Another leader's entry in that place means that the command was never committed.
-	if waiting.term != entry.Term {
-		out.Responses = append(out.Responses, Response{RequestID: waiting.requestID, Outcome: NotLeader})
-		return
-	}
-	out.Responses = append(out.Responses, Response{RequestID: waiting.requestID, Outcome: Applied, Result: result})
+	c.answerProposal(entry, result, out)
+}
+
+// visibleVersions tell apart the states whose difference is reported as ConfigurationChanged.
+type visibleVersions struct {
+	configuration, closures ident.Version
+	enginesLeft             uint64
+}
+
+func (c *Core) visibleVersions() visibleVersions {
+	return visibleVersions{configuration: c.state.Epoch(), closures: c.state.Closures.Epoch, enginesLeft: c.state.Leaves}
 }
--- a/process/consensus/replica/digest_exchange.go
+++ b/process/consensus/replica/digest_exchange.go
@@ -7,26 +7,26 @@
 	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
-// Digest is the newest digest of this member's state; Differing lists whose differed, as far as a leader knows.
+// Digest returns the newest digest of this member's state; zero before the first.
 func (c *Core) Digest() raft.StateDigest { return c.digests.newest() }
 
-// Differing lists the members whose state differed from a majority's when this leader last compared them.
+// DivergentMembers lists the members whose state differed from a majority's when this leader last compared them.
 func (c *Core) DivergentMembers() []raft.MemberID { return slices.Clone(c.digests.divergent) }
 
-// askForDigests has a leader's heartbeats carry the digest that its peers are asked to compare.
+// attachDigests has a leader's heartbeats carry the digest that its peers are to compare with their own.
 func (c *Core) attachDigests(now clock.Mark, messages []raft.Message) {
 	if !c.isLeader {
 		return
 	}
 	c.digests.startComparison(now, c.raft.ID(), c.raft.Membership())
-	for place := range messages {
-		if messages[place].Kind == raft.MsgHeartbeat {
-			messages[place].StateDigest = c.digests.requestFor(messages[place].To, c.raft.Membership())
+	for i := range messages {
+		if message := &messages[i]; message.Kind == raft.MsgHeartbeat {
+			message.StateDigest = c.digests.requestFor(message.To, c.raft.Membership())
 		}
 	}
 }
 
-// compareDigests takes the digest that came with a message: a leader's question, or a peer's answer.
+// handleDigest handles the digest that came with a message: a leader's request, or a peer's reply.
 func (c *Core) handleDigest(message raft.Message, out *Effects) {
 	switch {
 	case message.StateDigest == nil || message.Term != c.raft.Term():
@@ -41,21 +41,22 @@
 	}
 }
 
-func (c *Core) replyWithDigest(message raft.Message, out *Effects) {
-	answer, err := c.digests.replyTo(*message.StateDigest)
+// replyWithDigest attaches this member's digest to its reply to the leader's heartbeat.
+func (c *Core) replyWithDigest(heartbeat raft.Message, out *Effects) {
+	digest, err := c.digests.replyTo(*heartbeat.StateDigest)
 	c.stopServing(err, out)
-	for place := range out.Messages {
-		if reply := &out.Messages[place]; reply.Kind == raft.MsgHeartbeatReply && reply.To == message.From {
-			reply.StateDigest = answer
+	for i := range out.Messages {
+		if reply := &out.Messages[i]; reply.Kind == raft.MsgHeartbeatReply && reply.To == heartbeat.From {
+			reply.StateDigest = digest
 		}
 	}
 }
 
-// giveUp says that this member's state is not what a majority holds.
-func (c *Core) stopServing(why error, out *Effects) {
-	if why == nil {
+// stopServing makes a divergence of this member's own state fatal; it does nothing where there is none.
+func (c *Core) stopServing(divergence error, out *Effects) {
+	if divergence == nil {
 		return
 	}
-	out.Fatal = why
-	out.Notices = append(out.Notices, raft.Notice{Kind: raft.NoticeStateDiffers, Peer: c.raft.ID(), Index: c.appliedIndex, Err: why})
+	out.Fatal = divergence
+	out.Notices = append(out.Notices, raft.Notice{Kind: raft.NoticeStateDiffers, Peer: c.raft.ID(), Index: c.appliedIndex, Err: divergence})
 }
--- a/process/consensus/replica/digests.go
+++ b/process/consensus/replica/digests.go
@@ -11,17 +11,19 @@
 )
 
 const (
-	// digestStep is the least number of entries between two digests of the state. A larger state is summed up less
-	// often: once for each bytesPerEntry of it, so that a digest costs little beside what its entries did.
+	// minDigestInterval is the least number of entries between two digests of the state. A larger state is digested less
+	// often: the interval is at least one entry for each stateBytesPerEntry of it, so that a digest costs little beside
+	// what its entries did.
 	minDigestInterval  raft.Index = 16
 	stateBytesPerEntry            = 4 << 10
-	// keptDigests is how many a member keeps, so that it can be asked for one that lies a little back.
+	// retainedDigests is how many digests a member keeps, so that a leader can request one that is a little older.
 	retainedDigests = 8
-	// compareFor is how long a leader waits for its peers' digests at one index before it goes on to a newer one.
+	// comparisonTimeout is how long a leader waits for its peers' digests at one index before it goes on to a newer one.
 	comparisonTimeout = 2 * time.Second
 )
 
-// StateDiffersError says that this member's state is not what a majority holds.
+// StateDivergedError says that this member's state differs from the one that a majority holds at the same index. Own and
+// Majority are the two digests.
 type StateDivergedError struct {
 	Index         raft.Index
 	Own, Majority uint64
@@ -31,23 +33,28 @@
 	return fmt.Sprintf("the state up to entry %d differs from what a majority holds (%016x instead of %016x)", e.Index, e.Own, e.Majority)
 }
 
-// digests keeps a member's digests of its state and, while it leads, compares its peers' with its own.
+// digestTracker keeps a member's digests of its state and, while the member leads, compares its peers' with its own.
 //
-// Every member sums up its state at the same indexes. A leader's heartbeat names its newest digest to those peers
-// that have not answered it yet, and they answer with theirs at that index. A majority of voters decides which one is
-// right. One member at a time that holds another is told so, and gives up its state; a leader that does so itself.
+// Every member digests its state at the same indexes. A leader's heartbeats carry its newest digest to those peers that
+// have not replied to it yet, and they reply with theirs at that index. A majority of the voters decides which digest is
+// right. One divergent member at a time is ordered to resign: it gives up its state and joins anew. A leader whose own
+// state diverged resigns by itself.
 type digestTracker struct {
-	form     uint64
+	// form identifies the build and encoding; digests of different forms can't be compared.
+	form uint64
+	// interval is the number of entries between two digests.
 	interval raft.Index
-	recent   []raft.StateDigest
+	// recent are this member's last digests, the newest last.
+	recent []raft.StateDigest
 
-	// comparing is the leader's digest that peers are asked for since asked; answers holds theirs.
+	// comparing is the leader's digest that peers are asked to compare since requestedAt. replies holds the digests of
+	// those that replied in the same form, replied all that replied.
 	comparing   raft.StateDigest
 	requestedAt clock.Mark
 	replies     map[raft.MemberID]uint64
 	replied     map[raft.MemberID]bool
-	// differing lists the members that differed by the last comparison, told whoever was told to give up: as long as
-	// it belongs to the group nobody else is.
+	// divergent lists the members that differed in the last comparison. resigning is the one that is ordered to resign;
+	// no other is as long as it belongs to the group.
 	divergent []raft.MemberID
 	resigning raft.MemberID
 }
@@ -56,27 +63,27 @@
 	return digestTracker{form: form, interval: minDigestInterval}
 }
 
-// due says whether the state is to be summed up at this index.
+// due reports whether the state is to be digested at this index.
 func (d *digestTracker) due(index raft.Index) bool { return index%d.interval == 0 }
 
-// keep takes this member's digest at an index, of a state of so many bytes.
-func (d *digestTracker) record(index raft.Index, sum uint64, bytes int) {
+// record keeps this member's digest at an index. stateBytes is the size of the state, which decides on the interval.
+func (d *digestTracker) record(index raft.Index, sum uint64, stateBytes int) {
 	d.recent = append(d.recent, raft.StateDigest{Index: index, Form: d.form, Sum: sum})
 	d.recent = d.recent[max(0, len(d.recent)-retainedDigests):]
-	// Steps are powers of two, so that members whose steps differ still meet at some indexes.
-	for d.interval = minDigestInterval; int(d.interval)*stateBytesPerEntry < bytes; d.interval *= 2 {
+	// Intervals are powers of two, so that members whose intervals differ still digest some of the same indexes.
+	for d.interval = minDigestInterval; int(d.interval)*stateBytesPerEntry < stateBytes; d.interval *= 2 {
 	}
 }
 
-// forget drops what was kept: the state was replaced.
+// reset forgets all digests, since the state was replaced.
 func (d *digestTracker) reset() { *d = digestTracker{form: d.form, interval: d.interval} }
 
-// stop ends the comparison: this member no longer leads, or leads anew.
+// stopComparing ends the comparison, since this member began or ceased to lead.
 func (d *digestTracker) stopComparing() {
 	*d = digestTracker{form: d.form, interval: d.interval, recent: d.recent}
 }
 
-// newest is the last digest; zero before the first.
+// newest returns the last digest; zero before the first.
 func (d *digestTracker) newest() raft.StateDigest {
 	if len(d.recent) == 0 {
 		return raft.StateDigest{}
@@ -84,6 +91,7 @@
 	return d.recent[len(d.recent)-1]
 }
 
+// at returns the digest at an index, if it is still kept.
 func (d *digestTracker) at(index raft.Index) (raft.StateDigest, bool) {
 	for _, own := range d.recent {
 		if own.Index == index {
@@ -93,20 +101,20 @@
 	return raft.StateDigest{}, false
 }
 
-// answer is a member's answer to a leader that asks for a digest; none where it has none at that index. The error
-// says that the leader knows a majority to hold another state.
-func (d *digestTracker) replyTo(asked raft.StateDigest) (*raft.StateDigest, error) {
-	own, known := d.at(asked.Index)
+// replyTo returns a member's reply to a leader's request; nil where it keeps no digest at that index. The error is a
+// StateDivergedError where the leader orders it to resign.
+func (d *digestTracker) replyTo(requested raft.StateDigest) (*raft.StateDigest, error) {
+	own, known := d.at(requested.Index)
 	if !known {
 		return nil, nil
 	}
-	if asked.Differs && asked.Form == own.Form && asked.Sum != own.Sum {
-		return nil, &StateDivergedError{Index: own.Index, Own: own.Sum, Majority: asked.Sum}
+	if requested.Differs && requested.Form == own.Form && requested.Sum != own.Sum {
+		return nil, &StateDivergedError{Index: own.Index, Own: own.Sum, Majority: requested.Sum}
 	}
 	return &own, nil
 }
 
-// begin has a leader compare its newest digest, once the peers have answered the one before or took too long.
+// startComparison has a leader compare its newest digest, once all peers replied to the one before or timed out.
 func (d *digestTracker) startComparison(now clock.Mark, self raft.MemberID, peers raft.Membership) {
 	newest := d.newest()
 	if newest.Index <= d.comparing.Index {
@@ -119,6 +127,7 @@
 	d.replies, d.replied = map[raft.MemberID]uint64{self: newest.Sum}, map[raft.MemberID]bool{self: true}
 }
 
+// allReplied reports whether each member replied to the digest that is being compared.
 func (d *digestTracker) allReplied(peers raft.Membership) bool {
 	for _, peer := range peers.Members {
 		if !d.replied[peer.ID] {
@@ -128,42 +137,43 @@
 	return true
 }
 
-// ask is what a leader's heartbeat to a peer carries; nothing where the peer has answered and is not to give up.
+// requestFor returns what a leader's heartbeat to a peer carries; nil where the peer has replied and is not ordered to
+// resign.
 func (d *digestTracker) requestFor(peer raft.MemberID, members raft.Membership) *raft.StateDigest {
-	asked := d.comparing
-	if asked.Index == 0 {
+	request := d.comparing
+	if request.Index == 0 {
 		return nil
 	}
 	if !d.replied[peer] {
-		return &asked
+		return &request
 	}
 	right, decided := d.majoritySum(members)
 	if sum, compared := d.replies[peer]; peer != d.resigning || !decided || !compared || sum == right {
 		return nil
 	}
-	asked.Sum, asked.Differs = right, true
-	return &asked
+	request.Sum, request.Differs = right, true
+	return &request
 }
 
-// verdict is what a leader finds by an answer.
+// comparison is what a leader finds by a peer's reply.
 type comparison struct {
-	// differs says that the answer is the first to differ from the leader's digest at its index.
+	// divergent says that the reply differs from the leader's digest.
 	divergent bool
-	// self says that this leader's own state is the one that differs from a majority's.
+	// selfDiverged is a StateDivergedError where the leader's own state differs from the majority's.
 	selfDiverged error
 }
 
-// take notes a peer's answer. Answers of another form tell nothing.
-func (d *digestTracker) recordReply(self, from raft.MemberID, said raft.StateDigest, members raft.Membership) comparison {
-	if said.Index != d.comparing.Index || d.replied[from] || d.comparing.Index == 0 {
+// recordReply compares a peer's reply. Replies of another form prove nothing.
+func (d *digestTracker) recordReply(self, from raft.MemberID, reply raft.StateDigest, members raft.Membership) comparison {
+	if reply.Index != d.comparing.Index || d.replied[from] || d.comparing.Index == 0 {
 		return comparison{}
 	}
 	d.replied[from] = true
-	if said.Form != d.form {
+	if reply.Form != d.form {
 		return comparison{}
 	}
-	d.replies[from] = said.Sum
-	found := comparison{divergent: said.Sum != d.comparing.Sum}
+	d.replies[from] = reply.Sum
+	found := comparison{divergent: reply.Sum != d.comparing.Sum}
 	right, decided := d.majoritySum(members)
 	if !decided {
 		if found.divergent {
@@ -179,18 +189,19 @@
 	return found
 }
 
+// divergentFrom lists the members whose digest is another than the right one.
 func (d *digestTracker) divergentFrom(right uint64) []raft.MemberID {
-	var out []raft.MemberID
+	var divergent []raft.MemberID
 	for _, id := range slices.Sorted(maps.Keys(d.replies)) {
 		if d.replies[id] != right {
-			out = append(out, id)
+			divergent = append(divergent, id)
 		}
 	}
-	return out
+	return divergent
 }
 
-// choose says who is told to give up: one at a time, since the group may stand losing no more, and its place must be
-// taken before the next is told.
+// chooseResigning chooses the member that is ordered to resign: one at a time, since the group may not survive the loss of
+// more, and it must be replaced before the next resigns.
 func (d *digestTracker) chooseResigning(right uint64, members raft.Membership) {
 	_, belongs := members.Find(d.resigning)
 	if sum, compared := d.replies[d.resigning]; !belongs || compared && sum == right {
@@ -201,12 +212,12 @@
 	}
 }
 
-// decide gives the digest that a majority of all voters holds, if there is one.
+// majoritySum returns the digest that a majority of all voters holds, if there is one.
 func (d *digestTracker) majoritySum(members raft.Membership) (uint64, bool) {
 	voters := members.Voters()
 	counts := map[uint64]int{}
 	for _, id := range voters {
-		if sum, said := d.replies[id]; said {
+		if sum, replied := d.replies[id]; replied {
 			counts[sum]++
 		}
 	}
--- a/process/consensus/replica/disk.go
+++ b/process/consensus/replica/disk.go
@@ -11,21 +11,49 @@
 	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
-// Disk is where a member keeps its state; a write returns when it is synced.
+// Disk is where a member keeps its log, hard state and snapshot. Write returns once all of it is synced.
 type Disk interface {
 	Write(group ident.GroupID, save raft.Save) error
 }
 
-// stallAfter is how long a write may take before this member counts its disk as stalled.
+// diskStallTimeout is how long a write may take before this member counts its disk as stalled and stops taking part.
 const diskStallTimeout = 700 * time.Millisecond
 
+// participation says whether a member takes part in its group.
+type participation uint8
+
+const (
+	participating participation = iota
+	// diskStalled members answer and send nothing that follows from an unsynced write; they take part again once all
+	// writes are synced.
+	diskStalled
+	// failed members take no part any more: a write failed, or their state differs from the majority's.
+	failed
+)
+
+// diskWrite is one entry of the disk writer's queue. A write without a save only keeps its messages in order.
 type diskWrite struct {
 	group     ident.GroupID
 	save      *raft.Save
 	afterSync []raft.Message
 }
 
-// runDisk is the one place that writes; the actor never waits for it.
+// persisted tells the Raft core up to which entry a save reached the disk; false where it held neither entries nor a
+// snapshot.
+func (w diskWrite) persisted() (raft.Persisted, bool) {
+	switch {
+	case w.save == nil:
+		return raft.Persisted{}, false
+	case len(w.save.Entries) > 0:
+		last := w.save.Entries[len(w.save.Entries)-1]
+		return raft.Persisted{Index: last.Index, Term: last.Term}, last.Index > 0
+	case w.save.Snapshot != nil:
+		return raft.Persisted{Index: w.save.Snapshot.Index, Term: w.save.Snapshot.Term}, w.save.Snapshot.Index > 0
+	}
+	return raft.Persisted{}, false
+}
+
+// runDiskWriter is the one goroutine that writes to disk; the actor never waits for it.
 func (r *Replica) runDiskWriter(ctx context.Context) {
 	for {
 		select {
@@ -43,45 +71,40 @@
 	}
 }
 
-func (r *Replica) handleWriteFinished(now clock.Mark, e writeFinished) {
+func (r *Replica) handleWriteFinished(now clock.Mark, finished writeFinished) {
 	r.unsyncedSince = r.unsyncedSince[1:]
-	if e.err != nil {
-		r.fail(now, eris.Wrap(e.err, "the disk failed"))
+	if finished.err != nil {
+		r.fail(now, eris.Wrap(finished.err, "the disk failed"))
 		return
 	}
-	if r.diskStalled && len(r.unsyncedSince) == 0 {
-		r.diskStalled = false
+	if r.participation == diskStalled && len(r.unsyncedSince) == 0 {
+		r.participation = participating
 		r.execute(r.core.Step(now, raft.DiskStalled{Stalled: false}))
 	}
-	if save := e.write.save; save != nil {
-		last := raft.Persisted{}
-		if n := len(save.Entries); n > 0 {
-			last = raft.Persisted{Index: save.Entries[n-1].Index, Term: save.Entries[n-1].Term}
-		} else if save.Snapshot != nil {
-			last = raft.Persisted{Index: save.Snapshot.Index, Term: save.Snapshot.Term}
-		}
-		if last.Index > 0 {
-			r.execute(r.core.Step(now, last))
-		}
+	if last, ok := finished.write.persisted(); ok {
+		r.execute(r.core.Step(now, last))
+	}
+	r.send(now, finished.write.afterSync)
+}
+
+// checkDiskStall looks for a write that takes too long.
+func (r *Replica) checkDiskStall(now clock.Mark) {
+	if r.participation == participating && len(r.unsyncedSince) > 0 && now.Since(r.unsyncedSince[0]) > diskStallTimeout {
+		r.participation = diskStalled
+		r.execute(r.core.Step(now, raft.DiskStalled{Stalled: true}))
 	}
-	r.send(now, e.write.afterSync)
 }
 
-// giveUp ends this member's part: what a failed write left behind is unknown, or the state is not what a majority
-// holds, so nothing may be said that rests on it. A leader hands over first, so that the others need not wait for an
-// election.
-func (r *Replica) fail(now clock.Mark, why error) {
-	if !r.failed {
+// fail ends this member's part in the group. What a failed write left on the disk is unknown, or the state is not what
+// a majority holds, so nothing that rests on either may be sent. A leader transfers its leadership first, so that the
+// others need not wait for an election.
+func (r *Replica) fail(now clock.Mark, cause error) {
+	if r.participation != failed {
 		effects := r.core.Step(now, raft.DiskStalled{Stalled: true})
-		r.failed, r.diskStalled = true, true
-		for _, answer := range effects.Responses {
-			if reply, ok := r.waiters[answer.RequestID]; ok {
-				delete(r.waiters, answer.RequestID)
-				reply(answer)
-			}
-		}
+		r.participation = failed
+		r.respond(effects.Responses)
 		r.publishStatus()
 		r.send(now, effects.Messages)
 	}
-	r.onFatal(why)
+	r.onFatal(cause)
 }
--- a/process/consensus/replica/effects.go
+++ b/process/consensus/replica/effects.go
@@ -1,23 +1,25 @@
 package replica
 
-import (
-	"github.com/cresspond/cresspond/process/consensus/raft"
-)
+import "github.com/cresspond/cresspond/process/consensus/raft"
 
-// Effects is what a step wants done.
+// Effects are what the caller of a Core must carry out after a step.
 type Effects struct {
+	// Save is to be written to disk, MessagesAfterSave sent once that and every earlier write is synced. Messages may be
+	// sent at once.
 	Save              *raft.Save
 	MessagesAfterSave []raft.Message
 	Messages          []raft.Message
-	Responses         []Response
-	// Changed says that the spec in force, the closures or the engines that left are others than before.
+	// Responses answer requests that were submitted here.
+	Responses []Response
+	// ConfigurationChanged says that the configuration in force, the closures or the engines that left have changed.
 	ConfigurationChanged bool
-	// Notices tell what an operator may want to know.
+	// Notices are events for operators.
 	Notices []raft.Notice
-	// GiveUp says why this member may serve its state no longer and must join anew; nil otherwise.
+	// Fatal says why this member may serve its state no longer and must join anew; nil otherwise.
 	Fatal error
 }
 
+// merge appends the effects of a later step.
 func (e *Effects) merge(more Effects) {
 	switch {
 	case more.Save == nil:
--- a/process/consensus/replica/group_time.go
+++ b/process/consensus/replica/group_time.go
@@ -5,10 +5,11 @@
 
 	"github.com/cresspond/cresspond/clock"
 	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
-// groupNow is the group's time as the leader stamps it: the last in the log, carried on by elapsed
-// time. The time of day is asked once, when the group is new.
+// groupTime is the group's time as the leader stamps it: the newest in the log, advanced by the time elapsed since it
+// was applied. The time of day is read once, when the group is new, so that a machine whose clock is set can't move it.
 func (c *Core) groupTime(now clock.Mark) ident.GroupTime {
 	if c.state.Now == 0 {
 		return ident.GroupTime(c.wallClock().UnixMilli())
@@ -16,10 +17,27 @@
 	return c.state.Now.Add(now.Since(c.groupTimeAt))
 }
 
-// FirstRollAgo is how long ago the first bundle came in force, in the group's time; negative when none has.
+// stampedAt is the moment on this machine's clock that the stamp of an applied entry counts from. An entry found on disk
+// was stamped before this member started, however late it is applied, so the time since has passed.
+func (c *Core) stampedAt(now clock.Mark, index raft.Index) clock.Mark {
+	if index <= c.lastRestored {
+		return c.startedAt
+	}
+	return now
+}
+
+// noteTruncation looks for entries found on disk that are replaced: those in their place may have been stamped at any
+// time since the start.
+func (c *Core) noteTruncation(save *raft.Save) {
+	if save != nil && save.TruncateFrom > 0 && save.TruncateFrom <= c.lastRestored {
+		c.lastRestored = save.TruncateFrom - 1
+	}
+}
+
+// SinceFirstRollout is how long ago, in the group's time, the first configuration was put in force; negative if none was.
 func (c *Core) SinceFirstRollout(now clock.Mark) time.Duration {
-	first, any := c.state.At(1)
-	if !any || first.Rolled == nil {
+	first, found := c.state.At(1)
+	if !found || first.Rolled == nil {
 		return -1
 	}
 	return max(time.Millisecond, time.Duration(c.groupTime(now)-first.Rolled.At)*time.Millisecond)
--- a/process/consensus/replica/leaving_members.go
+++ b/process/consensus/replica/leaving_members.go
@@ -5,22 +5,22 @@
 	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
-// HeldWithout says whether this member leads, and of the voters a majority that does without one of them speaks and
-// holds all that is committed. Only then may that one end for good: if another is lost right after it, or was just
-// before, those who are left still have every entry, and enough votes to go on once one more stands ready.
+// MarkLeaving records that a member announced its shutdown. A learner may then take its place before it stops answering.
+func (c *Core) MarkLeaving(now clock.Mark, id raft.MemberID) { c.leaving[id] = now }
+
+// SafeToStop reports whether this member leads, and a majority of the voters is alive and holds all that is committed
+// without the one that leaves. Only then may that one end for good: if another is lost right after it, or was just
+// before, those that remain still have every entry, and enough votes to go on once one more is ready.
 func (c *Core) SafeToStop(now clock.Mark, leaving raft.MemberID) bool {
 	if !c.IsLeader() {
 		return false
 	}
-	voters, holding := c.raft.Membership().Voters(), 0
+	voters, upToDate := c.raft.Membership().Voters(), 0
 	for _, id := range voters {
-		speaks := id == c.raft.ID() || now.Since(max(c.lastContact[id], c.leaderSince)) < aliveTimeout
-		if id != leaving && speaks && c.raft.MatchOf(id) >= c.raft.CommitIndex() {
-			holding++
+		alive := id == c.raft.ID() || now.Since(max(c.lastContact[id], c.leaderSince)) < aliveTimeout
+		if id != leaving && alive && c.raft.MatchOf(id) >= c.raft.CommitIndex() {
+			upToDate++
 		}
 	}
-	return holding > len(voters)/2
+	return upToDate > len(voters)/2
 }
-
-// Leave notes a member's word that it stops. While it says so nobody else must wait for it to fall silent.
-func (c *Core) MarkLeaving(now clock.Mark, id raft.MemberID) { c.leaving[id] = now }
--- a/process/consensus/replica/membership_plan.go
+++ b/process/consensus/replica/membership_plan.go
@@ -11,55 +11,57 @@
 )
 
 const (
-	// silentVoter is how long a voter must have said nothing before one that stands ready takes its place. It
-	// is longer than what a busy machine or a short freeze takes, and leaves a replaced machine time to vote
-	// within the few seconds that deployments allow.
+	// voterTimeout is how long a voter must be unreachable before a learner that is ready takes its place. It is longer
+	// than a busy machine or a short suspension takes, and leaves a replaced machine time to become a voter within the
+	// few seconds that deployments allow.
 	voterTimeout = 2 * time.Second
-	// aliveWithin is how lately a voter must have spoken to count towards the majority that holds without another.
+	// aliveTimeout is how recent a voter's last message must be for it to count as alive.
 	aliveTimeout = time.Second
-	// forgetLearner is how long a member that does not vote may be silent before it is let go: it asks again.
+	// learnerTimeout is how long a learner may be unreachable before it is removed. It asks to join again.
 	learnerTimeout = 20 * time.Second
-	// leavingFor is how long a member's word that it stops is believed after it was last said.
+	// leavingValidity is how long the announcement that a member shuts down holds; members repeat it.
 	leavingValidity = 2 * time.Second
-	// caughtUpWithin is how many entries a member may lack and still count as caught up.
+	// caughtUpEntries is how many entries a member may lack and still count as caught up.
 	caughtUpEntries = 8
-	// caughtUpBytes is how many bytes those entries may hold: a twentieth of a second on a link of 10 Mbit/s.
+	// caughtUpBytes is how large those entries may be together: a twentieth of a second on a link of 10 Mbit/s.
 	caughtUpBytes = 64 << 10
-	// identityGone is how long an identity must have been silent before another of the same machine takes its place.
-	// Who lives answers every heartbeat.
+	// previousIdentityTimeout is how long a member must be unreachable before another member of the same machine takes
+	// its place. A live one answers every heartbeat.
 	previousIdentityTimeout = 500 * time.Millisecond
-	// DefaultVoters is how many machines vote where nothing else is said: the group stands losing one.
+	// DefaultVoters is how many machines vote where nothing else is configured: the group survives the loss of one.
 	DefaultVoters = 3
 )
 
-// Standing is what a leader knows of one member.
+// Progress is what a leader knows of one member.
 type Progress struct {
-	// Match is how far its log is known to agree with the leader's.
+	// Match is the last index up to which its log is known to agree with the leader's.
 	Match raft.Index
-	// Missing is how many bytes the entries hold that it lacks.
+	// MissingBytes is the size of the entries that it lacks.
 	MissingBytes int
-	// Silent is how long it has said nothing.
+	// SinceContact is the time since its last message.
 	SinceContact time.Duration
-	// Leaving says that it stops, for a while or for good.
+	// Leaving says that it announced its shutdown, be it a restart or for good.
 	Leaving bool
 }
 
-// MembershipPlan is all that a leader's next change of the membership depends on.
+// MembershipPlan gathers all that a leader's next change of the membership depends on.
 type MembershipPlan struct {
 	Self      raft.MemberID
 	Current   raft.Membership
 	LastIndex raft.Index
-	// Wanted is how many machines are to vote.
+	// DesiredVoters is how many machines are to vote.
 	DesiredVoters int
-	// Standing tells of each member, Joins lists those that asked to be taken in.
+	// Progress tells of each member. JoinRequests lists the members that asked to be taken in; Next deletes those that
+	// have been.
 	Progress     func(raft.MemberID) Progress
 	JoinRequests map[raft.MemberID]raft.Member
 }
 
-// Next says the next single step by which those who asked are taken in: first as learners; then, once they
-// have caught up, in the place of the old identity of the same machine, of a voter that fell silent or stops,
-// or where a place is free. A voter is let go only if another stands ready and a majority holds without it, so that a
-// machine that may only be restarting never shrinks the group. Every step differs in one voter from the one before.
+// Next returns the next change of the membership, if there is one. Members that ask to join are added as learners. Once
+// a learner has caught up it becomes a voter: in place of the previous identity of the same machine, in place of a voter
+// that is unreachable or leaving, or where there are too few voters. A voter is removed only if a learner is ready and a
+// majority of the others is alive, so that a machine that may only be restarting never shrinks the group. Each change
+// differs from the membership before in one voter, as Raft's single-server changes require (Ongaro's thesis, section 4.1).
 func (p MembershipPlan) Next() (raft.Membership, bool) {
 	ready := p.readyLearners()
 	steps := []func() (raft.Membership, bool){
@@ -79,7 +81,8 @@
 	return raft.Membership{}, false
 }
 
-// removeOldIdentity lets go of what a machine was before its disk was lost: its new identity says that it is gone.
+// removePreviousIdentity removes the member that a machine was before it lost its disk, once the machine's new member is
+// ready.
 func (p MembershipPlan) removePreviousIdentity(ready []raft.Member) (raft.Membership, bool) {
 	for _, learner := range ready {
 		for _, old := range p.Current.Members {
@@ -87,8 +90,8 @@
 			if !sameMachine || old.ID == learner.ID || old.ID == p.Self {
 				continue
 			}
-			// One that still speaks is not gone: two machines may have been given one name, and a learner that has
-			// just ended may be the older of two.
+			// One that is still alive must stay: two machines may have been given one name, and a learner that has just
+			// ended may be the older of two.
 			if p.Progress(old.ID).SinceContact > previousIdentityTimeout && p.quorumAliveWithout(old.ID) {
 				return p.Current.Without(old.ID), true
 			}
@@ -97,16 +100,16 @@
 	return raft.Membership{}, false
 }
 
-// removeSurplus ends what promoteForLeaving began: the voter that leaves goes, or, if it stays after all, the one that
-// came last.
+// removeSurplus completes what promoteForLeaving began: it removes the voter that leaves or, if that one stays after all,
+// the voter that was added last.
 func (p MembershipPlan) removeSurplus() (raft.Membership, bool) {
 	voters := p.Current.Voters()
 	if len(voters) <= p.DesiredVoters || len(voters)%2 != 0 {
 		return raft.Membership{}, false
 	}
 	surplus, found := p.absentVoter()
-	for place := len(voters) - 1; place >= 0 && !found; place-- {
-		surplus, found = voters[place], voters[place] != p.Self
+	for i := len(voters) - 1; i >= 0 && !found; i-- {
+		surplus, found = voters[i], voters[i] != p.Self
 	}
 	if !found || !p.quorumAliveWithout(surplus) {
 		return raft.Membership{}, false
@@ -114,19 +117,19 @@
 	return p.Current.Without(surplus), true
 }
 
-// fillFreePlace gives a vote where there are too few.
+// fillVacancy promotes a learner where there are too few voters.
 func (p MembershipPlan) fillVacancy(ready []raft.Member) (raft.Membership, bool) {
 	voters := len(p.Current.Voters())
-	// An even number of voters stands losing no more than one less would, so they come to be two at a time.
+	// An even number of voters survives no more losses than one voter less, so voters are added two at a time.
 	if voters < p.DesiredVoters && (voters%2 == 0 && len(ready) > 0 || len(ready) > 1) {
 		return p.promote(ready[0]), true
 	}
 	return raft.Membership{}, false
 }
 
-// promoteForLeaving gives a vote to a learner before the voter that stops loses its own, while that one still
-// answers: so at each moment between any one machine may be lost. Where the voter is silent that order is the worse one,
-// as four voters of whom one is gone need all others.
+// promoteForLeaving promotes a learner before the voter that leaves is removed, while that one still answers: so at each
+// moment between any one machine may be lost. Where the voter is unreachable that order is the worse one, since four
+// voters of whom one is lost need all others.
 func (p MembershipPlan) promoteForLeaving(ready []raft.Member) (raft.Membership, bool) {
 	leaving, found := p.absentVoter()
 	voters := len(p.Current.Voters())
@@ -136,7 +139,7 @@
 	return p.promote(ready[0]), true
 }
 
-// removeAbsent lets go of a voter that is silent or stops, to make room for one that stands ready.
+// removeAbsent removes a voter that is unreachable or leaving, so that a learner that is ready can take its place.
 func (p MembershipPlan) removeAbsent(ready []raft.Member) (raft.Membership, bool) {
 	absent, found := p.absentVoter()
 	if !found || len(ready) == 0 || !p.quorumAliveWithout(absent) {
@@ -145,7 +148,7 @@
 	return p.Current.Without(absent), true
 }
 
-// forgetSilentLearner lets go of a learner that has long said nothing.
+// removeUnreachableLearner removes a learner that has been unreachable for learnerTimeout.
 func (p MembershipPlan) removeUnreachableLearner() (raft.Membership, bool) {
 	for _, member := range p.Current.Members {
 		if !member.Voter && p.Progress(member.ID).SinceContact > learnerTimeout {
@@ -155,49 +158,50 @@
 	return raft.Membership{}, false
 }
 
+// promote makes a learner a voter.
 func (p MembershipPlan) promote(learner raft.Member) raft.Membership {
 	learner.Voter = true
 	return p.Current.With(learner)
 }
 
-// admit takes in the next of those who asked.
+// admit adds the next member that asked to join, as a learner.
 func (p MembershipPlan) admit() (raft.Membership, bool) {
 	for _, id := range slices.Sorted(maps.Keys(p.JoinRequests)) {
-		wanted := p.JoinRequests[id]
+		joining := p.JoinRequests[id]
 		if _, known := p.Current.Find(id); known {
 			delete(p.JoinRequests, id)
 			continue
 		}
-		wanted.Voter = false
-		return p.Current.With(wanted), true
+		joining.Voter = false
+		return p.Current.With(joining), true
 	}
 	return raft.Membership{}, false
 }
 
-// ready lists the learners that have caught up and speak, the longest in the group first.
+// readyLearners lists the learners that have caught up and are alive, in the order in which they joined.
 func (p MembershipPlan) readyLearners() []raft.Member {
-	var out []raft.Member
+	var ready []raft.Member
 	for _, member := range p.Current.Members {
-		standing := p.Progress(member.ID)
-		if !member.Voter && !standing.Leaving && p.caughtUp(standing) && standing.SinceContact < aliveTimeout {
-			out = append(out, member)
+		progress := p.Progress(member.ID)
+		if !member.Voter && !progress.Leaving && p.caughtUp(progress) && progress.SinceContact < aliveTimeout {
+			ready = append(ready, member)
 		}
 	}
-	return out
+	return ready
 }
 
-// caughtUp says whether a member lacks no more than one message holds. It need not hold all: the entry that makes it
-// a voter is committed only when a majority of the new voters holds that entry and all before it, so no majority can
-// lack what was acknowledged. What it lacks only holds up the next commit if another is lost at this very moment.
-func (p MembershipPlan) caughtUp(standing Progress) bool {
-	return standing.Match > 0 && standing.Match+caughtUpEntries >= p.LastIndex && standing.MissingBytes <= caughtUpBytes
+// caughtUp reports whether a member lacks no more than fits into one message. It need not hold all: the entry that makes
+// it a voter is committed only when a majority of the new voters holds that entry and all before it, so no majority can
+// lack what was acknowledged. What it lacks only delays the next commit if another voter is lost at this very moment.
+func (p MembershipPlan) caughtUp(progress Progress) bool {
+	return progress.Match > 0 && progress.Match+caughtUpEntries >= p.LastIndex && progress.MissingBytes <= caughtUpBytes
 }
 
-// mostAbsent finds the voter that has been silent for longest, and for too long, or else one that stops.
+// absentVoter returns the voter that is unreachable for longest among those that are beyond voterTimeout or leaving.
 func (p MembershipPlan) absentVoter() (raft.MemberID, bool) {
 	var absent []raft.MemberID
 	for _, id := range p.Current.Voters() {
-		if standing := p.Progress(id); id != p.Self && (standing.Leaving || standing.SinceContact > voterTimeout) {
+		if progress := p.Progress(id); id != p.Self && (progress.Leaving || progress.SinceContact > voterTimeout) {
 			absent = append(absent, id)
 		}
 	}
@@ -209,32 +213,40 @@
 	}), true
 }
 
-// holdsWithout says whether the voters that speak are a majority of those who are left without one.
-func (p MembershipPlan) quorumAliveWithout(leaving raft.MemberID) bool {
-	left, alive := 0, 0
+// quorumAliveWithout reports whether the voters that are alive are a majority of those that remain without one.
+func (p MembershipPlan) quorumAliveWithout(removed raft.MemberID) bool {
+	remaining, alive := 0, 0
 	for _, id := range p.Current.Voters() {
-		if id == leaving {
+		if id == removed {
 			continue
 		}
-		left++
+		remaining++
 		if id == p.Self || p.Progress(id).SinceContact < aliveTimeout {
 			alive++
 		}
 	}
-	return left > 0 && 2*alive > left
+	return remaining > 0 && 2*alive > remaining
 }
 
-// MembershipPlan is what a leader's next change of the membership depends on.
-func (c *Core) MembershipPlan(now clock.Mark, joins map[raft.MemberID]raft.Member) MembershipPlan {
-	return MembershipPlan{Self: c.raft.ID(), Current: c.raft.Membership(), LastIndex: c.raft.LastIndex(), DesiredVoters: c.config.Voters, JoinRequests: joins,
-		Progress: func(id raft.MemberID) Progress {
-			// Who was heard before this member led has had no reason to speak to it since.
-			said, leaves := c.leaving[id]
-			match, missing := c.raft.MatchOf(id), 0
-			if match+caughtUpEntries >= c.raft.LastIndex() {
-				// Who lacks more is not ready whatever that holds.
-				missing = c.raft.BytesAfter(match)
-			}
-			return Progress{Match: match, MissingBytes: missing, SinceContact: now.Since(max(c.lastContact[id], c.leaderSince)), Leaving: leaves && now.Since(said) < leavingValidity}
-		}}
+// MembershipPlan gathers what this leader's next change of the membership depends on.
+func (c *Core) MembershipPlan(now clock.Mark, joinRequests map[raft.MemberID]raft.Member) MembershipPlan {
+	return MembershipPlan{
+		Self: c.raft.ID(), Current: c.raft.Membership(), LastIndex: c.raft.LastIndex(), DesiredVoters: c.config.Voters,
+		JoinRequests: joinRequests, Progress: func(id raft.MemberID) Progress { return c.progress(now, id) },
+	}
+}
+
+func (c *Core) progress(now clock.Mark, id raft.MemberID) Progress {
+	announced, leaving := c.leaving[id]
+	match, missingBytes := c.raft.MatchOf(id), 0
+	if match+caughtUpEntries >= c.raft.LastIndex() {
+		// A member that lacks more entries is not ready, whatever their size.
+		missingBytes = c.raft.BytesAfter(match)
+	}
+	return Progress{
+		Match: match, MissingBytes: missingBytes,
+		// A member whose last contact was before this one led had no reason to send it anything since.
+		SinceContact: now.Since(max(c.lastContact[id], c.leaderSince)),
+		Leaving:      leaving && now.Since(announced) < leavingValidity,
+	}
 }
--- a/process/consensus/replica/notices.go
+++ b/process/consensus/replica/notices.go
@@ -6,12 +6,12 @@
 	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
-// Counters count what an operator may want to know of a member.
+// Counters count the notices of a member by kind. They may be read from any goroutine.
 type Counters struct {
 	SnapshotsSent, SnapshotsInstalled, SnapshotsRejected, MessagesRejected, StateDivergences atomic.Uint64
 }
 
-// of gives the counter of one kind of notice.
+// forNotice returns the counter of one kind of notice.
 func (c *Counters) forNotice(kind raft.NoticeKind) *atomic.Uint64 {
 	switch kind {
 	case raft.NoticeSnapshotSent:
@@ -27,7 +27,7 @@
 	}
 }
 
-// notice counts and passes on what an operator may want to know.
+// reportNotices counts notices and passes them to the notice handler.
 func (r *Replica) reportNotices(notices []raft.Notice) {
 	for _, notice := range notices {
 		r.Counters.forNotice(notice.Kind).Add(1)
--- a/process/consensus/replica/options.go
+++ b/process/consensus/replica/options.go
@@ -5,30 +5,33 @@
 	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
-// Option sets one thing of a replica.
+// Option configures a replica. Handlers are called on the actor's goroutine and must not block.
 type Option func(*Replica)
 
-// WithChanged calls back, on the actor, when the spec in force, the closures or the engines that left changed. The state may not be kept.
-func WithConfigurationChangeHandler(changed func(*statemachine.State)) Option {
-	return func(r *Replica) { r.onConfigurationChange = changed }
+// WithConfigurationChangeHandler sets what is called when the configuration in force, the closures or the engines that
+// left have changed. The handler must not keep the state.
+func WithConfigurationChangeHandler(handler func(*statemachine.State)) Option {
+	return func(r *Replica) { r.onConfigurationChange = handler }
 }
 
-// WithTurned calls back, on the actor, when this member's condition is another than before.
-func WithStatusChangeHandler(turned func(before, after Status)) Option {
-	return func(r *Replica) { r.onStatusChange = turned }
+// WithStatusChangeHandler sets what is called when this member's leadership, membership, disk or divergent members
+// changed.
+func WithStatusChangeHandler(handler func(before, after Status)) Option {
+	return func(r *Replica) { r.onStatusChange = handler }
 }
 
-// WithCounters has notices counted where they outlive this replica.
+// WithCounters has notices counted in counters that outlive this replica.
 func WithCounters(counters *Counters) Option {
 	return func(r *Replica) { r.Counters = counters }
 }
 
-// WithNoticed calls back, on the actor, with each notice for an operator.
-func WithNoticeHandler(noticed func(raft.Notice)) Option {
-	return func(r *Replica) { r.onNotice = noticed }
+// WithNoticeHandler sets what is called with each notice for operators.
+func WithNoticeHandler(handler func(raft.Notice)) Option {
+	return func(r *Replica) { r.onNotice = handler }
 }
 
-// WithFatal is called when the disk failed, or with a StateDiffersError; this member must then leave.
-func WithFatalHandler(fatal func(error)) Option {
-	return func(r *Replica) { r.onFatal = fatal }
+// WithFatalHandler sets what is called when a write failed, or with a [StateDivergedError]. This replica must then be
+// stopped; after a StateDivergedError the member has to join anew without its state.
+func WithFatalHandler(handler func(error)) Option {
+	return func(r *Replica) { r.onFatal = handler }
 }
--- a/process/consensus/replica/snapshots.go
+++ b/process/consensus/replica/snapshots.go
@@ -1,26 +1,52 @@
 package replica
 
 import (
+	"github.com/cresspond/cresspond/clock"
 	"github.com/cresspond/cresspond/process/consensus/raft"
 	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
-// checkSnapshot reads a leader's snapshot before it takes the place of this member's state.
+// validateSnapshot reads a leader's snapshot before the Raft core gives up its log for it. Its error has the Raft core
+// reject the snapshot.
 func (c *Core) validateSnapshot(snapshot raft.Snapshot) error {
 	state, err := statemachine.Restore(snapshot.Data, statemachine.WithLimits(c.config.HistoryLimits))
 	c.validated = state
 	return err
 }
 
-// keep is how many entries stay before a snapshot.
+// installValidated replaces the state by the one that validateSnapshot read.
+func (c *Core) installValidated(now clock.Mark, index raft.Index) {
+	c.state, c.appliedIndex, c.groupTimeAt, c.validated = c.validated, index, now, nil
+	c.digests.reset()
+	c.resetSinceSnapshot()
+}
+
+// compactionDue reports whether enough was applied since the last snapshot to take another.
+func (c *Core) compactionDue() bool {
+	return c.entriesSinceSnapshot >= c.config.CompactEntries ||
+		c.config.CompactBytes > 0 && c.bytesSinceSnapshot >= c.config.CompactBytes
+}
+
+// compact takes a snapshot of the state and has the Raft core drop the entries before it.
+func (c *Core) compact(now clock.Mark) Effects {
+	keep := c.retainedEntries()
+	c.resetSinceSnapshot()
+	return c.processRaftEffects(now, c.raft.Step(raft.Compact{Index: c.appliedIndex, Data: c.state.Snapshot(), Keep: keep}))
+}
+
+func (c *Core) resetSinceSnapshot() {
+	c.entriesSinceSnapshot, c.entrySizes, c.bytesSinceSnapshot = 0, c.entrySizes[:0], 0
+}
+
+// retainedEntries is how many entries are kept before a snapshot: RetainEntries, or as many as RetainBytes allows.
 func (c *Core) retainedEntries() int {
 	if c.config.RetainBytes == 0 {
 		return c.config.RetainEntries
 	}
-	room := c.config.RetainBytes
-	for kept := 0; kept < min(c.config.RetainEntries, len(c.entrySizes)); kept++ {
-		if room -= c.entrySizes[len(c.entrySizes)-1-kept]; room < 0 {
-			return kept
+	remaining := c.config.RetainBytes
+	for count := 0; count < min(c.config.RetainEntries, len(c.entrySizes)); count++ {
+		if remaining -= c.entrySizes[len(c.entrySizes)-1-count]; remaining < 0 {
+			return count
 		}
 	}
 	return c.config.RetainEntries
--- a/process/consensus/replica/status.go
+++ b/process/consensus/replica/status.go
@@ -10,54 +10,60 @@
 	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
-// Condition is what others may know of this member, read without asking the actor.
+// Status is a snapshot of a replica that is read without asking the actor. What it tells of the replicated state is as
+// of the entries applied so far.
 type Status struct {
-	Group       ident.GroupID
-	Role        raft.Role
-	Term        raft.Term
-	IsLeader    bool
+	Group ident.GroupID
+	Role  raft.Role
+	Term  raft.Term
+	// IsLeader says that this member leads and has applied all that was committed before.
+	IsLeader bool
+	// Leader is the member that leads by what this one knows; zero where it knows none.
 	Leader      raft.Member
 	Membership  raft.Membership
 	CommitIndex raft.Index
+	// DiskStalled says that a write takes too long, or that this member failed: it takes no part in the group meanwhile.
 	DiskStalled bool
 	GroupTime   ident.GroupTime
-	// FirstRollAgo is how long any bundle has been in force by the state applied so far; negative while none was.
+	// SinceFirstRollout is how long any configuration has been in force; negative while none was.
 	SinceFirstRollout time.Duration
-	// Serving lists the daemons that may be serving, by the state applied so far.
+	// ServingDaemons lists the daemons that may be serving.
 	ServingDaemons []ident.NodeID
-	// Claim is the planner's claim by the state applied so far.
-	PlannerLease statemachine.Claim
-	// ConfirmedUntil is, where this member leads, up to when a majority has confirmed that; Spec and Closures are what
-	// is committed by the state applied so far.
-	ConfirmedUntil                        clock.Mark
+	PlannerLease   statemachine.Claim
+	// ConfirmedUntil is, where this member leads, up to when a majority has confirmed that.
+	ConfirmedUntil clock.Mark
+	// ConfigurationVersion and ClosuresVersion are the newest that are committed.
 	ConfigurationVersion, ClosuresVersion ident.Version
-	// Applied is how far the state is, Digest its newest digest.
+	// AppliedIndex is the index of the last applied entry, Digest the newest digest of the state.
 	AppliedIndex raft.Index
 	Digest       raft.StateDigest
-	// Differing lists, at a leader, the members whose state differed from a majority's when last compared.
+	// DivergentMembers lists, at a leader, the members whose state differed from a majority's when last compared.
 	DivergentMembers []raft.MemberID
 }
 
-// otherThan says whether what an operator would want to know is different.
-func (c *Status) notablyDiffers(next Status) bool {
-	return c.IsLeader != next.IsLeader || c.DiskStalled != next.DiskStalled || !slices.Equal(c.Membership.Members, next.Membership.Members) ||
-		!slices.Equal(c.DivergentMembers, next.DivergentMembers)
+// notablyDiffers reports whether the next status differs in what operators are notified of.
+func (s *Status) notablyDiffers(next Status) bool {
+	return s.IsLeader != next.IsLeader || s.DiskStalled != next.DiskStalled ||
+		!slices.Equal(s.Membership.Members, next.Membership.Members) ||
+		!slices.Equal(s.DivergentMembers, next.DivergentMembers)
 }
 
-// Condition tells where this member stands.
+// Status returns the newest status. It may be called from any goroutine.
 func (r *Replica) Status() Status { return *r.status.Load() }
 
 func (r *Replica) publishStatus() {
-	core := r.core.Raft()
-	condition := Status{
-		Group: r.group, Role: core.Role(), Term: core.Term(), IsLeader: r.core.IsLeader(), Membership: core.Membership(),
-		CommitIndex: core.CommitIndex(), DiskStalled: r.diskStalled, GroupTime: r.core.State().Now, SinceFirstRollout: r.core.SinceFirstRollout(r.clock.Elapsed()), ServingDaemons: r.core.State().ServingNow(), PlannerLease: r.core.State().Claim,
-		ConfirmedUntil: r.core.ConfirmedUntil(), ConfigurationVersion: r.core.State().Epoch(), ClosuresVersion: r.core.State().Closures.Epoch,
+	core, state := r.core.Raft(), r.core.State()
+	status := Status{
+		Group: r.group, Role: core.Role(), Term: core.Term(), IsLeader: r.core.IsLeader(),
+		Membership: core.Membership(), CommitIndex: core.CommitIndex(), DiskStalled: r.participation != participating,
+		GroupTime: state.Now, SinceFirstRollout: r.core.SinceFirstRollout(r.clock.Elapsed()),
+		ServingDaemons: state.ServingNow(), PlannerLease: state.Claim, ConfirmedUntil: r.core.ConfirmedUntil(),
+		ConfigurationVersion: state.Epoch(), ClosuresVersion: state.Closures.Epoch,
 		AppliedIndex: r.core.appliedIndex, Digest: r.core.Digest(), DivergentMembers: r.core.DivergentMembers(),
 	}
-	condition.Leader, _ = condition.Membership.Find(core.LeaderID())
-	before := r.status.Swap(&condition)
-	if before != nil && before.notablyDiffers(condition) {
-		r.onStatusChange(*before, condition)
+	status.Leader, _ = status.Membership.Find(core.LeaderID())
+	before := r.status.Swap(&status)
+	if before != nil && before.notablyDiffers(status) {
+		r.onStatusChange(*before, status)
 	}
 }
