--- a/daemon/applybundle.go
+++ b/daemon/applybundle.go
@@ -104,7 +104,7 @@
 	if err := d.ours(in.Group); err != nil {
 		return nil, err
 	}
-	if !d.Leads() {
+	if !d.IsLeader() {
 		return d.redirect(), nil
 	}
 	garbage := func() error {
@@ -187,8 +187,8 @@
 		limit = min(limit, time.Until(until)-applyMargin)
 	}
 	// Only those in contact are waited for: one that is gone must not hold up what is committed.
-	reach := d.members.AwaitReach(ctx, answer.Epoch, 0, limit, func() []ident.NodeID { return nil })
-	answer.Acknowledged, answer.InForceAt, answer.Missing = reach.All, reach.Have, reach.Lack
+	reach := d.members.AwaitRollout(ctx, answer.Epoch, 0, limit, func() []ident.NodeID { return nil })
+	answer.Acknowledged, answer.InForceAt, answer.Missing = reach.Complete, reach.Applied, reach.Missing
 }
 
 // NewestBundle reads the newest committed bundle through whoever leads. What this daemon itself has in force
--- a/daemon/attemptowners.go
+++ b/daemon/attemptowners.go
@@ -40,11 +40,11 @@
 // homesOf finds the homes of an attempt: those it has among the daemons in sight, and those it had
 // among all that were heard before the latest of them fell silent.
 func homesOf(attempt string, view *membership.View, now clock.Mark, self string) homes {
-	leaderSeen := view.HeardLeader > 0 && now.Since(view.HeardLeader) <= sightWindow
+	leaderSeen := view.LastLeaderContact > 0 && now.Since(view.LastLeaderContact) <= sightWindow
 	var current, before, stopping []string
 	routersSeen, routersKnown := 0, 0
-	for _, fellow := range view.Fellows {
-		silent := now.Since(fellow.Heard)
+	for _, fellow := range view.Members {
+		silent := now.Since(fellow.LastContact)
 		if !fellow.Ready {
 			// One that stops hands its memory on, and is asked while it is there.
 			if silent <= sightWindow {
@@ -159,7 +159,7 @@
 // bundle was in force, nothing can have run that it does not know of.
 func (d *Daemon) young() bool {
 	view := d.members.View()
-	return !view.BeforeAll && d.clock.Elapsed().Since(view.Started) < doubtSpan
+	return !view.PredatesFirstRollout && d.clock.Elapsed().Since(view.Started) < doubtSpan
 }
 
 // Attempt answers for the attempts whose home this daemon is.
--- a/daemon/attemptowners_test.go
+++ b/daemon/attemptowners_test.go
@@ -16,10 +16,10 @@
 
 // fleetOf is a view of routing daemons, all heard just now by one that sees the leader.
 func fleetOf(size int) *membership.View {
-	view := &membership.View{Fellows: map[ident.NodeID]membership.Fellow{}, HeardLeader: minute}
+	view := &membership.View{Members: map[ident.NodeID]membership.Member{}, LastLeaderContact: minute}
 	for i := range size {
 		id := ident.NodeID(fmt.Sprintf("d%d#1", i))
-		view.Fellows[id] = membership.Fellow{NodeID: id, Address: fmt.Sprintf("10.0.0.%d:1", i), Serve: []string{"route"}, Heard: minute, Ready: true}
+		view.Members[id] = membership.Member{NodeID: id, Address: fmt.Sprintf("10.0.0.%d:1", i), Roles: []string{"route"}, LastContact: minute, Ready: true}
 	}
 	return view
 }
@@ -34,31 +34,31 @@
 		attempt := fmt.Sprint("attempt-", seed)
 		written := homesOf(attempt, view, minute, "10.0.0.0:1").ask
 		dead := map[string]bool{}
-		ids := make([]ident.NodeID, 0, len(view.Fellows))
-		for id := range view.Fellows {
+		ids := make([]ident.NodeID, 0, len(view.Members))
+		for id := range view.Members {
 			ids = append(ids, id)
 		}
 		slices.Sort(ids)
 		now := minute + clock.Mark(silentFor)
 		for _, id := range ids {
-			fellow := view.Fellows[id]
-			fellow.Heard = now
+			fellow := view.Members[id]
+			fellow.LastContact = now
 			switch random.IntN(4) {
 			case 0:
 				if id != "d1#1" {
-					fellow.Heard = minute
+					fellow.LastContact = minute
 					dead[fellow.Address] = true
 				}
 			case 1:
 				fellow.Ready = random.IntN(3) > 0
 			}
-			view.Fellows[id] = fellow
+			view.Members[id] = fellow
 		}
 		for i := range random.IntN(3) {
 			id := ident.NodeID(fmt.Sprintf("new%d#1", i))
-			view.Fellows[id] = membership.Fellow{NodeID: id, Address: fmt.Sprintf("10.0.1.%d:1", i), Serve: []string{"route"}, Heard: now, Ready: true}
+			view.Members[id] = membership.Member{NodeID: id, Address: fmt.Sprintf("10.0.1.%d:1", i), Roles: []string{"route"}, LastContact: now, Ready: true}
 		}
-		view.HeardLeader = now
+		view.LastLeaderContact = now
 		later := homesOf(attempt, view, now, "10.0.0.1:1")
 		knows, meets := false, false
 		for _, home := range later.ask {
@@ -108,12 +108,12 @@
 					view := fleetOf(size)
 					for i := from; i < to; i++ {
 						id := ident.NodeID(fmt.Sprintf("d%d#1", i))
-						fellow := view.Fellows[id]
-						fellow.Heard = now
-						view.Fellows[id] = fellow
+						fellow := view.Members[id]
+						fellow.LastContact = now
+						view.Members[id] = fellow
 					}
 					if seesLeader {
-						view.HeardLeader = now
+						view.LastLeaderContact = now
 					}
 					return !homesOf("x", view, now, fmt.Sprintf("10.0.0.%d:1", from)).fewInSight
 				}
--- a/daemon/changetrace.go
+++ b/daemon/changetrace.go
@@ -29,7 +29,7 @@
 	now := d.clock.Elapsed()
 	unheard := known.Serving
 	for _, fellow := range d.members.View().InContact(now, time.Minute) {
-		row := operatorapi.TraceRow{NodeID: fellow.NodeID, Zone: fellow.Zone, HeardMsAgo: now.Since(fellow.Heard).Milliseconds()}
+		row := operatorapi.TraceRow{NodeID: fellow.NodeID, Zone: fellow.Zone, HeardMsAgo: now.Since(fellow.LastContact).Milliseconds()}
 		if at := slices.Index(unheard, fellow.NodeID); at >= 0 {
 			row.Serving, unheard = true, slices.Delete(unheard, at, at+1)
 		}
@@ -46,9 +46,9 @@
 				row.InForceMs = step.UnixMs
 			}
 		}
-		held := fellow.SpecEpoch
+		held := fellow.ConfigurationVersion
 		if kind == "closure" {
-			held = fellow.ClosureEpoch
+			held = fellow.ClosureVersion
 		}
 		row.Missing = uint64(held) < number
 		out.Rows = append(out.Rows, row)
--- a/daemon/commands.go
+++ b/daemon/commands.go
@@ -159,9 +159,9 @@
 		return answer, got.Outcome
 	}
 	// Acknowledged means: on a majority's disks, and in force at every daemon that may be serving.
-	reach := d.members.AwaitReach(ctx, specEpoch, closureEpoch, reachLimit-d.clock.Elapsed().Since(began),
+	reach := d.members.AwaitRollout(ctx, specEpoch, closureEpoch, reachLimit-d.clock.Elapsed().Since(began),
 		func() []ident.NodeID { return held.Status().ServingDaemons })
-	answer.InForceAt, answer.Missing, answer.Acknowledged = reach.Have, reach.Lack, reach.All
+	answer.InForceAt, answer.Missing, answer.Acknowledged = reach.Applied, reach.Missing, reach.Complete
 	return answer, got.Outcome
 }
 
@@ -181,12 +181,12 @@
 			return refuse(statemachine.Missing, "the bundle in force has no such zone or engine")
 		}
 	case command.Op == statemachine.OpLost:
-		fellow, known := d.members.View().Fellows[command.Lost]
+		fellow, known := d.members.View().Members[command.Lost]
 		if !known {
 			break
 		}
 		// One that speaks is not lost: it can be stopped as planned, and then needs no such word.
-		if ago := d.clock.Elapsed().Since(fellow.Heard); ago < lostAfter {
+		if ago := d.clock.Elapsed().Since(fellow.LastContact); ago < lostAfter {
 			return refuse(statemachine.Conflict, fmt.Sprintf("%s was heard %d ms ago; stop it instead", command.Lost, ago.Milliseconds()))
 		}
 	}
--- a/daemon/controlcontact.go
+++ b/daemon/controlcontact.go
@@ -46,14 +46,14 @@
 // contactOf is contact for a view; heard is up to when a control daemon at an address has told all that it heard.
 func contactOf(view *membership.View, self ident.NodeID, now clock.Mark, heard func(address string) clock.Mark, period time.Duration, alone func() bool) registry.Connectivity {
 	out, others := registry.Connectivity{Horizon: now}, 0
-	for _, fellow := range view.Fellows {
-		if fellow.NodeID == self || !fellow.Serves(string(daemonconfig.Control)) || now.Since(fellow.Heard) > membership.ContactWindow {
+	for _, fellow := range view.Members {
+		if fellow.NodeID == self || !fellow.Serves(string(daemonconfig.Control)) || now.Since(fellow.LastContact) > membership.ContactWindow {
 			continue
 		}
 		others++
 		out.Horizon = min(out.Horizon, heard(fellow.Address))
 	}
-	out.CanDetectTimeouts = now.Since(out.Horizon) <= period && (others > 0 || alone()) && now.Since(view.HeardLeader) <= membership.ContactWindow
+	out.CanDetectTimeouts = now.Since(out.Horizon) <= period && (others > 0 || alone()) && now.Since(view.LastLeaderContact) <= membership.ContactWindow
 	return out
 }
 
--- a/daemon/controlcontact_test.go
+++ b/daemon/controlcontact_test.go
@@ -42,8 +42,8 @@
 		"nobody else, and not the group": {heardLeader: 0, heardPeer: time.Minute},
 		"the whole group":                {heardLeader: 0, heardPeer: time.Minute, alone: true, may: true},
 	} {
-		peer := membership.Fellow{NodeID: "peer#1", Address: "peer", Serve: []string{string(daemonconfig.Control)}, Heard: ago(c.heardPeer)}
-		view := &membership.View{Fellows: map[ident.NodeID]membership.Fellow{"peer#1": peer}, HeardLeader: ago(c.heardLeader)}
+		peer := membership.Member{NodeID: "peer#1", Address: "peer", Roles: []string{string(daemonconfig.Control)}, LastContact: ago(c.heardPeer)}
+		view := &membership.View{Members: map[ident.NodeID]membership.Member{"peer#1": peer}, LastLeaderContact: ago(c.heardLeader)}
 		got := contactOf(view, "self#1", now, func(string) clock.Mark { return ago(c.heardPeer) }, period, func() bool { return c.alone })
 		if got.CanDetectTimeouts != c.may {
 			t.Errorf("%s: may judge %t", name, got.CanDetectTimeouts)
--- a/daemon/counters.go
+++ b/daemon/counters.go
@@ -54,7 +54,7 @@
 	say("tenure_lost", c.tenureFailed.Load())
 	say("mint_refused", d.generator.Refusals())
 	say("pulls", d.members.Pulls.Load())
-	say("pulls_failed", d.members.Failed.Load())
+	say("pulls_failed", d.members.FailedPulls.Load())
 	say("sources_left_as_stale", d.members.StaleSources.Load())
 	say("turned_stale", c.turnedStale.Load())
 	if confirmed := d.confirmed(); confirmed > 0 {
--- a/daemon/demand.go
+++ b/daemon/demand.go
@@ -21,9 +21,9 @@
 // mostOutcomes bounds what is kept of others' outcomes until the planner takes them.
 const mostOutcomes = 2000
 
-// Wants adds what this daemon holds and asks for, for whoever plans; it says whether anything waits. Where only
+// AddDemand adds what this daemon holds and asks for, for whoever plans; it says whether anything waits. Where only
 // what waits is worth a question, nothing is added if nothing does.
-func (d *Daemon) Wants(request *peerapi.PullRequest, onlyWaiting bool) (waits bool) {
+func (d *Daemon) AddDemand(request *peerapi.PullRequest, onlyWaiting bool) (waits bool) {
 	if !d.config.Serves(daemonconfig.Route) {
 		return false
 	}
@@ -123,7 +123,7 @@
 
 // hearOutcomes takes what an asker saw of engines, where this daemon plans.
 func (d *Daemon) hearOutcomes(in *peerapi.PullRequest) {
-	if len(in.Outcomes) == 0 || !d.Plans() {
+	if len(in.Outcomes) == 0 || !d.IsPlanner() {
 		return
 	}
 	told := outlier.Observation{Zone: ident.ZoneID(in.Zone)}
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -83,7 +83,7 @@
 // size: a machine that stops may come back.
 func (d *Daemon) handOffice(limit context.Context, kept *keptThings) {
 	if d.config.Serves(daemonconfig.Place) {
-		plans := d.Plans()
+		plans := d.IsPlanner()
 		d.placer.StandDown()
 		d.pools.standDown()
 		bounded, done := context.WithTimeout(limit, claimLimit)
--- a/daemon/engineslots.go
+++ b/daemon/engineslots.go
@@ -29,7 +29,7 @@
 
 // keeperOf is the address of the daemon that keeps an engine's slots.
 func (d *Daemon) keeperOf(engine ident.EngineID) string {
-	routers := d.fellowsFor(keeperWindow, func(f membership.Fellow) bool { return f.Serves(string(daemonconfig.Route)) })
+	routers := d.fellowsFor(keeperWindow, func(f membership.Member) bool { return f.Serves(string(daemonconfig.Route)) })
 	keeper, _ := affinity.Owners("engine "+string(engine), routers)
 	return keeper
 }
@@ -108,8 +108,8 @@
 			return 0
 		},
 		Alive: func(node ident.NodeID) bool {
-			fellow, known := d.members.View().Fellows[node]
-			return node == d.nodeID || known && now.Since(fellow.Heard) < 3*time.Second
+			fellow, known := d.members.View().Members[node]
+			return node == d.nodeID || known && now.Since(fellow.LastContact) < 3*time.Second
 		},
 	}
 }
--- a/daemon/freshness.go
+++ b/daemon/freshness.go
@@ -33,7 +33,7 @@
 // confirmed is up to when a majority has confirmed that what is in force here is all that was acknowledged; zero is
 // never.
 func (d *Daemon) confirmed() clock.Mark {
-	return max(d.members.View().Confirmed, d.ConfirmedAsLeader())
+	return max(d.members.View().ConfirmedAt, d.ConfirmedAsLeader())
 }
 
 // stale says whether this daemon's news is not to be relied on by others.
--- a/daemon/groupidentity.go
+++ b/daemon/groupidentity.go
@@ -73,7 +73,7 @@
 		out.ConfigurationVersion, out.ClosureVersion = uint64(t.Epoch), uint64(t.Closures.Epoch)
 	}
 	out.LeaderMsAgo = -1
-	if heard := d.members.View().HeardLeader; heard > 0 {
+	if heard := d.members.View().LastLeaderContact; heard > 0 {
 		out.LeaderMsAgo = d.clock.Elapsed().Since(heard).Milliseconds()
 	}
 	out.LeaseUntilMs = int64(d.generator.Ceiling())
--- a/daemon/leader.go
+++ b/daemon/leader.go
@@ -8,8 +8,8 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// Leads says whether this daemon leads the group.
-func (d *Daemon) Leads() bool {
+// IsLeader says whether this daemon leads the group.
+func (d *Daemon) IsLeader() bool {
 	held := d.replica.Load()
 	return held != nil && held.Status().IsLeader
 }
@@ -55,9 +55,9 @@
 	return bounded, cancel
 }
 
-// FirstRollAgo is, where this daemon leads, how long any bundle has been in force: negative while none
+// FirstRolloutAge is, where this daemon leads, how long any bundle has been in force: negative while none
 // was, and zero where this daemon can't tell.
-func (d *Daemon) FirstRollAgo() time.Duration {
+func (d *Daemon) FirstRolloutAge() time.Duration {
 	held := d.replica.Load()
 	if held == nil {
 		return 0
--- a/daemon/longpoll.go
+++ b/daemon/longpoll.go
@@ -104,7 +104,7 @@
 func (d *Daemon) newsFor(in *peerapi.PullRequest) urgency {
 	spec, closure := d.InForce()
 	leader, term := d.leaderAndTerm()
-	planner, plans, self := d.members.View().PlannerAddress, d.Plans(), d.config.ReachedAt()
+	planner, plans, self := d.members.View().PlannerAddress, d.IsPlanner(), d.config.ReachedAt()
 	switch {
 	case d.tellsBundle(spec, in) || uint64(closure) > in.ClosureVersion,
 		// An asker that knows of a newer leader has no use for this one.
@@ -121,7 +121,7 @@
 	// Of how busy engines are there is always something new; control daemons, who tell it across zones, let it wait
 	// for the end of the hold.
 	case !in.RegistryUrgentOnly && (d.registry.LatestNonLoadChange() > in.RegistryComplete || !in.EveryHeartbeat && d.registry.LatestChange() > in.RegistryComplete),
-		d.members.Solid() > in.MembersSeen || !in.RegistryUrgentOnly && d.members.Changes() > in.MembersSeen,
+		d.members.StatusChangeIndex() > in.MembersSeen || !in.RegistryUrgentOnly && d.members.ChangeIndex() > in.MembersSeen,
 		plans != (in.PlannerAddress == self) || in.PlannerAddress == "" && planner != "",
 		plans && d.toldNews.lacks.Load() != in.ShortagesVersion:
 		return ordinary
@@ -151,8 +151,8 @@
 	return uint64(epoch) > in.ConfigurationVersion && (!in.RegistryUrgentOnly && !in.EveryHeartbeat || d.clock.Elapsed().Since(seen.at) >= bundleRest)
 }
 
-// News wakes those whose answers are held back, when the list of members changed.
-func (d *Daemon) News() { d.bell.ring(ordinary) }
+// MembersChanged wakes those whose answers are held back, when the list of members changed.
+func (d *Daemon) MembersChanged() { d.bell.ring(ordinary) }
 
 // registryNews does so when the registry changed.
 func (d *Daemon) registryNews() {
@@ -174,10 +174,10 @@
 	drainKnown clock.Mark
 }
 
-// Beat looks for news that nobody else tells of. Only the actor of members calls it.
-func (d *Daemon) Beat() {
+// Tick looks for news that nobody else tells of. Only the actor of members calls it.
+func (d *Daemon) Tick() {
 	leader, term := d.leaderAndTerm()
-	now := beatNews{leader: leader, term: term, leads: d.Leads(), stale: d.stale()}
+	now := beatNews{leader: leader, term: term, leads: d.IsLeader(), stale: d.stale()}
 	for id, engine := range d.watcher.View().Engines {
 		if engine.Draining {
 			now.draining++
@@ -196,7 +196,7 @@
 	if now != before {
 		d.bell.ring(urgent)
 	}
-	if !d.Plans() {
+	if !d.IsPlanner() {
 		return
 	}
 	held := &heldLacks{lacks: d.placer.Condition().Lacks, pools: d.pools.condition().Lacks}
--- a/daemon/planner.go
+++ b/daemon/planner.go
@@ -5,8 +5,8 @@
 	"github.com/cresspond/cresspond/process/daemonconfig"
 )
 
-// Plans says whether this daemon plans.
-func (d *Daemon) Plans() bool {
+// IsPlanner says whether this daemon plans.
+func (d *Daemon) IsPlanner() bool {
 	return d.config.Serves(daemonconfig.Place) && (d.placer.Condition().Held || d.pools.condition().Held)
 }
 
--- a/daemon/poolplanning.go
+++ b/daemon/poolplanning.go
@@ -108,7 +108,7 @@
 
 // First says whether this daemon should have the claim before others. One that does not lead: a claim outlasts
 // an election, so the loss of either machine alone costs less than the loss of one that is both.
-func (p poolPlanner) First() bool { return !p.Leads() }
+func (p poolPlanner) First() bool { return !p.IsLeader() }
 
 // Tell spreads the plan.
 func (p poolPlanner) Tell(plans map[ident.EngineID]registry.Plan) { p.registry.PublishPlans(plans) }
--- a/daemon/pull.go
+++ b/daemon/pull.go
@@ -15,8 +15,8 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// Describe is this daemon's own row, as told in each pull.
-func (d *Daemon) Describe() *peerapi.PullRequest {
+// DescribeSelf is this daemon's own row, as told in each pull.
+func (d *Daemon) DescribeSelf() *peerapi.PullRequest {
 	request := &peerapi.PullRequest{
 		Group: string(d.Group()), NodeId: string(d.nodeID), Address: d.config.ReachedAt(), Zone: string(d.config.Zone), Roles: d.serve(),
 		Ready: !d.draining.Load(), AcceptsCompressed: true,
@@ -43,7 +43,7 @@
 		return nil, twirp.NewError(twirp.InvalidArgument, "a pull says who asks")
 	}
 	arrived := d.clock.Elapsed()
-	rowKnown := d.members.Served(in)
+	rowKnown := d.members.RecordPull(in)
 	wantsLost := !d.hearWants(in)
 	d.nodes.hear(in)
 	d.hearOutcomes(in)
@@ -54,9 +54,9 @@
 	}
 	leader, term := d.leaderAndTerm()
 	// The confirmation is read before what it vouches for, which can only be newer.
-	confirmation := membership.ConfirmationOf(d.confirmed(), arrived)
-	reply := &peerapi.PullReply{Confirmation: confirmation, Group: string(d.Group()), NodeId: string(d.nodeID), LeaderAddress: leader, LeaderTerm: term, IsLeader: d.Leads(), FirstRolloutMsAgo: d.FirstRollAgo().Milliseconds(),
-		KnownAttributesVersion: rowKnown, DemandBaseUnknown: wantsLost, IsPlanner: d.Plans(), PlannerAddress: d.members.View().PlannerAddress}
+	confirmation := membership.EncodeConfirmation(d.confirmed(), arrived)
+	reply := &peerapi.PullReply{Confirmation: confirmation, Group: string(d.Group()), NodeId: string(d.nodeID), LeaderAddress: leader, LeaderTerm: term, IsLeader: d.IsLeader(), FirstRolloutMsAgo: d.FirstRolloutAge().Milliseconds(),
+		KnownAttributesVersion: rowKnown, DemandBaseUnknown: wantsLost, IsPlanner: d.IsPlanner(), PlannerAddress: d.members.View().PlannerAddress}
 	if t := d.keeper.Table(); t != nil {
 		reply.ConfigurationVersion, reply.ClosureVersion = uint64(t.Epoch), uint64(t.Closures.Epoch)
 		if d.tellsBundle(t.Epoch, in) {
@@ -69,18 +69,18 @@
 			reply.Closures = rollout.EncodeClosures(t.Closures)
 		}
 	}
-	if membership.WantsMembers(in) {
+	if membership.NeedsMemberAddresses(in) {
 		reply.MemberAddresses = d.memberAddresses()
 	}
-	d.members.Tell(in, reply)
+	d.members.AddMembers(in, reply)
 	reply.Draining, reply.DrainingVersion = d.drainingEngines(), d.toldNews.draining.Load()
 	d.tellRegistry(in, reply)
 	d.tellLacks(in, reply)
 	return reply, nil
 }
 
-// Learn takes over what a reply brought.
-func (d *Daemon) Learn(reply *peerapi.PullReply) {
+// ApplyReply takes over what a reply brought.
+func (d *Daemon) ApplyReply(reply *peerapi.PullReply) {
 	if !d.learnGroup(ident.GroupID(reply.Group)) {
 		// What another group confirmed proves nothing here.
 		reply.Confirmation = &peerapi.Confirmation{}
@@ -136,9 +136,9 @@
 // who came and went, so that each attempt's homes are agreed on; else there is time.
 func (d *Daemon) pace() membership.Pace {
 	if d.config.Attempts == daemonconfig.LocalAttempts {
-		return membership.Pace{Least: 600 * time.Millisecond, Most: 750 * time.Millisecond}
+		return membership.Pace{MinWait: 600 * time.Millisecond, MaxWait: 750 * time.Millisecond}
 	}
-	return membership.Pace{Least: 150 * time.Millisecond, Most: 750 * time.Millisecond}
+	return membership.Pace{MinWait: 150 * time.Millisecond, MaxWait: 750 * time.Millisecond}
 }
 
 // memberAddresses are where the group's members are, by the log of this one.
@@ -155,8 +155,8 @@
 	return out
 }
 
-// SourceTurned writes down that a source of news came to be stale, or is so no more.
-func (d *Daemon) SourceTurned(turned membership.Turned) {
+// SourceFreshnessChanged writes down that a source of news came to be stale, or is so no more.
+func (d *Daemon) SourceFreshnessChanged(turned membership.FreshnessChange) {
 	line := d.log.WithField("address", turned.Address)
 	if turned.Stale {
 		line.Warn("a source of news is left: no majority of the control group has confirmed it lately")
@@ -170,7 +170,7 @@
 
 // isSecond says whether an address is one of those of which only what is urgent is asked, because the teller tells the rest.
 func (d *Daemon) isSecond(address string) bool {
-	teller := d.members.View().TellerAddress
+	teller := d.members.View().RelayAddress
 	return !d.config.Serves(daemonconfig.Control) && teller != "" && teller != address && d.clock.Elapsed().Since(d.hearsay.of(teller)) <= tellerFresh
 }
 
--- a/daemon/rehoming.go
+++ b/daemon/rehoming.go
@@ -130,7 +130,7 @@
 }
 
 // fellowsFor lists, in order, the addresses of daemons heard within the window that fit and are not stopping.
-func (d *Daemon) fellowsFor(window time.Duration, fits func(membership.Fellow) bool) []string {
+func (d *Daemon) fellowsFor(window time.Duration, fits func(membership.Member) bool) []string {
 	var addresses []string
 	for _, fellow := range d.members.View().InContact(d.clock.Elapsed(), window) {
 		if fellow.Ready && fits(fellow) {
--- a/daemon/routingdaemons.go
+++ b/daemon/routingdaemons.go
@@ -21,8 +21,8 @@
 		return int(counted)
 	}
 	names := map[string]bool{d.nodeID.Name(): true}
-	for _, fellow := range d.members.View().Fellows {
-		if now.Since(fellow.Heard) <= edgesHeard && fellow.Serves(string(daemonconfig.Route)) {
+	for _, fellow := range d.members.View().Members {
+		if now.Since(fellow.LastContact) <= edgesHeard && fellow.Serves(string(daemonconfig.Route)) {
 			names[fellow.NodeID.Name()] = true
 		}
 	}
--- a/daemon/sessionaffinity.go
+++ b/daemon/sessionaffinity.go
@@ -20,7 +20,7 @@
 // Any daemon can be a home, whatever it serves, so that the restart of a lone routing daemon loses none.
 func (d *Daemon) seatHomes(session string) (first, second string) {
 	// A daemon that is stopping hands its seats over, and takes no more.
-	return affinity.Owners(session, d.fellowsFor(3*time.Second, func(membership.Fellow) bool { return true }))
+	return affinity.Owners(session, d.fellowsFor(3*time.Second, func(membership.Member) bool { return true }))
 }
 
 // seatAt asks one home; nil means that it can't be reached.
@@ -82,9 +82,9 @@
 // lostLately says whether daemons were lost or have begun anew so lately that seats may have gone with them.
 func (d *Daemon) lostLately() bool {
 	now := d.clock.Elapsed()
-	for _, fellow := range d.members.View().Fellows {
-		silent := now.Since(fellow.Heard)
-		if fellow.Ready && (silent > keeperWindow && silent <= sightWindow+doubtSpan || now.Since(fellow.Met) < doubtSpan) {
+	for _, fellow := range d.members.View().Members {
+		silent := now.Since(fellow.LastContact)
+		if fellow.Ready && (silent > keeperWindow && silent <= sightWindow+doubtSpan || now.Since(fellow.FirstContact) < doubtSpan) {
 			return true
 		}
 	}
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -47,8 +47,8 @@
 		out.Planner = &operatorapi.PlannerStatus{Held: condition.Held, Claim: condition.Claim, InFlight: condition.InFlight}
 	}
 	for _, fellow := range d.members.View().InContact(now, 30*time.Second) {
-		out.Fellows = append(out.Fellows, operatorapi.Fellow{NodeID: fellow.NodeID, Address: fellow.Address, Zone: fellow.Zone, Serve: fellow.Serve,
-			HeardMsAgo: now.Since(fellow.Heard).Milliseconds(), SpecEpoch: fellow.SpecEpoch, ClosureEpoch: fellow.ClosureEpoch, Ready: fellow.Ready})
+		out.Fellows = append(out.Fellows, operatorapi.Fellow{NodeID: fellow.NodeID, Address: fellow.Address, Zone: fellow.Zone, Serve: fellow.Roles,
+			HeardMsAgo: now.Since(fellow.LastContact).Milliseconds(), SpecEpoch: fellow.ConfigurationVersion, ClosureEpoch: fellow.ClosureVersion, Ready: fellow.Ready})
 	}
 	for _, engine := range d.watcher.View().Engines {
 		row := operatorapi.Engine{ID: engine.ID, Address: engine.Address, Zone: engine.Zone, Condition: string(engine.Condition), Draining: engine.Draining,
--- a/daemon/unplaced.go
+++ b/daemon/unplaced.go
@@ -112,7 +112,7 @@
 
 // lacksNow is what will not be loaded soon, by the newest word of whoever plans.
 func (d *Daemon) lacksNow() map[dispatch.Wanted]time.Duration {
-	if d.Plans() {
+	if d.IsPlanner() {
 		out := map[dispatch.Wanted]time.Duration{}
 		for _, lack := range d.placer.Condition().Lacks {
 			out[dispatch.Wanted{Model: lack.Model, Adapter: lack.Adapter}] = lack.Wait
--- a/process/cluster/membership/freshness_test.go
+++ b/process/cluster/membership/freshness_test.go
@@ -18,39 +18,39 @@
 func tracked() (*Tracker, clock.Mark) {
 	now := clock.Mark(time.Minute)
 	t := NewTracker(now-clock.Mark(time.Second), "edge#1", "edge", false)
-	t.members.Describe(now, Row{Fellow: Fellow{NodeID: "edge#1", Address: "edge", Serve: []string{"route"}}, Version: 1})
+	t.memberList.SetSelf(now, MemberRecord{Member: Member{NodeID: "edge#1", Address: "edge", Roles: []string{"route"}}, Version: 1})
 	for _, address := range []string{"l1", "c2", "c3"} {
-		t.members.Hear(now, Row{Fellow: Fellow{NodeID: ident.NodeID(address + "#1"), Address: address, Serve: []string{controlRole}}, Version: 1, Whole: true}, 0)
+		t.memberList.RecordPull(now, MemberRecord{Member: Member{NodeID: ident.NodeID(address + "#1"), Address: address, Roles: []string{controlRole}}, Version: 1, HasAttributes: true}, 0)
 	}
 	return t, now
 }
 
 // answerFrom is a reply that took 10 ms each way, whose source was confirmed so long before the question arrived.
-func answerFrom(address string, now clock.Mark, before time.Duration, change func(*peerapi.PullReply)) Answer {
+func answerFrom(address string, now clock.Mark, before time.Duration, change func(*peerapi.PullReply)) PullResult {
 	reply := &peerapi.PullReply{Group: "g", NodeId: address + "#1", LeaderAddress: "l1", LeaderTerm: 3, IsLeader: address == "l1", ConfigurationVersion: 7,
-		Confirmation: ConfirmationOf(ms(3600000)-clock.Mark(before), ms(3600000))}
+		Confirmation: EncodeConfirmation(ms(3600000)-clock.Mark(before), ms(3600000))}
 	if change != nil {
 		change(reply)
 	}
-	return Answer{Question: Question{Address: address, Linked: true}, Asked: now - ms(20), Heard: now, Reply: reply}
+	return PullResult{PullTarget: PullTarget{Address: address, Linked: true}, SentAt: now - ms(20), ReceivedAt: now, Reply: reply}
 }
 
-var force = InForce{Spec: 7}
+var force = InForce{Configuration: 7}
 
 // Wherever the two clocks stand, and however long a reply was on its way, a confirmation never grows younger.
 func TestAConfirmationOnlyAgesAsItIsPassedOn(t *testing.T) {
 	for _, before := range []time.Duration{-700 * time.Millisecond, -time.Microsecond, 0, time.Microsecond, 300 * time.Millisecond, time.Hour} {
 		confirmed, arrived := clock.Mark(2*time.Hour)-clock.Mark(before), clock.Mark(2*time.Hour)
 		asked, way := clock.Mark(5*time.Minute), 40*time.Millisecond
-		reply := &peerapi.PullReply{Confirmation: ConfirmationOf(confirmed, arrived)}
+		reply := &peerapi.PullReply{Confirmation: EncodeConfirmation(confirmed, arrived)}
 		// In the asker's time the question arrived after its way there.
 		actual := asked + clock.Mark(way) - clock.Mark(before)
-		word := wordOf(reply, asked, max(actual, asked)+clock.Mark(time.Minute))
-		if word.confirmed > max(0, actual) || word.confirmed < actual-clock.Mark(way)-ms(2) {
-			t.Errorf("%v before: taken for %v, and it lay at %v", before, word.confirmed, actual)
+		word := confirmationIn(reply, asked, max(actual, asked)+clock.Mark(time.Minute))
+		if word.confirmedAt > max(0, actual) || word.confirmedAt < actual-clock.Mark(way)-ms(2) {
+			t.Errorf("%v before: taken for %v, and it lay at %v", before, word.confirmedAt, actual)
 		}
 	}
-	if word := wordOf(&peerapi.PullReply{Confirmation: ConfirmationOf(0, ms(5000))}, ms(1), ms(2)); !word.told || word.confirmed != 0 || !word.stale(ms(2)) {
+	if word := confirmationIn(&peerapi.PullReply{Confirmation: EncodeConfirmation(0, ms(5000))}, ms(1), ms(2)); !word.known || word.confirmedAt != 0 || !word.stale(ms(2)) {
 		t.Errorf("never confirmed: %+v", word)
 	}
 }
@@ -58,17 +58,17 @@
 // A daemon that two control daemons cut off from the others go on answering must not stay with them.
 func TestAStaleLeaderIsLeft(t *testing.T) {
 	tracker, now := tracked()
-	tracker.Take(now, answerFrom("l1", now, 100*time.Millisecond, nil), force)
-	if view := tracker.View(); view.LeaderAddress != "l1" || view.HeardLeader == 0 {
+	tracker.HandleResult(now, answerFrom("l1", now, 100*time.Millisecond, nil), force)
+	if view := tracker.View(); view.LeaderAddress != "l1" || view.LastLeaderContact == 0 {
 		t.Fatalf("%+v", view)
 	}
-	heard := tracker.View().HeardLeader
+	heard := tracker.View().LastLeaderContact
 	now += ms(1500)
-	turned := tracker.Take(now, answerFrom("l1", now, StaleAfter, nil), force)
+	turned := tracker.HandleResult(now, answerFrom("l1", now, StaleAfter, nil), force)
 	if turned == nil || !turned.Stale || turned.Address != "l1" {
 		t.Errorf("turned: %+v", turned)
 	}
-	if view := tracker.View(); view.LeaderAddress != "" || view.HeardLeader != heard {
+	if view := tracker.View(); view.LeaderAddress != "" || view.LastLeaderContact != heard {
 		t.Errorf("it is still taken for the leader: %+v", view)
 	}
 	links := tracker.Links(now)
@@ -76,26 +76,26 @@
 		t.Errorf("only %q are asked", links)
 	}
 	// Hearsay of the leader that was left does not bring it back; its own confirmed word does.
-	tracker.Take(now, answerFrom("c2", now, 100*time.Millisecond, nil), force)
+	tracker.HandleResult(now, answerFrom("c2", now, 100*time.Millisecond, nil), force)
 	if view := tracker.View(); view.LeaderAddress != "" {
 		t.Errorf("hearsay made %q the leader", view.LeaderAddress)
 	}
-	if turned = tracker.Take(now, answerFrom("l1", now, 50*time.Millisecond, nil), force); turned == nil || turned.Stale || tracker.View().LeaderAddress != "l1" {
+	if turned = tracker.HandleResult(now, answerFrom("l1", now, 50*time.Millisecond, nil), force); turned == nil || turned.Stale || tracker.View().LeaderAddress != "l1" {
 		t.Errorf("turned %+v, leader %q", turned, tracker.View().LeaderAddress)
 	}
 }
 
 func TestAStaleRelayIsNotChosen(t *testing.T) {
 	tracker, now := tracked()
-	tracker.Take(now, answerFrom("l1", now, 0, nil), force)
-	relay := tracker.members.second(now, "l1", tracker.members.control(now))
+	tracker.HandleResult(now, answerFrom("l1", now, 0, nil), force)
+	relay := tracker.memberList.secondLink(now, "l1", tracker.memberList.controlAddresses(now))
 	other := map[string]string{"c2": "c3", "c3": "c2"}[relay]
-	tracker.Take(now, answerFrom(relay, now, 0, nil), force)
-	if next := tracker.members.second(now, "l1", tracker.members.control(now)); next != relay {
+	tracker.HandleResult(now, answerFrom(relay, now, 0, nil), force)
+	if next := tracker.memberList.secondLink(now, "l1", tracker.memberList.controlAddresses(now)); next != relay {
 		t.Errorf("a confirmed relay is kept, not %q for %q", next, relay)
 	}
-	tracker.Take(now, answerFrom(relay, now, StaleAfter, nil), force)
-	if next := tracker.members.second(now, "l1", tracker.members.control(now)); next != other {
+	tracker.HandleResult(now, answerFrom(relay, now, StaleAfter, nil), force)
+	if next := tracker.memberList.secondLink(now, "l1", tracker.memberList.controlAddresses(now)); next != other {
 		t.Errorf("%q is stale, and %q is asked", relay, next)
 	}
 }
@@ -115,19 +115,19 @@
 		"too old":                  {before: StaleAfter, enlisted: 5 * time.Second, force: force},
 		"before the enlisting":     {before: 500 * time.Millisecond, enlisted: 400 * time.Millisecond, force: force},
 		"never confirmed":          {enlisted: time.Second, force: force, change: func(r *peerapi.PullReply) { r.Confirmation = &peerapi.Confirmation{} }},
-		"announces more":           {before: 100 * time.Millisecond, enlisted: time.Second, force: InForce{Spec: 6}},
+		"announces more":           {before: 100 * time.Millisecond, enlisted: time.Second, force: InForce{Configuration: 6}},
 		"not written down":         {before: 100 * time.Millisecond, force: force},
 		"leader of a build before": {enlisted: time.Second, force: force, change: func(r *peerapi.PullReply) { r.Confirmation = nil }, settles: true},
 		"relay of a build before":  {enlisted: time.Second, force: force, change: func(r *peerapi.PullReply) { r.Confirmation, r.IsLeader = nil, false }},
 	} {
 		tracker, now := tracked()
-		tracker.Take(now, answerFrom("l1", now, c.before, c.change), c.force)
-		own := Own{InForce: c.force}
+		tracker.HandleResult(now, answerFrom("l1", now, c.before, c.change), c.force)
+		own := LocalState{InForce: c.force}
 		if c.enlisted > 0 {
-			own.Enlisted = now - clock.Mark(c.enlisted)
+			own.EnlistedAt = now - clock.Mark(c.enlisted)
 		}
-		if view := tracker.Refresh(now, own); view.Settled != c.settles {
-			t.Errorf("%s: settled %t", name, view.Settled)
+		if view := tracker.Refresh(now, own); view.CaughtUp != c.settles {
+			t.Errorf("%s: settled %t", name, view.CaughtUp)
 		}
 	}
 }
@@ -137,14 +137,14 @@
 	for _, control := range []bool{true, false} {
 		edge, now := tracked()
 		tracker := NewTracker(now-clock.Mark(time.Second), "c9#1", "c9", control)
-		tracker.members, edge.members.relays = edge.members, control
-		tracker.members.Hear(now, Row{Fellow: Fellow{NodeID: "r1#1", Address: "r1", Serve: []string{"route"}}, Version: 1, Whole: true}, 0)
-		tracker.Take(now, answerFrom("r1", now, 0, nil), force)
-		if got := tracker.members.Confirmed() > 0; got == control {
+		tracker.memberList, edge.memberList.servesControl = edge.memberList, control
+		tracker.memberList.RecordPull(now, MemberRecord{Member: Member{NodeID: "r1#1", Address: "r1", Roles: []string{"route"}}, Version: 1, HasAttributes: true}, 0)
+		tracker.HandleResult(now, answerFrom("r1", now, 0, nil), force)
+		if got := tracker.memberList.ConfirmedAt() > 0; got == control {
 			t.Errorf("control %t: confirmed by a routing daemon: %t", control, got)
 		}
-		tracker.Take(now, answerFrom("c2", now, 0, nil), force)
-		if tracker.members.Confirmed() == 0 {
+		tracker.HandleResult(now, answerFrom("c2", now, 0, nil), force)
+		if tracker.memberList.ConfirmedAt() == 0 {
 			t.Errorf("control %t: not confirmed by a control daemon", control)
 		}
 	}
@@ -153,11 +153,11 @@
 // Where all sources are stale the members that one of them remembers are asked as well.
 func TestAStaleSourceTellsOfTheOtherMembers(t *testing.T) {
 	tracker, now := tracked()
-	tracker.Take(now, answerFrom("c2", now, 3*time.Second, func(r *peerapi.PullReply) { r.MemberAddresses = []string{"c7", "c8"} }), force)
+	tracker.HandleResult(now, answerFrom("c2", now, 3*time.Second, func(r *peerapi.PullReply) { r.MemberAddresses = []string{"c7", "c8"} }), force)
 	if links := tracker.Links(now); !slices.Contains(links, "c7") || !slices.Contains(links, "c8") {
 		t.Errorf("only %q are asked", links)
 	}
-	tracker.Take(now, answerFrom("l1", now, 0, nil), force)
+	tracker.HandleResult(now, answerFrom("l1", now, 0, nil), force)
 	if links := tracker.Links(now); slices.Contains(links, "c7") {
 		t.Errorf("confirmed, it asks %q", links)
 	}
@@ -166,16 +166,16 @@
 // A leader that no longer leads must not send askers to itself for ever.
 func TestOneThatLeadsNoMoreNamesItselfNoMore(t *testing.T) {
 	tracker, now := tracked()
-	tracker.Refresh(now, Own{InForce: force, Leads: true, Confirmed: now})
+	tracker.Refresh(now, LocalState{InForce: force, IsLeader: true, ConfirmedAt: now})
 	if tracker.View().LeaderAddress != "edge" {
 		t.Fatal(tracker.View().LeaderAddress)
 	}
-	if view := tracker.Refresh(now, Own{InForce: force}); view.LeaderAddress != "" {
+	if view := tracker.Refresh(now, LocalState{InForce: force}); view.LeaderAddress != "" {
 		t.Errorf("the leader is %q", view.LeaderAddress)
 	}
-	tracker.Take(now, answerFrom("l1", now, 0, nil), force)
-	tracker.Take(now, Answer{Question: Question{Address: "l1", Linked: true}, Asked: now, Heard: now, Err: errors.New("silence")}, force)
-	if view := tracker.View(); view.LeaderAddress != "" || view.Unreached != 3 {
+	tracker.HandleResult(now, answerFrom("l1", now, 0, nil), force)
+	tracker.HandleResult(now, PullResult{PullTarget: PullTarget{Address: "l1", Linked: true}, SentAt: now, ReceivedAt: now, Err: errors.New("silence")}, force)
+	if view := tracker.View(); view.LeaderAddress != "" || view.UnreachableTerm != 3 {
 		t.Errorf("%+v", view)
 	}
 }
@@ -184,9 +184,9 @@
 func TestAStaleLeaderCantSayThatNothingEverRan(t *testing.T) {
 	for before, wanted := range map[time.Duration]bool{100 * time.Millisecond: true, 1100 * time.Millisecond: false} {
 		tracker, now := tracked()
-		tracker.Take(now, answerFrom("l1", now, before, func(r *peerapi.PullReply) { r.FirstRolloutMsAgo = -1 }), force)
-		if view := tracker.Refresh(now, Own{InForce: force}); view.BeforeAll != wanted {
-			t.Errorf("confirmed %v ago: %t", before, view.BeforeAll)
+		tracker.HandleResult(now, answerFrom("l1", now, before, func(r *peerapi.PullReply) { r.FirstRolloutMsAgo = -1 }), force)
+		if view := tracker.Refresh(now, LocalState{InForce: force}); view.PredatesFirstRollout != wanted {
+			t.Errorf("confirmed %v ago: %t", before, view.PredatesFirstRollout)
 		}
 	}
 }
--- a/process/cluster/membership/pace_test.go
+++ b/process/cluster/membership/pace_test.go
@@ -32,20 +32,20 @@
 	asked []asked
 }
 
-func (l *lone) Describe() *peerapi.PullRequest {
+func (l *lone) DescribeSelf() *peerapi.PullRequest {
 	return &peerapi.PullRequest{Group: "g", NodeId: "self#1", Address: "self", Roles: []string{controlRole}, Ready: true, ConfigurationVersion: 1}
 }
-func (l *lone) Wants(*peerapi.PullRequest, bool) bool  { return false }
-func (l *lone) InForce() (spec, closure ident.Version) { return 1, 0 }
-func (l *lone) Learn(*peerapi.PullReply)               {}
-func (l *lone) Leads() bool                            { return false }
-func (l *lone) FirstRollAgo() time.Duration            { return 0 }
-func (l *lone) EnlistedAt() clock.Mark                 { return 1 }
-func (l *lone) Plans() bool                            { return false }
-func (l *lone) ConfirmedAsLeader() clock.Mark          { return 0 }
-func (l *lone) SourceTurned(Turned)                    {}
-func (l *lone) News()                                  {}
-func (l *lone) Beat()                                  {}
+func (l *lone) AddDemand(*peerapi.PullRequest, bool) bool { return false }
+func (l *lone) InForce() (spec, closure ident.Version)    { return 1, 0 }
+func (l *lone) ApplyReply(*peerapi.PullReply)             {}
+func (l *lone) IsLeader() bool                            { return false }
+func (l *lone) FirstRolloutAge() time.Duration            { return 0 }
+func (l *lone) EnlistedAt() clock.Mark                    { return 1 }
+func (l *lone) IsPlanner() bool                           { return false }
+func (l *lone) ConfirmedAsLeader() clock.Mark             { return 0 }
+func (l *lone) SourceFreshnessChanged(FreshnessChange)    {}
+func (l *lone) MembersChanged()                           {}
+func (l *lone) Tick()                                     {}
 func (l *lone) PullFrom(ctx context.Context, address string, request *peerapi.PullRequest) (*peerapi.PullReply, error) {
 	at := time.Now()
 	select {
@@ -70,7 +70,7 @@
 	const most = 250 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		fleet := &lone{}
-		m := New(madeUp{time.Now()}, fleet, func() []string { return []string{"other"} }, "self", Pace{Least: 600 * time.Millisecond, Most: 750 * time.Millisecond})
+		m := New(madeUp{time.Now()}, fleet, func() []string { return []string{"other"} }, "self", Pace{MinWait: 600 * time.Millisecond, MaxWait: 750 * time.Millisecond})
 		ctx, cancel := context.WithCancel(t.Context())
 		go m.Run(ctx)
 		<-time.After(2 * time.Second)
--- a/process/cluster/membership/seeds_test.go
+++ b/process/cluster/membership/seeds_test.go
@@ -34,7 +34,7 @@
 					seeds = append(seeds, fmt.Sprint("seed-", n))
 				}
 				fleet := &oneSeed{answers: seeds[place]}
-				m := New(madeUp{time.Now()}, fleet, func() []string { return seeds }, "self", Pace{Least: 600 * time.Millisecond, Most: 750 * time.Millisecond})
+				m := New(madeUp{time.Now()}, fleet, func() []string { return seeds }, "self", Pace{MinWait: 600 * time.Millisecond, MaxWait: 750 * time.Millisecond})
 				ctx, cancel := context.WithCancel(t.Context())
 				go m.Run(ctx)
 				<-time.After(3 * time.Second)
--- a/process/cluster/membership/size_test.go
+++ b/process/cluster/membership/size_test.go
@@ -17,16 +17,16 @@
 var daemonCounts = []int{12, 60, 370}
 
 // sizeRow is what a routing daemon says of itself.
-func sizeRow(number int, version uint64) Row {
-	return Row{Fellow: Fellow{NodeID: ident.NodeID(fmt.Sprintf("edge-%d#%016x", number, number*7919)), Address: fmt.Sprintf("10.%d.%d.9:21003", number/250, number%250),
-		Zone: "zone-7", Serve: []string{"route"}, SpecEpoch: 5, Ready: true}, Version: version, Whole: true}
+func sizeRow(number int, version uint64) MemberRecord {
+	return MemberRecord{Member: Member{NodeID: ident.NodeID(fmt.Sprintf("edge-%d#%016x", number, number*7919)), Address: fmt.Sprintf("10.%d.%d.9:21003", number/250, number%250),
+		Zone: "zone-7", Roles: []string{"route"}, ConfigurationVersion: 5, Ready: true}, Version: version, HasAttributes: true}
 }
 
 // fullList is a control daemon that has heard so many others.
-func fullList(daemons int) *Core {
-	c := NewCore("core-0#1", "10.9.9.9:21003", true)
+func fullList(daemons int) *MemberList {
+	c := NewMemberList("core-0#1", "10.9.9.9:21003", true)
 	for i := range daemons {
-		c.Hear(0, sizeRow(i, 1), time.Second)
+		c.RecordPull(0, sizeRow(i, 1), time.Second)
 	}
 	return c
 }
@@ -42,8 +42,8 @@
 			turn := 0
 			for b.Loop() {
 				row := sizeRow(turn%daemons, 1)
-				row.Whole = false
-				c.Hear(clock.Mark(turn), row, time.Second)
+				row.HasAttributes = false
+				c.RecordPull(clock.Mark(turn), row, time.Second)
 				turn++
 			}
 		})
@@ -58,7 +58,7 @@
 			c := fullList(daemons)
 			b.ReportAllocs()
 			for b.Loop() {
-				c.Fellows()
+				c.Members()
 			}
 		})
 		b.Run("tell all"+of, func(b *testing.B) {
@@ -66,35 +66,35 @@
 			b.ReportAllocs()
 			size := 0
 			for b.Loop() {
-				told, _, _ := c.Since(1, Cursor{})
+				told, _, _ := c.ChangesSince(1, Cursor{})
 				size = toldBytes(b, told)
 			}
 			b.ReportMetric(float64(size)/float64(daemons), "bytes/daemon")
 		})
 		b.Run("learn all"+of, func(b *testing.B) {
-			told, next, afresh := fullList(daemons).Since(1, Cursor{})
+			told, next, afresh := fullList(daemons).ChangesSince(1, Cursor{})
 			b.ReportAllocs()
 			for b.Loop() {
-				NewCore("edge-new#1", "10.8.8.8:21003", false).Learn(2, "10.9.9.9:21003", next, afresh, told, 2)
+				NewMemberList("edge-new#1", "10.8.8.8:21003", false).Merge(2, "10.9.9.9:21003", next, afresh, told, 2)
 			}
 		})
 	}
 	b.Run("tell one change", func(b *testing.B) {
 		c := fullList(370)
-		_, seen, _ := c.Since(1, Cursor{})
-		c.Hear(1, sizeRow(7, 2), time.Second)
+		_, seen, _ := c.ChangesSince(1, Cursor{})
+		c.RecordPull(1, sizeRow(7, 2), time.Second)
 		size := 0
 		for b.Loop() {
-			told, _, _ := c.Since(1, seen)
+			told, _, _ := c.ChangesSince(1, seen)
 			size = toldBytes(b, told)
 		}
 		b.ReportMetric(float64(size), "bytes")
 	})
 }
 
-func toldBytes(b *testing.B, told []Told) int {
+func toldBytes(b *testing.B, told []MemberUpdate) int {
 	b.Helper()
-	data, err := proto.Marshal(&peerapi.PullReply{Members: encodeTold(told)})
+	data, err := proto.Marshal(&peerapi.PullReply{Members: encodeUpdates(told)})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/testbed/partitionsim/checker_test.go
+++ b/testbed/partitionsim/checker_test.go
@@ -102,14 +102,14 @@
 }
 
 func (w *world) acknowledged(spec, closure ident.Version) {
-	w.acks = append(w.acks, acknowledgement{w.now, membership.InForce{Spec: spec, Closure: closure}})
+	w.acks = append(w.acks, acknowledgement{w.now, membership.InForce{Configuration: spec, Closure: closure}})
 }
 
 // newestAcked is the newest that had been acknowledged by a moment.
 func (w *world) newestAcked(by clock.Mark) (out membership.InForce) {
 	for _, ack := range w.acks {
 		if ack.at <= by {
-			out.Spec, out.Closure = max(out.Spec, ack.force.Spec), max(out.Closure, ack.force.Closure)
+			out.Configuration, out.Closure = max(out.Configuration, ack.force.Configuration), max(out.Closure, ack.force.Closure)
 		}
 	}
 	return out
@@ -118,7 +118,7 @@
 // lacks says whether something in force is older than something else.
 func lacks(force, wanted membership.InForce) bool {
 	// Closures count where there is a configuration.
-	return force.Spec < wanted.Spec || force.Spec > 0 && force.Closure < wanted.Closure
+	return force.Configuration < wanted.Configuration || force.Configuration > 0 && force.Closure < wanted.Closure
 }
 
 // withMajority lists the control daemons that reach, both ways, over half of the core.
@@ -158,7 +158,7 @@
 			continue
 		}
 		force := n.force()
-		if before := n.checked.force; force.Spec < before.Spec || force.Closure < before.Closure {
+		if before := n.checked.force; force.Configuration < before.Configuration || force.Closure < before.Closure {
 			w.fault(ruleBack, "%s from %+v to %+v", n.name, before, force)
 		}
 		n.checked.force = force
@@ -168,9 +168,9 @@
 			continue
 		}
 		w.looked++
-		ready := n.view.Unready(n.clock(), force) == ""
+		ready := n.view.NotReadyReason(n.clock(), force) == ""
 		// One that starts while all its seeds stand still or are cut off from it can know of nobody else.
-		lone := !n.view.Settled && !slices.ContainsFunc(n.seeds, func(seed string) bool { return w.at(seed).running() && w.path(n, w.at(seed)) })
+		lone := !n.view.CaughtUp && !slices.ContainsFunc(n.seeds, func(seed string) bool { return w.at(seed).running() && w.path(n, w.at(seed)) })
 		if ready || lone || n.checked.servesSince == 0 {
 			n.checked.servesSince = w.now
 		}
@@ -179,7 +179,7 @@
 			w.fault(ruleOld, "%s has %+v in force, and %+v was acknowledged %v ago", n.name, force, wanted, applyBound)
 		}
 		if len(w.acks) > 0 && w.now.Since(n.checked.servesSince) > readyBound {
-			w.fault(ruleUnready, "%s for %v: %s", n.name, w.now.Since(n.checked.servesSince), n.view.Unready(n.clock(), force))
+			w.fault(ruleUnready, "%s for %v: %s", n.name, w.now.Since(n.checked.servesSince), n.view.NotReadyReason(n.clock(), force))
 		}
 	}
 	w.after(lookEvery, w.look)
@@ -191,7 +191,7 @@
 // lookAtSources checks that a node takes none that is cut off from the group for its leader or its relay, from the time
 // on within which it must have left it.
 func (w *world) lookAtSources(n *node) {
-	if !n.running() || w.now.Since(w.asideSince) <= membership.LeaveWithin+inFlight || w.now.Since(w.ownTrouble[n.place]) <= membership.LeaveWithin+inFlight {
+	if !n.running() || w.now.Since(w.asideSince) <= membership.SwitchSourceWithin+inFlight || w.now.Since(w.ownTrouble[n.place]) <= membership.SwitchSourceWithin+inFlight {
 		return
 	}
 	for _, aside := range w.aside {
@@ -199,7 +199,7 @@
 			continue
 		}
 		w.stayed++
-		if n.view.LeaderAddress != aside.name && n.view.TellerAddress != aside.name {
+		if n.view.LeaderAddress != aside.name && n.view.RelayAddress != aside.name {
 			delete(n.checked.names, aside.name)
 			continue
 		}
@@ -212,7 +212,7 @@
 			n.checked.names[aside.name] = since
 		}
 		// One that was named already when it had to be left was not chosen anew.
-		first := w.asideSince + clock.Mark(membership.LeaveWithin+inFlight)
+		first := w.asideSince + clock.Mark(membership.SwitchSourceWithin+inFlight)
 		if since < first+2*clock.Mark(lookEvery) || w.now.Since(since) > rechosen {
 			w.fault(ruleStays, "%s with %s after %v", n.name, aside.name, w.now.Since(w.asideSince))
 		}
@@ -222,13 +222,13 @@
 // sawView checks a view that a node just took up.
 func (w *world) sawView(n *node) {
 	force := n.force()
-	if n.view.Confirmed > 0 {
-		wanted := w.newestAcked(n.view.Confirmed - n.offset - 1)
+	if n.view.ConfirmedAt > 0 {
+		wanted := w.newestAcked(n.view.ConfirmedAt - n.offset - 1)
 		if lacks(force, wanted) {
-			w.fault(ruleConfirm, "%s has %+v in force and takes it for all there was %v ago, when %+v was acknowledged", n.name, force, n.clock().Since(n.view.Confirmed), wanted)
+			w.fault(ruleConfirm, "%s has %+v in force and takes it for all there was %v ago, when %+v was acknowledged", n.name, force, n.clock().Since(n.view.ConfirmedAt), wanted)
 		}
 	}
-	if ready := n.view.Unready(n.clock(), force) == ""; ready && !n.checked.ready {
+	if ready := n.view.NotReadyReason(n.clock(), force) == ""; ready && !n.checked.ready {
 		n.checked.ready = true
 		w.settled++
 		wanted := w.newestAcked(w.now - clock.Mark(membership.StaleAfter) - 1)
--- a/testbed/partitionsim/cutoff_test.go
+++ b/testbed/partitionsim/cutoff_test.go
@@ -24,7 +24,7 @@
 		}
 	}
 	for _, n := range w.nodes[w.controls:] {
-		if at := w.at(n.view.TellerAddress); at != nil && at != leader && at.up {
+		if at := w.at(n.view.RelayAddress); at != nil && at != leader && at.up {
 			relay = at
 		}
 	}
--- a/testbed/partitionsim/node_test.go
+++ b/testbed/partitionsim/node_test.go
@@ -262,7 +262,7 @@
 // force is what is in force here.
 func (n *node) force() (force membership.InForce) {
 	if table := n.keeper.Table(); table != nil {
-		force.Spec, force.Closure = table.Epoch, table.Closures.Epoch
+		force.Configuration, force.Closure = table.Epoch, table.Closures.Epoch
 	}
 	return force
 }
@@ -275,13 +275,13 @@
 		return 0
 	}
 	force, state := n.force(), n.core.State()
-	if force.Spec < state.Epoch() || force.Spec > 0 && force.Closure < state.Closures.Epoch {
+	if force.Configuration < state.Epoch() || force.Configuration > 0 && force.Closure < state.Closures.Epoch {
 		return 0
 	}
 	return n.core.ConfirmedUntil()
 }
 
-func (n *node) confirmed() clock.Mark { return max(n.view.Confirmed, n.confirmedAsLeader()) }
+func (n *node) confirmed() clock.Mark { return max(n.view.ConfirmedAt, n.confirmedAsLeader()) }
 
 func (n *node) isStale() bool {
 	confirmed := n.confirmed()
@@ -300,18 +300,18 @@
 func (n *node) beat() {
 	now := n.clock()
 	force := n.force()
-	n.tracker.Members().Describe(now, membership.Row{Version: 1, Fellow: membership.Fellow{NodeID: n.id(), Address: n.name, Zone: n.zone, Serve: n.serve(),
-		SpecEpoch: force.Spec, ClosureEpoch: force.Closure, Ready: true}})
-	n.tracker.Members().Sweep(now, 0)
+	n.tracker.MemberList().SetSelf(now, membership.MemberRecord{Version: 1, Member: membership.Member{NodeID: n.id(), Address: n.name, Zone: n.zone, Roles: n.serve(),
+		ConfigurationVersion: force.Configuration, ClosureVersion: force.Closure, Ready: true}})
+	n.tracker.MemberList().Sweep(now, 0)
 	if n.w.variant == keepsStale {
 		// Then nothing but a probe now and then looks for another source.
-		n.tracker.Members().Confirm(now)
+		n.tracker.MemberList().Confirm(now)
 	}
 	for _, address := range n.links(now) {
 		n.ask(question{address: address, linked: true})
 	}
-	lost := n.tracker.Lost(now)
-	if n.beats++; lost || n.tracker.Members().Unconfirmed(now) || n.beats%10 == 0 {
+	lost := n.tracker.ControlLost(now)
+	if n.beats++; lost || n.tracker.MemberList().Unconfirmed(now) || n.beats%10 == 0 {
 		n.ask(question{address: n.seeds[n.seedTurn%len(n.seeds)], everyone: lost})
 		n.seedTurn++
 		if contacts := n.view.InContact(now, 10*time.Second); len(contacts) > 0 {
@@ -342,10 +342,10 @@
 }
 
 func (n *node) publish() {
-	own := membership.Own{Confirmed: n.confirmedAsLeader(), Leads: n.leads(), Enlisted: n.enlisted}
+	own := membership.LocalState{ConfirmedAt: n.confirmedAsLeader(), IsLeader: n.leads(), EnlistedAt: n.enlisted}
 	own.InForce = n.force()
 	if n.w.variant == readyByAnyone {
-		own.Enlisted = 1
+		own.EnlistedAt = 1
 	}
 	n.view = n.tracker.Refresh(n.clock(), own)
 	n.w.sawView(n)
@@ -353,7 +353,7 @@
 
 // urgentOnly says whether an address is asked for what is urgent only, because the relay tells the rest.
 func (n *node) urgentOnly(address string) bool {
-	relay := n.view.TellerAddress
+	relay := n.view.RelayAddress
 	return !n.control && relay != "" && relay != address && n.toldAll[relay] > 0 && n.clock().Since(n.toldAll[relay]) <= relayFresh
 }
 
@@ -366,16 +366,16 @@
 	n.asking[q] = true
 	asked, force := n.clock(), n.force()
 	in := &peerapi.PullRequest{Group: group, NodeId: string(n.id()), Address: n.name, Zone: string(n.zone), Roles: n.serve(), Ready: true,
-		ConfigurationVersion: uint64(force.Spec), ClosureVersion: uint64(force.Closure), AttributesVersion: 1, HasAttributes: true, AllMembers: q.everyone, AcceptsCompressed: true, EveryHeartbeat: n.control}
+		ConfigurationVersion: uint64(force.Configuration), ClosureVersion: uint64(force.Closure), AttributesVersion: 1, HasAttributes: true, AllMembers: q.everyone, AcceptsCompressed: true, EveryHeartbeat: n.control}
 	hold := time.Duration(0)
-	if q.linked && n.view.Settled {
+	if q.linked && n.view.CaughtUp {
 		hold = edgeHold
 		if n.control {
 			hold = controlHold
 		}
 	}
-	about := membership.Question{Address: q.address, Linked: q.linked, Hold: hold}
-	n.tracker.Fill(in, about)
+	about := membership.PullTarget{Address: q.address, Linked: q.linked, MaxWait: hold}
+	n.tracker.FillRequest(in, about)
 	if q.linked {
 		in.MaxWaitMs, in.BatchDelayMs, in.IntervalMs = hold.Milliseconds(), 50, max(hold, beatEvery).Milliseconds()
 		in.RegistryUrgentOnly = n.urgentOnly(q.address)
@@ -383,16 +383,16 @@
 	n.call(to, hold+membership.PullTimeout, func(answer func(func())) {
 		to.pulled(in, func(reply *peerapi.PullReply) {
 			answer(func() {
-				n.take(q, membership.Answer{Question: about, Asked: asked, Heard: n.clock(), Reply: reply}, in.RegistryUrgentOnly)
+				n.take(q, membership.PullResult{PullTarget: about, SentAt: asked, ReceivedAt: n.clock(), Reply: reply}, in.RegistryUrgentOnly)
 			})
 		})
 	}, func() {
-		n.take(q, membership.Answer{Question: about, Asked: asked, Heard: n.clock(), Err: context.DeadlineExceeded}, false)
+		n.take(q, membership.PullResult{PullTarget: about, SentAt: asked, ReceivedAt: n.clock(), Err: context.DeadlineExceeded}, false)
 	})
 }
 
 // take takes an answer.
-func (n *node) take(q question, answer membership.Answer, urgentOnly bool) {
+func (n *node) take(q question, answer membership.PullResult, urgentOnly bool) {
 	delete(n.asking, q)
 	now := n.clock()
 	if answer.Err == nil {
@@ -403,7 +403,7 @@
 			n.keeper.Offer(ident.Version(reply.ConfigurationVersion), bundleOf(reply), rollout.DecodeClosures(reply.Closures))
 		}
 		if q.linked && !urgentOnly {
-			n.toldAll[q.address] = max(n.toldAll[q.address], answer.Asked)
+			n.toldAll[q.address] = max(n.toldAll[q.address], answer.SentAt)
 		}
 		if before != n.force() {
 			n.news()
@@ -411,32 +411,32 @@
 	}
 	force := n.force()
 	if n.w.variant == aheadOfForce && answer.Err == nil {
-		force.Spec, force.Closure = max(force.Spec, ident.Version(answer.Reply.ConfigurationVersion)), max(force.Closure, ident.Version(answer.Reply.ClosureVersion))
+		force.Configuration, force.Closure = max(force.Configuration, ident.Version(answer.Reply.ConfigurationVersion)), max(force.Closure, ident.Version(answer.Reply.ClosureVersion))
 	}
-	if turned := n.tracker.Take(now, answer, force); turned != nil && turned.Stale {
+	if turned := n.tracker.HandleResult(now, answer, force); turned != nil && turned.Stale {
 		n.w.left++
 	}
 	n.publish()
-	if answer.Err == nil && q.linked && answer.Hold > 0 && now.Since(answer.Asked) >= 50*time.Millisecond && slices.Contains(n.tracker.Links(now), q.address) {
+	if answer.Err == nil && q.linked && answer.MaxWait > 0 && now.Since(answer.SentAt) >= 50*time.Millisecond && slices.Contains(n.tracker.Links(now), q.address) {
 		n.ask(q)
 	}
 }
 
 // distort breaks what an answer says of its confirmation, where a variant wants that.
-func (n *node) distort(answer membership.Answer) *peerapi.PullReply {
+func (n *node) distort(answer membership.PullResult) *peerapi.PullReply {
 	reply := &peerapi.PullReply{}
 	// The parts are shared, and nothing is written to them.
 	copyReply(reply, answer.Reply)
-	sinceAsked := answer.Heard.Since(answer.Asked).Milliseconds()
+	sinceAsked := answer.ReceivedAt.Since(answer.SentAt).Milliseconds()
 	switch n.w.variant {
 	case keepsStale:
 		reply.Confirmation = nil
 	case staysWithRelay:
-		if answer.Address == n.view.LeaderAddress || answer.Address == n.view.TellerAddress {
+		if answer.Address == n.view.LeaderAddress || answer.Address == n.view.RelayAddress {
 			reply.Confirmation = &peerapi.Confirmation{Known: true, AfterQuestionMs: sinceAsked}
 		}
 	case readyByAnyone:
-		if !n.view.Settled {
+		if !n.view.CaughtUp {
 			reply.Confirmation = &peerapi.Confirmation{Known: true, AfterQuestionMs: sinceAsked}
 		}
 	case byReceipt:
@@ -450,7 +450,7 @@
 // pulled serves a question, as the daemon does.
 func (n *node) pulled(in *peerapi.PullRequest, answer func(*peerapi.PullReply)) {
 	now := n.clock()
-	known := n.tracker.Hear(now, in)
+	known := n.tracker.RecordPull(now, in)
 	held := &heldPull{in: in, arrived: now, gap: now + clock.Mark(time.Duration(in.BatchDelayMs)*time.Millisecond), end: now + clock.Mark(time.Duration(in.MaxWaitMs)*time.Millisecond)}
 	held.answer = func(reply *peerapi.PullReply) { reply.KnownAttributesVersion = known; answer(reply) }
 	n.held = append(n.held, held)
@@ -475,10 +475,10 @@
 
 func (n *node) tellsBundle(in *peerapi.PullRequest) bool {
 	force := n.force()
-	if n.seenSpec != force.Spec || n.seenAt == 0 {
-		n.seenSpec, n.seenAt = force.Spec, n.clock()
+	if n.seenSpec != force.Configuration || n.seenAt == 0 {
+		n.seenSpec, n.seenAt = force.Configuration, n.clock()
 	}
-	return uint64(force.Spec) > in.ConfigurationVersion && (!in.RegistryUrgentOnly && !in.EveryHeartbeat || n.clock().Since(n.seenAt) >= bundleRest)
+	return uint64(force.Configuration) > in.ConfigurationVersion && (!in.RegistryUrgentOnly && !in.EveryHeartbeat || n.clock().Since(n.seenAt) >= bundleRest)
 }
 
 func (n *node) urgentFor(in *peerapi.PullRequest) bool {
@@ -489,8 +489,8 @@
 }
 
 func (n *node) ordinaryFor(in *peerapi.PullRequest) bool {
-	members := n.tracker.Members()
-	return members.Solid() > in.MembersSeen || !in.RegistryUrgentOnly && members.Changes() > in.MembersSeen
+	members := n.tracker.MemberList()
+	return members.StatusChangeIndex() > in.MembersSeen || !in.RegistryUrgentOnly && members.ChangeIndex() > in.MembersSeen
 }
 
 func (n *node) reply(held *heldPull) *peerapi.PullReply {
@@ -501,7 +501,7 @@
 	}
 	leader, term := n.leader()
 	reply := &peerapi.PullReply{Group: group, NodeId: string(n.id()), LeaderAddress: leader, LeaderTerm: term, IsLeader: n.leads(),
-		Confirmation: membership.ConfirmationOf(confirmed, held.arrived)}
+		Confirmation: membership.EncodeConfirmation(confirmed, held.arrived)}
 	if table := n.keeper.Table(); table != nil {
 		reply.ConfigurationVersion, reply.ClosureVersion = uint64(table.Epoch), uint64(table.Closures.Epoch)
 		if n.tellsBundle(in) {
@@ -511,13 +511,13 @@
 			reply.Closures = rollout.EncodeClosures(table.Closures)
 		}
 	}
-	if n.core != nil && membership.WantsMembers(in) {
+	if n.core != nil && membership.NeedsMemberAddresses(in) {
 		for _, member := range n.core.Raft().Membership().Members {
 			reply.MemberAddresses = append(reply.MemberAddresses, member.Address)
 		}
 	}
 	if in.AllMembers || in.IntervalMs > 0 {
-		told := n.tracker.Tell(n.clock(), in)
+		told := n.tracker.MembersFor(n.clock(), in)
 		reply.Members, reply.AllMembers = told.Members, told.AllMembers
 		reply.MembersIncarnation, reply.MembersSeen, reply.MembersFullResync = told.MembersIncarnation, told.MembersSeen, told.MembersFullResync
 	}
--- a/testbed/partitionsim/operators_test.go
+++ b/testbed/partitionsim/operators_test.go
@@ -201,7 +201,7 @@
 		return
 	}
 	to, asked := w.core()[w.random.IntN(w.controls)], w.now
-	newest := w.newestAcked(asked).Spec
+	newest := w.newestAcked(asked).Configuration
 	to.do(to.life, func() {
 		arrived := w.now
 		seen := func(source *node) func(replica.Response) {
