--- a/process/consensus/replica/leaving.go
+++ b/process/consensus/replica/leaving_members.go
@@ -15,9 +15,12 @@
 	voters, holding := c.raft.Membership().Voters(), 0
 	for _, id := range voters {
 		speaks := id == c.raft.ID() || now.Since(max(c.lastContact[id], c.leaderSince)) < aliveTimeout
-		if id != leaving && speaks && c.raft.MatchOf(id) >= c.raft.CommitIndex() {
+		if id != leaving && speaks && c.raft.MatchIndex(id) >= c.raft.CommitIndex() {
 			holding++
 		}
 	}
 	return holding > len(voters)/2
 }
+
+// Leave notes a member's word that it stops. While it says so nobody else must wait for it to fall silent.
+func (c *Core) MarkLeaving(now clock.Mark, id raft.MemberID) { c.leaving[id] = now }
--- a/process/consensus/replica/simulation_test.go
+++ b/process/consensus/replica/simulation_test.go
@@ -92,7 +92,7 @@
 	gaveUp   []raft.MemberID
 	// highest is the last entry that any leader applied, lostDisks what identities held whose disks were wiped.
 	highest   raft.Index
-	lostDisks map[raft.MemberID]raft.Restored
+	lostDisks map[raft.MemberID]raft.PersistentState
 	// mayGiveUp says that some state was made to differ.
 	mayGiveUp bool
 	// config is the group's.
@@ -115,7 +115,7 @@
 }
 
 type simDisk struct {
-	state raft.Restored
+	state raft.PersistentState
 }
 
 type simWrite struct {
@@ -184,14 +184,14 @@
 func newSimWith(t *testing.T, seed uint64, config Config, broken brk) *sim {
 	size := config.Voters
 	s := &sim{t: t, random: rand.New(rand.NewPCG(seed, 99)), broken: broken, now: clock.Mark(time.Hour), cut: map[[2]int]bool{}, loss: 0.02, faults: true, calm: seed%2 == 1,
-		size: size, leaderOf: map[raft.Term]raft.MemberID{}, applied: map[raft.Index]string{}, minted: map[ident.SnowflakeID]string{}, asked: map[uint64]func(Response){}, notices: map[raft.NoticeKind]int{}, lostDisks: map[raft.MemberID]raft.Restored{}, config: config}
+		size: size, leaderOf: map[raft.Term]raft.MemberID{}, applied: map[raft.Index]string{}, minted: map[ident.SnowflakeID]string{}, asked: map[uint64]func(Response){}, notices: map[raft.NoticeKind]int{}, lostDisks: map[raft.MemberID]raft.PersistentState{}, config: config}
 	var members raft.Membership
 	for i := range size {
 		members.Members = append(members.Members, raft.Member{ID: raft.MemberID(i + 1), Name: fmt.Sprint("core-", i), Address: fmt.Sprint(i), Voter: true})
 	}
 	for i := range size {
 		n := &simNode{sim: s, place: i, id: raft.MemberID(i + 1)}
-		n.disk.state = raft.Restored{HardState: raft.HardState{Term: 1}, Snapshot: raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: statemachine.New().Snapshot()}}
+		n.disk.state = raft.PersistentState{HardState: raft.HardState{Term: 1}, Snapshot: raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: statemachine.New().Snapshot()}}
 		s.nodes = append(s.nodes, n)
 		n.start()
 	}
@@ -223,8 +223,8 @@
 			return
 		}
 		if n.sim.now >= n.frozenUntil {
-			if late := n.sim.now.Since(n.beaten); n.beaten > 0 && late > n.sim.config.Timing.Span(TickInterval) {
-				n.carryOut(n.core.Step(n.sim.now, raft.StandDown{}))
+			if late := n.sim.now.Since(n.beaten); n.beaten > 0 && late > n.sim.config.Timing.ElectionTimeout(TickInterval) {
+				n.carryOut(n.core.Step(n.sim.now, raft.StepDown{}))
 			}
 			n.beaten = n.sim.now
 			if !n.stalled && len(n.since) > 0 && n.sim.now.Since(n.since[0]) > diskStallTimeout {
@@ -277,7 +277,7 @@
 	n.sim.wipes++
 	n.sim.lostDisks[n.id] = n.disk.state
 	n.id = raft.MemberID(10000*n.sim.wipes + n.place + 1)
-	n.disk.state = raft.Restored{}
+	n.disk.state = raft.PersistentState{}
 }
 
 // replace takes a machine away for good; an empty one comes a little later, with another name at another address.
@@ -360,7 +360,7 @@
 	}
 	for _, notice := range effects.Notices {
 		s.notices[notice.Kind]++
-		if notice.Kind == raft.NoticeMessageRefused {
+		if notice.Kind == raft.NoticeMessageRejected {
 			s.fault("member %d refused a message of %d, as if it were not sound: %v", n.id, notice.Peer, notice.Err)
 		}
 	}
@@ -371,8 +371,8 @@
 	n.checkApplied()
 	n.checkDurable()
 	switch {
-	case effects.Save != nil || len(effects.Later) > 0 && len(n.queue) > 0 && !n.stalled:
-		n.queue = append(n.queue, simWrite{effects.Save, effects.Later})
+	case effects.Save != nil || len(effects.MessagesAfterSave) > 0 && len(n.queue) > 0 && !n.stalled:
+		n.queue = append(n.queue, simWrite{effects.Save, effects.MessagesAfterSave})
 		n.since = append(n.since, s.now)
 		if len(n.queue) == 1 {
 			n.writeNext(n.life)
@@ -384,10 +384,10 @@
 				last := effects.Save.Entries[len(effects.Save.Entries)-1]
 				n.carryOut(n.core.Step(s.now, raft.Persisted{Index: last.Index, Term: last.Term}))
 			}
-			n.send(effects.Later)
+			n.send(effects.MessagesAfterSave)
 		}
 	case len(n.queue) == 0:
-		defer n.send(effects.Later)
+		defer n.send(effects.MessagesAfterSave)
 	}
 	for _, answer := range effects.Responses {
 		if reply := s.asked[answer.RequestID]; reply != nil {
@@ -395,7 +395,7 @@
 			reply(answer)
 		}
 	}
-	n.send(effects.Now)
+	n.send(effects.Messages)
 }
 
 // giveUpState does what the daemon does: it hands over, sets its files aside and comes back as another member.
@@ -405,7 +405,7 @@
 		s.fault("member %d gave up a sound state: %v", n.id, why)
 	}
 	s.gaveUp = append(s.gaveUp, n.id)
-	n.send(n.core.Step(s.now, raft.DiskStalled{Stalled: true}).Now)
+	n.send(n.core.Step(s.now, raft.DiskStalled{Stalled: true}).Messages)
 	n.crash()
 	n.empty()
 	s.after(s.ms(200, 500), n.revive)
@@ -482,7 +482,7 @@
 			s.damage(&m)
 		}
 		if s.wholeSnapshots {
-			m.TakesParts = false
+			m.AcceptsChunks = false
 		}
 		copies := 1
 		if s.faults && s.random.IntN(50) == 0 {
@@ -568,10 +568,10 @@
 // checkDurable holds that what a leader applies is on the disks of a majority, or was on those that were lost since.
 func (n *simNode) checkDurable() {
 	s := n.sim
-	if n.core.raft.Role() != raft.Leader || n.core.applied <= s.highest {
+	if n.core.raft.Role() != raft.Leader || n.core.appliedIndex <= s.highest {
 		return
 	}
-	s.highest = n.core.applied
+	s.highest = n.core.appliedIndex
 	voters, holding := n.core.raft.Membership().Voters(), 0
 	for _, id := range voters {
 		disk := s.lostDisks[id]
@@ -582,12 +582,12 @@
 		if count := len(disk.Entries); count > 0 {
 			last = max(last, disk.Entries[count-1].Index)
 		}
-		if last >= n.core.applied {
+		if last >= n.core.appliedIndex {
 			holding++
 		}
 	}
 	if holding <= len(voters)/2 {
-		s.fault("member %d applied %d, and it is on the disks of %d of %d voters", n.id, n.core.applied, holding, len(voters))
+		s.fault("member %d applied %d, and it is on the disks of %d of %d voters", n.id, n.core.appliedIndex, holding, len(voters))
 	}
 }
 
@@ -605,12 +605,12 @@
 	if ran, passed := time.Duration(n.core.state.Now-s.firstNow)*time.Millisecond, s.now.Since(s.firstAt); s.firstNow > 0 && ran > passed+passed/50+time.Second {
 		s.fault("the group's time ran %v ahead at member %d", ran-passed, n.id)
 	}
-	if term, ok := n.core.raft.EntryTerm(n.core.applied); ok {
+	if term, ok := n.core.raft.EntryTerm(n.core.appliedIndex); ok {
 		digest := fmt.Sprint(term)
-		if known, seen := s.applied[n.core.applied]; seen && known != digest {
-			s.fault("member %d applied term %s at %d, and another applied term %s", n.id, digest, n.core.applied, known)
+		if known, seen := s.applied[n.core.appliedIndex]; seen && known != digest {
+			s.fault("member %d applied term %s at %d, and another applied term %s", n.id, digest, n.core.appliedIndex, known)
 		}
-		s.applied[n.core.applied] = digest
+		s.applied[n.core.appliedIndex] = digest
 	}
 	if s.broken == floorForgotten {
 		clear(n.core.state.Workers.Floors)
@@ -890,7 +890,7 @@
 	if n.sim.broken == wipedKeepsName && n.sim.random.IntN(2) == 0 {
 		// The wiped member takes its old name and an empty log, and votes as if it had never voted.
 		members := n.disk.state.Snapshot.Membership
-		n.disk.state = raft.Restored{HardState: raft.HardState{Term: 1}, Snapshot: raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: statemachine.New().Snapshot()}}
+		n.disk.state = raft.PersistentState{HardState: raft.HardState{Term: 1}, Snapshot: raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: statemachine.New().Snapshot()}}
 	}
 	n.start()
 }
@@ -975,7 +975,7 @@
 		}
 	}
 	t.Logf("%d digests compared, notices: %v", compared, notices)
-	if compared == 0 || notices[raft.NoticeSnapshotTaken] == 0 || notices[raft.NoticeStateDiffers] > 0 || notices[raft.NoticeMessageRefused] > 0 {
+	if compared == 0 || notices[raft.NoticeSnapshotInstalled] == 0 || notices[raft.NoticeStateDiffers] > 0 || notices[raft.NoticeMessageRejected] > 0 {
 		t.Errorf("%d digests were compared; notices: %v", compared, notices)
 	}
 	t.Logf("seeds 0 to %d: %d ids minted, %d closures acknowledged, %d reads checked, %d crashes, %d wiped disks, %d machines replaced, %d times the most at once", seeds-1, mints, acks, reads, crashes, wipes, replaced, losses)
@@ -1076,7 +1076,7 @@
 			// The new one first, then the old one stops and hands over.
 			s.add()
 			s.runFor(time.Second)
-			victim.carryOut(victim.core.Step(s.now, raft.Transfer{}))
+			victim.carryOut(victim.core.Step(s.now, raft.TransferLeadership{}))
 			s.until(time.Second, func() bool { leader := s.leader(); return leader != nil && leader != victim })
 			s.leader().core.MarkLeaving(s.now, victim.id)
 			s.runFor(300 * time.Millisecond)
@@ -1110,7 +1110,7 @@
 		size := []int{3, 5}[seed%2]
 		s := calmSim(t, seed, size)
 		stopped := s.some(1)[0]
-		stopped.carryOut(stopped.core.Step(s.now, raft.Transfer{}))
+		stopped.carryOut(stopped.core.Step(s.now, raft.TransferLeadership{}))
 		s.runFor(time.Second)
 		s.leader().core.MarkLeaving(s.now, stopped.id)
 		s.runFor(time.Second)
@@ -1142,7 +1142,7 @@
 		}, 2500 * time.Millisecond},
 		"the leader stops as planned": {func(s *sim) {
 			leader := s.leader()
-			leader.carryOut(leader.core.Step(s.now, raft.Transfer{}))
+			leader.carryOut(leader.core.Step(s.now, raft.TransferLeadership{}))
 		}, 400 * time.Millisecond},
 		"all are killed": {func(s *sim) {
 			for _, n := range s.nodes {
