--- a/testbed/checker/checker_test.go
+++ b/testbed/checker/checker_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestValidHistoryPasses(t *testing.T) {
+func TestAValidHistoryPasses(t *testing.T) {
 	for _, finding := range Check(validHistory()) {
 		if !finding.OK() {
 			t.Errorf("%s: %d checked, %v", finding.Rule, finding.Checked, finding.Violations)
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestEachRuleBites breaks the history in one way at a time; the rule named, and only it, must say so.
-func TestEachRuleBites(t *testing.T) {
+// TestEachRuleDetectsItsViolation breaks the history in one way at a time; the rule named, and only it, must say so.
+func TestEachRuleDetectsItsViolation(t *testing.T) {
 	arrive := func(h *History, s float64, change func(*journal.Line)) {
 		line := journal.Line{At: time.Duration(s * float64(time.Second)), Engine: "engine-0", Kind: journal.Arrive, Attempt: "extra", Route: "main", Model: "model-00"}
 		change(&line)
--- a/testbed/cmd/testbed/compare_test.go
+++ b/testbed/cmd/testbed/compare_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestCompareNamesWhatItPassesOver: the rest is compared all the same, and the command fails in the end.
-func TestCompareNamesWhatItPassesOver(t *testing.T) {
+// TestCompareNamesSkippedEntries: the rest is compared all the same, and the command fails in the end.
+func TestCompareNamesSkippedEntries(t *testing.T) {
 	folder := t.TempDir()
 	put := func(name, text string) {
 		if err := os.WriteFile(filepath.Join(folder, name), []byte(text), 0o600); err != nil {
--- a/testbed/cmd/testbed/days_test.go
+++ b/testbed/cmd/testbed/days_test.go
@@ -9,7 +9,7 @@
 // siteFile is a made-up site.
 var siteFile = filepath.Join("..", "..", "scenariogen", "testdata", "small.toml")
 
-func TestDaysAreWrittenToTheFolder(t *testing.T) {
+func TestScenariosAreWrittenToTheFolder(t *testing.T) {
 	folder := t.TempDir()
 	if err := writeDays(daysOptions{Site: siteFile, Seed: 4, Count: 6, Out: folder}); err != nil {
 		t.Fatal(err)
@@ -20,7 +20,7 @@
 	}
 }
 
-func TestWrongOptionsOfDaysAreRefusedAndNothingIsWritten(t *testing.T) {
+func TestInvalidOptionsAreRejectedAndNothingIsWritten(t *testing.T) {
 	folder := t.TempDir()
 	right := daysOptions{Site: siteFile, Seed: 1, Count: 1, Out: folder}
 	for name, wrong := range map[string]func(*daysOptions){
--- a/testbed/cmd/testbed/main.go
+++ b/testbed/cmd/testbed/main.go
@@ -91,7 +91,7 @@
 	switch chosenCommand {
 	case run.FullCommand():
 		if *runName == "platform" {
-			err = rehearsePlatform(platformscenario.Options{Seed: *runSeed, Program: *runProgram, OtherProgram: *runOther, Folder: *runFolder, Acts: *runActs, Count: *runCount, Scale: *runScale}, *runKeep)
+			err = rehearsePlatform(platformscenario.Options{Seed: *runSeed, Program: *runProgram, OtherProgram: *runOther, Folder: *runFolder, Faults: *runActs, Count: *runCount, Scale: *runScale}, *runKeep)
 			break
 		}
 		err = rehearse(*runName, *runScenario, *runSeed, *runScale, programs{*runProgram, *runOther}, *runFolder, *runKeep, *runResult)
--- a/testbed/cmd/testbed/platform.go
+++ b/testbed/cmd/testbed/platform.go
@@ -48,7 +48,7 @@
 		fmt.Println("  a process says in its log that something broke:", log)
 	}
 	platformFigures(h)
-	if stalled := platformscenario.Troubled(h); stalled > 0 {
+	if stalled := platformscenario.Stalled(h); stalled > 0 {
 		fmt.Printf("this machine itself stalled for %v of %v, which excuses what the rules excuse\n", stalled.Round(time.Millisecond), h.Ended.Since(h.Began).Round(time.Second))
 	}
 	if bad > 0 {
@@ -62,7 +62,7 @@
 
 // judged prints the judge's table and says how many rules were broken.
 func judged(h *history.History) int {
-	findings := platformchecker.Judge(h, platformscenario.Bounds)
+	findings := platformchecker.CheckAll(h, platformscenario.Bounds)
 	bad := 0
 	out := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(out, "\nrule\tchecked\tviolations")
@@ -96,7 +96,7 @@
 		first                                        []time.Duration
 	}
 	kinds := map[string]*tally{}
-	for _, try := range h.Tries {
+	for _, try := range h.Attempts {
 		count := kinds[try.Kind]
 		if count == nil {
 			count = &tally{}
@@ -107,11 +107,11 @@
 		case try.Success():
 			count.served++
 			count.first = append(count.first, try.First.Since(try.Began))
-		case try.GaveUp:
+		case try.ClientClosed:
 			count.gaveUp++
-		case try.Promise():
+		case try.PromisesNotRun():
 			count.promised++
-		case try.Status == 0 || !try.Whole:
+		case try.Status == 0 || !try.Complete:
 			count.cut++
 		default:
 			count.failed++
@@ -136,17 +136,17 @@
 	out.Flush()
 	arrivals, again, probes, orders, loads := map[string]int{}, 0, 0, 0, 0
 	for _, arrival := range h.Arrivals {
-		if arrival.Probe {
+		if arrival.HealthCheck {
 			probes++
 			continue
 		}
-		if arrivals[arrival.Attempt]++; arrivals[arrival.Attempt] > 1 {
+		if arrivals[arrival.AttemptID]++; arrivals[arrival.AttemptID] > 1 {
 			again++
 		}
 	}
 	for _, order := range h.Orders {
 		orders++
-		if order.Store && order.Status == 202 {
+		if order.FromStore && order.Status == 202 {
 			loads++
 		}
 	}
--- a/testbed/compare/compare_test.go
+++ b/testbed/compare/compare_test.go
@@ -34,16 +34,16 @@
 	}
 }
 
-// TestAnEntryThatCanNotBeReadIsNamedAndPassedOver: the others are read.
-func TestAnEntryThatCanNotBeReadIsNamedAndPassedOver(t *testing.T) {
+// TestAnUnreadableEntryIsNamedAndSkipped: the others are read.
+func TestAnUnreadableEntryIsNamedAndSkipped(t *testing.T) {
 	entries, faults := ReadFolder(fstest.MapFS{"1.json": {Data: []byte(played)}, "2.json": {Data: []byte(`{"days":[{"prices":[["x",1]]}]}`)}, "3.json": {Data: []byte("{")}, "blobs/4.txt": {}})
 	if len(entries) != 1 || len(faults) != 2 || faults[0].File != "2.json" || faults[1].File != "3.json" {
 		t.Errorf("%v, %v", entries, faults)
 	}
 }
 
-// TestOnlyLikePlaysArePaired: the same site, day, seed and conditions; several plays of one count by their mean.
-func TestOnlyLikePlaysArePaired(t *testing.T) {
+// TestOnlyRunsOfTheSameScenarioArePaired: the same site, day, seed and conditions; several plays of one count by their mean.
+func TestOnlyRunsOfTheSameScenarioArePaired(t *testing.T) {
 	before := entryOf(t, played)
 	make := func(worth float64, seed uint64, arguments ...string) Entry {
 		entry := entryOf(t, played)
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestSelectTakesAReasonOrAnID: by the beginning of the one, or the whole of the other.
-func TestSelectTakesAReasonOrAnID(t *testing.T) {
+// TestSelectAcceptsAReasonOrAnID: by the beginning of the one, or the whole of the other.
+func TestSelectAcceptsAReasonOrAnID(t *testing.T) {
 	entries := []Entry{{ID: "0a", Why: "base: one"}, {ID: "0b", Why: "change: base"}}
 	for text, want := range map[string]string{"base": "0a", "0b": "0b", "change": "0b"} {
 		if got := Select(entries, text); len(got) != 1 || got[0].ID != want {
--- a/testbed/platformtest/checker/deadlines.go
+++ b/testbed/platformtest/checker/deadlines.go
@@ -14,34 +14,34 @@
 	deadlineSlack = 500 * time.Millisecond
 	// deadlinesFew is how many deadlines may be told wrongly, triesFew how many tries may run on too many engines,
 	// finalFew how many requests may lack their final answer.
-	deadlinesFew, triesFew, finalFew = 20, 3, 8
+	deadlinesFew, attemptsFew, finalFew = 20, 3, 8
 )
 
 func milliseconds(count int64) time.Duration { return time.Duration(count) * time.Millisecond }
 
 // deadlines holds the time that engines are handed against what is left to the client.
-func (b *bench) deadlines() Finding {
+func (b *index) deadlines() Finding {
 	f := Finding{Rule: "BUDGET deadlines"}
 	var wrong []string
 	late := 0
-	for _, try := range b.Tries {
-		arrivals := b.arrivals[try.Attempt]
+	for _, attempt := range b.Attempts {
+		arrivals := b.arrivals[attempt.AttemptID]
 		for place, arrival := range arrivals {
-			if !b.inTouch(try.Daemon, arrival.At) {
+			if !b.inTouch(attempt.Daemon, arrival.At) {
 				continue
 			}
 			f.Checked++
-			told := milliseconds(arrival.DeadlineMs)
-			own := try.Began + clock.Mark(milliseconds(try.DeadlineMs))
+			given := milliseconds(arrival.DeadlineMs)
+			own := attempt.Began + clock.Mark(milliseconds(attempt.DeadlineMs))
 			first := arrivals[0].At + clock.Mark(milliseconds(arrivals[0].DeadlineMs))
 			again := place > 0 && arrival.At.Since(arrivals[0].At) > deadlineSlack
 			switch {
 			case arrival.DeadlineMs <= 0:
-				wrong = append(wrong, fmt.Sprintf("%s reached %s with no deadline", try.Attempt, arrival.Engine))
-			case try.DeadlineMs > 0 && told > milliseconds(try.DeadlineMs)+deadlineSlack:
-				wrong = append(wrong, fmt.Sprintf("%s reached %s with %v, and its client gave %v", try.Attempt, arrival.Engine, told, milliseconds(try.DeadlineMs)))
-			case again && arrival.At+clock.Mark(told) > max(own, first)+clock.Mark(deadlineSlack):
-				wrong = append(wrong, fmt.Sprintf("%s was sent once more to %s with %v, %v after the first", try.Attempt, arrival.Engine, told, arrival.At.Since(arrivals[0].At)))
+				wrong = append(wrong, fmt.Sprintf("%s reached %s with no deadline", attempt.AttemptID, arrival.Engine))
+			case attempt.DeadlineMs > 0 && given > milliseconds(attempt.DeadlineMs)+deadlineSlack:
+				wrong = append(wrong, fmt.Sprintf("%s reached %s with %v, and its client gave %v", attempt.AttemptID, arrival.Engine, given, milliseconds(attempt.DeadlineMs)))
+			case again && arrival.At+clock.Mark(given) > max(own, first)+clock.Mark(deadlineSlack):
+				wrong = append(wrong, fmt.Sprintf("%s was sent once more to %s with %v, %v after the first", attempt.AttemptID, arrival.Engine, given, arrival.At.Since(arrivals[0].At)))
 			case again:
 				late++
 			}
@@ -54,9 +54,9 @@
 }
 
 // triesOf is the largest number of engines that any version allows for a request.
-func (b *bench) triesOf(try *history.Try) (most int) {
+func (b *index) maxAttempts(attempt *history.Attempt) (most int) {
 	for _, version := range b.versions {
-		if route := version.Whole.Find(try.Host, pathOf(try.URI)); route != nil {
+		if route := version.Config.Find(attempt.Host, pathOf(attempt.URI)); route != nil {
 			most = max(most, route.Tries)
 		}
 	}
@@ -64,67 +64,67 @@
 }
 
 // engineTries holds the engines that one try ran on against what its route allows.
-func (b *bench) engineTries() Finding {
+func (b *index) engineAttempts() Finding {
 	f := Finding{Rule: "BUDGET tries"}
 	var over []string
-	for _, try := range b.Tries {
+	for _, attempt := range b.Attempts {
 		var engines []string
-		for _, arrival := range b.arrivals[try.Attempt] {
-			life := b.lives[arrival.Engine]
-			if arrival.Ran() && (life == nil || life.Ended == 0 || life.Ended > try.Ended) && !slices.Contains(engines, arrival.Engine) {
+		for _, arrival := range b.arrivals[attempt.AttemptID] {
+			incarnation := b.incarnations[arrival.Engine]
+			if arrival.Ran() && (incarnation == nil || incarnation.Ended == 0 || incarnation.Ended > attempt.Ended) && !slices.Contains(engines, arrival.Engine) {
 				engines = append(engines, arrival.Engine)
 			}
 		}
-		most := b.triesOf(try)
+		most := b.maxAttempts(attempt)
 		if most == 0 || len(engines) == 0 {
 			continue
 		}
 		f.Checked++
 		if len(engines) > most {
-			over = append(over, fmt.Sprintf("%s ran on %v, where %d are allowed", try.Attempt, engines, most))
+			over = append(over, fmt.Sprintf("%s ran on %v, where %d are allowed", attempt.AttemptID, engines, most))
 		}
 	}
-	if len(over) > triesFew {
+	if len(over) > attemptsFew {
 		f.Violations = over
 	}
 	return f
 }
 
 // due is when a request must have its answer by the configurations that may be in force; zero is never.
-func (b *bench) dueBy(try *history.Try) clock.Mark {
+func (b *index) dueBy(attempt *history.Attempt) clock.Mark {
 	longest := int64(0)
 	for _, version := range b.versions {
-		if route := version.Whole.Find(try.Host, pathOf(try.URI)); route != nil {
+		if route := version.Config.Find(attempt.Host, pathOf(attempt.URI)); route != nil {
 			longest = max(longest, route.DeadlineMs)
 		}
 	}
 	if longest == 0 {
 		return 0
 	}
-	return try.Began + clock.Mark(milliseconds(longest))
+	return attempt.Began + clock.Mark(milliseconds(longest))
 }
 
 // finalAnswers holds requests to the deadline of their route: then they have their answer, or their last one.
-func (b *bench) finalAnswers() Finding {
+func (b *index) finalAnswers() Finding {
 	f := Finding{Rule: "CONFIG final answer"}
 	var unanswered, unended []string
 	waiting, lasting := 0, 0
-	for _, try := range b.Tries {
-		due := b.dueBy(try)
+	for _, attempt := range b.Attempts {
+		due := b.dueBy(attempt)
 		limit := due + clock.Mark(deadlineSlack)
-		if due == 0 || try.Sent == 0 || limit > b.Ended || try.Ended != 0 && try.Ended <= due || try.LeftAt != 0 && try.LeftAt <= limit || !b.inTouch(try.Daemon, limit) {
+		if due == 0 || attempt.Sent == 0 || limit > b.Ended || attempt.Ended != 0 && attempt.Ended <= due || attempt.ClosedAt != 0 && attempt.ClosedAt <= limit || !b.inTouch(attempt.Daemon, limit) {
 			continue
 		}
 		f.Checked++
-		if try.First == 0 || try.First > due {
+		if attempt.First == 0 || attempt.First > due {
 			waiting++
-			if try.First == 0 || try.First > limit {
-				unanswered = append(unanswered, fmt.Sprintf("%s had no answer from %s %v after its route's deadline", try.Attempt, try.Daemon, deadlineSlack))
+			if attempt.First == 0 || attempt.First > limit {
+				unanswered = append(unanswered, fmt.Sprintf("%s had no answer from %s %v after its route's deadline", attempt.AttemptID, attempt.Daemon, deadlineSlack))
 			}
 		}
 		lasting++
-		if try.Ended == 0 || try.Ended > limit {
-			unended = append(unended, fmt.Sprintf("%s had no final answer from %s %v after its route's deadline", try.Attempt, try.Daemon, deadlineSlack))
+		if attempt.Ended == 0 || attempt.Ended > limit {
+			unended = append(unended, fmt.Sprintf("%s had no final answer from %s %v after its route's deadline", attempt.AttemptID, attempt.Daemon, deadlineSlack))
 		}
 	}
 	if 2*len(unanswered) > waiting {
--- a/testbed/platformtest/checker/fleet.go
+++ b/testbed/platformtest/checker/fleet.go
@@ -13,7 +13,7 @@
 	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
-func (b *bench) one() Finding {
+func (b *index) one() Finding {
 	f := Finding{Rule: "ONE"}
 	byEngine := map[string][]*history.Order{}
 	for _, order := range b.Orders {
@@ -21,7 +21,7 @@
 			continue
 		}
 		// What was held up by a freeze or a cut does not count.
-		if b.troubled(before(order.At, b.bounds.Unfreeze), order.At, func(t *history.Trouble) bool {
+		if b.disrupted(before(order.At, b.bounds.Unfreeze), order.At, func(t *history.Disruption) bool {
 			return t.Until != 0 && t.Until <= order.At && (t.Kind == history.Frozen || t.Kind == history.Link)
 		}) {
 			continue
@@ -35,15 +35,15 @@
 			f.Checked++
 			fence, owner := *order.Order.Fence, order.Order.Owner
 			if holder, known := holders[fence]; known && holder != owner {
-				f.fault("%s: %s and %s share the fence %d", engine, holder, owner, fence)
+				f.violation("%s: %s and %s share the fence %d", engine, holder, owner, fence)
 			}
 			holders[fence] = owner
 			if fence < highest && !b.bounds.FenceChecked {
-				f.fault("%s: fence %d after %d", engine, fence, highest)
+				f.violation("%s: fence %d after %d", engine, fence, highest)
 			}
 			highest = max(highest, fence)
 			if last != nil && last.Order.Owner != owner && order.At.Since(last.At) < b.bounds.Lease {
-				f.fault("%s: %s ordered %v after %s", engine, owner, order.At.Since(last.At).Round(time.Millisecond), last.Order.Owner)
+				f.violation("%s: %s ordered %v after %s", engine, owner, order.At.Since(last.At).Round(time.Millisecond), last.Order.Owner)
 			}
 			last = order
 		}
@@ -51,25 +51,25 @@
 	return f
 }
 
-func (b *bench) limit() Finding {
+func (b *index) limit() Finding {
 	f := Finding{Rule: "LIMIT"}
 	for _, order := range b.Orders {
 		if order.Order.Operation != protocol.Load {
 			continue
 		}
 		f.Checked++
-		if order.Over {
-			f.fault("%s was ordered to load %s %s over its room", order.Engine, order.Order.Model, order.Order.Adapter)
+		if order.OverCapacity {
+			f.violation("%s was ordered to load %s %s over its room", order.Engine, order.Order.Model, order.Order.Adapter)
 		}
 	}
 	return f
 }
 
-func (b *bench) ceiling() Finding {
+func (b *index) loadRate() Finding {
 	f := Finding{Rule: "CEILING"}
 	pace := map[string]float64{}
 	for _, version := range b.versions {
-		for _, backend := range version.Whole.Backends {
+		for _, backend := range version.Config.Backends {
 			if backend.Engine != nil {
 				pace[backend.Label] = max(pace[backend.Label], backend.Engine.LoadsPerS)
 			}
@@ -77,10 +77,10 @@
 	}
 	begun := map[string][]clock.Mark{}
 	for _, order := range b.Orders {
-		if !order.Store || order.Status != 202 {
+		if !order.FromStore || order.Status != 202 {
 			continue
 		}
-		if !b.settled(order.At) || b.troubled(order.At, order.At, func(t *history.Trouble) bool { return t.Kind == history.Link }) {
+		if !b.coreSettled(order.At) || b.disrupted(order.At, order.At, func(t *history.Disruption) bool { return t.Kind == history.Link }) {
 			continue
 		}
 		f.Checked++
@@ -94,7 +94,7 @@
 				first++
 			}
 			if count := last - first + 1; float64(count) > most {
-				f.fault("%s: %d loads from the store within %v, where %.1f are allowed", service, count, b.bounds.OriginWindow, most)
+				f.violation("%s: %d loads from the store within %v, where %.1f are allowed", service, count, b.bounds.OriginWindow, most)
 				break
 			}
 		}
@@ -110,21 +110,21 @@
 	size                 int
 }
 
-func (b *bench) answers() []answer {
+func (b *index) answers() []answer {
 	byRequest := map[string]*answer{}
 	var order []string
-	for _, try := range b.Tries {
-		if try.Probe || try.Absent || try.Early || try.Outlasts {
+	for _, attempt := range b.Attempts {
+		if attempt.Probe || attempt.Absent || attempt.Early || attempt.ExceedsDeadline {
 			continue
 		}
-		one := byRequest[try.Request]
+		one := byRequest[attempt.Request]
 		if one == nil {
-			one = &answer{kind: try.Kind, session: try.Session, model: try.Prompt.WriteModel(), began: try.Began, size: try.Prompt.TokensIn + 10*try.Prompt.TokensOut}
-			byRequest[try.Request] = one
-			order = append(order, try.Request)
+			one = &answer{kind: attempt.Kind, session: attempt.Session, model: attempt.Prompt.WriteModel(), began: attempt.Began, size: attempt.Prompt.TokensIn + 10*attempt.Prompt.TokensOut}
+			byRequest[attempt.Request] = one
+			order = append(order, attempt.Request)
 		}
-		one.served = one.served || b.served(try)
-		one.ended = max(one.ended, try.Ended)
+		one.served = one.served || b.served(attempt)
+		one.ended = max(one.ended, attempt.Ended)
 	}
 	out := make([]answer, 0, len(order))
 	for _, id := range order {
@@ -134,7 +134,7 @@
 }
 
 // served says whether a try has all that was left to get.
-func (b *bench) served(try *history.Try) bool { return try.Success() }
+func (b *index) served(attempt *history.Attempt) bool { return attempt.Success() }
 
 func share(list []answer) float64 {
 	if len(list) == 0 {
@@ -149,7 +149,7 @@
 	return float64(served) / float64(len(list))
 }
 
-func (b *bench) recover() Finding {
+func (b *index) recover() Finding {
 	f := Finding{Rule: "RECOVER"}
 	closing := b.closing()
 	if closing == nil || closing.Until == 0 {
@@ -166,17 +166,17 @@
 	}
 	f.Checked = len(later)
 	if share(earlier) >= 0.25 && len(later) > 0 && share(later) < 0.25 {
-		f.fault("%.0f %% were served before the closing fault, and %.0f %% of what was sent more than %v after the machines were back", 100*share(earlier), 100*share(later), b.bounds.Recovery)
+		f.violation("%.0f %% were served before the closing fault, and %.0f %% of what was sent more than %v after the machines were back", 100*share(earlier), 100*share(later), b.bounds.Recovery)
 	}
 	return f
 }
 
-func (b *bench) floor() Finding {
+func (b *index) floor() Finding {
 	f := Finding{Rule: "Floor"}
 	list := b.answers()
 	f.Checked = len(list)
 	if len(list) > 0 && share(list) < b.bounds.Floor {
-		f.fault("%.1f %% of %d requests were served, where %.0f %% are wanted", 100*share(list), len(list), 100*b.bounds.Floor)
+		f.violation("%.1f %% of %d requests were served, where %.0f %% are wanted", 100*share(list), len(list), 100*b.bounds.Floor)
 	}
 	return f
 }
@@ -191,7 +191,7 @@
 	return out
 }
 
-func (b *bench) sizes() Finding {
+func (b *index) sizes() Finding {
 	f := Finding{Rule: "Sizes"}
 	for kind, list := range grouped(b.answers(), func(a answer) string { return a.kind }) {
 		if list[0].model == "" || len(list) < 50 {
@@ -202,7 +202,7 @@
 		f.Checked += len(tenth) + len(fifth)
 		for name, part := range map[string][]answer{"tenth": tenth, "fifth below it": fifth} {
 			if share(part) < share(list)/2 {
-				f.fault("%s: of the largest %s %.0f %% were served, and %.0f %% of all", kind, name, 100*share(part), 100*share(list))
+				f.violation("%s: of the largest %s %.0f %% were served, and %.0f %% of all", kind, name, 100*share(part), 100*share(list))
 			}
 		}
 	}
@@ -211,15 +211,15 @@
 }
 
 // starved counts the groups asked for through the day that were never served, against chance.
-func (b *bench) starved(f *Finding, groups map[string][]answer, fixed, part float64) {
-	whole := share(b.answers())
+func (b *index) starved(f *Finding, groups map[string][]answer, fixed, part float64) {
+	overall := share(b.answers())
 	never, chance, asked := []string{}, 0.0, 0
 	for name, list := range groups {
 		if len(list) < 4 || list[len(list)-1].began.Since(list[0].began) < 8*time.Second {
 			continue
 		}
 		asked++
-		chance += math.Pow(1-whole, float64(len(list)))
+		chance += math.Pow(1-overall, float64(len(list)))
 		if share(list) == 0 {
 			never = append(never, name)
 		}
@@ -227,11 +227,11 @@
 	f.Checked = asked
 	slices.Sort(never)
 	if float64(len(never)) > fixed+part*float64(asked)+3*chance {
-		f.fault("%d of %d were never served: %s", len(never), asked, fmt.Sprint(never[:min(5, len(never))]))
+		f.violation("%d of %d were never served: %s", len(never), asked, fmt.Sprint(never[:min(5, len(never))]))
 	}
 }
 
-func (b *bench) starvedSessions() Finding {
+func (b *index) starvedSessions() Finding {
 	f := Finding{Rule: "Starved sessions"}
 	b.starved(&f, grouped(b.answers(), func(a answer) string {
 		if a.session == "" {
@@ -242,39 +242,39 @@
 	return f
 }
 
-func (b *bench) starvedModels() Finding {
+func (b *index) starvedModels() Finding {
 	f := Finding{Rule: "Starved models"}
 	b.starved(&f, grouped(b.answers(), func(a answer) string { return a.model }), 1, 0.10)
 	return f
 }
 
-func (b *bench) starvedKinds() Finding {
+func (b *index) starvedKinds() Finding {
 	f := Finding{Rule: "Starved kinds"}
 	all := b.answers()
 	for kind, list := range grouped(all, func(a answer) string { return a.kind }) {
 		f.Checked++
 		if len(list) >= 10 && share(list) < share(all)/4 {
-			f.fault("%s: %.0f %% were served, and %.0f %% of all", kind, 100*share(list), 100*share(all))
+			f.violation("%s: %.0f %% were served, and %.0f %% of all", kind, 100*share(list), 100*share(all))
 		}
 	}
 	slices.Sort(f.Violations)
 	return f
 }
 
-func (b *bench) ends() Finding {
+func (b *index) unexpectedExits() Finding {
 	f := Finding{Rule: "Own ends", Checked: len(b.Cores) + len(b.Edges)}
-	for _, trouble := range b.Troubles {
-		if trouble.Kind == history.OwnEnd {
-			f.fault("%s ended by itself", trouble.Machine)
+	for _, disruption := range b.Disruptions {
+		if disruption.Kind == history.UnexpectedExit {
+			f.violation("%s ended by itself", disruption.Machine)
 		}
 	}
 	return f
 }
 
-func (b *bench) duty() Finding {
+func (b *index) ready() Finding {
 	f := Finding{Rule: "Duty"}
 	unready, looks := map[string]int{}, map[string]int{}
-	for _, look := range b.Looks {
+	for _, look := range b.ReadinessChecks {
 		if !b.inTouch(look.Machine, look.At) {
 			continue
 		}
@@ -286,7 +286,7 @@
 	}
 	for _, machine := range slices.Sorted(maps.Keys(unready)) {
 		if looks[machine] >= 8 && unready[machine]*8 > looks[machine] {
-			f.fault("%s was not ready in %d of %d calm looks", machine, unready[machine], looks[machine])
+			f.violation("%s was not ready in %d of %d calm looks", machine, unready[machine], looks[machine])
 		}
 	}
 	return f
--- a/testbed/platformtest/checker/judge_test.go
+++ b/testbed/platformtest/checker/judge_test.go
@@ -44,37 +44,37 @@
 }
 
 // stream adds a streamed request that is served whole.
-func (d *day) stream(began float64) (*history.Try, *history.Arrival) {
+func (d *day) stream(began float64) (*history.Attempt, *history.Arrival) {
 	return d.request(began, protocol.Streaming, "/s/x", "lm", "e1")
 }
 
-func (d *day) request(began float64, class, uri, service, engine string) (*history.Try, *history.Arrival) {
+func (d *day) request(began float64, class, uri, service, engine string) (*history.Attempt, *history.Arrival) {
 	d.number++
-	attempt, run := fmt.Sprintf("t%d", d.number), fmt.Sprintf("%s-%d", engine, d.number)
-	try := &history.Try{Request: attempt, Kind: "kind" + class, Session: fmt.Sprint("s", d.number%3), Attempt: attempt, Attempted: attempt, Daemon: "edge-0", Host: "h", Method: "POST", URI: uri, BodyDigest: "d",
-		Class: class, DeadlineMs: 5000, Began: at(began), Connected: true, FirstOnConnection: true, Sent: at(began + 0.01), First: at(began + 0.1), Ended: at(began + 0.2), Status: 200, Whole: true}
-	arrival := &history.Arrival{At: at(began + 0.02), Engine: engine, Service: service, Attempt: attempt, Method: "POST", URI: uri, Host: "h", BodyDigest: "d",
-		DeadlineMs: 4980, Began: at(began + 0.03), Run: run, Ended: at(began + 0.2), Whole: true, Status: 200}
-	stamp := protocol.Stamp{Engine: engine, Attempt: attempt, Run: run, Status: 200, Length: -1}
+	id, run := fmt.Sprintf("t%d", d.number), fmt.Sprintf("%s-%d", engine, d.number)
+	attempt := &history.Attempt{Request: id, Kind: "kind" + class, Session: fmt.Sprint("s", d.number%3), AttemptID: id, AnsweredID: id, Daemon: "edge-0", Host: "h", Method: "POST", URI: uri, BodyDigest: "d",
+		Class: class, DeadlineMs: 5000, Began: at(began), Connected: true, FirstOnConnection: true, Sent: at(began + 0.01), First: at(began + 0.1), Ended: at(began + 0.2), Status: 200, Complete: true}
+	arrival := &history.Arrival{At: at(began + 0.02), Engine: engine, Service: service, AttemptID: id, Method: "POST", URI: uri, Host: "h", BodyDigest: "d",
+		DeadlineMs: 4980, Began: at(began + 0.03), Run: run, Ended: at(began + 0.2), Complete: true, Status: 200}
+	stamp := protocol.Stamp{Engine: engine, Attempt: id, Run: run, Status: 200, Length: -1}
 	if class == protocol.Streaming {
-		try.Prompt = protocol.Prompt{Model: "m", TokensIn: 10, TokensOut: 3, Parts: []protocol.Part{{ID: "aa", Tokens: 10}}}
-		arrival.Prompt = try.Prompt
+		attempt.Prompt = protocol.Prompt{Model: "m", TokensIn: 10, TokensOut: 3, Parts: []protocol.Part{{ID: "aa", Tokens: 10}}}
+		arrival.Prompt = attempt.Prompt
 		for n := 1; n <= 3; n++ {
-			try.Events = append(try.Events, history.Event{At: at(began + 0.1), ID: fmt.Sprint(n), Data: protocol.EventData(attempt, run, n, 3)})
+			attempt.Events = append(attempt.Events, history.Event{At: at(began + 0.1), ID: fmt.Sprint(n), Data: protocol.EventData(id, run, n, 3)})
 		}
 	} else {
-		try.BodyOut = protocol.Body(attempt, run, 20)
-		stamp.Length, stamp.Digest = 20, protocol.Digest(try.BodyOut)
+		attempt.ResponseBody = protocol.Body(id, run, 20)
+		stamp.Length, stamp.Digest = 20, protocol.Digest(attempt.ResponseBody)
 	}
-	try.Seal = stamp.Write()
-	d.Tries, d.Arrivals = append(d.Tries, try), append(d.Arrivals, arrival)
-	return try, arrival
+	attempt.Seal = stamp.Write()
+	d.Attempts, d.Arrivals = append(d.Attempts, attempt), append(d.Arrivals, arrival)
+	return attempt, arrival
 }
 
 // at gives the place of the first request on a path from a time on.
 func (d *day) at(uri string, from float64) int {
-	for place, try := range d.Tries {
-		if try.URI == uri && try.Began >= at(from) {
+	for place, attempt := range d.Attempts {
+		if attempt.URI == uri && attempt.Began >= at(from) {
 			return place
 		}
 	}
@@ -82,27 +82,27 @@
 }
 
 // refuse makes an answer one of the system's own.
-func refuse(try *history.Try, status int) {
-	try.Status, try.Seal, try.BodyOut, try.Events = status, "", nil, nil
+func refuse(attempt *history.Attempt, status int) {
+	attempt.Status, attempt.Seal, attempt.ResponseBody, attempt.Events = status, "", nil, nil
 }
 
 // leave has a client leave a request, and its engine end the work, each so many seconds after it began.
-func leave(try *history.Try, arrival *history.Arrival, left, ended float64) {
-	refuse(try, 0)
-	try.First, try.Whole, try.GaveUp, try.Early, try.LeftAt, try.Ended = 0, false, true, true, try.Began+at(left), try.Began+at(left)
-	arrival.Whole, arrival.Left, arrival.Ended = false, true, try.Began+at(ended)
+func leave(attempt *history.Attempt, arrival *history.Arrival, left, ended float64) {
+	refuse(attempt, 0)
+	attempt.First, attempt.Complete, attempt.ClientClosed, attempt.Early, attempt.ClosedAt, attempt.Ended = 0, false, true, true, attempt.Began+at(left), attempt.Began+at(left)
+	arrival.Complete, arrival.CallerClosed, arrival.Ended = false, true, attempt.Began+at(ended)
 }
 
 // outlast has a request be answered, by a failure, so many seconds after it began.
-func outlast(try *history.Try, answered, ended float64) {
-	refuse(try, 504)
-	try.DeadlineMs, try.First, try.Ended = 20000, try.Began+at(answered), try.Began+at(ended)
+func outlast(attempt *history.Attempt, answered, ended float64) {
+	refuse(attempt, 504)
+	attempt.DeadlineMs, attempt.First, attempt.Ended = 20000, attempt.Began+at(answered), attempt.Began+at(ended)
 }
 
 // cutAfter has a request's connection end so many seconds after it began, and its engine work on.
-func cutAfter(try *history.Try, arrival *history.Arrival, ended float64) {
-	refuse(try, 0)
-	try.First, try.Whole, try.Ended, arrival.Ended = 0, false, try.Began+at(ended), try.Began+at(ended+1)
+func cutAfter(attempt *history.Attempt, arrival *history.Arrival, ended float64) {
+	refuse(attempt, 0)
+	attempt.First, attempt.Complete, attempt.Ended, arrival.Ended = 0, false, attempt.Began+at(ended), attempt.Began+at(ended+1)
 }
 
 // further adds an arrival of the same request at another engine.
@@ -115,27 +115,27 @@
 
 // unrun takes a request's work back.
 func unrun(arrival *history.Arrival) {
-	arrival.Began, arrival.Run, arrival.Status, arrival.NotRun = 0, "", 503, true
+	arrival.Began, arrival.Run, arrival.Status, arrival.Rejected = 0, "", 503, true
 }
 
 func fence(n uint64) *uint64 { return &n }
 
 func (d *day) order(seconds float64, owner string, number uint64) *history.Order {
-	order := &history.Order{At: at(seconds), Engine: "e1", Service: "lm", Order: protocol.Order{Operation: protocol.Load, Model: "m", Owner: owner, Fence: fence(number)}, Status: 202, Store: true}
+	order := &history.Order{At: at(seconds), Engine: "e1", Service: "lm", Order: protocol.Order{Operation: protocol.Load, Model: "m", Owner: owner, Fence: fence(number)}, Status: 202, FromStore: true}
 	d.Orders = append(d.Orders, order)
 	return order
 }
 
 // rival acknowledges another change under a number that is taken, on the same version.
 func (d *day) rival(generation uint64) {
-	whole := config(generation, func(c *protocol.Config) { addNew(c); c.Routes[0].Urgency = 4 })
-	d.Changes = append(d.Changes, &history.Change{Operator: "b", Base: 1, Generation: generation, Whole: whole, Method: "PUT", Body: whole.Encode(), Began: at(10.2), Answered: at(10.5), Outcome: history.Acknowledged})
+	overall := config(generation, func(c *protocol.Config) { addNew(c); c.Routes[0].Urgency = 4 })
+	d.Changes = append(d.Changes, &history.Change{Operator: "b", Base: 1, Generation: generation, Config: overall, Method: "PUT", Body: overall.Encode(), Began: at(10.2), Answered: at(10.5), Outcome: history.Acknowledged})
 }
 
 // again sends one of the day's changes again, with the answer that it had.
 func (d *day) again(place int, seconds float64) *history.Change {
 	change := *d.Changes[place]
-	change.Operator, change.Again, change.Began, change.Answered = "b", true, at(seconds), at(seconds+0.1)
+	change.Operator, change.Resent, change.Began, change.Answered = "b", true, at(seconds), at(seconds+0.1)
 	d.Changes = append(d.Changes, &change)
 	return &change
 }
@@ -145,20 +145,20 @@
 	first, second := config(1, nil), config(3, addNew)
 	d := &day{History: &history.History{Began: at(0), Ended: at(100), Cores: []string{"core-0"}, Edges: []string{"edge-0"},
 		Changes: []*history.Change{
-			{Operator: "a", Base: 0, Generation: 1, Whole: first, Began: at(0.1), Answered: at(0.3), Outcome: history.Acknowledged},
-			{Operator: "a", Base: 1, Generation: 3, Whole: second, Began: at(10), Answered: at(10.3), Outcome: history.Acknowledged},
-			{Operator: "b", Base: 1, Generation: 2, Whole: config(2, func(c *protocol.Config) { c.Routes[0].Backend = "plain" }), Began: at(10.1), Answered: at(10.4), Outcome: history.Refused},
-			{Operator: "a", Base: 3, Generation: 3, Whole: config(3, nil), Fault: "its generation is not above the current one", Began: at(12), Answered: at(12.1), Outcome: history.Refused},
+			{Operator: "a", Base: 0, Generation: 1, Config: first, Began: at(0.1), Answered: at(0.3), Outcome: history.Acknowledged},
+			{Operator: "a", Base: 1, Generation: 3, Config: second, Began: at(10), Answered: at(10.3), Outcome: history.Acknowledged},
+			{Operator: "b", Base: 1, Generation: 2, Config: config(2, func(c *protocol.Config) { c.Routes[0].Backend = "plain" }), Began: at(10.1), Answered: at(10.4), Outcome: history.Refused},
+			{Operator: "a", Base: 3, Generation: 3, Config: config(3, nil), Fault: "its generation is not above the current one", Began: at(12), Answered: at(12.1), Outcome: history.Refused},
 		},
-		Lives: []*history.Life{{Engine: "e1", Service: "lm", Began: at(0)}, {Engine: "p1", Service: "plain", Began: at(0)}, {Engine: "o1", Service: "other", Began: at(0)},
-			{Engine: "e2", Service: "lm", Began: at(0), DrainAsked: at(15), DrainAcked: at(15.1), Ended: at(18)}},
-		Troubles: []*history.Trouble{
+		Incarnations: []*history.Incarnation{{Engine: "e1", Service: "lm", Began: at(0)}, {Engine: "p1", Service: "plain", Began: at(0)}, {Engine: "o1", Service: "other", Began: at(0)},
+			{Engine: "e2", Service: "lm", Began: at(0), DrainRequested: at(15), DrainAcked: at(15.1), Ended: at(18)}},
+		Disruptions: []*history.Disruption{
 			{From: at(30), Until: at(31), Kind: history.Stopped, Machine: "edge-0", Planned: true},
 			{From: at(60), Until: at(61), Kind: history.Closing, Core: true}},
 		ReadBacks: []history.ReadBack{{Began: at(98.9), At: at(99), Config: second}},
 	}}
 	for _, change := range d.Changes {
-		change.Method, change.Body = "PUT", change.Whole.Encode()
+		change.Method, change.Body = "PUT", change.Config.Encode()
 	}
 	d.Reads = []history.ReadBack{{Began: at(5), At: at(5.1), Config: first}, {Began: at(20), At: at(20.1), Config: second}, {Began: at(21), At: at(21.1), Err: "no answer"}, d.ReadBacks[0]}
 	for second := 1; second < 60; second++ {
@@ -170,7 +170,7 @@
 			d.request(float64(second)+0.4, protocol.Idempotent, "/new/x", "other", "o1")
 		}
 		// It says that it is not ready while it is stopped.
-		d.Looks = append(d.Looks, history.Look{At: at(float64(second)), Machine: "edge-0", Ready: second <= 30 || second > 33})
+		d.ReadinessChecks = append(d.ReadinessChecks, history.ReadinessCheck{At: at(float64(second)), Machine: "edge-0", Ready: second <= 30 || second > 33})
 	}
 	for second := 75; second < 95; second++ {
 		d.stream(float64(second))
@@ -181,32 +181,32 @@
 		if n%10 >= 7 {
 			service, engine = "other", "o1"
 		}
-		try, _ := d.request(40+float64(n)/20, protocol.Idempotent, "/split/x", service, engine)
-		try.FirstOnConnection = false
+		attempt, _ := d.request(40+float64(n)/20, protocol.Idempotent, "/split/x", service, engine)
+		attempt.FirstOnConnection = false
 	}
 	// One whose client leaves, one that outlasts its route's deadline, and one that is refused and has not run.
-	try, arrival := d.stream(22.6)
-	leave(try, arrival, 0.2, 0.4)
-	try, _ = d.request(50.5, protocol.Idempotent, "/p/x", "plain", "p1")
-	outlast(try, 5.05, 5.05)
-	try, arrival = d.request(20.5, protocol.Mutating, "/m/x", "plain", "p1")
-	refuse(try, 503)
+	attempt, arrival := d.stream(22.6)
+	leave(attempt, arrival, 0.2, 0.4)
+	attempt, _ = d.request(50.5, protocol.Idempotent, "/p/x", "plain", "p1")
+	outlast(attempt, 5.05, 5.05)
+	attempt, arrival = d.request(20.5, protocol.Mutating, "/m/x", "plain", "p1")
+	refuse(attempt, 503)
 	unrun(arrival)
 	d.order(1, "core-0", 1)
 	d.order(20, "core-1", 2)
 	return d
 }
 
-func TestASoundDayPassesAndEveryRuleIsChecked(t *testing.T) {
-	for _, finding := range Judge(sound().History, bounds()) {
+func TestAValidHistoryPassesAndEveryRuleIsChecked(t *testing.T) {
+	for _, finding := range CheckAll(sound().History, bounds()) {
 		if finding.Checked == 0 || len(finding.Violations) > 0 {
 			t.Errorf("%s: %d checked, %v", finding.Rule, finding.Checked, finding.Violations)
 		}
 	}
 }
 
-func TestAnEmptyDayChecksNothing(t *testing.T) {
-	for _, finding := range Judge(&history.History{}, bounds()) {
+func TestAnEmptyHistoryChecksNothing(t *testing.T) {
+	for _, finding := range CheckAll(&history.History{}, bounds()) {
 		if finding.Checked > 0 || len(finding.Violations) > 0 {
 			t.Errorf("%s: %d checked, %v", finding.Rule, finding.Checked, finding.Violations)
 		}
@@ -219,27 +219,29 @@
 	also       []string
 	change     func(*day)
 }{
-	{"MIXED", "a success without a stamp", nil, func(d *day) { d.Tries[1].Seal = "" }},
-	{"MIXED", "a body cut short that looks whole", nil, func(d *day) { d.Tries[1].BodyOut = d.Tries[1].BodyOut[:7] }},
+	{"MIXED", "a success without a stamp", nil, func(d *day) { d.Attempts[1].Seal = "" }},
+	{"MIXED", "a body cut short that looks whole", nil, func(d *day) { d.Attempts[1].ResponseBody = d.Attempts[1].ResponseBody[:7] }},
 	{"MIXED", "a failure passed as a success", nil, func(d *day) {
-		stamp, _ := protocol.ReadStamp(d.Tries[1].Seal)
+		stamp, _ := protocol.ReadStamp(d.Attempts[1].Seal)
 		stamp.Status = 500
-		d.Tries[1].Seal = stamp.Write()
+		d.Attempts[1].Seal = stamp.Write()
 	}},
-	{"MIXED", "another's answer", nil, func(d *day) { d.Tries[1].Seal, d.Tries[1].BodyOut = d.Tries[5].Seal, d.Tries[5].BodyOut }},
-	{"MIXED", "another's refusal", nil, func(d *day) { refuse(d.Tries[1], 503); d.Tries[1].Attempted = "t9" }},
-	{"MIXED", "a success where no request waits", nil, func(d *day) { d.Tries[1].Surplus = "HTTP/1.1 200 OK\r\n" }},
+	{"MIXED", "another's answer", nil, func(d *day) {
+		d.Attempts[1].Seal, d.Attempts[1].ResponseBody = d.Attempts[5].Seal, d.Attempts[5].ResponseBody
+	}},
+	{"MIXED", "another's refusal", nil, func(d *day) { refuse(d.Attempts[1], 503); d.Attempts[1].AnsweredID = "t9" }},
+	{"MIXED", "a success where no request waits", nil, func(d *day) { d.Attempts[1].Unsolicited = "HTTP/1.1 200 OK\r\n" }},
 	{"MIXED", "bytes that are no answer", nil, func(d *day) {
-		try := d.Tries[d.at("/p/x", 25)]
-		try.Junk, try.Status, try.Whole = "malformed", 0, false
+		attempt := d.Attempts[d.at("/p/x", 25)]
+		attempt.Malformed, attempt.Status, attempt.Complete = "malformed", 0, false
 	}},
-	{"MIXED", "an encoding", nil, func(d *day) { d.Tries[1].Encoding = "gzip" }},
-	{"MIXED", "an event of another", nil, func(d *day) { d.Tries[0].Events[1].Data = protocol.EventData("t77", "e1-1", 2, 3) }},
-	{"MIXED", "a failure under the stamp of a success", nil, func(d *day) { d.Tries[1].Status = 502 }},
+	{"MIXED", "an encoding", nil, func(d *day) { d.Attempts[1].Encoding = "gzip" }},
+	{"MIXED", "an event of another", nil, func(d *day) { d.Attempts[0].Events[1].Data = protocol.EventData("t77", "e1-1", 2, 3) }},
+	{"MIXED", "a failure under the stamp of a success", nil, func(d *day) { d.Attempts[1].Status = 502 }},
 	{"LOST on kept connections", "connections closed on requests that went on", nil, func(d *day) {
-		for n := range keptLostFew + 1 {
+		for n := range keepAliveLostFew + 1 {
 			place := d.at("/split/x", 40) + n
-			cutAfter(d.Tries[place], d.Arrivals[place], 0.3)
+			cutAfter(d.Attempts[place], d.Arrivals[place], 0.3)
 		}
 	}},
 	{"CONFIG shares", "all goes to one part", nil, func(d *day) {
@@ -254,7 +256,7 @@
 	{"UNASKED", "other parts of a prompt", nil, func(d *day) { d.Arrivals[0].Prompt.Parts = nil }},
 	{"UNASKED", "an id nobody sent", nil, func(d *day) {
 		_, arrival := d.request(5, protocol.Idempotent, "/p/x", "plain", "p1")
-		arrival.Attempt = "smuggled"
+		arrival.AttemptID = "smuggled"
 	}},
 	{"UNASKED", "another path", nil, func(d *day) { d.Arrivals[1].URI = "/p/y" }},
 	{"UNASKED", "another query", nil, func(d *day) { d.Arrivals[1].URI = "/p/x?q=1" }},
@@ -268,46 +270,46 @@
 		again := *d.Arrivals[0]
 		d.Arrivals = append(d.Arrivals, &again)
 	}},
-	{"REFUSED", "a 503 for what ran", nil, func(d *day) { refuse(d.Tries[2], 503) }},
+	{"REFUSED", "a 503 for what ran", nil, func(d *day) { refuse(d.Attempts[2], 503) }},
 	{"REFUSED", "a 421 for what runs later", nil, func(d *day) {
-		refuse(d.Tries[2], 421)
+		refuse(d.Attempts[2], 421)
 		d.Arrivals[2].Began = at(40)
 	}},
 	{"DENIED", "many proper requests get a 400", nil, func(d *day) {
 		for n := range 7 {
-			refuse(d.Tries[1+4*n], 400)
+			refuse(d.Attempts[1+4*n], 400)
 			unrun(d.Arrivals[1+4*n])
 		}
 	}},
 	{"DENIED", "many are not found by one that was out of touch", []string{"CONFIG in force late", "CONFIG goes back"}, func(d *day) {
-		d.Troubles = append(d.Troubles, &history.Trouble{From: at(39), Until: at(52), Kind: history.Frozen, Machine: "edge-0"})
+		d.Disruptions = append(d.Disruptions, &history.Disruption{From: at(39), Until: at(52), Kind: history.Frozen, Machine: "edge-0"})
 		for n := range 11 {
-			try, arrival := d.request(40+float64(n), protocol.Idempotent, "/p/x", "plain", "p1")
-			refuse(try, 404)
+			attempt, arrival := d.request(40+float64(n), protocol.Idempotent, "/p/x", "plain", "p1")
+			refuse(attempt, 404)
 			unrun(arrival)
 		}
 	}},
 	{"GONE", "engines work on for clients that left", nil, func(d *day) {
-		try, arrival := d.stream(40)
-		leave(try, arrival, 0.2, 0.8)
+		attempt, arrival := d.stream(40)
+		leave(attempt, arrival, 0.2, 0.8)
 	}},
 	{"GONE", "an engine never ends its work", nil, func(d *day) {
-		try, arrival := d.request(40, protocol.Idempotent, "/p/x", "plain", "p1")
-		leave(try, arrival, 0.2, 0)
-		arrival.Ended, arrival.Left = 0, false
+		attempt, arrival := d.request(40, protocol.Idempotent, "/p/x", "plain", "p1")
+		leave(attempt, arrival, 0.2, 0)
+		arrival.Ended, arrival.CallerClosed = 0, false
 	}},
 	{"GONE", "requests are sent once more for clients that left", nil, func(d *day) {
 		for n := range 4 {
-			try, arrival := d.request(40+float64(n), protocol.Idempotent, "/p/x", "plain", "p1")
-			leave(try, arrival, 0.2, 0.3)
+			attempt, arrival := d.request(40+float64(n), protocol.Idempotent, "/p/x", "plain", "p1")
+			leave(attempt, arrival, 0.2, 0.3)
 			unrun(d.further(arrival, "p2", 0.8))
 		}
 	}},
 	{"DRAIN readiness", "machines that stop count as ready", nil, func(d *day) {
-		for place := range d.Looks {
-			d.Looks[place].Ready = true
+		for place := range d.ReadinessChecks {
+			d.ReadinessChecks[place].Ready = true
 		}
-		d.Troubles = append(d.Troubles, &history.Trouble{From: at(40), Until: at(41), Kind: history.Stopped, Machine: "edge-0", Planned: true})
+		d.Disruptions = append(d.Disruptions, &history.Disruption{From: at(40), Until: at(41), Kind: history.Stopped, Machine: "edge-0", Planned: true})
 	}},
 	{"BUDGET tries", "requests run on more engines than their route allows", nil, func(d *day) {
 		for n := range 4 {
@@ -336,43 +338,43 @@
 	}},
 	{"CONFIG final answer", "a request is unanswered after its route's deadline", nil, func(d *day) {
 		for n := range 2 {
-			try, _ := d.request(40.5+float64(n), protocol.Idempotent, "/p/x", "plain", "p1")
-			outlast(try, 5.6, 5.6)
+			attempt, _ := d.request(40.5+float64(n), protocol.Idempotent, "/p/x", "plain", "p1")
+			outlast(attempt, 5.6, 5.6)
 		}
 	}},
 	{"CONFIG final answer", "streams go on after their route's deadline", nil, func(d *day) {
 		for n := range 8 {
-			try, _ := d.stream(40.5 + float64(n)/10)
-			try.DeadlineMs, try.Ended = 20000, try.Began+at(6)
+			attempt, _ := d.stream(40.5 + float64(n)/10)
+			attempt.DeadlineMs, attempt.Ended = 20000, attempt.Began+at(6)
 		}
 	}},
 	{"ROUTE", "a service that no configuration names", nil, func(d *day) { d.Arrivals[1].Service = "lm" }},
 	{"DRAIN", "a request after the bound", nil, func(d *day) { d.request(17.4, protocol.Streaming, "/s/x", "lm", "e2") }},
 	{"LOST around planned work", "a cut while stopping", []string{"LOST around planned work"}, func(d *day) {
-		try, _ := d.request(30.1, protocol.Mutating, "/m/x", "plain", "p1")
-		try.Status, try.Whole, try.Seal = 0, false, ""
+		attempt, _ := d.request(30.1, protocol.Mutating, "/m/x", "plain", "p1")
+		attempt.Status, attempt.Complete, attempt.Seal = 0, false, ""
 	}},
 	{"LOST around planned work", "a late request is cut though its engine works on", nil, func(d *day) {
-		try, arrival := d.request(33.5, protocol.Mutating, "/m/x", "plain", "p1")
-		cutAfter(try, arrival, 4.9)
+		attempt, arrival := d.request(33.5, protocol.Mutating, "/m/x", "plain", "p1")
+		cutAfter(attempt, arrival, 4.9)
 	}},
 	{"LOST around planned work", "cuts around a change", nil, func(d *day) {
 		for n := range 3 {
-			try, _ := d.request(10.5+0.1*float64(n), protocol.Idempotent, "/p/x", "plain", "p1")
-			try.Status, try.Whole, try.Seal = 0, false, ""
+			attempt, _ := d.request(10.5+0.1*float64(n), protocol.Idempotent, "/p/x", "plain", "p1")
+			attempt.Status, attempt.Complete, attempt.Seal = 0, false, ""
 		}
 	}},
 	{"LOST after the closing fault", "an older version at the end", []string{"CONFIG read back"}, func(d *day) {
 		d.ReadBacks = []history.ReadBack{{At: at(99), Config: config(1, nil)}}
 	}},
 	{"CONFIG in force late", "a route 404s that is there", []string{"CONFIG goes back"}, func(d *day) {
-		try, arrival := d.request(25, protocol.Idempotent, "/new/x", "other", "o1")
-		refuse(try, 404)
+		attempt, arrival := d.request(25, protocol.Idempotent, "/new/x", "other", "o1")
+		refuse(attempt, 404)
 		unrun(arrival)
 	}},
 	{"CONFIG in force late", "an old service", []string{"CONFIG goes back", "CONFIG linearizable"}, func(d *day) {
-		d.Changes[1].Whole = config(3, func(c *protocol.Config) { addNew(c); c.Routes[1].Backend = "lm" })
-		d.ReadBacks[0].Config = d.Changes[1].Whole
+		d.Changes[1].Config = config(3, func(c *protocol.Config) { addNew(c); c.Routes[1].Backend = "lm" })
+		d.ReadBacks[0].Config = d.Changes[1].Config
 		for _, arrival := range d.Arrivals {
 			if arrival.URI == "/p/x" && arrival.At > at(10) && arrival.At < at(50) {
 				arrival.Service = "lm"
@@ -380,24 +382,24 @@
 		}
 	}},
 	{"CONFIG later routes served", "later routes are refused", []string{"Starved kinds"}, func(d *day) {
-		for place, try := range d.Tries {
-			if try.URI == "/new/x" {
-				refuse(try, 503)
+		for place, attempt := range d.Attempts {
+			if attempt.URI == "/new/x" {
+				refuse(attempt, 503)
 				unrun(d.Arrivals[place])
 			}
 		}
 	}},
 	{"CONFIG goes back", "a 404 just after the effect of a version", nil, func(d *day) {
 		d.request(10.6, protocol.Idempotent, "/new/x", "other", "o1")
-		try, arrival := d.request(11.1, protocol.Idempotent, "/new/x", "other", "o1")
-		refuse(try, 404)
+		attempt, arrival := d.request(11.1, protocol.Idempotent, "/new/x", "other", "o1")
+		refuse(attempt, 404)
 		unrun(arrival)
 	}},
 	{"CONFIG refused or invalid in force", "the loser of a race", nil, func(d *day) { d.Arrivals[d.at("/s/x", 25)].Service = "plain" }},
 	{"CONFIG acknowledged wrongly", "an invalid one", []string{"CONFIG linearizable"}, func(d *day) { d.Changes[3].Outcome = history.Acknowledged }},
 	{"CONFIG acknowledged wrongly", "two on one base", []string{"CONFIG linearizable"}, func(d *day) {
 		d.Changes[2].Outcome = history.Acknowledged
-		d.Changes[2].Whole = config(2, nil)
+		d.Changes[2].Config = config(2, nil)
 	}},
 	{"CONFIG acknowledged wrongly", "two under one number", []string{"CONFIG linearizable"}, func(d *day) {
 		d.rival(3)
@@ -408,10 +410,10 @@
 	{"CONFIG linearizable", "an acknowledged change is sent again and refused", nil, func(d *day) { d.again(1, 13).Outcome = history.Refused }},
 	{"CONFIG linearizable", "a refused change is sent again and acknowledged", []string{"CONFIG acknowledged wrongly"}, func(d *day) { d.again(2, 13).Outcome = history.Acknowledged }},
 	{"CONFIG linearizable", "a valid change on the newest is refused", nil, func(d *day) {
-		whole := config(8, addNew)
-		d.Changes = append(d.Changes, &history.Change{Operator: "b", Base: 3, Generation: 8, Whole: whole, Method: "PUT", Body: whole.Encode(), Began: at(13), Answered: at(13.1), Outcome: history.Refused})
+		overall := config(8, addNew)
+		d.Changes = append(d.Changes, &history.Change{Operator: "b", Base: 3, Generation: 8, Config: overall, Method: "PUT", Body: overall.Encode(), Began: at(13), Answered: at(13.1), Outcome: history.Refused})
 	}},
-	{"CONFIG linearizable", "a reading goes back", nil, func(d *day) { d.Reads[1].Config = d.Changes[0].Whole }},
+	{"CONFIG linearizable", "a reading goes back", nil, func(d *day) { d.Reads[1].Config = d.Changes[0].Config }},
 	{"CONFIG linearizable", "a reading sees other content", nil, func(d *day) { d.Reads[1].Config = config(3, nil) }},
 	{"CONFIG read back", "it does not come", []string{"LOST after the closing fault"}, func(d *day) { d.ReadBacks[0] = history.ReadBack{Err: "no answer"} }},
 	{"CONFIG read back", "other content under its number", []string{"LOST after the closing fault"}, func(d *day) { d.ReadBacks[0].Config = config(3, nil) }},
@@ -425,16 +427,16 @@
 			d.Arrivals = append(d.Arrivals, &third)
 		}
 	}},
-	{"ORDER", "an event is missing", nil, func(d *day) { d.Tries[0].Events = append(d.Tries[0].Events[:1:1], d.Tries[0].Events[2]) }},
+	{"ORDER", "an event is missing", nil, func(d *day) { d.Attempts[0].Events = append(d.Attempts[0].Events[:1:1], d.Attempts[0].Events[2]) }},
 	{"ORDER", "an event comes twice", nil, func(d *day) {
-		d.Tries[0].Events = append(d.Tries[0].Events[:2:2], d.Tries[0].Events[1:]...)
+		d.Attempts[0].Events = append(d.Attempts[0].Events[:2:2], d.Attempts[0].Events[1:]...)
 	}},
-	{"ORDER", "it ends early as complete", nil, func(d *day) { d.Tries[0].Events = d.Tries[0].Events[:2] }},
-	{"ORDER", "two runs are joined", nil, func(d *day) { d.Tries[0].Events[2].Data = protocol.EventData("t1", "e2-9", 3, 3) }},
+	{"ORDER", "it ends early as complete", nil, func(d *day) { d.Attempts[0].Events = d.Attempts[0].Events[:2] }},
+	{"ORDER", "two runs are joined", nil, func(d *day) { d.Attempts[0].Events[2].Data = protocol.EventData("t1", "e2-9", 3, 3) }},
 	{"RECOVER", "little is served after the closing fault", nil, func(d *day) {
-		for place, try := range d.Tries {
-			if try.Began > at(74) && try.Began < at(92) {
-				refuse(try, 503)
+		for place, attempt := range d.Attempts {
+			if attempt.Began > at(74) && attempt.Began < at(92) {
+				refuse(attempt, 503)
 				unrun(d.Arrivals[place])
 			}
 		}
@@ -442,74 +444,74 @@
 	{"ONE", "two holders share a fence", nil, func(d *day) { d.order(40, "core-2", 2) }},
 	{"ONE", "a lower fence follows", nil, func(d *day) { d.order(40, "core-2", 1).Order.Owner = "core-0" }},
 	{"ONE", "holders take turns", nil, func(d *day) { d.order(22, "core-2", 3) }},
-	{"LIMIT", "a load over the room", nil, func(d *day) { d.Orders[0].Over = true }},
+	{"LIMIT", "a load over the room", nil, func(d *day) { d.Orders[0].OverCapacity = true }},
 	{"CEILING", "loads faster than the store allows", nil, func(d *day) {
 		for n := range 9 {
 			d.order(40+0.4*float64(n), "core-1", 2)
 		}
 	}},
 	{"Floor", "most is refused", []string{"Starved kinds", "Starved sessions", "CONFIG later routes served"}, func(d *day) {
-		for place, try := range d.Tries {
+		for place, attempt := range d.Attempts {
 			if place%3 != 0 {
-				refuse(try, 503)
+				refuse(attempt, 503)
 				unrun(d.Arrivals[place])
 			}
 		}
 	}},
 	{"Sizes", "the largest are refused", nil, func(d *day) {
-		for place, try := range d.Tries {
-			if try.Prompt.Model != "" && place%9 == 0 {
-				try.Prompt.TokensIn = 900
-				refuse(try, 503)
+		for place, attempt := range d.Attempts {
+			if attempt.Prompt.Model != "" && place%9 == 0 {
+				attempt.Prompt.TokensIn = 900
+				refuse(attempt, 503)
 				unrun(d.Arrivals[place])
 			}
 		}
 	}},
 	{"Starved sessions", "some sessions are never served", []string{"Starved kinds"}, func(d *day) {
-		for place, try := range d.Tries {
+		for place, attempt := range d.Attempts {
 			if place%4 == 1 {
-				try.Session = fmt.Sprint("poor", place%24)
-				refuse(try, 503)
+				attempt.Session = fmt.Sprint("poor", place%24)
+				refuse(attempt, 503)
 				unrun(d.Arrivals[place])
 			}
 		}
 	}},
 	{"Starved models", "some models are never served", nil, func(d *day) {
-		for place, try := range d.Tries {
-			if try.Prompt.Model != "" && place%5 == 0 {
-				try.Prompt.Model = fmt.Sprint("rare", place%3)
-				refuse(try, 503)
+		for place, attempt := range d.Attempts {
+			if attempt.Prompt.Model != "" && place%5 == 0 {
+				attempt.Prompt.Model = fmt.Sprint("rare", place%3)
+				refuse(attempt, 503)
 				unrun(d.Arrivals[place])
 			}
 		}
 	}},
 	{"Starved kinds", "one kind is hardly served", []string{"Starved sessions"}, func(d *day) {
-		for place, try := range d.Tries {
-			if try.Class == protocol.Mutating {
-				refuse(try, 503)
+		for place, attempt := range d.Attempts {
+			if attempt.Class == protocol.Mutating {
+				refuse(attempt, 503)
 				unrun(d.Arrivals[place])
 			}
 		}
 	}},
 	{"Acks", "a valid change waits too long", nil, func(d *day) { d.Changes[1].Answered = at(16) }},
-	{"Acks of leaving", "an engine is never told", nil, func(d *day) { d.Lives[3].DrainAcked = 0 }},
+	{"Acks of leaving", "an engine is never told", nil, func(d *day) { d.Incarnations[3].DrainAcked = 0 }},
 	{"Own ends", "a process ends by itself", nil, func(d *day) {
-		d.Troubles = append(d.Troubles, &history.Trouble{From: at(50), Until: at(50.1), Kind: history.OwnEnd, Machine: "core-0", Core: true})
+		d.Disruptions = append(d.Disruptions, &history.Disruption{From: at(50), Until: at(50.1), Kind: history.UnexpectedExit, Machine: "core-0", Core: true})
 	}},
 	{"Duty", "an edge is not ready", nil, func(d *day) {
-		for place := range d.Looks {
-			d.Looks[place].Ready = place%4 != 0
+		for place := range d.ReadinessChecks {
+			d.ReadinessChecks[place].Ready = place%4 != 0
 		}
 	}},
 }
 
-func TestEachRuleBites(t *testing.T) {
+func TestEachRuleDetectsItsViolation(t *testing.T) {
 	bitten := map[string]bool{}
 	for _, one := range breaks {
 		d := sound()
 		one.change(d)
 		bitten[one.rule] = true
-		for _, finding := range Judge(d.History, bounds()) {
+		for _, finding := range CheckAll(d.History, bounds()) {
 			may := false
 			for _, also := range one.also {
 				may = may || finding.Rule == also
@@ -522,15 +524,15 @@
 			}
 		}
 	}
-	for _, finding := range Judge(sound().History, bounds()) {
+	for _, finding := range CheckAll(sound().History, bounds()) {
 		if !bitten[finding.Rule] {
 			t.Errorf("no break of %s is tried", finding.Rule)
 		}
 	}
 }
 
-// TestWhatTheRulesExcuseIsExcused brings about what looks like a break and is none.
-func TestWhatTheRulesExcuseIsExcused(t *testing.T) {
+// TestExcusedDeviationsAreNoViolations brings about what looks like a break and is none.
+func TestExcusedDeviationsAreNoViolations(t *testing.T) {
 	for _, one := range []struct {
 		what   string
 		change func(*day)
@@ -540,47 +542,47 @@
 			d.Arrivals = append(d.Arrivals, &again)
 		}},
 		{"a resumed stream goes on at another engine", func(d *day) {
-			try, first := d.Tries[0], d.Arrivals[0]
-			try.Resumable = true
+			attempt, first := d.Attempts[0], d.Arrivals[0]
+			attempt.Resumable = true
 			second := *first
 			second.Run, second.Engine, second.LastEvent, second.From = "e3-9", "e3", "2", 2
-			first.Whole, first.Broke = false, true
+			first.Complete, first.Broken = false, true
 			d.Arrivals = append(d.Arrivals, &second)
-			try.Events[2].Data = protocol.EventData(try.Attempt, "e3-9", 3, 3)
+			attempt.Events[2].Data = protocol.EventData(attempt.AttemptID, "e3-9", 3, 3)
 		}},
 		{"an engine breaks a stream off, and the cut shows", func(d *day) {
-			d.Tries[0].Whole, d.Tries[0].Events = false, d.Tries[0].Events[:1]
-			d.Arrivals[0].Whole, d.Arrivals[0].Broke = false, true
+			d.Attempts[0].Complete, d.Attempts[0].Events = false, d.Attempts[0].Events[:1]
+			d.Arrivals[0].Complete, d.Arrivals[0].Broken = false, true
 		}},
 		{"a late arrival from a machine that was frozen", func(d *day) {
-			d.Troubles = append(d.Troubles, &history.Trouble{From: at(17), Until: at(18), Kind: history.Frozen, Machine: "edge-0"})
+			d.Disruptions = append(d.Disruptions, &history.Disruption{From: at(17), Until: at(18), Kind: history.Frozen, Machine: "edge-0"})
 			d.request(18.5, protocol.Streaming, "/s/x", "lm", "e2")
 		}},
 		{"an old route just after its change", func(d *day) {
-			try, arrival := d.request(11, protocol.Idempotent, "/new/x", "other", "o1")
-			refuse(try, 404)
+			attempt, arrival := d.request(11, protocol.Idempotent, "/new/x", "other", "o1")
+			refuse(attempt, 404)
 			unrun(arrival)
 		}},
 		{"an unclear change that came in force", func(d *day) {
-			d.Changes = append(d.Changes, &history.Change{Base: 3, Generation: 9, Whole: config(9, nil), Began: at(95), Outcome: history.Unclear})
+			d.Changes = append(d.Changes, &history.Change{Base: 3, Generation: 9, Config: config(9, nil), Began: at(95), Outcome: history.Unclear})
 			d.ReadBacks[0].Config = config(9, nil)
-			d.Troubles = append(d.Troubles, &history.Trouble{From: at(94), Kind: history.Frozen, Machine: "core-0", Core: true})
+			d.Disruptions = append(d.Disruptions, &history.Disruption{From: at(94), Kind: history.Frozen, Machine: "core-0", Core: true})
 		}},
 		{"loads while the core is unsettled", func(d *day) {
-			d.Troubles = append(d.Troubles, &history.Trouble{From: at(39), Until: at(45), Kind: history.Frozen, Machine: "core-0", Core: true})
+			d.Disruptions = append(d.Disruptions, &history.Disruption{From: at(39), Until: at(45), Kind: history.Frozen, Machine: "core-0", Core: true})
 			for n := range 9 {
 				d.order(40+0.4*float64(n), "core-1", 2)
 			}
 		}},
 		{"a request that was sent soon after a stop is cut at its end", func(d *day) {
-			try, arrival := d.request(32.9, protocol.Mutating, "/m/x", "plain", "p1")
-			cutAfter(try, arrival, 4.9)
+			attempt, arrival := d.request(32.9, protocol.Mutating, "/m/x", "plain", "p1")
+			cutAfter(attempt, arrival, 4.9)
 		}},
 		{"a few are not found by one that was out of touch", func(d *day) {
-			d.Troubles = append(d.Troubles, &history.Trouble{From: at(10), Until: at(12), Kind: history.Frozen, Machine: "edge-0"})
+			d.Disruptions = append(d.Disruptions, &history.Disruption{From: at(10), Until: at(12), Kind: history.Frozen, Machine: "edge-0"})
 			for n := range 5 {
-				try, arrival := d.request(10.5+0.1*float64(n), protocol.Idempotent, "/new/x", "other", "o1")
-				refuse(try, 404)
+				attempt, arrival := d.request(10.5+0.1*float64(n), protocol.Idempotent, "/new/x", "other", "o1")
+				refuse(attempt, 404)
 				unrun(arrival)
 			}
 		}},
@@ -590,34 +592,34 @@
 				d.further(arrival, "p2", 0.01)
 				d.further(arrival, "p3", 0.02)
 			}
-			d.Lives = append(d.Lives, &history.Life{Engine: "p3", Service: "plain", Ended: at(40.1), Crashed: true})
+			d.Incarnations = append(d.Incarnations, &history.Incarnation{Engine: "p3", Service: "plain", Ended: at(40.1), Crashed: true})
 		}},
 		{"work goes on for a client that left a mutating request", func(d *day) {
-			try, arrival := d.request(40, protocol.Mutating, "/m/x", "plain", "p1")
-			leave(try, arrival, 0.2, 0.9)
+			attempt, arrival := d.request(40, protocol.Mutating, "/m/x", "plain", "p1")
+			leave(attempt, arrival, 0.2, 0.9)
 		}},
 		{"a frozen engine works on for a client that left", func(d *day) {
-			d.Troubles = append(d.Troubles, &history.Trouble{From: at(39.5), Until: at(41), Kind: history.Link})
-			try, arrival := d.stream(40)
-			leave(try, arrival, 0.2, 1)
+			d.Disruptions = append(d.Disruptions, &history.Disruption{From: at(39.5), Until: at(41), Kind: history.Link})
+			attempt, arrival := d.stream(40)
+			leave(attempt, arrival, 0.2, 1)
 		}},
 		{"one machine of several counts as ready for long", func(d *day) {
-			d.Troubles = append(d.Troubles, &history.Trouble{From: at(40), Until: at(41), Kind: history.Stopped, Machine: "edge-0", Planned: true})
+			d.Disruptions = append(d.Disruptions, &history.Disruption{From: at(40), Until: at(41), Kind: history.Stopped, Machine: "edge-0", Planned: true})
 		}},
 		{"a client leaves at its route's deadline", func(d *day) {
-			try, arrival := d.request(40.5, protocol.Idempotent, "/p/x", "plain", "p1")
-			leave(try, arrival, 5.2, 5.3)
+			attempt, arrival := d.request(40.5, protocol.Idempotent, "/p/x", "plain", "p1")
+			leave(attempt, arrival, 5.2, 5.3)
 		}},
 		{"a few own 4xx", func(d *day) {
 			for n := range 5 {
-				refuse(d.Tries[1+4*n], 400)
+				refuse(d.Attempts[1+4*n], 400)
 				unrun(d.Arrivals[1+4*n])
 			}
 		}},
 	} {
 		d := sound()
 		one.change(d)
-		for _, finding := range Judge(d.History, bounds()) {
+		for _, finding := range CheckAll(d.History, bounds()) {
 			if len(finding.Violations) > 0 {
 				t.Errorf("%s: %s: %v", one.what, finding.Rule, finding.Violations)
 			}
--- a/testbed/platformtest/checker/kept.go
+++ b/testbed/platformtest/checker/kept.go
@@ -12,43 +12,43 @@
 
 const (
 	// keptLostFew is how many requests from kept connections may be lost without an answer.
-	keptLostFew = 3
+	keepAliveLostFew = 3
 	// sharesEnough is how many requests of a route show how it is shared out, sharesOff how far each part may be off.
 	sharesEnough = 200
 	sharesOff    = 0.2
 )
 
 // keptLost holds that a request that came on a kept connection and went on to a sound engine is answered.
-func (b *bench) keptLost() Finding {
+func (b *index) lostOnKeepAlive() Finding {
 	f := Finding{Rule: "LOST on kept connections"}
 	var lost []string
-	for _, try := range b.Tries {
-		if try.FirstOnConnection || try.Sent == 0 || try.Ended == 0 || !b.inTouch(try.Daemon, try.Ended) || b.linksTroubled(try.Began, try.Ended) {
+	for _, attempt := range b.Attempts {
+		if attempt.FirstOnConnection || attempt.Sent == 0 || attempt.Ended == 0 || !b.inTouch(attempt.Daemon, attempt.Ended) || b.linksDisrupted(attempt.Began, attempt.Ended) {
 			continue
 		}
-		arrivals := b.arrivals[try.Attempt]
-		if len(arrivals) == 0 || slices.ContainsFunc(arrivals, func(a *history.Arrival) bool { return a.Broke || !b.sound(a) }) {
+		arrivals := b.arrivals[attempt.AttemptID]
+		if len(arrivals) == 0 || slices.ContainsFunc(arrivals, func(a *history.Arrival) bool { return a.Broken || !b.sound(a) }) {
 			continue
 		}
 		f.Checked++
-		if b.cut(try) {
-			lost = append(lost, fmt.Sprintf("%s came to %s on a kept connection, which was closed without an answer", try.Attempt, try.Daemon))
+		if b.cut(attempt) {
+			lost = append(lost, fmt.Sprintf("%s came to %s on a kept connection, which was closed without an answer", attempt.AttemptID, attempt.Daemon))
 		}
 	}
-	if len(lost) > keptLostFew {
+	if len(lost) > keepAliveLostFew {
 		f.Violations = lost
 	}
 	return f
 }
 
 // sound says whether an engine lived on while it had a request.
-func (b *bench) sound(arrival *history.Arrival) bool {
-	life := b.lives[arrival.Engine]
-	return life != nil && (life.Ended == 0 || arrival.Ended != 0 && life.Ended > arrival.Ended)
+func (b *index) sound(arrival *history.Arrival) bool {
+	incarnation := b.incarnations[arrival.Engine]
+	return incarnation != nil && (incarnation.Ended == 0 || arrival.Ended != 0 && incarnation.Ended > arrival.Ended)
 }
 
 // shares holds that the parts of a route that is shared out get about what their weights say, while nothing is wrong.
-func (b *bench) shares() Finding {
+func (b *index) shares() Finding {
 	f := Finding{Rule: "CONFIG shares"}
 	type key struct {
 		generation uint64
@@ -56,20 +56,20 @@
 	}
 	arrived := map[key]map[string]int{}
 	routes := map[key]*protocol.Route{}
-	for _, try := range b.Tries {
-		version := b.onlyVersion(try)
-		if version == nil || !b.calm(try.Began, try.Ended) {
+	for _, attempt := range b.Attempts {
+		version := b.onlyVersion(attempt)
+		if version == nil || !b.calm(attempt.Began, attempt.Ended) {
 			continue
 		}
-		route := version.Whole.Find(try.Host, pathOf(try.URI))
-		if route == nil || len(route.Services()) < 2 || len(b.arrivals[try.Attempt]) == 0 {
+		route := version.Config.Find(attempt.Host, pathOf(attempt.URI))
+		if route == nil || len(route.Services()) < 2 || len(b.arrivals[attempt.AttemptID]) == 0 {
 			continue
 		}
 		at := key{version.Generation, route.Label}
 		if arrived[at] == nil {
 			arrived[at], routes[at] = map[string]int{}, route
 		}
-		arrived[at][b.arrivals[try.Attempt][0].Service]++
+		arrived[at][b.arrivals[attempt.AttemptID][0].Service]++
 	}
 	for at, services := range arrived {
 		total, weights := 0, int64(0)
@@ -86,7 +86,7 @@
 		for _, share := range routes[at].Shares {
 			wanted, got := float64(share.Share)/float64(weights), float64(services[share.Backend])/float64(total)
 			if math.Abs(wanted-got) > sharesOff {
-				f.fault("of %d requests of %s %s got %.2f and not %.2f", total, at.route, share.Backend, got, wanted)
+				f.violation("of %d requests of %s %s got %.2f and not %.2f", total, at.route, share.Backend, got, wanted)
 			}
 		}
 	}
@@ -94,14 +94,14 @@
 }
 
 // onlyVersion gives the version that all machines in touch went by through a try; nil where it may be one of several.
-func (b *bench) onlyVersion(try *history.Try) *history.Change {
+func (b *index) onlyVersion(attempt *history.Attempt) *history.Change {
 	var newest *history.Change
 	for _, version := range b.versions {
-		if version.Began <= try.Ended {
+		if version.Began <= attempt.Ended {
 			newest = version
 		}
 	}
-	if newest == nil || newest.Answered == 0 || newest.Outcome != history.Acknowledged || newest.Answered+clock.Mark(b.bounds.Apply) > try.Began {
+	if newest == nil || newest.Answered == 0 || newest.Outcome != history.Acknowledged || newest.Answered+clock.Mark(b.bounds.Apply) > attempt.Began {
 		return nil
 	}
 	return newest
--- a/testbed/platformtest/checker/linearizable.go
+++ b/testbed/platformtest/checker/linearizable.go
@@ -13,19 +13,19 @@
 const judgeWithin = time.Minute
 
 // configLinearizable looks for one order of effects that explains all that operators were answered and have read.
-func (b *bench) configLinearizable() Finding {
+func (b *index) configLinearizable() Finding {
 	f := Finding{Rule: "CONFIG linearizable"}
 	calls := b.operatorCalls()
 	f.Checked = len(calls)
 	if got := linearizability.Check(calls, judgeWithin); got.Verdict != linearizability.Linearizable {
-		f.fault("%s: %s", got.Verdict, got.Reason)
+		f.violation("%s: %s", got.Verdict, got.Reason)
 	}
 	return f
 }
 
 // operatorCalls gives the day's calls as the model takes them. Calls of one operator may overlap, so each is a
 // client of its own.
-func (b *bench) operatorCalls() (calls []linearizability.Call) {
+func (b *index) operatorCalls() (calls []linearizability.Call) {
 	rivals := b.rivals()
 	for _, change := range b.Changes {
 		call := linearizability.Call{Client: len(calls), Start: int64(change.Began), End: int64(change.Answered), Order: orderOf(change), Outcome: outcomes[change.Outcome]}
@@ -45,7 +45,7 @@
 }
 
 // rivals counts the orders by the version that each leads to, without those that were refused.
-func (b *bench) rivals() map[uint64]int {
+func (b *index) rivals() map[uint64]int {
 	digests := map[uint64]map[string]bool{}
 	for _, change := range b.Changes {
 		if change.Outcome == history.Refused {
@@ -72,8 +72,8 @@
 	if change.Fault != "" {
 		order.Validity = linearizability.Invalid
 	}
-	if change.Whole != nil {
-		order.Content = content(change.Whole)
+	if change.Config != nil {
+		order.Content = content(change.Config)
 	}
 	return order
 }
--- a/testbed/platformtest/checker/requests.go
+++ b/testbed/platformtest/checker/requests.go
@@ -12,78 +12,78 @@
 	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
-func (b *bench) broke(attempt string) bool {
-	return slices.ContainsFunc(b.arrivals[attempt], func(a *history.Arrival) bool { return a.Broke })
+func (b *index) broken(attempt string) bool {
+	return slices.ContainsFunc(b.arrivals[attempt], func(a *history.Arrival) bool { return a.Broken })
 }
 
-func (b *bench) mixed() Finding {
+func (b *index) mixed() Finding {
 	f := Finding{Rule: "MIXED"}
-	for _, try := range b.Tries {
-		if try.Surplus != "" {
+	for _, attempt := range b.Attempts {
+		if attempt.Unsolicited != "" {
 			f.Checked++
-			if strings.HasPrefix(try.Surplus, "HTTP/1.1 2") || !strings.HasPrefix(try.Surplus, "HTTP/1.") {
-				f.fault("%s: bytes came while no request waited: %.60q", try.Attempt, try.Surplus)
+			if strings.HasPrefix(attempt.Unsolicited, "HTTP/1.1 2") || !strings.HasPrefix(attempt.Unsolicited, "HTTP/1.") {
+				f.violation("%s: bytes came while no request waited: %.60q", attempt.AttemptID, attempt.Unsolicited)
 			}
 		}
-		if try.Junk != "" {
+		if attempt.Malformed != "" {
 			f.Checked++
-			if !b.broke(try.Attempt) || try.Status == 0 {
-				f.fault("%s: what came is no answer: %s", try.Attempt, try.Junk)
+			if !b.broken(attempt.AttemptID) || attempt.Status == 0 {
+				f.violation("%s: what came is no answer: %s", attempt.AttemptID, attempt.Malformed)
 			}
 		}
-		if try.Status == 0 {
+		if attempt.Status == 0 {
 			continue
 		}
 		f.Checked++
-		if try.Attempted != "" && try.Attempted != try.Attempt {
-			f.fault("%s got the answer to %s", try.Attempt, try.Attempted)
+		if attempt.AnsweredID != "" && attempt.AnsweredID != attempt.AttemptID {
+			f.violation("%s got the answer to %s", attempt.AttemptID, attempt.AnsweredID)
 		}
-		for _, event := range try.Events {
-			if attempt, _, _, _, ok := protocol.ReadEventData(event.Data); !ok || attempt != try.Attempt {
-				f.fault("%s got an event of another: %s", try.Attempt, event.Data)
+		for _, event := range attempt.Events {
+			if id, _, _, _, ok := protocol.ReadEventData(event.Data); !ok || id != attempt.AttemptID {
+				f.violation("%s got an event of another: %s", attempt.AttemptID, event.Data)
 				break
 			}
 		}
-		stamp, genuine := protocol.ReadStamp(try.Seal)
-		if !try.Success() {
-			if try.Seal != "" && (!genuine || stamp.Status != try.Status) {
-				f.fault("%s: a failure of %d bears a stamp of %d", try.Attempt, try.Status, stamp.Status)
+		stamp, genuine := protocol.ReadStamp(attempt.Seal)
+		if !attempt.Success() {
+			if attempt.Seal != "" && (!genuine || stamp.Status != attempt.Status) {
+				f.violation("%s: a failure of %d bears a stamp of %d", attempt.AttemptID, attempt.Status, stamp.Status)
 			}
 			continue
 		}
 		switch {
 		case !genuine:
-			f.fault("%s: a success without an engine's stamp", try.Attempt)
-		case try.Encoding != "" && try.Encoding != "identity":
-			f.fault("%s: a success with an encoding", try.Attempt)
-		case stamp.Attempt != try.Attempt:
-			f.fault("%s: the stamp is of %s", try.Attempt, stamp.Attempt)
-		case stamp.Status != try.Status:
-			f.fault("%s: the engine answered %d, and %d came", try.Attempt, stamp.Status, try.Status)
-		case stamp.Length >= 0 && (len(try.BodyOut) != stamp.Length || protocol.Digest(try.BodyOut) != stamp.Digest):
-			f.fault("%s: the body is not the engine's whole body", try.Attempt)
+			f.violation("%s: a success without an engine's stamp", attempt.AttemptID)
+		case attempt.Encoding != "" && attempt.Encoding != "identity":
+			f.violation("%s: a success with an encoding", attempt.AttemptID)
+		case stamp.Attempt != attempt.AttemptID:
+			f.violation("%s: the stamp is of %s", attempt.AttemptID, stamp.Attempt)
+		case stamp.Status != attempt.Status:
+			f.violation("%s: the engine answered %d, and %d came", attempt.AttemptID, stamp.Status, attempt.Status)
+		case stamp.Length >= 0 && (len(attempt.ResponseBody) != stamp.Length || protocol.Digest(attempt.ResponseBody) != stamp.Digest):
+			f.violation("%s: the body is not the engine's whole body", attempt.AttemptID)
 		}
 	}
 	return f
 }
 
-func (b *bench) unasked() Finding {
+func (b *index) unasked() Finding {
 	f := Finding{Rule: "UNASKED"}
 	for _, arrival := range b.Arrivals {
 		if !arrival.Ran() {
 			continue
 		}
 		f.Checked++
-		try := b.tries[arrival.Attempt]
+		attempt := b.attempts[arrival.AttemptID]
 		switch {
-		case try == nil:
-			f.fault("%s ran %q, which no client sent", arrival.Engine, arrival.Attempt)
-		case arrival.Method != try.Method || arrival.URI != try.URI:
-			f.fault("%s was sent as %s %s and ran as %s %s", try.Attempt, try.Method, try.URI, arrival.Method, arrival.URI)
-		case arrival.BodyDigest != try.BodyDigest:
-			f.fault("%s ran with another body", try.Attempt)
-		case arrival.Prompt.WriteModel() != try.Prompt.WriteModel() || arrival.Prompt.WriteCounts() != try.Prompt.WriteCounts() || arrival.Prompt.WriteParts() != try.Prompt.WriteParts():
-			f.fault("%s was sent as %+v and ran as %+v", try.Attempt, try.Prompt, arrival.Prompt)
+		case attempt == nil:
+			f.violation("%s ran %q, which no client sent", arrival.Engine, arrival.AttemptID)
+		case arrival.Method != attempt.Method || arrival.URI != attempt.URI:
+			f.violation("%s was sent as %s %s and ran as %s %s", attempt.AttemptID, attempt.Method, attempt.URI, arrival.Method, arrival.URI)
+		case arrival.BodyDigest != attempt.BodyDigest:
+			f.violation("%s ran with another body", attempt.AttemptID)
+		case arrival.Prompt.WriteModel() != attempt.Prompt.WriteModel() || arrival.Prompt.WriteCounts() != attempt.Prompt.WriteCounts() || arrival.Prompt.WriteParts() != attempt.Prompt.WriteParts():
+			f.violation("%s was sent as %+v and ran as %+v", attempt.AttemptID, attempt.Prompt, arrival.Prompt)
 		}
 	}
 	return f
@@ -99,30 +99,30 @@
 	return count, where
 }
 
-func (b *bench) twice() Finding {
+func (b *index) twice() Finding {
 	f := Finding{Rule: "TWICE"}
-	for _, try := range b.Tries {
-		count, where := ran(b.arrivals[try.Attempt])
-		if b.repeatable(try) || count == 0 {
+	for _, attempt := range b.Attempts {
+		count, where := ran(b.arrivals[attempt.AttemptID])
+		if b.idempotent(attempt) || count == 0 {
 			continue
 		}
 		f.Checked++
 		if count > 1 {
-			f.fault("%s ran at %v", try.Attempt, where)
+			f.violation("%s ran at %v", attempt.AttemptID, where)
 		}
 	}
 	return f
 }
 
-func (b *bench) refused() Finding {
+func (b *index) refused() Finding {
 	f := Finding{Rule: "REFUSED"}
-	for _, try := range b.Tries {
-		if b.repeatable(try) || !try.Promise() {
+	for _, attempt := range b.Attempts {
+		if b.idempotent(attempt) || !attempt.PromisesNotRun() {
 			continue
 		}
 		f.Checked++
-		if count, where := ran(b.arrivals[try.Attempt]); count > 0 {
-			f.fault("%s was answered %d and ran at %v", try.Attempt, try.Status, where)
+		if count, where := ran(b.arrivals[attempt.AttemptID]); count > 0 {
+			f.violation("%s was answered %d and ran at %v", attempt.AttemptID, attempt.Status, where)
 		}
 	}
 	return f
@@ -131,30 +131,30 @@
 // unknownFew is how many answers that something is not known, or not allowed, machines out of touch may give.
 const unknownFew = 10
 
-func (b *bench) denied() Finding {
+func (b *index) denied() Finding {
 	f := Finding{Rule: "DENIED"}
 	var denied, unknown []string
-	for _, try := range b.Tries {
-		if !try.Probe && !try.Absent {
+	for _, attempt := range b.Attempts {
+		if !attempt.Probe && !attempt.Absent {
 			f.Checked++
 		}
-		if try.Probe || try.Absent || !own(try) || try.Promise() || try.Status < 300 || try.Status > 499 {
+		if attempt.Probe || attempt.Absent || !own(attempt) || attempt.PromisesNotRun() || attempt.Status < 300 || attempt.Status > 499 {
 			continue
 		}
-		if !b.inTouch(try.Daemon, try.Ended) {
-			if slices.Contains([]int{401, 403, 404}, try.Status) && b.alwaysAllowed(try) {
-				unknown = append(unknown, fmt.Sprintf("%s was answered %d by %s, which was out of touch", try.Attempt, try.Status, try.Daemon))
+		if !b.inTouch(attempt.Daemon, attempt.Ended) {
+			if slices.Contains([]int{401, 403, 404}, attempt.Status) && b.alwaysAllowed(attempt) {
+				unknown = append(unknown, fmt.Sprintf("%s was answered %d by %s, which was out of touch", attempt.AttemptID, attempt.Status, attempt.Daemon))
 			}
 			continue
 		}
 		proper := true
-		for _, version := range b.versions[b.due(try.Began, b.applyBound(try.Began)):] {
-			if version.Began <= try.Ended && version.Whole.Find(try.Host, pathOf(try.URI)) == nil {
+		for _, version := range b.versions[b.oldestValid(attempt.Began, b.applyBound(attempt.Began)):] {
+			if version.Began <= attempt.Ended && version.Config.Find(attempt.Host, pathOf(attempt.URI)) == nil {
 				proper = false
 			}
 		}
 		if proper {
-			denied = append(denied, fmt.Sprintf("%s was answered %d by %s", try.Attempt, try.Status, try.Daemon))
+			denied = append(denied, fmt.Sprintf("%s was answered %d by %s", attempt.AttemptID, attempt.Status, attempt.Daemon))
 		}
 	}
 	if len(denied) > 5+f.Checked/500 {
@@ -167,11 +167,13 @@
 }
 
 // alwaysAllowed says whether all configurations of the day have a route for a request.
-func (b *bench) alwaysAllowed(try *history.Try) bool {
-	return !slices.ContainsFunc(b.versions, func(version *history.Change) bool { return version.Whole.Find(try.Host, pathOf(try.URI)) == nil })
+func (b *index) alwaysAllowed(attempt *history.Attempt) bool {
+	return !slices.ContainsFunc(b.versions, func(version *history.Change) bool {
+		return version.Config.Find(attempt.Host, pathOf(attempt.URI)) == nil
+	})
 }
 
-func (b *bench) route() Finding {
+func (b *index) route() Finding {
 	f := Finding{Rule: "ROUTE"}
 	for _, arrival := range b.Arrivals {
 		if !arrival.Ran() {
@@ -179,39 +181,39 @@
 		}
 		f.Checked++
 		ever := func(list []*history.Change) bool {
-			return slices.ContainsFunc(list, func(c *history.Change) bool { return allows(c.Whole, arrival.Host, arrival.URI, arrival.Service) })
+			return slices.ContainsFunc(list, func(c *history.Change) bool { return allows(c.Config, arrival.Host, arrival.URI, arrival.Service) })
 		}
-		if !ever(b.versions) && !ever(b.others) {
-			f.fault("%s ran at %s of %s, which no configuration ever allowed", arrival.Attempt, arrival.Engine, arrival.Service)
+		if !ever(b.versions) && !ever(b.rejected) {
+			f.violation("%s ran at %s of %s, which no configuration ever allowed", arrival.AttemptID, arrival.Engine, arrival.Service)
 		}
 	}
 	return f
 }
 
-func (b *bench) drain() Finding {
+func (b *index) drain() Finding {
 	f := Finding{Rule: "DRAIN"}
-	for _, life := range b.Lives {
-		if life.DrainAcked == 0 {
+	for _, incarnation := range b.Incarnations {
+		if incarnation.DrainAcked == 0 {
 			continue
 		}
 		f.Checked++
-		start := life.DrainAcked
-		for _, trouble := range b.Troubles {
+		start := incarnation.DrainAcked
+		for _, disruption := range b.Disruptions {
 			// The time starts once the core is settled again.
-			if trouble.Core && trouble.From <= start && (trouble.Until == 0 || trouble.Until+clock.Mark(b.bounds.Contact) > start) {
-				if trouble.Until == 0 {
+			if disruption.Core && disruption.From <= start && (disruption.Until == 0 || disruption.Until+clock.Mark(b.bounds.Contact) > start) {
+				if disruption.Until == 0 {
 					start = b.Ended
 				} else {
-					start = trouble.Until + clock.Mark(b.bounds.Contact)
+					start = disruption.Until + clock.Mark(b.bounds.Contact)
 				}
 			}
 		}
 		for _, arrival := range b.Arrivals {
-			if arrival.Engine != life.Engine || arrival.Probe || arrival.Status == 421 || arrival.At <= start+clock.Mark(b.bounds.Drain) {
+			if arrival.Engine != incarnation.Engine || arrival.HealthCheck || arrival.Status == 421 || arrival.At <= start+clock.Mark(b.bounds.Drain) {
 				continue
 			}
-			if try := b.tries[arrival.Attempt]; try != nil && b.inTouch(try.Daemon, arrival.At) {
-				f.fault("%s reached %s from %s %v after its leaving was acknowledged", arrival.Attempt, arrival.Engine, try.Daemon, arrival.At.Since(life.DrainAcked).Round(time.Millisecond))
+			if attempt := b.attempts[arrival.AttemptID]; attempt != nil && b.inTouch(attempt.Daemon, arrival.At) {
+				f.violation("%s reached %s from %s %v after its leaving was acknowledged", arrival.AttemptID, arrival.Engine, attempt.Daemon, arrival.At.Since(incarnation.DrainAcked).Round(time.Millisecond))
 			}
 		}
 	}
@@ -219,22 +221,22 @@
 }
 
 // cut says that a request was read, and its connection closed with no complete answer, by the system's doing.
-func (b *bench) cut(try *history.Try) bool {
-	if !try.Connected || try.Sent == 0 || try.Ended == 0 || try.GaveUp || try.Status != 0 && try.Whole {
+func (b *index) cut(attempt *history.Attempt) bool {
+	if !attempt.Connected || attempt.Sent == 0 || attempt.Ended == 0 || attempt.ClientClosed || attempt.Status != 0 && attempt.Complete {
 		return false
 	}
-	arrivals := b.arrivals[try.Attempt]
-	if len(arrivals) == 0 && try.Ended <= try.Sent+clock.Mark(b.bounds.LossSlack) {
+	arrivals := b.arrivals[attempt.AttemptID]
+	if len(arrivals) == 0 && attempt.Ended <= attempt.Sent+clock.Mark(b.bounds.LossSlack) {
 		return false
 	}
-	if b.broke(try.Attempt) || try.Ended.Since(try.Began) >= time.Duration(try.DeadlineMs)*time.Millisecond {
+	if b.broken(attempt.AttemptID) || attempt.Ended.Since(attempt.Began) >= time.Duration(attempt.DeadlineMs)*time.Millisecond {
 		return false
 	}
-	if b.timedOut(try) {
+	if b.timedOut(attempt) {
 		return false
 	}
 	for _, arrival := range arrivals {
-		if life := b.lives[arrival.Engine]; life != nil && life.Ended != 0 && life.Ended <= try.Ended {
+		if incarnation := b.incarnations[arrival.Engine]; incarnation != nil && incarnation.Ended != 0 && incarnation.Ended <= attempt.Ended {
 			return false
 		}
 	}
@@ -242,9 +244,9 @@
 }
 
 // timedOut says that the route's own longest time was reached.
-func (b *bench) timedOut(try *history.Try) bool {
+func (b *index) timedOut(attempt *history.Attempt) bool {
 	for _, version := range b.versions {
-		if route := version.Whole.Find(try.Host, pathOf(try.URI)); route != nil && try.Ended.Since(try.Began) >= time.Duration(route.DeadlineMs)*time.Millisecond {
+		if route := version.Config.Find(attempt.Host, pathOf(attempt.URI)); route != nil && attempt.Ended.Since(attempt.Began) >= time.Duration(route.DeadlineMs)*time.Millisecond {
 			return true
 		}
 	}
@@ -254,33 +256,33 @@
 // excusedFor is until how long after a stop began a request may be sent whose engine may outlast the machine.
 const excusedFor = 3 * time.Second
 
-func (b *bench) lostPlanned() Finding {
+func (b *index) lostPlanned() Finding {
 	f := Finding{Rule: "LOST around planned work"}
-	unplanned := func(try *history.Try) bool {
-		return b.troubled(before(try.Began, b.bounds.Contact), try.Ended, func(t *history.Trouble) bool {
-			return !t.Planned && (t.Machine == try.Daemon || t.Core || t.Kind == history.Closing || t.Kind == history.Link)
+	unplanned := func(attempt *history.Attempt) bool {
+		return b.disrupted(before(attempt.Began, b.bounds.Contact), attempt.Ended, func(t *history.Disruption) bool {
+			return !t.Planned && (t.Machine == attempt.Daemon || t.Core || t.Kind == history.Closing || t.Kind == history.Link)
 		})
 	}
-	for _, trouble := range b.Troubles {
-		if !trouble.Planned || trouble.Kind != history.Stopped && trouble.Kind != history.Reload {
+	for _, disruption := range b.Disruptions {
+		if !disruption.Planned || disruption.Kind != history.Stopped && disruption.Kind != history.Reload {
 			continue
 		}
-		until := trouble.From + clock.Mark(b.bounds.Grace+time.Second)
-		for _, try := range b.Tries {
-			if try.Daemon != trouble.Machine || try.Ended < trouble.From || try.Ended > until || unplanned(try) {
+		until := disruption.From + clock.Mark(b.bounds.Grace+time.Second)
+		for _, attempt := range b.Attempts {
+			if attempt.Daemon != disruption.Machine || attempt.Ended < disruption.From || attempt.Ended > until || unplanned(attempt) {
 				continue
 			}
-			if trouble.Kind == history.Reload && try.Began > trouble.From+clock.Mark(b.bounds.Apply) {
+			if disruption.Kind == history.Reload && attempt.Began > disruption.From+clock.Mark(b.bounds.Apply) {
 				continue
 			}
 			f.Checked++
-			if !b.cut(try) {
+			if !b.cut(attempt) {
 				continue
 			}
-			if trouble.Kind == history.Stopped && try.Sent <= trouble.From+clock.Mark(excusedFor) && b.stillAt(try, trouble.From+clock.Mark(b.bounds.Grace/2)) {
+			if disruption.Kind == history.Stopped && attempt.Sent <= disruption.From+clock.Mark(excusedFor) && b.stillRunning(attempt, disruption.From+clock.Mark(b.bounds.Grace/2)) {
 				continue
 			}
-			f.fault("%s at %s was cut around its %s", try.Attempt, try.Daemon, trouble.Kind)
+			f.violation("%s at %s was cut around its %s", attempt.AttemptID, attempt.Daemon, disruption.Kind)
 		}
 	}
 	b.lostOverChanges(&f, unplanned)
@@ -288,19 +290,19 @@
 }
 
 // stillAt says whether an engine was still at work on it then.
-func (b *bench) stillAt(try *history.Try, at clock.Mark) bool {
-	return slices.ContainsFunc(b.arrivals[try.Attempt], func(a *history.Arrival) bool { return a.At <= at && (a.Ended == 0 || a.Ended > at) })
+func (b *index) stillRunning(attempt *history.Attempt, at clock.Mark) bool {
+	return slices.ContainsFunc(b.arrivals[attempt.AttemptID], func(a *history.Arrival) bool { return a.At <= at && (a.Ended == 0 || a.Ended > at) })
 }
 
 // lostOverChanges compares the time around changes of the configuration with the rest, machine by machine.
-func (b *bench) lostOverChanges(f *Finding, unplanned func(*history.Try) bool) {
-	near := func(try *history.Try) bool {
+func (b *index) lostOverChanges(f *Finding, unplanned func(*history.Attempt) bool) {
+	near := func(attempt *history.Attempt) bool {
 		for _, version := range b.versions {
 			end := version.Answered
 			if end == 0 {
 				end = version.Began
 			}
-			if try.Ended >= version.Began && try.Ended <= end+clock.Mark(b.bounds.Apply+time.Second) {
+			if attempt.Ended >= version.Began && attempt.Ended <= end+clock.Mark(b.bounds.Apply+time.Second) {
 				return true
 			}
 		}
@@ -308,21 +310,21 @@
 	}
 	type tally struct{ cut, all int }
 	machines := map[string]*[2]tally{}
-	for _, try := range b.Tries {
-		if try.Ended == 0 || try.Daemon == "" || unplanned(try) || float64(try.Ended.Since(try.Began)) > 0.7*float64(try.DeadlineMs)*float64(time.Millisecond) {
+	for _, attempt := range b.Attempts {
+		if attempt.Ended == 0 || attempt.Daemon == "" || unplanned(attempt) || float64(attempt.Ended.Since(attempt.Began)) > 0.7*float64(attempt.DeadlineMs)*float64(time.Millisecond) {
 			continue
 		}
-		count := machines[try.Daemon]
+		count := machines[attempt.Daemon]
 		if count == nil {
 			count = &[2]tally{}
-			machines[try.Daemon] = count
+			machines[attempt.Daemon] = count
 		}
 		place := 1
-		if near(try) {
+		if near(attempt) {
 			place = 0
 		}
 		count[place].all++
-		if b.cut(try) {
+		if b.cut(attempt) {
 			count[place].cut++
 		}
 	}
@@ -336,13 +338,13 @@
 			usual = float64(count[1].cut) / float64(count[1].all)
 		}
 		if float64(count[0].cut)/float64(count[0].all) > 3*usual {
-			f.fault("%s cut %d of %d requests around changes of the configuration, and %d of %d at other times", machine, count[0].cut, count[0].all, count[1].cut, count[1].all)
+			f.violation("%s cut %d of %d requests around changes of the configuration, and %d of %d at other times", machine, count[0].cut, count[0].all, count[1].cut, count[1].all)
 		}
 	}
 	slices.Sort(f.Violations)
 }
 
-func (b *bench) budget() Finding {
+func (b *index) budget() Finding {
 	f := Finding{Rule: "BUDGET"}
 	window := clock.Mark(b.bounds.RetryWindow)
 	further := map[string][]clock.Mark{}
@@ -356,20 +358,20 @@
 		}
 	}
 	asked := map[string][]clock.Mark{}
-	for _, try := range b.Tries {
-		if try.Sent == 0 {
+	for _, attempt := range b.Attempts {
+		if attempt.Sent == 0 {
 			continue
 		}
 		services := map[string]bool{}
 		for _, version := range b.versions {
-			if route := version.Whole.Find(try.Host, pathOf(try.URI)); route != nil {
+			if route := version.Config.Find(attempt.Host, pathOf(attempt.URI)); route != nil {
 				for _, service := range route.Services() {
 					services[service] = true
 				}
 			}
 		}
 		for service := range services {
-			asked[service] = append(asked[service], try.Began)
+			asked[service] = append(asked[service], attempt.Began)
 		}
 	}
 	count := func(marks []clock.Mark, from, to clock.Mark) int {
@@ -387,7 +389,7 @@
 			more := count(again, end-window, end)
 			requests := max(count(marks, end-window, end), count(marks, end-2*window, end-window), count(marks, end-window*3/2, end-window/2))
 			if allowed := b.bounds.RetryRatio*float64(requests) + float64(b.bounds.RetrySlack); float64(more) > allowed {
-				f.fault("%s got %d further arrivals within %v for %d requests", service, more, b.bounds.RetryWindow, requests)
+				f.violation("%s got %d further arrivals within %v for %d requests", service, more, b.bounds.RetryWindow, requests)
 				break
 			}
 		}
@@ -396,27 +398,27 @@
 	return f
 }
 
-func (b *bench) order() Finding {
+func (b *index) order() Finding {
 	f := Finding{Rule: "ORDER"}
-	for _, try := range b.Tries {
-		if try.Class != protocol.Streaming || try.Status < 200 || try.Status > 299 {
+	for _, attempt := range b.Attempts {
+		if attempt.Class != protocol.Streaming || attempt.Status < 200 || attempt.Status > 299 {
 			continue
 		}
 		f.Checked++
-		if fault := b.streamFault(try); fault != "" {
-			f.fault("%s: %s", try.Attempt, fault)
+		if fault := b.streamFault(attempt); fault != "" {
+			f.violation("%s: %s", attempt.AttemptID, fault)
 		}
 	}
 	return f
 }
 
-func (b *bench) streamFault(try *history.Try) string {
+func (b *index) streamFault(attempt *history.Attempt) string {
 	place := 0
-	if try.LastEvent != "" {
-		place, _ = strconv.Atoi(try.LastEvent)
+	if attempt.LastEvent != "" {
+		place, _ = strconv.Atoi(attempt.LastEvent)
 	}
 	run, of := "", 0
-	for _, event := range try.Events {
+	for _, event := range attempt.Events {
 		_, in, at, all, ok := protocol.ReadEventData(event.Data)
 		if !ok {
 			return "an event cannot be read: " + event.Data
@@ -428,16 +430,16 @@
 			return fmt.Sprintf("event %d where %d was due", at, place+1)
 		}
 		if run != "" && in != run {
-			went := slices.ContainsFunc(b.arrivals[try.Attempt], func(a *history.Arrival) bool { return a.Run == in && a.LastEvent == strconv.Itoa(place) })
-			if !b.repeatable(try) || !went {
+			went := slices.ContainsFunc(b.arrivals[attempt.AttemptID], func(a *history.Arrival) bool { return a.Run == in && a.LastEvent == strconv.Itoa(place) })
+			if !b.idempotent(attempt) || !went {
 				return fmt.Sprintf("pieces of %s and %s are joined", run, in)
 			}
 		}
 		run, of, place = in, all, at
 	}
 	// One that is taken up behind the last event has nothing left to come.
-	nothingLeft := len(try.Events) == 0 && try.LastEvent != ""
-	if try.Whole && !nothingLeft && (place != of || len(try.Events) == 0) {
+	nothingLeft := len(attempt.Events) == 0 && attempt.LastEvent != ""
+	if attempt.Complete && !nothingLeft && (place != of || len(attempt.Events) == 0) {
 		return fmt.Sprintf("it ends as complete after event %d of %d", place, of)
 	}
 	return ""
--- a/testbed/platformtest/client/client.go
+++ b/testbed/platformtest/client/client.go
@@ -23,25 +23,25 @@
 	Chunked bool
 	Prompt  protocol.Prompt
 	// Class and Resumable are as the route says; Deadline is how long the client waits.
-	Class         string
-	Resumable     bool
-	Deadline, Aim time.Duration
-	Gap           time.Duration
+	Class            string
+	Resumable        bool
+	Deadline, Target time.Duration
+	Gap              time.Duration
 	// Tries is how often it tries in all.
-	Tries int
+	MaxAttempts int
 	// LeavesAfter is how long after it was sent the client closes its connection, whatever came; zero is never.
-	LeavesAfter time.Duration
+	CloseAfter time.Duration
 	// Impatient clients try again at once, and do not wait as told.
 	Impatient bool
 	// Outlasts marks one whose work takes longer than its route's deadline.
-	Outlasts bool
+	ExceedsDeadline bool
 	// Probe marks one that shows the configuration in force; Absent: its route is not there.
 	Probe, Absent bool
 	// At sends all tries to this daemon.
-	At *Daemon
+	Only *Daemon
 }
 
-func (r *Request) repeatable() bool {
+func (r *Request) idempotent() bool {
 	return r.Class == protocol.Idempotent || r.Class == protocol.Streaming && r.Resumable
 }
 
@@ -50,20 +50,20 @@
 
 // Client sends requests one after the other.
 type Client struct {
-	Book *history.Book
+	Recorder *history.Recorder
 	// Enter picks the daemon for a new connection from a zone; false if there is none.
-	Enter func(zone string) (Daemon, bool)
+	PickDaemon func(zone string) (Daemon, bool)
 	// Keeps says that it keeps connections.
-	Keeps bool
+	KeepAlive bool
 	// NextAttempt gives ids that nobody else gives.
-	NextAttempt func() string
+	NextAttemptID func() string
 
-	mutex sync.Mutex
-	kept  *Conn
+	mutex    sync.Mutex
+	idleConn *Conn
 }
 
 // NewAttempts gives attempt ids from a seed.
-func NewAttempts(seed uint64) func() string {
+func NewAttemptIDs(seed uint64) func() string {
 	var mutex sync.Mutex
 	random := rand.New(rand.NewPCG(seed, 77))
 	return func() string {
@@ -77,41 +77,41 @@
 func (c *Client) Close() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.kept != nil {
-		c.kept.Close()
-		c.kept = nil
+	if c.idleConn != nil {
+		c.idleConn.Close()
+		c.idleConn = nil
 	}
 }
 
 // Do tries until there is an answer or no further try is allowed, and gives the tries.
-func (c *Client) Do(ctx context.Context, r *Request) []*history.Try {
-	began := c.Book.Now()
+func (c *Client) Do(ctx context.Context, r *Request) []*history.Attempt {
+	began := c.Recorder.Now()
 	until := began + clock.Mark(r.Deadline)
-	var tries []*history.Try
+	var attempts []*history.Attempt
 	lastEvent := ""
 	for n := 0; ; n++ {
-		left := until.Since(c.Book.Now())
+		left := until.Since(c.Recorder.Now())
 		if left <= 0 || ctx.Err() != nil {
-			return tries
+			return attempts
 		}
-		try := c.try(ctx, r, left, lastEvent, n > 0)
-		tries = append(tries, try)
-		if !again(r, try) || n+1 >= max(1, r.Tries) {
-			return tries
+		attempt := c.attempt(ctx, r, left, lastEvent, n > 0)
+		attempts = append(attempts, attempt)
+		if !shouldRetry(r, attempt) || n+1 >= max(1, r.MaxAttempts) {
+			return attempts
 		}
-		if len(try.Events) > 0 {
-			lastEvent = try.Events[len(try.Events)-1].ID
+		if len(attempt.Events) > 0 {
+			lastEvent = attempt.Events[len(attempt.Events)-1].ID
 		}
-		left = until.Since(c.Book.Now())
+		left = until.Since(c.Recorder.Now())
 		pause := min(left/3, time.Duration(20<<min(n, 6))*time.Millisecond)
-		if try.HasRetryAfter {
-			pause = min(left/3, time.Duration(try.RetryAfterMs)*time.Millisecond)
+		if attempt.HasRetryAfter {
+			pause = min(left/3, time.Duration(attempt.RetryAfterMs)*time.Millisecond)
 		}
 		if r.Impatient {
 			pause = 0
 		}
 		if !wait(ctx, pause) {
-			return tries
+			return attempts
 		}
 	}
 }
@@ -128,102 +128,104 @@
 }
 
 // again says whether the page allows another try after this one.
-func again(r *Request, try *history.Try) bool {
-	if try.Early || try.GaveUp && !r.repeatable() {
+func shouldRetry(r *Request, attempt *history.Attempt) bool {
+	if attempt.Early || attempt.ClientClosed && !r.idempotent() {
 		return false
 	}
-	switch status := try.Status; {
-	case try.Promise() && try.Whole:
+	switch status := attempt.Status; {
+	case attempt.PromisesNotRun() && attempt.Complete:
 		return true
 	case status == 400 || status == 401 || status == 404 || status == 413 || status == 431:
 		return false
-	case status >= 200 && status < 300 && try.Whole:
+	case status >= 200 && status < 300 && attempt.Complete:
 		return false
-	case r.repeatable():
+	case r.idempotent():
 		return true
 	}
 	// Nothing was sent: nobody can have read it.
-	return try.Sent == 0 && !try.Connected
+	return attempt.Sent == 0 && !attempt.Connected
 }
 
 // enter gives a connection, kept or new.
-func (c *Client) enter(ctx context.Context, r *Request, fresh bool) (*Conn, Daemon, error) {
+func (c *Client) connect(ctx context.Context, r *Request, fresh bool) (*Conn, Daemon, error) {
 	c.mutex.Lock()
-	kept := c.kept
-	c.kept = nil
+	kept := c.idleConn
+	c.idleConn = nil
 	c.mutex.Unlock()
 	if kept != nil {
-		if !fresh && r.At == nil && kept.Usable() {
+		if !fresh && r.Only == nil && kept.Usable() {
 			return kept, Daemon{Name: kept.Daemon}, nil
 		}
 		kept.Close()
 	}
 	daemon := Daemon{}
-	if r.At != nil {
-		daemon = *r.At
+	if r.Only != nil {
+		daemon = *r.Only
 	} else {
 		var ok bool
-		if daemon, ok = c.Enter(r.Zone); !ok {
+		if daemon, ok = c.PickDaemon(r.Zone); !ok {
 			return nil, daemon, fmt.Errorf("no daemon takes connections")
 		}
 	}
-	conn, err := Dial(ctx, c.Book, daemon.Name, daemon.Address)
+	conn, err := Dial(ctx, c.Recorder, daemon.Name, daemon.Address)
 	return conn, daemon, err
 }
 
 // try makes one try.
-func (c *Client) try(ctx context.Context, r *Request, left time.Duration, lastEvent string, fresh bool) *history.Try {
-	try := &history.Try{Request: r.ID, Kind: r.Kind, Session: r.Session, Zone: r.Zone, Attempt: c.NextAttempt(), Host: r.Host, Method: r.Method, URI: r.URI,
-		BodyDigest: protocol.Digest(r.Body), BodyBytes: len(r.Body), Prompt: r.Prompt, LastEvent: lastEvent, DeadlineMs: left.Milliseconds(), AimMs: r.Aim.Milliseconds(),
-		Class: r.Class, Resumable: r.Resumable, Probe: r.Probe, Absent: r.Absent, Outlasts: r.Outlasts, Began: c.Book.Now()}
-	c.Book.Note(func(h *history.History) { h.Tries = append(h.Tries, try) })
-	conn, daemon, err := c.enter(ctx, r, fresh)
+func (c *Client) attempt(ctx context.Context, r *Request, left time.Duration, lastEvent string, fresh bool) *history.Attempt {
+	attempt := &history.Attempt{Request: r.ID, Kind: r.Kind, Session: r.Session, Zone: r.Zone, AttemptID: c.NextAttemptID(), Host: r.Host, Method: r.Method, URI: r.URI,
+		BodyDigest: protocol.Digest(r.Body), BodyBytes: len(r.Body), Prompt: r.Prompt, LastEvent: lastEvent, DeadlineMs: left.Milliseconds(), TargetMs: r.Target.Milliseconds(),
+		Class: r.Class, Resumable: r.Resumable, Probe: r.Probe, Absent: r.Absent, ExceedsDeadline: r.ExceedsDeadline, Began: c.Recorder.Now()}
+	c.Recorder.Record(func(h *history.History) { h.Attempts = append(h.Attempts, attempt) })
+	conn, daemon, err := c.connect(ctx, r, fresh)
 	if err != nil {
-		c.Book.Note(func(*history.History) { try.Daemon, try.Err, try.Ended = daemon.Name, err.Error(), c.Book.Now() })
-		return try
+		c.Recorder.Record(func(*history.History) {
+			attempt.Daemon, attempt.Err, attempt.Ended = daemon.Name, err.Error(), c.Recorder.Now()
+		})
+		return attempt
 	}
-	Send(ctx, conn, r, try, left, lastEvent)
-	if c.Keeps && conn.Usable() {
+	Send(ctx, conn, r, attempt, left, lastEvent)
+	if c.KeepAlive && conn.Usable() {
 		c.mutex.Lock()
-		c.kept = conn
+		c.idleConn = conn
 		c.mutex.Unlock()
 	} else {
 		conn.Close()
 	}
-	return try
+	return attempt
 }
 
 // Send sends a try over a connection and waits for its answer, as long as a client would.
-func Send(ctx context.Context, conn *Conn, r *Request, try *history.Try, left time.Duration, lastEvent string) {
-	due := conn.expect(try)
-	data := Wire(r, try.Attempt, left, lastEvent)
+func Send(ctx context.Context, conn *Conn, r *Request, attempt *history.Attempt, left time.Duration, lastEvent string) {
+	due := conn.expect(attempt)
+	data := Wire(r, attempt.AttemptID, left, lastEvent)
 	written := make(chan bool, 1)
 	go func() {
 		// A daemon that does not read holds the writer up; the answer may come all the same.
 		_, err := conn.conn.Write(data)
 		if err == nil {
-			conn.book.Note(func(*history.History) { try.Sent = conn.book.Now() })
+			conn.recorder.Record(func(*history.History) { attempt.Sent = conn.recorder.Now() })
 		}
 		written <- err == nil
 	}()
 	defer func() {
 		_ = conn.conn.SetWriteDeadline(time.Unix(1, 0))
-		if whole := <-written; !whole {
+		if complete := <-written; !complete {
 			conn.Close()
 		}
 		_ = conn.conn.SetWriteDeadline(time.Time{})
 	}()
 	deadline := time.NewTimer(left)
 	defer deadline.Stop()
-	silence := left
+	quietTimeout := left
 	if r.Class == protocol.Streaming {
-		silence = max(2*time.Second, 4*r.Aim, 8*r.Gap)
+		quietTimeout = max(2*time.Second, 4*r.Target, 8*r.Gap)
 	}
-	quiet := time.NewTimer(silence)
+	quiet := time.NewTimer(quietTimeout)
 	defer quiet.Stop()
 	var leaves <-chan time.Time
-	if r.LeavesAfter > 0 {
-		leaving := time.NewTimer(r.LeavesAfter)
+	if r.CloseAfter > 0 {
+		leaving := time.NewTimer(r.CloseAfter)
 		defer leaving.Stop()
 		leaves = leaving.C
 	}
@@ -232,8 +234,8 @@
 		select {
 		case <-due.done:
 			return
-		case <-due.beats:
-			quiet.Reset(silence)
+		case <-due.eventReceived:
+			quiet.Reset(quietTimeout)
 			continue
 		case <-deadline.C:
 		case <-quiet.C:
@@ -241,9 +243,9 @@
 			early = true
 		case <-ctx.Done():
 		}
-		conn.book.Note(func(*history.History) {
-			if try.GaveUp = try.Status == 0 || !try.Whole; try.GaveUp {
-				try.Early, try.LeftAt = early, conn.book.Now()
+		conn.recorder.Record(func(*history.History) {
+			if attempt.ClientClosed = attempt.Status == 0 || !attempt.Complete; attempt.ClientClosed {
+				attempt.Early, attempt.ClosedAt = early, conn.recorder.Now()
 			}
 		})
 		conn.Close()
--- a/testbed/platformtest/client/conn.go
+++ b/testbed/platformtest/client/conn.go
@@ -25,42 +25,42 @@
 
 // Conn is one connection of a client.
 type Conn struct {
-	book   *history.Book
-	conn   *net.TCPConn
-	reader *bufio.Reader
+	recorder *history.Recorder
+	conn     *net.TCPConn
+	reader   *bufio.Reader
 	// Daemon names whom it leads to.
 	Daemon string
 
 	mutex sync.Mutex
 	// waiting is the try whose answer is due; last is the one before.
-	waiting, last *pending
-	used          int
+	awaited, last *pending
+	requestCount  int
 	// over says that nothing more is read.
-	over  bool
-	ended chan struct{}
+	readClosed bool
+	ended      chan struct{}
 	// closes says that the daemon wants it closed, until is how long it may be idle.
-	closes bool
-	until  clock.Mark
+	closeAnnounced bool
+	idleDeadline   clock.Mark
 }
 
 // pending is a try under way.
 type pending struct {
-	try *history.Try
+	attempt *history.Attempt
 	// method decides how an answer is framed.
 	method string
 	done   chan struct{}
 	// beats tells of each event, so that silence can be noticed.
-	beats chan struct{}
+	eventReceived chan struct{}
 }
 
 // Dial opens a connection; it gets as long as the page says.
-func Dial(ctx context.Context, book *history.Book, daemon, address string) (*Conn, error) {
+func Dial(ctx context.Context, recorder *history.Recorder, daemon, address string) (*Conn, error) {
 	dialer := net.Dialer{Timeout: time.Second}
 	raw, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	c := &Conn{book: book, conn: raw.(*net.TCPConn), reader: bufio.NewReader(raw), Daemon: daemon, ended: make(chan struct{})}
+	c := &Conn{recorder: recorder, conn: raw.(*net.TCPConn), reader: bufio.NewReader(raw), Daemon: daemon, ended: make(chan struct{})}
 	go c.read()
 	return c, nil
 }
@@ -77,7 +77,7 @@
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return !c.over && !c.closes && c.waiting == nil && (c.until == 0 || c.book.Now() < c.until)
+	return !c.readClosed && !c.closeAnnounced && c.awaited == nil && (c.idleDeadline == 0 || c.recorder.Now() < c.idleDeadline)
 }
 
 // read takes answers as they come, and bytes that nobody waits for.
@@ -87,12 +87,12 @@
 	for {
 		_, err := c.reader.Peek(1)
 		c.mutex.Lock()
-		due, last := c.waiting, c.last
-		c.over = c.over || err != nil || due == nil
+		due, last := c.awaited, c.last
+		c.readClosed = c.readClosed || err != nil || due == nil
 		c.mutex.Unlock()
 		if err != nil {
 			if due != nil {
-				c.book.Note(func(*history.History) { due.try.Err = "closed: " + err.Error() })
+				c.recorder.Record(func(*history.History) { due.attempt.Err = "closed: " + err.Error() })
 				c.finish(due)
 			}
 			return
@@ -100,38 +100,38 @@
 		if due == nil {
 			stray, _ := c.reader.Peek(c.reader.Buffered())
 			if last != nil {
-				c.book.Note(func(*history.History) { last.try.Surplus += string(stray) })
+				c.recorder.Record(func(*history.History) { last.attempt.Unsolicited += string(stray) })
 			}
 			return
 		}
-		if !c.take(due) {
+		if !c.readAnswer(due) {
 			return
 		}
 	}
 }
 
 func (c *Conn) finish(due *pending) {
-	c.book.Note(func(*history.History) { due.try.Ended = c.book.Now() })
+	c.recorder.Record(func(*history.History) { due.attempt.Ended = c.recorder.Now() })
 	c.mutex.Lock()
-	c.waiting, c.last = nil, due
+	c.awaited, c.last = nil, due
 	c.mutex.Unlock()
 	close(due.done)
 }
 
 // end finishes a try after which nothing more is read; false.
-func (c *Conn) end(due *pending) bool {
+func (c *Conn) finishAndStop(due *pending) bool {
 	c.mutex.Lock()
-	c.over = true
+	c.readClosed = true
 	c.mutex.Unlock()
 	c.finish(due)
 	return false
 }
 
 // take reads one answer; false ends the connection.
-func (c *Conn) take(due *pending) bool {
-	c.book.Note(func(*history.History) {
-		if due.try.First == 0 {
-			due.try.First = c.book.Now()
+func (c *Conn) readAnswer(due *pending) bool {
+	c.recorder.Record(func(*history.History) {
+		if due.attempt.First == 0 {
+			due.attempt.First = c.recorder.Now()
 		}
 	})
 	beginning, _ := c.reader.Peek(c.reader.Buffered())
@@ -140,22 +140,22 @@
 	if err != nil {
 		// The beginning of an answer, and then the end of the connection, is an answer cut short and no junk.
 		_, after := c.reader.Peek(1)
-		c.book.Note(func(*history.History) {
-			due.try.Err = err.Error()
+		c.recorder.Record(func(*history.History) {
+			due.attempt.Err = err.Error()
 			if malformed(err) && !(answers && after != nil) {
-				due.try.Junk = err.Error()
+				due.attempt.Malformed = err.Error()
 			}
 		})
-		return c.end(due)
+		return c.finishAndStop(due)
 	}
 	if response.StatusCode >= 100 && response.StatusCode < 200 {
 		return true
 	}
-	try := due.try
-	c.book.Note(func(*history.History) {
-		try.Status, try.Attempted, try.Seal, try.Encoding = response.StatusCode, response.Header.Get(protocol.Attempt), response.Header.Get(protocol.Seal), response.Header.Get("Content-Encoding")
+	attempt := due.attempt
+	c.recorder.Record(func(*history.History) {
+		attempt.Status, attempt.AnsweredID, attempt.Seal, attempt.Encoding = response.StatusCode, response.Header.Get(protocol.Attempt), response.Header.Get(protocol.Seal), response.Header.Get("Content-Encoding")
 		if after, err := strconv.ParseFloat(response.Header.Get(protocol.RetryAfter), 64); err == nil {
-			try.HasRetryAfter, try.RetryAfterMs = true, int64(after*1000)
+			attempt.HasRetryAfter, attempt.RetryAfterMs = true, int64(after*1000)
 		}
 	})
 	if strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream") {
@@ -163,30 +163,30 @@
 	} else {
 		var body []byte
 		body, err = io.ReadAll(response.Body)
-		c.book.Note(func(*history.History) { try.BodyOut = body })
+		c.recorder.Record(func(*history.History) { attempt.ResponseBody = body })
 	}
 	c.mutex.Lock()
-	c.closes = c.closes || response.Close || err != nil
+	c.closeAnnounced = c.closeAnnounced || response.Close || err != nil
 	for _, field := range strings.Split(response.Header.Get(protocol.KeepAlive), ",") {
 		if value, ok := strings.CutPrefix(strings.TrimSpace(field), "timeout="); ok {
 			if seconds, err := strconv.Atoi(value); err == nil {
-				c.until = c.book.Now() + clock.Mark(time.Duration(seconds)*time.Second)
+				c.idleDeadline = c.recorder.Now() + clock.Mark(time.Duration(seconds)*time.Second)
 			}
 		}
 	}
-	closes := c.closes
+	closes := c.closeAnnounced
 	c.mutex.Unlock()
-	c.book.Note(func(*history.History) {
-		try.Whole = err == nil
+	c.recorder.Record(func(*history.History) {
+		attempt.Complete = err == nil
 		if err != nil {
-			try.Err = err.Error()
+			attempt.Err = err.Error()
 			if malformed(err) {
-				try.Junk = err.Error()
+				attempt.Malformed = err.Error()
 			}
 		}
 	})
 	if closes {
-		return c.end(due)
+		return c.finishAndStop(due)
 	}
 	c.finish(due)
 	return true
@@ -215,7 +215,7 @@
 		if err != nil {
 			if err == io.EOF && (some || line != "") {
 				// A cut in the middle of an event, in an answer that ends as whole, is a piece of an event.
-				c.book.Note(func(*history.History) { due.try.Junk = "the answer ends inside an event" })
+				c.recorder.Record(func(*history.History) { due.attempt.Malformed = "the answer ends inside an event" })
 			}
 			if err == io.EOF {
 				return nil
@@ -225,12 +225,12 @@
 		line = strings.TrimRight(line, "\r\n")
 		switch {
 		case line == "" && some:
-			event.At = c.book.Now()
+			event.At = c.recorder.Now()
 			noted := event
-			c.book.Note(func(*history.History) { due.try.Events = append(due.try.Events, noted) })
+			c.recorder.Record(func(*history.History) { due.attempt.Events = append(due.attempt.Events, noted) })
 			event, some = history.Event{}, false
 			select {
-			case due.beats <- struct{}{}:
+			case due.eventReceived <- struct{}{}:
 			default:
 			}
 		case strings.HasPrefix(line, "id:"):
@@ -286,20 +286,22 @@
 }
 
 // expect makes a try the one whose answer is due.
-func (c *Conn) expect(try *history.Try) *pending {
-	due := &pending{try: try, method: try.Method, done: make(chan struct{}), beats: make(chan struct{}, 1)}
+func (c *Conn) expect(attempt *history.Attempt) *pending {
+	due := &pending{attempt: attempt, method: attempt.Method, done: make(chan struct{}), eventReceived: make(chan struct{}, 1)}
 	c.mutex.Lock()
-	over := c.over
+	over := c.readClosed
 	if !over {
-		c.waiting = due
+		c.awaited = due
 	}
-	c.used++
-	first := c.used == 1
+	c.requestCount++
+	first := c.requestCount == 1
 	c.mutex.Unlock()
-	c.book.Note(func(*history.History) { try.Connected, try.FirstOnConnection, try.Daemon = true, first, c.Daemon })
+	c.recorder.Record(func(*history.History) {
+		attempt.Connected, attempt.FirstOnConnection, attempt.Daemon = true, first, c.Daemon
+	})
 	if over {
 		// It was closed before anything was sent.
-		c.book.Note(func(*history.History) { try.Connected, try.Err = false, "closed while it was idle" })
+		c.recorder.Record(func(*history.History) { attempt.Connected, attempt.Err = false, "closed while it was idle" })
 		c.finish(due)
 	}
 	return due
--- a/testbed/platformtest/contract/answers_test.go
+++ b/testbed/platformtest/contract/answers_test.go
@@ -6,18 +6,18 @@
 	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
-func TestEachClassIsServedWhole(t *testing.T) {
+func TestEachClassIsServedCompletely(t *testing.T) {
 	b := newBench(t)
 	b.plain(nil)
 	b.model(nil)
 	for _, class := range []string{"again", "once", "stream", "resume"} {
 		b.known(class, 1)
-		try := b.answered(b.request(class))
-		if !try.Success() || try.Attempted != try.Attempt {
-			t.Errorf("%s: %+v", class, try)
+		attempt := b.answered(b.request(class))
+		if !attempt.Success() || attempt.AnsweredID != attempt.AttemptID {
+			t.Errorf("%s: %+v", class, attempt)
 		}
-		if stamp, genuine := protocol.ReadStamp(try.Seal); !genuine || stamp.Attempt != try.Attempt {
-			t.Errorf("%s: the stamp %q", class, try.Seal)
+		if stamp, genuine := protocol.ReadStamp(attempt.Seal); !genuine || stamp.Attempt != attempt.AttemptID {
+			t.Errorf("%s: the stamp %q", class, attempt.Seal)
 		}
 	}
 	b.sound()
--- a/testbed/platformtest/contract/faults_test.go
+++ b/testbed/platformtest/contract/faults_test.go
@@ -11,9 +11,9 @@
 	"github.com/cresspond/cresspond/testbed/platformtest/history"
 )
 
-// TestAnAnswerCutAtAnyByteNeverLooksWhole: an engine closes or resets after each byte of its answer, in each
+// TestAnAnswerTruncatedAtAnyByteIsIncomplete: an engine closes or resets after each byte of its answer, in each
 // framing. What may run twice is served all the same; what may not, arrives once.
-func TestAnAnswerCutAtAnyByteNeverLooksWhole(t *testing.T) {
+func TestAnAnswerTruncatedAtAnyByteIsIncomplete(t *testing.T) {
 	for _, class := range []string{"again", "once", "stream", "resume"} {
 		for _, chunked := range []bool{false, true} {
 			if chunked && (class == "stream" || class == "resume") {
@@ -44,25 +44,25 @@
 							return fault
 						})
 					}
-					try := c.Do(context.Background(), b.request(class))[0]
-					arrivals := b.of(try.Attempt)
+					attempt := c.Do(context.Background(), b.request(class))[0]
+					arrivals := b.of(attempt.AttemptID)
 					for _, arrival := range arrivals {
-						broken = broken || arrival.Broke
+						broken = broken || arrival.Broken
 					}
 					switch class {
 					case "again", "resume":
-						if broken && try.Success() {
+						if broken && attempt.Success() {
 							rescued++
 						}
 					default:
-						if broken && try.Success() {
+						if broken && attempt.Success() {
 							t.Errorf("cut at %d, and it looks whole", at)
 						}
 						if len(arrivals) > 1 {
 							t.Errorf("cut at %d, and it was sent %d times", at, len(arrivals))
 						}
-						if broken && try.Promise() {
-							t.Errorf("cut at %d, and answered %d, which promises that it has not run", at, try.Status)
+						if broken && attempt.PromisesNotRun() {
+							t.Errorf("cut at %d, and answered %d, which promises that it has not run", at, attempt.Status)
 						}
 					}
 					if at > 3000 {
@@ -80,8 +80,8 @@
 	}
 }
 
-// TestWhatAnEngineSaysWronglyReachesNobody brings about each kind of wrong answer on kept connections.
-func TestWhatAnEngineSaysWronglyReachesNobody(t *testing.T) {
+// TestMalformedEngineAnswersReachNoClient brings about each kind of wrong answer on kept connections.
+func TestMalformedEngineAnswersReachNoClient(t *testing.T) {
 	for _, class := range []string{"again", "once", "stream", "resume"} {
 		t.Run(class, func(t *testing.T) {
 			b := newBench(t)
@@ -93,16 +93,16 @@
 			start(nil)
 			b.known(class, 1)
 			c := b.newClient()
-			c.Keeps = true
-			for _, kind := range []engine.FaultKind{engine.Surplus, engine.LateSurplus, engine.Junk, engine.Foreign, engine.NoID, engine.Own, engine.Unread} {
+			c.KeepAlive = true
+			for _, kind := range []engine.FaultKind{engine.ExtraAnswer, engine.LateExtraAnswer, engine.Malformed, engine.WrongAttemptID, engine.NoAttemptID, engine.EngineError, engine.CloseUnread} {
 				for range 4 {
 					for _, e := range b.engines {
 						e.Inject(engine.Fault{Kind: kind, Status: 500})
 					}
 					for range 3 {
-						try := c.Do(context.Background(), b.request(class))[0]
-						if try.Status == 0 {
-							t.Errorf("%s: no answer: %s", kind, try.Err)
+						attempt := c.Do(context.Background(), b.request(class))[0]
+						if attempt.Status == 0 {
+							t.Errorf("%s: no answer: %s", kind, attempt.Err)
 						}
 					}
 				}
@@ -114,33 +114,33 @@
 	}
 }
 
-// TestASilentEngineCostsOneRequestItsTimeAndNoPromise: what was sent may have run.
-func TestASilentEngineCostsOneRequestItsTimeAndNoPromise(t *testing.T) {
+// TestAnUnresponsiveEngineCostsOneRequestItsDeadline: what was sent may have run.
+func TestAnUnresponsiveEngineCostsOneRequestItsDeadline(t *testing.T) {
 	b := newBench(t)
 	e := b.plain(nil)
 	b.known("once", 1)
-	e.Inject(engine.Fault{Kind: engine.Silence})
+	e.Inject(engine.Fault{Kind: engine.Unresponsive})
 	r := b.request("once")
 	r.Deadline = 400 * time.Millisecond
-	began := b.book.Now()
-	try := b.ask(r)
-	if try.Success() || try.Promise() || try.Status != 502 && try.Status != 504 && !try.GaveUp {
-		t.Errorf("%+v", try)
+	began := b.recorder.Now()
+	attempt := b.ask(r)
+	if attempt.Success() || attempt.PromisesNotRun() || attempt.Status != 502 && attempt.Status != 504 && !attempt.ClientClosed {
+		t.Errorf("%+v", attempt)
 	}
-	if took := b.book.Now().Since(began); took > 5*time.Second {
+	if took := b.recorder.Now().Since(began); took > 5*time.Second {
 		t.Errorf("it took %v", took)
 	}
 	b.sound()
 }
 
-// TestAnEngineThatTurnsAwayLosesNothing: what was turned away by its word goes to another, also what may run once.
-func TestAnEngineThatTurnsAwayLosesNothing(t *testing.T) {
+// TestARejectionByAnEngineLosesNoRequest: what was turned away by its word goes to another, also what may run once.
+func TestARejectionByAnEngineLosesNoRequest(t *testing.T) {
 	b := newBench(t)
 	b.plain(func(c *engine.Config) { c.Slots, c.Waiting, c.Work = 1, 0, 20*time.Millisecond })
 	b.plain(func(c *engine.Config) { c.Slots, c.Waiting = 32, 32 })
 	b.known("once", 2)
 	var done sync.WaitGroup
-	results := make(chan *history.Try, 24)
+	results := make(chan *history.Attempt, 24)
 	for range cap(results) {
 		done.Add(1)
 		go func() {
@@ -150,16 +150,16 @@
 	}
 	done.Wait()
 	close(results)
-	for try := range results {
-		if !try.Success() {
-			t.Errorf("%d %s after %d arrivals", try.Status, try.Err, len(b.of(try.Attempt)))
+	for attempt := range results {
+		if !attempt.Success() {
+			t.Errorf("%d %s after %d arrivals", attempt.Status, attempt.Err, len(b.of(attempt.AttemptID)))
 		}
 	}
 	b.sound()
 }
 
-// TestARefusalHasNotRunAndSaysWhenToComeBack: all engines are full, for longer than the client waits.
-func TestARefusalHasNotRunAndSaysWhenToComeBack(t *testing.T) {
+// TestARejectedRequestHasNotRunAndCarriesRetryAfter: all engines are full, for longer than the client waits.
+func TestARejectedRequestHasNotRunAndCarriesRetryAfter(t *testing.T) {
 	b := newBench(t)
 	b.plain(func(c *engine.Config) { c.Slots, c.Waiting = 1, 0 })
 	b.known("once", 1)
@@ -175,25 +175,25 @@
 	})
 	r := b.request("once")
 	r.Deadline = 900 * time.Millisecond
-	try := b.ask(r)
-	if !try.Promise() || !try.HasRetryAfter {
-		t.Errorf("%+v, after %d arrivals", try, len(b.of(try.Attempt)))
+	attempt := b.ask(r)
+	if !attempt.PromisesNotRun() || !attempt.HasRetryAfter {
+		t.Errorf("%+v, after %d arrivals", attempt, len(b.of(attempt.AttemptID)))
 	}
 	cancel()
 	done.Wait()
 	b.sound()
 }
 
-// TestAClientThatLeavesFreesItsEngine: its run ends, and nobody else's.
-func TestAClientThatLeavesFreesItsEngine(t *testing.T) {
+// TestADisconnectedClientFreesItsEngine: its run ends, and nobody else's.
+func TestADisconnectedClientFreesItsEngine(t *testing.T) {
 	b := newBench(t)
-	b.model(func(c *engine.Config) { c.Pace.Step = 5 * time.Millisecond })
+	b.model(func(c *engine.Config) { c.Pace.StepTime = 5 * time.Millisecond })
 	b.known("stream", 1)
 	long := b.request("stream")
 	long.Prompt.TokensOut = 1500
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	ended := make(chan []*history.Try, 1)
+	ended := make(chan []*history.Attempt, 1)
 	go func() { ended <- b.newClient().Do(ctx, long) }()
 	var running *history.Arrival
 	b.await("it runs", func() bool {
@@ -207,32 +207,32 @@
 	cancel()
 	<-ended
 	b.await("its engine is free", func() bool {
-		for _, arrival := range b.of(running.Attempt) {
-			if arrival.Left {
+		for _, arrival := range b.of(running.AttemptID) {
+			if arrival.CallerClosed {
 				return true
 			}
 		}
 		return false
 	})
-	if try := b.answered(b.request("stream")); !try.Success() {
-		t.Errorf("%+v", try)
+	if attempt := b.answered(b.request("stream")); !attempt.Success() {
+		t.Errorf("%+v", attempt)
 	}
 	b.sound()
 }
 
-// TestAnEngineThatCrashesMidStream: a resumable stream goes on at another under its first head, another shows its cut.
-func TestAnEngineThatCrashesMidStream(t *testing.T) {
+// TestAnEngineCrashMidStreamIsRetriedWhereResumable: a resumable stream goes on at another under its first head, another shows its cut.
+func TestAnEngineCrashMidStreamIsRetriedWhereResumable(t *testing.T) {
 	for _, class := range []string{"stream", "resume"} {
 		t.Run(class, func(t *testing.T) {
 			b := newBench(t)
-			slow := func(c *engine.Config) { c.Pace.Step = 5 * time.Millisecond }
+			slow := func(c *engine.Config) { c.Pace.StepTime = 5 * time.Millisecond }
 			b.model(slow)
 			b.model(slow)
 			// Both are known, or there is nothing to go on with.
 			b.known(class, 2)
 			r := b.request(class)
 			r.Prompt.TokensOut = 200
-			ended := make(chan *history.Try, 1)
+			ended := make(chan *history.Attempt, 1)
 			go func() { ended <- b.newClient().Do(context.Background(), r)[0] }()
 			var at string
 			b.await("it is under way", func() bool {
@@ -248,17 +248,17 @@
 					e.Crash()
 				}
 			}
-			try := <-ended
-			if try.Success() != (class == "resume") {
-				t.Errorf("%d, whole %t, %d events, %s", try.Status, try.Whole, len(try.Events), try.Err)
+			attempt := <-ended
+			if attempt.Success() != (class == "resume") {
+				t.Errorf("%d, whole %t, %d events, %s", attempt.Status, attempt.Complete, len(attempt.Events), attempt.Err)
 			}
 			b.sound()
 		})
 	}
 }
 
-// TestAnEngineAtItsConnectionsLimitDoesNotLoseWhatMayRunOnce: connections beyond are reset by the engine.
-func TestAnEngineAtItsConnectionsLimitDoesNotLoseWhatMayRunOnce(t *testing.T) {
+// TestAnEngineAtItsConnectionLimitLosesNoNonIdempotentRequest: connections beyond are reset by the engine.
+func TestAnEngineAtItsConnectionLimitLosesNoNonIdempotentRequest(t *testing.T) {
 	b := newBench(t)
 	b.plain(func(c *engine.Config) { c.MaxConns, c.Slots, c.Waiting, c.Work = 60, 40, 40, 5*time.Millisecond })
 	b.known("once", 1)
@@ -267,8 +267,8 @@
 		done.Add(1)
 		go func() {
 			defer done.Done()
-			if try := b.newClient().Do(context.Background(), b.request("once"))[0]; !try.Success() {
-				t.Errorf("%d %s after %d arrivals", try.Status, try.Err, len(b.of(try.Attempt)))
+			if attempt := b.newClient().Do(context.Background(), b.request("once"))[0]; !attempt.Success() {
+				t.Errorf("%d %s after %d arrivals", attempt.Status, attempt.Err, len(b.of(attempt.AttemptID)))
 			}
 		}()
 	}
--- a/testbed/platformtest/contract/fixture_test.go
+++ b/testbed/platformtest/contract/fixture_test.go
@@ -37,7 +37,7 @@
 // shared is the one fleet that all tests of this package speak to; each test has a service of its own on it.
 var shared struct {
 	fleet *fleet.Fleet
-	book  *history.Book
+	book  *history.Recorder
 	entry *fleet.Entry
 	taken atomic.Int64
 }
@@ -53,9 +53,9 @@
 	if out, err := exec.Command("go", "build", "-race", "-o", program, "github.com/cresspond/cresspond/cmd/cresspond-platform").CombinedOutput(); err != nil {
 		panic(fmt.Sprintf("%v: %s", err, out))
 	}
-	shared.book = history.NewBook(clock.System{})
+	shared.book = history.NewRecorder(clock.System{})
 	f, err := fleet.New(fleet.Plan{Program: program, Folder: filepath.Join(folder, "fleet"), Zones: []string{"a"}, Cores: 1, Edges: 1, Bounds: bounds, CatchUp: 4 * time.Second,
-		BeatPeriod: 200 * time.Millisecond, Staleness: 0, Book: shared.book})
+		HeartbeatPeriod: 200 * time.Millisecond, Staleness: 0, Recorder: shared.book})
 	if err != nil {
 		panic(err)
 	}
@@ -67,17 +67,17 @@
 	defer cancel()
 	o := operator.New("first", 1, shared.book, f.Controls)
 	if change := o.Put(ctx, 0, config(), ""); change.Outcome != history.Acknowledged {
-		f.End()
+		f.KillAll()
 		panic(fmt.Sprintf("the first configuration was not taken: %+v; logs in %s", change, folder))
 	}
-	for !shared.entry.Ready(ctx, f.Of(fleet.Edge)[0]) {
+	for !shared.entry.Ready(ctx, f.OfClass(fleet.Edge)[0]) {
 		if ctx.Err() != nil {
-			f.End()
+			f.KillAll()
 			panic("the router was never ready; logs in " + folder)
 		}
 	}
 	code := m.Run()
-	f.End()
+	f.KillAll()
 	for _, machine := range f.Machines {
 		log, _ := os.ReadFile(machine.Log())
 		if bytes.Contains(log, []byte("DATA RACE")) || bytes.Contains(log, []byte("panic:")) {
@@ -85,7 +85,7 @@
 			code = 1
 		}
 	}
-	if ends := f.Plan.Book.Read().Troubles; len(ends) > 0 {
+	if ends := f.Plan.Recorder.Snapshot().Disruptions; len(ends) > 0 {
 		fmt.Println("processes ended by themselves; logs in", folder)
 		return 1
 	}
@@ -125,10 +125,10 @@
 
 // bench is one test's own service.
 type bench struct {
-	t       *testing.T
-	number  int
-	engines []*engine.Engine
-	book    *history.Book
+	t        *testing.T
+	number   int
+	engines  []*engine.Engine
+	recorder *history.Recorder
 }
 
 func newBench(t *testing.T) *bench {
@@ -138,7 +138,7 @@
 	if number >= services {
 		t.Fatal("there are more tests than services")
 	}
-	return &bench{t: t, number: number, book: shared.book}
+	return &bench{t: t, number: number, recorder: shared.book}
 }
 
 // plain starts a plain engine of the test's service, and model one that holds the model m.
@@ -150,19 +150,19 @@
 func (b *bench) model(change func(*engine.Config)) *engine.Engine {
 	b.t.Helper()
 	c := config().Backend(fmt.Sprintf("model-%d", b.number))
-	return b.start(engine.Config{Service: c.Label, Model: true, Pace: engine.Pace{Slots: 8, Waiting: 8, Memory: 4000, Step: 300 * time.Microsecond, ReadPerMs: 1000, ReadAtOnce: 500, Stride: 2},
-		Room: engine.Room{Catalogue: *c.Engine, DiskShare: 0.5, AdapterTime: ms}, Store: &engine.Store{}, Initially: []protocol.Holding{{Label: "m", Generation: 1}}}, change)
+	return b.start(engine.Config{Service: c.Label, Model: true, Pace: engine.Pace{Slots: 8, Waiting: 8, Memory: 4000, StepTime: 300 * time.Microsecond, PrefillPerMs: 1000, PrefillAtOnce: 500, Stride: 2},
+		Capacity: engine.Capacity{Catalogue: *c.Engine, DiskShare: 0.5, AdapterTime: ms}, Store: &engine.Store{}, InitialModels: []protocol.Holding{{Label: "m", Generation: 1}}}, change)
 }
 
 func (b *bench) start(c engine.Config, change func(*engine.Config)) *engine.Engine {
 	b.t.Helper()
 	c.Name, c.Zone, c.Software, c.HealthPath, c.MaxConns = fmt.Sprintf("%s-%d", c.Service, len(b.engines)), "a", "v1", "/health", 60
 	c.Address, c.IdleClose, c.ReportLag, c.Seed = loopback.Host()+":0", 20*time.Second, 50*ms, uint64(b.number)
-	c.BeatPeriod, c.Controls, c.DrainBound, c.DrainPatience = 200*ms, shared.fleet.Controls, bounds.Drain, 10*time.Second
+	c.HeartbeatPeriod, c.Controls, c.DrainBound, c.DrainPatience = 200*ms, shared.fleet.Controls, bounds.Drain, 10*time.Second
 	if change != nil {
 		change(&c)
 	}
-	e := engine.New(c, b.book)
+	e := engine.New(c, b.recorder)
 	if err := e.Start(); err != nil {
 		b.t.Fatal(err)
 	}
@@ -177,7 +177,7 @@
 // request makes one of a class: again, once, stream or resume.
 func (b *bench) request(class string) *client.Request {
 	r := &client.Request{ID: fmt.Sprintf("%s-%d", class, b.number), Kind: class, Zone: "a", Host: host, Method: http.MethodPost, URI: b.path(class), Body: []byte("the body"),
-		Deadline: 15 * time.Second, Aim: 2 * time.Second, Gap: time.Second}
+		Deadline: 15 * time.Second, Target: 2 * time.Second, Gap: time.Second}
 	switch class {
 	case "again":
 		r.Class = protocol.Idempotent
@@ -190,38 +190,38 @@
 	return r
 }
 
-var attempts = client.NewAttempts(uint64(os.Getpid()))
+var attempts = client.NewAttemptIDs(uint64(os.Getpid()))
 
 // newClient makes a client that enters at the one router.
 func (b *bench) newClient() *client.Client {
-	c := &client.Client{Book: b.book, NextAttempt: attempts, Enter: func(string) (client.Daemon, bool) {
+	c := &client.Client{Recorder: b.recorder, NextAttemptID: attempts, PickDaemon: func(string) (client.Daemon, bool) {
 		return client.Daemon{Name: "edge-0", Address: b.front()}, true
 	}}
 	b.t.Cleanup(c.Close)
 	return c
 }
 
-func (b *bench) front() string { return shared.fleet.Of(fleet.Edge)[0].Front() }
+func (b *bench) front() string { return shared.fleet.OfClass(fleet.Edge)[0].Front() }
 
 // ask sends a request once and gives its try.
-func (b *bench) ask(r *client.Request) *history.Try {
+func (b *bench) ask(r *client.Request) *history.Attempt {
 	b.t.Helper()
-	tries := b.newClient().Do(context.Background(), r)
-	if len(tries) == 0 {
+	attempts := b.newClient().Do(context.Background(), r)
+	if len(attempts) == 0 {
 		b.t.Fatal("nothing was tried")
 	}
-	return tries[0]
+	return attempts[0]
 }
 
 // answered sends a request and, as long as it is promised not to have run, again, as the page lets clients do. It
 // gives the try that had another answer, which must be there in the end.
-func (b *bench) answered(r *client.Request) (try *history.Try) {
+func (b *bench) answered(r *client.Request) (attempt *history.Attempt) {
 	b.t.Helper()
 	b.await(r.ID+" is no longer put off", func() bool {
-		try = b.ask(r)
-		return !try.Promise()
+		attempt = b.ask(r)
+		return !attempt.PromisesNotRun()
 	})
-	return try
+	return attempt
 }
 
 // atOnce is how many requests for each further engine known sends at once.
@@ -259,8 +259,8 @@
 // of are the arrivals of one attempt at the test's own engines; empty takes all.
 func (b *bench) of(attempt string) []*history.Arrival {
 	plain, model := fmt.Sprintf("plain-%d", b.number), fmt.Sprintf("model-%d", b.number)
-	return b.book.Arrivals(func(a *history.Arrival) bool {
-		return !a.Probe && (a.Service == plain || a.Service == model) && (attempt == "" || a.Attempt == attempt)
+	return b.recorder.Arrivals(func(a *history.Arrival) bool {
+		return !a.HealthCheck && (a.Service == plain || a.Service == model) && (attempt == "" || a.AttemptID == attempt)
 	})
 }
 
@@ -285,12 +285,12 @@
 // sound holds what this test's engines and clients saw against the rules on answers.
 func (b *bench) sound() {
 	b.t.Helper()
-	h := b.book.Read()
+	h := b.recorder.Snapshot()
 	mine := fmt.Sprintf("/%d/", b.number)
-	h.Tries = slices.DeleteFunc(h.Tries, func(try *history.Try) bool { return !strings.Contains(try.URI, mine) })
+	h.Attempts = slices.DeleteFunc(h.Attempts, func(attempt *history.Attempt) bool { return !strings.Contains(attempt.URI, mine) })
 	h.Arrivals = slices.DeleteFunc(h.Arrivals, func(a *history.Arrival) bool { return !strings.Contains(a.URI, mine) })
 	checked := 0
-	for _, finding := range checker.Judge(h, bounds) {
+	for _, finding := range checker.CheckAll(h, bounds) {
 		if slices.Contains(onAnswers, finding.Rule) {
 			checked += finding.Checked
 			for _, violation := range finding.Violations {
@@ -328,9 +328,9 @@
 // wire gives a request's bytes, and notes that a client sent it.
 func (b *bench) wire(r *client.Request) (attempt string, data []byte) {
 	attempt = attempts()
-	b.book.Note(func(h *history.History) {
-		h.Tries = append(h.Tries, &history.Try{Request: r.ID, Kind: r.Kind, Attempt: attempt, Host: r.Host, Method: r.Method, URI: r.URI, BodyDigest: protocol.Digest(r.Body), Prompt: r.Prompt, Class: r.Class, Resumable: r.Resumable,
-			Daemon: "edge-0", Began: b.book.Now()})
+	b.recorder.Record(func(h *history.History) {
+		h.Attempts = append(h.Attempts, &history.Attempt{Request: r.ID, Kind: r.Kind, AttemptID: attempt, Host: r.Host, Method: r.Method, URI: r.URI, BodyDigest: protocol.Digest(r.Body), Prompt: r.Prompt, Class: r.Class, Resumable: r.Resumable,
+			Daemon: "edge-0", Began: b.recorder.Now()})
 	})
 	return attempt, client.Wire(r, attempt, r.Deadline, "")
 }
--- a/testbed/platformtest/contract/leaving_test.go
+++ b/testbed/platformtest/contract/leaving_test.go
@@ -8,14 +8,14 @@
 	"github.com/cresspond/cresspond/testbed/platformtest/engine"
 )
 
-// TestAnEngineThatIsDeletedFirstGetsNothingLate: it says at once that it is gone, beats on as if it were ready, and
+// TestAnEngineDeregisteredFirstGetsNoLateRequests: it says at once that it is gone, beats on as if it were ready, and
 // serves what it has to the end.
-func TestAnEngineThatIsDeletedFirstGetsNothingLate(t *testing.T) {
+func TestAnEngineDeregisteredFirstGetsNoLateRequests(t *testing.T) {
 	b := newBench(t)
 	for range 2 {
 		b.plain(func(c *engine.Config) { c.LateEach, c.LateBy = 3, 300*time.Millisecond })
 		// What streams has its time also on a machine that other work keeps busy.
-		b.model(func(c *engine.Config) { c.Pace.Step, c.DrainBound = 10*time.Millisecond, time.Minute })
+		b.model(func(c *engine.Config) { c.Pace.StepTime, c.DrainBound = 10*time.Millisecond, time.Minute })
 	}
 	b.known("again", 2)
 	b.known("stream", 2)
@@ -23,8 +23,8 @@
 	long.Prompt.TokensOut = 200
 	served := make(chan bool)
 	go func() {
-		tries := b.newClient().Do(context.Background(), long)
-		served <- tries[len(tries)-1].Success()
+		attempts := b.newClient().Do(context.Background(), long)
+		served <- attempts[len(attempts)-1].Success()
 	}()
 	b.await("the stream is under way", func() bool {
 		for _, arrival := range b.arrivals() {
@@ -50,19 +50,19 @@
 		t.Error("what ran at an engine that said that it is gone was not served to its end")
 	}
 	for b.engines[0].Current() != "" {
-		if try := b.ask(b.request("again")); !try.Success() {
-			t.Errorf("%d %s", try.Status, try.Err)
+		if attempt := b.ask(b.request("again")); !attempt.Success() {
+			t.Errorf("%d %s", attempt.Status, attempt.Err)
 		}
 	}
 	acknowledged := 0
-	for _, life := range b.book.Read().Lives {
-		if leaving[life.Engine] == nil || life.DrainAcked == 0 {
+	for _, incarnation := range b.recorder.Snapshot().Incarnations {
+		if leaving[incarnation.Engine] == nil || incarnation.DrainAcked == 0 {
 			continue
 		}
 		acknowledged++
 		for _, arrival := range b.arrivals() {
-			if arrival.Engine == life.Engine && arrival.At.Since(life.DrainAcked) > bounds.Drain {
-				t.Errorf("%s came %v after the acknowledgement", arrival.Attempt, arrival.At.Since(life.DrainAcked))
+			if arrival.Engine == incarnation.Engine && arrival.At.Since(incarnation.DrainAcked) > bounds.Drain {
+				t.Errorf("%s came %v after the acknowledgement", arrival.AttemptID, arrival.At.Since(incarnation.DrainAcked))
 			}
 		}
 	}
@@ -72,13 +72,13 @@
 	b.sound()
 }
 
-// TestWorkForAClientThatHasLeftEnds: soon after its request, before and after the answer has begun; and nothing is
+// TestWorkForADisconnectedClientIsCancelled: soon after its request, before and after the answer has begun; and nothing is
 // sent once more for it.
-func TestWorkForAClientThatHasLeftEnds(t *testing.T) {
+func TestWorkForADisconnectedClientIsCancelled(t *testing.T) {
 	b := newBench(t)
 	for range 2 {
 		b.plain(func(c *engine.Config) { c.Work = 10 * time.Minute })
-		b.model(func(c *engine.Config) { c.Pace.Step = 20 * time.Millisecond })
+		b.model(func(c *engine.Config) { c.Pace.StepTime = 20 * time.Millisecond })
 	}
 	b.await("all are known", func() bool {
 		for _, class := range []string{"again", "stream"} {
@@ -95,24 +95,24 @@
 	for _, class := range []string{"once", "again", "stream", "resume"} {
 		for _, after := range []time.Duration{80, 150, 300} {
 			r := b.request(class)
-			r.LeavesAfter = after * time.Millisecond
+			r.CloseAfter = after * time.Millisecond
 			if r.Prompt.Model != "" {
 				r.Prompt.TokensOut = 3000
 			}
-			try := b.ask(r)
-			if !try.Early {
-				t.Errorf("%s: it was answered %d before its client left", class, try.Status)
+			attempt := b.ask(r)
+			if !attempt.Early {
+				t.Errorf("%s: it was answered %d before its client left", class, attempt.Status)
 				continue
 			}
 			b.await(class+" has ended at its engine", func() bool {
-				for _, arrival := range b.of(try.Attempt) {
+				for _, arrival := range b.of(attempt.AttemptID) {
 					if arrival.Ended == 0 {
 						return false
 					}
 				}
 				return true
 			})
-			if arrivals := b.of(try.Attempt); len(arrivals) > 1 {
+			if arrivals := b.of(attempt.AttemptID); len(arrivals) > 1 {
 				t.Errorf("%s: it was sent %d times", class, len(arrivals))
 			}
 		}
--- a/testbed/platformtest/contract/operator_test.go
+++ b/testbed/platformtest/contract/operator_test.go
@@ -15,12 +15,12 @@
 	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
-// TestTheOperatorsPage goes through the page on the operator in one order, since all tests share one group.
-func TestTheOperatorsPage(t *testing.T) {
+// TestConfigurationChangesFollowTheOperatorProtocol goes through the page on the operator in one order, since all tests share one group.
+func TestConfigurationChangesFollowTheOperatorProtocol(t *testing.T) {
 	b := newBench(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
-	o := operator.New("contract", 7, b.book, shared.fleet.Controls)
+	o := operator.New("contract", 7, b.recorder, shared.fleet.Controls)
 	current := config()
 	read := func() *protocol.Config {
 		t.Helper()
@@ -100,7 +100,7 @@
 		done.Add(1)
 		go func() {
 			defer done.Done()
-			changes[n] = operator.New(fmt.Sprint("race", n), uint64(n), b.book, shared.fleet.Controls).Put(ctx, 4, racing, "")
+			changes[n] = operator.New(fmt.Sprint("race", n), uint64(n), b.recorder, shared.fleet.Controls).Put(ctx, 4, racing, "")
 		}()
 	}
 	done.Wait()
@@ -108,7 +108,7 @@
 	for _, change := range changes {
 		switch change.Outcome {
 		case history.Acknowledged:
-			won, current = won+1, change.Whole
+			won, current = won+1, change.Config
 		case history.Refused:
 		default:
 			t.Errorf("%+v", change)
@@ -118,7 +118,7 @@
 		t.Errorf("%d won", won)
 	}
 	for _, change := range changes {
-		if status := put(4, change.Whole.Encode()); (status == 200) != (change.Outcome == history.Acknowledged) {
+		if status := put(4, change.Config.Encode()); (status == 200) != (change.Outcome == history.Acknowledged) {
 			t.Errorf("version %d, %s before, is answered %d", change.Generation, change.Outcome, status)
 		}
 	}
@@ -128,13 +128,13 @@
 	moved.Backend, moved.Shares = "", []protocol.Share{{Backend: "plain-0", Share: 3}, {Backend: "plain-1", Share: 1}}
 	patch.Upsert.Routes = []protocol.Route{moved, {Label: "newer", Authority: host, PathPrefix: "/newer/", Class: protocol.Mutating, DeadlineMs: 700, Backend: "plain-0", Tries: 1}}
 	patch.Upsert.Backends = []protocol.Backend{{Label: "extra", HealthPath: "/h", MaxConns: 3, Protocol: "h1"}}
-	if change := o.Patch(ctx, current, patch, ""); change.Outcome != history.Acknowledged || !checker.Same(read(), change.Whole) {
+	if change := o.Patch(ctx, current, patch, ""); change.Outcome != history.Acknowledged || !checker.Same(read(), change.Config) {
 		t.Fatalf("%+v", change)
 	}
 	current = current.Apply(patch)
 	gone := protocol.Patch{Generation: 41}
 	gone.Remove.Routes, gone.Remove.Backends = []string{"newer", "later", "was-never-there"}, []string{"extra"}
-	if change := o.Patch(ctx, current, gone, ""); change.Outcome != history.Acknowledged || !checker.Same(read(), change.Whole) {
+	if change := o.Patch(ctx, current, gone, ""); change.Outcome != history.Acknowledged || !checker.Same(read(), change.Config) {
 		t.Errorf("%+v", change)
 	}
 	current = current.Apply(gone)
@@ -154,15 +154,15 @@
 	}
 }
 
-// TestFieldsThatNobodyKnowsComeBack: an operator reads back what it sent, also what the product does not read.
-func TestFieldsThatNobodyKnowsComeBack(t *testing.T) {
+// TestUnknownFieldsArePreserved: an operator reads back what it sent, also what the product does not read.
+func TestUnknownFieldsArePreserved(t *testing.T) {
 	b := newBench(t)
 	_, text := b.call(http.MethodGet, protocol.PathConfig, nil, nil)
-	var whole map[string]any
-	if err := json.Unmarshal(text, &whole); err != nil {
+	var complete map[string]any
+	if err := json.Unmarshal(text, &complete); err != nil {
 		t.Fatal(err)
 	}
-	routes, _ := whole["route-table"].([]any)
+	routes, _ := complete["route-table"].([]any)
 	first, _ := routes[0].(map[string]any)
 	for _, name := range []string{"label", "authority", "path-prefix", "route-class", "deadline-ms", "target-ms", "urgency", "tries", "affine", "resumable", "gap-target-ms"} {
 		if _, there := first[name]; !there {
--- a/testbed/platformtest/contract/registering_test.go
+++ b/testbed/platformtest/contract/registering_test.go
@@ -29,7 +29,7 @@
 // callOnce makes one call.
 func (b *bench) callOnce(method, path string, header map[string]string, body []byte) (int, []byte) {
 	b.t.Helper()
-	request, err := http.NewRequest(method, "http://"+shared.fleet.Of(fleet.Core)[0].Control()+path, bytes.NewReader(body))
+	request, err := http.NewRequest(method, "http://"+shared.fleet.OfClass(fleet.Core)[0].Control()+path, bytes.NewReader(body))
 	if err != nil {
 		b.t.Fatal(err)
 	}
@@ -49,16 +49,16 @@
 }
 
 // register sends a beat in an engine's name.
-func (b *bench) register(id string, beat protocol.Registration) (int, []byte) {
-	data, _ := json.Marshal(beat)
+func (b *bench) register(id string, heartbeat protocol.Registration) (int, []byte) {
+	data, _ := json.Marshal(heartbeat)
 	return b.call(http.MethodPut, protocol.PathEngines+id, map[string]string{"Content-Type": "application/json"}, data)
 }
 
-// TestARegistrationIsAcknowledgedInShort: an acknowledgement is a 2xx of 4 KiB at most that can be read.
-func TestARegistrationIsAcknowledgedInShort(t *testing.T) {
+// TestARegistrationGetsAShortAcknowledgement: an acknowledgement is a 2xx of 4 KiB at most that can be read.
+func TestARegistrationGetsAShortAcknowledgement(t *testing.T) {
 	b := newBench(t)
-	beat := protocol.Registration{Backend: fmt.Sprintf("plain-%d", b.number), Address: "127.0.0.1:9", Zone: "a", Generation: "v1", Slots: 1, State: protocol.StateReady, CallSeq: 1}
-	status, body := b.register("i-contract-a", beat)
+	heartbeat := protocol.Registration{Backend: fmt.Sprintf("plain-%d", b.number), Address: "127.0.0.1:9", Zone: "a", Generation: "v1", Slots: 1, State: protocol.StateReady, CallSeq: 1}
+	status, body := b.register("i-contract-a", heartbeat)
 	var answer protocol.Registered
 	if status < 200 || status > 299 || len(body) > 4096 || len(body) > 0 && json.Unmarshal(body, &answer) != nil {
 		t.Errorf("%d %q", status, body)
@@ -79,25 +79,25 @@
 	}
 }
 
-// TestALateBeatOfOneThatDrainsChangesNothing: its call-seq is lower, or its id has left.
-func TestALateBeatOfOneThatDrainsChangesNothing(t *testing.T) {
+// TestADelayedHeartbeatOfADrainingEngineChangesNothing: its call-seq is lower, or its id has left.
+func TestADelayedHeartbeatOfADrainingEngineChangesNothing(t *testing.T) {
 	b := newBench(t)
 	e := b.plain(func(c *engine.Config) { c.Controls = nil })
-	beat := protocol.Registration{Backend: e.Config.Service, Address: e.Config.Address, Zone: "a", Generation: "v1", Slots: 8, State: protocol.StateReady, CallSeq: 5}
-	b.register(e.Current(), beat)
+	heartbeat := protocol.Registration{Backend: e.Config.Service, Address: e.Config.Address, Zone: "a", Generation: "v1", Slots: 8, State: protocol.StateReady, CallSeq: 5}
+	b.register(e.Current(), heartbeat)
 	b.known("once", 1)
-	draining := beat
+	draining := heartbeat
 	draining.State, draining.CallSeq = protocol.StateDraining, 6
 	if status, _ := b.register(e.Current(), draining); status != 200 {
 		t.Fatal(status)
 	}
 	b.await("it gets nothing new", func() bool { return !b.ask(b.request("once")).Success() })
 	// A beat that was sent before, and comes after.
-	b.register(e.Current(), beat)
+	b.register(e.Current(), heartbeat)
 	if status, _ := b.call(http.MethodDelete, protocol.PathEngines+e.Current(), nil, nil); status != 200 {
 		t.Fatal(status)
 	}
-	late := beat
+	late := heartbeat
 	late.CallSeq = 7
 	b.register(e.Current(), late)
 	before := len(b.arrivals())
@@ -112,8 +112,8 @@
 	b.sound()
 }
 
-// TestAnotherServiceAtAnOldAddressRunsNothing: an engine is gone without a word, and another has its address.
-func TestAnotherServiceAtAnOldAddressRunsNothing(t *testing.T) {
+// TestAnotherServiceAtAReusedAddressRunsNothing: an engine is gone without a word, and another has its address.
+func TestAnotherServiceAtAReusedAddressRunsNothing(t *testing.T) {
 	b := newBench(t)
 	e := b.plain(nil)
 	b.known("once", 1)
@@ -123,52 +123,52 @@
 	for range 30 {
 		r := b.request("once")
 		r.Deadline = 500 * time.Millisecond
-		if try := b.ask(r); try.Success() {
-			t.Errorf("%s was served, and no engine of its service lives", try.Attempt)
+		if attempt := b.ask(r); attempt.Success() {
+			t.Errorf("%s was served, and no engine of its service lives", attempt.AttemptID)
 		}
 	}
 	for _, arrival := range b.arrivals() {
 		if arrival.Engine == other.Current() && arrival.Ran() {
-			t.Errorf("%s ran at another service", arrival.Attempt)
+			t.Errorf("%s ran at another service", arrival.AttemptID)
 		}
 	}
 	b.sound()
 }
 
-// TestADrainingEngineGetsNothingLate: from its acknowledgement on it takes no longer than the bound.
-func TestADrainingEngineGetsNothingLate(t *testing.T) {
+// TestADrainingEngineGetsNoLateRequests: from its acknowledgement on it takes no longer than the bound.
+func TestADrainingEngineGetsNoLateRequests(t *testing.T) {
 	b := newBench(t)
 	b.plain(nil)
 	b.plain(nil)
 	b.known("again", 2)
 	leaving := b.engines[0]
 	id := leaving.Current()
-	leaving.Leave(0)
+	leaving.Drain(0)
 	for leaving.Current() == id {
-		if try := b.ask(b.request("again")); !try.Success() {
-			t.Errorf("%d %s", try.Status, try.Err)
+		if attempt := b.ask(b.request("again")); !attempt.Success() {
+			t.Errorf("%d %s", attempt.Status, attempt.Err)
 		}
 	}
-	for _, life := range b.book.Read().Lives {
-		if life.Engine != id {
+	for _, incarnation := range b.recorder.Snapshot().Incarnations {
+		if incarnation.Engine != id {
 			continue
 		}
-		if life.DrainAcked == 0 {
+		if incarnation.DrainAcked == 0 {
 			t.Fatal("its leaving was never acknowledged")
 		}
 		for _, arrival := range b.arrivals() {
-			if arrival.Engine == id && arrival.At.Since(life.DrainAcked) > bounds.Drain {
-				t.Errorf("%s came %v after the acknowledgement", arrival.Attempt, arrival.At.Since(life.DrainAcked))
+			if arrival.Engine == id && arrival.At.Since(incarnation.DrainAcked) > bounds.Drain {
+				t.Errorf("%s came %v after the acknowledgement", arrival.AttemptID, arrival.At.Since(incarnation.DrainAcked))
 			}
 		}
 	}
 	b.sound()
 }
 
-// TestAChangeOfWeightsPassesInItsEvent: the line that tells of it belongs to the event and goes along.
-func TestAChangeOfWeightsPassesInItsEvent(t *testing.T) {
+// TestAChangeOfWeightsIsForwardedInItsEvent: the line that tells of it belongs to the event and goes along.
+func TestAChangeOfWeightsIsForwardedInItsEvent(t *testing.T) {
 	b := newBench(t)
-	e := b.model(func(c *engine.Config) { c.Pace.Step = 5 * time.Millisecond })
+	e := b.model(func(c *engine.Config) { c.Pace.StepTime = 5 * time.Millisecond })
 	b.known("stream", 1)
 	r := b.request("stream")
 	r.Prompt.TokensOut = 120
@@ -185,16 +185,16 @@
 		})
 		e.Upgrade("m", 2)
 	}()
-	tries := b.newClient().Do(context.Background(), r)
+	attempts := b.newClient().Do(context.Background(), r)
 	<-done
 	told := 0
-	for _, event := range tries[0].Events {
+	for _, event := range attempts[0].Events {
 		if event.Version == "2" {
 			told++
 		}
 	}
-	if !tries[0].Success() || told != 1 {
-		t.Errorf("%d %s, told %d times", tries[0].Status, tries[0].Err, told)
+	if !attempts[0].Success() || told != 1 {
+		t.Errorf("%d %s, told %d times", attempts[0].Status, attempts[0].Err, told)
 	}
 	b.sound()
 }
--- a/testbed/platformtest/contract/requests_test.go
+++ b/testbed/platformtest/contract/requests_test.go
@@ -17,8 +17,8 @@
 	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
-// TestMethodPathAndBodyGoUnchanged: whatever a path looks like, the engine sees the client's own bytes.
-func TestMethodPathAndBodyGoUnchanged(t *testing.T) {
+// TestMethodPathAndBodyAreForwardedUnchanged: whatever a path looks like, the engine sees the client's own bytes.
+func TestMethodPathAndBodyAreForwardedUnchanged(t *testing.T) {
 	b := newBench(t)
 	b.plain(nil)
 	b.known("once", 1)
@@ -26,16 +26,16 @@
 	for _, rest := range []string{"", "x", "x/y/z", "x//y", "a/./b", "a/../b", "%41%2f%2F", "x%20y", "x+y", "x;p=1,q", "~u/@v:w", "x?q=1", "x?", "?a=b&c=%20&&d=+", "x?u=http://h/p?q", "x?%zz", "é", "x%c3%a9", "a%00b", "x%5Cy", "*"} {
 		r := b.request("once")
 		r.URI = base + rest
-		try := b.answered(r)
+		attempt := b.answered(r)
 		if strings.HasPrefix(rest, "a/../") || rest == "é" || rest == "x?%zz" || rest == "a%00b" {
 			// These may be refused, as long as nothing else runs in their place.
-			if !try.Success() && try.Status != 400 {
-				t.Errorf("%q: %d %s", rest, try.Status, try.Err)
+			if !attempt.Success() && attempt.Status != 400 {
+				t.Errorf("%q: %d %s", rest, attempt.Status, attempt.Err)
 			}
 			continue
 		}
-		if !try.Success() {
-			t.Errorf("%q: %d %s", rest, try.Status, try.Err)
+		if !attempt.Success() {
+			t.Errorf("%q: %d %s", rest, attempt.Status, attempt.Err)
 		}
 	}
 	for _, method := range []string{"GET", "PUT", "DELETE", "PATCH", "OPTIONS", "POST", "REPORT"} {
@@ -44,16 +44,16 @@
 		if method == "GET" || method == "OPTIONS" || method == "DELETE" {
 			r.Body = nil
 		}
-		if try := b.answered(r); !try.Success() {
-			t.Errorf("%s: %d %s", method, try.Status, try.Err)
+		if attempt := b.answered(r); !attempt.Success() {
+			t.Errorf("%s: %d %s", method, attempt.Status, attempt.Err)
 		}
 	}
 	for _, size := range []int{0, 1, 100, 4096, 70000, 1 << 20} {
 		for _, chunked := range []bool{false, true} {
 			r := b.request("once")
 			r.Body, r.Chunked = bytes.Repeat([]byte("0123456789abcdef"), size/16+1)[:size], chunked
-			if try := b.answered(r); !try.Success() {
-				t.Errorf("%d bytes, in chunks %t: %d %s", size, chunked, try.Status, try.Err)
+			if attempt := b.answered(r); !attempt.Success() {
+				t.Errorf("%d bytes, in chunks %t: %d %s", size, chunked, attempt.Status, attempt.Err)
 			}
 		}
 	}
@@ -61,17 +61,17 @@
 }
 
 // heads collects the heads of requests as an engine gets them.
-func TestHeadersGoAlongButThoseOfOneConnection(t *testing.T) {
+func TestHeadersAreForwardedExceptHopByHop(t *testing.T) {
 	b := newBench(t)
 	e := b.plain(nil)
 	b.known("once", 1)
 	r := b.request("once")
 	r.Header = map[string]string{"X-Custom": "Mixed Case ; value", "Accept-Encoding": "identity", "Cookie": "a=b; c=d", "User-Agent": "clients/1", "Authorization": "Bearer t", "Content-Type": "application/x-own",
 		"Connection": "keep-alive, X-Hop", "X-Hop": "of this connection", "Keep-Alive": "timeout=9", "Te": "trailers"}
-	if try := b.answered(r); !try.Success() {
-		t.Fatalf("%+v", try)
+	if attempt := b.answered(r); !attempt.Success() {
+		t.Fatalf("%+v", attempt)
 	}
-	head := e.LastHead()
+	head := e.LastHeader()
 	for _, name := range []string{"X-Custom", "Accept-Encoding", "Cookie", "User-Agent", "Authorization", "Content-Type"} {
 		if head.Get(name) != r.Header[name] {
 			t.Errorf("%s: %q came as %q", name, r.Header[name], head.Get(name))
@@ -83,37 +83,37 @@
 		}
 	}
 	plain := b.request("once")
-	if try := b.answered(plain); !try.Success() {
-		t.Fatalf("%+v", try)
+	if attempt := b.answered(plain); !attempt.Success() {
+		t.Fatalf("%+v", attempt)
 	}
-	for name := range e.LastHead() {
+	for name := range e.LastHeader() {
 		switch name {
 		case protocol.Attempt, protocol.Deadline, protocol.Target, protocol.Urgency, "Content-Length", "Host", "Connection", "Transfer-Encoding":
 		default:
-			t.Errorf("the head got %s: %v", name, e.LastHead()[name])
+			t.Errorf("the head got %s: %v", name, e.LastHeader()[name])
 		}
 	}
 	b.sound()
 }
 
-// TestTheEngineIsToldWhatIsLeft: the deadline shrinks by what the request was held for, and never grows.
-func TestTheEngineIsToldWhatIsLeft(t *testing.T) {
+// TestTheEngineGetsTheRemainingDeadline: the deadline shrinks by what the request was held for, and never grows.
+func TestTheEngineGetsTheRemainingDeadline(t *testing.T) {
 	b := newBench(t)
 	b.plain(nil)
 	b.known("once", 1)
 	for _, deadline := range []time.Duration{500 * time.Millisecond, 5 * time.Second, time.Hour} {
 		r := b.request("once")
 		r.Deadline = deadline
-		try := b.ask(r)
-		for _, arrival := range b.of(try.Attempt) {
-			if arrival.DeadlineMs > try.DeadlineMs || arrival.DeadlineMs > 20000 || arrival.DeadlineMs < min(try.DeadlineMs, 20000)*9/10-50 {
-				t.Errorf("%d ms were told as %d", try.DeadlineMs, arrival.DeadlineMs)
+		attempt := b.ask(r)
+		for _, arrival := range b.of(attempt.AttemptID) {
+			if arrival.DeadlineMs > attempt.DeadlineMs || arrival.DeadlineMs > 20000 || arrival.DeadlineMs < min(attempt.DeadlineMs, 20000)*9/10-50 {
+				t.Errorf("%d ms were told as %d", attempt.DeadlineMs, arrival.DeadlineMs)
 			}
 		}
 	}
 }
 
-func TestWhatNoRouteNamesIsNotFoundAndWhatHasNoIDIsMalformed(t *testing.T) {
+func TestARequestWithoutRouteIsNotFoundAndWithoutIDMalformed(t *testing.T) {
 	b := newBench(t)
 	b.plain(nil)
 	b.known("again", 1)
@@ -132,8 +132,8 @@
 		r := b.request("again")
 		r.Absent = one.status == 404
 		one.change(r)
-		if try := b.ask(r); try.Status != one.status || !try.Whole {
-			t.Errorf("%s: %d %s", one.what, try.Status, try.Err)
+		if attempt := b.ask(r); attempt.Status != one.status || !attempt.Complete {
+			t.Errorf("%s: %d %s", one.what, attempt.Status, attempt.Err)
 		}
 	}
 }
@@ -200,10 +200,10 @@
 	b.sound()
 }
 
-// TestASlowReaderHoldsOnlyItself: one reads nothing of a long stream while others are served.
-func TestASlowReaderHoldsOnlyItself(t *testing.T) {
+// TestASlowReaderDelaysOnlyItself: one reads nothing of a long stream while others are served.
+func TestASlowReaderDelaysOnlyItself(t *testing.T) {
 	b := newBench(t)
-	b.model(func(c *engine.Config) { c.Pace.Memory, c.Pace.Step = 4000, 100*time.Microsecond })
+	b.model(func(c *engine.Config) { c.Pace.Memory, c.Pace.StepTime = 4000, 100*time.Microsecond })
 	b.known("stream", 1)
 	conn := b.dial()
 	_ = conn.SetReadBuffer(2048)
@@ -215,8 +215,8 @@
 	}
 	b.await("it runs", func() bool { list := b.of(attempt); return len(list) > 0 && list[0].Events > 0 })
 	for range 20 {
-		if try := b.answered(b.request("stream")); !try.Success() {
-			t.Fatalf("%d %s", try.Status, try.Err)
+		if attempt := b.answered(b.request("stream")); !attempt.Success() {
+			t.Fatalf("%d %s", attempt.Status, attempt.Err)
 		}
 	}
 	response := b.response(bufio.NewReader(conn))
@@ -227,55 +227,55 @@
 	b.sound()
 }
 
-// TestEventsPassAsTheyCome: the first is at the client long before the last is made.
-func TestEventsPassAsTheyCome(t *testing.T) {
+// TestEventsAreForwardedAsTheyArrive: the first is at the client long before the last is made.
+func TestEventsAreForwardedAsTheyArrive(t *testing.T) {
 	b := newBench(t)
-	b.model(func(c *engine.Config) { c.Pace.Step = 10 * time.Millisecond })
+	b.model(func(c *engine.Config) { c.Pace.StepTime = 10 * time.Millisecond })
 	b.known("stream", 1)
 	r := b.request("stream")
 	r.Prompt.TokensOut = 60
-	try := b.answered(r)
-	if !try.Success() || len(try.Events) != 30 {
-		t.Fatalf("%+v", try)
+	attempt := b.answered(r)
+	if !attempt.Success() || len(attempt.Events) != 30 {
+		t.Fatalf("%+v", attempt)
 	}
-	if spread := try.Events[29].At.Since(try.Events[0].At); spread < 300*time.Millisecond {
+	if spread := attempt.Events[29].At.Since(attempt.Events[0].At); spread < 300*time.Millisecond {
 		t.Errorf("all events came within %v", spread)
 	}
 	b.sound()
 }
 
-// TestLastEventIdIsTakenUp: a client goes on behind each event of a stream.
-func TestLastEventIdIsTakenUp(t *testing.T) {
+// TestAStreamResumesFromLastEventID: a client goes on behind each event of a stream.
+func TestAStreamResumesFromLastEventID(t *testing.T) {
 	b := newBench(t)
 	b.model(nil)
 	b.known("resume", 1)
 	for after := 1; after < 6; after++ {
 		r := b.request("resume")
-		try := b.send(r, fmt.Sprint(after))
-		if !try.Success() || len(try.Events) != 6-after || try.Events[0].ID != fmt.Sprint(after+1) {
-			t.Errorf("after %d: %d %s, %d events", after, try.Status, try.Err, len(try.Events))
+		attempt := b.send(r, fmt.Sprint(after))
+		if !attempt.Success() || len(attempt.Events) != 6-after || attempt.Events[0].ID != fmt.Sprint(after+1) {
+			t.Errorf("after %d: %d %s, %d events", after, attempt.Status, attempt.Err, len(attempt.Events))
 		}
 	}
 	b.sound()
 }
 
 // send sends one try that takes a stream up.
-func (b *bench) send(r *client.Request, lastEvent string) *history.Try {
+func (b *bench) send(r *client.Request, lastEvent string) *history.Attempt {
 	b.t.Helper()
-	conn, err := client.Dial(context.Background(), b.book, "edge-0", b.front())
+	conn, err := client.Dial(context.Background(), b.recorder, "edge-0", b.front())
 	if err != nil {
 		b.t.Fatal(err)
 	}
 	defer conn.Close()
-	try := &history.Try{Request: r.ID, Kind: r.Kind, Attempt: attempts(), Host: r.Host, Method: r.Method, URI: r.URI, BodyDigest: protocol.Digest(r.Body), Class: r.Class, Resumable: r.Resumable,
-		Prompt: r.Prompt, LastEvent: lastEvent, Began: b.book.Now(), DeadlineMs: r.Deadline.Milliseconds()}
-	b.book.Note(func(h *history.History) { h.Tries = append(h.Tries, try) })
-	client.Send(context.Background(), conn, r, try, r.Deadline, lastEvent)
-	return try
+	attempt := &history.Attempt{Request: r.ID, Kind: r.Kind, AttemptID: attempts(), Host: r.Host, Method: r.Method, URI: r.URI, BodyDigest: protocol.Digest(r.Body), Class: r.Class, Resumable: r.Resumable,
+		Prompt: r.Prompt, LastEvent: lastEvent, Began: b.recorder.Now(), DeadlineMs: r.Deadline.Milliseconds()}
+	b.recorder.Record(func(h *history.History) { h.Attempts = append(h.Attempts, attempt) })
+	client.Send(context.Background(), conn, r, attempt, r.Deadline, lastEvent)
+	return attempt
 }
 
-// TestAResumableStreamIsCutAndGoesOnBehindEachEvent: two engines, one cut after each event.
-func TestAResumableStreamIsCutAndGoesOnBehindEachEvent(t *testing.T) {
+// TestAResumableStreamBrokenAfterAnyEventResumes: two engines, one cut after each event.
+func TestAResumableStreamBrokenAfterAnyEventResumes(t *testing.T) {
 	b := newBench(t)
 	b.model(nil)
 	b.model(nil)
@@ -286,17 +286,17 @@
 			e.Inject(engine.Fault{Kind: engine.Break, At: at})
 		}
 		r := b.request("resume")
-		r.Tries = 4
-		tries := b.newClient().Do(context.Background(), r)
-		if last := tries[len(tries)-1]; !last.Success() {
-			t.Errorf("cut at %d twice: %d %s after %d tries", at, last.Status, last.Err, len(tries))
+		r.MaxAttempts = 4
+		attempts := b.newClient().Do(context.Background(), r)
+		if last := attempts[len(attempts)-1]; !last.Success() {
+			t.Errorf("cut at %d twice: %d %s after %d tries", at, last.Status, last.Err, len(attempts))
 		}
 	}
 	b.sound()
 }
 
-// TestLimitsOfTheConfigurationHold: heads and bodies beyond them are refused, and nothing of them runs.
-func TestLimitsOfTheConfigurationHold(t *testing.T) {
+// TestLimitsOfTheConfigurationAreEnforced: heads and bodies beyond them are refused, and nothing of them runs.
+func TestLimitsOfTheConfigurationAreEnforced(t *testing.T) {
 	b := newBench(t)
 	b.plain(nil)
 	b.known("once", 1)
@@ -309,25 +309,25 @@
 		r        *client.Request
 		statuses []int
 	}{"body": {large, []int{413}}, "body in chunks": {chunked, []int{413}}, "head": {wide, []int{431}}} {
-		try := b.ask(one.r)
+		attempt := b.ask(one.r)
 		// It may close while the client still writes; that is no answer, and nothing ran.
-		if try.Status != 0 && try.Status != one.statuses[0] {
-			t.Errorf("%s: %d %s", what, try.Status, try.Err)
+		if attempt.Status != 0 && attempt.Status != one.statuses[0] {
+			t.Errorf("%s: %d %s", what, attempt.Status, attempt.Err)
 		}
-		if len(b.of(try.Attempt)) > 0 {
+		if len(b.of(attempt.AttemptID)) > 0 {
 			t.Errorf("%s: it went on", what)
 		}
 	}
 	near := b.request("once")
 	near.Header = map[string]string{"X-Wide": strings.Repeat("w", 15000)}
-	if try := b.answered(near); !try.Success() {
-		t.Errorf("a head within the limit: %d %s", try.Status, try.Err)
+	if attempt := b.answered(near); !attempt.Success() {
+		t.Errorf("a head within the limit: %d %s", attempt.Status, attempt.Err)
 	}
 	b.sound()
 }
 
-// TestNothingIsSmuggled: framings that two readers could read in two ways never make a second request run.
-func TestNothingIsSmuggled(t *testing.T) {
+// TestAmbiguousFramingIsNotSmuggled: framings that two readers could read in two ways never make a second request run.
+func TestAmbiguousFramingIsNotSmuggled(t *testing.T) {
 	b := newBench(t)
 	b.plain(nil)
 	b.known("once", 1)
@@ -354,21 +354,21 @@
 		_ = conn.CloseWrite()
 		_, _ = io.ReadAll(conn)
 		for _, arrival := range b.arrivals() {
-			if arrival.Attempt == "smuggled" && what != "length and chunks" && what != "two lengths" {
+			if arrival.AttemptID == "smuggled" && what != "length and chunks" && what != "two lengths" {
 				t.Errorf("%s: the inner request arrived", what)
 			}
 		}
 		for _, arrival := range b.arrivals() {
 			// A reader that takes chunks over the length sees two requests in a row, and so must the engine: whole ones.
-			if arrival.Attempt == "smuggled" && arrival.URI != path {
+			if arrival.AttemptID == "smuggled" && arrival.URI != path {
 				t.Errorf("%s: %s", what, arrival.URI)
 			}
 		}
 	}
 }
 
-// TestClientsOfOtherManners: HTTP/1.0, Expect, a head in pieces, and an empty line before it.
-func TestClientsOfOtherManners(t *testing.T) {
+// TestUnusualButValidClientsAreServed: HTTP/1.0, Expect, a head in pieces, and an empty line before it.
+func TestUnusualButValidClientsAreServed(t *testing.T) {
 	b := newBench(t)
 	b.plain(nil)
 	b.known("once", 1)
--- a/testbed/platformtest/engine/batch.go
+++ b/testbed/platformtest/engine/batch.go
@@ -18,10 +18,10 @@
 	Memory int64
 	// A step gives each running request a token; it takes Step, PerRun more for each request that runs, and
 	// the time that the prompts read in it take.
-	Step, PerRun time.Duration
-	ReadPerMs    float64
+	StepTime, PerRequest time.Duration
+	PrefillPerMs         float64
 	// ReadAtOnce is the most of prompts read in one step.
-	ReadAtOnce int
+	PrefillAtOnce int
 	// Stride is how many tokens one event holds.
 	Stride int
 }
@@ -35,18 +35,18 @@
 	// From is the last event that the caller has already; the run goes on behind it.
 	From int
 	// Probe takes a place and is done at once.
-	Probe bool
+	HealthCheck bool
 	// Hangs keeps a plain run from ever ending.
-	Hangs bool
+	Hang bool
 
 	// Read and Kept count the tokens that were read, and that had not to be.
-	Read, Kept int
-	toRead     int
-	made       int
-	began      bool
-	running    bool
-	own        int64
-	pinned     []*kept
+	PrefilledTokens, CachedTokens int
+	prefillLeft                   int
+	generated                     int
+	began                         bool
+	running                       bool
+	ownMemory                     int64
+	pinned                        []*cachedPart
 }
 
 // Began says whether its first token is out.
@@ -56,7 +56,7 @@
 func (j *Job) tokens(stride int) int { return max(1, j.Prompt.TokensOut-j.From*stride) }
 
 // kept is one part of a prompt that the engine keeps; it stands for all parts before it too.
-type kept struct {
+type cachedPart struct {
 	key    string
 	tokens int64
 	// users are running requests, used is when it last was.
@@ -65,27 +65,27 @@
 }
 
 // Sign is one thing that a step brought.
-type Sign struct {
+type Progress struct {
 	Job *Job
 	// Event is the number of an event that is ready; zero is none. Last: it was the last one.
 	Event int
 	Last  bool
 	// Expired: its deadline has passed. PutBack: it had to make room and waits again.
-	Expired, PutBack bool
+	Expired, Preempted bool
 }
 
 // Batch decides what an engine works on. It knows no clock and no socket.
 type Batch struct {
-	pace    Pace
-	queue   []*Job
-	running []*Job
-	parts   map[string]*kept
-	turn    uint64
-	held    int64
+	pace         Pace
+	queue        []*Job
+	running      []*Job
+	cache        map[string]*cachedPart
+	clock        uint64
+	cachedTokens int64
 }
 
 // NewBatch makes one.
-func NewBatch(pace Pace) *Batch { return &Batch{pace: pace, parts: map[string]*kept{}} }
+func NewBatch(pace Pace) *Batch { return &Batch{pace: pace, cache: map[string]*cachedPart{}} }
 
 // Queued and Active count.
 func (b *Batch) Queued() int { return len(b.queue) }
@@ -96,12 +96,12 @@
 // Memory is what can't give way, and what is used in all.
 func (b *Batch) Memory() (fixed, all int64) {
 	for _, job := range b.running {
-		fixed += job.own
+		fixed += job.ownMemory
 	}
-	all = fixed + b.held
-	for _, part := range b.parts {
-		if part.users > 0 {
-			fixed += part.tokens
+	all = fixed + b.cachedTokens
+	for _, cached := range b.cache {
+		if cached.users > 0 {
+			fixed += cached.tokens
 		}
 	}
 	return fixed, all
@@ -111,7 +111,7 @@
 func (b *Batch) Idle() bool { return len(b.queue) == 0 && len(b.running) == 0 }
 
 // Offer takes a request in; false turns it away as full.
-func (b *Batch) Offer(job *Job) bool {
+func (b *Batch) Submit(job *Job) bool {
 	if b.pace.Memory > 0 && int64(job.Prompt.TokensIn+job.Prompt.TokensOut) > b.pace.Memory {
 		return false
 	}
@@ -140,7 +140,7 @@
 }
 
 // Drop takes the waiting requests that match out; those that have begun stay.
-func (b *Batch) Drop(match func(*Job) bool) (dropped []*Job) {
+func (b *Batch) CancelQueued(match func(*Job) bool) (dropped []*Job) {
 	b.queue = slices.DeleteFunc(b.queue, func(job *Job) bool {
 		if job.began || !match(job) {
 			return false
@@ -152,16 +152,16 @@
 }
 
 // Works says whether any request that matches is running, or was put back after it began.
-func (b *Batch) Works(match func(*Job) bool) bool {
+func (b *Batch) Running(match func(*Job) bool) bool {
 	return slices.ContainsFunc(b.running, match) || slices.ContainsFunc(b.queue, func(job *Job) bool { return job.began && match(job) })
 }
 
 // Forget drops all kept parts of a model, or of an adapter of it.
-func (b *Batch) Forget(owner string) {
-	for key, part := range b.parts {
-		if part.users == 0 && (keyOwner(key) == owner) {
-			b.held -= part.tokens
-			delete(b.parts, key)
+func (b *Batch) DropCache(owner string) {
+	for key, cached := range b.cache {
+		if cached.users == 0 && (keyOwner(key) == owner) {
+			b.cachedTokens -= cached.tokens
+			delete(b.cache, key)
 		}
 	}
 }
@@ -177,14 +177,14 @@
 
 func (b *Batch) release(job *Job) {
 	b.running = slices.DeleteFunc(b.running, func(other *Job) bool { return other == job })
-	for _, part := range job.pinned {
-		part.users--
+	for _, cached := range job.pinned {
+		cached.users--
 	}
-	job.pinned, job.own, job.running = nil, 0, false
+	job.pinned, job.ownMemory, job.running = nil, 0, false
 }
 
 // room makes room for more tokens by giving up kept parts, those unused longest first.
-func (b *Batch) room(more int64) bool {
+func (b *Batch) makeRoom(more int64) bool {
 	if b.pace.Memory == 0 {
 		return true
 	}
@@ -193,155 +193,155 @@
 		if all+more <= b.pace.Memory {
 			return true
 		}
-		var oldest *kept
-		for _, part := range b.parts {
+		var oldest *cachedPart
+		for _, cached := range b.cache {
 			// Of parts used at the same time the later in the prompt goes first; a key is longer the later it is.
-			if part.users == 0 && (oldest == nil || part.used < oldest.used ||
-				part.used == oldest.used && (len(part.key) > len(oldest.key) || len(part.key) == len(oldest.key) && part.key < oldest.key)) {
-				oldest = part
+			if cached.users == 0 && (oldest == nil || cached.used < oldest.used ||
+				cached.used == oldest.used && (len(cached.key) > len(oldest.key) || len(cached.key) == len(oldest.key) && cached.key < oldest.key)) {
+				oldest = cached
 			}
 		}
 		if oldest == nil {
 			return false
 		}
-		b.held -= oldest.tokens
-		delete(b.parts, oldest.key)
+		b.cachedTokens -= oldest.tokens
+		delete(b.cache, oldest.key)
 	}
 }
 
 // chain gives the keys of a prompt's parts.
-func chain(prompt protocol.Prompt) []string {
+func partKeys(prompt protocol.Prompt) []string {
 	key := prompt.WriteModel() + "|"
 	keys := make([]string, 0, len(prompt.Parts))
-	for _, part := range prompt.Parts {
-		key += part.ID + ","
+	for _, cached := range prompt.Parts {
+		key += cached.ID + ","
 		keys = append(keys, key)
 	}
 	return keys
 }
 
 // admit gives waiting requests slots, in order; the first that finds no room stops the rest.
-func (b *Batch) admit(now clock.Mark, signs []Sign) []Sign {
+func (b *Batch) admit(now clock.Mark, progress []Progress) []Progress {
 	for len(b.queue) > 0 {
 		job := b.queue[0]
 		if job.Deadline != 0 && now >= job.Deadline {
 			b.queue = b.queue[1:]
-			signs = append(signs, Sign{Job: job, Expired: true})
+			progress = append(progress, Progress{Job: job, Expired: true})
 			continue
 		}
 		if len(b.running) >= b.pace.Slots {
-			return signs
+			return progress
 		}
-		if job.Probe {
+		if job.HealthCheck {
 			b.queue = b.queue[1:]
-			signs = append(signs, Sign{Job: job, Last: true})
+			progress = append(progress, Progress{Job: job, Last: true})
 			continue
 		}
-		if !b.seat(job) {
-			return signs
+		if !b.startJob(job) {
+			return progress
 		}
 		b.queue = b.queue[1:]
 	}
-	return signs
+	return progress
 }
 
-func (b *Batch) seat(job *Job) bool {
-	b.turn++
+func (b *Batch) startJob(job *Job) bool {
+	b.clock++
 	keptTokens := int64(0)
-	var pinned []*kept
-	for _, key := range chain(job.Prompt) {
-		part := b.parts[key]
-		if part == nil {
+	var pinned []*cachedPart
+	for _, key := range partKeys(job.Prompt) {
+		cached := b.cache[key]
+		if cached == nil {
 			break
 		}
-		part.users++
-		part.used = b.turn
-		pinned = append(pinned, part)
-		keptTokens += part.tokens
+		cached.users++
+		cached.used = b.clock
+		pinned = append(pinned, cached)
+		keptTokens += cached.tokens
 	}
 	// What was made before it was put back, or at another engine, is read like a prompt.
-	whole := int64(job.Prompt.TokensIn) + int64(job.From*b.pace.Stride) + int64(job.made)
-	need := max(0, whole-keptTokens)
-	if !b.room(need + 1) {
-		for _, part := range pinned {
-			part.users--
+	complete := int64(job.Prompt.TokensIn) + int64(job.From*b.pace.Stride) + int64(job.generated)
+	need := max(0, complete-keptTokens)
+	if !b.makeRoom(need + 1) {
+		for _, cached := range pinned {
+			cached.users--
 		}
 		return false
 	}
-	job.pinned, job.own, job.running = pinned, need, true
-	job.toRead = int(need)
-	job.Kept += int(min(keptTokens, whole))
+	job.pinned, job.ownMemory, job.running = pinned, need, true
+	job.prefillLeft = int(need)
+	job.CachedTokens += int(min(keptTokens, complete))
 	b.running = append(b.running, job)
 	return true
 }
 
 // keep turns what a request has read into parts that others can use.
-func (b *Batch) keep(job *Job) {
-	keys := chain(job.Prompt)
+func (b *Batch) cacheParts(job *Job) {
+	keys := partKeys(job.Prompt)
 	for place := len(job.pinned); place < len(keys); place++ {
 		tokens := int64(job.Prompt.Parts[place].Tokens)
-		part := b.parts[keys[place]]
-		if part == nil {
-			part = &kept{key: keys[place], tokens: tokens}
-			b.parts[part.key] = part
-			b.held += tokens
+		cached := b.cache[keys[place]]
+		if cached == nil {
+			cached = &cachedPart{key: keys[place], tokens: tokens}
+			b.cache[cached.key] = cached
+			b.cachedTokens += tokens
 		}
 		// Its own copy becomes the common one.
-		job.own = max(0, job.own-tokens)
-		part.users++
-		part.used = b.turn
-		job.pinned = append(job.pinned, part)
+		job.ownMemory = max(0, job.ownMemory-tokens)
+		cached.users++
+		cached.used = b.clock
+		job.pinned = append(job.pinned, cached)
 	}
 }
 
 // Begin starts a step: it says how long it takes, and what became of those that waited. Zero: nothing to do.
-func (b *Batch) Begin(now clock.Mark) (time.Duration, []Sign) {
-	signs := b.admit(now, nil)
+func (b *Batch) Begin(now clock.Mark) (time.Duration, []Progress) {
+	progress := b.admit(now, nil)
 	if len(b.running) == 0 {
-		return 0, signs
+		return 0, progress
 	}
-	reading := b.pace.ReadAtOnce
+	reading := b.pace.PrefillAtOnce
 	read := 0
 	for _, job := range b.running {
-		now := min(job.toRead, reading)
+		now := min(job.prefillLeft, reading)
 		reading -= now
 		read += now
 	}
-	took := b.pace.Step + time.Duration(len(b.running))*b.pace.PerRun
-	if b.pace.ReadPerMs > 0 {
-		took += time.Duration(float64(read) / b.pace.ReadPerMs * float64(time.Millisecond))
+	took := b.pace.StepTime + time.Duration(len(b.running))*b.pace.PerRequest
+	if b.pace.PrefillPerMs > 0 {
+		took += time.Duration(float64(read) / b.pace.PrefillPerMs * float64(time.Millisecond))
 	}
-	return took, signs
+	return took, progress
 }
 
 // End finishes the step: prompts are read on, and each request whose prompt is read has one token more.
-func (b *Batch) End(now clock.Mark) (signs []Sign) {
-	b.turn++
-	reading := b.pace.ReadAtOnce
+func (b *Batch) End(now clock.Mark) (progress []Progress) {
+	b.clock++
+	reading := b.pace.PrefillAtOnce
 	for _, job := range slices.Clone(b.running) {
 		if !job.running {
 			continue
 		}
 		if job.Deadline != 0 && now >= job.Deadline {
 			b.release(job)
-			signs = append(signs, Sign{Job: job, Expired: true})
+			progress = append(progress, Progress{Job: job, Expired: true})
 			continue
 		}
-		if job.toRead > 0 {
-			part := min(job.toRead, reading)
-			reading -= part
-			job.toRead -= part
-			job.Read += part
-			if job.toRead > 0 {
+		if job.prefillLeft > 0 {
+			cached := min(job.prefillLeft, reading)
+			reading -= cached
+			job.prefillLeft -= cached
+			job.PrefilledTokens += cached
+			if job.prefillLeft > 0 {
 				continue
 			}
-			b.keep(job)
+			b.cacheParts(job)
 		}
-		for !b.room(1) {
+		for !b.makeRoom(1) {
 			back := b.newestLeastUrgent()
 			b.release(back)
 			b.enqueue(back)
-			signs = append(signs, Sign{Job: back, PutBack: true})
+			progress = append(progress, Progress{Job: back, Preempted: true})
 			if back == job {
 				break
 			}
@@ -349,26 +349,26 @@
 		if !job.running {
 			continue
 		}
-		job.own++
-		job.made++
+		job.ownMemory++
+		job.generated++
 		job.began = true
 		all := job.tokens(b.pace.Stride)
-		sign := Sign{Job: job, Last: job.made >= all}
+		sign := Progress{Job: job, Last: job.generated >= all}
 		stride := max(1, b.pace.Stride)
 		// Behind the last event nothing is left to write.
 		over := job.From > 0 && job.From*stride >= job.Prompt.TokensOut
-		if !over && (job.made%stride == 0 || sign.Last) {
-			sign.Event = job.From + (job.made+stride-1)/stride
+		if !over && (job.generated%stride == 0 || sign.Last) {
+			sign.Event = job.From + (job.generated+stride-1)/stride
 		}
 		if sign.Last {
 			b.release(job)
 		}
 		// The first token is told too, even if its event is not full yet.
-		if sign.Event > 0 || sign.Last || job.made == 1 {
-			signs = append(signs, sign)
+		if sign.Event > 0 || sign.Last || job.generated == 1 {
+			progress = append(progress, sign)
 		}
 	}
-	return signs
+	return progress
 }
 
 func (b *Batch) newestLeastUrgent() *Job {
--- a/testbed/platformtest/engine/batch_test.go
+++ b/testbed/platformtest/engine/batch_test.go
@@ -10,7 +10,7 @@
 )
 
 func pace() Pace {
-	return Pace{Slots: 2, Waiting: 1, Memory: 100, Step: time.Millisecond, PerRun: time.Millisecond, ReadPerMs: 10, ReadAtOnce: 20, Stride: 2}
+	return Pace{Slots: 2, Waiting: 1, Memory: 100, StepTime: time.Millisecond, PerRequest: time.Millisecond, PrefillPerMs: 10, PrefillAtOnce: 20, Stride: 2}
 }
 
 func job(number uint64, in, out int, parts ...protocol.Part) *Job {
@@ -31,7 +31,7 @@
 		}
 		took += step
 		for _, sign := range b.End(clock.Mark(took)) {
-			if sign.PutBack {
+			if sign.Preempted {
 				back++
 			}
 			if sign.Event > 0 {
@@ -44,70 +44,70 @@
 	}
 }
 
-func TestABatchSlowsAsMoreRunAndReadsPromptsInPieces(t *testing.T) {
+func TestABatchSlowsWithLoadAndPrefillsInChunks(t *testing.T) {
 	b := NewBatch(pace())
-	b.Offer(job(1, 30, 4))
+	b.Submit(job(1, 30, 4))
 	events, alone, _ := through(t, b)
 	if len(events[1]) != 2 || alone != 5*2*time.Millisecond+3*time.Millisecond {
 		t.Fatal(events, alone)
 	}
-	b.Offer(job(2, 30, 4))
-	b.Offer(job(3, 30, 4))
+	b.Submit(job(2, 30, 4))
+	b.Submit(job(3, 30, 4))
 	if _, both, _ := through(t, b); both <= alone || both >= 2*alone {
 		t.Fatal(alone, both)
 	}
 }
 
-func TestKeptPartsAreNotReadAgainAndThoseUnusedLongestGiveWay(t *testing.T) {
+func TestCachedPartsAreNotPrefilledAgainAndEvictedByLeastRecentUse(t *testing.T) {
 	b := NewBatch(pace())
 	shared := protocol.Part{ID: "aa", Tokens: 20}
 	first := job(1, 30, 2, shared, protocol.Part{ID: "b1", Tokens: 10})
-	b.Offer(first)
+	b.Submit(first)
 	through(t, b)
 	second := job(2, 30, 2, shared, protocol.Part{ID: "b2", Tokens: 10})
-	b.Offer(second)
+	b.Submit(second)
 	through(t, b)
-	if first.Read != 30 || second.Read != 10 || second.Kept != 20 {
-		t.Fatal(first.Read, second.Read, second.Kept)
+	if first.PrefilledTokens != 30 || second.PrefilledTokens != 10 || second.CachedTokens != 20 {
+		t.Fatal(first.PrefilledTokens, second.PrefilledTokens, second.CachedTokens)
 	}
 	// A part behind one that is not kept is read again.
 	third := job(3, 30, 2, protocol.Part{ID: "cc", Tokens: 20}, protocol.Part{ID: "b2", Tokens: 10})
-	b.Offer(third)
+	b.Submit(third)
 	through(t, b)
-	if third.Read != 30 {
-		t.Fatal(third.Read)
+	if third.PrefilledTokens != 30 {
+		t.Fatal(third.PrefilledTokens)
 	}
 	// Another adapter shares nothing.
 	other := job(4, 30, 2, shared)
 	other.Prompt.Adapter = "a1"
-	b.Offer(other)
+	b.Submit(other)
 	through(t, b)
-	if other.Read != 30 {
-		t.Fatal(other.Read)
+	if other.PrefilledTokens != 30 {
+		t.Fatal(other.PrefilledTokens)
 	}
 	big := job(5, 90, 2)
-	b.Offer(big)
+	b.Submit(big)
 	through(t, b)
 	again := job(6, 30, 2, shared)
-	b.Offer(again)
+	b.Submit(again)
 	through(t, b)
-	if again.Read != 30 {
+	if again.PrefilledTokens != 30 {
 		t.Fatal("a part was kept that had to give way")
 	}
 }
 
-func TestTheNewestOfTheLeastUrgentIsPutBackWhenMemoryRunsOut(t *testing.T) {
+func TestTheNewestOfTheLeastUrgentIsPreemptedWhenMemoryRunsOut(t *testing.T) {
 	b := NewBatch(pace())
 	early, urgent := job(1, 40, 30), job(2, 40, 30)
 	urgent.Urgency = 0
-	b.Offer(early)
-	b.Offer(urgent)
+	b.Submit(early)
+	b.Submit(urgent)
 	events, _, back := through(t, b)
 	if back == 0 || len(events[1]) != 15 || len(events[2]) != 15 {
 		t.Fatal(back, events)
 	}
-	if early.Read <= 40 || urgent.Read != 40 {
-		t.Fatal("the wrong one was put back", early.Read, urgent.Read)
+	if early.PrefilledTokens <= 40 || urgent.PrefilledTokens != 40 {
+		t.Fatal("the wrong one was put back", early.PrefilledTokens, urgent.PrefilledTokens)
 	}
 	for number, list := range events {
 		for place, id := range list {
@@ -118,14 +118,14 @@
 	}
 }
 
-func TestABatchTurnsAwayWhatIsTooLargeOrTooMuchAndGoesOnBehindAnEvent(t *testing.T) {
+func TestABatchRejectsOversizeAndOverflowAndResumesAfterAnEvent(t *testing.T) {
 	b := NewBatch(pace())
-	if b.Offer(job(1, 90, 20)) {
+	if b.Submit(job(1, 90, 20)) {
 		t.Fatal("a request larger than the memory was taken")
 	}
 	taken := 0
 	for n := range 5 {
-		if b.Offer(job(uint64(n), 10, 4)) {
+		if b.Submit(job(uint64(n), 10, 4)) {
 			taken++
 		}
 	}
@@ -135,27 +135,27 @@
 	through(t, b)
 	resumed := job(9, 10, 8)
 	resumed.From = 2
-	b.Offer(resumed)
+	b.Submit(resumed)
 	if events, _, _ := through(t, b); len(events[9]) != 2 || events[9][0] != 3 || events[9][1] != 4 {
 		t.Fatal(events)
 	}
 	late := job(10, 10, 4)
 	late.Deadline = 5
-	b.Offer(late)
-	if _, signs := b.Begin(6); len(signs) != 1 || !signs[0].Expired || late.Began() {
-		t.Fatal(signs)
+	b.Submit(late)
+	if _, progress := b.Begin(6); len(progress) != 1 || !progress[0].Expired || late.Began() {
+		t.Fatal(progress)
 	}
 }
 
-func room() Room {
-	return Room{Catalogue: protocol.EngineID{WeightsMb: 100, AdapterCapacity: 1, Models: []protocol.CatalogModel{
+func smallCapacity() Capacity {
+	return Capacity{Catalogue: protocol.EngineID{WeightsMb: 100, AdapterCapacity: 1, Models: []protocol.CatalogModel{
 		{Label: "m", WeightsMb: 60, LoadTimeS: 2, Adapters: 3, AdapterSizeMb: 5}, {Label: "n", WeightsMb: 60, LoadTimeS: 1}, {Label: "o", WeightsMb: 30, LoadTimeS: 1}}},
 		DiskShare: 0.5, AdapterTime: time.Millisecond, FenceChecked: true}
 }
 
-func TestOrdersAreTakenOneAtATimeAndAnsweredByThePage(t *testing.T) {
+func TestOrdersAreAcceptedOneAtATimeWithTheDocumentedStatus(t *testing.T) {
 	fence := func(n uint64) *uint64 { return &n }
-	h := NewHoldings(room(), nil, map[string]bool{})
+	h := NewHoldings(smallCapacity(), nil, map[string]bool{})
 	order := func(operation, model, adapter string) protocol.Order {
 		return protocol.Order{Operation: operation, Model: model, Adapter: adapter, Owner: "o", Fence: fence(5)}
 	}
@@ -184,7 +184,7 @@
 		{"over the room", order(protocol.Load, "n", ""), http.StatusAccepted, true, true, time.Second},
 	} {
 		got := h.Take(step.order)
-		if got.Status != step.status || got.Over != step.over || got.Store != step.store || got.Takes != step.takes {
+		if got.Status != step.status || got.OverCapacity != step.over || got.FromStore != step.store || got.Duration != step.takes {
 			t.Errorf("%s: %+v", step.what, got)
 		}
 		if got.Status == http.StatusAccepted {
--- a/testbed/platformtest/engine/beat.go
+++ b/testbed/platformtest/engine/beat.go
@@ -14,7 +14,7 @@
 )
 
 // mostAnswer is the longest acknowledgement that is taken for one.
-const mostAnswer = 4 << 10
+const maxAcknowledgement = 4 << 10
 
 // controlClient is what engines call the control daemons with.
 func controlClient(patience time.Duration) *http.Client {
@@ -28,18 +28,18 @@
 }
 
 // caller is how one life calls the control daemons.
-type caller struct {
-	*life
+type registrar struct {
+	*incarnation
 	client *http.Client
 	// target is where the last acknowledgement wants later beats, held until a beat fails there.
-	target string
-	turn   int
-	seq    uint64
+	heartbeatTarget string
+	next            int
+	seq             uint64
 }
 
-func (l *life) beat() {
-	c := &caller{life: l, client: controlClient(time.Second)}
-	c.turn = l.random.IntN(64)
+func (l *incarnation) sendHeartbeats() {
+	c := &registrar{incarnation: l, client: controlClient(time.Second)}
+	c.next = l.random.IntN(64)
 	pause, failures := time.Duration(0), 0
 	for {
 		if pause > 0 {
@@ -49,86 +49,86 @@
 				timer.Stop()
 				return
 			case <-timer.C:
-			case <-l.hurry:
+			case <-l.heartbeatNow:
 				timer.Stop()
 			}
 		}
 		if !l.gate.pass(l.ctx) {
 			return
 		}
-		if c.once() {
-			pause, failures = l.Config.BeatPeriod, 0
+		if c.sendHeartbeat() {
+			pause, failures = l.Config.HeartbeatPeriod, 0
 			continue
 		}
 		// The next daemon is called after a pause that grows, up to one beat.
 		failures++
-		pause = min(l.Config.BeatPeriod, 10*time.Millisecond<<min(failures, 10))
+		pause = min(l.Config.HeartbeatPeriod, 10*time.Millisecond<<min(failures, 10))
 	}
 }
 
 // pick gives the daemon to call next.
-func (c *caller) pick() string {
-	if c.target != "" {
-		return c.target
+func (c *registrar) pick() string {
+	if c.heartbeatTarget != "" {
+		return c.heartbeatTarget
 	}
 	list := c.Config.Controls()
 	if len(list) == 0 {
 		return ""
 	}
-	return list[c.turn%len(list)]
+	return list[c.next%len(list)]
 }
 
 // once sends one beat and says whether it was acknowledged.
-func (c *caller) once() bool {
+func (c *registrar) sendHeartbeat() bool {
 	daemon := c.pick()
 	if daemon == "" {
 		return false
 	}
 	c.seq++
-	beat := protocol.Registration{Backend: c.Config.Service, Address: c.Config.Address, Zone: c.Config.Zone, Generation: c.Config.Software, Slots: c.slots(),
+	heartbeat := protocol.Registration{Backend: c.Config.Service, Address: c.Config.Address, Zone: c.Config.Zone, Generation: c.Config.Software, Slots: c.slots(),
 		State: protocol.StateReady, CallSeq: c.seq}
-	if left := c.Config.Cold - c.Book.Now().Since(c.began); left > 0 {
-		beat.ColdLeftMs = left.Milliseconds()
+	if left := c.Config.WarmUp - c.Recorder.Now().Since(c.began); left > 0 {
+		heartbeat.WarmUpLeftMs = left.Milliseconds()
 	}
 	if c.Config.Model {
-		beat.Phase = "colocated"
-		c.do(func() { beat.Models = c.holdings.List() })
+		heartbeat.Phase = "colocated"
+		c.do(func() { heartbeat.Models = c.holdings.List() })
 	}
-	leaving := c.leaving.Load()
+	leaving := c.draining.Load()
 	if leaving {
-		beat.State = protocol.StateDraining
+		heartbeat.State = protocol.StateDraining
 		if by := c.remaining.Load(); by != 0 {
-			beat.RemainingMs = max(0, time.Duration(by-int64(c.Book.Now())).Milliseconds())
+			heartbeat.RemainingMs = max(0, time.Duration(by-int64(c.Recorder.Now())).Milliseconds())
 		}
 	}
 	if each := c.Config.LateEach; each > 0 && c.seq%each == 0 {
-		c.sendLate(encode(beat))
-		c.target = ""
-		c.turn++
+		c.sendLate(encode(heartbeat))
+		c.heartbeatTarget = ""
+		c.next++
 		return false
 	}
-	asked := c.Book.Now()
-	status, body, err := call(c.ctx, c.client, http.MethodPut, daemon, protocol.PathEngines+c.id, encode(beat))
-	if err != nil || status < 200 || status > 299 || len(body) > mostAnswer || c.Book.Now().Since(asked) > time.Second {
-		c.target = ""
-		c.turn++
+	asked := c.Recorder.Now()
+	status, body, err := call(c.ctx, c.client, http.MethodPut, daemon, protocol.PathEngines+c.id, encode(heartbeat))
+	if err != nil || status < 200 || status > 299 || len(body) > maxAcknowledgement || c.Recorder.Now().Since(asked) > time.Second {
+		c.heartbeatTarget = ""
+		c.next++
 		return false
 	}
 	var answer protocol.Registered
 	if json.Unmarshal(body, &answer) == nil {
-		c.target = answer.BeatTarget
+		c.heartbeatTarget = answer.HeartbeatTarget
 	}
 	if leaving {
 		c.ackOnce.Do(func() {
-			c.Book.Note(func(*history.History) { c.record.DrainAcked, c.record.DrainBy = c.Book.Now(), daemon })
-			close(c.acked)
+			c.Recorder.Record(func(*history.History) { c.record.DrainAcked, c.record.DrainBy = c.Recorder.Now(), daemon })
+			close(c.drainAcked)
 		})
 	}
 	return true
 }
 
 // sendLate has a beat be under way for long, behind later ones, and past the engine's end.
-func (c *caller) sendLate(beat []byte) {
+func (c *registrar) sendLate(heartbeat []byte) {
 	list := c.Config.Controls()
 	if len(list) == 0 {
 		return
@@ -136,12 +136,12 @@
 	daemon := list[c.seq%uint64(len(list))]
 	time.AfterFunc(c.Config.LateBy, func() {
 		// Whatever the answer is, nobody waits for it any more.
-		_, _, _ = call(context.Background(), c.client, http.MethodPut, daemon, protocol.PathEngines+c.id, beat)
+		_, _, _ = call(context.Background(), c.client, http.MethodPut, daemon, protocol.PathEngines+c.id, heartbeat)
 	})
 }
 
 // depart says that the life ends; it is tried at each daemon. It says whether one acknowledged it.
-func (l *life) depart() bool {
+func (l *incarnation) deregister() bool {
 	client := controlClient(time.Second)
 	list := l.Config.Controls
 	if list == nil {
@@ -150,9 +150,9 @@
 	for _, daemon := range list() {
 		status, _, err := call(l.ctx, client, http.MethodDelete, daemon, protocol.PathEngines+l.id, nil)
 		if err == nil && status >= 200 && status < 300 {
-			l.Book.Note(func(*history.History) {
+			l.Recorder.Record(func(*history.History) {
 				if l.record.DrainAcked == 0 {
-					l.record.DrainAcked, l.record.DrainBy = l.Book.Now(), daemon
+					l.record.DrainAcked, l.record.DrainBy = l.Recorder.Now(), daemon
 				}
 			})
 			return true
@@ -175,6 +175,6 @@
 		return 0, nil, err
 	}
 	defer response.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(response.Body, mostAnswer+1))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxAcknowledgement+1))
 	return response.StatusCode, data, err
 }
