--- a/testbed/platformtest/engine/engine_test.go
+++ b/testbed/platformtest/engine/engine_test.go
@@ -24,60 +24,60 @@
 
 func modelConfig() engine.Config {
 	return engine.Config{Name: "lm", Service: "lm", Zone: "a", Address: loopback.Host() + ":0", HealthPath: "/health", MaxConns: 50, Model: true,
-		Pace: engine.Pace{Slots: 4, Waiting: 2, Memory: 4000, Step: 200 * time.Microsecond, PerRun: 50 * time.Microsecond, ReadPerMs: 1000, ReadAtOnce: 500, Stride: 2},
-		Room: engine.Room{Catalogue: protocol.EngineID{WeightsMb: 100, AdapterCapacity: 2, Models: []protocol.CatalogModel{
+		Pace: engine.Pace{Slots: 4, Waiting: 2, Memory: 4000, StepTime: 200 * time.Microsecond, PerRequest: 50 * time.Microsecond, PrefillPerMs: 1000, PrefillAtOnce: 500, Stride: 2},
+		Capacity: engine.Capacity{Catalogue: protocol.EngineID{WeightsMb: 100, AdapterCapacity: 2, Models: []protocol.CatalogModel{
 			{Label: "m", WeightsMb: 50, LoadTimeS: 0.01, Adapters: 2, AdapterSizeMb: 1}, {Label: "n", WeightsMb: 40, LoadTimeS: 0.01}, {Label: "big", WeightsMb: 90, LoadTimeS: 0.01}}},
 			DiskShare: 0.5, AdapterTime: time.Millisecond},
-		Initially: []protocol.Holding{{Label: "m", Generation: 1}}, ReportLag: 5 * time.Millisecond, Seed: 1}
+		InitialModels: []protocol.Holding{{Label: "m", Generation: 1}}, ReportLag: 5 * time.Millisecond, Seed: 1}
 }
 
 func plainConfig() engine.Config {
 	return engine.Config{Name: "plain", Service: "plain", Zone: "a", Address: loopback.Host() + ":0", HealthPath: "/health", MaxConns: 50, Slots: 2, Waiting: 1, Work: time.Millisecond, AnswerBytes: 300, Seed: 1}
 }
 
-type stand struct {
-	t      *testing.T
-	book   *history.Book
-	engine *engine.Engine
-	client *client.Client
+type testEngine struct {
+	t        *testing.T
+	recorder *history.Recorder
+	engine   *engine.Engine
+	client   *client.Client
 }
 
-func start(t *testing.T, config engine.Config) *stand {
+func start(t *testing.T, config engine.Config) *testEngine {
 	t.Helper()
-	book := history.NewBook(clock.System{})
-	e := engine.New(config, book)
+	recorder := history.NewRecorder(clock.System{})
+	e := engine.New(config, recorder)
 	if err := e.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(e.Stop)
-	c := &client.Client{Book: book, NextAttempt: client.NewAttempts(1), Keeps: true,
-		Enter: func(string) (client.Daemon, bool) {
+	c := &client.Client{Recorder: recorder, NextAttemptID: client.NewAttemptIDs(1), KeepAlive: true,
+		PickDaemon: func(string) (client.Daemon, bool) {
 			return client.Daemon{Name: "engine", Address: e.Config.Address}, true
 		}}
 	t.Cleanup(c.Close)
-	return &stand{t, book, e, c}
+	return &testEngine{t, recorder, e, c}
 }
 
 func streamed(out int) *client.Request {
-	return &client.Request{ID: "r", Kind: "k", Host: "h", Method: http.MethodPost, URI: "/s/x", Body: []byte("prompt"), Class: protocol.Streaming, Deadline: 30 * time.Second, Aim: time.Second, Gap: time.Second,
+	return &client.Request{ID: "r", Kind: "k", Host: "h", Method: http.MethodPost, URI: "/s/x", Body: []byte("prompt"), Class: protocol.Streaming, Deadline: 30 * time.Second, Target: time.Second, Gap: time.Second,
 		Prompt: protocol.Prompt{Model: "m", TokensIn: 100, TokensOut: out, Parts: []protocol.Part{{ID: "aa", Tokens: 60}, {ID: "bb", Tokens: 40}}}}
 }
 
 func plain() *client.Request {
-	return &client.Request{ID: "r", Kind: "k", Host: "h", Method: http.MethodPost, URI: "/p/x?q=1", Body: bytes.Repeat([]byte("b"), 2000), Class: protocol.Mutating, Deadline: 30 * time.Second, Aim: time.Second}
+	return &client.Request{ID: "r", Kind: "k", Host: "h", Method: http.MethodPost, URI: "/p/x?q=1", Body: bytes.Repeat([]byte("b"), 2000), Class: protocol.Mutating, Deadline: 30 * time.Second, Target: time.Second}
 }
 
 // once sends one request and gives its last try as written down.
-func (s *stand) once(r *client.Request) *history.Try {
+func (s *testEngine) once(r *client.Request) *history.Attempt {
 	s.t.Helper()
-	tries := s.client.Do(context.Background(), r)
-	if len(tries) == 0 {
+	attempts := s.client.Do(context.Background(), r)
+	if len(attempts) == 0 {
 		s.t.Fatal("nothing was tried")
 	}
-	last := tries[len(tries)-1].Attempt
-	for _, try := range s.book.Read().Tries {
-		if try.Attempt == last {
-			return try
+	last := attempts[len(attempts)-1].AttemptID
+	for _, attempt := range s.recorder.Snapshot().Attempts {
+		if attempt.AttemptID == last {
+			return attempt
 		}
 	}
 	panic("a try is not in the book")
@@ -99,13 +99,13 @@
 }
 
 // verdict holds what was seen against the rules on answers.
-func (s *stand) verdict(rules ...string) (violations []string) {
-	whole := &protocol.Config{Generation: 1, Routes: []protocol.Route{
+func (s *testEngine) violations(rules ...string) (violations []string) {
+	complete := &protocol.Config{Generation: 1, Routes: []protocol.Route{
 		{Label: "s", Authority: "h", PathPrefix: "/s/", Class: protocol.Streaming, DeadlineMs: 30000, Backend: "lm"}, {Label: "p", Authority: "h", PathPrefix: "/p/", Class: protocol.Mutating, DeadlineMs: 30000, Backend: "plain"}}}
-	s.book.Note(func(h *history.History) {
-		h.Changes = []*history.Change{{Generation: 1, Whole: whole, Outcome: history.Acknowledged, Began: h.Began, Answered: h.Began}}
+	s.recorder.Record(func(h *history.History) {
+		h.Changes = []*history.Change{{Generation: 1, Config: complete, Outcome: history.Acknowledged, Began: h.Began, Answered: h.Began}}
 	})
-	for _, finding := range checker.Judge(s.book.Read(), checker.Bounds{RetryWindow: time.Second, OriginWindow: time.Second}) {
+	for _, finding := range checker.CheckAll(s.recorder.Snapshot(), checker.Bounds{RetryWindow: time.Second, OriginWindow: time.Second}) {
 		for _, rule := range rules {
 			if finding.Rule == rule {
 				violations = append(violations, finding.Violations...)
@@ -117,9 +117,9 @@
 
 var onAnswers = []string{"MIXED", "UNASKED", "TWICE", "REFUSED", "ROUTE", "ORDER", "LIMIT"}
 
-func (s *stand) sound() {
+func (s *testEngine) sound() {
 	s.t.Helper()
-	if violations := s.verdict(onAnswers...); len(violations) > 0 {
+	if violations := s.violations(onAnswers...); len(violations) > 0 {
 		s.t.Error(violations)
 	}
 }
@@ -128,17 +128,17 @@
 	t.Parallel()
 	s := start(t, modelConfig())
 	for range 3 {
-		try := s.once(streamed(9))
-		if try.Status != 200 || !try.Whole || len(try.Events) != 5 || try.Events[4].ID != "5" {
-			t.Fatalf("%+v", try)
+		attempt := s.once(streamed(9))
+		if attempt.Status != 200 || !attempt.Complete || len(attempt.Events) != 5 || attempt.Events[4].ID != "5" {
+			t.Fatalf("%+v", attempt)
 		}
 	}
 	s.sound()
-	h := s.book.Read()
-	if h.Arrivals[0].KeptTokens != 0 || h.Arrivals[1].KeptTokens != 100 || h.Arrivals[0].Began == 0 {
+	h := s.recorder.Snapshot()
+	if h.Arrivals[0].CachedTokens != 0 || h.Arrivals[1].CachedTokens != 100 || h.Arrivals[0].Began == 0 {
 		t.Fatalf("%+v", h.Arrivals[1])
 	}
-	if !h.Tries[0].FirstOnConnection || h.Tries[1].FirstOnConnection {
+	if !h.Attempts[0].FirstOnConnection || h.Attempts[1].FirstOnConnection {
 		t.Fatal("the connection was not kept")
 	}
 	for _, chunked := range []bool{false, true} {
@@ -147,32 +147,32 @@
 		p := start(t, config)
 		r := plain()
 		r.Chunked = chunked
-		if try := p.once(r); try.Status != 200 || !try.Whole || len(try.BodyOut) != 300 {
-			t.Fatalf("%+v", try)
+		if attempt := p.once(r); attempt.Status != 200 || !attempt.Complete || len(attempt.ResponseBody) != 300 {
+			t.Fatalf("%+v", attempt)
 		}
 		p.sound()
 	}
 }
 
-func TestAStreamGoesOnBehindALastEvent(t *testing.T) {
+func TestAStreamResumesAfterTheLastEvent(t *testing.T) {
 	t.Parallel()
 	s := start(t, modelConfig())
 	r := streamed(9)
 	r.Header = map[string]string{protocol.LastEvent: "3"}
-	try := s.once(r)
-	if len(try.Events) != 2 || try.Events[0].ID != "4" || !try.Whole {
-		t.Fatalf("%+v", try)
+	attempt := s.once(r)
+	if len(attempt.Events) != 2 || attempt.Events[0].ID != "4" || !attempt.Complete {
+		t.Fatalf("%+v", attempt)
 	}
 	s.engine.Inject(engine.Fault{Kind: engine.Break, At: 480})
 	r = streamed(40)
-	r.Resumable, r.Tries = true, 3
-	tries := s.client.Do(context.Background(), r)
-	if len(tries) != 2 || tries[1].LastEvent == "" || !tries[1].Whole || tries[0].Whole {
-		t.Fatalf("%+v", tries)
+	r.Resumable, r.MaxAttempts = true, 3
+	attempts := s.client.Do(context.Background(), r)
+	if len(attempts) != 2 || attempts[1].LastEvent == "" || !attempts[1].Complete || attempts[0].Complete {
+		t.Fatalf("%+v", attempts)
 	}
 }
 
-func TestAnEngineTurnsAwayWhatIsNotForIt(t *testing.T) {
+func TestAnEngineRejectsRequestsForOthers(t *testing.T) {
 	t.Parallel()
 	s := start(t, modelConfig())
 	absent, adapter, other, version, nameless := streamed(4), streamed(4), streamed(4), streamed(4), streamed(4)
@@ -185,18 +185,18 @@
 		r      *client.Request
 		status int
 	}{{"an absent model", absent, 421}, {"an absent adapter", adapter, 421}, {"another instance", other, 421}, {"another version", version, 421}, {"no id", nameless, 400}} {
-		if try := s.once(one.r); try.Status != one.status || !try.Whole {
-			t.Errorf("%s: %+v", one.what, try)
+		if attempt := s.once(one.r); attempt.Status != one.status || !attempt.Complete {
+			t.Errorf("%s: %+v", one.what, attempt)
 		}
 	}
-	for _, arrival := range s.book.Read().Arrivals {
-		if arrival.Ran() || !arrival.NotRun {
+	for _, arrival := range s.recorder.Snapshot().Arrivals {
+		if arrival.Ran() || !arrival.Rejected {
 			t.Errorf("%+v", arrival)
 		}
 	}
 }
 
-func TestAFullEngineAndOneWhoseQueueOutlastsTheDeadlineSayThatNothingRan(t *testing.T) {
+func TestAFullEngineAndAnExpiredQueueAnswerNotExecuted(t *testing.T) {
 	t.Parallel()
 	config := plainConfig()
 	config.Work = time.Hour
@@ -204,13 +204,13 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	for n := range 3 {
-		c := &client.Client{Book: s.book, NextAttempt: client.NewAttempts(uint64(n + 10)), Enter: s.client.Enter}
+		c := &client.Client{Recorder: s.recorder, NextAttemptID: client.NewAttemptIDs(uint64(n + 10)), PickDaemon: s.client.PickDaemon}
 		done.Add(1)
 		go func() { defer done.Done(); c.Do(ctx, plain()) }()
 	}
 	await(t, "two run and one waits", func() bool {
 		ran, here := 0, 0
-		for _, arrival := range s.book.Read().Arrivals {
+		for _, arrival := range s.recorder.Snapshot().Arrivals {
 			here++
 			if arrival.Ran() {
 				ran++
@@ -218,30 +218,30 @@
 		}
 		return ran == 2 && here == 3
 	})
-	if try := s.once(plain()); try.Status != 503 {
-		t.Errorf("%+v", try)
+	if attempt := s.once(plain()); attempt.Status != 503 {
+		t.Errorf("%+v", attempt)
 	}
-	if try := s.once(&client.Request{Host: "h", Method: http.MethodGet, URI: "/health", Deadline: 30 * time.Second}); try.Status != 503 {
-		t.Errorf("a probe of a full engine: %+v", try)
+	if attempt := s.once(&client.Request{Host: "h", Method: http.MethodGet, URI: "/health", Deadline: 30 * time.Second}); attempt.Status != 503 {
+		t.Errorf("a probe of a full engine: %+v", attempt)
 	}
 	cancel()
 	done.Wait()
 	// Those whose callers have left make room.
 	await(t, "room is made", func() bool {
-		for _, arrival := range s.book.Read().Arrivals {
-			if !arrival.Probe && !arrival.NotRun && !arrival.Left {
+		for _, arrival := range s.recorder.Snapshot().Arrivals {
+			if !arrival.HealthCheck && !arrival.Rejected && !arrival.CallerClosed {
 				return false
 			}
 		}
 		return true
 	})
-	if try := s.once(&client.Request{Host: "h", Method: http.MethodGet, URI: "/health", Deadline: 30 * time.Second}); try.Status != 200 {
-		t.Errorf("a probe: %+v", try)
+	if attempt := s.once(&client.Request{Host: "h", Method: http.MethodGet, URI: "/health", Deadline: 30 * time.Second}); attempt.Status != 200 {
+		t.Errorf("a probe: %+v", attempt)
 	}
 }
 
 // order posts an order and gives the status, or 0 without an answer.
-func (s *stand) order(order protocol.Order) int {
+func (s *testEngine) order(order protocol.Order) int {
 	data, _ := json.Marshal(order)
 	response, err := http.Post("http://"+s.engine.Config.Address+protocol.PathOrder, "application/json", bytes.NewReader(data))
 	if err != nil {
@@ -251,7 +251,7 @@
 	return response.StatusCode
 }
 
-func (s *stand) report() (report protocol.Report) {
+func (s *testEngine) report() (report protocol.Report) {
 	response, err := http.Get("http://" + s.engine.Config.Address + protocol.PathReport)
 	if err != nil {
 		return report
@@ -283,7 +283,7 @@
 		t.Fatal(status)
 	}
 	await(t, "the engine has fallen", func() bool { return s.engine.Current() == "" })
-	if len(s.verdict("LIMIT")) != 1 {
+	if len(s.violations("LIMIT")) != 1 {
 		t.Error("the order over the room was not noticed")
 	}
 	if err := s.engine.Start(); err != nil {
@@ -294,31 +294,31 @@
 	}
 }
 
-func TestAnEvictionWaitsForItsRunsAndRefusesTheRest(t *testing.T) {
+func TestAnEvictionWaitsForRunningRequestsAndRejectsNewOnes(t *testing.T) {
 	t.Parallel()
 	config := modelConfig()
-	config.Pace.Step = 2 * time.Millisecond
+	config.Pace.StepTime = 2 * time.Millisecond
 	s := start(t, config)
-	result := make(chan *history.Try, 1)
+	result := make(chan *history.Attempt, 1)
 	go func() { result <- s.once(streamed(200)) }()
 	await(t, "the stream has begun", func() bool {
-		h := s.book.Read()
+		h := s.recorder.Snapshot()
 		return len(h.Arrivals) == 1 && h.Arrivals[0].Ran()
 	})
 	fence := uint64(1)
 	if status := s.order(protocol.Order{Operation: protocol.Evict, Model: "m", Owner: "o", Fence: &fence}); status != 202 {
 		t.Fatal(status)
 	}
-	other := &client.Client{Book: s.book, NextAttempt: client.NewAttempts(5), Enter: s.client.Enter}
-	if tries := other.Do(context.Background(), streamed(4)); tries[0].Status != 503 {
-		t.Errorf("%+v", tries[0])
+	other := &client.Client{Recorder: s.recorder, NextAttemptID: client.NewAttemptIDs(5), PickDaemon: s.client.PickDaemon}
+	if attempts := other.Do(context.Background(), streamed(4)); attempts[0].Status != 503 {
+		t.Errorf("%+v", attempts[0])
 	}
-	if try := <-result; !try.Whole || len(try.Events) != 100 {
-		t.Errorf("%+v", try)
+	if attempt := <-result; !attempt.Complete || len(attempt.Events) != 100 {
+		t.Errorf("%+v", attempt)
 	}
 	await(t, "it is unloaded", func() bool { return len(s.report().Models) == 0 })
-	if try := s.once(streamed(4)); try.Status != 421 {
-		t.Errorf("%+v", try)
+	if attempt := s.once(streamed(4)); attempt.Status != 421 {
+		t.Errorf("%+v", attempt)
 	}
 }
 
@@ -336,11 +336,11 @@
 	c.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		data, _ := io.ReadAll(r.Body)
 		c.mutex.Lock()
-		var beat protocol.Registration
+		var heartbeat protocol.Registration
 		if r.Method == http.MethodDelete {
 			c.gone = append(c.gone, strings.TrimPrefix(r.URL.Path, protocol.PathEngines))
-		} else if json.Unmarshal(data, &beat) == nil {
-			c.beats = append(c.beats, beat)
+		} else if json.Unmarshal(data, &heartbeat) == nil {
+			c.beats = append(c.beats, heartbeat)
 		}
 		number := len(c.beats)
 		c.mutex.Unlock()
@@ -360,7 +360,7 @@
 	return append([]protocol.Registration{}, c.beats...), append([]string{}, c.gone...)
 }
 
-func TestAnEngineBeatsGoesOnToTheNextDaemonAndFollowsItsTarget(t *testing.T) {
+func TestHeartbeatsFailOverToTheNextDaemonAndFollowTheirTarget(t *testing.T) {
 	t.Parallel()
 	second := newControls(t, nil)
 	first := newControls(t, func(_ int, w http.ResponseWriter, _ *http.Request) {
@@ -374,14 +374,14 @@
 		_, _ = w.Write(bytes.Repeat([]byte(" "), 5000))
 	})
 	config := modelConfig()
-	config.BeatPeriod = 3 * time.Millisecond
+	config.HeartbeatPeriod = 3 * time.Millisecond
 	config.Controls = func() []string { return []string{broken.address(), wordy.address(), "127.0.0.1:1", moved.address()} }
 	s := start(t, config)
-	await(t, "beats go to the target", func() bool { beats, _ := second.heard(); return len(beats) > 3 })
-	beats, _ := second.heard()
-	for place, beat := range beats {
-		if beat.Backend != "lm" || beat.State != protocol.StateReady || len(beat.Models) != 1 || beat.Address != s.engine.Config.Address || place > 0 && beat.CallSeq <= beats[place-1].CallSeq {
-			t.Fatalf("%+v", beats)
+	await(t, "beats go to the target", func() bool { heartbeats, _ := second.heard(); return len(heartbeats) > 3 })
+	heartbeats, _ := second.heard()
+	for place, heartbeat := range heartbeats {
+		if heartbeat.Backend != "lm" || heartbeat.State != protocol.StateReady || len(heartbeat.Models) != 1 || heartbeat.Address != s.engine.Config.Address || place > 0 && heartbeat.CallSeq <= heartbeats[place-1].CallSeq {
+			t.Fatalf("%+v", heartbeats)
 		}
 	}
 	// A target that fails is forgotten.
@@ -391,7 +391,7 @@
 	await(t, "the list is called again", func() bool { now, _ := first.heard(); return len(now) > len(before) })
 }
 
-func TestALeavingEngineServesOnUntilItsBoundAfterTheAcknowledgement(t *testing.T) {
+func TestADrainingEngineServesUntilItsBoundAfterTheAcknowledgement(t *testing.T) {
 	t.Parallel()
 	hold := make(chan struct{})
 	c := newControls(t, func(_ int, w http.ResponseWriter, _ *http.Request) {
@@ -402,52 +402,52 @@
 		}
 	})
 	config := modelConfig()
-	config.BeatPeriod, config.DrainBound, config.DrainPatience = 3*time.Millisecond, 20*time.Millisecond, time.Hour
+	config.HeartbeatPeriod, config.DrainBound, config.DrainPatience = 3*time.Millisecond, 20*time.Millisecond, time.Hour
 	config.Controls = func() []string { return []string{c.address()} }
 	s := start(t, config)
 	id := s.engine.Current()
-	s.engine.Leave(0)
+	s.engine.Drain(0)
 	await(t, "it says that it drains", func() bool {
-		beats, _ := c.heard()
-		return len(beats) > 0 && beats[len(beats)-1].State == protocol.StateDraining
+		heartbeats, _ := c.heard()
+		return len(heartbeats) > 0 && heartbeats[len(heartbeats)-1].State == protocol.StateDraining
 	})
-	if try := s.once(streamed(4)); try.Status != 200 {
-		t.Errorf("%+v", try)
+	if attempt := s.once(streamed(4)); attempt.Status != 200 {
+		t.Errorf("%+v", attempt)
 	}
 	close(hold)
-	await(t, "it has ended", func() bool { return s.book.Read().Lives[0].Ended != 0 })
+	await(t, "it has ended", func() bool { return s.recorder.Snapshot().Incarnations[0].Ended != 0 })
 	if _, gone := c.heard(); len(gone) != 1 || gone[0] != id {
 		t.Error(gone)
 	}
-	life := s.book.Read().Lives[0]
+	life := s.recorder.Snapshot().Incarnations[0]
 	if life.DrainAcked == 0 || life.Ended.Since(life.DrainAcked) < config.DrainBound || life.Crashed {
 		t.Errorf("%+v", life)
 	}
 	// At short notice it is gone when the time is over, acknowledged or not.
 	config.Controls = func() []string { return []string{"127.0.0.1:1"} }
 	short := start(t, config)
-	short.engine.Leave(10 * time.Millisecond)
+	short.engine.Drain(10 * time.Millisecond)
 	await(t, "it is gone", func() bool { return short.engine.Current() == "" })
 }
 
-func TestACrashedEngineRefusesAndAFrozenOneSaysNothing(t *testing.T) {
+func TestACrashedEngineRefusesConnectionsAndAFrozenOneTimesOut(t *testing.T) {
 	t.Parallel()
 	s := start(t, plainConfig())
 	s.engine.Freeze()
 	r := plain()
 	r.Deadline = 30 * time.Millisecond
-	if try := s.once(r); !try.GaveUp || try.Status != 0 {
-		t.Errorf("%+v", try)
+	if attempt := s.once(r); !attempt.ClientClosed || attempt.Status != 0 {
+		t.Errorf("%+v", attempt)
 	}
 	s.engine.Thaw()
-	if try := s.once(plain()); try.Status != 200 {
-		t.Errorf("%+v", try)
+	if attempt := s.once(plain()); attempt.Status != 200 {
+		t.Errorf("%+v", attempt)
 	}
 	before := s.engine.Current()
 	s.engine.Crash()
 	s.client.Close()
-	if try := s.once(plain()); try.Connected {
-		t.Errorf("%+v", try)
+	if attempt := s.once(plain()); attempt.Connected {
+		t.Errorf("%+v", attempt)
 	}
 	if err := s.engine.Start(); err != nil {
 		t.Fatal(err)
@@ -455,8 +455,8 @@
 	if s.engine.Current() == before {
 		t.Error("a new life has the old id")
 	}
-	if try := s.once(plain()); try.Status != 200 {
-		t.Errorf("%+v", try)
+	if attempt := s.once(plain()); attempt.Status != 200 {
+		t.Errorf("%+v", attempt)
 	}
 	s.sound()
 }
@@ -466,53 +466,53 @@
 	for _, one := range []struct {
 		fault engine.Fault
 		rules []string
-		check func(*history.Try) bool
+		check func(*history.Attempt) bool
 	}{
-		{engine.Fault{Kind: engine.Junk}, []string{"MIXED"}, func(try *history.Try) bool { return !try.Success() }},
-		{engine.Fault{Kind: engine.Foreign}, []string{"MIXED"}, func(try *history.Try) bool { return try.Attempted != try.Attempt }},
-		{engine.Fault{Kind: engine.NoID}, nil, func(try *history.Try) bool { return try.Attempted == "" }},
-		{engine.Fault{Kind: engine.Own, Status: 500}, nil, func(try *history.Try) bool { return try.Status == 500 && try.Seal != "" }},
-		{engine.Fault{Kind: engine.Unread}, nil, func(try *history.Try) bool { return try.Status == 0 }},
-		{engine.Fault{Kind: engine.Surplus}, []string{"MIXED"}, func(try *history.Try) bool { return try.Success() }},
+		{engine.Fault{Kind: engine.Malformed}, []string{"MIXED"}, func(attempt *history.Attempt) bool { return !attempt.Success() }},
+		{engine.Fault{Kind: engine.WrongAttemptID}, []string{"MIXED"}, func(attempt *history.Attempt) bool { return attempt.AnsweredID != attempt.AttemptID }},
+		{engine.Fault{Kind: engine.NoAttemptID}, nil, func(attempt *history.Attempt) bool { return attempt.AnsweredID == "" }},
+		{engine.Fault{Kind: engine.EngineError, Status: 500}, nil, func(attempt *history.Attempt) bool { return attempt.Status == 500 && attempt.Seal != "" }},
+		{engine.Fault{Kind: engine.CloseUnread}, nil, func(attempt *history.Attempt) bool { return attempt.Status == 0 }},
+		{engine.Fault{Kind: engine.ExtraAnswer}, []string{"MIXED"}, func(attempt *history.Attempt) bool { return attempt.Success() }},
 	} {
 		s := start(t, plainConfig())
 		s.engine.Inject(one.fault)
-		try := s.once(plain())
-		if !one.check(try) {
-			t.Errorf("%s: %+v", one.fault.Kind, try)
+		attempt := s.once(plain())
+		if !one.check(attempt) {
+			t.Errorf("%s: %+v", one.fault.Kind, attempt)
 		}
-		if one.fault.Kind == engine.Surplus {
-			await(t, "the surplus answer is seen", func() bool { return s.book.Read().Tries[0].Surplus != "" })
+		if one.fault.Kind == engine.ExtraAnswer {
+			await(t, "the surplus answer is seen", func() bool { return s.recorder.Snapshot().Attempts[0].Unsolicited != "" })
 		}
-		if bad := s.verdict(onAnswers...); (len(bad) > 0) != (len(one.rules) > 0) {
+		if bad := s.violations(onAnswers...); (len(bad) > 0) != (len(one.rules) > 0) {
 			t.Errorf("%s: %v", one.fault.Kind, bad)
 		}
 	}
 	s := start(t, plainConfig())
-	s.engine.Inject(engine.Fault{Kind: engine.LateSurplus})
+	s.engine.Inject(engine.Fault{Kind: engine.LateExtraAnswer})
 	s.once(plain())
-	if try := s.once(plain()); try.Attempted == try.Attempt {
-		t.Errorf("a surplus answer did not come in the slot of the next: %+v", try)
+	if attempt := s.once(plain()); attempt.AnsweredID == attempt.AttemptID {
+		t.Errorf("a surplus answer did not come in the slot of the next: %+v", attempt)
 	}
 }
 
-func TestAnAnswerCutAtAnyByteNeverLooksWholeToTheClient(t *testing.T) {
+func TestAnAnswerTruncatedAtAnyByteIsIncompleteForTheClient(t *testing.T) {
 	t.Parallel()
 	streams, byLength, chunked := modelConfig(), plainConfig(), plainConfig()
 	byLength.AnswerBytes, chunked.AnswerBytes, chunked.Chunked = 40, 40, true
 	for place, config := range []engine.Config{streams, byLength, chunked} {
 		s := start(t, config)
-		whole := 0
-		for at := 0; whole == 0; at++ {
+		complete := 0
+		for at := 0; complete == 0; at++ {
 			r := plain()
 			if place == 0 {
 				r = streamed(4)
 			}
 			s.engine.Inject(engine.Fault{Kind: engine.Break, At: at, Reset: at%2 == 0})
-			if try := s.once(r); try.Success() {
-				whole++
-				if h := s.book.Read(); h.Arrivals[len(h.Arrivals)-1].Broke {
-					t.Fatalf("cut at byte %d, and it looks whole: %+v", at, try)
+			if attempt := s.once(r); attempt.Success() {
+				complete++
+				if h := s.recorder.Snapshot(); h.Arrivals[len(h.Arrivals)-1].Broken {
+					t.Fatalf("cut at byte %d, and it looks whole: %+v", at, attempt)
 				}
 			}
 			if at > 2000 {
@@ -523,39 +523,39 @@
 	}
 }
 
-func TestConnectionsBeyondTheMostAreReset(t *testing.T) {
+func TestConnectionsBeyondTheLimitAreReset(t *testing.T) {
 	t.Parallel()
 	config := plainConfig()
 	config.MaxConns = 2
 	s := start(t, config)
 	var conns []*client.Conn
 	for range 2 {
-		conn, err := client.Dial(context.Background(), s.book, "engine", s.engine.Config.Address)
+		conn, err := client.Dial(context.Background(), s.recorder, "engine", s.engine.Config.Address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer conn.Close()
 		conns = append(conns, conn)
 		// An answer shows that the connection has been taken.
-		try := &history.Try{Attempt: fmt.Sprint("conn", len(conns)), Method: http.MethodPost, URI: "/p/x"}
-		client.Send(context.Background(), conn, plain(), try, 30*time.Second, "")
-		if try.Status != 200 {
-			t.Fatalf("%+v", try)
+		attempt := &history.Attempt{AttemptID: fmt.Sprint("conn", len(conns)), Method: http.MethodPost, URI: "/p/x"}
+		client.Send(context.Background(), conn, plain(), attempt, 30*time.Second, "")
+		if attempt.Status != 200 {
+			t.Fatalf("%+v", attempt)
 		}
 	}
-	if try := s.once(plain()); try.Status != 0 {
-		t.Errorf("%+v", try)
+	if attempt := s.once(plain()); attempt.Status != 0 {
+		t.Errorf("%+v", attempt)
 	}
 	conns[0].Close()
 	await(t, "a place is free", func() bool { return s.once(plain()).Status == 200 })
 }
 
-func TestIdleConnectionsAreClosedAndSomeAnswersSaySo(t *testing.T) {
+func TestIdleConnectionsAreClosedAndSomeAnswersAnnounceIt(t *testing.T) {
 	t.Parallel()
 	config := plainConfig()
 	config.IdleClose = 5 * time.Millisecond
 	s := start(t, config)
-	conn, err := client.Dial(context.Background(), s.book, "engine", s.engine.Config.Address)
+	conn, err := client.Dial(context.Background(), s.recorder, "engine", s.engine.Config.Address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -568,8 +568,8 @@
 		s.once(plain())
 	}
 	firsts := 0
-	for _, try := range s.book.Read().Tries {
-		if try.FirstOnConnection {
+	for _, attempt := range s.recorder.Snapshot().Attempts {
+		if attempt.FirstOnConnection {
 			firsts++
 		}
 	}
@@ -578,30 +578,30 @@
 	}
 }
 
-func TestAConnectionDroppedInSilenceShowsNothingUntilItIsUsed(t *testing.T) {
+func TestADroppedIdleConnectionIsResetOnlyWhenUsed(t *testing.T) {
 	t.Parallel()
 	s := start(t, plainConfig())
-	if try := s.once(plain()); try.Status != 200 {
-		t.Fatalf("%+v", try)
+	if attempt := s.once(plain()); attempt.Status != 200 {
+		t.Fatalf("%+v", attempt)
 	}
 	s.engine.DropIdle(time.Nanosecond)
-	arrivals := len(s.book.Read().Arrivals)
+	arrivals := len(s.recorder.Snapshot().Arrivals)
 	// The client looks at its connection, finds nothing on it, and has its request reset unread.
-	if try := s.once(plain()); try.Status != 0 || try.FirstOnConnection {
-		t.Errorf("%+v", try)
+	if attempt := s.once(plain()); attempt.Status != 0 || attempt.FirstOnConnection {
+		t.Errorf("%+v", attempt)
 	}
-	if now := len(s.book.Read().Arrivals); now != arrivals {
+	if now := len(s.recorder.Snapshot().Arrivals); now != arrivals {
 		t.Errorf("%d arrivals on a dropped connection", now-arrivals)
 	}
 	s.engine.DropIdle(0)
-	if try := s.once(plain()); try.Status != 200 {
-		t.Errorf("%+v", try)
+	if attempt := s.once(plain()); attempt.Status != 200 {
+		t.Errorf("%+v", attempt)
 	}
 	s.sound()
 }
 
-// TestAnEngineIsDeletedFirstAndServesOn: it never says that it drains, beats on, and ends after its bound.
-func TestAnEngineIsDeletedFirstAndServesOn(t *testing.T) {
+// TestAnEngineDeregisteredFirstServesOn: it never says that it drains, beats on, and ends after its bound.
+func TestAnEngineDeregisteredFirstServesOn(t *testing.T) {
 	t.Parallel()
 	hold := make(chan struct{})
 	c := newControls(t, func(_ int, w http.ResponseWriter, r *http.Request) {
@@ -614,45 +614,45 @@
 		}
 	})
 	config := modelConfig()
-	config.BeatPeriod, config.DrainBound, config.DrainPatience = 3*time.Millisecond, 50*time.Millisecond, time.Hour
+	config.HeartbeatPeriod, config.DrainBound, config.DrainPatience = 3*time.Millisecond, 50*time.Millisecond, time.Hour
 	config.Controls = func() []string { return []string{c.address()} }
 	s := start(t, config)
 	s.engine.Delete()
 	await(t, "it is said to be gone twice", func() bool { _, gone := c.heard(); return len(gone) > 1 })
 	before, _ := c.heard()
 	await(t, "it beats on", func() bool { now, _ := c.heard(); return len(now) > len(before)+2 })
-	if try := s.once(streamed(4)); try.Status != 200 || !s.engine.Leaving() {
-		t.Errorf("%+v", try)
+	if attempt := s.once(streamed(4)); attempt.Status != 200 || !s.engine.Draining() {
+		t.Errorf("%+v", attempt)
 	}
 	close(hold)
-	await(t, "it has ended", func() bool { return s.book.Read().Lives[0].Ended != 0 })
-	life := s.book.Read().Lives[0]
-	if life.DrainAsked == 0 || life.DrainAcked == 0 || life.Ended.Since(life.DrainAcked) < config.DrainBound || life.Crashed {
+	await(t, "it has ended", func() bool { return s.recorder.Snapshot().Incarnations[0].Ended != 0 })
+	life := s.recorder.Snapshot().Incarnations[0]
+	if life.DrainRequested == 0 || life.DrainAcked == 0 || life.Ended.Since(life.DrainAcked) < config.DrainBound || life.Crashed {
 		t.Errorf("%+v", life)
 	}
-	beats, _ := c.heard()
-	for _, beat := range beats {
-		if beat.State != protocol.StateReady {
-			t.Fatalf("%+v", beat)
+	heartbeats, _ := c.heard()
+	for _, heartbeat := range heartbeats {
+		if heartbeat.State != protocol.StateReady {
+			t.Fatalf("%+v", heartbeat)
 		}
 	}
 }
 
-func TestSomeBeatsComeBehindLaterOnes(t *testing.T) {
+func TestDelayedHeartbeatsArriveBehindLaterOnes(t *testing.T) {
 	t.Parallel()
 	c := newControls(t, nil)
 	config := modelConfig()
-	config.BeatPeriod, config.LateEach, config.LateBy = 3*time.Millisecond, 3, 30*time.Millisecond
+	config.HeartbeatPeriod, config.LateEach, config.LateBy = 3*time.Millisecond, 3, 30*time.Millisecond
 	config.Controls = func() []string { return []string{c.address()} }
 	start(t, config)
 	await(t, "one came late", func() bool {
-		beats, _ := c.heard()
+		heartbeats, _ := c.heard()
 		highest := uint64(0)
-		for _, beat := range beats {
-			if beat.CallSeq < highest && beat.CallSeq%3 == 0 {
+		for _, heartbeat := range heartbeats {
+			if heartbeat.CallSeq < highest && heartbeat.CallSeq%3 == 0 {
 				return true
 			}
-			highest = max(highest, beat.CallSeq)
+			highest = max(highest, heartbeat.CallSeq)
 		}
 		return false
 	})
--- a/testbed/platformtest/engine/faults.go
+++ b/testbed/platformtest/engine/faults.go
@@ -23,23 +23,23 @@
 	// Break closes the connection after At bytes of the answer.
 	Break FaultKind = "break"
 	// Surplus writes a whole answer more behind a whole answer.
-	Surplus FaultKind = "surplus"
+	ExtraAnswer FaultKind = "surplus"
 	// LateSurplus writes a whole answer more before the next answer.
-	LateSurplus FaultKind = "late-surplus"
+	LateExtraAnswer FaultKind = "late-surplus"
 	// Junk writes bytes that are no answer.
-	Junk FaultKind = "junk"
+	Malformed FaultKind = "junk"
 	// Foreign answers with another's attempt id.
-	Foreign FaultKind = "foreign"
+	WrongAttemptID FaultKind = "foreign"
 	// NoID answers without an attempt id.
-	NoID FaultKind = "no-id"
+	NoAttemptID FaultKind = "no-id"
 	// Silence runs the request and says nothing more after At bytes, until the caller closes.
-	Silence FaultKind = "silence"
+	Unresponsive FaultKind = "silence"
 	// Hang runs a plain request for ever, in its slot, until the caller closes.
 	Hang FaultKind = "hang"
 	// Own is the engine's own failure, after it has run.
-	Own FaultKind = "own"
+	EngineError FaultKind = "own"
 	// Unread closes before it has read the request.
-	Unread FaultKind = "unread"
+	CloseUnread FaultKind = "unread"
 )
 
 // faults hands out what is to go wrong next.
@@ -62,7 +62,7 @@
 }
 
 // Slow makes each step take so many times as long, however little there is to do; one is as usual.
-func (e *Engine) Slow(times int64) { e.slowed.Store(times) }
+func (e *Engine) Slow(times int64) { e.slowFactor.Store(times) }
 
 // LoseOrders takes the next orders without an answer.
 func (e *Engine) LoseOrders(count int) {
--- a/testbed/platformtest/engine/holdings.go
+++ b/testbed/platformtest/engine/holdings.go
@@ -36,7 +36,7 @@
 }
 
 // Room is what an engine may hold, and how fast it gets it.
-type Room struct {
+type Capacity struct {
 	Catalogue protocol.EngineID
 	// DiskShare is the part of a load's time that it takes from the engine's own disk.
 	DiskShare   float64
@@ -48,47 +48,47 @@
 
 // Holdings is what an engine holds, and the one order that it may carry out.
 type Holdings struct {
-	room   Room
-	models []protocol.Holding
+	capacity Capacity
+	models   []protocol.Holding
 	// had are the models that its disk has.
-	had     map[string]bool
+	onDisk  map[string]bool
 	callSeq uint64
 	fence   uint64
-	doing   *protocol.Order
+	pending *protocol.Order
 }
 
 // NewHoldings begins a life.
-func NewHoldings(room Room, initial []protocol.Holding, had map[string]bool) *Holdings {
-	h := &Holdings{room: room, had: had}
+func NewHoldings(room Capacity, initial []protocol.Holding, had map[string]bool) *Holdings {
+	h := &Holdings{capacity: room, onDisk: had}
 	for _, holding := range initial {
 		holding.Adapters = slices.Clone(holding.Adapters)
 		h.models = append(h.models, holding)
-		h.had[holding.Label] = true
+		h.onDisk[holding.Label] = true
 	}
 	return h
 }
 
 // Verdict is what an engine answers to an order, and what follows.
-type Verdict struct {
+type OrderResult struct {
 	Status int
 	// Over: it cannot be held, and the engine falls.
-	Over bool
+	OverCapacity bool
 	// Takes is how long a load takes; Store: it comes from the store.
-	Takes time.Duration
-	Store bool
+	Duration  time.Duration
+	FromStore bool
 }
 
 func (h *Holdings) model(label string) *protocol.CatalogModel {
-	for place := range h.room.Catalogue.Models {
-		if h.room.Catalogue.Models[place].Label == label {
-			return &h.room.Catalogue.Models[place]
+	for place := range h.capacity.Catalogue.Models {
+		if h.capacity.Catalogue.Models[place].Label == label {
+			return &h.capacity.Catalogue.Models[place]
 		}
 	}
 	return nil
 }
 
 // Held gives what is there of a model.
-func (h *Holdings) Held(label string) *protocol.Holding {
+func (h *Holdings) Holding(label string) *protocol.Holding {
 	for place := range h.models {
 		if h.models[place].Label == label {
 			return &h.models[place]
@@ -99,21 +99,21 @@
 
 // Holds says whether a model, and an adapter of it unless that is empty, is there.
 func (h *Holdings) Holds(model, adapter string) bool {
-	held := h.Held(model)
-	return held != nil && (adapter == "" || slices.Contains(held.Adapters, adapter))
+	holding := h.Holding(model)
+	return holding != nil && (adapter == "" || slices.Contains(holding.Adapters, adapter))
 }
 
 // Concerned says whether the order under way is about this.
-func (h *Holdings) Concerned(model, adapter string) bool {
-	return h.doing != nil && h.doing.Model == model && (h.doing.Adapter == "" || h.doing.Adapter == adapter)
+func (h *Holdings) InPendingOrder(model, adapter string) bool {
+	return h.pending != nil && h.pending.Model == model && (h.pending.Adapter == "" || h.pending.Adapter == adapter)
 }
 
 func (h *Holdings) used() (mb float64, places int) {
-	for _, held := range h.models {
-		if model := h.model(held.Label); model != nil {
-			mb += model.WeightsMb + float64(len(held.Adapters))*model.AdapterSizeMb
+	for _, holding := range h.models {
+		if model := h.model(holding.Label); model != nil {
+			mb += model.WeightsMb + float64(len(holding.Adapters))*model.AdapterSizeMb
 		}
-		places += len(held.Adapters)
+		places += len(holding.Adapters)
 	}
 	return mb, places
 }
@@ -128,67 +128,67 @@
 }
 
 // Take decides on an order.
-func (h *Holdings) Take(order protocol.Order) Verdict {
+func (h *Holdings) Take(order protocol.Order) OrderResult {
 	if order.Owner == "" || order.Fence == nil || order.Operation != protocol.Load && order.Operation != protocol.Evict {
-		return Verdict{Status: http.StatusBadRequest}
+		return OrderResult{Status: http.StatusBadRequest}
 	}
 	model := h.model(order.Model)
 	if model == nil || order.Adapter != "" && !adapterKnown(model, order.Adapter) {
-		return Verdict{Status: http.StatusBadRequest}
+		return OrderResult{Status: http.StatusBadRequest}
 	}
-	if h.room.FenceChecked && *order.Fence < h.fence {
-		return Verdict{Status: http.StatusPreconditionFailed}
+	if h.capacity.FenceChecked && *order.Fence < h.fence {
+		return OrderResult{Status: http.StatusPreconditionFailed}
 	}
 	h.fence = max(h.fence, *order.Fence)
-	if h.doing != nil || order.Expected != nil && *order.Expected != h.callSeq {
-		return Verdict{Status: http.StatusConflict}
+	if h.pending != nil || order.Expected != nil && *order.Expected != h.callSeq {
+		return OrderResult{Status: http.StatusConflict}
 	}
-	if order.Adapter != "" && h.Held(order.Model) == nil && order.Operation == protocol.Load {
-		return Verdict{Status: http.StatusMisdirectedRequest}
+	if order.Adapter != "" && h.Holding(order.Model) == nil && order.Operation == protocol.Load {
+		return OrderResult{Status: http.StatusMisdirectedRequest}
 	}
 	if h.Holds(order.Model, order.Adapter) == (order.Operation == protocol.Load) {
-		return Verdict{Status: http.StatusOK}
+		return OrderResult{Status: http.StatusOK}
 	}
-	verdict := Verdict{Status: http.StatusAccepted}
+	result := OrderResult{Status: http.StatusAccepted}
 	if order.Operation == protocol.Load {
 		mb, places := h.used()
 		if order.Adapter != "" {
-			verdict.Over = places+1 > h.room.Catalogue.AdapterCapacity || mb+model.AdapterSizeMb > h.room.Catalogue.WeightsMb
-			verdict.Takes = h.room.AdapterTime
+			result.OverCapacity = places+1 > h.capacity.Catalogue.AdapterCapacity || mb+model.AdapterSizeMb > h.capacity.Catalogue.WeightsMb
+			result.Duration = h.capacity.AdapterTime
 		} else {
-			verdict.Over = mb+model.WeightsMb > h.room.Catalogue.WeightsMb
-			verdict.Store = !h.had[order.Model]
+			result.OverCapacity = mb+model.WeightsMb > h.capacity.Catalogue.WeightsMb
+			result.FromStore = !h.onDisk[order.Model]
 			took := model.LoadTimeS * float64(time.Second)
-			if h.room.LoadScale > 0 {
-				took *= h.room.LoadScale
+			if h.capacity.LoadScale > 0 {
+				took *= h.capacity.LoadScale
 			}
-			if !verdict.Store {
-				took *= h.room.DiskShare
+			if !result.FromStore {
+				took *= h.capacity.DiskShare
 			}
-			verdict.Takes = time.Duration(took)
+			result.Duration = time.Duration(took)
 		}
 	}
 	h.callSeq++
 	doing := order
-	h.doing = &doing
-	return verdict
+	h.pending = &doing
+	return result
 }
 
 // Finish carries the order under way out.
 func (h *Holdings) Finish(newest uint64) protocol.Order {
-	order := *h.doing
-	h.doing = nil
-	held := h.Held(order.Model)
+	order := *h.pending
+	h.pending = nil
+	holding := h.Holding(order.Model)
 	switch {
 	case order.Operation == protocol.Load && order.Adapter == "":
 		h.models = append(h.models, protocol.Holding{Label: order.Model, Generation: newest, Adapters: []string{}})
-		h.had[order.Model] = true
-	case order.Operation == protocol.Load && held != nil:
-		held.Adapters = append(slices.Clone(held.Adapters), order.Adapter)
+		h.onDisk[order.Model] = true
+	case order.Operation == protocol.Load && holding != nil:
+		holding.Adapters = append(slices.Clone(holding.Adapters), order.Adapter)
 	case order.Operation == protocol.Evict && order.Adapter == "":
 		h.models = slices.DeleteFunc(slices.Clone(h.models), func(other protocol.Holding) bool { return other.Label == order.Model })
-	case order.Operation == protocol.Evict && held != nil:
-		held.Adapters = slices.DeleteFunc(slices.Clone(held.Adapters), func(name string) bool { return name == order.Adapter })
+	case order.Operation == protocol.Evict && holding != nil:
+		holding.Adapters = slices.DeleteFunc(slices.Clone(holding.Adapters), func(name string) bool { return name == order.Adapter })
 	}
 	return order
 }
@@ -196,12 +196,12 @@
 // List copies what is held.
 func (h *Holdings) List() []protocol.Holding {
 	out := []protocol.Holding{}
-	for _, held := range h.models {
-		adapters := slices.Clone(held.Adapters)
+	for _, holding := range h.models {
+		adapters := slices.Clone(holding.Adapters)
 		if adapters == nil {
 			adapters = []string{}
 		}
-		out = append(out, protocol.Holding{Label: held.Label, Generation: held.Generation, Adapters: adapters})
+		out = append(out, protocol.Holding{Label: holding.Label, Generation: holding.Generation, Adapters: adapters})
 	}
 	return out
 }
--- a/testbed/platformtest/fleet/entry.go
+++ b/testbed/platformtest/fleet/entry.go
@@ -17,7 +17,7 @@
 	fleet  *Fleet
 	client *http.Client
 	// every is how often each machine is asked.
-	every time.Duration
+	interval time.Duration
 
 	mutex  sync.Mutex
 	missed map[*Machine]int
@@ -26,12 +26,12 @@
 
 // NewEntry makes one; Watch keeps it up to date.
 func NewEntry(f *Fleet, every time.Duration) *Entry {
-	return &Entry{fleet: f, every: every, missed: map[*Machine]int{}, client: &http.Client{Timeout: every, Transport: &http.Transport{DisableKeepAlives: true}}}
+	return &Entry{fleet: f, interval: every, missed: map[*Machine]int{}, client: &http.Client{Timeout: every, Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
 // Watch asks every machine until ctx ends.
 func (e *Entry) Watch(ctx context.Context) {
-	for _, m := range e.fleet.Of(Edge) {
+	for _, m := range e.fleet.OfClass(Edge) {
 		// Nobody is in before it has said so.
 		e.mutex.Lock()
 		e.missed[m] = 2
@@ -39,10 +39,10 @@
 		e.done.Add(1)
 		go func() {
 			defer e.done.Done()
-			tick := time.NewTicker(e.every)
+			tick := time.NewTicker(e.interval)
 			defer tick.Stop()
 			for {
-				e.look(ctx, m)
+				e.check(ctx, m)
 				select {
 				case <-ctx.Done():
 					return
@@ -67,14 +67,14 @@
 	return response.StatusCode == http.StatusOK
 }
 
-func (e *Entry) look(ctx context.Context, m *Machine) {
+func (e *Entry) check(ctx context.Context, m *Machine) {
 	ready := e.Ready(ctx, m)
 	if ctx.Err() != nil {
 		return
 	}
-	book := e.fleet.Plan.Book
-	book.Note(func(h *history.History) {
-		h.Looks = append(h.Looks, history.Look{At: book.Now(), Machine: m.Name, Ready: ready})
+	recorder := e.fleet.Plan.Recorder
+	recorder.Record(func(h *history.History) {
+		h.ReadinessChecks = append(h.ReadinessChecks, history.ReadinessCheck{At: recorder.Now(), Machine: m.Name, Ready: ready})
 	})
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -86,23 +86,23 @@
 }
 
 // In says whether a machine gets new connections.
-func (e *Entry) In(m *Machine) bool {
+func (e *Entry) Eligible(m *Machine) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.missed[m] < 2
 }
 
 // Enter picks a machine for a client's new connection; a further try of the client meets another.
-func (e *Entry) Enter(name string, try int, zone string) (client.Daemon, bool) {
+func (e *Entry) Pick(name string, attempt int, zone string) (client.Daemon, bool) {
 	zones := append([]string{zone}, e.fleet.Plan.Zones...)
 	for _, near := range zones {
 		var here, in []*Machine
-		for _, m := range e.fleet.Of(Edge) {
+		for _, m := range e.fleet.OfClass(Edge) {
 			if m.Zone != near {
 				continue
 			}
 			here = append(here, m)
-			if e.In(m) {
+			if e.Eligible(m) {
 				in = append(in, m)
 			}
 		}
@@ -114,7 +114,7 @@
 		}
 		hash := fnv.New32a()
 		_, _ = hash.Write([]byte(name))
-		m := in[(int(hash.Sum32()&0x7fffffff)+try)%len(in)]
+		m := in[(int(hash.Sum32()&0x7fffffff)+attempt)%len(in)]
 		return client.Daemon{Name: m.Name, Address: m.Front()}, true
 	}
 	return client.Daemon{}, false
--- a/testbed/platformtest/fleet/fleet.go
+++ b/testbed/platformtest/fleet/fleet.go
@@ -43,14 +43,14 @@
 	OtherProgram string
 	Zones        []string
 	// Cores and Edges count; they stand in the zones in turn.
-	Cores, Edges int
-	Bounds       checker.Bounds
-	CatchUp      time.Duration
-	BeatPeriod   time.Duration
-	Staleness    time.Duration
+	Cores, Edges    int
+	Bounds          checker.Bounds
+	CatchUp         time.Duration
+	HeartbeatPeriod time.Duration
+	Staleness       time.Duration
 	// Environment is added to each process's.
 	Environment []string
-	Book        *history.Book
+	Recorder    *history.Recorder
 }
 
 // Machine is one machine.
@@ -58,15 +58,15 @@
 	Name, Class, Zone, IP string
 	folder                string
 
-	mutex    sync.Mutex
-	program  string
-	cmd      *exec.Cmd
-	ended    chan struct{}
-	expected bool
+	mutex        sync.Mutex
+	program      string
+	cmd          *exec.Cmd
+	exited       chan struct{}
+	exitExpected bool
 	// over ends the trouble that it is down for; overFreeze that it is frozen for.
-	over, overFreeze func()
-	started          bool
-	removed          bool
+	endDowntime, endFreeze func()
+	started                bool
+	removed                bool
 }
 
 // Fleet is the machines.
@@ -76,14 +76,14 @@
 
 	mutex sync.Mutex
 	// lists is the operator's list over time.
-	lists []listed
+	coreLists []coreList
 	// closing is set while one trouble takes all machines.
-	closing bool
-	stopped bool
-	waits   sync.WaitGroup
+	crashingAll bool
+	stopped     bool
+	exits       sync.WaitGroup
 }
 
-type listed struct {
+type coreList struct {
 	at    clock.Mark
 	cores []*Machine
 }
@@ -100,7 +100,7 @@
 	for n := range plan.Edges {
 		f.add(Edge, n)
 	}
-	plan.Book.Note(func(h *history.History) {
+	plan.Recorder.Record(func(h *history.History) {
 		for _, m := range f.Machines {
 			if m.Class == Core {
 				h.Cores = append(h.Cores, m.Name)
@@ -109,7 +109,7 @@
 			}
 		}
 	})
-	f.list()
+	f.recordCores()
 	return f, os.MkdirAll(plan.Folder, 0o700)
 }
 
@@ -122,7 +122,7 @@
 }
 
 // Of lists the machines of a class that were not removed.
-func (f *Fleet) Of(class string) (out []*Machine) {
+func (f *Fleet) OfClass(class string) (out []*Machine) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for _, m := range f.Machines {
@@ -134,20 +134,20 @@
 }
 
 // list notes which core machines the operator's list has from now on.
-func (f *Fleet) list() {
-	cores := f.Of(Core)
+func (f *Fleet) recordCores() {
+	cores := f.OfClass(Core)
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.lists = append(f.lists, listed{f.Plan.Book.Now(), cores})
+	f.coreLists = append(f.coreLists, coreList{f.Plan.Recorder.Now(), cores})
 }
 
 // Controls is the operator's list, as late as it is.
 func (f *Fleet) Controls() []string {
-	now := f.Plan.Book.Now()
+	now := f.Plan.Recorder.Now()
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	known := f.lists[0].cores
-	for _, one := range f.lists {
+	known := f.coreLists[0].cores
+	for _, one := range f.coreLists {
 		if now.Since(one.at) >= f.Plan.Staleness {
 			known = one.cores
 		}
@@ -174,9 +174,9 @@
 func (m *Machine) data() string { return m.folder + ".data" }
 
 // settle writes the settings file as it is at this moment.
-func (f *Fleet) settle(m *Machine, bootstrap bool) error {
+func (f *Fleet) writeSettings(m *Machine, bootstrap bool) error {
 	seeds := []string{}
-	for _, core := range f.Of(Core) {
+	for _, core := range f.OfClass(Core) {
 		if len(seeds) < 3 {
 			seeds = append(seeds, core.Control())
 		}
@@ -189,7 +189,7 @@
 	settings := map[string]any{
 		"node-name": m.Name, "role": "my-" + m.Class, "machine-class": m.Class, "serves": []string{"edge"}, "ip": m.IP, "zone": m.Zone, "region": "region",
 		"port-range": []int{firstPort, lastPort}, "seeds": seeds, "bootstrap": bootstrap, "counts-loss": m.Class == Core, "discovery": "self_register",
-		"entry": "virtual_ip", "beat-period-ms": f.Plan.BeatPeriod.Milliseconds(), "invariants": []string{"base", "drain", "config", "cost", "retry", "recover", "fleet", "stream", "engine"},
+		"entry": "virtual_ip", "beat-period-ms": f.Plan.HeartbeatPeriod.Milliseconds(), "invariants": []string{"base", "drain", "config", "cost", "retry", "recover", "fleet", "stream", "engine"},
 		"a-field-of-later": "passed over", "zones": zones,
 		"bind-addrs":   map[string]string{"front": m.Front(), "readiness": m.Readiness()},
 		"limits":       map[string]any{"cpu-share": 1.0, "cores": 1, "memory-mb": 284, "max-fds": 4100, "link-mbps": 1000.0, "disk-mb": 0},
@@ -218,12 +218,12 @@
 // Start starts all machines for the first time.
 func (f *Fleet) Start() error {
 	for _, m := range f.Machines {
-		if err := f.settle(m, true); err != nil {
+		if err := f.writeSettings(m, true); err != nil {
 			return err
 		}
 	}
 	for _, m := range f.Machines {
-		if err := f.run(m); err != nil {
+		if err := f.startProcess(m); err != nil {
 			return err
 		}
 	}
@@ -231,7 +231,7 @@
 }
 
 // run starts a machine's process.
-func (f *Fleet) run(m *Machine) error {
+func (f *Fleet) startProcess(m *Machine) error {
 	log, err := os.OpenFile(m.Log(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
@@ -247,40 +247,40 @@
 	}
 	ended := make(chan struct{})
 	m.mutex.Lock()
-	m.cmd, m.ended, m.expected, m.started = cmd, ended, false, true
-	over := m.over
-	m.over = nil
+	m.cmd, m.exited, m.exitExpected, m.started = cmd, ended, false, true
+	end := m.endDowntime
+	m.endDowntime = nil
 	m.mutex.Unlock()
-	if over != nil {
-		over()
+	if end != nil {
+		end()
 	}
-	f.waits.Add(1)
+	f.exits.Add(1)
 	go func() {
-		defer f.waits.Done()
+		defer f.exits.Done()
 		_ = cmd.Wait()
 		m.mutex.Lock()
-		expected := m.expected
+		expected := m.exitExpected
 		m.mutex.Unlock()
 		close(ended)
 		if !expected {
-			f.ownEnd(m)
+			f.onUnexpectedExit(m)
 		}
 	}()
 	return nil
 }
 
 // ownEnd notes that a process ended by itself, and starts it again as the platform would.
-func (f *Fleet) ownEnd(m *Machine) {
-	over := f.Plan.Book.Trouble(history.Trouble{Kind: history.OwnEnd, Machine: m.Name, Core: m.Class == Core})
+func (f *Fleet) onUnexpectedExit(m *Machine) {
+	end := f.Plan.Recorder.BeginDisruption(history.Disruption{Kind: history.UnexpectedExit, Machine: m.Name, Core: m.Class == Core})
 	f.mutex.Lock()
 	stopped := f.stopped
 	f.mutex.Unlock()
 	m.mutex.Lock()
-	m.over = over
+	m.endDowntime = end
 	m.mutex.Unlock()
 	if !stopped {
-		_ = f.settle(m, false)
-		_ = f.run(m)
+		_ = f.writeSettings(m, false)
+		_ = f.startProcess(m)
 	}
 }
 
@@ -293,33 +293,33 @@
 		close(done)
 		return done
 	}
-	m.expected = m.expected || expected
+	m.exitExpected = m.exitExpected || expected
 	_ = m.cmd.Process.Signal(signal)
-	return m.ended
+	return m.exited
 }
 
-func (f *Fleet) down(m *Machine, kind string, planned bool) {
+func (f *Fleet) beginDowntime(m *Machine, kind string, planned bool) {
 	f.mutex.Lock()
-	closing := f.closing
+	closing := f.crashingAll
 	f.mutex.Unlock()
 	if closing {
 		return
 	}
-	over := f.Plan.Book.Trouble(history.Trouble{Kind: kind, Machine: m.Name, Core: m.Class == Core, Planned: planned})
+	end := f.Plan.Recorder.BeginDisruption(history.Disruption{Kind: kind, Machine: m.Name, Core: m.Class == Core, Planned: planned})
 	m.mutex.Lock()
-	m.over = over
+	m.endDowntime = end
 	m.mutex.Unlock()
 }
 
 // Kill ends a machine's process at once.
 func (f *Fleet) Kill(m *Machine) {
-	f.down(m, history.Killed, false)
+	f.beginDowntime(m, history.Killed, false)
 	<-m.signal(syscall.SIGKILL, true)
 }
 
 // Stop asks a machine's process to end, and kills it when its grace is over. It says whether that was needed.
 func (f *Fleet) Stop(m *Machine) (killed bool) {
-	f.down(m, history.Stopped, true)
+	f.beginDowntime(m, history.Stopped, true)
 	ended := m.signal(syscall.SIGTERM, true)
 	grace := time.NewTimer(f.Plan.Bounds.Grace)
 	defer grace.Stop()
@@ -333,20 +333,20 @@
 }
 
 // Again starts a machine that is down, with the settings as they are by now.
-func (f *Fleet) Again(m *Machine) error {
-	if err := f.settle(m, false); err != nil {
+func (f *Fleet) Restart(m *Machine) error {
+	if err := f.writeSettings(m, false); err != nil {
 		return err
 	}
-	return f.run(m)
+	return f.startProcess(m)
 }
 
 // Wipe empties the disk of a machine that is down; it counts as in trouble until it has caught up.
 func (f *Fleet) Wipe(m *Machine) error {
 	m.mutex.Lock()
-	over := m.over
-	m.over = func() {
-		if over != nil {
-			time.AfterFunc(f.Plan.CatchUp, over)
+	end := m.endDowntime
+	m.endDowntime = func() {
+		if end != nil {
+			time.AfterFunc(f.Plan.CatchUp, end)
 		}
 	}
 	m.mutex.Unlock()
@@ -361,30 +361,30 @@
 	next := f.add(m.Class, 100+len(f.Machines))
 	next.Zone = m.Zone
 	f.mutex.Unlock()
-	f.Plan.Book.Note(func(h *history.History) {
+	f.Plan.Recorder.Record(func(h *history.History) {
 		if m.Class == Core {
 			h.Cores = append(h.Cores, next.Name)
 		} else {
 			h.Edges = append(h.Edges, next.Name)
 		}
 	})
-	over := f.Plan.Book.Trouble(history.Trouble{Kind: history.Started, Machine: next.Name, Core: m.Class == Core})
+	end := f.Plan.Recorder.BeginDisruption(history.Disruption{Kind: history.Started, Machine: next.Name, Core: m.Class == Core})
 	m.mutex.Lock()
-	gone := m.over
+	gone := m.endDowntime
 	m.mutex.Unlock()
-	time.AfterFunc(f.Plan.CatchUp, func() { over(); gone() })
-	f.list()
-	if err := f.settle(next, false); err != nil {
+	time.AfterFunc(f.Plan.CatchUp, func() { end(); gone() })
+	f.recordCores()
+	if err := f.writeSettings(next, false); err != nil {
 		return nil, err
 	}
-	return next, f.run(next)
+	return next, f.startProcess(next)
 }
 
 // Freeze stops a machine's process where it is; Thaw lets it go on.
 func (f *Fleet) Freeze(m *Machine) {
-	over := f.Plan.Book.Trouble(history.Trouble{Kind: history.Frozen, Machine: m.Name, Core: m.Class == Core})
+	end := f.Plan.Recorder.BeginDisruption(history.Disruption{Kind: history.Frozen, Machine: m.Name, Core: m.Class == Core})
 	m.mutex.Lock()
-	m.overFreeze = over
+	m.endFreeze = end
 	m.mutex.Unlock()
 	m.signal(syscall.SIGSTOP, false)
 }
@@ -393,30 +393,30 @@
 func (f *Fleet) Thaw(m *Machine) {
 	m.signal(syscall.SIGCONT, false)
 	m.mutex.Lock()
-	over := m.overFreeze
-	m.overFreeze = nil
+	end := m.endFreeze
+	m.endFreeze = nil
 	m.mutex.Unlock()
-	if over != nil {
-		over()
+	if end != nil {
+		end()
 	}
 }
 
 // Reload writes the settings anew and says so.
 func (f *Fleet) Reload(m *Machine) error {
-	if err := f.settle(m, false); err != nil {
+	if err := f.writeSettings(m, false); err != nil {
 		return err
 	}
-	over := f.Plan.Book.Trouble(history.Trouble{Kind: history.Reload, Machine: m.Name, Planned: true})
+	end := f.Plan.Recorder.BeginDisruption(history.Disruption{Kind: history.Reload, Machine: m.Name, Planned: true})
 	m.signal(syscall.SIGHUP, false)
-	over()
+	end()
 	return nil
 }
 
 // CloseAll is a closing fault: every process is killed, the disks of some are lost, and all start again.
-func (f *Fleet) CloseAll(wiped ...*Machine) error {
-	over := f.Plan.Book.Trouble(history.Trouble{Kind: history.Closing, Core: true})
+func (f *Fleet) CrashAll(wiped ...*Machine) error {
+	end := f.Plan.Recorder.BeginDisruption(history.Disruption{Kind: history.Closing, Core: true})
 	f.mutex.Lock()
-	f.closing = true
+	f.crashingAll = true
 	f.mutex.Unlock()
 	all := slices.DeleteFunc(slices.Clone(f.Machines), func(m *Machine) bool { return m.removed })
 	for _, m := range all {
@@ -431,19 +431,19 @@
 		}
 	}
 	for _, m := range all {
-		if err := f.Again(m); err != nil {
+		if err := f.Restart(m); err != nil {
 			return err
 		}
 	}
-	over()
+	end()
 	f.mutex.Lock()
-	f.closing = false
+	f.crashingAll = false
 	f.mutex.Unlock()
 	return nil
 }
 
 // End kills everything; nothing of it counts as anybody's own end.
-func (f *Fleet) End() {
+func (f *Fleet) KillAll() {
 	f.mutex.Lock()
 	f.stopped = true
 	f.mutex.Unlock()
@@ -451,5 +451,5 @@
 		m.signal(syscall.SIGCONT, true)
 		<-m.signal(syscall.SIGKILL, true)
 	}
-	f.waits.Wait()
+	f.exits.Wait()
 }
--- a/testbed/platformtest/fleet/program_test.go
+++ b/testbed/platformtest/fleet/program_test.go
@@ -18,7 +18,7 @@
 func layOut(t *testing.T, other string) *fleet.Fleet {
 	t.Helper()
 	laidOut, err := fleet.New(fleet.Plan{Program: newBuild, OtherProgram: other, Folder: filepath.Join(t.TempDir(), "fleet"), Zones: []string{"a", "b", "c"},
-		Cores: 3, Edges: 3, Book: history.NewBook(clock.System{})})
+		Cores: 3, Edges: 3, Recorder: history.NewRecorder(clock.System{})})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/testbed/platformtest/history/history.go
+++ b/testbed/platformtest/history/history.go
@@ -16,7 +16,7 @@
 	At clock.Mark
 	// Engine is the life of the engine, Service the service it belongs to.
 	Engine, Service string
-	Attempt         string
+	AttemptID       string
 	Method, URI     string
 	Host            string
 	BodyDigest      string
@@ -25,22 +25,22 @@
 	DeadlineMs      int64
 	Prompt          protocol.Prompt
 	// Probe is a request for the health page.
-	Probe bool
+	HealthCheck bool
 	// Status is what the engine answered with; zero is nothing. NotRun: turned away by its own word.
-	Status int
-	NotRun bool
+	Status   int
+	Rejected bool
 	// Began is when work on it began; zero is never. Run names that work.
 	Began clock.Mark
 	Run   string
 	// Ended is when the engine had done with it; Whole: it wrote the answer whole.
-	Ended clock.Mark
-	Whole bool
+	Ended    clock.Mark
+	Complete bool
 	// Broke says that the engine itself broke the answer off, or made junk of it. Left: the caller closed.
-	Broke, Left bool
+	Broken, CallerClosed bool
 	// Events are written up to this id; From is the last id of the run that it went on from.
 	From, Events int
 	// ReadTokens were read anew, Kept were not read again.
-	ReadTokens, KeptTokens int
+	PrefilledTokens, CachedTokens int
 }
 
 // Ran says whether the engine has begun working on it.
@@ -54,24 +54,24 @@
 	Order   protocol.Order
 	Status  int
 	// Over says that it would have gone beyond the engine's room.
-	Over bool
+	OverCapacity bool
 	// Store says that the load came from the store of weights.
-	Store bool
+	FromStore bool
 	// Done is when it was carried out.
 	Done clock.Mark
 }
 
 // Life is one life of an engine.
-type Life struct {
+type Incarnation struct {
 	Engine, Service, Zone, Address string
 	Began                          clock.Mark
 	Ended                          clock.Mark
 	// DrainAsked is when it first said that it leaves; DrainAcked, when that was acknowledged.
-	DrainAsked, DrainAcked clock.Mark
-	DrainBy                string
+	DrainRequested, DrainAcked clock.Mark
+	DrainBy                    string
 	// Holds is what it held at its start.
-	Holds []protocol.Holding
-	Slots int
+	InitialModels []protocol.Holding
+	Slots         int
 	// Crashed says that the end was not planned.
 	Crashed bool
 }
@@ -86,11 +86,11 @@
 }
 
 // Try is one try of a client, as it saw it on its socket.
-type Try struct {
+type Attempt struct {
 	// Request is common to all tries for one answer; Kind names the sort of request, Session whose it is.
 	Request, Kind, Session string
 	Zone                   string
-	Attempt                string
+	AttemptID              string
 	Daemon                 string
 	Host, Method, URI      string
 	BodyDigest             string
@@ -99,7 +99,7 @@
 	LastEvent              string
 	// DeadlineMs is what the try said; AimMs and Class what its route says, where the client knows.
 	DeadlineMs int64
-	AimMs      int64
+	TargetMs   int64
 	Class      string
 	Resumable  bool
 	// Probe marks the few requests that show which configuration is in force. Absent: the route is not there.
@@ -111,30 +111,30 @@
 	// FirstOnConnection: no other request went before it there.
 	FirstOnConnection bool
 	Status            int
-	Attempted         string
+	AnsweredID        string
 	Seal              string
 	RetryAfterMs      int64
 	HasRetryAfter     bool
 	Encoding          string
-	BodyOut           []byte
+	ResponseBody      []byte
 	Events            []Event
 	// Whole says that by its framing the answer came whole.
-	Whole bool
+	Complete bool
 	// GaveUp: the client closed first, at LeftAt. Early: it did so by its own will, and is owed no answer.
-	GaveUp, Early bool
-	LeftAt        clock.Mark
+	ClientClosed, Early bool
+	ClosedAt            clock.Mark
 	// Outlasts: its work takes longer than its route's deadline, so nobody can serve it whole.
-	Outlasts bool
+	ExceedsDeadline bool
 	// Junk is what came that is no answer in the protocol, Surplus what came while no request waited.
-	Junk, Surplus string
-	Err           string
+	Malformed, Unsolicited string
+	Err                    string
 }
 
 // Success says that it counts as one: 2xx with the whole body.
-func (t *Try) Success() bool { return t.Status >= 200 && t.Status < 300 && t.Whole }
+func (t *Attempt) Success() bool { return t.Status >= 200 && t.Status < 300 && t.Complete }
 
 // Promise says that the answer promises that the request has not run and never will.
-func (t *Try) Promise() bool {
+func (t *Attempt) PromisesNotRun() bool {
 	switch t.Status {
 	case 429, 503, 408, 421:
 		return true
@@ -160,20 +160,20 @@
 	Base       uint64
 	Generation uint64
 	// Whole is the configuration that it makes; nil if it cannot be known.
-	Whole *protocol.Config
+	Config *protocol.Config
 	// Fault says why it is invalid; empty is valid.
 	Fault           string
 	Patch           bool
 	Began, Answered clock.Mark
 	Outcome         Outcome
 	Status          int
-	Sendings        int
+	Sends           int
 	By              string
 	// Method and Body are what was sent; the same with the same base is the same order.
 	Method string
 	Body   []byte
 	// Again says that an order was sent again that had been answered before.
-	Again bool
+	Resent bool
 }
 
 // Digest names the order in a change: the same bytes on the same base are the same order, whoever sent them.
@@ -192,7 +192,7 @@
 }
 
 // Trouble is one thing done to the fleet from outside, unplanned unless Planned says so.
-type Trouble struct {
+type Disruption struct {
 	From clock.Mark
 	// Until is zero while it goes on.
 	Until   clock.Mark
@@ -204,21 +204,21 @@
 
 // Kinds of trouble.
 const (
-	Killed  = "killed"
-	Started = "started"
-	Frozen  = "frozen"
-	Stopped = "stopped"
-	Reload  = "reload"
-	Closing = "closing"
-	OwnEnd  = "own-end"
+	Killed         = "killed"
+	Started        = "started"
+	Frozen         = "frozen"
+	Stopped        = "stopped"
+	Reload         = "reload"
+	Closing        = "closing"
+	UnexpectedExit = "own-end"
 	// Link is trouble of the links between engines and daemons, or of an engine itself.
 	Link = "link"
 	// Machine is trouble of the machine that the rehearsal itself runs on.
-	Machine = "machine"
+	TestbedStall = "machine"
 )
 
 // Look is one question for readiness.
-type Look struct {
+type ReadinessCheck struct {
 	At      clock.Mark
 	Machine string
 	Ready   bool
@@ -227,22 +227,22 @@
 // History is all that is known of a day.
 type History struct {
 	Began, Ended clock.Mark
-	Tries        []*Try
+	Attempts     []*Attempt
 	Arrivals     []*Arrival
 	Orders       []*Order
-	Lives        []*Life
+	Incarnations []*Incarnation
 	Changes      []*Change
 	// Reads are all readings of the configuration, ReadBacks those at the end.
-	Reads     []ReadBack
-	ReadBacks []ReadBack
-	Troubles  []*Trouble
-	Looks     []Look
+	Reads           []ReadBack
+	ReadBacks       []ReadBack
+	Disruptions     []*Disruption
+	ReadinessChecks []ReadinessCheck
 	// Cores and Edges name the machines.
 	Cores, Edges []string
 }
 
 // Book gathers a history from many hands.
-type Book struct {
+type Recorder struct {
 	Clock clock.Clock
 
 	mutex   sync.Mutex
@@ -250,63 +250,63 @@
 }
 
 // NewBook begins one.
-func NewBook(c clock.Clock) *Book {
-	return &Book{Clock: c, history: History{Began: c.Elapsed()}}
+func NewRecorder(c clock.Clock) *Recorder {
+	return &Recorder{Clock: c, history: History{Began: c.Elapsed()}}
 }
 
 // Now is the time by the book's clock.
-func (b *Book) Now() clock.Mark { return b.Clock.Elapsed() }
+func (b *Recorder) Now() clock.Mark { return b.Clock.Elapsed() }
 
 // Note changes the history; what it is given must not be kept.
-func (b *Book) Note(change func(*History)) {
+func (b *Recorder) Record(change func(*History)) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	change(&b.history)
 }
 
 // Trouble notes the beginning of a trouble, and gives back what ends it.
-func (b *Book) Trouble(t Trouble) (over func()) {
+func (b *Recorder) BeginDisruption(t Disruption) (over func()) {
 	noted := &t
-	b.Note(func(h *History) { noted.From = b.Now(); h.Troubles = append(h.Troubles, noted) })
-	return func() { b.Note(func(*History) { noted.Until = b.Now() }) }
+	b.Record(func(h *History) { noted.From = b.Now(); h.Disruptions = append(h.Disruptions, noted) })
+	return func() { b.Record(func(*History) { noted.Until = b.Now() }) }
 }
 
 // Read copies the history; all that goes on later is left out.
-func (b *Book) Read() *History {
+func (b *Recorder) Snapshot() *History {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	out := b.history
 	out.Ended = b.Now()
-	out.Tries = copies(out.Tries)
+	out.Attempts = copies(out.Attempts)
 	out.Arrivals = copies(out.Arrivals)
 	out.Orders = copies(out.Orders)
-	out.Lives = copies(out.Lives)
+	out.Incarnations = copies(out.Incarnations)
 	out.Changes = copies(out.Changes)
-	out.Troubles = copies(out.Troubles)
+	out.Disruptions = copies(out.Disruptions)
 	out.Reads = slices.Clone(out.Reads)
 	out.ReadBacks = slices.Clone(out.ReadBacks)
-	out.Looks = slices.Clone(out.Looks)
+	out.ReadinessChecks = slices.Clone(out.ReadinessChecks)
 	return &out
 }
 
 // Arrivals copies those that match.
-func (b *Book) Arrivals(match func(*Arrival) bool) (out []*Arrival) {
+func (b *Recorder) Arrivals(match func(*Arrival) bool) (out []*Arrival) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	for _, arrival := range b.history.Arrivals {
 		if match(arrival) {
-			one := *arrival
-			out = append(out, &one)
+			copied := *arrival
+			out = append(out, &copied)
 		}
 	}
 	return out
 }
 
-func copies[T any](list []*T) []*T {
-	out := make([]*T, len(list))
-	for place, item := range list {
-		one := *item
-		out[place] = &one
+func copies[T any](items []*T) []*T {
+	out := make([]*T, len(items))
+	for i, item := range items {
+		copied := *item
+		out[i] = &copied
 	}
 	return out
 }
--- a/testbed/platformtest/operator/operator.go
+++ b/testbed/platformtest/operator/operator.go
@@ -21,12 +21,12 @@
 
 // Operator is one operator.
 type Operator struct {
-	Name string
-	Book *history.Book
+	Name     string
+	Recorder *history.Recorder
 	// Controls is the list of control daemons, as late as the operator's list is.
 	Controls func() []string
 	// LoseAnswers drops that share of the answers on their way back.
-	LoseAnswers float64
+	LoseAnswerShare float64
 
 	mutex  sync.Mutex
 	random *rand.Rand
@@ -34,8 +34,8 @@
 }
 
 // New makes one.
-func New(name string, seed uint64, book *history.Book, controls func() []string) *Operator {
-	return &Operator{Name: name, Book: book, Controls: controls, random: rand.New(rand.NewPCG(seed, 5)),
+func New(name string, seed uint64, recorder *history.Recorder, controls func() []string) *Operator {
+	return &Operator{Name: name, Recorder: recorder, Controls: controls, random: rand.New(rand.NewPCG(seed, 5)),
 		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, CheckRedirect: func(_ *http.Request, via []*http.Request) error {
 			if len(via) > 2 {
 				return errors.New("redirected more than twice")
@@ -47,7 +47,7 @@
 func (o *Operator) draw() (turn int, lost bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	return o.random.IntN(1 << 16), o.random.Float64() < o.LoseAnswers
+	return o.random.IntN(1 << 16), o.random.Float64() < o.LoseAnswerShare
 }
 
 // answer is what one sending brought; status 0 is nothing.
@@ -91,27 +91,27 @@
 	turn, _ := o.draw()
 	others := 0
 	var last answer
-	for sendings := 1; ; sendings++ {
-		list := o.Controls()
-		if len(list) > 0 {
-			last = o.send(ctx, list[(turn+sendings)%len(list)], method, base, body)
+	for sends := 1; ; sends++ {
+		controls := o.Controls()
+		if len(controls) > 0 {
+			last = o.send(ctx, controls[(turn+sends)%len(controls)], method, base, body)
 		}
 		switch {
 		case last.status >= 200 && last.status < 300:
-			return last, sendings
+			return last, sends
 		case last.status == 400 || last.status == 409 || last.status == 412 || last.status == 413 || last.status == 422:
-			return last, sendings
+			return last, sends
 		case last.status >= 400 && last.status < 500 && last.status != 408 && last.status != 429:
 			if others++; others == 3 {
-				return last, sendings
+				return last, sends
 			}
 		}
-		pause := time.NewTimer(min(time.Second, 20*time.Millisecond<<min(sendings, 6)))
+		pause := time.NewTimer(min(time.Second, 20*time.Millisecond<<min(sends, 6)))
 		select {
 		case <-ctx.Done():
 			pause.Stop()
 			last.status = 0
-			return last, sendings
+			return last, sends
 		case <-pause.C:
 		}
 	}
@@ -119,17 +119,17 @@
 
 // change sends a change and notes what became of it.
 func (o *Operator) change(ctx context.Context, method string, change history.Change, body []byte) *history.Change {
-	change.Operator, change.Began, change.Outcome, change.Method, change.Body = o.Name, o.Book.Now(), history.Unclear, method, body
+	change.Operator, change.Began, change.Outcome, change.Method, change.Body = o.Name, o.Recorder.Now(), history.Unclear, method, body
 	noted := &change
-	o.Book.Note(func(h *history.History) { h.Changes = append(h.Changes, noted) })
-	last, sendings := o.call(ctx, method, change.Base, body)
-	o.Book.Note(func(*history.History) {
-		noted.Status, noted.Sendings, noted.By = last.status, sendings, last.daemon
+	o.Recorder.Record(func(h *history.History) { h.Changes = append(h.Changes, noted) })
+	last, sends := o.call(ctx, method, change.Base, body)
+	o.Recorder.Record(func(*history.History) {
+		noted.Status, noted.Sends, noted.By = last.status, sends, last.daemon
 		switch {
 		case last.status >= 200 && last.status < 300:
-			noted.Outcome, noted.Answered = history.Acknowledged, o.Book.Now()
+			noted.Outcome, noted.Answered = history.Acknowledged, o.Recorder.Now()
 		case last.status >= 400 && last.status < 500:
-			noted.Outcome, noted.Answered = history.Refused, o.Book.Now()
+			noted.Outcome, noted.Answered = history.Refused, o.Recorder.Now()
 		}
 	})
 	return noted
@@ -137,7 +137,7 @@
 
 // Put sends a whole configuration. What makes it invalid is told by fault; empty is valid.
 func (o *Operator) Put(ctx context.Context, base uint64, config *protocol.Config, fault string) *history.Change {
-	return o.change(ctx, http.MethodPut, history.Change{Base: base, Generation: config.Generation, Whole: config, Fault: fault}, config.Encode())
+	return o.change(ctx, http.MethodPut, history.Change{Base: base, Generation: config.Generation, Config: config, Fault: fault}, config.Encode())
 }
 
 // PutRaw sends bytes that are no configuration that can be read whole.
@@ -151,24 +151,24 @@
 	if err != nil {
 		panic("broken invariant: a patch cannot be written: " + err.Error())
 	}
-	return o.change(ctx, http.MethodPatch, history.Change{Base: on.Generation, Generation: patch.Generation, Whole: on.Apply(patch), Fault: fault, Patch: true}, body)
+	return o.change(ctx, http.MethodPatch, history.Change{Base: on.Generation, Generation: patch.Generation, Config: on.Apply(patch), Fault: fault, Patch: true}, body)
 }
 
 // Again sends an order that was answered before once more, byte for byte; the same goes to as many other daemons at
 // the same time, whose answers nobody waits for.
-func (o *Operator) Again(ctx context.Context, before history.Change, others int) *history.Change {
-	list := o.Controls()
-	for n := range min(others, len(list)) {
-		go o.send(ctx, list[n], before.Method, before.Base, before.Body)
+func (o *Operator) Resend(ctx context.Context, before history.Change, others int) *history.Change {
+	controls := o.Controls()
+	for n := range min(others, len(controls)) {
+		go o.send(ctx, controls[n], before.Method, before.Base, before.Body)
 	}
-	return o.change(ctx, before.Method, history.Change{Base: before.Base, Generation: before.Generation, Whole: before.Whole, Fault: before.Fault, Patch: before.Patch, Again: true}, before.Body)
+	return o.change(ctx, before.Method, history.Change{Base: before.Base, Generation: before.Generation, Config: before.Config, Fault: before.Fault, Patch: before.Patch, Resent: true}, before.Body)
 }
 
 // Get reads the newest configuration, and notes what came as read back if it is for the day's end.
 func (o *Operator) Get(ctx context.Context, end bool) history.ReadBack {
-	began := o.Book.Now()
+	began := o.Recorder.Now()
 	last, _ := o.call(ctx, http.MethodGet, 0, nil)
-	back := history.ReadBack{Began: began, At: o.Book.Now(), Raw: last.body}
+	back := history.ReadBack{Began: began, At: o.Recorder.Now(), Raw: last.body}
 	switch {
 	case last.err != nil:
 		back.Err = last.err.Error()
@@ -182,7 +182,7 @@
 			back.Config = config
 		}
 	}
-	o.Book.Note(func(h *history.History) {
+	o.Recorder.Record(func(h *history.History) {
 		h.Reads = append(h.Reads, back)
 		if end {
 			h.ReadBacks = append(h.ReadBacks, back)
--- a/testbed/platformtest/protocol/form.go
+++ b/testbed/platformtest/protocol/form.go
@@ -63,22 +63,22 @@
 
 // Registration is one beat of an engine.
 type Registration struct {
-	Backend     string    `json:"backend"`
-	Address     string    `json:"address"`
-	Zone        string    `json:"zone"`
-	Generation  string    `json:"generation"`
-	Slots       int       `json:"slots"`
-	State       string    `json:"state"`
-	ColdLeftMs  int64     `json:"cold-left-ms"`
-	Phase       string    `json:"phase,omitempty"`
-	Models      []Holding `json:"models,omitempty"`
-	CallSeq     uint64    `json:"call-seq"`
-	RemainingMs int64     `json:"remaining-ms,omitempty"`
+	Backend      string    `json:"backend"`
+	Address      string    `json:"address"`
+	Zone         string    `json:"zone"`
+	Generation   string    `json:"generation"`
+	Slots        int       `json:"slots"`
+	State        string    `json:"state"`
+	WarmUpLeftMs int64     `json:"cold-left-ms"`
+	Phase        string    `json:"phase,omitempty"`
+	Models       []Holding `json:"models,omitempty"`
+	CallSeq      uint64    `json:"call-seq"`
+	RemainingMs  int64     `json:"remaining-ms,omitempty"`
 }
 
 // Registered is the answer to a beat.
 type Registered struct {
-	BeatTarget string `json:"beat-target,omitempty"`
+	HeartbeatTarget string `json:"beat-target,omitempty"`
 }
 
 // Report is what an engine says of itself when asked.
--- a/testbed/platformtest/scenario/acts.go
+++ b/testbed/platformtest/scenario/acts.go
@@ -16,28 +16,28 @@
 )
 
 // act is one trouble, or piece of planned work, and the rest after it.
-type act struct {
+type fault struct {
 	name string
 	rest time.Duration
-	play func(*Day, context.Context) error
+	play func(*Run, context.Context) error
 	// ranking is what engines are ranked for on a day with this act; empty is the processes' default.
 	ranking string
 }
 
 // Names lists the acts.
 func Names() (out []string) {
-	for _, one := range allActs() {
+	for _, one := range allFaults() {
 		out = append(out, one.name)
 	}
 	return out
 }
 
 // allActs are those that may be named; only acts are drawn.
-func allActs() []act { return slices.Concat(acts, rankingActs, buildFaults) }
+func allFaults() []fault { return slices.Concat(drawnFaults, rankingFaults, buildFaults) }
 
 // The rest after trouble with the core is longer than contact, so that rules that need calm get some.
-var acts = []act{
-	{name: "engine-crash", rest: 2 * time.Second, play: func(d *Day, ctx context.Context) error {
+var drawnFaults = []fault{
+	{name: "engine-crash", rest: 2 * time.Second, play: func(d *Run, ctx context.Context) error {
 		for _, service := range []string{"lm", "notes"} {
 			e, err := d.anyEngine(service)
 			if err != nil {
@@ -51,20 +51,20 @@
 		}
 		return nil
 	}},
-	{name: "release", rest: time.Second, play: func(d *Day, ctx context.Context) error {
-		for _, e := range d.of("notes") {
+	{name: "release", rest: time.Second, play: func(d *Run, ctx context.Context) error {
+		for _, e := range d.enginesOf("notes") {
 			if _, err := d.newPlain(e.Config.Zone, "notes", ""); err != nil {
 				return err
 			}
-			e.Leave(0)
+			e.Drain(0)
 			if err := d.await(ctx, "the engine has left", func() bool { return e.Current() == "" }); err != nil {
 				return err
 			}
 		}
 		return nil
 	}},
-	{name: "delete-first", rest: time.Second, play: func(d *Day, ctx context.Context) error {
-		for _, e := range d.of("notes") {
+	{name: "delete-first", rest: time.Second, play: func(d *Run, ctx context.Context) error {
+		for _, e := range d.enginesOf("notes") {
 			if _, err := d.newPlain(e.Config.Zone, "notes", ""); err != nil {
 				return err
 			}
@@ -75,7 +75,7 @@
 		}
 		return nil
 	}},
-	{name: "short-notice", rest: 2 * time.Second, play: func(d *Day, ctx context.Context) error {
+	{name: "short-notice", rest: 2 * time.Second, play: func(d *Run, ctx context.Context) error {
 		e, err := d.anyEngine("lm")
 		if err != nil {
 			return err
@@ -83,10 +83,10 @@
 		if _, err := d.newModel(e.Config.Zone, nil, ""); err != nil {
 			return err
 		}
-		e.Leave(1200 * ms)
+		e.Drain(1200 * ms)
 		return d.await(ctx, "the engine is gone", func() bool { return e.Current() == "" })
 	}},
-	{name: "address-reuse", rest: time.Second, play: func(d *Day, ctx context.Context) error {
+	{name: "address-reuse", rest: time.Second, play: func(d *Run, ctx context.Context) error {
 		e, err := d.anyEngine("notes")
 		if err != nil {
 			return err
@@ -99,7 +99,7 @@
 		_, err = d.newPlain(e.Config.Zone, "spare", e.Config.Address)
 		return err
 	}},
-	{name: "engine-freeze", rest: 2 * time.Second, play: func(d *Day, ctx context.Context) error {
+	{name: "engine-freeze", rest: 2 * time.Second, play: func(d *Run, ctx context.Context) error {
 		e, err := d.anyEngine("lm")
 		if err != nil {
 			return err
@@ -109,11 +109,11 @@
 		e.Thaw()
 		return nil
 	}},
-	{name: "engine-faults", rest: time.Second, play: func(d *Day, ctx context.Context) error {
-		faults := []engine.Fault{{Kind: engine.Break, At: 20}, {Kind: engine.Break, At: 320, Reset: true}, {Kind: engine.Break, At: 500}, {Kind: engine.Surplus}, {Kind: engine.LateSurplus},
-			{Kind: engine.Junk}, {Kind: engine.Foreign}, {Kind: engine.NoID}, {Kind: engine.Own, Status: 500}, {Kind: engine.Unread}}
+	{name: "engine-faults", rest: time.Second, play: func(d *Run, ctx context.Context) error {
+		faults := []engine.Fault{{Kind: engine.Break, At: 20}, {Kind: engine.Break, At: 320, Reset: true}, {Kind: engine.Break, At: 500}, {Kind: engine.ExtraAnswer}, {Kind: engine.LateExtraAnswer},
+			{Kind: engine.Malformed}, {Kind: engine.WrongAttemptID}, {Kind: engine.NoAttemptID}, {Kind: engine.EngineError, Status: 500}, {Kind: engine.CloseUnread}}
 		for _, service := range []string{"lm", "notes"} {
-			for _, e := range d.of(service) {
+			for _, e := range d.enginesOf(service) {
 				e.FaultEach(func(string) *engine.Fault {
 					if at := d.draw(12 * len(faults)); at < len(faults) {
 						return &faults[at]
@@ -126,9 +126,9 @@
 		d.pause(ctx, 4*time.Second)
 		return nil
 	}},
-	{name: "engine-grey", rest: 2 * time.Second, play: func(d *Day, ctx context.Context) error {
+	{name: "engine-grey", rest: 2 * time.Second, play: func(d *Run, ctx context.Context) error {
 		// They beat, and say that they are well, and fail part of what they get: each in another way.
-		ways := []engine.Fault{{Kind: engine.Own, Status: 500}, {Kind: engine.Break, Reset: true}, {Kind: engine.Silence}, {Kind: engine.Silence, At: 400}}
+		ways := []engine.Fault{{Kind: engine.EngineError, Status: 500}, {Kind: engine.Break, Reset: true}, {Kind: engine.Unresponsive}, {Kind: engine.Unresponsive, At: 400}}
 		for place, service := range []string{"lm", "notes"} {
 			e, err := d.anyEngine(service)
 			if err != nil {
@@ -146,7 +146,7 @@
 		d.pause(ctx, 6*time.Second)
 		return nil
 	}},
-	{name: "engine-flap", rest: 2 * time.Second, play: func(d *Day, ctx context.Context) error {
+	{name: "engine-flap", rest: 2 * time.Second, play: func(d *Run, ctx context.Context) error {
 		for _, service := range []string{"lm", "notes"} {
 			e, err := d.anyEngine(service)
 			if err != nil {
@@ -163,10 +163,10 @@
 		}
 		return nil
 	}},
-	{name: "idle-drop", rest: time.Second, play: func(d *Day, ctx context.Context) error {
+	{name: "idle-drop", rest: time.Second, play: func(d *Run, ctx context.Context) error {
 		// Far sooner than they say, and nothing shows on the connections that daemons keep.
 		for _, service := range []string{"lm", "notes"} {
-			for _, e := range d.of(service) {
+			for _, e := range d.enginesOf(service) {
 				e.DropIdle(time.Duration(50+d.draw(250)) * ms)
 				defer e.DropIdle(0)
 			}
@@ -174,12 +174,12 @@
 		d.pause(ctx, 6*time.Second)
 		return nil
 	}},
-	{name: "order-trouble", rest: 2 * time.Second, play: func(d *Day, ctx context.Context) error {
+	{name: "order-trouble", rest: 2 * time.Second, play: func(d *Run, ctx context.Context) error {
 		// Demand moves, so that there are orders; their answers get lost, and engines freeze and fall over them.
 		d.mutex.Lock()
-		d.favourite += 2
+		d.modelShift += 2
 		d.mutex.Unlock()
-		for _, e := range d.of("lm") {
+		for _, e := range d.enginesOf("lm") {
 			e.LoseOrders(1)
 		}
 		for range 3 {
@@ -201,16 +201,16 @@
 		}
 		return nil
 	}},
-	{name: "edge-kill", rest: 2 * time.Second, play: func(d *Day, ctx context.Context) error { return d.bounce(ctx, d.any(fleet.Edge)) }},
-	{name: "edge-freeze", rest: 2 * time.Second, play: func(d *Day, ctx context.Context) error { return d.freeze(ctx, d.any(fleet.Edge)) }},
-	{name: "edge-stop", rest: time.Second, play: func(d *Day, ctx context.Context) error {
-		return d.restart(ctx, d.any(fleet.Edge))
+	{name: "edge-kill", rest: 2 * time.Second, play: func(d *Run, ctx context.Context) error { return d.killAndRestart(ctx, d.anyMachine(fleet.Edge)) }},
+	{name: "edge-freeze", rest: 2 * time.Second, play: func(d *Run, ctx context.Context) error { return d.freeze(ctx, d.anyMachine(fleet.Edge)) }},
+	{name: "edge-stop", rest: time.Second, play: func(d *Run, ctx context.Context) error {
+		return d.restart(ctx, d.anyMachine(fleet.Edge))
 	}},
-	{name: "edge-roll", rest: time.Second, play: func(d *Day, ctx context.Context) error {
+	{name: "edge-roll", rest: time.Second, play: func(d *Run, ctx context.Context) error {
 		// All in turn, with much under way.
-		d.hurry(4)
-		defer d.hurry(1)
-		for _, m := range d.Fleet.Of(fleet.Edge) {
+		d.scaleLoad(4)
+		defer d.scaleLoad(1)
+		for _, m := range d.Fleet.OfClass(fleet.Edge) {
 			d.pause(ctx, time.Second)
 			if err := d.restart(ctx, m); err != nil {
 				return err
@@ -219,9 +219,9 @@
 		}
 		return nil
 	}},
-	{name: "stop-in-need", rest: 2 * time.Second, play: func(d *Day, ctx context.Context) error {
+	{name: "stop-in-need", rest: 2 * time.Second, play: func(d *Run, ctx context.Context) error {
 		// No engine of one service lives, and those of another say nothing, while a router is told to end.
-		notes, lm := d.of("notes"), d.of("lm")
+		notes, lm := d.enginesOf("notes"), d.enginesOf("lm")
 		for _, e := range notes {
 			e.Crash()
 		}
@@ -229,7 +229,7 @@
 			e.Freeze()
 		}
 		d.pause(ctx, time.Second)
-		m := d.any(fleet.Edge)
+		m := d.anyMachine(fleet.Edge)
 		killed := d.Fleet.Stop(m)
 		for _, e := range lm {
 			e.Thaw()
@@ -242,12 +242,12 @@
 		if killed {
 			d.Say("%s did not end within its grace", m.Name)
 		}
-		return d.Fleet.Again(m)
+		return d.Fleet.Restart(m)
 	}},
-	{name: "core-kill", rest: 4 * time.Second, play: func(d *Day, ctx context.Context) error { return d.bounce(ctx, d.any(fleet.Core)) }},
-	{name: "core-freeze", rest: 4 * time.Second, play: func(d *Day, ctx context.Context) error { return d.freeze(ctx, d.any(fleet.Core)) }},
-	{name: "core-roll", rest: 4 * time.Second, play: func(d *Day, ctx context.Context) error {
-		for _, m := range d.Fleet.Of(fleet.Core) {
+	{name: "core-kill", rest: 4 * time.Second, play: func(d *Run, ctx context.Context) error { return d.killAndRestart(ctx, d.anyMachine(fleet.Core)) }},
+	{name: "core-freeze", rest: 4 * time.Second, play: func(d *Run, ctx context.Context) error { return d.freeze(ctx, d.anyMachine(fleet.Core)) }},
+	{name: "core-roll", rest: 4 * time.Second, play: func(d *Run, ctx context.Context) error {
+		for _, m := range d.Fleet.OfClass(fleet.Core) {
 			if err := d.restart(ctx, m); err != nil {
 				return err
 			}
@@ -255,50 +255,50 @@
 		}
 		return nil
 	}},
-	{name: "core-wipe", rest: 5 * time.Second, play: func(d *Day, ctx context.Context) error {
-		m := d.any(fleet.Core)
+	{name: "core-wipe", rest: 5 * time.Second, play: func(d *Run, ctx context.Context) error {
+		m := d.anyMachine(fleet.Core)
 		d.Fleet.Kill(m)
 		if err := d.Fleet.Wipe(m); err != nil {
 			return err
 		}
 		d.pause(ctx, 300*ms)
-		return d.Fleet.Again(m)
+		return d.Fleet.Restart(m)
 	}},
-	{name: "core-replace", rest: 5 * time.Second, play: func(d *Day, _ context.Context) error {
-		_, err := d.Fleet.Replace(d.any(fleet.Core))
+	{name: "core-replace", rest: 5 * time.Second, play: func(d *Run, _ context.Context) error {
+		_, err := d.Fleet.Replace(d.anyMachine(fleet.Core))
 		return err
 	}},
-	{name: "core-herd", rest: 5 * time.Second, play: func(d *Day, ctx context.Context) error {
-		for _, m := range d.Fleet.Of(fleet.Core) {
+	{name: "core-herd", rest: 5 * time.Second, play: func(d *Run, ctx context.Context) error {
+		for _, m := range d.Fleet.OfClass(fleet.Core) {
 			d.Fleet.Kill(m)
 		}
 		d.pause(ctx, 300*ms)
-		for _, m := range d.Fleet.Of(fleet.Core) {
-			if err := d.Fleet.Again(m); err != nil {
+		for _, m := range d.Fleet.OfClass(fleet.Core) {
+			if err := d.Fleet.Restart(m); err != nil {
 				return err
 			}
 		}
 		return nil
 	}},
-	{name: "reload", rest: time.Second, play: func(d *Day, _ context.Context) error {
-		for _, m := range append(d.Fleet.Of(fleet.Edge), d.Fleet.Of(fleet.Core)...) {
+	{name: "reload", rest: time.Second, play: func(d *Run, _ context.Context) error {
+		for _, m := range append(d.Fleet.OfClass(fleet.Edge), d.Fleet.OfClass(fleet.Core)...) {
 			if err := d.Fleet.Reload(m); err != nil {
 				return err
 			}
 		}
 		return nil
 	}},
-	{name: "config-change", rest: time.Second, play: func(d *Day, ctx context.Context) error { return d.change(ctx) }},
-	{name: "config-race", rest: time.Second, play: func(d *Day, ctx context.Context) error { return d.race(ctx) }},
-	{name: "ack-kill", rest: 4 * time.Second, play: func(d *Day, ctx context.Context) error {
-		m, err := d.acknowledged(ctx)
+	{name: "config-change", rest: time.Second, play: func(d *Run, ctx context.Context) error { return d.changeConfig(ctx) }},
+	{name: "config-race", rest: time.Second, play: func(d *Run, ctx context.Context) error { return d.raceConfigs(ctx) }},
+	{name: "ack-kill", rest: 4 * time.Second, play: func(d *Run, ctx context.Context) error {
+		m, err := d.changeAndFindAcker(ctx)
 		if err != nil || m == nil {
 			return err
 		}
-		return d.bounce(ctx, m)
+		return d.killAndRestart(ctx, m)
 	}},
-	{name: "ack-wipe", rest: 5 * time.Second, play: func(d *Day, ctx context.Context) error {
-		m, err := d.acknowledged(ctx)
+	{name: "ack-wipe", rest: 5 * time.Second, play: func(d *Run, ctx context.Context) error {
+		m, err := d.changeAndFindAcker(ctx)
 		if err != nil || m == nil {
 			return err
 		}
@@ -307,42 +307,42 @@
 			return err
 		}
 		d.pause(ctx, 300*ms)
-		return d.Fleet.Again(m)
+		return d.Fleet.Restart(m)
 	}},
-	{name: "config-bad", rest: 0, play: func(d *Day, ctx context.Context) error { return d.bad(ctx) }},
-	{name: "config-again", rest: 0, play: func(d *Day, ctx context.Context) error { return d.again(ctx) }},
-	{name: "config-lost-answers", rest: time.Second, play: func(d *Day, ctx context.Context) error {
-		d.one.LoseAnswers = 0.6
-		defer func() { d.one.LoseAnswers = 0 }()
-		return d.change(ctx)
+	{name: "config-bad", rest: 0, play: func(d *Run, ctx context.Context) error { return d.sendInvalidConfigs(ctx) }},
+	{name: "config-again", rest: 0, play: func(d *Run, ctx context.Context) error { return d.resendConfigs(ctx) }},
+	{name: "config-lost-answers", rest: time.Second, play: func(d *Run, ctx context.Context) error {
+		d.operator.LoseAnswerShare = 0.6
+		defer func() { d.operator.LoseAnswerShare = 0 }()
+		return d.changeConfig(ctx)
 	}},
-	{name: "model-shift", rest: 3 * time.Second, play: func(d *Day, _ context.Context) error {
+	{name: "model-shift", rest: 3 * time.Second, play: func(d *Run, _ context.Context) error {
 		d.mutex.Lock()
-		d.favourite += 3
+		d.modelShift += 3
 		d.mutex.Unlock()
 		return nil
 	}},
-	{name: "burst", rest: 3 * time.Second, play: func(d *Day, ctx context.Context) error {
-		d.hurry(5)
-		defer d.hurry(1)
+	{name: "burst", rest: 3 * time.Second, play: func(d *Run, ctx context.Context) error {
+		d.scaleLoad(5)
+		defer d.scaleLoad(1)
 		d.pause(ctx, 2*time.Second)
 		return nil
 	}},
 }
 
-func (d *Day) hurry(times float64) {
+func (d *Run) scaleLoad(times float64) {
 	d.mutex.Lock()
-	d.rush = times
+	d.loadFactor = times
 	d.mutex.Unlock()
 }
 
-func (d *Day) bounce(ctx context.Context, m *fleet.Machine) error {
+func (d *Run) killAndRestart(ctx context.Context, m *fleet.Machine) error {
 	d.Fleet.Kill(m)
 	d.pause(ctx, 500*ms)
-	return d.Fleet.Again(m)
+	return d.Fleet.Restart(m)
 }
 
-func (d *Day) freeze(ctx context.Context, m *fleet.Machine) error {
+func (d *Run) freeze(ctx context.Context, m *fleet.Machine) error {
 	d.Fleet.Freeze(m)
 	d.pause(ctx, 2500*ms)
 	d.Fleet.Thaw(m)
@@ -350,22 +350,22 @@
 }
 
 // took makes a configuration the current one, as what later changes build on.
-func (d *Day) took(config *protocol.Config) {
+func (d *Run) setCurrent(config *protocol.Config) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.current = config
 }
 
 // bounded is how long an operator follows one call before its outcome counts as unclear.
-const bounded = 20 * time.Second
+const operatorTimeout = 20 * time.Second
 
 // acknowledged changes the configuration, and gives the machine that acknowledged it, at that very moment.
-func (d *Day) acknowledged(ctx context.Context) (*fleet.Machine, error) {
-	change, _, err := d.patch(ctx)
+func (d *Run) changeAndFindAcker(ctx context.Context) (*fleet.Machine, error) {
+	change, _, err := d.patchConfig(ctx)
 	if err != nil || change.Outcome != history.Acknowledged {
 		return nil, err
 	}
-	for _, m := range d.Fleet.Of(fleet.Core) {
+	for _, m := range d.Fleet.OfClass(fleet.Core) {
 		if m.Control() == change.By {
 			return m, nil
 		}
@@ -374,13 +374,13 @@
 }
 
 // change changes the configuration, and asks every router for what it shows once it must be in force.
-func (d *Day) change(ctx context.Context) error {
-	change, added, err := d.patch(ctx)
+func (d *Run) changeConfig(ctx context.Context) error {
+	change, added, err := d.patchConfig(ctx)
 	if err != nil || change.Outcome != history.Acknowledged {
 		return err
 	}
 	d.mutex.Lock()
-	gone := d.gone
+	gone := d.removedPaths
 	d.mutex.Unlock()
 	d.pause(ctx, Bounds.Apply+100*ms)
 	d.probe(added, false)
@@ -392,9 +392,9 @@
 }
 
 // patch adds a route, removes an older one and moves one to another service.
-func (d *Day) patch(ctx context.Context) (*history.Change, string, error) {
+func (d *Run) patchConfig(ctx context.Context) (*history.Change, string, error) {
 	outer := ctx
-	ctx, cancel := context.WithTimeout(ctx, bounded)
+	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	d.mutex.Lock()
 	on := d.current
@@ -421,43 +421,43 @@
 	if removed != "" {
 		// Clients stop using a route before it goes.
 		var left []string
-		for _, path := range d.added {
+		for _, path := range d.addedPaths {
 			if path != removed {
 				left = append(left, path)
 			}
 		}
-		d.added, d.gone = left, append(d.gone, removed)
+		d.addedPaths, d.removedPaths = left, append(d.removedPaths, removed)
 	}
 	d.mutex.Unlock()
 	if removed != "" {
 		d.pause(ctx, 3*time.Second)
 	}
-	change := d.one.Patch(ctx, on, patch, "")
+	change := d.operator.Patch(ctx, on, patch, "")
 	if change.Outcome != history.Acknowledged {
 		d.resync(outer)
 		return change, "", nil
 	}
-	d.took(change.Whole)
+	d.setCurrent(change.Config)
 	d.mutex.Lock()
-	d.added = append(d.added, added.PathPrefix)
+	d.addedPaths = append(d.addedPaths, added.PathPrefix)
 	d.mutex.Unlock()
 	return change, added.PathPrefix, nil
 }
 
 // resync finds out what is in force, where a change got no clear answer. If nothing comes the judge will see.
-func (d *Day) resync(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, bounded)
+func (d *Run) resync(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
-	if back := d.one.Get(ctx, false); back.Config != nil {
-		d.took(back.Config)
+	if back := d.operator.Get(ctx, false); back.Config != nil {
+		d.setCurrent(back.Config)
 	} else {
 		d.Say("the configuration cannot be read: %s", back.Err)
 	}
 }
 
 // race has two operators change the configuration on the same version at once.
-func (d *Day) race(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, bounded)
+func (d *Run) raceConfigs(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	d.mutex.Lock()
 	on := d.current
@@ -468,7 +468,7 @@
 	var done sync.WaitGroup
 	for n, o := range []interface {
 		Put(context.Context, uint64, *protocol.Config, string) *history.Change
-	}{d.one, d.two} {
+	}{d.operator, d.rival} {
 		next := on.Clone()
 		next.Generation = on.Generation + 1 + uint64(n)*apart
 		next.Named("mail").TargetMs = int64(500 + n)
@@ -483,7 +483,7 @@
 	for _, change := range changes {
 		if change.Outcome == history.Acknowledged {
 			won++
-			d.took(change.Whole)
+			d.setCurrent(change.Config)
 		}
 	}
 	if won == 0 {
@@ -491,7 +491,7 @@
 	}
 	d.pause(ctx, Bounds.Apply+100*ms)
 	for _, change := range changes {
-		route := change.Whole.Routes[len(change.Whole.Routes)-1]
+		route := change.Config.Routes[len(change.Config.Routes)-1]
 		d.probe(route.PathPrefix, change.Outcome == history.Refused)
 	}
 	return nil
@@ -499,14 +499,14 @@
 
 // again sends orders that were answered before once more, to three machines at once: the newest that was acknowledged
 // with no other change since, and one of any age and outcome, by either operator.
-func (d *Day) again(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, bounded)
+func (d *Run) resendConfigs(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	var answered []history.Change
 	newest := -1
-	d.Book.Note(func(h *history.History) {
+	d.Recorder.Record(func(h *history.History) {
 		for _, change := range h.Changes {
-			if change.Outcome == history.Unclear || change.Again {
+			if change.Outcome == history.Unclear || change.Resent {
 				continue
 			}
 			if answered = append(answered, *change); change.Outcome == history.Acknowledged {
@@ -517,17 +517,17 @@
 	if newest < 0 {
 		return nil
 	}
-	d.one.Again(ctx, answered[newest], 2)
-	for _, who := range []*operator.Operator{d.one, d.two} {
-		who.Again(ctx, answered[d.draw(len(answered))], 2)
+	d.operator.Resend(ctx, answered[newest], 2)
+	for _, who := range []*operator.Operator{d.operator, d.rival} {
+		who.Resend(ctx, answered[d.draw(len(answered))], 2)
 		who.Get(ctx, false)
 	}
 	return nil
 }
 
 // bad sends configurations that are invalid, one of each sort.
-func (d *Day) bad(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, bounded)
+func (d *Run) sendInvalidConfigs(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	d.mutex.Lock()
 	on := d.current
@@ -548,19 +548,19 @@
 		if fault == "" {
 			return errors.New("a spoilt configuration is sound")
 		}
-		d.one.Put(ctx, on.Generation, next, fault)
+		d.operator.Put(ctx, on.Generation, next, fault)
 	}
 	text := on.Clone().Encode()
-	d.one.PutRaw(ctx, on.Generation, on.Generation+1, text[:len(text)/2])
-	d.one.PutRaw(ctx, on.Generation, on.Generation+1, []byte("[]"))
+	d.operator.PutRaw(ctx, on.Generation, on.Generation+1, text[:len(text)/2])
+	d.operator.PutRaw(ctx, on.Generation, on.Generation+1, []byte("[]"))
 	return nil
 }
 
 // close acknowledges one more configuration, lets the closing fault come at that very moment, and reads back
 // what was acknowledged.
-func (d *Day) close(ctx context.Context) error {
+func (d *Run) crashAll(ctx context.Context) error {
 	d.Say("the closing fault")
-	by, err := d.acknowledged(ctx)
+	by, err := d.changeAndFindAcker(ctx)
 	if err != nil {
 		return err
 	}
@@ -568,18 +568,18 @@
 	var wiped []*fleet.Machine
 	switch d.draw(3) {
 	case 0:
-		wiped = append(wiped, d.any(fleet.Core))
+		wiped = append(wiped, d.anyMachine(fleet.Core))
 	case 1:
 		if by != nil {
 			wiped = append(wiped, by)
 		}
 	}
-	if err := d.Fleet.CloseAll(wiped...); err != nil {
+	if err := d.Fleet.CrashAll(wiped...); err != nil {
 		return err
 	}
 	d.pause(ctx, Bounds.Recovery+4*time.Second)
-	last, cancel := context.WithTimeout(ctx, bounded)
+	last, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
-	d.one.Get(last, true)
+	d.operator.Get(last, true)
 	return nil
 }
--- a/testbed/platformtest/scenario/builds.go
+++ b/testbed/platformtest/scenario/builds.go
@@ -13,9 +13,9 @@
 
 // buildFaults restart machines with another build. They are drawn on no day; a day with two builds begins and ends
 // with them, see withUpgrade.
-var buildFaults = []act{
+var buildFaults = []fault{
 	// One machine of each class is upgraded and another one downgraded.
-	{name: "program-swap", rest: 2 * time.Second, play: func(d *Day, ctx context.Context) error {
+	{name: "program-swap", rest: 2 * time.Second, play: func(d *Run, ctx context.Context) error {
 		if d.OtherProgram == "" {
 			return errOneBuild
 		}
@@ -35,7 +35,7 @@
 		return nil
 	}},
 	// All machines that still run the other build are upgraded, one after the other.
-	{name: "program-upgrade", rest: 4 * time.Second, play: func(d *Day, ctx context.Context) error {
+	{name: "program-upgrade", rest: 4 * time.Second, play: func(d *Run, ctx context.Context) error {
 		if d.OtherProgram == "" {
 			return errOneBuild
 		}
@@ -52,17 +52,17 @@
 
 // withUpgrade adds to the faults of a day with two builds: machines change their build early, and in the end all of
 // them run Program.
-func withUpgrade(faults []act) []act {
+func withUpgrade(faults []fault) []fault {
 	return slices.Concat(buildFaults[:1], faults, buildFaults[1:])
 }
 
 // running lists the machines of a class that run a program.
-func (d *Day) running(class, program string) []*fleet.Machine {
-	return slices.DeleteFunc(d.Fleet.Of(class), func(machine *fleet.Machine) bool { return machine.Program() != program })
+func (d *Run) running(class, program string) []*fleet.Machine {
+	return slices.DeleteFunc(d.Fleet.OfClass(class), func(machine *fleet.Machine) bool { return machine.Program() != program })
 }
 
 // swapProgram restarts a machine with the other build, as planned, and lets it catch up.
-func (d *Day) swapProgram(ctx context.Context, machine *fleet.Machine) error {
+func (d *Run) swapProgram(ctx context.Context, machine *fleet.Machine) error {
 	d.Fleet.SwapProgram(machine)
 	d.Say("%s restarts with %s", machine.Name, machine.Program())
 	if err := d.restart(ctx, machine); err != nil {
@@ -73,10 +73,10 @@
 }
 
 // restart asks a machine's process to end, and starts it again.
-func (d *Day) restart(ctx context.Context, machine *fleet.Machine) error {
+func (d *Run) restart(ctx context.Context, machine *fleet.Machine) error {
 	if d.Fleet.Stop(machine) {
 		d.Say("%s did not end within its grace", machine.Name)
 	}
 	d.pause(ctx, 300*ms)
-	return d.Fleet.Again(machine)
+	return d.Fleet.Restart(machine)
 }
--- a/testbed/platformtest/scenario/day.go
+++ b/testbed/platformtest/scenario/day.go
@@ -37,8 +37,8 @@
 	// change from one to the other under way.
 	OtherProgram string
 	// Acts are the troubles, in this order; empty draws Count of them from the seed.
-	Acts  []string
-	Count int
+	Faults []string
+	Count  int
 	// Scale is the share of the usual requests.
 	Scale float64
 	// Ranking is what the processes rank engines for; empty is their default.
@@ -47,47 +47,47 @@
 }
 
 // Day is one day under way.
-type Day struct {
+type Run struct {
 	Options
-	Book   *history.Book
-	Fleet  *fleet.Fleet
-	Entry  *fleet.Entry
-	random *rand.Rand
+	Recorder *history.Recorder
+	Fleet    *fleet.Fleet
+	Entry    *fleet.Entry
+	random   *rand.Rand
 	// one and two are operators; two races against one.
-	one, two *operator.Operator
-	attempts func() string
-	store    *engine.Store
+	operator, rival *operator.Operator
+	nextAttemptID   func() string
+	store           *engine.Store
 
-	mutex   sync.Mutex
-	engines []*engine.Engine
-	named   int
+	mutex     sync.Mutex
+	engines   []*engine.Engine
+	nameCount int
 	// current is the newest configuration that was acknowledged.
 	current *protocol.Config
 	// added are paths of routes that were added later, gone those of routes that were removed.
-	added, gone []string
+	addedPaths, removedPaths []string
 	// favourite shifts which models are asked for most; rush multiplies what is sent.
-	favourite int
-	rush      float64
-	idle      map[string][]*client.Client
-	sending   sync.WaitGroup
-	watching  sync.WaitGroup
-	requests  int
+	modelShift   int
+	loadFactor   float64
+	idleClients  map[string][]*client.Client
+	sending      sync.WaitGroup
+	watching     sync.WaitGroup
+	requestCount int
 }
 
 // catchUp is how long a machine counts as down after an empty disk.
 const catchUp = 4 * time.Second
 
 // waitMost ends a wait that will never end; no verdict rests on it.
-const waitMost = 60 * time.Second
+const waitTimeout = 60 * time.Second
 
 // Play plays a day whole and gives its history.
 func Play(ctx context.Context, options Options) (*history.History, error) {
-	d := &Day{Options: options, Book: history.NewBook(clock.System{}), random: rand.New(rand.NewPCG(options.Seed, 9)), attempts: client.NewAttempts(options.Seed), store: &engine.Store{AtOnce: 3},
-		rush: 1, idle: map[string][]*client.Client{}}
+	d := &Run{Options: options, Recorder: history.NewRecorder(clock.System{}), random: rand.New(rand.NewPCG(options.Seed, 9)), nextAttemptID: client.NewAttemptIDs(options.Seed), store: &engine.Store{AtOnce: 3},
+		loadFactor: 1, idleClients: map[string][]*client.Client{}}
 	if d.Scale == 0 {
 		d.Scale = 1
 	}
-	plan, err := d.plan()
+	plan, err := d.planFaults()
 	if err != nil {
 		return nil, err
 	}
@@ -101,22 +101,22 @@
 		environment = append(environment, "CRESSPOND_RANKING="+options.Ranking)
 	}
 	if d.Fleet, err = fleet.New(fleet.Plan{Environment: environment, Program: options.Program, OtherProgram: options.OtherProgram, Folder: options.Folder, Zones: zones, Cores: 3, Edges: 3, Bounds: Bounds, CatchUp: catchUp,
-		BeatPeriod: 1200 * ms, Staleness: 3 * time.Second, Book: d.Book}); err != nil {
+		HeartbeatPeriod: 1200 * ms, Staleness: 3 * time.Second, Recorder: d.Recorder}); err != nil {
 		return nil, err
 	}
 	d.Entry = fleet.NewEntry(d.Fleet, time.Second)
-	d.one, d.two = operator.New("one", options.Seed, d.Book, d.Fleet.Controls), operator.New("two", options.Seed+1, d.Book, d.Fleet.Controls)
-	defer d.end()
+	d.operator, d.rival = operator.New("one", options.Seed, d.Recorder, d.Fleet.Controls), operator.New("two", options.Seed+1, d.Recorder, d.Fleet.Controls)
+	defer d.stop()
 	machine, leave := context.WithCancel(ctx)
 	defer d.watching.Wait()
 	defer leave()
-	d.watchMachine(machine)
-	if err := d.begin(ctx); err != nil {
+	d.watchTestbed(machine)
+	if err := d.start(ctx); err != nil {
 		return nil, err
 	}
 	traffic, stop := context.WithCancel(ctx)
 	defer stop()
-	d.send(traffic)
+	d.startTraffic(traffic)
 	d.pause(ctx, 4*time.Second)
 	for _, act := range plan {
 		d.Say("%s", act.name)
@@ -128,20 +128,20 @@
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	if err := d.close(ctx); err != nil {
+	if err := d.crashAll(ctx); err != nil {
 		return nil, err
 	}
 	stop()
 	d.sending.Wait()
-	return d.Book.Read(), ctx.Err()
+	return d.Recorder.Snapshot(), ctx.Err()
 }
 
 // plan lists the acts of the day.
-func (d *Day) plan() (plan []act, err error) {
-	if len(d.Acts) > 0 {
-		for _, name := range d.Acts {
+func (d *Run) planFaults() (plan []fault, err error) {
+	if len(d.Faults) > 0 {
+		for _, name := range d.Faults {
 			found := false
-			for _, one := range allActs() {
+			for _, one := range allFaults() {
 				if one.name == name {
 					plan, found = append(plan, one), true
 				}
@@ -152,9 +152,9 @@
 		}
 		return plan, nil
 	}
-	order := d.random.Perm(len(acts))
+	order := d.random.Perm(len(drawnFaults))
 	for _, place := range order[:min(len(order), max(1, d.Count))] {
-		plan = append(plan, acts[place])
+		plan = append(plan, drawnFaults[place])
 	}
 	if d.OtherProgram != "" {
 		plan = withUpgrade(plan)
@@ -163,12 +163,12 @@
 }
 
 // begin starts everything, and waits until it serves.
-func (d *Day) begin(ctx context.Context) error {
+func (d *Run) start(ctx context.Context) error {
 	if err := d.Fleet.Start(); err != nil {
 		return err
 	}
 	for n := range 4 {
-		if _, err := d.newModel(zones[n%len(zones)], initially(n), ""); err != nil {
+		if _, err := d.newModel(zones[n%len(zones)], initialModels(n), ""); err != nil {
 			return err
 		}
 	}
@@ -180,39 +180,39 @@
 	if _, err := d.newPlain(zones[2], "spare", ""); err != nil {
 		return err
 	}
-	first, cancel := context.WithTimeout(ctx, waitMost)
+	first, cancel := context.WithTimeout(ctx, waitTimeout)
 	defer cancel()
 	config := firstConfig()
-	if change := d.one.Put(first, 0, config, ""); change.Outcome != history.Acknowledged {
+	if change := d.operator.Put(first, 0, config, ""); change.Outcome != history.Acknowledged {
 		return fmt.Errorf("the first configuration was not taken: status %d", change.Status)
 	}
 	d.current = config
 	d.Entry.Watch(ctx)
 	err := d.await(ctx, "all routers are ready", func() bool {
-		for _, m := range d.Fleet.Of(fleet.Edge) {
-			if !d.Entry.In(m) {
+		for _, m := range d.Fleet.OfClass(fleet.Edge) {
+			if !d.Entry.Eligible(m) {
 				return false
 			}
 		}
 		return true
 	})
 	// The day begins with its traffic.
-	d.Book.Note(func(h *history.History) { h.Looks = nil })
+	d.Recorder.Record(func(h *history.History) { h.ReadinessChecks = nil })
 	return err
 }
 
 // end stops everything that runs.
-func (d *Day) end() {
+func (d *Run) stop() {
 	d.mutex.Lock()
 	engines := d.engines
 	d.mutex.Unlock()
 	for _, e := range engines {
 		e.Stop()
 	}
-	d.Fleet.End()
+	d.Fleet.KillAll()
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	for _, list := range d.idle {
+	for _, list := range d.idleClients {
 		for _, c := range list {
 			c.Close()
 		}
@@ -220,7 +220,7 @@
 }
 
 // pause lets the day go on for a while.
-func (d *Day) pause(ctx context.Context, span time.Duration) {
+func (d *Run) pause(ctx context.Context, span time.Duration) {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
 	select {
@@ -230,8 +230,8 @@
 }
 
 // await waits for a condition.
-func (d *Day) await(ctx context.Context, what string, holds func() bool) error {
-	guard := time.NewTimer(waitMost)
+func (d *Run) await(ctx context.Context, what string, holds func() bool) error {
+	guard := time.NewTimer(waitTimeout)
 	defer guard.Stop()
 	tick := time.NewTicker(20 * ms)
 	defer tick.Stop()
@@ -240,7 +240,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-guard.C:
-			return fmt.Errorf("waited %v in vain until %s", waitMost, what)
+			return fmt.Errorf("waited %v in vain until %s", waitTimeout, what)
 		case <-tick.C:
 		}
 	}
@@ -263,15 +263,15 @@
 }
 
 // initially spreads the models over the engines of the first start, the busy ones on more of them.
-func initially(n int) []protocol.Holding {
+func initialModels(n int) []protocol.Holding {
 	holding := func(model int) protocol.Holding { return protocol.Holding{Label: modelName(model), Generation: 1} }
 	return [][]protocol.Holding{{holding(0), holding(1)}, {holding(0), holding(2)}, {holding(1), holding(4)}, {holding(3), holding(5)}}[n%4]
 }
 
 func firstConfig() *protocol.Config {
-	rooms := catalogue()
+	models := catalogue()
 	return &protocol.Config{Generation: 1,
-		Backends: []protocol.Backend{{Label: "lm", HealthPath: "/health", MaxConns: 100, Protocol: "h1", Engine: &rooms},
+		Backends: []protocol.Backend{{Label: "lm", HealthPath: "/health", MaxConns: 100, Protocol: "h1", Engine: &models},
 			{Label: "notes", HealthPath: "/health", MaxConns: 60, Protocol: "h1"}, {Label: "spare", HealthPath: "/health", MaxConns: 60, Protocol: "h1"}},
 		Routes: []protocol.Route{
 			{Label: "triage", Authority: "ci.example", PathPrefix: "/triage/", Class: protocol.Streaming, DeadlineMs: 6000, TargetMs: 1500, Urgency: 1, Backend: "lm", Tries: 2, Affine: true, GapTargetMs: 400},
@@ -282,21 +282,21 @@
 }
 
 // newEngine starts an engine at an address, or at one of its own.
-func (d *Day) newEngine(c engine.Config, zone, address string) (*engine.Engine, error) {
+func (d *Run) newEngine(c engine.Config, zone, address string) (*engine.Engine, error) {
 	d.mutex.Lock()
-	d.named++
-	number := d.named
+	d.nameCount++
+	number := d.nameCount
 	d.mutex.Unlock()
 	if address == "" {
 		address = loopback.Host() + ":0"
 	}
 	c.Name, c.Zone, c.Address, c.Software, c.HealthPath = fmt.Sprintf("e%d", number), zone, address, "v1", "/health"
-	c.IdleClose, c.TellIdle, c.CloseEach, c.ReportLag, c.Seed = 5*time.Second, number%2 == 0, 40, 300*ms, d.Seed*1000+uint64(number)
-	c.BeatPeriod, c.Controls, c.DrainBound, c.DrainPatience, c.Cold = 1200*ms, d.Fleet.Controls, Bounds.Drain, 6*time.Second, 500*ms
+	c.IdleClose, c.AdvertiseIdle, c.CloseEach, c.ReportLag, c.Seed = 5*time.Second, number%2 == 0, 40, 300*ms, d.Seed*1000+uint64(number)
+	c.HeartbeatPeriod, c.Controls, c.DrainBound, c.DrainPatience, c.WarmUp = 1200*ms, d.Fleet.Controls, Bounds.Drain, 6*time.Second, 500*ms
 	if number%3 == 0 {
 		c.LateEach, c.LateBy = 4, 2500*ms
 	}
-	e := engine.New(c, d.Book)
+	e := engine.New(c, d.Recorder)
 	if err := e.Start(); err != nil {
 		return nil, err
 	}
@@ -306,45 +306,45 @@
 	return e, nil
 }
 
-func (d *Day) newModel(zone string, holds []protocol.Holding, address string) (*engine.Engine, error) {
-	rooms := catalogue()
-	return d.newEngine(engine.Config{Service: "lm", MaxConns: 100, Model: true, Initially: holds, Store: d.store,
-		Pace: engine.Pace{Slots: rooms.Slots, Waiting: 6, Memory: rooms.KVCapacity, Step: 3 * ms, PerRun: 300 * time.Microsecond, ReadPerMs: 20, ReadAtOnce: 400, Stride: rooms.Stride},
-		Room: engine.Room{Catalogue: rooms, DiskShare: 0.4, AdapterTime: 30 * ms}}, zone, address)
+func (d *Run) newModel(zone string, holds []protocol.Holding, address string) (*engine.Engine, error) {
+	models := catalogue()
+	return d.newEngine(engine.Config{Service: "lm", MaxConns: 100, Model: true, InitialModels: holds, Store: d.store,
+		Pace:     engine.Pace{Slots: models.Slots, Waiting: 6, Memory: models.KVCapacity, StepTime: 3 * ms, PerRequest: 300 * time.Microsecond, PrefillPerMs: 20, PrefillAtOnce: 400, Stride: models.Stride},
+		Capacity: engine.Capacity{Catalogue: models, DiskShare: 0.4, AdapterTime: 30 * ms}}, zone, address)
 }
 
-func (d *Day) newPlain(zone, service, address string) (*engine.Engine, error) {
-	return d.newEngine(engine.Config{Service: service, MaxConns: 60, Slots: 6, Waiting: 4, Work: 25 * ms, SlowFull: 2, AnswerBytes: 800, Chunked: d.named%2 == 0}, zone, address)
+func (d *Run) newPlain(zone, service, address string) (*engine.Engine, error) {
+	return d.newEngine(engine.Config{Service: service, MaxConns: 60, Slots: 6, Waiting: 4, Work: 25 * ms, SlowFull: 2, AnswerBytes: 800, Chunked: d.nameCount%2 == 0}, zone, address)
 }
 
 // of lists the engines of a service that live and do not leave.
-func (d *Day) of(service string) (out []*engine.Engine) {
+func (d *Run) enginesOf(service string) (out []*engine.Engine) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, e := range d.engines {
-		if e.Config.Service == service && e.Current() != "" && !e.Leaving() {
+		if e.Config.Service == service && e.Current() != "" && !e.Draining() {
 			out = append(out, e)
 		}
 	}
 	return out
 }
 
-func (d *Day) draw(n int) int {
+func (d *Run) draw(n int) int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.random.IntN(n)
 }
 
-func (d *Day) anyEngine(service string) (*engine.Engine, error) {
-	list := d.of(service)
+func (d *Run) anyEngine(service string) (*engine.Engine, error) {
+	list := d.enginesOf(service)
 	if len(list) == 0 {
 		return nil, fmt.Errorf("no engine of %s lives", service)
 	}
 	return list[d.draw(len(list))], nil
 }
 
-func (d *Day) any(class string) *fleet.Machine {
-	list := d.Fleet.Of(class)
+func (d *Run) anyMachine(class string) *fleet.Machine {
+	list := d.Fleet.OfClass(class)
 	return list[d.draw(len(list))]
 }
 
--- a/testbed/platformtest/scenario/machine.go
+++ b/testbed/platformtest/scenario/machine.go
@@ -13,35 +13,35 @@
 // The rehearsal's own machine may stall: other work takes its disk or its processors. What the rules say of a
 // machine in trouble holds for that too, so it is measured and noted, and the report tells how long it was.
 const (
-	lookAtMachine = 50 * ms
+	stallCheckInterval = 50 * ms
 	// mostSync is the longest that a synced write takes on a machine that is well, mostLate the most that a
 	// timer is late.
-	mostSync = 250 * ms
-	mostLate = 250 * ms
+	maxSync       = 250 * ms
+	maxTimerDelay = 250 * ms
 )
 
 // watchMachine looks at disk and processors until ctx ends.
-func (d *Day) watchMachine(ctx context.Context) {
-	for _, look := range []func() (at clock.Mark, over bool){d.lookAtDisk, d.lookAtProcessors} {
+func (d *Run) watchTestbed(ctx context.Context) {
+	for _, look := range []func() (at clock.Mark, over bool){d.diskStalled, d.timerStalled} {
 		d.watching.Add(1)
 		go func() {
 			defer d.watching.Done()
 			for ctx.Err() == nil {
 				if at, over := look(); over {
-					until := d.Book.Now()
-					d.Book.Note(func(h *history.History) {
-						h.Troubles = append(h.Troubles, &history.Trouble{From: at, Until: until, Kind: history.Machine, Core: true})
+					until := d.Recorder.Now()
+					d.Recorder.Record(func(h *history.History) {
+						h.Disruptions = append(h.Disruptions, &history.Disruption{From: at, Until: until, Kind: history.TestbedStall, Core: true})
 					})
 				}
-				d.pause(ctx, lookAtMachine)
+				d.pause(ctx, stallCheckInterval)
 			}
 		}()
 	}
 }
 
 // lookAtDisk writes and syncs a little where the core machines' disks are.
-func (d *Day) lookAtDisk() (clock.Mark, bool) {
-	at := d.Book.Now()
+func (d *Run) diskStalled() (clock.Mark, bool) {
+	at := d.Recorder.Now()
 	file, err := os.Create(filepath.Join(d.Folder, "look"))
 	if err != nil {
 		return at, true
@@ -50,27 +50,27 @@
 	if _, err := file.WriteString("is the disk well?"); err != nil {
 		return at, true
 	}
-	return at, file.Sync() != nil || d.Book.Now().Since(at) > mostSync
+	return at, file.Sync() != nil || d.Recorder.Now().Since(at) > maxSync
 }
 
 // lookAtProcessors sees how late a timer is.
-func (d *Day) lookAtProcessors() (clock.Mark, bool) {
-	at := d.Book.Now()
-	d.pause(context.Background(), lookAtMachine)
-	return at, d.Book.Now().Since(at) > lookAtMachine+mostLate
+func (d *Run) timerStalled() (clock.Mark, bool) {
+	at := d.Recorder.Now()
+	d.pause(context.Background(), stallCheckInterval)
+	return at, d.Recorder.Now().Since(at) > stallCheckInterval+maxTimerDelay
 }
 
 // Troubled is how long the rehearsal's own machine was in trouble, the spans taken together.
-func Troubled(h *history.History) (whole time.Duration) {
+func Stalled(h *history.History) (total time.Duration) {
 	end := clock.Mark(0)
-	for _, trouble := range h.Troubles {
-		if trouble.Kind != history.Machine {
+	for _, trouble := range h.Disruptions {
+		if trouble.Kind != history.TestbedStall {
 			continue
 		}
 		if from := max(trouble.From, end); trouble.Until > from {
-			whole += trouble.Until.Since(from)
+			total += trouble.Until.Since(from)
 			end = trouble.Until
 		}
 	}
-	return whole
+	return total
 }
--- a/testbed/platformtest/scenario/nodes.go
+++ b/testbed/platformtest/scenario/nodes.go
@@ -17,26 +17,26 @@
 
 // rankingActs are played only where they are named: they last long, and engines are ranked and drained meanwhile.
 // Whether anything is lost or run twice the judge says, as on any day.
-var rankingActs = []act{
-	{name: "node-stall", rest: time.Second, ranking: string(nodehealth.Drain), play: func(d *Day, ctx context.Context) error {
-		list, err := d.ranked(ctx)
+var rankingFaults = []fault{
+	{name: "node-stall", rest: time.Second, ranking: string(nodehealth.Drain), play: func(d *Run, ctx context.Context) error {
+		list, err := d.awaitRanked(ctx)
 		if err != nil {
 			return err
 		}
 		worse := list[d.draw(len(list))]
 		worse.Slow(80)
-		began := d.Book.Now()
+		began := d.Recorder.Now()
 		if err := d.awaitDrained(ctx, worse); err != nil {
 			return err
 		}
-		d.Say("drained after %v", d.Book.Now().Since(began).Round(10*ms))
+		d.Say("drained after %v", d.Recorder.Now().Since(began).Round(10*ms))
 		// What is left there goes on elsewhere or ends, and it returns by trial.
 		d.pause(ctx, 3*time.Second)
 		worse.Slow(1)
 		return d.awaitStage(ctx, worse, nodehealth.Sound)
 	}},
-	{name: "node-planner-lost", rest: 4 * time.Second, ranking: string(nodehealth.Drain), play: func(d *Day, ctx context.Context) error {
-		list, err := d.ranked(ctx)
+	{name: "node-planner-lost", rest: 4 * time.Second, ranking: string(nodehealth.Drain), play: func(d *Run, ctx context.Context) error {
+		list, err := d.awaitRanked(ctx)
 		if err != nil {
 			return err
 		}
@@ -50,7 +50,7 @@
 		if err != nil {
 			return err
 		}
-		if err := d.bounce(ctx, planner); err != nil {
+		if err := d.killAndRestart(ctx, planner); err != nil {
 			return err
 		}
 		if err := d.awaitDrained(ctx, worse); err != nil {
@@ -59,8 +59,8 @@
 		worse.Slow(1)
 		return d.awaitStage(ctx, worse, nodehealth.Sound)
 	}},
-	{name: "node-flap", rest: time.Second, ranking: string(nodehealth.Drain), play: func(d *Day, ctx context.Context) error {
-		list, err := d.ranked(ctx)
+	{name: "node-flap", rest: time.Second, ranking: string(nodehealth.Drain), play: func(d *Run, ctx context.Context) error {
+		list, err := d.awaitRanked(ctx)
 		if err != nil {
 			return err
 		}
@@ -76,13 +76,13 @@
 		}
 		return nil
 	}},
-	{name: "node-loaded", rest: time.Second, ranking: string(nodehealth.Drain), play: func(d *Day, ctx context.Context) error {
+	{name: "node-loaded", rest: time.Second, ranking: string(nodehealth.Drain), play: func(d *Run, ctx context.Context) error {
 		// Much traffic, and nobody is sick.
-		if _, err := d.ranked(ctx); err != nil {
+		if _, err := d.awaitRanked(ctx); err != nil {
 			return err
 		}
-		d.hurry(4)
-		defer d.hurry(1)
+		d.scaleLoad(4)
+		defer d.scaleLoad(1)
 		for range 10 {
 			d.pause(ctx, time.Second)
 			if err := d.onlyShut(ctx, nil); err != nil {
@@ -94,14 +94,14 @@
 }
 
 // ranked waits until enough is known of the engines that are ranked.
-func (d *Day) ranked(ctx context.Context) ([]*engine.Engine, error) {
+func (d *Run) awaitRanked(ctx context.Context) ([]*engine.Engine, error) {
 	// One more than usual, so that there is room for what a drained engine holds alone.
 	if _, err := d.newModel(zones[0], nil, ""); err != nil {
 		return nil, err
 	}
-	list := d.of("lm")
+	list := d.enginesOf("lm")
 	err := d.await(ctx, "engines are ranked", func() bool {
-		page, err := d.nodes(ctx)
+		page, err := d.nodesPage(ctx)
 		known := 0
 		for _, node := range page.Nodes {
 			if node.Pool == "lm" && node.Score > 0 {
@@ -114,9 +114,9 @@
 }
 
 // nodes reads the ranks from any core machine, as an operator would.
-func (d *Day) nodes(ctx context.Context) (operatorapi.Nodes, error) {
+func (d *Run) nodesPage(ctx context.Context) (operatorapi.Nodes, error) {
 	last := errors.New("no core machine runs")
-	for _, m := range d.Fleet.Of(fleet.Core) {
+	for _, m := range d.Fleet.OfClass(fleet.Core) {
 		var page operatorapi.Nodes
 		if last = get(ctx, m, operatorapi.PathNodes, &page); last == nil {
 			return page, nil
@@ -144,21 +144,21 @@
 }
 
 // planner finds the core machine that plans.
-func (d *Day) planner(ctx context.Context) (*fleet.Machine, error) {
-	for _, m := range d.Fleet.Of(fleet.Core) {
+func (d *Run) planner(ctx context.Context) (*fleet.Machine, error) {
+	for _, m := range d.Fleet.OfClass(fleet.Core) {
 		var status operatorapi.Status
 		if err := get(ctx, m, operatorapi.PathStatus, &status); err == nil && status.Planner != nil && status.Planner.Held {
 			return m, nil
 		}
 	}
-	return d.any(fleet.Core), nil
+	return d.anyMachine(fleet.Core), nil
 }
 
 // awaitDrained waits until an engine is drained by rank, and fails where another one is first.
-func (d *Day) awaitDrained(ctx context.Context, slow *engine.Engine) error {
+func (d *Run) awaitDrained(ctx context.Context, slow *engine.Engine) error {
 	id, wrong := ident.EngineID(slow.Current()), ""
 	err := d.await(ctx, "the slow engine is drained", func() bool {
-		page, err := d.nodes(ctx)
+		page, err := d.nodesPage(ctx)
 		if err != nil {
 			return false
 		}
@@ -179,10 +179,10 @@
 	return err
 }
 
-func (d *Day) awaitStage(ctx context.Context, of *engine.Engine, stage nodehealth.Stage) error {
+func (d *Run) awaitStage(ctx context.Context, of *engine.Engine, stage nodehealth.Stage) error {
 	id := ident.EngineID(of.Current())
 	return d.await(ctx, "the engine's stage is "+stage.String(), func() bool {
-		page, err := d.nodes(ctx)
+		page, err := d.nodesPage(ctx)
 		if err != nil {
 			return false
 		}
@@ -196,8 +196,8 @@
 }
 
 // onlyShut fails where the ranking shut any engine but one.
-func (d *Day) onlyShut(ctx context.Context, allowed *engine.Engine) error {
-	page, err := d.nodes(ctx)
+func (d *Run) onlyShut(ctx context.Context, allowed *engine.Engine) error {
+	page, err := d.nodesPage(ctx)
 	if err != nil {
 		// Nobody plans for a moment.
 		return nil
--- a/testbed/repocheck/proof_page_test.go
+++ b/testbed/repocheck/proof_page_test.go
@@ -40,7 +40,7 @@
 	return out
 }
 
-func TestProofNamesWhatThereIs(t *testing.T) {
+func TestProofPageNamesExistingTestsScenariosAndRules(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join(root, "docs", "proof.md"))
 	if err != nil {
 		t.Fatal(err)
@@ -67,7 +67,7 @@
 			t.Errorf("fault %s is not named", name)
 		}
 	}
-	for _, finding := range platformchecker.Judge(&history.History{}, platformchecker.Bounds{}) {
+	for _, finding := range platformchecker.CheckAll(&history.History{}, platformchecker.Bounds{}) {
 		if rule, _, _ := strings.Cut(finding.Rule, " "); !strings.Contains(page, rule) {
 			t.Errorf("the rule %s is not named", finding.Rule)
 		}
--- a/testbed/scenariogen/days_test.go
+++ b/testbed/scenariogen/days_test.go
@@ -45,7 +45,7 @@
 	return slices.Concat(day.Plan, day.Faults)
 }
 
-func TestTheSameSeedGivesTheSameDays(t *testing.T) {
+func TestTheSameSeedGivesTheSameScenarios(t *testing.T) {
 	site := readTestSite(t, "small.toml")
 	files := func(seed uint64) []byte {
 		var joined []byte
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestEachKindThatIsOpenReachesTheDaysAndNoOther(t *testing.T) {
+func TestEachAllowedFaultKindIsGeneratedAndNoOther(t *testing.T) {
 	for _, name := range []string{"small.toml", "large.toml"} {
 		site := readTestSite(t, name)
 		reached := map[Kind]bool{}
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestKindsThatNeedAContractAreClosedWithoutIt(t *testing.T) {
+func TestKindsThatNeedAContractAreExcludedWithoutIt(t *testing.T) {
 	small, large := readTestSite(t, "small.toml").Kinds(), readTestSite(t, "large.toml").Kinds()
 	for _, kind := range []Kind{ServerFlap, ServerLying, IdleRace} {
 		if slices.Contains(small, kind) || !slices.Contains(large, kind) {
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestEachVariantAndEachClosingFaultReachesTheDays(t *testing.T) {
+func TestEachVariantAndEachClosingFaultIsGenerated(t *testing.T) {
 	reached := map[Kind]map[string]bool{}
 	note := func(kind Kind, variant string) {
 		if reached[kind] == nil {
@@ -141,7 +141,7 @@
 	}
 }
 
-func TestTroublesStandWhereTheirKindBelongs(t *testing.T) {
+func TestFaultsArePlacedWhereTheirKindBelongs(t *testing.T) {
 	eachDay(t, func(_ Site, day Day) {
 		for _, trouble := range day.Plan {
 			if spec, known := specified(trouble.Kind); !known || !spec.planned {
@@ -220,7 +220,7 @@
 	return most, overlapped
 }
 
-func TestLossesStayInsideTheBudget(t *testing.T) {
+func TestLossesStayWithinTheFaultBudget(t *testing.T) {
 	used := map[string]int{}
 	eachDay(t, func(site Site, day Day) {
 		most, overlapped := lossesOver(site, day)
@@ -237,8 +237,8 @@
 	}
 }
 
-// TestTheCheckOfLossesBites shows the check days that break the budget.
-func TestTheCheckOfLossesBites(t *testing.T) {
+// TestTheFaultBudgetCheckDetectsViolations shows the check days that break the budget.
+func TestTheFaultBudgetCheckDetectsViolations(t *testing.T) {
 	small, large := readTestSite(t, "small.toml"), readTestSite(t, "large.toml")
 	caught := 0
 	for _, day := range Generate(large, 1, daysOfASeed) {
@@ -265,7 +265,7 @@
 	}
 }
 
-func TestASiteThatToleratesNoLossHasNone(t *testing.T) {
+func TestASiteThatToleratesNoLossGetsNone(t *testing.T) {
 	site := readTestSite(t, "small.toml")
 	site.Tolerate.Machines = 0
 	for _, day := range Generate(site, 5, daysOfASeed) {
@@ -277,7 +277,7 @@
 	}
 }
 
-func TestTheSameTroubleComesAgainJustAfterItsRecovery(t *testing.T) {
+func TestAFaultRecursRightAfterItsRecovery(t *testing.T) {
 	site := readTestSite(t, "small.toml")
 	for seed := range uint64(seeds) {
 		line := newTimeline(site, rand.New(rand.NewPCG(seed, 1)))
@@ -296,7 +296,7 @@
 	}
 }
 
-func TestChangesAreInFlightAtBothEdgesOfACut(t *testing.T) {
+func TestChangesAreInFlightAtBothEdgesOfAPartition(t *testing.T) {
 	site := readTestSite(t, "small.toml")
 	shortest, longest := longestCut, 0.0
 	for seed := range uint64(seeds * daysOfASeed) {
@@ -316,7 +316,7 @@
 	}
 }
 
-func TestALongDayHasHundredsOfChanges(t *testing.T) {
+func TestALongScenarioHasHundredsOfChanges(t *testing.T) {
 	line := newTimeline(readTestSite(t, "small.toml"), rand.New(rand.NewPCG(1, 3)))
 	hundredsOfChanges(line, firstScene)
 	if !slices.ContainsFunc(line.plan, func(one Trouble) bool { return one.Kind == ConfigStorm && one.Count >= 150 }) {
@@ -324,7 +324,7 @@
 	}
 }
 
-func TestADayReadsBackAsItWasWritten(t *testing.T) {
+func TestAScenarioReadsBackAsWritten(t *testing.T) {
 	folder := t.TempDir()
 	for _, day := range Generate(readTestSite(t, "large.toml"), 9, daysOfASeed) {
 		path, err := day.Write(folder)
@@ -345,7 +345,7 @@
 	}
 }
 
-func TestASiteFileWithoutWhatDaysAreBuiltOnIsRefused(t *testing.T) {
+func TestAnIncompleteSiteFileIsRejected(t *testing.T) {
 	whole, err := os.ReadFile(filepath.Join("testdata", "small.toml"))
 	if err != nil {
 		t.Fatal(err)
