--- a/daemon/applybundle.go
+++ b/daemon/applybundle.go
@@ -28,9 +28,9 @@
 	// applyMargin is left for the answer's way back.
 	applyMargin = 60 * time.Millisecond
 	// mostDigest bounds the digest of a call that another daemon passes on.
-	mostDigest = 256
+	maxDigestBytes = 256
 	// applyAgain is how soon a leader is looked for again.
-	applyAgain = 50 * time.Millisecond
+	applyRetryEvery = 50 * time.Millisecond
 )
 
 // ApplyBundle brings an operator's call to the leader. The same call may be brought there many times, also to
@@ -38,12 +38,12 @@
 func (d *Daemon) ApplyBundle(ctx context.Context, call operatorapi.Apply) operatorapi.Applying {
 	bounded, cancel := context.WithTimeout(ctx, d.applyLimit)
 	defer cancel()
-	ticker := time.NewTicker(applyAgain)
+	ticker := time.NewTicker(applyRetryEvery)
 	defer ticker.Stop()
 	var request *peerapi.ApplyRequest
 	told := ""
 	for {
-		answer, outcome := d.leadApply(bounded, call)
+		answer, outcome := d.applyAsLeader(bounded, call)
 		if outcome == replica.Applied {
 			return answer
 		}
@@ -68,7 +68,7 @@
 }
 
 func (d *Daemon) applyRequest(call operatorapi.Apply) *peerapi.ApplyRequest {
-	request := &peerapi.ApplyRequest{Group: string(d.Group()), Base: uint64(call.Base), Digest: call.Digest, Operator: call.Operator}
+	request := &peerapi.ApplyRequest{Group: string(d.Group()), BaseVersion: uint64(call.Base), Digest: call.Digest, Operator: call.Operator}
 	if call.Patch != nil {
 		data, err := json.Marshal(call.Patch)
 		if err != nil {
@@ -76,7 +76,7 @@
 		}
 		request.Patch = compression.Pack(data)
 	} else {
-		request.Whole = compression.Pack(call.Whole)
+		request.Bundle = compression.Pack(call.Whole)
 	}
 	return request
 }
@@ -86,8 +86,8 @@
 	until, _ := ctx.Deadline()
 	bounded, cancel := d.whileLeader(ctx, address, time.Until(until))
 	defer cancel()
-	sent := &peerapi.ApplyRequest{Group: request.Group, Base: request.Base, Digest: request.Digest, Operator: request.Operator,
-		Whole: request.Whole, Patch: request.Patch, WithinMs: time.Until(until).Milliseconds()}
+	sent := &peerapi.ApplyRequest{Group: request.Group, BaseVersion: request.BaseVersion, Digest: request.Digest, Operator: request.Operator,
+		Bundle: request.Bundle, Patch: request.Patch, TimeoutMs: time.Until(until).Milliseconds()}
 	reply, err := d.links.To(address).Apply(bounded, sent)
 	if err != nil {
 		return answer, "", replica.Unknown
@@ -101,17 +101,17 @@
 
 // Apply takes an operator's call, if this daemon leads.
 func (d *Daemon) Apply(ctx context.Context, in *peerapi.ApplyRequest) (*peerapi.SubmitReply, error) {
-	if err := d.ours(in.Group); err != nil {
+	if err := d.checkGroup(in.Group); err != nil {
 		return nil, err
 	}
 	if !d.Leads() {
-		return d.redirect(), nil
+		return d.notLeaderReply(), nil
 	}
 	garbage := func() error {
-		d.counters.garbage.Add(1)
+		d.counters.malformedMessages.Add(1)
 		return twirp.NewError(twirp.InvalidArgument, "this is no call to apply a bundle")
 	}
-	call := operatorapi.Apply{Base: ident.Revision(in.Base), Digest: in.Digest, Operator: in.Operator}
+	call := operatorapi.Apply{Base: ident.Revision(in.BaseVersion), Digest: in.Digest, Operator: in.Operator}
 	if len(in.Patch) > 0 {
 		data, err := compression.Unpack(in.Patch)
 		call.Patch = &upstream.Patch{}
@@ -120,24 +120,24 @@
 		}
 	} else {
 		var err error
-		if call.Whole, err = compression.Unpack(in.Whole); err != nil {
+		if call.Whole, err = compression.Unpack(in.Bundle); err != nil {
 			return nil, garbage()
 		}
 	}
-	if call.Digest == "" || len(call.Digest) > mostDigest || in.WithinMs <= 0 {
+	if call.Digest == "" || len(call.Digest) > maxDigestBytes || in.TimeoutMs <= 0 {
 		return nil, garbage()
 	}
-	bounded, cancel := context.WithTimeout(ctx, min(time.Duration(in.WithinMs)*time.Millisecond, d.applyLimit))
+	bounded, cancel := context.WithTimeout(ctx, min(time.Duration(in.TimeoutMs)*time.Millisecond, d.applyLimit))
 	defer cancel()
-	answer, outcome := d.leadApply(bounded, call)
+	answer, outcome := d.applyAsLeader(bounded, call)
 	return d.submitReply(answer, outcome)
 }
 
 // leadApply carries a call out as the leader. Whatever it answers but Unknown is proved by the state. An answer that
 // says Unknown is final all the same: no other leader could prove more.
-func (d *Daemon) leadApply(ctx context.Context, call operatorapi.Apply) (operatorapi.Applying, replica.Outcome) {
+func (d *Daemon) applyAsLeader(ctx context.Context, call operatorapi.Apply) (operatorapi.Applying, replica.Outcome) {
 	held := d.replica.Load()
-	if held == nil || !held.Condition().Leads {
+	if held == nil || !held.Status().IsLeader {
 		return operatorapi.Applying{}, replica.NotLeader
 	}
 	if !d.config.OneStep {
@@ -147,7 +147,7 @@
 	if outcome := held.Read(ctx, func(state *statemachine.State) { standing = directapply.Look(state, call) }); outcome != replica.Applied {
 		return operatorapi.Applying{}, outcome
 	}
-	decision, inTime := d.decide(ctx, call, standing)
+	decision, inTime := d.decideApply(ctx, call, standing)
 	if !inTime {
 		return operatorapi.Applying{}, replica.Unknown
 	}
@@ -163,20 +163,20 @@
 	case operatorapi.Applied:
 		d.awaitContacts(ctx, &answer)
 	case operatorapi.Unknown:
-		d.counters.ordersUnproven.Add(1)
+		d.counters.appliesUnproven.Add(1)
 	}
 	return answer, replica.Applied
 }
 
 // decide works a call out, one at a time: each may hold some megabytes for some tenths of a second. It says
 // false when the time ran out.
-func (d *Daemon) decide(ctx context.Context, call operatorapi.Apply, standing directapply.Standing) (directapply.Decision, bool) {
+func (d *Daemon) decideApply(ctx context.Context, call operatorapi.Apply, standing directapply.Standing) (directapply.Decision, bool) {
 	select {
-	case d.applying <- struct{}{}:
+	case d.applySlot <- struct{}{}:
 	case <-ctx.Done():
 		return directapply.Decision{}, false
 	}
-	defer func() { <-d.applying }()
+	defer func() { <-d.applySlot }()
 	return standing.Decide(call), true
 }
 
--- a/daemon/freshness.go
+++ b/daemon/freshness.go
@@ -15,15 +15,15 @@
 		return 0
 	}
 	// The condition is read first: what is in force is looked at later, so it can only be newer.
-	condition := held.Condition()
-	if !condition.Leads {
+	condition := held.Status()
+	if !condition.IsLeader {
 		return 0
 	}
-	table := d.keeper.Table()
+	table := d.rollout.Table()
 	switch {
-	case table == nil && condition.Spec > 0:
+	case table == nil && condition.ConfigurationVersion > 0:
 		return 0
-	case table != nil && (table.Epoch < condition.Spec || table.Closures.Epoch < condition.Closures):
+	case table != nil && (table.Epoch < condition.ConfigurationVersion || table.Closures.Epoch < condition.ClosuresVersion):
 		// It is committed and its table is still being built.
 		return 0
 	}
@@ -43,7 +43,7 @@
 }
 
 // noteStale writes down that what is in force here came to be unconfirmed, or is so no more.
-func (d *Daemon) noteStale(stale bool) {
+func (d *Daemon) logStale(stale bool) {
 	if stale {
 		d.counters.turnedStale.Add(1)
 	}
--- a/process/consensus/replica/simulation_test.go
+++ b/process/consensus/replica/simulation_test.go
@@ -75,7 +75,7 @@
 	firstAt     clock.Mark
 	acks, reads int
 	refs        uint64
-	asked       map[uint64]func(Answer)
+	asked       map[uint64]func(Response)
 	crashes     int
 	// calm leaves time between troubles, so that a leader lasts long enough to reclaim what lapsed.
 	calm bool
@@ -92,7 +92,7 @@
 	gaveUp   []raft.MemberID
 	// highest is the last entry that any leader applied, lostDisks what identities held whose disks were wiped.
 	highest   raft.Index
-	lostDisks map[raft.MemberID]raft.Restored
+	lostDisks map[raft.MemberID]raft.PersistentState
 	// mayGiveUp says that some state was made to differ.
 	mayGiveUp bool
 	// config is the group's.
@@ -115,7 +115,7 @@
 }
 
 type simDisk struct {
-	state raft.Restored
+	state raft.PersistentState
 }
 
 type simWrite struct {
@@ -163,7 +163,7 @@
 
 func simConfig(size int) Config {
 	config := DefaultConfig()
-	config.CompactEvery, config.Keep = 40, 10
+	config.CompactEntries, config.RetainEntries = 40, 10
 	config.Voters = size
 	return config
 }
@@ -184,14 +184,14 @@
 func newSimWith(t *testing.T, seed uint64, config Config, broken brk) *sim {
 	size := config.Voters
 	s := &sim{t: t, random: rand.New(rand.NewPCG(seed, 99)), broken: broken, now: clock.Mark(time.Hour), cut: map[[2]int]bool{}, loss: 0.02, faults: true, calm: seed%2 == 1,
-		size: size, leaderOf: map[raft.Term]raft.MemberID{}, applied: map[raft.Index]string{}, minted: map[ident.SnowflakeID]string{}, asked: map[uint64]func(Answer){}, notices: map[raft.NoticeKind]int{}, lostDisks: map[raft.MemberID]raft.Restored{}, config: config}
+		size: size, leaderOf: map[raft.Term]raft.MemberID{}, applied: map[raft.Index]string{}, minted: map[ident.SnowflakeID]string{}, asked: map[uint64]func(Response){}, notices: map[raft.NoticeKind]int{}, lostDisks: map[raft.MemberID]raft.PersistentState{}, config: config}
 	var members raft.Membership
 	for i := range size {
 		members.Members = append(members.Members, raft.Member{ID: raft.MemberID(i + 1), Name: fmt.Sprint("core-", i), Address: fmt.Sprint(i), Voter: true})
 	}
 	for i := range size {
 		n := &simNode{sim: s, place: i, id: raft.MemberID(i + 1)}
-		n.disk.state = raft.Restored{HardState: raft.HardState{Term: 1}, Snapshot: raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: statemachine.New().Snapshot()}}
+		n.disk.state = raft.PersistentState{HardState: raft.HardState{Term: 1}, Snapshot: raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: statemachine.New().Snapshot()}}
 		s.nodes = append(s.nodes, n)
 		n.start()
 	}
@@ -218,21 +218,21 @@
 }
 
 func (n *simNode) tick(life int) {
-	n.sim.after(Tick+n.sim.ms(0, 4), func() {
+	n.sim.after(TickInterval+n.sim.ms(0, 4), func() {
 		if n.life != life || !n.up {
 			return
 		}
 		if n.sim.now >= n.frozenUntil {
-			if late := n.sim.now.Since(n.beaten); n.beaten > 0 && late > n.sim.config.Timing.Span(Tick) {
-				n.carryOut(n.core.Step(n.sim.now, raft.StandDown{}))
+			if late := n.sim.now.Since(n.beaten); n.beaten > 0 && late > n.sim.config.Timing.ElectionTimeout(TickInterval) {
+				n.carryOut(n.core.Step(n.sim.now, raft.StepDown{}))
 			}
 			n.beaten = n.sim.now
-			if !n.stalled && len(n.since) > 0 && n.sim.now.Since(n.since[0]) > stallAfter {
+			if !n.stalled && len(n.since) > 0 && n.sim.now.Since(n.since[0]) > diskStallTimeout {
 				n.stalled = true
 				n.carryOut(n.core.Step(n.sim.now, raft.DiskStalled{Stalled: true}))
 			}
 			n.carryOut(n.core.Step(n.sim.now, raft.Tick{}))
-			if n.core.Leads() {
+			if n.core.IsLeader() {
 				if next, ok := n.sim.nextMembership(n.core.MembershipPlan(n.sim.now, n.joins)); ok {
 					n.carryOut(n.core.Step(n.sim.now, raft.ProposeMembership{Membership: next}))
 				}
@@ -254,7 +254,7 @@
 	}
 	wanted := raft.Member{ID: n.id, Name: fmt.Sprint("core-", n.place), Address: fmt.Sprint(n.place)}
 	for _, other := range n.sim.nodes {
-		if other.up && other.core.Leads() && !n.sim.cut[[2]int{n.place, other.place}] {
+		if other.up && other.core.IsLeader() && !n.sim.cut[[2]int{n.place, other.place}] {
 			other.joins[n.id] = wanted
 		}
 	}
@@ -277,7 +277,7 @@
 	n.sim.wipes++
 	n.sim.lostDisks[n.id] = n.disk.state
 	n.id = raft.MemberID(10000*n.sim.wipes + n.place + 1)
-	n.disk.state = raft.Restored{}
+	n.disk.state = raft.PersistentState{}
 }
 
 // replace takes a machine away for good; an empty one comes a little later, with another name at another address.
@@ -360,19 +360,19 @@
 	}
 	for _, notice := range effects.Notices {
 		s.notices[notice.Kind]++
-		if notice.Kind == raft.NoticeMessageRefused {
+		if notice.Kind == raft.NoticeMessageRejected {
 			s.fault("member %d refused a message of %d, as if it were not sound: %v", n.id, notice.Peer, notice.Err)
 		}
 	}
-	if effects.GiveUp != nil {
-		n.giveUpState(effects.GiveUp)
+	if effects.Fatal != nil {
+		n.giveUpState(effects.Fatal)
 		return
 	}
 	n.checkApplied()
 	n.checkDurable()
 	switch {
-	case effects.Save != nil || len(effects.Later) > 0 && len(n.queue) > 0 && !n.stalled:
-		n.queue = append(n.queue, simWrite{effects.Save, effects.Later})
+	case effects.Save != nil || len(effects.MessagesAfterSave) > 0 && len(n.queue) > 0 && !n.stalled:
+		n.queue = append(n.queue, simWrite{effects.Save, effects.MessagesAfterSave})
 		n.since = append(n.since, s.now)
 		if len(n.queue) == 1 {
 			n.writeNext(n.life)
@@ -384,18 +384,18 @@
 				last := effects.Save.Entries[len(effects.Save.Entries)-1]
 				n.carryOut(n.core.Step(s.now, raft.Persisted{Index: last.Index, Term: last.Term}))
 			}
-			n.send(effects.Later)
+			n.send(effects.MessagesAfterSave)
 		}
 	case len(n.queue) == 0:
-		defer n.send(effects.Later)
+		defer n.send(effects.MessagesAfterSave)
 	}
-	for _, answer := range effects.Answers {
-		if reply := s.asked[answer.Ref]; reply != nil {
-			delete(s.asked, answer.Ref)
+	for _, answer := range effects.Responses {
+		if reply := s.asked[answer.RequestID]; reply != nil {
+			delete(s.asked, answer.RequestID)
 			reply(answer)
 		}
 	}
-	n.send(effects.Now)
+	n.send(effects.Messages)
 }
 
 // giveUpState does what the daemon does: it hands over, sets its files aside and comes back as another member.
@@ -405,7 +405,7 @@
 		s.fault("member %d gave up a sound state: %v", n.id, why)
 	}
 	s.gaveUp = append(s.gaveUp, n.id)
-	n.send(n.core.Step(s.now, raft.DiskStalled{Stalled: true}).Now)
+	n.send(n.core.Step(s.now, raft.DiskStalled{Stalled: true}).Messages)
 	n.crash()
 	n.empty()
 	s.after(s.ms(200, 500), n.revive)
@@ -482,7 +482,7 @@
 			s.damage(&m)
 		}
 		if s.wholeSnapshots {
-			m.TakesParts = false
+			m.AcceptsChunks = false
 		}
 		copies := 1
 		if s.faults && s.random.IntN(50) == 0 {
@@ -568,10 +568,10 @@
 // checkDurable holds that what a leader applies is on the disks of a majority, or was on those that were lost since.
 func (n *simNode) checkDurable() {
 	s := n.sim
-	if n.core.raft.Role() != raft.Leader || n.core.applied <= s.highest {
+	if n.core.raft.Role() != raft.Leader || n.core.appliedIndex <= s.highest {
 		return
 	}
-	s.highest = n.core.applied
+	s.highest = n.core.appliedIndex
 	voters, holding := n.core.raft.Membership().Voters(), 0
 	for _, id := range voters {
 		disk := s.lostDisks[id]
@@ -582,12 +582,12 @@
 		if count := len(disk.Entries); count > 0 {
 			last = max(last, disk.Entries[count-1].Index)
 		}
-		if last >= n.core.applied {
+		if last >= n.core.appliedIndex {
 			holding++
 		}
 	}
 	if holding <= len(voters)/2 {
-		s.fault("member %d applied %d, and it is on the disks of %d of %d voters", n.id, n.core.applied, holding, len(voters))
+		s.fault("member %d applied %d, and it is on the disks of %d of %d voters", n.id, n.core.appliedIndex, holding, len(voters))
 	}
 }
 
@@ -605,12 +605,12 @@
 	if ran, passed := time.Duration(n.core.state.Now-s.firstNow)*time.Millisecond, s.now.Since(s.firstAt); s.firstNow > 0 && ran > passed+passed/50+time.Second {
 		s.fault("the group's time ran %v ahead at member %d", ran-passed, n.id)
 	}
-	if term, ok := n.core.raft.EntryTerm(n.core.applied); ok {
+	if term, ok := n.core.raft.EntryTerm(n.core.appliedIndex); ok {
 		digest := fmt.Sprint(term)
-		if known, seen := s.applied[n.core.applied]; seen && known != digest {
-			s.fault("member %d applied term %s at %d, and another applied term %s", n.id, digest, n.core.applied, known)
+		if known, seen := s.applied[n.core.appliedIndex]; seen && known != digest {
+			s.fault("member %d applied term %s at %d, and another applied term %s", n.id, digest, n.core.appliedIndex, known)
 		}
-		s.applied[n.core.applied] = digest
+		s.applied[n.core.appliedIndex] = digest
 	}
 	if s.broken == floorForgotten {
 		clear(n.core.state.Workers.Floors)
@@ -634,7 +634,7 @@
 }
 
 // ask sends a command or a read to a node over the network, and its answer back.
-func (s *sim) ask(to *simNode, command *statemachine.Command, answer func(Answer)) {
+func (s *sim) ask(to *simNode, command *statemachine.Command, answer func(Response)) {
 	s.refs++
 	ref := s.refs
 	if s.random.Float64() < s.loss {
@@ -644,7 +644,7 @@
 		if !to.up || s.now < to.frozenUntil {
 			return
 		}
-		s.asked[ref] = func(a Answer) {
+		s.asked[ref] = func(a Response) {
 			if s.random.Float64() < s.loss {
 				return
 			}
@@ -664,7 +664,7 @@
 			if s.broken == readsUnasked && to.core.raft.Role() == raft.Leader {
 				reply := s.asked[ref]
 				delete(s.asked, ref)
-				reply(Answer{Outcome: Applied, State: to.core.state})
+				reply(Response{Outcome: Applied, State: to.core.state})
 				return
 			}
 			to.carryOut(to.core.Read(s.now, ref))
@@ -728,7 +728,7 @@
 			command = statemachine.Command{Op: statemachine.OpRenew, NodeID: h.node(), WorkerID: worker}
 		}
 		life := h.life
-		s.ask(s.some(1)[0], &command, func(a Answer) {
+		s.ask(s.some(1)[0], &command, func(a Response) {
 			if h.life != life || a.Outcome != Applied || a.Result.Grant == nil {
 				return
 			}
@@ -761,7 +761,7 @@
 			last = 0
 		}
 		for _, n := range h.sim.nodes {
-			h.sim.ask(n, &statemachine.Command{Op: statemachine.OpRelease, NodeID: h.node(), WorkerID: worker, Last: last}, func(Answer) {})
+			h.sim.ask(n, &statemachine.Command{Op: statemachine.OpRelease, NodeID: h.node(), WorkerID: worker, Last: last}, func(Response) {})
 		}
 	}
 	h.begin()
@@ -776,7 +776,7 @@
 		to := s.some(1)[0]
 		if s.random.IntN(2) == 0 {
 			command := statemachine.Command{Op: statemachine.OpClosure, Zone: ident.ZoneID(fmt.Sprint(s.random.IntN(3))), Closed: s.random.IntN(2) == 0}
-			s.ask(to, &command, func(a Answer) {
+			s.ask(to, &command, func(a Response) {
 				if a.Outcome == Applied && a.Result.Closures != nil {
 					s.acks++
 					s.ackedEpoch = max(s.ackedEpoch, a.Result.Closures.Epoch)
@@ -784,7 +784,7 @@
 			})
 		} else {
 			before := s.ackedEpoch
-			s.ask(to, nil, func(a Answer) {
+			s.ask(to, nil, func(a Response) {
 				if a.Outcome != Applied {
 					return
 				}
@@ -890,7 +890,7 @@
 	if n.sim.broken == wipedKeepsName && n.sim.random.IntN(2) == 0 {
 		// The wiped member takes its old name and an empty log, and votes as if it had never voted.
 		members := n.disk.state.Snapshot.Membership
-		n.disk.state = raft.Restored{HardState: raft.HardState{Term: 1}, Snapshot: raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: statemachine.New().Snapshot()}}
+		n.disk.state = raft.PersistentState{HardState: raft.HardState{Term: 1}, Snapshot: raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: statemachine.New().Snapshot()}}
 	}
 	n.start()
 }
@@ -975,7 +975,7 @@
 		}
 	}
 	t.Logf("%d digests compared, notices: %v", compared, notices)
-	if compared == 0 || notices[raft.NoticeSnapshotTaken] == 0 || notices[raft.NoticeStateDiffers] > 0 || notices[raft.NoticeMessageRefused] > 0 {
+	if compared == 0 || notices[raft.NoticeSnapshotInstalled] == 0 || notices[raft.NoticeStateDiffers] > 0 || notices[raft.NoticeMessageRejected] > 0 {
 		t.Errorf("%d digests were compared; notices: %v", compared, notices)
 	}
 	t.Logf("seeds 0 to %d: %d ids minted, %d closures acknowledged, %d reads checked, %d crashes, %d wiped disks, %d machines replaced, %d times the most at once", seeds-1, mints, acks, reads, crashes, wipes, replaced, losses)
@@ -1052,7 +1052,7 @@
 // leader finds who leads.
 func (s *sim) leader() *simNode {
 	for _, n := range s.nodes {
-		if n.up && s.now >= n.frozenUntil && n.core.Leads() {
+		if n.up && s.now >= n.frozenUntil && n.core.IsLeader() {
 			return n
 		}
 	}
@@ -1076,9 +1076,9 @@
 			// The new one first, then the old one stops and hands over.
 			s.add()
 			s.runFor(time.Second)
-			victim.carryOut(victim.core.Step(s.now, raft.Transfer{}))
+			victim.carryOut(victim.core.Step(s.now, raft.TransferLeadership{}))
 			s.until(time.Second, func() bool { leader := s.leader(); return leader != nil && leader != victim })
-			s.leader().core.Leave(s.now, victim.id)
+			s.leader().core.MarkLeaving(s.now, victim.id)
 			s.runFor(300 * time.Millisecond)
 			// While it still runs the other has its vote, so that the next may be lost as soon as it ends.
 			members := s.leader().core.raft.Membership()
@@ -1110,9 +1110,9 @@
 		size := []int{3, 5}[seed%2]
 		s := calmSim(t, seed, size)
 		stopped := s.some(1)[0]
-		stopped.carryOut(stopped.core.Step(s.now, raft.Transfer{}))
+		stopped.carryOut(stopped.core.Step(s.now, raft.TransferLeadership{}))
 		s.runFor(time.Second)
-		s.leader().core.Leave(s.now, stopped.id)
+		s.leader().core.MarkLeaving(s.now, stopped.id)
 		s.runFor(time.Second)
 		stopped.crash()
 		s.runFor(30 * time.Second)
@@ -1142,7 +1142,7 @@
 		}, 2500 * time.Millisecond},
 		"the leader stops as planned": {func(s *sim) {
 			leader := s.leader()
-			leader.carryOut(leader.core.Step(s.now, raft.Transfer{}))
+			leader.carryOut(leader.core.Step(s.now, raft.TransferLeadership{}))
 		}, 400 * time.Millisecond},
 		"all are killed": {func(s *sim) {
 			for _, n := range s.nodes {
@@ -1183,7 +1183,7 @@
 		frozen.frozenUntil = s.now + clock.Mark(4*time.Second)
 		s.runFor(4 * time.Second)
 		s.until(time.Second, func() bool { return frozen.beaten >= frozen.frozenUntil })
-		if frozen.core.Leads() {
+		if frozen.core.IsLeader() {
 			t.Errorf("seed %d: it still believes that it leads after its first beat", seed)
 		}
 	}
@@ -1199,7 +1199,7 @@
 		var shut func(number int)
 		shut = func(number int) {
 			command := statemachine.Command{Op: statemachine.OpClosure, Zone: "z", Closed: acks%2 == 0}
-			s.ask(s.nodes[number%3], &command, func(a Answer) {
+			s.ask(s.nodes[number%3], &command, func(a Response) {
 				if a.Outcome == Applied {
 					acks++
 				}
--- a/process/consensus/replica/soak_test.go
+++ b/process/consensus/replica/soak_test.go
@@ -33,7 +33,7 @@
 
 func newSoak(t *testing.T, seed uint64, every, keep int) *soak {
 	config := simConfig(3)
-	config.CompactEvery, config.Keep = every, keep
+	config.CompactEntries, config.RetainEntries = every, keep
 	s := &soak{sim: newSimWith(t, seed, config, sound), rng: rand.New(rand.NewPCG(seed, 11))}
 	s.faults, s.loss = false, 0
 	s.runFor(5 * time.Second)
@@ -52,7 +52,7 @@
 	done := false
 	took := s.until(30*time.Second, func() bool {
 		if leader := s.leader(); leader != nil && !done && s.now%(200*clock.Mark(time.Millisecond)) < 10*clock.Mark(time.Millisecond) {
-			s.ask(leader, &command, func(a Answer) { done = done || a.Outcome == Applied && a.Result.Verdict == statemachine.Done })
+			s.ask(leader, &command, func(a Response) { done = done || a.Outcome == Applied && a.Result.Verdict == statemachine.Done })
 		}
 		return done
 	})
@@ -78,7 +78,7 @@
 		}
 	case 2:
 		if leader := s.leader(); leader != nil {
-			leader.carryOut(leader.core.Step(s.now, raft.Transfer{}))
+			leader.carryOut(leader.core.Step(s.now, raft.TransferLeadership{}))
 		}
 	case 3:
 		// Away for long: it comes back to a log that was cut.
@@ -164,7 +164,7 @@
 	for _, fault := range append(keepsUp(found[2], found[3], 3), s.violations...) {
 		t.Error(fault)
 	}
-	if s.notices[raft.NoticeStateDiffers] > 0 || s.notices[raft.NoticeSnapshotTaken] < 20 {
+	if s.notices[raft.NoticeStateDiffers] > 0 || s.notices[raft.NoticeSnapshotInstalled] < 20 {
 		t.Errorf("notices: %v", s.notices)
 	}
 	t.Logf("%d crashes, %d wipes, %d digests compared, notices: %v", s.crashes, s.wipes, s.compared, s.notices)
--- a/process/consensus/replica/time_test.go
+++ b/process/consensus/replica/time_test.go
@@ -26,7 +26,7 @@
 	const begun, since = clock.Mark(time.Hour), 60 * time.Second
 	start := func() *Core {
 		members := raft.Membership{Members: []raft.Member{{ID: 1, Voter: true}, {ID: 2, Voter: true}}}
-		restored := raft.Restored{HardState: raft.HardState{Term: 1},
+		restored := raft.PersistentState{HardState: raft.HardState{Term: 1},
 			Snapshot: raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: statemachine.New().Snapshot()},
 			Entries:  []raft.Entry{stamped(t, 2, 1, 1_000_000), stamped(t, 3, 1, 1_000_100)}}
 		member := raft.New(1, DefaultConfig().Timing, restored, rand.New(rand.NewPCG(1, 1)))
@@ -40,14 +40,14 @@
 
 	kept := start()
 	kept.Step(now, raft.Receive{Message: raft.Message{Kind: raft.MsgAppend, From: 2, To: 1, Term: 2, LogIndex: 3, LogTerm: 1, Commit: 3}})
-	if got, want := kept.groupNow(now), ident.GroupTime(1_000_100).Add(since); got != want {
+	if got, want := kept.groupTime(now), ident.GroupTime(1_000_100).Add(since); got != want {
 		t.Errorf("what stood on disk was stamped before this life: the time is %d, not %d", got, want)
 	}
 
 	replaced := start()
 	replaced.Step(now, raft.Receive{Message: raft.Message{Kind: raft.MsgAppend, From: 2, To: 1, Term: 2, LogIndex: 2, LogTerm: 1,
 		Entries: []raft.Entry{stamped(t, 3, 2, 1_070_000)}, Commit: 3}})
-	if got, want := replaced.groupNow(now), ident.GroupTime(1_070_000); got != want {
+	if got, want := replaced.groupTime(now), ident.GroupTime(1_070_000); got != want {
 		t.Errorf("what took its place was stamped later: the time is %d, not %d", got, want)
 	}
 }
