--- a/cmd/cresspond/client.go
+++ b/cmd/cresspond/client.go
@@ -92,7 +92,7 @@
 		fmt.Fprintf(&out, "; %s won", word.Winner)
 	}
 	if word.Closures != nil {
-		fmt.Fprintf(&out, "; closures are at epoch %d", word.Closures.Epoch)
+		fmt.Fprintf(&out, "; closures are at epoch %d", word.Closures.Version)
 	}
 	if word.Epoch > 0 && word.Closures == nil {
 		fmt.Fprintf(&out, "; epoch %d is in force", word.Epoch)
@@ -176,13 +176,13 @@
 func showAnswer(answer rollout.Response) {
 	if proposal := answer.Proposal; proposal != nil {
 		fmt.Printf("%s is %s", proposal.ID, proposal.Stage)
-		if proposal.Epoch > 0 {
-			fmt.Printf(" as epoch %d", proposal.Epoch)
+		if proposal.Version > 0 {
+			fmt.Printf(" as epoch %d", proposal.Version)
 		}
 		fmt.Println()
 	}
 	if answer.Closures != nil {
-		fmt.Printf("closures are at epoch %d: %d zones closed, %d engines draining\n", answer.Closures.Epoch, len(answer.Closures.Zones), len(answer.Closures.Engines))
+		fmt.Printf("closures are at epoch %d: %d zones closed, %d engines draining\n", answer.Closures.Version, len(answer.Closures.Zones), len(answer.Closures.Engines))
 	}
 	switch {
 	case answer.Acknowledged:
--- a/cmd/cresspond/show.go
+++ b/cmd/cresspond/show.go
@@ -23,12 +23,12 @@
 	out := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(out, "epoch\tproposal\tauthor\treviewed by\tsigned by\trolled by\tat")
 	for _, proposal := range list {
-		fmt.Fprintf(out, "%d\t%s\t%s\t%s\t%s\t%s\t%s\n", proposal.Epoch, proposal.ID, proposal.Proposed.Operator, names(proposal.Reviews), names(proposal.Signs), proposal.Rolled.Operator, at(proposal.Rolled.At))
+		fmt.Fprintf(out, "%d\t%s\t%s\t%s\t%s\t%s\t%s\n", proposal.Version, proposal.ID, proposal.Proposed.Operator, names(proposal.Reviews), names(proposal.SignOffs), proposal.RolledOut.Operator, at(proposal.RolledOut.At))
 	}
 	return out.Flush()
 }
 
-func names(marks []statemachine.Mark) string {
+func names(marks []statemachine.OperatorAction) string {
 	var out []string
 	for _, mark := range marks {
 		out = append(out, mark.Operator)
@@ -42,7 +42,7 @@
 		return err
 	}
 	fmt.Printf("%s is %s, on base epoch %d, by %s at %s\nreviewed by %s, signed by %s\n", proposal.ID, proposal.Stage, proposal.Base,
-		proposal.Proposed.Operator, at(proposal.Proposed.At), names(proposal.Reviews), names(proposal.Signs))
+		proposal.Proposed.Operator, at(proposal.Proposed.At), names(proposal.Reviews), names(proposal.SignOffs))
 	return nil
 }
 
--- a/cmd/cresspondd/recover.go
+++ b/cmd/cresspondd/recover.go
@@ -59,7 +59,7 @@
 	if err := recovery.Write(opened, plan, settings.Name, settings.ReachedAt()); err != nil {
 		return err
 	}
-	fmt.Printf("group %s: spec epoch %d, closure epoch %d\n", plan.Group, plan.State.Epoch(), plan.State.Closures.Epoch)
+	fmt.Printf("group %s: spec epoch %d, closure epoch %d\n", plan.Group, plan.State.Version(), plan.State.Closures.Version)
 	for _, epoch := range plan.Lost {
 		fmt.Printf("nobody holds the bundle of epoch %d any more\n", epoch)
 	}
--- a/configuration/closure/closure.go
+++ b/configuration/closure/closure.go
@@ -12,11 +12,11 @@
 // Set is all closures in force at one version. The zero value is the set of a group in which nothing was closed yet.
 type Set struct {
 	// Epoch is the version of the set; each change raises it by one.
-	Epoch   ident.Version             `json:"epoch"`
+	Version ident.Version             `json:"epoch"`
 	Zones   map[ident.ZoneID]Record   `json:"zones"`
 	Engines map[ident.EngineID]Record `json:"engines"`
 	// Kept lists the engines that operators protect: the ranking may not drain them.
-	Kept map[ident.EngineID]Record `json:"kept,omitempty"`
+	Protected map[ident.EngineID]Record `json:"kept,omitempty"`
 	// Lost lists the incarnations of daemons that an operator declared lost: one that finds itself here stops.
 	Lost map[ident.NodeID]Record `json:"lost,omitempty"`
 }
@@ -26,27 +26,27 @@
 	Operator string          `json:"operator"`
 	At       ident.GroupTime `json:"at"`
 	// Epoch is the version of the set that the entry made.
-	Epoch ident.Version `json:"epoch"`
+	Version ident.Version `json:"epoch"`
 	// Ranking is set where the ranking of nodes drained the engine, not an operator.
-	Ranking *Ranking `json:"ranking,omitempty"`
+	Ranking *RankingDecision `json:"ranking,omitempty"`
 }
 
 // Ranking identifies the decision of the ranking that drained an engine: the planner's claim it was made under, the
 // minted id of its record, and the reason.
-type Ranking struct {
-	Claim  ident.FencingToken `json:"claim"`
-	Stamp  ident.SnowflakeID  `json:"stamp"`
+type RankingDecision struct {
+	Token  ident.FencingToken `json:"claim"`
+	ID     ident.SnowflakeID  `json:"stamp"`
 	Reason string             `json:"reason,omitempty"`
 }
 
 // Clone gives a copy that shares no map with the original. All its maps can be written to, whatever the original has.
 func (s Set) Clone() Set {
 	return Set{
-		Epoch:   s.Epoch,
-		Zones:   cloneRecords(s.Zones),
-		Engines: cloneRecords(s.Engines),
-		Kept:    cloneRecords(s.Kept),
-		Lost:    cloneRecords(s.Lost),
+		Version:   s.Version,
+		Zones:     cloneRecords(s.Zones),
+		Engines:   cloneRecords(s.Engines),
+		Protected: cloneRecords(s.Protected),
+		Lost:      cloneRecords(s.Lost),
 	}
 }
 
--- a/connection/adminapi/based_test.go
+++ b/connection/adminapi/based_test.go
@@ -20,7 +20,7 @@
 			t.Fatalf("%s: %d %+v", act, status, word)
 		}
 		for _, command := range p.commands {
-			if !command.Based || command.Base != 9 {
+			if !command.HasBase || command.Base != 9 {
 				t.Errorf("%s: %+v builds on nothing", act, command)
 			}
 		}
--- a/connection/adminapi/fuzz_test.go
+++ b/connection/adminapi/fuzz_test.go
@@ -27,7 +27,7 @@
 
 func (n *noting) Command(_ context.Context, command statemachine.Command) (rollout.Response, bool) {
 	n.commands = append(n.commands, command)
-	return rollout.Response{Result: statemachine.Result{Verdict: statemachine.Done}}, true
+	return rollout.Response{Result: statemachine.Result{Outcome: statemachine.Done}}, true
 }
 
 func (n *noting) Nodes(context.Context, ident.EngineID) (operatorapi.Nodes, bool) {
--- a/connection/adminapi/nodes.go
+++ b/connection/adminapi/nodes.go
@@ -63,10 +63,10 @@
 		}
 		fail(ctx, status, operatorapi.Error{Outcome: why.String(), Reason: why.Reason(), Field: "engine"})
 	}
-	command := statemachine.Command{Op: statemachine.OpKeep, Engine: body.Engine, Operator: body.Operator, Closed: body.Act == operatorapi.NodeKeep,
+	command := statemachine.Command{Op: statemachine.OpProtect, Engine: body.Engine, Operator: body.Operator, Closed: body.Act == operatorapi.NodeKeep,
 		// Each act builds on the closures that it was looked up in: a copy of it that comes late finds itself, or others
 		// have acted since, and then it must not undo what they did.
-		Base: page.ClosureEpoch, Based: true}
+		Base: page.ClosureEpoch, HasBase: true}
 	shutByRank := place >= 0 && page.Nodes[place].ShutFor != ""
 	switch {
 	case place < 0 && body.Act != operatorapi.NodeRelease:
@@ -91,7 +91,7 @@
 	}
 	if body.Act == operatorapi.NodeRelease && place >= 0 && page.Nodes[place].Kept != "" && command.Op == statemachine.OpClosure {
 		// Both are taken back, the keeping first: then the ranking decides.
-		unkeep := statemachine.Command{Op: statemachine.OpKeep, Engine: body.Engine, Operator: body.Operator, Base: page.ClosureEpoch, Based: true}
+		unkeep := statemachine.Command{Op: statemachine.OpProtect, Engine: body.Engine, Operator: body.Operator, Base: page.ClosureEpoch, HasBase: true}
 		bounded, cancel := context.WithTimeout(context.Background(), commandLimit)
 		got, done := d.daemon.Command(bounded, unkeep)
 		cancel()
@@ -99,8 +99,8 @@
 			fail(ctx, fasthttp.StatusServiceUnavailable, operatorapi.Error{Outcome: "unknown", Reason: "the control group gave no answer in time; ask again"})
 			return
 		}
-		if got.Verdict == statemachine.Done && got.Closures != nil {
-			command.Base = got.Closures.Epoch
+		if got.Outcome == statemachine.Done && got.Closures != nil {
+			command.Base = got.Closures.Version
 		}
 	}
 	d.command(ctx, command)
--- a/connection/adminapi/nodes_test.go
+++ b/connection/adminapi/nodes_test.go
@@ -29,7 +29,7 @@
 
 func (p *planning) Command(_ context.Context, command statemachine.Command) (rollout.Response, bool) {
 	p.commands = append(p.commands, command)
-	return rollout.Response{Result: statemachine.Result{Verdict: statemachine.Done}, Acknowledged: true}, true
+	return rollout.Response{Result: statemachine.Result{Outcome: statemachine.Done}, Acknowledged: true}, true
 }
 
 func post(p *planning, body string) (int, operatorapi.Error) {
@@ -65,13 +65,13 @@
 		"drain a drained one":          {"drain", ranks(nodehealth.ShutAlready, byOperator), 409, "", false},
 		"drain what the ranking did":   {"drain", ranks(nodehealth.ShutAlready, byRank), 200, statemachine.OpClosure, true},
 		"drain an unknown one":         {"drain", operatorapi.Nodes{Asked: nodehealth.Unknown.String()}, 404, "", false},
-		"keep":                         {"keep", ranks(nodehealth.Allowed, operatorapi.Node{}), 200, statemachine.OpKeep, true},
-		"keep what the ranking shut":   {"keep", ranks(nodehealth.ShutAlready, byRank), 200, statemachine.OpKeep, true},
+		"keep":                         {"keep", ranks(nodehealth.Allowed, operatorapi.Node{}), 200, statemachine.OpProtect, true},
+		"keep what the ranking shut":   {"keep", ranks(nodehealth.ShutAlready, byRank), 200, statemachine.OpProtect, true},
 		"keep what an operator drains": {"keep", ranks(nodehealth.ShutAlready, byOperator), 409, "", false},
 		"keep an unknown one":          {"keep", operatorapi.Nodes{}, 404, "", false},
 		"release a drain":              {"release", ranks(nodehealth.ShutAlready, byOperator), 200, statemachine.OpClosure, false},
 		"release a rank's drain":       {"release", ranks(nodehealth.ShutAlready, byRank), 200, statemachine.OpClosure, false},
-		"release a keeping":            {"release", ranks(nodehealth.KeptOpen, operatorapi.Node{Kept: "ana"}), 200, statemachine.OpKeep, false},
+		"release a keeping":            {"release", ranks(nodehealth.KeptOpen, operatorapi.Node{Kept: "ana"}), 200, statemachine.OpProtect, false},
 		"release neither":              {"release", ranks(nodehealth.Allowed, operatorapi.Node{}), 409, "", false},
 		"release one that is gone":     {"release", operatorapi.Nodes{}, 200, statemachine.OpClosure, false},
 		"no such act":                  {"stop", ranks(nodehealth.Allowed, operatorapi.Node{}), 400, "", false},
@@ -92,7 +92,7 @@
 		if got.Op != c.op || got.Closed != c.closed || got.Engine != "e" || got.Operator != "ana" || got.Ranking != nil {
 			t.Errorf("%s: %+v", name, got)
 		}
-		if c.act == "drain" && (!got.Based || got.Base != 9) {
+		if c.act == "drain" && (!got.HasBase || got.Base != 9) {
 			t.Errorf("%s must build on what it was checked against: %+v", name, got)
 		}
 	}
@@ -100,7 +100,7 @@
 
 func TestBothAreReleased(t *testing.T) {
 	p := &planning{page: ranks(nodehealth.ShutAlready, operatorapi.Node{Shut: true, ShutBy: "ana", Kept: "ana"})}
-	if status, word := post(p, `{"engine":"e","act":"release","operator":"ana"}`); status != 200 || len(p.commands) != 2 || p.commands[0].Op != statemachine.OpKeep || p.commands[1].Op != statemachine.OpClosure {
+	if status, word := post(p, `{"engine":"e","act":"release","operator":"ana"}`); status != 200 || len(p.commands) != 2 || p.commands[0].Op != statemachine.OpProtect || p.commands[1].Op != statemachine.OpClosure {
 		t.Fatalf("%d %+v %+v", status, word, p.commands)
 	}
 }
--- a/connection/adminapi/operators.go
+++ b/connection/adminapi/operators.go
@@ -57,8 +57,8 @@
 	posts := map[string]func(*fasthttp.RequestCtx){
 		operatorapi.PathPropose: d.propose,
 		operatorapi.PathReview:  d.act(statemachine.OpReview),
-		operatorapi.PathSign:    d.act(statemachine.OpSign),
-		operatorapi.PathRoll:    d.act(statemachine.OpRoll),
+		operatorapi.PathSign:    d.act(statemachine.OpSignOff),
+		operatorapi.PathRoll:    d.act(statemachine.OpRollOut),
 		operatorapi.PathZone:    d.zone,
 		operatorapi.PathDrain:   d.drain,
 		operatorapi.PathLost:    d.lost,
@@ -148,13 +148,13 @@
 		fail(ctx, fasthttp.StatusServiceUnavailable, operatorapi.Error{Outcome: "unknown", Reason: "the control group gave no answer in time; ask again with the same ids"})
 		return
 	}
-	status := map[statemachine.Verdict]int{
+	status := map[statemachine.Outcome]int{
 		statemachine.Done: fasthttp.StatusOK, statemachine.Conflict: fasthttp.StatusConflict, statemachine.Forbidden: fasthttp.StatusForbidden,
 		statemachine.Missing: fasthttp.StatusNotFound, statemachine.Malformed: fasthttp.StatusBadRequest,
 		statemachine.Exhausted: fasthttp.StatusConflict, statemachine.Unproven: fasthttp.StatusServiceUnavailable,
-	}[got.Verdict]
+	}[got.Outcome]
 	if status == fasthttp.StatusOK {
-		if command.Op.Spreads() && !got.Acknowledged {
+		if command.Op.Propagates() && !got.Acknowledged {
 			// Committed, and not yet in force everywhere: this is no acknowledgement.
 			status = fasthttp.StatusAccepted
 		}
@@ -164,7 +164,7 @@
 	if status == 0 {
 		status = fasthttp.StatusInternalServerError
 	}
-	fail(ctx, status, operatorapi.Error{Outcome: string(got.Verdict), Reason: got.Reason, Faults: got.Faults, Winner: got.Winner, Epoch: got.Epoch, Closures: got.Closures})
+	fail(ctx, status, operatorapi.Error{Outcome: string(got.Outcome), Reason: got.Reason, Faults: got.Faults, Winner: got.Winner, Epoch: got.Version, Closures: got.Closures})
 }
 
 func (d *Desk) propose(ctx *fasthttp.RequestCtx) {
@@ -176,7 +176,7 @@
 		fail(ctx, fasthttp.StatusBadRequest, operatorapi.Error{Outcome: "invalid", Reason: "is missing", Field: "spec"})
 		return
 	}
-	d.command(ctx, statemachine.Command{Op: statemachine.OpPropose, ProposalID: body.ProposalID, Base: body.Base, Operator: body.Operator, Note: body.Note, Spec: body.Spec})
+	d.command(ctx, statemachine.Command{Op: statemachine.OpPropose, ProposalID: body.ProposalID, Base: body.Base, Operator: body.Operator, Note: body.Note, Configuration: body.Spec})
 }
 
 func (d *Desk) act(op statemachine.Op) func(*fasthttp.RequestCtx) {
@@ -217,7 +217,7 @@
 		fail(ctx, fasthttp.StatusBadRequest, operatorapi.Error{Outcome: "invalid", Reason: "is missing", Field: missing})
 		return
 	}
-	command.Op, command.Closed, command.Base, command.Based = statemachine.OpClosure, *closed, *base, true
+	command.Op, command.Closed, command.Base, command.HasBase = statemachine.OpClosure, *closed, *base, true
 	d.command(ctx, command)
 }
 
@@ -225,7 +225,7 @@
 func (d *Desk) lost(ctx *fasthttp.RequestCtx) {
 	var body operatorapi.Lost
 	if read(ctx, &body) && needs(ctx, [2]string{"daemon", string(body.Daemon)}, [2]string{"operator", body.Operator}) {
-		d.command(ctx, statemachine.Command{Op: statemachine.OpLost, Lost: body.Daemon, Operator: body.Operator})
+		d.command(ctx, statemachine.Command{Op: statemachine.OpDeclareLost, LostDaemon: body.Daemon, Operator: body.Operator})
 	}
 }
 
@@ -271,7 +271,7 @@
 		fail(ctx, fasthttp.StatusInternalServerError, operatorapi.Error{Outcome: "unknown", Reason: "the answer of the control group cannot be read"})
 		return
 	}
-	raw, err := proposal.Bundle()
+	raw, err := proposal.Decompress()
 	if err != nil {
 		fail(ctx, fasthttp.StatusInternalServerError, operatorapi.Error{Outcome: "unknown", Reason: "the bundle cannot be unpacked"})
 		return
@@ -281,10 +281,10 @@
 		if proposal.Applied {
 			reason = "of bundles applied in one step only the newest are kept whole"
 		}
-		fail(ctx, fasthttp.StatusGone, operatorapi.Error{Outcome: "missing", Reason: reason, Epoch: proposal.Epoch})
+		fail(ctx, fasthttp.StatusGone, operatorapi.Error{Outcome: "missing", Reason: reason, Epoch: proposal.Version})
 		return
 	}
-	ctx.Response.Header.Set(operatorapi.HeaderEpoch, fmt.Sprint(proposal.Epoch))
+	ctx.Response.Header.Set(operatorapi.HeaderEpoch, fmt.Sprint(proposal.Version))
 	ctx.SetContentType("application/json")
 	ctx.SetBody(raw)
 }
--- a/daemon/commands.go
+++ b/daemon/commands.go
@@ -29,9 +29,9 @@
 // ops lists the commands that may come from outside the leader.
 var ops = map[statemachine.Op]bool{
 	statemachine.OpAcquire: true, statemachine.OpRenew: true, statemachine.OpRelease: true,
-	statemachine.OpPropose: true, statemachine.OpReview: true, statemachine.OpSign: true, statemachine.OpRoll: true,
-	statemachine.OpClosure: true, statemachine.OpKeep: true, statemachine.OpEnlist: true, statemachine.OpLost: true, statemachine.OpClaim: true, statemachine.OpDropClaim: true,
-	statemachine.OpLeave: true,
+	statemachine.OpPropose: true, statemachine.OpReview: true, statemachine.OpSignOff: true, statemachine.OpRollOut: true,
+	statemachine.OpClosure: true, statemachine.OpProtect: true, statemachine.OpRegister: true, statemachine.OpDeclareLost: true, statemachine.OpAcquirePlanner: true, statemachine.OpReleasePlanner: true,
+	statemachine.OpEngineDeparted: true,
 }
 
 // Command brings an operator's command to the leader, and gives up when ctx ends.
@@ -71,7 +71,7 @@
 			return rollout.Response{}, false
 		}
 		limit := submitLimit
-		if command.Op.Spreads() {
+		if command.Op.Propagates() {
 			// The leader answers these when they are everywhere, or when it has waited long enough for that.
 			limit += reachLimit
 		}
@@ -128,9 +128,9 @@
 	}
 	if command.Op == statemachine.OpPropose {
 		// A bundle with faults never gets into the log.
-		parsed, faults := document.Parse(command.Spec)
+		parsed, faults := document.Parse(command.Configuration)
 		if len(faults) > 0 {
-			return rollout.Response{Result: statemachine.Result{Verdict: statemachine.Malformed, Reason: "the bundle has faults"}, Faults: faults}, replica.Applied
+			return rollout.Response{Result: statemachine.Result{Outcome: statemachine.Malformed, Reason: "the bundle has faults"}, Faults: faults}, replica.Applied
 		}
 		if parsed.Forward != nil {
 			command.Revision = ident.Revision(parsed.Forward.Revision)
@@ -142,19 +142,19 @@
 	began := d.clock.Elapsed()
 	got := held.Submit(ctx, command)
 	answer := rollout.Response{Result: got.Result}
-	if command.Op == statemachine.OpLeave && got.Outcome == replica.Applied {
+	if command.Op == statemachine.OpEngineDeparted && got.Outcome == replica.Applied {
 		d.awaitLeave(ctx, command.Engine)
 		return answer, got.Outcome
 	}
-	if got.Outcome != replica.Applied || got.Result.Verdict != statemachine.Done {
+	if got.Outcome != replica.Applied || got.Result.Outcome != statemachine.Done {
 		return answer, got.Outcome
 	}
 	var specEpoch, closureEpoch ident.Version
 	switch command.Op {
-	case statemachine.OpRoll:
-		specEpoch = got.Result.Proposal.Epoch
-	case statemachine.OpClosure, statemachine.OpKeep, statemachine.OpLost:
-		closureEpoch = got.Result.Closures.Epoch
+	case statemachine.OpRollOut:
+		specEpoch = got.Result.Proposal.Version
+	case statemachine.OpClosure, statemachine.OpProtect, statemachine.OpDeclareLost:
+		closureEpoch = got.Result.Closures.Version
 	default:
 		return answer, got.Outcome
 	}
@@ -167,8 +167,8 @@
 
 // refusal says why a command is refused by what this daemon knows beside the log, if it is.
 func (d *Daemon) refusal(command statemachine.Command) (rollout.Response, bool) {
-	refuse := func(verdict statemachine.Verdict, reason string) (rollout.Response, bool) {
-		return rollout.Response{Result: statemachine.Result{Verdict: verdict, Reason: reason}}, true
+	refuse := func(verdict statemachine.Outcome, reason string) (rollout.Response, bool) {
+		return rollout.Response{Result: statemachine.Result{Outcome: verdict, Reason: reason}}, true
 	}
 	switch t := d.keeper.Table(); {
 	case command.Op == statemachine.OpClosure && command.Closed && t != nil:
@@ -180,14 +180,14 @@
 		if command.Engine != "" && !engineKnown || command.Zone != "" && !zoneKnown {
 			return refuse(statemachine.Missing, "the bundle in force has no such zone or engine")
 		}
-	case command.Op == statemachine.OpLost:
-		fellow, known := d.members.View().Fellows[command.Lost]
+	case command.Op == statemachine.OpDeclareLost:
+		fellow, known := d.members.View().Fellows[command.LostDaemon]
 		if !known {
 			break
 		}
 		// One that speaks is not lost: it can be stopped as planned, and then needs no such word.
 		if ago := d.clock.Elapsed().Since(fellow.Heard); ago < lostAfter {
-			return refuse(statemachine.Conflict, fmt.Sprintf("%s was heard %d ms ago; stop it instead", command.Lost, ago.Milliseconds()))
+			return refuse(statemachine.Conflict, fmt.Sprintf("%s was heard %d ms ago; stop it instead", command.LostDaemon, ago.Milliseconds()))
 		}
 	}
 	return rollout.Response{}, false
@@ -197,7 +197,7 @@
 // older than what is committed. Otherwise nothing is said: whoever leads by now may take the command.
 func (d *Daemon) refuseAsLeader(ctx context.Context, held *replica.Replica, command statemachine.Command) (rollout.Response, replica.Outcome) {
 	var committed ident.Version
-	if outcome := held.Read(ctx, func(state *statemachine.State) { committed = state.Epoch() }); outcome != replica.Applied {
+	if outcome := held.Read(ctx, func(state *statemachine.State) { committed = state.Version() }); outcome != replica.Applied {
 		return rollout.Response{}, outcome
 	}
 	answer, refused := d.refusal(command)
--- a/daemon/configuration.go
+++ b/daemon/configuration.go
@@ -11,12 +11,12 @@
 func (d *Daemon) stateChanged(state *statemachine.State) {
 	d.noteLeft(state)
 	closures := state.Closures.Clone()
-	epoch, inForce := state.Epoch(), statemachine.Proposal{}
+	epoch, inForce := state.Version(), statemachine.Proposal{}
 	if found, ok := state.InForce(); ok {
 		inForce = *found
 	}
 	// Not waited for: unpacking a bundle and building its table must not hold up the group.
-	go d.keeper.Offer(epoch, inForce.Packing(), &closures)
+	go d.keeper.Offer(epoch, inForce.Payload(), &closures)
 }
 
 // swapped is called after each change that is in force here.
@@ -42,7 +42,7 @@
 // InForce is what this daemon has in force.
 func (d *Daemon) InForce() (spec, closure ident.Version) {
 	if t := d.keeper.Table(); t != nil {
-		return t.Epoch, t.Closures.Epoch
+		return t.Epoch, t.Closures.Version
 	}
 	return 0, 0
 }
--- a/daemon/configurationhistory.go
+++ b/daemon/configurationhistory.go
@@ -58,7 +58,7 @@
 	if d.leaderAddress() != "" {
 		var proposal statemachine.Proposal
 		if found, ok := d.Look(bounded, "spec", fmt.Sprint(epoch)); ok && json.Unmarshal(found, &proposal) == nil {
-			raw, err := proposal.Bundle()
+			raw, err := proposal.Decompress()
 			if err != nil {
 				return nil
 			}
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -67,7 +67,7 @@
 	defer done()
 	// Without a tenure too, the group hears that this life serves no more.
 	worker, last, _ := d.generator.Drop()
-	if _, ok := d.submit(bounded, statemachine.Command{Op: statemachine.OpRelease, NodeID: d.nodeID, WorkerID: worker, Last: last}); !ok {
+	if _, ok := d.submit(bounded, statemachine.Command{Op: statemachine.OpRelease, NodeID: d.nodeID, WorkerID: worker, LastTimestamp: last}); !ok {
 		kept.add(workerID)
 	}
 	d.endMember(limit, &kept)
@@ -87,7 +87,7 @@
 		d.placer.StandDown()
 		d.pools.standDown()
 		bounded, done := context.WithTimeout(limit, claimLimit)
-		if _, ok := d.submitOnce(bounded, statemachine.Command{Op: statemachine.OpDropClaim, NodeID: d.nodeID}); !ok && plans {
+		if _, ok := d.submitOnce(bounded, statemachine.Command{Op: statemachine.OpReleasePlanner, NodeID: d.nodeID}); !ok && plans {
 			kept.add(plannersClaim)
 		}
 		done()
--- a/daemon/engineregistration.go
+++ b/daemon/engineregistration.go
@@ -65,8 +65,8 @@
 		d.counters.leavesAcknowledged.Add(1)
 		return registry.Response{Outcome: registry.Acknowledged}
 	}
-	answer, ok := d.submit(bounded, statemachine.Command{Op: statemachine.OpLeave, Engine: id})
-	if !ok || answer.Verdict != statemachine.Done {
+	answer, ok := d.submit(bounded, statemachine.Command{Op: statemachine.OpEngineDeparted, Engine: id})
+	if !ok || answer.Outcome != statemachine.Done {
 		d.counters.leavesUnknown.Add(1)
 		return registry.Response{Outcome: registry.Unknown}
 	}
@@ -97,14 +97,14 @@
 func (d *Daemon) noteLeft(state *statemachine.State) {
 	lately, before := []ident.EngineID{}, []ident.EngineID{}
 	// After a snapshot all are noted again, which changes nothing.
-	for _, left := range state.LeftSince(d.leavesNoted) {
+	for _, left := range state.DepartedSince(d.leavesNoted) {
 		if left.At.Add(leftLately) < state.Now {
 			before = append(before, left.Engine)
 		} else {
 			lately = append(lately, left.Engine)
 		}
 	}
-	d.leavesNoted = state.Leaves
+	d.leavesNoted = state.Departures
 	if len(lately) > 0 || len(before) > 0 {
 		go func() {
 			d.registry.RecordDepartures(before)
--- a/daemon/freshness.go
+++ b/daemon/freshness.go
@@ -23,7 +23,7 @@
 	switch {
 	case table == nil && condition.Spec > 0:
 		return 0
-	case table != nil && (table.Epoch < condition.Spec || table.Closures.Epoch < condition.Closures):
+	case table != nil && (table.Epoch < condition.Spec || table.Closures.Version < condition.Closures):
 		// It is committed and its table is still being built.
 		return 0
 	}
--- a/daemon/groupidentity.go
+++ b/daemon/groupidentity.go
@@ -70,7 +70,7 @@
 		}
 	}
 	if t := d.keeper.Table(); t != nil {
-		out.SpecEpoch, out.ClosureEpoch = uint64(t.Epoch), uint64(t.Closures.Epoch)
+		out.SpecEpoch, out.ClosureEpoch = uint64(t.Epoch), uint64(t.Closures.Version)
 	}
 	out.LeaderMsAgo = -1
 	if heard := d.members.View().HeardLeader; heard > 0 {
--- a/daemon/noderanking.go
+++ b/daemon/noderanking.go
@@ -76,7 +76,7 @@
 	}
 	actedOn struct {
 		act     nodehealth.Act
-		verdict statemachine.Verdict
+		verdict statemachine.Outcome
 		reason  string
 		known   bool
 	}
@@ -232,13 +232,13 @@
 		return
 	}
 	command := statemachine.Command{Op: statemachine.OpClosure, NodeID: n.nodeID, Operator: rankingName, Engine: act.Engine, Closed: act.Drain,
-		Ranking: &closure.Ranking{Claim: n.claim, Stamp: stamp, Reason: reasonOf(act)}}
+		Ranking: &closure.RankingDecision{Token: n.claim, ID: stamp, Reason: reasonOf(act)}}
 	n.asked = true
 	go func() {
 		bounded, cancel := context.WithTimeout(ctx, actLimit)
 		defer cancel()
 		answer, known := n.submitOnce(bounded, command)
-		n.box.Send(actedOn{act, answer.Verdict, answer.Reason, known})
+		n.box.Send(actedOn{act, answer.Outcome, answer.Reason, known})
 	}()
 }
 
@@ -291,7 +291,7 @@
 		one := nodehealth.Engine{ID: id, Pool: engine.Pool, Zone: engine.Zone, Open: engine.Usable() && open(id, engine.Zone)}
 		mark, shut := closures.Engines[id]
 		one.Ranked = shut && mark.Ranking != nil
-		_, one.Kept = closures.Kept[id]
+		_, one.Kept = closures.Protected[id]
 		for _, held := range engine.Models() {
 			for _, target := range append([]nodehealth.Target{{Model: held.Model}}, adaptersOf(held)...) {
 				if _, asked := n.wanted[wantedKey{engine.Pool, target}]; asked && engine.Holds(target.Model, target.Adapter) {
--- a/daemon/noderankingpage.go
+++ b/daemon/noderankingpage.go
@@ -78,7 +78,7 @@
 		asked.reply <- out
 		return
 	}
-	out.ClosureEpoch = table.Closures.Epoch
+	out.ClosureEpoch = table.Closures.Version
 	fleet := n.fleet(n.clock.Elapsed(), n.registry.View(), table.Closures, table.OpenRegistered)
 	rows := map[ident.EngineID]nodehealth.Row{}
 	ranked := n.state.Load().rows
@@ -105,7 +105,7 @@
 				node.ShutFor = mark.Ranking.Reason
 			}
 		}
-		if mark, kept := table.Closures.Kept[id]; kept {
+		if mark, kept := table.Closures.Protected[id]; kept {
 			node.Kept = mark.Operator
 		}
 		out.Nodes = append(out.Nodes, node)
--- a/daemon/poolplanning.go
+++ b/daemon/poolplanning.go
@@ -83,15 +83,15 @@
 }
 
 // Claim asks the group for the claim.
-func (p poolPlanner) Claim(ctx context.Context, told *statemachine.Told, whole bool) poolplacement.ClaimAnswer {
-	answer, ok := p.submitOnce(ctx, statemachine.Command{Op: statemachine.OpClaim, NodeID: p.nodeID, Told: told, TellsAll: true, Whole: whole, Resume: true, Above: p.heardClaim()})
+func (p poolPlanner) Claim(ctx context.Context, told *statemachine.Announcement, whole bool) poolplacement.ClaimAnswer {
+	answer, ok := p.submitOnce(ctx, statemachine.Command{Op: statemachine.OpAcquirePlanner, NodeID: p.nodeID, Announcement: told, AnnouncesAll: true, WithAnnounced: whole, Resume: true, TokenAbove: p.heardClaim()})
 	switch {
-	case !ok || answer.Claim == nil:
+	case !ok || answer.PlannerLease == nil:
 		return poolplacement.ClaimAnswer{}
-	case answer.Verdict == statemachine.Done:
-		return poolplacement.ClaimAnswer{Granted: answer.Claim}
+	case answer.Outcome == statemachine.Done:
+		return poolplacement.ClaimAnswer{Granted: answer.PlannerLease}
 	}
-	return poolplacement.ClaimAnswer{Wait: time.Duration(answer.Claim.FreeAt(p.replicaConfig.ClaimGap)-answer.Claim.Now) * time.Millisecond}
+	return poolplacement.ClaimAnswer{Wait: time.Duration(answer.PlannerLease.FreeAt(p.replicaConfig.ClaimGap)-answer.PlannerLease.Now) * time.Millisecond}
 }
 
 // Mint stamps an order, LeaseHeld says whether the lease it was minted under still holds.
--- a/daemon/pull.go
+++ b/daemon/pull.go
@@ -58,14 +58,14 @@
 	reply := &peerapi.PullReply{Confirmation: confirmation, Group: string(d.Group()), NodeId: string(d.nodeID), LeaderAddress: leader, LeaderTerm: term, IsLeader: d.Leads(), FirstRollMsAgo: d.FirstRollAgo().Milliseconds(),
 		RowKnown: rowKnown, WantsLost: wantsLost, Plans: d.Plans(), PlannerAddress: d.members.View().PlannerAddress}
 	if t := d.keeper.Table(); t != nil {
-		reply.SpecEpoch, reply.ClosureEpoch = uint64(t.Epoch), uint64(t.Closures.Epoch)
+		reply.SpecEpoch, reply.ClosureEpoch = uint64(t.Epoch), uint64(t.Closures.Version)
 		if d.tellsBundle(t.Epoch, in) {
 			reply.Spec = t.Raw
 			if t.Bundle.Packed && in.TakesPacked {
 				reply.Spec, reply.SpecPacked = t.Bundle.Data, true
 			}
 		}
-		if in.ClosureEpoch < uint64(t.Closures.Epoch) {
+		if in.ClosureEpoch < uint64(t.Closures.Version) {
 			reply.Closures = rollout.EncodeClosures(t.Closures)
 		}
 	}
--- a/daemon/reads.go
+++ b/daemon/reads.go
@@ -89,18 +89,18 @@
 			return nil
 		}
 		if epoch == 0 {
-			epoch = uint64(state.Epoch())
+			epoch = uint64(state.Version())
 		}
-		if found, ok := state.At(ident.Version(epoch)); ok {
+		if found, ok := state.ProposalAt(ident.Version(epoch)); ok {
 			return encode(found)
 		}
 	case "history":
 		list := []statemachine.Proposal{}
-		for epoch := ident.Version(1); epoch <= state.Epoch(); epoch++ {
+		for epoch := ident.Version(1); epoch <= state.Version(); epoch++ {
 			// Of bundles that were applied in one step only so many are known.
-			if found, ok := state.At(epoch); ok {
+			if found, ok := state.ProposalAt(epoch); ok {
 				brief := *found
-				brief.Spec = nil
+				brief.Configuration = nil
 				list = append(list, brief)
 			}
 		}
@@ -114,7 +114,7 @@
 	case "closures":
 		return encode(state.Closures)
 	case "trace":
-		return encode(newest{Spec: uint64(state.Epoch()), Closure: uint64(state.Closures.Epoch), Serving: state.ServingNow()})
+		return encode(newest{Spec: uint64(state.Version()), Closure: uint64(state.Closures.Version), Serving: state.ServingDaemons()})
 	}
 	return nil
 }
--- a/daemon/sessionplanning.go
+++ b/daemon/sessionplanning.go
@@ -53,12 +53,12 @@
 }
 
 // Claim asks the group for the claim.
-func (p planning) Claim(ctx context.Context, orders map[ident.EngineID]uint64, turn uint64) (*statemachine.Claim, bool) {
-	answer, ok := p.submitOnce(ctx, statemachine.Command{Op: statemachine.OpClaim, NodeID: p.nodeID, Orders: orders, OrdersTurn: turn, Above: p.heardClaim()})
-	if !ok || answer.Verdict != statemachine.Done || answer.Claim == nil {
+func (p planning) Claim(ctx context.Context, orders map[ident.EngineID]uint64, turn uint64) (*statemachine.PlannerLease, bool) {
+	answer, ok := p.submitOnce(ctx, statemachine.Command{Op: statemachine.OpAcquirePlanner, NodeID: p.nodeID, Orders: orders, OrdersSequence: turn, TokenAbove: p.heardClaim()})
+	if !ok || answer.Outcome != statemachine.Done || answer.PlannerLease == nil {
 		return nil, false
 	}
-	return answer.Claim, true
+	return answer.PlannerLease, true
 }
 
 // Mint stamps an order.
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -19,7 +19,7 @@
 		Group: d.Group(), Leader: d.leaderAddress(), Fellows: []operatorapi.Fellow{}, Engines: []operatorapi.Engine{}}
 	t := d.keeper.Table()
 	if t != nil {
-		out.SpecEpoch, out.ClosureEpoch = t.Epoch, t.Closures.Epoch
+		out.SpecEpoch, out.ClosureEpoch = t.Epoch, t.Closures.Version
 	}
 	if confirmed := d.confirmed(); confirmed > 0 {
 		ago := max(0, now.Since(confirmed).Milliseconds())
--- a/daemon/workerlease.go
+++ b/daemon/workerlease.go
@@ -46,7 +46,7 @@
 				d.generator.Take(*result.Grant, asked)
 				renewed = asked
 				d.counters.renewed.Add(1)
-			case ok && result.Verdict == statemachine.Mismatch:
+			case ok && result.Outcome == statemachine.Mismatch:
 				// The group no longer knows this tenure: nothing may be minted under it from now on.
 				d.generator.Drop()
 				d.counters.tenureFailed.Add(1)
@@ -64,11 +64,11 @@
 // enlist has the group write down that this life may be serving, so that no change counts as in force
 // everywhere without it.
 func (d *Daemon) enlist(ctx context.Context) {
-	answer, ok := d.submitOnce(ctx, statemachine.Command{Op: statemachine.OpEnlist, NodeID: d.nodeID, Address: d.config.ReachedAt()})
+	answer, ok := d.submitOnce(ctx, statemachine.Command{Op: statemachine.OpRegister, NodeID: d.nodeID, Address: d.config.ReachedAt()})
 	switch {
-	case ok && answer.Verdict == statemachine.Done:
+	case ok && answer.Outcome == statemachine.Done:
 		d.enlistedAt.Store(int64(d.clock.Elapsed()))
-	case ok && answer.Verdict == statemachine.Forbidden:
+	case ok && answer.Outcome == statemachine.Forbidden:
 		d.stepAside(eris.New(answer.Reason))
 	}
 }
--- a/process/consensus/compatibility/stored_test.go
+++ b/process/consensus/compatibility/stored_test.go
@@ -82,7 +82,7 @@
 		Term: uint64(restored.HardState.Term), Vote: uint64(restored.HardState.Vote),
 		SnapshotIndex: uint64(restored.Snapshot.Index), SnapshotTerm: uint64(restored.Snapshot.Term),
 		SnapshotBytes: len(restored.Snapshot.Data), Membership: restored.Snapshot.Membership.Encode(),
-		Epoch: uint64(state.Epoch()), State: state.Snapshot(),
+		Epoch: uint64(state.Version()), State: state.Snapshot(),
 	}
 	for _, entry := range restored.Entries {
 		member.Entries = append(member.Entries, entryShape{uint64(entry.Index), uint64(entry.Term), uint64(entry.Kind), uint64(len(entry.Data))})
--- a/process/consensus/recovery/recovery.go
+++ b/process/consensus/recovery/recovery.go
@@ -80,7 +80,7 @@
 		return Plan{}, eris.New("no living daemon was named: name all that live, since one may hold what the others lack")
 	}
 	now := max(state.Now, ident.GroupTime(wall.UnixMilli()))
-	claim := state.Claim.Number
+	claim := state.PlannerLease.Token
 	for _, w := range witnesses {
 		if w.LeaderMsAgo >= 0 && time.Duration(w.LeaderMsAgo)*time.Millisecond < aliveWithin {
 			return Plan{}, eris.Errorf("%s heard a leader %d ms ago: the group is alive, and must not be recovered", w.Address, w.LeaderMsAgo)
@@ -109,7 +109,7 @@
 	state.Now = now.Add(timeMargin)
 	plan.takeBundles(witnesses)
 	for _, w := range witnesses {
-		if w.Closures != nil && w.Closures.Epoch > state.Closures.Epoch {
+		if w.Closures != nil && w.Closures.Version > state.Closures.Version {
 			state.Closures = w.Closures.Clone()
 		}
 	}
@@ -119,7 +119,7 @@
 		state.Workers.Floors[worker] = state.Now - 1
 	}
 	// The claim's end is now, so that a planner of the lost generation has lapsed before the next may begin.
-	state.Claim = statemachine.Claim{Number: claim + claimMargin, Until: state.Now}
+	state.PlannerLease = statemachine.PlannerLease{Token: claim + claimMargin, Expiry: state.Now}
 	return plan, nil
 }
 
@@ -129,28 +129,28 @@
 	for _, w := range witnesses {
 		highest = max(highest, w.SpecEpoch)
 	}
-	for epoch := p.State.Epoch() + 1; epoch <= highest; epoch++ {
+	for epoch := p.State.Version() + 1; epoch <= highest; epoch++ {
 		id := fmt.Sprintf("recovered-epoch-%d", epoch)
-		proposal := &statemachine.Proposal{ID: id, Base: epoch - 1, Stage: statemachine.Rolled, Epoch: epoch,
-			Proposed: statemachine.Mark{Operator: "recovery", At: p.State.Now, Note: "taken from a living daemon"},
-			Rolled:   &statemachine.Mark{Operator: "recovery", At: p.State.Now}}
+		proposal := &statemachine.Proposal{ID: id, Base: epoch - 1, Stage: statemachine.StageRolledOut, Version: epoch,
+			Proposed:  statemachine.OperatorAction{Operator: "recovery", At: p.State.Now, Note: "taken from a living daemon"},
+			RolledOut: &statemachine.OperatorAction{Operator: "recovery", At: p.State.Now}}
 		for _, w := range witnesses {
 			if bundle := w.Bundles[epoch]; len(bundle) > 0 {
-				proposal.Spec = bundle
+				proposal.Configuration = bundle
 				break
 			}
 		}
-		if parsed, _ := document.Parse(proposal.Spec); parsed != nil && parsed.Forward != nil {
+		if parsed, _ := document.Parse(proposal.Configuration); parsed != nil && parsed.Forward != nil {
 			proposal.Revision = ident.Revision(parsed.Forward.Revision)
 		}
-		if proposal.Spec == nil {
+		if proposal.Configuration == nil {
 			p.Lost = append(p.Lost, epoch)
 		}
-		p.State.Recovered(proposal)
+		p.State.AppendRecovered(proposal)
 	}
 	for _, proposal := range p.State.Proposals {
-		if proposal.Stage != statemachine.Rolled && proposal.Base < p.State.Epoch() {
-			proposal.Stage = statemachine.Lost
+		if proposal.Stage != statemachine.StageRolledOut && proposal.Base < p.State.Version() {
+			proposal.Stage = statemachine.StageSuperseded
 		}
 	}
 }
--- a/process/consensus/recovery/recovery_test.go
+++ b/process/consensus/recovery/recovery_test.go
@@ -34,24 +34,24 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r := s.Apply(data); r.Verdict != statemachine.Done {
+		if r := s.Apply(data); r.Outcome != statemachine.Done {
 			t.Fatal(c.Op, r)
 		}
 	}
 	for i, id := range []string{"one", "two"} {
-		apply(statemachine.Command{Op: statemachine.OpPropose, ProposalID: id, Base: ident.Version(i), Operator: "ana", Spec: bundle(t, id)})
+		apply(statemachine.Command{Op: statemachine.OpPropose, ProposalID: id, Base: ident.Version(i), Operator: "ana", Configuration: bundle(t, id)})
 		apply(statemachine.Command{Op: statemachine.OpReview, ProposalID: id, Operator: "berta"})
-		apply(statemachine.Command{Op: statemachine.OpSign, ProposalID: id, Operator: "berta"})
-		apply(statemachine.Command{Op: statemachine.OpRoll, ProposalID: id, Operator: "ana"})
+		apply(statemachine.Command{Op: statemachine.OpSignOff, ProposalID: id, Operator: "berta"})
+		apply(statemachine.Command{Op: statemachine.OpRollOut, ProposalID: id, Operator: "ana"})
 	}
-	apply(statemachine.Command{Op: statemachine.OpPropose, ProposalID: "open", Base: 2, Operator: "ana", Spec: bundle(t, "open")})
+	apply(statemachine.Command{Op: statemachine.OpPropose, ProposalID: "open", Base: 2, Operator: "ana", Configuration: bundle(t, "open")})
 	apply(statemachine.Command{Op: statemachine.OpClosure, Zone: "z", Closed: true, Operator: "ana"})
-	apply(statemachine.Command{Op: statemachine.OpAcquire, NodeID: "n", At: 5000, SpanMs: 30000})
+	apply(statemachine.Command{Op: statemachine.OpAcquire, NodeID: "n", At: 5000, LeaseMs: 30000})
 	return s
 }
 
 func witness(t *testing.T) Witness {
-	closures := closure.Set{Epoch: 4, Zones: map[ident.ZoneID]closure.Record{"y": {Epoch: 4}}}
+	closures := closure.Set{Version: 4, Zones: map[ident.ZoneID]closure.Record{"y": {Version: 4}}}
 	return Witness{Address: "w", Group: "g", LeaderMsAgo: 60000, SpecEpoch: 4, Closures: &closures, TenureUntil: ident.GroupTime(wall.UnixMilli()) + 90000, Claim: 7,
 		Bundles: map[ident.Version][]byte{2: bundle(t, "two"), 4: bundle(t, "four")}}
 }
@@ -62,30 +62,30 @@
 		t.Fatal(err)
 	}
 	s := plan.State
-	if plan.Group != "g.1" || s.Epoch() != 4 || len(plan.Lost) != 1 || plan.Lost[0] != 3 {
-		t.Fatalf("%s, epoch %d, lost %v", plan.Group, s.Epoch(), plan.Lost)
+	if plan.Group != "g.1" || s.Version() != 4 || len(plan.Lost) != 1 || plan.Lost[0] != 3 {
+		t.Fatalf("%s, epoch %d, lost %v", plan.Group, s.Version(), plan.Lost)
 	}
 	for epoch, name := range map[ident.Version]string{1: "one", 2: "two", 4: "four"} {
-		if p, ok := s.At(epoch); !ok || string(p.Spec) != string(bundle(t, name)) {
+		if p, ok := s.ProposalAt(epoch); !ok || string(p.Configuration) != string(bundle(t, name)) {
 			t.Errorf("epoch %d is not whole", epoch)
 		}
 	}
-	if _, closed := s.Closures.Zones["y"]; !closed || s.Closures.Epoch != 4 {
+	if _, closed := s.Closures.Zones["y"]; !closed || s.Closures.Version != 4 {
 		t.Errorf("closures %+v", s.Closures)
 	}
-	if s.Proposals["open"].Stage != statemachine.Lost {
+	if s.Proposals["open"].Stage != statemachine.StageSuperseded {
 		t.Errorf("a proposal on an older base is %s", s.Proposals["open"].Stage)
 	}
 	// Nothing minted or claimed before can meet anything after.
 	until := witness(t).TenureUntil
-	if s.Now <= until || s.Claim.Number <= 7 {
-		t.Errorf("now %d, claim %d", s.Now, s.Claim.Number)
+	if s.Now <= until || s.PlannerLease.Token <= 7 {
+		t.Errorf("now %d, claim %d", s.Now, s.PlannerLease.Token)
 	}
 	grant, verdict := s.Workers.Acquire("fresh", s.Now, 30*time.Second)
 	if verdict != workerid.Granted || grant.Floor < until {
 		t.Errorf("%+v %s", grant, verdict)
 	}
-	if restored, err := statemachine.Restore(s.Snapshot()); err != nil || restored.Epoch() != 4 {
+	if restored, err := statemachine.Restore(s.Snapshot()); err != nil || restored.Version() != 4 {
 		t.Error(err)
 	}
 }
@@ -116,7 +116,7 @@
 		t.Fatal(err)
 	}
 	for base := ident.Revision(0); base < plan.State.Revision; base++ {
-		if standing := plan.State.Standing("taken by the lost majority", base); standing != statemachine.OrderUnproven {
+		if standing := plan.State.ApplyStatus("taken by the lost majority", base); standing != statemachine.ApplyUnproven {
 			t.Errorf("an order on base %d of %d is %s", base, plan.State.Revision, standing)
 		}
 	}
--- a/process/consensus/replica/actor.go
+++ b/process/consensus/replica/actor.go
@@ -48,7 +48,7 @@
 	// Serving lists the daemons that may be serving, by the state applied so far.
 	Serving []ident.NodeID
 	// Claim is the planner's claim by the state applied so far.
-	Claim statemachine.Claim
+	Claim statemachine.PlannerLease
 	// ConfirmedUntil is, where this member leads, up to when a majority has confirmed that; Spec and Closures are what
 	// is committed by the state applied so far.
 	ConfirmedUntil clock.Mark
@@ -478,8 +478,8 @@
 	core := r.core.Raft()
 	condition := Condition{
 		Group: r.group, Role: core.Role(), Term: core.Term(), Leads: r.core.Leads(), Members: core.Membership(),
-		Commit: core.CommitIndex(), Stalled: r.stalled, Now: r.core.State().Now, FirstRollAgo: r.core.FirstRollAgo(r.clock.Elapsed()), Serving: r.core.State().ServingNow(), Claim: r.core.State().Claim,
-		ConfirmedUntil: r.core.ConfirmedUntil(), Spec: r.core.State().Epoch(), Closures: r.core.State().Closures.Epoch,
+		Commit: core.CommitIndex(), Stalled: r.stalled, Now: r.core.State().Now, FirstRollAgo: r.core.FirstRollAgo(r.clock.Elapsed()), Serving: r.core.State().ServingDaemons(), Claim: r.core.State().PlannerLease,
+		ConfirmedUntil: r.core.ConfirmedUntil(), Spec: r.core.State().Version(), Closures: r.core.State().Closures.Version,
 		Applied: r.core.applied, Digest: r.core.Digest(), Differing: r.core.Differing(),
 	}
 	condition.Leader, _ = condition.Members.Find(core.LeaderID())
--- a/process/consensus/replica/core.go
+++ b/process/consensus/replica/core.go
@@ -129,7 +129,7 @@
 	}
 	c := &Core{config: config, raft: member, state: state, applied: member.SnapshotIndex(), timeMark: now, began: now, restored: member.LastIndex(), wall: wall,
 		pending: map[raft.Index]pending{}, reads: map[uint64]raft.Index{}, heard: map[raft.MemberID]clock.Mark{}, leaving: map[raft.MemberID]clock.Mark{},
-		digests: newDigests(statemachine.Form(config.Build))}
+		digests: newDigests(statemachine.DigestSchema(config.Build))}
 	member.CheckSnapshots(c.checkSnapshot)
 	return c, nil
 }
@@ -176,11 +176,11 @@
 
 // FirstRollAgo is how long ago the first bundle came in force, in the group's time; negative when none has.
 func (c *Core) FirstRollAgo(now clock.Mark) time.Duration {
-	first, any := c.state.At(1)
-	if !any || first.Rolled == nil {
+	first, any := c.state.ProposalAt(1)
+	if !any || first.RolledOut == nil {
 		return -1
 	}
-	return max(time.Millisecond, time.Duration(c.groupNow(now)-first.Rolled.At)*time.Millisecond)
+	return max(time.Millisecond, time.Duration(c.groupNow(now)-first.RolledOut.At)*time.Millisecond)
 }
 
 // Submit puts a command forward; the answer comes with its ref.
@@ -190,9 +190,9 @@
 	}
 	// All that depends on time or config is stamped here, so that apply is the same everywhere.
 	command.At = c.groupNow(now)
-	command.SpanMs = c.config.Tenure.Milliseconds()
-	if command.Op == statemachine.OpClaim {
-		command.SpanMs, command.GapMs = c.config.ClaimSpan.Milliseconds(), c.config.ClaimGap.Milliseconds()
+	command.LeaseMs = c.config.Tenure.Milliseconds()
+	if command.Op == statemachine.OpAcquirePlanner {
+		command.LeaseMs, command.HandoverGapMs = c.config.ClaimSpan.Milliseconds(), c.config.ClaimGap.Milliseconds()
 	}
 	data, err := json.Marshal(command)
 	if err != nil {
@@ -286,7 +286,7 @@
 		// What takes the place of entries found on disk may have been stamped at any time since.
 		c.restored = effects.Save.TruncateFrom - 1
 	}
-	specBefore, closuresBefore, leavesBefore := c.state.Epoch(), c.state.Closures.Epoch, c.state.Leaves
+	specBefore, closuresBefore, leavesBefore := c.state.Version(), c.state.Closures.Version, c.state.Departures
 	if effects.Install != nil {
 		// It was read by checkSnapshot before the log was given up for it.
 		c.state, c.applied, c.timeMark, c.checked = c.checked, effects.Install.Index, now, nil
@@ -312,7 +312,7 @@
 	c.noteLeading(now, &out)
 	c.confirmed.observe(now, c.raft)
 	c.askForDigests(now, out.Now)
-	out.Changed = c.state.Epoch() != specBefore || c.state.Closures.Epoch != closuresBefore || c.state.Leaves != leavesBefore
+	out.Changed = c.state.Version() != specBefore || c.state.Closures.Version != closuresBefore || c.state.Departures != leavesBefore
 	if c.sinceCompact >= c.config.CompactEvery || c.config.CompactBytes > 0 && c.bytes >= c.config.CompactBytes {
 		keep := c.keep()
 		c.sinceCompact, c.sizes, c.bytes = 0, c.sizes[:0], 0
@@ -402,7 +402,7 @@
 	}
 	if c.digests.due(entry.Index) {
 		digest := c.state.Digest()
-		c.digests.keep(entry.Index, digest.Sum, digest.Bytes)
+		c.digests.keep(entry.Index, digest.Sum, digest.SnapshotBytes)
 	}
 	waiting, ok := c.pending[entry.Index]
 	if !ok {
--- a/process/consensus/replica/digests_test.go
+++ b/process/consensus/replica/digests_test.go
@@ -10,7 +10,7 @@
 // parted makes a member's state another than its log says.
 func parted(n *simNode, by uint64) {
 	n.sim.mayGiveUp = true
-	n.core.state.Claim.OrdersTurn += by
+	n.core.state.PlannerLease.OrdersSequence += by
 }
 
 // agree says that all members applied as much and hold equal states.
--- a/process/consensus/replica/orders_test.go
+++ b/process/consensus/replica/orders_test.go
@@ -300,9 +300,9 @@
 		for _, n := range o.nodes {
 			switch o.way {
 			case refusalsForgotten:
-				n.core.state.RefusedAhead = nil
+				n.core.state.RejectedAhead = nil
 			case takenForgotten:
-				n.core.state.ProvenFrom = 0
+				n.core.state.AppliesKnownFrom = 0
 			}
 		}
 		o.forget()
@@ -326,8 +326,8 @@
 		}
 		state := n.core.state
 		wonOn := map[ident.Revision]string{}
-		for epoch := ident.Version(1); epoch <= state.Epoch(); epoch++ {
-			found, ok := state.At(epoch)
+		for epoch := ident.Version(1); epoch <= state.Version(); epoch++ {
+			found, ok := state.ProposalAt(epoch)
 			if !ok {
 				if epoch > state.Dropped {
 					o.fault("member %d lacks epoch %d", n.id, epoch)
@@ -344,7 +344,7 @@
 			wonOn[o.base[digest]] = digest
 		}
 		for digest, epoch := range o.acked {
-			if found, ok := state.Applied(digest); ok && found.Epoch != epoch || !ok && epoch > state.Dropped {
+			if found, ok := state.Applied(digest); ok && found.Version != epoch || !ok && epoch > state.Dropped {
 				o.fault("member %d: %s was acknowledged as epoch %d and is not there", n.id, digest, epoch)
 			}
 		}
@@ -376,7 +376,7 @@
 }
 
 // tinyLimits have a group forget orders all the time.
-func tinyLimits() statemachine.Limits { return statemachine.Limits{Taken: 4, Refused: 3} }
+func tinyLimits() statemachine.Limits { return statemachine.Limits{Versions: 4, RejectedApplies: 3} }
 
 // TestOrdersUnderTrouble holds that an acknowledged order is never lost nor refused, and a refused one never in
 // force, through all the troubles of the simulated group, and that one order of effects explains all answers. Every
--- a/process/consensus/replica/second_loss_test.go
+++ b/process/consensus/replica/second_loss_test.go
@@ -175,7 +175,7 @@
 	s.ask(leader, &statemachine.Command{Op: statemachine.OpClosure, Zone: "z", Closed: closed}, func(a Answer) {
 		if a.Outcome == Applied && a.Result.Closures != nil {
 			s.acks++
-			s.ackedEpoch = max(s.ackedEpoch, a.Result.Closures.Epoch)
+			s.ackedEpoch = max(s.ackedEpoch, a.Result.Closures.Version)
 		}
 		again()
 	})
@@ -186,7 +186,7 @@
 	before := s.acks
 	return s.until(within, func() bool {
 		leader := s.leader()
-		return s.acks > before && leader != nil && leader.core.state.Closures.Epoch >= s.ackedEpoch
+		return s.acks > before && leader != nil && leader.core.state.Closures.Version >= s.ackedEpoch
 	})
 }
 
--- a/process/consensus/replica/simulation_test.go
+++ b/process/consensus/replica/simulation_test.go
@@ -651,11 +651,11 @@
 			// The state may be read only until the answer is handled, so a read is looked at here.
 			var seen ident.Version
 			if a.State != nil {
-				seen = a.State.Closures.Epoch
+				seen = a.State.Closures.Version
 			}
 			s.after(s.ms(1, 10), func() {
 				if a.State != nil {
-					a.Result.Epoch = seen
+					a.Result.Version = seen
 				}
 				answer(a)
 			})
@@ -761,7 +761,7 @@
 			last = 0
 		}
 		for _, n := range h.sim.nodes {
-			h.sim.ask(n, &statemachine.Command{Op: statemachine.OpRelease, NodeID: h.node(), WorkerID: worker, Last: last}, func(Answer) {})
+			h.sim.ask(n, &statemachine.Command{Op: statemachine.OpRelease, NodeID: h.node(), WorkerID: worker, LastTimestamp: last}, func(Answer) {})
 		}
 	}
 	h.begin()
@@ -779,7 +779,7 @@
 			s.ask(to, &command, func(a Answer) {
 				if a.Outcome == Applied && a.Result.Closures != nil {
 					s.acks++
-					s.ackedEpoch = max(s.ackedEpoch, a.Result.Closures.Epoch)
+					s.ackedEpoch = max(s.ackedEpoch, a.Result.Closures.Version)
 				}
 			})
 		} else {
@@ -789,8 +789,8 @@
 					return
 				}
 				s.reads++
-				if a.Result.Epoch < before {
-					s.fault("a read saw closures at epoch %d after %d was acknowledged", a.Result.Epoch, before)
+				if a.Result.Version < before {
+					s.fault("a read saw closures at epoch %d after %d was acknowledged", a.Result.Version, before)
 				}
 			})
 		}
@@ -943,8 +943,8 @@
 		if n.gone {
 			continue
 		}
-		if n.core.state.Closures.Epoch < s.ackedEpoch {
-			s.fault("member %d ends with closures at epoch %d, and %d was acknowledged", n.id, n.core.state.Closures.Epoch, s.ackedEpoch)
+		if n.core.state.Closures.Version < s.ackedEpoch {
+			s.fault("member %d ends with closures at epoch %d, and %d was acknowledged", n.id, n.core.state.Closures.Version, s.ackedEpoch)
 		}
 	}
 	if s.mints == 0 || s.reads == 0 {
--- a/process/consensus/replica/slow_link_test.go
+++ b/process/consensus/replica/slow_link_test.go
@@ -20,7 +20,7 @@
 func (s *sim) fill(t *testing.T, count, size int) {
 	for range count {
 		answered := false
-		s.ask(s.leader(), &statemachine.Command{Op: statemachine.OpReview, Spec: bytes.Repeat([]byte{'x'}, size*3/4)}, func(Answer) { answered = true })
+		s.ask(s.leader(), &statemachine.Command{Op: statemachine.OpReview, Configuration: bytes.Repeat([]byte{'x'}, size*3/4)}, func(Answer) { answered = true })
 		if s.until(5*time.Second, func() bool { return answered }); !answered {
 			t.Fatal("a command was not answered")
 		}
--- a/process/consensus/replica/snapshots_test.go
+++ b/process/consensus/replica/snapshots_test.go
@@ -94,7 +94,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			state.Claim.OrdersTurn++
+			state.PlannerLease.OrdersSequence++
 			other := *m.Snapshot
 			other.Checksum, other.Data = nil, state.Snapshot()
 			m.Snapshot, m.Size = &other, uint64(len(other.Data))
--- a/process/consensus/replica/soak_test.go
+++ b/process/consensus/replica/soak_test.go
@@ -48,11 +48,11 @@
 	}
 	digest := sha256.Sum256(fmt.Append(nil, "change ", s.changes))
 	revision := ident.Revision(s.changes)
-	command := statemachine.Command{Op: statemachine.OpApply, Operator: "soak", Spec: spec, Packed: true, Digest: hex.EncodeToString(digest[:]), BaseRevision: revision, Revision: revision + 1}
+	command := statemachine.Command{Op: statemachine.OpApply, Operator: "soak", Configuration: spec, Compressed: true, Digest: hex.EncodeToString(digest[:]), BaseRevision: revision, Revision: revision + 1}
 	done := false
 	took := s.until(30*time.Second, func() bool {
 		if leader := s.leader(); leader != nil && !done && s.now%(200*clock.Mark(time.Millisecond)) < 10*clock.Mark(time.Millisecond) {
-			s.ask(leader, &command, func(a Answer) { done = done || a.Outcome == Applied && a.Result.Verdict == statemachine.Done })
+			s.ask(leader, &command, func(a Answer) { done = done || a.Outcome == Applied && a.Result.Outcome == statemachine.Done })
 		}
 		return done
 	})
@@ -271,9 +271,9 @@
 	s.run(300, func() {})
 	// A state that takes longer than one call may, beside the bundles.
 	for _, n := range s.nodes {
-		n.core.state.Left = nil
+		n.core.state.DepartedEngines = nil
 		for number := range 130000 {
-			n.core.state.Left = append(n.core.state.Left, statemachine.Left{Engine: ident.EngineID(fmt.Sprintf("i-%08x", number)), At: 1})
+			n.core.state.DepartedEngines = append(n.core.state.DepartedEngines, statemachine.DepartedEngine{Engine: ident.EngineID(fmt.Sprintf("i-%08x", number)), At: 1})
 		}
 	}
 	s.run(330, func() {})
--- a/process/consensus/replica/time_test.go
+++ b/process/consensus/replica/time_test.go
@@ -14,7 +14,7 @@
 
 // stamped is an entry that acquires a worker id at a moment of the group's time.
 func stamped(t *testing.T, index raft.Index, term raft.Term, at ident.GroupTime) raft.Entry {
-	data, err := json.Marshal(statemachine.Command{Op: statemachine.OpAcquire, At: at, NodeID: "a#1", SpanMs: 30_000})
+	data, err := json.Marshal(statemachine.Command{Op: statemachine.OpAcquire, At: at, NodeID: "a#1", LeaseMs: 30_000})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/process/consensus/statemachine/apply.go
+++ b/process/consensus/statemachine/apply.go
@@ -13,79 +13,81 @@
 	appliedPrefix = "apply:"
 	// keptApplied is how many orders that were taken are known by their digest. One that is forgotten has no
 	// clear answer from then on.
-	keptApplied = 4096
+	maxVersions = 4096
 	// mostRefused is how many orders on bases that are not there yet may be refused at once. A refusal can't be
 	// forgotten before its base has passed; while there is no room for another, such an order has no clear answer.
-	mostRefused = 256
+	maxRejectedApplies = 256
 	// MostRevision is the highest revision: the highest whole number that every reader of JSON takes exactly.
-	MostRevision ident.Revision = 1 << 53
+	MaxRevision ident.Revision = 1 << 53
 	// mostDigestBytes bounds a digest.
-	mostDigestBytes = 256
+	maxDigestBytes = 256
 )
 
 // Limits bounds what is remembered of orders.
 type Limits struct {
 	// Taken is how many of the newest epochs are remembered, Refused how many refused orders on bases to come.
-	Taken, Refused int
+	Versions, RejectedApplies int
 }
 
 // DefaultLimits gives the bounds of the design.
-func DefaultLimits() Limits { return Limits{Taken: keptApplied, Refused: mostRefused} }
+func DefaultLimits() Limits {
+	return Limits{Versions: maxVersions, RejectedApplies: maxRejectedApplies}
+}
 
 // RefusedOrder is an order that must never win, though its base may yet come in force.
-type RefusedOrder struct {
+type RejectedApply struct {
 	Digest string         `json:"digest"`
 	Base   ident.Revision `json:"base"`
 }
 
 // OrderStanding is what the state proves about an order to put a bundle in force in one step.
-type OrderStanding string
+type ApplyStatus string
 
 const (
 	// OrderOpen: its base is in force, and it may win.
-	OrderOpen OrderStanding = "open"
+	ApplyOpen ApplyStatus = "open"
 	// OrderTaken: it was put in force.
-	OrderTaken OrderStanding = "taken"
+	ApplyCommitted ApplyStatus = "taken"
 	// OrderLost: it never was in force and never will be.
-	OrderLost OrderStanding = "lost"
+	ApplyConflicted ApplyStatus = "lost"
 	// OrderAhead: its base is not there yet, and another copy of it may win once it is.
-	OrderAhead OrderStanding = "ahead"
+	ApplyAhead ApplyStatus = "ahead"
 	// OrderUnproven: what would prove an answer is forgotten, or there is no room to write a refusal down.
-	OrderUnproven OrderStanding = "unproven"
+	ApplyUnproven ApplyStatus = "unproven"
 	// OrderMalformed: no order can be so.
-	OrderMalformed OrderStanding = "malformed"
+	ApplyMalformed ApplyStatus = "malformed"
 )
 
 // Standing is the one place that tells what is proved of an order with this digest on this base. The proof is in
 // docs/design/control.md.
-func (s *State) Standing(digest string, base ident.Revision) OrderStanding {
+func (s *State) ApplyStatus(digest string, base ident.Revision) ApplyStatus {
 	_, taken := s.Applied(digest)
 	switch {
 	case taken:
-		return OrderTaken
-	case digest == "" || len(digest) > mostDigestBytes || base > MostRevision:
-		return OrderMalformed
-	case base < s.ProvenFrom:
-		return OrderUnproven
-	case base < s.Revision || s.wasRefused(digest):
-		return OrderLost
+		return ApplyCommitted
+	case digest == "" || len(digest) > maxDigestBytes || base > MaxRevision:
+		return ApplyMalformed
+	case base < s.AppliesKnownFrom:
+		return ApplyUnproven
+	case base < s.Revision || s.wasRejected(digest):
+		return ApplyConflicted
 	case base == s.Revision:
-		return OrderOpen
-	case s.roomToRefuse():
-		return OrderAhead
+		return ApplyOpen
+	case s.canRecordRejection():
+		return ApplyAhead
 	}
-	return OrderUnproven
+	return ApplyUnproven
 }
 
-func (s *State) wasRefused(digest string) bool {
-	return slices.Contains(s.Refused, digest) || slices.ContainsFunc(s.RefusedAhead, func(o RefusedOrder) bool { return o.Digest == digest })
+func (s *State) wasRejected(digest string) bool {
+	return slices.Contains(s.RejectedDigests, digest) || slices.ContainsFunc(s.RejectedAhead, func(o RejectedApply) bool { return o.Digest == digest })
 }
 
-func (s *State) roomToRefuse() bool { return len(s.RefusedAhead) < s.limits.Refused }
+func (s *State) canRecordRejection() bool { return len(s.RejectedAhead) < s.limits.RejectedApplies }
 
 // forgetRefused drops the refusals whose base has passed: revisions only rise, so those can't win any more.
-func (s *State) forgetRefused() {
-	s.RefusedAhead = slices.DeleteFunc(s.RefusedAhead, func(o RefusedOrder) bool { return o.Base < s.Revision })
+func (s *State) dropPassedRejections() {
+	s.RejectedAhead = slices.DeleteFunc(s.RejectedAhead, func(o RejectedApply) bool { return o.Base < s.Revision })
 }
 
 // AppliedID is the proposal id under which an order with this digest stands, once it was taken.
@@ -98,60 +100,60 @@
 }
 
 // Bundle gives the bundle as it was handed in; nothing where it is no longer kept.
-func (p *Proposal) Bundle() ([]byte, error) {
-	return p.Packing().Raw()
+func (p *Proposal) Decompress() ([]byte, error) {
+	return p.Payload().Raw()
 }
 
 // Packing gives the bundle as it travels.
-func (p *Proposal) Packing() compression.Bundle {
-	return compression.Bundle{Data: p.Spec, Packed: p.Packed}
+func (p *Proposal) Payload() compression.Bundle {
+	return compression.Bundle{Data: p.Configuration, Packed: p.Compressed}
 }
 
 // applyBundle proposes, reviews, signs and rolls in one step, for fleets that let an operator alone do so.
 // The bundle stays packed as it came: nothing here depends on what a member makes of it.
 func (s *State) applyBundle(c Command) Result {
-	switch s.Standing(c.Digest, c.BaseRevision) {
-	case OrderTaken:
+	switch s.ApplyStatus(c.Digest, c.BaseRevision) {
+	case ApplyCommitted:
 		known, _ := s.Applied(c.Digest)
-		return Result{Verdict: Done, Proposal: known.brief()}
-	case OrderMalformed:
-		return Result{Verdict: Malformed, Reason: "an applied bundle needs a digest, and a base that a bundle can have"}
-	case OrderUnproven:
-		return Result{Verdict: Unproven, Reason: "what became of this order is not known any more"}
-	case OrderLost:
-		return s.orderLost()
-	case OrderAhead:
-		return s.refuseOrder(c)
+		return Result{Outcome: Done, Proposal: known.withoutConfiguration()}
+	case ApplyMalformed:
+		return Result{Outcome: Malformed, Reason: "an applied bundle needs a digest, and a base that a bundle can have"}
+	case ApplyUnproven:
+		return Result{Outcome: Unproven, Reason: "what became of this order is not known any more"}
+	case ApplyConflicted:
+		return s.applyConflict()
+	case ApplyAhead:
+		return s.rejectApply(c)
 	}
-	if len(c.Spec) == 0 {
+	if len(c.Configuration) == 0 {
 		// Its base came in force after its sender looked, and left the bundle out. Other copies may be under way.
-		return s.refuseOrder(c)
+		return s.rejectApply(c)
 	}
-	if c.Revision > MostRevision {
-		return Result{Verdict: Malformed, Reason: "the revision is higher than any may be"}
+	if c.Revision > MaxRevision {
+		return Result{Outcome: Malformed, Reason: "the revision is higher than any may be"}
 	}
 	if c.Revision <= s.Revision {
-		return s.orderLost()
+		return s.applyConflict()
 	}
-	mark := Mark{Operator: c.Operator, At: s.Now, Note: c.Note}
-	applied := &Proposal{ID: AppliedID(c.Digest), Base: s.Epoch(), Proposed: mark, Spec: c.Spec, Packed: c.Packed, Revision: c.Revision, Applied: true}
+	mark := OperatorAction{Operator: c.Operator, At: s.Now, Note: c.Note}
+	applied := &Proposal{ID: AppliedID(c.Digest), Base: s.Version(), Proposed: mark, Configuration: c.Configuration, Compressed: c.Compressed, Revision: c.Revision, Applied: true}
 	s.Proposals[applied.ID] = applied
 	s.putInForce(applied, mark)
-	return Result{Verdict: Done, Proposal: applied.brief()}
+	return Result{Outcome: Done, Proposal: applied.withoutConfiguration()}
 }
 
 // refuseOrder writes an order down as refused, so that no copy of it wins later.
-func (s *State) refuseOrder(c Command) Result {
-	if !s.roomToRefuse() {
-		return Result{Verdict: Unproven, Reason: "too many refused orders wait for their base"}
+func (s *State) rejectApply(c Command) Result {
+	if !s.canRecordRejection() {
+		return Result{Outcome: Unproven, Reason: "too many refused orders wait for their base"}
 	}
 	// A new list, so that whoever holds the old one may go on reading it.
-	s.RefusedAhead = append(slices.Clone(s.RefusedAhead), RefusedOrder{Digest: c.Digest, Base: c.BaseRevision})
-	return s.orderLost()
+	s.RejectedAhead = append(slices.Clone(s.RejectedAhead), RejectedApply{Digest: c.Digest, Base: c.BaseRevision})
+	return s.applyConflict()
 }
 
-func (s *State) orderLost() Result {
-	result := Result{Verdict: Conflict, Reason: "the base is not the revision in force, or the revision is not above it"}
+func (s *State) applyConflict() Result {
+	result := Result{Outcome: Conflict, Reason: "the base is not the revision in force, or the revision is not above it"}
 	if inForce, any := s.InForce(); any {
 		result.Winner = inForce.ID
 	}
--- a/process/consensus/statemachine/apply_test.go
+++ b/process/consensus/statemachine/apply_test.go
@@ -25,7 +25,7 @@
 func order(raw uint8) Command {
 	raw %= 64
 	base := ident.Revision(raw % 7)
-	return Command{Op: OpApply, Digest: fmt.Sprint("d", raw), BaseRevision: base, Revision: base + 1 + ident.Revision(raw/7%3), Operator: "ana", Spec: []byte{raw}}
+	return Command{Op: OpApply, Digest: fmt.Sprint("d", raw), BaseRevision: base, Revision: base + 1 + ident.Revision(raw/7%3), Operator: "ana", Configuration: []byte{raw}}
 }
 
 // TestOrdersInOneStep lets copies of a few orders race, among bundles that are signed off and over snapshots.
@@ -45,20 +45,20 @@
 				}
 				state = restored
 			}
-			before, epoch := state.Revision, state.Epoch()
+			before, epoch := state.Revision, state.Version()
 			if raw >= 250 && signed[i] {
 				id := fmt.Sprint("p", i)
-				state.do(t, Command{Op: OpPropose, ProposalID: id, Base: epoch, Operator: "ana", Spec: []byte{1}})
+				state.do(t, Command{Op: OpPropose, ProposalID: id, Base: epoch, Operator: "ana", Configuration: []byte{1}})
 				state.do(t, Command{Op: OpReview, ProposalID: id, Operator: "berta"})
-				state.do(t, Command{Op: OpSign, ProposalID: id, Operator: "chen"})
-				if r := state.do(t, Command{Op: OpRoll, ProposalID: id, Operator: "ana"}); r.Verdict != Done || state.Revision != before+1 {
+				state.do(t, Command{Op: OpSignOff, ProposalID: id, Operator: "chen"})
+				if r := state.do(t, Command{Op: OpRollOut, ProposalID: id, Operator: "ana"}); r.Outcome != Done || state.Revision != before+1 {
 					return fmt.Sprintf("a signed bundle: %+v at revision %d after %d", r, state.Revision, before)
 				}
 				continue
 			}
 			c := order(raw)
 			r := state.do(t, c)
-			switch r.Verdict {
+			switch r.Outcome {
 			case Done:
 				if refused[c.Digest] {
 					return c.Digest + " was refused and then taken"
@@ -68,14 +68,14 @@
 						return fmt.Sprintf("%s and %s both won on %d", other, c.Digest, c.BaseRevision)
 					}
 					wonOn[c.BaseRevision] = c.Digest
-					if before != c.BaseRevision || state.Revision != c.Revision || state.Epoch() != epoch+1 {
+					if before != c.BaseRevision || state.Revision != c.Revision || state.Version() != epoch+1 {
 						return fmt.Sprintf("%s was taken on %d and led to %d", c.Digest, before, state.Revision)
 					}
-				} else if state.Revision != before || state.Epoch() != epoch {
+				} else if state.Revision != before || state.Version() != epoch {
 					return c.Digest + " was taken twice"
 				}
 				taken[c.Digest] = true
-				if r.Proposal == nil || r.Proposal.ID != AppliedID(c.Digest) || r.Proposal.Epoch == 0 {
+				if r.Proposal == nil || r.Proposal.ID != AppliedID(c.Digest) || r.Proposal.Version == 0 {
 					return fmt.Sprintf("%s is acknowledged as %+v", c.Digest, r.Proposal)
 				}
 			case Conflict:
@@ -97,29 +97,29 @@
 
 func TestAnOrderWithoutDigestOrBundleIsNone(t *testing.T) {
 	state := New()
-	if r := state.do(t, Command{Op: OpApply, Revision: 1, Spec: []byte("x")}); r.Verdict != Malformed {
+	if r := state.do(t, Command{Op: OpApply, Revision: 1, Configuration: []byte("x")}); r.Outcome != Malformed {
 		t.Error("no digest:", r)
 	}
-	if r := state.do(t, Command{Op: OpApply, Digest: "e", Spec: []byte("x")}); r.Verdict != Conflict {
+	if r := state.do(t, Command{Op: OpApply, Digest: "e", Configuration: []byte("x")}); r.Outcome != Conflict {
 		t.Error("no revision:", r)
 	}
 	// One without its bundle is a refusal, and holds against every copy that comes later.
 	for _, bundle := range []string{"", "x"} {
-		if r := state.do(t, Command{Op: OpApply, Digest: "d", Revision: 1, Spec: []byte(bundle)}); r.Verdict != Conflict {
+		if r := state.do(t, Command{Op: OpApply, Digest: "d", Revision: 1, Configuration: []byte(bundle)}); r.Outcome != Conflict {
 			t.Errorf("bundle %q: %v", bundle, r)
 		}
 	}
-	if state.Epoch() != 0 {
+	if state.Version() != 0 {
 		t.Error("one of them is in force")
 	}
 }
 
 func TestNoProposalCanTakeTheIDOfAnOrder(t *testing.T) {
 	state := New()
-	if r := state.do(t, Command{Op: OpPropose, ProposalID: AppliedID("d"), Operator: "ana", Spec: []byte("x")}); r.Verdict != Malformed {
+	if r := state.do(t, Command{Op: OpPropose, ProposalID: AppliedID("d"), Operator: "ana", Configuration: []byte("x")}); r.Outcome != Malformed {
 		t.Error(r)
 	}
-	if r := state.do(t, Command{Op: OpApply, Digest: "d", Revision: 1, Spec: []byte("x")}); r.Verdict != Done {
+	if r := state.do(t, Command{Op: OpApply, Digest: "d", Revision: 1, Configuration: []byte("x")}); r.Outcome != Done {
 		t.Error(r)
 	}
 }
@@ -128,35 +128,35 @@
 func TestAProposalOnTheSameEpochLosesToAnOrder(t *testing.T) {
 	state := New()
 	for _, c := range []Command{
-		{Op: OpPropose, ProposalID: "p", Operator: "ana", Spec: []byte("x")}, {Op: OpReview, ProposalID: "p", Operator: "berta"}, {Op: OpSign, ProposalID: "p", Operator: "chen"},
+		{Op: OpPropose, ProposalID: "p", Operator: "ana", Configuration: []byte("x")}, {Op: OpReview, ProposalID: "p", Operator: "berta"}, {Op: OpSignOff, ProposalID: "p", Operator: "chen"},
 	} {
-		if r := state.do(t, c); r.Verdict != Done {
+		if r := state.do(t, c); r.Outcome != Done {
 			t.Fatal(r)
 		}
 	}
-	if r := state.do(t, Command{Op: OpApply, Digest: "d", Revision: 4, Spec: []byte("y")}); r.Verdict != Done || r.Epoch != 1 || r.Revision != 4 {
+	if r := state.do(t, Command{Op: OpApply, Digest: "d", Revision: 4, Configuration: []byte("y")}); r.Outcome != Done || r.Version != 1 || r.Revision != 4 {
 		t.Fatal(r)
 	}
-	if r := state.do(t, Command{Op: OpRoll, ProposalID: "p", Operator: "ana"}); r.Verdict != Conflict || r.Winner != AppliedID("d") {
+	if r := state.do(t, Command{Op: OpRollOut, ProposalID: "p", Operator: "ana"}); r.Outcome != Conflict || r.Winner != AppliedID("d") {
 		t.Error(r)
 	}
 }
 
 // TestWhatIsKeptOfOrdersIsBounded looks at what the state holds after many orders.
 func TestWhatIsKeptOfOrdersIsBounded(t *testing.T) {
-	for _, c := range []struct{ orders, bytes, whole int }{{100, 10, keptBundles}, {30, keptBytes / 4, 4}, {5, keptBytes * 2, 1}} {
+	for _, c := range []struct{ orders, bytes, whole int }{{100, 10, maxRetainedBundles}, {30, maxRetainedBytes / 4, 4}, {5, maxRetainedBytes * 2, 1}} {
 		state := New()
 		for i := range c.orders {
-			r := state.do(t, Command{Op: OpApply, Digest: fmt.Sprint("d", i), BaseRevision: ident.Revision(i), Revision: ident.Revision(i + 1), Spec: make([]byte, c.bytes)})
-			if r.Verdict != Done {
+			r := state.do(t, Command{Op: OpApply, Digest: fmt.Sprint("d", i), BaseRevision: ident.Revision(i), Revision: ident.Revision(i + 1), Configuration: make([]byte, c.bytes)})
+			if r.Outcome != Done {
 				t.Fatal(r)
 			}
 		}
 		whole := 0
-		for epoch := ident.Version(1); epoch <= state.Epoch(); epoch++ {
-			if found, ok := state.At(epoch); ok && len(found.Spec) > 0 {
+		for epoch := ident.Version(1); epoch <= state.Version(); epoch++ {
+			if found, ok := state.ProposalAt(epoch); ok && len(found.Configuration) > 0 {
 				whole++
-				if epoch <= state.Epoch()-ident.Version(c.whole) {
+				if epoch <= state.Version()-ident.Version(c.whole) {
 					t.Errorf("%d orders of %d bytes: epoch %d is kept whole", c.orders, c.bytes, epoch)
 				}
 			}
@@ -165,35 +165,35 @@
 			t.Errorf("%d orders of %d bytes: %d are kept whole, want %d", c.orders, c.bytes, whole, c.whole)
 		}
 		for i := range c.orders {
-			if r := state.do(t, Command{Op: OpApply, Digest: fmt.Sprint("d", i), BaseRevision: ident.Revision(i), Revision: ident.Revision(i + 1), Spec: []byte("x")}); r.Verdict != Done || r.Proposal.Epoch != ident.Version(i+1) {
+			if r := state.do(t, Command{Op: OpApply, Digest: fmt.Sprint("d", i), BaseRevision: ident.Revision(i), Revision: ident.Revision(i + 1), Configuration: []byte("x")}); r.Outcome != Done || r.Proposal.Version != ident.Version(i+1) {
 				t.Errorf("order %d again: %+v", i, r)
 			}
 		}
 	}
 	state := New()
-	for i := range keptApplied + 50 {
-		state.do(t, Command{Op: OpApply, Digest: fmt.Sprint("d", i), BaseRevision: ident.Revision(i), Revision: ident.Revision(i + 1), Spec: []byte("x")})
+	for i := range maxVersions + 50 {
+		state.do(t, Command{Op: OpApply, Digest: fmt.Sprint("d", i), BaseRevision: ident.Revision(i), Revision: ident.Revision(i + 1), Configuration: []byte("x")})
 	}
-	if len(state.Proposals) > keptApplied+2 {
+	if len(state.Proposals) > maxVersions+2 {
 		t.Errorf("%d orders are known", len(state.Proposals))
 	}
-	if first, ok := state.At(1); !ok || first.Rolled == nil {
+	if first, ok := state.ProposalAt(1); !ok || first.RolledOut == nil {
 		t.Error("nobody knows when the first bundle came")
 	}
 	known := 0
-	for i := range 2 * mostRefused {
-		r := state.do(t, Command{Op: OpApply, Digest: fmt.Sprint("ahead", i), BaseRevision: 1 << 40, Revision: 1 << 41, Spec: []byte("x")})
+	for i := range 2 * maxRejectedApplies {
+		r := state.do(t, Command{Op: OpApply, Digest: fmt.Sprint("ahead", i), BaseRevision: 1 << 40, Revision: 1 << 41, Configuration: []byte("x")})
 		switch {
-		case r.Verdict == Conflict:
+		case r.Outcome == Conflict:
 			known++
-		case r.Verdict != Unproven || known < mostRefused:
+		case r.Outcome != Unproven || known < maxRejectedApplies:
 			t.Fatalf("order %d on a base to come: %+v", i, r)
 		}
 	}
-	if known != mostRefused || len(state.RefusedAhead) != mostRefused {
-		t.Errorf("%d were refused, and %d are known", known, len(state.RefusedAhead))
+	if known != maxRejectedApplies || len(state.RejectedAhead) != maxRejectedApplies {
+		t.Errorf("%d were refused, and %d are known", known, len(state.RejectedAhead))
 	}
-	if len(state.History) > keptApplied {
+	if len(state.History) > maxVersions {
 		t.Errorf("%d epochs are listed", len(state.History))
 	}
 }
@@ -203,10 +203,10 @@
 	state := New()
 	for i, id := range []string{"a", "b", "c"} {
 		for _, c := range []Command{
-			{Op: OpPropose, ProposalID: id, Base: ident.Version(i), Operator: "ana", Spec: []byte("x")}, {Op: OpReview, ProposalID: id, Operator: "berta"},
-			{Op: OpSign, ProposalID: id, Operator: "chen"}, {Op: OpRoll, ProposalID: id, Operator: "ana"},
+			{Op: OpPropose, ProposalID: id, Base: ident.Version(i), Operator: "ana", Configuration: []byte("x")}, {Op: OpReview, ProposalID: id, Operator: "berta"},
+			{Op: OpSignOff, ProposalID: id, Operator: "chen"}, {Op: OpRollOut, ProposalID: id, Operator: "ana"},
 		} {
-			if r := state.do(t, c); r.Verdict != Done {
+			if r := state.do(t, c); r.Outcome != Done {
 				t.Fatal(r)
 			}
 		}
--- a/process/consensus/statemachine/closures_test.go
+++ b/process/consensus/statemachine/closures_test.go
@@ -9,30 +9,30 @@
 
 // closureCommand is the closure or opening number i of a chain in which each builds on the one before.
 func closureCommand(i int) Command {
-	return Command{Op: OpClosure, Operator: "ana", Zone: ident.ZoneID(fmt.Sprint("z", i/2)), Closed: i%2 == 0, Base: ident.Version(i), Based: true}
+	return Command{Op: OpClosure, Operator: "ana", Zone: ident.ZoneID(fmt.Sprint("z", i/2)), Closed: i%2 == 0, Base: ident.Version(i), HasBase: true}
 }
 
 // TestAnOldClosureSentAgainIsNeverRefused sends every closure of a long chain again at its end.
 func TestAnOldClosureSentAgainIsNeverRefused(t *testing.T) {
-	const closures = 3 * mostActs
+	const closures = 3 * maxClosureChanges
 	state := New()
 	for i := range closures {
-		if r := state.do(t, closureCommand(i)); r.Verdict != Done {
+		if r := state.do(t, closureCommand(i)); r.Outcome != Done {
 			t.Fatal(i, r)
 		}
 	}
 	for i := range closures {
 		want := Done
-		if i < closures-mostActs {
+		if i < closures-maxClosureChanges {
 			want = Unproven
 		}
-		if r := state.do(t, closureCommand(i)); r.Verdict != want || state.Closures.Epoch != closures {
-			t.Errorf("closure %d was taken, and sent again: %s %s", i, r.Verdict, r.Reason)
+		if r := state.do(t, closureCommand(i)); r.Outcome != want || state.Closures.Version != closures {
+			t.Errorf("closure %d was taken, and sent again: %s %s", i, r.Outcome, r.Reason)
 		}
 	}
 	rival := closureCommand(closures - 1)
 	rival.Operator = "berta"
-	if r := state.do(t, rival); r.Verdict != Conflict || r.Winner != "ana" {
+	if r := state.do(t, rival); r.Outcome != Conflict || r.Winner != "ana" {
 		t.Errorf("the newest closure's rival: %+v", r)
 	}
 }
@@ -41,11 +41,11 @@
 func TestARefusedClosureNeverTakesEffect(t *testing.T) {
 	state := New()
 	ahead := func(i int) Command {
-		return Command{Op: OpClosure, Operator: fmt.Sprint("operator-", i), Zone: "z9", Closed: true, Base: 1, Based: true}
+		return Command{Op: OpClosure, Operator: fmt.Sprint("operator-", i), Zone: "z9", Closed: true, Base: 1, HasBase: true}
 	}
 	refused := map[int]bool{}
-	for i := range 2 * mostActs {
-		switch r := state.do(t, ahead(i)); r.Verdict {
+	for i := range 2 * maxClosureChanges {
+		switch r := state.do(t, ahead(i)); r.Outcome {
 		case Conflict:
 			refused[i] = true
 		case Unproven:
@@ -53,21 +53,21 @@
 			t.Fatal(i, r)
 		}
 	}
-	if len(refused) != mostActs || state.Closures.Epoch != 0 {
-		t.Errorf("%d were refused, epoch %d", len(refused), state.Closures.Epoch)
+	if len(refused) != maxClosureChanges || state.Closures.Version != 0 {
+		t.Errorf("%d were refused, epoch %d", len(refused), state.Closures.Version)
 	}
 	state.do(t, closureCommand(0))
-	for i := range 2 * mostActs {
+	for i := range 2 * maxClosureChanges {
 		restored, err := Restore(state.Snapshot())
 		if err != nil {
 			t.Fatal(err)
 		}
 		state = restored
-		if r := state.do(t, ahead(i)); refused[i] && r.Verdict != Conflict {
-			t.Fatalf("closure %d was refused, and sent again: %s", i, r.Verdict)
+		if r := state.do(t, ahead(i)); refused[i] && r.Outcome != Conflict {
+			t.Fatalf("closure %d was refused, and sent again: %s", i, r.Outcome)
 		}
 	}
-	if len(state.RefusedActs) != 0 {
-		t.Errorf("%d refusals are still kept", len(state.RefusedActs))
+	if len(state.RejectedClosures) != 0 {
+		t.Errorf("%d refusals are still kept", len(state.RejectedClosures))
 	}
 }
--- a/process/consensus/statemachine/digest.go
+++ b/process/consensus/statemachine/digest.go
@@ -10,7 +10,7 @@
 
 // outcomes numbers what commands do to the state. Raise it where a command's outcome changes though no field does:
 // members of builds that apply alike must hold equal states, and only theirs are compared.
-const outcomes = 1
+const semanticsVersion = 1
 
 // ErrIncomplete says that a snapshot lacks a part of the state that every state has.
 var ErrIncomplete = errors.New("the snapshot lacks a part of the state")
@@ -18,22 +18,22 @@
 // Digest is a sum over the whole state: equal for all members that applied the same entries, whether one by one or
 // by way of a snapshot. It takes as long as a snapshot does; Bytes is how long that is.
 type Digest struct {
-	Sum   uint64
-	Bytes int
+	Sum           uint64
+	SnapshotBytes int
 }
 
 // Digest sums up the state.
 func (s *State) Digest() Digest {
 	data := s.Snapshot()
 	sum := sha256.Sum256(data)
-	return Digest{Sum: binary.BigEndian.Uint64(sum[:8]), Bytes: len(data)}
+	return Digest{Sum: binary.BigEndian.Uint64(sum[:8]), SnapshotBytes: len(data)}
 }
 
 // Form tells builds apart whose digests can't be compared, by the fields of the state and by outcomes. A build that
 // may differ in other ways says so by its name.
-func Form(build string) uint64 {
+func DigestSchema(build string) uint64 {
 	sum := fnv.New64a()
-	_ = binary.Write(sum, binary.BigEndian, uint64(outcomes))
+	_ = binary.Write(sum, binary.BigEndian, uint64(semanticsVersion))
 	_, _ = sum.Write([]byte(build))
 	describe(reflect.TypeFor[State](), map[reflect.Type]bool{}, func(word string) { _, _ = sum.Write([]byte(word + ";")) })
 	return sum.Sum64()
--- a/process/consensus/statemachine/digest_test.go
+++ b/process/consensus/statemachine/digest_test.go
@@ -15,13 +15,13 @@
 // randomCommand makes any command, over few names, so that they meet.
 func randomCommand(random *rand.Rand, at ident.GroupTime, revision ident.Revision) Command {
 	name := func(kind string, count int) string { return fmt.Sprint(kind, random.IntN(count)) }
-	ops := []Op{OpAcquire, OpRenew, OpRelease, OpReclaim, OpPropose, OpReview, OpSign, OpRoll, OpClosure, OpKeep, OpClaim, OpDropClaim, OpEnlist, OpLost, OpLeave, OpApply}
+	ops := []Op{OpAcquire, OpRenew, OpRelease, OpReclaim, OpPropose, OpReview, OpSignOff, OpRollOut, OpClosure, OpProtect, OpAcquirePlanner, OpReleasePlanner, OpRegister, OpDeclareLost, OpEngineDeparted, OpApply}
 	command := Command{
-		Op: ops[random.IntN(len(ops))], At: at, NodeID: ident.NodeID(name("node#", 6)), WorkerID: ident.WorkerID(random.IntN(4)), SpanMs: 3000, GapMs: 1000,
-		ProposalID: name("proposal-", 8), Operator: name("operator-", 3), Spec: []byte("{}"), Digest: name("digest-", 40),
+		Op: ops[random.IntN(len(ops))], At: at, NodeID: ident.NodeID(name("node#", 6)), WorkerID: ident.WorkerID(random.IntN(4)), LeaseMs: 3000, HandoverGapMs: 1000,
+		ProposalID: name("proposal-", 8), Operator: name("operator-", 3), Configuration: []byte("{}"), Digest: name("digest-", 40),
 		BaseRevision: revision, Revision: revision + 1, Zone: ident.ZoneID(name("zone-", 3)), Engine: ident.EngineID(name("engine-", 9)), Closed: random.IntN(2) == 0,
-		Address: "address", Lost: ident.NodeID(name("node#", 6)), TellsAll: random.IntN(2) == 0, Whole: random.IntN(2) == 0,
-		Told: &Told{Orders: map[ident.EngineID]uint64{ident.EngineID(name("engine-", 9)): random.Uint64N(9)}, Loads: random.IntN(3), KeepMs: 5000},
+		Address: "address", LostDaemon: ident.NodeID(name("node#", 6)), AnnouncesAll: random.IntN(2) == 0, WithAnnounced: random.IntN(2) == 0,
+		Announcement: &Announcement{Orders: map[ident.EngineID]uint64{ident.EngineID(name("engine-", 9)): random.Uint64N(9)}, Loads: random.IntN(3), KeepMs: 5000},
 	}
 	if command.Op == OpClosure && random.IntN(2) == 0 {
 		command.Engine = ""
@@ -53,7 +53,7 @@
 				t.Fatalf("seed %d: states differ after command %d\n%s\n%s", seed, number, straight.Snapshot(), restored.Snapshot())
 			}
 		}
-		if straight.Epoch() == 0 || len(straight.Left) == 0 || straight.Claim.Number == 0 {
+		if straight.Version() == 0 || len(straight.DepartedEngines) == 0 || straight.PlannerLease.Token == 0 {
 			t.Errorf("seed %d: the commands changed too little", seed)
 		}
 	}
@@ -67,9 +67,9 @@
 		"history":  func(s *State) { s.History = append(s.History, "x") },
 		"revision": func(s *State) { s.Revision++ },
 		"closures": func(s *State) { s.Closures.Zones["z"] = closure.Record{} },
-		"claim":    func(s *State) { s.Claim.Number++ },
-		"serving":  func(s *State) { s.Serving["n"] = Serving{} },
-		"left":     func(s *State) { s.Leaves++ },
+		"claim":    func(s *State) { s.PlannerLease.Token++ },
+		"serving":  func(s *State) { s.Serving["n"] = ServingDaemon{} },
+		"left":     func(s *State) { s.Departures++ },
 	} {
 		one, other := New(), New()
 		change(other)
@@ -77,8 +77,8 @@
 			t.Errorf("another %s makes no other digest", name)
 		}
 	}
-	first, again := Form("a"), Form("a")
-	if first == Form("b") || first != again {
+	first, again := DigestSchema("a"), DigestSchema("a")
+	if first == DigestSchema("b") || first != again {
 		t.Error("the form does not tell builds apart")
 	}
 }
@@ -135,7 +135,7 @@
 			b.ReportAllocs()
 			bytes := 0
 			for b.Loop() {
-				bytes = s.Digest().Bytes
+				bytes = s.Digest().SnapshotBytes
 			}
 			b.ReportMetric(float64(bytes), "state-bytes")
 		})
--- a/process/consensus/statemachine/fuzz_test.go
+++ b/process/consensus/statemachine/fuzz_test.go
@@ -62,11 +62,11 @@
 		if !bytes.Equal(first, again.Snapshot()) {
 			t.Fatal("it is another state once it was written and read")
 		}
-		for epoch := ident.Version(0); epoch <= state.Epoch(); epoch++ {
-			state.At(epoch)
+		for epoch := ident.Version(0); epoch <= state.Version(); epoch++ {
+			state.ProposalAt(epoch)
 		}
-		state.LeftSince(0)
-		state.ServingNow()
+		state.DepartedSince(0)
+		state.ServingDaemons()
 		for _, command := range commands {
 			state.Apply(command)
 		}
@@ -90,9 +90,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			now, epoch, claim := state.Now, state.Epoch(), state.Claim.Number
+			now, epoch, claim := state.Now, state.Version(), state.PlannerLease.Token
 			state.Apply(data)
-			if state.Now < now || state.Epoch() < epoch || state.Epoch() > epoch+1 || state.Claim.Number < claim {
+			if state.Now < now || state.Version() < epoch || state.Version() > epoch+1 || state.PlannerLease.Token < claim {
 				t.Fatalf("the state went back: %q", data)
 			}
 			snapshot := state.Snapshot()
--- a/process/consensus/statemachine/memory_test.go
+++ b/process/consensus/statemachine/memory_test.go
@@ -13,7 +13,7 @@
 // win applies order number i of a chain in which each builds on the one before: order i leads from revision i to i+1.
 func (s *State) win(t testing.TB, i int) Result {
 	t.Helper()
-	return s.do(t, Command{Op: OpApply, Digest: fmt.Sprint("d", i), BaseRevision: ident.Revision(i), Revision: ident.Revision(i + 1), Spec: []byte("x")})
+	return s.do(t, Command{Op: OpApply, Digest: fmt.Sprint("d", i), BaseRevision: ident.Revision(i), Revision: ident.Revision(i + 1), Configuration: []byte("x")})
 }
 
 // TestAnOldWinnerSentAgainIsNeverRefused sends every order of a long chain again at its end.
@@ -21,12 +21,12 @@
 	const orders = 4096 + 300
 	state := New()
 	for i := range orders {
-		if r := state.win(t, i); r.Verdict != Done {
+		if r := state.win(t, i); r.Outcome != Done {
 			t.Fatal(i, r)
 		}
 	}
 	for i := range orders {
-		if r := state.win(t, i); r.Verdict == Conflict || r.Verdict == Malformed || r.Revision != orders {
+		if r := state.win(t, i); r.Outcome == Conflict || r.Outcome == Malformed || r.Revision != orders {
 			t.Fatalf("order %d was taken, and sent again: %+v", i, r)
 		}
 	}
@@ -37,10 +37,10 @@
 	state := New()
 	refused := map[string]bool{}
 	ahead := func(i int) Command {
-		return Command{Op: OpApply, Digest: fmt.Sprint("ahead", i), BaseRevision: 1, Revision: 2, Spec: []byte("x")}
+		return Command{Op: OpApply, Digest: fmt.Sprint("ahead", i), BaseRevision: 1, Revision: 2, Configuration: []byte("x")}
 	}
 	for i := range 600 {
-		if r := state.do(t, ahead(i)); r.Verdict == Conflict {
+		if r := state.do(t, ahead(i)); r.Outcome == Conflict {
 			refused[ahead(i).Digest] = true
 		}
 	}
@@ -49,7 +49,7 @@
 	}
 	state.win(t, 0)
 	for i := range 600 {
-		if r := state.do(t, ahead(i)); r.Verdict == Done && refused[ahead(i).Digest] {
+		if r := state.do(t, ahead(i)); r.Outcome == Done && refused[ahead(i).Digest] {
 			t.Fatalf("%s was refused and won", ahead(i).Digest)
 		}
 	}
@@ -64,7 +64,7 @@
 
 // judge notes one answer, and says what is wrong with it.
 func (m *memoryModel) judge(c Command, before ident.Revision, r Result) string {
-	switch r.Verdict {
+	switch r.Outcome {
 	case Done:
 		if m.refused[c.Digest] {
 			return "was refused and is taken"
@@ -105,17 +105,17 @@
 func (b rememberingBreak) breakState(s *State) {
 	switch b {
 	case takenForgotten:
-		s.ProvenFrom = 0
+		s.AppliesKnownFrom = 0
 	case refusedForgotten:
-		s.RefusedAhead = s.RefusedAhead[max(0, len(s.RefusedAhead)-1):]
+		s.RejectedAhead = s.RejectedAhead[max(0, len(s.RejectedAhead)-1):]
 	case refusedTooSoon:
-		kept := s.RefusedAhead[:0:0]
-		for _, o := range s.RefusedAhead {
+		kept := s.RejectedAhead[:0:0]
+		for _, o := range s.RejectedAhead {
 			if o.Base > s.Revision {
 				kept = append(kept, o)
 			}
 		}
-		s.RefusedAhead = kept
+		s.RejectedAhead = kept
 	}
 }
 
@@ -123,7 +123,7 @@
 // bundles that are signed off between them, and through snapshots.
 func playMemory(t *testing.T, seed uint64, broken rememberingBreak) (fault string, clear, unproven int) {
 	random := rand.New(rand.NewPCG(seed, 18))
-	tiny := Limits{Taken: 4, Refused: 3}
+	tiny := Limits{Versions: 4, RejectedApplies: 3}
 	state := New(WithLimits(tiny))
 	model := memoryModel{taken: map[string]bool{}, refused: map[string]bool{}, wonOn: map[ident.Revision]string{}}
 	var sent []Command
@@ -139,19 +139,19 @@
 			} else if random.IntN(5) == 0 {
 				base -= min(base, ident.Revision(random.IntN(12)))
 			}
-			c = Command{Op: OpApply, Digest: fmt.Sprint("d", step), BaseRevision: base, Revision: base + 1 + ident.Revision(random.IntN(3)), Operator: fmt.Sprint(step % 2), Spec: []byte("x")}
+			c = Command{Op: OpApply, Digest: fmt.Sprint("d", step), BaseRevision: base, Revision: base + 1 + ident.Revision(random.IntN(3)), Operator: fmt.Sprint(step % 2), Configuration: []byte("x")}
 			sent = append(sent, c)
 		}
 		before := state.Revision
 		sending := c
 		if c.BaseRevision > before && random.IntN(2) == 0 {
-			sending.Spec, sending.Revision = nil, 0
+			sending.Configuration, sending.Revision = nil, 0
 		}
 		r := state.do(t, sending)
 		if fault := model.judge(c, before, r); fault != "" {
 			return fmt.Sprintf("step %d: %s on base %d, at revision %d, %s", step, c.Digest, c.BaseRevision, before, fault), clear, unproven
 		}
-		if r.Verdict == Unproven {
+		if r.Outcome == Unproven {
 			unproven++
 		} else {
 			clear++
@@ -159,8 +159,8 @@
 		if random.IntN(20) == 0 {
 			rollSigned(t, state, fmt.Sprint("signed", step))
 		}
-		if len(state.History) > tiny.Taken || len(state.RefusedAhead) > tiny.Refused {
-			return fmt.Sprintf("%d epochs and %d refusals are remembered", len(state.History), len(state.RefusedAhead)), clear, unproven
+		if len(state.History) > tiny.Versions || len(state.RejectedAhead) > tiny.RejectedApplies {
+			return fmt.Sprintf("%d epochs and %d refusals are remembered", len(state.History), len(state.RejectedAhead)), clear, unproven
 		}
 		if random.IntN(8) == 0 {
 			restored, err := Restore(state.Snapshot(), WithLimits(tiny))
@@ -177,10 +177,10 @@
 // rollSigned puts a bundle in force by the four steps.
 func rollSigned(t *testing.T, state *State, id string) {
 	for _, c := range []Command{
-		{Op: OpPropose, ProposalID: id, Base: state.Epoch(), Operator: "ana", Spec: []byte{1}}, {Op: OpReview, ProposalID: id, Operator: "berta"},
-		{Op: OpSign, ProposalID: id, Operator: "chen"}, {Op: OpRoll, ProposalID: id, Operator: "ana"},
+		{Op: OpPropose, ProposalID: id, Base: state.Version(), Operator: "ana", Configuration: []byte{1}}, {Op: OpReview, ProposalID: id, Operator: "berta"},
+		{Op: OpSignOff, ProposalID: id, Operator: "chen"}, {Op: OpRollOut, ProposalID: id, Operator: "ana"},
 	} {
-		if r := state.do(t, c); r.Verdict != Done {
+		if r := state.do(t, c); r.Outcome != Done {
 			t.Fatal(r)
 		}
 	}
@@ -219,28 +219,28 @@
 
 // TestTheFirstAndTheSignedStayKnown looks at what is left of epochs that were dropped.
 func TestTheFirstAndTheSignedStayKnown(t *testing.T) {
-	state := New(WithLimits(Limits{Taken: 4, Refused: 3}))
+	state := New(WithLimits(Limits{Versions: 4, RejectedApplies: 3}))
 	state.win(t, 0)
 	rollSigned(t, state, "signed")
 	for i := 2; i < 20; i++ {
 		state.win(t, i)
 	}
 	for epoch, want := range map[ident.Version]string{1: AppliedID("d0"), 2: "signed", 20: AppliedID("d19"), 17: AppliedID("d16")} {
-		if found, ok := state.At(epoch); !ok || found.ID != want || found.Epoch != epoch {
+		if found, ok := state.ProposalAt(epoch); !ok || found.ID != want || found.Version != epoch {
 			t.Errorf("epoch %d is %+v, want %s", epoch, found, want)
 		}
 	}
-	if _, ok := state.At(10); ok {
+	if _, ok := state.ProposalAt(10); ok {
 		t.Error("epoch 10 is still known")
 	}
-	if state.Epoch() != 20 || len(state.History) != 4 || len(state.Proposals) != 6 {
-		t.Errorf("epoch %d, %d listed, %d known", state.Epoch(), len(state.History), len(state.Proposals))
+	if state.Version() != 20 || len(state.History) != 4 || len(state.Proposals) != 6 {
+		t.Errorf("epoch %d, %d listed, %d known", state.Version(), len(state.History), len(state.Proposals))
 	}
 }
 
 // TestTheSnapshotStopsGrowing measures the snapshot after many orders and after many more.
 func TestTheSnapshotStopsGrowing(t *testing.T) {
-	state := New(WithLimits(Limits{Taken: 50, Refused: 3}))
+	state := New(WithLimits(Limits{Versions: 50, RejectedApplies: 3}))
 	size := map[int]int{}
 	for i := range 2001 {
 		// The same number of digits throughout.
@@ -248,7 +248,7 @@
 		if i == 0 {
 			base = 0
 		}
-		state.do(t, Command{Op: OpApply, Digest: fmt.Sprint("d", 1000+i), BaseRevision: base, Revision: ident.Revision(1001 + i), Spec: []byte("x")})
+		state.do(t, Command{Op: OpApply, Digest: fmt.Sprint("d", 1000+i), BaseRevision: base, Revision: ident.Revision(1001 + i), Configuration: []byte("x")})
 		size[i] = len(state.Snapshot())
 	}
 	if state.Revision != 3001 || size[2000] > size[200]+200 {
@@ -278,23 +278,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, limits := range []Limits{DefaultLimits(), {Taken: 20, Refused: 3}, {Taken: 8, Refused: 3}} {
+	for _, limits := range []Limits{DefaultLimits(), {Versions: 20, RejectedApplies: 3}, {Versions: 8, RejectedApplies: 3}} {
 		restored, err := Restore(data, WithLimits(limits))
-		if err != nil || restored.Epoch() != 30 || restored.Revision != 30 {
-			t.Fatalf("epoch %d, revision %d: %v", restored.Epoch(), restored.Revision, err)
+		if err != nil || restored.Version() != 30 || restored.Revision != 30 {
+			t.Fatalf("epoch %d, revision %d: %v", restored.Version(), restored.Revision, err)
 		}
 		for i := range 30 {
-			if r := restored.win(t, i); r.Verdict == Conflict {
+			if r := restored.win(t, i); r.Outcome == Conflict {
 				t.Errorf("%+v: order %d was taken and is refused", limits, i)
 			}
 		}
-		if r := restored.win(t, 29); r.Verdict != Done {
+		if r := restored.win(t, 29); r.Outcome != Done {
 			t.Errorf("%+v: the newest order again: %+v", limits, r)
 		}
-		if r := restored.do(t, Command{Op: OpApply, Digest: "rival", BaseRevision: 29, Revision: 31, Spec: []byte("x")}); r.Verdict != Conflict {
+		if r := restored.do(t, Command{Op: OpApply, Digest: "rival", BaseRevision: 29, Revision: 31, Configuration: []byte("x")}); r.Outcome != Conflict {
 			t.Errorf("%+v: the newest order's rival: %+v", limits, r)
 		}
-		if r := restored.do(t, Command{Op: OpApply, Digest: "ahead", BaseRevision: 30, Revision: 31, Spec: []byte("x")}); r.Verdict != Conflict {
+		if r := restored.do(t, Command{Op: OpApply, Digest: "ahead", BaseRevision: 30, Revision: 31, Configuration: []byte("x")}); r.Outcome != Conflict {
 			t.Errorf("%+v: an order that an earlier build refused: %+v", limits, r)
 		}
 	}
@@ -306,28 +306,28 @@
 	state.win(t, 0)
 	before := string(state.Snapshot())
 	for name, c := range map[string]Command{
-		"no digest":           {BaseRevision: 1, Revision: 2, Spec: []byte("x")},
-		"a digest too long":   {Digest: string(make([]byte, 300)), BaseRevision: 1, Revision: 2, Spec: []byte("x")},
-		"an absurd base":      {Digest: "a", BaseRevision: 1<<64 - 1, Revision: 2, Spec: []byte("x")},
-		"the same, no bundle": {Digest: "a", BaseRevision: MostRevision + 1},
-		"an absurd revision":  {Digest: "b", BaseRevision: 1, Revision: 1<<64 - 1, Spec: []byte("x")},
+		"no digest":           {BaseRevision: 1, Revision: 2, Configuration: []byte("x")},
+		"a digest too long":   {Digest: string(make([]byte, 300)), BaseRevision: 1, Revision: 2, Configuration: []byte("x")},
+		"an absurd base":      {Digest: "a", BaseRevision: 1<<64 - 1, Revision: 2, Configuration: []byte("x")},
+		"the same, no bundle": {Digest: "a", BaseRevision: MaxRevision + 1},
+		"an absurd revision":  {Digest: "b", BaseRevision: 1, Revision: 1<<64 - 1, Configuration: []byte("x")},
 	} {
 		c.Op = OpApply
-		if r := state.do(t, c); r.Verdict != Malformed || string(state.Snapshot()) != before {
+		if r := state.do(t, c); r.Outcome != Malformed || string(state.Snapshot()) != before {
 			t.Errorf("%s: %+v", name, r)
 		}
 	}
-	if r := state.do(t, Command{Op: OpPropose, ProposalID: "p", Base: 1, Operator: "ana", Revision: MostRevision + 1, Spec: []byte("x")}); r.Verdict != Malformed {
+	if r := state.do(t, Command{Op: OpPropose, ProposalID: "p", Base: 1, Operator: "ana", Revision: MaxRevision + 1, Configuration: []byte("x")}); r.Outcome != Malformed {
 		t.Errorf("a proposal with an absurd revision: %+v", r)
 	}
 	// At the highest revision nothing can follow, by neither way.
-	if r := state.do(t, Command{Op: OpApply, Digest: "last", BaseRevision: 1, Revision: MostRevision, Spec: []byte("x")}); r.Verdict != Done {
+	if r := state.do(t, Command{Op: OpApply, Digest: "last", BaseRevision: 1, Revision: MaxRevision, Configuration: []byte("x")}); r.Outcome != Done {
 		t.Fatal(r)
 	}
-	for _, c := range []Command{{Op: OpPropose, ProposalID: "q", Base: 2, Operator: "ana", Spec: []byte("x")}, {Op: OpReview, ProposalID: "q", Operator: "berta"}, {Op: OpSign, ProposalID: "q", Operator: "chen"}} {
+	for _, c := range []Command{{Op: OpPropose, ProposalID: "q", Base: 2, Operator: "ana", Configuration: []byte("x")}, {Op: OpReview, ProposalID: "q", Operator: "berta"}, {Op: OpSignOff, ProposalID: "q", Operator: "chen"}} {
 		state.do(t, c)
 	}
-	if r := state.do(t, Command{Op: OpRoll, ProposalID: "q", Operator: "ana"}); r.Verdict != Exhausted || state.Revision != MostRevision {
+	if r := state.do(t, Command{Op: OpRollOut, ProposalID: "q", Operator: "ana"}); r.Outcome != Exhausted || state.Revision != MaxRevision {
 		t.Errorf("a bundle after the last revision: %+v", r)
 	}
 }
@@ -340,11 +340,11 @@
 		t.Fatal(err)
 	}
 	state, err := Restore(data)
-	if err != nil || state.Epoch() != 7 || state.Revision != 13 || state.ProvenFrom != 0 || state.Closures.Epoch != 1 || len(state.Serving) != 1 || state.Leaves != 1 {
+	if err != nil || state.Version() != 7 || state.Revision != 13 || state.AppliesKnownFrom != 0 || state.Closures.Version != 1 || len(state.Serving) != 1 || state.Departures != 1 {
 		t.Fatalf("%+v, %v", state, err)
 	}
-	order := func(digest string, base ident.Revision) Verdict {
-		return state.do(t, Command{Op: OpApply, Digest: digest, BaseRevision: base, Revision: base + 1, Spec: []byte("x")}).Verdict
+	order := func(digest string, base ident.Revision) Outcome {
+		return state.do(t, Command{Op: OpApply, Digest: digest, BaseRevision: base, Revision: base + 1, Configuration: []byte("x")}).Outcome
 	}
 	for i := range 6 {
 		if got := order(fmt.Sprint("d", i), ident.Revision(2*i)); got != Done {
--- a/process/consensus/statemachine/proposals.go
+++ b/process/consensus/statemachine/proposals.go
@@ -11,19 +11,19 @@
 
 const (
 	// Proposed: handed in, not reviewed yet.
-	Proposed Stage = "proposed"
+	StageProposed Stage = "proposed"
 	// Reviewed: reviewed, not signed off yet.
-	Reviewed Stage = "reviewed"
+	StageReviewed Stage = "reviewed"
 	// Signed: signed off, not in force yet.
-	Signed Stage = "signed"
+	StageSigned Stage = "signed"
 	// Rolled: it came in force as an epoch.
-	Rolled Stage = "rolled"
+	StageRolledOut Stage = "rolled"
 	// Lost: another proposal on the same base came in force first.
-	Lost Stage = "lost"
+	StageSuperseded Stage = "lost"
 )
 
 // Mark is one operator's act on a proposal.
-type Mark struct {
+type OperatorAction struct {
 	Operator string          `json:"operator"`
 	At       ident.GroupTime `json:"at"`
 	Note     string          `json:"note,omitempty"`
@@ -31,18 +31,18 @@
 
 // Proposal is one bundle on its way to being in force.
 type Proposal struct {
-	ID       string        `json:"proposalId"`
-	Base     ident.Version `json:"base"`
-	Stage    Stage         `json:"stage"`
-	Proposed Mark          `json:"proposed"`
-	Reviews  []Mark        `json:"reviews,omitempty"`
-	Signs    []Mark        `json:"signs,omitempty"`
-	Rolled   *Mark         `json:"rolled,omitempty"`
-	Epoch    ident.Version `json:"epoch,omitempty"`
-	Spec     []byte        `json:"spec,omitempty"`
+	ID            string           `json:"proposalId"`
+	Base          ident.Version    `json:"base"`
+	Stage         Stage            `json:"stage"`
+	Proposed      OperatorAction   `json:"proposed"`
+	Reviews       []OperatorAction `json:"reviews,omitempty"`
+	SignOffs      []OperatorAction `json:"signs,omitempty"`
+	RolledOut     *OperatorAction  `json:"rolled,omitempty"`
+	Version       ident.Version    `json:"epoch,omitempty"`
+	Configuration []byte           `json:"spec,omitempty"`
 	// Packed says that Spec is compressed; Bundle gives it back.
-	Packed   bool           `json:"packed,omitempty"`
-	Revision ident.Revision `json:"revision,omitempty"`
+	Compressed bool           `json:"packed,omitempty"`
+	Revision   ident.Revision `json:"revision,omitempty"`
 	// Applied says that it came in force in one step, by an operator alone.
 	Applied bool `json:"applied,omitempty"`
 }
@@ -50,98 +50,98 @@
 func (s *State) propose(c Command) Result {
 	if known := s.Proposals[c.ProposalID]; known != nil {
 		// The same proposal sent again finds itself, so a lost answer can be asked for anew.
-		if known.Base == c.Base && known.Proposed.Operator == c.Operator && slices.Equal(known.Spec, c.Spec) {
-			return Result{Verdict: Done, Proposal: known.brief()}
+		if known.Base == c.Base && known.Proposed.Operator == c.Operator && slices.Equal(known.Configuration, c.Configuration) {
+			return Result{Outcome: Done, Proposal: known.withoutConfiguration()}
 		}
-		return Result{Verdict: Conflict, Reason: "this proposal id stands for another bundle", Proposal: known.brief()}
+		return Result{Outcome: Conflict, Reason: "this proposal id stands for another bundle", Proposal: known.withoutConfiguration()}
 	}
 	if reserved(c.ProposalID) {
-		return Result{Verdict: Malformed, Reason: "ids that begin so are for bundles applied in one step"}
+		return Result{Outcome: Malformed, Reason: "ids that begin so are for bundles applied in one step"}
 	}
-	if c.Base != s.Epoch() {
-		return s.lostTo(c.Base)
+	if c.Base != s.Version() {
+		return s.baseConflict(c.Base)
 	}
-	if c.Revision > MostRevision {
-		return Result{Verdict: Malformed, Reason: "the revision is higher than any may be"}
+	if c.Revision > MaxRevision {
+		return Result{Outcome: Malformed, Reason: "the revision is higher than any may be"}
 	}
-	made := &Proposal{ID: c.ProposalID, Base: c.Base, Stage: Proposed, Spec: c.Spec, Revision: c.Revision,
-		Proposed: Mark{Operator: c.Operator, At: s.Now, Note: c.Note}}
+	made := &Proposal{ID: c.ProposalID, Base: c.Base, Stage: StageProposed, Configuration: c.Configuration, Revision: c.Revision,
+		Proposed: OperatorAction{Operator: c.Operator, At: s.Now, Note: c.Note}}
 	s.Proposals[c.ProposalID] = made
-	return Result{Verdict: Done, Proposal: made.brief()}
+	return Result{Outcome: Done, Proposal: made.withoutConfiguration()}
 }
 
 // lostTo answers one whose base is no longer, or not yet, in force.
-func (s *State) lostTo(base ident.Version) Result {
-	result := Result{Verdict: Conflict, Reason: "the base is not the epoch in force"}
-	if winner, ok := s.At(base + 1); ok {
+func (s *State) baseConflict(base ident.Version) Result {
+	result := Result{Outcome: Conflict, Reason: "the base is not the epoch in force"}
+	if winner, ok := s.ProposalAt(base + 1); ok {
 		result.Winner = winner.ID
 	}
 	return result
 }
 
-func (s *State) mark(c Command) Result {
+func (s *State) approve(c Command) Result {
 	proposal := s.Proposals[c.ProposalID]
 	if proposal == nil {
-		return Result{Verdict: Missing, Reason: "no such proposal"}
+		return Result{Outcome: Missing, Reason: "no such proposal"}
 	}
-	mark := Mark{Operator: c.Operator, At: s.Now, Note: c.Note}
+	mark := OperatorAction{Operator: c.Operator, At: s.Now, Note: c.Note}
 	done := &proposal.Reviews
-	if c.Op == OpSign {
-		done = &proposal.Signs
+	if c.Op == OpSignOff {
+		done = &proposal.SignOffs
 	}
-	if slices.ContainsFunc(*done, func(m Mark) bool { return m.Operator == c.Operator }) {
-		return Result{Verdict: Done, Proposal: proposal.brief()}
+	if slices.ContainsFunc(*done, func(m OperatorAction) bool { return m.Operator == c.Operator }) {
+		return Result{Outcome: Done, Proposal: proposal.withoutConfiguration()}
 	}
-	if proposal.Stage == Lost || proposal.Stage == Rolled {
-		return Result{Verdict: Conflict, Reason: "the proposal is " + string(proposal.Stage), Proposal: proposal.brief()}
+	if proposal.Stage == StageSuperseded || proposal.Stage == StageRolledOut {
+		return Result{Outcome: Conflict, Reason: "the proposal is " + string(proposal.Stage), Proposal: proposal.withoutConfiguration()}
 	}
-	if c.Op == OpSign {
+	if c.Op == OpSignOff {
 		if c.Operator == proposal.Proposed.Operator {
-			return Result{Verdict: Forbidden, Reason: "an author may not sign off the own bundle", Proposal: proposal.brief()}
+			return Result{Outcome: Forbidden, Reason: "an author may not sign off the own bundle", Proposal: proposal.withoutConfiguration()}
 		}
 		if len(proposal.Reviews) == 0 {
-			return Result{Verdict: Forbidden, Reason: "the bundle has not been reviewed", Proposal: proposal.brief()}
+			return Result{Outcome: Forbidden, Reason: "the bundle has not been reviewed", Proposal: proposal.withoutConfiguration()}
 		}
 	}
 	*done = append(*done, mark)
 	proposal.advance()
-	return Result{Verdict: Done, Proposal: proposal.brief()}
+	return Result{Outcome: Done, Proposal: proposal.withoutConfiguration()}
 }
 
 // advance is the one place where an open proposal moves on.
 func (p *Proposal) advance() {
 	switch {
-	case len(p.Signs) > 0:
-		p.Stage = Signed
+	case len(p.SignOffs) > 0:
+		p.Stage = StageSigned
 	case len(p.Reviews) > 0:
-		p.Stage = Reviewed
+		p.Stage = StageReviewed
 	}
 }
 
-func (s *State) roll(c Command) Result {
+func (s *State) rollOut(c Command) Result {
 	proposal := s.Proposals[c.ProposalID]
 	if proposal == nil {
-		return Result{Verdict: Missing, Reason: "no such proposal"}
+		return Result{Outcome: Missing, Reason: "no such proposal"}
 	}
 	switch {
-	case proposal.Stage == Rolled:
-		return Result{Verdict: Done, Proposal: proposal.brief()}
-	case proposal.Base != s.Epoch():
-		result := s.lostTo(proposal.Base)
-		result.Proposal = proposal.brief()
+	case proposal.Stage == StageRolledOut:
+		return Result{Outcome: Done, Proposal: proposal.withoutConfiguration()}
+	case proposal.Base != s.Version():
+		result := s.baseConflict(proposal.Base)
+		result.Proposal = proposal.withoutConfiguration()
 		return result
-	case s.Revision >= MostRevision:
-		return Result{Verdict: Exhausted, Reason: "no revision is left", Proposal: proposal.brief()}
-	case proposal.Stage != Signed:
-		return Result{Verdict: Forbidden, Reason: "the bundle has not been signed off", Proposal: proposal.brief()}
+	case s.Revision >= MaxRevision:
+		return Result{Outcome: Exhausted, Reason: "no revision is left", Proposal: proposal.withoutConfiguration()}
+	case proposal.Stage != StageSigned:
+		return Result{Outcome: Forbidden, Reason: "the bundle has not been signed off", Proposal: proposal.withoutConfiguration()}
 	}
-	s.putInForce(proposal, Mark{Operator: c.Operator, At: s.Now, Note: c.Note})
-	return Result{Verdict: Done, Proposal: proposal.brief()}
+	s.putInForce(proposal, OperatorAction{Operator: c.Operator, At: s.Now, Note: c.Note})
+	return Result{Outcome: Done, Proposal: proposal.withoutConfiguration()}
 }
 
 // brief is a copy without the bundle itself.
-func (p *Proposal) brief() *Proposal {
+func (p *Proposal) withoutConfiguration() *Proposal {
 	copied := *p
-	copied.Spec = nil
+	copied.Configuration = nil
 	return &copied
 }
--- a/process/consensus/statemachine/ranking_test.go
+++ b/process/consensus/statemachine/ranking_test.go
@@ -21,12 +21,12 @@
 }
 
 func ranked(node ident.NodeID, claim ident.FencingToken, engine ident.EngineID, closed bool) Command {
-	return Command{Op: OpClosure, NodeID: node, Operator: "ranking", Engine: engine, Closed: closed, Ranking: &closure.Ranking{Claim: claim, Stamp: 7, Reason: "stall"}}
+	return Command{Op: OpClosure, NodeID: node, Operator: "ranking", Engine: engine, Closed: closed, Ranking: &closure.RankingDecision{Token: claim, ID: 7, Reason: "stall"}}
 }
 
 func withClaim(t *testing.T, node ident.NodeID) *State {
 	s := New()
-	if got := do(t, s, 1000, Command{Op: OpClaim, NodeID: node, SpanMs: 3000, GapMs: 3800}); got.Claim == nil || got.Claim.Number != 1 {
+	if got := do(t, s, 1000, Command{Op: OpAcquirePlanner, NodeID: node, LeaseMs: 3000, HandoverGapMs: 3800}); got.PlannerLease == nil || got.PlannerLease.Token != 1 {
 		t.Fatalf("%+v", got)
 	}
 	return s
@@ -37,7 +37,7 @@
 		node  ident.NodeID
 		claim ident.FencingToken
 		at    ident.GroupTime
-		want  Verdict
+		want  Outcome
 	}{
 		"the holder":            {"p", 1, 2000, Done},
 		"another daemon":        {"q", 1, 2000, Forbidden},
@@ -47,18 +47,18 @@
 	} {
 		s := withClaim(t, "p")
 		got := do(t, s, c.at, ranked(c.node, c.claim, "e", true))
-		if _, shut := s.Closures.Engines["e"]; got.Verdict != c.want || shut != (c.want == Done) {
+		if _, shut := s.Closures.Engines["e"]; got.Outcome != c.want || shut != (c.want == Done) {
 			t.Errorf("%s: %+v, shut %t", name, got, shut)
 		}
 	}
 	s := withClaim(t, "p")
-	if got := do(t, s, 2000, Command{Op: OpClosure, NodeID: "p", Zone: "z", Engine: "e", Closed: true, Ranking: &closure.Ranking{Claim: 1}}); got.Verdict != Malformed {
+	if got := do(t, s, 2000, Command{Op: OpClosure, NodeID: "p", Zone: "z", Engine: "e", Closed: true, Ranking: &closure.RankingDecision{Token: 1}}); got.Outcome != Malformed {
 		t.Fatalf("the ranking shuts no zones: %+v", got)
 	}
 	// The mark says by what, and outlasts a snapshot.
 	do(t, s, 2000, ranked("p", 1, "e", true))
 	restored, err := Restore(s.Snapshot())
-	if err != nil || restored.Closures.Engines["e"].Ranking == nil || *restored.Closures.Engines["e"].Ranking != (closure.Ranking{Claim: 1, Stamp: 7, Reason: "stall"}) {
+	if err != nil || restored.Closures.Engines["e"].Ranking == nil || *restored.Closures.Engines["e"].Ranking != (closure.RankingDecision{Token: 1, ID: 7, Reason: "stall"}) {
 		t.Fatalf("%+v %v", restored.Closures, err)
 	}
 }
@@ -66,18 +66,18 @@
 func TestOperatorsStandAboveTheRanking(t *testing.T) {
 	s := withClaim(t, "p")
 	// Who is kept is not drained.
-	do(t, s, 1500, Command{Op: OpKeep, Engine: "e", Operator: "ana", Closed: true})
-	if got := do(t, s, 1600, ranked("p", 1, "e", true)); got.Verdict != Forbidden {
+	do(t, s, 1500, Command{Op: OpProtect, Engine: "e", Operator: "ana", Closed: true})
+	if got := do(t, s, 1600, ranked("p", 1, "e", true)); got.Outcome != Forbidden {
 		t.Fatalf("%+v", got)
 	}
 	// Kept twice changes nothing, and is let go again.
-	epoch := s.Closures.Epoch
-	do(t, s, 1600, Command{Op: OpKeep, Engine: "e", Operator: "ana", Closed: true})
-	if s.Closures.Epoch != epoch {
+	epoch := s.Closures.Version
+	do(t, s, 1600, Command{Op: OpProtect, Engine: "e", Operator: "ana", Closed: true})
+	if s.Closures.Version != epoch {
 		t.Fatal("said again it is no change")
 	}
-	do(t, s, 1600, Command{Op: OpKeep, Engine: "e", Operator: "ana"})
-	if got := do(t, s, 1700, ranked("p", 1, "e", true)); got.Verdict != Done {
+	do(t, s, 1600, Command{Op: OpProtect, Engine: "e", Operator: "ana"})
+	if got := do(t, s, 1700, ranked("p", 1, "e", true)); got.Outcome != Done {
 		t.Fatalf("%+v", got)
 	}
 	// An operator makes the ranking's drain their own: then the ranking does not open it.
@@ -85,31 +85,31 @@
 	if mark := s.Closures.Engines["e"]; mark.Operator != "ana" || mark.Ranking != nil {
 		t.Fatalf("%+v", mark)
 	}
-	if got := do(t, s, 1900, ranked("p", 1, "e", false)); got.Verdict != Forbidden {
+	if got := do(t, s, 1900, ranked("p", 1, "e", false)); got.Outcome != Forbidden {
 		t.Fatalf("%+v", got)
 	}
-	if got := do(t, s, 1900, ranked("p", 1, "e", true)); got.Verdict != Done || s.Closures.Engines["e"].Operator != "ana" {
+	if got := do(t, s, 1900, ranked("p", 1, "e", true)); got.Outcome != Done || s.Closures.Engines["e"].Operator != "ana" {
 		t.Fatalf("nor does it take the mark over: %+v", s.Closures.Engines["e"])
 	}
 	// And what the ranking drained an operator opens.
 	do(t, s, 2000, ranked("p", 1, "f", true))
-	if got := do(t, s, 2000, Command{Op: OpClosure, Engine: "f", Operator: "ana"}); got.Verdict != Done || len(s.Closures.Engines) != 1 {
+	if got := do(t, s, 2000, Command{Op: OpClosure, Engine: "f", Operator: "ana"}); got.Outcome != Done || len(s.Closures.Engines) != 1 {
 		t.Fatalf("%+v", s.Closures)
 	}
-	if got := do(t, s, 2000, Command{Op: OpKeep, Operator: "ana", Closed: true}); got.Verdict != Malformed {
+	if got := do(t, s, 2000, Command{Op: OpProtect, Operator: "ana", Closed: true}); got.Outcome != Malformed {
 		t.Fatalf("%+v", got)
 	}
 }
 
 func TestWhoIsKeptIsBounded(t *testing.T) {
 	s := New()
-	for n := range mostKept + 50 {
-		do(t, s, 1000, Command{Op: OpKeep, Engine: ident.EngineID(fmt.Sprint("e", n)), Operator: "ana", Closed: true})
+	for n := range maxProtectedEngines + 50 {
+		do(t, s, 1000, Command{Op: OpProtect, Engine: ident.EngineID(fmt.Sprint("e", n)), Operator: "ana", Closed: true})
 	}
-	if len(s.Closures.Kept) != mostKept {
-		t.Fatal(len(s.Closures.Kept))
+	if len(s.Closures.Protected) != maxProtectedEngines {
+		t.Fatal(len(s.Closures.Protected))
 	}
-	if _, kept := s.Closures.Kept["e49"]; kept {
+	if _, kept := s.Closures.Protected["e49"]; kept {
 		t.Fatal("the oldest went")
 	}
 }
@@ -120,7 +120,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := do(t, s, 1000, Command{Op: OpKeep, Engine: "x", Operator: "ana", Closed: true}); got.Verdict != Done || got.Closures.Epoch != 4 {
+	if got := do(t, s, 1000, Command{Op: OpProtect, Engine: "x", Operator: "ana", Closed: true}); got.Outcome != Done || got.Closures.Version != 4 {
 		t.Fatalf("%+v", got)
 	}
 }
--- a/process/consensus/statemachine/repeats_test.go
+++ b/process/consensus/statemachine/repeats_test.go
@@ -28,36 +28,38 @@
 		bundle    = "{}"
 		secondSet = 5000
 	)
-	acquire := func(node ident.NodeID) Command { return Command{Op: OpAcquire, NodeID: node, SpanMs: repeatSpanMs} }
-	propose := Command{Op: OpPropose, ProposalID: "p", Operator: operator, Spec: []byte(bundle)}
+	acquire := func(node ident.NodeID) Command { return Command{Op: OpAcquire, NodeID: node, LeaseMs: repeatSpanMs} }
+	propose := Command{Op: OpPropose, ProposalID: "p", Operator: operator, Configuration: []byte(bundle)}
 	review := Command{Op: OpReview, ProposalID: "p", Operator: "berta"}
-	sign := Command{Op: OpSign, ProposalID: "p", Operator: "chen"}
-	roll := Command{Op: OpRoll, ProposalID: "p", Operator: operator}
+	sign := Command{Op: OpSignOff, ProposalID: "p", Operator: "chen"}
+	roll := Command{Op: OpRollOut, ProposalID: "p", Operator: operator}
 	apply := func(digest string, base, revision ident.Revision) Command {
-		return Command{Op: OpApply, Digest: digest, BaseRevision: base, Revision: revision, Spec: []byte(bundle), Operator: operator}
+		return Command{Op: OpApply, Digest: digest, BaseRevision: base, Revision: revision, Configuration: []byte(bundle), Operator: operator}
 	}
 	closureCommand := func(base ident.Version, closed bool, by string) Command {
-		return Command{Op: OpClosure, Engine: "e", Closed: closed, Base: base, Based: true, Operator: by}
+		return Command{Op: OpClosure, Engine: "e", Closed: closed, Base: base, HasBase: true, Operator: by}
 	}
 	keep := func(base ident.Version, kept bool, by string) Command {
-		return Command{Op: OpKeep, Engine: "e", Closed: kept, Base: base, Based: true, Operator: by}
+		return Command{Op: OpProtect, Engine: "e", Closed: kept, Base: base, HasBase: true, Operator: by}
 	}
-	claim := Command{Op: OpClaim, NodeID: "a#1", SpanMs: 3000, TellsAll: true, Orders: map[ident.EngineID]uint64{"e": 4}, OrdersTurn: 2}
+	claim := Command{Op: OpAcquirePlanner, NodeID: "a#1", LeaseMs: 3000, AnnouncesAll: true, Orders: map[ident.EngineID]uint64{"e": 4}, OrdersSequence: 2}
 	ranking := func(stamp ident.SnowflakeID, closed bool) Command {
-		return Command{Op: OpClosure, NodeID: "a#1", Engine: "e", Closed: closed, Operator: "ranking", Ranking: &closure.Ranking{Claim: 1, Stamp: stamp}}
+		return Command{Op: OpClosure, NodeID: "a#1", Engine: "e", Closed: closed, Operator: "ranking", Ranking: &closure.RankingDecision{Token: 1, ID: stamp}}
 	}
-	enlist := func(node ident.NodeID) Command { return Command{Op: OpEnlist, NodeID: node, Address: "x:1"} }
-	release := Command{Op: OpRelease, NodeID: "a#1", WorkerID: 0, Last: 1500}
+	enlist := func(node ident.NodeID) Command { return Command{Op: OpRegister, NodeID: node, Address: "x:1"} }
+	release := Command{Op: OpRelease, NodeID: "a#1", WorkerID: 0, LastTimestamp: 1500}
 	leases := func(state *State) {
 		for worker, tenure := range state.Workers.Leases {
 			tenure.LeaseExpiry = 0
 			state.Workers.Leases[worker] = tenure
 		}
 	}
-	claims := func(state *State) { state.Claim.Until, state.Claim.Ordered, state.Claim.Pools = 0, 0, nil }
+	claims := func(state *State) {
+		state.PlannerLease.Expiry, state.PlannerLease.LastAnnounced, state.PlannerLease.Announced = 0, 0, nil
+	}
 	return []repeat{
 		{"ACQUIRE", nil, acquire("a#1"), []Command{acquire("b#1")}, nil},
-		{"RENEW", []Command{acquire("a#1")}, Command{Op: OpRenew, NodeID: "a#1", SpanMs: repeatSpanMs}, []Command{acquire("b#1")}, leases},
+		{"RENEW", []Command{acquire("a#1")}, Command{Op: OpRenew, NodeID: "a#1", LeaseMs: repeatSpanMs}, []Command{acquire("b#1")}, leases},
 		{"RELEASE", []Command{acquire("a#1")}, release, []Command{acquire("b#1")}, nil},
 		{"RECLAIM", []Command{acquire("a#1")}, Command{Op: OpReclaim, At: 1100 + repeatSpanMs}, []Command{acquire("b#1")}, nil},
 		{"PROPOSE", nil, propose, []Command{review, sign, roll}, nil},
@@ -77,13 +79,13 @@
 		{"ENLIST", nil, enlist("a#1"), []Command{enlist("b#1")}, nil},
 		{"ENLIST of a life that was followed", []Command{acquire("a#1")}, enlist("a#1"), []Command{enlist("a#2"), acquire("a#2")}, nil},
 		{"ENLIST of a life that stopped", []Command{acquire("a#1")}, enlist("a#1"), []Command{release}, nil},
-		{"LOST", []Command{enlist("a#1")}, Command{Op: OpLost, Lost: "a#1", Operator: operator}, []Command{enlist("a#2")}, nil},
-		{"LEAVE", nil, Command{Op: OpLeave, Engine: "e"}, []Command{{Op: OpLeave, Engine: "f"}}, nil},
-		{"CLAIM, fresh", nil, Command{Op: OpClaim, NodeID: "a#1", SpanMs: 3000}, nil, claims},
+		{"LOST", []Command{enlist("a#1")}, Command{Op: OpDeclareLost, LostDaemon: "a#1", Operator: operator}, []Command{enlist("a#2")}, nil},
+		{"LEAVE", nil, Command{Op: OpEngineDeparted, Engine: "e"}, []Command{{Op: OpEngineDeparted, Engine: "f"}}, nil},
+		{"CLAIM, fresh", nil, Command{Op: OpAcquirePlanner, NodeID: "a#1", LeaseMs: 3000}, nil, claims},
 		{"CLAIM", []Command{claim}, claim, nil, claims},
-		{"CLAIM, overtaken", []Command{claim}, claim, []Command{{Op: OpClaim, NodeID: "a#1", SpanMs: 3000, Orders: map[ident.EngineID]uint64{"e": 5}, OrdersTurn: 3}}, claims},
-		{"CLAIM of another", []Command{claim}, Command{Op: OpClaim, NodeID: "b#1", SpanMs: 3000}, nil, nil},
-		{"DROP-CLAIM", []Command{claim}, Command{Op: OpDropClaim, NodeID: "a#1"}, []Command{{Op: OpClaim, NodeID: "b#1", SpanMs: 3000, At: secondSet + repeatSpanMs}}, nil},
+		{"CLAIM, overtaken", []Command{claim}, claim, []Command{{Op: OpAcquirePlanner, NodeID: "a#1", LeaseMs: 3000, Orders: map[ident.EngineID]uint64{"e": 5}, OrdersSequence: 3}}, claims},
+		{"CLAIM of another", []Command{claim}, Command{Op: OpAcquirePlanner, NodeID: "b#1", LeaseMs: 3000}, nil, nil},
+		{"DROP-CLAIM", []Command{claim}, Command{Op: OpReleasePlanner, NodeID: "a#1"}, []Command{{Op: OpAcquirePlanner, NodeID: "b#1", LeaseMs: 3000, At: secondSet + repeatSpanMs}}, nil},
 	}
 }
 
@@ -103,13 +105,13 @@
 		return state.Apply(data)
 	}
 	for _, c := range r.before {
-		if result := take(c); result.Verdict != Done {
+		if result := take(c); result.Outcome != Done {
 			t.Fatalf("%s: %s came to %+v", r.name, c.Op, result)
 		}
 	}
 	take(command)
 	for _, c := range r.meanwhile {
-		if result := take(c); result.Verdict != Done {
+		if result := take(c); result.Outcome != Done {
 			t.Fatalf("%s: %s meanwhile came to %+v", r.name, c.Op, result)
 		}
 	}
@@ -158,7 +160,7 @@
 			t.Errorf("%s: the late copy changed the state", r.name)
 		}
 	}
-	for _, op := range []Op{OpAcquire, OpRenew, OpRelease, OpReclaim, OpPropose, OpReview, OpSign, OpRoll, OpClosure, OpKeep, OpClaim, OpDropClaim, OpEnlist, OpLost, OpLeave, OpApply} {
+	for _, op := range []Op{OpAcquire, OpRenew, OpRelease, OpReclaim, OpPropose, OpReview, OpSignOff, OpRollOut, OpClosure, OpProtect, OpAcquirePlanner, OpReleasePlanner, OpRegister, OpDeclareLost, OpEngineDeparted, OpApply} {
 		if !covered[op] {
 			t.Errorf("%s is not tried", op)
 		}
@@ -168,8 +170,8 @@
 // TestTheCheckOfLateCopiesSeesThem is the broken variant: commands without what a copy is known by, and a state that has
 // forgotten it.
 func TestTheCheckOfLateCopiesSeesThem(t *testing.T) {
-	unbased := func(c Command) Command { c.Based = false; return c }
-	unstamped := func(c Command) Command { mark := *c.Ranking; mark.Stamp = 0; c.Ranking = &mark; return c }
+	unbased := func(c Command) Command { c.HasBase = false; return c }
+	unstamped := func(c Command) Command { mark := *c.Ranking; mark.ID = 0; c.Ranking = &mark; return c }
 	same := func(c Command) Command { return c }
 	whole := func(*State) {}
 	seen := 0
@@ -179,10 +181,10 @@
 		state   func(*State)
 	}{
 		{"CLOSURE", unbased, whole}, {"CLOSURE, opening", unbased, whole}, {"KEEP", unbased, whole}, {"KEEP taken back", unbased, whole},
-		{"CLOSURE by the ranking", unstamped, whole}, {"CLOSURE by the ranking", same, func(s *State) { s.Ranked = RankingOrder{} }},
-		{"ENLIST of a life that was followed", same, func(s *State) { s.Ended = nil }}, {"ENLIST of a life that stopped", same, func(s *State) { s.Ended = nil }},
-		{"CLAIM, overtaken", same, func(s *State) { s.Claim.OrdersTurn = 0 }}, {"LEAVE", same, func(s *State) { s.Left = nil }},
-		{"APPLY on a base to come", same, func(s *State) { s.RefusedAhead = nil }},
+		{"CLOSURE by the ranking", unstamped, whole}, {"CLOSURE by the ranking", same, func(s *State) { s.LastRanking = RankingDecision{} }},
+		{"ENLIST of a life that was followed", same, func(s *State) { s.EndedIncarnations = nil }}, {"ENLIST of a life that stopped", same, func(s *State) { s.EndedIncarnations = nil }},
+		{"CLAIM, overtaken", same, func(s *State) { s.PlannerLease.OrdersSequence = 0 }}, {"LEAVE", same, func(s *State) { s.DepartedEngines = nil }},
+		{"APPLY on a base to come", same, func(s *State) { s.RejectedAhead = nil }},
 	} {
 		for _, r := range repeats() {
 			if r.name != broken.name {
@@ -203,9 +205,9 @@
 // than once; once the later life has its lease again, it serves, and it alone.
 func TestALifeThatRenewsItsLeaseServes(t *testing.T) {
 	enlist := func(node ident.NodeID) Command {
-		return Command{Op: OpEnlist, NodeID: node, Address: "x:" + string(node)}
+		return Command{Op: OpRegister, NodeID: node, Address: "x:" + string(node)}
 	}
-	acquire := func(node ident.NodeID) Command { return Command{Op: OpAcquire, NodeID: node, SpanMs: repeatSpanMs} }
+	acquire := func(node ident.NodeID) Command { return Command{Op: OpAcquire, NodeID: node, LeaseMs: repeatSpanMs} }
 	early, late := enlist("a#1"), enlist("a#2")
 	for name, calls := range map[string][]Command{
 		"in order":             {early, acquire("a#1"), late},
@@ -218,7 +220,7 @@
 		now := ident.GroupTime(1000)
 		for _, c := range append(calls, acquire("a#2")) {
 			now++
-			if result := do(t, state, now, c); result.Verdict != Done {
+			if result := do(t, state, now, c); result.Outcome != Done {
 				t.Errorf("%s: %s came to %+v", name, c.Op, result)
 			}
 		}
--- a/process/consensus/statemachine/serving.go
+++ b/process/consensus/statemachine/serving.go
@@ -10,77 +10,77 @@
 )
 
 // Serving is one life of a daemon that may be serving.
-type Serving struct {
+type ServingDaemon struct {
 	Address string          `json:"address"`
 	Since   ident.GroupTime `json:"since"`
 }
 
 // Left is one engine that said it leaves.
-type Left struct {
+type DepartedEngine struct {
 	Engine ident.EngineID  `json:"engine"`
 	At     ident.GroupTime `json:"at"`
 }
 
 // mostLeft is how many engines that left are remembered: an engine's id is new with each start, so one that
 // left long ago is not spoken of any more.
-const mostLeft = 4096
+const maxDepartedEngines = 4096
 
 // enlist notes a life that is about to serve. An earlier one of its name is over, since a name runs once.
-func (s *State) enlist(c Command) Result {
+func (s *State) registerDaemon(c Command) Result {
 	if _, lost := s.Closures.Lost[c.NodeID]; lost {
-		return Result{Verdict: Forbidden, Reason: "this daemon was declared lost"}
+		return Result{Outcome: Forbidden, Reason: "this daemon was declared lost"}
 	}
-	if ended, found := s.endedLife(c.NodeID); found && ended.Stopped {
+	if ended, found := s.endedIncarnation(c.NodeID); found && ended.Stopped {
 		// A copy that comes late.
-		return Result{Verdict: Forbidden, Reason: "this life of the daemon has stopped"}
-	} else if found && s.outlived(c.NodeID) {
+		return Result{Outcome: Forbidden, Reason: "this life of the daemon has stopped"}
+	} else if found && s.superseded(c.NodeID) {
 		// Taken, it would put the life that followed out of sight.
-		return Result{Verdict: Done}
+		return Result{Outcome: Done}
 	}
-	s.serve(c.NodeID, c.Address)
-	return Result{Verdict: Done}
+	s.startServing(c.NodeID, c.Address)
+	return Result{Outcome: Done}
 }
 
 // lose takes an operator's word that a daemon will never serve again.
-func (s *State) lose(c Command) Result {
-	if _, already := s.Closures.Lost[c.Lost]; already {
+func (s *State) declareLost(c Command) Result {
+	if _, already := s.Closures.Lost[c.LostDaemon]; already {
 		return s.closuresNow()
 	}
-	if _, serving := s.Serving[c.Lost]; !serving {
-		return Result{Verdict: Missing, Reason: "no such daemon may be serving"}
+	if _, serving := s.Serving[c.LostDaemon]; !serving {
+		return Result{Outcome: Missing, Reason: "no such daemon may be serving"}
 	}
-	delete(s.Serving, c.Lost)
+	delete(s.Serving, c.LostDaemon)
 	next := s.Closures.Clone()
-	next.Epoch++
-	next.Lost[c.Lost] = closure.Record{Operator: c.Operator, At: s.Now, Epoch: next.Epoch}
-	for len(next.Lost) > mostLost {
+	next.Version++
+	next.Lost[c.LostDaemon] = closure.Record{Operator: c.Operator, At: s.Now, Version: next.Version}
+	for len(next.Lost) > maxLostDaemons {
 		oldest := slices.MinFunc(slices.Sorted(maps.Keys(next.Lost)), func(a, b ident.NodeID) int {
-			return cmp.Compare(next.Lost[a].Epoch, next.Lost[b].Epoch)
+			return cmp.Compare(next.Lost[a].Version, next.Lost[b].Version)
 		})
 		delete(next.Lost, oldest)
 	}
-	s.raiseClosures(next)
+	s.setClosures(next)
 	return s.closuresNow()
 }
 
 // leave notes an engine that leaves; said again, it changes nothing.
-func (s *State) leave(c Command) Result {
+func (s *State) recordDeparture(c Command) Result {
 	if c.Engine == "" {
-		return Result{Verdict: Malformed, Reason: "no engine is named"}
+		return Result{Outcome: Malformed, Reason: "no engine is named"}
 	}
-	if slices.ContainsFunc(s.Left, func(left Left) bool { return left.Engine == c.Engine }) {
-		return Result{Verdict: Done}
+	if slices.ContainsFunc(s.DepartedEngines, func(left DepartedEngine) bool { return left.Engine == c.Engine }) {
+		return Result{Outcome: Done}
 	}
 	// A new list, so that whoever holds the old one may go on reading it.
-	s.Left = append(slices.Clone(s.Left[max(0, len(s.Left)-mostLeft+1):]), Left{Engine: c.Engine, At: s.Now})
-	s.Leaves++
-	return Result{Verdict: Done}
+	s.DepartedEngines = append(slices.Clone(s.DepartedEngines[max(0, len(s.DepartedEngines)-maxDepartedEngines+1):]), DepartedEngine{Engine: c.Engine, At: s.Now})
+	s.Departures++
+	return Result{Outcome: Done}
 }
 
 // LeftSince lists the engines that left since so many had.
-func (s *State) LeftSince(leaves uint64) []Left {
-	return s.Left[len(s.Left)-int(min(uint64(len(s.Left)), s.Leaves-min(leaves, s.Leaves))):]
+func (s *State) DepartedSince(leaves uint64) []DepartedEngine {
+	return s.DepartedEngines[len(s.DepartedEngines)-int(min(uint64(len(s.DepartedEngines)), s.Departures-min(leaves, s.Departures))):]
 }
 
 // ServingNow lists the daemons that may be serving.
-func (s *State) ServingNow() []ident.NodeID { return slices.Sorted(maps.Keys(s.Serving)) }
+func (s *State) ServingDaemons() []ident.NodeID { return slices.Sorted(maps.Keys(s.Serving)) }
--- a/process/consensus/statemachine/size_test.go
+++ b/process/consensus/statemachine/size_test.go
@@ -17,8 +17,8 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	if got := s.Apply(data); got.Verdict != Done {
-		b.Fatalf("%s: %s %s", c.Op, got.Verdict, got.Reason)
+	if got := s.Apply(data); got.Outcome != Done {
+		b.Fatalf("%s: %s %s", c.Op, got.Outcome, got.Reason)
 	}
 }
 
@@ -28,26 +28,26 @@
 	s := New()
 	for i := range daemons {
 		node := ident.NodeID(fmt.Sprintf("edge-somewhere-%d#0123abcd", i))
-		apply(b, s, Command{Op: OpEnlist, At: 1, NodeID: node, Address: fmt.Sprintf("10.1.%d.%d:7660", i/250, i%250)})
-		apply(b, s, Command{Op: OpAcquire, At: 1, NodeID: node, SpanMs: 30000})
+		apply(b, s, Command{Op: OpRegister, At: 1, NodeID: node, Address: fmt.Sprintf("10.1.%d.%d:7660", i/250, i%250)})
+		apply(b, s, Command{Op: OpAcquire, At: 1, NodeID: node, LeaseMs: 30000})
 	}
 	for i := range left {
-		s.Left = append(s.Left, Left{Engine: ident.EngineID(fmt.Sprintf("i-%08x", i)), At: 1})
-		s.Leaves++
+		s.DepartedEngines = append(s.DepartedEngines, DepartedEngine{Engine: ident.EngineID(fmt.Sprintf("i-%08x", i)), At: 1})
+		s.Departures++
 	}
-	told := &Told{Orders: map[ident.EngineID]uint64{}, Loads: 1, KeepMs: 20000}
+	told := &Announcement{Orders: map[ident.EngineID]uint64{}, Loads: 1, KeepMs: 20000}
 	for i := range engines {
 		told.Orders[ident.EngineID(fmt.Sprintf("i-%08x", i))] = uint64(i)
 	}
 	if engines > 0 {
-		apply(b, s, Command{Op: OpClaim, At: 2, NodeID: "core-0#0123abcd", SpanMs: 2000, GapMs: 3000, Told: told})
+		apply(b, s, Command{Op: OpAcquirePlanner, At: 2, NodeID: "core-0#0123abcd", LeaseMs: 2000, HandoverGapMs: 3000, Announcement: told})
 	}
 	packed := make([]byte, bundleBytes)
 	for i := range packed {
 		packed[i] = byte(i * 31 >> 3)
 	}
 	for i := range bundles {
-		apply(b, s, Command{Op: OpApply, At: 3, Operator: "operator", Digest: fmt.Sprintf("%064x", i), BaseRevision: ident.Revision(i), Revision: ident.Revision(i + 1), Spec: packed, Packed: true})
+		apply(b, s, Command{Op: OpApply, At: 3, Operator: "operator", Digest: fmt.Sprintf("%064x", i), BaseRevision: ident.Revision(i), Revision: ident.Revision(i + 1), Configuration: packed, Compressed: true})
 	}
 	return s
 }
@@ -99,13 +99,13 @@
 		make func(turn int) Command
 	}{
 		{"renew", func(int) Command {
-			return Command{Op: OpRenew, At: 10, NodeID: "edge-somewhere-7#0123abcd", WorkerID: 7, SpanMs: 30000}
+			return Command{Op: OpRenew, At: 10, NodeID: "edge-somewhere-7#0123abcd", WorkerID: 7, LeaseMs: 30000}
 		}},
 		{"leave", func(turn int) Command {
-			return Command{Op: OpLeave, At: 10, Engine: ident.EngineID(fmt.Sprintf("j-%08x", turn))}
+			return Command{Op: OpEngineDeparted, At: 10, Engine: ident.EngineID(fmt.Sprintf("j-%08x", turn))}
 		}},
 		{"claim of one order", func(turn int) Command {
-			return Command{Op: OpClaim, At: 3, NodeID: "core-0#0123abcd", SpanMs: 2000, GapMs: 3000, Resume: true, Told: &Told{Orders: map[ident.EngineID]uint64{ident.EngineID(fmt.Sprintf("i-%08x", turn%1400)): uint64(turn)}, Loads: 1, KeepMs: 20000}}
+			return Command{Op: OpAcquirePlanner, At: 3, NodeID: "core-0#0123abcd", LeaseMs: 2000, HandoverGapMs: 3000, Resume: true, Announcement: &Announcement{Orders: map[ident.EngineID]uint64{ident.EngineID(fmt.Sprintf("i-%08x", turn%1400)): uint64(turn)}, Loads: 1, KeepMs: 20000}}
 		}},
 	} {
 		b.Run(kind.name+" at "+last.name, func(b *testing.B) {
@@ -118,7 +118,7 @@
 					b.Fatal(err)
 				}
 				size = len(data)
-				if got := s.Apply(data); got.Verdict != Done {
+				if got := s.Apply(data); got.Outcome != Done {
 					b.Fatalf("%+v", got)
 				}
 				turn++
--- a/process/consensus/statemachine/statemachine.go
+++ b/process/consensus/statemachine/statemachine.go
@@ -15,39 +15,39 @@
 )
 
 // Verdict is the outcome of a command.
-type Verdict string
+type Outcome string
 
 const (
 	// Done: the command took effect, now or when it was first sent.
-	Done Verdict = "done"
+	Done Outcome = "done"
 	// Conflict: it builds on something that is no longer current.
-	Conflict Verdict = "conflict"
+	Conflict Outcome = "conflict"
 	// Forbidden: this operator may not do it.
-	Forbidden Verdict = "forbidden"
+	Forbidden Outcome = "forbidden"
 	// Missing: what it names does not exist.
-	Missing Verdict = "missing"
+	Missing Outcome = "missing"
 	// Waiting: it can't take effect yet.
-	Waiting Verdict = "waiting"
+	Waiting Outcome = "waiting"
 	// Mismatch: the sender does not hold what it names.
-	Mismatch Verdict = "mismatch"
+	Mismatch Outcome = "mismatch"
 	// Exhausted: nothing is left to give.
-	Exhausted Verdict = "exhausted"
+	Exhausted Outcome = "exhausted"
 	// Malformed: it can't be read, or a field is wrong.
-	Malformed Verdict = "malformed"
+	Malformed Outcome = "malformed"
 	// Unproven says that the state can't tell what became of the command's earlier copies; nothing was changed.
-	Unproven Verdict = "unproven"
+	Unproven Outcome = "unproven"
 )
 
 // Result is what a command gives back.
 type Result struct {
-	Verdict  Verdict         `json:"verdict"`
-	Reason   string          `json:"reason,omitempty"`
-	Grant    *workerid.Grant `json:"grant,omitempty"`
-	Proposal *Proposal       `json:"proposal,omitempty"`
-	Closures *closure.Set    `json:"closures,omitempty"`
-	Claim    *Claim          `json:"claim,omitempty"`
+	Outcome      Outcome         `json:"verdict"`
+	Reason       string          `json:"reason,omitempty"`
+	Grant        *workerid.Grant `json:"grant,omitempty"`
+	Proposal     *Proposal       `json:"proposal,omitempty"`
+	Closures     *closure.Set    `json:"closures,omitempty"`
+	PlannerLease *PlannerLease   `json:"claim,omitempty"`
 	// Epoch is the spec epoch in force after the command, Revision the operators' own number of it.
-	Epoch    ident.Version  `json:"epoch,omitempty"`
+	Version  ident.Version  `json:"epoch,omitempty"`
 	Revision ident.Revision `json:"revision,omitempty"`
 	// Winner names the proposal that was rolled on the base a loser built on.
 	Winner string `json:"winner,omitempty"`
@@ -62,32 +62,32 @@
 	History []string      `json:"history"`
 	Dropped ident.Version `json:"dropped,omitempty"`
 	// Lasting holds, of the dropped epochs, the proposals that stay known: the first, and all that were signed off.
-	Lasting map[ident.Version]string `json:"lasting,omitempty"`
+	PermanentHistory map[ident.Version]string `json:"lasting,omitempty"`
 	// Revision is the operators' own number of the bundle in force: it rises with each bundle.
 	Revision ident.Revision `json:"revision,omitempty"`
 	// ProvenFrom is the lowest base on which an order that is not remembered is proved never to have been taken.
-	ProvenFrom ident.Revision `json:"provenFrom,omitempty"`
+	AppliesKnownFrom ident.Revision `json:"provenFrom,omitempty"`
 	// RefusedAhead lists the orders that were refused while their base was above the revision in force, until
 	// the revision in force has passed that base. Refused holds those that an earlier build wrote down without it.
-	RefusedAhead []RefusedOrder `json:"refusedAhead,omitempty"`
-	Refused      []string       `json:"refused,omitempty"`
-	Closures     closure.Set    `json:"closures"`
+	RejectedAhead   []RejectedApply `json:"refusedAhead,omitempty"`
+	RejectedDigests []string        `json:"refused,omitempty"`
+	Closures        closure.Set     `json:"closures"`
 	// Acts lists the newest closures and openings.
-	Acts []ClosureAct `json:"acts,omitempty"`
+	ClosureChanges []ClosureChange `json:"acts,omitempty"`
 	// RefusedActs lists the closures that were refused while their base was above the closures in force, until
 	// those have passed it.
-	RefusedActs []ClosureAct `json:"refusedActs,omitempty"`
+	RejectedClosures []ClosureChange `json:"refusedActs,omitempty"`
 	// Ranked is the newest order of the ranking.
-	Ranked RankingOrder `json:"ranked,omitzero"`
-	Claim  Claim        `json:"claim"`
+	LastRanking  RankingDecision `json:"ranked,omitzero"`
+	PlannerLease PlannerLease    `json:"claim"`
 	// Serving holds every daemon that may be serving: it has enlisted, and has neither stopped as planned,
 	// nor been followed by another life of its name, nor been declared lost.
-	Serving map[ident.NodeID]Serving `json:"serving,omitempty"`
+	Serving map[ident.NodeID]ServingDaemon `json:"serving,omitempty"`
 	// Ended lists the newest lives that have stopped or were followed, so that no late ENLIST takes one up again.
-	Ended []EndedLife `json:"ended,omitempty"`
+	EndedIncarnations []EndedIncarnation `json:"ended,omitempty"`
 	// Left lists the engines that said they leave, the newest last; Leaves counts all there ever were.
-	Left   []Left `json:"left,omitempty"`
-	Leaves uint64 `json:"leaves,omitempty"`
+	DepartedEngines []DepartedEngine `json:"left,omitempty"`
+	Departures      uint64           `json:"leaves,omitempty"`
 
 	limits Limits
 }
@@ -99,8 +99,8 @@
 // the same limits.
 func WithLimits(limits Limits) Option {
 	return func(s *State) {
-		s.limits.Taken = cmp.Or(limits.Taken, s.limits.Taken)
-		s.limits.Refused = cmp.Or(limits.Refused, s.limits.Refused)
+		s.limits.Versions = cmp.Or(limits.Versions, s.limits.Versions)
+		s.limits.RejectedApplies = cmp.Or(limits.RejectedApplies, s.limits.RejectedApplies)
 	}
 }
 
@@ -110,7 +110,7 @@
 		Workers:   workerid.New(),
 		Proposals: map[string]*Proposal{},
 		Closures:  closure.Set{Zones: map[ident.ZoneID]closure.Record{}, Engines: map[ident.EngineID]closure.Record{}},
-		Serving:   map[ident.NodeID]Serving{},
+		Serving:   map[ident.NodeID]ServingDaemon{},
 		limits:    DefaultLimits(),
 	}
 	for _, option := range options {
@@ -140,15 +140,15 @@
 	if err := s.complete(); err != nil {
 		return nil, err
 	}
-	if err := s.sound(); err != nil {
+	if err := s.validate(); err != nil {
 		return nil, eris.Wrap(err, "a snapshot is not sound")
 	}
 	s.Workers.Rebuild()
 	if s.Revision == 0 {
 		// Earlier builds counted no revisions, and each bundle that they put in force would have made one.
-		s.Revision = ident.Revision(s.Epoch())
+		s.Revision = ident.Revision(s.Version())
 	}
-	s.adoptHistory()
+	s.upgradeHistory()
 	return s, nil
 }
 
@@ -156,75 +156,75 @@
 func (s *State) Apply(data []byte) Result {
 	var command Command
 	if err := json.Unmarshal(data, &command); err != nil {
-		return Result{Verdict: Malformed, Reason: err.Error()}
+		return Result{Outcome: Malformed, Reason: err.Error()}
 	}
 	// The group's time never goes back, whatever a leader stamped.
 	s.Now = max(s.Now, command.At)
-	result := s.apply(command)
-	result.Epoch, result.Revision = s.Epoch(), s.Revision
+	result := s.dispatch(command)
+	result.Version, result.Revision = s.Version(), s.Revision
 	return result
 }
 
-func (s *State) apply(c Command) Result {
-	span := time.Duration(c.SpanMs) * time.Millisecond
+func (s *State) dispatch(c Command) Result {
+	span := time.Duration(c.LeaseMs) * time.Millisecond
 	switch c.Op {
 	case OpAcquire:
 		grant, verdict := s.Workers.Acquire(c.NodeID, s.Now, span)
-		s.confirmLife(c.NodeID, verdict)
+		s.confirmServing(c.NodeID, verdict)
 		return grantResult(grant, verdict)
 	case OpRenew:
 		grant, verdict := s.Workers.Renew(c.NodeID, c.WorkerID, s.Now, span)
-		s.confirmLife(c.NodeID, verdict)
+		s.confirmServing(c.NodeID, verdict)
 		return grantResult(grant, verdict)
 	case OpRelease:
 		// Whoever lets go of its worker id has stopped serving.
-		s.endLife(c.NodeID, true)
-		if s.Workers.Release(c.NodeID, c.WorkerID, c.Last) == workerid.Mismatch {
-			return Result{Verdict: Mismatch}
+		s.endIncarnation(c.NodeID, true)
+		if s.Workers.Release(c.NodeID, c.WorkerID, c.LastTimestamp) == workerid.Mismatch {
+			return Result{Outcome: Mismatch}
 		}
-		return Result{Verdict: Done}
+		return Result{Outcome: Done}
 	case OpReclaim:
 		s.Workers.Reclaim(s.Now)
-		return Result{Verdict: Done}
+		return Result{Outcome: Done}
 	case OpPropose:
 		return s.propose(c)
-	case OpReview, OpSign:
-		return s.mark(c)
-	case OpRoll:
-		return s.roll(c)
+	case OpReview, OpSignOff:
+		return s.approve(c)
+	case OpRollOut:
+		return s.rollOut(c)
 	case OpApply:
 		return s.applyBundle(c)
 	case OpClosure:
-		return s.close(c)
-	case OpKeep:
-		return s.keep(c)
-	case OpEnlist:
-		return s.enlist(c)
-	case OpLost:
-		return s.lose(c)
-	case OpLeave:
-		return s.leave(c)
-	case OpClaim:
-		return s.claim(c)
-	case OpDropClaim:
-		if s.Claim.NodeID == c.NodeID && s.Claim.Until > s.Now {
-			s.Claim.Until = s.Now
+		return s.changeClosure(c)
+	case OpProtect:
+		return s.protect(c)
+	case OpRegister:
+		return s.registerDaemon(c)
+	case OpDeclareLost:
+		return s.declareLost(c)
+	case OpEngineDeparted:
+		return s.recordDeparture(c)
+	case OpAcquirePlanner:
+		return s.acquirePlannerLease(c)
+	case OpReleasePlanner:
+		if s.PlannerLease.NodeID == c.NodeID && s.PlannerLease.Expiry > s.Now {
+			s.PlannerLease.Expiry = s.Now
 		}
-		if s.Claim.NodeID == c.NodeID {
+		if s.PlannerLease.NodeID == c.NodeID {
 			// It let go for good, so a late word of it must not take the claim up again.
-			s.Claim.NodeID = ""
+			s.PlannerLease.NodeID = ""
 		}
-		return Result{Verdict: Done}
+		return Result{Outcome: Done}
 	}
-	return Result{Verdict: Malformed, Reason: "unknown op " + string(c.Op)}
+	return Result{Outcome: Malformed, Reason: "unknown op " + string(c.Op)}
 }
 
-func grantResult(grant workerid.Grant, verdict workerid.Outcome) Result {
+func grantResult(grant workerid.Grant, verdict workerid.LeaseOutcome) Result {
 	switch verdict {
 	case workerid.Granted:
-		return Result{Verdict: Done, Grant: &grant}
+		return Result{Outcome: Done, Grant: &grant}
 	case workerid.Exhausted:
-		return Result{Verdict: Exhausted, Reason: "no worker id is free"}
+		return Result{Outcome: Exhausted, Reason: "no worker id is free"}
 	}
-	return Result{Verdict: Mismatch, Reason: "no such tenure"}
+	return Result{Outcome: Mismatch, Reason: "no such tenure"}
 }
--- a/process/consensus/statemachine/statemachine_test.go
+++ b/process/consensus/statemachine/statemachine_test.go
@@ -14,12 +14,12 @@
 
 // command makes one command of a made-up history out of a few bytes.
 func command(raw []uint8) Command {
-	ops := []Op{OpAcquire, OpRenew, OpRelease, OpReclaim, OpPropose, OpReview, OpSign, OpRoll, OpClosure, OpClaim, OpDropClaim}
+	ops := []Op{OpAcquire, OpRenew, OpRelease, OpReclaim, OpPropose, OpReview, OpSignOff, OpRollOut, OpClosure, OpAcquirePlanner, OpReleasePlanner}
 	names := []string{"ana", "berta", "chen"}
 	return Command{
 		Op: ops[int(raw[0])%len(ops)], At: ident.GroupTime(raw[1]) * 700, NodeID: ident.NodeID(names[raw[2]%3]), WorkerID: ident.WorkerID(raw[3] % 3),
-		SpanMs: 30000, GapMs: 3000, ProposalID: fmt.Sprint("p", raw[4]%6), Base: ident.Version(raw[5] % 3), Operator: names[raw[2]%3],
-		Spec: []byte{raw[6] % 2}, Zone: ident.ZoneID(names[raw[3]%3]), Closed: raw[6]%2 == 0,
+		LeaseMs: 30000, HandoverGapMs: 3000, ProposalID: fmt.Sprint("p", raw[4]%6), Base: ident.Version(raw[5] % 3), Operator: names[raw[2]%3],
+		Configuration: []byte{raw[6] % 2}, Zone: ident.ZoneID(names[raw[3]%3]), Closed: raw[6]%2 == 0,
 	}
 }
 
@@ -38,7 +38,7 @@
 			if err != nil {
 				return err.Error()
 			}
-			before := straight.Epoch()
+			before := straight.Version()
 			a := straight.Apply(data)
 			if restored, err := Restore(snapped.Snapshot()); err == nil {
 				snapped = restored
@@ -46,25 +46,25 @@
 				return err.Error()
 			}
 			b := snapped.Apply(data)
-			if x, y := fmt.Sprintf("%+v", a.Verdict), fmt.Sprintf("%+v", b.Verdict); x != y {
+			if x, y := fmt.Sprintf("%+v", a.Outcome), fmt.Sprintf("%+v", b.Outcome); x != y {
 				return fmt.Sprintf("step %d: %s, and %s after a snapshot", i, x, y)
 			}
 			switch {
 			case straight.Now < now:
 				return "the group's time went back"
-			case straight.Epoch() < before || straight.Epoch() > before+1:
+			case straight.Version() < before || straight.Version() > before+1:
 				return "the epoch jumped"
-			case straight.Claim.Number < claims:
+			case straight.PlannerLease.Token < claims:
 				return "the claim's number fell"
 			}
-			now, claims = straight.Now, straight.Claim.Number
+			now, claims = straight.Now, straight.PlannerLease.Token
 			for epoch, id := range straight.History {
 				p := straight.Proposals[id]
-				if p.Stage != Rolled || p.Epoch != ident.Version(epoch+1) || p.Base != ident.Version(epoch) {
+				if p.Stage != StageRolledOut || p.Version != ident.Version(epoch+1) || p.Base != ident.Version(epoch) {
 					return fmt.Sprintf("%s stands at epoch %d as %s on base %d", id, epoch+1, p.Stage, p.Base)
 				}
 				signedByOther := false
-				for _, mark := range p.Signs {
+				for _, mark := range p.SignOffs {
 					if mark.Operator == p.Proposed.Operator {
 						return id + " was signed by its author"
 					}
@@ -86,35 +86,35 @@
 func TestAClaimWaitsOutTheOldOneAndTheGap(t *testing.T) {
 	s := New()
 	apply := func(op Op, node string, at ident.GroupTime) Result {
-		data, err := json.Marshal(Command{Op: op, NodeID: ident.NodeID(node), At: at, SpanMs: 4000, GapMs: 3000})
+		data, err := json.Marshal(Command{Op: op, NodeID: ident.NodeID(node), At: at, LeaseMs: 4000, HandoverGapMs: 3000})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return s.Apply(data)
 	}
-	if r := apply(OpClaim, "a", 1000); r.Verdict != Done || r.Claim.Number != 1 {
+	if r := apply(OpAcquirePlanner, "a", 1000); r.Outcome != Done || r.PlannerLease.Token != 1 {
 		t.Fatal(r)
 	}
-	if r := apply(OpClaim, "a", 2000); r.Verdict != Done || r.Claim.Number != 1 || r.Claim.Until != 6000 {
+	if r := apply(OpAcquirePlanner, "a", 2000); r.Outcome != Done || r.PlannerLease.Token != 1 || r.PlannerLease.Expiry != 6000 {
 		t.Fatal(r)
 	}
 	for _, at := range []ident.GroupTime{3000, 6000, 8999} {
-		if r := apply(OpClaim, "b", at); r.Verdict != Waiting {
+		if r := apply(OpAcquirePlanner, "b", at); r.Outcome != Waiting {
 			t.Fatal(at, r)
 		}
 	}
 	// The old holder too gets a new number once its claim has lapsed, and waits like any other.
-	if r := apply(OpClaim, "a", 8999); r.Verdict != Waiting {
+	if r := apply(OpAcquirePlanner, "a", 8999); r.Outcome != Waiting {
 		t.Fatal(r)
 	}
-	if r := apply(OpClaim, "b", 9000); r.Verdict != Done || r.Claim.Number != 2 {
+	if r := apply(OpAcquirePlanner, "b", 9000); r.Outcome != Done || r.PlannerLease.Token != 2 {
 		t.Fatal(r)
 	}
-	apply(OpDropClaim, "b", 9500)
-	if r := apply(OpClaim, "a", 12499); r.Verdict != Waiting {
+	apply(OpReleasePlanner, "b", 9500)
+	if r := apply(OpAcquirePlanner, "a", 12499); r.Outcome != Waiting {
 		t.Fatal(r)
 	}
-	if r := apply(OpClaim, "a", 12500); r.Verdict != Done || r.Claim.Number != 3 {
+	if r := apply(OpAcquirePlanner, "a", 12500); r.Outcome != Done || r.PlannerLease.Token != 3 {
 		t.Fatal(r)
 	}
 }
@@ -123,25 +123,25 @@
 // the last order told of, whichever is later.
 func TestAClaimThatTellsIsFreeSooner(t *testing.T) {
 	state := New()
-	apply := func(node ident.NodeID, at ident.GroupTime, told *Told) Result {
-		data, err := json.Marshal(Command{Op: OpClaim, NodeID: node, At: at, SpanMs: 3000, GapMs: 3800, TellsAll: true, Told: told})
+	apply := func(node ident.NodeID, at ident.GroupTime, told *Announcement) Result {
+		data, err := json.Marshal(Command{Op: OpAcquirePlanner, NodeID: node, At: at, LeaseMs: 3000, HandoverGapMs: 3800, AnnouncesAll: true, Announcement: told})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return state.Apply(data)
 	}
 	apply("a", 10_000, nil)
-	if r := apply("b", 12_999, nil); r.Verdict != Waiting {
+	if r := apply("b", 12_999, nil); r.Outcome != Waiting {
 		t.Fatalf("got the claim while it was held: %+v", r)
 	}
-	if r := apply("b", 13_000, nil); r.Verdict != Done || r.Claim.Number != 2 {
+	if r := apply("b", 13_000, nil); r.Outcome != Done || r.PlannerLease.Token != 2 {
 		t.Fatalf("nothing was ordered, so nothing has to be waited for: %+v", r)
 	}
-	apply("b", 14_000, &Told{})
-	if r := apply("c", 17_799, nil); r.Verdict != Waiting {
+	apply("b", 14_000, &Announcement{})
+	if r := apply("c", 17_799, nil); r.Outcome != Waiting {
 		t.Fatalf("got the claim too soon after the last order: %+v", r)
 	}
-	if r := apply("c", 17_800, nil); r.Verdict != Done || r.Claim.Number != 3 {
+	if r := apply("c", 17_800, nil); r.Outcome != Done || r.PlannerLease.Token != 3 {
 		t.Fatalf("the quiet time has passed: %+v", r)
 	}
 }
--- a/process/placement/plannerlease/claim.go
+++ b/process/placement/plannerlease/claim.go
@@ -44,16 +44,16 @@
 
 // Take is the one place where a claim is taken up or prolonged; asked is read from the clock before the
 // group was asked. It says whether the claim is fresh, or had lapsed here.
-func (h *Holder) Take(asked clock.Mark, granted *statemachine.Claim) (fresh bool) {
-	span := time.Duration(granted.Until-granted.Now)*time.Millisecond - h.margin
+func (h *Holder) Take(asked clock.Mark, granted *statemachine.PlannerLease) (fresh bool) {
+	span := time.Duration(granted.Expiry-granted.Now)*time.Millisecond - h.margin
 	before, still := h.Held()
-	next := &holding{number: granted.Number, until: asked + clock.Mark(span)}
+	next := &holding{number: granted.Token, until: asked + clock.Mark(span)}
 	if held := h.held.Load(); held != nil && held.number == next.number && held.until > next.until {
 		// Answers may come out of order; what was granted holds.
 		next.until = held.until
 	}
 	h.held.Store(next)
-	return !still || before != granted.Number
+	return !still || before != granted.Token
 }
 
 // Drop lets go.
--- a/process/placement/poolplacement/actor.go
+++ b/process/placement/poolplacement/actor.go
@@ -22,7 +22,7 @@
 	// Input gives what the plan looks at.
 	Input() Input
 	// Claim asks the group for the claim, or for more time under it, and tells what is about to be ordered.
-	Claim(ctx context.Context, told *statemachine.Told, whole bool) ClaimAnswer
+	Claim(ctx context.Context, told *statemachine.Announcement, whole bool) ClaimAnswer
 	// Mint stamps an order; LeaseHeld says whether what was minted may still be used.
 	Mint() (ident.SnowflakeID, snowflake.Outcome)
 	LeaseHeld() bool
@@ -35,7 +35,7 @@
 
 // ClaimAnswer is the group's answer: the claim if it is granted, else how long the asker had better wait.
 type ClaimAnswer struct {
-	Granted *statemachine.Claim
+	Granted *statemachine.PlannerLease
 	Wait    time.Duration
 }
 
@@ -239,7 +239,7 @@
 
 // send tells the group of the orders first, so that a successor counts the loads and keeps quiet after the
 // last however this daemon ends, and then sends them.
-func (a *Actor) send(ctx context.Context, number ident.FencingToken, told *statemachine.Told, orders []Order, addresses map[ident.EngineID]string) {
+func (a *Actor) send(ctx context.Context, number ident.FencingToken, told *statemachine.Announcement, orders []Order, addresses map[ident.EngineID]string) {
 	mayLeave := func() bool { return a.claim.Commands(number) && a.around.LeaseHeld() }
 	asked := a.clock.Elapsed()
 	give := func(order Order) {
@@ -251,7 +251,7 @@
 	bounded, cancel := context.WithTimeout(ctx, a.settings.OrderLimit)
 	answer := a.around.Claim(bounded, told, false)
 	cancel()
-	known := answer.Granted != nil && answer.Granted.Number == number
+	known := answer.Granted != nil && answer.Granted.Token == number
 	if known {
 		a.box.Send(claimed{asked, answer})
 	}
@@ -323,7 +323,7 @@
 		return
 	}
 	a.askNext = e.asked + clock.Mark(a.settings.Renew)
-	if granted.Number != a.plannerOf {
+	if granted.Token != a.plannerOf {
 		// A fresh claim starts from the reports alone, and from what the claims before told. One that lapsed and
 		// went on is no fresh one: nobody else has ordered meanwhile.
 		a.inherit(now, granted)
@@ -331,9 +331,9 @@
 	a.claim.Take(e.asked, granted)
 }
 
-func (a *Actor) inherit(now clock.Mark, granted *statemachine.Claim) {
+func (a *Actor) inherit(now clock.Mark, granted *statemachine.PlannerLease) {
 	counters := a.planner.Counters
-	a.planner, a.plannerOf = NewPlanner(a.settings, now), granted.Number
+	a.planner, a.plannerOf = NewPlanner(a.settings, now), granted.Token
 	a.planner.Counters = counters
 	a.planner.Inherit(now, granted)
 }
--- a/process/placement/poolplacement/actor_test.go
+++ b/process/placement/poolplacement/actor_test.go
@@ -55,7 +55,7 @@
 }
 
 // Claim grants the claim until it has passed on to somebody else.
-func (w *frozenWorld) Claim(context.Context, *statemachine.Told, bool) ClaimAnswer {
+func (w *frozenWorld) Claim(context.Context, *statemachine.Announcement, bool) ClaimAnswer {
 	w.Lock()
 	defer w.Unlock()
 	w.asks++
@@ -64,7 +64,7 @@
 		return ClaimAnswer{}
 	}
 	at := ident.GroupTime(w.now / clock.Mark(time.Millisecond))
-	return ClaimAnswer{Granted: &statemachine.Claim{Number: w.holder, Now: at, Until: at.Add(3 * time.Second)}}
+	return ClaimAnswer{Granted: &statemachine.PlannerLease{Token: w.holder, Now: at, Expiry: at.Add(3 * time.Second)}}
 }
 func (w *frozenWorld) Mint() (ident.SnowflakeID, snowflake.Outcome) { return 1, snowflake.Minted }
 func (w *frozenWorld) LeaseHeld() bool                              { return true }
--- a/process/placement/poolplacement/batch_test.go
+++ b/process/placement/poolplacement/batch_test.go
@@ -71,7 +71,7 @@
 	disks   map[string]map[string]bool
 	state   *statemachine.State
 	holder  ident.NodeID
-	claim   *statemachine.Claim
+	claim   *statemachine.PlannerLease
 	stamp   ident.SnowflakeID
 	version uint64
 	// told is what daemons hear of engines, some time after it was told.
@@ -207,7 +207,7 @@
 
 // drop has the holder give its claim up.
 func (f *fakeFleet) drop() {
-	data, err := json.Marshal(statemachine.Command{Op: statemachine.OpDropClaim, NodeID: f.holder, At: ident.GroupTime(time.Duration(f.now).Milliseconds())})
+	data, err := json.Marshal(statemachine.Command{Op: statemachine.OpReleasePlanner, NodeID: f.holder, At: ident.GroupTime(time.Duration(f.now).Milliseconds())})
 	if err != nil {
 		panic(err)
 	}
@@ -223,18 +223,18 @@
 }
 
 // ask puts a claim to the group.
-func (f *fakeFleet) ask(told *statemachine.Told, whole bool) *statemachine.Claim {
+func (f *fakeFleet) ask(told *statemachine.Announcement, whole bool) *statemachine.PlannerLease {
 	s := f.settings()
-	data, err := json.Marshal(statemachine.Command{Op: statemachine.OpClaim, NodeID: f.holder, At: ident.GroupTime(time.Duration(f.now).Milliseconds()), SpanMs: s.Span.Milliseconds(),
-		GapMs: s.Gap.Milliseconds(), Told: told, TellsAll: true, Whole: whole, Resume: true})
+	data, err := json.Marshal(statemachine.Command{Op: statemachine.OpAcquirePlanner, NodeID: f.holder, At: ident.GroupTime(time.Duration(f.now).Milliseconds()), LeaseMs: s.Span.Milliseconds(),
+		HandoverGapMs: s.Gap.Milliseconds(), Announcement: told, AnnouncesAll: true, WithAnnounced: whole, Resume: true})
 	if err != nil {
 		panic(err)
 	}
 	result := f.state.Apply(data)
-	if result.Verdict != statemachine.Done {
+	if result.Outcome != statemachine.Done {
 		return nil
 	}
-	return result.Claim
+	return result.PlannerLease
 }
 
 func (f *fakeFleet) engine(id ident.EngineID) *fakeEngine {
@@ -574,7 +574,7 @@
 		f.claim = claim
 		f.planner = NewPlanner(f.settings(), f.now)
 		if f.noTelling {
-			claim.Pools = &statemachine.History{}
+			claim.Announced = &statemachine.AnnouncedOrders{}
 		}
 		f.planner.Inherit(f.now, claim)
 	} else if time.Duration(f.now)%(500*time.Millisecond) == 0 {
@@ -592,7 +592,7 @@
 	var orders []Order
 	for _, order := range given {
 		f.stamp++
-		stamped, _, ok := f.planner.Stamp(order.Engine, f.stamp, f.claim.Number)
+		stamped, _, ok := f.planner.Stamp(order.Engine, f.stamp, f.claim.Token)
 		if !ok {
 			f.fault("an order to %s was not noted", order.Engine)
 			continue
--- a/process/placement/poolplacement/plan.go
+++ b/process/placement/poolplacement/plan.go
@@ -99,8 +99,8 @@
 
 // Inherit takes over what earlier claims told of their orders: what nobody told of for a window's length may
 // have been any number.
-func (p *Planner) Inherit(now clock.Mark, granted *statemachine.Claim) {
-	told := granted.Pools
+func (p *Planner) Inherit(now clock.Mark, granted *statemachine.PlannerLease) {
+	told := granted.Announced
 	if told == nil {
 		return
 	}
@@ -122,8 +122,8 @@
 
 // Told is what the group must know of orders before they leave: that there are any, since a successor keeps
 // quiet for a time after the last, and what loads there are. An unload can only make room.
-func (p *Planner) Told(orders []Order) *statemachine.Told {
-	told := statemachine.Told{Orders: map[ident.EngineID]uint64{}, KeepMs: (p.settings.Window + p.settings.OrderLimit + oldLag).Milliseconds()}
+func (p *Planner) Told(orders []Order) *statemachine.Announcement {
+	told := statemachine.Announcement{Orders: map[ident.EngineID]uint64{}, KeepMs: (p.settings.Window + p.settings.OrderLimit + oldLag).Milliseconds()}
 	for _, order := range orders {
 		if order.Kind != Load {
 			continue
--- a/process/placement/sessionplacement/actor.go
+++ b/process/placement/sessionplacement/actor.go
@@ -19,7 +19,7 @@
 	// Input gives what the plan looks at.
 	Input() Input
 	// Claim asks the group for the claim, or for more time under it, and reports what was ordered.
-	Claim(ctx context.Context, orders map[ident.EngineID]uint64, turn uint64) (*statemachine.Claim, bool)
+	Claim(ctx context.Context, orders map[ident.EngineID]uint64, turn uint64) (*statemachine.PlannerLease, bool)
 	// Mint stamps an order.
 	Mint() (ident.SnowflakeID, snowflake.Outcome)
 	// Order sends an order; see enginelink.Order.
@@ -55,7 +55,7 @@
 type (
 	claimed struct {
 		asked clock.Mark
-		claim *statemachine.Claim
+		claim *statemachine.PlannerLease
 		ok    bool
 	}
 	answered struct {
@@ -145,7 +145,7 @@
 		bounded, cancel := context.WithTimeout(ctx, announceLimit)
 		defer cancel()
 		claim, ok := a.around.Claim(bounded, orders, turn)
-		ok = ok && claim.Number == number
+		ok = ok && claim.Token == number
 		for range given {
 			announced <- ok
 		}
--- a/process/rollout/directapply/applying.go
+++ b/process/rollout/directapply/applying.go
@@ -18,7 +18,7 @@
 type Standing struct {
 	Newest
 	// Order is what the state proves of the call.
-	Order statemachine.OrderStanding
+	Order statemachine.ApplyStatus
 	// Taken is what an earlier copy of the call put in force.
 	Taken *statemachine.Proposal
 }
@@ -32,7 +32,7 @@
 
 // NewestOf reads it; the proposal is a copy, and its bundle is never changed.
 func NewestOf(state *statemachine.State) Newest {
-	out := Newest{Revision: state.Revision, Epoch: state.Epoch()}
+	out := Newest{Revision: state.Revision, Epoch: state.Version()}
 	if found, ok := state.InForce(); ok {
 		copied := *found
 		out.Proposal = &copied
@@ -42,7 +42,7 @@
 
 // Look reads where a call stands.
 func Look(state *statemachine.State, call operatorapi.Apply) Standing {
-	out := Standing{Newest: NewestOf(state), Order: state.Standing(call.Digest, call.Base)}
+	out := Standing{Newest: NewestOf(state), Order: state.ApplyStatus(call.Digest, call.Base)}
 	if found, ok := state.Applied(call.Digest); ok {
 		copied := *found
 		out.Taken = &copied
@@ -57,7 +57,7 @@
 		return out, nil
 	}
 	var err error
-	out.Spec, err = n.Proposal.Bundle()
+	out.Spec, err = n.Proposal.Decompress()
 	return out, err
 }
 
@@ -73,16 +73,16 @@
 // refused, and one that may have been taken neither.
 func (s Standing) Decide(call operatorapi.Apply) Decision {
 	switch s.Order {
-	case statemachine.OrderTaken:
-		return Decision{Answer: operatorapi.Applying{Outcome: operatorapi.Applied, Revision: s.Revision, Epoch: s.Taken.Epoch}}
-	case statemachine.OrderMalformed:
+	case statemachine.ApplyCommitted:
+		return Decision{Answer: operatorapi.Applying{Outcome: operatorapi.Applied, Revision: s.Revision, Epoch: s.Taken.Version}}
+	case statemachine.ApplyMalformed:
 		return Decision{Answer: s.invalid(document.Fault{Path: "base", Reason: "is no revision that a bundle can have"})}
-	case statemachine.OrderUnproven:
+	case statemachine.ApplyUnproven:
 		return Decision{Answer: unproven(s.Revision, s.Epoch)}
-	case statemachine.OrderLost:
+	case statemachine.ApplyConflicted:
 		// Revisions only rise and refusals are kept, so no copy of this call can win any more.
 		return Decision{Answer: conflict(s.Revision, s.Epoch)}
-	case statemachine.OrderAhead:
+	case statemachine.ApplyAhead:
 		// This base may yet come in force, and another copy of the call with it. So the call goes through the
 		// log without its bundle, and is written down as refused.
 		return Decision{Submit: &statemachine.Command{Op: statemachine.OpApply, Operator: call.Operator, Digest: call.Digest, BaseRevision: call.Base}}
@@ -93,18 +93,18 @@
 		return Decision{Answer: s.invalid(faults...)}
 	}
 	return Decision{Submit: &statemachine.Command{Op: statemachine.OpApply, Operator: call.Operator, Digest: call.Digest, BaseRevision: call.Base,
-		Revision: ident.Revision(parsed.Forward.Revision), Spec: compression.Pack(whole), Packed: true}}
+		Revision: ident.Revision(parsed.Forward.Revision), Configuration: compression.Pack(whole), Compressed: true}}
 }
 
 // After is the answer when the command was applied.
 func After(result statemachine.Result) operatorapi.Applying {
-	switch result.Verdict {
+	switch result.Outcome {
 	case statemachine.Done:
-		return operatorapi.Applying{Outcome: operatorapi.Applied, Revision: result.Revision, Epoch: result.Proposal.Epoch}
+		return operatorapi.Applying{Outcome: operatorapi.Applied, Revision: result.Revision, Epoch: result.Proposal.Version}
 	case statemachine.Conflict:
-		return conflict(result.Revision, result.Epoch)
+		return conflict(result.Revision, result.Version)
 	case statemachine.Unproven:
-		return unproven(result.Revision, result.Epoch)
+		return unproven(result.Revision, result.Version)
 	}
 	return operatorapi.Applying{Outcome: operatorapi.Invalid, Reason: result.Reason}
 }
@@ -140,7 +140,7 @@
 		faults = []document.Fault{{Path: "forward", Reason: "is missing: only bundles with this part are applied in one step"}}
 	case ident.Revision(parsed.Forward.Revision) <= s.Revision:
 		faults = []document.Fault{{Path: "forward.revision", Reason: "must be above the revision in force"}}
-	case ident.Revision(parsed.Forward.Revision) > statemachine.MostRevision:
+	case ident.Revision(parsed.Forward.Revision) > statemachine.MaxRevision:
 		faults = []document.Fault{{Path: "forward.revision", Reason: "is higher than any revision may be"}}
 	}
 	return parsed, whole, faults
--- a/process/rollout/rollout.go
+++ b/process/rollout/rollout.go
@@ -196,8 +196,8 @@
 			changes = append(changes, change)
 		}
 	}
-	if o.closures != nil && o.closures.Epoch > k.closureEpoch() {
-		change := ClosureChange(o.closures.Epoch)
+	if o.closures != nil && o.closures.Version > k.closureEpoch() {
+		change := ClosureChange(o.closures.Version)
 		k.note(change, Learned)
 		if next != nil {
 			next = next.WithClosures(*o.closures)
@@ -248,9 +248,9 @@
 
 func (k *Keeper) closureEpoch() ident.Version {
 	if held := k.table.Load(); held != nil {
-		return held.Closures.Epoch
+		return held.Closures.Version
 	}
-	return k.early.Epoch
+	return k.early.Version
 }
 
 // EncodeClosures and DecodeClosures are the form in which closures travel between daemons.
--- a/process/rollout/rollout_test.go
+++ b/process/rollout/rollout_test.go
@@ -32,7 +32,7 @@
 
 func (s *seen) look(k *Keeper) {
 	if held := k.Table(); held != nil {
-		s.bundles, s.closures = append(s.bundles, held.Epoch), append(s.closures, held.Closures.Epoch)
+		s.bundles, s.closures = append(s.bundles, held.Epoch), append(s.closures, held.Closures.Version)
 	}
 }
 
@@ -81,7 +81,7 @@
 				for place := offerer; place < len(offers); place += offerers {
 					epoch, closureEpoch := ident.Version(offers[place]%13), ident.Version(offers[place]/13)
 					raw := bundleOf(t, epoch, "same")
-					bundle, closures := compression.Bundle{Data: raw}, &closure.Set{Epoch: closureEpoch}
+					bundle, closures := compression.Bundle{Data: raw}, &closure.Set{Version: closureEpoch}
 					switch {
 					case offers[place]%7 == 0:
 						bundle.Data, closures = []byte("garbage"), nil
@@ -107,7 +107,7 @@
 		if newest == 0 {
 			return held == nil
 		}
-		return held != nil && held.Epoch == newest && held.Closures.Epoch == newestClosure
+		return held != nil && held.Epoch == newest && held.Closures.Version == newestClosure
 	}, gen.SliceOfN(40, gen.UInt8())))
 	properties.TestingRun(t)
 }
--- a/process/workerid/workerid.go
+++ b/process/workerid/workerid.go
@@ -27,17 +27,17 @@
 }
 
 // Outcome is the outcome of a command on the table.
-type Outcome string
+type LeaseOutcome string
 
 const (
 	// Granted: the daemon holds the lease that is given with it.
-	Granted Outcome = "granted"
+	Granted LeaseOutcome = "granted"
 	// Mismatch: the daemon does not hold a lease on that worker id.
-	Mismatch Outcome = "mismatch"
+	Mismatch LeaseOutcome = "mismatch"
 	// Exhausted: all worker ids are taken.
-	Exhausted Outcome = "exhausted"
+	Exhausted LeaseOutcome = "exhausted"
 	// Released: the lease has ended before its expiry.
-	Released Outcome = "released"
+	Released LeaseOutcome = "released"
 )
 
 // Table is the replicated state. Its zero value is not usable; make it with New.
@@ -69,7 +69,7 @@
 }
 
 // Acquire gives the daemon its unexpired lease, or the lowest free worker id.
-func (t *Table) Acquire(node ident.NodeID, now ident.GroupTime, span time.Duration) (Grant, Outcome) {
+func (t *Table) Acquire(node ident.NodeID, now ident.GroupTime, span time.Duration) (Grant, LeaseOutcome) {
 	if worker, known := t.Nodes[node]; known {
 		lease := t.Leases[worker]
 		if lease.LeaseExpiry > now {
@@ -91,7 +91,7 @@
 }
 
 // Renew moves the expiry of a lease that this daemon holds.
-func (t *Table) Renew(node ident.NodeID, worker ident.WorkerID, now ident.GroupTime, span time.Duration) (Grant, Outcome) {
+func (t *Table) Renew(node ident.NodeID, worker ident.WorkerID, now ident.GroupTime, span time.Duration) (Grant, LeaseOutcome) {
 	lease, held := t.holder(node, worker)
 	if !held || lease.LeaseExpiry <= now {
 		return Grant{}, Mismatch
@@ -102,7 +102,7 @@
 }
 
 // Release ends a lease early; last is the last timestamp that was minted under it.
-func (t *Table) Release(node ident.NodeID, worker ident.WorkerID, last ident.GroupTime) Outcome {
+func (t *Table) Release(node ident.NodeID, worker ident.WorkerID, last ident.GroupTime) LeaseOutcome {
 	lease, held := t.holder(node, worker)
 	if !held {
 		return Mismatch
--- a/testbed/endtoend/operator_test.go
+++ b/testbed/endtoend/operator_test.go
@@ -83,7 +83,7 @@
 	}
 	var history []statemachine.Proposal
 	b.get(operatorapi.PathHistory, &history)
-	if len(history) != 2 || history[1].Signs[0].Operator != "berta" {
+	if len(history) != 2 || history[1].SignOffs[0].Operator != "berta" {
 		t.Errorf("history: %+v", history)
 	}
 	var trace operatorapi.Trace
@@ -189,7 +189,7 @@
 			if status, word := shut(string(zone), mark.Operator, true, base); status != 200 {
 				t.Errorf("asked for again: %d %+v", status, word)
 			}
-			if status, word := shut(string(zone), "chen", true, base); status != 409 || word.Winner != mark.Operator || word.Closures == nil || word.Closures.Epoch != now {
+			if status, word := shut(string(zone), "chen", true, base); status != 409 || word.Winner != mark.Operator || word.Closures == nil || word.Closures.Version != now {
 				t.Errorf("another operator's: %d %+v", status, word)
 			}
 			// Both are shut for the next round, in which both are opened.
--- a/testbed/interleaving/interleave_test.go
+++ b/testbed/interleaving/interleave_test.go
@@ -220,7 +220,7 @@
 	}
 	closures := closure.Set{Zones: map[ident.ZoneID]closure.Record{}}
 	if zoneShut {
-		closures.Epoch, closures.Zones["z"] = 1, closure.Record{}
+		closures.Version, closures.Zones["z"] = 1, closure.Record{}
 	}
 	return routingtable.Build(1, nil, s, closures)
 }
@@ -350,9 +350,9 @@
 	return func() Case {
 		state := statemachine.New()
 		apply := func(c statemachine.Command) statemachine.Result {
-			if unchecked && c.Op == statemachine.OpRoll {
+			if unchecked && c.Op == statemachine.OpRollOut {
 				// The broken variant forgets what base the bundle was made on.
-				state.Proposals[c.ProposalID].Base, state.Proposals[c.ProposalID].Stage = state.Epoch(), statemachine.Signed
+				state.Proposals[c.ProposalID].Base, state.Proposals[c.ProposalID].Stage = state.Version(), statemachine.StageSigned
 			}
 			return state.Apply(encode(c))
 		}
@@ -360,17 +360,17 @@
 		operator := func(id, author, signer string) func(func()) {
 			return func(yield func()) {
 				for _, c := range []statemachine.Command{
-					{Op: statemachine.OpPropose, ProposalID: id, Operator: author, Spec: []byte(id)},
+					{Op: statemachine.OpPropose, ProposalID: id, Operator: author, Configuration: []byte(id)},
 					{Op: statemachine.OpReview, ProposalID: id, Operator: signer},
-					{Op: statemachine.OpSign, ProposalID: id, Operator: signer},
-					{Op: statemachine.OpRoll, ProposalID: id, Operator: author},
+					{Op: statemachine.OpSignOff, ProposalID: id, Operator: signer},
+					{Op: statemachine.OpRollOut, ProposalID: id, Operator: author},
 				} {
 					yield()
 					result := apply(c)
-					if c.Op == statemachine.OpRoll && result.Verdict == statemachine.Done {
+					if c.Op == statemachine.OpRollOut && result.Outcome == statemachine.Done {
 						won[id] = true
 					}
-					if result.Verdict != statemachine.Done {
+					if result.Outcome != statemachine.Done {
 						return
 					}
 				}
@@ -416,19 +416,19 @@
 				for range rounds {
 					asked := now
 					yield()
-					result := state.Apply(encode(statemachine.Command{Op: statemachine.OpClaim, NodeID: name, At: ident.GroupTime(now / 1e6),
-						SpanMs: config.ClaimSpan.Milliseconds(), GapMs: gap.Milliseconds()}))
+					result := state.Apply(encode(statemachine.Command{Op: statemachine.OpAcquirePlanner, NodeID: name, At: ident.GroupTime(now / 1e6),
+						LeaseMs: config.ClaimSpan.Milliseconds(), HandoverGapMs: gap.Milliseconds()}))
 					yield()
-					if result.Verdict != statemachine.Done {
+					if result.Outcome != statemachine.Done {
 						continue
 					}
-					until := asked + clock.Mark(time.Duration(result.Claim.Until-result.Claim.Now)*time.Millisecond)
+					until := asked + clock.Mark(time.Duration(result.PlannerLease.Expiry-result.PlannerLease.Now)*time.Millisecond)
 					if overrun {
 						until += 10 * second
 					}
 					if now < until {
 						// The order was checked now, and may reach the engine as late as its limit.
-						orders = append(orders, order{now, result.Claim.Number}, order{min(now, until) + orderLimit, result.Claim.Number})
+						orders = append(orders, order{now, result.PlannerLease.Token}, order{min(now, until) + orderLimit, result.PlannerLease.Token})
 					}
 				}
 			}
--- a/testbed/interleaving/orders_test.go
+++ b/testbed/interleaving/orders_test.go
@@ -44,9 +44,9 @@
 		if err != nil {
 			panic(err)
 		}
-		before := l.state.Epoch()
+		before := l.state.Version()
 		result := l.state.Apply(data)
-		if l.taken != nil && l.state.Epoch() > before {
+		if l.taken != nil && l.state.Version() > before {
 			l.taken(next.command.Digest)
 		}
 		next.result, l.applied = &result, l.applied+1
@@ -70,16 +70,16 @@
 	bundle            string
 	digest            string
 	base              ident.Revision
-	order             statemachine.OrderStanding
+	order             statemachine.ApplyStatus
 }
 
 func keyOf(standing directapply.Standing, call operatorapi.Apply) standingKey {
 	key := standingKey{revision: standing.Revision, epoch: standing.Epoch, digest: call.Digest, base: call.Base, order: standing.Order}
 	if standing.Proposal != nil {
-		key.newest, key.bundle = standing.Proposal.ID, string(standing.Proposal.Spec)
+		key.newest, key.bundle = standing.Proposal.ID, string(standing.Proposal.Configuration)
 	}
 	if standing.Taken != nil {
-		key.taken, key.takenEpoch = standing.Taken.ID, standing.Taken.Epoch
+		key.taken, key.takenEpoch = standing.Taken.ID, standing.Taken.Version
 	}
 	return key
 }
@@ -186,11 +186,11 @@
 		}
 		if broken == "refusals forgotten" {
 			// At any moment all refusals are forgotten.
-			c.Threads = append(c.Threads, func(func()) { l.state.RefusedAhead = nil })
+			c.Threads = append(c.Threads, func(func()) { l.state.RejectedAhead = nil })
 		}
 		if broken == "winners forgotten" {
 			// The state forgets that it forgot.
-			c.Threads = append(c.Threads, func(func()) { l.state.ProvenFrom = 0 })
+			c.Threads = append(c.Threads, func(func()) { l.state.AppliesKnownFrom = 0 })
 		}
 		won := map[string]bool{}
 		l.taken = func(digest string) { won[digest] = true }
@@ -205,7 +205,7 @@
 				inForce := won[call.Digest]
 				switch answers[i].Outcome {
 				case operatorapi.Applied:
-					if !inForce || known && answers[i].Epoch != proposal.Epoch {
+					if !inForce || known && answers[i].Epoch != proposal.Version {
 						return fmt.Errorf("call %d was acknowledged and is not there", i)
 					}
 				case operatorapi.Conflicted, operatorapi.Invalid:
@@ -250,7 +250,7 @@
 // steps.
 func TestOrdersThatAreForgotten(t *testing.T) {
 	t.Parallel()
-	tiny := statemachine.Limits{Taken: 1, Refused: 1}
+	tiny := statemachine.Limits{Versions: 1, RejectedApplies: 1}
 	y, x, z := wholeCall(5, 8), wholeCall(8, 9), patchCall(8, 10)
 	holds(t, limitedOrderCase(t, tiny, false, "", y, x, z))
 	holds(t, limitedOrderCase(t, tiny, true, "", y, x, y))
--- a/testbed/partitionsim/node_test.go
+++ b/testbed/partitionsim/node_test.go
@@ -242,18 +242,18 @@
 // offer hands what the log put in force to the keeper; the table takes a while to build.
 func (n *node) offer() {
 	state := n.core.State()
-	if state.Epoch() == n.offeredSpec && state.Closures.Epoch == n.offeredClosure {
+	if state.Version() == n.offeredSpec && state.Closures.Version == n.offeredClosure {
 		return
 	}
-	n.offeredSpec, n.offeredClosure = state.Epoch(), state.Closures.Epoch
-	epoch, closures, inForce := state.Epoch(), state.Closures.Clone(), statemachine.Proposal{}
+	n.offeredSpec, n.offeredClosure = state.Version(), state.Closures.Version
+	epoch, closures, inForce := state.Version(), state.Closures.Clone(), statemachine.Proposal{}
 	if found, ok := state.InForce(); ok {
 		inForce = *found
 	}
 	life := n.life
 	n.w.after(n.w.ms(0, 60), func() {
 		n.do(life, func() {
-			n.keeper.Offer(epoch, inForce.Packing(), &closures)
+			n.keeper.Offer(epoch, inForce.Payload(), &closures)
 			n.news()
 		})
 	})
@@ -262,7 +262,7 @@
 // force is what is in force here.
 func (n *node) force() (force membership.InForce) {
 	if table := n.keeper.Table(); table != nil {
-		force.Spec, force.Closure = table.Epoch, table.Closures.Epoch
+		force.Spec, force.Closure = table.Epoch, table.Closures.Version
 	}
 	return force
 }
@@ -275,7 +275,7 @@
 		return 0
 	}
 	force, state := n.force(), n.core.State()
-	if force.Spec < state.Epoch() || force.Spec > 0 && force.Closure < state.Closures.Epoch {
+	if force.Spec < state.Version() || force.Spec > 0 && force.Closure < state.Closures.Version {
 		return 0
 	}
 	return n.core.ConfirmedUntil()
@@ -503,11 +503,11 @@
 	reply := &peerapi.PullReply{Group: group, NodeId: string(n.id()), LeaderAddress: leader, LeaderTerm: term, IsLeader: n.leads(),
 		Confirmation: membership.ConfirmationOf(confirmed, held.arrived)}
 	if table := n.keeper.Table(); table != nil {
-		reply.SpecEpoch, reply.ClosureEpoch = uint64(table.Epoch), uint64(table.Closures.Epoch)
+		reply.SpecEpoch, reply.ClosureEpoch = uint64(table.Epoch), uint64(table.Closures.Version)
 		if n.tellsBundle(in) {
 			reply.Spec, reply.SpecPacked = table.Bundle.Data, table.Bundle.Packed
 		}
-		if in.ClosureEpoch < uint64(table.Closures.Epoch) {
+		if in.ClosureEpoch < uint64(table.Closures.Version) {
 			reply.Closures = rollout.EncodeClosures(table.Closures)
 		}
 	}
@@ -529,8 +529,8 @@
 	if n.enlisted > 0 {
 		return
 	}
-	n.submit(statemachine.Command{Op: statemachine.OpEnlist, NodeID: n.id(), Address: n.name}, func(result statemachine.Result) {
-		if n.enlisted == 0 && result.Verdict == statemachine.Done {
+	n.submit(statemachine.Command{Op: statemachine.OpRegister, NodeID: n.id(), Address: n.name}, func(result statemachine.Result) {
+		if n.enlisted == 0 && result.Outcome == statemachine.Done {
 			n.enlisted = n.clock()
 		}
 	})
--- a/testbed/partitionsim/operators_test.go
+++ b/testbed/partitionsim/operators_test.go
@@ -187,8 +187,8 @@
 	to := w.core()[w.random.IntN(w.controls)]
 	to.do(to.life, func() {
 		to.submit(statemachine.Command{Op: statemachine.OpClosure, Zone: "zone0", Closed: closed, Operator: "chen"}, func(result statemachine.Result) {
-			if result.Verdict == statemachine.Done {
-				w.acknowledged(0, result.Closures.Epoch)
+			if result.Outcome == statemachine.Done {
+				w.acknowledged(0, result.Closures.Version)
 			}
 		})
 	})
@@ -207,7 +207,7 @@
 		seen := func(source *node) func(replica.Answer) {
 			return func(answer replica.Answer) {
 				if answer.Outcome == replica.Applied {
-					w.sawRead(to, source, asked, arrived, newest, answer.State.Epoch())
+					w.sawRead(to, source, asked, arrived, newest, answer.State.Version())
 				}
 			}
 		}
@@ -229,7 +229,7 @@
 				got := answer
 				epoch := ident.Version(0)
 				if got.Outcome == replica.Applied {
-					epoch = got.State.Epoch()
+					epoch = got.State.Version()
 				}
 				back(func() {
 					if got.Outcome == replica.Applied {
--- a/testbed/scenario/bundles.go
+++ b/testbed/scenario/bundles.go
@@ -40,8 +40,8 @@
 
 // rolled notes what a roll was answered with, and follows one that is not acknowledged until it is.
 func (r *Run) rolled(id string, status int, answer rollout.Response, body []byte) {
-	act := checker.Act{Kind: checker.Rolled, Subject: fmt.Sprintf("epoch %d (%s), in force at %d daemons", answer.Proposal.Epoch, id, len(answer.InForceAt)),
-		Epoch: uint64(answer.Proposal.Epoch), Body: body}
+	act := checker.Act{Kind: checker.Rolled, Subject: fmt.Sprintf("epoch %d (%s), in force at %d daemons", answer.Proposal.Version, id, len(answer.InForceAt)),
+		Epoch: uint64(answer.Proposal.Version), Body: body}
 	if status == http.StatusOK {
 		r.Act(act)
 		return
--- a/testbed/scenario/operators.go
+++ b/testbed/scenario/operators.go
@@ -70,7 +70,7 @@
 		for _, p := range r.anyDaemon() {
 			var closures closure.Set
 			if _, err := r.Fleet.Get(p, operatorapi.PathClosures, &closures); err == nil {
-				base = closures.Epoch
+				base = closures.Version
 				return true
 			}
 		}
--- a/testbed/scenario/readback.go
+++ b/testbed/scenario/readback.go
@@ -25,9 +25,9 @@
 		return err
 	}
 	for _, proposal := range list {
-		back := checker.ReadBack{Epoch: uint64(proposal.Epoch)}
+		back := checker.ReadBack{Epoch: uint64(proposal.Version)}
 		for _, p := range r.anyDaemon() {
-			body, err := r.Fleet.Get(p, fmt.Sprintf("%s?epoch=%d", operatorapi.PathSpec, proposal.Epoch), nil)
+			body, err := r.Fleet.Get(p, fmt.Sprintf("%s?epoch=%d", operatorapi.PathSpec, proposal.Version), nil)
 			back.Body, back.Err = body, ""
 			if err == nil {
 				break
