--- a/daemon/counters.go
+++ b/daemon/counters.go
@@ -64,13 +64,13 @@
 	say("raft_dropped", d.links.Dropped.Load())
 	say("raft_failed", d.links.Failed.Load())
 	if held := d.replica.Load(); held != nil {
-		say("raft_refused", held.Refused.Load())
+		say("raft_refused", held.Rejected.Load())
 	}
-	say("raft_malformed", c.group.MessagesRefused.Load())
+	say("raft_malformed", c.group.MessagesRejected.Load())
 	say("snapshots_sent", c.group.SnapshotsSent.Load())
-	say("snapshots_taken", c.group.SnapshotsTaken.Load())
-	say("snapshots_refused", c.group.SnapshotsRefused.Load())
-	say("states_differ", c.group.StatesDiffer.Load())
+	say("snapshots_taken", c.group.SnapshotsInstalled.Load())
+	say("snapshots_refused", c.group.SnapshotsRejected.Load())
+	say("states_differ", c.group.StateDivergences.Load())
 	say("offers_refused", d.keeper.Refused.Load())
 	w := &d.watcher.Counters
 	say("engine_reports_failed", w.FailedReports.Load())
--- a/daemon/leader.go
+++ b/daemon/leader.go
@@ -11,7 +11,7 @@
 // Leads says whether this daemon leads the group.
 func (d *Daemon) Leads() bool {
 	held := d.replica.Load()
-	return held != nil && held.Condition().Leads
+	return held != nil && held.Status().IsLeader
 }
 
 // leaderAddress is where the leader is, as far as this daemon knows.
@@ -23,7 +23,7 @@
 // leaderAndTerm is where the leader is and in which term it leads, as far as this daemon knows.
 func (d *Daemon) leaderAndTerm() (string, uint64) {
 	if held := d.replica.Load(); held != nil {
-		if condition := held.Condition(); condition.Leader.Address != "" {
+		if condition := held.Status(); condition.Leader.Address != "" {
 			return condition.Leader.Address, uint64(condition.Term)
 		}
 	}
@@ -62,10 +62,10 @@
 	if held == nil {
 		return 0
 	}
-	condition := held.Condition()
+	condition := held.Status()
 	// A recovered group may have lost its first bundles, so it can't tell when the first came.
-	if !condition.Leads || condition.Group.Recovered() {
+	if !condition.IsLeader || condition.Group.Recovered() {
 		return 0
 	}
-	return condition.FirstRollAgo
+	return condition.SinceFirstRollout
 }
--- a/daemon/poolplanning.go
+++ b/daemon/poolplanning.go
@@ -32,7 +32,7 @@
 func WithPoolPlanning(client poolplacement.EngineClient, settings poolplacement.Settings) Option {
 	return func(d *Daemon) {
 		d.pools = &poolPlanning{client: client, settings: settings}
-		d.replicaConfig.ClaimSpan, d.replicaConfig.ClaimGap = settings.Span, settings.Gap
+		d.replicaConfig.PlannerLease, d.replicaConfig.PlannerLeaseGap = settings.Span, settings.Gap
 	}
 }
 
@@ -91,7 +91,7 @@
 	case answer.Outcome == statemachine.Done:
 		return poolplacement.ClaimAnswer{Granted: answer.PlannerLease}
 	}
-	return poolplacement.ClaimAnswer{Wait: time.Duration(answer.PlannerLease.FreeAt(p.replicaConfig.ClaimGap)-answer.PlannerLease.Now) * time.Millisecond}
+	return poolplacement.ClaimAnswer{Wait: time.Duration(answer.PlannerLease.FreeAt(p.replicaConfig.PlannerLeaseGap)-answer.PlannerLease.Now) * time.Millisecond}
 }
 
 // Mint stamps an order, LeaseHeld says whether the lease it was minted under still holds.
--- a/daemon/reads.go
+++ b/daemon/reads.go
@@ -56,7 +56,7 @@
 // look reads part of the state at a linearizable point; a result of nothing means that it isn't there.
 func (d *Daemon) look(ctx context.Context, what, key string) ([]byte, replica.Outcome) {
 	held := d.replica.Load()
-	if held == nil || !held.Condition().Leads {
+	if held == nil || !held.Status().IsLeader {
 		return nil, replica.NotLeader
 	}
 	var result []byte
--- a/daemon/sessionplanning.go
+++ b/daemon/sessionplanning.go
@@ -41,7 +41,7 @@
 		if now.Since(heard.At) < demandFresh {
 			heard.Each(now, func(demand *peerapi.Demand, _ time.Duration, _ float64) {
 				if demand.Pool == "" {
-					in.Demand = append(in.Demand, sessionplacement.Demand{Model: demand.Model, Adapter: demand.Adapter, Worth: demand.Worth, Queued: int(demand.Held), Running: int(demand.Running)})
+					in.Demand = append(in.Demand, sessionplacement.Demand{Model: demand.Model, Adapter: demand.Adapter, Worth: demand.Value, Queued: int(demand.Queued), Running: int(demand.Running)})
 				}
 			})
 		}
--- a/daemon/unplaced.go
+++ b/daemon/unplaced.go
@@ -57,28 +57,28 @@
 // tellLacks puts what will not be loaded soon into a reply, where this daemon plans and the asker has it not.
 func (d *Daemon) tellLacks(in *peerapi.PullRequest, reply *peerapi.PullReply) {
 	held := d.heldLacks.Load()
-	if !reply.Plans || held == nil {
+	if !reply.IsPlanner || held == nil {
 		return
 	}
-	reply.LacksVersion = d.toldNews.lacks.Load()
-	if reply.LacksVersion == in.LacksVersion {
+	reply.ShortagesVersion = d.toldNews.lacks.Load()
+	if reply.ShortagesVersion == in.ShortagesVersion {
 		return
 	}
 	for _, lack := range held.lacks {
-		reply.Lacks = append(reply.Lacks, &peerapi.Lack{Model: lack.Model, Adapter: lack.Adapter, WaitMs: lack.Wait.Milliseconds()})
+		reply.Shortages = append(reply.Shortages, &peerapi.Shortage{Model: lack.Model, Adapter: lack.Adapter, WaitMs: lack.Wait.Milliseconds()})
 	}
 	for _, lack := range held.pools {
-		reply.Lacks = append(reply.Lacks, &peerapi.Lack{Pool: lack.Pool, Model: lack.Model, Adapter: lack.Adapter, WaitMs: lack.Wait.Milliseconds()})
+		reply.Shortages = append(reply.Shortages, &peerapi.Shortage{Pool: lack.Pool, Model: lack.Model, Adapter: lack.Adapter, WaitMs: lack.Wait.Milliseconds()})
 	}
 }
 
 // learnLacks takes the planner's word on what will not be loaded soon.
 func (d *Daemon) learnLacks(reply *peerapi.PullReply) {
-	if !reply.Plans || reply.LacksVersion == 0 {
+	if !reply.IsPlanner || reply.ShortagesVersion == 0 {
 		return
 	}
 	now := d.clock.Elapsed()
-	if reply.LacksVersion == d.heardNews.lacks.Load() {
+	if reply.ShortagesVersion == d.heardNews.lacks.Load() {
 		// The same as before, said again.
 		if known := d.lacks.Load(); known != nil {
 			d.lacks.Store(&heardLacks{now, known.waits})
@@ -88,19 +88,19 @@
 		}
 		return
 	}
-	lacks := make(map[dispatch.Wanted]time.Duration, len(reply.Lacks))
-	for _, lack := range reply.Lacks {
+	lacks := make(map[dispatch.Wanted]time.Duration, len(reply.Shortages))
+	for _, lack := range reply.Shortages {
 		if lack.Pool == "" {
 			lacks[dispatch.Wanted{Model: lack.Model, Adapter: lack.Adapter}] = time.Duration(lack.WaitMs) * time.Millisecond
 		}
 	}
-	d.hearPoolLacks(reply.Lacks)
+	d.hearPoolLacks(reply.Shortages)
 	d.lacks.Store(&heardLacks{now, lacks})
-	d.heardNews.lacks.Store(reply.LacksVersion)
+	d.heardNews.lacks.Store(reply.ShortagesVersion)
 }
 
 // hearPoolLacks takes the planner's word on what will not be loaded soon.
-func (d *Daemon) hearPoolLacks(lacks []*peerapi.Lack) {
+func (d *Daemon) hearPoolLacks(lacks []*peerapi.Shortage) {
 	waits := map[PoolTarget]time.Duration{}
 	for _, lack := range lacks {
 		if lack.Pool != "" {
--- a/testbed/interleaving/interleave_test.go
+++ b/testbed/interleaving/interleave_test.go
@@ -417,7 +417,7 @@
 					asked := now
 					yield()
 					result := state.Apply(encode(statemachine.Command{Op: statemachine.OpAcquirePlanner, NodeID: name, At: ident.GroupTime(now / 1e6),
-						LeaseMs: config.ClaimSpan.Milliseconds(), HandoverGapMs: gap.Milliseconds()}))
+						LeaseMs: config.PlannerLease.Milliseconds(), HandoverGapMs: gap.Milliseconds()}))
 					yield()
 					if result.Outcome != statemachine.Done {
 						continue
@@ -454,7 +454,7 @@
 
 func TestTwoPlanners(t *testing.T) {
 	t.Parallel()
-	gap := replica.DefaultConfig().ClaimGap
+	gap := replica.DefaultConfig().PlannerLeaseGap
 	holds(t, plannersCase(gap, false))
 	bites(t, plannersCase(gap, true))
 }
