--- a/process/consensus/replica/proposals.go
+++ b/process/consensus/replica/proposals.go
@@ -50,11 +50,11 @@
 		panic("broken invariant: a command cannot be encoded: " + err.Error())
 	}
 	effects := c.raft.Step(raft.Propose{Data: data})
-	if effects.Proposed == 0 {
+	if effects.ProposedIndex == 0 {
 		out := c.processRaftEffects(now, effects)
 		out.Responses = append(out.Responses, Response{RequestID: ref, Outcome: NotLeader})
 		return out
 	}
-	c.proposals[effects.Proposed] = proposal{requestID: ref, term: effects.ProposedTerm}
+	c.proposals[effects.ProposedIndex] = proposal{requestID: ref, term: effects.ProposedTerm}
 	return c.processRaftEffects(now, effects)
 }
