--- a/process/consensus/replica/core.go
+++ b/process/consensus/replica/core.go
@@ -58,7 +58,7 @@
 	}
 	c := &Core{config: config, raft: member, state: state, appliedIndex: member.SnapshotIndex(), groupTimeAt: now, startedAt: now, lastRestored: member.LastIndex(), wallClock: wall,
 		proposals: map[raft.Index]proposal{}, reads: map[uint64]raft.Index{}, lastContact: map[raft.MemberID]clock.Mark{}, leaving: map[raft.MemberID]clock.Mark{},
-		digests: newDigests(statemachine.Form(config.Build))}
+		digests: newDigests(statemachine.DigestSchema(config.Build))}
 	member.SetSnapshotCheck(c.validateSnapshot)
 	return c, nil
 }
@@ -92,7 +92,7 @@
 		// What takes the place of entries found on disk may have been stamped at any time since.
 		c.lastRestored = effects.Save.TruncateFrom - 1
 	}
-	specBefore, closuresBefore, leavesBefore := c.state.Epoch(), c.state.Closures.Epoch, c.state.Leaves
+	specBefore, closuresBefore, leavesBefore := c.state.Version(), c.state.Closures.Version, c.state.Departures
 	if effects.InstallSnapshot != nil {
 		// It was read by checkSnapshot before the log was given up for it.
 		c.state, c.appliedIndex, c.groupTimeAt, c.validated = c.validated, effects.InstallSnapshot.Index, now, nil
@@ -118,7 +118,7 @@
 	c.updateLeadership(now, &out)
 	c.leadership.observe(now, c.raft)
 	c.attachDigests(now, out.Messages)
-	out.ConfigurationChanged = c.state.Epoch() != specBefore || c.state.Closures.Epoch != closuresBefore || c.state.Leaves != leavesBefore
+	out.ConfigurationChanged = c.state.Version() != specBefore || c.state.Closures.Version != closuresBefore || c.state.Departures != leavesBefore
 	if c.entriesSinceSnapshot >= c.config.CompactEntries || c.config.CompactBytes > 0 && c.bytesSinceSnapshot >= c.config.CompactBytes {
 		keep := c.retainedEntries()
 		c.entriesSinceSnapshot, c.entrySizes, c.bytesSinceSnapshot = 0, c.entrySizes[:0], 0
@@ -147,7 +147,7 @@
 	}
 	if c.digests.due(entry.Index) {
 		digest := c.state.Digest()
-		c.digests.record(entry.Index, digest.Sum, digest.Bytes)
+		c.digests.record(entry.Index, digest.Sum, digest.SnapshotBytes)
 	}
 	waiting, ok := c.proposals[entry.Index]
 	if !ok {
