--- a/daemon/pull.go
+++ b/daemon/pull.go
@@ -58,14 +58,14 @@
 	reply := &peerapi.PullReply{Confirmation: confirmation, Group: string(d.Group()), NodeId: string(d.nodeID), LeaderAddress: leader, LeaderTerm: term, IsLeader: d.IsLeader(), FirstRolloutMsAgo: d.FirstRolloutAge().Milliseconds(),
 		KnownAttributesVersion: rowKnown, DemandBaseUnknown: wantsLost, IsPlanner: d.IsPlanner(), PlannerAddress: d.members.View().PlannerAddress}
 	if t := d.rollout.Table(); t != nil {
-		reply.ConfigurationVersion, reply.ClosureVersion = uint64(t.Epoch), uint64(t.Closures.Epoch)
+		reply.ConfigurationVersion, reply.ClosureVersion = uint64(t.Epoch), uint64(t.Closures.Version)
 		if d.sendsConfiguration(t.Epoch, in) {
 			reply.Configuration = t.Raw
 			if t.Bundle.Packed && in.AcceptsCompressed {
 				reply.Configuration, reply.ConfigurationCompressed = t.Bundle.Data, true
 			}
 		}
-		if in.ClosureVersion < uint64(t.Closures.Epoch) {
+		if in.ClosureVersion < uint64(t.Closures.Version) {
 			reply.Closures = rollout.EncodeClosures(t.Closures)
 		}
 	}
--- a/process/consensus/replica/group_time.go
+++ b/process/consensus/replica/group_time.go
@@ -18,9 +18,9 @@
 
 // FirstRollAgo is how long ago the first bundle came in force, in the group's time; negative when none has.
 func (c *Core) SinceFirstRollout(now clock.Mark) time.Duration {
-	first, any := c.state.At(1)
-	if !any || first.Rolled == nil {
+	first, any := c.state.ProposalAt(1)
+	if !any || first.RolledOut == nil {
 		return -1
 	}
-	return max(time.Millisecond, time.Duration(c.groupTime(now)-first.Rolled.At)*time.Millisecond)
+	return max(time.Millisecond, time.Duration(c.groupTime(now)-first.RolledOut.At)*time.Millisecond)
 }
--- a/process/consensus/replica/proposals.go
+++ b/process/consensus/replica/proposals.go
@@ -41,9 +41,9 @@
 	}
 	// All that depends on time or config is stamped here, so that apply is the same everywhere.
 	command.At = c.groupTime(now)
-	command.SpanMs = c.config.WorkerLease.Milliseconds()
-	if command.Op == statemachine.OpClaim {
-		command.SpanMs, command.GapMs = c.config.PlannerLease.Milliseconds(), c.config.PlannerLeaseGap.Milliseconds()
+	command.LeaseMs = c.config.WorkerLease.Milliseconds()
+	if command.Op == statemachine.OpAcquirePlanner {
+		command.LeaseMs, command.HandoverGapMs = c.config.PlannerLease.Milliseconds(), c.config.PlannerLeaseGap.Milliseconds()
 	}
 	data, err := json.Marshal(command)
 	if err != nil {
