--- a/daemon/status.go
+++ b/daemon/status.go
@@ -15,11 +15,11 @@
 func (d *Daemon) Status() operatorapi.Status {
 	now := d.clock.Elapsed()
 	ready, why := d.Ready()
-	out := operatorapi.Status{NodeID: d.nodeID, Version: d.version, Zone: d.config.Zone, Serve: d.serve(), Ready: ready, NotReady: why,
+	out := operatorapi.Status{NodeID: d.nodeID, Version: d.version, Zone: d.config.Zone, Serve: d.roleNames(), Ready: ready, NotReady: why,
 		Group: d.Group(), Leader: d.leaderAddress(), Fellows: []operatorapi.Fellow{}, Engines: []operatorapi.Engine{}}
-	t := d.keeper.Table()
+	t := d.rollout.Table()
 	if t != nil {
-		out.SpecEpoch, out.ClosureEpoch = t.Epoch, t.Closures.Epoch
+		out.SpecEpoch, out.ClosureEpoch = t.Epoch, t.Closures.Version
 	}
 	if confirmed := d.confirmed(); confirmed > 0 {
 		ago := max(0, now.Since(confirmed).Milliseconds())
@@ -33,7 +33,7 @@
 		condition := held.Status()
 		out.Raft = &operatorapi.RaftStatus{Role: condition.Role.String(), Term: uint64(condition.Term), Commit: uint64(condition.CommitIndex), Stalled: condition.DiskStalled,
 			Applied: uint64(condition.AppliedIndex), StateDigest: digestText(condition.Digest)}
-		if folder := d.held(); folder != nil {
+		if folder := d.dataFolder(); folder != nil {
 			self, _ := condition.Membership.Find(folder.Member)
 			out.Raft.Voter = self.Voter
 		}
@@ -43,12 +43,12 @@
 		}
 	}
 	if d.config.Serves(daemonconfig.Place) {
-		condition := d.placer.Condition()
+		condition := d.sessionPlacer.Condition()
 		out.Planner = &operatorapi.PlannerStatus{Held: condition.Held, Claim: condition.Claim, InFlight: condition.InFlight}
 	}
 	for _, fellow := range d.members.View().InContact(now, 30*time.Second) {
-		out.Fellows = append(out.Fellows, operatorapi.Fellow{NodeID: fellow.NodeID, Address: fellow.Address, Zone: fellow.Zone, Serve: fellow.Serve,
-			HeardMsAgo: now.Since(fellow.Heard).Milliseconds(), SpecEpoch: fellow.SpecEpoch, ClosureEpoch: fellow.ClosureEpoch, Ready: fellow.Ready})
+		out.Fellows = append(out.Fellows, operatorapi.Fellow{NodeID: fellow.NodeID, Address: fellow.Address, Zone: fellow.Zone, Serve: fellow.Roles,
+			HeardMsAgo: now.Since(fellow.LastContact).Milliseconds(), SpecEpoch: fellow.ConfigurationVersion, ClosureEpoch: fellow.ClosureVersion, Ready: fellow.Ready})
 	}
 	for _, engine := range d.watcher.View().Engines {
 		row := operatorapi.Engine{ID: engine.ID, Address: engine.Address, Zone: engine.Zone, Condition: string(engine.Condition), Draining: engine.Draining,
--- a/process/consensus/replica/actor.go
+++ b/process/consensus/replica/actor.go
@@ -92,7 +92,7 @@
 
 // New makes a replica from what the disk holds. An empty group identifier stands for a member that has not joined yet:
 // it joins the group whose messages reach it first. New fails if the snapshot can't be read.
-func New(self raft.Member, group ident.GroupID, restored raft.Restored, config Config, c clock.Clock, disk Disk, transport Transport, options ...Option) (*Replica, error) {
+func New(self raft.Member, group ident.GroupID, restored raft.PersistentState, config Config, c clock.Clock, disk Disk, transport Transport, options ...Option) (*Replica, error) {
 	random := rand.New(rand.NewPCG(uint64(self.ID), uint64(c.Elapsed())))
 	member := raft.New(self.ID, config.Timing, restored, random)
 	core, err := NewCore(config, member, restored.Snapshot.Data, c.Elapsed(), c.Wall)
@@ -150,7 +150,7 @@
 		requestID := r.addWaiter(e.respond)
 		r.execute(r.core.Read(now, requestID))
 	case transferRequested:
-		r.execute(r.core.Step(now, raft.Transfer{}))
+		r.execute(r.core.Step(now, raft.TransferLeadership{}))
 	case leavingAnnounced:
 		r.core.MarkLeaving(now, e.member)
 		e.safeToStop <- r.core.SafeToStop(now, e.member)
@@ -196,9 +196,9 @@
 	}
 	now := r.clock.Elapsed()
 	r.checkDiskStall(now)
-	if late := now.Since(r.lastTick); r.lastTick > 0 && late > r.core.config.Timing.Span(TickInterval) {
+	if late := now.Since(r.lastTick); r.lastTick > 0 && late > r.core.config.Timing.ElectionTimeout(TickInterval) {
 		// This process was suspended for so long that the others may follow another leader by now.
-		r.execute(r.core.Step(now, raft.StandDown{}))
+		r.execute(r.core.Step(now, raft.StepDown{}))
 	}
 	r.lastTick = now
 	r.execute(r.core.Step(now, raft.Tick{}))
--- a/process/consensus/replica/core.go
+++ b/process/consensus/replica/core.go
@@ -64,9 +64,9 @@
 		groupTimeAt: now, startedAt: now, lastRestored: member.LastIndex(), wallClock: wallClock,
 		proposals: map[raft.Index]proposal{}, reads: map[uint64]raft.Index{},
 		lastContact: map[raft.MemberID]clock.Mark{}, leaving: map[raft.MemberID]clock.Mark{},
-		digests: newDigests(statemachine.Form(config.Build)),
+		digests: newDigests(statemachine.DigestSchema(config.Build)),
 	}
-	member.CheckSnapshots(c.validateSnapshot)
+	member.SetSnapshotCheck(c.validateSnapshot)
 	return c, nil
 }
 
@@ -94,16 +94,16 @@
 
 // processRaftEffects applies what was committed and turns the Raft core's effects into the replica's.
 func (c *Core) processRaftEffects(now clock.Mark, effects raft.Effects) Effects {
-	out := Effects{Save: effects.Save, MessagesAfterSave: effects.Later, Messages: effects.Now, Notices: effects.Notices}
+	out := Effects{Save: effects.Save, MessagesAfterSave: effects.AfterSync, Messages: effects.Immediate, Notices: effects.Notices}
 	c.noteTruncation(effects.Save)
 	before := c.visibleVersions()
-	if effects.Install != nil {
-		c.installValidated(now, effects.Install.Index)
+	if effects.InstallSnapshot != nil {
+		c.installValidated(now, effects.InstallSnapshot.Index)
 	}
 	for _, entry := range effects.Committed {
 		c.apply(now, entry, &out)
 	}
-	c.queueReads(effects.Reads, &out)
+	c.queueReads(effects.ReadStates, &out)
 	c.answerReads(&out)
 	c.updateLeadership(now, &out)
 	c.leadership.observe(now, c.raft)
@@ -131,7 +131,7 @@
 	}
 	if c.digests.due(entry.Index) {
 		digest := c.state.Digest()
-		c.digests.record(entry.Index, digest.Sum, digest.Bytes)
+		c.digests.record(entry.Index, digest.Sum, digest.SnapshotBytes)
 	}
 	c.answerProposal(entry, result, out)
 }
@@ -143,5 +143,5 @@
 }
 
 func (c *Core) visibleVersions() visibleVersions {
-	return visibleVersions{configuration: c.state.Epoch(), closures: c.state.Closures.Epoch, enginesLeft: c.state.Leaves}
+	return visibleVersions{configuration: c.state.Version(), closures: c.state.Closures.Version, enginesLeft: c.state.Departures}
 }
--- a/process/consensus/replica/digests.go
+++ b/process/consensus/replica/digests.go
@@ -68,7 +68,7 @@
 
 // record keeps this member's digest at an index. stateBytes is the size of the state, which decides on the interval.
 func (d *digestTracker) record(index raft.Index, sum uint64, stateBytes int) {
-	d.recent = append(d.recent, raft.StateDigest{Index: index, Form: d.form, Sum: sum})
+	d.recent = append(d.recent, raft.StateDigest{Index: index, Format: d.form, Sum: sum})
 	d.recent = d.recent[max(0, len(d.recent)-retainedDigests):]
 	// Intervals are powers of two, so that members whose intervals differ still digest some of the same indexes.
 	for d.interval = minDigestInterval; int(d.interval)*stateBytesPerEntry < stateBytes; d.interval *= 2 {
@@ -108,7 +108,7 @@
 	if !known {
 		return nil, nil
 	}
-	if requested.Differs && requested.Form == own.Form && requested.Sum != own.Sum {
+	if requested.Differs && requested.Format == own.Format && requested.Sum != own.Sum {
 		return nil, &StateDivergedError{Index: own.Index, Own: own.Sum, Majority: requested.Sum}
 	}
 	return &own, nil
@@ -169,7 +169,7 @@
 		return comparison{}
 	}
 	d.replied[from] = true
-	if reply.Form != d.form {
+	if reply.Format != d.form {
 		return comparison{}
 	}
 	d.replies[from] = reply.Sum
--- a/process/consensus/replica/group_time.go
+++ b/process/consensus/replica/group_time.go
@@ -36,9 +36,9 @@
 
 // SinceFirstRollout is how long ago, in the group's time, the first configuration was put in force; negative if none was.
 func (c *Core) SinceFirstRollout(now clock.Mark) time.Duration {
-	first, found := c.state.At(1)
-	if !found || first.Rolled == nil {
+	first, found := c.state.ProposalAt(1)
+	if !found || first.RolledOut == nil {
 		return -1
 	}
-	return max(time.Millisecond, time.Duration(c.groupTime(now)-first.Rolled.At)*time.Millisecond)
+	return max(time.Millisecond, time.Duration(c.groupTime(now)-first.RolledOut.At)*time.Millisecond)
 }
--- a/process/consensus/replica/leaving_members.go
+++ b/process/consensus/replica/leaving_members.go
@@ -18,7 +18,7 @@
 	voters, upToDate := c.raft.Membership().Voters(), 0
 	for _, id := range voters {
 		alive := id == c.raft.ID() || now.Since(max(c.lastContact[id], c.leaderSince)) < aliveTimeout
-		if id != leaving && alive && c.raft.MatchOf(id) >= c.raft.CommitIndex() {
+		if id != leaving && alive && c.raft.MatchIndex(id) >= c.raft.CommitIndex() {
 			upToDate++
 		}
 	}
--- a/process/consensus/replica/membership_plan.go
+++ b/process/consensus/replica/membership_plan.go
@@ -238,7 +238,7 @@
 
 func (c *Core) progress(now clock.Mark, id raft.MemberID) Progress {
 	announced, leaving := c.leaving[id]
-	match, missingBytes := c.raft.MatchOf(id), 0
+	match, missingBytes := c.raft.MatchIndex(id), 0
 	if match+caughtUpEntries >= c.raft.LastIndex() {
 		// A member that lacks more entries is not ready, whatever their size.
 		missingBytes = c.raft.BytesAfter(match)
--- a/process/consensus/replica/notices.go
+++ b/process/consensus/replica/notices.go
@@ -16,9 +16,9 @@
 	switch kind {
 	case raft.NoticeSnapshotSent:
 		return &c.SnapshotsSent
-	case raft.NoticeSnapshotTaken:
+	case raft.NoticeSnapshotInstalled:
 		return &c.SnapshotsInstalled
-	case raft.NoticeSnapshotRefused:
+	case raft.NoticeSnapshotRejected:
 		return &c.SnapshotsRejected
 	case raft.NoticeStateDiffers:
 		return &c.StateDivergences
--- a/process/consensus/replica/proposals.go
+++ b/process/consensus/replica/proposals.go
@@ -47,21 +47,21 @@
 		return Effects{Responses: []Response{{RequestID: requestID, Outcome: NotLeader}}}
 	}
 	effects := c.raft.Step(raft.Propose{Data: c.encode(now, command)})
-	if effects.Proposed == 0 {
+	if effects.ProposedIndex == 0 {
 		out := c.processRaftEffects(now, effects)
 		out.Responses = append(out.Responses, Response{RequestID: requestID, Outcome: NotLeader})
 		return out
 	}
-	c.proposals[effects.Proposed] = proposal{requestID: requestID, term: effects.ProposedTerm}
+	c.proposals[effects.ProposedIndex] = proposal{requestID: requestID, term: effects.ProposedTerm}
 	return c.processRaftEffects(now, effects)
 }
 
 // encode stamps a command with all that depends on time or configuration, so that applying it is the same on each member.
 func (c *Core) encode(now clock.Mark, command statemachine.Command) []byte {
 	command.At = c.groupTime(now)
-	command.SpanMs = c.config.WorkerLease.Milliseconds()
-	if command.Op == statemachine.OpClaim {
-		command.SpanMs, command.GapMs = c.config.PlannerLease.Milliseconds(), c.config.PlannerLeaseGap.Milliseconds()
+	command.LeaseMs = c.config.WorkerLease.Milliseconds()
+	if command.Op == statemachine.OpAcquirePlanner {
+		command.LeaseMs, command.HandoverGapMs = c.config.PlannerLease.Milliseconds(), c.config.PlannerLeaseGap.Milliseconds()
 	}
 	data, err := json.Marshal(command)
 	if err != nil {
--- a/process/consensus/replica/reads.go
+++ b/process/consensus/replica/reads.go
@@ -11,17 +11,17 @@
 // Read requests a linearizable read of the state (ReadIndex). The response comes once a majority has confirmed that this
 // member leads and the state has applied all that was committed when the read began.
 func (c *Core) Read(now clock.Mark, requestID uint64) Effects {
-	return c.processRaftEffects(now, c.raft.Step(raft.Read{Ref: requestID}))
+	return c.processRaftEffects(now, c.raft.Step(raft.Read{RequestID: requestID}))
 }
 
 // queueReads takes the reads that the Raft core has confirmed or rejected.
-func (c *Core) queueReads(reads []raft.ReadReady, out *Effects) {
+func (c *Core) queueReads(reads []raft.ReadState, out *Effects) {
 	for _, read := range reads {
 		if !read.OK {
-			out.Responses = append(out.Responses, Response{RequestID: read.Ref, Outcome: NotLeader})
+			out.Responses = append(out.Responses, Response{RequestID: read.RequestID, Outcome: NotLeader})
 			continue
 		}
-		c.reads[read.Ref] = read.Index
+		c.reads[read.RequestID] = read.Index
 	}
 }
 
--- a/process/consensus/replica/snapshots.go
+++ b/process/consensus/replica/snapshots.go
@@ -31,7 +31,7 @@
 func (c *Core) compact(now clock.Mark) Effects {
 	keep := c.retainedEntries()
 	c.resetSinceSnapshot()
-	return c.processRaftEffects(now, c.raft.Step(raft.Compact{Index: c.appliedIndex, Data: c.state.Snapshot(), Keep: keep}))
+	return c.processRaftEffects(now, c.raft.Step(raft.Compact{Index: c.appliedIndex, Data: c.state.Snapshot(), RetainEntries: keep}))
 }
 
 func (c *Core) resetSinceSnapshot() {
--- a/process/consensus/replica/status.go
+++ b/process/consensus/replica/status.go
@@ -29,7 +29,7 @@
 	SinceFirstRollout time.Duration
 	// ServingDaemons lists the daemons that may be serving.
 	ServingDaemons []ident.NodeID
-	PlannerLease   statemachine.Claim
+	PlannerLease   statemachine.PlannerLease
 	// ConfirmedUntil is, where this member leads, up to when a majority has confirmed that.
 	ConfirmedUntil clock.Mark
 	// ConfigurationVersion and ClosuresVersion are the newest that are committed.
@@ -57,8 +57,8 @@
 		Group: r.group, Role: core.Role(), Term: core.Term(), IsLeader: r.core.IsLeader(),
 		Membership: core.Membership(), CommitIndex: core.CommitIndex(), DiskStalled: r.participation != participating,
 		GroupTime: state.Now, SinceFirstRollout: r.core.SinceFirstRollout(r.clock.Elapsed()),
-		ServingDaemons: state.ServingNow(), PlannerLease: state.Claim, ConfirmedUntil: r.core.ConfirmedUntil(),
-		ConfigurationVersion: state.Epoch(), ClosuresVersion: state.Closures.Epoch,
+		ServingDaemons: state.ServingDaemons(), PlannerLease: state.PlannerLease, ConfirmedUntil: r.core.ConfirmedUntil(),
+		ConfigurationVersion: state.Version(), ClosuresVersion: state.Closures.Version,
 		AppliedIndex: r.core.appliedIndex, Digest: r.core.Digest(), DivergentMembers: r.core.DivergentMembers(),
 	}
 	status.Leader, _ = status.Membership.Find(core.LeaderID())
--- a/process/consensus/replica/time_test.go
+++ b/process/consensus/replica/time_test.go
@@ -14,7 +14,7 @@
 
 // stamped is an entry that acquires a worker id at a moment of the group's time.
 func stamped(t *testing.T, index raft.Index, term raft.Term, at ident.GroupTime) raft.Entry {
-	data, err := json.Marshal(statemachine.Command{Op: statemachine.OpAcquire, At: at, NodeID: "a#1", SpanMs: 30_000})
+	data, err := json.Marshal(statemachine.Command{Op: statemachine.OpAcquire, At: at, NodeID: "a#1", LeaseMs: 30_000})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,7 +26,7 @@
 	const begun, since = clock.Mark(time.Hour), 60 * time.Second
 	start := func() *Core {
 		members := raft.Membership{Members: []raft.Member{{ID: 1, Voter: true}, {ID: 2, Voter: true}}}
-		restored := raft.Restored{HardState: raft.HardState{Term: 1},
+		restored := raft.PersistentState{HardState: raft.HardState{Term: 1},
 			Snapshot: raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: statemachine.New().Snapshot()},
 			Entries:  []raft.Entry{stamped(t, 2, 1, 1_000_000), stamped(t, 3, 1, 1_000_100)}}
 		member := raft.New(1, DefaultConfig().Timing, restored, rand.New(rand.NewPCG(1, 1)))
