--- a/daemon/status.go
+++ b/daemon/status.go
@@ -19,7 +19,7 @@
 		Group: d.Group(), Leader: d.leaderAddress(), Fellows: []operatorapi.Fellow{}, Engines: []operatorapi.Engine{}}
 	t := d.rollout.Table()
 	if t != nil {
-		out.SpecEpoch, out.ClosureEpoch = t.Epoch, t.Closures.Epoch
+		out.SpecEpoch, out.ClosureEpoch = t.Epoch, t.Closures.Version
 	}
 	if confirmed := d.confirmed(); confirmed > 0 {
 		ago := max(0, now.Since(confirmed).Milliseconds())
@@ -47,8 +47,8 @@
 		out.Planner = &operatorapi.PlannerStatus{Held: condition.Held, Claim: condition.Claim, InFlight: condition.InFlight}
 	}
 	for _, fellow := range d.members.View().InContact(now, 30*time.Second) {
-		out.Fellows = append(out.Fellows, operatorapi.Fellow{NodeID: fellow.NodeID, Address: fellow.Address, Zone: fellow.Zone, Serve: fellow.Serve,
-			HeardMsAgo: now.Since(fellow.Heard).Milliseconds(), SpecEpoch: fellow.SpecEpoch, ClosureEpoch: fellow.ClosureEpoch, Ready: fellow.Ready})
+		out.Fellows = append(out.Fellows, operatorapi.Fellow{NodeID: fellow.NodeID, Address: fellow.Address, Zone: fellow.Zone, Serve: fellow.Roles,
+			HeardMsAgo: now.Since(fellow.LastContact).Milliseconds(), SpecEpoch: fellow.ConfigurationVersion, ClosureEpoch: fellow.ClosureVersion, Ready: fellow.Ready})
 	}
 	for _, engine := range d.watcher.View().Engines {
 		row := operatorapi.Engine{ID: engine.ID, Address: engine.Address, Zone: engine.Zone, Condition: string(engine.Condition), Draining: engine.Draining,
