--- a/cmd/cresspond-platform/main.go
+++ b/cmd/cresspond-platform/main.go
@@ -29,7 +29,7 @@
 	app := application.New("cresspond-platform", "The cresspond daemon on a users' platform.", version)
 	file := app.Flag("config", "Settings file, TOML.").Short('c').Envar(platform.SettingsVariable).String()
 	ranks := app.Flag("ranking", "What engines are ranked for by how their nodes behave: off, watch, or drain the worst.").Default(string(nodehealth.Off)).Envar("CRESSPOND_RANKING").
-		Enum(string(nodehealth.Off), string(nodehealth.Watch), string(nodehealth.Drain))
+		Enum(string(nodehealth.Off), string(nodehealth.ObserveOnly), string(nodehealth.Drain))
 	without := app.Flag("without", "For experiments: a mechanism to go without; once for each.").Enums(featuregates.Names()...)
 	logLevel := app.Flag("log", "The least level that is logged.").Default(log.InfoLevel.String()).Enum("debug", "info", "warn", "error")
 	metrics := app.Flag("metrics", "Where metrics are served, PORT/PATH as in the deploy file.").String()
--- a/connection/adminapi/nodes.go
+++ b/connection/adminapi/nodes.go
@@ -74,7 +74,7 @@
 		return
 	case body.Act == operatorapi.NodeDrain:
 		// What the ranking shut an operator may shut for good: nothing more goes by that.
-		if why := refusalNamed(page.Asked); why != nodehealth.Allowed && !(why == nodehealth.ShutAlready && shutByRank) {
+		if why := refusalNamed(page.Asked); why != nodehealth.Allowed && !(why == nodehealth.AlreadyClosed && shutByRank) {
 			refuse(why)
 			return
 		}
@@ -108,7 +108,7 @@
 
 // refusalNamed reads a refusal by its name.
 func refusalNamed(name string) nodehealth.Refusal {
-	for why := nodehealth.Allowed; why <= nodehealth.LastHolder; why++ {
+	for why := nodehealth.Allowed; why <= nodehealth.LastReplica; why++ {
 		if why.String() == name {
 			return why
 		}
--- a/connection/gateway/node.go
+++ b/connection/gateway/node.go
@@ -35,7 +35,7 @@
 // connected records how long a fresh connection took.
 func (f *flight) connected(answer *connectionpool.Answer) {
 	if f.Recorder != nil && answer.Connect > 0 {
-		f.Recorder.Cell(f.send.Engine, f.class(nodehealth.Connect)).Delay(answer.Connect)
+		f.Recorder.Cell(f.send.Engine, f.class(nodehealth.Connect)).RecordDelay(answer.Connect)
 	}
 }
 
@@ -52,7 +52,7 @@
 		return
 	}
 	now := f.Clock.Elapsed()
-	f.Recorder.Cell(f.send.Engine, f.class(nodehealth.Transfer)).Delay(now.Since(f.node.left))
+	f.Recorder.Cell(f.send.Engine, f.class(nodehealth.Transfer)).RecordDelay(now.Since(f.node.left))
 	f.node.last = now
 }
 
@@ -70,5 +70,5 @@
 	if s.node.stalls == nil {
 		s.node.stalls = s.Recorder.Cell(s.send.Engine, s.class(nodehealth.Stall))
 	}
-	s.node.stalls.Pause(now.Since(before))
+	s.node.stalls.RecordPause(now.Since(before))
 }
--- a/connection/gateway/node_test.go
+++ b/connection/gateway/node_test.go
@@ -64,7 +64,7 @@
 			break
 		}
 	}
-	return recorder.Take()
+	return recorder.TakeDigests()
 }
 
 func values(digests []nodehealth.Digest, kind nodehealth.Kind) (out []uint32) {
@@ -150,7 +150,7 @@
 	f.gateway.Recorder = nodehealth.NewRecorder()
 	f.call(ask("once", "a1", "x"))
 	f.call(ask("once", "a2", "x"))
-	told := f.gateway.Recorder.Take()
+	told := f.gateway.Recorder.TakeDigests()
 	if len(values(told, nodehealth.Transfer)) != 2 || len(values(told, nodehealth.Connect)) == 0 || len(values(told, nodehealth.Stall)) != 0 {
 		t.Fatalf("two answers: %v", told)
 	}
--- a/daemon/counters.go
+++ b/daemon/counters.go
@@ -246,9 +246,9 @@
 	say("ranking_suspected", c.Suspected)
 	say("ranking_cleared", c.Cleared)
 	say("ranking_drains", c.Drains)
-	say("ranking_releases", c.Releases)
+	say("ranking_releases", c.Reopened)
 	say("ranking_relapses", c.Relapses)
-	say("ranking_sounded", c.Sounded)
+	say("ranking_sounded", c.Recovered)
 	for place, count := range c.Refused {
 		if why := nodehealth.Refusal(place); why != nodehealth.Allowed {
 			say("ranking_refused_"+why.Name(), count)
--- a/daemon/nodedigests.go
+++ b/daemon/nodedigests.go
@@ -30,7 +30,7 @@
 		return nil
 	}
 	n.sentAt = now
-	digests := n.recorder.Take()
+	digests := n.recorder.TakeDigests()
 	n.digestsSent.Add(uint64(len(digests)))
 	return encodeDigests(digests)
 }
--- a/daemon/noderanking.go
+++ b/daemon/noderanking.go
@@ -75,7 +75,7 @@
 		digests []nodehealth.Digest
 	}
 	actionResult struct {
-		action  nodehealth.Act
+		action  nodehealth.Action
 		outcome statemachine.Outcome
 		reason  string
 		known   bool
@@ -105,7 +105,7 @@
 }
 
 func (n *nodeRanking) on() bool {
-	return n.settings.Mode == nodehealth.Watch || n.settings.Mode == nodehealth.Drain
+	return n.settings.Mode == nodehealth.ObserveOnly || n.settings.Mode == nodehealth.Drain
 }
 
 // plans says whether this daemon may ever rank. One that never was put together to plan pools can't.
@@ -124,7 +124,7 @@
 	switch e := event.(type) {
 	case receivedDigests:
 		if n.ranker != nil {
-			n.ranker.Take(n.clock.Elapsed(), e.zone, e.digests)
+			n.ranker.AddDigests(n.clock.Elapsed(), e.zone, e.digests)
 		}
 	case rankingQuery:
 		n.answerQuery(e)
@@ -154,7 +154,7 @@
 		return
 	}
 	if n.recorder != nil {
-		n.ranker.Take(now, n.config.Zone, n.recorder.Take())
+		n.ranker.AddDigests(now, n.config.Zone, n.recorder.TakeDigests())
 	}
 	view := n.registry.View()
 	fleet := n.fleet(now, view, table.Closures, table.OpenRegistered)
@@ -163,16 +163,16 @@
 	// A large fleet is ranked less often: it takes a tenth of this daemon's time at most.
 	n.stepNext = now + clock.Mark(max(rankEvery, 10*took))
 	for _, change := range decision.Changes {
-		n.log.WithFields(log.Fields{"engine": string(change.Engine), "from": change.From.String(), "to": change.To.String(), "score": round(change.Standing.Score),
-			"kind": change.Standing.Kind.String()}).Info("ranking: another stage")
+		n.log.WithFields(log.Fields{"engine": string(change.Engine), "from": change.From.String(), "to": change.To.String(), "score": round(change.Assessment.Score),
+			"kind": change.Assessment.Kind.String()}).Info("ranking: another stage")
 	}
 	n.logRefusals()
 	state := &rankingState{claim: n.claim, rows: n.ranker.Rows(), counters: n.ranker.Counters, took: took, emptying: map[ident.EngineID]bool{}}
-	for _, id := range n.ranker.Emptying() {
+	for _, id := range n.ranker.AwaitingRelocation() {
 		state.emptying[id] = true
 	}
 	n.state.Store(state)
-	acts := append(decision.Acts, n.reopenVanished(now, view, table.Closures)...)
+	acts := append(decision.Actions, n.reopenVanished(now, view, table.Closures)...)
 	if len(acts) > 0 && !n.actionPending {
 		n.submitAction(ctx, acts[0])
 	}
@@ -202,8 +202,8 @@
 }
 
 // forgotten lists the openings of engines that were shut by rank and are gone, so that their marks don't pile up.
-func (n *nodeRanking) reopenVanished(now clock.Mark, view *registry.View, closures closure.Set) []nodehealth.Act {
-	var out []nodehealth.Act
+func (n *nodeRanking) reopenVanished(now clock.Mark, view *registry.View, closures closure.Set) []nodehealth.Action {
+	var out []nodehealth.Action
 	for id := range n.vanished {
 		if _, shut := closures.Engines[id]; !shut {
 			delete(n.vanished, id)
@@ -218,15 +218,15 @@
 			n.vanished[id] = now
 		}
 		if now.Since(n.vanished[id]) >= vanishedFor {
-			out = append(out, nodehealth.Act{Engine: id})
+			out = append(out, nodehealth.Action{Engine: id})
 		}
 	}
-	slices.SortFunc(out, func(a, b nodehealth.Act) int { return cmp.Compare(a.Engine, b.Engine) })
+	slices.SortFunc(out, func(a, b nodehealth.Action) int { return cmp.Compare(a.Engine, b.Engine) })
 	return out
 }
 
 // act has the group shut or open an engine, stamped and under the claim that was ranked under.
-func (n *nodeRanking) submitAction(ctx context.Context, act nodehealth.Act) {
+func (n *nodeRanking) submitAction(ctx context.Context, act nodehealth.Action) {
 	stamp, verdict := n.generator.Mint()
 	if verdict != snowflake.Minted {
 		// Without a lease of a worker id nothing is decided.
@@ -245,7 +245,7 @@
 }
 
 func (n *nodeRanking) logActionResult(e actionResult) {
-	logged := n.log.WithFields(log.Fields{"engine": string(e.action.Engine), "drain": e.action.Drain, "score": round(e.action.Standing.Score)})
+	logged := n.log.WithFields(log.Fields{"engine": string(e.action.Engine), "drain": e.action.Drain, "score": round(e.action.Assessment.Score)})
 	switch {
 	case !e.known:
 		n.decisionsMade.unknown.Add(1)
@@ -255,19 +255,19 @@
 		logged.WithField("reason", e.reason).Warn("ranking: the group refused")
 	default:
 		n.decisionsMade.done.Add(1)
-		logged.WithFields(log.Fields{"kind": e.action.Standing.Kind.String(), "value": e.action.Standing.Value, "others": e.action.Standing.Peers}).Info("ranking: carried out")
+		logged.WithFields(log.Fields{"kind": e.action.Assessment.Kind.String(), "value": e.action.Assessment.Value, "others": e.action.Assessment.PeerValue}).Info("ranking: carried out")
 	}
 }
 
-func reasonOf(act nodehealth.Act) string {
+func reasonOf(act nodehealth.Action) string {
 	if !act.Drain {
 		return ""
 	}
 	unit := "ms"
-	if act.Standing.Kind == nodehealth.Stall {
+	if act.Assessment.Kind == nodehealth.Stall {
 		unit = "thousandths of the longest pause aimed at"
 	}
-	return fmt.Sprintf("%s %.1f times that of others: %.0f against %.0f %s", act.Standing.Kind, act.Standing.Score, act.Standing.Value, act.Standing.Peers, unit)
+	return fmt.Sprintf("%s %.1f times that of others: %.0f against %.0f %s", act.Assessment.Kind, act.Assessment.Score, act.Assessment.Value, act.Assessment.PeerValue, unit)
 }
 
 func round(score float64) float64 { return float64(int(100*score)) / 100 }
@@ -292,12 +292,12 @@
 		}
 		one := nodehealth.Engine{ID: id, Pool: engine.Pool, Zone: engine.Zone, Open: engine.Usable() && open(id, engine.Zone)}
 		mark, shut := closures.Engines[id]
-		one.Ranked = shut && mark.Ranking != nil
-		_, one.Kept = closures.Protected[id]
+		one.DrainedByRanking = shut && mark.Ranking != nil
+		_, one.KeptOpen = closures.Protected[id]
 		for _, held := range engine.Models() {
 			for _, target := range append([]nodehealth.Target{{Model: held.Model}}, adaptersOf(held)...) {
 				if _, asked := n.recentDemand[demandKey{engine.Pool, target}]; asked && engine.Holds(target.Model, target.Adapter) {
-					one.Held = append(one.Held, target)
+					one.Loaded = append(one.Loaded, target)
 				}
 			}
 		}
--- a/daemon/noderankingpage.go
+++ b/daemon/noderankingpage.go
@@ -92,7 +92,7 @@
 		}
 		row := rows[id]
 		node := operatorapi.Node{Engine: id, Pool: engine.Pool, Zone: engine.Zone, Stage: row.Stage.String(), SinceMs: row.Since.Milliseconds(), Score: round(row.Score),
-			Value: row.Value, Others: row.Peers, Samples: row.Samples, Observers: row.Observers, SlowPaths: row.Paths, Shut: !engine.Open}
+			Value: row.Value, Others: row.PeerValue, Samples: row.Samples, Observers: row.Observers, SlowPaths: row.SlowZones, Shut: !engine.Open}
 		if row.Samples > 0 {
 			node.Kind = row.Kind.String()
 		}
@@ -119,7 +119,7 @@
 		}
 	}
 	if asked.engine != "" {
-		why := nodehealth.Refuse(n.limits(), fleet, asked.engine)
+		why := nodehealth.CheckDrain(n.limits(), fleet, asked.engine)
 		out.Asked, out.AskedReason = why.String(), why.Reason()
 	}
 	asked.reply <- out
--- a/process/engines/nodehealth/bounds.go
+++ b/process/engines/nodehealth/bounds.go
@@ -17,8 +17,8 @@
 	Pool string
 	Zone ident.ZoneID
 	// Open says that new requests may go to it. Ranked says that the ranking shut it, Kept that an operator forbids it to.
-	Open, Ranked, Kept bool
-	Held               []Target
+	Open, DrainedByRanking, KeptOpen bool
+	Loaded                           []Target
 }
 
 // Fleet is all registered engines, by id.
@@ -33,18 +33,18 @@
 	// Unknown: no such engine is registered.
 	Unknown
 	// ShutAlready: nothing new goes to it anyhow.
-	ShutAlready
+	AlreadyClosed
 	// KeptOpen: an operator keeps it.
-	KeptOpen
+	OperatorKeepsOpen
 	// PastPool: too many of its pool are shut.
-	PastPool
+	PoolLimit
 	// PastZone: too many of its zone are shut.
-	PastZone
+	ZoneLimit
 	// PastHolders: too many of the holders of something that it holds are shut.
-	PastHolders
+	ReplicaLimit
 	// LastHolder: something stands there alone, and must be loaded elsewhere first.
-	LastHolder
-	refusals
+	LastReplica
+	refusalCount
 )
 
 func (r Refusal) String() string {
@@ -64,11 +64,11 @@
 // refusal is one rule; it gives Allowed where it has nothing to say.
 type refusal func(s Settings, fleet Fleet, engine Engine) Refusal
 
-func usualRefusals() []refusal {
-	return []refusal{refuseShut, refuseKept, refusePool, refuseZone, refuseHolders, refuseLast}
+func defaultRefusals() []refusal {
+	return []refusal{refuseClosed, refuseKept, refusePool, refuseZone, refuseReplicas, refuseLastReplica}
 }
 
-func (r rules) refuse(s Settings, fleet Fleet, id ident.EngineID) Refusal {
+func (r rules) checkDrain(s Settings, fleet Fleet, id ident.EngineID) Refusal {
 	engine, known := fleet[id]
 	if !known {
 		return Unknown
@@ -81,22 +81,22 @@
 	return Allowed
 }
 
-func refuseShut(_ Settings, _ Fleet, engine Engine) Refusal {
+func refuseClosed(_ Settings, _ Fleet, engine Engine) Refusal {
 	if !engine.Open {
-		return ShutAlready
+		return AlreadyClosed
 	}
 	return Allowed
 }
 
 func refuseKept(_ Settings, _ Fleet, engine Engine) Refusal {
-	if engine.Kept {
-		return KeptOpen
+	if engine.KeptOpen {
+		return OperatorKeepsOpen
 	}
 	return Allowed
 }
 
 // shut counts, of the engines that are meant, all and those that nothing new goes to, whoever shut them.
-func (f Fleet) shut(meant func(Engine) bool) (shut, all int) {
+func (f Fleet) countClosed(meant func(Engine) bool) (shut, all int) {
 	for _, engine := range f {
 		if meant(engine) {
 			all++
@@ -109,56 +109,56 @@
 }
 
 func refusePool(s Settings, fleet Fleet, engine Engine) Refusal {
-	shut, all := fleet.shut(func(e Engine) bool { return e.Pool == engine.Pool })
+	shut, all := fleet.countClosed(func(e Engine) bool { return e.Pool == engine.Pool })
 	if shut+1 > int(s.MostOfPool*float64(all)) {
-		return PastPool
+		return PoolLimit
 	}
 	return Allowed
 }
 
 func refuseZone(s Settings, fleet Fleet, engine Engine) Refusal {
-	shut, all := fleet.shut(func(e Engine) bool { return e.Pool == engine.Pool && e.Zone == engine.Zone })
+	shut, all := fleet.countClosed(func(e Engine) bool { return e.Pool == engine.Pool && e.Zone == engine.Zone })
 	most := int(s.MostOfZone * float64(all))
 	if most == 0 && s.MostOfZone > 0 {
 		// A lone engine of a zone may go where other zones have some; how many go at all the pool's bound says.
-		if _, pool := fleet.shut(func(e Engine) bool { return e.Pool == engine.Pool }); pool > all {
+		if _, pool := fleet.countClosed(func(e Engine) bool { return e.Pool == engine.Pool }); pool > all {
 			most = 1
 		}
 	}
 	if shut+1 > most {
-		return PastZone
+		return ZoneLimit
 	}
 	return Allowed
 }
 
 // holders counts the engines of a pool that hold something.
-func (f Fleet) holders(pool string, target Target) (shut, all int) {
-	return f.shut(func(e Engine) bool { return e.Pool == pool && slices.Contains(e.Held, target) })
+func (f Fleet) replicas(pool string, target Target) (shut, all int) {
+	return f.countClosed(func(e Engine) bool { return e.Pool == pool && slices.Contains(e.Loaded, target) })
 }
 
-func refuseHolders(s Settings, fleet Fleet, engine Engine) Refusal {
-	for _, target := range engine.Held {
-		shut, all := fleet.holders(engine.Pool, target)
+func refuseReplicas(s Settings, fleet Fleet, engine Engine) Refusal {
+	for _, target := range engine.Loaded {
+		shut, all := fleet.replicas(engine.Pool, target)
 		// Of two or three one may go; a lone one is a case of its own.
 		if all > 1 && shut > 0 && shut+1 > int(s.MostOfHolders*float64(all)) {
-			return PastHolders
+			return ReplicaLimit
 		}
 	}
 	return Allowed
 }
 
-func refuseLast(_ Settings, fleet Fleet, engine Engine) Refusal {
-	if len(fleet.alone(engine)) > 0 {
-		return LastHolder
+func refuseLastReplica(_ Settings, fleet Fleet, engine Engine) Refusal {
+	if len(fleet.soleReplicas(engine)) > 0 {
+		return LastReplica
 	}
 	return Allowed
 }
 
 // alone lists what no other open engine of the pool holds.
-func (f Fleet) alone(engine Engine) []Target {
+func (f Fleet) soleReplicas(engine Engine) []Target {
 	var out []Target
-	for _, target := range engine.Held {
-		if shut, all := f.holders(engine.Pool, target); all-shut <= 1 {
+	for _, target := range engine.Loaded {
+		if shut, all := f.replicas(engine.Pool, target); all-shut <= 1 {
 			out = append(out, target)
 		}
 	}
@@ -167,7 +167,7 @@
 }
 
 // shutting gives a fleet in which one more engine is shut.
-func (f Fleet) shutting(id ident.EngineID) Fleet {
+func (f Fleet) withClosed(id ident.EngineID) Fleet {
 	out := make(Fleet, len(f))
 	for other, engine := range f {
 		if other == id {
--- a/process/engines/nodehealth/digest.go
+++ b/process/engines/nodehealth/digest.go
@@ -44,10 +44,10 @@
 func LoadBand(requests int) uint8 { return uint8(bits.Len(uint(max(0, requests)))) }
 
 // tokensApart is the least number of tokens that makes a difference.
-const tokensApart = 128
+const sizeBandUnit = 128
 
 // SizeBand is the power of two that stands for so many tokens to be read.
-func SizeBand(tokens int) uint8 { return uint8(bits.Len(uint(max(0, tokens) / tokensApart))) }
+func SizeBand(tokens int) uint8 { return uint8(bits.Len(uint(max(0, tokens) / sizeBandUnit))) }
 
 // Bucket counts measured values that are as good as equal.
 type Bucket struct {
@@ -72,25 +72,25 @@
 }
 
 const (
-	leastValue = 1
-	mostValue  = 60_000
+	minValue = 1
+	maxValue = 60_000
 	// digits of a value are kept, in base ten: steps of at most a sixteenth.
 	digits = 1
 )
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(leastValue, mostValue, digits) }
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(minValue, maxValue, digits) }
 
 // clamp keeps a value within what a histogram takes.
-func clamp(value int64) int64 { return min(max(value, leastValue), mostValue) }
+func clamp(value int64) int64 { return min(max(value, minValue), maxValue) }
 
 // noTarget stands in for the longest pause aimed at where none is.
-const noTarget = time.Second
+const defaultTarget = time.Second
 
 // stallValue is a pause in thousandths of the longest one aimed at.
 func stallValue(pause time.Duration, targetMs int64) int64 {
 	target := time.Duration(targetMs) * time.Millisecond
 	if target <= 0 {
-		target = noTarget
+		target = defaultTarget
 	}
 	return clamp(int64(pause * 1000 / target))
 }
--- a/process/engines/nodehealth/evidence.go
+++ b/process/engines/nodehealth/evidence.go
@@ -13,13 +13,13 @@
 
 // evidence is what daemons told within the span, by the zone they stand in.
 type evidence struct {
-	series map[seriesKey]*series
-	span   time.Duration
-	turn   int64
+	series   map[seriesKey]*series
+	span     time.Duration
+	interval int64
 	// scratch is where quantiles are taken.
 	scratch *hdrhistogram.Histogram
 	// slow lists, by engine, the turns in which anything came that is above its floor.
-	slow map[ident.EngineID][]int64
+	slowIntervals map[ident.EngineID][]int64
 	// dropped counts digests for which there was no more room.
 	dropped uint64
 }
@@ -31,31 +31,31 @@
 }
 
 // turns is in how many parts the span moves on.
-const turns = 4
+const intervalsPerSpan = 4
 
 // series holds one part for each turn of the span.
 type series struct {
-	parts   [turns][]Bucket
-	samples [turns]int
+	intervals [intervalsPerSpan][]Bucket
+	samples   [intervalsPerSpan]int
 }
 
 // mostSeries bounds what is kept: some 0.6 kB each.
-const mostSeries = 30_000
+const maxSeries = 30_000
 
 func newEvidence(span time.Duration) *evidence {
-	return &evidence{series: map[seriesKey]*series{}, slow: map[ident.EngineID][]int64{}, span: span, scratch: newHistogram()}
+	return &evidence{series: map[seriesKey]*series{}, slowIntervals: map[ident.EngineID][]int64{}, span: span, scratch: newHistogram()}
 }
 
 // advance lets go of what is older than the span.
 func (e *evidence) advance(now clock.Mark) {
-	turn := int64(now) / max(1, int64(e.span)/turns)
-	for ; e.turn < turn; e.turn++ {
-		if turn-e.turn > turns {
-			e.turn = turn - turns
+	turn := int64(now) / max(1, int64(e.span)/intervalsPerSpan)
+	for ; e.interval < turn; e.interval++ {
+		if turn-e.interval > intervalsPerSpan {
+			e.interval = turn - intervalsPerSpan
 		}
-		place := (e.turn + 1) % turns
+		place := (e.interval + 1) % intervalsPerSpan
 		for key, s := range e.series {
-			s.parts[place], s.samples[place] = nil, 0
+			s.intervals[place], s.samples[place] = nil, 0
 			if s.total() == 0 {
 				delete(e.series, key)
 			}
@@ -72,16 +72,16 @@
 }
 
 // take notes what a daemon in a zone measured.
-func (e *evidence) take(observer ident.ZoneID, digests []Digest, floor func(Kind) float64) {
-	place := e.turn % turns
+func (e *evidence) add(observer ident.ZoneID, digests []Digest, floor func(Kind) float64) {
+	place := e.interval % intervalsPerSpan
 	for _, digest := range digests {
 		if last := digest.Buckets; len(last) > 0 && float64(last[len(last)-1].Value) >= floor(digest.Class.Kind) {
-			e.noteSlow(digest.Engine)
+			e.recordSlow(digest.Engine)
 		}
 		key := seriesKey{observer, digest.Engine, digest.Class}
 		s := e.series[key]
 		if s == nil {
-			if len(e.series) >= mostSeries {
+			if len(e.series) >= maxSeries {
 				e.dropped++
 				continue
 			}
@@ -89,27 +89,27 @@
 			e.series[key] = s
 		}
 		for _, bucket := range digest.Buckets {
-			s.parts[place] = add(s.parts[place], bucket)
+			s.intervals[place] = addBucket(s.intervals[place], bucket)
 		}
 		s.samples[place] += digest.Samples()
 	}
 }
 
 // noteSlow notes that something slow came of an engine in this turn.
-func (e *evidence) noteSlow(engine ident.EngineID) {
-	list := e.slow[engine]
-	if len(list) > 0 && list[len(list)-1] == e.turn {
+func (e *evidence) recordSlow(engine ident.EngineID) {
+	list := e.slowIntervals[engine]
+	if len(list) > 0 && list[len(list)-1] == e.interval {
 		return
 	}
 	// Older than two spans counts for nothing.
-	list = slices.DeleteFunc(list, func(turn int64) bool { return turn <= e.turn-2*turns })
-	e.slow[engine] = append(list, e.turn)
+	list = slices.DeleteFunc(list, func(turn int64) bool { return turn <= e.interval-2*intervalsPerSpan })
+	e.slowIntervals[engine] = append(list, e.interval)
 }
 
 // slowTurns counts the turns, within two spans, in which something slow came of an engine.
-func (e *evidence) slowTurns(engine ident.EngineID) (count int) {
-	for _, turn := range e.slow[engine] {
-		if turn > e.turn-2*turns {
+func (e *evidence) countSlowIntervals(engine ident.EngineID) (count int) {
+	for _, turn := range e.slowIntervals[engine] {
+		if turn > e.interval-2*intervalsPerSpan {
 			count++
 		}
 	}
@@ -117,7 +117,7 @@
 }
 
 // add counts a bucket in a sorted list, so that it grows with the values and not with how often is told.
-func add(list []Bucket, bucket Bucket) []Bucket {
+func addBucket(list []Bucket, bucket Bucket) []Bucket {
 	place, found := slices.BinarySearchFunc(list, bucket, func(a, b Bucket) int { return cmp.Compare(a.Value, b.Value) })
 	if found {
 		list[place].Count += bucket.Count
@@ -128,7 +128,7 @@
 
 // forget drops what is known of one engine.
 func (e *evidence) forget(engine ident.EngineID) {
-	delete(e.slow, engine)
+	delete(e.slowIntervals, engine)
 	for key := range e.series {
 		if key.engine == engine {
 			delete(e.series, key)
@@ -145,21 +145,21 @@
 
 // enough says whether so many measurements say something. Of an engine that stalls there are few events, so of
 // pauses their time counts too, in multiples of the longest one aimed at.
-func enough(kind Kind, samples int, time int64) bool {
-	return samples >= leastSamples[kind] || kind == Stall && samples >= fewSamples && time >= longTime
+func sufficient(kind Kind, samples int, time int64) bool {
+	return samples >= minSamples[kind] || kind == Stall && samples >= minStallSamples && time >= minStallTime
 }
 
 const (
-	fewSamples = 4
-	longTime   = 5000
+	minStallSamples = 4
+	minStallTime    = 5000
 )
 
 // leastSamples is how many measurements say something.
-var leastSamples = [kinds]int{Stall: 20, Transfer: 5, Connect: 3}
+var minSamples = [kinds]int{Stall: 20, Transfer: 5, Connect: 3}
 
 // valueAt is the share of the measurements, for pauses of the time spent in them, up to which a value is taken. Of
 // pauses time counts, not number: in a stream of fifty quick events one long pause is all that its caller sees.
-var valueAt = [kinds]float64{Stall: 80, Transfer: 75, Connect: 75}
+var quantileOf = [kinds]float64{Stall: 80, Transfer: 75, Connect: 75}
 
 // measures takes one value of each series that says enough; overall puts all models of a pool together.
 func (e *evidence) measures(overall bool) []measure {
@@ -173,7 +173,7 @@
 	out := make([]measure, 0, len(joined))
 	for key, list := range joined {
 		value, samples, time := e.value(key.class.Kind, list)
-		if enough(key.class.Kind, samples, time) {
+		if sufficient(key.class.Kind, samples, time) {
 			out = append(out, measure{key, value, samples})
 		}
 	}
@@ -185,7 +185,7 @@
 	e.scratch.Reset()
 	for _, s := range list {
 		samples += s.total()
-		for _, part := range s.parts {
+		for _, part := range s.intervals {
 			for _, bucket := range part {
 				// What was told comes from elsewhere, so it is clamped anew.
 				one, weight := clamp(int64(bucket.Value)), int64(bucket.Count)
@@ -197,12 +197,12 @@
 			}
 		}
 	}
-	return float64(e.scratch.ValueAtQuantile(valueAt[kind])), samples, time
+	return float64(e.scratch.ValueAtQuantile(quantileOf[kind])), samples, time
 }
 
 // together takes one value of each engine and class of work over all zones, for engines of which no zone alone sees
 // enough. It is the value that more than half of the zones see, each by the little it has.
-func (e *evidence) together(across func([]float64) float64) (out []measure, zones map[ident.EngineID]int) {
+func (e *evidence) acrossZones(across func([]float64) float64) (out []measure, zones map[ident.EngineID]int) {
 	joined := map[seriesKey]map[ident.ZoneID][]*series{}
 	for key, s := range e.series {
 		zone := key.observer
@@ -220,7 +220,7 @@
 			value, some, long := e.value(key.class.Kind, list)
 			values, samples, time = append(values, value), samples+some, time+long
 		}
-		if len(values) > 1 && enough(key.class.Kind, samples, time) {
+		if len(values) > 1 && sufficient(key.class.Kind, samples, time) {
 			slices.Sort(values)
 			out = append(out, measure{key, across(values), samples})
 			zones[key.engine] = max(zones[key.engine], len(values))
--- a/process/engines/nodehealth/ranker.go
+++ b/process/engines/nodehealth/ranker.go
@@ -15,7 +15,7 @@
 
 const (
 	// Sound: as quick as others with like work, or not enough is known.
-	Sound Stage = iota
+	Healthy Stage = iota
 	// Suspect: slow, and not for long enough, or it may not be drained yet.
 	Suspect
 	// Drained: nothing new goes to it, since the ranking shut it.
@@ -27,49 +27,49 @@
 func (s Stage) String() string { return [...]string{"sound", "suspect", "drained", "trial"}[s] }
 
 // ways lists from which stage an engine may come to which.
-var ways = map[Stage][]Stage{
-	Sound:   {Suspect, Drained},
-	Suspect: {Sound, Drained},
+var transitions = map[Stage][]Stage{
+	Healthy: {Suspect, Drained},
+	Suspect: {Healthy, Drained},
 	// A drained engine that was opened is on trial, whoever opened it.
 	Drained: {Trial},
-	Trial:   {Sound, Drained},
+	Trial:   {Healthy, Drained},
 }
 
 // state is what the ranker keeps of one engine.
-type state struct {
+type engineState struct {
 	stage Stage
 	// since is when it came to its stage, slowSince since when it has been slow without a break.
 	since, slowSince clock.Mark
 	// relapses is how often it was drained without having been sound for long.
 	relapses int
 	// asked is when its draining or opening was last asked for.
-	asked clock.Mark
+	requested clock.Mark
 	// standing is the newest that says something, measured when.
-	standing Standing
-	measured clock.Mark
-	refusal  Refusal
+	assessment Assessment
+	measured   clock.Mark
+	refusal    Refusal
 	// emptying says that it was to be drained and is a last holder; it stays so for as long as it is suspected.
-	emptying bool
+	awaitingRelocation bool
 }
 
 // move is the one function by which an engine changes its stage.
-func (s *state) move(to Stage, now clock.Mark) {
-	if !slices.Contains(ways[s.stage], to) {
+func (s *engineState) moveTo(to Stage, now clock.Mark) {
+	if !slices.Contains(transitions[s.stage], to) {
 		panic("broken invariant: an engine may not go from " + s.stage.String() + " to " + to.String())
 	}
 	s.stage, s.since, s.slowSince = to, now, 0
 }
 
 // Act is one thing that is to be done: an engine drained, or opened again.
-type Act struct {
+type Action struct {
 	Engine ident.EngineID
 	Drain  bool
 	// Standing is why.
-	Standing Standing
+	Assessment Assessment
 }
 
 // Move is what must be loaded elsewhere before an engine can be drained.
-type Move struct {
+type Relocation struct {
 	Engine ident.EngineID
 	Pool   string
 	Target Target
@@ -77,35 +77,35 @@
 
 // Change is one change of an engine's stage.
 type Change struct {
-	Engine   ident.EngineID
-	From, To Stage
-	Standing Standing
+	Engine     ident.EngineID
+	From, To   Stage
+	Assessment Assessment
 }
 
 // Decision is what one step comes to.
 type Decision struct {
-	Acts    []Act
-	Moves   []Move
-	Changes []Change
+	Actions     []Action
+	Relocations []Relocation
+	Changes     []Change
 }
 
 // Row is one engine as operators see it, the worst first.
 type Row struct {
-	Standing
-	Pool  string
-	Zone  ident.ZoneID
-	Stage Stage
-	Since time.Duration
-	Kept  bool
+	Assessment
+	Pool     string
+	Zone     ident.ZoneID
+	Stage    Stage
+	Since    time.Duration
+	KeptOpen bool
 	// Refusal is why a slow one is not drained.
 	Refusal Refusal
 }
 
 // Counters are counted over one claim.
 type Counters struct {
-	Digests, DigestsDropped, Steps, Suspected, Cleared, Drains, Releases, Relapses, Sounded uint64
+	Digests, DigestsDropped, Steps, Suspected, Cleared, Drains, Reopened, Relapses, Recovered uint64
 	// Refused counts by refusal.
-	Refused [refusals]uint64
+	Refused [refusalCount]uint64
 }
 
 // Ranker ranks engines and decides which are drained. It belongs to one actor.
@@ -113,58 +113,58 @@
 	settings Settings
 	rules    rules
 	evidence *evidence
-	engines  map[ident.EngineID]*state
+	engines  map[ident.EngineID]*engineState
 	Counters Counters
 	rows     []Row
 }
 
 // NewRanker makes a ranker that knows nothing yet; settings must have passed their check.
 func NewRanker(settings Settings) *Ranker {
-	return &Ranker{settings: settings, rules: usualRules(), evidence: newEvidence(ms(settings.SpanMs)), engines: map[ident.EngineID]*state{}}
+	return &Ranker{settings: settings, rules: defaultRules(), evidence: newEvidence(milliseconds(settings.SpanMs)), engines: map[ident.EngineID]*engineState{}}
 }
 
 // Take takes up what a daemon in a zone measured.
-func (r *Ranker) Take(now clock.Mark, observer ident.ZoneID, digests []Digest) {
+func (r *Ranker) AddDigests(now clock.Mark, observer ident.ZoneID, digests []Digest) {
 	r.evidence.advance(now)
 	r.Counters.Digests += uint64(len(digests))
-	r.evidence.take(observer, digests, r.settings.floor)
+	r.evidence.add(observer, digests, r.settings.floor)
 	r.Counters.DigestsDropped = r.evidence.dropped
 }
 
 // againAfter is when something is asked for anew that did not come about.
-const againAfter = 2 * time.Second
+const retryAfter = 2 * time.Second
 
 // Step ranks all engines and says what is to be done.
 func (r *Ranker) Step(now clock.Mark, fleet Fleet) Decision {
 	r.Counters.Steps++
 	r.evidence.advance(now)
 	var out Decision
-	r.meet(now, fleet, &out)
+	r.reconcile(now, fleet, &out)
 	standings := r.rules.rank(r.settings, r.evidence)
 	for _, standing := range standings {
 		// Who is quick to connect to and was not seen at work has shown nothing: one that nobody sends to any more.
-		says := standing.Score > 0 && (standing.Worked || standing.Score >= r.settings.DrainAt)
+		says := standing.Score > 0 && (standing.UnderLoad || standing.Score >= r.settings.DrainAt)
 		if s := r.engines[standing.Engine]; s != nil && says {
-			s.standing, s.measured = standing, now
+			s.assessment, s.measured = standing, now
 		}
 	}
 	for _, s := range r.engines {
-		if now.Since(s.measured) > ms(r.settings.SpanMs) {
-			s.standing = Standing{}
+		if now.Since(s.measured) > milliseconds(r.settings.SpanMs) {
+			s.assessment = Assessment{}
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(r.engines)) {
-		r.judge(now, id, &out)
+		r.evaluate(now, id, &out)
 	}
-	r.drain(now, fleet, &out)
-	r.open(now, fleet, &out)
-	r.list(now, fleet)
+	r.chooseDrain(now, fleet, &out)
+	r.chooseReopened(now, fleet, &out)
+	r.updateRows(now, fleet)
 	return out
 }
 
 // meet takes up what the fleet shows: who is there, and what was shut and opened meanwhile. Who has just begun to
 // plan learns of drains from there.
-func (r *Ranker) meet(now clock.Mark, fleet Fleet, out *Decision) {
+func (r *Ranker) reconcile(now clock.Mark, fleet Fleet, out *Decision) {
 	for id := range r.engines {
 		if _, known := fleet[id]; !known {
 			delete(r.engines, id)
@@ -174,38 +174,38 @@
 	for id, engine := range fleet {
 		s := r.engines[id]
 		if s == nil {
-			s = &state{since: now}
+			s = &engineState{since: now}
 			r.engines[id] = s
 		}
 		switch {
-		case engine.Ranked && s.stage != Drained:
-			r.change(now, id, Drained, out)
+		case engine.DrainedByRanking && s.stage != Drained:
+			r.changeStage(now, id, Drained, out)
 			s.relapses++
-		case !engine.Ranked && s.stage == Drained:
+		case !engine.DrainedByRanking && s.stage == Drained:
 			// What it showed before says nothing of how it is now.
 			r.evidence.forget(id)
-			r.change(now, id, Trial, out)
+			r.changeStage(now, id, Trial, out)
 		}
 	}
 }
 
-func (r *Ranker) change(now clock.Mark, id ident.EngineID, to Stage, out *Decision) {
+func (r *Ranker) changeStage(now clock.Mark, id ident.EngineID, to Stage, out *Decision) {
 	s := r.engines[id]
-	out.Changes = append(out.Changes, Change{id, s.stage, to, s.standing})
-	s.move(to, now)
-	s.asked, s.refusal, s.emptying = 0, Allowed, false
+	out.Changes = append(out.Changes, Change{id, s.stage, to, s.assessment})
+	s.moveTo(to, now)
+	s.requested, s.refusal, s.awaitingRelocation = 0, Allowed, false
 	if to == Drained || to == Trial {
-		s.standing, s.measured = Standing{Engine: id}, 0
+		s.assessment, s.measured = Assessment{Engine: id}, 0
 	}
 }
 
 // trialsMost is how many times its span a trial lasts for one that gets no requests.
-const trialsMost = 4
+const maxTrialFactor = 4
 
 // judge moves one engine by how it stands.
-func (r *Ranker) judge(now clock.Mark, id ident.EngineID, out *Decision) {
+func (r *Ranker) evaluate(now clock.Mark, id ident.EngineID, out *Decision) {
 	s := r.engines[id]
-	score := s.standing.Score
+	score := s.assessment.Score
 	switch {
 	case score >= r.settings.DrainAt && s.slowSince == 0:
 		s.slowSince = now
@@ -214,104 +214,104 @@
 		s.slowSince = 0
 	}
 	switch s.stage {
-	case Sound:
+	case Healthy:
 		if s.slowSince > 0 {
 			slow := s.slowSince
 			r.Counters.Suspected++
-			r.change(now, id, Suspect, out)
+			r.changeStage(now, id, Suspect, out)
 			s.slowSince = slow
-		} else if s.relapses > 0 && now.Since(s.since) >= ms(r.settings.RestMostMs) {
+		} else if s.relapses > 0 && now.Since(s.since) >= milliseconds(r.settings.RestMostMs) {
 			s.relapses = 0
 		}
 	case Suspect:
 		// One that shows nothing for long is no longer suspected either.
-		if s.slowSince == 0 || score == 0 && now.Since(s.measured) > trialsMost*ms(r.settings.SpanMs) {
+		if s.slowSince == 0 || score == 0 && now.Since(s.measured) > maxTrialFactor*milliseconds(r.settings.SpanMs) {
 			r.Counters.Cleared++
-			r.change(now, id, Sound, out)
+			r.changeStage(now, id, Healthy, out)
 		}
 	case Trial:
-		span := ms(r.settings.TrialMs)
+		span := milliseconds(r.settings.TrialMs)
 		tried := now.Since(s.since)
-		if s.slowSince == 0 && (tried >= span && score > 0 || tried >= trialsMost*span) {
-			r.Counters.Sounded++
-			r.change(now, id, Sound, out)
+		if s.slowSince == 0 && (tried >= span && score > 0 || tried >= maxTrialFactor*span) {
+			r.Counters.Recovered++
+			r.changeStage(now, id, Healthy, out)
 		}
 	}
 }
 
 // incidents is in how many turns something slow must have come: one long pause shows for a whole span, in all streams
 // of its engine, and is one incident all the same. Told late it may fall into two turns.
-const incidents = 3
+const minIncidents = 3
 
 // confirmed says whether an engine has been slow for long enough, and again and again. One on trial has half as long.
 func (r *Ranker) confirmed(now clock.Mark, id ident.EngineID) bool {
 	s := r.engines[id]
-	wait, again := ms(r.settings.ConfirmMs), r.rules.incidents
+	wait, again := milliseconds(r.settings.ConfirmMs), r.rules.minIncidents
 	if s.stage == Trial {
-		wait, again = wait/2, min(again, incidents-1)
+		wait, again = wait/2, min(again, minIncidents-1)
 	}
-	return r.evidence.slowTurns(id) >= again && (s.stage == Suspect || s.stage == Trial) && s.slowSince > 0 && now.Since(s.slowSince) >= wait && s.standing.Score >= r.settings.DrainAt
+	return r.evidence.countSlowIntervals(id) >= again && (s.stage == Suspect || s.stage == Trial) && s.slowSince > 0 && now.Since(s.slowSince) >= wait && s.assessment.Score >= r.settings.DrainAt
 }
 
 // drain chooses, the worst first, who is drained. One goes at a time: the next when this one is seen to be shut.
-func (r *Ranker) drain(now clock.Mark, fleet Fleet, out *Decision) {
+func (r *Ranker) chooseDrain(now clock.Mark, fleet Fleet, out *Decision) {
 	if r.settings.Mode != Drain {
 		return
 	}
-	var slow []Standing
+	var slow []Assessment
 	for id, s := range r.engines {
 		s.refusal = Allowed
 		if r.confirmed(now, id) {
-			slow = append(slow, s.standing)
+			slow = append(slow, s.assessment)
 		}
 	}
-	slices.SortFunc(slow, r.rules.worse)
-	defer r.moves(fleet, out)
+	slices.SortFunc(slow, r.rules.compare)
+	defer r.listRelocations(fleet, out)
 	for _, standing := range slow {
 		s := r.engines[standing.Engine]
-		if s.refusal = r.rules.refuse(r.settings, fleet, standing.Engine); s.refusal != Allowed {
+		if s.refusal = r.rules.checkDrain(r.settings, fleet, standing.Engine); s.refusal != Allowed {
 			r.Counters.Refused[s.refusal]++
-			if s.refusal == LastHolder {
-				s.emptying = true
+			if s.refusal == LastReplica {
+				s.awaitingRelocation = true
 				// It goes as soon as it can, so a better one must not take its place meanwhile.
-				fleet = fleet.shutting(standing.Engine)
+				fleet = fleet.withClosed(standing.Engine)
 			}
 			continue
 		}
-		if s.asked > 0 && now.Since(s.asked) < againAfter {
+		if s.requested > 0 && now.Since(s.requested) < retryAfter {
 			return
 		}
-		s.asked = now
+		s.requested = now
 		r.Counters.Drains++
 		if s.relapses > 0 {
 			r.Counters.Relapses++
 		}
-		out.Acts = append(out.Acts, Act{Engine: standing.Engine, Drain: true, Standing: standing})
+		out.Actions = append(out.Actions, Action{Engine: standing.Engine, Drain: true, Assessment: standing})
 		return
 	}
 }
 
 // moves lists what is to be loaded elsewhere, of all that are to be drained as soon as they can.
-func (r *Ranker) moves(fleet Fleet, out *Decision) {
+func (r *Ranker) listRelocations(fleet Fleet, out *Decision) {
 	for _, id := range slices.Sorted(maps.Keys(r.engines)) {
-		if !r.engines[id].emptying {
+		if !r.engines[id].awaitingRelocation {
 			continue
 		}
 		engine := fleet[id]
-		for _, target := range fleet.alone(engine) {
-			out.Moves = append(out.Moves, Move{id, engine.Pool, target})
+		for _, target := range fleet.soleReplicas(engine) {
+			out.Relocations = append(out.Relocations, Relocation{id, engine.Pool, target})
 		}
 	}
 }
 
 // rest is how long a drained engine stays away: twice as long each time it comes back slow.
-func (r *Ranker) rest(relapses int) time.Duration {
+func (r *Ranker) restDuration(relapses int) time.Duration {
 	rest := float64(r.settings.RestMs) * math.Exp2(float64(min(max(relapses-1, 0), 30)))
-	return ms(int64(min(rest, float64(r.settings.RestMostMs))))
+	return milliseconds(int64(min(rest, float64(r.settings.RestMostMs))))
 }
 
 // open chooses who is tried again: one of a pool at a time, and all if nothing is to be drained any more.
-func (r *Ranker) open(now clock.Mark, fleet Fleet, out *Decision) {
+func (r *Ranker) chooseReopened(now clock.Mark, fleet Fleet, out *Decision) {
 	trying := map[string]bool{}
 	var rested []ident.EngineID
 	for id, s := range r.engines {
@@ -320,9 +320,9 @@
 		case s.stage == Trial:
 			trying[pool] = true
 		case s.stage != Drained:
-		case s.asked > 0 && now.Since(s.asked) < againAfter:
+		case s.requested > 0 && now.Since(s.requested) < retryAfter:
 			trying[pool] = true
-		case fleet[id].Kept || r.settings.Mode != Drain || now.Since(s.since) >= r.rest(s.relapses):
+		case fleet[id].KeptOpen || r.settings.Mode != Drain || now.Since(s.since) >= r.restDuration(s.relapses):
 			rested = append(rested, id)
 		}
 	}
@@ -342,29 +342,29 @@
 			continue
 		}
 		trying[pool] = true
-		r.engines[id].asked = now
-		r.Counters.Releases++
-		out.Acts = append(out.Acts, Act{Engine: id, Standing: r.engines[id].standing})
+		r.engines[id].requested = now
+		r.Counters.Reopened++
+		out.Actions = append(out.Actions, Action{Engine: id, Assessment: r.engines[id].assessment})
 	}
 }
 
 // list notes what operators see.
-func (r *Ranker) list(now clock.Mark, fleet Fleet) {
+func (r *Ranker) updateRows(now clock.Mark, fleet Fleet) {
 	r.rows = make([]Row, 0, len(r.engines))
 	for id, s := range r.engines {
 		engine := fleet[id]
-		row := Row{Standing: s.standing, Pool: engine.Pool, Zone: engine.Zone, Stage: s.stage, Since: now.Since(s.since), Kept: engine.Kept, Refusal: s.refusal}
+		row := Row{Assessment: s.assessment, Pool: engine.Pool, Zone: engine.Zone, Stage: s.stage, Since: now.Since(s.since), KeptOpen: engine.KeptOpen, Refusal: s.refusal}
 		row.Engine = id
 		r.rows = append(r.rows, row)
 	}
-	slices.SortFunc(r.rows, func(a, b Row) int { return r.rules.worse(a.Standing, b.Standing) })
+	slices.SortFunc(r.rows, func(a, b Row) int { return r.rules.compare(a.Assessment, b.Assessment) })
 }
 
 // Emptying lists the engines of which nothing counts as held any more, since they are to be drained: also when all of it
 // stands elsewhere by now, or it would seem to be needed here again.
-func (r *Ranker) Emptying() (out []ident.EngineID) {
+func (r *Ranker) AwaitingRelocation() (out []ident.EngineID) {
 	for id, s := range r.engines {
-		if s.emptying {
+		if s.awaitingRelocation {
 			out = append(out, id)
 		}
 	}
@@ -375,6 +375,6 @@
 func (r *Ranker) Rows() []Row { return r.rows }
 
 // Refuse says why an engine may not be drained, for operators who ask for it.
-func Refuse(settings Settings, fleet Fleet, id ident.EngineID) Refusal {
-	return usualRules().refuse(settings, fleet, id)
+func CheckDrain(settings Settings, fleet Fleet, id ident.EngineID) Refusal {
+	return defaultRules().checkDrain(settings, fleet, id)
 }
--- a/process/engines/nodehealth/ranking_test.go
+++ b/process/engines/nodehealth/ranking_test.go
@@ -86,21 +86,21 @@
 			}
 			stalls := recorder.Cell(n.id, Class{Kind: Stall, Pool: "pool", Model: n.model, TargetMs: targetMs, Load: LoadBand(n.load)})
 			for range 20 {
-				stalls.Pause(time.Duration(s.near(n.pause()) * float64(time.Millisecond)))
+				stalls.RecordPause(time.Duration(s.near(n.pause()) * float64(time.Millisecond)))
 			}
 			firsts := recorder.Cell(n.id, Class{Kind: Transfer, Pool: "pool", Model: n.model, Load: LoadBand(n.load), Size: SizeBand(n.prompt)})
 			for range 4 {
-				firsts.Delay(time.Duration(s.near(n.first(zone)) * float64(time.Millisecond)))
+				firsts.RecordDelay(time.Duration(s.near(n.first(zone)) * float64(time.Millisecond)))
 			}
 		}
-		s.ranker.Take(s.now, zone, recorder.Take())
+		s.ranker.AddDigests(s.now, zone, recorder.TakeDigests())
 	}
 }
 
 func (s *site) fleet() Fleet {
 	out := Fleet{}
 	for _, n := range s.nodes {
-		out[n.id] = Engine{ID: n.id, Pool: "pool", Zone: n.zone, Open: !n.shut, Ranked: n.ranked, Kept: n.kept, Held: n.held}
+		out[n.id] = Engine{ID: n.id, Pool: "pool", Zone: n.zone, Open: !n.shut, DrainedByRanking: n.ranked, KeptOpen: n.kept, Loaded: n.held}
 	}
 	return out
 }
@@ -125,7 +125,7 @@
 	s.measure()
 	s.now += clock.Mark(time.Second)
 	s.last = s.ranker.Step(s.now, s.fleet())
-	for _, act := range s.last.Acts {
+	for _, act := range s.last.Actions {
 		n := s.node(act.Engine)
 		n.shut, n.ranked = act.Drain, act.Drain
 		if act.Drain {
@@ -164,7 +164,7 @@
 	}
 	// Broken: by name.
 	s = sick()
-	s.ranker.rules.worse = func(a, b Standing) int { return cmp.Compare(a.Engine, b.Engine) }
+	s.ranker.rules.compare = func(a, b Assessment) int { return cmp.Compare(a.Engine, b.Engine) }
 	if got := s.seenDraining(12); got[0] == "engine-04" {
 		t.Fatal("an order that does not go by the score must show")
 	}
@@ -177,12 +177,12 @@
 		recorder := NewRecorder()
 		cell := recorder.Cell("engine-03", Class{Kind: Stall, Pool: "pool", Model: "model", TargetMs: targetMs, Load: LoadBand(8)})
 		for range 60 {
-			cell.Pause(15 * time.Millisecond)
+			cell.RecordPause(15 * time.Millisecond)
 		}
-		cell.Pause(2 * time.Second)
-		s.ranker.Take(s.now, "a", recorder.Take())
-		s.ranker.Take(s.now, "b", []Digest{{"engine-03", Class{Kind: Stall, Pool: "pool", Model: "model", TargetMs: targetMs, Load: LoadBand(8)}, []Bucket{{150, 60}, {20000, 1}}}})
-		s.ranker.Take(s.now, "c", []Digest{{"engine-03", Class{Kind: Stall, Pool: "pool", Model: "model", TargetMs: targetMs, Load: LoadBand(8)}, []Bucket{{150, 60}, {20000, 1}}}})
+		cell.RecordPause(2 * time.Second)
+		s.ranker.AddDigests(s.now, "a", recorder.TakeDigests())
+		s.ranker.AddDigests(s.now, "b", []Digest{{"engine-03", Class{Kind: Stall, Pool: "pool", Model: "model", TargetMs: targetMs, Load: LoadBand(8)}, []Bucket{{150, 60}, {20000, 1}}}})
+		s.ranker.AddDigests(s.now, "c", []Digest{{"engine-03", Class{Kind: Stall, Pool: "pool", Model: "model", TargetMs: targetMs, Load: LoadBand(8)}, []Bucket{{150, 60}, {20000, 1}}}})
 	}
 	for range 10 {
 		stutter()
@@ -205,7 +205,7 @@
 		t.Fatalf("a full batch explains it: %v", got)
 	}
 	s = busy()
-	s.ranker.rules.explained = func(Kind, int) float64 { return 1 }
+	s.ranker.rules.workFactor = func(Kind, int) float64 { return 1 }
 	if got := s.seenDraining(30); len(got) == 0 {
 		t.Fatal("a rule that explains nothing by the batch must show")
 	}
@@ -228,7 +228,7 @@
 		t.Fatalf("a big prompt explains it: %v", got)
 	}
 	s = big()
-	s.ranker.rules.explained = func(Kind, int) float64 { return 1 }
+	s.ranker.rules.workFactor = func(Kind, int) float64 { return 1 }
 	if got := s.seenDraining(30); len(got) == 0 {
 		t.Fatal("a rule that explains nothing by the prompt must show")
 	}
@@ -252,14 +252,14 @@
 	paths := []ident.ZoneID(nil)
 	for _, row := range s.ranker.Rows() {
 		if row.Engine == "engine-05" {
-			paths = row.Paths
+			paths = row.SlowZones
 		}
 	}
 	if !slices.Equal(paths, []ident.ZoneID{"b"}) {
 		t.Fatalf("the path is named: %v", paths)
 	}
 	s = one()
-	s.ranker.rules.across = func(scores []float64) float64 { return scores[len(scores)-1] }
+	s.ranker.rules.combineZones = func(scores []float64) float64 { return scores[len(scores)-1] }
 	if got := s.seenDraining(30); len(got) == 0 {
 		t.Fatal("a rule that believes one zone alone must show")
 	}
@@ -290,7 +290,7 @@
 		t.Fatalf("the middle of the others is sound: %v", got)
 	}
 	s := two()
-	s.ranker.rules.others = func(values []float64) float64 {
+	s.ranker.rules.baseline = func(values []float64) float64 {
 		sum := 0.0
 		for _, value := range values {
 			sum += value
@@ -316,7 +316,7 @@
 		t.Fatalf("they are spread evenly: %v", got)
 	}
 	s = wide()
-	s.ranker.rules.outside = func(value, others, _ float64) bool { return value > others }
+	s.ranker.rules.isOutlier = func(value, others, _ float64) bool { return value > others }
 	s.ranker.settings.DrainAt = 1.7
 	if got := s.seenDraining(20); len(got) == 0 {
 		t.Fatal("a rule without the spread must show")
@@ -326,7 +326,7 @@
 func TestFlappingIsNotFollowed(t *testing.T) {
 	flap := func(confirm int64, incidents int) []ident.EngineID {
 		s := newSite(9, func(s *Settings) { s.ConfirmMs = confirm })
-		s.ranker.rules.incidents = incidents
+		s.ranker.rules.minIncidents = incidents
 		for turn := range 60 {
 			// One second slow, ten sound.
 			s.nodes[3].slow = 1
@@ -341,7 +341,7 @@
 	if got := flap(10_000, 1); len(got) > 0 {
 		t.Fatalf("it is sound again before it is confirmed: %v", got)
 	}
-	if got := flap(0, incidents); len(got) > 0 {
+	if got := flap(0, minIncidents); len(got) > 0 {
 		t.Fatalf("it is slow too seldom: %v", got)
 	}
 	if got := flap(0, 1); len(got) == 0 {
@@ -354,14 +354,14 @@
 	r := NewRanker(DefaultSettings())
 	fleet := Fleet{"x": {ID: "x", Open: true}}
 	var out Decision
-	r.meet(1, fleet, &out)
+	r.reconcile(1, fleet, &out)
 	s := r.engines["x"]
 	for place, score := range []float64{5, 2, 2, 5, 1.2} {
-		s.standing.Score = score
-		r.judge(clock.Mark(place+1)*clock.Mark(time.Second), "x", &out)
+		s.assessment.Score = score
+		r.evaluate(clock.Mark(place+1)*clock.Mark(time.Second), "x", &out)
 		want := Suspect
 		if place == 4 {
-			want = Sound
+			want = Healthy
 		}
 		if s.stage != want {
 			t.Fatalf("at %v it is %v", score, s.stage)
@@ -372,7 +372,7 @@
 // without takes one rule away.
 func without(s *site, name string) {
 	kept := []refusal{}
-	for place, rule := range usualRefusals() {
+	for place, rule := range defaultRefusals() {
 		if []string{"shut", "kept", "pool", "zone", "holders", "last"}[place] != name {
 			kept = append(kept, rule)
 		}
@@ -387,17 +387,17 @@
 		site    func() *site
 		most    int
 	}{
-		{"pool", PastPool, func() *site {
+		{"pool", PoolLimit, func() *site {
 			s := newSite(9, func(s *Settings) { s.MostOfPool, s.MostOfZone = 0.12, 0.5 })
 			s.nodes[0].slow, s.nodes[1].slow = 30, 40
 			return s
 		}, 1},
-		{"zone", PastZone, func() *site {
+		{"zone", ZoneLimit, func() *site {
 			s := newSite(9, func(s *Settings) { s.MostOfPool, s.MostOfZone = 0.5, 0.34 })
 			s.nodes[0].slow, s.nodes[3].slow = 30, 40
 			return s
 		}, 1},
-		{"holders", PastHolders, func() *site {
+		{"holders", ReplicaLimit, func() *site {
 			s := newSite(9, func(s *Settings) { s.MostOfPool = 0.5 })
 			for _, place := range []int{0, 1, 2} {
 				s.nodes[place].held = append(s.nodes[place].held, Target{"rare", "adapter"})
@@ -405,13 +405,13 @@
 			s.nodes[0].slow, s.nodes[1].slow = 30, 40
 			return s
 		}, 1},
-		{"last", LastHolder, func() *site {
+		{"last", LastReplica, func() *site {
 			s := newSite(9, nil)
 			s.nodes[4].slow = 30
 			s.nodes[4].held = append(s.nodes[4].held, Target{Model: "lone"})
 			return s
 		}, 0},
-		{"kept", KeptOpen, func() *site {
+		{"kept", OperatorKeepsOpen, func() *site {
 			s := newSite(9, nil)
 			s.nodes[4].slow, s.nodes[4].kept = 30, true
 			return s
@@ -450,16 +450,16 @@
 	s.nodes[4].held = append(s.nodes[4].held, lone)
 	s.nodes[4].slow, s.nodes[5].slow, s.nodes[8].slow = 40, 30, 25
 	s.run(12)
-	if len(s.last.Moves) != 1 || s.last.Moves[0] != (Move{"engine-04", "pool", lone}) {
-		t.Fatalf("what it holds alone is to be loaded elsewhere: %v", s.last.Moves)
+	if len(s.last.Relocations) != 1 || s.last.Relocations[0] != (Relocation{"engine-04", "pool", lone}) {
+		t.Fatalf("what it holds alone is to be loaded elsewhere: %v", s.last.Relocations)
 	}
 	if !slices.Equal(s.drains, []ident.EngineID{"engine-05"}) {
 		t.Fatalf("the place of the worst is not given to the third: %v", s.drains)
 	}
 	s.nodes[0].held = append(s.nodes[0].held, lone)
 	s.run(3)
-	if !slices.Equal(s.drains, []ident.EngineID{"engine-05", "engine-04"}) || len(s.last.Moves) > 0 {
-		t.Fatalf("now it goes: %v, %v", s.drains, s.last.Moves)
+	if !slices.Equal(s.drains, []ident.EngineID{"engine-05", "engine-04"}) || len(s.last.Relocations) > 0 {
+		t.Fatalf("now it goes: %v, %v", s.drains, s.last.Relocations)
 	}
 }
 
@@ -480,7 +480,7 @@
 	if len(s.opened) != 2 || len(s.drains) != 2 {
 		t.Fatalf("it is well now: %v, %v", s.drains, s.opened)
 	}
-	if stage := s.ranker.engines["engine-03"].stage; stage != Sound {
+	if stage := s.ranker.engines["engine-03"].stage; stage != Healthy {
 		t.Fatalf("it passed its trial: %v", stage)
 	}
 }
@@ -520,13 +520,13 @@
 		t.Fatalf("it rests on: %v, %v", s.drains, s.opened)
 	}
 	s.run(30)
-	if len(s.opened) != 1 || s.ranker.engines["engine-03"].stage != Sound {
+	if len(s.opened) != 1 || s.ranker.engines["engine-03"].stage != Healthy {
 		t.Fatalf("and is tried by the second: %v", s.opened)
 	}
 }
 
 func TestSwitchedOffNothingIsDrainedAndAllIsOpened(t *testing.T) {
-	s := newSite(9, func(s *Settings) { s.Mode = Watch })
+	s := newSite(9, func(s *Settings) { s.Mode = ObserveOnly })
 	s.nodes[3].slow = 30
 	s.nodes[5].shut, s.nodes[5].ranked = true, true
 	s.run(10)
@@ -545,7 +545,7 @@
 	for range 12 {
 		s.measure()
 		s.now += clock.Mark(time.Second)
-		asked += len(s.ranker.Step(s.now, s.fleet()).Acts)
+		asked += len(s.ranker.Step(s.now, s.fleet()).Actions)
 	}
 	if asked < 3 || asked > 5 {
 		t.Fatalf("asked for %d times", asked)
@@ -606,20 +606,20 @@
 			}
 			before := s.fleet()
 			s.second()
-			for _, act := range s.last.Acts {
+			for _, act := range s.last.Actions {
 				if !act.Drain {
 					continue
 				}
-				if len(before.alone(before[act.Engine])) > 0 {
+				if len(before.soleReplicas(before[act.Engine])) > 0 {
 					return fmt.Sprintf("%v was drained as a last holder", act.Engine)
 				}
 				for _, row := range s.ranker.Rows() {
-					if row.Engine != act.Engine && row.Score > act.Standing.Score && s.ranker.confirmed(s.now, row.Engine) && row.Refusal == Allowed {
+					if row.Engine != act.Engine && row.Score > act.Assessment.Score && s.ranker.confirmed(s.now, row.Engine) && row.Refusal == Allowed {
 						return fmt.Sprintf("%v was drained before %v", act.Engine, row.Engine)
 					}
 				}
 			}
-			shut, all := s.fleet().shut(func(Engine) bool { return true })
+			shut, all := s.fleet().countClosed(func(Engine) bool { return true })
 			if shut > all/4 {
 				return fmt.Sprintf("%d of %d are shut", shut, all)
 			}
@@ -644,9 +644,9 @@
 	id := ident.EngineID(fmt.Sprintf("engine-%02d", r.engine))
 	stalls := recorder.Cell(id, Class{Kind: Stall, Pool: "pool", Model: "model", TargetMs: targetMs, Load: LoadBand(r.load)})
 	for _, pause := range r.pauses {
-		stalls.Pause(pause)
+		stalls.RecordPause(pause)
 	}
-	recorder.Cell(id, Class{Kind: Transfer, Pool: "pool", Model: "model", Load: LoadBand(r.load), Size: SizeBand(r.prompt)}).Delay(r.first)
+	recorder.Cell(id, Class{Kind: Transfer, Pool: "pool", Model: "model", Load: LoadBand(r.load), Size: SizeBand(r.prompt)}).RecordDelay(r.first)
 }
 
 // partial is a broken way: it takes the first house's word only.
@@ -669,7 +669,7 @@
 		record(recorder, r)
 	}
 	now := clock.Mark(time.Hour)
-	ranker.Take(now, "a", recorder.Take())
+	ranker.AddDigests(now, "a", recorder.TakeDigests())
 	ranker.Step(now+1, fleet)
 	var out strings.Builder
 	for _, row := range ranker.Rows() {
@@ -751,13 +751,13 @@
 
 func TestRefusalsHaveWords(t *testing.T) {
 	fleet := newSite(9, nil).fleet()
-	if why := Refuse(DefaultSettings(), fleet, "nobody"); why != Unknown {
+	if why := CheckDrain(DefaultSettings(), fleet, "nobody"); why != Unknown {
 		t.Fatal(why)
 	}
-	if why := Refuse(DefaultSettings(), fleet, "engine-00"); why != Allowed {
+	if why := CheckDrain(DefaultSettings(), fleet, "engine-00"); why != Allowed {
 		t.Fatal(why)
 	}
-	for why := Allowed; why < refusals; why++ {
+	for why := Allowed; why < refusalCount; why++ {
 		if why.String() == "" || why.Reason() == "" {
 			t.Fatal(uint8(why))
 		}
@@ -774,15 +774,15 @@
 			recorder := NewRecorder()
 			cell := recorder.Cell(sick.id, Class{Kind: Stall, Pool: "pool", Model: "model", TargetMs: targetMs, Load: LoadBand(2)})
 			for range 2 {
-				cell.Pause(700 * time.Millisecond)
+				cell.RecordPause(700 * time.Millisecond)
 			}
 			for _, n := range s.nodes {
 				connects := recorder.Cell(n.id, Class{Kind: Connect, Pool: "pool"})
 				for range 4 {
-					connects.Delay(time.Millisecond)
+					connects.RecordDelay(time.Millisecond)
 				}
 			}
-			s.ranker.Take(s.now, zone, recorder.Take())
+			s.ranker.AddDigests(s.now, zone, recorder.TakeDigests())
 		}
 	}
 	fleet := func() Fleet {
@@ -799,7 +799,7 @@
 			stalls()
 		}
 		s.now += clock.Mark(time.Second)
-		for _, act := range s.ranker.Step(s.now, fleet()).Acts {
+		for _, act := range s.ranker.Step(s.now, fleet()).Actions {
 			drained = append(drained, act.Engine)
 		}
 	}
@@ -812,7 +812,7 @@
 		s.now += clock.Mark(time.Second)
 		s.ranker.Step(s.now, fleet())
 	}
-	if stage := s.ranker.engines[sick.id].stage; stage != Sound {
+	if stage := s.ranker.engines[sick.id].stage; stage != Healthy {
 		t.Fatal(stage)
 	}
 }
@@ -832,14 +832,14 @@
 						delay = 3 * time.Second
 					}
 					if int(s.now/clock.Mark(time.Second))%4 == 0 {
-						cell.Delay(delay)
+						cell.RecordDelay(delay)
 					}
 				}
-				s.ranker.Take(s.now, zone, recorder.Take())
+				s.ranker.AddDigests(s.now, zone, recorder.TakeDigests())
 			}
 			s.now += clock.Mark(time.Second)
 			s.last = s.ranker.Step(s.now, s.fleet())
-			for _, act := range s.last.Acts {
+			for _, act := range s.last.Actions {
 				s.drains = append(s.drains, act.Engine)
 			}
 		}
@@ -863,16 +863,16 @@
 			recorder := NewRecorder()
 			cell := recorder.Cell("engine-03", Class{Kind: Stall, Pool: "pool", Model: "model", TargetMs: targetMs, Load: LoadBand(8)})
 			for range 8 {
-				cell.Pause(4 * time.Second)
+				cell.RecordPause(4 * time.Second)
 			}
-			s.ranker.Take(s.now, zone, recorder.Take())
+			s.ranker.AddDigests(s.now, zone, recorder.TakeDigests())
 		}
 		return s.seenDraining(20)
 	}
 	if got := once(func(*Ranker) {}); len(got) > 0 {
 		t.Fatalf("it was still once: %v", got)
 	}
-	if got := once(func(r *Ranker) { r.rules.incidents = 1 }); len(got) == 0 {
+	if got := once(func(r *Ranker) { r.rules.minIncidents = 1 }); len(got) == 0 {
 		t.Fatal("a rule that takes one incident for a sickness must show")
 	}
 }
--- a/process/engines/nodehealth/recorder.go
+++ b/process/engines/nodehealth/recorder.go
@@ -13,9 +13,9 @@
 
 // Recorder keeps what a daemon measures of engines until it is told. It may be used by several at once.
 type Recorder struct {
-	mutex sync.Mutex
-	cells map[cellKey]*Cell
-	most  int
+	mutex    sync.Mutex
+	cells    map[cellKey]*Cell
+	maxCells int
 	// Dropped counts measurements for which there was no more room.
 	dropped uint64
 }
@@ -36,13 +36,13 @@
 
 const (
 	// mostCells bounds a recorder's memory: 1.5 kB each.
-	mostCells = 2000
+	maxCells = 2000
 	// idleTellings is for how many tellings a cell is kept that has nothing to tell.
-	idleTellings = 10
+	maxIdleTakes = 10
 )
 
 // NewRecorder makes an empty recorder.
-func NewRecorder() *Recorder { return &Recorder{cells: map[cellKey]*Cell{}, most: mostCells} }
+func NewRecorder() *Recorder { return &Recorder{cells: map[cellKey]*Cell{}, maxCells: maxCells} }
 
 // Cell gives where an engine's measurements at a class of work go; nil if there is no more room.
 func (r *Recorder) Cell(engine ident.EngineID, class Class) *Cell {
@@ -53,7 +53,7 @@
 	switch {
 	case cell != nil:
 		cell.idle = 0
-	case len(r.cells) >= r.most:
+	case len(r.cells) >= r.maxCells:
 		r.dropped++
 		return nil
 	default:
@@ -64,14 +64,14 @@
 }
 
 // Pause records the time between two events of a stream.
-func (c *Cell) Pause(pause time.Duration) {
+func (c *Cell) RecordPause(pause time.Duration) {
 	if c != nil {
 		c.record(stallValue(pause, c.targetMs))
 	}
 }
 
 // Delay records the time that a first byte or a connection took.
-func (c *Cell) Delay(delay time.Duration) {
+func (c *Cell) RecordDelay(delay time.Duration) {
 	if c != nil {
 		c.record(clamp(delay.Milliseconds()))
 	}
@@ -102,14 +102,14 @@
 }
 
 // Take gives what was measured since it was last asked for, and forgets it.
-func (r *Recorder) Take() []Digest {
+func (r *Recorder) TakeDigests() []Digest {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var out []Digest
 	for key, cell := range r.cells {
 		buckets := cell.take()
 		if buckets == nil {
-			if cell.idle++; cell.idle > idleTellings {
+			if cell.idle++; cell.idle > maxIdleTakes {
 				// Whoever still holds it records for nobody; a stream that long at rest says nothing either.
 				delete(r.cells, key)
 			}
--- a/process/engines/nodehealth/recorder_test.go
+++ b/process/engines/nodehealth/recorder_test.go
@@ -18,34 +18,34 @@
 		group.Go(func() {
 			cell := r.Cell("e", class)
 			for range 1000 {
-				cell.Pause(40 * time.Millisecond)
+				cell.RecordPause(40 * time.Millisecond)
 			}
 		})
 	}
 	group.Wait()
-	told := r.Take()
+	told := r.TakeDigests()
 	if len(told) != 1 || told[0].Samples() != 8000 || len(told[0].Buckets) != 1 {
 		t.Fatalf("all of it, in one bucket: %v", told)
 	}
 	if value := told[0].Buckets[0].Value; value < 94 || value > 107 {
 		t.Fatalf("a tenth of the longest pause aimed at, within a sixteenth: %d", value)
 	}
-	if again := r.Take(); len(again) != 0 {
+	if again := r.TakeDigests(); len(again) != 0 {
 		t.Fatalf("told once: %v", again)
 	}
 }
 
 func TestRecorderIsBounded(t *testing.T) {
 	r := NewRecorder()
-	r.most = 3
+	r.maxCells = 3
 	for place := range 5 {
-		r.Cell(ident.EngineID(fmt.Sprint(place)), Class{}).Delay(time.Second)
+		r.Cell(ident.EngineID(fmt.Sprint(place)), Class{}).RecordDelay(time.Second)
 	}
-	if len(r.Take()) != 3 || r.Dropped() != 2 {
+	if len(r.TakeDigests()) != 3 || r.Dropped() != 2 {
 		t.Fatal(r.Dropped())
 	}
-	for range idleTellings + 1 {
-		r.Take()
+	for range maxIdleTakes + 1 {
+		r.TakeDigests()
 	}
 	if r.Cell("new", Class{}) == nil {
 		t.Fatal("what is not used any more gives way")
@@ -55,12 +55,12 @@
 func TestRecordingAllocatesNothing(t *testing.T) {
 	r := NewRecorder()
 	cell := r.Cell("e", Class{Kind: Stall})
-	if n := testing.AllocsPerRun(1000, func() { cell.Pause(10 * time.Millisecond) }); n != 0 {
+	if n := testing.AllocsPerRun(1000, func() { cell.RecordPause(10 * time.Millisecond) }); n != 0 {
 		t.Fatalf("%v allocations an event", n)
 	}
 	var none *Cell
-	none.Pause(time.Second)
-	none.Delay(time.Second)
+	none.RecordPause(time.Second)
+	none.RecordDelay(time.Second)
 	if n := testing.AllocsPerRun(1000, func() { r.Cell("e", Class{Kind: Stall}) }); n != 0 {
 		t.Fatalf("%v allocations an attempt", n)
 	}
@@ -71,14 +71,14 @@
 	r := NewRecorder()
 	cell := r.Cell("e", Class{Kind: Transfer})
 	for _, delay := range []time.Duration{-time.Hour, 0, 1000 * time.Hour} {
-		cell.Delay(delay)
+		cell.RecordDelay(delay)
 	}
-	if told := r.Take(); told[0].Samples() != 3 {
+	if told := r.TakeDigests(); told[0].Samples() != 3 {
 		t.Fatal(told)
 	}
 	e := newEvidence(8 * time.Second)
-	e.take("a", []Digest{{"e", Class{Kind: Connect}, []Bucket{{Value: 4_000_000_000, Count: 9}}}}, DefaultSettings().floor)
-	if m := e.measures(false); len(m) != 1 || m[0].value < mostValue/2 {
+	e.add("a", []Digest{{"e", Class{Kind: Connect}, []Bucket{{Value: 4_000_000_000, Count: 9}}}}, DefaultSettings().floor)
+	if m := e.measures(false); len(m) != 1 || m[0].value < maxValue/2 {
 		t.Fatal(m)
 	}
 }
@@ -87,7 +87,7 @@
 	cell := NewRecorder().Cell("e", Class{Kind: Stall, TargetMs: 400})
 	b.ReportAllocs()
 	for b.Loop() {
-		cell.Pause(20 * time.Millisecond)
+		cell.RecordPause(20 * time.Millisecond)
 	}
 }
 
@@ -113,14 +113,14 @@
 			for place := range engines {
 				id := ident.EngineID(fmt.Sprintf("engine-%04d", place))
 				pool := fmt.Sprint("pool-", place*7/max(engines, 8))
-				fleet[id] = Engine{ID: id, Pool: pool, Zone: ident.ZoneID(fmt.Sprint(place % 16)), Open: true, Held: []Target{{Model: "a"}, {Model: "b"}}}
+				fleet[id] = Engine{ID: id, Pool: pool, Zone: ident.ZoneID(fmt.Sprint(place % 16)), Open: true, Loaded: []Target{{Model: "a"}, {Model: "b"}}}
 				for zone := range 4 {
 					var digests []Digest
 					for load := range 2 {
 						digests = append(digests, Digest{id, Class{Kind: Stall, Pool: pool, Model: "a", TargetMs: 400, Load: uint8(4 + load)}, []Bucket{{20, 40}, {25, 30}, {30, 4}, {60, 1}}})
 						digests = append(digests, Digest{id, Class{Kind: Transfer, Pool: pool, Model: "a", Load: uint8(4 + load), Size: 4}, []Bucket{{60, 4}, {90, 3}, {120, 1}}})
 					}
-					ranker.Take(now, ident.ZoneID(fmt.Sprint((place+zone)%16)), digests)
+					ranker.AddDigests(now, ident.ZoneID(fmt.Sprint((place+zone)%16)), digests)
 				}
 			}
 			b.ReportAllocs()
--- a/process/engines/nodehealth/score.go
+++ b/process/engines/nodehealth/score.go
@@ -9,48 +9,48 @@
 )
 
 // Standing is how one engine stands against others with like work.
-type Standing struct {
+type Assessment struct {
 	Engine ident.EngineID
 	// Score is how many times slower it is than others: 1 is as they are, 0 not enough is known.
 	Score float64
 	// Kind is what it is slow in, Value and Peers what was measured of it and of the others there.
-	Kind         Kind
-	Value, Peers float64
-	Samples      int
+	Kind             Kind
+	Value, PeerValue float64
+	Samples          int
 	// Worked says that it was measured at work, and not only connected to.
-	Worked bool
+	UnderLoad bool
 	// Observers is from how many zones it is seen, Paths from which ones alone it is slow.
 	Observers int
-	Paths     []ident.ZoneID
+	SlowZones []ident.ZoneID
 }
 
 // rules are the ways of judging. Each is a function, so that a test can show what a broken one would do.
 type rules struct {
 	// others is what an engine is held against, from the values of all others, sorted.
-	others func(values []float64) float64
+	baseline func(values []float64) float64
 	// explained is by how many times more work can slow an engine down, by so many powers of two.
-	explained func(kind Kind, powers int) float64
+	workFactor func(kind Kind, powers int) float64
 	// across makes one score of those seen from several zones, sorted.
-	across func(scores []float64) float64
+	combineZones func(scores []float64) float64
 	// outside says whether a value is beyond how much the others differ among themselves.
-	outside func(value, others, spread float64) bool
+	isOutlier func(value, others, spread float64) bool
 	// incidents is in how many turns something slow must have come.
-	incidents int
+	minIncidents int
 	// worse orders the engines that are to be drained.
-	worse func(a, b Standing) int
+	compare func(a, b Assessment) int
 	// refusals say why an engine may not be drained now, the gravest first.
 	refusals []refusal
 }
 
-func usualRules() rules {
-	return rules{others: median, explained: explained, across: mostSee, outside: outside, incidents: incidents, worse: worse, refusals: usualRefusals()}
+func defaultRules() rules {
+	return rules{baseline: median, workFactor: expectedFactor, combineZones: majorityScore, isOutlier: beyondSpread, minIncidents: minIncidents, compare: compareAssessments, refusals: defaultRefusals()}
 }
 
 const (
 	// leastPeers is how many others an engine is held against at least: of two nobody can say which one is slow.
-	leastPeers = 2
+	minPeers = 2
 	// mostApart is how many powers of two of work may lie between what is compared.
-	mostApart = 3
+	maxBandDistance = 3
 )
 
 // median of sorted values.
@@ -61,7 +61,7 @@
 
 // explained: a batch of twice as many, or a prompt twice as long, has its first byte twice as late at most. Steps of
 // twice as many take less than twice as long, since most of a step is the same for all that are in it.
-func explained(kind Kind, powers int) float64 {
+func expectedFactor(kind Kind, powers int) float64 {
 	if kind == Stall {
 		return math.Pow(1.5, float64(powers))
 	}
@@ -69,20 +69,20 @@
 }
 
 // mostSee: an engine is as slow as more than half of the zones see it, or it is the path that is slow.
-func mostSee(scores []float64) float64 { return scores[(len(scores)-1)/2] }
+func majorityScore(scores []float64) float64 { return scores[(len(scores)-1)/2] }
 
 // outside by three deviations, and never within a quarter of the others' value, however alike they are.
-func outside(value, others, spread float64) bool {
+func beyondSpread(value, others, spread float64) bool {
 	return value > others+max(3*1.4826*spread, others/4)
 }
 
 // worse puts the slowest first; equals go by id, so that all planners agree.
-func worse(a, b Standing) int {
+func compareAssessments(a, b Assessment) int {
 	return cmp.Or(cmp.Compare(b.Score, a.Score), cmp.Compare(a.Engine, b.Engine))
 }
 
 // base is what is the same of all that is compared with each other, but for how much work it was.
-type base struct {
+type comparisonGroup struct {
 	observer    ident.ZoneID
 	kind        Kind
 	pool, model string
@@ -93,21 +93,21 @@
 
 // apart is by how many powers of two the work at b was more than at other; false where they are too far apart. Where
 // the other had more work it is taken as it is: with less it could only have been quicker.
-func (b band) apart(other band) (more, distance int, near bool) {
+func (b band) distanceTo(other band) (more, distance int, near bool) {
 	load, size := int(b.load)-int(other.load), int(b.size)-int(other.size)
 	more, distance = max(0, load)+max(0, size), max(load, -load)+max(size, -size)
-	return more, distance, distance <= mostApart
+	return more, distance, distance <= maxBandDistance
 }
 
-type view struct {
-	score, value, others float64
-	samples              int
+type comparison struct {
+	score, value, baseline float64
+	samples                int
 }
 
 // compare holds each engine against the others of its base.
-func (r rules) compare(s Settings, kind Kind, members map[ident.EngineID]map[band]measure) map[ident.EngineID][]view {
-	out := map[ident.EngineID][]view{}
-	if len(members) <= leastPeers {
+func (r rules) compareGroup(s Settings, kind Kind, members map[ident.EngineID]map[band]measure) map[ident.EngineID][]comparison {
+	out := map[ident.EngineID][]comparison{}
+	if len(members) <= minPeers {
 		return out
 	}
 	ids := make([]ident.EngineID, 0, len(members))
@@ -127,18 +127,18 @@
 		// What each engine would show at this much work, by what it showed at the nearest.
 		var peers []peer
 		for _, id := range ids {
-			best, bestValue := mostApart+1, 0.0
+			best, bestValue := maxBandDistance+1, 0.0
 			for other, m := range members[id] {
-				more, distance, near := b.apart(other)
-				if value := m.value * r.explained(kind, more); near && (distance < best || distance == best && value > bestValue) {
+				more, distance, near := b.distanceTo(other)
+				if value := m.value * r.workFactor(kind, more); near && (distance < best || distance == best && value > bestValue) {
 					best, bestValue = distance, value
 				}
 			}
-			if best <= mostApart {
+			if best <= maxBandDistance {
 				peers = append(peers, peer{id, bestValue})
 			}
 		}
-		if len(peers) <= leastPeers {
+		if len(peers) <= minPeers {
 			continue
 		}
 		slices.SortFunc(peers, func(a, b peer) int { return cmp.Or(cmp.Compare(a.value, b.value), cmp.Compare(a.id, b.id)) })
@@ -146,7 +146,7 @@
 		for _, p := range peers {
 			others = append(others, p.value)
 		}
-		spread := deviation(others)
+		spread := medianDeviation(others)
 		for place, p := range peers {
 			m, own := members[p.id][b]
 			if !own {
@@ -159,9 +159,9 @@
 				// Among so many one more or less does not move the middle.
 				rest = others
 			}
-			against := r.others(rest)
-			v := view{score: 1, value: m.value, others: against, samples: m.samples}
-			if m.value >= s.floor(kind) && r.outside(m.value, against, spread) {
+			against := r.baseline(rest)
+			v := comparison{score: 1, value: m.value, baseline: against, samples: m.samples}
+			if m.value >= s.floor(kind) && r.isOutlier(m.value, against, spread) {
 				// What lies below the floor is as good as the floor's half: from 1 ms to 20 is nobody's pain.
 				v.score = m.value / max(against, s.floor(kind)/4, 1)
 			}
@@ -180,7 +180,7 @@
 }
 
 // deviation is the median of how far values lie from their own median.
-func deviation(sorted []float64) float64 {
+func medianDeviation(sorted []float64) float64 {
 	middle := median(sorted)
 	off := make([]float64, 0, len(sorted))
 	for _, value := range sorted {
@@ -191,8 +191,8 @@
 }
 
 // joint is the middle of several views, each counted by its measurements.
-func joint(views []view) view {
-	slices.SortFunc(views, func(a, b view) int {
+func weightedMedian(views []comparison) comparison {
+	slices.SortFunc(views, func(a, b comparison) int {
 		return cmp.Or(cmp.Compare(a.score, b.score), cmp.Compare(a.value, b.value), cmp.Compare(a.samples, b.samples))
 	})
 	total := 0
@@ -206,22 +206,22 @@
 			return v
 		}
 	}
-	return view{}
+	return comparison{}
 }
 
 // seen is one engine from one zone, in one kind of measurement.
-type seen struct {
+type observationKey struct {
 	engine   ident.EngineID
 	observer ident.ZoneID
 	kind     Kind
 }
 
 // views compares all that was measured; overall puts all models of a pool together.
-func (r rules) views(s Settings, measures []measure) map[seen][]view {
-	bases := map[base]map[ident.EngineID]map[band]measure{}
+func (r rules) comparisons(s Settings, measures []measure) map[observationKey][]comparison {
+	bases := map[comparisonGroup]map[ident.EngineID]map[band]measure{}
 	for _, m := range measures {
 		c := m.class
-		at := base{m.observer, c.Kind, c.Pool, c.Model, c.TargetMs}
+		at := comparisonGroup{m.observer, c.Kind, c.Pool, c.Model, c.TargetMs}
 		if bases[at] == nil {
 			bases[at] = map[ident.EngineID]map[band]measure{}
 		}
@@ -230,17 +230,17 @@
 		}
 		bases[at][m.engine][band{c.Load, c.Size}] = m
 	}
-	out := map[seen][]view{}
+	out := map[observationKey][]comparison{}
 	for at, members := range bases {
-		for engine, views := range r.compare(s, at.kind, members) {
-			key := seen{engine, at.observer, at.kind}
+		for engine, views := range r.compareGroup(s, at.kind, members) {
+			key := observationKey{engine, at.observer, at.kind}
 			out[key] = append(out[key], views...)
 		}
 	}
 	return out
 }
 
-func samplesOf(views []view) int {
+func totalSamples(views []comparison) int {
 	total := 0
 	for _, v := range views {
 		total += v.samples
@@ -249,45 +249,45 @@
 }
 
 // zoned is one engine as one zone sees it, or all together.
-type zoned struct {
-	view
-	kind   Kind
-	worked bool
+type zoneScore struct {
+	comparison
+	kind      Kind
+	underLoad bool
 }
 
 // with adds another kind of measurement: the one in which an engine is slowest says how slow it is.
-func (z zoned) with(one view, kind Kind) zoned {
-	worked := z.worked || kind != Connect
+func (z zoneScore) with(one comparison, kind Kind) zoneScore {
+	worked := z.underLoad || kind != Connect
 	if z.samples == 0 || one.score > z.score || one.score == z.score && kind < z.kind {
-		z = zoned{view: one, kind: kind}
+		z = zoneScore{comparison: one, kind: kind}
 	}
-	z.worked = worked
+	z.underLoad = worked
 	return z
 }
 
 // rank gives how each engine stands, the worst first.
-func (r rules) rank(s Settings, e *evidence) []Standing {
+func (r rules) rank(s Settings, e *evidence) []Assessment {
 	// Engines with the same model are compared first. Where too few have it, all models count together.
-	alike, overall := r.views(s, e.measures(false)), r.views(s, e.measures(true))
-	byZone := map[ident.EngineID]map[ident.ZoneID]zoned{}
+	alike, overall := r.comparisons(s, e.measures(false)), r.comparisons(s, e.measures(true))
+	byZone := map[ident.EngineID]map[ident.ZoneID]zoneScore{}
 	for key, views := range overall {
-		if same := alike[key]; 2*samplesOf(same) >= samplesOf(views) {
+		if same := alike[key]; 2*totalSamples(same) >= totalSamples(views) {
 			views = same
 		}
-		one := joint(views)
+		one := weightedMedian(views)
 		if byZone[key.engine] == nil {
-			byZone[key.engine] = map[ident.ZoneID]zoned{}
+			byZone[key.engine] = map[ident.ZoneID]zoneScore{}
 		}
 		byZone[key.engine][key.observer] = byZone[key.engine][key.observer].with(one, key.kind)
 	}
-	few, together := e.together(r.across)
-	jointly := map[ident.EngineID]zoned{}
-	for key, views := range r.views(s, few) {
-		jointly[key.engine] = jointly[key.engine].with(joint(views), key.kind)
+	few, together := e.acrossZones(r.combineZones)
+	jointly := map[ident.EngineID]zoneScore{}
+	for key, views := range r.comparisons(s, few) {
+		jointly[key.engine] = jointly[key.engine].with(weightedMedian(views), key.kind)
 	}
 	for engine := range jointly {
 		if byZone[engine] == nil {
-			byZone[engine] = map[ident.ZoneID]zoned{}
+			byZone[engine] = map[ident.ZoneID]zoneScore{}
 		}
 	}
 	zones := map[ident.ZoneID]bool{}
@@ -296,22 +296,22 @@
 			zones[zone] = true
 		}
 	}
-	out := make([]Standing, 0, len(byZone))
+	out := make([]Assessment, 0, len(byZone))
 	for engine, list := range byZone {
-		standing := Standing{Engine: engine, Observers: len(list)}
+		standing := Assessment{Engine: engine, Observers: len(list)}
 		scores := make([]float64, 0, len(list))
 		for _, one := range list {
 			scores = append(scores, one.score)
 			standing.Samples += one.samples
-			standing.Worked = standing.Worked || one.worked
+			standing.UnderLoad = standing.UnderLoad || one.underLoad
 		}
 		slices.Sort(scores)
 		if len(list) > 0 && len(list) >= min(2, len(zones)) {
 			// One zone alone can't tell an engine from the path to it, where there are more to ask.
-			standing.Score = r.across(scores)
+			standing.Score = r.combineZones(scores)
 		} else if one, any := jointly[engine]; any {
-			standing.Score, standing.Kind, standing.Value, standing.Peers, standing.Samples = one.score, one.kind, one.value, one.others, one.samples
-			standing.Observers, standing.Worked = together[engine], one.worked
+			standing.Score, standing.Kind, standing.Value, standing.PeerValue, standing.Samples = one.score, one.kind, one.value, one.baseline, one.samples
+			standing.Observers, standing.UnderLoad = together[engine], one.underLoad
 			out = append(out, standing)
 			continue
 		}
@@ -320,15 +320,15 @@
 			one := list[zone]
 			if off := math.Abs(one.score - standing.Score); off < nearest {
 				nearest = off
-				standing.Kind, standing.Value, standing.Peers = one.kind, one.value, one.others
+				standing.Kind, standing.Value, standing.PeerValue = one.kind, one.value, one.baseline
 			}
 			if one.score >= s.DrainAt && standing.Score < s.DrainAt {
-				standing.Paths = append(standing.Paths, zone)
+				standing.SlowZones = append(standing.SlowZones, zone)
 			}
 		}
 		out = append(out, standing)
 	}
-	slices.SortFunc(out, r.worse)
+	slices.SortFunc(out, r.compare)
 	return out
 }
 
--- a/process/engines/nodehealth/settings.go
+++ b/process/engines/nodehealth/settings.go
@@ -12,7 +12,7 @@
 	// Off measures nothing.
 	Off Mode = "off"
 	// Watch ranks engines, and does no more.
-	Watch Mode = "watch"
+	ObserveOnly Mode = "watch"
 	// Drain ranks engines, and has the worst drained.
 	Drain Mode = "drain"
 )
@@ -60,7 +60,7 @@
 			faults = append(faults, Fault{field, fmt.Sprintf(reason, values...)})
 		}
 	}
-	say(s.Mode != Off && s.Mode != Watch && s.Mode != Drain, "mode", "must be off, watch or drain")
+	say(s.Mode != Off && s.Mode != ObserveOnly && s.Mode != Drain, "mode", "must be off, watch or drain")
 	say(!(s.DrainAt >= 1.5 && s.DrainAt <= 1000), "drainAt", "must be 1.5 to 1000: engines with like work differ by less than that when all are sound")
 	say(!(s.ClearAt >= 1 && s.ClearAt < s.DrainAt), "clearAt", "must be at least 1 and below drainAt, or an engine would go and come by turns")
 	say(s.SpanMs < 2000 || s.SpanMs > 600_000, "spanMs", "must be 2000 to 600000")
@@ -69,7 +69,7 @@
 	say(s.RestMostMs < s.RestMs, "restMostMs", "must be at least restMs (%d)", s.RestMs)
 	say(s.TrialMs < 500 || s.TrialMs > 600_000, "trialMs", "must be 500 to 600000")
 	say(!(s.StallFloor >= 0 && s.StallFloor <= 100), "stallFloor", "must be 0 to 100")
-	say(s.DelayFloorMs < 1 || s.DelayFloorMs > mostValue, "delayFloorMs", "must be 1 to %d", mostValue)
+	say(s.DelayFloorMs < 1 || s.DelayFloorMs > maxValue, "delayFloorMs", "must be 1 to %d", maxValue)
 	for _, share := range []struct {
 		field string
 		value float64
@@ -79,4 +79,4 @@
 	return faults
 }
 
-func ms(value int64) time.Duration { return time.Duration(value) * time.Millisecond }
+func milliseconds(value int64) time.Duration { return time.Duration(value) * time.Millisecond }
--- a/testbed/platformtest/scenario/nodes.go
+++ b/testbed/platformtest/scenario/nodes.go
@@ -33,7 +33,7 @@
 		// What is left there goes on elsewhere or ends, and it returns by trial.
 		d.pause(ctx, 3*time.Second)
 		worse.Slow(1)
-		return d.awaitStage(ctx, worse, nodehealth.Sound)
+		return d.awaitStage(ctx, worse, nodehealth.Healthy)
 	}},
 	{name: "node-planner-lost", rest: 4 * time.Second, ranking: string(nodehealth.Drain), play: func(d *Run, ctx context.Context) error {
 		list, err := d.awaitRanked(ctx)
@@ -57,7 +57,7 @@
 			return err
 		}
 		worse.Slow(1)
-		return d.awaitStage(ctx, worse, nodehealth.Sound)
+		return d.awaitStage(ctx, worse, nodehealth.Healthy)
 	}},
 	{name: "node-flap", rest: time.Second, ranking: string(nodehealth.Drain), play: func(d *Run, ctx context.Context) error {
 		list, err := d.awaitRanked(ctx)
