--- a/daemon/nodedigests.go
+++ b/daemon/nodedigests.go
@@ -13,12 +13,12 @@
 const sendDigestsEvery = time.Second
 
 const (
-	// mostClasses and mostBuckets bound what one telling may hold of an engine.
+	// maxClasses and mostBuckets bound what one telling may hold of an engine.
 	maxClasses = 500
 	maxBuckets = 300
 )
 
-// tell gives what was measured since it was last told, for whoever plans.
+// takeDigests gives what was measured since it was last told, for whoever plans.
 func (n *nodeRanking) takeDigests() []*peerapi.NodeDigest {
 	if n.recorder == nil {
 		return nil
@@ -35,7 +35,7 @@
 	return encodeDigests(digests)
 }
 
-// hear takes what an asker measured, where this daemon plans.
+// receiveDigests takes what an asker measured, where this daemon plans.
 func (n *nodeRanking) receiveDigests(in *peerapi.PullRequest) {
 	if len(in.Nodes) == 0 || !n.on() || !n.plans() || !n.poolPlanning.condition().Held {
 		return
--- a/process/engines/nodehealth/bounds.go
+++ b/process/engines/nodehealth/bounds.go
@@ -95,7 +95,7 @@
 	return Allowed
 }
 
-// shut counts, of the engines that are meant, all and those that nothing new goes to, whoever shut them.
+// countClosed counts, of the engines that are meant, all and those that nothing new goes to, whoever shut them.
 func (f Fleet) countClosed(meant func(Engine) bool) (shut, all int) {
 	for _, engine := range f {
 		if meant(engine) {
@@ -131,7 +131,7 @@
 	return Allowed
 }
 
-// holders counts the engines of a pool that hold something.
+// replicas counts the engines of a pool that hold something.
 func (f Fleet) replicas(pool string, target Target) (shut, all int) {
 	return f.countClosed(func(e Engine) bool { return e.Pool == pool && slices.Contains(e.Loaded, target) })
 }
@@ -154,7 +154,7 @@
 	return Allowed
 }
 
-// alone lists what no other open engine of the pool holds.
+// soleReplicas lists what no other open engine of the pool holds.
 func (f Fleet) soleReplicas(engine Engine) []Target {
 	var out []Target
 	for _, target := range engine.Loaded {
@@ -166,7 +166,7 @@
 	return out
 }
 
-// shutting gives a fleet in which one more engine is shut.
+// withClosed gives a fleet in which one more engine is shut.
 func (f Fleet) withClosed(id ident.EngineID) Fleet {
 	out := make(Fleet, len(f))
 	for other, engine := range f {
--- a/process/engines/nodehealth/evidence.go
+++ b/process/engines/nodehealth/evidence.go
@@ -18,7 +18,7 @@
 	interval int64
 	// scratch is where quantiles are taken.
 	scratch *hdrhistogram.Histogram
-	// slow lists, by engine, the turns in which anything came that is above its floor.
+	// slowIntervals lists, by engine, the turns in which anything came that is above its floor.
 	slowIntervals map[ident.EngineID][]int64
 	// dropped counts digests for which there was no more room.
 	dropped uint64
@@ -71,7 +71,7 @@
 	return total
 }
 
-// take notes what a daemon in a zone measured.
+// add notes what a daemon in a zone measured.
 func (e *evidence) add(observer ident.ZoneID, digests []Digest, floor func(Kind) float64) {
 	place := e.interval % intervalsPerSpan
 	for _, digest := range digests {
@@ -95,7 +95,7 @@
 	}
 }
 
-// noteSlow notes that something slow came of an engine in this turn.
+// recordSlow notes that something slow came of an engine in this turn.
 func (e *evidence) recordSlow(engine ident.EngineID) {
 	list := e.slowIntervals[engine]
 	if len(list) > 0 && list[len(list)-1] == e.interval {
@@ -106,7 +106,7 @@
 	e.slowIntervals[engine] = append(list, e.interval)
 }
 
-// slowTurns counts the turns, within two spans, in which something slow came of an engine.
+// countSlowIntervals counts the turns, within two spans, in which something slow came of an engine.
 func (e *evidence) countSlowIntervals(engine ident.EngineID) (count int) {
 	for _, turn := range e.slowIntervals[engine] {
 		if turn > e.interval-2*intervalsPerSpan {
@@ -116,7 +116,7 @@
 	return count
 }
 
-// add counts a bucket in a sorted list, so that it grows with the values and not with how often is told.
+// addBucket counts a bucket in a sorted list, so that it grows with the values and not with how often is told.
 func addBucket(list []Bucket, bucket Bucket) []Bucket {
 	place, found := slices.BinarySearchFunc(list, bucket, func(a, b Bucket) int { return cmp.Compare(a.Value, b.Value) })
 	if found {
@@ -143,7 +143,7 @@
 	samples int
 }
 
-// enough says whether so many measurements say something. Of an engine that stalls there are few events, so of
+// sufficient says whether so many measurements say something. Of an engine that stalls there are few events, so of
 // pauses their time counts too, in multiples of the longest one aimed at.
 func sufficient(kind Kind, samples int, time int64) bool {
 	return samples >= minSamples[kind] || kind == Stall && samples >= minStallSamples && time >= minStallTime
@@ -200,7 +200,7 @@
 	return float64(e.scratch.ValueAtQuantile(quantileOf[kind])), samples, time
 }
 
-// together takes one value of each engine and class of work over all zones, for engines of which no zone alone sees
+// acrossZones takes one value of each engine and class of work over all zones, for engines of which no zone alone sees
 // enough. It is the value that more than half of the zones see, each by the little it has.
 func (e *evidence) acrossZones(across func([]float64) float64) (out []measure, zones map[ident.EngineID]int) {
 	joined := map[seriesKey]map[ident.ZoneID][]*series{}
--- a/process/engines/nodehealth/ranker.go
+++ b/process/engines/nodehealth/ranker.go
@@ -35,24 +35,24 @@
 	Trial:   {Healthy, Drained},
 }
 
-// state is what the ranker keeps of one engine.
+// engineState is what the ranker keeps of one engine.
 type engineState struct {
 	stage Stage
 	// since is when it came to its stage, slowSince since when it has been slow without a break.
 	since, slowSince clock.Mark
 	// relapses is how often it was drained without having been sound for long.
 	relapses int
-	// asked is when its draining or opening was last asked for.
+	// requested is when its draining or opening was last asked for.
 	requested clock.Mark
-	// standing is the newest that says something, measured when.
+	// assessment is the newest that says something, measured when.
 	assessment Assessment
 	measured   clock.Mark
 	refusal    Refusal
-	// emptying says that it was to be drained and is a last holder; it stays so for as long as it is suspected.
+	// awaitingRelocation says that it was to be drained and is a last holder; it stays so for as long as it is suspected.
 	awaitingRelocation bool
 }
 
-// move is the one function by which an engine changes its stage.
+// moveTo is the one function by which an engine changes its stage.
 func (s *engineState) moveTo(to Stage, now clock.Mark) {
 	if !slices.Contains(transitions[s.stage], to) {
 		panic("broken invariant: an engine may not go from " + s.stage.String() + " to " + to.String())
@@ -162,7 +162,7 @@
 	return out
 }
 
-// meet takes up what the fleet shows: who is there, and what was shut and opened meanwhile. Who has just begun to
+// reconcile takes up what the fleet shows: who is there, and what was shut and opened meanwhile. Who has just begun to
 // plan learns of drains from there.
 func (r *Ranker) reconcile(now clock.Mark, fleet Fleet, out *Decision) {
 	for id := range r.engines {
@@ -202,7 +202,7 @@
 // trialsMost is how many times its span a trial lasts for one that gets no requests.
 const maxTrialFactor = 4
 
-// judge moves one engine by how it stands.
+// evaluate moves one engine by how it stands.
 func (r *Ranker) evaluate(now clock.Mark, id ident.EngineID, out *Decision) {
 	s := r.engines[id]
 	score := s.assessment.Score
@@ -253,7 +253,7 @@
 	return r.evidence.countSlowIntervals(id) >= again && (s.stage == Suspect || s.stage == Trial) && s.slowSince > 0 && now.Since(s.slowSince) >= wait && s.assessment.Score >= r.settings.DrainAt
 }
 
-// drain chooses, the worst first, who is drained. One goes at a time: the next when this one is seen to be shut.
+// chooseDrain chooses, the worst first, who is drained. One goes at a time: the next when this one is seen to be shut.
 func (r *Ranker) chooseDrain(now clock.Mark, fleet Fleet, out *Decision) {
 	if r.settings.Mode != Drain {
 		return
@@ -291,7 +291,7 @@
 	}
 }
 
-// moves lists what is to be loaded elsewhere, of all that are to be drained as soon as they can.
+// listRelocations lists what is to be loaded elsewhere, of all that are to be drained as soon as they can.
 func (r *Ranker) listRelocations(fleet Fleet, out *Decision) {
 	for _, id := range slices.Sorted(maps.Keys(r.engines)) {
 		if !r.engines[id].awaitingRelocation {
@@ -304,13 +304,13 @@
 	}
 }
 
-// rest is how long a drained engine stays away: twice as long each time it comes back slow.
+// restDuration is how long a drained engine stays away: twice as long each time it comes back slow.
 func (r *Ranker) restDuration(relapses int) time.Duration {
 	rest := float64(r.settings.RestMs) * math.Exp2(float64(min(max(relapses-1, 0), 30)))
 	return milliseconds(int64(min(rest, float64(r.settings.RestMostMs))))
 }
 
-// open chooses who is tried again: one of a pool at a time, and all if nothing is to be drained any more.
+// chooseReopened chooses who is tried again: one of a pool at a time, and all if nothing is to be drained any more.
 func (r *Ranker) chooseReopened(now clock.Mark, fleet Fleet, out *Decision) {
 	trying := map[string]bool{}
 	var rested []ident.EngineID
@@ -348,7 +348,7 @@
 	}
 }
 
-// list notes what operators see.
+// updateRows notes what operators see.
 func (r *Ranker) updateRows(now clock.Mark, fleet Fleet) {
 	r.rows = make([]Row, 0, len(r.engines))
 	for id, s := range r.engines {
--- a/process/engines/nodehealth/recorder.go
+++ b/process/engines/nodehealth/recorder.go
@@ -35,9 +35,9 @@
 }
 
 const (
-	// mostCells bounds a recorder's memory: 1.5 kB each.
+	// maxCells bounds a recorder's memory: 1.5 kB each.
 	maxCells = 2000
-	// idleTellings is for how many tellings a cell is kept that has nothing to tell.
+	// maxIdleTakes is for how many tellings a cell is kept that has nothing to tell.
 	maxIdleTakes = 10
 )
 
--- a/process/engines/nodehealth/score.go
+++ b/process/engines/nodehealth/score.go
@@ -26,17 +26,17 @@
 
 // rules are the ways of judging. Each is a function, so that a test can show what a broken one would do.
 type rules struct {
-	// others is what an engine is held against, from the values of all others, sorted.
+	// baseline is what an engine is held against, from the values of all others, sorted.
 	baseline func(values []float64) float64
-	// explained is by how many times more work can slow an engine down, by so many powers of two.
+	// workFactor is by how many times more work can slow an engine down, by so many powers of two.
 	workFactor func(kind Kind, powers int) float64
-	// across makes one score of those seen from several zones, sorted.
+	// combineZones makes one score of those seen from several zones, sorted.
 	combineZones func(scores []float64) float64
-	// outside says whether a value is beyond how much the others differ among themselves.
+	// isOutlier says whether a value is beyond how much the others differ among themselves.
 	isOutlier func(value, others, spread float64) bool
-	// incidents is in how many turns something slow must have come.
+	// minIncidents is in how many turns something slow must have come.
 	minIncidents int
-	// worse orders the engines that are to be drained.
+	// compare orders the engines that are to be drained.
 	compare func(a, b Assessment) int
 	// refusals say why an engine may not be drained now, the gravest first.
 	refusals []refusal
@@ -47,9 +47,9 @@
 }
 
 const (
-	// leastPeers is how many others an engine is held against at least: of two nobody can say which one is slow.
+	// minPeers is how many others an engine is held against at least: of two nobody can say which one is slow.
 	minPeers = 2
-	// mostApart is how many powers of two of work may lie between what is compared.
+	// maxBandDistance is how many powers of two of work may lie between what is compared.
 	maxBandDistance = 3
 )
 
@@ -59,7 +59,7 @@
 	return (values[(n-1)/2] + values[n/2]) / 2
 }
 
-// explained: a batch of twice as many, or a prompt twice as long, has its first byte twice as late at most. Steps of
+// expectedFactor: a batch of twice as many, or a prompt twice as long, has its first byte twice as late at most. Steps of
 // twice as many take less than twice as long, since most of a step is the same for all that are in it.
 func expectedFactor(kind Kind, powers int) float64 {
 	if kind == Stall {
@@ -68,20 +68,20 @@
 	return float64(uint64(1) << powers)
 }
 
-// mostSee: an engine is as slow as more than half of the zones see it, or it is the path that is slow.
+// majorityScore: an engine is as slow as more than half of the zones see it, or it is the path that is slow.
 func majorityScore(scores []float64) float64 { return scores[(len(scores)-1)/2] }
 
-// outside by three deviations, and never within a quarter of the others' value, however alike they are.
+// beyondSpread by three deviations, and never within a quarter of the others' value, however alike they are.
 func beyondSpread(value, others, spread float64) bool {
 	return value > others+max(3*1.4826*spread, others/4)
 }
 
-// worse puts the slowest first; equals go by id, so that all planners agree.
+// compareAssessments puts the slowest first; equals go by id, so that all planners agree.
 func compareAssessments(a, b Assessment) int {
 	return cmp.Or(cmp.Compare(b.Score, a.Score), cmp.Compare(a.Engine, b.Engine))
 }
 
-// base is what is the same of all that is compared with each other, but for how much work it was.
+// comparisonGroup is what is the same of all that is compared with each other, but for how much work it was.
 type comparisonGroup struct {
 	observer    ident.ZoneID
 	kind        Kind
@@ -91,7 +91,7 @@
 
 type band struct{ load, size uint8 }
 
-// apart is by how many powers of two the work at b was more than at other; false where they are too far apart. Where
+// distanceTo is by how many powers of two the work at b was more than at other; false where they are too far apart. Where
 // the other had more work it is taken as it is: with less it could only have been quicker.
 func (b band) distanceTo(other band) (more, distance int, near bool) {
 	load, size := int(b.load)-int(other.load), int(b.size)-int(other.size)
@@ -104,7 +104,7 @@
 	samples                int
 }
 
-// compare holds each engine against the others of its base.
+// compareGroup holds each engine against the others of its base.
 func (r rules) compareGroup(s Settings, kind Kind, members map[ident.EngineID]map[band]measure) map[ident.EngineID][]comparison {
 	out := map[ident.EngineID][]comparison{}
 	if len(members) <= minPeers {
@@ -179,7 +179,7 @@
 	return float64(s.DelayFloorMs)
 }
 
-// deviation is the median of how far values lie from their own median.
+// medianDeviation is the median of how far values lie from their own median.
 func medianDeviation(sorted []float64) float64 {
 	middle := median(sorted)
 	off := make([]float64, 0, len(sorted))
@@ -190,7 +190,7 @@
 	return median(off)
 }
 
-// joint is the middle of several views, each counted by its measurements.
+// weightedMedian is the middle of several views, each counted by its measurements.
 func weightedMedian(views []comparison) comparison {
 	slices.SortFunc(views, func(a, b comparison) int {
 		return cmp.Or(cmp.Compare(a.score, b.score), cmp.Compare(a.value, b.value), cmp.Compare(a.samples, b.samples))
@@ -209,14 +209,14 @@
 	return comparison{}
 }
 
-// seen is one engine from one zone, in one kind of measurement.
+// observationKey is one engine from one zone, in one kind of measurement.
 type observationKey struct {
 	engine   ident.EngineID
 	observer ident.ZoneID
 	kind     Kind
 }
 
-// views compares all that was measured; overall puts all models of a pool together.
+// comparisons compares all that was measured; overall puts all models of a pool together.
 func (r rules) comparisons(s Settings, measures []measure) map[observationKey][]comparison {
 	bases := map[comparisonGroup]map[ident.EngineID]map[band]measure{}
 	for _, m := range measures {
@@ -248,7 +248,7 @@
 	return total
 }
 
-// zoned is one engine as one zone sees it, or all together.
+// zoneScore is one engine as one zone sees it, or all together.
 type zoneScore struct {
 	comparison
 	kind      Kind
