--- a/process/consensus/raft/core.go
+++ b/process/consensus/raft/core.go
@@ -54,13 +54,6 @@
 	effects Effects
 }
 
-// Restored is what a member finds on its disk.
-type PersistentState struct {
-	HardState HardState
-	Snapshot  Snapshot
-	Entries   []Entry
-}
-
 // New makes a member from what its disk holds.
 func New(id MemberID, timing Timing, restored PersistentState, random *rand.Rand) *Core {
 	c := &Core{id: id, timing: timing, random: random, term: restored.HardState.Term, vote: restored.HardState.Vote}
@@ -167,22 +160,6 @@
 	}
 }
 
-func (c *Core) tick() {
-	if c.role == Leader {
-		c.tickLeader()
-		return
-	}
-	c.electionElapsed++
-	if c.electionElapsed >= c.randomizedElectionTimeout {
-		c.electionElapsed = 0
-		c.randomizedElectionTimeout = c.timing.ElectionTicks + c.random.IntN(c.timing.ElectionTicks)
-		// One who can't write can't win, and one who is no voter may not ask.
-		if c.isVoter() && !c.diskStalled {
-			c.campaign(true)
-		}
-	}
-}
-
 func (c *Core) sendAfterSync(message Message) {
 	message.From = c.id
 	c.effects.AfterSync = append(c.effects.AfterSync, message)
@@ -197,120 +174,3 @@
 }
 
 func (c *Core) addNotice(notice Notice) { c.effects.Notices = append(c.effects.Notices, notice) }
-
-// refuse notes a message that can't be of a sound member; it changes nothing.
-func (c *Core) rejectMessage(message Message, err error) {
-	c.addNotice(Notice{Kind: NoticeMessageRejected, Peer: message.From, Index: message.LogIndex, Err: err})
-}
-
-// validate says what is wrong with a message, by itself and against what this member knows for sure.
-func (c *Core) validateMessage(message Message) error {
-	if err := message.Validate(); err != nil {
-		return err
-	}
-	switch {
-	case message.Term > c.term && message.Term-c.term > maxTermIncrease:
-		return MalformedError{Kind: message.Kind, Reason: "term far beyond this member's"}
-	case message.fromLeader() && message.Term == c.term && c.role == Leader:
-		return MalformedError{Kind: message.Kind, Reason: "another leads in this leader's term"}
-	case message.Kind == MsgAppend && message.Term >= c.term && message.LogIndex == c.commitIndex && message.LogIndex > 0:
-		if term, known := c.raftLog.term(c.commitIndex); known && term != message.LogTerm {
-			return MalformedError{Kind: message.Kind, Reason: "contradicts a committed entry"}
-		}
-	}
-	return nil
-}
-
-// receive takes a message, unless it is for another member or can't be of a sound one.
-func (c *Core) receive(message Message) {
-	if message.To != c.id {
-		return
-	}
-	if err := c.validateMessage(message); err != nil {
-		c.rejectMessage(message, err)
-		return
-	}
-	if c.ignoresCandidate(message) {
-		return
-	}
-	switch {
-	case message.Term < c.term:
-		c.replyToStaleTerm(message)
-		return
-	case message.Term > c.term:
-		c.adoptTerm(message)
-	}
-	c.dispatch(message)
-}
-
-// fromLeader says whether only a leader sends messages of this kind to its followers.
-func (m Message) fromLeader() bool {
-	return m.Kind == MsgAppend || m.Kind == MsgHeartbeat || m.Kind == MsgSnapshot
-}
-
-// ignoresCandidate says whether a request for a vote is passed over. While a leader is heard, a voter cut off from it
-// can't force an election; only a leadership transfer may.
-func (c *Core) ignoresCandidate(message Message) bool {
-	if message.Kind != MsgPreVote && message.Kind != MsgVote || message.Hint != 0 || message.From == c.id {
-		return false
-	}
-	leaderActive := c.role == Leader || (c.leader != 0 && c.electionElapsed < c.timing.ElectionTicks)
-	if leaderActive && message.Kind == MsgPreVote {
-		c.sendAfterSync(Message{Kind: MsgPreVoteReply, To: message.From, Term: c.term, Reject: true})
-	}
-	return leaderActive
-}
-
-// learnTerm follows a later term. A pre-vote round names one that nobody has entered yet.
-func (c *Core) adoptTerm(message Message) {
-	if message.Kind == MsgPreVote || message.Kind == MsgPreVoteReply && !message.Reject {
-		return
-	}
-	leader := MemberID(0)
-	if message.fromLeader() {
-		leader = message.From
-	}
-	c.enterTerm(message.Term, 0)
-	c.become(Follower, leader)
-}
-
-// answerOldTerm tells one who lags the term, so that it stops leading or asking.
-func (c *Core) replyToStaleTerm(message Message) {
-	switch {
-	case message.fromLeader():
-		c.sendAfterSync(Message{Kind: MsgAppendReply, To: message.From, Term: c.term, Reject: true, Hint: c.raftLog.lastIndex(), AcceptsChunks: true})
-	case message.Kind == MsgPreVote:
-		c.sendAfterSync(Message{Kind: MsgPreVoteReply, To: message.From, Term: c.term, Reject: true})
-	}
-}
-
-// dispatch takes a message of this member's term, or a pre-vote round's.
-func (c *Core) dispatch(message Message) {
-	if message.fromLeader() {
-		c.followLeader(message.From)
-	}
-	switch message.Kind {
-	case MsgPreVote:
-		c.handlePreVote(message)
-	case MsgVote:
-		c.handleVote(message)
-	case MsgPreVoteReply, MsgVoteReply:
-		c.handleVoteReply(message)
-	case MsgAppend:
-		c.handleAppend(message)
-	case MsgHeartbeat:
-		// Heartbeats say how much is committed of what this member surely holds.
-		c.commitTo(min(message.Commit, c.raftLog.lastIndex()))
-		c.sendImmediately(Message{Kind: MsgHeartbeatReply, To: message.From, HeartbeatRound: message.HeartbeatRound, AcceptsChunks: true})
-	case MsgSnapshot:
-		c.handleSnapshot(message)
-	case MsgAppendReply:
-		c.handleAppendReply(message)
-	case MsgHeartbeatReply:
-		c.handleHeartbeatReply(message)
-	case MsgSnapshotReply:
-		c.handleSnapshotReply(message)
-	case MsgTimeoutNow:
-		c.handleTimeoutNow()
-	}
-}
--- a/process/consensus/raft/membership.go
+++ b/process/consensus/raft/membership.go
@@ -1,115 +1,72 @@
 package raft
 
-import "slices"
+import (
+	"encoding/json"
+	"slices"
+)
 
-// Membership changes, one member at a time.
+// MemberID names one data folder; a wiped machine comes back as another member.
+type MemberID uint64
 
-type membershipEntry struct {
-	index      Index
-	membership Membership
+// Member is one machine of the group.
+type Member struct {
+	ID      MemberID `json:"id"`
+	Name    string   `json:"name"`
+	Address string   `json:"address"`
+	Voter   bool     `json:"voter"`
 }
 
-// noteMemberships takes up memberships as soon as they stand in the log, committed or not, as single-member change requires.
-func (c *Core) adoptMemberships(entries []Entry) {
-	for _, entry := range entries {
-		if entry.Kind != EntryMembership {
-			continue
-		}
-		membership, err := DecodeMembership(entry.Data)
-		if err != nil {
-			panic("broken invariant: a membership in the log cannot be read: " + err.Error())
-		}
-		c.memberships = append(c.memberships, membershipEntry{entry.Index, membership})
-		c.updatePeers()
-	}
+// Membership is who belongs to the group.
+type Membership struct {
+	Members []Member `json:"members"`
 }
 
-// Membership is the newest one in the log.
-func (c *Core) Membership() Membership { return c.memberships[len(c.memberships)-1].membership }
-
-// membershipBy is the one in force at index.
-func (c *Core) membershipAtIndex(index Index) Membership {
-	membership := c.memberships[0].membership
-	for _, at := range c.memberships {
-		if at.index <= index {
-			membership = at.membership
-		}
+// Encode gives the form that is kept in the log.
+func (m Membership) Encode() []byte {
+	data, err := json.Marshal(m)
+	if err != nil {
+		panic("broken invariant: a membership cannot be encoded: " + err.Error())
 	}
-	return membership
+	return data
 }
 
-func (c *Core) isVoter() bool {
-	member, ok := c.Membership().Find(c.id)
-	return ok && member.Voter
+// DecodeMembership reads the form kept in the log.
+func DecodeMembership(data []byte) (Membership, error) {
+	var m Membership
+	err := json.Unmarshal(data, &m)
+	return m, err
 }
 
-// fitPeers keeps the leader's table of members in step with the membership.
-func (c *Core) updatePeers() {
-	if c.role != Leader {
-		return
-	}
-	membership := c.Membership()
-	peers := map[MemberID]*progress{}
-	for _, member := range membership.Members {
-		if known := c.peers[member.ID]; known != nil {
-			peers[member.ID] = known
-			continue
+// Find gives the member with this id.
+func (m Membership) Find(id MemberID) (Member, bool) {
+	for _, member := range m.Members {
+		if member.ID == id {
+			return member, true
 		}
-		peers[member.ID] = &progress{next: c.raftLog.lastIndex() + 1, probing: true, recentActive: true}
-	}
-	if self := peers[c.id]; self != nil {
-		self.match = c.raftLog.stableIndex
 	}
-	c.peers = peers
+	return Member{}, false
 }
 
-func (c *Core) hasQuorum(counted func(MemberID) bool) bool {
-	voters := c.Membership().Voters()
-	count := 0
-	for _, id := range voters {
-		if counted(id) {
-			count++
+// Voters lists the ids that count for a majority.
+func (m Membership) Voters() []MemberID {
+	var voters []MemberID
+	for _, member := range m.Members {
+		if member.Voter {
+			voters = append(voters, member.ID)
 		}
 	}
-	return count > len(voters)/2
-}
-
-func (c *Core) membershipCommitted() bool {
-	return c.memberships[len(c.memberships)-1].index <= c.commitIndex
-}
-
-func (c *Core) discardMembershipsFrom(index Index) {
-	for len(c.memberships) > 1 && c.memberships[len(c.memberships)-1].index >= index {
-		c.memberships = c.memberships[:len(c.memberships)-1]
-	}
+	return voters
 }
 
-// proposeMembership lets in one change at a time, after the leader has committed in its term.
-func (c *Core) proposeMembership(proposed Membership) {
-	if c.role != Leader || c.transferTarget != 0 || !c.CommittedInTerm() || !c.membershipCommitted() {
-		return
-	}
-	if len(proposed.Voters()) == 0 || voterChanges(c.Membership(), proposed) > 1 {
-		return
-	}
-	c.effects.ProposedIndex, c.effects.ProposedTerm = c.appendEntry(EntryMembership, proposed.Encode()), c.term
-	c.sendAppends()
-	c.advanceCommit()
+// With gives a copy in which this member is added or replaced.
+func (m Membership) With(member Member) Membership {
+	changed := m.Without(member.ID)
+	changed.Members = append(changed.Members, member)
+	return changed
 }
 
-// voterChanges counts by how many voters two memberships differ.
-func voterChanges(before, after Membership) int {
-	count := 0
-	beforeVoters, afterVoters := before.Voters(), after.Voters()
-	for _, id := range beforeVoters {
-		if !slices.Contains(afterVoters, id) {
-			count++
-		}
-	}
-	for _, id := range afterVoters {
-		if !slices.Contains(beforeVoters, id) {
-			count++
-		}
-	}
-	return count
+// Without gives a copy that lacks this member.
+func (m Membership) Without(id MemberID) Membership {
+	remaining := slices.DeleteFunc(slices.Clone(m.Members), func(member Member) bool { return member.ID == id })
+	return Membership{Members: remaining}
 }
--- a/process/consensus/raft/save.go
+++ b/process/consensus/raft/save.go
@@ -1,6 +1,19 @@
 package raft
 
-import "slices"
+import (
+	"slices"
+)
+
+// Save is one write to disk. Entries replace all from their first index on.
+type Save struct {
+	HardState HardState
+	Entries   []Entry
+	// TruncateFrom, when not zero, removes all entries from there on, before Entries are written.
+	TruncateFrom Index
+	Snapshot     *Snapshot
+	// CompactTo, when not zero, removes entries up to and with it.
+	CompactTo Index
+}
 
 // Merge adds a later write, so that writing the sum leaves the same on disk as writing one after the other.
 func (s *Save) Merge(later Save) {
