--- a/process/consensus/raft/checksum.go
+++ b/process/consensus/raft/checksum.go
@@ -6,7 +6,7 @@
 	"encoding/binary"
 )
 
-// checksum is over all that a snapshot is, but its membership: another build may write the same one in other bytes.
+// checksum covers the whole snapshot except its membership, which another build may encode in other bytes.
 func (s Snapshot) checksum() []byte {
 	hash := sha256.New()
 	var position [16]byte
@@ -17,7 +17,7 @@
 	return hash.Sum(nil)
 }
 
-// sound says whether a snapshot is what its maker sent. One without a checksum can't be told.
+// checksumMatches says whether a snapshot arrived unchanged. One without a checksum is accepted: earlier builds send none.
 func (s Snapshot) checksumMatches() bool {
 	return len(s.Checksum) == 0 || bytes.Equal(s.Checksum, s.checksum())
 }
--- a/process/consensus/raft/compaction.go
+++ b/process/consensus/raft/compaction.go
@@ -1,6 +1,10 @@
 package raft
 
-// compact replaces the log up to an applied entry by a snapshot of the state.
+// maxBytesRetainedForPeers bounds the entries that a leader's log retains for peers that are being sent a snapshot.
+const maxBytesRetainedForPeers = 8 << 20
+
+// handleCompact replaces the log up to an applied entry by a snapshot of the state (chapter 5). A request beyond what
+// was delivered, or behind the present snapshot, changes nothing.
 func (c *Core) handleCompact(request Compact) {
 	term, ok := c.raftLog.term(request.Index)
 	if !ok || request.Index <= c.raftLog.snapshot.Index || request.Index > c.deliveredIndex {
@@ -24,8 +28,8 @@
 	c.memberships = append([]membershipEntry{{request.Index, membership}}, newer...)
 }
 
-// keptForPeers moves a cut of the log back to the snapshots that peers are being sent: without the entries behind
-// theirs they would need another at once, for ever where the log is cut faster than a snapshot travels.
+// retainForPeers lowers the index to compact to, so that the entries after a snapshot in transfer stay. Without them
+// the peer would need another snapshot at once, and for ever where the log is compacted faster than a snapshot is sent.
 func (c *Core) retainForPeers(compactTo int) int {
 	lowered := compactTo
 	for _, peer := range c.peers {
--- a/process/consensus/raft/core.go
+++ b/process/consensus/raft/core.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// Timing is counted in ticks.
+// Timing holds the time-outs, in ticks.
 type Timing struct {
+	// HeartbeatTicks is the interval of a leader's heartbeats.
 	HeartbeatTicks int
-	// Election is the shortest wait for a leader; the longest is twice that.
+	// ElectionTicks is the shortest election time-out; each is drawn between this and twice this.
 	ElectionTicks int
 }
 
-// Span is the shortest wait for a leader in time, where a tick takes so long.
+// ElectionTimeout is the shortest election time-out, for ticks of this length.
 func (t Timing) ElectionTimeout(tick time.Duration) time.Duration {
 	return time.Duration(t.ElectionTicks) * tick
 }
 
-// Core is the state of one member.
+// Core is the state of one member; only Step and SetSnapshotCheck change it. It is not safe for concurrent use.
 type Core struct {
 	id     MemberID
 	timing Timing
@@ -26,45 +27,55 @@
 	term Term
 	vote MemberID
 	role Role
-	// leader is who is known to lead this term; zero when nobody is.
-	leader         MemberID
-	raftLog        raftLog
+	// leader is the known leader of the term, or zero.
+	leader  MemberID
+	raftLog raftLog
+	// commitIndex is the last committed entry, deliveredIndex the last one returned in Effects.Committed. They differ
+	// only within a Step.
 	commitIndex    Index
 	deliveredIndex Index
 
+	// memberships lists the snapshot's membership and all later ones in the log; the last is in force.
 	memberships []membershipEntry
-	votes       map[MemberID]bool
-	peers       map[MemberID]*progress
+	// votes holds the replies of this term's election, or of the pre-vote round: true is granted.
+	votes map[MemberID]bool
+	// peers holds the progress of every member, this one included; only a leader has it.
+	peers map[MemberID]*progress
 
+	// The timers count ticks; become resets them.
 	electionElapsed           int
 	randomizedElectionTimeout int
 	heartbeatElapsed          int
 	quorumCheckElapsed        int
-	diskStalled               bool
+	// diskStalled says that a save has been waiting for too long: the member neither campaigns nor grants pre-votes.
+	diskStalled bool
 
-	heartbeatRound  uint64
-	pendingReads    []pendingRead
+	// heartbeatRound numbers the newest round of heartbeats, pendingReads are those not confirmed by a round yet.
+	heartbeatRound uint64
+	pendingReads   []pendingRead
+	// transferTarget is the voter that leadership is being transferred to, or zero.
 	transferTarget  MemberID
 	transferElapsed int
 
-	// incoming is what has come of a leader's snapshot, checkSnapshot what looks at it before it is installed.
+	// incoming is the leader's snapshot that is being received, checkSnapshot the driver's check of it.
 	incoming      *incomingSnapshot
 	checkSnapshot func(Snapshot) error
 
+	// effects collects the result of the present Step.
 	effects Effects
 }
 
-// New makes a member from what its disk holds.
+// New makes a member, as a follower, from its persistent state.
 func New(id MemberID, timing Timing, restored PersistentState, random *rand.Rand) *Core {
 	c := &Core{id: id, timing: timing, random: random, term: restored.HardState.Term, vote: restored.HardState.Vote}
 	c.raftLog = newLog(restored.Snapshot, restored.Entries)
 	c.commitIndex, c.deliveredIndex = restored.Snapshot.Index, restored.Snapshot.Index
 	c.memberships = []membershipEntry{{restored.Snapshot.Index, restored.Snapshot.Membership}}
-	// Entries kept before the snapshot hold memberships that the snapshot's own has replaced.
+	// Memberships in entries before the snapshot are superseded by the snapshot's own.
 	c.adoptMemberships(c.raftLog.entriesFrom(restored.Snapshot.Index+1, len(restored.Entries)))
 	c.become(Follower, 0)
-	// One that has just begun asks sooner: where all were down at once nobody leads, and where somebody does the
-	// others refuse.
+	// The first time-out is shorter: after a restart of all members there is no leader, and where there is one the
+	// others ignore the pre-vote.
 	c.randomizedElectionTimeout = max(1, timing.ElectionTicks/4) + random.IntN(max(1, timing.ElectionTicks/2))
 	return c
 }
@@ -72,7 +83,7 @@
 // ID is this member's id.
 func (c *Core) ID() MemberID { return c.id }
 
-// Role is what this member is in its term.
+// Role is this member's role in its term.
 func (c *Core) Role() Role { return c.role }
 
 // Term is the newest term that this member knows.
@@ -90,9 +101,10 @@
 // SnapshotIndex is the last entry that the newest snapshot covers.
 func (c *Core) SnapshotIndex() Index { return c.raftLog.snapshot.Index }
 
-// EntryTerm gives the term of a place in the log while it is kept.
+// EntryTerm returns the term of an entry, and false where it is compacted away or not there yet.
 func (c *Core) EntryTerm(index Index) (Term, bool) { return c.raftLog.term(index) }
 
+// pendingSave returns the Save of the present Step, with the present hard state.
 func (c *Core) pendingSave() *Save {
 	if c.effects.Save == nil {
 		c.effects.Save = &Save{}
@@ -101,7 +113,7 @@
 	return c.effects.Save
 }
 
-// Step takes one event and says what must be done about it.
+// Step processes one event and returns what the driver has to do.
 func (c *Core) Step(event Event) Effects {
 	c.effects = Effects{}
 	switch e := event.(type) {
@@ -110,10 +122,7 @@
 	case Receive:
 		c.receive(e.Message)
 	case Propose:
-		if c.role == Leader && c.transferTarget == 0 {
-			c.effects.ProposedIndex, c.effects.ProposedTerm = c.appendEntry(EntryCommand, e.Data), c.term
-			c.sendAppends()
-		}
+		c.propose(e.Data)
 	case ProposeMembership:
 		c.proposeMembership(e.Membership)
 	case Read:
@@ -121,23 +130,14 @@
 	case Persisted:
 		c.handlePersisted(e)
 	case DiskStalled:
-		c.diskStalled = e.Stalled
-		// A leader that can't write must not keep the others waiting.
-		if e.Stalled && c.role == Leader {
-			c.selectTransferTarget()
-			c.sendTimeoutNow()
-			c.become(Follower, 0)
-		}
+		c.handleDiskStalled(e.Stalled)
 	case StepDown:
-		// Whoever may have been followed by another asks anew, and does no harm until then.
+		// Another member may lead by now: an election decides.
 		if c.role == Leader {
 			c.become(Follower, 0)
 		}
 	case TransferLeadership:
-		if c.role == Leader {
-			c.selectTransferTarget()
-			c.sendTimeoutNow()
-		}
+		c.transferLeadership()
 	case Compact:
 		c.handleCompact(e)
 	}
@@ -145,7 +145,24 @@
 	return c.effects
 }
 
-// handOut gives the driver what has been committed and not yet handed out.
+// propose appends a command, unless this member does not lead or is handing over.
+func (c *Core) propose(data []byte) {
+	if c.role == Leader && c.transferTarget == 0 {
+		c.effects.ProposedIndex, c.effects.ProposedTerm = c.appendEntry(EntryCommand, data), c.term
+		c.sendAppends()
+	}
+}
+
+// handleDiskStalled has a leader that can't write hand over and step down, so that the group goes on.
+func (c *Core) handleDiskStalled(stalled bool) {
+	c.diskStalled = stalled
+	if stalled && c.role == Leader {
+		c.transferLeadership()
+		c.become(Follower, 0)
+	}
+}
+
+// deliverCommitted returns to the driver what has been committed and not been delivered yet.
 func (c *Core) deliverCommitted() {
 	if c.commitIndex > c.deliveredIndex {
 		c.effects.Committed = c.raftLog.entriesFrom(c.deliveredIndex+1, int(c.commitIndex-c.deliveredIndex))
@@ -155,16 +172,18 @@
 		c.deliveredIndex = c.commitIndex
 	}
 	if c.incoming != nil && c.incoming.index <= c.commitIndex {
-		// The log got there before the snapshot was whole.
+		// The log reached the snapshot's index before the snapshot was complete.
 		c.incoming = nil
 	}
 }
 
+// sendAfterSync queues a message that depends on the disk. The caller sets its term.
 func (c *Core) sendAfterSync(message Message) {
 	message.From = c.id
 	c.effects.AfterSync = append(c.effects.AfterSync, message)
 }
 
+// sendImmediately queues a message that depends on nothing unsynced, with the present term unless it has one.
 func (c *Core) sendImmediately(message Message) {
 	message.From = c.id
 	if message.Term == 0 {
--- a/process/consensus/raft/effects.go
+++ b/process/consensus/raft/effects.go
@@ -1,26 +1,29 @@
 package raft
 
-// ReadReady says that the state applied up to Index answers the read asked with Ref.
-type ReadState struct {
-	RequestID uint64
-	Index     Index
-	OK        bool
-}
-
-// Effects is what a step wants done.
+// Effects is what the driver has to do after a Step; see the package comment for the order.
 type Effects struct {
-	// Save goes to disk. Later leaves only when this and every earlier save is synced.
-	Save      *Save
+	// Save is to be written to disk; nil where nothing changed.
+	Save *Save
+	// AfterSync leaves only when Save and every earlier Save are synced.
 	AfterSync []Message
-	// Now may leave at once.
+	// Immediate may leave at once.
 	Immediate []Message
-	// Install is a snapshot the replicated state must take over before Committed is applied.
+	// InstallSnapshot replaces the replicated state, before Committed is applied.
 	InstallSnapshot *Snapshot
-	Committed       []Entry
-	ReadStates      []ReadState
-	// Proposed says where a proposal was put; zero when it was refused.
+	// Committed lists the entries to apply, in order.
+	Committed  []Entry
+	ReadStates []ReadState
+	// ProposedIndex and ProposedTerm say where a proposal was appended; both are zero when it was rejected.
 	ProposedIndex Index
 	ProposedTerm  Term
-	// Notices tell what an operator may want to know.
+	// Notices are for logs and counters.
 	Notices []Notice
 }
+
+// ReadState answers the Read with its RequestID: where OK, the state applied up to Index is linearizable. Where not,
+// this member does not lead, or lost its leadership meanwhile.
+type ReadState struct {
+	RequestID uint64
+	Index     Index
+	OK        bool
+}
--- a/process/consensus/raft/election.go
+++ b/process/consensus/raft/election.go
@@ -1,32 +1,49 @@
 package raft
 
-// enterTerm moves to a later term; the disk learns of it before anything is said in it.
+// enterTerm sets term and vote. They are saved before any message of the term leaves.
 func (c *Core) enterTerm(term Term, vote MemberID) {
 	c.term, c.vote = term, vote
 	c.pendingSave().HardState = HardState{Term: c.term, Vote: c.vote}
 }
 
-// campaign asks for votes; the pre-vote round asks without entering a new term.
-func (c *Core) campaign(preVote bool) {
-	kind, term := MsgVote, c.term+1
-	if preVote {
-		kind = MsgPreVote
+// campaignKind is the reason and the manner of a campaign.
+type campaignKind uint8
+
+const (
+	// campaignPreVote asks whether votes would be granted, without entering a new term (section 9.6).
+	campaignPreVote campaignKind = iota
+	// campaignElection follows a successful pre-vote round.
+	campaignElection
+	// campaignTransfer is an election that the leader asked for: voters grant it although they hear that leader.
+	campaignTransfer
+)
+
+// campaign requests votes of all voters, this member included.
+func (c *Core) campaign(campaign campaignKind) {
+	request, ownReply := Message{Kind: MsgVote, Term: c.term + 1}, MsgVoteReply
+	if campaign == campaignPreVote {
+		request.Kind, ownReply = MsgPreVote, MsgPreVoteReply
 		c.become(PreCandidate, 0)
 	} else {
-		c.enterTerm(term, c.id)
+		c.enterTerm(request.Term, c.id)
 		c.become(Candidate, 0)
 	}
+	if campaign == campaignTransfer {
+		request.Hint = 1
+	}
+	request.LogIndex, request.LogTerm = c.raftLog.lastIndex(), c.raftLog.lastTerm()
 	for _, id := range c.Membership().Voters() {
-		message := Message{Kind: kind, To: id, Term: term, LogIndex: c.raftLog.lastIndex(), LogTerm: c.raftLog.lastTerm()}
+		message := request
+		message.To = id
 		if id == c.id {
-			// The own vote too counts only once it is on disk.
-			message.Kind = kind + 1
+			// This member's own vote counts only once it is on disk, too: it comes back as a reply.
+			message.Kind = ownReply
 		}
 		c.sendAfterSync(message)
 	}
 }
 
-// takePreVote says whether this member would vote for the sender in the term it names.
+// handlePreVote replies whether this member would vote for the sender in the message's term.
 func (c *Core) handlePreVote(message Message) {
 	grant := message.Term > c.term && c.raftLog.upToDate(message.LogIndex, message.LogTerm) && !c.diskStalled
 	reply := Message{Kind: MsgPreVoteReply, To: message.From, Term: message.Term, Reject: !grant}
@@ -36,7 +53,7 @@
 	c.sendAfterSync(reply)
 }
 
-// takeVote gives this term's vote once, to a candidate whose log holds all that this one does.
+// handleVote grants the vote of this term at most once, to a candidate whose log is up-to-date (section 3.6.1).
 func (c *Core) handleVote(message Message) {
 	available := c.vote == 0 || c.vote == message.From
 	if !available || c.role == Leader || !c.raftLog.upToDate(message.LogIndex, message.LogTerm) {
@@ -48,7 +65,7 @@
 	c.sendAfterSync(Message{Kind: MsgVoteReply, To: message.From, Term: c.term})
 }
 
-// countVote counts a reply, and leads once a majority has granted.
+// handleVoteReply counts a reply: a majority elects, and after a rejecting majority the candidate gives up.
 func (c *Core) handleVoteReply(message Message) {
 	expectedRole := Candidate
 	if message.Kind == MsgPreVoteReply {
@@ -60,7 +77,7 @@
 	c.votes[message.From] = !message.Reject
 	if c.hasQuorum(func(id MemberID) bool { return c.votes[id] }) {
 		if expectedRole == PreCandidate {
-			c.campaign(false)
+			c.campaign(campaignElection)
 			return
 		}
 		c.become(Leader, c.id)
--- a/process/consensus/raft/entry.go
+++ b/process/consensus/raft/entry.go
@@ -1,24 +1,24 @@
 package raft
 
-// Term numbers the reigns of leaders.
+// Term numbers the terms of leaders (section 3.3). Zero is before the first.
 type Term uint64
 
-// Index numbers the places of the log.
+// Index numbers the entries of the log, from 1 on. Zero is the empty log.
 type Index uint64
 
-// EntryKind tells what an entry holds.
+// EntryKind is the type of an entry. Its values are stored on disk and sent to peers.
 type EntryKind uint8
 
 const (
-	// EntryCommand holds a command for the replicated state.
+	// EntryCommand is a command for the replicated state machine.
 	EntryCommand EntryKind = iota
-	// EntryEmpty is what a new leader writes first, to commit what came before it.
+	// EntryEmpty is the no-op that a new leader appends, so that it can commit the entries of earlier terms (6.4, 3.6.2).
 	EntryEmpty
-	// EntryMembership holds a new membership.
+	// EntryMembership is an encoded Membership.
 	EntryMembership
 )
 
-// Entry is one place of the log.
+// Entry is one entry of the log.
 type Entry struct {
 	Term  Term
 	Index Index
--- a/process/consensus/raft/follower.go
+++ b/process/consensus/raft/follower.go
@@ -1,5 +1,6 @@
 package raft
 
+// followLeader accepts the sender of a leader's message of this term, and resets the election time-out.
 func (c *Core) followLeader(leader MemberID) {
 	if c.role == Leader {
 		panic("broken invariant: two leaders in one term")
@@ -10,14 +11,16 @@
 	c.electionElapsed = 0
 }
 
+// handleAppend appends what the log lacks, after the consistency check (section 3.5). Conflicting entries are truncated.
 func (c *Core) handleAppend(message Message) {
 	if message.LogIndex < c.commitIndex {
-		// What is committed here can't be other than what the leader has.
+		// Committed entries match the leader's.
 		c.acknowledge(message.From, c.commitIndex)
 		return
 	}
 	if term, ok := c.raftLog.term(message.LogIndex); !ok || term != message.LogTerm {
-		c.sendAfterSync(Message{Kind: MsgAppendReply, To: message.From, Term: c.term, Reject: true, LogIndex: message.LogIndex, Hint: min(c.raftLog.lastIndex(), message.LogIndex-1), AcceptsChunks: true})
+		hint := min(c.raftLog.lastIndex(), message.LogIndex-1)
+		c.sendAfterSync(Message{Kind: MsgAppendReply, To: message.From, Term: c.term, Reject: true, LogIndex: message.LogIndex, Hint: hint, AcceptsChunks: true})
 		return
 	}
 	newEntries := message.Entries
@@ -48,7 +51,7 @@
 	c.acknowledge(message.From, matchIndex)
 }
 
-// acknowledge tells the leader that the log agrees with its own up to index, once that is on disk.
+// acknowledge tells the leader that the log matches its own up to index, once that is on disk.
 func (c *Core) acknowledge(leader MemberID, index Index) {
 	c.sendAfterSync(Message{Kind: MsgAppendReply, To: leader, Term: c.term, LogIndex: index, AcceptsChunks: true})
 }
--- a/process/consensus/raft/inflight.go
+++ b/process/consensus/raft/inflight.go
@@ -1,19 +1,19 @@
 package raft
 
-// A large append takes a while on a slow link, and heartbeats are answered meanwhile. Without more ado each answer would
-// have the same entries sent again, and a member that catches up would get most of its bytes twice or more. So one large
-// append is under way to a member at a time, until it is answered or had time to arrive.
+// A large append takes several heartbeat intervals on a slow link. Each reply to a heartbeat would have the same entries
+// sent again, and a peer that catches up would receive most bytes twice or more. So only one large append is in flight
+// to a peer at a time, until it is acknowledged or has had the time to arrive.
 
 const (
-	// largeAppend is from how many bytes of entries on an append counts as large.
+	// largeAppendBytes is the size of entries from which on an append counts as large.
 	largeAppendBytes = 16 << 10
-	// slowestBytesPerTick is what the slowest link carries in a tick: 10 Mbit/s, and 50 ms.
+	// slowestLinkBytesPerTick is what the slowest link carries in a tick of 50 ms at 10 Mbit/s.
 	slowestLinkBytesPerTick = 10_000_000 / 8 / 20
-	// answerFactor leaves as much time for the disk and the answer as the link takes.
+	// replyTimeFactor leaves as much time for the disk and the reply as for the link.
 	replyTimeFactor = 2
 )
 
-// sentAppend notes that entries are under way to a member.
+// trackAppend records that entries were sent; only a large append is tracked.
 func (p *progress) trackAppend(entries []Entry) {
 	size := 0
 	for _, entry := range entries {
@@ -26,19 +26,19 @@
 	p.inflightTicks = 1 + replyTimeFactor*size/slowestLinkBytesPerTick
 }
 
-// awaits says whether a large append is under way.
-func (p *progress) appendInFlight() bool { return p.inflightTicks > 0 }
+// appendInFlight says whether a large append is in flight.
+func (p *progress) awaitsAppend() bool { return p.inflightTicks > 0 }
 
-// answered takes an answer to an append; it says whether one that was awaited has come.
+// acknowledgeAppend records a reply to an append; it returns true where that was the large one in flight.
 func (p *progress) acknowledgeAppend(message Message) bool {
-	if !p.appendInFlight() || !message.Reject && message.LogIndex < p.inflightIndex {
+	if !p.awaitsAppend() || !message.Reject && message.LogIndex < p.inflightIndex {
 		return false
 	}
 	p.inflightTicks = 0
 	return true
 }
 
-// tick counts what a member is waited for down.
+// tick counts the time-outs of chunk and append down.
 func (p *progress) tick() {
 	if p.outgoing != nil {
 		p.outgoing.resendTicks = max(0, p.outgoing.resendTicks-1)
--- a/process/consensus/raft/inflight_test.go
+++ b/process/consensus/raft/inflight_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// largeLeader leads two members and has just sent the second a large entry.
-func largeLeader(t *testing.T) (leader *Core, sent Message) {
+// leaderWithLargeAppend makes the leader of two members that has just sent the second a large entry.
+func leaderWithLargeAppend(t *testing.T) (leader *Core, sent Message) {
 	t.Helper()
 	members := Membership{Members: []Member{{ID: 1, Voter: true}, {ID: 2}}}
 	leader = New(1, Timing{HeartbeatTicks: 2, ElectionTicks: 16}, PersistentState{HardState: HardState{Term: 1}, Snapshot: Snapshot{Index: 1, Term: 1, Membership: members}}, rand.New(rand.NewPCG(1, 1)))
@@ -29,8 +29,8 @@
 	return leader, sent
 }
 
-// appends counts the entries that effects send to the second member.
-func appends(effects Effects) (entries int) {
+// countAppended is the number of entries that effects send to the second member.
+func countAppended(effects Effects) (entries int) {
 	for _, message := range effects.Immediate {
 		if message.Kind == MsgAppend {
 			entries += len(message.Entries)
@@ -39,13 +39,13 @@
 	return entries
 }
 
-func TestALargeAppendIsSentOnceWhileItIsUnderWay(t *testing.T) {
-	leader, _ := largeLeader(t)
+func TestLargeAppendIsNotResentWhileInFlight(t *testing.T) {
+	leader, _ := leaderWithLargeAppend(t)
 	again, after := 0, 0
 	for tick := 1; again == 0 && tick < 40; tick++ {
 		effects := leader.Step(Tick{})
-		again += appends(effects)
-		again += appends(leader.Step(Receive{Message{Kind: MsgHeartbeatReply, From: 2, To: 1, Term: leader.Term()}}))
+		again += countAppended(effects)
+		again += countAppended(leader.Step(Receive{Message{Kind: MsgHeartbeatReply, From: 2, To: 1, Term: leader.Term()}}))
 		after = tick
 	}
 	// 200 kB take 3.3 ticks of 50 ms at 10 Mbit/s.
@@ -54,17 +54,17 @@
 	}
 }
 
-func TestTheNextIsSentAtOnceWhenALargeAppendIsAnswered(t *testing.T) {
-	leader, sent := largeLeader(t)
-	if count := appends(leader.Step(Propose{Data: []byte("next")})); count != 0 {
-		t.Errorf("%d entries were sent behind a large append under way", count)
+func TestNextAppendFollowsAcknowledgementOfLargeAppend(t *testing.T) {
+	leader, sent := leaderWithLargeAppend(t)
+	if count := countAppended(leader.Step(Propose{Data: []byte("next")})); count != 0 {
+		t.Errorf("%d entries were sent while a large append was in flight", count)
 	}
 	answer := Message{Kind: MsgAppendReply, From: 2, To: 1, Term: leader.Term(), LogIndex: sent.LogIndex}
-	if count := appends(leader.Step(Receive{answer})); count != 0 {
-		t.Errorf("%d entries were sent upon the answer to an earlier append", count)
+	if count := countAppended(leader.Step(Receive{answer})); count != 0 {
+		t.Errorf("%d entries were sent after the reply to an earlier append", count)
 	}
 	answer.LogIndex = sent.Entries[0].Index
-	if count := appends(leader.Step(Receive{answer})); count != 1 {
-		t.Errorf("%d entries were sent upon the answer", count)
+	if count := countAppended(leader.Step(Receive{answer})); count != 1 {
+		t.Errorf("%d entries were sent after the acknowledgement", count)
 	}
 }
--- a/process/consensus/raft/log.go
+++ b/process/consensus/raft/log.go
@@ -1,6 +1,6 @@
 package raft
 
-// BytesAfter is how many bytes the entries behind an index hold, as far as they are kept.
+// BytesAfter is the size in bytes of the retained entries after an index.
 func (c *Core) BytesAfter(index Index) int {
 	total := 0
 	for position := len(c.raftLog.entries) - 1; position >= 0 && c.raftLog.entries[position].Index > index; position-- {
@@ -9,22 +9,24 @@
 	return total
 }
 
-// replicaLog is the log in memory: a snapshot's place and the entries behind it.
+// raftLog is the log in memory: the newest snapshot and the entries that are not compacted away. Entries before the
+// snapshot's index may be retained, for peers that are a little behind.
 type raftLog struct {
-	snapshot    Snapshot
-	entries     []Entry
+	snapshot Snapshot
+	entries  []Entry
+	// stableIndex is the last entry that is synced.
 	stableIndex Index
-	// base is the place right before the first entry, where it is known.
+	// base is the position right before the first entry; zero where its term is unknown.
 	base position
 }
 
-// place is an index and the term of its entry.
+// position is an index and the term of its entry.
 type position struct {
 	index Index
 	term  Term
 }
 
-// newLog makes a log of a snapshot and what is kept of the entries around it.
+// newLog makes a log of a snapshot and the retained entries, all of them synced.
 func newLog(snapshot Snapshot, entries []Entry) raftLog {
 	created := raftLog{snapshot: snapshot, entries: entries}
 	if len(entries) == 0 || entries[0].Index == snapshot.Index+1 {
@@ -34,6 +36,7 @@
 	return created
 }
 
+// lastIndex is the index of the last entry, or of the snapshot where there are no entries.
 func (l *raftLog) lastIndex() Index {
 	if n := len(l.entries); n > 0 {
 		return l.entries[n-1].Index
@@ -41,7 +44,7 @@
 	return l.snapshot.Index
 }
 
-// term gives the term of the entry at index, if it is still known.
+// term returns the term of the entry at index, and false where it is compacted away or not there yet.
 func (l *raftLog) term(index Index) (Term, bool) {
 	if index == 0 {
 		return 0, true
@@ -58,12 +61,13 @@
 	return l.entries[index-l.entries[0].Index].Term, true
 }
 
+// lastTerm is the term of the last entry.
 func (l *raftLog) lastTerm() Term {
 	term, _ := l.term(l.lastIndex())
 	return term
 }
 
-// part gives entries from index on, up to most of them and to so many bytes, but at least one where there is any.
+// entriesWithin returns entries from index on, up to maxEntries and maxBytes, but at least one where there is any.
 func (l *raftLog) entriesWithin(index Index, maxEntries, maxBytes int) []Entry {
 	entries := l.entriesFrom(index, maxEntries)
 	for offset, entry := range entries {
@@ -74,7 +78,7 @@
 	return entries
 }
 
-// from gives up to most entries from index on.
+// entriesFrom returns a copy of up to maxEntries entries from index on; none where index is compacted away.
 func (l *raftLog) entriesFrom(index Index, maxEntries int) []Entry {
 	if len(l.entries) == 0 || index < l.entries[0].Index || index > l.lastIndex() {
 		return nil
@@ -86,6 +90,7 @@
 	return append([]Entry(nil), tail...)
 }
 
+// truncateFrom removes the entry at index and all after it.
 func (l *raftLog) truncateFrom(index Index) {
 	if len(l.entries) == 0 || index > l.lastIndex() {
 		return
@@ -100,13 +105,13 @@
 	}
 }
 
-// continuesAt says whether the log holds everything behind index.
+// containsAllAfter says whether every entry after index is retained.
 func (l *raftLog) containsAllAfter(index Index) bool {
 	_, known := l.term(index)
 	return known && (len(l.entries) == 0 || l.entries[0].Index <= index+1)
 }
 
-// bytesBetween counts the bytes of entries behind first, up to and with last.
+// bytesBetween is the size in bytes of the entries after first, up to and including last.
 func (l *raftLog) bytesBetween(first, last Index) int {
 	total := 0
 	for _, entry := range l.entries {
@@ -117,7 +122,7 @@
 	return total
 }
 
-// compactTo drops entries up to and with index.
+// compactTo removes entries up to and including index.
 func (l *raftLog) compactTo(index Index) {
 	if len(l.entries) == 0 || index < l.entries[0].Index {
 		return
@@ -132,7 +137,7 @@
 	l.entries = append([]Entry(nil), l.entries[count:]...)
 }
 
-// upToDate says whether a log that ends at (index, term) holds at least what this one does.
+// upToDate says whether a log that ends at (index, term) is at least as up-to-date as this one (section 3.6.1).
 func (l *raftLog) upToDate(index Index, term Term) bool {
 	return term > l.lastTerm() || (term == l.lastTerm() && index >= l.lastIndex())
 }
--- a/process/consensus/raft/membership.go
+++ b/process/consensus/raft/membership.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// MemberID names one data folder; a wiped machine comes back as another member.
+// MemberID identifies one data folder: a machine whose disk was wiped joins as a new member. Zero is no member.
 type MemberID uint64
 
-// Member is one machine of the group.
+// Member is one process of the group. One that does not vote is a learner (section 4.2.1).
 type Member struct {
 	ID      MemberID `json:"id"`
 	Name    string   `json:"name"`
@@ -16,12 +16,12 @@
 	Voter   bool     `json:"voter"`
 }
 
-// Membership is who belongs to the group.
+// Membership lists the members of the group (the "configuration" of chapter 4).
 type Membership struct {
 	Members []Member `json:"members"`
 }
 
-// Encode gives the form that is kept in the log.
+// Encode returns the encoding in the log, in snapshots and on the wire.
 func (m Membership) Encode() []byte {
 	data, err := json.Marshal(m)
 	if err != nil {
@@ -30,14 +30,14 @@
 	return data
 }
 
-// DecodeMembership reads the form kept in the log.
+// DecodeMembership reads what Encode returned. It does not validate; see Membership.Validate.
 func DecodeMembership(data []byte) (Membership, error) {
 	var m Membership
 	err := json.Unmarshal(data, &m)
 	return m, err
 }
 
-// Find gives the member with this id.
+// Find returns the member with this id.
 func (m Membership) Find(id MemberID) (Member, bool) {
 	for _, member := range m.Members {
 		if member.ID == id {
@@ -47,7 +47,7 @@
 	return Member{}, false
 }
 
-// Voters lists the ids that count for a majority.
+// Voters lists the ids of the members that vote, in the order of the membership.
 func (m Membership) Voters() []MemberID {
 	var voters []MemberID
 	for _, member := range m.Members {
@@ -58,14 +58,14 @@
 	return voters
 }
 
-// With gives a copy in which this member is added or replaced.
+// With returns a copy in which this member is added, or replaced, as the last.
 func (m Membership) With(member Member) Membership {
 	changed := m.Without(member.ID)
 	changed.Members = append(changed.Members, member)
 	return changed
 }
 
-// Without gives a copy that lacks this member.
+// Without returns a copy without this member.
 func (m Membership) Without(id MemberID) Membership {
 	remaining := slices.DeleteFunc(slices.Clone(m.Members), func(member Member) bool { return member.ID == id })
 	return Membership{Members: remaining}
--- a/process/consensus/raft/membership_model_test.go
+++ b/process/consensus/raft/membership_model_test.go
@@ -10,16 +10,16 @@
 	"testing"
 )
 
-// This is a bounded model of single-server membership changes. It steps the real Core through every order of
-// elections, append exchanges, disk writes, proposals, crashes and losses within a budget, breadth first, and keeps
-// each state once. A state is what four members hold in memory, on disk and on the links between them.
+// This is a bounded model checker for single-server membership changes. It steps the real Core through every order of
+// elections, append exchanges, disk writes, proposals, crashes and losses within a budget, breadth first, and visits
+// each state once. A state is memory and disk of four members, and the messages on the links between them.
 //
 // An election is one event: the candidate's requests reach any chosen set of the others, which answer. An append and
 // its answer are one event, with the answer lost in a variant of it. That is no restriction for safety: a member that
 // has voted in a term takes no part in an earlier one, so a vote may be moved to the moment at which it is counted,
-// and an answer that is late may be taken as lost and given again. Followers write at once (a write that a crash
-// loses is a message that never came); a leader's own writes wait for an event of their own, so that others may hold
-// an entry before it does. Elections need no time to pass, so nothing here rests on timers, leases or pre-votes.
+// and a late answer is equivalent to a lost one that is repeated. Followers write at once (a write that is lost in a crash
+// is equivalent to a lost message); a leader's own writes need an event of their own, so that others may sync an entry
+// before it does. Elections need no time to pass, so nothing here rests on timers, leases or pre-votes.
 
 // modelBudget bounds what happens in one history.
 type modelBudget struct {
@@ -30,49 +30,49 @@
 	states int
 }
 
-// modelVariant is a way to break the rules of membership changes on purpose.
+// modelVariant is a rule of membership changes that is broken on purpose.
 type modelVariant string
 
 const (
-	correctRules       modelVariant = ""
-	beforeOwnCommit    modelVariant = "a change is proposed before the leader has committed in its own term"
-	twoUncommitted     modelVariant = "a change is proposed while another is not committed"
-	twoVotersAtOnce    modelVariant = "two voters are changed by one entry"
-	takenWhenCommitted modelVariant = "a membership is taken up only when it is committed"
+	correctRules         modelVariant = ""
+	beforeOwnCommit      modelVariant = "a change is proposed before the leader has committed in its own term"
+	twoUncommitted       modelVariant = "a change is proposed while another is not committed"
+	twoVotersAtOnce      modelVariant = "two voters are changed by one entry"
+	inForceWhenCommitted modelVariant = "a membership is in force only when it is committed"
 )
 
 const modelMembers = 4
 
-// modelWrite is a write that is not synced yet.
+// modelWrite is a save that is not synced yet.
 type modelWrite struct {
-	save  *Save
-	later []Message
+	save      *Save
+	afterSync []Message
 }
 
 // modelNode is one member's state; it is never changed once it is known.
 type modelNode struct {
-	id    MemberID
-	core  *Core
-	disk  PersistentState
-	queue []modelWrite
+	id            MemberID
+	core          *Core
+	disk          PersistentState
+	pendingWrites []modelWrite
 }
 
-// modelLinks holds the messages under way: from, to, in order.
+// modelLinks holds the ids of the messages in flight: from, to, in order.
 type modelLinks [modelMembers][modelMembers][]int
 
 type modelState struct {
-	nodes  [modelMembers]int
-	links  modelLinks
-	ledger int
-	spent  modelBudget
-	depth  int
+	nodes   [modelMembers]int
+	links   modelLinks
+	history int
+	spent   modelBudget
+	depth   int
 	// parent and event tell how the state was reached.
 	parent *modelState
 	event  string
 }
 
 // modelLedger is what the checker remembers of a history.
-type modelLedger struct {
+type modelHistory struct {
 	leaders map[Term]MemberID
 	// committed lists entries by index, and by whom in which term each was first known to be committed.
 	committed []committedEntry
@@ -80,24 +80,24 @@
 
 type committedEntry struct {
 	entry Entry
-	by    Term
+	term  Term
 }
 
 type model struct {
-	variant  modelVariant
-	budget   modelBudget
-	nodes    []modelNode
-	nodeIDs  map[string]int
-	messages []Message
-	sent     map[string]int
-	ledgers  []modelLedger
-	known    map[string]int
-	visited  map[string]struct{}
-	stepped  map[steppedKey]steppedResult
-	checked  map[checkedKey]checkedResult
-	read     map[string]Membership
-	// consequences leaves out what holds the rules themselves, so that only what comes of breaking them is seen.
-	consequences bool
+	variant     modelVariant
+	budget      modelBudget
+	nodes       []modelNode
+	nodeIDs     map[string]int
+	messages    []Message
+	messageIDs  map[string]int
+	histories   []modelHistory
+	historyIDs  map[string]int
+	visited     map[string]struct{}
+	stepped     map[steppedKey]steppedResult
+	checked     map[checkedKey]checkedResult
+	memberships map[string]Membership
+	// consequencesOnly leaves out the checks of the rules themselves, so that only the consequences of breaking them count.
+	consequencesOnly bool
 }
 
 type steppedKey struct {
@@ -119,8 +119,8 @@
 var modelTiming = Timing{HeartbeatTicks: 1, ElectionTicks: 1024}
 
 func newModel(variant modelVariant, budget modelBudget) *model {
-	return &model{variant: variant, budget: budget, nodeIDs: map[string]int{}, sent: map[string]int{}, known: map[string]int{},
-		visited: map[string]struct{}{}, stepped: map[steppedKey]steppedResult{}, checked: map[checkedKey]checkedResult{}, read: map[string]Membership{}}
+	return &model{variant: variant, budget: budget, nodeIDs: map[string]int{}, messageIDs: map[string]int{}, historyIDs: map[string]int{},
+		visited: map[string]struct{}{}, stepped: map[steppedKey]steppedResult{}, checked: map[checkedKey]checkedResult{}, memberships: map[string]Membership{}}
 }
 
 // cloneCore copies a core so that stepping the copy leaves the original as it is.
@@ -141,7 +141,7 @@
 	return &out
 }
 
-// stateKey builds the name of a state.
+// stateKey builds the key of a state.
 type stateKey []byte
 
 func (k *stateKey) number(numbers ...uint64) {
@@ -172,67 +172,67 @@
 	k.entries(message.Entries)
 }
 
-// key names a member's state; timers are left out.
+// key identifies a member's state; timers are left out.
 func (n *modelNode) key() string {
-	out := make(stateKey, 0, 512)
-	c := n.core
-	out.number(uint64(c.id), uint64(c.term), uint64(c.vote), uint64(c.role), uint64(c.leader), uint64(c.commitIndex), uint64(c.raftLog.stableIndex))
-	out.entries(c.raftLog.entries)
+	key := make(stateKey, 0, 512)
+	core := n.core
+	key.number(uint64(core.id), uint64(core.term), uint64(core.vote), uint64(core.role), uint64(core.leader), uint64(core.commitIndex), uint64(core.raftLog.stableIndex))
+	key.entries(core.raftLog.entries)
 	for id := MemberID(1); id <= modelMembers; id++ {
-		peer := c.peers[id]
-		out.flag(peer != nil)
+		peer := core.peers[id]
+		key.flag(peer != nil)
 		if peer != nil {
-			out.number(uint64(peer.match), uint64(peer.next))
-			out.flag(peer.probing)
+			key.number(uint64(peer.match), uint64(peer.next))
+			key.flag(peer.probing)
 		}
-		granted, answered := c.votes[id]
-		out.flag(answered)
-		out.flag(granted)
+		granted, answered := core.votes[id]
+		key.flag(answered)
+		key.flag(granted)
 	}
-	out.number(uint64(c.memberships[len(c.memberships)-1].index), uint64(n.disk.HardState.Term), uint64(n.disk.HardState.Vote))
-	out.entries(n.disk.Entries)
-	for _, write := range n.queue {
-		out.number(uint64(write.save.HardState.Term), uint64(write.save.HardState.Vote), uint64(write.save.TruncateFrom), uint64(len(write.later)))
-		out.entries(write.save.Entries)
-		for _, message := range write.later {
-			out.message(message)
+	key.number(uint64(core.memberships[len(core.memberships)-1].index), uint64(n.disk.HardState.Term), uint64(n.disk.HardState.Vote))
+	key.entries(n.disk.Entries)
+	for _, write := range n.pendingWrites {
+		key.number(uint64(write.save.HardState.Term), uint64(write.save.HardState.Vote), uint64(write.save.TruncateFrom), uint64(len(write.afterSync)))
+		key.entries(write.save.Entries)
+		for _, message := range write.afterSync {
+			key.message(message)
 		}
 	}
-	return string(out)
+	return string(key)
 }
 
 func messageKey(message Message) string {
-	out := make(stateKey, 0, 128)
-	out.message(message)
-	return string(out)
+	key := make(stateKey, 0, 128)
+	key.message(message)
+	return string(key)
 }
 
-func intern[T any](key string, known map[string]int, list *[]T, value T) int {
-	if at, seen := known[key]; seen {
-		return at
+func intern[T any](key string, known map[string]int, values *[]T, value T) int {
+	if id, seen := known[key]; seen {
+		return id
 	}
-	known[key] = len(*list)
-	*list = append(*list, value)
-	return len(*list) - 1
+	known[key] = len(*values)
+	*values = append(*values, value)
+	return len(*values) - 1
 }
 
 func (m *model) node(n modelNode) int { return intern(n.key(), m.nodeIDs, &m.nodes, n) }
 func (m *model) message(message Message) int {
-	return intern(messageKey(message), m.sent, &m.messages, message)
+	return intern(messageKey(message), m.messageIDs, &m.messages, message)
 }
 
-// run steps a member's core and writes what is to be written; a leader's writes wait.
+// run steps a member's core and syncs its saves; a leader's saves stay pending.
 func (m *model) run(at int, kind string, arg int, step func(*Core) Effects) (int, []int) {
 	key := steppedKey{at, kind, arg}
 	if result, known := m.stepped[key]; known {
 		return result.node, result.out
 	}
 	old := &m.nodes[at]
-	n := modelNode{id: old.id, core: cloneCore(old.core), disk: old.disk, queue: slices.Clone(old.queue)}
+	n := modelNode{id: old.id, core: cloneCore(old.core), disk: old.disk, pendingWrites: slices.Clone(old.pendingWrites)}
 	var out []int
 	m.perform(&n, &out, step)
 	if n.core.role != Leader {
-		for len(n.queue) > 0 {
+		for len(n.pendingWrites) > 0 {
 			m.sync(&n, &out)
 		}
 	}
@@ -241,20 +241,20 @@
 	return result.node, result.out
 }
 
-// perform takes one step and does what it asks for.
+// perform takes one step and carries out its effects.
 func (m *model) perform(n *modelNode, out *[]int, step func(*Core) Effects) {
-	if m.variant == takenWhenCommitted {
+	if m.variant == inForceWhenCommitted {
 		forgetUncommitted(n.core)
 	}
 	effects := step(n.core)
-	if m.variant == takenWhenCommitted {
+	if m.variant == inForceWhenCommitted {
 		forgetUncommitted(n.core)
 	}
-	if effects.Save != nil || len(effects.AfterSync) > 0 && len(n.queue) > 0 {
+	if effects.Save != nil || len(effects.AfterSync) > 0 && len(n.pendingWrites) > 0 {
 		if effects.Save == nil {
-			effects.Save = &Save{HardState: n.queue[len(n.queue)-1].save.HardState}
+			effects.Save = &Save{HardState: n.pendingWrites[len(n.pendingWrites)-1].save.HardState}
 		}
-		n.queue = append(n.queue, modelWrite{effects.Save, effects.AfterSync})
+		n.pendingWrites = append(n.pendingWrites, modelWrite{effects.Save, effects.AfterSync})
 		effects.AfterSync = nil
 	}
 	m.send(n, out, effects.Immediate)
@@ -267,17 +267,17 @@
 		case message.To == n.id:
 			m.perform(n, out, func(c *Core) Effects { return c.Step(Receive{message}) })
 		case message.Kind == MsgAppend && len(message.Entries) == 0:
-			// It tells only how much is committed, and is taken as lost.
+			// It carries only the commit index; to lose it is harmless.
 		default:
 			*out = append(*out, m.message(message))
 		}
 	}
 }
 
-// sync puts the first write that waits on disk.
+// sync writes the first pending save to disk.
 func (m *model) sync(n *modelNode, out *[]int) {
-	write := n.queue[0]
-	n.queue = n.queue[1:]
+	write := n.pendingWrites[0]
+	n.pendingWrites = n.pendingWrites[1:]
 	n.disk.HardState = write.save.HardState
 	n.disk.Entries = slices.DeleteFunc(slices.Clone(n.disk.Entries), func(e Entry) bool {
 		return write.save.TruncateFrom > 0 && e.Index >= write.save.TruncateFrom
@@ -287,10 +287,10 @@
 		last := write.save.Entries[count-1]
 		m.perform(n, out, func(c *Core) Effects { return c.Step(Persisted{Index: last.Index, Term: last.Term}) })
 	}
-	m.send(n, out, write.later)
+	m.send(n, out, write.afterSync)
 }
 
-// forgetUncommitted is the broken rule by which a membership counts only from its commit on.
+// forgetUncommitted is the broken rule by which a membership is in force only from its commit on.
 func forgetUncommitted(c *Core) {
 	c.memberships = c.memberships[:1]
 	for _, entry := range c.raftLog.entries {
@@ -302,11 +302,11 @@
 	c.updatePeers()
 }
 
-// uncheckedPropose is proposeMembership without the rules that the variant lacks.
+// uncheckedPropose is proposeMembership without the rule that the variant breaks.
 func (m *model) uncheckedPropose(c *Core, next Membership) Effects {
 	c.effects = Effects{}
 	open := c.membershipCommitted() || m.variant == twoUncommitted
-	if m.variant == takenWhenCommitted {
+	if m.variant == inForceWhenCommitted {
 		open = true
 		for _, entry := range c.raftLog.entries {
 			open = open && (entry.Kind != EntryMembership || entry.Index <= c.commitIndex)
@@ -349,23 +349,23 @@
 	return out
 }
 
-// next makes a state after one event in which some members have moved and messages were sent.
+// next makes the state after one event; the caller changes members and links.
 func (s *modelState) next(event string) *modelState {
 	out := *s
 	out.parent, out.event, out.depth = s, event, s.depth+1
 	return &out
 }
 
-// put adds messages to their links.
+// put appends messages to their links.
 func (m *model) put(s *modelState, messages []int) {
 	for _, id := range messages {
 		message := m.messages[id]
-		line := &s.links[message.From-1][message.To-1]
-		*line = append(slices.Clip(*line), id)
+		queue := &s.links[message.From-1][message.To-1]
+		*queue = append(slices.Clip(*queue), id)
 	}
 }
 
-// deliver gives a message to its receiver and returns what that sends.
+// deliver steps the receiver of a message and returns what that sends.
 func (m *model) deliver(s *modelState, id int) []int {
 	to := m.messages[id].To - 1
 	var out []int
@@ -373,7 +373,7 @@
 	return out
 }
 
-// split parts the messages for one member from the others.
+// split separates the messages for one member from the others.
 func (m *model) split(messages []int, to MemberID) (those, others []int) {
 	for _, id := range messages {
 		if m.messages[id].To == to {
@@ -385,12 +385,12 @@
 	return those, others
 }
 
-// elect has a member stand, with its requests reaching the members of a bit set.
-func (m *model) elect(s *modelState, place int, reach uint) *modelState {
-	out := s.next(fmt.Sprintf("%d stands, and reaches %04b", place+1, reach))
+// elect has a member campaign, with its requests reaching the members of a bit set.
+func (m *model) elect(s *modelState, member int, reach uint) *modelState {
+	out := s.next(fmt.Sprintf("%d campaigns, and reaches %04b", member+1, reach))
 	out.spent.elections++
 	var requests []int
-	out.nodes[place], requests = m.run(out.nodes[place], "stand", 0, func(c *Core) Effects {
+	out.nodes[member], requests = m.run(out.nodes[member], "stand", 0, func(c *Core) Effects {
 		return c.Step(Receive{Message{Kind: MsgTimeoutNow, From: c.id%modelMembers + 1, To: c.id, Term: max(c.term, 1)}})
 	})
 	for _, request := range requests {
@@ -403,7 +403,7 @@
 		if reach&(1<<(message.To-1)) == 0 {
 			continue
 		}
-		answers, others := m.split(m.deliver(out, request), MemberID(place+1))
+		answers, others := m.split(m.deliver(out, request), MemberID(member+1))
 		m.put(out, others)
 		for _, answer := range answers {
 			m.put(out, m.deliver(out, answer))
@@ -412,7 +412,7 @@
 	return out
 }
 
-// exchange delivers the first message of a link, and its answers, or loses those.
+// exchange delivers the first message of a link, and delivers or loses the answers.
 func (m *model) exchange(s *modelState, from, to int, answered bool) *modelState {
 	event := fmt.Sprintf("%d to %d, answered %t", from+1, to+1, answered)
 	out := s.next(event)
@@ -433,39 +433,39 @@
 // successors lists the states after each event that may come next.
 func (m *model) successors(s *modelState) []*modelState {
 	var out []*modelState
-	for place := range modelMembers {
-		at := s.nodes[place]
+	for member := range modelMembers {
+		at := s.nodes[member]
 		n := &m.nodes[at]
 		if n.core.role == Leader {
-			out = append(out, m.leaderSteps(s, place)...)
+			out = append(out, m.leaderSteps(s, member)...)
 		} else if s.spent.elections < m.budget.elections && n.core.isVoter() {
 			for reach := uint(0); reach < 1<<modelMembers; reach++ {
-				if reach&(1<<place) != 0 {
+				if reach&(1<<member) != 0 {
 					continue
 				}
-				if elected := m.elect(s, place, reach); m.nodes[elected.nodes[place]].core.role == Leader {
+				if elected := m.elect(s, member, reach); m.nodes[elected.nodes[member]].core.role == Leader {
 					out = append(out, elected)
 				}
 			}
 		}
 		if s.spent.crashes < m.budget.crashes {
-			crashed := s.next(fmt.Sprintf("%d crashes", place+1))
+			crashed := s.next(fmt.Sprintf("%d crashes", member+1))
 			crashed.spent.crashes++
 			restored := n.disk
 			restored.Entries = slices.Clone(n.disk.Entries)
-			crashed.nodes[place] = m.node(modelNode{id: n.id, core: New(n.id, modelTiming, restored, rand.New(sameSource{})), disk: n.disk})
+			crashed.nodes[member] = m.node(modelNode{id: n.id, core: New(n.id, modelTiming, restored, rand.New(sameSource{})), disk: n.disk})
 			out = append(out, crashed)
 		}
 		for to := range modelMembers {
-			if len(s.links[place][to]) == 0 {
+			if len(s.links[member][to]) == 0 {
 				continue
 			}
-			out = append(out, m.exchange(s, place, to, true))
+			out = append(out, m.exchange(s, member, to, true))
 			if s.spent.losses < m.budget.losses {
-				out = append(out, m.exchange(s, place, to, false))
-				lost := s.next(fmt.Sprintf("%d to %d, lost", place+1, to+1))
+				out = append(out, m.exchange(s, member, to, false))
+				lost := s.next(fmt.Sprintf("%d to %d, lost", member+1, to+1))
 				lost.spent.losses++
-				lost.links[place][to] = lost.links[place][to][1:]
+				lost.links[member][to] = lost.links[member][to][1:]
 				out = append(out, lost)
 			}
 		}
@@ -476,46 +476,46 @@
 	return out
 }
 
-// purge takes messages of a term that both ends have left from the links: they change nothing.
+// purge removes messages of a term that both ends have left: they change nothing.
 func (m *model) purge(s *modelState) {
 	for from := range s.links {
-		for to, line := range s.links[from] {
+		for to, queue := range s.links[from] {
 			reached := m.nodes[s.nodes[to]].core.term
-			if len(line) == 0 || m.nodes[s.nodes[from]].core.term < reached {
+			if len(queue) == 0 || m.nodes[s.nodes[from]].core.term < reached {
 				continue
 			}
-			if slices.ContainsFunc(line, func(id int) bool { return m.messages[id].Term < reached }) {
-				s.links[from][to] = slices.DeleteFunc(slices.Clone(line), func(id int) bool { return m.messages[id].Term < reached })
+			if slices.ContainsFunc(queue, func(id int) bool { return m.messages[id].Term < reached }) {
+				s.links[from][to] = slices.DeleteFunc(slices.Clone(queue), func(id int) bool { return m.messages[id].Term < reached })
 			}
 		}
 	}
 }
 
 // leaderSteps lists what a leader may do by itself.
-func (m *model) leaderSteps(s *modelState, place int) []*modelState {
+func (m *model) leaderSteps(s *modelState, member int) []*modelState {
 	var out []*modelState
-	at := s.nodes[place]
+	at := s.nodes[member]
 	step := func(event, kind string, arg int, step func(*Core) Effects) *modelState {
 		next := s.next(event)
 		var messages []int
-		next.nodes[place], messages = m.run(at, kind, arg, step)
+		next.nodes[member], messages = m.run(at, kind, arg, step)
 		m.put(next, messages)
 		out = append(out, next)
 		return next
 	}
 	n := &m.nodes[at]
-	if len(n.queue) > 0 {
-		synced := modelNode{id: n.id, core: cloneCore(n.core), disk: n.disk, queue: slices.Clone(n.queue)}
+	if len(n.pendingWrites) > 0 {
+		synced := modelNode{id: n.id, core: cloneCore(n.core), disk: n.disk, pendingWrites: slices.Clone(n.pendingWrites)}
 		var messages []int
 		m.sync(&synced, &messages)
-		next := s.next(fmt.Sprintf("%d has written", place+1))
-		next.nodes[place] = m.node(synced)
+		next := s.next(fmt.Sprintf("%d has written", member+1))
+		next.nodes[member] = m.node(synced)
 		m.put(next, messages)
 		out = append(out, next)
 	}
 	if s.spent.changes < m.budget.changes {
 		for number, membership := range m.proposals(n.core) {
-			next := step(fmt.Sprintf("%d proposes %v", place+1, membership.Voters()), "change", number, func(c *Core) Effects {
+			next := step(fmt.Sprintf("%d proposes %v", member+1, membership.Voters()), "change", number, func(c *Core) Effects {
 				if m.variant == correctRules {
 					return c.Step(ProposeMembership{membership})
 				}
@@ -525,26 +525,26 @@
 		}
 	}
 	if s.spent.commands < m.budget.commands {
-		step(fmt.Sprintf("%d proposes a command", place+1), "command", 0, func(c *Core) Effects { return c.Step(Propose{Data: []byte("x")}) }).spent.commands++
+		step(fmt.Sprintf("%d proposes a command", member+1), "command", 0, func(c *Core) Effects { return c.Step(Propose{Data: []byte("x")}) }).spent.commands++
 	}
 	if s.spent.resends < m.budget.resends {
-		step(fmt.Sprintf("%d sends again", place+1), "tick", 0, func(c *Core) Effects { return c.Step(Tick{}) }).spent.resends++
+		step(fmt.Sprintf("%d sends again", member+1), "tick", 0, func(c *Core) Effects { return c.Step(Tick{}) }).spent.resends++
 	}
 	return out
 }
 
-// seen says whether a state was met before, and keeps it.
+// seen says whether a state was visited before, and records it.
 func (m *model) seen(s *modelState) bool {
 	key := make([]byte, 0, 96)
-	for _, at := range s.nodes {
-		key = binary.AppendUvarint(key, uint64(at))
+	for _, node := range s.nodes {
+		key = binary.AppendUvarint(key, uint64(node))
 	}
-	key = binary.AppendUvarint(key, uint64(s.ledger))
+	key = binary.AppendUvarint(key, uint64(s.history))
 	key = append(key, s.spent.elections, s.spent.changes, s.spent.commands, s.spent.crashes, s.spent.losses, s.spent.resends)
 	for from := range s.links {
-		for _, line := range s.links[from] {
-			key = binary.AppendUvarint(key, uint64(len(line)))
-			for _, id := range line {
+		for _, queue := range s.links[from] {
+			key = binary.AppendUvarint(key, uint64(len(queue)))
+			for _, id := range queue {
 				key = binary.AppendUvarint(key, uint64(id))
 			}
 		}
@@ -556,70 +556,70 @@
 	return false
 }
 
-// checkedKey is all that a check looks at; the links and the budget are not.
+// checkedKey is the part of a state that the checks look at: not the links, not the budget.
 type checkedKey struct {
-	nodes  [modelMembers]int
-	ledger int
+	nodes   [modelMembers]int
+	history int
 }
 
 type checkedResult struct {
-	ledger int
-	fault  error
+	history int
+	fault   error
 }
 
 // check checks each combination of members and history once.
 func (m *model) check(s *modelState) error {
-	key := checkedKey{s.nodes, s.ledger}
+	key := checkedKey{s.nodes, s.history}
 	result, known := m.checked[key]
 	if !known {
 		result.fault = m.inspect(s)
-		result.ledger = s.ledger
+		result.history = s.history
 		m.checked[key] = result
 	}
-	s.ledger = result.ledger
+	s.history = result.history
 	return result.fault
 }
 
-// inspect holds what must never happen, and notes what the history has shown.
+// inspect checks the invariants, and extends the history by what the state shows.
 func (m *model) inspect(s *modelState) error {
-	ledger := m.ledgers[s.ledger]
+	history := m.histories[s.history]
 	changed := false
 	for _, at := range s.nodes {
 		n := &m.nodes[at]
 		if n.core.role == Leader {
-			if other, known := ledger.leaders[n.core.term]; known && other != n.id {
+			if other, known := history.leaders[n.core.term]; known && other != n.id {
 				return fmt.Errorf("election safety: %d and %d lead term %d", other, n.id, n.core.term)
 			} else if !known {
-				ledger.leaders, changed = maps.Clone(ledger.leaders), true
-				ledger.leaders[n.core.term] = n.id
+				history.leaders, changed = maps.Clone(history.leaders), true
+				history.leaders[n.core.term] = n.id
 			}
 		}
 		for index := Index(2); index <= n.core.commitIndex; index++ {
 			entry := n.core.raftLog.entries[index-2]
-			if int(index)-2 < len(ledger.committed) {
-				if known := ledger.committed[index-2]; known.entry.Term != entry.Term || string(known.entry.Data) != string(entry.Data) {
+			if int(index)-2 < len(history.committed) {
+				if known := history.committed[index-2]; known.entry.Term != entry.Term || string(known.entry.Data) != string(entry.Data) {
 					return fmt.Errorf("state machine safety: %d commits another entry than was committed at %d", n.id, index)
 				}
 				continue
 			}
-			ledger.committed, changed = append(slices.Clip(ledger.committed), committedEntry{entry, n.core.term}), true
+			history.committed, changed = append(slices.Clip(history.committed), committedEntry{entry, n.core.term}), true
 		}
 	}
 	if changed {
-		s.ledger = intern(fmt.Sprint(ledger), m.known, &m.ledgers, ledger)
+		s.history = intern(fmt.Sprint(history), m.historyIDs, &m.histories, history)
 	}
 	highest := Term(0)
-	for term := range ledger.leaders {
+	for term := range history.leaders {
 		highest = max(highest, term)
 	}
-	for place, at := range s.nodes {
+	for member, at := range s.nodes {
 		n := &m.nodes[at]
 		if n.core.role == Leader {
-			if err := m.checkLeader(n, ledger, highest); err != nil {
+			if err := m.checkLeader(n, history, highest); err != nil {
 				return err
 			}
 		}
-		for _, other := range s.nodes[place+1:] {
+		for _, other := range s.nodes[member+1:] {
 			if err := matching(n.core, m.nodes[other].core); err != nil {
 				return err
 			}
@@ -628,70 +628,70 @@
 	return nil
 }
 
-// membership reads a membership, each once.
+// membership decodes a membership, each once.
 func (m *model) membership(data []byte) Membership {
-	known, met := m.read[string(data)]
+	known, met := m.memberships[string(data)]
 	if !met {
 		known, _ = DecodeMembership(data)
-		m.read[string(data)] = known
+		m.memberships[string(data)] = known
 	}
 	return known
 }
 
-// checkLeader holds leader completeness, one change at a time, and that quorums meet.
-func (m *model) checkLeader(n *modelNode, ledger modelLedger, highest Term) error {
-	c := n.core
-	inForce := c.memberships[0].membership
-	for _, known := range ledger.committed {
+// checkLeader checks leader completeness, one change at a time, and that quorums overlap.
+func (m *model) checkLeader(node *modelNode, history modelHistory, highest Term) error {
+	core := node.core
+	inForce := core.memberships[0].membership
+	for _, known := range history.committed {
 		if known.entry.Kind == EntryMembership {
 			inForce = m.membership(known.entry.Data)
 		}
-		if term, held := c.raftLog.term(known.entry.Index); c.term > known.by && (!held || term != known.entry.Term) {
-			return fmt.Errorf("leader completeness: %d leads term %d and lacks entry %d, committed in term %d", n.id, c.term, known.entry.Index, known.by)
+		if term, present := core.raftLog.term(known.entry.Index); core.term > known.term && (!present || term != known.entry.Term) {
+			return fmt.Errorf("leader completeness: %d leads term %d and lacks entry %d, committed in term %d", node.id, core.term, known.entry.Index, known.term)
 		}
 	}
-	if m.consequences {
+	if m.consequencesOnly {
 		return nil
 	}
-	open, before := 0, c.memberships[0].membership
-	for _, entry := range c.raftLog.entries {
+	uncommitted, before := 0, core.memberships[0].membership
+	for _, entry := range core.raftLog.entries {
 		if entry.Kind != EntryMembership {
 			continue
 		}
 		membership := m.membership(entry.Data)
-		if entry.Index > c.commitIndex && entry.Term == c.term {
-			open++
+		if entry.Index > core.commitIndex && entry.Term == core.term {
+			uncommitted++
 		}
 		if voterChanges(before, membership) > 1 {
-			return fmt.Errorf("%d has a change of more than one voter at %d", n.id, entry.Index)
+			return fmt.Errorf("%d has a change of more than one voter at %d", node.id, entry.Index)
 		}
 		before = membership
 	}
-	if open > 1 {
-		return fmt.Errorf("%d has %d changes that are not committed", n.id, open)
+	if uncommitted > 1 {
+		return fmt.Errorf("%d has %d changes that are not committed", node.id, uncommitted)
 	}
-	if c.term == highest && disjointQuorums(before.Voters(), inForce.Voters()) {
-		return fmt.Errorf("quorums: %d leads %v, and %v is committed", n.id, before.Voters(), inForce.Voters())
+	if core.term == highest && disjointQuorums(before.Voters(), inForce.Voters()) {
+		return fmt.Errorf("quorums: %d leads %v, and %v is committed", node.id, before.Voters(), inForce.Voters())
 	}
 	return nil
 }
 
-// matching holds that two logs that agree in one entry agree in all before it.
+// matching checks log matching: two logs that agree in one entry agree in all before it.
 func matching(a, b *Core) error {
 	agree := false
-	for at := min(len(a.raftLog.entries), len(b.raftLog.entries)) - 1; at >= 0; at-- {
-		same := a.raftLog.entries[at].Term == b.raftLog.entries[at].Term
-		if same && string(a.raftLog.entries[at].Data) != string(b.raftLog.entries[at].Data) || agree && !same {
-			return fmt.Errorf("log matching: %d and %d differ at %d", a.id, b.id, at+2)
+	for position := min(len(a.raftLog.entries), len(b.raftLog.entries)) - 1; position >= 0; position-- {
+		same := a.raftLog.entries[position].Term == b.raftLog.entries[position].Term
+		if same && string(a.raftLog.entries[position].Data) != string(b.raftLog.entries[position].Data) || agree && !same {
+			return fmt.Errorf("log matching: %d and %d differ at %d", a.id, b.id, position+2)
 		}
 		agree = agree || same
 	}
 	return nil
 }
 
-// disjointQuorums says whether a majority of one set of voters and a majority of another may share nobody.
+// disjointQuorums says whether two sets of voters have majorities without a common member.
 func disjointQuorums(a, b []MemberID) bool {
-	quorum := func(voters []MemberID, set uint) bool {
+	isQuorum := func(voters []MemberID, set uint) bool {
 		count := 0
 		for _, id := range voters {
 			if set&(1<<id) != 0 {
@@ -701,27 +701,27 @@
 		return count > len(voters)/2
 	}
 	for set := uint(0); set < 2<<modelMembers; set++ {
-		if quorum(a, set) && quorum(b, ^set) {
+		if isQuorum(a, set) && isQuorum(b, ^set) {
 			return true
 		}
 	}
 	return false
 }
 
-// start is a group whose first member has been elected and has committed in its term.
+// start makes a group whose first member was elected and has committed an entry in its term.
 func (m *model) start(voters int) *modelState {
 	var members Membership
 	for id := MemberID(1); id <= modelMembers; id++ {
 		members.Members = append(members.Members, Member{ID: id, Voter: int(id) <= voters})
 	}
-	s := &modelState{ledger: intern("", m.known, &m.ledgers, modelLedger{leaders: map[Term]MemberID{}})}
-	for place := range modelMembers {
+	s := &modelState{history: intern("", m.historyIDs, &m.histories, modelHistory{leaders: map[Term]MemberID{}})}
+	for member := range modelMembers {
 		disk := PersistentState{HardState: HardState{Term: 1}, Snapshot: Snapshot{Index: 1, Term: 1, Membership: members}}
-		id := MemberID(place + 1)
-		s.nodes[place] = m.node(modelNode{id: id, core: New(id, modelTiming, disk, rand.New(sameSource{})), disk: disk})
+		id := MemberID(member + 1)
+		s.nodes[member] = m.node(modelNode{id: id, core: New(id, modelTiming, disk, rand.New(sameSource{})), disk: disk})
 	}
 	s = m.elect(s, 0, 1<<modelMembers-1)
-	for len(m.nodes[s.nodes[0]].queue) > 0 {
+	for len(m.nodes[s.nodes[0]].pendingWrites) > 0 {
 		s = m.leaderSteps(s, 0)[0]
 	}
 	for to := range modelMembers {
@@ -735,10 +735,10 @@
 
 type modelResult struct {
 	states, transitions, depth int
-	// whole says that no state within the budget was left out.
-	whole bool
-	fault error
-	trace []string
+	// complete says that every state within the budget was visited.
+	complete bool
+	fault    error
+	trace    []string
 }
 
 // explore searches breadth first, so that a fault is found by one of the shortest histories.
@@ -773,7 +773,7 @@
 		result.depth++
 		layer = following
 	}
-	result.whole = len(layer) == 0 || result.depth == m.budget.depth
+	result.complete = len(layer) == 0 || result.depth == m.budget.depth
 	return result
 }
 
@@ -790,10 +790,10 @@
 	longModelStates = 1_000_000
 )
 
-// TestMembershipChangesKeepEveryCommit searches all histories within each budget.
-func TestMembershipChangesKeepEveryCommit(t *testing.T) {
+// TestMembershipChangesPreserveEveryCommit searches all histories within each budget.
+func TestMembershipChangesPreserveEveryCommit(t *testing.T) {
 	for _, search := range []modelSearch{
-		// Every order of two changes and one leader change, to the end.
+		// Every order of two changes and one leader change, completely.
 		{voters: 4, budget: modelBudget{elections: 1, changes: 2}},
 		{voters: 3, budget: modelBudget{elections: 1, changes: 2}, long: true},
 		// All kinds of events together, to a depth.
@@ -815,18 +815,18 @@
 			search.budget.states = longModelStates
 		}
 		result := newModel(correctRules, search.budget).explore(search.voters)
-		t.Logf("%d voters, %+v: %d states, %d transitions, depth %d, whole %t", search.voters, search.budget, result.states, result.transitions, result.depth, result.whole)
+		t.Logf("%d voters, %+v: %d states, %d transitions, depth %d, complete %t", search.voters, search.budget, result.states, result.transitions, result.depth, result.complete)
 		if result.fault != nil {
 			t.Errorf("%d voters: %v after %q", search.voters, result.fault, result.trace)
 		}
-		if !result.whole && !search.long {
+		if !result.complete && !search.long {
 			t.Errorf("%d voters, %+v: the search was cut short at %d states", search.voters, search.budget, result.states)
 		}
 	}
 }
 
-// TestTheModelCatchesBrokenRules breaks one rule at a time: what comes of it must be seen, not only the break itself.
-func TestTheModelCatchesBrokenRules(t *testing.T) {
+// TestModelCatchesBrokenRules breaks one rule at a time: its consequence must be found, not only the broken rule itself.
+func TestModelCatchesBrokenRules(t *testing.T) {
 	for _, broken := range []struct {
 		variant modelVariant
 		voters  int
@@ -835,12 +835,12 @@
 		{beforeOwnCommit, 4, modelBudget{elections: 2, changes: 2}},
 		{twoUncommitted, 3, modelBudget{elections: 1, changes: 2}},
 		{twoVotersAtOnce, 3, modelBudget{elections: 1, changes: 1}},
-		{takenWhenCommitted, 3, modelBudget{elections: 1, changes: 2, commands: 1}},
+		{inForceWhenCommitted, 3, modelBudget{elections: 1, changes: 2, commands: 1}},
 	} {
 		t.Run(string(broken.variant), func(t *testing.T) {
 			broken.budget.states = modelStates
 			m := newModel(broken.variant, broken.budget)
-			m.consequences = true
+			m.consequencesOnly = true
 			result := m.explore(broken.voters)
 			if result.fault == nil {
 				t.Fatalf("not caught in %d states to depth %d", result.states, result.depth)
--- a/process/consensus/raft/membershipchange.go
+++ b/process/consensus/raft/membershipchange.go
@@ -1,20 +1,17 @@
 package raft
 
-import (
-	"slices"
-)
-
-// Membership changes, one member at a time.
+import "slices"
 
+// membershipEntry is a membership and the index of its entry, or of the snapshot.
 type membershipEntry struct {
 	index      Index
 	membership Membership
 }
 
-// Membership is the newest one in the log.
+// Membership is the one in force: the newest in the log, committed or not.
 func (c *Core) Membership() Membership { return c.memberships[len(c.memberships)-1].membership }
 
-// membershipBy is the one in force at index.
+// membershipAtIndex is the membership in force at index.
 func (c *Core) membershipAtIndex(index Index) Membership {
 	membership := c.memberships[0].membership
 	for _, at := range c.memberships {
@@ -25,11 +22,13 @@
 	return membership
 }
 
+// isVoter says whether this member votes in the membership in force.
 func (c *Core) isVoter() bool {
 	member, ok := c.Membership().Find(c.id)
 	return ok && member.Voter
 }
 
+// hasQuorum says whether counted is true for a majority of the voters.
 func (c *Core) hasQuorum(counted func(MemberID) bool) bool {
 	voters := c.Membership().Voters()
 	count := 0
@@ -41,7 +40,7 @@
 	return count > len(voters)/2
 }
 
-// noteMemberships takes up memberships as soon as they stand in the log, committed or not, as single-member change requires.
+// adoptMemberships puts memberships in force as soon as they are appended, committed or not (section 4.1).
 func (c *Core) adoptMemberships(entries []Entry) {
 	for _, entry := range entries {
 		if entry.Kind != EntryMembership {
@@ -56,17 +55,19 @@
 	}
 }
 
+// discardMembershipsFrom takes back the memberships of truncated entries (section 4.1).
 func (c *Core) discardMembershipsFrom(index Index) {
 	for len(c.memberships) > 1 && c.memberships[len(c.memberships)-1].index >= index {
 		c.memberships = c.memberships[:len(c.memberships)-1]
 	}
 }
 
+// membershipCommitted says whether the membership in force is committed.
 func (c *Core) membershipCommitted() bool {
 	return c.memberships[len(c.memberships)-1].index <= c.commitIndex
 }
 
-// fitPeers keeps the leader's table of members in step with the membership.
+// updatePeers makes the leader's peers those of the membership, with fresh progress for new ones.
 func (c *Core) updatePeers() {
 	if c.role != Leader {
 		return
@@ -86,7 +87,9 @@
 	c.peers = peers
 }
 
-// proposeMembership lets in one change at a time, after the leader has committed in its term.
+// proposeMembership appends a membership. Two rules keep quorums of successive memberships overlapping: only one voter
+// changes, in one uncommitted change at a time (section 4.1), and the leader has committed an entry of its own term before
+// (the published correction of section 4.1).
 func (c *Core) proposeMembership(proposed Membership) {
 	if c.role != Leader || c.transferTarget != 0 || !c.CommittedInTerm() || !c.membershipCommitted() {
 		return
@@ -99,7 +102,7 @@
 	c.advanceCommit()
 }
 
-// voterChanges counts by how many voters two memberships differ.
+// voterChanges is the number of voters by which two memberships differ.
 func voterChanges(before, after Membership) int {
 	count := 0
 	beforeVoters, afterVoters := before.Voters(), after.Voters()
--- a/process/consensus/raft/notice.go
+++ b/process/consensus/raft/notice.go
@@ -1,31 +1,32 @@
 package raft
 
-// NoticeKind tells what a notice is about.
+// NoticeKind is the type of a notice.
 type NoticeKind uint8
 
 const (
 	// NoticeSnapshotSent says that a leader began to send its snapshot to a peer.
 	NoticeSnapshotSent NoticeKind = iota + 1
-	// NoticeSnapshotTaken says that a leader's snapshot took the place of the own state.
+	// NoticeSnapshotInstalled says that a leader's snapshot replaced this member's log and state.
 	NoticeSnapshotInstalled
-	// NoticeSnapshotRefused says that a snapshot could not be used, so that the own state was kept.
+	// NoticeSnapshotRejected says that a snapshot could not be used, so that log and state were retained.
 	NoticeSnapshotRejected
-	// NoticeMessageRefused says that a message can't be of a sound member, so that it changed nothing.
+	// NoticeMessageRejected says that a message was invalid and changed nothing.
 	NoticeMessageRejected
-	// NoticeStateDiffers says that a peer's state, or the own one, is another than it should be.
+	// NoticeStateDiffers says that a peer's replicated state, or this member's, differs from the majority's.
 	NoticeStateDiffers
 )
 
+// String is the text of the log line.
 func (k NoticeKind) String() string {
 	switch k {
 	case NoticeSnapshotSent:
 		return "snapshot sent"
 	case NoticeSnapshotInstalled:
-		return "snapshot taken"
+		return "snapshot installed"
 	case NoticeSnapshotRejected:
-		return "snapshot refused"
+		return "snapshot rejected"
 	case NoticeMessageRejected:
-		return "message refused"
+		return "message rejected"
 	case NoticeStateDiffers:
 		return "state differs"
 	}
@@ -35,10 +36,11 @@
 // Notice is one event for logs and counters.
 type Notice struct {
 	Kind NoticeKind
-	// Peer is the member that sent what was taken or refused, or is sent it.
+	// Peer is the sender of what was installed or rejected, or the receiver of a snapshot.
 	Peer  MemberID
 	Index Index
+	// Bytes is the size of a snapshot.
 	Bytes int
-	// Err says why something was refused.
+	// Err says why something was rejected: MalformedError, ErrChecksumMismatch, ErrEmptySnapshot, or the snapshot check's.
 	Err error
 }
--- a/process/consensus/raft/progress.go
+++ b/process/consensus/raft/progress.go
@@ -1,33 +1,32 @@
 package raft
 
-// Replication: what a leader sends to its peers and what a follower takes, up to the commit index.
-
-// progress is what a leader knows of one member.
+// progress is what a leader knows of one peer (nextIndex and matchIndex of section 3.5, and the state of transfers).
 type progress struct {
+	// match is the last index known to be replicated and synced; next is the first index to send.
 	match, next Index
-	// heard says that the member answered since the last quorum check.
+	// recentActive says that the peer replied since the last quorum check.
 	recentActive bool
-	// silent counts the quorum checks since the member last answered.
+	// inactiveChecks counts the quorum checks since the peer last replied.
 	inactiveChecks int
-	// probing sends one append at a time until the logs are known to meet.
+	// probing says that the match is unknown: next does not advance until the peer acknowledges an append.
 	probing bool
-	// takesParts says that the member takes snapshots in parts.
+	// acceptsChunks says that the peer accepts snapshots in chunks; earlier builds do not.
 	acceptsChunks bool
-	// repliedRound is the newest round of heartbeats that the member replied to.
+	// acknowledgedRound is the newest round of heartbeats that the peer replied to.
 	acknowledgedRound uint64
-	// awaited is the last entry of a large append under way, awaitedFor how many ticks it may still take.
+	// inflightIndex is the last entry of a large append in flight, inflightTicks how many ticks it may still take.
 	inflightIndex Index
 	inflightTicks int
-	// sending is the snapshot on its way to the member, if there is one.
+	// outgoing is the snapshot in transfer to the peer, or nil.
 	outgoing *outgoingSnapshot
 }
 
-// spoke notes that the member answered.
+// recordReply records that the peer replied, and whether it accepts chunks.
 func (p *progress) recordReply(message Message) {
 	p.recentActive, p.inactiveChecks, p.acceptsChunks = true, 0, message.AcceptsChunks
 }
 
-// MatchOf is how far a member's log is known to agree; only a leader knows.
+// MatchIndex is the last index that a member is known to have synced. It is zero for unknown members, and on followers.
 func (c *Core) MatchIndex(id MemberID) Index {
 	if peer := c.peers[id]; peer != nil {
 		return peer.match
@@ -35,7 +34,7 @@
 	return 0
 }
 
-// peerIDs is in the membership's order, so that one history of events has one history of effects.
+// peerIDs lists the peers in the membership's order, not the map's: the same events must give the same effects.
 func (c *Core) peerIDs() []MemberID {
 	var ids []MemberID
 	for _, member := range c.Membership().Members {
--- a/process/consensus/raft/readindex.go
+++ b/process/consensus/raft/readindex.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// Linearizable reads by read index.
-
+// pendingRead is a read whose leadership is not confirmed yet (read index, section 6.4).
 type pendingRead struct {
 	requestID, round uint64
 	index            Index
 	acks             map[MemberID]bool
 }
 
-// read is answered once a majority has said, after it was asked, that this member still leads.
+// handleRead records the commit index and starts a round of heartbeats. The read is answered once a majority replied to
+// that round or a later one, which proves that this member still led when the read arrived.
 func (c *Core) handleRead(ref uint64) {
 	if c.role != Leader || !c.CommittedInTerm() {
 		c.effects.ReadStates = append(c.effects.ReadStates, ReadState{RequestID: ref})
@@ -27,7 +27,7 @@
 	c.sendHeartbeats()
 }
 
-// HeartbeatRound numbers the newest round of heartbeats that this member sent as the leader.
+// HeartbeatRound is the number of the newest round of heartbeats that this member sent as the leader.
 func (c *Core) HeartbeatRound() uint64 { return c.heartbeatRound }
 
 // QuorumRound is the newest round of heartbeats that a majority replied to in this leader's term; zero where
--- a/process/consensus/raft/receive.go
+++ b/process/consensus/raft/receive.go
@@ -1,6 +1,6 @@
 package raft
 
-// receive takes a message, unless it is for another member or can't be of a sound one.
+// receive processes a message, unless it is for another member, invalid, or to be ignored.
 func (c *Core) receive(message Message) {
 	if message.To != c.id {
 		return
@@ -22,7 +22,8 @@
 	c.dispatch(message)
 }
 
-// validate says what is wrong with a message, by itself and against what this member knows for sure.
+// validateMessage checks a message by itself, and against the terms and the committed entry of this member. Its error is
+// a MalformedError.
 func (c *Core) validateMessage(message Message) error {
 	if err := message.Validate(); err != nil {
 		return err
@@ -40,13 +41,13 @@
 	return nil
 }
 
-// refuse notes a message that can't be of a sound member; it changes nothing.
+// rejectMessage reports an invalid message, which changes nothing.
 func (c *Core) rejectMessage(message Message, err error) {
 	c.addNotice(Notice{Kind: NoticeMessageRejected, Peer: message.From, Index: message.LogIndex, Err: err})
 }
 
-// ignoresCandidate says whether a request for a vote is passed over. While a leader is heard, a voter cut off from it
-// can't force an election; only a leadership transfer may.
+// ignoresCandidate says whether a vote request is ignored. While this member hears a leader, a voter that is partitioned
+// from it must not disrupt the group (section 4.2.3); only a leadership transfer may.
 func (c *Core) ignoresCandidate(message Message) bool {
 	if message.Kind != MsgPreVote && message.Kind != MsgVote || message.Hint != 0 || message.From == c.id {
 		return false
@@ -58,7 +59,7 @@
 	return leaderActive
 }
 
-// learnTerm follows a later term. A pre-vote round names one that nobody has entered yet.
+// adoptTerm enters a later term as a follower. The term of a pre-vote round is one that nobody has entered yet.
 func (c *Core) adoptTerm(message Message) {
 	if message.Kind == MsgPreVote || message.Kind == MsgPreVoteReply && !message.Reject {
 		return
@@ -71,7 +72,7 @@
 	c.become(Follower, leader)
 }
 
-// answerOldTerm tells one who lags the term, so that it stops leading or asking.
+// replyToStaleTerm tells the present term to a sender of an earlier one, so that it steps down or stops campaigning.
 func (c *Core) replyToStaleTerm(message Message) {
 	switch {
 	case message.fromLeader():
@@ -81,7 +82,7 @@
 	}
 }
 
-// dispatch takes a message of this member's term, or a pre-vote round's.
+// dispatch processes a message of this member's term, or of a pre-vote round.
 func (c *Core) dispatch(message Message) {
 	if message.fromLeader() {
 		c.followLeader(message.From)
@@ -96,7 +97,7 @@
 	case MsgAppend:
 		c.handleAppend(message)
 	case MsgHeartbeat:
-		// Heartbeats say how much is committed of what this member surely holds.
+		// The leader has limited Commit to what it knows this member to have synced.
 		c.commitTo(min(message.Commit, c.raftLog.lastIndex()))
 		c.sendImmediately(Message{Kind: MsgHeartbeatReply, To: message.From, HeartbeatRound: message.HeartbeatRound, AcceptsChunks: true})
 	case MsgSnapshot:
--- a/process/consensus/raft/replication.go
+++ b/process/consensus/raft/replication.go
@@ -1,10 +1,8 @@
 package raft
 
-import (
-	"slices"
-)
+import "slices"
 
-// mostEntriesPerAppend and mostBytesPerAppend bound one message: a heartbeat waits behind it.
+// maxEntriesPerAppend and maxBytesPerAppend bound one message, since heartbeats are queued behind it.
 const (
 	maxEntriesPerAppend = 256
 	maxBytesPerAppend   = 512 << 10
@@ -16,7 +14,7 @@
 	return ok && term == c.term
 }
 
-// appendOwn puts an entry of this leader's term at the end of the log.
+// appendEntry appends an entry of the leader's term to its own log.
 func (c *Core) appendEntry(kind EntryKind, data []byte) Index {
 	entry := Entry{Term: c.term, Index: c.raftLog.lastIndex() + 1, Kind: kind, Data: data}
 	c.raftLog.entries = append(c.raftLog.entries, entry)
@@ -26,6 +24,7 @@
 	return entry.Index
 }
 
+// sendAppends sends every peer what it lacks.
 func (c *Core) sendAppends() {
 	for _, id := range c.peerIDs() {
 		if id != c.id {
@@ -34,16 +33,17 @@
 	}
 }
 
+// sendAppend sends a peer the entries from its next index on, or a snapshot chunk where they are compacted away.
 func (c *Core) sendAppend(id MemberID, peer *progress) {
 	previous := peer.next - 1
 	previousTerm, ok := c.raftLog.term(previous)
 	if !ok || (peer.next <= c.raftLog.lastIndex() && len(c.raftLog.entriesFrom(peer.next, 1)) == 0) {
-		// What the member lacks is gone from the log, so it gets the whole state, and not on every beat.
+		// The entries are compacted away: the peer needs a snapshot.
 		c.sendSnapshotChunk(id, peer)
 		return
 	}
 	peer.outgoing = nil
-	if peer.appendInFlight() {
+	if peer.awaitsAppend() {
 		return
 	}
 	entries := c.raftLog.entriesWithin(peer.next, maxEntriesPerAppend, maxBytesPerAppend)
@@ -54,6 +54,7 @@
 	}
 }
 
+// sendHeartbeats sends the present round to all peers.
 func (c *Core) sendHeartbeats() {
 	for _, id := range c.peerIDs() {
 		if peer := c.peers[id]; id != c.id {
@@ -62,6 +63,7 @@
 	}
 }
 
+// handleAppendReply advances the peer's match and the commit index, or falls back where the peer rejected.
 func (c *Core) handleAppendReply(message Message) {
 	peer := c.peers[message.From]
 	if c.role != Leader || peer == nil {
@@ -70,7 +72,7 @@
 	peer.recordReply(message)
 	inflightAcknowledged := peer.acknowledgeAppend(message)
 	if message.Reject {
-		// Fall back to where the logs may meet, never before what is known to agree.
+		// Fall back to where the logs may match, never before the known match.
 		peer.probing = true
 		peer.next = max(peer.match+1, min(message.Hint+1, peer.next-1))
 		c.sendAppend(message.From, peer)
@@ -98,6 +100,7 @@
 	c.sendTimeoutNow()
 }
 
+// handleHeartbeatReply has the peer probed where its log is behind, and confirms pending reads.
 func (c *Core) handleHeartbeatReply(message Message) {
 	peer := c.peers[message.From]
 	if c.role != Leader || peer == nil {
@@ -105,8 +108,8 @@
 	}
 	peer.recordReply(message)
 	peer.acknowledgedRound = max(peer.acknowledgedRound, message.HeartbeatRound)
-	// Appends may have been lost on the way; a heartbeat's answer is the time to look again.
-	if peer.match < c.raftLog.lastIndex() && !peer.appendInFlight() {
+	// An append may have been lost: the match is unknown until the peer acknowledges the next one.
+	if peer.match < c.raftLog.lastIndex() && !peer.awaitsAppend() {
 		peer.next = peer.match + 1
 		peer.probing = true
 	}
@@ -124,8 +127,9 @@
 	c.pendingReads = unconfirmed
 }
 
+// handlePersisted advances the synced index; on a leader that counts for the quorum.
 func (c *Core) handlePersisted(report Persisted) {
-	// A report about entries since cut away proves nothing.
+	// The entry may have been truncated or compacted away since: then the report proves nothing.
 	if term, known := c.raftLog.term(report.Index); !known || term != report.Term {
 		return
 	}
@@ -140,6 +144,7 @@
 	}
 }
 
+// advanceCommit commits up to the highest index that a majority of voters has synced.
 func (c *Core) advanceCommit() {
 	var matches []Index
 	for _, id := range c.Membership().Voters() {
@@ -150,17 +155,18 @@
 	}
 	slices.Sort(matches)
 	quorumIndex := matches[(len(matches)-1)/2]
-	// Only an entry of the leader's own term may be committed by counting; those before it follow.
+	// Only an entry of the leader's own term may be committed by counting replicas (3.6.2); those before it follow.
 	if term, ok := c.raftLog.term(quorumIndex); ok && term == c.term && quorumIndex > c.commitIndex {
 		c.commitTo(quorumIndex)
 		c.sendAppends()
-		// A leader that has committed its own removal leaves.
+		// A leader that has committed its own removal steps down (4.2.2).
 		if !c.isVoter() && c.membershipCommitted() {
 			c.become(Follower, 0)
 		}
 	}
 }
 
+// commitTo raises the commit index; it never lowers it.
 func (c *Core) commitTo(index Index) {
 	if index > c.commitIndex {
 		c.commitIndex = index
--- a/process/consensus/raft/role.go
+++ b/process/consensus/raft/role.go
@@ -1,26 +1,26 @@
 package raft
 
-// Role is what a member is in its term.
+// Role is the role of a member in its term (section 3.3).
 type Role uint8
 
 const (
-	// Follower takes entries from a leader.
+	// Follower appends the entries that a leader sends.
 	Follower Role = iota
-	// PreCandidate asks whether it would be elected.
+	// PreCandidate asks whether it would be elected, without entering a new term (9.6).
 	PreCandidate
-	// Candidate stands for election.
+	// Candidate requests votes in a new term.
 	Candidate
-	// Leader orders the entries of its term.
+	// Leader appends and replicates the entries of its term.
 	Leader
 )
 
+// String is the name in logs and on status pages.
 func (r Role) String() string {
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// Elections: roles, terms, votes and the pre-vote round.
-
-// become is the one place where a member changes its role.
+// become changes the role; nothing else does. It resets the timers, the votes and, unless the member leads, the progress
+// of its peers, and fails the reads of a leader that steps down.
 func (c *Core) become(role Role, leader MemberID) {
 	wasLeader := c.role == Leader
 	c.role, c.leader = role, leader
@@ -29,7 +29,7 @@
 	c.votes = map[MemberID]bool{}
 	c.transferTarget, c.transferElapsed = 0, 0
 	if wasLeader && role != Leader {
-		// A read that waited for a quorum can't be answered by one who no longer leads.
+		// Only a leader can confirm reads: those pending fail.
 		for _, read := range c.pendingReads {
 			c.effects.ReadStates = append(c.effects.ReadStates, ReadState{RequestID: read.requestID})
 		}
--- a/process/consensus/raft/save.go
+++ b/process/consensus/raft/save.go
@@ -1,21 +1,22 @@
 package raft
 
-import (
-	"slices"
-)
+import "slices"
 
-// Save is one write to disk. Entries replace all from their first index on.
+// Save is one atomic write to disk. It is applied in this order: Snapshot replaces the stored one, CompactTo and
+// TruncateFrom remove entries, Entries are added.
 type Save struct {
 	HardState HardState
-	Entries   []Entry
-	// TruncateFrom, when not zero, removes all entries from there on, before Entries are written.
+	// Entries follow on what is left of the log.
+	Entries []Entry
+	// TruncateFrom, when not zero, removes the entry at this index and all after it, before Entries are written.
 	TruncateFrom Index
-	Snapshot     *Snapshot
-	// CompactTo, when not zero, removes entries up to and with it.
+	// Snapshot is nil where the stored one stays.
+	Snapshot *Snapshot
+	// CompactTo, when not zero, removes all entries up to and including this index.
 	CompactTo Index
 }
 
-// Merge adds a later write, so that writing the sum leaves the same on disk as writing one after the other.
+// Merge adds a later save: writing the merged one leaves the same on disk as writing both, one after the other.
 func (s *Save) Merge(later Save) {
 	s.HardState = later.HardState
 	s.Entries = slices.DeleteFunc(s.Entries, func(entry Entry) bool {
--- a/process/consensus/raft/savemerge_test.go
+++ b/process/consensus/raft/savemerge_test.go
@@ -9,14 +9,14 @@
 	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
-// written is what a disk holds after a write.
-func written(disk raft.PersistentState, save raft.Save) raft.PersistentState {
+// diskAfter is the content of a disk after a save.
+func diskAfter(disk raft.PersistentState, save raft.Save) raft.PersistentState {
 	m := modelMember{disk: disk}
 	m.write(save)
 	return m.disk
 }
 
-// randomSave is a write as a core makes them: entries follow each other, and cuts come with a snapshot.
+// randomSave makes a save as a core does: entries are consecutive, and compaction comes with a snapshot.
 func randomSave(random *rand.Rand, disk raft.PersistentState) raft.Save {
 	last := disk.Snapshot.Index
 	if n := len(disk.Entries); n > 0 {
@@ -42,35 +42,35 @@
 	return save
 }
 
-// Two writes made one leave on disk what both leave, whatever cuts, entries and snapshots they hold.
-func TestMergedSaveWritesTheSame(t *testing.T) {
+// A merged save leaves on disk what both leave, whatever truncations, entries and snapshots they contain.
+func TestMergedSaveEqualsBothSaves(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	caught := 0
 	for range 20000 {
 		disk := raft.PersistentState{Snapshot: raft.Snapshot{Index: 10}, Entries: entries(1, 8, 15)}
-		one := randomSave(random, disk)
-		after := written(disk, one)
-		two := randomSave(random, after)
-		want := written(after, two)
-		naive := one
-		naive.Entries = append(slices.Clone(one.Entries), two.Entries...)
-		naive.HardState = two.HardState
-		if two.Snapshot != nil {
-			naive.Snapshot, naive.CompactTo = two.Snapshot, two.CompactTo
+		first := randomSave(random, disk)
+		after := diskAfter(disk, first)
+		second := randomSave(random, after)
+		want := diskAfter(after, second)
+		naive := first
+		naive.Entries = append(slices.Clone(first.Entries), second.Entries...)
+		naive.HardState = second.HardState
+		if second.Snapshot != nil {
+			naive.Snapshot, naive.CompactTo = second.Snapshot, second.CompactTo
 		}
-		merged := one
-		merged.Entries = slices.Clone(one.Entries)
-		merged.Merge(two)
-		if got := written(disk, merged); !sameDisk(got, want) {
-			t.Fatalf("%+v and %+v make %+v: %+v on disk instead of %+v", one, two, merged, got, want)
+		merged := first
+		merged.Entries = slices.Clone(first.Entries)
+		merged.Merge(second)
+		if got := diskAfter(disk, merged); !sameDisk(got, want) {
+			t.Fatalf("%+v and %+v make %+v: %+v on disk instead of %+v", first, second, merged, got, want)
 		}
-		if got := written(disk, naive); !sameDisk(got, want) {
+		if got := diskAfter(disk, naive); !sameDisk(got, want) {
 			caught++
 		}
 	}
-	// The broken variant is the merge of before, which dropped a later write's cuts.
+	// The broken variant is a former fault: it dropped the truncation and compaction of the later save.
 	if caught == 0 {
-		t.Error("the merge of before was not caught")
+		t.Error("the broken merge was not caught")
 	}
 }
 
--- a/process/consensus/raft/simulation_test.go
+++ b/process/consensus/raft/simulation_test.go
@@ -15,21 +15,21 @@
 	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
-// A group of three cores under a random scheduler: it delivers messages in any order, late, twice or never, syncs
-// disks late, crashes members, has leaders stand down and cuts logs while snapshots are on their way. State is a
+// The simulation runs three cores under a random scheduler: it reorders, delays, duplicates and drops messages, syncs
+// disks late, crashes members, has leaders step down and compacts logs while snapshots are in transfer. The state is a
 // chain of hashes, and a snapshot is larger than one message.
 
-// variant names a way to break a member on purpose, to see that the checker catches it.
+// variant is a fault that is injected on purpose, to prove that the checker catches it.
 type variant string
 
 const (
-	sound variant = ""
-	// snapshotReplacesLog is what takeSnapshot did before: any snapshot above the commit index takes the log's place.
+	unbroken variant = ""
+	// snapshotReplacesLog is a former fault of handleSnapshot: any snapshot above the commit index replaced the log.
 	snapshotReplacesLog variant = "a snapshot that replaces entries behind it"
-	// unchecked takes snapshots whose bytes were changed on their way.
-	unchecked variant = "snapshots without a checksum"
-	// dropsTail has a disk that forgets its last entry at a crash, after it was reported as synced.
-	dropsTail variant = "a disk that forgets a synced entry"
+	// unverified installs snapshots whose bytes were changed on their way.
+	unverified variant = "snapshots without a checksum"
+	// losesTail has a disk that loses its last entry in a crash, after it was reported as synced.
+	losesTail variant = "a disk that forgets a synced entry"
 )
 
 const modelSnapshotBytes = 600 << 10
@@ -46,7 +46,7 @@
 	return modelState{entry.Index, hash.Sum64()}
 }
 
-// encode gives a form as long as a large state, so that it travels in parts.
+// encode pads the state to the size of a large one, so that it is sent in chunks.
 func (s modelState) encode() []byte {
 	head := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, uint64(s.index)), s.sum)
 	return append(head, bytes.Repeat([]byte{byte(s.sum)}, modelSnapshotBytes)...)
@@ -60,49 +60,49 @@
 }
 
 type modelWrite struct {
-	save  *raft.Save
-	later []raft.Message
+	save      *raft.Save
+	afterSync []raft.Message
 }
 
 type modelMember struct {
-	group *modelGroup
-	id    raft.MemberID
-	core  *raft.Core
-	disk  raft.PersistentState
-	queue []modelWrite
-	state modelState
-	up    bool
+	group         *modelGroup
+	id            raft.MemberID
+	core          *raft.Core
+	disk          raft.PersistentState
+	pendingWrites []modelWrite
+	state         modelState
+	running       bool
 }
 
 type modelGroup struct {
-	random  *rand.Rand
-	variant variant
-	members []*modelMember
-	flight  []raft.Message
-	// sums holds the state after each committed entry, whoever applied it first.
-	sums      map[raft.Index]uint64
-	committed raft.Index
-	faults    []string
-	loss      int
-	proposed  int
-	away      raft.MemberID
-	// old is a member of the build before: it knows whole snapshots alone, and no checksums. Zero is none.
-	old raft.MemberID
-
-	installs, refusals, cuts, crashes, parts int
+	random   *rand.Rand
+	variant  variant
+	members  []*modelMember
+	inFlight []raft.Message
+	// checksums holds the state after each committed entry, as the first member that applied it computed it.
+	checksums   map[raft.Index]uint64
+	committed   raft.Index
+	faults      []string
+	lossOneIn   int
+	proposed    int
+	partitioned raft.MemberID
+	// earlierBuild is a member that runs an earlier build: it knows no chunks and no checksums. Zero is none.
+	earlierBuild raft.MemberID
+
+	installs, rejections, compactions, crashes, chunks int
 }
 
 func newModelGroup(seed uint64, broken variant) *modelGroup {
-	g := &modelGroup{random: rand.New(rand.NewPCG(seed, 7)), variant: broken, sums: map[raft.Index]uint64{}, loss: 8}
+	group := &modelGroup{random: rand.New(rand.NewPCG(seed, 7)), variant: broken, checksums: map[raft.Index]uint64{}, lossOneIn: 8}
 	first := modelState{index: 1}
-	g.sums[1] = first.sum
+	group.checksums[1] = first.sum
 	for id := raft.MemberID(1); id <= 3; id++ {
-		m := &modelMember{group: g, id: id}
-		m.disk = raft.PersistentState{HardState: raft.HardState{Term: 1}, Snapshot: raft.Snapshot{Index: 1, Term: 1, Membership: threeVoters(), Data: first.encode()}}
-		g.members = append(g.members, m)
-		m.start()
+		member := &modelMember{group: group, id: id}
+		member.disk = raft.PersistentState{HardState: raft.HardState{Term: 1}, Snapshot: raft.Snapshot{Index: 1, Term: 1, Membership: threeVoters(), Data: first.encode()}}
+		group.members = append(group.members, member)
+		member.start()
 	}
-	return g
+	return group
 }
 
 func (g *modelGroup) fault(format string, args ...any) {
@@ -118,48 +118,48 @@
 		return err
 	})
 	m.state, _ = decodeModelState(restored.Snapshot.Data)
-	m.queue, m.up = nil, true
+	m.pendingWrites, m.running = nil, true
 }
 
 func (m *modelMember) crash() {
 	m.group.crashes++
-	m.up = false
-	if m.group.variant == dropsTail && len(m.disk.Entries) > 0 {
+	m.running = false
+	if m.group.variant == losesTail && len(m.disk.Entries) > 0 {
 		m.disk.Entries = m.disk.Entries[:len(m.disk.Entries)-1]
 	}
 }
 
 func (m *modelMember) step(event raft.Event) {
-	if !m.up {
+	if !m.running {
 		return
 	}
-	if received, ok := event.(raft.Receive); ok && m.group.variant == snapshotReplacesLog && m.replaces(received.Message) {
+	if received, ok := event.(raft.Receive); ok && m.group.variant == snapshotReplacesLog && m.replacesLog(received.Message) {
 		return
 	}
 	effects := m.core.Step(event)
-	m.carryOut(effects)
+	m.handleEffects(effects)
 }
 
-// replaces is the broken variant: whatever the log holds, a snapshot above the commit index takes its place.
-func (m *modelMember) replaces(message raft.Message) bool {
+// replacesLog is the variant snapshotReplacesLog.
+func (m *modelMember) replacesLog(message raft.Message) bool {
 	snapshot := message.Snapshot
 	if snapshot == nil || message.Term != m.core.Term() || snapshot.Index <= m.core.CommitIndex() || m.core.LastIndex() < snapshot.Index {
 		return false
 	}
 	m.disk.Snapshot, m.disk.Entries = raft.Snapshot{Index: snapshot.Index, Term: snapshot.Term, Membership: threeVoters(),
-		Data: modelState{snapshot.Index, m.group.sums[snapshot.Index]}.encode()}, nil
+		Data: modelState{snapshot.Index, m.group.checksums[snapshot.Index]}.encode()}, nil
 	m.start()
 	return true
 }
 
-func (m *modelMember) carryOut(effects raft.Effects) {
+func (m *modelMember) handleEffects(effects raft.Effects) {
 	g := m.group
 	for _, notice := range effects.Notices {
 		switch notice.Kind {
 		case raft.NoticeSnapshotInstalled:
 			g.installs++
 		case raft.NoticeSnapshotRejected:
-			g.refusals++
+			g.rejections++
 		case raft.NoticeMessageRejected:
 			g.fault("member %d refused a sound message: %v", m.id, notice.Err)
 		}
@@ -169,7 +169,7 @@
 		if err != nil || state.index != effects.InstallSnapshot.Index {
 			g.fault("member %d installed an unreadable state at %d", m.id, effects.InstallSnapshot.Index)
 		}
-		if !bytes.Equal(effects.InstallSnapshot.Data, modelState{state.index, g.sums[state.index]}.encode()) {
+		if !bytes.Equal(effects.InstallSnapshot.Data, modelState{state.index, g.checksums[state.index]}.encode()) {
 			g.fault("member %d installed another state at %d", m.id, state.index)
 		}
 		m.state = state
@@ -178,7 +178,7 @@
 		m.apply(entry)
 	}
 	if effects.Save != nil || len(effects.AfterSync) > 0 {
-		m.queue = append(m.queue, modelWrite{effects.Save, effects.AfterSync})
+		m.pendingWrites = append(m.pendingWrites, modelWrite{effects.Save, effects.AfterSync})
 	}
 	g.send(effects.Immediate)
 }
@@ -189,20 +189,20 @@
 		g.fault("member %d applied %d after %d", m.id, entry.Index, m.state.index)
 	}
 	m.state = m.state.next(entry)
-	if known, seen := g.sums[entry.Index]; seen && known != m.state.sum {
+	if known, seen := g.checksums[entry.Index]; seen && known != m.state.sum {
 		g.fault("member %d applied another entry at %d", m.id, entry.Index)
 	}
-	g.sums[entry.Index] = m.state.sum
+	g.checksums[entry.Index] = m.state.sum
 	g.committed = max(g.committed, entry.Index)
 }
 
-// sync puts the oldest write on disk, and says what waited for it.
+// sync writes the oldest pending save to disk, and sends the messages that depend on it.
 func (m *modelMember) sync() {
-	if !m.up || len(m.queue) == 0 {
+	if !m.running || len(m.pendingWrites) == 0 {
 		return
 	}
-	write := m.queue[0]
-	m.queue = m.queue[1:]
+	write := m.pendingWrites[0]
+	m.pendingWrites = m.pendingWrites[1:]
 	if save := write.save; save != nil {
 		m.write(*save)
 		last := raft.Persisted{}
@@ -215,7 +215,7 @@
 			m.step(last)
 		}
 	}
-	for _, message := range write.later {
+	for _, message := range write.afterSync {
 		if message.To == m.id {
 			m.step(raft.Receive{Message: message})
 			continue
@@ -237,51 +237,51 @@
 
 func (g *modelGroup) send(messages []raft.Message) {
 	for _, message := range messages {
-		if g.loss > 0 && g.random.IntN(g.loss) == 0 {
+		if g.lossOneIn > 0 && g.random.IntN(g.lossOneIn) == 0 {
 			continue
 		}
-		if message = g.translated(message); len(g.faults) > 0 {
+		if message = g.asEarlierBuild(message); len(g.faults) > 0 {
 			return
 		}
 		if message.Snapshot != nil && message.SnapshotSize > uint64(len(message.Snapshot.Data)) {
-			g.parts++
+			g.chunks++
 		}
-		if g.loss > 0 && message.Snapshot != nil && message.SnapshotSize > 0 && g.random.IntN(12) == 0 {
-			message = g.damaged(message)
+		if g.lossOneIn > 0 && message.Snapshot != nil && message.SnapshotSize > 0 && g.random.IntN(12) == 0 {
+			message = g.corrupted(message)
 		}
-		g.flight = append(g.flight, message)
-		if g.loss > 0 && g.random.IntN(12) == 0 {
-			g.flight = append(g.flight, message)
+		g.inFlight = append(g.inFlight, message)
+		if g.lossOneIn > 0 && g.random.IntN(12) == 0 {
+			g.inFlight = append(g.inFlight, message)
 		}
 	}
 }
 
-// translated is what a message is to a member of the build before, or of one.
-func (g *modelGroup) translated(message raft.Message) raft.Message {
-	if g.old == 0 || message.From != g.old && message.To != g.old {
+// asEarlierBuild converts a message to what an earlier build reads or sends.
+func (g *modelGroup) asEarlierBuild(message raft.Message) raft.Message {
+	if g.earlierBuild == 0 || message.From != g.earlierBuild && message.To != g.earlierBuild {
 		return message
 	}
-	if message.To == g.old && (message.Kind == raft.MsgSnapshotReply || message.Snapshot != nil && uint64(len(message.Snapshot.Data)) != message.SnapshotSize) {
-		g.fault("a member of the build before is sent %d, which it does not know", message.Kind)
+	if message.To == g.earlierBuild && (message.Kind == raft.MsgSnapshotReply || message.Snapshot != nil && uint64(len(message.Snapshot.Data)) != message.SnapshotSize) {
+		g.fault("a member of an earlier build is sent a message of kind %d, which it does not know", message.Kind)
 	}
 	message.AcceptsChunks, message.SnapshotSize, message.SnapshotOffset = false, 0, 0
 	if message.Snapshot != nil {
-		whole := *message.Snapshot
-		whole.Checksum = nil
-		message.Snapshot = &whole
+		unchecked := *message.Snapshot
+		unchecked.Checksum = nil
+		message.Snapshot = &unchecked
 	}
 	return message
 }
 
-// damaged changes a byte behind the head of a snapshot.
-func (g *modelGroup) damaged(message raft.Message) raft.Message {
+// corrupted changes a byte of a snapshot.
+func (g *modelGroup) corrupted(message raft.Message) raft.Message {
 	changed := *message.Snapshot
 	if len(changed.Data) < 100 {
 		return message
 	}
 	changed.Data = slices.Clone(changed.Data)
 	changed.Data[50]++
-	if g.variant == unchecked {
+	if g.variant == unverified {
 		changed.Checksum = nil
 	}
 	message.Snapshot = &changed
@@ -289,28 +289,28 @@
 }
 
 func (g *modelGroup) deliver() {
-	if len(g.flight) == 0 {
+	if len(g.inFlight) == 0 {
 		return
 	}
-	// Mostly in order, now and then any: some messages lie about for long.
-	at := 0
-	if g.loss > 0 && g.random.IntN(4) == 0 {
-		at = g.random.IntN(len(g.flight))
+	// Mostly in order, but now and then any message: some are delayed for long.
+	position := 0
+	if g.lossOneIn > 0 && g.random.IntN(4) == 0 {
+		position = g.random.IntN(len(g.inFlight))
 	}
-	message := g.flight[at]
-	g.flight = slices.Delete(g.flight, at, at+1)
-	if message.To != g.away && message.From != g.away {
+	message := g.inFlight[position]
+	g.inFlight = slices.Delete(g.inFlight, position, position+1)
+	if message.To != g.partitioned && message.From != g.partitioned {
 		g.member(message.To).step(raft.Receive{Message: message})
 	}
 }
 
 func (g *modelGroup) member(id raft.MemberID) *modelMember { return g.members[id-1] }
 
-func (g *modelGroup) some() *modelMember { return g.members[g.random.IntN(len(g.members))] }
+func (g *modelGroup) randomMember() *modelMember { return g.members[g.random.IntN(len(g.members))] }
 
 func (g *modelGroup) propose() {
 	for _, m := range g.members {
-		if m.up && m.core.Role() == raft.Leader {
+		if m.running && m.core.Role() == raft.Leader {
 			g.proposed++
 			m.step(raft.Propose{Data: fmt.Appendf(nil, "command %d", g.proposed)})
 			return
@@ -319,16 +319,16 @@
 }
 
 func (m *modelMember) compact() {
-	if !m.up || m.state.index < m.core.SnapshotIndex()+5 {
+	if !m.running || m.state.index < m.core.SnapshotIndex()+5 {
 		return
 	}
-	m.group.cuts++
+	m.group.compactions++
 	m.step(raft.Compact{Index: m.state.index, Data: m.state.encode(), RetainEntries: 3})
 }
 
-// turn is one random step of the scheduler.
-func (g *modelGroup) turn() {
-	m := g.some()
+// randomStep is one step of the scheduler.
+func (g *modelGroup) randomStep() {
+	m := g.randomMember()
 	switch choice := g.random.IntN(100); {
 	case choice < 50:
 		g.deliver()
@@ -341,116 +341,116 @@
 	case choice < 95:
 		m.compact()
 	case choice < 96:
-		g.trouble(m)
+		g.crashOrStepDown(m)
 	case choice < 97:
-		g.away = raft.MemberID(g.random.IntN(6))
+		g.partitioned = raft.MemberID(g.random.IntN(6))
 	default:
-		if !m.up {
+		if !m.running {
 			m.start()
 		}
 	}
 	g.check()
 }
 
-func (g *modelGroup) trouble(m *modelMember) {
-	if g.loss == 0 {
+func (g *modelGroup) crashOrStepDown(m *modelMember) {
+	if g.lossOneIn == 0 {
 		return
 	}
 	if g.random.IntN(3) == 0 {
 		m.step(raft.StepDown{})
 		return
 	}
-	if m.up {
+	if m.running {
 		m.crash()
 	}
 }
 
-// check holds that a majority's disks hold whatever anybody saw committed.
+// check verifies that every committed entry is on the disks of a majority.
 func (g *modelGroup) check() {
-	holding := 0
+	complete := 0
 	for _, m := range g.members {
 		last := m.disk.Snapshot.Index
 		if n := len(m.disk.Entries); n > 0 {
 			last = max(last, m.disk.Entries[n-1].Index)
 		}
 		if last >= g.committed {
-			holding++
+			complete++
 		}
 	}
-	if holding < 2 {
-		g.fault("entry %d was committed, and is on %d disks of 3", g.committed, holding)
+	if complete < 2 {
+		g.fault("entry %d was committed, and is on %d disks of 3", g.committed, complete)
 	}
 }
 
-// run is one history: trouble, then quiet in which all must reach the same state.
-func (g *modelGroup) run(turns int) {
-	for range turns {
-		if g.turn(); len(g.faults) > 0 {
+// run runs one history: a phase with faults, then one without, in which all members must converge.
+func (g *modelGroup) run(steps int) {
+	for range steps {
+		if g.randomStep(); len(g.faults) > 0 {
 			return
 		}
 	}
-	g.loss, g.away = 0, 0
+	g.lossOneIn, g.partitioned = 0, 0
 	for range 4000 {
 		for _, m := range g.members {
-			if !m.up {
+			if !m.running {
 				m.start()
 			}
 			m.step(raft.Tick{})
-			for len(m.queue) > 0 {
+			for len(m.pendingWrites) > 0 {
 				m.sync()
 			}
 		}
-		for len(g.flight) > 0 {
+		for len(g.inFlight) > 0 {
 			g.deliver()
 		}
-		if g.settled() {
+		if g.converged() {
 			return
 		}
 	}
 	g.fault("the members did not reach one state: %+v %+v %+v", g.members[0].state, g.members[1].state, g.members[2].state)
 }
 
-func (g *modelGroup) settled() bool {
+func (g *modelGroup) converged() bool {
 	for _, m := range g.members {
-		if m.state != g.members[0].state || m.state.index < g.committed || len(m.queue) > 0 {
+		if m.state != g.members[0].state || m.state.index < g.committed || len(m.pendingWrites) > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-func TestGroupWithSnapshotsInParts(t *testing.T) {
+func TestGroupConvergesWithChunkedSnapshots(t *testing.T) {
 	seeds := uint64(200)
-	// More seeds for a search: CRESSPOND_SEEDS=5000 go test ./process/consensus/raft. In every third one member is of the build before.
-	if wanted, err := strconv.ParseUint(os.Getenv("CRESSPOND_SEEDS"), 10, 64); err == nil {
-		seeds = wanted
+	// More seeds for a search: CRESSPOND_SEEDS=5000 go test ./process/consensus/raft. In every third run one member is of an earlier build.
+	if requested, err := strconv.ParseUint(os.Getenv("CRESSPOND_SEEDS"), 10, 64); err == nil {
+		seeds = requested
 	}
-	installs, refusals, cuts, crashes, parts := 0, 0, 0, 0, 0
+	installs, rejections, compactions, crashes, chunks := 0, 0, 0, 0, 0
 	for seed := range seeds {
-		g := newModelGroup(seed, sound)
+		group := newModelGroup(seed, unbroken)
 		if seed%3 == 0 {
-			g.old = raft.MemberID(1 + seed/3%3)
+			group.earlierBuild = raft.MemberID(1 + seed/3%3)
 		}
-		g.run(6000)
-		for _, fault := range g.faults {
+		group.run(6000)
+		for _, fault := range group.faults {
 			t.Errorf("seed %d: %s", seed, fault)
 		}
-		installs, refusals, cuts, crashes, parts = installs+g.installs, refusals+g.refusals, cuts+g.cuts, crashes+g.crashes, parts+g.parts
+		installs, rejections, compactions, crashes, chunks = installs+group.installs, rejections+group.rejections, compactions+group.compactions, crashes+group.crashes, chunks+group.chunks
 	}
-	t.Logf("%d seeds: %d snapshots taken, %d refused, %d parts sent, %d cuts of a log, %d crashes", seeds, installs, refusals, parts, cuts, crashes)
-	if installs == 0 || refusals == 0 || parts == 0 {
+	t.Logf("%d seeds: %d snapshots taken, %d refused, %d parts sent, %d cuts of a log, %d crashes", seeds, installs, rejections, chunks, compactions, crashes)
+	if installs == 0 || rejections == 0 || chunks == 0 {
 		t.Error("snapshots were not taken, refused and sent in parts")
 	}
 }
 
-// Each break must be caught by some seed.
+// Each injected fault must be caught with some seed.
 func TestGroupCheckerCatchesBrokenMembers(t *testing.T) {
-	for _, broken := range []variant{snapshotReplacesLog, unchecked, dropsTail} {
+	for _, broken := range []variant{snapshotReplacesLog, unverified, losesTail} {
 		t.Run(string(broken), func(t *testing.T) {
 			for seed := range uint64(200) {
-				g := newModelGroup(seed, broken)
-				if g.run(6000); len(g.faults) > 0 {
-					t.Logf("seed %d: %s", seed, g.faults[0])
+				group := newModelGroup(seed, broken)
+				if group.run(6000); len(group.faults) > 0 {
+					t.Logf("seed %d: %s", seed, group.faults[0])
 					return
 				}
 			}
--- a/process/consensus/raft/snapshotreceive.go
+++ b/process/consensus/raft/snapshotreceive.go
@@ -1,12 +1,10 @@
 package raft
 
-import (
-	"bytes"
-)
+import "bytes"
 
-// incoming is what has come of a leader's snapshot.
+// incomingSnapshot is what has been received of a leader's snapshot.
 type incomingSnapshot struct {
-	// leaderTerm is the newest term in which a part came.
+	// leaderTerm is the newest term in which a chunk was received.
 	leaderTerm Term
 	index      Index
 	term       Term
@@ -15,18 +13,18 @@
 	data       []byte
 }
 
-// CheckSnapshots sets what looks at a leader's snapshot before it takes the place of this member's state and log.
+// SetSnapshotCheck sets a check of a leader's snapshot. Its error rejects the snapshot before log and state are replaced.
 func (c *Core) SetSnapshotCheck(check func(Snapshot) error) { c.checkSnapshot = check }
 
-// takeSnapshot takes a leader's snapshot, once it is whole, in place of a log that lacks its last entry.
+// handleSnapshot collects a leader's snapshot. Once complete, it replaces a log that does not contain its last entry.
 func (c *Core) handleSnapshot(message Message) {
 	if message.Snapshot.Index <= c.commitIndex {
 		c.acknowledge(message.From, c.commitIndex)
 		return
 	}
 	if term, known := c.raftLog.term(message.Snapshot.Index); known && term == message.Snapshot.Term {
-		// The log holds the snapshot's last entry, so it holds all before it as the leader does. Entries behind it may
-		// have been acknowledged and counted for a commit: they stay, and the state gets there by the log.
+		// By log matching, a log with the snapshot's last entry has all entries before it. Entries after it may have
+		// been acknowledged and counted for a commit: they must stay. The state advances by the log.
 		c.commitTo(message.Snapshot.Index)
 		c.acknowledge(message.From, message.Snapshot.Index)
 		return
@@ -45,7 +43,7 @@
 	c.installSnapshot(message.From, snapshot)
 }
 
-// gather puts parts together; it gives the whole once nothing is missing.
+// assembleSnapshot appends a chunk to those received before; it returns true with the complete snapshot.
 func (c *Core) assembleSnapshot(message Message) (Snapshot, bool) {
 	chunk := *message.Snapshot
 	if message.SnapshotSize == 0 || message.SnapshotOffset == 0 && uint64(len(chunk.Data)) == message.SnapshotSize {
@@ -53,8 +51,8 @@
 	}
 	if !c.incoming.includes(message) {
 		if message.SnapshotOffset != 0 || c.incoming != nil && c.incoming.leaderTerm == message.Term && c.incoming.index > chunk.Index {
-			// The start of this snapshot is missing, or the same leader sent a newer one since: within a term its
-			// snapshots only rise, while another term's leader may begin with an older one.
+			// The start of this snapshot is missing, or it is older than the one being received. Within a term a leader's
+			// snapshots only rise; the leader of another term may send an older one.
 			return chunk, false
 		}
 		c.incoming = &incomingSnapshot{index: chunk.Index, term: chunk.Term, size: message.SnapshotSize, checksum: chunk.Checksum}
@@ -68,15 +66,17 @@
 	return chunk, uint64(len(chunk.Data)) == message.SnapshotSize
 }
 
-// isOf says whether a part belongs to what has come so far. Two leaders' snapshots are one if their bytes are.
+// includes says whether a chunk belongs to this snapshot. Chunks of two leaders may be combined where the checksum,
+// and so the content, is the same.
 func (in *incomingSnapshot) includes(message Message) bool {
-	return in != nil && in.index == message.Snapshot.Index && in.term == message.Snapshot.Term && in.size == message.SnapshotSize && bytes.Equal(in.checksum, message.Snapshot.Checksum)
+	return in != nil && in.index == message.Snapshot.Index && in.term == message.Snapshot.Term &&
+		in.size == message.SnapshotSize && bytes.Equal(in.checksum, message.Snapshot.Checksum)
 }
 
-// replyToPart tells the leader how much of its snapshot is held, or that it was refused.
+// replyToSnapshotChunk tells the leader how many bytes have been received, or that the snapshot was rejected.
 func (c *Core) replyToSnapshotChunk(message Message, rejected bool) {
 	if message.SnapshotSize == 0 {
-		// An earlier build knows only this reply, and sends its snapshot again after a while.
+		// A leader of an earlier build knows only this reply; it sends its snapshot again after a time-out.
 		c.sendAfterSync(Message{Kind: MsgAppendReply, To: message.From, Term: c.term, Reject: true, Hint: c.raftLog.lastIndex(), AcceptsChunks: true})
 		return
 	}
@@ -84,10 +84,11 @@
 	if c.incoming.includes(message) {
 		receivedBytes = uint64(len(c.incoming.data))
 	}
-	c.sendImmediately(Message{Kind: MsgSnapshotReply, To: message.From, LogIndex: message.Snapshot.Index, LogTerm: message.Snapshot.Term, SnapshotOffset: receivedBytes, Reject: rejected, AcceptsChunks: true})
+	c.sendImmediately(Message{Kind: MsgSnapshotReply, To: message.From, LogIndex: message.Snapshot.Index, LogTerm: message.Snapshot.Term,
+		SnapshotOffset: receivedBytes, Reject: rejected, AcceptsChunks: true})
 }
 
-// verify says why a whole snapshot can't be used.
+// verifySnapshot says why a complete snapshot can't be used.
 func (c *Core) verifySnapshot(snapshot Snapshot) error {
 	if len(snapshot.Data) == 0 {
 		return ErrEmptySnapshot
@@ -101,7 +102,7 @@
 	return nil
 }
 
-// install is the one place where a leader's snapshot takes the place of log and state.
+// installSnapshot replaces log and state by a leader's snapshot; nothing else does.
 func (c *Core) installSnapshot(from MemberID, snapshot Snapshot) {
 	c.raftLog = newLog(snapshot, nil)
 	c.commitIndex, c.deliveredIndex = snapshot.Index, snapshot.Index
--- a/process/consensus/raft/snapshotsend.go
+++ b/process/consensus/raft/snapshotsend.go
@@ -1,18 +1,18 @@
 package raft
 
-// outgoing is a snapshot on its way to a peer. It stays the same one while the log is compacted again.
+// outgoingSnapshot is a snapshot in transfer to a peer. The transfer goes on when the log is compacted again meanwhile.
 type outgoingSnapshot struct {
 	snapshot Snapshot
-	// held is how many bytes the peer said that it holds.
+	// receivedBytes is how much of it the peer has acknowledged.
 	receivedBytes uint64
-	// wait counts ticks until the part is sent again.
+	// resendTicks is the number of ticks until the chunk in flight is sent again.
 	resendTicks int
 }
 
-// sendSnapshot sends the next part of a snapshot to a peer that lacks what is gone from the log.
+// sendSnapshotChunk sends the next chunk to a peer that needs entries which are compacted away, unless one is in flight.
 func (c *Core) sendSnapshotChunk(id MemberID, peer *progress) {
 	if c.raftLog.snapshot.Index == 0 || peer.inactiveChecks > 0 {
-		// One that says nothing is asked by heartbeats alone.
+		// An unresponsive peer is sent heartbeats alone.
 		return
 	}
 	if peer.outgoing == nil || !c.raftLog.containsAllAfter(peer.outgoing.snapshot.Index) {
@@ -33,11 +33,11 @@
 		offset = outgoing.receivedBytes
 		chunk.Data = chunk.Data[offset:min(size, offset+snapshotChunkBytes)]
 	}
-	outgoing.resendTicks = c.timing.ElectionTicks + max(0, len(chunk.Data)-snapshotChunkBytes)/wholeSnapshotBytesPerTick
+	outgoing.resendTicks = c.timing.ElectionTicks + max(0, len(chunk.Data)-snapshotChunkBytes)/unchunkedSnapshotBytesPerTick
 	c.sendImmediately(Message{Kind: MsgSnapshot, To: id, Snapshot: &chunk, SnapshotOffset: offset, SnapshotSize: size})
 }
 
-// takeSnapshotReply notes how much of a snapshot a peer holds, and sends the next part.
+// handleSnapshotReply records how much of a snapshot a peer has received, and sends the next chunk.
 func (c *Core) handleSnapshotReply(message Message) {
 	peer := c.peers[message.From]
 	if c.role != Leader || peer == nil {
@@ -51,16 +51,17 @@
 	size := uint64(len(outgoing.snapshot.Data))
 	switch {
 	case message.Reject:
-		// It could not use the snapshot: it gets it anew, from the start, once the wait is over.
+		// The snapshot was unusable: it is sent from the start again once resendTicks are over.
 		outgoing.receivedBytes = 0
 	case message.SnapshotOffset >= size:
-		// Whoever holds the whole has acknowledged its place in the log, or will with the next part that comes twice.
+		// A peer that has all of it acknowledges the snapshot's index in a MsgAppendReply. Should that be lost, the
+		// transfer starts anew, and the peer acknowledges the first chunk that it receives again.
 		outgoing.receivedBytes = 0
 	case message.SnapshotOffset > outgoing.receivedBytes:
 		outgoing.receivedBytes, outgoing.resendTicks = message.SnapshotOffset, 0
 		c.sendSnapshotChunk(message.From, peer)
 	default:
-		// It lost what it held, or this reply is late: the part is sent again once the wait is over.
+		// The peer restarted, or this reply is late: the chunk is sent again once resendTicks are over.
 		outgoing.receivedBytes = message.SnapshotOffset
 	}
 }
--- a/process/consensus/raft/tick.go
+++ b/process/consensus/raft/tick.go
@@ -1,5 +1,6 @@
 package raft
 
+// tick advances the clock by one tick.
 func (c *Core) tick() {
 	if c.role == Leader {
 		c.tickLeader()
@@ -9,13 +10,14 @@
 	if c.electionElapsed >= c.randomizedElectionTimeout {
 		c.electionElapsed = 0
 		c.randomizedElectionTimeout = c.timing.ElectionTicks + c.random.IntN(c.timing.ElectionTicks)
-		// One who can't write can't win, and one who is no voter may not ask.
+		// Learners do not campaign, nor does a member whose disk stalls: its own vote would not be synced.
 		if c.isVoter() && !c.diskStalled {
-			c.campaign(true)
+			c.campaign(campaignPreVote)
 		}
 	}
 }
 
+// tickLeader does what a leader owes its peers: heartbeats, resends, the quorum check and the end of a transfer.
 func (c *Core) tickLeader() {
 	c.heartbeatElapsed++
 	c.quorumCheckElapsed++
@@ -29,25 +31,32 @@
 	}
 	if c.quorumCheckElapsed >= c.timing.ElectionTicks {
 		c.quorumCheckElapsed = 0
-		// Check-quorum: a leader that a majority no longer answers steps down, so it can't mislead those cut off with it.
-		if !c.hasQuorum(func(id MemberID) bool { return id == c.id || c.peers[id].recentActive }) {
-			c.become(Follower, 0)
+		if c.checkQuorum(); c.role != Leader {
 			return
 		}
-		for _, peer := range c.peers {
-			if !peer.recentActive {
-				// Nothing is kept for one that says nothing; it tells how much it holds when it is back.
-				peer.inactiveChecks++
-				peer.outgoing = nil
-			}
-			peer.recentActive = false
-		}
 	}
 	if c.heartbeatElapsed >= c.timing.HeartbeatTicks {
 		c.heartbeatElapsed = 0
-		// Each round has a number of its own, so that its replies can't be taken for those to an earlier one.
+		// Each round has its own number, so that a late reply confirms only the round it answers.
 		c.heartbeatRound++
 		c.sendHeartbeats()
 		c.sendAppends()
 	}
 }
+
+// checkQuorum has a leader step down that a majority has not replied to since the last check (section 6.2). Without it,
+// a partitioned leader would go on to be followed on its side of the partition.
+func (c *Core) checkQuorum() {
+	if !c.hasQuorum(func(id MemberID) bool { return id == c.id || c.peers[id].recentActive }) {
+		c.become(Follower, 0)
+		return
+	}
+	for _, peer := range c.peers {
+		if !peer.recentActive {
+			// The transfer is given up; the peer says how much it has received when it is back.
+			peer.inactiveChecks++
+			peer.outgoing = nil
+		}
+		peer.recentActive = false
+	}
+}
--- a/process/consensus/raft/transfer.go
+++ b/process/consensus/raft/transfer.go
@@ -1,8 +1,15 @@
 package raft
 
-// Leadership transfer.
+// transferLeadership begins a leadership transfer (section 3.10). While it lasts the leader rejects proposals; after
+// ElectionTicks without an election it is given up.
+func (c *Core) transferLeadership() {
+	if c.role == Leader {
+		c.selectTransferTarget()
+		c.sendTimeoutNow()
+	}
+}
 
-// startTransfer picks the voter whose log is furthest, of those that speak if there are any.
+// selectTransferTarget picks the voter with the longest matching log, a recently active one where there is any.
 func (c *Core) selectTransferTarget() {
 	preferred := func(a, b *progress) bool {
 		if a.recentActive != b.recentActive {
@@ -18,7 +25,7 @@
 	}
 }
 
-// flushTransfer tells the heir to stand once it holds the whole log.
+// sendTimeoutNow has the target campaign as soon as its log is complete.
 func (c *Core) sendTimeoutNow() {
 	target := c.peers[c.transferTarget]
 	if c.transferTarget != 0 && target != nil && target.match == c.raftLog.lastIndex() {
@@ -26,18 +33,9 @@
 	}
 }
 
-// takeTimeoutNow has the heir of a transfer stand at once: others vote for it though they hear a leader.
+// handleTimeoutNow starts an election at once, on the leader's request.
 func (c *Core) handleTimeoutNow() {
-	if !c.isVoter() || c.diskStalled {
-		return
-	}
-	c.enterTerm(c.term+1, c.id)
-	c.become(Candidate, 0)
-	for _, id := range c.Membership().Voters() {
-		message := Message{Kind: MsgVote, To: id, Term: c.term, LogIndex: c.raftLog.lastIndex(), LogTerm: c.raftLog.lastTerm(), Hint: 1}
-		if id == c.id {
-			message.Kind = MsgVoteReply
-		}
-		c.sendAfterSync(message)
+	if c.isVoter() && !c.diskStalled {
+		c.campaign(campaignTransfer)
 	}
 }
--- a/process/consensus/raft/validate.go
+++ b/process/consensus/raft/validate.go
@@ -5,30 +5,29 @@
 	"fmt"
 )
 
-// Validation: what can't be of a sound member is refused before it changes anything.
-
 const (
-	// mostTerm and mostIndex bound what a message may name: whatever is above them no group ever reached, and
-	// counting on from there could overflow.
+	// maxTerm and maxIndex bound the terms and indexes in a message. No group reaches them, and arithmetic beyond them
+	// could overflow.
 	maxTerm  Term  = 1 << 48
 	maxIndex Index = 1 << 56
-	// mostTermStep bounds how far a message may raise a member's term at once.
+	// maxTermIncrease bounds how far one message may raise a member's term.
 	maxTermIncrease Term = 1 << 32
-	// mostSnapshotBytes bounds what is gathered of a snapshot that comes in parts.
+	// maxSnapshotBytes bounds the memory for a snapshot that is received in chunks.
 	maxSnapshotBytes = 1 << 30
 )
 
-// MalformedError says what is wrong with a message.
+// MalformedError says why a message or a membership is invalid. Kind is zero for a membership.
 type MalformedError struct {
 	Kind   MessageKind
 	Reason string
 }
 
+// Error names the kind of message and the reason.
 func (e MalformedError) Error() string {
 	return fmt.Sprintf("malformed message of kind %d: %s", e.Kind, e.Reason)
 }
 
-// Validate says whether a message can be of a sound member, as far as it tells by itself.
+// Validate checks a message by itself, without the state of a member. Its error is a MalformedError.
 func (m Message) Validate() error {
 	reason := m.invalidReason()
 	if reason == "" {
@@ -37,6 +36,7 @@
 	return MalformedError{Kind: m.Kind, Reason: reason}
 }
 
+// invalidReason is empty for a valid message.
 func (m Message) invalidReason() string {
 	switch {
 	case m.Kind < MsgPreVote || m.Kind > MsgSnapshotReply:
@@ -64,7 +64,7 @@
 	return m.invalidEntriesReason()
 }
 
-// entriesFault says whether entries follow the place they are appended to without a hole, in the order of their terms.
+// invalidEntriesReason checks that entries follow LogIndex without a gap, with terms that never fall.
 func (m Message) invalidEntriesReason() string {
 	term := m.LogTerm
 	for position, entry := range m.Entries {
@@ -91,6 +91,7 @@
 	return ""
 }
 
+// invalidSnapshotReason checks a chunk of a snapshot.
 func (m Message) invalidSnapshotReason() string {
 	snapshot := m.Snapshot
 	length := uint64(len(snapshot.Data))
@@ -102,12 +103,12 @@
 	case len(snapshot.Checksum) != 0 && len(snapshot.Checksum) != sha256.Size:
 		return "checksum has a wrong length"
 	case m.SnapshotSize == 0 && m.SnapshotOffset != 0, m.SnapshotSize > 0 && (m.SnapshotOffset+length > m.SnapshotSize || length == 0):
-		return "part lies outside of its snapshot"
+		return "chunk lies outside of its snapshot"
 	}
 	return snapshot.Membership.invalidReason()
 }
 
-// fault says what no membership of a running group can be.
+// invalidReason is empty for a membership that a running group may have.
 func (m Membership) invalidReason() string {
 	known := map[MemberID]bool{}
 	for _, member := range m.Members {
@@ -122,7 +123,7 @@
 	return ""
 }
 
-// Validate says whether a membership can be one of a running group.
+// Validate checks that members are distinct and that there is a voter. Its error is a MalformedError.
 func (m Membership) Validate() error {
 	if reason := m.invalidReason(); reason != "" {
 		return MalformedError{Reason: reason}
--- a/process/consensus/raft/validate_test.go
+++ b/process/consensus/raft/validate_test.go
@@ -10,8 +10,8 @@
 	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
-// What can't be of a sound member is refused with a notice and changes nothing.
-func TestMalformedMessagesAreRefused(t *testing.T) {
+// Invalid messages are rejected with a notice and change nothing.
+func TestMalformedMessagesAreRejected(t *testing.T) {
 	hole := entries(2, 11, 14)
 	hole[2].Index++
 	backwards := entries(2, 11, 14)
@@ -36,7 +36,7 @@
 		"absurd hint":                   {Kind: raft.MsgAppendReply, Term: 2, Reject: true, Hint: math.MaxUint64},
 		"later term than the sender's":  {Kind: raft.MsgAppend, Term: 2, LogIndex: 10, LogTerm: 3},
 		"contradicts what is committed": {Kind: raft.MsgAppend, Term: 2, LogIndex: 10, LogTerm: 2},
-		"a hole":                        {Kind: raft.MsgAppend, Term: 2, LogIndex: 10, LogTerm: 1, Entries: hole},
+		"a gap":                         {Kind: raft.MsgAppend, Term: 2, LogIndex: 10, LogTerm: 1, Entries: hole},
 		"entries elsewhere":             {Kind: raft.MsgAppend, Term: 2, LogIndex: 10, LogTerm: 1, Entries: entries(2, 12, 13)},
 		"terms that go back":            {Kind: raft.MsgAppend, Term: 2, LogIndex: 10, LogTerm: 1, Entries: backwards},
 		"entry of a later term":         {Kind: raft.MsgAppend, Term: 2, LogIndex: 10, LogTerm: 1, Entries: entries(3, 11, 11)},
@@ -49,18 +49,18 @@
 		"snapshot at zero":              {Kind: raft.MsgSnapshot, Term: 2, Snapshot: snapshotAt(0, 1)},
 		"snapshot of a later term":      {Kind: raft.MsgSnapshot, Term: 2, Snapshot: snapshotAt(15, 3)},
 		"snapshot without voters":       {Kind: raft.MsgSnapshot, Term: 2, Snapshot: nobodys},
-		"part beyond the whole":         {Kind: raft.MsgSnapshot, Term: 2, Snapshot: snapshotAt(15, 2), SnapshotOffset: 5, SnapshotSize: 6},
-		"part without a size":           {Kind: raft.MsgSnapshot, Term: 2, Snapshot: snapshotAt(15, 2), SnapshotOffset: 5},
+		"chunk beyond the size":         {Kind: raft.MsgSnapshot, Term: 2, Snapshot: snapshotAt(15, 2), SnapshotOffset: 5, SnapshotSize: 6},
+		"chunk without a size":          {Kind: raft.MsgSnapshot, Term: 2, Snapshot: snapshotAt(15, 2), SnapshotOffset: 5},
 		"absurd size":                   {Kind: raft.MsgSnapshot, Term: 2, Snapshot: snapshotAt(15, 2), SnapshotSize: math.MaxUint64},
 	} {
 		t.Run(name, func(t *testing.T) {
-			core := member(10)
+			core := newFollower(10)
 			effects := receive(core, message)
 			if len(effects.Notices) != 1 || effects.Notices[0].Kind != raft.NoticeMessageRejected || effects.Notices[0].Peer != leader {
-				t.Fatalf("not refused: %+v", effects)
+				t.Fatalf("not rejected: %+v", effects)
 			}
 			if !errors.As(effects.Notices[0].Err, new(raft.MalformedError)) {
-				t.Errorf("refused by %v", effects.Notices[0].Err)
+				t.Errorf("rejected with %v", effects.Notices[0].Err)
 			}
 			effects.Notices = nil
 			if !reflect.DeepEqual(effects, raft.Effects{}) || core.Term() != 2 || core.LastIndex() != 10 || core.CommitIndex() != 10 || core.LeaderID() != 0 {
@@ -70,21 +70,21 @@
 	}
 }
 
-// A leader does not give way to another of its own term, and does not end either.
-func TestLeaderRefusesAnotherOfItsTerm(t *testing.T) {
-	core := leading(t, 10)
+// A leader neither steps down for another one of its own term nor panics.
+func TestLeaderRejectsAnotherLeaderOfItsTerm(t *testing.T) {
+	core := newLeader(t, 10)
 	effects := core.Step(raft.Receive{Message: raft.Message{Kind: raft.MsgHeartbeat, From: third, To: self, Term: core.Term()}})
 	if core.Role() != raft.Leader || len(effects.Notices) != 1 {
 		t.Errorf("%v, %+v", core.Role(), effects)
 	}
 }
 
-// Random messages, many of them nonsense, never end a member nor take back what it has committed.
-func TestRandomMessagesNeverEndAMember(t *testing.T) {
+// Random messages, many of them invalid, never panic and never lower the commit index.
+func TestRandomMessagesNeverPanicOrLowerCommit(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 5))
 	refused := 0
 	for range 2000 {
-		core := member(20)
+		core := newFollower(20)
 		core.SetSnapshotCheck(func(raft.Snapshot) error {
 			if random.IntN(2) == 0 {
 				return raft.ErrChecksumMismatch
@@ -101,7 +101,7 @@
 			refused += len(effects.Notices)
 		}
 	}
-	t.Logf("%d of 120000 events noticed", refused)
+	t.Logf("%d notices in 120000 events", refused)
 }
 
 func randomEvent(random *rand.Rand) raft.Event {
@@ -122,8 +122,8 @@
 	if random.IntN(3) == 0 {
 		first := message.LogIndex + raft.Index(random.IntN(3))
 		message.Entries = entries(term(), first, first+raft.Index(random.IntN(4)))
-		for place := range message.Entries {
-			message.Entries[place].Kind = raft.EntryKind(random.IntN(4))
+		for position := range message.Entries {
+			message.Entries[position].Kind = raft.EntryKind(random.IntN(4))
 		}
 	}
 	if random.IntN(3) == 0 {
