--- a/connection/gateway/answers_test.go
+++ b/connection/gateway/answers_test.go
@@ -335,7 +335,7 @@
 	second := f.dial()
 	_, _ = io.WriteString(second, ask("once", "a2", "ping"))
 	held := func() (now int) {
-		f.actor.Ask(func(c *forwarding.Core, _ forwarding.World) { now = c.HeldNow() })
+		f.actor.Do(func(c *forwarding.Core, _ forwarding.Environment) { now = c.QueueLength() })
 		return now
 	}
 	for held() == 0 {
@@ -497,7 +497,7 @@
 	send("once", "held")
 	held := 0
 	for held == 0 {
-		f.actor.Ask(func(c *forwarding.Core, _ forwarding.World) { held = c.HeldNow() })
+		f.actor.Do(func(c *forwarding.Core, _ forwarding.Environment) { held = c.QueueLength() })
 	}
 	f.gateway.Stop()
 	for id, status := range map[string]int{"sent": 502, "repeatable": 502, "held": 503} {
--- a/connection/gateway/chaos_test.go
+++ b/connection/gateway/chaos_test.go
@@ -155,7 +155,7 @@
 			}
 			f.index.Store([]*upstream.Index{whole, whole, elsewhere}[random(3)])
 			f.engines(engines[random(2):]...)
-			f.actor.Poke()
+			f.actor.Wake()
 		}
 	}()
 	wait.Wait()
@@ -164,7 +164,7 @@
 	close(answers)
 	for f.gateway.Counters.Read.Load() < callers*each || f.gateway.Open() > 0 {
 		// Those whose callers left are read late, and end at the next look.
-		f.actor.Poke()
+		f.actor.Wake()
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -202,7 +202,7 @@
 			t.Errorf("%s: not the beginning of its answer", name)
 		}
 	}
-	f.actor.Ask(func(c *forwarding.Core, _ forwarding.World) {
+	f.actor.Do(func(c *forwarding.Core, _ forwarding.Environment) {
 		t.Logf("%v, %d resumed, %+v", statuses, f.gateway.Counters.Resumed.Load(), c.Counters)
 	})
 	if busy, _ := f.pools.Open(); busy != 0 {
--- a/connection/gateway/gateway.go
+++ b/connection/gateway/gateway.go
@@ -65,7 +65,7 @@
 // Stop gives all that have no answer yet their final one, since the daemon may not wait much longer; answers
 // that have begun go on for as long as it does wait.
 func (g *Gateway) Stop() {
-	g.actor.Ask(func(c *forwarding.Core, w forwarding.World) { c.Stop(w) })
+	g.actor.Do(func(c *forwarding.Core, w forwarding.Environment) { c.Stop(w) })
 	g.watcher.each(func(f *flight) {
 		if !f.begun.Load() {
 			f.cancel.Now()
@@ -86,13 +86,13 @@
 type flight struct {
 	*Gateway
 	ctx    *fasthttp.RequestCtx
-	record *forwarding.Record
+	record *forwarding.Request
 	cancel connectionpool.Cancel
 	caller *watched
 	left   atomic.Bool
 	head   fasthttp.RequestHeader
 	body   []byte
-	send   *forwarding.Send
+	send   *forwarding.Attempt
 	node   nodeWatch
 	// lastEvent is the last one passed on.
 	lastEvent string
@@ -109,12 +109,12 @@
 		return
 	}
 	// Between the core's decision and the stop no next attempt can begin, since only the core begins one.
-	g.actor.Ask(func(c *forwarding.Core, w forwarding.World) {
+	g.actor.Do(func(c *forwarding.Core, w forwarding.Environment) {
 		for _, f := range flights {
 			if f.begun.Load() && !f.named.Load() || f.left.Load() {
 				continue
 			}
-			if c.MoveOff(f.record, w) {
+			if c.Migrate(f.record, w) {
 				f.cancel.Interrupt()
 			}
 		}
@@ -138,7 +138,7 @@
 		return
 	}
 	host, prefixed := string(ctx.Request.Header.Host()), PathOf(ctx.Request.Header.RequestURI())
-	record := forwarding.Record{Ask: ask, Host: host, Prefixed: prefixed, Arrived: arrived, Deadline: arrived + clock.Mark(longestWait)}
+	record := forwarding.Request{Attributes: ask, Host: host, URLPath: prefixed, ArrivedAt: arrived, Deadline: arrived + clock.Mark(longestWait)}
 	if index := g.Index(); index != nil {
 		if most := index.Section.Limits.MostHeaderBytes; most > 0 && headBytes(&ctx.Request.Header) > most {
 			g.tooLarge(ctx, fasthttp.StatusRequestHeaderFieldsTooLarge, "the head is too large")
@@ -157,13 +157,13 @@
 			record.Deadline = arrived + clock.Mark(limit)
 		}
 	}
-	f := &flight{Gateway: g, ctx: ctx, record: forwarding.NewRecord(record), caller: newWatched(ctx.Conn()), body: ctx.Request.Body()}
+	f := &flight{Gateway: g, ctx: ctx, record: forwarding.NewRequest(record), caller: newWatched(ctx.Conn()), body: ctx.Request.Body()}
 	ctx.Request.Header.CopyTo(&f.head)
 	connectionpool.HopByHop(&f.head)
 	g.open.Add(1)
 	g.watcher.add(f)
 	if !g.actor.Admit(f.record) {
-		f.end(forwarding.Answer{Status: fasthttp.StatusServiceUnavailable, Cause: forwarding.Stopping, ComeBack: time.Second})
+		f.end(forwarding.Answer{Status: fasthttp.StatusServiceUnavailable, Cause: forwarding.CauseShuttingDown, RetryAfter: time.Second})
 		f.done()
 		return
 	}
@@ -216,7 +216,7 @@
 	if g.Current() {
 		g.plain(ctx, status, reason)
 	} else {
-		g.plain(ctx, fasthttp.StatusServiceUnavailable, "cresspond: "+forwarding.NoTable.String()+": "+reason)
+		g.plain(ctx, fasthttp.StatusServiceUnavailable, "cresspond: "+forwarding.CauseNoTable.String()+": "+reason)
 		g.Dialect.Refuse(&ctx.Response.Header, time.Second)
 	}
 	ctx.SetConnectionClose()
@@ -236,24 +236,24 @@
 		return
 	}
 	f.plain(f.ctx, answer.Status, "cresspond: "+strings.ReplaceAll(answer.Cause.String(), "-", " "))
-	f.Dialect.Refuse(&f.ctx.Response.Header, answer.ComeBack)
+	f.Dialect.Refuse(&f.ctx.Response.Header, answer.RetryAfter)
 	if f.Draining() {
 		f.ctx.SetConnectionClose()
 	}
 }
 
 // next waits for the next step.
-func (f *flight) next() forwarding.Step { return f.actor.Next(f.record) }
+func (f *flight) next() forwarding.Step { return f.actor.NextStep(f.record) }
 
 // serve makes attempts until there is an answer; it gives a stream where the answer is passed on as it comes.
 func (f *flight) serve() *stream {
 	step := f.next()
 	for {
-		if step.End != nil {
-			f.end(*step.End)
+		if step.Answer != nil {
+			f.end(*step.Answer)
 			return nil
 		}
-		answer := f.attempt(step.Send)
+		answer := f.attempt(step.Attempt)
 		outcome := outcomeOf(answer.Outcome)
 		if answer.Outcome == connectionpool.Answered {
 			var stream *stream
@@ -261,13 +261,13 @@
 				return stream
 			}
 			switch outcome {
-			case forwarding.Whole:
+			case forwarding.OutcomeCompleted:
 				f.report(outcome)
 				return nil
-			case forwarding.Failed:
+			case forwarding.OutcomeEngineError:
 				// The engine's own failure stands ready, unless another attempt is made.
 				step = f.report(outcome)
-				if step.Pass {
+				if step.PassEngineError {
 					return nil
 				}
 				f.ctx.Response.Reset()
@@ -281,11 +281,11 @@
 
 // report tells how the attempt ended, and gives the next step unless the request was served.
 func (f *flight) report(outcome forwarding.Outcome) forwarding.Step {
-	if f.left.Load() && outcome != forwarding.Whole {
-		outcome = forwarding.Left
+	if f.left.Load() && outcome != forwarding.OutcomeCompleted {
+		outcome = forwarding.OutcomeCallerLeft
 	}
-	f.actor.Attempted(f.record, outcome, f.lastEvent)
-	if outcome == forwarding.Whole {
+	f.actor.AttemptEnded(f.record, outcome, f.lastEvent)
+	if outcome == forwarding.OutcomeCompleted {
 		return forwarding.Step{}
 	}
 	return f.next()
@@ -294,27 +294,27 @@
 func outcomeOf(outcome connectionpool.Outcome) forwarding.Outcome {
 	switch outcome {
 	case connectionpool.HeldBack:
-		return forwarding.HeldBack
+		return forwarding.OutcomeWithheld
 	case connectionpool.NeverSent:
-		return forwarding.NeverSent
+		return forwarding.OutcomeUnreachable
 	case connectionpool.Refused:
-		return forwarding.EngineRefused
+		return forwarding.OutcomeRejected
 	case connectionpool.Misdirected:
-		return forwarding.Misdirected
+		return forwarding.OutcomeMisdirected
 	case connectionpool.Junk:
-		return forwarding.Junk
+		return forwarding.OutcomeProtocolError
 	}
-	return forwarding.Lost
+	return forwarding.OutcomeResponseLost
 }
 
 // attempt makes one attempt and waits for the head of its answer.
-func (f *flight) attempt(send *forwarding.Send) *connectionpool.Answer {
+func (f *flight) attempt(send *forwarding.Attempt) *connectionpool.Answer {
 	f.send = send
 	answer := f.pools.Send(connectionpool.Attempt{
-		Engine: send.Engine, Address: send.Address, Pool: send.Pool, ID: f.record.Ask.Attempt, Head: &f.head, Dress: f.dress, Body: f.body, Careful: send.Careful,
-		MostConnections: send.MostConnections, Until: f.record.Deadline + clock.Mark(f.Settings.DeadlineSlack), LastLook: f.lastLook, Cancel: &f.cancel,
+		Engine: send.Engine, Address: send.Address, Pool: send.Pool, ID: f.record.Attributes.Attempt, Head: &f.head, Dress: f.dress, Body: f.body, Careful: send.NotRepeatable,
+		MostConnections: send.MaxConnections, Until: f.record.Deadline + clock.Mark(f.Settings.DeadlineSlack), LastLook: f.lastLook, Cancel: &f.cancel,
 	})
-	f.record.Seen.Connect = answer.Connect
+	f.record.Observed.ConnectTime = answer.Connect
 	f.connected(answer)
 	return answer
 }
@@ -322,7 +322,7 @@
 // dress writes what is the attempt's own, as late as can be, since the time left goes by meanwhile.
 func (f *flight) dress() {
 	f.Dialect.Dress(&f.head, dialect.Dress{
-		Engine: string(f.send.Engine), Left: f.record.Deadline.Since(f.Clock.Elapsed()), Urgency: f.send.Urgency, LastEvent: f.send.LastEvent, Resumes: f.send.Resumes,
+		Engine: string(f.send.Engine), Left: f.record.Deadline.Since(f.Clock.Elapsed()), Urgency: f.send.Urgency, LastEvent: f.send.LastEvent, Resumes: f.send.Resume,
 	})
 }
 
@@ -339,7 +339,7 @@
 	reason := ""
 	engine := f.View().Engines[f.send.Engine]
 	switch {
-	case !forwarding.Leads(f.Index(), f.record.Host, f.record.Prefixed, f.send.Pool):
+	case !forwarding.RoutesTo(f.Index(), f.record.Host, f.record.URLPath, f.send.Pool):
 		reason = "the table in force no longer leads there"
 	case engine == nil || engine.Address != f.send.Address || engine.Pool != f.send.Pool || !engine.Usable():
 		reason = "the engine is leaving or gone"
@@ -349,7 +349,7 @@
 		reason = "the deadline has passed"
 	case f.callerLeft():
 		reason = "the caller has left"
-	case f.send.Stamped && !f.Held():
+	case f.send.NeedsWorkerID && !f.Held():
 		reason = "the worker id has lapsed"
 	}
 	if reason != "" {
@@ -367,12 +367,12 @@
 		// A success without the engine's stamp is nobody's.
 		f.Counters.Unsealed.Add(1)
 		answer.Close()
-		return nil, forwarding.Junk
+		return nil, forwarding.OutcomeProtocolError
 	}
 	if promises(status) {
 		// The engine did not say that it has not run, and from us this status would say so.
 		answer.Close()
-		return nil, forwarding.Lost
+		return nil, forwarding.OutcomeResponseLost
 	}
 	if answer.Head.Events {
 		return f.takeEvents(answer)
@@ -380,12 +380,12 @@
 	body, err := io.ReadAll(io.LimitReader(answer, mostWhole))
 	if err != nil {
 		answer.Close()
-		return nil, forwarding.Lost
+		return nil, forwarding.OutcomeResponseLost
 	}
 	f.firstByte(status)
 	f.copyHead(answer)
 	if !answer.Whole() && len(body) == mostWhole {
-		return f.takeLong(answer, body), forwarding.Whole
+		return f.takeLong(answer, body), forwarding.OutcomeCompleted
 	}
 	if len(body) > 0 {
 		f.ctx.Response.SetBodyRaw(body)
@@ -393,9 +393,9 @@
 	answer.Close()
 	f.Counters.Whole.Add(1)
 	if status >= fasthttp.StatusInternalServerError {
-		return nil, forwarding.Failed
+		return nil, forwarding.OutcomeEngineError
 	}
-	return nil, forwarding.Whole
+	return nil, forwarding.OutcomeCompleted
 }
 
 // promises says whether a status tells a client that its request has not run.
--- a/connection/gateway/gateway_test.go
+++ b/connection/gateway/gateway_test.go
@@ -142,13 +142,13 @@
 	settings := forwarding.DefaultSettings()
 	settings.RetrySlack = 1000
 	var minted atomic.Int64
-	f.actor = forwarding.NewActor(settings, func() forwarding.World {
+	f.actor = forwarding.NewActor(settings, func() forwarding.Environment {
 		emptied := func(engine *registry.Engine) bool {
 			isEmptied := f.emptied.Load()
 			return isEmptied != nil && (*isEmptied)(engine)
 		}
-		return forwarding.World{Now: clock.System{}.Elapsed(), Emptied: emptied, Open: func(engine *registry.Engine) bool { return !emptied(engine) }, Index: f.index.Load(), Current: !f.old.Load(), View: f.view.Load(), Edges: 1, Leased: f.held.Load(),
-			Mint: func() (ident.MintedID, bool) { return ident.MintedID(minted.Add(1)), f.held.Load() }}
+		return forwarding.Environment{Now: clock.System{}.Elapsed(), EngineEvacuated: emptied, EngineOpen: func(engine *registry.Engine) bool { return !emptied(engine) }, Index: f.index.Load(), IndexCurrent: !f.old.Load(), View: f.view.Load(), Routers: 1, HasWorkerID: f.held.Load(),
+			MintID: func() (ident.MintedID, bool) { return ident.MintedID(minted.Add(1)), f.held.Load() }}
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
--- a/connection/gateway/node.go
+++ b/connection/gateway/node.go
@@ -22,12 +22,12 @@
 	if kind == nodehealth.Connect {
 		return class
 	}
-	class.Model, class.Load = f.record.Ask.Model, nodehealth.LoadBand(f.send.Running)
+	class.Model, class.Load = f.record.Attributes.Model, nodehealth.LoadBand(f.send.EngineRunning)
 	switch kind {
 	case nodehealth.Stall:
 		class.TargetMs = f.send.GapTargetMs
 	case nodehealth.Transfer:
-		class.Size = nodehealth.SizeBand(f.send.Reading)
+		class.Size = nodehealth.SizeBand(f.send.PrefillTokens)
 	}
 	return class
 }
--- a/connection/gateway/node_test.go
+++ b/connection/gateway/node_test.go
@@ -41,11 +41,11 @@
 }
 
 // measured is a stream whose engine pauses so; slow is how long its caller takes before each read.
-func measured(pauses []time.Duration, slow time.Duration, change func(*forwarding.Record, *forwarding.Send)) []nodehealth.Digest {
+func measured(pauses []time.Duration, slow time.Duration, change func(*forwarding.Request, *forwarding.Attempt)) []nodehealth.Digest {
 	watch := &tester{now: clock.Mark(time.Hour)}
 	recorder := nodehealth.NewRecorder()
-	record := forwarding.Record{Ask: dialect.Ask{Model: "m", Attempt: "a"}, Path: &upstream.Path{Name: "one", Host: "h", Rank: 1}}
-	send := forwarding.Send{Engine: "e", Pool: "p", Running: 9, Reading: 1000, GapTargetMs: 100}
+	record := forwarding.Request{Attributes: dialect.Ask{Model: "m", Attempt: "a"}, Path: &upstream.Path{Name: "one", Host: "h", Rank: 1}}
+	send := forwarding.Attempt{Engine: "e", Pool: "p", EngineRunning: 9, PrefillTokens: 1000, GapTargetMs: 100}
 	if change != nil {
 		change(&record, &send)
 	}
@@ -113,16 +113,18 @@
 func TestNothingOfTheRouteIsRecorded(t *testing.T) {
 	pauses := []time.Duration{3e8, 2e7, 1e9}
 	usual := fmt.Sprint(measured(pauses, 0, nil))
-	for name, change := range map[string]func(*forwarding.Record, *forwarding.Send){
-		"route": func(r *forwarding.Record, _ *forwarding.Send) {
+	for name, change := range map[string]func(*forwarding.Request, *forwarding.Attempt){
+		"route": func(r *forwarding.Request, _ *forwarding.Attempt) {
 			r.Path = &upstream.Path{Name: "other", Host: "else", Prefix: "/x/", Rank: 7}
 		},
-		"host":    func(r *forwarding.Record, _ *forwarding.Send) { r.Host, r.Prefixed = "house-7", "/y/" },
-		"attempt": func(r *forwarding.Record, _ *forwarding.Send) { r.Ask.Attempt = "another" },
-		"parts": func(r *forwarding.Record, _ *forwarding.Send) {
-			r.Ask.Parts = []dialect.Part{{ID: "session-of-house-3"}}
+		"host":    func(r *forwarding.Request, _ *forwarding.Attempt) { r.Host, r.URLPath = "house-7", "/y/" },
+		"attempt": func(r *forwarding.Request, _ *forwarding.Attempt) { r.Attributes.Attempt = "another" },
+		"parts": func(r *forwarding.Request, _ *forwarding.Attempt) {
+			r.Attributes.Parts = []dialect.Part{{ID: "session-of-house-3"}}
+		},
+		"urgency": func(_ *forwarding.Request, s *forwarding.Attempt) {
+			s.Urgency, s.NotRepeatable, s.NeedsWorkerID = 5, true, true
 		},
-		"urgency": func(_ *forwarding.Record, s *forwarding.Send) { s.Urgency, s.Careful, s.Stamped = 5, true, true },
 	} {
 		if got := fmt.Sprint(measured(pauses, 0, change)); got != usual {
 			t.Errorf("%s: %s\nwas %s", name, got, usual)
--- a/connection/gateway/stream.go
+++ b/connection/gateway/stream.go
@@ -39,7 +39,7 @@
 // begin notes that bytes of an answer go on from now.
 func (f *flight) begin() {
 	if f.begun.CompareAndSwap(false, true) {
-		f.actor.Begun(f.record)
+		f.actor.ResponseBegun(f.record)
 	}
 }
 
@@ -62,13 +62,13 @@
 	if err != nil && !(err == io.EOF && len(s.pending) == 0 && answer.Whole()) {
 		s.release()
 		answer.Close()
-		return nil, forwarding.Lost
+		return nil, forwarding.OutcomeResponseLost
 	}
 	f.copyHead(answer)
 	s.ended = err == io.EOF
 	f.begin()
 	f.Counters.Streams.Add(1)
-	return s, forwarding.Whole
+	return s, forwarding.OutcomeCompleted
 }
 
 func (s *stream) release() {
@@ -100,7 +100,7 @@
 			asked := s.Clock.Elapsed()
 			err = s.nextEvent()
 			now := s.Clock.Elapsed()
-			s.record.Seen.LongestGap = max(s.record.Seen.LongestGap, now.Since(asked))
+			s.record.Observed.LongestEventGap = max(s.record.Observed.LongestEventGap, now.Since(asked))
 			s.came(asked, now, err)
 		}
 		switch {
@@ -125,12 +125,12 @@
 	case s.ended:
 		s.answer.Close()
 		s.Counters.StreamsWhole.Add(1)
-		s.actor.Attempted(s.record, forwarding.Whole, s.lastEvent)
+		s.actor.AttemptEnded(s.record, forwarding.OutcomeCompleted, s.lastEvent)
 	default:
 		// The caller could not be written to, so nobody needs the rest.
 		s.Counters.CallersLeft.Add(1)
 		s.answer.Close()
-		s.actor.Attempted(s.record, forwarding.Left, s.lastEvent)
+		s.actor.AttemptEnded(s.record, forwarding.OutcomeCallerLeft, s.lastEvent)
 	}
 	s.done()
 	return nil
@@ -217,16 +217,16 @@
 func (s *stream) resume() bool {
 	s.answer.Close()
 	if s.events == nil {
-		s.report(forwarding.Cut)
+		s.report(forwarding.OutcomeStreamBroken)
 		return false
 	}
-	outcome := forwarding.Cut
+	outcome := forwarding.OutcomeStreamBroken
 	for {
 		step := s.report(outcome)
-		if step.Send == nil {
+		if step.Attempt == nil {
 			return false
 		}
-		answer := s.attempt(step.Send)
+		answer := s.attempt(step.Attempt)
 		outcome = outcomeOf(answer.Outcome)
 		if answer.Outcome != connectionpool.Answered {
 			continue
@@ -234,7 +234,7 @@
 		if status := answer.Response().StatusCode(); status != 200 || !answer.Head.Sealed || !answer.Head.Events {
 			// The answer that has begun can't become another one.
 			answer.Close()
-			outcome = forwarding.Lost
+			outcome = forwarding.OutcomeResponseLost
 			continue
 		}
 		s.Counters.Resumed.Add(1)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -519,7 +519,7 @@
 func (d *Daemon) poke() {
 	d.dispatch.Poke()
 	if d.forwardSide.actor != nil {
-		d.forwardSide.actor.Poke()
+		d.forwardSide.actor.Wake()
 	}
 }
 
--- a/daemon/forward.go
+++ b/daemon/forward.go
@@ -28,7 +28,7 @@
 type forwardSide struct {
 	dialect  dialect.Dialect
 	settings forwarding.Settings
-	patience forwarding.Patience
+	patience forwarding.ClientTimeout
 	// view gives the registered engines.
 	view func() *registry.View
 
@@ -48,12 +48,12 @@
 func forwardSettings(c daemonconfig.Config) forwarding.Settings {
 	s := forwarding.DefaultSettings()
 	s.RetryRatio, s.RetrySlack, s.RetryWindow = c.Bounds.RetryRatio, c.Bounds.RetrySlack, time.Duration(c.Bounds.RetryWindowMs)*time.Millisecond
-	s.Off = c.Experiments.Off()
+	s.Disabled = c.Experiments.Off()
 	return s
 }
 
 // WithPatience says for how long the deployment's clients wait for a stream in silence.
-func WithPatience(patience forwarding.Patience) Option {
+func WithPatience(patience forwarding.ClientTimeout) Option {
 	return func(d *Daemon) { d.forwardSide.patience = patience }
 }
 
@@ -71,7 +71,7 @@
 func (d *Daemon) startForwarding(ctx context.Context) {
 	side := &d.forwardSide
 	side.settings = forwardSettings(d.config)
-	side.settings.Patience = side.patience
+	side.settings.ClientTimeout = side.patience
 	if d.config.Log == log.DebugLevel.String() {
 		side.settings.ObserveLoss = d.logLoss
 	}
@@ -90,8 +90,8 @@
 
 // logLoss writes a line for a request that was not served, or late.
 func (d *Daemon) logLoss(loss forwarding.Loss) {
-	d.log.WithFields(log.Fields{"path": loss.Path, "model": loss.Model, "reason": loss.Reason.String(), "lack": loss.Lack, "returned": loss.Returned,
-		"waitedMs": loss.Waited.Milliseconds(), "heldMs": loss.Held.Milliseconds(), "attempts": loss.Attempts}).Debug("request lost or late")
+	d.log.WithFields(log.Fields{"path": loss.Path, "model": loss.Model, "reason": loss.Reason.String(), "lack": loss.BlockedBy, "returned": loss.Resubmitted,
+		"waitedMs": loss.Waited.Milliseconds(), "heldMs": loss.Queued.Milliseconds(), "attempts": loss.Attempts}).Debug("request lost or late")
 }
 
 // sweepEvery is how often connections that engines have let go of are closed here too.
@@ -111,7 +111,7 @@
 			engine, known := view.Engines[id]
 			return known && !engine.Gone
 		})
-		d.forwardSide.actor.Ask(func(core *forwarding.Core, _ forwarding.World) { core.Forget(view) })
+		d.forwardSide.actor.Do(func(core *forwarding.Core, _ forwarding.Environment) { core.Forget(view) })
 	}
 }
 
@@ -153,45 +153,45 @@
 	}
 	var c forwarding.Counters
 	held := 0
-	side.actor.Ask(func(core *forwarding.Core, _ forwarding.World) { c, held = core.Counters, core.HeldNow() })
+	side.actor.Do(func(core *forwarding.Core, _ forwarding.Environment) { c, held = core.Counters, core.QueueLength() })
 	say("opaque_read", side.gateway.Counters.Read.Load())
 	say("opaque_unreadable", side.gateway.Counters.Unreadable.Load())
 	say("opaque_too_large", side.gateway.Counters.TooLarge.Load())
 	say("opaque_open", uint64(max(0, side.gateway.Open())))
 	say("opaque_no_path", c.NoPath)
-	say("opaque_held", c.Held)
+	say("opaque_held", c.Queued)
 	say("opaque_held_now", uint64(held))
-	for place, count := range c.HeldFor {
-		say("opaque_held_for_"+forwarding.LackNames[place], count)
+	for place, count := range c.QueuedBy {
+		say("opaque_held_for_"+forwarding.BlockReasonNames[place], count)
 	}
-	for place, count := range c.EndedFor {
+	for place, count := range c.EndedBy {
 		say("opaque_ended_"+strings.ReplaceAll(forwarding.CauseNames[place], "-", "_"), count)
 	}
 	say("opaque_shed", c.Shed)
-	say("opaque_refused", c.Refused)
-	say("opaque_lost", c.Broken)
-	say("opaque_broken_off", c.BrokenOff)
-	say("opaque_whole", c.Whole)
-	say("opaque_engine_failures", c.Failed)
+	say("opaque_refused", c.Rejected)
+	say("opaque_lost", c.EndedAfterLoss)
+	say("opaque_broken_off", c.Truncated)
+	say("opaque_whole", c.Completed)
+	say("opaque_engine_failures", c.EngineErrors)
 	say("opaque_callers_left", c.CallersLeft)
 	say("opaque_streams", side.gateway.Counters.Streams.Load())
 	say("opaque_streams_resumed", c.Resumed)
-	say("attempts_moved_off", c.Moved)
-	say("attempts_stayed_at_emptied", c.Stayed)
+	say("attempts_moved_off", c.Migrated)
+	say("attempts_stayed_at_emptied", c.MigrationsDeclined)
 	say("opaque_events", side.gateway.Counters.Events.Load())
 	say("opaque_unsealed", side.gateway.Counters.Unsealed.Load())
 	say("attempts_first", c.Sent)
-	say("attempts_again", c.SentAgain)
-	say("attempts_again_denied", c.AgainDenied)
+	say("attempts_again", c.Retried)
+	say("attempts_again_denied", c.RetriesDenied)
 	say("attempts_speculative", c.Speculative)
-	say("attempts_speculative_refused", c.SpeculativeRefused)
-	say("attempts_held_back", c.HeldBack)
-	say("attempts_never_sent", c.NeverSent)
-	say("attempts_refused_by_engine", c.EngineRefused)
+	say("attempts_speculative_refused", c.SpeculativeRejected)
+	say("attempts_held_back", c.Withheld)
+	say("attempts_never_sent", c.Unreachable)
+	say("attempts_refused_by_engine", c.RejectedByEngine)
 	say("attempts_misdirected", c.Misdirected)
-	say("attempts_lost", c.Lost)
-	say("attempts_junk", c.Junk)
-	say("attempts_cut", c.Cut)
+	say("attempts_lost", c.ResponsesLost)
+	say("attempts_junk", c.ProtocolErrors)
+	say("attempts_cut", c.StreamsBroken)
 	say("choices_of_last_resort", c.LastResort)
 	p := &side.pools.Counters
 	busy, idle := side.pools.Open()
@@ -250,15 +250,15 @@
 }
 
 // forwardWorld is what forwarding may look at now.
-func (d *Daemon) forwardWorld() forwarding.World {
+func (d *Daemon) forwardWorld() forwarding.Environment {
 	now := d.clock.Elapsed()
-	return forwarding.World{
-		Now: now, Index: d.forwardIndex(), Current: d.tableIsCurrent(), View: d.forwardSide.view(), Zone: d.config.Zone,
-		Warm: func(engine *registry.Engine, pool string, careful bool) bool {
+	return forwarding.Environment{
+		Now: now, Index: d.forwardIndex(), IndexCurrent: d.tableIsCurrent(), View: d.forwardSide.view(), Zone: d.config.Zone,
+		HasIdleConnection: func(engine *registry.Engine, pool string, careful bool) bool {
 			return d.forwardSide.pools.Warm(engine.ID, engine.Address, pool, careful)
 		},
-		Edges: d.edges(now), Lacks: d.PoolLack, Open: d.engineOpen, Emptied: d.engineEmptied, Leased: d.generator.Held(),
-		Mint: func() (ident.MintedID, bool) {
+		Routers: d.edges(now), NotLoadedFor: d.PoolLack, EngineOpen: d.engineOpen, EngineEvacuated: d.engineEmptied, HasWorkerID: d.generator.Held(),
+		MintID: func() (ident.MintedID, bool) {
 			id, verdict := d.generator.Mint()
 			return id, verdict == snowflake.Minted
 		},
@@ -322,8 +322,8 @@
 	demands := d.forwardSide.actor.Demands()
 	out := make([]*peerapi.Demand, 0, len(demands))
 	for _, one := range demands {
-		out = append(out, &peerapi.Demand{Pool: one.Pool, Model: one.Model, Adapter: one.Adapter, Held: int64(one.Held), Running: int64(one.Running),
-			Tokens: one.Tokens, Arrivals: one.Arrivals, OldestMs: one.Oldest.Milliseconds(), Rank: int64(one.Rank)})
+		out = append(out, &peerapi.Demand{Pool: one.Pool, Model: one.Model, Adapter: one.Adapter, Held: int64(one.Queued), Running: int64(one.Running),
+			Tokens: one.TokensPerSecond, Arrivals: one.ArrivalsPerSecond, OldestMs: one.OldestQueuedFor.Milliseconds(), Rank: int64(one.Rank)})
 	}
 	return out
 }
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -22,7 +22,7 @@
 		return nil
 	}
 	var losses map[forwarding.LossKey]uint64
-	d.forwardSide.actor.Ask(func(core *forwarding.Core, _ forwarding.World) { losses = core.Losses() })
+	d.forwardSide.actor.Do(func(core *forwarding.Core, _ forwarding.Environment) { losses = core.Losses() })
 	out := make([]metrics.Loss, 0, len(losses))
 	for key, count := range losses {
 		out = append(out, metrics.Loss{Path: key.Path, Model: key.Model, Reason: key.Reason.String(), Count: count})
--- a/request/forwarding/actor.go
+++ b/request/forwarding/actor.go
@@ -12,14 +12,14 @@
 
 // Actor runs the core over events, one after the other.
 type Actor struct {
-	core    *Core
-	world   func() World
-	mailbox *actor.Mailbox[func(*Core, World)]
-	after   func(time.Duration, func())
+	core        *Core
+	environment func() Environment
+	mailbox     *actor.Mailbox[func(*Core, Environment)]
+	schedule    func(time.Duration, func())
 	// waking is when the next look is due, as far as one is ordered.
-	waking clock.Mark
-	held   atomic.Int64
-	ended  chan struct{}
+	nextWakeAt  clock.Mark
+	queueLength atomic.Int64
+	stopped     chan struct{}
 }
 
 // ActorOption sets one thing of an actor.
@@ -27,12 +27,12 @@
 
 // WithTimer replaces how the actor has itself woken.
 func WithTimer(after func(time.Duration, func())) ActorOption {
-	return func(a *Actor) { a.after = after }
+	return func(a *Actor) { a.schedule = after }
 }
 
 // NewActor makes an actor; world gathers what the passes look at.
-func NewActor(settings Settings, world func() World, options ...ActorOption) *Actor {
-	a := &Actor{core: NewCore(settings), world: world, mailbox: actor.NewMailbox[func(*Core, World)](256), ended: make(chan struct{}), after: func(d time.Duration, wake func()) { time.AfterFunc(d, wake) }}
+func NewActor(settings Settings, world func() Environment, options ...ActorOption) *Actor {
+	a := &Actor{core: NewCore(settings), environment: world, mailbox: actor.NewMailbox[func(*Core, Environment)](256), stopped: make(chan struct{}), schedule: func(d time.Duration, wake func()) { time.AfterFunc(d, wake) }}
 	for _, option := range options {
 		option(a)
 	}
@@ -41,85 +41,87 @@
 
 // Run takes events until ctx ends; whoever waits then is answered.
 func (a *Actor) Run(ctx context.Context) {
-	a.mailbox.Run(ctx, 0, func(event func(*Core, World)) {
-		w := a.world()
-		event(a.core, w)
-		a.held.Store(int64(a.core.HeldNow()))
-		a.order(w.Now)
+	a.mailbox.Run(ctx, 0, func(event func(*Core, Environment)) {
+		env := a.environment()
+		event(a.core, env)
+		a.queueLength.Store(int64(a.core.QueueLength()))
+		a.scheduleWake(env.Now)
 	}, nil)
-	a.core.Stop(a.world())
-	close(a.ended)
+	a.core.Stop(a.environment())
+	close(a.stopped)
 }
 
 // order has the actor woken for its next look; one timer is under way at a time.
-func (a *Actor) order(now clock.Mark) {
-	next, due := a.core.NextLook(now)
-	if !due || a.waking > now && a.waking <= next {
+func (a *Actor) scheduleWake(now clock.Mark) {
+	next, due := a.core.NextWake(now)
+	if !due || a.nextWakeAt > now && a.nextWakeAt <= next {
 		return
 	}
-	a.waking = next
-	a.after(next.Since(now), func() { a.mailbox.Send(func(c *Core, w World) { c.Pass(w) }) })
+	a.nextWakeAt = next
+	a.schedule(next.Since(now), func() { a.mailbox.Send(func(c *Core, env Environment) { c.DispatchQueued(env) }) })
 }
 
 // NewRecord makes a record with room for its steps.
-func NewRecord(r Record) *Record {
-	r.steps = make(chan Step, 1)
-	return &r
+func NewRequest(request Request) *Request {
+	request.steps = make(chan Step, 1)
+	return &request
 }
 
 // Next waits for what the record's sender does next.
-func (a *Actor) Next(r *Record) Step {
+func (a *Actor) NextStep(request *Request) Step {
 	select {
-	case step := <-r.steps:
+	case step := <-request.steps:
 		return step
-	case <-a.ended:
+	case <-a.stopped:
 	}
 	select {
-	case step := <-r.steps:
+	case step := <-request.steps:
 		return step
 	default:
 		// The actor has ended, and nobody else changes the record any more.
-		answer := finalAnswer(r, Stopping, time.Second)
-		return Step{End: &answer}
+		answer := finalAnswer(request, CauseShuttingDown, time.Second)
+		return Step{Answer: &answer}
 	}
 }
 
 // Admit takes a record in; it says false when the actor has ended.
-func (a *Actor) Admit(r *Record) bool {
-	return a.mailbox.Send(func(c *Core, w World) { c.Admit(r, w) })
+func (a *Actor) Admit(request *Request) bool {
+	return a.mailbox.Send(func(c *Core, env Environment) { c.Admit(request, env) })
 }
 
 // Attempted reports how an attempt ended, with the last event that went on to the caller. Unless the
 // record is served, the next step follows.
-func (a *Actor) Attempted(r *Record, outcome Outcome, lastEvent string) bool {
-	return a.mailbox.Send(func(c *Core, w World) {
+func (a *Actor) AttemptEnded(request *Request, outcome Outcome, lastEvent string) bool {
+	return a.mailbox.Send(func(c *Core, env Environment) {
 		if lastEvent != "" {
-			r.lastEvent = lastEvent
+			request.lastEvent = lastEvent
 		}
-		c.Attempted(r, outcome, w)
+		c.AttemptEnded(request, outcome, env)
 	})
 }
 
 // Begun reports that the answer begins to go on to the caller.
-func (a *Actor) Begun(r *Record) { a.mailbox.Send(func(c *Core, w World) { c.Begun(r, w) }) }
+func (a *Actor) ResponseBegun(request *Request) {
+	a.mailbox.Send(func(c *Core, env Environment) { c.ResponseBegun(request, env) })
+}
 
 // CallerLeft reports that nobody waits any more.
-func (a *Actor) CallerLeft(r *Record) {
-	a.mailbox.Send(func(c *Core, w World) { c.CallerLeft(r, w) })
+func (a *Actor) CallerLeft(request *Request) {
+	a.mailbox.Send(func(c *Core, env Environment) { c.CallerLeft(request, env) })
 }
 
 // Poke has those that wait looked at again, since the table or the engines changed.
-func (a *Actor) Poke() {
+func (a *Actor) Wake() {
 	// Nobody waits most of the time, and then there is nothing to look at.
-	if a.held.Load() > 0 {
-		a.mailbox.Offer(func(c *Core, w World) { c.Pass(w) })
+	if a.queueLength.Load() > 0 {
+		a.mailbox.Offer(func(c *Core, env Environment) { c.DispatchQueued(env) })
 	}
 }
 
 // Ask runs a question on the core and waits for it; it says false when the actor has ended.
-func (a *Actor) Ask(question func(*Core, World)) bool {
+func (a *Actor) Do(question func(*Core, Environment)) bool {
 	done := make(chan struct{})
-	if !a.mailbox.Send(func(c *Core, w World) { question(c, w); close(done) }) {
+	if !a.mailbox.Send(func(c *Core, env Environment) { question(c, env); close(done) }) {
 		return false
 	}
 	select {
@@ -133,13 +135,13 @@
 // Outcomes gives what became of attempts at engines since it was last asked for.
 func (a *Actor) Outcomes() []outlier.Digest {
 	var out []outlier.Digest
-	a.Ask(func(c *Core, w World) { out = c.Outcomes(w.Now) })
+	a.Do(func(c *Core, env Environment) { out = c.Outcomes(env.Now) })
 	return out
 }
 
 // Demands lists what is asked for now.
 func (a *Actor) Demands() []Demand {
 	var out []Demand
-	a.Ask(func(c *Core, w World) { out = c.Demands(w.Now) })
+	a.Do(func(c *Core, env Environment) { out = c.Demands(env.Now) })
 	return out
 }
--- a/request/forwarding/answer.go
+++ b/request/forwarding/answer.go
@@ -11,30 +11,30 @@
 
 const (
 	// NoTable: nothing is in force here, or it may be old.
-	NoTable Cause = iota
+	CauseNoTable Cause = iota
 	// NoPath: the table in force has no path for it.
-	NoPath
+	CauseNoPath
 	// NoRoom: no engine can take it in time.
-	NoRoom
+	CauseNoCapacity
 	// NoLease: it would have to be held or tried again, and no worker id is held.
-	NoLease
+	CauseNoWorkerID
 	// Spent: no attempt is left to it, or none in the budget.
-	Spent
+	CauseRetriesExhausted
 	// Late: its deadline has come, or is too near.
-	Late
+	CauseDeadline
 	// Broken: its attempt may have run, and may not be made again.
-	Broken
+	CauseResponseLost
 	// CallerLeft: nobody waits for the answer.
-	CallerLeft
+	CauseCallerLeft
 	// Stopping: the daemon ends.
-	Stopping
-	causes
+	CauseShuttingDown
+	causeCount
 )
 
 func (c Cause) String() string { return CauseNames[c] }
 
 // CauseNames are the names of causes, in the order in which they are counted.
-var CauseNames = [causes]string{"no-table", "no-path", "no-room", "no-lease", "spent", "late", "broken", "caller-left", "stopping"}
+var CauseNames = [causeCount]string{"no-table", "no-path", "no-room", "no-lease", "spent", "late", "broken", "caller-left", "stopping"}
 
 // Answer is the final answer to a record that gets no engine's answer.
 type Answer struct {
@@ -42,24 +42,24 @@
 	Status int
 	Cause  Cause
 	// ComeBack is when asking again makes sense.
-	ComeBack time.Duration
+	RetryAfter time.Duration
 }
 
 // finalAnswer is the one place where the answer to a record is made. What it promises depends on nothing
 // but what became of the record's attempts.
-func finalAnswer(r *Record, cause Cause, comeBack time.Duration) Answer {
+func finalAnswer(request *Request, cause Cause, comeBack time.Duration) Answer {
 	answer := Answer{Cause: cause}
 	switch {
-	case r.begun || cause == CallerLeft:
+	case request.responseBegun || cause == CauseCallerLeft:
 		// An answer that has begun has its status already; it must not look whole.
-	case r.mayHaveRun && cause == Late:
+	case request.mayHaveRun && cause == CauseDeadline:
 		answer.Status = fasthttp.StatusGatewayTimeout
-	case r.mayHaveRun:
+	case request.mayHaveRun:
 		answer.Status = fasthttp.StatusBadGateway
-	case cause == NoPath:
+	case cause == CauseNoPath:
 		answer.Status = fasthttp.StatusNotFound
 	default:
-		answer.Status, answer.ComeBack = fasthttp.StatusServiceUnavailable, comeBack
+		answer.Status, answer.RetryAfter = fasthttp.StatusServiceUnavailable, comeBack
 	}
 	return answer
 }
--- a/request/forwarding/attempted.go
+++ b/request/forwarding/attempted.go
@@ -9,162 +9,162 @@
 
 const (
 	// HeldBack: the last look found a reason not to send.
-	HeldBack Outcome = iota
+	OutcomeWithheld Outcome = iota
 	// NeverSent: the engine could not be reached.
-	NeverSent
+	OutcomeUnreachable
 	// EngineRefused: the engine gave its word that it has not run.
-	EngineRefused
+	OutcomeRejected
 	// Misdirected: another engine is there, or it lacks what was asked for.
-	Misdirected
+	OutcomeMisdirected
 	// Lost: it may have run, and nothing of it goes on.
-	Lost
+	OutcomeResponseLost
 	// Junk: the same, and the engine broke the rules.
-	Junk
+	OutcomeProtocolError
 	// Cut: an answer that has begun broke off.
-	Cut
+	OutcomeStreamBroken
 	// Failed: the engine's whole answer is a failure of its own; it goes on as it is.
-	Failed
+	OutcomeEngineError
 	// Whole: the engine's whole answer went on.
-	Whole
+	OutcomeCompleted
 	// Left: the caller went away.
-	Left
+	OutcomeCallerLeft
 )
 
 // mostHeldBack is how often a request may be stopped at its last look, each time for a change since it was
 // chosen for.
-const mostHeldBack = 8
+const maxWithheld = 8
 
 // Attempted takes up how an attempt ended, and gives the next step unless the record is served.
-func (c *Core) Attempted(r *Record, outcome Outcome, w World) {
-	if r.stage != Sending && r.stage != Passing {
+func (c *Core) AttemptEnded(request *Request, outcome Outcome, env Environment) {
+	if request.stage != StageSending && request.stage != StageResponding {
 		return
 	}
-	c.settle(r, outcome, w)
-	tooSoon := r.speculative && (outcome == Misdirected || outcome == EngineRefused)
-	if outcome != HeldBack && outcome != NeverSent {
-		if r.tooSoonAt != r.engine {
+	c.closeAttempt(request, outcome, env)
+	tooSoon := request.speculative && (outcome == OutcomeMisdirected || outcome == OutcomeRejected)
+	if outcome != OutcomeWithheld && outcome != OutcomeUnreachable {
+		if request.lastSpeculationRejectedBy != request.engine {
 			// What counts is how many engines it was sent to.
-			r.attempts++
+			request.enginesTried++
 		}
 		if tooSoon {
-			c.Counters.SpeculativeRefused++
-			r.tooSoonAt = r.engine
-			if r.attempts >= r.Path.Attempts {
+			c.Counters.SpeculativeRejected++
+			request.lastSpeculationRejectedBy = request.engine
+			if request.enginesTried >= request.Path.Attempts {
 				// It was sent to as many engines as it may be, and this one did not run it.
-				r.boundTo = r.engine
+				request.onlyEngine = request.engine
 			}
 		}
-		if !r.counted {
-			r.counted = true
+		if !request.firstSendCounted {
+			request.firstSendCounted = true
 			c.Counters.Sent++
 			// It counts from when it was sent: a stream that ends long after is no request of now.
-			c.budget(r.pool).first(r.sentAt, w.Now, c.settings.RetryWindow)
+			c.retryBudget(request.pool).recordFirstSend(request.sentAt, env.Now, c.settings.RetryWindow)
 		}
 	}
-	if outcome != HeldBack && outcome != Misdirected && !tooSoon {
+	if outcome != OutcomeWithheld && outcome != OutcomeMisdirected && !tooSoon {
 		// What an engine lacked it may get; until then it is passed by for that.
-		r.tried = append(r.tried, r.engine)
+		request.triedEngines = append(request.triedEngines, request.engine)
 	}
 	switch outcome {
-	case HeldBack:
-		c.Counters.HeldBack++
-		if r.heldBack++; r.heldBack > mostHeldBack {
-			c.finish(r, w, NoRoom, c.comeBack(r, w))
+	case OutcomeWithheld:
+		c.Counters.Withheld++
+		if request.withheldCount++; request.withheldCount > maxWithheld {
+			c.finish(request, env, CauseNoCapacity, c.retryAfter(request, env))
 		} else {
-			c.look(r, w)
+			c.dispatch(request, env)
 		}
-	case NeverSent:
-		c.Counters.NeverSent++
-		c.look(r, w)
-	case EngineRefused:
-		c.Counters.EngineRefused++
-		c.look(r, w)
-	case Misdirected:
+	case OutcomeUnreachable:
+		c.Counters.Unreachable++
+		c.dispatch(request, env)
+	case OutcomeRejected:
+		c.Counters.RejectedByEngine++
+		c.dispatch(request, env)
+	case OutcomeMisdirected:
 		c.Counters.Misdirected++
-		c.look(r, w)
-	case Lost, Junk, Cut:
+		c.dispatch(request, env)
+	case OutcomeResponseLost, OutcomeProtocolError, OutcomeStreamBroken:
 		switch outcome {
-		case Lost:
-			c.Counters.Lost++
-		case Junk:
-			c.Counters.Junk++
-		case Cut:
-			c.Counters.Cut++
+		case OutcomeResponseLost:
+			c.Counters.ResponsesLost++
+		case OutcomeProtocolError:
+			c.Counters.ProtocolErrors++
+		case OutcomeStreamBroken:
+			c.Counters.StreamsBroken++
 		}
-		r.mayHaveRun = true
+		request.mayHaveRun = true
 		switch {
-		case !r.mayRepeat() || r.begun && (r.lastEvent == "" || c.settings.Off.Has(featuregates.Resumption)):
-			cause := Broken
-			if w.Now >= r.Deadline {
-				cause = Late
+		case !request.mayRepeat() || request.responseBegun && (request.lastEvent == "" || c.settings.Disabled.Has(featuregates.Resumption)):
+			cause := CauseResponseLost
+			if env.Now >= request.Deadline {
+				cause = CauseDeadline
 			}
-			c.finish(r, w, cause, 0)
+			c.finish(request, env, cause, 0)
 		default:
-			if r.begun {
+			if request.responseBegun {
 				c.Counters.Resumed++
 			}
-			c.look(r, w)
+			c.dispatch(request, env)
 		}
-	case Whole:
-		c.Counters.Whole++
-		r.move(Ended)
-	case Failed:
-		c.failed(r, w)
-	case Left:
-		c.finish(r, w, CallerLeft, 0)
+	case OutcomeCompleted:
+		c.Counters.Completed++
+		request.transition(StageEnded)
+	case OutcomeEngineError:
+		c.engineError(request, env)
+	case OutcomeCallerLeft:
+		c.finish(request, env, CauseCallerLeft, 0)
 	}
-	c.Pass(w)
+	c.DispatchQueued(env)
 }
 
 // failed lets an engine's own failure go on, unless the request may be repeated and another engine can take it now.
-func (c *Core) failed(r *Record, w World) {
-	r.mayHaveRun = true
-	if r.repeatable() && !r.callerLeft && r.attempts < r.Path.Attempts && r.Deadline.Since(w.Now) > c.least(r) && Leads(w.Index, r.Host, r.Prefixed, r.pool) {
-		if chosen, _ := c.choose(r, w); chosen != nil && c.budget(r.pool).allows(w.Now, c.settings, w.Edges) {
-			c.send(r, w, chosen)
+func (c *Core) engineError(request *Request, env Environment) {
+	request.mayHaveRun = true
+	if request.repeatable() && !request.callerLeft && request.enginesTried < request.Path.Attempts && request.Deadline.Since(env.Now) > c.minAttemptTime(request) && RoutesTo(env.Index, request.Host, request.URLPath, request.pool) {
+		if chosen, _ := c.chooseEngine(request, env); chosen != nil && c.retryBudget(request.pool).allowsRetry(env.Now, c.settings, env.Routers) {
+			c.startAttempt(request, env, chosen)
 			return
 		}
 	}
-	c.Counters.Failed++
-	c.lost(r, ReasonEngineFailure, w.Now)
-	r.move(Ended)
-	r.step(Step{Pass: true})
+	c.Counters.EngineErrors++
+	c.recordLoss(request, ReasonEngineError, env.Now)
+	request.transition(StageEnded)
+	request.give(Step{PassEngineError: true})
 }
 
 // settle notes at the engine that an attempt has ended.
-func (c *Core) settle(r *Record, outcome Outcome, w World) {
-	c.demand(r).running--
-	c.running[r.pool]--
+func (c *Core) closeAttempt(request *Request, outcome Outcome, env Environment) {
+	c.demandState(request).running--
+	c.attemptsByPool[request.pool]--
 	judged := outcome
-	if r.moving && outcome != Whole && outcome != Failed {
+	if request.migrating && outcome != OutcomeCompleted && outcome != OutcomeEngineError {
 		// We ended it ourselves, which says nothing of the engine.
-		judged = HeldBack
+		judged = OutcomeWithheld
 	}
-	r.moving = false
-	c.engine(r.engine).ended(r, judged, w)
-	c.noteEnd(r, judged, w)
-	if outcome == Whole {
-		if !r.begun {
-			c.lost(r, c.lateReason(r, w.Now), w.Now)
-			c.path(r).began(r, w.Now)
+	request.migrating = false
+	c.engineState(request.engine).attemptEnded(request, judged, env)
+	c.reportEnd(request, judged, env)
+	if outcome == OutcomeCompleted {
+		if !request.responseBegun {
+			c.recordLoss(request, c.lateReason(request, env.Now), env.Now)
+			c.pathState(request).responseBegun(request, env.Now)
 		}
-		smooth(&c.path(r).served, w.Now.Since(r.sentAt))
+		smooth(&c.pathState(request).serviceTime, env.Now.Since(request.sentAt))
 	}
 }
 
 // Begun notes that bytes of the answer go on to the caller, up to and with this event.
-func (c *Core) Begun(r *Record, w World) {
-	if r.stage == Sending {
-		r.move(Passing)
+func (c *Core) ResponseBegun(request *Request, env Environment) {
+	if request.stage == StageSending {
+		request.transition(StageResponding)
 	}
-	if !r.begun {
-		r.begun = true
-		if r.speculative {
-			c.present(r, w)
+	if !request.responseBegun {
+		request.responseBegun = true
+		if request.speculative {
+			c.learnLoadTimes(request, env)
 		}
-		c.lost(r, c.lateReason(r, w.Now), w.Now)
-		c.engine(r.engine).began(r, w)
-		c.noteFirst(r, w.Now)
-		c.path(r).began(r, w.Now)
+		c.recordLoss(request, c.lateReason(request, env.Now), env.Now)
+		c.engineState(request.engine).responseBegun(request, env)
+		c.reportFirstByte(request, env.Now)
+		c.pathState(request).responseBegun(request, env.Now)
 	}
 }
--- a/request/forwarding/core_test.go
+++ b/request/forwarding/core_test.go
@@ -20,18 +20,18 @@
 )
 
 // bench is a core with a world that a test sets.
-type bench struct {
+type coreFixture struct {
 	t    testing.TB
 	core *Core
 	now  clock.Mark
 	// lease says whether a worker id is held.
-	lease, current bool
-	index          *upstream.Index
-	view           *registry.View
-	edges          int
-	minted         ident.MintedID
-	lacks          map[string]time.Duration
-	made           int
+	hasWorkerID, current bool
+	index                *upstream.Index
+	view                 *registry.View
+	routers              int
+	minted               ident.MintedID
+	notLoadedFor         map[string]time.Duration
+	made                 int
 }
 
 func ms(n int) clock.Mark { return clock.Mark(time.Duration(n) * time.Millisecond) }
@@ -44,34 +44,34 @@
 	return path
 }
 
-func sectionOf(paths ...upstream.Path) *upstream.Index {
+func routingTable(paths ...upstream.Path) *upstream.Index {
 	catalogue := &upstream.Catalogue{Slots: 64, MemoryTokens: 100_000, RoomMb: 100, AdapterPlaces: 4, LoadsPerSecond: 1,
 		Models: []upstream.Model{{Name: "m", SizeMb: 10, LoadMs: 1500, Adapters: 3, AdapterSizeMb: 1}}}
 	return upstream.NewIndex(&upstream.Section{Revision: 1, Paths: paths, Pools: []upstream.Pool{{Name: "plain"}, {Name: "other"}, {Name: "batch", Catalogue: catalogue}}})
 }
 
-func newBench(t testing.TB, paths ...upstream.Path) *bench {
-	return &bench{t: t, core: NewCore(DefaultSettings()), now: ms(1_000_000), lease: true, current: true, index: sectionOf(paths...), view: &registry.View{}, edges: 1, lacks: map[string]time.Duration{}}
+func newCoreFixture(t testing.TB, paths ...upstream.Path) *coreFixture {
+	return &coreFixture{t: t, core: NewCore(DefaultSettings()), now: ms(1_000_000), hasWorkerID: true, current: true, index: routingTable(paths...), view: &registry.View{}, routers: 1, notLoadedFor: map[string]time.Duration{}}
 }
 
-func (b *bench) world() World {
-	return World{Now: b.now, Index: b.index, Current: b.current, View: b.view, Edges: b.edges,
-		Leased: b.lease,
-		Mint:   func() (ident.MintedID, bool) { b.minted++; return b.minted, b.lease },
-		Lacks: func(_, model, adapter string) (time.Duration, bool) {
-			wait, lacks := b.lacks[model+"/"+adapter]
-			return wait, lacks
+func (fixture *coreFixture) world() Environment {
+	return Environment{Now: fixture.now, Index: fixture.index, IndexCurrent: fixture.current, View: fixture.view, Routers: fixture.routers,
+		HasWorkerID: fixture.hasWorkerID,
+		MintID:      func() (ident.MintedID, bool) { fixture.minted++; return fixture.minted, fixture.hasWorkerID },
+		NotLoadedFor: func(_, model, adapter string) (time.Duration, bool) {
+			wait, unavailable := fixture.notLoadedFor[model+"/"+adapter]
+			return wait, unavailable
 		}}
 }
 
 // register replaces the engines.
-func (b *bench) register(engines ...*registry.Engine) {
+func (fixture *coreFixture) register(engines ...*registry.Engine) {
 	view := &registry.View{Engines: map[ident.EngineID]*registry.Engine{}, Pools: map[string][]*registry.Engine{}}
 	for _, engine := range engines {
 		view.Engines[engine.ID] = engine
 		view.Pools[engine.Pool] = append(view.Pools[engine.Pool], engine)
 	}
-	b.view = view
+	fixture.view = view
 }
 
 func engineOf(pool string, n, slots int, models ...string) *registry.Engine {
@@ -91,286 +91,286 @@
 }
 
 // record makes a request on a path.
-func (b *bench) record(path string, change ...func(*Record)) *Record {
-	b.made++
-	found, _ := b.index.Lookup("h", "/"+path+"/")
-	r := Record{Ask: dialect.Ask{Attempt: fmt.Sprintf("a%d", b.made)}, Path: found, Host: "h", Prefixed: "/" + path + "/", Arrived: b.now, Deadline: b.now + ms(4000)}
+func (fixture *coreFixture) record(path string, change ...func(*Request)) *Request {
+	fixture.made++
+	found, _ := fixture.index.Lookup("h", "/"+path+"/")
+	request := Request{Attributes: dialect.Ask{Attempt: fmt.Sprintf("a%d", fixture.made)}, Path: found, Host: "h", URLPath: "/" + path + "/", ArrivedAt: fixture.now, Deadline: fixture.now + ms(4000)}
 	for _, one := range change {
-		one(&r)
+		one(&request)
 	}
-	return NewRecord(r)
+	return NewRequest(request)
 }
 
-func (b *bench) admit(path string, change ...func(*Record)) *Record {
-	r := b.record(path, change...)
-	b.core.Admit(r, b.world())
-	return r
+func (fixture *coreFixture) admit(path string, change ...func(*Request)) *Request {
+	request := fixture.record(path, change...)
+	fixture.core.Admit(request, fixture.world())
+	return request
 }
 
 // taken gives a record's next step, if there is one.
-func taken(r *Record) (Step, bool) {
+func pendingStep(request *Request) (Step, bool) {
 	select {
-	case step := <-r.steps:
+	case step := <-request.steps:
 		return step, true
 	default:
 		return Step{}, false
 	}
 }
 
-func (b *bench) sent(r *Record) *Send {
-	b.t.Helper()
-	step, _ := taken(r)
-	if step.Send == nil {
-		b.t.Fatalf("not sent: %+v", step.End)
+func (fixture *coreFixture) sent(request *Request) *Attempt {
+	fixture.t.Helper()
+	step, _ := pendingStep(request)
+	if step.Attempt == nil {
+		fixture.t.Fatalf("not sent: %+v", step.Answer)
 	}
-	return step.Send
+	return step.Attempt
 }
 
-func (b *bench) ended(r *Record, status int, cause Cause) Answer {
-	b.t.Helper()
-	step, there := taken(r)
-	if step.End == nil || step.End.Status != status || step.End.Cause != cause {
-		b.t.Fatalf("%t: %+v, want %d %s", there, step, status, cause)
+func (fixture *coreFixture) ended(request *Request, status int, cause Cause) Answer {
+	fixture.t.Helper()
+	step, there := pendingStep(request)
+	if step.Answer == nil || step.Answer.Status != status || step.Answer.Cause != cause {
+		fixture.t.Fatalf("%t: %+v, want %d %s", there, step, status, cause)
 	}
-	return *step.End
+	return *step.Answer
 }
 
-func prompt(model string, tokens int, parts ...string) func(*Record) {
-	return func(r *Record) {
-		r.Ask.Model, r.Ask.TokensIn, r.Ask.TokensOut = model, tokens, 30
+func prompt(model string, tokens int, parts ...string) func(*Request) {
+	return func(request *Request) {
+		request.Attributes.Model, request.Attributes.TokensIn, request.Attributes.TokensOut = model, tokens, 30
 		for _, part := range parts {
-			r.Ask.Parts = append(r.Ask.Parts, dialect.Part{ID: part, Tokens: tokens / len(parts)})
+			request.Attributes.Parts = append(request.Attributes.Parts, dialect.Part{ID: part, Tokens: tokens / len(parts)})
 		}
 	}
 }
 
 func partOf(id string, tokens int) dialect.Part { return dialect.Part{ID: id, Tokens: tokens} }
 
-func TestOnlyACurrentTableSaysThatThereIsNoPath(t *testing.T) {
-	b := newBench(t, pathOf("p", upstream.Once, "plain"))
-	b.ended(b.admit("none"), fasthttp.StatusNotFound, NoPath)
-	b.current = false
-	b.ended(b.admit("none"), fasthttp.StatusServiceUnavailable, NoTable)
-	b.index = nil
-	r := NewRecord(Record{Ask: dialect.Ask{Attempt: "x"}, Host: "h", Prefixed: "/p/", Arrived: b.now, Deadline: b.now + ms(4000)})
-	b.core.Admit(r, b.world())
-	b.ended(r, fasthttp.StatusServiceUnavailable, NoTable)
+func TestUnknownPathIsNotFoundOnlyWhenTableIsCurrent(t *testing.T) {
+	fixture := newCoreFixture(t, pathOf("p", upstream.Once, "plain"))
+	fixture.ended(fixture.admit("none"), fasthttp.StatusNotFound, CauseNoPath)
+	fixture.current = false
+	fixture.ended(fixture.admit("none"), fasthttp.StatusServiceUnavailable, CauseNoTable)
+	fixture.index = nil
+	request := NewRequest(Request{Attributes: dialect.Ask{Attempt: "x"}, Host: "h", URLPath: "/p/", ArrivedAt: fixture.now, Deadline: fixture.now + ms(4000)})
+	fixture.core.Admit(request, fixture.world())
+	fixture.ended(request, fasthttp.StatusServiceUnavailable, CauseNoTable)
 }
 
 // What operators have closed gets nothing new, and what waits goes there as soon as it is open again.
-func TestAClosedEngineGetsNothingNew(t *testing.T) {
-	b := newBench(t, pathOf("p", upstream.Repeatable, "plain"))
-	b.register(enginesOf("plain", 2, 6)...)
+func TestClosedEngineReceivesNoNewRequests(t *testing.T) {
+	fixture := newCoreFixture(t, pathOf("p", upstream.Repeatable, "plain"))
+	fixture.register(enginesOf("plain", 2, 6)...)
 	closed := map[ident.EngineID]bool{"plain-0": true}
-	world := func() World {
-		w := b.world()
-		w.Open = func(engine *registry.Engine) bool { return !closed[engine.ID] }
-		return w
+	world := func() Environment {
+		env := fixture.world()
+		env.EngineOpen = func(engine *registry.Engine) bool { return !closed[engine.ID] }
+		return env
 	}
 	for range 6 {
-		r := b.record("p")
-		b.core.Admit(r, world())
-		if send := b.sent(r); send.Engine != "plain-1" {
+		request := fixture.record("p")
+		fixture.core.Admit(request, world())
+		if send := fixture.sent(request); send.Engine != "plain-1" {
 			t.Fatalf("sent to %s, which is closed", send.Engine)
 		}
 	}
 	closed["plain-1"] = true
-	r := b.record("p")
-	b.core.Admit(r, world())
-	if step, there := taken(r); there {
+	request := fixture.record("p")
+	fixture.core.Admit(request, world())
+	if step, there := pendingStep(request); there {
 		t.Fatalf("all engines are closed: %+v", step)
 	}
 	closed["plain-0"] = false
-	b.core.Pass(world())
-	if send := b.sent(r); send.Engine != "plain-0" {
+	fixture.core.DispatchQueued(world())
+	if send := fixture.sent(request); send.Engine != "plain-0" {
 		t.Fatalf("sent to %s, which is closed", send.Engine)
 	}
 }
 
-func TestWithoutALeaseNothingIsHeldOrTriedAgain(t *testing.T) {
-	b := newBench(t, pathOf("p", upstream.Repeatable, "plain"))
-	b.lease = false
-	b.ended(b.admit("p"), fasthttp.StatusServiceUnavailable, NoLease)
-	b.register(enginesOf("plain", 2, 6)...)
-	r := b.admit("p")
-	b.sent(r)
-	b.core.Attempted(r, EngineRefused, b.world())
-	b.ended(r, fasthttp.StatusServiceUnavailable, NoLease)
-	r = b.admit("p")
-	b.sent(r)
-	b.core.Attempted(r, Lost, b.world())
-	b.ended(r, fasthttp.StatusBadGateway, NoLease)
+func TestWithoutWorkerIDNothingIsQueuedOrRetried(t *testing.T) {
+	fixture := newCoreFixture(t, pathOf("p", upstream.Repeatable, "plain"))
+	fixture.hasWorkerID = false
+	fixture.ended(fixture.admit("p"), fasthttp.StatusServiceUnavailable, CauseNoWorkerID)
+	fixture.register(enginesOf("plain", 2, 6)...)
+	request := fixture.admit("p")
+	fixture.sent(request)
+	fixture.core.AttemptEnded(request, OutcomeRejected, fixture.world())
+	fixture.ended(request, fasthttp.StatusServiceUnavailable, CauseNoWorkerID)
+	request = fixture.admit("p")
+	fixture.sent(request)
+	fixture.core.AttemptEnded(request, OutcomeResponseLost, fixture.world())
+	fixture.ended(request, fasthttp.StatusBadGateway, CauseNoWorkerID)
 }
 
-func TestHeldRequestsGoByRankThenArrivalAndNoRankStarves(t *testing.T) {
+func TestQueuedRequestsAreOrderedByRankThenArrivalWithoutStarvation(t *testing.T) {
 	urgent, later := pathOf("urgent", upstream.Once, "plain"), pathOf("later", upstream.Once, "plain")
 	later.Rank = 2
-	b := newBench(t, urgent, later)
-	old := b.admit("later")
-	b.now += ms(100)
-	first, second := b.admit("urgent"), b.admit("urgent")
-	b.now += ms(1)
-	b.edges = 6
-	b.register(engineOf("plain", 0, 6))
-	b.core.Pass(b.world())
-	b.sent(first)
-	b.sent(second)
-	if old.stage != Held {
+	fixture := newCoreFixture(t, urgent, later)
+	old := fixture.admit("later")
+	fixture.now += ms(100)
+	first, second := fixture.admit("urgent"), fixture.admit("urgent")
+	fixture.now += ms(1)
+	fixture.routers = 6
+	fixture.register(engineOf("plain", 0, 6))
+	fixture.core.DispatchQueued(fixture.world())
+	fixture.sent(first)
+	fixture.sent(second)
+	if old.stage != StageQueued {
 		t.Fatal(old.stage)
 	}
 	// One that came early in its time gives way, one that has waited long does not.
-	third := b.admit("urgent", func(r *Record) { r.Deadline = b.now + ms(20_000) })
-	b.now += ms(1_400)
-	b.core.Attempted(first, Whole, b.world())
-	b.sent(old)
-	if third.stage != Held {
+	third := fixture.admit("urgent", func(request *Request) { request.Deadline = fixture.now + ms(20_000) })
+	fixture.now += ms(1_400)
+	fixture.core.AttemptEnded(first, OutcomeCompleted, fixture.world())
+	fixture.sent(old)
+	if third.stage != StageQueued {
 		t.Fatal(third.stage)
 	}
-	b.core.Attempted(second, Whole, b.world())
-	b.sent(third)
+	fixture.core.AttemptEnded(second, OutcomeCompleted, fixture.world())
+	fixture.sent(third)
 }
 
-func TestWhatNothingCanServeInTimeIsRefusedAtOnce(t *testing.T) {
-	b := newBench(t, pathOf("p", upstream.Stream, "batch"))
-	b.register(enginesOf("batch", 3, 64)...)
-	b.lacks["m/"] = 10 * time.Second
-	answer := b.ended(b.admit("p", prompt("m", 100)), fasthttp.StatusServiceUnavailable, NoRoom)
-	if answer.ComeBack <= 0 || answer.ComeBack > 4*time.Second {
-		t.Error(answer.ComeBack)
+func TestRequestThatCannotBeServedInTimeIsRejectedAtOnce(t *testing.T) {
+	fixture := newCoreFixture(t, pathOf("p", upstream.Stream, "batch"))
+	fixture.register(enginesOf("batch", 3, 64)...)
+	fixture.notLoadedFor["m/"] = 10 * time.Second
+	answer := fixture.ended(fixture.admit("p", prompt("m", 100)), fasthttp.StatusServiceUnavailable, CauseNoCapacity)
+	if answer.RetryAfter <= 0 || answer.RetryAfter > 4*time.Second {
+		t.Error(answer.RetryAfter)
 	}
 	// A model that no catalogue has can't be loaded by anybody.
-	b.ended(b.admit("p", prompt("unknown", 100)), fasthttp.StatusServiceUnavailable, NoRoom)
+	fixture.ended(fixture.admit("p", prompt("unknown", 100)), fasthttp.StatusServiceUnavailable, CauseNoCapacity)
 	// One that comes in time is waited for, and goes when it is there.
-	delete(b.lacks, "m/")
+	delete(fixture.notLoadedFor, "m/")
 	coming := engineOf("batch", 0, 64)
-	coming.Plan = &registry.Plan{Coming: []registry.Coming{{Target: registry.Target{Model: "m"}, Ready: b.now + ms(300)}}, Told: b.now}
-	b.register(coming)
-	r := b.admit("p", prompt("m", 100))
-	if r.stage != Held {
-		t.Fatal(r.stage)
-	}
-	b.now += ms(450)
-	b.register(engineOf("batch", 0, 64, "m"))
-	b.core.Pass(b.world())
-	b.sent(r)
-	if demands := b.core.Demands(b.now); len(demands) == 0 {
+	coming.Plan = &registry.Plan{Coming: []registry.Coming{{Target: registry.Target{Model: "m"}, Ready: fixture.now + ms(300)}}, Told: fixture.now}
+	fixture.register(coming)
+	request := fixture.admit("p", prompt("m", 100))
+	if request.stage != StageQueued {
+		t.Fatal(request.stage)
+	}
+	fixture.now += ms(450)
+	fixture.register(engineOf("batch", 0, 64, "m"))
+	fixture.core.DispatchQueued(fixture.world())
+	fixture.sent(request)
+	if demands := fixture.core.Demands(fixture.now); len(demands) == 0 {
 		t.Error("nothing is asked for")
 	}
 }
 
-// TestWhatWillBeLateIsToldWhenToComeBack: where something is there only after the target, and a client may
+// TestRequestForSlowLoadIsRejectedWithRetryAfter: where something is there only after the target, and a client may
 // come back by then, it is told so, and whoever plans still hears of it.
-func TestWhatWillBeLateIsToldWhenToComeBack(t *testing.T) {
-	b := newBench(t, pathOf("p", upstream.Stream, "batch"))
+func TestRequestForSlowLoadIsRejectedWithRetryAfter(t *testing.T) {
+	fixture := newCoreFixture(t, pathOf("p", upstream.Stream, "batch"))
 	coming := engineOf("batch", 0, 64)
-	coming.Plan = &registry.Plan{Coming: []registry.Coming{{Target: registry.Target{Model: "m"}, Ready: b.now + ms(1000)}}, Told: b.now}
-	b.register(coming)
-	answer := b.ended(b.admit("p", prompt("m", 100)), fasthttp.StatusServiceUnavailable, NoRoom)
-	if answer.ComeBack < time.Second || answer.ComeBack > 4*time.Second/3 {
-		t.Error(answer.ComeBack)
+	coming.Plan = &registry.Plan{Coming: []registry.Coming{{Target: registry.Target{Model: "m"}, Ready: fixture.now + ms(1000)}}, Told: fixture.now}
+	fixture.register(coming)
+	answer := fixture.ended(fixture.admit("p", prompt("m", 100)), fasthttp.StatusServiceUnavailable, CauseNoCapacity)
+	if answer.RetryAfter < time.Second || answer.RetryAfter > 4*time.Second/3 {
+		t.Error(answer.RetryAfter)
 	}
-	if demands := b.core.Demands(b.now + ms(900)); len(demands) != 1 || demands[0].Held != 1 {
+	if demands := fixture.core.Demands(fixture.now + ms(900)); len(demands) != 1 || demands[0].Queued != 1 {
 		t.Errorf("%+v", demands)
 	}
-	if demands := b.core.Demands(b.now + ms(2000)); demands[0].Held != 0 {
+	if demands := fixture.core.Demands(fixture.now + ms(2000)); demands[0].Queued != 0 {
 		t.Errorf("%+v", demands)
 	}
 }
 
-func TestNothingIsHeldForMoreThanHalfOfItsTimeWithoutAWord(t *testing.T) {
-	b := newBench(t, pathOf("p", upstream.Once, "plain"))
-	b.edges = 3
-	b.register(engineOf("plain", 0, 1))
+func TestQueuedRequestIsRejectedBeforeHalfOfItsTime(t *testing.T) {
+	fixture := newCoreFixture(t, pathOf("p", upstream.Once, "plain"))
+	fixture.routers = 3
+	fixture.register(engineOf("plain", 0, 1))
 	for range 2 {
-		b.sent(b.admit("p"))
+		fixture.sent(fixture.admit("p"))
 	}
-	r := b.admit("p")
-	for step := 0; r.stage == Held; step++ {
-		next, due := b.core.NextLook(b.now)
-		if !due || next <= b.now {
+	request := fixture.admit("p")
+	for step := 0; request.stage == StageQueued; step++ {
+		next, due := fixture.core.NextWake(fixture.now)
+		if !due || next <= fixture.now {
 			t.Fatal("nobody looks again", next, due)
 		}
-		b.now = next
-		b.core.Pass(b.world())
-		if b.now.Since(r.Arrived) > 2100*time.Millisecond {
+		fixture.now = next
+		fixture.core.DispatchQueued(fixture.world())
+		if fixture.now.Since(request.ArrivedAt) > 2100*time.Millisecond {
 			t.Fatal("held on")
 		}
 	}
-	b.ended(r, fasthttp.StatusServiceUnavailable, NoRoom)
+	fixture.ended(request, fasthttp.StatusServiceUnavailable, CauseNoCapacity)
 }
 
-func TestARecordGoesWhereTheNewestTableSendsIt(t *testing.T) {
-	b := newBench(t, pathOf("p", upstream.Once, "plain"))
-	r := b.admit("p")
-	if r.stage != Held {
-		t.Fatal(r.stage)
+func TestQueuedRequestFollowsNewestRoutingTable(t *testing.T) {
+	fixture := newCoreFixture(t, pathOf("p", upstream.Once, "plain"))
+	request := fixture.admit("p")
+	if request.stage != StageQueued {
+		t.Fatal(request.stage)
 	}
-	b.index = sectionOf(pathOf("p", upstream.Once, "other"))
-	b.register(append(enginesOf("plain", 1, 6), enginesOf("other", 1, 6)...)...)
-	b.core.Pass(b.world())
-	if send := b.sent(r); send.Pool != "other" {
+	fixture.index = routingTable(pathOf("p", upstream.Once, "other"))
+	fixture.register(append(enginesOf("plain", 1, 6), enginesOf("other", 1, 6)...)...)
+	fixture.core.DispatchQueued(fixture.world())
+	if send := fixture.sent(request); send.Pool != "other" {
 		t.Error(send)
 	}
 	// What was held back at the last look goes by the newest too, or not at all.
-	b.index = sectionOf()
-	b.core.Attempted(r, HeldBack, b.world())
-	b.ended(r, fasthttp.StatusNotFound, NoPath)
-	for _, demand := range b.core.Demands(b.now) {
-		if demand.Held != 0 || demand.Running != 0 {
+	fixture.index = routingTable()
+	fixture.core.AttemptEnded(request, OutcomeWithheld, fixture.world())
+	fixture.ended(request, fasthttp.StatusNotFound, CauseNoPath)
+	for _, demand := range fixture.core.Demands(fixture.now) {
+		if demand.Queued != 0 || demand.Running != 0 {
 			t.Errorf("%+v", demand)
 		}
 	}
 }
 
-func TestAnEnginesOwnFailureGoesOnUnlessItMayBeTriedElsewhere(t *testing.T) {
-	b := newBench(t, pathOf("again", upstream.Repeatable, "plain"), pathOf("once", upstream.Once, "plain"))
-	b.register(enginesOf("plain", 2, 6)...)
-	r := b.admit("once")
-	b.sent(r)
-	b.core.Attempted(r, Failed, b.world())
-	if step, _ := taken(r); !step.Pass {
+func TestEngineErrorIsPassedOnUnlessRequestCanBeRetried(t *testing.T) {
+	fixture := newCoreFixture(t, pathOf("again", upstream.Repeatable, "plain"), pathOf("once", upstream.Once, "plain"))
+	fixture.register(enginesOf("plain", 2, 6)...)
+	request := fixture.admit("once")
+	fixture.sent(request)
+	fixture.core.AttemptEnded(request, OutcomeEngineError, fixture.world())
+	if step, _ := pendingStep(request); !step.PassEngineError {
 		t.Errorf("%+v", step)
 	}
-	r = b.admit("again")
-	first := b.sent(r)
-	b.core.Attempted(r, Failed, b.world())
-	if second := b.sent(r); second.Engine == first.Engine {
+	request = fixture.admit("again")
+	first := fixture.sent(request)
+	fixture.core.AttemptEnded(request, OutcomeEngineError, fixture.world())
+	if second := fixture.sent(request); second.Engine == first.Engine {
 		t.Error("the same engine again")
 	}
-	b.core.Attempted(r, Failed, b.world())
-	if step, _ := taken(r); !step.Pass {
+	fixture.core.AttemptEnded(request, OutcomeEngineError, fixture.world())
+	if step, _ := pendingStep(request); !step.PassEngineError {
 		t.Errorf("%+v", step)
 	}
 }
 
-func TestAStreamIsTakenUpBehindItsLastEvent(t *testing.T) {
+func TestStreamResumesAfterItsLastEvent(t *testing.T) {
 	path := pathOf("p", upstream.Stream, "plain")
 	path.Resumable = true
-	b := newBench(t, path, pathOf("stream", upstream.Stream, "plain"))
-	b.register(enginesOf("plain", 3, 6)...)
-	r := b.admit("p", func(r *Record) { r.Ask.LastEvent, r.Ask.Resumes = "3", true })
-	if send := b.sent(r); send.LastEvent != "3" || !send.Resumes {
+	fixture := newCoreFixture(t, path, pathOf("stream", upstream.Stream, "plain"))
+	fixture.register(enginesOf("plain", 3, 6)...)
+	request := fixture.admit("p", func(request *Request) { request.Attributes.LastEvent, request.Attributes.Resumes = "3", true })
+	if send := fixture.sent(request); send.LastEvent != "3" || !send.Resume {
 		t.Errorf("%+v", send)
 	}
-	b.core.Begun(r, b.world())
-	r.lastEvent = "7"
-	b.core.Attempted(r, Cut, b.world())
-	if send := b.sent(r); send.LastEvent != "7" || !send.Resumes || send.Careful {
+	fixture.core.ResponseBegun(request, fixture.world())
+	request.lastEvent = "7"
+	fixture.core.AttemptEnded(request, OutcomeStreamBroken, fixture.world())
+	if send := fixture.sent(request); send.LastEvent != "7" || !send.Resume || send.NotRepeatable {
 		t.Errorf("%+v", send)
 	}
-	b.core.Attempted(r, Whole, b.world())
+	fixture.core.AttemptEnded(request, OutcomeCompleted, fixture.world())
 	// One that may not be taken up is broken off.
-	r = b.admit("stream")
-	b.sent(r)
-	b.core.Begun(r, b.world())
-	r.lastEvent = "7"
-	b.core.Attempted(r, Cut, b.world())
-	b.ended(r, 0, Broken)
+	request = fixture.admit("stream")
+	fixture.sent(request)
+	fixture.core.ResponseBegun(request, fixture.world())
+	request.lastEvent = "7"
+	fixture.core.AttemptEnded(request, OutcomeStreamBroken, fixture.world())
+	fixture.ended(request, 0, CauseResponseLost)
 }
 
 // run is what a simulated engine side knows of one record.
-type run struct {
-	record   *Record
+type simulatedRequest struct {
+	record   *Request
 	path     *upstream.Path
 	class    upstream.Class
 	ran      int
@@ -378,15 +378,15 @@
 	// sends counts arrivals and those that were refused ahead of the news of a load, engines where they were.
 	sends    int
 	engines  []ident.EngineID
-	send     *Send
+	send     *Attempt
 	ended    bool
 	promised bool
 	deadline clock.Mark
 }
 
-// TestNoInterleavingBreaksAPromise drives the core through random orders of arrivals, outcomes, tables,
+// TestInvariantsHoldUnderRandomInterleavings drives the core through random orders of arrivals, outcomes, tables,
 // engines, leases and times, and checks what must hold in each.
-func TestNoInterleavingBreaksAPromise(t *testing.T) {
+func TestInvariantsHoldUnderRandomInterleavings(t *testing.T) {
 	tooSoon := 0
 	defer func() {
 		if tooSoon < 100 {
@@ -398,56 +398,56 @@
 		resumable := pathOf("resume", upstream.Stream, "plain")
 		resumable.Resumable = true
 		paths := []upstream.Path{pathOf("once", upstream.Once, "plain"), pathOf("again", upstream.Repeatable, "plain", "other"), pathOf("stream", upstream.Stream, "batch"), resumable}
-		for place := range paths {
-			paths[place].Attempts = 1 + random.IntN(3)
-			paths[place].Rank = random.IntN(3)
+		for index := range paths {
+			paths[index].Attempts = 1 + random.IntN(3)
+			paths[index].Rank = random.IntN(3)
 		}
-		b := newBench(t, paths...)
-		b.core.settings.RetrySlack = float64(random.IntN(40))
-		b.edges = 1 + random.IntN(4)
-		whole := b.index
-		fewer := sectionOf(paths[:2]...)
+		fixture := newCoreFixture(t, paths...)
+		fixture.core.settings.RetrySlack = float64(random.IntN(40))
+		fixture.routers = 1 + random.IntN(4)
+		complete := fixture.index
+		fewer := routingTable(paths[:2]...)
 		moved := pathOf("once", upstream.Once, "other")
 		moved.Attempts = paths[0].Attempts
-		elsewhere := sectionOf(append([]upstream.Path{moved}, paths[1:]...)...)
+		elsewhere := routingTable(append([]upstream.Path{moved}, paths[1:]...)...)
 		all := append(append(enginesOf("plain", 3, 2), enginesOf("other", 2, 2)...), enginesOf("batch", 2, 3, "m")...)
 		// One more is to hold the model at some time, and no report says so.
 		loading := engineOf("batch", 2, 3)
-		loading.Plan = &registry.Plan{Coming: []registry.Coming{{Target: registry.Target{Model: "m"}, Ready: b.now + ms(random.IntN(3000))}}}
+		loading.Plan = &registry.Plan{Coming: []registry.Coming{{Target: registry.Target{Model: "m"}, Ready: fixture.now + ms(random.IntN(3000))}}}
 		all = append(all, loading)
-		b.register(all...)
-		runs := []*run{}
-		fail := func(r *run, what string) {
-			t.Fatalf("seed %d: %s: %+v of %s", seed, what, r, r.class)
+		fixture.register(all...)
+		runs := []*simulatedRequest{}
+		fail := func(request *simulatedRequest, what string) {
+			t.Fatalf("seed %d: %s: %+v of %s", seed, what, request, request.class)
 		}
-		read := func(r *run) {
+		read := func(request *simulatedRequest) {
 			for {
-				step, there := taken(r.record)
+				step, there := pendingStep(request.record)
 				if !there {
 					return
 				}
-				if r.ended {
-					fail(r, "a step after the end")
+				if request.ended {
+					fail(request, "a step after the end")
 				}
 				switch {
-				case step.Send != nil:
-					if r.send != nil {
-						fail(r, "two attempts at a time")
+				case step.Attempt != nil:
+					if request.send != nil {
+						fail(request, "two attempts at a time")
 					}
-					if r.promised {
-						fail(r, "sent after a promise")
+					if request.promised {
+						fail(request, "sent after a promise")
 					}
-					r.send = step.Send
-				case step.End != nil:
-					r.ended = true
-					if status := step.End.Status; status == 503 || status == 404 || status == 429 {
-						r.promised = true
-						if r.ran > 0 {
-							fail(r, "refused what ran")
+					request.send = step.Attempt
+				case step.Answer != nil:
+					request.ended = true
+					if status := step.Answer.Status; status == 503 || status == 404 || status == 429 {
+						request.promised = true
+						if request.ran > 0 {
+							fail(request, "refused what ran")
 						}
 					}
 				default:
-					r.ended = true
+					request.ended = true
 				}
 			}
 		}
@@ -456,145 +456,145 @@
 			case kind < 5:
 				names := []string{"once", "again", "stream", "resume"}
 				name := names[random.IntN(len(names))]
-				change := func(*Record) {}
+				change := func(*Request) {}
 				if name == "stream" {
 					change = prompt("m", 1000, "s", fmt.Sprint(random.IntN(3)), fmt.Sprint(step))
 				}
-				record := b.record(name, change)
+				record := fixture.record(name, change)
 				if record.Path == nil {
 					break
 				}
-				r := &run{record: record, path: record.Path, class: record.Path.Class, deadline: record.Deadline}
-				runs = append(runs, r)
-				b.core.Admit(record, b.world())
+				request := &simulatedRequest{record: record, path: record.Path, class: record.Path.Class, deadline: record.Deadline}
+				runs = append(runs, request)
+				fixture.core.Admit(record, fixture.world())
 			case kind < 13:
-				open := slices.DeleteFunc(slices.Clone(runs), func(r *run) bool { return r.send == nil })
+				open := slices.DeleteFunc(slices.Clone(runs), func(request *simulatedRequest) bool { return request.send == nil })
 				if len(open) == 0 {
 					break
 				}
-				r := open[random.IntN(len(open))]
-				send := r.send
-				r.send = nil
-				if r.record.begun && random.IntN(2) == 0 {
-					r.record.lastEvent = fmt.Sprint(step)
+				request := open[random.IntN(len(open))]
+				send := request.send
+				request.send = nil
+				if request.record.responseBegun && random.IntN(2) == 0 {
+					request.record.lastEvent = fmt.Sprint(step)
 				}
-				outcome := Outcome(random.IntN(int(Left) + 1))
-				if r.record.begun && outcome == Failed {
-					outcome = Cut
+				outcome := Outcome(random.IntN(int(OutcomeCallerLeft) + 1))
+				if request.record.responseBegun && outcome == OutcomeEngineError {
+					outcome = OutcomeStreamBroken
 				}
-				if outcome == Cut && !r.record.begun {
-					outcome = Lost
+				if outcome == OutcomeStreamBroken && !request.record.responseBegun {
+					outcome = OutcomeResponseLost
 				}
-				if outcome != HeldBack && outcome != NeverSent {
-					if !slices.Contains(r.engines, send.Engine) {
-						r.engines = append(r.engines, send.Engine)
+				if outcome != OutcomeWithheld && outcome != OutcomeUnreachable {
+					if !slices.Contains(request.engines, send.Engine) {
+						request.engines = append(request.engines, send.Engine)
 					}
-					if r.record.speculative && (outcome == EngineRefused || outcome == Misdirected) {
+					if request.record.speculative && (outcome == OutcomeRejected || outcome == OutcomeMisdirected) {
 						tooSoon++
 					} else {
-						r.arrivals++
+						request.arrivals++
 					}
-					r.sends++
+					request.sends++
 				}
-				if outcome == Lost || outcome == Junk || outcome == Cut || outcome == Failed || outcome == Whole {
-					r.ran++
+				if outcome == OutcomeResponseLost || outcome == OutcomeProtocolError || outcome == OutcomeStreamBroken || outcome == OutcomeEngineError || outcome == OutcomeCompleted {
+					request.ran++
 				}
-				if outcome == Whole {
-					r.ended = true
+				if outcome == OutcomeCompleted {
+					request.ended = true
 				}
-				b.core.Attempted(r.record, outcome, b.world())
+				fixture.core.AttemptEnded(request.record, outcome, fixture.world())
 			case kind < 14:
-				open := slices.DeleteFunc(slices.Clone(runs), func(r *run) bool { return r.send == nil })
+				open := slices.DeleteFunc(slices.Clone(runs), func(request *simulatedRequest) bool { return request.send == nil })
 				if len(open) > 0 {
-					b.core.Begun(open[random.IntN(len(open))].record, b.world())
+					fixture.core.ResponseBegun(open[random.IntN(len(open))].record, fixture.world())
 				}
 			case kind < 15:
 				if len(runs) > 0 {
-					r := runs[random.IntN(len(runs))]
-					b.core.CallerLeft(r.record, b.world())
+					request := runs[random.IntN(len(runs))]
+					fixture.core.CallerLeft(request.record, fixture.world())
 				}
 			case kind < 16:
-				b.lease = random.IntN(4) > 0
+				fixture.hasWorkerID = random.IntN(4) > 0
 			case kind < 17:
-				b.index = []*upstream.Index{whole, whole, fewer, elsewhere}[random.IntN(4)]
-				b.core.Pass(b.world())
+				fixture.index = []*upstream.Index{complete, complete, fewer, elsewhere}[random.IntN(4)]
+				fixture.core.DispatchQueued(fixture.world())
 			case kind < 18:
 				some := slices.DeleteFunc(slices.Clone(all), func(*registry.Engine) bool { return random.IntN(3) == 0 })
 				if random.IntN(2) == 0 {
 					// Nobody else holds it.
 					some = slices.DeleteFunc(some, func(engine *registry.Engine) bool { return engine.Holds("m", "") })
 				}
-				b.register(some...)
-				b.core.Pass(b.world())
-				b.core.Forget(b.view)
+				fixture.register(some...)
+				fixture.core.DispatchQueued(fixture.world())
+				fixture.core.Forget(fixture.view)
 			default:
-				b.now += ms(random.IntN(200))
-				b.core.Pass(b.world())
+				fixture.now += ms(random.IntN(200))
+				fixture.core.DispatchQueued(fixture.world())
 			}
-			for _, r := range runs {
-				read(r)
-				if r.class != upstream.Repeatable && !(r.class == upstream.Stream && r.path.Resumable) && r.ran > 1 {
-					fail(r, "ran twice")
+			for _, request := range runs {
+				read(request)
+				if request.class != upstream.Repeatable && !(request.class == upstream.Stream && request.path.Resumable) && request.ran > 1 {
+					fail(request, "ran twice")
 				}
-				if r.record.stage == Held && b.now > r.deadline {
-					b.core.Pass(b.world())
-					if read(r); !r.ended {
-						fail(r, "held past its deadline")
+				if request.record.stage == StageQueued && fixture.now > request.deadline {
+					fixture.core.DispatchQueued(fixture.world())
+					if read(request); !request.ended {
+						fail(request, "held past its deadline")
 					}
 				}
-				if r.arrivals > r.path.Attempts || len(r.engines) > r.path.Attempts {
-					fail(r, "went to more engines than the path allows")
+				if request.arrivals > request.path.Attempts || len(request.engines) > request.path.Attempts {
+					fail(request, "went to more engines than the path allows")
 				}
-				if r.record.stage == Held && len(r.record.stamps) == 0 {
-					fail(r, "held without a stamp")
+				if request.record.stage == StageQueued && len(request.record.mintedIDs) == 0 {
+					fail(request, "held without a stamp")
 				}
 			}
 		}
 		// All that is under way ends, and leaves nothing counted.
-		b.index, b.lease = whole, true
-		for _, r := range runs {
-			if r.send != nil {
-				r.send = nil
-				b.core.Attempted(r.record, Whole, b.world())
+		fixture.index, fixture.hasWorkerID = complete, true
+		for _, request := range runs {
+			if request.send != nil {
+				request.send = nil
+				fixture.core.AttemptEnded(request.record, OutcomeCompleted, fixture.world())
 			}
 		}
-		b.core.Stop(b.world())
-		for _, r := range runs {
-			read(r)
-			for r.send != nil {
-				r.send = nil
-				b.core.Attempted(r.record, Left, b.world())
-				read(r)
+		fixture.core.Stop(fixture.world())
+		for _, request := range runs {
+			read(request)
+			for request.send != nil {
+				request.send = nil
+				fixture.core.AttemptEnded(request.record, OutcomeCallerLeft, fixture.world())
+				read(request)
 			}
-			if r.record.stage != Ended {
-				fail(r, "without an end: "+r.record.stage.String())
+			if request.record.stage != StageEnded {
+				fail(request, "without an end: "+request.record.stage.String())
 			}
 		}
-		for id, state := range b.core.engines {
-			if state.inFlight != 0 || state.waiting != 0 || state.reading != 0 || state.memory != 0 || len(state.awaiting) != 0 {
+		for id, state := range fixture.core.engines {
+			if state.inFlight != 0 || state.awaitingCount != 0 || state.prefillTokens != 0 || state.memoryTokens != 0 || len(state.awaitingSince) != 0 {
 				t.Fatalf("seed %d: %s: %+v", seed, id, state)
 			}
 		}
-		for key, demand := range b.core.demands {
-			if demand.held != 0 || demand.running != 0 {
+		for key, demand := range fixture.core.demands {
+			if demand.queued != 0 || demand.running != 0 {
 				t.Fatalf("seed %d: %+v: %+v", seed, key, demand)
 			}
 		}
-		if b.core.HeldNow() != 0 {
-			t.Fatalf("seed %d: %d held", seed, b.core.HeldNow())
+		if fixture.core.QueueLength() != 0 {
+			t.Fatalf("seed %d: %d held", seed, fixture.core.QueueLength())
 		}
 	}
 }
 
-// TestFurtherSendsStayWithinTheBudget: whatever comes when, in every window the fleet's further sends stay
+// TestRetriesStayWithinBudget: whatever comes when, in every window the fleet's further sends stay
 // within the share of first ones, counted in the window, the one before or the one half a window before.
-func TestFurtherSendsStayWithinTheBudget(t *testing.T) {
+func TestRetriesStayWithinBudget(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParameters())
 	properties.Property("budget", prop.ForAll(func(seed uint64, edges int, burst int) bool {
 		random := rand.New(rand.NewPCG(seed, 3))
 		settings := DefaultSettings()
 		settings.RetryRatio, settings.RetrySlack, settings.RetryWindow = 0.2, 58, 10*time.Second
-		daemons := make([]window, edges)
+		daemons := make([]retryBudget, edges)
 		var firsts, further []clock.Mark
 		now := clock.Mark(time.Hour)
 		for range 3000 {
@@ -605,22 +605,22 @@
 			daemon := &daemons[random.IntN(edges)]
 			// Storms send nothing but further ones for a while.
 			if storm := now/clock.Mark(7*time.Second)%2 == 0; !storm && random.IntN(2) == 0 {
-				daemon.first(now, now, settings.RetryWindow)
+				daemon.recordFirstSend(now, now, settings.RetryWindow)
 				firsts = append(firsts, now)
-			} else if daemon.allows(now, settings, edges) {
-				daemon.again(now)
+			} else if daemon.allowsRetry(now, settings, edges) {
+				daemon.recordRetry(now)
 				further = append(further, now)
 			}
 		}
-		count := func(marks []clock.Mark, from, to clock.Mark) float64 {
-			low, _ := slices.BinarySearch(marks, from)
-			high, _ := slices.BinarySearch(marks, to+1)
+		count := func(times []clock.Mark, from, to clock.Mark) float64 {
+			low, _ := slices.BinarySearch(times, from)
+			high, _ := slices.BinarySearch(times, to+1)
 			return float64(high - low)
 		}
-		span := clock.Mark(settings.RetryWindow)
+		duration := clock.Mark(settings.RetryWindow)
 		for _, from := range further {
-			asked := max(count(firsts, from, from+span), count(firsts, from-span, from), count(firsts, from-span/2, from+span/2))
-			if count(further, from, from+span) > settings.RetryRatio*asked+settings.RetrySlack {
+			requested := max(count(firsts, from, from+duration), count(firsts, from-duration, from), count(firsts, from-duration/2, from+duration/2))
+			if count(further, from, from+duration) > settings.RetryRatio*requested+settings.RetrySlack {
 				return false
 			}
 		}
@@ -629,39 +629,39 @@
 	properties.TestingRun(t)
 }
 
-// TestWhatIsStoppedAtEveryLastLookComesToAnEnd: a sender and a core that disagree for good do not go round.
-func TestWhatIsStoppedAtEveryLastLookComesToAnEnd(t *testing.T) {
-	b := newBench(t, pathOf("p", upstream.Once, "plain"))
-	b.register(enginesOf("plain", 3, 6)...)
-	r := b.admit("p")
-	rounds := 0
-	for step, there := taken(r); there && step.Send != nil; step, there = taken(r) {
-		if rounds++; rounds > 100 {
+// TestRequestWithheldAtEveryCheckEnds: a sender and a core that disagree for good do not go round.
+func TestRequestWithheldAtEveryCheckEnds(t *testing.T) {
+	fixture := newCoreFixture(t, pathOf("p", upstream.Once, "plain"))
+	fixture.register(enginesOf("plain", 3, 6)...)
+	request := fixture.admit("p")
+	withheld := 0
+	for step, there := pendingStep(request); there && step.Attempt != nil; step, there = pendingStep(request) {
+		if withheld++; withheld > 100 {
 			t.Fatal("it goes round")
 		}
-		b.core.Attempted(r, HeldBack, b.world())
-		if r.stage == Ended {
-			b.ended(r, fasthttp.StatusServiceUnavailable, NoRoom)
+		fixture.core.AttemptEnded(request, OutcomeWithheld, fixture.world())
+		if request.stage == StageEnded {
+			fixture.ended(request, fasthttp.StatusServiceUnavailable, CauseNoCapacity)
 			break
 		}
 	}
-	if r.stage != Ended || b.core.Counters.Sent != 0 {
-		t.Error(r.stage)
+	if request.stage != StageEnded || fixture.core.Counters.Sent != 0 {
+		t.Error(request.stage)
 	}
 }
 
-// TestAttemptsStayWithinTheShareOfConnections: what an engine takes from all daemons is divided over them.
-func TestAttemptsStayWithinTheShareOfConnections(t *testing.T) {
+// TestAttemptsStayWithinConnectionShare: what an engine takes from all daemons is divided over them.
+func TestAttemptsStayWithinConnectionShare(t *testing.T) {
 	path := pathOf("p", upstream.Once, "narrow")
-	b := newBench(t, path)
-	section := *b.index.Section
+	fixture := newCoreFixture(t, path)
+	section := *fixture.index.Section
 	section.Pools = append(section.Pools, upstream.Pool{Name: "narrow", MostConnections: 10, Catalogue: &upstream.Catalogue{}})
-	b.index = upstream.NewIndex(&section)
-	b.edges = 3
-	b.register(engineOf("narrow", 0, 64))
+	fixture.index = upstream.NewIndex(&section)
+	fixture.routers = 3
+	fixture.register(engineOf("narrow", 0, 64))
 	sent := 0
 	for range 10 {
-		if r := b.admit("p"); r.stage == Sending {
+		if request := fixture.admit("p"); request.stage == StageSending {
 			sent++
 		}
 	}
@@ -670,162 +670,162 @@
 	}
 }
 
-// TestHowLongAModelIsWaitedFor: what will be there in time or soon after is waited for, what comes back when
+// TestQueueTimeForModelLoad: what will be there in time or soon after is waited for, what comes back when
 // it is there is told when, and nothing is held for half of its time.
-func TestHowLongAModelIsWaitedFor(t *testing.T) {
+func TestQueueTimeForModelLoad(t *testing.T) {
 	for name, c := range map[string]struct {
 		// ready is when the planner says it is there, or when it says that it is not; left the client's time.
-		coming, lack, left int
-		held               bool
-		low, high          time.Duration
+		readyInMs, notLoadedForMs, timeLeftMs int
+		queued                                bool
+		low, high                             time.Duration
 	}{
 		// What is told to be ready is known of spreadTime later.
-		"in time":              {coming: 300, left: 4000, held: true},
-		"soon after, told":     {coming: 1000, left: 4000, low: 1300 * time.Millisecond, high: 1300 * time.Millisecond},
-		"later, told":          {coming: 1350, left: 4000, low: 1333 * time.Millisecond, high: 1334 * time.Millisecond},
-		"late, held":           {coming: 1500, left: 4000, held: true},
-		"too late to be held":  {coming: 2000, left: 4000, low: 1333 * time.Millisecond, high: 1334 * time.Millisecond},
-		"never in time":        {lack: 9000, left: 4000, low: 1333 * time.Millisecond, high: 1334 * time.Millisecond},
-		"back, soon":           {coming: 1000, left: 2600, held: true},
-		"back, never in time":  {coming: 3000, left: 2600, low: 866 * time.Millisecond, high: 867 * time.Millisecond},
-		"nothing is known yet": {left: 4000, held: true},
+		"in time":              {readyInMs: 300, timeLeftMs: 4000, queued: true},
+		"soon after, told":     {readyInMs: 1000, timeLeftMs: 4000, low: 1300 * time.Millisecond, high: 1300 * time.Millisecond},
+		"later, told":          {readyInMs: 1350, timeLeftMs: 4000, low: 1333 * time.Millisecond, high: 1334 * time.Millisecond},
+		"late, held":           {readyInMs: 1500, timeLeftMs: 4000, queued: true},
+		"too late to be held":  {readyInMs: 2000, timeLeftMs: 4000, low: 1333 * time.Millisecond, high: 1334 * time.Millisecond},
+		"never in time":        {notLoadedForMs: 9000, timeLeftMs: 4000, low: 1333 * time.Millisecond, high: 1334 * time.Millisecond},
+		"back, soon":           {readyInMs: 1000, timeLeftMs: 2600, queued: true},
+		"back, never in time":  {readyInMs: 3000, timeLeftMs: 2600, low: 866 * time.Millisecond, high: 867 * time.Millisecond},
+		"nothing is known yet": {timeLeftMs: 4000, queued: true},
 	} {
-		b := newBench(t, pathOf("p", upstream.Stream, "batch"))
+		fixture := newCoreFixture(t, pathOf("p", upstream.Stream, "batch"))
 		engine := engineOf("batch", 0, 64)
-		if c.coming > 0 {
-			engine.Plan = &registry.Plan{Coming: []registry.Coming{{Target: registry.Target{Model: "m"}, Ready: b.now + ms(c.coming)}}, Told: b.now}
+		if c.readyInMs > 0 {
+			engine.Plan = &registry.Plan{Coming: []registry.Coming{{Target: registry.Target{Model: "m"}, Ready: fixture.now + ms(c.readyInMs)}}, Told: fixture.now}
 		}
-		if c.lack > 0 {
-			b.lacks["m/"] = time.Duration(c.lack) * time.Millisecond
+		if c.notLoadedForMs > 0 {
+			fixture.notLoadedFor["m/"] = time.Duration(c.notLoadedForMs) * time.Millisecond
 		}
-		b.register(engine)
-		r := b.admit("p", prompt("m", 100), func(r *Record) {
-			r.Ask.Deadline = time.Duration(c.left) * time.Millisecond
-			r.Deadline = b.now + ms(c.left)
+		fixture.register(engine)
+		request := fixture.admit("p", prompt("m", 100), func(request *Request) {
+			request.Attributes.Deadline = time.Duration(c.timeLeftMs) * time.Millisecond
+			request.Deadline = fixture.now + ms(c.timeLeftMs)
 		})
-		if (r.stage == Held) != c.held {
-			t.Errorf("%s: %s", name, r.stage)
+		if (request.stage == StageQueued) != c.queued {
+			t.Errorf("%s: %s", name, request.stage)
 			continue
 		}
-		if !c.held {
-			if answer := b.ended(r, 503, NoRoom); answer.ComeBack < c.low || answer.ComeBack > c.high {
-				t.Errorf("%s: %v", name, answer.ComeBack)
+		if !c.queued {
+			if answer := fixture.ended(request, 503, CauseNoCapacity); answer.RetryAfter < c.low || answer.RetryAfter > c.high {
+				t.Errorf("%s: %v", name, answer.RetryAfter)
 			}
 			continue
 		}
 		// The planner's word never comes true, and the engine says so to whatever goes ahead of the news.
-		for r.stage == Held {
-			b.now, _ = b.core.NextLook(b.now)
-			b.core.Pass(b.world())
-			if r.stage == Sending {
-				b.sent(r)
-				b.core.Attempted(r, EngineRefused, b.world())
+		for request.stage == StageQueued {
+			fixture.now, _ = fixture.core.NextWake(fixture.now)
+			fixture.core.DispatchQueued(fixture.world())
+			if request.stage == StageSending {
+				fixture.sent(request)
+				fixture.core.AttemptEnded(request, OutcomeRejected, fixture.world())
 			}
-			if b.now.Since(r.Arrived) >= time.Duration(c.left)*time.Millisecond/2 {
+			if fixture.now.Since(request.ArrivedAt) >= time.Duration(c.timeLeftMs)*time.Millisecond/2 {
 				t.Fatalf("%s: held for half of its time", name)
 			}
 		}
-		b.ended(r, 503, NoRoom)
+		fixture.ended(request, 503, CauseNoCapacity)
 	}
 }
 
-// TestNothingIsHeldUntilItsCallerHasLostPatience: a stream's client leaves in silence long before its deadline.
-func TestNothingIsHeldUntilItsCallerHasLostPatience(t *testing.T) {
+// TestRequestIsRejectedBeforeItsClientTimesOut: a stream's client leaves in silence long before its deadline.
+func TestRequestIsRejectedBeforeItsClientTimesOut(t *testing.T) {
 	path := pathOf("p", upstream.Stream, "batch")
 	path.DeadlineMs, path.TargetMs, path.GapTargetMs = 20_000, 800, 500
-	b := newBench(t, path)
-	b.core.settings.Patience = Patience{Least: 2 * time.Second, Targets: 4, Gaps: 8}
-	b.register(engineOf("batch", 0, 64))
-	long := func(r *Record) { r.Deadline = b.now + ms(20_000) }
+	fixture := newCoreFixture(t, path)
+	fixture.core.settings.ClientTimeout = ClientTimeout{Minimum: 2 * time.Second, TargetFactor: 4, GapFactor: 8}
+	fixture.register(engineOf("batch", 0, 64))
+	long := func(request *Request) { request.Deadline = fixture.now + ms(20_000) }
 	// The model comes in 1.5 s and 0.7 s for the plan: a client that comes back then is in time.
-	r := b.admit("p", prompt("m", 100), long)
-	for r.stage == Held {
-		b.now, _ = b.core.NextLook(b.now)
-		b.core.Pass(b.world())
+	request := fixture.admit("p", prompt("m", 100), long)
+	for request.stage == StageQueued {
+		fixture.now, _ = fixture.core.NextWake(fixture.now)
+		fixture.core.DispatchQueued(fixture.world())
 	}
-	answer := b.ended(r, 503, NoRoom)
-	if waited := b.now.Since(r.Arrived); waited > 250*time.Millisecond || answer.ComeBack < 1500*time.Millisecond || answer.ComeBack > 3*time.Second {
-		t.Errorf("after %v, come back in %v", waited, answer.ComeBack)
+	answer := fixture.ended(request, 503, CauseNoCapacity)
+	if waited := fixture.now.Since(request.ArrivedAt); waited > 250*time.Millisecond || answer.RetryAfter < 1500*time.Millisecond || answer.RetryAfter > 3*time.Second {
+		t.Errorf("after %v, come back in %v", waited, answer.RetryAfter)
 	}
 	// One that was refused before is held, but no longer than for half of its patience of 4 s.
-	r = b.admit("p", prompt("m", 100), long, func(r *Record) { r.Ask.Deadline = 15 * time.Second })
-	for r.stage == Held {
-		b.now, _ = b.core.NextLook(b.now)
-		b.core.Pass(b.world())
+	request = fixture.admit("p", prompt("m", 100), long, func(request *Request) { request.Attributes.Deadline = 15 * time.Second })
+	for request.stage == StageQueued {
+		fixture.now, _ = fixture.core.NextWake(fixture.now)
+		fixture.core.DispatchQueued(fixture.world())
 	}
-	b.ended(r, 503, NoRoom)
-	if waited := b.now.Since(r.Arrived); waited >= 2*time.Second || waited < 1500*time.Millisecond {
+	fixture.ended(request, 503, CauseNoCapacity)
+	if waited := fixture.now.Since(request.ArrivedAt); waited >= 2*time.Second || waited < 1500*time.Millisecond {
 		t.Errorf("after %v", waited)
 	}
 }
 
-// TestWhatAnEngineSaysItLacksIsNotAskedOfItAgain: its report may lag behind.
-func TestWhatAnEngineSaysItLacksIsNotAskedOfItAgain(t *testing.T) {
-	b := newBench(t, pathOf("p", upstream.Stream, "batch"))
-	b.register(enginesOf("batch", 1, 64, "m")...)
-	r := b.admit("p", prompt("m", 100))
-	b.sent(r)
-	b.core.Attempted(r, Misdirected, b.world())
-	if r.stage != Held {
-		t.Fatal(r.stage)
+// TestEngineThatReportsMissingModelIsNotAskedAgain: its report may lag behind.
+func TestEngineThatReportsMissingModelIsNotAskedAgain(t *testing.T) {
+	fixture := newCoreFixture(t, pathOf("p", upstream.Stream, "batch"))
+	fixture.register(enginesOf("batch", 1, 64, "m")...)
+	request := fixture.admit("p", prompt("m", 100))
+	fixture.sent(request)
+	fixture.core.AttemptEnded(request, OutcomeMisdirected, fixture.world())
+	if request.stage != StageQueued {
+		t.Fatal(request.stage)
 	}
-	if other := b.admit("p", prompt("m", 100)); other.stage != Held {
+	if other := fixture.admit("p", prompt("m", 100)); other.stage != StageQueued {
 		t.Error(other.stage)
 	}
-	b.now += ms(1100)
-	later := b.admit("p", prompt("m", 100))
-	b.sent(later)
+	fixture.now += ms(1100)
+	later := fixture.admit("p", prompt("m", 100))
+	fixture.sent(later)
 }
 
-// TestHowLongThePlanTakesIsLearned: where it is quicker or slower than usual, holding goes by that.
-func TestHowLongThePlanTakesIsLearned(t *testing.T) {
+// TestPlanningTimeIsLearned: where it is quicker or slower than usual, holding goes by that.
+func TestPlanningTimeIsLearned(t *testing.T) {
 	for _, c := range []struct {
-		took int
-		held bool
+		took   int
+		queued bool
 	}{{100, true}, {900, false}} {
 		path := pathOf("p", upstream.Stream, "batch")
-		b := newBench(t, path)
+		fixture := newCoreFixture(t, path)
 		with := engineOf("batch", 0, 64, "m")
 		with.Word.Models[0].Adapters = []string{"a1"}
-		asks := func(r *Record) { r.Ask.Adapter = "a2" }
+		withAdapter := func(request *Request) { request.Attributes.Adapter = "a2" }
 		for range 20 {
-			b.register(with)
-			r := b.admit("p", prompt("m", 100), asks, func(r *Record) { r.Ask.Deadline = 3 * time.Second })
-			if r.stage != Held {
-				t.Fatal(r.stage)
+			fixture.register(with)
+			request := fixture.admit("p", prompt("m", 100), withAdapter, func(request *Request) { request.Attributes.Deadline = 3 * time.Second })
+			if request.stage != StageQueued {
+				t.Fatal(request.stage)
 			}
-			b.now += ms(c.took + 250)
+			fixture.now += ms(c.took + 250)
 			both := engineOf("batch", 0, 64, "m")
 			both.Word.Models[0].Adapters = []string{"a1", "a2"}
-			b.register(both)
-			b.core.Pass(b.world())
-			b.sent(r)
-			b.core.Attempted(r, Whole, b.world())
+			fixture.register(both)
+			fixture.core.DispatchQueued(fixture.world())
+			fixture.sent(request)
+			fixture.core.AttemptEnded(request, OutcomeCompleted, fixture.world())
 		}
-		b.register(with)
-		r := b.admit("p", prompt("m", 100), asks)
-		b.now += ms(200)
-		b.core.Pass(b.world())
-		if (r.stage == Held) != c.held {
-			t.Errorf("a plan that takes %d ms: %s", c.took, r.stage)
+		fixture.register(with)
+		request := fixture.admit("p", prompt("m", 100), withAdapter)
+		fixture.now += ms(200)
+		fixture.core.DispatchQueued(fixture.world())
+		if (request.stage == StageQueued) != c.queued {
+			t.Errorf("a plan that takes %d ms: %s", c.took, request.stage)
 		}
 	}
 }
 
-// TestNothingIsHeldOrTriedAgainForACallerThatLeftMeanwhile: that the caller left may be heard while an attempt is
+// TestRequestOfDisconnectedCallerIsNeitherQueuedNorRetried: that the caller left may be heard while an attempt is
 // under way whose sender has just reported how it ended.
-func TestNothingIsHeldOrTriedAgainForACallerThatLeftMeanwhile(t *testing.T) {
+func TestRequestOfDisconnectedCallerIsNeitherQueuedNorRetried(t *testing.T) {
 	for _, class := range []upstream.Class{upstream.Once, upstream.Repeatable, upstream.Stream} {
-		for outcome := HeldBack; outcome <= Failed; outcome++ {
-			b := newBench(t, pathOf("p", class, "plain"))
-			b.register(enginesOf("plain", 3, 4)...)
-			r := b.admit("p")
-			b.sent(r)
-			b.core.CallerLeft(r, b.world())
-			b.core.Attempted(r, outcome, b.world())
-			step, _ := taken(r)
-			if step.End == nil && !step.Pass || r.Stage() != Ended || b.core.HeldNow() != 0 {
-				t.Errorf("class %v, outcome %d: it is %v, with %+v to do", class, outcome, r.Stage(), step)
+		for outcome := OutcomeWithheld; outcome <= OutcomeEngineError; outcome++ {
+			fixture := newCoreFixture(t, pathOf("p", class, "plain"))
+			fixture.register(enginesOf("plain", 3, 4)...)
+			request := fixture.admit("p")
+			fixture.sent(request)
+			fixture.core.CallerLeft(request, fixture.world())
+			fixture.core.AttemptEnded(request, outcome, fixture.world())
+			step, _ := pendingStep(request)
+			if step.Answer == nil && !step.PassEngineError || request.Stage() != StageEnded || fixture.core.QueueLength() != 0 {
+				t.Errorf("class %v, outcome %d: it is %v, with %+v to do", class, outcome, request.Stage(), step)
 			}
 		}
 	}
--- a/request/forwarding/demand.go
+++ b/request/forwarding/demand.go
@@ -12,53 +12,53 @@
 // Demand is what is asked of one pool for one model and adapter.
 type Demand struct {
 	Pool, Model, Adapter string
-	Held, Running        int
+	Queued, Running      int
 	// Tokens and Arrivals are smoothed numbers a second.
-	Tokens, Arrivals float64
+	TokensPerSecond, ArrivalsPerSecond float64
 	// Oldest is how long the one held longest has waited, Rank the most urgent rank among those asked for.
-	Oldest time.Duration
-	Rank   int
+	OldestQueuedFor time.Duration
+	Rank            int
 }
 
 type demandKey struct{ pool, model, adapter string }
 
 type demandState struct {
-	held, running    int
-	tokens, arrivals float64
-	noted            clock.Mark
-	rank             int
+	queued, running                    int
+	tokensPerSecond, arrivalsPerSecond float64
+	decayedAt                          clock.Mark
+	rank                               int
 	// lackedAt is since when no engine holds it, readyAt when the planner last said that one would, load how long
 	// a load was to take.
-	lackedAt, readyAt clock.Mark
-	load              time.Duration
+	missingSince, readyAt clock.Mark
+	expectedLoadTime      time.Duration
 	// back is when clients come back that were refused because something is not loaded yet.
-	back []clock.Mark
+	expectedReturns []clock.Mark
 }
 
 // returning notes a client that was told to come back.
-func (d *demandState) returning(at clock.Mark) {
-	if len(d.back) < mostReturning {
-		d.back = append(d.back, at)
+func (d *demandState) expectReturn(at clock.Mark) {
+	if len(d.expectedReturns) < maxExpectedReturns {
+		d.expectedReturns = append(d.expectedReturns, at)
 	}
 }
 
 const (
-	mostReturning = 100
+	maxExpectedReturns = 100
 	// returnSlack is how much later than told a client may be back.
-	returnSlack = 300 * time.Millisecond
+	returnGracePeriod = 300 * time.Millisecond
 )
 
 // expecting counts those that are not back yet.
-func (d *demandState) expecting(now clock.Mark) int {
-	d.back = slices.DeleteFunc(d.back, func(at clock.Mark) bool { return now > at+clock.Mark(returnSlack) })
-	return len(d.back)
+func (d *demandState) countExpectedReturns(now clock.Mark) int {
+	d.expectedReturns = slices.DeleteFunc(d.expectedReturns, func(at clock.Mark) bool { return now > at+clock.Mark(returnGracePeriod) })
+	return len(d.expectedReturns)
 }
 
 // demandHalf is the time after which an arrival counts half. Whoever plans lets rates fade alike.
-const demandHalf = demand.Half
+const demandHalfLife = demand.Half
 
-func (c *Core) demand(r *Record) *demandState {
-	key := demandKey{r.pool, r.Ask.Model, r.Ask.Adapter}
+func (c *Core) demandState(request *Request) *demandState {
+	key := demandKey{request.pool, request.Attributes.Model, request.Attributes.Adapter}
 	if c.demands[key] == nil {
 		c.demands[key] = &demandState{rank: math.MaxInt}
 	}
@@ -66,47 +66,47 @@
 }
 
 // fade lets what was noted before count less.
-func (d *demandState) fade(now clock.Mark) {
-	share := math.Exp2(-float64(now.Since(d.noted)) / float64(demandHalf))
-	d.tokens *= share
-	d.arrivals *= share
-	d.noted = now
+func (d *demandState) decay(now clock.Mark) {
+	share := math.Exp2(-float64(now.Since(d.decayedAt)) / float64(demandHalfLife))
+	d.tokensPerSecond *= share
+	d.arrivalsPerSecond *= share
+	d.decayedAt = now
 }
 
 // arrived notes a request.
-func (c *Core) arrived(r *Record, now clock.Mark) {
-	d := c.demand(r)
-	d.fade(now)
+func (c *Core) recordArrival(request *Request, now clock.Mark) {
+	state := c.demandState(request)
+	state.decay(now)
 	// The sum of what fades away, times this, is a number a second.
-	const perSecond = math.Ln2 / float64(demandHalf/time.Second)
-	d.tokens += perSecond * float64(r.Ask.TokensIn+10*r.Ask.TokensOut)
-	d.arrivals += perSecond
-	d.rank = min(d.rank, r.Path.Rank)
-	if r.Ask.TokensIn > 0 {
-		c.meanTokens += (float64(r.Ask.TokensIn) - c.meanTokens) / 32
+	const perSecond = math.Ln2 / float64(demandHalfLife/time.Second)
+	state.tokensPerSecond += perSecond * float64(request.Attributes.TokensIn+10*request.Attributes.TokensOut)
+	state.arrivalsPerSecond += perSecond
+	state.rank = min(state.rank, request.Path.Rank)
+	if request.Attributes.TokensIn > 0 {
+		c.meanPromptTokens += (float64(request.Attributes.TokensIn) - c.meanPromptTokens) / 32
 	}
 }
 
 // Demands lists what is asked for now, and forgets what has not been for long.
 func (c *Core) Demands(now clock.Mark) []Demand {
 	oldest := map[demandKey]clock.Mark{}
-	for _, r := range c.held {
-		key := demandKey{r.pool, r.Ask.Model, r.Ask.Adapter}
-		if at, known := oldest[key]; !known || r.Arrived < at {
-			oldest[key] = r.Arrived
+	for _, request := range c.queue {
+		key := demandKey{request.pool, request.Attributes.Model, request.Attributes.Adapter}
+		if at, known := oldest[key]; !known || request.ArrivedAt < at {
+			oldest[key] = request.ArrivedAt
 		}
 	}
 	out := make([]Demand, 0, len(c.demands))
-	for key, d := range c.demands {
-		d.fade(now)
-		expecting := d.expecting(now)
-		if d.held+expecting == 0 && d.running == 0 && d.arrivals < 0.002 {
+	for key, state := range c.demands {
+		state.decay(now)
+		expecting := state.countExpectedReturns(now)
+		if state.queued+expecting == 0 && state.running == 0 && state.arrivalsPerSecond < 0.002 {
 			delete(c.demands, key)
 			continue
 		}
-		one := Demand{Pool: key.pool, Model: key.model, Adapter: key.adapter, Held: d.held + expecting, Running: d.running, Tokens: d.tokens, Arrivals: d.arrivals, Rank: d.rank}
+		one := Demand{Pool: key.pool, Model: key.model, Adapter: key.adapter, Queued: state.queued + expecting, Running: state.running, TokensPerSecond: state.tokensPerSecond, ArrivalsPerSecond: state.arrivalsPerSecond, Rank: state.rank}
 		if at, known := oldest[key]; known {
-			one.Oldest = now.Since(at)
+			one.OldestQueuedFor = now.Since(at)
 		}
 		out = append(out, one)
 	}
--- a/request/forwarding/move.go
+++ b/request/forwarding/move.go
@@ -3,47 +3,47 @@
 // MoveOff decides whether what a record has under way at an engine that is emptied is stopped, to be made elsewhere.
 // It is only where nothing can be lost by it: it may run again, or go on after its last event; another engine can take
 // it now; and its next attempt is in the budget already. What may run once only stays to its end.
-func (c *Core) MoveOff(r *Record, w World) bool {
-	if r.stage != Sending && r.stage != Passing || r.moving || c.stopping || w.Emptied == nil || w.View == nil || w.Index == nil {
+func (c *Core) Migrate(request *Request, env Environment) bool {
+	if request.stage != StageSending && request.stage != StageResponding || request.migrating || c.shuttingDown || env.EngineEvacuated == nil || env.View == nil || env.Index == nil {
 		return false
 	}
-	engine := w.View.Engines[r.engine]
-	if engine == nil || !w.Emptied(engine) {
+	engine := env.View.Engines[request.engine]
+	if engine == nil || !env.EngineEvacuated(engine) {
 		return false
 	}
-	if !c.movable(r, w) {
-		c.Counters.Stayed++
+	if !c.canMigrate(request, env) {
+		c.Counters.MigrationsDeclined++
 		return false
 	}
-	r.moving, r.paid = true, true
-	c.budget(r.pool).again(w.Now)
-	c.Counters.Moved++
+	request.migrating, request.retryCharged = true, true
+	c.retryBudget(request.pool).recordRetry(env.Now)
+	c.Counters.Migrated++
 	return true
 }
 
-func (c *Core) movable(r *Record, w World) bool {
-	path, found := w.Index.Lookup(r.Host, r.Prefixed)
+func (c *Core) canMigrate(request *Request, env Environment) bool {
+	path, found := env.Index.Lookup(request.Host, request.URLPath)
 	switch {
-	case !found || !leadsTo(path, r.pool):
+	case !found || !pathRoutesTo(path, request.pool):
 		return false
-	case !r.mayRepeat() || r.begun && !r.resumable():
+	case !request.mayRepeat() || request.responseBegun && !request.resumable():
 		return false
-	case r.attempts+1 >= path.Attempts:
+	case request.enginesTried+1 >= path.Attempts:
 		return false
-	case r.answerBy().Since(w.Now) <= 2*c.least(r):
+	case request.responseDeadline().Since(env.Now) <= 2*c.minAttemptTime(request):
 		// It is as good as over.
 		return false
-	case !w.Leased || !c.budget(r.pool).allows(w.Now, c.settings, w.Edges):
+	case !env.HasWorkerID || !c.retryBudget(request.pool).allowsRetry(env.Now, c.settings, env.Routers):
 		return false
 	}
 	// What the choice made now cost must still be known when its first byte comes.
-	score, speculative := r.score, r.speculative
-	chosen, _ := c.choose(r, w)
-	ahead := r.speculative
-	r.score, r.speculative = score, speculative
+	score, speculative := request.expectedCost, request.speculative
+	chosen, _ := c.chooseEngine(request, env)
+	ahead := request.speculative
+	request.expectedCost, request.speculative = score, speculative
 	if ahead {
 		// Where the next one only may have it by then, what runs had better stay.
 		return false
 	}
-	return chosen != nil && chosen.ID != r.engine
+	return chosen != nil && chosen.ID != request.engine
 }
--- a/request/forwarding/outcomes.go
+++ b/request/forwarding/outcomes.go
@@ -11,146 +11,146 @@
 
 const (
 	// overdueTimes is how many times as long as like ones a first byte may take before it counts as overdue.
-	overdueTimes = 4
+	overdueFactor = 4
 	// leastOverdue is the share of its target that it may take in any case.
-	leastOverdue = 0.5
+	minOverdueShare = 0.5
 	// enoughSeen is how many first bytes say what is usual; before, what takes unknownOverdue targets is overdue.
-	enoughSeen     = 8
-	unknownOverdue = 2
+	minBaselineSamples    = 8
+	unknownBaselineFactor = 2
 	// middleStep is by how much each first byte moves what is usual, up or down.
-	middleStep = 0.05
+	medianStep = 0.05
 )
 
 // middle follows the median of times, which a share of engines that are far slower does not move much.
-type middle struct{ time.Duration }
+type runningMedian struct{ time.Duration }
 
-func (m *middle) note(newest time.Duration) {
+func (m *runningMedian) add(newest time.Duration) {
 	switch {
 	case m.Duration == 0:
 		m.Duration = newest
 	case newest > m.Duration:
-		m.Duration += time.Duration(middleStep * float64(m.Duration))
+		m.Duration += time.Duration(medianStep * float64(m.Duration))
 	case newest < m.Duration:
-		m.Duration -= time.Duration(middleStep * float64(m.Duration))
+		m.Duration -= time.Duration(medianStep * float64(m.Duration))
 	}
 }
 
 // usual is what first bytes of a path usually take: the median of times, and the mean of what they cost. Over all of
 // its models, since a daemon of many sees few requests of each.
-type usual struct {
-	first middle
-	score float64
-	seen  int
+type firstByteBaseline struct {
+	firstByteTime runningMedian
+	meanCost      float64
+	samples       int
 }
 
-func (c *Core) usual(r *Record) *usual {
-	u := c.usuals[r.Path.Name]
+func (c *Core) baseline(request *Request) *firstByteBaseline {
+	u := c.baselines[request.Path.Name]
 	if u == nil {
-		if len(c.usuals) >= mostPaths {
-			clear(c.usuals)
+		if len(c.baselines) >= maxPathStates {
+			clear(c.baselines)
 		}
-		u = &usual{}
-		c.usuals[r.Path.Name] = u
+		u = &firstByteBaseline{}
+		c.baselines[request.Path.Name] = u
 	}
 	return u
 }
 
 // note takes up one more first byte.
-func (u *usual) note(waited time.Duration, score float64) {
-	u.first.note(waited)
-	if u.seen++; score > 0 {
-		u.score += (score - u.score) / float64(min(u.seen, 16))
+func (u *firstByteBaseline) add(waited time.Duration, score float64) {
+	u.firstByteTime.add(waited)
+	if u.samples++; score > 0 {
+		u.meanCost += (score - u.meanCost) / float64(min(u.samples, 16))
 	}
 }
 
 // overdueAfter is from when on the first byte of an attempt is overdue: long after those of its path are there usually,
 // more for what costs more than usual. A full batch and a big prompt take their time.
-func (c *Core) overdueAfter(r *Record) time.Duration {
-	u, target := c.usual(r), time.Duration(r.Path.TargetMs)*time.Millisecond
-	if u.seen < enoughSeen {
-		return max(unknownOverdue*target, time.Second)
+func (c *Core) overdueAfter(request *Request) time.Duration {
+	u, target := c.baseline(request), time.Duration(request.Path.TargetMs)*time.Millisecond
+	if u.samples < minBaselineSamples {
+		return max(unknownBaselineFactor*target, time.Second)
 	}
 	larger := 1.0
-	if r.score > 0 && u.score > 0 {
-		larger = max(1, r.score/u.score)
+	if request.expectedCost > 0 && u.meanCost > 0 {
+		larger = max(1, request.expectedCost/u.meanCost)
 	}
-	return max(time.Duration(leastOverdue*float64(target)), time.Duration(overdueTimes*larger*float64(u.first.Duration)))
+	return max(time.Duration(minOverdueShare*float64(target)), time.Duration(overdueFactor*larger*float64(u.firstByteTime.Duration)))
 }
 
 // noteOutcome counts an attempt in the ledger, once.
-func (c *Core) noteOutcome(r *Record, outcome outlier.Outcome) {
-	if r.noted {
+func (c *Core) reportOutcome(request *Request, outcome outlier.Outcome) {
+	if request.outcomeReported {
 		return
 	}
-	r.noted = true
-	c.ledger.Note(r.engine, outcome)
+	request.outcomeReported = true
+	c.outcomes.Note(request.engine, outcome)
 }
 
 // noteEnd counts how an attempt ended. What our side or the caller did says nothing of the engine.
-func (c *Core) noteEnd(r *Record, outcome Outcome, w World) {
+func (c *Core) reportEnd(request *Request, outcome Outcome, env Environment) {
 	switch outcome {
-	case Whole:
-		c.noteOutcome(r, outlier.Well)
-	case NeverSent:
-		c.noteOutcome(r, outlier.Failure)
-	case Failed, Lost, Junk, Cut:
+	case OutcomeCompleted:
+		c.reportOutcome(request, outlier.Well)
+	case OutcomeUnreachable:
+		c.reportOutcome(request, outlier.Failure)
+	case OutcomeEngineError, OutcomeResponseLost, OutcomeProtocolError, OutcomeStreamBroken:
 		switch {
-		case w.Now >= r.Deadline && outcome != Failed:
+		case env.Now >= request.Deadline && outcome != OutcomeEngineError:
 			// It ran into its own deadline, and was counted when it was overdue, if it was.
-		case r.noted && !r.wasOverdue:
-			c.ledger.Worse(r.engine)
+		case request.outcomeReported && !request.reportedOverdue:
+			c.outcomes.Worse(request.engine)
 		default:
-			c.noteOutcome(r, outlier.Failure)
+			c.reportOutcome(request, outlier.Failure)
 		}
-	case EngineRefused:
-		if !r.speculative {
+	case OutcomeRejected:
+		if !request.speculative {
 			// One that went ahead of the news of a load may well come too soon.
-			c.noteOutcome(r, outlier.Refusal)
+			c.reportOutcome(request, outlier.Refusal)
 		}
 	}
-	if r.Seen.Connect > 0 {
-		c.ledger.Connected(r.engine, r.Seen.Connect)
+	if request.Observed.ConnectTime > 0 {
+		c.outcomes.Connected(request.engine, request.Observed.ConnectTime)
 	}
-	if r.Path.GapTargetMs > 0 && r.Seen.LongestGap > 0 {
-		c.ledger.Gap(r.engine, r.Seen.LongestGap-time.Duration(r.Path.GapTargetMs)*time.Millisecond)
+	if request.Path.GapTargetMs > 0 && request.Observed.LongestEventGap > 0 {
+		c.outcomes.Gap(request.engine, request.Observed.LongestEventGap-time.Duration(request.Path.GapTargetMs)*time.Millisecond)
 	}
-	r.Seen = Seen{}
-	c.forgetAwaited(r)
+	request.Observed = Observation{}
+	c.stopAwaiting(request)
 }
 
 // noteFirst counts an attempt whose first byte has come.
-func (c *Core) noteFirst(r *Record, now clock.Mark) {
-	waited, u := now.Since(r.sentAt), c.usual(r)
-	c.ledger.First(r.engine, waited-u.first.Duration)
-	if waited > r.overdueAfter {
-		c.noteOutcome(r, outlier.Overdue)
+func (c *Core) reportFirstByte(request *Request, now clock.Mark) {
+	waited, u := now.Since(request.sentAt), c.baseline(request)
+	c.outcomes.First(request.engine, waited-u.firstByteTime.Duration)
+	if waited > request.overdueAfter {
+		c.reportOutcome(request, outlier.Overdue)
 	} else {
-		c.noteOutcome(r, outlier.Well)
+		c.reportOutcome(request, outlier.Well)
 	}
-	u.note(waited, r.score)
-	c.forgetAwaited(r)
+	u.add(waited, request.expectedCost)
+	c.stopAwaiting(request)
 }
 
-func (c *Core) forgetAwaited(r *Record) {
-	if place := slices.Index(c.awaited, r); place >= 0 {
-		last := len(c.awaited) - 1
-		c.awaited[place] = c.awaited[last]
-		c.awaited[last] = nil
-		c.awaited = c.awaited[:last]
+func (c *Core) stopAwaiting(request *Request) {
+	if index := slices.Index(c.awaitingFirstByte, request); index >= 0 {
+		last := len(c.awaitingFirstByte) - 1
+		c.awaitingFirstByte[index] = c.awaitingFirstByte[last]
+		c.awaitingFirstByte[last] = nil
+		c.awaitingFirstByte = c.awaitingFirstByte[:last]
 	}
 }
 
 // Outcomes gives what became of attempts since it was last asked for. Attempts that wait for far longer than like
 // ones count now: an engine that hangs would else be known only when deadlines pass.
 func (c *Core) Outcomes(now clock.Mark) []outlier.Digest {
-	for _, r := range c.awaited {
-		if !r.noted && now.Since(r.sentAt) > r.overdueAfter {
-			r.wasOverdue = true
-			c.noteOutcome(r, outlier.Overdue)
+	for _, request := range c.awaitingFirstByte {
+		if !request.outcomeReported && now.Since(request.sentAt) > request.overdueAfter {
+			request.reportedOverdue = true
+			c.reportOutcome(request, outlier.Overdue)
 		}
 	}
-	return c.ledger.Take()
+	return c.outcomes.Take()
 }
 
 // Reading gives what this daemon saw of an engine lately.
-func (c *Core) Reading(engine ident.EngineID) outlier.Reading { return c.ledger.Of(engine) }
+func (c *Core) EngineStatistics(engine ident.EngineID) outlier.Reading { return c.outcomes.Of(engine) }
--- a/request/forwarding/outliers_test.go
+++ b/request/forwarding/outliers_test.go
@@ -12,56 +12,56 @@
 )
 
 // illness is what becomes of an attempt at an engine.
-type illness uint8
+type faultKind uint8
 
 const (
-	isWell illness = iota
+	noFault faultKind = iota
 	// fails answers with a failure of its own, resets breaks the connection, hangs never says anything, slows takes
 	// eight times as long, refuses turns away what it had room for, unreached can't be reached.
-	fails
-	resets
-	hangs
-	slows
-	refuses
-	unreached
+	engineErrors
+	connectionResets
+	unresponsive
+	slowEngine
+	rejectsAll
+	unreachableEngine
 )
 
 // falls says whether an attempt falls to an engine's illness, and has that come about.
-func (s *simulation) falls(d *simulated, r *Record, engine *batcher) bool {
-	if engine.ill == nil {
+func (s *simulation) failsAt(d *simulatedRouter, request *Request, engine *simulatedEngine) bool {
+	if engine.fault == nil {
 		return false
 	}
-	wait, outcome := 2*time.Millisecond, Lost
-	switch engine.ill(d) {
-	case isWell, slows:
+	wait, outcome := 2*time.Millisecond, OutcomeResponseLost
+	switch engine.fault(d) {
+	case noFault, slowEngine:
 		return false
-	case fails:
-		outcome = Failed
-	case refuses:
-		outcome = EngineRefused
-	case unreached:
-		outcome = NeverSent
-	case hangs:
-		wait = r.Deadline.Since(s.now)
+	case engineErrors:
+		outcome = OutcomeEngineError
+	case rejectsAll:
+		outcome = OutcomeRejected
+	case unreachableEngine:
+		outcome = OutcomeUnreachable
+	case unresponsive:
+		wait = request.Deadline.Since(s.now)
 	}
 	s.after(wait, func() {
-		d.core.Attempted(r, outcome, d.world())
-		s.take(d, r)
+		d.core.AttemptEnded(request, outcome, d.world())
+		s.takeStep(d, request)
 	})
 	return true
 }
 
 // share has daemons tell a judge what they see, as they do whoever plans: with a question about each 750 ms.
-func (s *simulation) share() {
+func (s *simulation) shareOutcomes() {
 	for _, d := range s.daemons {
-		d.core.settings.HoldBack = true
+		d.core.settings.EjectOutliers = true
 	}
-	s.judge = outlier.NewDetector(outlier.DefaultSettings())
+	s.detector = outlier.NewDetector(outlier.DefaultSettings())
 	var ids []ident.EngineID
 	for _, engine := range s.engines {
 		ids = append(ids, engine.registered.ID)
 	}
-	s.judge.SetPools(map[string][]ident.EngineID{"batch": ids})
+	s.detector.SetPools(map[string][]ident.EngineID{"batch": ids})
 	fullAt := map[ident.EngineID]clock.Mark{}
 	full := func(id ident.EngineID) bool {
 		if plan := s.view.Engines[id].Plan; plan != nil && (plan.Queued > 0 || plan.Active >= 48) {
@@ -69,21 +69,21 @@
 		}
 		return fullAt[id] > 0 && s.now.Since(fullAt[id]) <= 2*time.Second
 	}
-	for place, d := range s.daemons {
-		var tell func()
-		tell = func() {
-			told := outlier.Observation{Zone: d.zone, Digests: d.core.Outcomes(s.now)}
-			s.after(20*time.Millisecond, func() { s.judge.Observe(s.now, told, full) })
-			s.after(750*time.Millisecond, tell)
+	for index, d := range s.daemons {
+		var report func()
+		report = func() {
+			reports := outlier.Observation{Zone: d.zone, Digests: d.core.Outcomes(s.now)}
+			s.after(20*time.Millisecond, func() { s.detector.Observe(s.now, reports, full) })
+			s.after(750*time.Millisecond, report)
 		}
-		s.after(time.Duration(place)*750*time.Millisecond/time.Duration(len(s.daemons)), tell)
+		s.after(time.Duration(index)*750*time.Millisecond/time.Duration(len(s.daemons)), report)
 	}
 	var step func()
 	step = func() {
-		s.judge.Step(s.now)
+		s.detector.Step(s.now)
 		weights := map[ident.EngineID][]outlier.Weight{}
 		for _, id := range ids {
-			weights[id] = s.judge.Weights(s.now, id)
+			weights[id] = s.detector.Weights(s.now, id)
 		}
 		s.after(150*time.Millisecond, func() {
 			for _, engine := range s.engines {
@@ -104,34 +104,34 @@
 }
 
 // sicken has a share of the engines fall ill for a while.
-func (s *simulation) sicken(engines int, from, span time.Duration, ill func(d *simulated) illness) (sick map[ident.EngineID]bool) {
-	sick = map[ident.EngineID]bool{}
+func (s *simulation) makeUnhealthy(engines int, from, duration time.Duration, fault func(d *simulatedRouter) faultKind) (unhealthy map[ident.EngineID]bool) {
+	unhealthy = map[ident.EngineID]bool{}
 	begins := s.now + clock.Mark(from)
 	for n := range engines {
 		engine := s.engines[n*len(s.engines)/engines]
-		sick[engine.registered.ID] = true
-		engine.ill = func(d *simulated) illness {
-			if s.now < begins || s.now >= begins+clock.Mark(span) {
-				return isWell
+		unhealthy[engine.registered.ID] = true
+		engine.fault = func(d *simulatedRouter) faultKind {
+			if s.now < begins || s.now >= begins+clock.Mark(duration) {
+				return noFault
 			}
-			return ill(d)
+			return fault(d)
 		}
 	}
-	return sick
+	return unhealthy
 }
 
 // often gives an illness to a share of attempts.
-func (s *simulation) often(share float64, ill illness) func(*simulated) illness {
-	return func(*simulated) illness {
+func (s *simulation) withProbability(share float64, fault faultKind) func(*simulatedRouter) faultKind {
+	return func(*simulatedRouter) faultKind {
 		if s.random.Float64() < share {
-			return ill
+			return fault
 		}
-		return isWell
+		return noFault
 	}
 }
 
 // grown is a grown deployment: many daemons, each of which sends an engine a request in twenty seconds.
-func grown(seed uint64) *simulation {
+func largeDeployment(seed uint64) *simulation {
 	s := newSimulation(seed, 58, 60)
 	for n, d := range s.daemons {
 		d.zone = ident.ZoneID(fmt.Sprint("z", n%4))
@@ -139,24 +139,24 @@
 	return s
 }
 
-type verdict struct {
-	asked, inTime, broken, refused int
-	falsely, ejections             uint64
+type simulationResult struct {
+	requests, inTime, broken, rejected int
+	wronglyEjected, ejections          uint64
 }
 
 // play runs a grown deployment in which a fifth of the engines fall ill from the fifth second on.
-func play(seed uint64, shared bool, ill func(s *simulation) func(*simulated) illness) (out verdict) {
-	s := grown(seed)
+func simulateFaults(seed uint64, shared bool, fault func(s *simulation) func(*simulatedRouter) faultKind) (out simulationResult) {
+	s := largeDeployment(seed)
 	if shared {
-		s.share()
+		s.shareOutcomes()
 	}
 	wrongly := map[ident.EngineID]bool{}
-	sick := s.sicken(12, 5*time.Second, 12*time.Second, ill(s))
+	unhealthy := s.makeUnhealthy(12, 5*time.Second, 12*time.Second, fault(s))
 	if shared {
 		var watch func()
 		watch = func() {
 			for _, engine := range s.engines {
-				if id := engine.registered.ID; !sick[id] && len(s.judge.Weights(s.now, id)) > 0 {
+				if id := engine.registered.ID; !unhealthy[id] && len(s.detector.Weights(s.now, id)) > 0 {
 					wrongly[id] = true
 				}
 			}
@@ -165,84 +165,84 @@
 		watch()
 	}
 	s.traffic(150, 25*time.Second, s.anySubject)
-	out.asked, out.inTime = s.sum()
-	out.broken, out.refused, out.falsely = s.broken, s.failed, uint64(len(wrongly))
+	out.requests, out.inTime = s.sum()
+	out.broken, out.rejected, out.wronglyEjected = s.brokenRequests, s.failed, uint64(len(wrongly))
 	if shared {
-		out.ejections = s.judge.Counters.Ejections
+		out.ejections = s.detector.Counters.Ejections
 	}
 	return out
 }
 
 // inZone gives an illness to a share of the attempts from one zone.
-func (s *simulation) inZone(zone ident.ZoneID, share float64, ill illness) func(*simulated) illness {
-	return func(d *simulated) illness {
+func (s *simulation) inZone(zone ident.ZoneID, share float64, fault faultKind) func(*simulatedRouter) faultKind {
+	return func(d *simulatedRouter) faultKind {
 		if d.zone == zone && s.random.Float64() < share {
-			return ill
+			return fault
 		}
-		return isWell
+		return noFault
 	}
 }
 
-// TestWhatAllDaemonsSeeFindsIllEnginesThatNoneSeesAlone: 58 daemons, 60 engines, each daemon sends an engine a request
+// TestSharedOutcomesFindUnhealthyEnginesThatNoRouterFindsAlone: 58 daemons, 60 engines, each daemon sends an engine a request
 // in twenty seconds, and a fifth of the engines is ill for 12 of 25 seconds. What each daemon sees alone came to the
 // shares in brackets; shared it must come to at most those after them. The rest is what it takes to find out, three
 // failures at each, and trials.
-func TestWhatAllDaemonsSeeFindsIllEnginesThatNoneSeesAlone(t *testing.T) {
+func TestSharedOutcomesFindUnhealthyEnginesThatNoRouterFindsAlone(t *testing.T) {
 	for name, c := range map[string]struct {
-		ill func(s *simulation) func(*simulated) illness
+		fault func(s *simulation) func(*simulatedRouter) faultKind
 		// broken is the most of what broke without sharing, inTime the least in time, falsely the most that may be
 		// held back of 60 sound engines over the whole time, in each of two runs.
 		broken, inTime float64
 		falsely        uint64
 	}{
-		"none (0, 0.999)":              {func(s *simulation) func(*simulated) illness { return s.often(0, fails) }, 0, 0.997, 2},
-		"errors 0.45 (0.034, 0.963)":   {func(s *simulation) func(*simulated) illness { return s.often(0.45, fails) }, 0.7, 0.97, 2},
-		"errors 1 (0.073, 0.926)":      {func(s *simulation) func(*simulated) illness { return s.often(1, fails) }, 0.45, 0.965, 2},
-		"resets 0.4 (0.032, 0.966)":    {func(s *simulation) func(*simulated) illness { return s.often(0.4, resets) }, 0.7, 0.97, 2},
-		"hangs 0.4 (0.034, 0.965)":     {func(s *simulation) func(*simulated) illness { return s.often(0.4, hangs) }, 0.85, 0.966, 3},
-		"hangs 1 (0.079, 0.920)":       {func(s *simulation) func(*simulated) illness { return s.often(1, hangs) }, 0.5, 0.96, 2},
-		"eight times slow (0, 0.766)":  {func(s *simulation) func(*simulated) illness { return s.often(1, slows) }, 0, 0.84, 4},
-		"errors in one zone (0.0086)":  {func(s *simulation) func(*simulated) illness { return s.inZone("z1", 0.45, fails) }, 0.95, 0.988, 2},
-		"a few errors (0.002, 0.9972)": {func(s *simulation) func(*simulated) illness { return s.often(0.03, fails) }, 1.6, 0.994, 3},
+		"none (0, 0.999)":              {func(s *simulation) func(*simulatedRouter) faultKind { return s.withProbability(0, engineErrors) }, 0, 0.997, 2},
+		"errors 0.45 (0.034, 0.963)":   {func(s *simulation) func(*simulatedRouter) faultKind { return s.withProbability(0.45, engineErrors) }, 0.7, 0.97, 2},
+		"errors 1 (0.073, 0.926)":      {func(s *simulation) func(*simulatedRouter) faultKind { return s.withProbability(1, engineErrors) }, 0.45, 0.965, 2},
+		"resets 0.4 (0.032, 0.966)":    {func(s *simulation) func(*simulatedRouter) faultKind { return s.withProbability(0.4, connectionResets) }, 0.7, 0.97, 2},
+		"hangs 0.4 (0.034, 0.965)":     {func(s *simulation) func(*simulatedRouter) faultKind { return s.withProbability(0.4, unresponsive) }, 0.85, 0.966, 3},
+		"hangs 1 (0.079, 0.920)":       {func(s *simulation) func(*simulatedRouter) faultKind { return s.withProbability(1, unresponsive) }, 0.5, 0.96, 2},
+		"eight times slow (0, 0.766)":  {func(s *simulation) func(*simulatedRouter) faultKind { return s.withProbability(1, slowEngine) }, 0, 0.84, 4},
+		"errors in one zone (0.0086)":  {func(s *simulation) func(*simulatedRouter) faultKind { return s.inZone("z1", 0.45, engineErrors) }, 0.95, 0.988, 2},
+		"a few errors (0.002, 0.9972)": {func(s *simulation) func(*simulatedRouter) faultKind { return s.withProbability(0.03, engineErrors) }, 1.6, 0.994, 3},
 	} {
-		var alone, together verdict
+		var alone, together simulationResult
 		for seed := range uint64(2) {
-			alone, together = alone.plus(play(seed, false, c.ill)), together.plus(play(seed, true, c.ill))
+			alone, together = alone.plus(simulateFaults(seed, false, c.fault)), together.plus(simulateFaults(seed, true, c.fault))
 		}
-		t.Logf("%s: alone %s, shared %s, %d ejections, %d engines held back falsely", name, alone, together, together.ejections, together.falsely)
+		t.Logf("%s: alone %s, shared %s, %d ejections, %d engines held back falsely", name, alone, together, together.ejections, together.wronglyEjected)
 		if float64(together.broken) > c.broken*float64(alone.broken)+1 {
 			t.Errorf("%s: %d broke, %d without sharing", name, together.broken, alone.broken)
 		}
-		if share := float64(together.inTime) / float64(together.asked); share < c.inTime {
+		if share := float64(together.inTime) / float64(together.requests); share < c.inTime {
 			t.Errorf("%s: %.4f in time", name, share)
 		}
-		if together.falsely > 2*c.falsely {
-			t.Errorf("%s: %d sound engines were held back", name, together.falsely)
+		if together.wronglyEjected > 2*c.falsely {
+			t.Errorf("%s: %d sound engines were held back", name, together.wronglyEjected)
 		}
 	}
 }
 
-func (v verdict) plus(o verdict) verdict {
-	return verdict{v.asked + o.asked, v.inTime + o.inTime, v.broken + o.broken, v.refused + o.refused, v.falsely + o.falsely, v.ejections + o.ejections}
+func (v simulationResult) plus(o simulationResult) simulationResult {
+	return simulationResult{v.requests + o.requests, v.inTime + o.inTime, v.broken + o.broken, v.rejected + o.rejected, v.wronglyEjected + o.wronglyEjected, v.ejections + o.ejections}
 }
 
-func (v verdict) String() string {
-	return fmt.Sprintf("%.4f in time, %.4f broken, %.4f refused", float64(v.inTime)/float64(v.asked), float64(v.broken)/float64(v.asked), float64(v.refused)/float64(v.asked))
+func (v simulationResult) String() string {
+	return fmt.Sprintf("%.4f in time, %.4f broken, %.4f refused", float64(v.inTime)/float64(v.requests), float64(v.broken)/float64(v.requests), float64(v.rejected)/float64(v.requests))
 }
 
-// TestLoadIsNotTakenForIllness: up to and beyond the engines' limit, with and without one popular prefix, sharing what
+// TestOverloadIsNotMistakenForOutliers: up to and beyond the engines' limit, with and without one popular prefix, sharing what
 // daemons see costs little, though some engine is always later than others.
-func TestLoadIsNotTakenForIllness(t *testing.T) {
+func TestOverloadIsNotMistakenForOutliers(t *testing.T) {
 	for _, load := range []float64{0.5, 0.8, 1.0, 1.3} {
 		for _, popular := range []bool{false, true} {
 			var served [2]float64
 			ejections := uint64(0)
-			for place, shared := range []bool{false, true} {
-				asked, inTime := 0, 0
+			for index, shared := range []bool{false, true} {
+				requested, inTime := 0, 0
 				for seed := range uint64(8) {
 					s := newSimulation(seed, 9, 5)
 					if shared {
-						s.share()
+						s.shareOutcomes()
 					}
 					s.traffic(load*s.capacity(), 30*time.Second, func() int {
 						if popular && s.random.IntN(10) < 7 {
@@ -251,12 +251,12 @@
 						return s.anySubject()
 					})
 					a, b := s.sum()
-					asked, inTime = asked+a, inTime+b
+					requested, inTime = requested+a, inTime+b
 					if shared {
-						ejections += s.judge.Counters.Ejections
+						ejections += s.detector.Counters.Ejections
 					}
 				}
-				served[place] = float64(inTime) / float64(asked)
+				served[index] = float64(inTime) / float64(requested)
 			}
 			t.Logf("load %.1f popular %-5t: in time %.3f alone, %.3f shared, %d ejections", load, popular, served[0], served[1], ejections)
 			if served[1] < served[0]-0.04 || ejections > 4 {
--- a/request/forwarding/reason.go
+++ b/request/forwarding/reason.go
@@ -19,9 +19,9 @@
 	// ReasonNoPath: the configuration has no path for it.
 	ReasonNoPath
 	// ReasonNoLease: it would have to be held or tried again, and no worker id is held.
-	ReasonNoLease
+	ReasonNoWorkerID
 	// ReasonStopping: the daemon ends.
-	ReasonStopping
+	ReasonShuttingDown
 	// ReasonNoEngine: its pool has no engine that may get anything new.
 	ReasonNoEngine
 	// ReasonModelAbsent: no engine holds its model, and none is told to load it.
@@ -35,59 +35,59 @@
 	// ReasonEnginesTried: each engine that could take it has refused or failed it.
 	ReasonEnginesTried
 	// ReasonEnginesFull: each engine that could take it has all that this daemon may send there, or rests.
-	ReasonEnginesFull
+	ReasonEnginesBusy
 	// ReasonShed: its first byte was expected too late, so it was refused at once.
 	ReasonShed
 	// ReasonAttemptsSpent: it was sent to as many engines as its path allows.
-	ReasonAttemptsSpent
+	ReasonAttemptsExhausted
 	// ReasonBudgetSpent: the budget of its pool for sending again was empty.
-	ReasonBudgetSpent
+	ReasonBudgetExhausted
 	// ReasonDeadline: its deadline came, or was too near for an attempt.
 	ReasonDeadline
 	// ReasonHeldBack: the last look before each attempt found a change, too often.
-	ReasonHeldBack
+	ReasonWithheld
 	// ReasonEngineFailure: the engine answered with a failure of its own.
-	ReasonEngineFailure
+	ReasonEngineError
 	// ReasonEngineLost: the engine broke off or gave no answer, and the request may not be repeated.
-	ReasonEngineLost
+	ReasonResponseLost
 	// ReasonCallerLeftHeld: its caller left while it was held.
-	ReasonCallerLeftHeld
+	ReasonCallerLeftQueued
 	// ReasonCallerLeftAtEngine: its caller left while an engine had it.
 	ReasonCallerLeftAtEngine
 	// ReasonLateReturn: served after its target, most of which had passed before it came back here.
-	ReasonLateReturn
+	ReasonLateResubmission
 	// ReasonLateLoad: served after its target, most of which it was held for a model or an adapter.
 	ReasonLateLoad
 	// ReasonLateHeld: served after its target, most of which it was held for another reason.
-	ReasonLateHeld
+	ReasonLateQueued
 	// ReasonLateAttempts: served after its target, most of which went to attempts that brought nothing.
 	ReasonLateAttempts
 	// ReasonLateEngine: served after its target, most of which the engine took for the first byte.
 	ReasonLateEngine
-	reasons
+	reasonCount
 )
 
 // reasonNames are the names of reasons, in the order in which they are counted.
-var reasonNames = [reasons]string{"none", "no_table", "no_path", "no_lease", "stopping", "no_engine", "model_absent", "model_loading",
+var reasonNames = [reasonCount]string{"none", "no_table", "no_path", "no_lease", "stopping", "no_engine", "model_absent", "model_loading",
 	"adapter_absent", "adapter_loading", "engines_tried", "engines_full", "shed", "attempts_spent", "budget_spent", "deadline", "held_back",
 	"engine_failure", "engine_lost", "caller_left_held", "caller_left_at_engine", "late_return", "late_load", "late_held", "late_attempts", "late_engine"}
 
 func (r Reason) String() string { return reasonNames[r] }
 
 // Late says that the request was served all the same.
-func (r Reason) Late() bool { return r >= ReasonLateReturn }
+func (r Reason) Late() bool { return r >= ReasonLateResubmission }
 
 // Loss is one request that earned less than it could have.
 type Loss struct {
 	Path, Model string
 	Reason      Reason
 	// Lack is what it lacked when it last could not be sent.
-	Lack string
+	BlockedBy string
 	// Returned says that it had come before and was refused.
-	Returned bool
+	Resubmitted bool
 	// Waited is how long it had been here, Held how long of that it was held, Attempts how many engines had it.
-	Waited, Held time.Duration
-	Attempts     int
+	Waited, Queued time.Duration
+	Attempts       int
 }
 
 // LossKey is what losses are counted by. Models beyond mostLossKeys are counted under otherModels.
@@ -98,24 +98,24 @@
 
 const (
 	// mostLossKeys bounds the counters of losses.
-	mostLossKeys = 2_000
+	maxLossKeys = 2_000
 	// otherModels is the model of losses that are not counted by model any more.
-	otherModels = "other"
+	overflowModel = "other"
 )
 
 // lost counts a loss, and tells it to whoever observes losses.
-func (c *Core) lost(r *Record, reason Reason, now clock.Mark) {
-	if reason == ReasonNone || r.lossCounted {
+func (c *Core) recordLoss(request *Request, reason Reason, now clock.Mark) {
+	if reason == ReasonNone || request.lossCounted {
 		return
 	}
-	r.lossCounted = true
-	loss := Loss{Model: r.Ask.Model, Reason: reason, Lack: LackNames[r.lack], Returned: r.returned, Waited: now.Since(r.Arrived), Held: r.heldFor, Attempts: r.attempts}
-	if r.Path != nil {
-		loss.Path = r.Path.Name
+	request.lossCounted = true
+	loss := Loss{Model: request.Attributes.Model, Reason: reason, BlockedBy: BlockReasonNames[request.blockedBecause], Resubmitted: request.resubmitted, Waited: now.Since(request.ArrivedAt), Queued: request.queuedFor, Attempts: request.enginesTried}
+	if request.Path != nil {
+		loss.Path = request.Path.Name
 	}
 	key := LossKey{loss.Path, loss.Model, reason}
-	if _, counted := c.losses[key]; !counted && len(c.losses) >= mostLossKeys {
-		key.Model = otherModels
+	if _, counted := c.losses[key]; !counted && len(c.losses) >= maxLossKeys {
+		key.Model = overflowModel
 	}
 	c.losses[key]++
 	if c.settings.ObserveLoss != nil {
@@ -133,99 +133,101 @@
 }
 
 // reasonOf says why a record ends with an answer of our own.
-func (c *Core) reasonOf(r *Record, cause Cause, w World) Reason {
+func (c *Core) reasonOf(request *Request, cause Cause, env Environment) Reason {
 	switch cause {
-	case NoTable:
+	case CauseNoTable:
 		return ReasonNoTable
-	case NoPath:
+	case CauseNoPath:
 		return ReasonNoPath
-	case NoLease:
-		return ReasonNoLease
-	case Stopping:
-		return ReasonStopping
-	case Late:
+	case CauseNoWorkerID:
+		return ReasonNoWorkerID
+	case CauseShuttingDown:
+		return ReasonShuttingDown
+	case CauseDeadline:
 		return ReasonDeadline
-	case Broken:
-		return ReasonEngineLost
-	case CallerLeft:
-		if r.attempts == 0 && r.sentAt == 0 {
-			return ReasonCallerLeftHeld
+	case CauseResponseLost:
+		return ReasonResponseLost
+	case CauseCallerLeft:
+		if request.enginesTried == 0 && request.sentAt == 0 {
+			return ReasonCallerLeftQueued
 		}
 		return ReasonCallerLeftAtEngine
-	case Spent:
-		if r.attempts >= r.Path.Attempts {
-			return ReasonAttemptsSpent
+	case CauseRetriesExhausted:
+		if request.enginesTried >= request.Path.Attempts {
+			return ReasonAttemptsExhausted
 		}
-		return ReasonBudgetSpent
+		return ReasonBudgetExhausted
 	}
-	if r.shed {
+	if request.shed {
 		return ReasonShed
 	}
-	return c.lackReason(r, w)
+	return c.blockedReason(request, env)
 }
 
 // lackReason says why nothing could take a record.
-func (c *Core) lackReason(r *Record, w World) Reason {
-	switch r.lack {
-	case noEngines:
+func (c *Core) blockedReason(request *Request, env Environment) Reason {
+	switch request.blockedBecause {
+	case blockedNoEngine:
 		return ReasonNoEngine
-	case allTried:
+	case blockedAllTried:
 		return ReasonEnginesTried
-	case allFull:
-		return ReasonEnginesFull
-	case noModel:
-		return loadReason(r, w)
+	case blockedAllBusy:
+		return ReasonEnginesBusy
+	case blockedNoModel:
+		return loadReason(request, env)
 	}
-	return ReasonHeldBack
+	return ReasonWithheld
 }
 
 // loadReason tells what is not loaded apart from what is being loaded.
-func loadReason(r *Record, w World) Reason {
-	modelStands, modelComes, adapterComes := false, false, false
-	for _, engine := range w.View.Pools[r.pool] {
+func loadReason(request *Request, env Environment) Reason {
+	modelLoaded, modelLoading, adapterLoading := false, false, false
+	for _, engine := range env.View.Pools[request.pool] {
 		if !engine.Usable() {
 			continue
 		}
-		modelStands = modelStands || engine.Holds(r.Ask.Model, "")
+		modelLoaded = modelLoaded || engine.Holds(request.Attributes.Model, "")
 		if engine.Plan == nil {
 			continue
 		}
-		modelComes = modelComes || slices.ContainsFunc(engine.Plan.Coming, func(one registry.Coming) bool { return one.Model == r.Ask.Model && one.Adapter == "" })
-		adapterComes = adapterComes || slices.ContainsFunc(engine.Plan.Coming, func(one registry.Coming) bool { return one.Model == r.Ask.Model && one.Adapter == r.Ask.Adapter })
+		modelLoading = modelLoading || slices.ContainsFunc(engine.Plan.Coming, func(one registry.Coming) bool { return one.Model == request.Attributes.Model && one.Adapter == "" })
+		adapterLoading = adapterLoading || slices.ContainsFunc(engine.Plan.Coming, func(one registry.Coming) bool {
+			return one.Model == request.Attributes.Model && one.Adapter == request.Attributes.Adapter
+		})
 	}
 	switch {
-	case modelStands && r.Ask.Adapter != "" && adapterComes:
+	case modelLoaded && request.Attributes.Adapter != "" && adapterLoading:
 		return ReasonAdapterLoading
-	case modelStands && r.Ask.Adapter != "":
+	case modelLoaded && request.Attributes.Adapter != "":
 		return ReasonAdapterAbsent
-	case modelComes:
+	case modelLoading:
 		return ReasonModelLoading
 	}
 	return ReasonModelAbsent
 }
 
 // lateReason says what took most of the time of an answer that begins after its path's target.
-func (c *Core) lateReason(r *Record, now clock.Mark) Reason {
-	target := time.Duration(r.Path.TargetMs) * time.Millisecond
+func (c *Core) lateReason(request *Request, now clock.Mark) Reason {
+	target := time.Duration(request.Path.TargetMs) * time.Millisecond
 	before := time.Duration(0)
-	if r.returned {
-		before = time.Duration(r.Path.DeadlineMs)*time.Millisecond - r.Ask.Deadline
+	if request.resubmitted {
+		before = time.Duration(request.Path.DeadlineMs)*time.Millisecond - request.Attributes.Deadline
 	}
-	here, engine := now.Since(r.Arrived), now.Since(r.sentAt)
+	here, engine := now.Since(request.ArrivedAt), now.Since(request.sentAt)
 	if target <= 0 || before+here <= target {
 		return ReasonNone
 	}
-	tries := max(0, here-engine-r.heldFor)
-	switch most := max(before, r.heldFor, engine, tries); most {
+	attempts := max(0, here-engine-request.queuedFor)
+	switch most := max(before, request.queuedFor, engine, attempts); most {
 	case before:
-		return ReasonLateReturn
+		return ReasonLateResubmission
 	case engine:
 		return ReasonLateEngine
-	case r.heldFor:
-		if r.heldLack == noModel {
+	case request.queuedFor:
+		if request.queuedBecause == blockedNoModel {
 			return ReasonLateLoad
 		}
-		return ReasonLateHeld
+		return ReasonLateQueued
 	}
 	return ReasonLateAttempts
 }
--- a/request/forwarding/reason_test.go
+++ b/request/forwarding/reason_test.go
@@ -24,138 +24,144 @@
 	return LossKey{}
 }
 
-// TestEachLossBearsOneReason: each way to lose a request, or to answer it late, is counted once under its own reason.
-func TestEachLossBearsOneReason(t *testing.T) {
+// TestEachLossHasOneReason: each way to lose a request, or to answer it late, is counted once under its own reason.
+func TestEachLossHasOneReason(t *testing.T) {
 	coming := func(model, adapter string) *registry.Engine {
 		engine := engineOf("batch", 1, 64)
 		engine.Plan = &registry.Plan{Coming: []registry.Coming{{Target: registry.Target{Model: model, Adapter: adapter}, Ready: ms(1_900_000)}}}
 		return engine
 	}
-	withAdapter := func(r *Record) { r.Ask.Model, r.Ask.Adapter, r.Ask.TokensIn = "m", "a1", 100 }
-	refuseUntilEnded := func(b *bench, r *Record) {
-		for r.stage != Ended {
-			if step, _ := taken(r); step.Send != nil {
-				b.core.Attempted(r, EngineRefused, b.world())
+	withAdapter := func(request *Request) {
+		request.Attributes.Model, request.Attributes.Adapter, request.Attributes.TokensIn = "m", "a1", 100
+	}
+	refuseUntilEnded := func(fixture *coreFixture, request *Request) {
+		for request.stage != StageEnded {
+			if step, _ := pendingStep(request); step.Attempt != nil {
+				fixture.core.AttemptEnded(request, OutcomeRejected, fixture.world())
 				continue
 			}
-			b.now += ms(50)
-			b.core.Pass(b.world())
+			fixture.now += ms(50)
+			fixture.core.DispatchQueued(fixture.world())
 		}
 	}
 	for _, one := range []struct {
 		want Reason
-		play func(b *bench)
+		play func(fixture *coreFixture)
 	}{
-		{ReasonNoPath, func(b *bench) { b.admit("none") }},
-		{ReasonNoTable, func(b *bench) { b.current = false; b.admit("none") }},
-		{ReasonNoLease, func(b *bench) { b.lease = false; b.admit("p") }},
-		{ReasonNoEngine, func(b *bench) { refuseUntilEnded(b, b.admit("p")) }},
-		{ReasonModelAbsent, func(b *bench) {
-			b.lacks["m/"] = time.Hour
-			b.register(engineOf("batch", 0, 64))
-			b.admit("p", prompt("m", 100))
+		{ReasonNoPath, func(fixture *coreFixture) { fixture.admit("none") }},
+		{ReasonNoTable, func(fixture *coreFixture) { fixture.current = false; fixture.admit("none") }},
+		{ReasonNoWorkerID, func(fixture *coreFixture) { fixture.hasWorkerID = false; fixture.admit("p") }},
+		{ReasonNoEngine, func(fixture *coreFixture) { refuseUntilEnded(fixture, fixture.admit("p")) }},
+		{ReasonModelAbsent, func(fixture *coreFixture) {
+			fixture.notLoadedFor["m/"] = time.Hour
+			fixture.register(engineOf("batch", 0, 64))
+			fixture.admit("p", prompt("m", 100))
 		}},
-		{ReasonModelLoading, func(b *bench) {
-			b.register(engineOf("batch", 0, 64), coming("m", ""))
-			b.admit("p", prompt("m", 100))
+		{ReasonModelLoading, func(fixture *coreFixture) {
+			fixture.register(engineOf("batch", 0, 64), coming("m", ""))
+			fixture.admit("p", prompt("m", 100))
 		}},
-		{ReasonAdapterAbsent, func(b *bench) {
-			b.lacks["m/a1"] = time.Hour
-			b.register(engineOf("batch", 0, 64, "m"))
-			b.admit("p", withAdapter)
+		{ReasonAdapterAbsent, func(fixture *coreFixture) {
+			fixture.notLoadedFor["m/a1"] = time.Hour
+			fixture.register(engineOf("batch", 0, 64, "m"))
+			fixture.admit("p", withAdapter)
 		}},
-		{ReasonAdapterLoading, func(b *bench) {
-			b.register(engineOf("batch", 0, 64, "m"), coming("m", "a1"))
-			b.admit("p", withAdapter)
+		{ReasonAdapterLoading, func(fixture *coreFixture) {
+			fixture.register(engineOf("batch", 0, 64, "m"), coming("m", "a1"))
+			fixture.admit("p", withAdapter)
 		}},
-		{ReasonEnginesTried, func(b *bench) {
-			b.register(enginesOf("batch", 2, 64, "m")...)
-			refuseUntilEnded(b, b.admit("p", prompt("m", 100)))
+		{ReasonEnginesTried, func(fixture *coreFixture) {
+			fixture.register(enginesOf("batch", 2, 64, "m")...)
+			refuseUntilEnded(fixture, fixture.admit("p", prompt("m", 100)))
 		}},
-		{ReasonEngineFailure, func(b *bench) {
-			b.register(engineOf("batch", 0, 64, "m"))
-			r := b.admit("p", prompt("m", 100))
-			b.sent(r)
-			b.core.Attempted(r, Failed, b.world())
+		{ReasonEngineError, func(fixture *coreFixture) {
+			fixture.register(engineOf("batch", 0, 64, "m"))
+			request := fixture.admit("p", prompt("m", 100))
+			fixture.sent(request)
+			fixture.core.AttemptEnded(request, OutcomeEngineError, fixture.world())
 		}},
-		{ReasonEngineLost, func(b *bench) {
-			b.register(engineOf("batch", 0, 64, "m"))
-			r := b.admit("p", prompt("m", 100))
-			b.sent(r)
-			b.core.Attempted(r, Lost, b.world())
+		{ReasonResponseLost, func(fixture *coreFixture) {
+			fixture.register(engineOf("batch", 0, 64, "m"))
+			request := fixture.admit("p", prompt("m", 100))
+			fixture.sent(request)
+			fixture.core.AttemptEnded(request, OutcomeResponseLost, fixture.world())
 		}},
-		{ReasonCallerLeftHeld, func(b *bench) { b.core.CallerLeft(b.admit("p"), b.world()) }},
-		{ReasonStopping, func(b *bench) { b.admit("p"); b.core.Stop(b.world()) }},
-		{ReasonLateEngine, func(b *bench) {
-			b.register(engineOf("batch", 0, 64, "m"))
-			r := b.admit("p", prompt("m", 100))
-			b.sent(r)
-			b.now += ms(601)
-			b.core.Begun(r, b.world())
-			b.core.Attempted(r, Whole, b.world())
+		{ReasonCallerLeftQueued, func(fixture *coreFixture) { fixture.core.CallerLeft(fixture.admit("p"), fixture.world()) }},
+		{ReasonShuttingDown, func(fixture *coreFixture) { fixture.admit("p"); fixture.core.Stop(fixture.world()) }},
+		{ReasonLateEngine, func(fixture *coreFixture) {
+			fixture.register(engineOf("batch", 0, 64, "m"))
+			request := fixture.admit("p", prompt("m", 100))
+			fixture.sent(request)
+			fixture.now += ms(601)
+			fixture.core.ResponseBegun(request, fixture.world())
+			fixture.core.AttemptEnded(request, OutcomeCompleted, fixture.world())
 		}},
-		{ReasonLateLoad, func(b *bench) {
-			b.register(engineOf("batch", 0, 64))
-			r := b.admit("p", func(r *Record) { prompt("m", 100)(r); r.returned = true; r.Ask.Deadline = 3_500 * time.Millisecond })
-			b.now += ms(590)
-			b.register(engineOf("batch", 0, 64, "m"))
-			b.core.Pass(b.world())
-			b.sent(r)
-			b.core.Begun(r, b.world())
+		{ReasonLateLoad, func(fixture *coreFixture) {
+			fixture.register(engineOf("batch", 0, 64))
+			request := fixture.admit("p", func(request *Request) {
+				prompt("m", 100)(request)
+				request.resubmitted = true
+				request.Attributes.Deadline = 3_500 * time.Millisecond
+			})
+			fixture.now += ms(590)
+			fixture.register(engineOf("batch", 0, 64, "m"))
+			fixture.core.DispatchQueued(fixture.world())
+			fixture.sent(request)
+			fixture.core.ResponseBegun(request, fixture.world())
 		}},
-		{ReasonLateReturn, func(b *bench) {
-			b.register(engineOf("batch", 0, 64, "m"))
-			r := b.admit("p", prompt("m", 100), func(r *Record) { r.Ask.Deadline = 3 * time.Second })
-			b.sent(r)
-			b.core.Begun(r, b.world())
+		{ReasonLateResubmission, func(fixture *coreFixture) {
+			fixture.register(engineOf("batch", 0, 64, "m"))
+			request := fixture.admit("p", prompt("m", 100), func(request *Request) { request.Attributes.Deadline = 3 * time.Second })
+			fixture.sent(request)
+			fixture.core.ResponseBegun(request, fixture.world())
 		}},
 	} {
-		b := newBench(t, pathOf("p", upstream.Stream, "batch"))
-		one.play(b)
-		if key := onlyLoss(t, b.core); key.Reason != one.want {
+		fixture := newCoreFixture(t, pathOf("p", upstream.Stream, "batch"))
+		one.play(fixture)
+		if key := onlyLoss(t, fixture.core); key.Reason != one.want {
 			t.Errorf("counted under %s, want %s", key.Reason, one.want)
 		}
 	}
 }
 
-// TestAnAnswerInTimeIsNoLoss: neither one that begins within its target, nor one whose engine's answer came whole.
-func TestAnAnswerInTimeIsNoLoss(t *testing.T) {
-	b := newBench(t, pathOf("p", upstream.Stream, "batch"))
-	b.register(engineOf("batch", 0, 64, "m"))
-	r := b.admit("p", prompt("m", 100))
-	b.sent(r)
-	b.now += ms(599)
-	b.core.Begun(r, b.world())
-	b.now += ms(5_000)
-	b.core.Attempted(r, Whole, b.world())
-	if losses := b.core.Losses(); len(losses) > 0 {
+// TestAnswerInTimeIsNoLoss: neither one that begins within its target, nor one whose engine's answer came whole.
+func TestAnswerInTimeIsNoLoss(t *testing.T) {
+	fixture := newCoreFixture(t, pathOf("p", upstream.Stream, "batch"))
+	fixture.register(engineOf("batch", 0, 64, "m"))
+	request := fixture.admit("p", prompt("m", 100))
+	fixture.sent(request)
+	fixture.now += ms(599)
+	fixture.core.ResponseBegun(request, fixture.world())
+	fixture.now += ms(5_000)
+	fixture.core.AttemptEnded(request, OutcomeCompleted, fixture.world())
+	if losses := fixture.core.Losses(); len(losses) > 0 {
 		t.Error(losses)
 	}
 }
 
 // TestLossesOfManyModelsAreBounded: models beyond the bound are counted together, and none is forgotten.
 func TestLossesOfManyModelsAreBounded(t *testing.T) {
-	b := newBench(t, pathOf("p", upstream.Stream, "batch"))
-	const models = mostLossKeys + 50
+	fixture := newCoreFixture(t, pathOf("p", upstream.Stream, "batch"))
+	const models = maxLossKeys + 50
 	for n := range models {
-		b.core.lost(b.record("p", prompt(string(rune('a'+n%26))+time.Duration(n).String(), 1)), ReasonModelAbsent, b.now)
+		fixture.core.recordLoss(fixture.record("p", prompt(string(rune('a'+n%26))+time.Duration(n).String(), 1)), ReasonModelAbsent, fixture.now)
 	}
 	total := uint64(0)
-	for _, count := range b.core.Losses() {
+	for _, count := range fixture.core.Losses() {
 		total += count
 	}
-	if len(b.core.Losses()) != mostLossKeys+1 || total != models {
-		t.Errorf("%d keys, %d losses", len(b.core.Losses()), total)
+	if len(fixture.core.Losses()) != maxLossKeys+1 || total != models {
+		t.Errorf("%d keys, %d losses", len(fixture.core.Losses()), total)
 	}
 }
 
-// TestReasonsHaveNames: no two share one.
-func TestReasonsHaveNames(t *testing.T) {
+// TestReasonNamesAreUnique: no two share one.
+func TestReasonNamesAreUnique(t *testing.T) {
 	seen := map[string]bool{}
-	for r := range reasons {
-		if name := r.String(); name == "" || seen[name] {
-			t.Errorf("reason %d is called %q", r, name)
+	for request := range reasonCount {
+		if name := request.String(); name == "" || seen[name] {
+			t.Errorf("reason %d is called %q", request, name)
 		}
-		seen[r.String()] = true
+		seen[request.String()] = true
 	}
 }
--- a/request/forwarding/record.go
+++ b/request/forwarding/record.go
@@ -16,15 +16,15 @@
 
 const (
 	// Admitted: read, and not yet looked at by the passes.
-	Admitted Stage = iota
+	StageAdmitted Stage = iota
 	// Held: waiting for an engine, stamped with a minted id.
-	Held
+	StageQueued
 	// Sending: an attempt was handed to a sender; the bytes may be on their way.
-	Sending
+	StageSending
 	// Passing: bytes of an engine's answer went on to the caller.
-	Passing
+	StageResponding
 	// Ended: nothing more will happen.
-	Ended
+	StageEnded
 )
 
 func (s Stage) String() string {
@@ -32,18 +32,18 @@
 }
 
 // allowed lists the ways from each stage to the next.
-var allowed = map[Stage][]Stage{
-	Admitted: {Held, Sending, Ended},
-	Held:     {Sending, Ended},
+var allowedTransitions = map[Stage][]Stage{
+	StageAdmitted: {StageQueued, StageSending, StageEnded},
+	StageQueued:   {StageSending, StageEnded},
 	// An attempt that did not run, or may be made again, leads back to holding or to the next one.
-	Sending: {Held, Sending, Passing, Ended},
+	StageSending: {StageQueued, StageSending, StageResponding, StageEnded},
 	// A stream that may be taken up goes on at another engine, within the answer that has begun.
-	Passing: {Held, Sending, Passing, Ended},
+	StageResponding: {StageQueued, StageSending, StageResponding, StageEnded},
 }
 
 // move is the one function by which a record changes its stage.
-func (r *Record) move(to Stage) {
-	for _, way := range allowed[r.stage] {
+func (r *Request) transition(to Stage) {
+	for _, way := range allowedTransitions[r.stage] {
 		if way == to {
 			r.stage = to
 			return
@@ -53,125 +53,127 @@
 }
 
 // Record is one request on its way.
-type Record struct {
-	Ask dialect.Ask
+type Request struct {
+	Attributes dialect.Ask
 	// Path is what served it by the table in force when it was read; nil is none.
 	Path *upstream.Path
 	// Host and Prefixed are what it is looked up by, again, before each attempt.
-	Host, Prefixed string
-	Arrived        clock.Mark
-	Deadline       clock.Mark
+	Host, URLPath string
+	ArrivedAt     clock.Mark
+	Deadline      clock.Mark
 
 	// Seen is what the sender saw of the attempt under way; it is the sender's until it reports how that ended.
-	Seen Seen
+	Observed Observation
 
 	stage Stage
 	// pool is drawn once, so that all attempts go to the same.
 	pool string
 	// firstBy is when an answer must have begun, or its caller is likely to be gone.
-	firstBy clock.Mark
+	firstByteDeadline clock.Mark
 	// returned says that the client seems to have been refused before: it has less time than it began with.
-	returned bool
+	resubmitted bool
 	// sequence orders those that wait by arrival.
 	sequence uint64
 	// Attempts is how many engines it was sent to, tried which; engine is the newest.
-	attempts int
-	tried    []ident.EngineID
-	engine   ident.EngineID
+	enginesTried int
+	triedEngines []ident.EngineID
+	engine       ident.EngineID
 	// stamps are the minted ids of its queueing and of each retry.
-	stamps []ident.MintedID
+	mintedIDs []ident.MintedID
 	// mayHaveRun says that an attempt may have run, so no refusal may be promised.
 	mayHaveRun bool
 	// begun says that the caller has bytes of an answer, callerLeft that it waits for none any more.
-	begun, callerLeft bool
+	responseBegun, callerLeft bool
 	// lastEvent is the last event passed on, if any was.
 	lastEvent string
 	// heldAt is since when it is held, heldFor how long it was held before, heldLack what it lacked when it was.
-	heldAt   clock.Mark
-	heldFor  time.Duration
-	heldLack lack
+	queuedAt      clock.Mark
+	queuedFor     time.Duration
+	queuedBecause blockReason
 	// lack is what it lacked when it last could not be sent, shed that it was refused by an estimate.
-	lack        lack
-	shed        bool
-	lossCounted bool
+	blockedBecause blockReason
+	shed           bool
+	lossCounted    bool
 	// heldBack counts the attempts that were stopped at the last look.
-	heldBack int
-	sentAt   clock.Mark
+	withheldCount int
+	sentAt        clock.Mark
 	// needs is the tokens of memory, and unread those of its prompt that the engine chosen has not kept;
 	// awaited says that the answer has not begun.
-	needs, unread int
-	awaited       bool
+	memoryTokens, prefillTokens int
+	awaitingFirstByte           bool
 	// speculative says that it goes ahead of the news of a load, tooSoonAt where it came too soon last, boundTo
 	// to which engine alone it may go any more.
-	speculative        bool
-	tooSoonAt, boundTo ident.EngineID
+	speculative                           bool
+	lastSpeculationRejectedBy, onlyEngine ident.EngineID
 	// overdueAfter is how long its first byte may take; noted says that the attempt is counted in the ledger,
 	// wasOverdue that it was when its first byte had not come.
-	overdueAfter      time.Duration
-	noted, wasOverdue bool
+	overdueAfter                     time.Duration
+	outcomeReported, reportedOverdue bool
 	// score is what the engine chosen was expected to cost.
-	score float64
+	expectedCost float64
 	// moving says that the attempt under way was stopped to be made elsewhere, paid that the next one is in the budget.
-	moving, paid bool
+	migrating, retryCharged bool
 	// counted says that its first arrival at an engine is in the budget.
-	counted bool
-	steps   chan Step
+	firstSendCounted bool
+	steps            chan Step
 }
 
 // Seen is what a sender sees of an attempt besides how it ends.
-type Seen struct {
+type Observation struct {
 	// Connect is how long a fresh connection took; zero is a kept one. LongestGap is the longest wait for a next event.
-	Connect, LongestGap time.Duration
+	ConnectTime, LongestEventGap time.Duration
 }
 
 // Stage tells where the record stands.
-func (r *Record) Stage() Stage { return r.stage }
+func (r *Request) Stage() Stage { return r.stage }
 
 // answerBy is until when the answer, or what follows of it, is worth waiting for.
-func (r *Record) answerBy() clock.Mark {
-	if r.begun || r.firstBy == 0 {
+func (r *Request) responseDeadline() clock.Mark {
+	if r.responseBegun || r.firstByteDeadline == 0 {
 		return r.Deadline
 	}
-	return r.firstBy
+	return r.firstByteDeadline
 }
 
 // repeatable says whether the request may run more than once.
-func (r *Record) repeatable() bool { return r.Path != nil && r.Path.Class == upstream.Repeatable }
+func (r *Request) repeatable() bool {
+	return r.Path != nil && r.Path.Class == upstream.Repeatable
+}
 
 // resumable says whether an answer that broke off may go on at another engine.
-func (r *Record) resumable() bool {
+func (r *Request) resumable() bool {
 	return r.Path != nil && r.Path.Class == upstream.Stream && r.Path.Resumable
 }
 
 // mayRepeat says whether another attempt may be made although an earlier one may have run.
-func (r *Record) mayRepeat() bool { return r.repeatable() || r.resumable() }
+func (r *Request) mayRepeat() bool { return r.repeatable() || r.resumable() }
 
 // Step is what the record's sender does next: one of the three.
 type Step struct {
-	Send *Send
-	End  *Answer
+	Attempt *Attempt
+	Answer  *Answer
 	// Pass lets the engine's own failure go on, since no better answer is to be had.
-	Pass bool
+	PassEngineError bool
 }
 
 // Send is one attempt to make.
-type Send struct {
-	Engine  ident.EngineID
-	Address string
-	Zone    ident.ZoneID
-	Pool    string
-	Left    time.Duration
-	Urgency int
+type Attempt struct {
+	Engine   ident.EngineID
+	Address  string
+	Zone     ident.ZoneID
+	Pool     string
+	TimeLeft time.Duration
+	Urgency  int
 	// Careful attempts can't be made again.
-	Careful bool
+	NotRepeatable bool
 	// LastEvent takes a stream up after this event, if Resumes.
-	LastEvent       string
-	Resumes         bool
-	MostConnections int
+	LastEvent      string
+	Resume         bool
+	MaxConnections int
 	// Stamped says that it was held or tried before, which only a lease allows.
-	Stamped bool
+	NeedsWorkerID bool
 	// Running is how many requests run and wait there, Reading how many tokens are to be read before its first
 	// byte, both as far as this daemon knows; GapTargetMs is the path's.
-	Running, Reading int
-	GapTargetMs      int64
+	EngineRunning, PrefillTokens int
+	GapTargetMs                  int64
 }
--- a/request/forwarding/routes.go
+++ b/request/forwarding/routes.go
@@ -10,7 +10,7 @@
 )
 
 // drawPool draws a pool by the weights of the path, the same for the same attempt.
-func drawPool(path *upstream.Path, attempt string) string {
+func selectPool(path *upstream.Path, attempt string) string {
 	var sum uint64
 	for _, share := range path.Shares {
 		sum += uint64(share.Weight)
@@ -29,47 +29,47 @@
 }
 
 // Leads says whether the table in force still sends a request to a pool.
-func Leads(index *upstream.Index, host, prefixed, pool string) bool {
+func RoutesTo(index *upstream.Index, host, prefixed, pool string) bool {
 	if index == nil {
 		return false
 	}
 	path, found := index.Lookup(host, prefixed)
-	return found && leadsTo(path, pool)
+	return found && pathRoutesTo(path, pool)
 }
 
-func leadsTo(path *upstream.Path, pool string) bool {
+func pathRoutesTo(path *upstream.Path, pool string) bool {
 	return slices.ContainsFunc(path.Shares, func(share upstream.Share) bool { return share.Pool == pool && share.Weight > 0 })
 }
 
 // rerouted takes up the table in force for a record. It says false when the record has ended.
-func (c *Core) rerouted(r *Record, w World) bool {
-	if w.Index == nil {
-		c.finish(r, w, NoTable, time.Second)
+func (c *Core) reroute(request *Request, env Environment) bool {
+	if env.Index == nil {
+		c.finish(request, env, CauseNoTable, time.Second)
 		return false
 	}
-	path, found := w.Index.Lookup(r.Host, r.Prefixed)
+	path, found := env.Index.Lookup(request.Host, request.URLPath)
 	switch {
-	case !found && w.Current:
-		c.finish(r, w, NoPath, 0)
+	case !found && env.IndexCurrent:
+		c.finish(request, env, CauseNoPath, 0)
 		return false
 	case !found:
-		c.finish(r, w, NoTable, time.Second)
+		c.finish(request, env, CauseNoTable, time.Second)
 		return false
 	}
-	r.Path = path
-	if r.mayHaveRun && (!r.mayRepeat() || !leadsTo(path, r.pool)) {
+	request.Path = path
+	if request.mayHaveRun && (!request.mayRepeat() || !pathRoutesTo(path, request.pool)) {
 		// What may have run goes on only where, and if, the newest table lets it.
-		c.finish(r, w, Broken, 0)
+		c.finish(request, env, CauseResponseLost, 0)
 		return false
 	}
-	if !leadsTo(path, r.pool) {
-		wasHeld := r.stage == Held
-		if wasHeld {
-			c.demand(r).held--
+	if !pathRoutesTo(path, request.pool) {
+		wasQueued := request.stage == StageQueued
+		if wasQueued {
+			c.demandState(request).queued--
 		}
-		r.pool = drawPool(path, r.Ask.Attempt)
-		if wasHeld {
-			c.demand(r).held++
+		request.pool = selectPool(path, request.Attributes.Attempt)
+		if wasQueued {
+			c.demandState(request).queued++
 		}
 	}
 	return true
--- a/request/forwarding/routes_test.go
+++ b/request/forwarding/routes_test.go
@@ -8,19 +8,19 @@
 	"github.com/cresspond/cresspond/configuration/upstream"
 )
 
-// TestWeightsAreKeptOverManyTries: each pool of a path gets about what its weight says, and the same try always the same.
-func TestWeightsAreKeptOverManyTries(t *testing.T) {
+// TestPoolSelectionFollowsWeightsAndIsDeterministic: each pool of a path gets about what its weight says, and the same try always the same.
+func TestPoolSelectionFollowsWeightsAndIsDeterministic(t *testing.T) {
 	path := pathOf("p", upstream.Repeatable, "plain", "other", "batch")
 	weights := map[string]int64{"plain": 90, "other": 10, "batch": 0}
-	for place := range path.Shares {
-		path.Shares[place].Weight = weights[path.Shares[place].Pool]
+	for index := range path.Shares {
+		path.Shares[index].Weight = weights[path.Shares[index].Pool]
 	}
 	const tries = 20_000
 	drawn := map[string]int{}
 	for n := range tries {
 		attempt := fmt.Sprintf("%016x", n*7919)
-		pool := drawPool(&path, attempt)
-		if again := drawPool(&path, attempt); again != pool {
+		pool := selectPool(&path, attempt)
+		if again := selectPool(&path, attempt); again != pool {
 			t.Fatalf("%s is drawn to %s and %s", attempt, pool, again)
 		}
 		drawn[pool]++
--- a/request/forwarding/simulate_test.go
+++ b/request/forwarding/simulate_test.go
@@ -58,7 +58,7 @@
 }
 
 // batcher is an engine that reads prompts one after the other, and keeps the parts it has read.
-type batcher struct {
+type simulatedEngine struct {
 	registered *registry.Engine
 	queue      []*job
 	reading    bool
@@ -66,22 +66,22 @@
 	kept       map[string]bool
 	dead       bool
 	// ill says what becomes of an attempt from a daemon, nil that the engine is well.
-	ill      func(d *simulated) illness
+	fault    func(d *simulatedRouter) faultKind
 	read     int
 	arrivals int
 }
 
 type job struct {
-	daemon *simulated
-	record *Record
+	daemon *simulatedRouter
+	record *Request
 	taken  clock.Mark
 	events int
 }
 
 // simulated is one daemon.
-type simulated struct {
+type simulatedRouter struct {
 	core  *Core
-	world func() World
+	world func() Environment
 	zone  ident.ZoneID
 }
 
@@ -89,40 +89,40 @@
 type simulation struct {
 	timeline
 	random  *rand.Rand
-	daemons []*simulated
-	engines []*batcher
+	daemons []*simulatedRouter
+	engines []*simulatedEngine
 	view    *registry.View
 	index   *upstream.Index
 	// perToken is how long a token takes to be read.
-	perToken time.Duration
-	inTime   map[string]int
-	asked    map[string]int
-	late     int
-	failed   int
-	first    []time.Duration
+	perToken     time.Duration
+	servedInTime map[string]int
+	requests     map[string]int
+	late         int
+	failed       int
+	first        []time.Duration
 	// utility sums what requests are worth: one in time, lateWorth late, something between after a refusal.
-	utility, lateWorth float64
-	returns            bool
-	tail               time.Duration
-	returned           map[*Record]bool
+	utility, lateUtility float64
+	clientsRetry         bool
+	drainTime            time.Duration
+	resubmitted          map[*Request]bool
 	// judge weighs what daemons tell, where they do; broken counts requests that an engine's trouble cost.
-	judge  *outlier.Detector
-	broken int
+	detector       *outlier.Detector
+	brokenRequests int
 }
 
 func newSimulation(seed uint64, daemons, engines int) *simulation {
 	path := pathOf("p", upstream.Stream, "batch")
 	path.Attempts = 1
-	s := &simulation{random: rand.New(rand.NewPCG(seed, 5)), index: sectionOf(path), perToken: time.Second / 25_800, inTime: map[string]int{}, asked: map[string]int{}, lateWorth: 0.5, tail: 10 * time.Second, returned: map[*Record]bool{}}
+	s := &simulation{random: rand.New(rand.NewPCG(seed, 5)), index: routingTable(path), perToken: time.Second / 25_800, servedInTime: map[string]int{}, requests: map[string]int{}, lateUtility: 0.5, drainTime: 10 * time.Second, resubmitted: map[*Request]bool{}}
 	s.now = clock.Mark(time.Hour)
 	for n := range engines {
-		s.engines = append(s.engines, &batcher{registered: engineOf("batch", n, 64, "m"), kept: map[string]bool{}})
+		s.engines = append(s.engines, &simulatedEngine{registered: engineOf("batch", n, 64, "m"), kept: map[string]bool{}})
 	}
 	s.publish()
 	for range daemons {
-		d := &simulated{core: NewCore(DefaultSettings())}
-		d.world = func() World {
-			return World{Now: s.now, Zone: d.zone, Index: s.index, Current: true, View: s.view, Edges: daemons, Leased: true, Mint: func() (ident.MintedID, bool) { return 1, true }}
+		d := &simulatedRouter{core: NewCore(DefaultSettings())}
+		d.world = func() Environment {
+			return Environment{Now: s.now, Zone: d.zone, Index: s.index, IndexCurrent: true, View: s.view, Routers: daemons, HasWorkerID: true, MintID: func() (ident.MintedID, bool) { return 1, true }}
 		}
 		s.daemons = append(s.daemons, d)
 	}
@@ -140,8 +140,8 @@
 				copied := *engine.registered
 				if plan := plans[copied.ID]; plan != nil {
 					plan.Told = s.now
-					if s.judge != nil {
-						plan.Weights = s.judge.Weights(s.now, copied.ID)
+					if s.detector != nil {
+						plan.Weights = s.detector.Weights(s.now, copied.ID)
 					}
 					copied.Plan = plan
 				}
@@ -165,63 +165,63 @@
 }
 
 // take does what a record's sender would.
-func (s *simulation) take(d *simulated, r *Record) {
-	step, there := taken(r)
+func (s *simulation) takeStep(d *simulatedRouter, request *Request) {
+	step, there := pendingStep(request)
 	if !there {
 		return
 	}
-	if step.Pass || step.Send == nil && step.End.Status != 503 {
-		s.broken++
+	if step.PassEngineError || step.Attempt == nil && step.Answer.Status != 503 {
+		s.brokenRequests++
 		return
 	}
-	if step.Send == nil {
+	if step.Attempt == nil {
 		s.failed++
-		if s.returned[r] {
-			s.utility -= 0.3 * (0.3 + 0.7*min(5, float64(r.Ask.TokensIn)/2368))
+		if s.resubmitted[request] {
+			s.utility -= 0.3 * (0.3 + 0.7*min(5, float64(request.Attributes.TokensIn)/2368))
 			return
 		}
-		if !s.returns {
+		if !s.clientsRetry {
 			return
 		}
 		// A client comes back once, to any daemon, with what is left of its time.
-		again := *r
-		wait := min(step.End.ComeBack, r.Deadline.Since(s.now)/3)
+		again := *request
+		wait := min(step.Answer.RetryAfter, request.Deadline.Since(s.now)/3)
 		s.after(wait, func() {
-			back := NewRecord(Record{Ask: again.Ask, Host: again.Host, Prefixed: again.Prefixed, Path: again.Path, Arrived: s.now, Deadline: again.Deadline})
-			back.Ask.Attempt += "b"
-			back.Ask.Deadline = back.Deadline.Since(back.Arrived)
-			s.returned[back] = true
+			back := NewRequest(Request{Attributes: again.Attributes, Host: again.Host, URLPath: again.URLPath, Path: again.Path, ArrivedAt: s.now, Deadline: again.Deadline})
+			back.Attributes.Attempt += "b"
+			back.Attributes.Deadline = back.Deadline.Since(back.ArrivedAt)
+			s.resubmitted[back] = true
 			other := s.daemons[s.random.IntN(len(s.daemons))]
 			other.core.Admit(back, other.world())
-			s.take(other, back)
+			s.takeStep(other, back)
 		})
 		return
 	}
-	place := slices.IndexFunc(s.engines, func(b *batcher) bool { return b.registered.ID == step.Send.Engine })
-	engine := s.engines[place]
+	index := slices.IndexFunc(s.engines, func(engine *simulatedEngine) bool { return engine.registered.ID == step.Attempt.Engine })
+	engine := s.engines[index]
 	engine.arrivals++
 	if engine.dead {
 		s.after(400*time.Millisecond, func() {
-			d.core.Attempted(r, NeverSent, d.world())
-			s.take(d, r)
+			d.core.AttemptEnded(request, OutcomeUnreachable, d.world())
+			s.takeStep(d, request)
 		})
 		return
 	}
-	if s.falls(d, r, engine) {
+	if s.failsAt(d, request, engine) {
 		return
 	}
-	engine.queue = append(engine.queue, &job{daemon: d, record: r, taken: s.now, events: 8 + s.random.IntN(8)})
+	engine.queue = append(engine.queue, &job{daemon: d, record: request, taken: s.now, events: 8 + s.random.IntN(8)})
 	s.read(engine)
 }
 
 // read has an engine read the next prompt.
-func (s *simulation) read(engine *batcher) {
+func (s *simulation) read(engine *simulatedEngine) {
 	if engine.reading || len(engine.queue) == 0 || engine.active >= 64 {
 		return
 	}
 	one := engine.queue[0]
 	tokens, known := 0, true
-	for _, part := range one.record.Ask.Parts {
+	for _, part := range one.record.Attributes.Parts {
 		if known = known && engine.kept[part.ID]; !known {
 			tokens += part.Tokens
 			engine.kept[part.ID] = true
@@ -229,36 +229,36 @@
 	}
 	engine.read += tokens
 	engine.reading = true
-	span := time.Duration(tokens)*s.perToken + 8*time.Millisecond
-	if engine.ill != nil && engine.ill(one.daemon) == slows {
-		span *= 8
+	duration := time.Duration(tokens)*s.perToken + 8*time.Millisecond
+	if engine.fault != nil && engine.fault(one.daemon) == slowEngine {
+		duration *= 8
 	}
-	s.after(span, func() {
+	s.after(duration, func() {
 		engine.reading = false
 		engine.queue = engine.queue[1:]
 		engine.active++
-		r, d := one.record, one.daemon
-		waited := s.now.Since(r.Arrived)
+		request, d := one.record, one.daemon
+		waited := s.now.Since(request.ArrivedAt)
 		s.first = append(s.first, waited)
-		worth := s.lateWorth
-		weight := 0.3 + 0.7*min(5, float64(r.Ask.TokensIn)/2368)
+		utility := s.lateUtility
+		weight := 0.3 + 0.7*min(5, float64(request.Attributes.TokensIn)/2368)
 		switch {
-		case s.now > r.Deadline:
-			worth = 0
+		case s.now > request.Deadline:
+			utility = 0
 			s.late++
-		case waited <= 600*time.Millisecond && s.returned[r]:
-			worth = (1 + s.lateWorth) / 2
+		case waited <= 600*time.Millisecond && s.resubmitted[request]:
+			utility = (1 + s.lateUtility) / 2
 		case waited <= 600*time.Millisecond:
-			worth = 1
-			s.inTime[affinity(r)]++
+			utility = 1
+			s.servedInTime[affinityKey(request)]++
 		default:
 			s.late++
 		}
-		s.utility += worth * weight
-		d.core.Begun(r, d.world())
+		s.utility += utility * weight
+		d.core.ResponseBegun(request, d.world())
 		s.after(time.Duration(one.events)*30*time.Millisecond, func() {
 			engine.active--
-			d.core.Attempted(r, Whole, d.world())
+			d.core.AttemptEnded(request, OutcomeCompleted, d.world())
 			s.read(engine)
 		})
 		s.read(engine)
@@ -266,8 +266,8 @@
 }
 
 // traffic sends requests in clumps; subject draws the shared part.
-func (s *simulation) traffic(perSecond float64, span time.Duration, subject func() int) {
-	end := s.now + clock.Mark(span)
+func (s *simulation) traffic(perSecond float64, duration time.Duration, subject func() int) {
+	end := s.now + clock.Mark(duration)
 	n := 0
 	var next func()
 	next = func() {
@@ -278,30 +278,30 @@
 			n++
 			d := s.daemons[s.random.IntN(len(s.daemons))]
 			about := subject()
-			r := Record{Host: "h", Prefixed: "/p/", Arrived: s.now, Deadline: s.now + ms(4000)}
-			r.Ask.Attempt = fmt.Sprint("a", n)
+			request := Request{Host: "h", URLPath: "/p/", ArrivedAt: s.now, Deadline: s.now + ms(4000)}
+			request.Attributes.Attempt = fmt.Sprint("a", n)
 			own := int(300 + s.random.ExpFloat64()*1500)
-			r.Path, _ = s.index.Lookup("h", "/p/")
-			prompt("m", 0)(&r)
-			r.Ask.Parts = append(r.Ask.Parts, partOf(fmt.Sprint("system", about%3), 341), partOf(fmt.Sprint("subject", about), 227), partOf(fmt.Sprint("own", n), own))
-			r.Ask.TokensIn = 568 + own
-			record := NewRecord(r)
-			s.asked[affinity(record)]++
+			request.Path, _ = s.index.Lookup("h", "/p/")
+			prompt("m", 0)(&request)
+			request.Attributes.Parts = append(request.Attributes.Parts, partOf(fmt.Sprint("system", about%3), 341), partOf(fmt.Sprint("subject", about), 227), partOf(fmt.Sprint("own", n), own))
+			request.Attributes.TokensIn = 568 + own
+			record := NewRequest(request)
+			s.requests[affinityKey(record)]++
 			d.core.Admit(record, d.world())
-			s.take(d, record)
+			s.takeStep(d, record)
 		}
 		s.after(time.Duration(s.random.ExpFloat64()*float64(time.Second)*3/perSecond), next)
 	}
 	next()
-	s.run(end + clock.Mark(s.tail))
+	s.run(end + clock.Mark(s.drainTime))
 }
 
-func (s *simulation) sum() (asked, inTime int) {
-	for part, count := range s.asked {
-		asked += count
-		inTime += s.inTime[part]
+func (s *simulation) sum() (requested, inTime int) {
+	for part, count := range s.requests {
+		requested += count
+		inTime += s.servedInTime[part]
 	}
-	return asked, inTime
+	return requested, inTime
 }
 
 func (s *simulation) describe() string {
@@ -309,12 +309,12 @@
 	at := func(q float64) time.Duration {
 		return s.first[int(math.Min(float64(len(s.first)-1), q*float64(len(s.first))))].Round(time.Millisecond)
 	}
-	asked, inTime := s.sum()
+	requested, inTime := s.sum()
 	read := 0
 	for _, engine := range s.engines {
 		read += engine.read
 	}
-	return fmt.Sprintf("%d asked, %.3f in time, %d late, %d refused, first byte %v %v %v, %d tokens read each", asked, float64(inTime)/float64(asked), s.late, s.failed, at(.5), at(.9), at(.99), read/max(1, len(s.first)))
+	return fmt.Sprintf("%d asked, %.3f in time, %d late, %d refused, first byte %v %v %v, %d tokens read each", requested, float64(inTime)/float64(requested), s.late, s.failed, at(.5), at(.9), at(.99), read/max(1, len(s.first)))
 }
 
 // capacity is how many requests a second the engines can read.
@@ -322,18 +322,18 @@
 
 func (s *simulation) anySubject() int { return s.random.IntN(60) }
 
-// TestManyDaemonsSpreadPromptsOverBatchingEngines: nine daemons that know little of each other keep most first
+// TestManyRoutersSpreadPromptsOverBatchingEngines: nine daemons that know little of each other keep most first
 // bytes in time near the engines' limit, and beyond it what they let in. The figures of a build that went by
 // reported queues, and shed nothing, were 0.98, 0.80, 0.52 and 0.11.
-func TestManyDaemonsSpreadPromptsOverBatchingEngines(t *testing.T) {
+func TestManyRoutersSpreadPromptsOverBatchingEngines(t *testing.T) {
 	for _, c := range []struct{ load, least float64 }{{0.5, 0.985}, {0.8, 0.9}, {1.0, 0.79}, {1.3, 0.6}} {
 		all, inTime, refused := 0, 0, 0
 		for seed := range uint64(4) {
 			s := newSimulation(seed, 9, 5)
 			s.traffic(c.load*s.capacity(), 30*time.Second, s.anySubject)
 			t.Logf("load %.1f: %s", c.load, s.describe())
-			asked, served := s.sum()
-			all, inTime, refused = all+asked, inTime+served, refused+s.failed
+			requested, served := s.sum()
+			all, inTime, refused = all+requested, inTime+served, refused+s.failed
 		}
 		if share := float64(inTime) / float64(all); share < c.least {
 			t.Errorf("load %.1f: %.3f in time", c.load, share)
@@ -344,16 +344,16 @@
 	}
 }
 
-// TestAQueueIsSeenFromWhatWaitsInIt: beyond the engines' limit, with clients that come back once and half a worth
+// TestAwaitedFirstBytesRevealEngineQueue: beyond the engines' limit, with clients that come back once and half a worth
 // for what is late. Going by the first bytes that came alone, 0.57 was earned.
-func TestAQueueIsSeenFromWhatWaitsInIt(t *testing.T) {
+func TestAwaitedFirstBytesRevealEngineQueue(t *testing.T) {
 	all, utility := 0, 0.0
 	for seed := range uint64(4) {
 		s := newSimulation(seed, 9, 5)
-		s.returns = true
+		s.clientsRetry = true
 		s.traffic(1.3*s.capacity(), 30*time.Second, s.anySubject)
-		asked, _ := s.sum()
-		all, utility = all+asked, utility+s.utility
+		requested, _ := s.sum()
+		all, utility = all+requested, utility+s.utility
 	}
 	if earned := utility / float64(all); earned < 0.6 {
 		t.Errorf("%.3f is earned", earned)
@@ -362,9 +362,9 @@
 	}
 }
 
-// TestOnePopularPrefixDoesNotOverloadItsHome: most ask about one thing, and the engines share it nevertheless.
+// TestPopularPrefixDoesNotOverloadItsReplicas: most ask about one thing, and the engines share it nevertheless.
 // With its two homes alone 0.82 were in time.
-func TestOnePopularPrefixDoesNotOverloadItsHome(t *testing.T) {
+func TestPopularPrefixDoesNotOverloadItsReplicas(t *testing.T) {
 	s := newSimulation(3, 9, 5)
 	s.traffic(0.5*s.capacity(), 30*time.Second, func() int {
 		if s.random.IntN(10) < 7 {
@@ -373,59 +373,59 @@
 		return s.anySubject()
 	})
 	t.Log(s.describe())
-	asked, inTime := s.sum()
-	if share := float64(inTime) / float64(asked); share < 0.95 {
+	requested, inTime := s.sum()
+	if share := float64(inTime) / float64(requested); share < 0.95 {
 		t.Errorf("%.3f in time", share)
 	}
 	for _, engine := range s.engines {
-		if share := float64(engine.arrivals) / float64(asked); share > 0.5 {
+		if share := float64(engine.arrivals) / float64(requested); share > 0.5 {
 			t.Errorf("%s got %.2f of all", engine.registered.ID, share)
 		}
 	}
 }
 
-// TestADeadEngineCostsLittle: until it is known to be gone, few run into it, and no subject is left unserved.
-func TestADeadEngineCostsLittle(t *testing.T) {
+// TestDeadEngineReceivesFewRequests: until it is known to be gone, few run into it, and no subject is left unserved.
+func TestDeadEngineReceivesFewRequests(t *testing.T) {
 	s := newSimulation(4, 9, 5)
 	s.engines[2].dead = true
 	s.traffic(0.5*s.capacity(), 30*time.Second, s.anySubject)
 	t.Log(s.describe())
-	asked, inTime := s.sum()
-	if share := float64(inTime) / float64(asked); share < 0.8 {
+	requested, inTime := s.sum()
+	if share := float64(inTime) / float64(requested); share < 0.8 {
 		t.Errorf("%.3f in time", share)
 	}
-	if share := float64(s.engines[2].arrivals) / float64(asked); share > 0.1 {
+	if share := float64(s.engines[2].arrivals) / float64(requested); share > 0.1 {
 		t.Errorf("the dead one got %.2f of all", share)
 	}
-	for subject, count := range s.asked {
-		if count >= 10 && s.inTime[subject] < count/2 {
-			t.Errorf("%s: %d of %d in time", subject, s.inTime[subject], count)
+	for subject, count := range s.requests {
+		if count >= 10 && s.servedInTime[subject] < count/2 {
+			t.Errorf("%s: %d of %d in time", subject, s.servedInTime[subject], count)
 		}
 	}
 }
 
-// TestDaemonsAgreeWhereAPrefixLives: without a word between them, most of what is about one thing meets at
+// TestRoutersAgreeOnPrefixPlacement: without a word between them, most of what is about one thing meets at
 // one engine, and things are spread over all.
-func TestDaemonsAgreeWhereAPrefixLives(t *testing.T) {
-	homes := map[string]map[ident.EngineID]int{}
+func TestRoutersAgreeOnPrefixPlacement(t *testing.T) {
+	enginesByTopic := map[string]map[ident.EngineID]int{}
 	count := map[ident.EngineID]int{}
 	for daemon := range 10 {
-		b := newBench(t, pathOf("p", upstream.Stream, "batch"))
-		b.register(enginesOf("batch", 8, 64, "m")...)
+		fixture := newCoreFixture(t, pathOf("p", upstream.Stream, "batch"))
+		fixture.register(enginesOf("batch", 8, 64, "m")...)
 		for thing := range 200 {
-			r := b.admit("p", prompt("m", 1500, "system", fmt.Sprint("thing", thing), fmt.Sprint("own", daemon, thing)))
-			send := b.sent(r)
-			if homes[fmt.Sprint(thing)] == nil {
-				homes[fmt.Sprint(thing)] = map[ident.EngineID]int{}
+			request := fixture.admit("p", prompt("m", 1500, "system", fmt.Sprint("thing", thing), fmt.Sprint("own", daemon, thing)))
+			send := fixture.sent(request)
+			if enginesByTopic[fmt.Sprint(thing)] == nil {
+				enginesByTopic[fmt.Sprint(thing)] = map[ident.EngineID]int{}
 			}
-			homes[fmt.Sprint(thing)][send.Engine]++
+			enginesByTopic[fmt.Sprint(thing)][send.Engine]++
 			count[send.Engine]++
-			b.core.Begun(r, b.world())
-			b.core.Attempted(r, Whole, b.world())
+			fixture.core.ResponseBegun(request, fixture.world())
+			fixture.core.AttemptEnded(request, OutcomeCompleted, fixture.world())
 		}
 	}
 	together := 0
-	for _, at := range homes {
+	for _, at := range enginesByTopic {
 		most := 0
 		for _, n := range at {
 			most = max(most, n)
@@ -445,25 +445,25 @@
 	}
 }
 
-// TestAnEngineThatFailsRestsAndIsTriedAgain: with one request at a time until one goes well.
-func TestAnEngineThatFailsRestsAndIsTriedAgain(t *testing.T) {
-	b := newBench(t, pathOf("p", upstream.Once, "plain"))
-	b.register(enginesOf("plain", 2, 600)...)
+// TestFailingEngineBacksOffAndRecovers: with one request at a time until one goes well.
+func TestFailingEngineBacksOffAndRecovers(t *testing.T) {
+	fixture := newCoreFixture(t, pathOf("p", upstream.Once, "plain"))
+	fixture.register(enginesOf("plain", 2, 600)...)
 	bad := ident.EngineID("plain-0")
 	arrivals := func(n int, well bool) (came int) {
 		for range n {
-			r := b.admit("p")
-			send := b.sent(r)
-			outcome := Whole
+			request := fixture.admit("p")
+			send := fixture.sent(request)
+			outcome := OutcomeCompleted
 			if send.Engine == bad {
 				came++
 				if !well {
-					outcome = Lost
+					outcome = OutcomeResponseLost
 				}
 			}
-			b.now += ms(10)
-			b.core.Attempted(r, outcome, b.world())
-			taken(r)
+			fixture.now += ms(10)
+			fixture.core.AttemptEnded(request, outcome, fixture.world())
+			pendingStep(request)
 		}
 		return came
 	}
@@ -475,45 +475,45 @@
 	}
 }
 
-// TestSmallEnginesAreSharedOutAndNearOnesComeFirst: what a daemon may have at a small engine is its share, and
+// TestSlotsAreDividedAmongRoutersAndOwnZoneIsPreferred: what a daemon may have at a small engine is its share, and
 // its own zone has the first word while nothing is taken there.
-func TestSmallEnginesAreSharedOutAndNearOnesComeFirst(t *testing.T) {
-	b := newBench(t, pathOf("p", upstream.Once, "plain"))
+func TestSlotsAreDividedAmongRoutersAndOwnZoneIsPreferred(t *testing.T) {
+	fixture := newCoreFixture(t, pathOf("p", upstream.Once, "plain"))
 	engines := enginesOf("plain", 3, 6)
 	for n, engine := range engines {
 		engine.Zone = ident.ZoneID(fmt.Sprint("z", n))
 	}
-	b.register(engines...)
-	b.edges = 6
-	world := b.world()
+	fixture.register(engines...)
+	fixture.routers = 6
+	world := fixture.world()
 	world.Zone = "z1"
-	near, sent := 0, []*Record{}
+	shortlisted, sent := 0, []*Request{}
 	for range 100 {
-		r := b.record("p")
-		b.core.Admit(r, world)
-		if b.sent(r).Engine == "plain-1" {
-			near++
+		request := fixture.record("p")
+		fixture.core.Admit(request, world)
+		if fixture.sent(request).Engine == "plain-1" {
+			shortlisted++
 		}
-		b.core.Attempted(r, Whole, world)
+		fixture.core.AttemptEnded(request, OutcomeCompleted, world)
 	}
-	if near < 60 {
-		t.Errorf("%d of 100 stayed near", near)
+	if shortlisted < 60 {
+		t.Errorf("%d of 100 stayed near", shortlisted)
 	}
 	at := map[ident.EngineID]int{}
 	for range 10 {
-		r := b.record("p")
-		b.core.Admit(r, world)
-		if r.stage == Sending {
-			at[b.sent(r).Engine]++
-			sent = append(sent, r)
+		request := fixture.record("p")
+		fixture.core.Admit(request, world)
+		if request.stage == StageSending {
+			at[fixture.sent(request).Engine]++
+			sent = append(sent, request)
 		}
 	}
 	if len(sent) != 6 || at["plain-0"] != 2 || at["plain-1"] != 2 || at["plain-2"] != 2 {
-		t.Errorf("%v, %d held", at, b.core.HeldNow())
+		t.Errorf("%v, %d held", at, fixture.core.QueueLength())
 	}
 	// Each place that comes free goes to one that waits.
-	b.core.Attempted(sent[0], Whole, world)
-	if b.core.HeldNow() != 3 {
-		t.Errorf("%d held", b.core.HeldNow())
+	fixture.core.AttemptEnded(sent[0], OutcomeCompleted, world)
+	if fixture.core.QueueLength() != 3 {
+		t.Errorf("%d held", fixture.core.QueueLength())
 	}
 }
--- a/request/forwarding/size_test.go
+++ b/request/forwarding/size_test.go
@@ -22,14 +22,14 @@
 			now := clock.Mark(time.Hour)
 			for i := range active {
 				key := demandKey{"pool", fmt.Sprintf("model%04x", i%140), fmt.Sprint("a", i/140)}
-				core.demands[key] = &demandState{running: 1, tokens: 100, arrivals: 0.1, noted: now}
+				core.demands[key] = &demandState{running: 1, tokensPerSecond: 100, arrivalsPerSecond: 0.1, decayedAt: now}
 			}
 			b.ReportAllocs()
 			size := 0
 			for b.Loop() {
 				request := &peerapi.PullRequest{}
 				for _, d := range core.Demands(now) {
-					request.Demand = append(request.Demand, &peerapi.Demand{Pool: d.Pool, Model: d.Model, Adapter: d.Adapter, Held: int64(d.Held), Running: int64(d.Running), Tokens: d.Tokens, Arrivals: d.Arrivals, Rank: int64(d.Rank)})
+					request.Demand = append(request.Demand, &peerapi.Demand{Pool: d.Pool, Model: d.Model, Adapter: d.Adapter, Held: int64(d.Queued), Running: int64(d.Running), Tokens: d.TokensPerSecond, Arrivals: d.ArrivalsPerSecond, Rank: int64(d.Rank)})
 				}
 				data, err := proto.Marshal(request)
 				if err != nil {
@@ -47,7 +47,7 @@
 func BenchmarkSizeChoose(b *testing.B) {
 	for _, engines := range []int{12, 100, 350, 1400} {
 		b.Run(fmt.Sprint(engines, " engines"), func(b *testing.B) {
-			bench := newBench(b, pathOf("p", upstream.Stream, "batch"))
+			bench := newCoreFixture(b, pathOf("p", upstream.Stream, "batch"))
 			all := enginesOf("batch", engines, 96, "x", "y", "z")
 			for i := 0; i < len(all); i += 10 {
 				all[i].Word.Models = append(all[i].Word.Models, registry.Held{Model: "m"})
@@ -55,11 +55,11 @@
 			bench.register(all...)
 			b.ReportAllocs()
 			for b.Loop() {
-				r := bench.admit("p", prompt("m", 900, "shared", fmt.Sprint("own", bench.made)))
-				if step, _ := taken(r); step.Send == nil {
-					b.Fatalf("not sent: %+v", step.End)
+				request := bench.admit("p", prompt("m", 900, "shared", fmt.Sprint("own", bench.made)))
+				if step, _ := pendingStep(request); step.Attempt == nil {
+					b.Fatalf("not sent: %+v", step.Answer)
 				}
-				bench.core.Attempted(r, Whole, bench.world())
+				bench.core.AttemptEnded(request, OutcomeCompleted, bench.world())
 				bench.now += ms(1)
 			}
 		})
--- a/request/forwarding/speculate_test.go
+++ b/request/forwarding/speculate_test.go
@@ -12,141 +12,141 @@
 )
 
 // loading is an engine that by the planner's word loads the model until a time, and whose report does not show it.
-func (b *bench) loading(n int, ready clock.Mark) *registry.Engine {
+func (fixture *coreFixture) loading(n int, ready clock.Mark) *registry.Engine {
 	engine := engineOf("batch", n, 64)
-	engine.Plan = &registry.Plan{Coming: []registry.Coming{{Target: registry.Target{Model: "m"}, Ready: ready}}, Told: b.now}
+	engine.Plan = &registry.Plan{Coming: []registry.Coming{{Target: registry.Target{Model: "m"}, Ready: ready}}, Told: fixture.now}
 	return engine
 }
 
 // look moves on to the next look, as the actor does.
-func (b *bench) look() {
-	b.now, _ = b.core.NextLook(b.now)
-	b.core.Pass(b.world())
+func (fixture *coreFixture) look() {
+	fixture.now, _ = fixture.core.NextWake(fixture.now)
+	fixture.core.DispatchQueued(fixture.world())
 }
 
-// TestALoadThatIsDueIsNotWaitedForUntilTheNews: reports are late, and while nobody plans none come; what was
+// TestDueLoadIsTriedBeforeItIsReported: reports are late, and while nobody plans none come; what was
 // to be loaded by now is asked for, by one request first.
-func TestALoadThatIsDueIsNotWaitedForUntilTheNews(t *testing.T) {
-	b := newBench(t, pathOf("p", upstream.Stream, "batch"))
-	ready := b.now + ms(300)
-	b.register(b.loading(0, ready))
-	first, second := b.admit("p", prompt("m", 100)), b.admit("p", prompt("m", 100))
-	for first.stage == Held {
-		b.look()
+func TestDueLoadIsTriedBeforeItIsReported(t *testing.T) {
+	fixture := newCoreFixture(t, pathOf("p", upstream.Stream, "batch"))
+	ready := fixture.now + ms(300)
+	fixture.register(fixture.loading(0, ready))
+	first, second := fixture.admit("p", prompt("m", 100)), fixture.admit("p", prompt("m", 100))
+	for first.stage == StageQueued {
+		fixture.look()
 	}
-	if late := b.now.Since(ready); late < 0 || late > 100*time.Millisecond || second.stage != Held {
+	if late := fixture.now.Since(ready); late < 0 || late > 100*time.Millisecond || second.stage != StageQueued {
 		t.Fatalf("sent %v after it was due, the other one is %s", late, second.stage)
 	}
-	b.sent(first)
-	for second.stage == Held {
-		b.look()
+	fixture.sent(first)
+	for second.stage == StageQueued {
+		fixture.look()
 	}
-	b.sent(second)
-	if late := b.now.Since(ready); late > 200*time.Millisecond {
+	fixture.sent(second)
+	if late := fixture.now.Since(ready); late > 200*time.Millisecond {
 		t.Errorf("the second one went %v after it was due", late)
 	}
-	b.core.Begun(first, b.world())
-	if b.core.Counters.Speculative != 2 || b.core.spreadTook > 200*time.Millisecond {
-		t.Errorf("%+v, learned %v", b.core.Counters, b.core.spreadTook)
+	fixture.core.ResponseBegun(first, fixture.world())
+	if fixture.core.Counters.Speculative != 2 || fixture.core.propagationTime > 200*time.Millisecond {
+		t.Errorf("%+v, learned %v", fixture.core.Counters, fixture.core.propagationTime)
 	}
 }
 
-// TestALoadThatTakesLongerIsAskedForSeldom: each refusal doubles the pause, the request stays with the one
+// TestSpeculationBacksOffWhileLoadIsOverdue: each refusal doubles the pause, the request stays with the one
 // engine where its path allows no second, and goes when the engine takes it.
-func TestALoadThatTakesLongerIsAskedForSeldom(t *testing.T) {
+func TestSpeculationBacksOffWhileLoadIsOverdue(t *testing.T) {
 	path := pathOf("p", upstream.Stream, "batch")
 	path.Attempts, path.TargetMs = 1, 4000
-	b := newBench(t, path)
-	b.core.settings.RetrySlack = 100
-	b.register(b.loading(0, b.now+ms(100)))
-	r := b.admit("p", prompt("m", 100))
-	began, tries := b.now, 0
-	for b.now.Since(began) < 1500*time.Millisecond {
-		b.look()
-		if r.stage == Sending {
-			tries++
-			b.sent(r)
-			b.core.Attempted(r, []Outcome{EngineRefused, Misdirected}[tries%2], b.world())
+	fixture := newCoreFixture(t, path)
+	fixture.core.settings.RetrySlack = 100
+	fixture.register(fixture.loading(0, fixture.now+ms(100)))
+	request := fixture.admit("p", prompt("m", 100))
+	began, attempts := fixture.now, 0
+	for fixture.now.Since(began) < 1500*time.Millisecond {
+		fixture.look()
+		if request.stage == StageSending {
+			attempts++
+			fixture.sent(request)
+			fixture.core.AttemptEnded(request, []Outcome{OutcomeRejected, OutcomeMisdirected}[attempts%2], fixture.world())
 		}
-		if r.stage != Held {
-			t.Fatal(r.stage)
+		if request.stage != StageQueued {
+			t.Fatal(request.stage)
 		}
 	}
-	if tries < 3 || tries > 5 {
-		t.Errorf("asked %d times in 1.5 s", tries)
+	if attempts < 3 || attempts > 5 {
+		t.Errorf("asked %d times in 1.5 s", attempts)
 	}
 	// Another engine has it now, but the path allows one engine.
 	with := engineOf("batch", 1, 64, "m")
-	loading := b.loading(0, began+ms(100))
-	b.register(loading, with)
-	b.core.Pass(b.world())
-	if r.stage != Held {
-		t.Fatalf("went to a second engine: %s", r.stage)
+	loading := fixture.loading(0, began+ms(100))
+	fixture.register(loading, with)
+	fixture.core.DispatchQueued(fixture.world())
+	if request.stage != StageQueued {
+		t.Fatalf("went to a second engine: %s", request.stage)
 	}
 	shown := engineOf("batch", 0, 64, "m")
-	b.register(shown, with)
-	b.core.Pass(b.world())
-	if sent := b.sent(r); sent.Engine != shown.ID {
+	fixture.register(shown, with)
+	fixture.core.DispatchQueued(fixture.world())
+	if sent := fixture.sent(request); sent.Engine != shown.ID {
 		t.Error(sent.Engine)
 	}
 }
 
-// TestAGuessNeverSpendsWhatIsKeptForFailures: where the budget is used up, a request waits for the news.
-func TestAGuessNeverSpendsWhatIsKeptForFailures(t *testing.T) {
+// TestSpeculationDoesNotExhaustRetryBudget: where the budget is used up, a request waits for the news.
+func TestSpeculationDoesNotExhaustRetryBudget(t *testing.T) {
 	path := pathOf("p", upstream.Stream, "batch")
 	path.TargetMs = 4000
-	b := newBench(t, path)
-	b.core.settings.RetryRatio, b.core.settings.RetrySlack = 0, 0
-	b.register(b.loading(0, b.now))
-	r := b.admit("p", prompt("m", 100))
+	fixture := newCoreFixture(t, path)
+	fixture.core.settings.RetryRatio, fixture.core.settings.RetrySlack = 0, 0
+	fixture.register(fixture.loading(0, fixture.now))
+	request := fixture.admit("p", prompt("m", 100))
 	for range 10 {
-		b.look()
-		if r.stage == Sending {
-			b.sent(r)
-			b.core.Attempted(r, EngineRefused, b.world())
+		fixture.look()
+		if request.stage == StageSending {
+			fixture.sent(request)
+			fixture.core.AttemptEnded(request, OutcomeRejected, fixture.world())
 		}
 	}
-	if r.stage != Held || b.core.Counters.Sent+b.core.Counters.SentAgain != 1 {
-		t.Fatalf("%s, %+v", r.stage, b.core.Counters)
+	if request.stage != StageQueued || fixture.core.Counters.Sent+fixture.core.Counters.Retried != 1 {
+		t.Fatalf("%s, %+v", request.stage, fixture.core.Counters)
 	}
-	b.register(engineOf("batch", 0, 64, "m"))
-	b.core.Pass(b.world())
-	if b.ended(r, fasthttp.StatusServiceUnavailable, Spent); b.core.Counters.AgainDenied != 1 {
-		t.Errorf("%+v", b.core.Counters)
+	fixture.register(engineOf("batch", 0, 64, "m"))
+	fixture.core.DispatchQueued(fixture.world())
+	if fixture.ended(request, fasthttp.StatusServiceUnavailable, CauseRetriesExhausted); fixture.core.Counters.RetriesDenied != 1 {
+		t.Errorf("%+v", fixture.core.Counters)
 	}
 }
 
-// TestNothingGoesAheadOfAnOrderThatHasNotLeft: while something must make way, when a load ends is a guess.
-func TestNothingGoesAheadOfAnOrderThatHasNotLeft(t *testing.T) {
-	b := newBench(t, pathOf("p", upstream.Stream, "batch"))
-	engine := b.loading(0, b.now-ms(200))
+// TestNoSpeculationWhileAnotherModelIsRetiring: while something must make way, when a load ends is a guess.
+func TestNoSpeculationWhileAnotherModelIsRetiring(t *testing.T) {
+	fixture := newCoreFixture(t, pathOf("p", upstream.Stream, "batch"))
+	engine := fixture.loading(0, fixture.now-ms(200))
 	engine.Plan.Retiring = []registry.Target{{Model: "other"}}
-	b.register(engine)
-	if r := b.admit("p", prompt("m", 100)); r.stage != Held {
-		t.Error(r.stage)
+	fixture.register(engine)
+	if request := fixture.admit("p", prompt("m", 100)); request.stage != StageQueued {
+		t.Error(request.stage)
 	}
 }
 
-// TestAGuessThatNeverLeftDoesNotPassForAnAcceptedOne: the others wait for one that was sent.
-func TestAGuessThatNeverLeftDoesNotPassForAnAcceptedOne(t *testing.T) {
-	for _, outcome := range []Outcome{HeldBack, NeverSent, Left} {
-		b := newBench(t, pathOf("p", upstream.Stream, "batch"))
-		b.register(b.loading(0, b.now-ms(100)))
-		first := b.admit("p", prompt("m", 100))
-		b.sent(first)
-		second, third := b.admit("p", prompt("m", 100)), b.admit("p", prompt("m", 100))
-		b.now += ms(5)
-		b.core.Attempted(first, outcome, b.world())
+// TestUnsentSpeculationDoesNotCountAsAccepted: the others wait for one that was sent.
+func TestUnsentSpeculationDoesNotCountAsAccepted(t *testing.T) {
+	for _, outcome := range []Outcome{OutcomeWithheld, OutcomeUnreachable, OutcomeCallerLeft} {
+		fixture := newCoreFixture(t, pathOf("p", upstream.Stream, "batch"))
+		fixture.register(fixture.loading(0, fixture.now-ms(100)))
+		first := fixture.admit("p", prompt("m", 100))
+		fixture.sent(first)
+		second, third := fixture.admit("p", prompt("m", 100)), fixture.admit("p", prompt("m", 100))
+		fixture.now += ms(5)
+		fixture.core.AttemptEnded(first, outcome, fixture.world())
 		// The first one would have been refused by now, the one that went in its place not yet.
-		b.now += ms(27)
-		b.core.Pass(b.world())
-		if outcome == NeverSent {
-			if second.stage != Held || third.stage != Held {
+		fixture.now += ms(27)
+		fixture.core.DispatchQueued(fixture.world())
+		if outcome == OutcomeUnreachable {
+			if second.stage != StageQueued || third.stage != StageQueued {
 				t.Errorf("%d: %s, %s at an engine that can't be reached", outcome, second.stage, third.stage)
 			}
 			continue
 		}
-		if going := b.core.running["batch"]; going != 1 {
+		if going := fixture.core.attemptsByPool["batch"]; going != 1 {
 			t.Errorf("%d: %d under way", outcome, going)
 		}
 	}
