--- a/request/forwarding/unreached_test.go
+++ b/request/forwarding/unreached_test.go
@@ -9,86 +9,86 @@
 	"github.com/cresspond/cresspond/configuration/upstream"
 )
 
-// TestAModelWhoseEngineCannotBeReachedCountsAsNotThere: a client is told when the model is likely to be
+// TestModelOnUnreachableEngineCountsAsMissing: a client is told when the model is likely to be
 // loaded elsewhere, not to ask the same engine again a moment later, and it is wanted of the planner meanwhile.
-func TestAModelWhoseEngineCannotBeReachedCountsAsNotThere(t *testing.T) {
+func TestModelOnUnreachableEngineCountsAsMissing(t *testing.T) {
 	path := pathOf("p", upstream.Stream, "batch")
 	path.DeadlineMs = 10_000
-	b := newBench(t, path)
-	b.register(engineOf("batch", 0, 64, "m"), engineOf("batch", 1, 64))
-	long := func(r *Record) { r.Deadline = b.now + ms(10_000) }
-	first := b.admit("p", prompt("m", 100), long)
-	b.sent(first)
-	b.core.Attempted(first, NeverSent, b.world())
+	fixture := newCoreFixture(t, path)
+	fixture.register(engineOf("batch", 0, 64, "m"), engineOf("batch", 1, 64))
+	long := func(request *Request) { request.Deadline = fixture.now + ms(10_000) }
+	first := fixture.admit("p", prompt("m", 100), long)
+	fixture.sent(first)
+	fixture.core.AttemptEnded(first, OutcomeUnreachable, fixture.world())
 	// One that comes while the engine rests fares no worse than the one that found it out.
-	for _, r := range []*Record{first, b.admit("p", prompt("m", 100), long)} {
-		for r.stage == Held {
-			b.look()
+	for _, request := range []*Request{first, fixture.admit("p", prompt("m", 100), long)} {
+		for request.stage == StageQueued {
+			fixture.look()
 		}
-		answer := b.ended(r, fasthttp.StatusServiceUnavailable, NoRoom)
-		if waited := b.now.Since(r.Arrived); waited > 200*time.Millisecond || answer.ComeBack < 1500*time.Millisecond {
-			t.Errorf("after %v, come back in %v", waited, answer.ComeBack)
+		answer := fixture.ended(request, fasthttp.StatusServiceUnavailable, CauseNoCapacity)
+		if waited := fixture.now.Since(request.ArrivedAt); waited > 200*time.Millisecond || answer.RetryAfter < 1500*time.Millisecond {
+			t.Errorf("after %v, come back in %v", waited, answer.RetryAfter)
 		}
 	}
-	if demands := b.core.Demands(b.now); len(demands) != 1 || demands[0].Held != 2 {
+	if demands := fixture.core.Demands(fixture.now); len(demands) != 1 || demands[0].Queued != 2 {
 		t.Errorf("%+v", demands)
 	}
 }
 
-// TestAStreamGoesOnOnceAnotherEngineHasItsModel: where none but the engine that failed holds it, a stream
+// TestStreamResumesOnceAnotherEngineLoadsItsModel: where none but the engine that failed holds it, a stream
 // that may be taken up waits for the load instead of ending.
-func TestAStreamGoesOnOnceAnotherEngineHasItsModel(t *testing.T) {
+func TestStreamResumesOnceAnotherEngineLoadsItsModel(t *testing.T) {
 	for _, begun := range []bool{true, false} {
 		path := pathOf("p", upstream.Stream, "batch")
 		path.Resumable = true
-		b := newBench(t, path)
-		b.register(engineOf("batch", 0, 64, "m"))
-		r := b.admit("p", prompt("m", 100))
-		b.sent(r)
+		fixture := newCoreFixture(t, path)
+		fixture.register(engineOf("batch", 0, 64, "m"))
+		request := fixture.admit("p", prompt("m", 100))
+		fixture.sent(request)
 		if begun {
-			b.core.Begun(r, b.world())
-			r.lastEvent = "3"
+			fixture.core.ResponseBegun(request, fixture.world())
+			request.lastEvent = "3"
 		}
-		b.core.Attempted(r, map[bool]Outcome{true: Cut, false: Lost}[begun], b.world())
-		if r.stage != Held {
-			t.Fatalf("begun %t: %s", begun, r.stage)
+		fixture.core.AttemptEnded(request, map[bool]Outcome{true: OutcomeStreamBroken, false: OutcomeResponseLost}[begun], fixture.world())
+		if request.stage != StageQueued {
+			t.Fatalf("begun %t: %s", begun, request.stage)
 		}
 		other := engineOf("batch", 1, 64, "m")
-		b.register(engineOf("batch", 0, 64, "m"), other)
-		b.now += ms(800)
-		b.core.Pass(b.world())
-		if sent := b.sent(r); sent.Engine != other.ID || sent.Resumes != begun {
+		fixture.register(engineOf("batch", 0, 64, "m"), other)
+		fixture.now += ms(800)
+		fixture.core.DispatchQueued(fixture.world())
+		if sent := fixture.sent(request); sent.Engine != other.ID || sent.Resume != begun {
 			t.Errorf("begun %t: %+v", begun, sent)
 		}
 	}
 }
 
-// TestAStreamThatNothingTakesUpEndsInTime: it isn't held for half of its time.
-func TestAStreamThatNothingTakesUpEndsInTime(t *testing.T) {
+// TestStreamWithoutSuccessorEngineEndsInTime: it isn't held for half of its time.
+func TestStreamWithoutSuccessorEngineEndsInTime(t *testing.T) {
 	path := pathOf("p", upstream.Stream, "batch")
 	path.Resumable = true
-	b := newBench(t, path)
-	b.register(engineOf("batch", 0, 64, "m"))
-	r := b.admit("p", prompt("m", 100))
-	b.sent(r)
-	b.core.Attempted(r, Lost, b.world())
-	for r.stage == Held {
-		b.look()
+	fixture := newCoreFixture(t, path)
+	fixture.register(engineOf("batch", 0, 64, "m"))
+	request := fixture.admit("p", prompt("m", 100))
+	fixture.sent(request)
+	fixture.core.AttemptEnded(request, OutcomeResponseLost, fixture.world())
+	for request.stage == StageQueued {
+		fixture.look()
 	}
-	if b.ended(r, fasthttp.StatusBadGateway, NoRoom); b.now.Since(r.Arrived) >= 2*time.Second {
-		t.Error(b.now.Since(r.Arrived))
+	if fixture.ended(request, fasthttp.StatusBadGateway, CauseNoCapacity); fixture.now.Since(request.ArrivedAt) >= 2*time.Second {
+		t.Error(fixture.now.Since(request.ArrivedAt))
 	}
 }
 
-// TestAnUnreachableEngineStillCountsWhereModelsDoNot: on a plain pool a moment's rest is waited for.
-func TestAnUnreachableEngineStillCountsWhereModelsDoNot(t *testing.T) {
-	b := newBench(t, pathOf("p", upstream.Repeatable, "plain"))
-	b.register(engineOf("plain", 0, 4))
-	first := b.admit("p")
-	b.sent(first)
-	b.core.Attempted(first, NeverSent, b.world())
-	b.ended(first, fasthttp.StatusServiceUnavailable, NoRoom)
-	if second := b.admit("p"); second.stage != Held {
+// TestUnreachableEngineCountsInPoolWithoutModels: on a plain pool a moment's rest is waited for.
+func TestUnreachableEngineCountsInPoolWithoutModels(t *testing.T) {
+	fixture := newCoreFixture(t, pathOf("p", upstream.Repeatable, "plain"))
+	fixture.register(engineOf("plain", 0, 4))
+	first := fixture.admit("p")
+	fixture.sent(first)
+	fixture.core.AttemptEnded(first, OutcomeUnreachable, fixture.world())
+	fixture.ended(first, fasthttp.StatusServiceUnavailable, CauseNoCapacity)
+	if second := fixture.admit("p"); second.stage != StageQueued {
 		t.Error(second.stage)
 	}
 }
--- a/request/forwarding/wait.go
+++ b/request/forwarding/wait.go
@@ -18,41 +18,41 @@
 // pathState is what this daemon has seen of one path's requests for one model.
 type pathState struct {
 	// first is a smoothed time from sending to the first byte, served the same to the whole answer.
-	first, served time.Duration
+	firstByteTime, serviceTime time.Duration
 	// pace is a smoothed time to the first byte for each token of expected cost, paced when it was last seen,
 	// best the least of it lately: what a token takes where nothing is in its way.
-	pace, best float64
-	paced      clock.Mark
+	timePerToken, bestTimePerToken float64
+	measuredAt                     clock.Mark
 }
 
 // began notes how long the first byte took.
-func (p *pathState) began(r *Record, now clock.Mark) {
-	waited := now.Since(r.sentAt)
-	smooth(&p.first, waited)
-	if r.score <= 0 {
+func (p *pathState) responseBegun(request *Request, now clock.Mark) {
+	waited := now.Since(request.sentAt)
+	smooth(&p.firstByteTime, waited)
+	if request.expectedCost <= 0 {
 		return
 	}
-	pace := float64(waited) / r.score
-	if p.pace == 0 {
-		p.pace, p.best = pace, pace
+	pace := float64(waited) / request.expectedCost
+	if p.timePerToken == 0 {
+		p.timePerToken, p.bestTimePerToken = pace, pace
 	}
-	p.pace += (pace - p.pace) / 8
-	if p.best += (pace - p.best) / 256; pace < p.best {
-		p.best = pace
+	p.timePerToken += (pace - p.timePerToken) / 8
+	if p.bestTimePerToken += (pace - p.bestTimePerToken) / 256; pace < p.bestTimePerToken {
+		p.bestTimePerToken = pace
 	}
-	p.paced = now
+	p.measuredAt = now
 }
 
 // tokens is how many tokens could be read in a time.
-func (p *pathState) tokens(span time.Duration) float64 {
-	if p.best <= 0 || span <= 0 {
+func (p *pathState) tokensIn(duration time.Duration) float64 {
+	if p.bestTimePerToken <= 0 || duration <= 0 {
 		return 0
 	}
-	return float64(span) / p.best
+	return float64(duration) / p.bestTimePerToken
 }
 
 // fading lets what was seen count less the longer ago: half after a second.
-func fading(seen time.Duration, at, now clock.Mark) time.Duration {
+func decayed(seen time.Duration, at, now clock.Mark) time.Duration {
 	return time.Duration(float64(seen) * float64(time.Second) / float64(time.Second+now.Since(at)))
 }
 
@@ -62,27 +62,27 @@
 // while first bytes come well in time, nor what went out before. Those that come back are no exception: where
 // they were, each wave of refusals came back as the next flood. What was seen counts less the
 // longer ago, or a path that was given up on would never be tried again.
-func (p *pathState) sheds(r *Record, w World, s Settings, least time.Duration) bool {
-	expected := fading(time.Duration(r.score*p.pace), p.paced, w.Now)
-	if expected > r.answerBy().Since(w.Now)-least {
+func (p *pathState) shouldShed(request *Request, env Environment, settings Settings, least time.Duration) bool {
+	expected := decayed(time.Duration(request.expectedCost*p.timePerToken), p.measuredAt, env.Now)
+	if expected > request.responseDeadline().Since(env.Now)-least {
 		return true
 	}
-	target := float64(r.Path.TargetMs) * float64(time.Millisecond)
-	if s.Off.Has(featuregates.Shedding) {
+	target := float64(request.Path.TargetMs) * float64(time.Millisecond)
+	if settings.Disabled.Has(featuregates.Shedding) {
 		return false
 	}
-	if s.ShedOver <= 0 || target <= 0 || float64(fading(p.first, p.paced, w.Now)) < s.ShedCalm*target {
+	if settings.ShedRange <= 0 || target <= 0 || float64(decayed(p.firstByteTime, p.measuredAt, env.Now)) < settings.ShedMinFirstByte*target {
 		return false
 	}
-	drawn := float64(xxhash.Sum64String(r.Ask.Attempt)>>40) / (1 << 24)
-	return (float64(expected)/target-s.ShedFrom)/s.ShedOver > drawn
+	drawn := float64(xxhash.Sum64String(request.Attributes.Attempt)>>40) / (1 << 24)
+	return (float64(expected)/target-settings.ShedStart)/settings.ShedRange > drawn
 }
 
-func (c *Core) path(r *Record) *pathState {
-	key := pathKey{r.Path.Name, r.Ask.Model}
+func (c *Core) pathState(request *Request) *pathState {
+	key := pathKey{request.Path.Name, request.Attributes.Model}
 	state := c.paths[key]
 	if state == nil {
-		if len(c.paths) >= mostPaths {
+		if len(c.paths) >= maxPathStates {
 			// Paths come and go with the bundles; what is known of them is soon known again.
 			clear(c.paths)
 		}
@@ -92,7 +92,7 @@
 	return state
 }
 
-const mostPaths = 10_000
+const maxPathStates = 10_000
 
 // smooth moves a smoothed time towards the newest.
 func smooth(into *time.Duration, newest time.Duration) {
@@ -105,105 +105,107 @@
 
 // least is the time that an attempt needs at least to be worth sending: what it took lately, but no more than
 // its target, or a bad hour would keep the next request from even being tried.
-func (c *Core) least(r *Record) time.Duration {
-	if r.Path == nil {
+func (c *Core) minAttemptTime(request *Request) time.Duration {
+	if request.Path == nil {
 		return 0
 	}
-	target := time.Duration(r.Path.TargetMs) * time.Millisecond
-	return max(target/10, min(c.path(r).first, target)/2, leastTime)
+	target := time.Duration(request.Path.TargetMs) * time.Millisecond
+	return max(target/10, min(c.pathState(request).firstByteTime, target)/2, minAttemptFloor)
 }
 
-const leastTime = 5 * time.Millisecond
+const minAttemptFloor = 5 * time.Millisecond
 
 // comeBack is when asking again makes sense: later than what holds it up now, and early enough to be served.
-func (c *Core) comeBack(r *Record, w World) time.Duration {
-	if r.Path == nil {
+func (c *Core) retryAfter(request *Request, env Environment) time.Duration {
+	if request.Path == nil {
 		return time.Second
 	}
-	return max(r.Deadline.Since(w.Now)/4, leastComeBack)
+	return max(request.Deadline.Since(env.Now)/4, minRetryAfter)
 }
 
 const (
-	leastComeBack = 50 * time.Millisecond
+	minRetryAfter = 50 * time.Millisecond
 	// planTime is about how long a planner takes to hear of a lack and order a load, spreadTime how long after a
 	// load's end engines are known to hold it; both until it is known how long they took here.
-	planTime   = 500 * time.Millisecond
-	spreadTime = 250 * time.Millisecond
+	defaultPlanningTime    = 500 * time.Millisecond
+	defaultPropagationTime = 250 * time.Millisecond
 	// leastPlan and mostPlan bound what is learned of both.
-	leastPlan, mostPlan = 50 * time.Millisecond, 3 * time.Second
+	minLearnedTime, maxLearnedTime = 50 * time.Millisecond, 3 * time.Second
 	// readyMargin is how much later than told something may come to be there.
 	readyMargin = 50 * time.Millisecond
 	// comesBackBy is the share of the time left by which a client that is told to is back.
-	comesBackBy = 3
+	retryAfterDivisor = 3
 )
 
 // mostHeld is how long a request may be held: under half of the time it had.
-func mostHeld(r *Record) time.Duration { return r.answerBy().Since(r.Arrived) * 9 / 20 }
+func maxQueueTime(request *Request) time.Duration {
+	return request.responseDeadline().Since(request.ArrivedAt) * 9 / 20
+}
 
 // firstWord is how long a request is held while nothing is known of when it can be served: well under the
 // quarter of its target within which a refusal does no harm.
-func firstWord(r *Record) time.Duration {
-	return time.Duration(r.Path.TargetMs) * time.Millisecond / 5
+func initialQueueTime(request *Request) time.Duration {
+	return time.Duration(request.Path.TargetMs) * time.Millisecond / 5
 }
 
 // hopeless says whether a record that nothing can take now is to be given up, and when to come back. A
 // request is given up as soon as it is known that it can't be served in time, and never held for half of the
 // time it had; while there is hope it is held.
-func (c *Core) hopeless(r *Record, w World, why lack) (comeBack time.Duration, hopeless bool) {
-	left, waited := r.answerBy().Since(w.Now), w.Now.Since(r.Arrived)
-	most := mostHeld(r)
+func (c *Core) shouldGiveUp(request *Request, env Environment, blocked blockReason) (comeBack time.Duration, hopeless bool) {
+	left, waited := request.responseDeadline().Since(env.Now), env.Now.Since(request.ArrivedAt)
+	most := maxQueueTime(request)
 	switch {
-	case why == allTried:
+	case blocked == blockedAllTried:
 		// Those that were tried won't do better for this one.
-		return c.comeBack(r, w), true
-	case why == noModel:
-		wait, sure := c.loadWait(r, w)
-		if c.settings.Off.Has(featuregates.LoadEstimates) {
-			return c.comeBack(r, w), waited >= most
+		return c.retryAfter(request, env), true
+	case blocked == blockedNoModel:
+		wait, sure := c.estimateLoadWait(request, env)
+		if c.settings.Disabled.Has(featuregates.LoadEstimates) {
+			return c.retryAfter(request, env), waited >= most
 		}
-		return c.untilLoaded(r, wait, sure, w)
+		return c.shouldGiveUpLoad(request, wait, sure, env)
 	case waited >= most:
-		return c.comeBack(r, w), true
-	case why == allFull:
+		return c.retryAfter(request, env), true
+	case blocked == blockedAllBusy:
 		// Its turn comes when those before it have got theirs.
-		wait := time.Duration(c.before(r, w)+1) * c.path(r).served / time.Duration(max(c.running[r.pool], 1))
-		return c.comeBack(r, w), wait > left-c.least(r) && waited >= firstWord(r)
+		wait := time.Duration(c.queuedAhead(request, env)+1) * c.pathState(request).serviceTime / time.Duration(max(c.attemptsByPool[request.pool], 1))
+		return c.retryAfter(request, env), wait > left-c.minAttemptTime(request) && waited >= initialQueueTime(request)
 	}
 	// An engine may register at any moment, but nothing says that one will.
-	return c.comeBack(r, w), waited >= firstWord(r)
+	return c.retryAfter(request, env), waited >= initialQueueTime(request)
 }
 
 // untilLoaded decides on a record whose model or adapter no engine holds, and which is there after a wait.
-func (c *Core) untilLoaded(r *Record, wait time.Duration, sure bool, w World) (comeBack time.Duration, hopeless bool) {
-	left, waited := r.answerBy().Since(w.Now), w.Now.Since(r.Arrived)
-	target, most := time.Duration(r.Path.TargetMs)*time.Millisecond, mostHeld(r)
+func (c *Core) shouldGiveUpLoad(request *Request, wait time.Duration, sure bool, env Environment) (comeBack time.Duration, hopeless bool) {
+	left, waited := request.responseDeadline().Since(env.Now), env.Now.Since(request.ArrivedAt)
+	target, most := time.Duration(request.Path.TargetMs)*time.Millisecond, maxQueueTime(request)
 	// A client counts from all of the time it has, whatever it waits for one answer to begin.
-	back := r.Deadline.Since(w.Now) / comesBackBy
-	told := min(wait+readyMargin, back)
+	back := request.Deadline.Since(env.Now) / retryAfterDivisor
+	reports := min(wait+readyMargin, back)
 	switch {
 	case waited >= most:
-		return max(told, leastComeBack), true
-	case !sure && waited < min(firstWord(r), most):
+		return max(reports, minRetryAfter), true
+	case !sure && waited < min(initialQueueTime(request), most):
 		// The planner's word is on its way.
 		return 0, false
-	case wait > left-c.least(r):
-		return max(told, leastComeBack), true
-	case r.returned || r.mayHaveRun:
+	case wait > left-c.minAttemptTime(request):
+		return max(reports, minRetryAfter), true
+	case request.resubmitted || request.mayHaveRun:
 		// It was refused before, and won't come a third time, or can't be refused any more: it stays while there is time.
 		return 0, false
 	case waited+wait > target && wait <= back+target/2:
 		// It will be late here, and in time for a client that comes back when it is there.
-		return max(told, leastComeBack), true
+		return max(reports, minRetryAfter), true
 	}
 	// Held for as long as it may be, it would be given up before it is there.
-	return max(told, leastComeBack), waited+wait > most
+	return max(reports, minRetryAfter), waited+wait > most
 }
 
 // before counts those that are held for the same pool and are served first.
-func (c *Core) before(r *Record, w World) int {
-	count, rank := 0, rankOf(r, w.Now)
-	for _, other := range c.held {
-		if other != r && other.pool == r.pool && rankOf(other, w.Now) <= rank {
+func (c *Core) queuedAhead(request *Request, env Environment) int {
+	count, rank := 0, effectiveRank(request, env.Now)
+	for _, other := range c.queue {
+		if other != request && other.pool == request.pool && effectiveRank(other, env.Now) <= rank {
 			count++
 		}
 	}
@@ -212,24 +214,24 @@
 
 // loadWait is how long something that no engine holds is likely to take to be there, and whether that is
 // the planner's word.
-func (c *Core) loadWait(r *Record, w World) (time.Duration, bool) {
-	d := c.demand(r)
-	load, catalogued := c.loadTime(r, w)
-	if d.lackedAt == 0 {
-		d.lackedAt, d.readyAt, d.load = w.Now, 0, load
+func (c *Core) estimateLoadWait(request *Request, env Environment) (time.Duration, bool) {
+	state := c.demandState(request)
+	load, catalogued := c.loadTime(request, env)
+	if state.missingSince == 0 {
+		state.missingSince, state.readyAt, state.expectedLoadTime = env.Now, 0, load
 	}
-	plan, spread := known(c.planTook, planTime), known(c.spreadTook, spreadTime)
+	plan, spread := learnedOr(c.planningTime, defaultPlanningTime), learnedOr(c.propagationTime, defaultPropagationTime)
 	soonest := clock.Mark(math.MaxInt64)
-	for _, engine := range w.View.Pools[r.pool] {
+	for _, engine := range env.View.Pools[request.pool] {
 		if engine.Plan == nil || !engine.Usable() {
 			continue
 		}
 		for _, one := range engine.Plan.Coming {
-			if one.Model != r.Ask.Model {
+			if one.Model != request.Attributes.Model {
 				continue
 			}
 			switch one.Adapter {
-			case r.Ask.Adapter:
+			case request.Attributes.Adapter:
 				soonest = min(soonest, one.Ready)
 			case "":
 				// The adapter can only be ordered once its model is there.
@@ -238,11 +240,11 @@
 		}
 	}
 	if soonest < math.MaxInt64 {
-		d.readyAt = soonest
-		return max(0, (soonest + clock.Mark(spread)).Since(w.Now)), true
+		state.readyAt = soonest
+		return max(0, (soonest + clock.Mark(spread)).Since(env.Now)), true
 	}
-	if w.Lacks != nil {
-		if wait, lacks := w.Lacks(r.pool, r.Ask.Model, r.Ask.Adapter); lacks {
+	if env.NotLoadedFor != nil {
+		if wait, unavailable := env.NotLoadedFor(request.pool, request.Attributes.Model, request.Attributes.Adapter); unavailable {
 			return wait, true
 		}
 	}
@@ -250,22 +252,24 @@
 		// Nobody can load what the catalogue does not have.
 		return time.Hour, true
 	}
-	whole := plan + load + spread
-	since := w.Now.Since(d.lackedAt)
-	if since > 2*whole {
+	complete := plan + load + spread
+	since := env.Now.Since(state.missingSince)
+	if since > 2*complete {
 		// Whoever plans has not done it so far, and may begin now at best.
 		since = 0
 	}
-	return max(0, whole-since), false
+	return max(0, complete-since), false
 }
 
 // loadTime is how long a load takes of what a record asks for; false where the catalogue does not have it.
-func (c *Core) loadTime(r *Record, w World) (time.Duration, bool) {
-	model, known := w.Index.Model(r.pool, r.Ask.Model)
+func (c *Core) loadTime(request *Request, env Environment) (time.Duration, bool) {
+	model, known := env.Index.Model(request.pool, request.Attributes.Model)
 	if !known {
 		return 0, false
 	}
-	if r.Ask.Adapter != "" && slices.ContainsFunc(w.View.Pools[r.pool], func(engine *registry.Engine) bool { return engine.Usable() && engine.Holds(r.Ask.Model, "") }) {
+	if request.Attributes.Adapter != "" && slices.ContainsFunc(env.View.Pools[request.pool], func(engine *registry.Engine) bool {
+		return engine.Usable() && engine.Holds(request.Attributes.Model, "")
+	}) {
 		// An adapter alone comes in a moment.
 		return 0, true
 	}
@@ -273,7 +277,7 @@
 }
 
 // known takes what was learned, or else what is usual.
-func known(learned, usual time.Duration) time.Duration {
+func learnedOr(learned, usual time.Duration) time.Duration {
 	if learned == 0 {
 		return usual
 	}
@@ -281,22 +285,22 @@
 }
 
 // present learns how long it took something to be there, where somebody waited for it all the while.
-func (c *Core) present(r *Record, w World) {
-	d := c.demand(r)
-	if d.lackedAt == 0 {
+func (c *Core) learnLoadTimes(request *Request, env Environment) {
+	state := c.demandState(request)
+	if state.missingSince == 0 {
 		return
 	}
-	if r.stage == Held || r.speculative {
-		if d.readyAt > 0 {
-			usable := w.Now
-			if r.speculative {
-				usable = r.sentAt
+	if request.stage == StageQueued || request.speculative {
+		if state.readyAt > 0 {
+			usable := env.Now
+			if request.speculative {
+				usable = request.sentAt
 			}
-			smooth(&c.spreadTook, min(max(usable.Since(d.readyAt), leastPlan), mostPlan))
+			smooth(&c.propagationTime, min(max(usable.Since(state.readyAt), minLearnedTime), maxLearnedTime))
 		} else {
-			took := w.Now.Since(d.lackedAt) - d.load - known(c.spreadTook, spreadTime)
-			smooth(&c.planTook, min(max(took, leastPlan), mostPlan))
+			took := env.Now.Since(state.missingSince) - state.expectedLoadTime - learnedOr(c.propagationTime, defaultPropagationTime)
+			smooth(&c.planningTime, min(max(took, minLearnedTime), maxLearnedTime))
 		}
 	}
-	d.lackedAt, d.readyAt = 0, 0
+	state.missingSince, state.readyAt = 0, 0
 }
--- a/request/forwarding/warm_test.go
+++ b/request/forwarding/warm_test.go
@@ -8,38 +8,38 @@
 	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
-// TestAnEngineThatAConnectionIsKeptToIsPreferred: to one that is no better otherwise, and not to one with far less to do.
-func TestAnEngineThatAConnectionIsKeptToIsPreferred(t *testing.T) {
+// TestEngineWithIdleConnectionIsPreferred: to one that is no better otherwise, and not to one with far less to do.
+func TestEngineWithIdleConnectionIsPreferred(t *testing.T) {
 	for _, one := range []struct {
 		pool  string
 		model string
 	}{{"batch", "m"}, {"plain", ""}} {
-		b := newBench(t, pathOf("p", upstream.Repeatable, one.pool))
-		b.core.meanTokens = 1_000
-		b.register(enginesOf(one.pool, 30, 64, one.model)...)
+		fixture := newCoreFixture(t, pathOf("p", upstream.Repeatable, one.pool))
+		fixture.core.meanPromptTokens = 1_000
+		fixture.register(enginesOf(one.pool, 30, 64, one.model)...)
 		warm := ident.EngineID(one.pool + "-7")
-		world := func() World {
-			w := b.world()
-			w.Warm = func(engine *registry.Engine, pool string, careful bool) bool {
+		world := func() Environment {
+			env := fixture.world()
+			env.HasIdleConnection = func(engine *registry.Engine, pool string, careful bool) bool {
 				if pool != one.pool || careful {
 					t.Errorf("asked for a pool %q, careful %t", pool, careful)
 				}
 				return engine.ID == warm
 			}
-			return w
+			return env
 		}
 		for range 5 {
-			r := b.record("p", prompt(one.model, 1_000))
-			b.core.Admit(r, world())
-			if send := b.sent(r); send.Engine != warm {
+			request := fixture.record("p", prompt(one.model, 1_000))
+			fixture.core.Admit(request, world())
+			if send := fixture.sent(request); send.Engine != warm {
 				t.Errorf("%s: sent to %s, and not where a connection is kept to", one.pool, send.Engine)
 			}
-			b.core.Attempted(r, Whole, world())
+			fixture.core.AttemptEnded(request, OutcomeCompleted, world())
 		}
-		b.core.engine(warm).inFlight = 60
-		r := b.record("p", prompt(one.model, 1_000))
-		b.core.Admit(r, world())
-		if send := b.sent(r); send.Engine == warm {
+		fixture.core.engineState(warm).inFlight = 60
+		request := fixture.record("p", prompt(one.model, 1_000))
+		fixture.core.Admit(request, world())
+		if send := fixture.sent(request); send.Engine == warm {
 			t.Errorf("%s: sent to an engine that is nearly full", one.pool)
 		}
 	}
--- a/request/forwarding/window.go
+++ b/request/forwarding/window.go
@@ -8,35 +8,35 @@
 )
 
 // window counts one pool's first sends and further ones over a sliding span, and bounds the latter.
-type window struct {
-	firsts, further []clock.Mark
+type retryBudget struct {
+	firstSends, retries []clock.Mark
 }
 
 // prune forgets what is older than the span.
-func prune(marks []clock.Mark, now clock.Mark, span time.Duration) []clock.Mark {
-	gone := 0
-	for gone < len(marks) && now.Since(marks[gone]) > span {
-		gone++
+func prune(times []clock.Mark, now clock.Mark, duration time.Duration) []clock.Mark {
+	expired := 0
+	for expired < len(times) && now.Since(times[expired]) > duration {
+		expired++
 	}
-	if gone == 0 {
-		return marks
+	if expired == 0 {
+		return times
 	}
-	return append(marks[:0], marks[gone:]...)
+	return append(times[:0], times[expired:]...)
 }
 
 // first notes a first send, once it has ended; they end in another order than they were sent in.
-func (w *window) first(sent, now clock.Mark, span time.Duration) {
-	place, _ := slices.BinarySearch(w.firsts, sent)
-	w.firsts = prune(slices.Insert(w.firsts, place, sent), now, span)
+func (b *retryBudget) recordFirstSend(sent, now clock.Mark, duration time.Duration) {
+	index, _ := slices.BinarySearch(b.firstSends, sent)
+	b.firstSends = prune(slices.Insert(b.firstSends, index, sent), now, duration)
 }
 
 // allows says whether one more may go now: in every span that ends now or later the share holds, since
 // those that are counted leave the window no sooner than the first sends beside them.
-func (w *window) allows(now clock.Mark, s Settings, edges int) bool {
-	w.firsts, w.further = prune(w.firsts, now, s.RetryWindow), prune(w.further, now, s.RetryWindow)
-	slack := s.RetrySlack / float64(max(edges, 1))
-	return float64(len(w.further)+1) <= s.RetryUse*(s.RetryRatio*float64(len(w.firsts))+slack)
+func (b *retryBudget) allowsRetry(now clock.Mark, settings Settings, edges int) bool {
+	b.firstSends, b.retries = prune(b.firstSends, now, settings.RetryWindow), prune(b.retries, now, settings.RetryWindow)
+	slack := settings.RetrySlack / float64(max(edges, 1))
+	return float64(len(b.retries)+1) <= settings.RetryUtilization*(settings.RetryRatio*float64(len(b.firstSends))+slack)
 }
 
 // again notes a further send.
-func (w *window) again(now clock.Mark) { w.further = append(w.further, now) }
+func (b *retryBudget) recordRetry(now clock.Mark) { b.retries = append(b.retries, now) }
--- a/request/forwarding/window_test.go
+++ b/request/forwarding/window_test.go
@@ -10,30 +10,30 @@
 )
 
 // Streams that were sent long ago and break off together must not be taken for first sends of now.
-func TestStreamsThatBreakOffTogetherAreNoFirstSendsOfNow(t *testing.T) {
+func TestFirstSendsCountFromWhenTheyWereSent(t *testing.T) {
 	resumable := pathOf("resume", upstream.Stream, "batch")
 	resumable.Resumable, resumable.Attempts, resumable.DeadlineMs = true, 3, 120_000
-	b := newBench(t, resumable)
-	b.core.settings.RetryRatio, b.core.settings.RetrySlack, b.core.settings.RetryWindow = 0.2, 4, 10*time.Second
-	b.edges, b.lease = 1, true
+	fixture := newCoreFixture(t, resumable)
+	fixture.core.settings.RetryRatio, fixture.core.settings.RetrySlack, fixture.core.settings.RetryWindow = 0.2, 4, 10*time.Second
+	fixture.routers, fixture.hasWorkerID = 1, true
 	all := enginesOf("batch", 4, 400, "m")
-	b.register(all...)
-	var open []*Record
+	fixture.register(all...)
+	var open []*Request
 	for n := range 200 {
-		r := b.record("resume", prompt("m", 10, "s", fmt.Sprint(n), fmt.Sprint("a", n)), func(r *Record) { r.Deadline = b.now + clock.Mark(120*time.Second) })
-		b.core.Admit(r, b.world())
-		if step, there := taken(r); there && step.Send != nil {
-			b.core.Begun(r, b.world())
-			r.lastEvent = "1"
-			open = append(open, r)
+		request := fixture.record("resume", prompt("m", 10, "s", fmt.Sprint(n), fmt.Sprint("a", n)), func(request *Request) { request.Deadline = fixture.now + clock.Mark(120*time.Second) })
+		fixture.core.Admit(request, fixture.world())
+		if step, there := pendingStep(request); there && step.Attempt != nil {
+			fixture.core.ResponseBegun(request, fixture.world())
+			request.lastEvent = "1"
+			open = append(open, request)
 		}
 	}
-	b.now += clock.Mark(40 * time.Second)
-	b.register(all...)
+	fixture.now += clock.Mark(40 * time.Second)
+	fixture.register(all...)
 	again := 0
-	for _, r := range open {
-		b.core.Attempted(r, Cut, b.world())
-		if step, there := taken(r); there && step.Send != nil {
+	for _, request := range open {
+		fixture.core.AttemptEnded(request, OutcomeStreamBroken, fixture.world())
+		if step, there := pendingStep(request); there && step.Attempt != nil {
 			again++
 		}
 	}
