--- a/connection/gateway/gateway_test.go
+++ b/connection/gateway/gateway_test.go
@@ -95,7 +95,7 @@
 }
 
 func (s *standIn) registered(pool string) *registry.Engine {
-	return &registry.Engine{Word: registry.Word{ID: s.id, Pool: pool, Address: s.listener.Addr().String(), Slots: 64}}
+	return &registry.Engine{Registration: registry.Registration{ID: s.id, Pool: pool, Address: s.listener.Addr().String(), Slots: 64}}
 }
 
 // whole is a sealed answer of a length.
@@ -148,7 +148,7 @@
 			return isEmptied != nil && (*isEmptied)(engine)
 		}
 		return forwarding.Environment{Now: clock.System{}.Elapsed(), EngineEvacuated: emptied, EngineOpen: func(engine *registry.Engine) bool { return !emptied(engine) }, Index: f.index.Load(), IndexCurrent: !f.old.Load(), View: f.view.Load(), Routers: 1, HasWorkerID: f.held.Load(),
-			MintID: func() (ident.MintedID, bool) { return ident.MintedID(minted.Add(1)), f.held.Load() }}
+			MintID: func() (ident.SnowflakeID, bool) { return ident.SnowflakeID(minted.Add(1)), f.held.Load() }}
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
--- a/daemon/freshness.go
+++ b/daemon/freshness.go
@@ -15,15 +15,15 @@
 		return 0
 	}
 	// The condition is read first: what is in force is looked at later, so it can only be newer.
-	condition := held.Condition()
-	if !condition.Leads {
+	condition := held.Status()
+	if !condition.IsLeader {
 		return 0
 	}
 	table := d.keeper.Table()
 	switch {
-	case table == nil && condition.Spec > 0:
+	case table == nil && condition.ConfigurationVersion > 0:
 		return 0
-	case table != nil && (table.Epoch < condition.Spec || table.Closures.Epoch < condition.Closures):
+	case table != nil && (table.Epoch < condition.ConfigurationVersion || table.Closures.Epoch < condition.ClosuresVersion):
 		// It is committed and its table is still being built.
 		return 0
 	}
@@ -42,30 +42,6 @@
 	return confirmed == 0 || d.clock.Elapsed().Since(confirmed) > membership.StaleAfter
 }
 
-// memberAddresses are where the group's members are, by the log of this one.
-func (d *Daemon) memberAddresses() (out []string) {
-	held := d.replica.Load()
-	if held == nil {
-		return nil
-	}
-	for _, member := range held.Condition().Members.Members {
-		if member.Address != "" {
-			out = append(out, member.Address)
-		}
-	}
-	return out
-}
-
-// SourceTurned writes down that a source of news came to be stale, or is so no more.
-func (d *Daemon) SourceTurned(turned membership.Turned) {
-	line := d.log.WithField("address", turned.Address)
-	if turned.Stale {
-		line.Warn("a source of news is left: no majority of the control group has confirmed it lately")
-		return
-	}
-	line.Info("a source of news is confirmed by a majority of the control group")
-}
-
 // noteStale writes down that what is in force here came to be unconfirmed, or is so no more.
 func (d *Daemon) noteStale(stale bool) {
 	if stale {
--- a/process/consensus/statemachine/statemachine.go
+++ b/process/consensus/statemachine/statemachine.go
@@ -9,6 +9,7 @@
 
 	"github.com/rotisserie/eris"
 
+	"github.com/cresspond/cresspond/configuration/closure"
 	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/process/workerid"
 )
@@ -43,10 +44,10 @@
 	Reason   string          `json:"reason,omitempty"`
 	Grant    *workerid.Grant `json:"grant,omitempty"`
 	Proposal *Proposal       `json:"proposal,omitempty"`
-	Closures *Closures       `json:"closures,omitempty"`
+	Closures *closure.Set    `json:"closures,omitempty"`
 	Claim    *Claim          `json:"claim,omitempty"`
 	// Epoch is the spec epoch in force after the command, Revision the operators' own number of it.
-	Epoch    ident.Epoch    `json:"epoch,omitempty"`
+	Epoch    ident.Version  `json:"epoch,omitempty"`
 	Revision ident.Revision `json:"revision,omitempty"`
 	// Winner names the proposal that was rolled on the base a loser built on.
 	Winner string `json:"winner,omitempty"`
@@ -58,10 +59,10 @@
 	Workers   *workerid.Table      `json:"workers"`
 	Proposals map[string]*Proposal `json:"proposals"`
 	// History lists the proposals in force by epoch, the newest last; it begins after the Dropped oldest ones.
-	History []string    `json:"history"`
-	Dropped ident.Epoch `json:"dropped,omitempty"`
+	History []string      `json:"history"`
+	Dropped ident.Version `json:"dropped,omitempty"`
 	// Lasting holds, of the dropped epochs, the proposals that stay known: the first, and all that were signed off.
-	Lasting map[ident.Epoch]string `json:"lasting,omitempty"`
+	Lasting map[ident.Version]string `json:"lasting,omitempty"`
 	// Revision is the operators' own number of the bundle in force: it rises with each bundle.
 	Revision ident.Revision `json:"revision,omitempty"`
 	// ProvenFrom is the lowest base on which an order that is not remembered is proved never to have been taken.
@@ -70,7 +71,7 @@
 	// the revision in force has passed that base. Refused holds those that an earlier build wrote down without it.
 	RefusedAhead []RefusedOrder `json:"refusedAhead,omitempty"`
 	Refused      []string       `json:"refused,omitempty"`
-	Closures     Closures       `json:"closures"`
+	Closures     closure.Set    `json:"closures"`
 	// Acts lists the newest closures and openings.
 	Acts []ClosureAct `json:"acts,omitempty"`
 	// RefusedActs lists the closures that were refused while their base was above the closures in force, until
@@ -108,7 +109,7 @@
 	s := &State{
 		Workers:   workerid.New(),
 		Proposals: map[string]*Proposal{},
-		Closures:  Closures{Zones: map[ident.ZoneID]ClosureMark{}, Engines: map[ident.EngineID]ClosureMark{}},
+		Closures:  closure.Set{Zones: map[ident.ZoneID]closure.Record{}, Engines: map[ident.EngineID]closure.Record{}},
 		Serving:   map[ident.NodeID]Serving{},
 		limits:    DefaultLimits(),
 	}
--- a/process/placement/poolplacement/types.go
+++ b/process/placement/poolplacement/types.go
@@ -34,8 +34,8 @@
 	Expected uint64
 	// Owner and Claim are the fence. Stamp is the minted id of this order: it stays on our side.
 	Owner string
-	Claim ident.ClaimNumber
-	Stamp ident.MintedID
+	Claim ident.FencingToken
+	Stamp ident.SnowflakeID
 }
 
 // Target is what the order is about.
@@ -65,7 +65,7 @@
 
 // Report is what an engine says of itself when asked; it lags by some hundred milliseconds.
 type Report struct {
-	Models []registry.Held
+	Models []registry.LoadedModel
 	// Saturated says that an order is under way, Taken how many orders were taken in this life.
 	Saturated bool
 	Taken     uint64
--- a/request/forwarding/actor.go
+++ b/request/forwarding/actor.go
@@ -10,33 +10,28 @@
 	"github.com/cresspond/cresspond/process/engines/outlier"
 )
 
+// mailboxSize is how many events wait for the actor before a sender has to.
+const mailboxSize = 256
+
 // Actor runs the core over events, one after the other.
 type Actor struct {
 	core        *Core
 	environment func() Environment
 	mailbox     *actor.Mailbox[func(*Core, Environment)]
-	schedule    func(time.Duration, func())
 	// waking is when the next look is due, as far as one is ordered.
 	nextWakeAt  clock.Mark
 	queueLength atomic.Int64
 	stopped     chan struct{}
 }
 
-// ActorOption sets one thing of an actor.
-type ActorOption func(*Actor)
-
-// WithTimer replaces how the actor has itself woken.
-func WithTimer(after func(time.Duration, func())) ActorOption {
-	return func(a *Actor) { a.schedule = after }
-}
-
 // NewActor makes an actor; world gathers what the passes look at.
-func NewActor(settings Settings, world func() Environment, options ...ActorOption) *Actor {
-	a := &Actor{core: NewCore(settings), environment: world, mailbox: actor.NewMailbox[func(*Core, Environment)](256), stopped: make(chan struct{}), schedule: func(d time.Duration, wake func()) { time.AfterFunc(d, wake) }}
-	for _, option := range options {
-		option(a)
+func NewActor(settings Settings, world func() Environment) *Actor {
+	return &Actor{
+		core:        NewCore(settings),
+		environment: world,
+		mailbox:     actor.NewMailbox[func(*Core, Environment)](mailboxSize),
+		stopped:     make(chan struct{}),
 	}
-	return a
 }
 
 // Run takes events until ctx ends; whoever waits then is answered.
@@ -58,7 +53,7 @@
 		return
 	}
 	a.nextWakeAt = next
-	a.schedule(next.Since(now), func() { a.mailbox.Send(func(c *Core, env Environment) { c.DispatchQueued(env) }) })
+	time.AfterFunc(next.Since(now), func() { a.mailbox.Send(func(c *Core, env Environment) { c.DispatchQueued(env) }) })
 }
 
 // NewRecord makes a record with room for its steps.
--- a/request/forwarding/choose.go
+++ b/request/forwarding/choose.go
@@ -282,7 +282,7 @@
 	}
 	score := max(0, float64(request.Attributes.TokensIn)-cached) + float64(state.prefillTokens)
 	active := float64(state.inFlight)
-	if plan := engine.Plan; plan != nil && env.Now.Since(plan.Told) < c.settings.ReportMaxAge {
+	if plan := engine.Plan; plan != nil && env.Now.Since(plan.Received) < c.settings.ReportMaxAge {
 		since := max(0, state.inFlight-state.inFlightAtReport)
 		active = max(active, float64(plan.Active+since))
 		if plan.Memory > 0 && plan.MemoryUsed+int64(request.memoryTokens+since*request.memoryTokens) > plan.Memory {
@@ -326,7 +326,7 @@
 }
 
 func (c candidate) warmingUp(env Environment) bool {
-	return c.engine.ColdMs > 0 && c.engine.ColdMs > env.Now.Since(c.engine.Heard).Milliseconds()
+	return c.engine.SlowStartMs > 0 && c.engine.SlowStartMs > env.Now.Since(c.engine.LastHeartbeat).Milliseconds()
 }
 
 // worse is the smoothed share of an engine's failures that its choice goes by.
--- a/request/forwarding/core.go
+++ b/request/forwarding/core.go
@@ -25,7 +25,7 @@
 	Routers int
 	// Leased says whether a worker id is held, Mint mints under it.
 	HasWorkerID bool
-	MintID      func() (ident.MintedID, bool)
+	MintID      func() (ident.SnowflakeID, bool)
 	// Open says whether operators let new requests go to an engine: neither it nor its zone is closed. Nil is yes.
 	EngineOpen func(*registry.Engine) bool
 	// Emptied says that an engine is shut because its node is sick, so that what can go on elsewhere does. Nil is never.
--- a/request/forwarding/core_test.go
+++ b/request/forwarding/core_test.go
@@ -29,7 +29,7 @@
 	index                *upstream.Index
 	view                 *registry.View
 	routers              int
-	minted               ident.MintedID
+	minted               ident.SnowflakeID
 	notLoadedFor         map[string]time.Duration
 	made                 int
 }
@@ -57,7 +57,7 @@
 func (fixture *coreFixture) world() Environment {
 	return Environment{Now: fixture.now, Index: fixture.index, IndexCurrent: fixture.current, View: fixture.view, Routers: fixture.routers,
 		HasWorkerID: fixture.hasWorkerID,
-		MintID:      func() (ident.MintedID, bool) { fixture.minted++; return fixture.minted, fixture.hasWorkerID },
+		MintID:      func() (ident.SnowflakeID, bool) { fixture.minted++; return fixture.minted, fixture.hasWorkerID },
 		NotLoadedFor: func(_, model, adapter string) (time.Duration, bool) {
 			wait, unavailable := fixture.notLoadedFor[model+"/"+adapter]
 			return wait, unavailable
@@ -75,9 +75,9 @@
 }
 
 func engineOf(pool string, n, slots int, models ...string) *registry.Engine {
-	engine := &registry.Engine{Word: registry.Word{ID: ident.EngineID(fmt.Sprintf("%s-%d", pool, n)), Pool: pool, Address: "a", Slots: slots}}
+	engine := &registry.Engine{Registration: registry.Registration{ID: ident.EngineID(fmt.Sprintf("%s-%d", pool, n)), Pool: pool, Address: "a", Slots: slots}}
 	for _, model := range models {
-		engine.Word.Models = append(engine.Word.Models, registry.Held{Model: model})
+		engine.Registration.Models = append(engine.Registration.Models, registry.LoadedModel{Model: model})
 	}
 	return engine
 }
@@ -243,7 +243,7 @@
 	// One that comes in time is waited for, and goes when it is there.
 	delete(fixture.notLoadedFor, "m/")
 	coming := engineOf("batch", 0, 64)
-	coming.Plan = &registry.Plan{Coming: []registry.Coming{{Target: registry.Target{Model: "m"}, Ready: fixture.now + ms(300)}}, Told: fixture.now}
+	coming.Plan = &registry.Plan{PendingLoads: []registry.PendingLoad{{Target: registry.Target{Model: "m"}, Ready: fixture.now + ms(300)}}, Received: fixture.now}
 	fixture.register(coming)
 	request := fixture.admit("p", prompt("m", 100))
 	if request.stage != StageQueued {
@@ -263,7 +263,7 @@
 func TestRequestForSlowLoadIsRejectedWithRetryAfter(t *testing.T) {
 	fixture := newCoreFixture(t, pathOf("p", upstream.Stream, "batch"))
 	coming := engineOf("batch", 0, 64)
-	coming.Plan = &registry.Plan{Coming: []registry.Coming{{Target: registry.Target{Model: "m"}, Ready: fixture.now + ms(1000)}}, Told: fixture.now}
+	coming.Plan = &registry.Plan{PendingLoads: []registry.PendingLoad{{Target: registry.Target{Model: "m"}, Ready: fixture.now + ms(1000)}}, Received: fixture.now}
 	fixture.register(coming)
 	answer := fixture.ended(fixture.admit("p", prompt("m", 100)), fasthttp.StatusServiceUnavailable, CauseNoCapacity)
 	if answer.RetryAfter < time.Second || answer.RetryAfter > 4*time.Second/3 {
@@ -413,7 +413,7 @@
 		all := append(append(enginesOf("plain", 3, 2), enginesOf("other", 2, 2)...), enginesOf("batch", 2, 3, "m")...)
 		// One more is to hold the model at some time, and no report says so.
 		loading := engineOf("batch", 2, 3)
-		loading.Plan = &registry.Plan{Coming: []registry.Coming{{Target: registry.Target{Model: "m"}, Ready: fixture.now + ms(random.IntN(3000))}}}
+		loading.Plan = &registry.Plan{PendingLoads: []registry.PendingLoad{{Target: registry.Target{Model: "m"}, Ready: fixture.now + ms(random.IntN(3000))}}}
 		all = append(all, loading)
 		fixture.register(all...)
 		runs := []*simulatedRequest{}
@@ -693,7 +693,7 @@
 		fixture := newCoreFixture(t, pathOf("p", upstream.Stream, "batch"))
 		engine := engineOf("batch", 0, 64)
 		if c.readyInMs > 0 {
-			engine.Plan = &registry.Plan{Coming: []registry.Coming{{Target: registry.Target{Model: "m"}, Ready: fixture.now + ms(c.readyInMs)}}, Told: fixture.now}
+			engine.Plan = &registry.Plan{PendingLoads: []registry.PendingLoad{{Target: registry.Target{Model: "m"}, Ready: fixture.now + ms(c.readyInMs)}}, Received: fixture.now}
 		}
 		if c.notLoadedForMs > 0 {
 			fixture.notLoadedFor["m/"] = time.Duration(c.notLoadedForMs) * time.Millisecond
@@ -786,7 +786,7 @@
 		path := pathOf("p", upstream.Stream, "batch")
 		fixture := newCoreFixture(t, path)
 		with := engineOf("batch", 0, 64, "m")
-		with.Word.Models[0].Adapters = []string{"a1"}
+		with.Registration.Models[0].Adapters = []string{"a1"}
 		withAdapter := func(request *Request) { request.Attributes.Adapter = "a2" }
 		for range 20 {
 			fixture.register(with)
@@ -796,7 +796,7 @@
 			}
 			fixture.now += ms(c.took + 250)
 			both := engineOf("batch", 0, 64, "m")
-			both.Word.Models[0].Adapters = []string{"a1", "a2"}
+			both.Registration.Models[0].Adapters = []string{"a1", "a2"}
 			fixture.register(both)
 			fixture.core.DispatchQueued(fixture.world())
 			fixture.sent(request)
--- a/request/forwarding/engine.go
+++ b/request/forwarding/engine.go
@@ -92,15 +92,15 @@
 
 // hear takes up a new report.
 func (e *engineState) observeReport(plan *registry.Plan) {
-	if plan != nil && plan.Told != e.reportedAt {
-		e.reportedAt, e.inFlightAtReport = plan.Told, e.inFlight
+	if plan != nil && plan.Received != e.reportedAt {
+		e.reportedAt, e.inFlightAtReport = plan.Received, e.inFlight
 	}
 }
 
 // running is how many requests run and wait there, this daemon's newest included.
 func (e *engineState) requestCount(engine *registry.Engine, env Environment, settings Settings) int {
 	running := e.inFlight
-	if plan := engine.Plan; plan != nil && env.Now.Since(plan.Told) < settings.ReportMaxAge {
+	if plan := engine.Plan; plan != nil && env.Now.Since(plan.Received) < settings.ReportMaxAge {
 		e.observeReport(plan)
 		running = max(running, plan.Active+plan.Queued+max(0, e.inFlight-e.inFlightAtReport))
 	}
--- a/request/forwarding/move_test.go
+++ b/request/forwarding/move_test.go
@@ -117,7 +117,7 @@
 	path.GapTargetMs = 400
 	fixture := newCoreFixture(t, path)
 	engine := engineOf("batch", 0, 64, "m")
-	engine.Plan = &registry.Plan{Active: 7, Queued: 2, Told: fixture.now, Models: []registry.Held{{Model: "m"}}}
+	engine.Plan = &registry.Plan{Active: 7, Queued: 2, Received: fixture.now, Models: []registry.LoadedModel{{Model: "m"}}}
 	fixture.register(engine)
 	one := fixture.sent(fixture.admit("resume", prompt("m", 1000, "a", "b")))
 	if one.EngineRunning != 10 || one.PrefillTokens != 1000 || one.GapTargetMs != 400 {
--- a/request/forwarding/outcomes.go
+++ b/request/forwarding/outcomes.go
@@ -114,7 +114,7 @@
 	if request.Path.GapTargetMs > 0 && request.Observed.LongestEventGap > 0 {
 		c.outcomes.Gap(request.engine, request.Observed.LongestEventGap-time.Duration(request.Path.GapTargetMs)*time.Millisecond)
 	}
-	request.Observed = Observation{}
+	request.Observed = AttemptObservation{}
 	c.stopAwaiting(request)
 }
 
--- a/request/forwarding/outcomes_test.go
+++ b/request/forwarding/outcomes_test.go
@@ -107,5 +107,5 @@
 }
 
 func planWith(fixture *coreFixture, share float64) *registry.Plan {
-	return &registry.Plan{Told: fixture.now, Weights: []outlier.Weight{{Share: share}}}
+	return &registry.Plan{Received: fixture.now, Weights: []outlier.Weight{{Share: share}}}
 }
--- a/request/forwarding/reason.go
+++ b/request/forwarding/reason.go
@@ -190,8 +190,8 @@
 		if engine.Plan == nil {
 			continue
 		}
-		modelLoading = modelLoading || slices.ContainsFunc(engine.Plan.Coming, func(one registry.Coming) bool { return one.Model == request.Attributes.Model && one.Adapter == "" })
-		adapterLoading = adapterLoading || slices.ContainsFunc(engine.Plan.Coming, func(one registry.Coming) bool {
+		modelLoading = modelLoading || slices.ContainsFunc(engine.Plan.PendingLoads, func(one registry.PendingLoad) bool { return one.Model == request.Attributes.Model && one.Adapter == "" })
+		adapterLoading = adapterLoading || slices.ContainsFunc(engine.Plan.PendingLoads, func(one registry.PendingLoad) bool {
 			return one.Model == request.Attributes.Model && one.Adapter == request.Attributes.Adapter
 		})
 	}
--- a/request/forwarding/record.go
+++ b/request/forwarding/record.go
@@ -63,7 +63,7 @@
 	Deadline      clock.Mark
 
 	// Seen is what the sender saw of the attempt under way; it is the sender's until it reports how that ended.
-	Observed Observation
+	Observed AttemptObservation
 
 	stage Stage
 	// pool is drawn once, so that all attempts go to the same.
@@ -79,7 +79,7 @@
 	triedEngines []ident.EngineID
 	engine       ident.EngineID
 	// stamps are the minted ids of its queueing and of each retry.
-	mintedIDs []ident.MintedID
+	mintedIDs []ident.SnowflakeID
 	// mayHaveRun says that an attempt may have run, so no refusal may be promised.
 	mayHaveRun bool
 	// begun says that the caller has bytes of an answer, callerLeft that it waits for none any more.
@@ -119,7 +119,7 @@
 }
 
 // Seen is what a sender sees of an attempt besides how it ends.
-type Observation struct {
+type AttemptObservation struct {
 	// Connect is how long a fresh connection took; zero is a kept one. LongestGap is the longest wait for a next event.
 	ConnectTime, LongestEventGap time.Duration
 }
--- a/request/forwarding/simulate_test.go
+++ b/request/forwarding/simulate_test.go
@@ -122,7 +122,7 @@
 	for range daemons {
 		d := &simulatedRouter{core: NewCore(DefaultSettings())}
 		d.world = func() Environment {
-			return Environment{Now: s.now, Zone: d.zone, Index: s.index, IndexCurrent: true, View: s.view, Routers: daemons, HasWorkerID: true, MintID: func() (ident.MintedID, bool) { return 1, true }}
+			return Environment{Now: s.now, Zone: d.zone, Index: s.index, IndexCurrent: true, View: s.view, Routers: daemons, HasWorkerID: true, MintID: func() (ident.SnowflakeID, bool) { return 1, true }}
 		}
 		s.daemons = append(s.daemons, d)
 	}
@@ -139,7 +139,7 @@
 			for _, engine := range s.engines {
 				copied := *engine.registered
 				if plan := plans[copied.ID]; plan != nil {
-					plan.Told = s.now
+					plan.Received = s.now
 					if s.detector != nil {
 						plan.Weights = s.detector.Weights(s.now, copied.ID)
 					}
--- a/request/forwarding/size_test.go
+++ b/request/forwarding/size_test.go
@@ -29,7 +29,7 @@
 			for b.Loop() {
 				request := &peerapi.PullRequest{}
 				for _, d := range core.Demands(now) {
-					request.Demand = append(request.Demand, &peerapi.Demand{Pool: d.Pool, Model: d.Model, Adapter: d.Adapter, Held: int64(d.Queued), Running: int64(d.Running), Tokens: d.TokensPerSecond, Arrivals: d.ArrivalsPerSecond, Rank: int64(d.Rank)})
+					request.Demand = append(request.Demand, &peerapi.Demand{Pool: d.Pool, Model: d.Model, Adapter: d.Adapter, Queued: int64(d.Queued), Running: int64(d.Running), Tokens: d.TokensPerSecond, Arrivals: d.ArrivalsPerSecond, Rank: int64(d.Rank)})
 				}
 				data, err := proto.Marshal(request)
 				if err != nil {
@@ -50,7 +50,7 @@
 			bench := newCoreFixture(b, pathOf("p", upstream.Stream, "batch"))
 			all := enginesOf("batch", engines, 96, "x", "y", "z")
 			for i := 0; i < len(all); i += 10 {
-				all[i].Word.Models = append(all[i].Word.Models, registry.Held{Model: "m"})
+				all[i].Registration.Models = append(all[i].Registration.Models, registry.LoadedModel{Model: "m"})
 			}
 			bench.register(all...)
 			b.ReportAllocs()
--- a/request/forwarding/wait.go
+++ b/request/forwarding/wait.go
@@ -226,7 +226,7 @@
 		if engine.Plan == nil || !engine.Usable() {
 			continue
 		}
-		for _, one := range engine.Plan.Coming {
+		for _, one := range engine.Plan.PendingLoads {
 			if one.Model != request.Attributes.Model {
 				continue
 			}
--- a/testbed/interleaving/interleave_test.go
+++ b/testbed/interleaving/interleave_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/closure"
 	"github.com/cresspond/cresspond/configuration/document"
 	"github.com/cresspond/cresspond/configuration/routingtable"
 	"github.com/cresspond/cresspond/ident"
@@ -90,7 +91,7 @@
 		start := snowflake.Epoch + 1_000_000
 		now := second
 		group := workerid.New()
-		var ids []ident.MintedID
+		var ids []ident.SnowflakeID
 		current := &yieldingClock{now: &now}
 		first := snowflake.New(switching{current}, 0)
 		grant, _ := group.Acquire("first", start, 30*time.Second)
@@ -140,8 +141,8 @@
 	}
 }
 
-func noTwins(ids []ident.MintedID) error {
-	seen := map[ident.MintedID]bool{}
+func noTwins(ids []ident.SnowflakeID) error {
+	seen := map[ident.SnowflakeID]bool{}
 	for _, id := range ids {
 		if seen[id] {
 			return fmt.Errorf("id %d was minted twice", id)
@@ -172,7 +173,7 @@
 			grant.LeaseExpiry += ident.GroupTime(-margin / time.Millisecond)
 		}
 		first.Take(grant, now)
-		var ids []ident.MintedID
+		var ids []ident.SnowflakeID
 		minter := func(yield func()) {
 			for range 3 {
 				yield()
@@ -217,9 +218,9 @@
 		Models: []document.Model{{Name: "m", Size: 5}}, Routes: []document.Route{{Name: "r", House: "h", Models: []string{"m"}}},
 		Limits: document.Limits{MostHeld: 10, MostHeldBytes: 1000, RetryShare: 0.1, SeatIdleMs: 1000},
 	}
-	closures := statemachine.Closures{Zones: map[ident.ZoneID]statemachine.ClosureMark{}}
+	closures := closure.Set{Zones: map[ident.ZoneID]closure.Record{}}
 	if zoneShut {
-		closures.Epoch, closures.Zones["z"] = 1, statemachine.ClosureMark{}
+		closures.Epoch, closures.Zones["z"] = 1, closure.Record{}
 	}
 	return routingtable.Build(1, nil, s, closures)
 }
@@ -237,7 +238,7 @@
 	written map[dispatch.RecordID]bool
 	refused map[dispatch.RecordID]bool
 	sends   []dispatch.Send
-	stamp   ident.MintedID
+	stamp   ident.SnowflakeID
 	// blind leaves the last look out; hasty tells a refusal to all that are late, sent or not.
 	blind, hasty bool
 	lookedAfter  bool
@@ -249,7 +250,7 @@
 }
 
 func (r *router) step(event dispatch.Event) {
-	effects := r.core.Step(dispatch.World{Now: r.now, Table: r.table, Engines: engineView(), Zone: "z", Mint: func() (ident.MintedID, snowflake.Outcome) {
+	effects := r.core.Step(dispatch.World{Now: r.now, Table: r.table, Engines: engineView(), Zone: "z", Mint: func() (ident.SnowflakeID, snowflake.Outcome) {
 		r.stamp++
 		return r.stamp, snowflake.Minted
 	}}, event)
@@ -407,7 +408,7 @@
 		now := second
 		type order struct {
 			at    clock.Mark
-			claim ident.ClaimNumber
+			claim ident.FencingToken
 		}
 		var orders []order
 		planner := func(name ident.NodeID, rounds int) func(func()) {
@@ -416,7 +417,7 @@
 					asked := now
 					yield()
 					result := state.Apply(encode(statemachine.Command{Op: statemachine.OpClaim, NodeID: name, At: ident.GroupTime(now / 1e6),
-						SpanMs: config.ClaimSpan.Milliseconds(), GapMs: gap.Milliseconds()}))
+						SpanMs: config.PlannerLease.Milliseconds(), GapMs: gap.Milliseconds()}))
 					yield()
 					if result.Verdict != statemachine.Done {
 						continue
@@ -453,7 +454,7 @@
 
 func TestTwoPlanners(t *testing.T) {
 	t.Parallel()
-	gap := replica.DefaultConfig().ClaimGap
+	gap := replica.DefaultConfig().PlannerLeaseGap
 	holds(t, plannersCase(gap, false))
 	bites(t, plannersCase(gap, true))
 }
