--- a/daemon/freshness.go
+++ b/daemon/freshness.go
@@ -19,11 +19,11 @@
 	if !condition.IsLeader {
 		return 0
 	}
-	table := d.keeper.Table()
+	table := d.rollout.Table()
 	switch {
 	case table == nil && condition.ConfigurationVersion > 0:
 		return 0
-	case table != nil && (table.Epoch < condition.ConfigurationVersion || table.Closures.Epoch < condition.ClosuresVersion):
+	case table != nil && (table.Epoch < condition.ConfigurationVersion || table.Closures.Version < condition.ClosuresVersion):
 		// It is committed and its table is still being built.
 		return 0
 	}
@@ -43,7 +43,7 @@
 }
 
 // noteStale writes down that what is in force here came to be unconfirmed, or is so no more.
-func (d *Daemon) noteStale(stale bool) {
+func (d *Daemon) logStale(stale bool) {
 	if stale {
 		d.counters.turnedStale.Add(1)
 	}
--- a/process/consensus/replica/second_loss_test.go
+++ b/process/consensus/replica/second_loss_test.go
@@ -118,7 +118,7 @@
 		}
 		mayEnd := false
 		if leader := n.sim.leader(); n.core.IsLeader() {
-			n.carryOut(n.core.Step(n.sim.now, raft.Transfer{}))
+			n.carryOut(n.core.Step(n.sim.now, raft.TransferLeadership{}))
 		} else if leader != nil {
 			leader.core.MarkLeaving(n.sim.now, n.id)
 			mayEnd = leader.core.SafeToStop(n.sim.now, n.id)
@@ -175,7 +175,7 @@
 	s.ask(leader, &statemachine.Command{Op: statemachine.OpClosure, Zone: "z", Closed: closed}, func(a Response) {
 		if a.Outcome == Applied && a.Result.Closures != nil {
 			s.acks++
-			s.ackedEpoch = max(s.ackedEpoch, a.Result.Closures.Epoch)
+			s.ackedEpoch = max(s.ackedEpoch, a.Result.Closures.Version)
 		}
 		again()
 	})
@@ -186,7 +186,7 @@
 	before := s.acks
 	return s.until(within, func() bool {
 		leader := s.leader()
-		return s.acks > before && leader != nil && leader.core.state.Closures.Epoch >= s.ackedEpoch
+		return s.acks > before && leader != nil && leader.core.state.Closures.Version >= s.ackedEpoch
 	})
 }
 
@@ -209,7 +209,7 @@
 	}
 	if leader := s.leader(); leader != nil {
 		for _, member := range leader.core.raft.Membership().Members {
-			ready := leader.core.raft.MatchOf(member.ID)+caughtUpEntries >= leader.core.raft.LastIndex()
+			ready := leader.core.raft.MatchIndex(member.ID)+caughtUpEntries >= leader.core.raft.LastIndex()
 			fmt.Fprintf(&out, "%t %t,", ready, leader.core.IsLeader())
 		}
 	}
@@ -417,7 +417,7 @@
 
 // removeBeforePromote is the rule without promoteForLeaving: who leaves goes first, and another comes after.
 func removeBeforePromote(p MembershipPlan) (raft.Membership, bool) {
-	ready := p.ready()
+	ready := p.readyLearners()
 	for _, step := range []func() (raft.Membership, bool){
 		p.admit,
 		func() (raft.Membership, bool) { return p.removePreviousIdentity(ready) },
--- a/request/forwarding/outcomes.go
+++ b/request/forwarding/outcomes.go
@@ -83,14 +83,14 @@
 		return
 	}
 	request.outcomeReported = true
-	c.outcomes.Note(request.engine, outcome)
+	c.outcomes.Record(request.engine, outcome)
 }
 
 // noteEnd counts how an attempt ended. What our side or the caller did says nothing of the engine.
 func (c *Core) reportEnd(request *Request, outcome Outcome, env Environment) {
 	switch outcome {
 	case OutcomeCompleted:
-		c.reportOutcome(request, outlier.Well)
+		c.reportOutcome(request, outlier.Success)
 	case OutcomeUnreachable:
 		c.reportOutcome(request, outlier.Failure)
 	case OutcomeEngineError, OutcomeResponseLost, OutcomeProtocolError, OutcomeStreamBroken:
@@ -98,7 +98,7 @@
 		case env.Now >= request.Deadline && outcome != OutcomeEngineError:
 			// It ran into its own deadline, and was counted when it was overdue, if it was.
 		case request.outcomeReported && !request.reportedOverdue:
-			c.outcomes.Worse(request.engine)
+			c.outcomes.RecordTruncated(request.engine)
 		default:
 			c.reportOutcome(request, outlier.Failure)
 		}
@@ -109,10 +109,10 @@
 		}
 	}
 	if request.Observed.ConnectTime > 0 {
-		c.outcomes.Connected(request.engine, request.Observed.ConnectTime)
+		c.outcomes.RecordConnect(request.engine, request.Observed.ConnectTime)
 	}
 	if request.Path.GapTargetMs > 0 && request.Observed.LongestEventGap > 0 {
-		c.outcomes.Gap(request.engine, request.Observed.LongestEventGap-time.Duration(request.Path.GapTargetMs)*time.Millisecond)
+		c.outcomes.RecordGapExcess(request.engine, request.Observed.LongestEventGap-time.Duration(request.Path.GapTargetMs)*time.Millisecond)
 	}
 	request.Observed = AttemptObservation{}
 	c.stopAwaiting(request)
@@ -121,11 +121,11 @@
 // noteFirst counts an attempt whose first byte has come.
 func (c *Core) reportFirstByte(request *Request, now clock.Mark) {
 	waited, u := now.Since(request.sentAt), c.baseline(request)
-	c.outcomes.First(request.engine, waited-u.firstByteTime.Duration)
+	c.outcomes.RecordFirstByteExcess(request.engine, waited-u.firstByteTime.Duration)
 	if waited > request.overdueAfter {
 		c.reportOutcome(request, outlier.Overdue)
 	} else {
-		c.reportOutcome(request, outlier.Well)
+		c.reportOutcome(request, outlier.Success)
 	}
 	u.add(waited, request.expectedCost)
 	c.stopAwaiting(request)
@@ -149,8 +149,10 @@
 			c.reportOutcome(request, outlier.Overdue)
 		}
 	}
-	return c.outcomes.Take()
+	return c.outcomes.TakeDigests()
 }
 
 // Reading gives what this daemon saw of an engine lately.
-func (c *Core) EngineStatistics(engine ident.EngineID) outlier.Reading { return c.outcomes.Of(engine) }
+func (c *Core) EngineStatistics(engine ident.EngineID) outlier.Reading {
+	return c.outcomes.Reading(engine)
+}
--- a/testbed/partitionsim/node_test.go
+++ b/testbed/partitionsim/node_test.go
@@ -42,7 +42,7 @@
 	frozenUntil clock.Mark
 
 	core   *replica.Core
-	disk   raft.Restored
+	disk   raft.PersistentState
 	writes []write
 	beaten clock.Mark
 	refs   uint64
@@ -88,8 +88,8 @@
 	answer   func(*peerapi.PullReply)
 }
 
-func firstState(members raft.Membership) raft.Restored {
-	return raft.Restored{HardState: raft.HardState{Term: 1}, Snapshot: raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: statemachine.New().Snapshot()}}
+func firstState(members raft.Membership) raft.PersistentState {
+	return raft.PersistentState{HardState: raft.HardState{Term: 1}, Snapshot: raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: statemachine.New().Snapshot()}}
 }
 
 func (n *node) id() ident.NodeID { return ident.NodeID(fmt.Sprintf("%s#%d", n.name, n.life)) }
@@ -150,8 +150,8 @@
 	}
 	n.core = core
 	n.every(replica.TickInterval, func() {
-		if late := n.clock().Since(n.beaten); n.beaten > 0 && late > config.Timing.Span(replica.TickInterval) {
-			n.carryOut(n.core.Step(n.clock(), raft.StandDown{}))
+		if late := n.clock().Since(n.beaten); n.beaten > 0 && late > config.Timing.ElectionTimeout(replica.TickInterval) {
+			n.carryOut(n.core.Step(n.clock(), raft.StepDown{}))
 		}
 		n.beaten = n.clock()
 		n.carryOut(n.core.Step(n.clock(), raft.Tick{}))
@@ -175,13 +175,13 @@
 // carryOut does what a step of the core wants done.
 func (n *node) carryOut(effects replica.Effects) {
 	switch {
-	case effects.Save != nil || len(effects.Later) > 0 && len(n.writes) > 0:
-		n.writes = append(n.writes, write{effects.Save, effects.Later})
+	case effects.Save != nil || len(effects.MessagesAfterSave) > 0 && len(n.writes) > 0:
+		n.writes = append(n.writes, write{effects.Save, effects.MessagesAfterSave})
 		if len(n.writes) == 1 {
 			n.writeNext()
 		}
 	default:
-		defer n.sendRaft(effects.Later)
+		defer n.sendRaft(effects.MessagesAfterSave)
 	}
 	for _, answer := range effects.Responses {
 		if taken := n.asked[answer.RequestID]; taken != nil {
@@ -190,7 +190,7 @@
 		}
 	}
 	n.offer()
-	n.sendRaft(effects.Now)
+	n.sendRaft(effects.Messages)
 }
 
 func (n *node) writeNext() {
@@ -242,18 +242,18 @@
 // offer hands what the log put in force to the keeper; the table takes a while to build.
 func (n *node) offer() {
 	state := n.core.State()
-	if state.Epoch() == n.offeredSpec && state.Closures.Epoch == n.offeredClosure {
+	if state.Version() == n.offeredSpec && state.Closures.Version == n.offeredClosure {
 		return
 	}
-	n.offeredSpec, n.offeredClosure = state.Epoch(), state.Closures.Epoch
-	epoch, closures, inForce := state.Epoch(), state.Closures.Clone(), statemachine.Proposal{}
+	n.offeredSpec, n.offeredClosure = state.Version(), state.Closures.Version
+	epoch, closures, inForce := state.Version(), state.Closures.Clone(), statemachine.Proposal{}
 	if found, ok := state.InForce(); ok {
 		inForce = *found
 	}
 	life := n.life
 	n.w.after(n.w.ms(0, 60), func() {
 		n.do(life, func() {
-			n.keeper.Offer(epoch, inForce.Packing(), &closures)
+			n.keeper.Offer(epoch, inForce.Payload(), &closures)
 			n.news()
 		})
 	})
@@ -262,7 +262,7 @@
 // force is what is in force here.
 func (n *node) force() (force membership.InForce) {
 	if table := n.keeper.Table(); table != nil {
-		force.Spec, force.Closure = table.Epoch, table.Closures.Epoch
+		force.Spec, force.Closure = table.Epoch, table.Closures.Version
 	}
 	return force
 }
@@ -275,7 +275,7 @@
 		return 0
 	}
 	force, state := n.force(), n.core.State()
-	if force.Spec < state.Epoch() || force.Spec > 0 && force.Closure < state.Closures.Epoch {
+	if force.Spec < state.Version() || force.Spec > 0 && force.Closure < state.Closures.Version {
 		return 0
 	}
 	return n.core.ConfirmedUntil()
@@ -503,11 +503,11 @@
 	reply := &peerapi.PullReply{Group: group, NodeId: string(n.id()), LeaderAddress: leader, LeaderTerm: term, IsLeader: n.leads(),
 		Confirmation: membership.ConfirmationOf(confirmed, held.arrived)}
 	if table := n.keeper.Table(); table != nil {
-		reply.ConfigurationVersion, reply.ClosureVersion = uint64(table.Epoch), uint64(table.Closures.Epoch)
+		reply.ConfigurationVersion, reply.ClosureVersion = uint64(table.Epoch), uint64(table.Closures.Version)
 		if n.tellsBundle(in) {
 			reply.Configuration, reply.ConfigurationCompressed = table.Bundle.Data, table.Bundle.Packed
 		}
-		if in.ClosureVersion < uint64(table.Closures.Epoch) {
+		if in.ClosureVersion < uint64(table.Closures.Version) {
 			reply.Closures = rollout.EncodeClosures(table.Closures)
 		}
 	}
@@ -529,8 +529,8 @@
 	if n.enlisted > 0 {
 		return
 	}
-	n.submit(statemachine.Command{Op: statemachine.OpEnlist, NodeID: n.id(), Address: n.name}, func(result statemachine.Result) {
-		if n.enlisted == 0 && result.Verdict == statemachine.Done {
+	n.submit(statemachine.Command{Op: statemachine.OpRegister, NodeID: n.id(), Address: n.name}, func(result statemachine.Result) {
+		if n.enlisted == 0 && result.Outcome == statemachine.Done {
 			n.enlisted = n.clock()
 		}
 	})
