--- a/daemon/sessionaffinity.go
+++ b/daemon/sessionaffinity.go
@@ -20,7 +20,7 @@
 // Any daemon can be a home, whatever it serves, so that the restart of a lone routing daemon loses none.
 func (d *Daemon) assignmentOwners(session string) (first, second string) {
 	// A daemon that is stopping hands its seats over, and takes no more.
-	return affinity.Owners(session, d.readyPeers(3*time.Second, func(membership.Fellow) bool { return true }))
+	return affinity.Owners(session, d.readyPeers(3*time.Second, func(membership.Member) bool { return true }))
 }
 
 // seatAt asks one home; nil means that it can't be reached.
@@ -82,9 +82,9 @@
 // lostLately says whether daemons were lost or have begun anew so lately that seats may have gone with them.
 func (d *Daemon) peersLostRecently() bool {
 	now := d.clock.Elapsed()
-	for _, fellow := range d.members.View().Fellows {
-		silent := now.Since(fellow.Heard)
-		if fellow.Ready && (silent > slotOwnerWindow && silent <= contactWindow+uncertainWindow || now.Since(fellow.Met) < uncertainWindow) {
+	for _, fellow := range d.members.View().Members {
+		silent := now.Since(fellow.LastContact)
+		if fellow.Ready && (silent > slotOwnerWindow && silent <= contactWindow+uncertainWindow || now.Since(fellow.FirstContact) < uncertainWindow) {
 			return true
 		}
 	}
