--- a/daemon/engineregistration.go
+++ b/daemon/engineregistration.go
@@ -65,8 +65,8 @@
 		d.counters.departuresAcknowledged.Add(1)
 		return registry.Response{Outcome: registry.Acknowledged}
 	}
-	answer, ok := d.submit(bounded, statemachine.Command{Op: statemachine.OpLeave, Engine: id})
-	if !ok || answer.Verdict != statemachine.Done {
+	answer, ok := d.submit(bounded, statemachine.Command{Op: statemachine.OpEngineDeparted, Engine: id})
+	if !ok || answer.Outcome != statemachine.Done {
 		d.counters.departuresUnknown.Add(1)
 		return registry.Response{Outcome: registry.Unknown}
 	}
@@ -97,14 +97,14 @@
 func (d *Daemon) applyDepartures(state *statemachine.State) {
 	lately, before := []ident.EngineID{}, []ident.EngineID{}
 	// After a snapshot all are noted again, which changes nothing.
-	for _, left := range state.LeftSince(d.departuresApplied) {
+	for _, left := range state.DepartedSince(d.departuresApplied) {
 		if left.At.Add(recentDeparture) < state.Now {
 			before = append(before, left.Engine)
 		} else {
 			lately = append(lately, left.Engine)
 		}
 	}
-	d.departuresApplied = state.Leaves
+	d.departuresApplied = state.Departures
 	if len(lately) > 0 || len(before) > 0 {
 		go func() {
 			d.registry.RecordDepartures(before)
--- a/daemon/engineslots.go
+++ b/daemon/engineslots.go
@@ -29,7 +29,7 @@
 
 // keeperOf is the address of the daemon that keeps an engine's slots.
 func (d *Daemon) slotOwner(engine ident.EngineID) string {
-	routers := d.readyPeers(slotOwnerWindow, func(f membership.Fellow) bool { return f.Serves(string(daemonconfig.Route)) })
+	routers := d.readyPeers(slotOwnerWindow, func(f membership.Member) bool { return f.Serves(string(daemonconfig.Route)) })
 	keeper, _ := affinity.Owners("engine "+string(engine), routers)
 	return keeper
 }
@@ -77,8 +77,8 @@
 		d.engineSlots.Release(ident.EngineID(in.Engine), in.Id, in.Refused)
 		return &peerapi.PermitReply{}, nil
 	}
-	granted := d.engineSlots.Ask(ctx, admission.Ask{ID: in.Id, Node: ident.NodeID(in.NodeId), Engine: ident.EngineID(in.Engine),
-		Bid: priority.Bid{Assigned: in.HasAssignment, Worth: in.Value, Rank: int(in.Rank), Tenant: in.Tenant}, Until: d.clock.Elapsed() + clock.Mark(slotWait)})
+	granted := d.engineSlots.Acquire(ctx, admission.Request{ID: in.Id, Node: ident.NodeID(in.NodeId), Engine: ident.EngineID(in.Engine),
+		Key: priority.Key{Assigned: in.HasAssignment, Value: in.Value, Rank: int(in.Rank), Tenant: in.Tenant}, Deadline: d.clock.Elapsed() + clock.Mark(slotWait)})
 	return &peerapi.PermitReply{Granted: granted}, nil
 }
 
@@ -101,15 +101,15 @@
 			}
 			return 0
 		},
-		Asked: func(id ident.EngineID) clock.Mark {
+		ReportRequested: func(id ident.EngineID) clock.Mark {
 			if engine, known := view.Engines[id]; known {
-				return engine.Asked
+				return engine.ReportRequested
 			}
 			return 0
 		},
 		Alive: func(node ident.NodeID) bool {
-			fellow, known := d.members.View().Fellows[node]
-			return node == d.nodeID || known && now.Since(fellow.Heard) < 3*time.Second
+			fellow, known := d.members.View().Members[node]
+			return node == d.nodeID || known && now.Since(fellow.LastContact) < 3*time.Second
 		},
 	}
 }
--- a/daemon/freshness.go
+++ b/daemon/freshness.go
@@ -23,7 +23,7 @@
 	switch {
 	case table == nil && condition.ConfigurationVersion > 0:
 		return 0
-	case table != nil && (table.Epoch < condition.ConfigurationVersion || table.Closures.Epoch < condition.ClosuresVersion):
+	case table != nil && (table.Epoch < condition.ConfigurationVersion || table.Closures.Version < condition.ClosuresVersion):
 		// It is committed and its table is still being built.
 		return 0
 	}
@@ -33,7 +33,7 @@
 // confirmed is up to when a majority has confirmed that what is in force here is all that was acknowledged; zero is
 // never.
 func (d *Daemon) confirmed() clock.Mark {
-	return max(d.members.View().Confirmed, d.ConfirmedAsLeader())
+	return max(d.members.View().ConfirmedAt, d.ConfirmedAsLeader())
 }
 
 // stale says whether this daemon's news is not to be relied on by others.
--- a/daemon/noderanking.go
+++ b/daemon/noderanking.go
@@ -76,7 +76,7 @@
 	}
 	actionResult struct {
 		action  nodehealth.Act
-		outcome statemachine.Verdict
+		outcome statemachine.Outcome
 		reason  string
 		known   bool
 	}
@@ -234,13 +234,13 @@
 		return
 	}
 	command := statemachine.Command{Op: statemachine.OpClosure, NodeID: n.nodeID, Operator: rankingOperator, Engine: act.Engine, Closed: act.Drain,
-		Ranking: &closure.Ranking{Claim: n.claim, Stamp: stamp, Reason: reasonOf(act)}}
+		Ranking: &closure.RankingDecision{Token: n.claim, ID: stamp, Reason: reasonOf(act)}}
 	n.actionPending = true
 	go func() {
 		bounded, cancel := context.WithTimeout(ctx, actionLimit)
 		defer cancel()
 		answer, known := n.submitOnce(bounded, command)
-		n.mailbox.Send(actionResult{act, answer.Verdict, answer.Reason, known})
+		n.mailbox.Send(actionResult{act, answer.Outcome, answer.Reason, known})
 	}()
 }
 
@@ -293,7 +293,7 @@
 		one := nodehealth.Engine{ID: id, Pool: engine.Pool, Zone: engine.Zone, Open: engine.Usable() && open(id, engine.Zone)}
 		mark, shut := closures.Engines[id]
 		one.Ranked = shut && mark.Ranking != nil
-		_, one.Kept = closures.Kept[id]
+		_, one.Kept = closures.Protected[id]
 		for _, held := range engine.Models() {
 			for _, target := range append([]nodehealth.Target{{Model: held.Model}}, adaptersOf(held)...) {
 				if _, asked := n.recentDemand[demandKey{engine.Pool, target}]; asked && engine.Holds(target.Model, target.Adapter) {
--- a/daemon/routingdaemons.go
+++ b/daemon/routingdaemons.go
@@ -21,8 +21,8 @@
 		return int(counted)
 	}
 	names := map[string]bool{d.nodeID.Name(): true}
-	for _, fellow := range d.members.View().Fellows {
-		if now.Since(fellow.Heard) <= routingContactWindow && fellow.Serves(string(daemonconfig.Route)) {
+	for _, fellow := range d.members.View().Members {
+		if now.Since(fellow.LastContact) <= routingContactWindow && fellow.Serves(string(daemonconfig.Route)) {
 			names[fellow.NodeID.Name()] = true
 		}
 	}
