--- a/process/consensus/raft/inflight.go
+++ b/process/consensus/raft/inflight.go
@@ -26,7 +26,7 @@
 	p.inflightTicks = 1 + replyTimeFactor*size/slowestLinkBytesPerTick
 }
 
-// appendInFlight says whether a large append is in flight.
+// awaitsAppend says whether a large append is in flight.
 func (p *progress) awaitsAppend() bool { return p.inflightTicks > 0 }
 
 // acknowledgeAppend records a reply to an append; it returns true where that was the large one in flight.
--- a/process/consensus/raft/membership_model_test.go
+++ b/process/consensus/raft/membership_model_test.go
@@ -71,7 +71,7 @@
 	event  string
 }
 
-// modelLedger is what the checker remembers of a history.
+// modelHistory is what the checker remembers of a history.
 type modelHistory struct {
 	leaders map[Term]MemberID
 	// committed lists entries by index, and by whom in which term each was first known to be committed.
