--- /dev/null
+++ b/process/cluster/membership/pull.go
@@ -0,0 +1,145 @@
+package membership
+
+import (
+	"context"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"github.com/cresspond/cresspond/clock"
+)
+
+const (
+	// PullTimeout bounds one pull, beside what its answer may be held back for.
+	PullTimeout = 700 * time.Millisecond
+	// probeTicks is how many beats pass between questions to a seed and to any daemon, so that a split that
+	// healed is noticed from either side.
+	probeTicks = 10
+	// minPullGap is how soon after a question the next may follow at once.
+	minPullGap = 50 * time.Millisecond
+)
+
+// pullKey is one question to one address.
+type pullKey struct {
+	address string
+	// linked questions follow each other, and their answers are held back while nothing is new.
+	linked bool
+	// allMembers asks for all that is known of members, with ages.
+	allMembers bool
+	// onlyWithDemand is asked only if something waits here that the planner must hear of, beside any other question.
+	onlyWithDemand bool
+}
+
+func (m *Membership) tick(ctx context.Context) {
+	m.refreshSelf()
+	now := m.clock.Elapsed()
+	forgetBefore := now - clock.Mark(forgetAfter)
+	if now.Since(m.tracker.view.LastLeaderContact) > ContactWindow {
+		// Out of the leader's sight nobody is forgotten: those who fell silent may be on the other side of a split.
+		forgetBefore = 0
+	}
+	m.tracker.memberList.Sweep(now, forgetBefore)
+	for _, address := range m.links(now) {
+		m.startPull(ctx, pullKey{address: address, linked: true})
+	}
+	if !m.demandReported {
+		// The answer to the last question may be held back for long; what has come to wait since must be heard of sooner.
+		m.startPull(ctx, pullKey{address: m.tracker.planner, onlyWithDemand: true})
+	}
+	troubled := m.tracker.ControlLost(now)
+	if m.ticks++; troubled || m.tracker.MemberList().Unconfirmed(now) || m.ticks%probeTicks == 0 {
+		if seeds := m.seeds(); len(seeds) > 0 {
+			m.startPull(ctx, pullKey{address: seeds[m.nextProbeSeed%len(seeds)], allMembers: troubled})
+			m.nextProbeSeed++
+		}
+		if contacts := m.view.Load().InContact(now, 10*time.Second); len(contacts) > 0 {
+			m.startPull(ctx, pullKey{address: contacts[rand.IntN(len(contacts))].Address, allMembers: troubled})
+		}
+	}
+	m.publish()
+	m.notifyWaiters()
+	m.host.Tick()
+}
+
+// links lists whom to ask again and again; before any control daemon is known, the seeds in turn.
+func (m *Membership) links(now clock.Mark) []string {
+	links := m.tracker.Links(now)
+	if seeds := m.seeds(); len(links) == 0 && len(seeds) > 0 {
+		// A turn of its own: two of one count would pass by every other seed of an even number.
+		m.nextLinkSeed++
+		return []string{seeds[m.nextLinkSeed%len(seeds)]}
+	}
+	return links
+}
+
+// refreshSelf takes up what this daemon says of itself now.
+func (m *Membership) refreshSelf() {
+	described := m.host.DescribeSelf()
+	row := recordOf(described)
+	row.Version = m.self.Version
+	if row.Version == 0 || row.Ready != m.self.Ready || !slices.Equal(row.Roles, m.self.Roles) || len(row.Steps) != len(m.self.Steps) ||
+		len(row.Steps) > 0 && row.Steps[len(row.Steps)-1].UnixMs != m.self.Steps[len(m.self.Steps)-1].UnixMs {
+		row.Version++
+	}
+	m.self = row
+	m.tracker.memberList.SetSelf(m.clock.Elapsed(), row)
+}
+
+// startPull puts a question, if it is not being asked already.
+func (m *Membership) startPull(ctx context.Context, q pullKey) {
+	if q.address == m.address || q.address == "" || m.inFlight[q] {
+		return
+	}
+	m.inFlight[q] = true
+	now, daemons, planner := m.clock.Elapsed(), len(m.view.Load().Members), m.tracker.planner
+	request := m.host.DescribeSelf()
+	request.AttributesVersion, request.HasAttributes, request.AllMembers = m.self.Version, true, q.allMembers
+	m.tracker.FillRequest(request, PullTarget{Address: q.address, Linked: q.linked})
+	hold := time.Duration(0)
+	if q.linked {
+		switch {
+		case !m.tracker.view.CaughtUp:
+			// It is not ready before it has heard all there is, so nothing is held back.
+		case m.servesControl:
+			hold = min(m.pace.waitFor(daemons), controlMaxWait)
+		default:
+			hold = m.pace.waitFor(daemons)
+		}
+	}
+	go func() {
+		waits := q.address == planner && m.host.AddDemand(request, q.onlyWithDemand)
+		if q.onlyWithDemand && !waits {
+			m.mailbox.Send(pullCompleted{pullKey: q, skipped: true})
+			return
+		}
+		if waits {
+			hold = min(hold, m.pace.waitWithDemand(daemons))
+		}
+		if q.linked {
+			request.MaxWaitMs, request.BatchDelayMs, request.IntervalMs = hold.Milliseconds(), batchDelayFor(daemons).Milliseconds(), max(hold, pullEvery).Milliseconds()
+		}
+		bounded, cancel := context.WithTimeout(ctx, hold+PullTimeout)
+		defer cancel()
+		reply, err := m.host.PullFrom(bounded, q.address, request)
+		heard := m.clock.Elapsed()
+		if err == nil {
+			m.host.ApplyReply(reply)
+		}
+		m.mailbox.Send(pullCompleted{pullKey: q, sentAt: now, receivedAt: heard, maxWait: hold, reportsDemand: waits, reply: reply, err: err})
+	}()
+}
+
+func (m *Membership) handleResult(now clock.Mark, e pullCompleted) {
+	if e.err != nil {
+		m.FailedPulls.Add(1)
+	}
+	var force InForce
+	force.Configuration, force.Closure = m.host.InForce()
+	question := PullTarget{Address: e.address, Linked: e.linked, MaxWait: e.maxWait}
+	if turned := m.tracker.HandleResult(now, PullResult{PullTarget: question, SentAt: e.sentAt, ReceivedAt: e.receivedAt, Reply: e.reply, Err: e.err}, force); turned != nil {
+		if turned.Stale {
+			m.StaleSources.Add(1)
+		}
+		m.host.SourceFreshnessChanged(*turned)
+	}
+}
--- a/process/cluster/membership/tracker.go
+++ b/process/cluster/membership/tracker.go
@@ -8,6 +8,15 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
+// controlLostAfter is how long no control daemon must have answered for all to be asked for all they know.
+const controlLostAfter = 1500 * time.Millisecond
+
+// replySlack is how much later than it was held back for an answer may come and still count as fresh.
+const replySlack = 300 * time.Millisecond
+
+// allMembersWindow is how lately those must have been heard that are told of to one that has lost the control daemons.
+const allMembersWindow = 5 * time.Second
+
 // Tracker is the pure part of Membership: whom a daemon takes for the leader and for the planner, on whose news it
 // relies, and whether it has made sure that what is in force here is not old. It asks nobody and reads no clock.
 type Tracker struct {
@@ -126,17 +135,6 @@
 	return turned
 }
 
-// mayConfirm says whether an answer may confirm what is in force here. Others rely on a control daemon for more than
-// the configuration, so it must hear its confirmation within the group: one that is cut off from the other members,
-// and hears of the newest configuration through daemons that only route, is no source for all that is new.
-func (t *Tracker) mayConfirm(answer PullResult) bool {
-	if !t.servesControl || answer.Reply.IsLeader {
-		return true
-	}
-	source := t.memberList.entryAt(answer.Address)
-	return source != nil && source.record.Serves(controlRole)
-}
-
 // handleFailure takes the lack of an answer.
 func (t *Tracker) handleFailure(now clock.Mark, question PullTarget) {
 	if question.Linked {
@@ -150,9 +148,6 @@
 	}
 }
 
-// dropLeader forgets where the leader is. From then on only its own word tells of a leader of that term.
-func (t *Tracker) dropLeader() { t.view.LeaderAddress, t.view.UnreachableTerm = "", t.view.LeaderTerm }
-
 // follow takes up the group's name.
 func (t *Tracker) followGroup(group ident.GroupID) {
 	if group == "" {
@@ -168,40 +163,6 @@
 	t.view.Group = group
 }
 
-func (t *Tracker) updateLeader(answer PullResult, word sourceConfirmation, stale bool) {
-	view, reply := &t.view, answer.Reply
-	if stale && view.LeaderAddress == answer.Address {
-		// No majority has followed it lately, so there may be another.
-		t.dropLeader()
-	}
-	switch {
-	case reply.IsLeader && (stale || reply.LeaderTerm < view.LeaderTerm):
-		// One that was followed by another and has not noticed yet, or that may have been.
-	case reply.IsLeader:
-		view.LastLeaderContact, view.LeaderAddress, view.LeaderTerm = max(view.LastLeaderContact, answer.SentAt), answer.Address, reply.LeaderTerm
-		ago := time.Duration(reply.FirstRolloutMsAgo) * time.Millisecond
-		// That there was no bundle is known only up to when a majority confirmed the leader.
-		if ago >= 0 || word.confirmedAt >= view.Started {
-			view.PredatesFirstRollout = view.PredatesFirstRollout || predatesFirstRollout(ago, answer.SentAt.Since(view.Started))
-		}
-	case reply.LeaderAddress != "" && (reply.LeaderTerm > max(view.LeaderTerm, view.UnreachableTerm) ||
-		view.LeaderAddress == "" && reply.LeaderTerm == view.LeaderTerm && view.UnreachableTerm < view.LeaderTerm || reply.LeaderTerm == 0):
-		view.LeaderAddress, view.LeaderTerm = reply.LeaderAddress, max(view.LeaderTerm, reply.LeaderTerm)
-	}
-}
-
-// updatePlanner takes a word on who plans. Who plans says so; others have it from there.
-func (t *Tracker) updatePlanner(address string, reply *peerapi.PullReply) {
-	switch {
-	case reply.IsPlanner:
-		t.planner = address
-	case t.planner == address:
-		t.planner = ""
-	case t.planner == "" && reply.PlannerAddress != t.self:
-		t.planner = reply.PlannerAddress
-	}
-}
-
 func (t *Tracker) mergeMembers(now clock.Mark, answer PullResult) {
 	reply := answer.Reply
 	told := decodeUpdates(reply.Members)
@@ -268,26 +229,3 @@
 	view.CaughtUp = view.CaughtUp || t.isCaughtUp(now, own)
 	return *view
 }
-
-// isCaughtUp says whether a fresh daemon has made sure that what is in force here is not old: a majority has confirmed
-// it lately, and after the group knew that this life may be serving. What is acknowledged later waits for this life.
-func (t *Tracker) isCaughtUp(now clock.Mark, own LocalState) bool {
-	confirmed := t.memberList.ConfirmedAt()
-	return own.Configuration > 0 && own.covers(t.view.NewestConfiguration, t.view.NewestClosure) &&
-		own.EnlistedAt > 0 && confirmed > own.EnlistedAt && now.Since(confirmed) <= StaleAfter
-}
-
-// NotReadyReason says why a daemon may not take new work by what is known of the group; empty where it may.
-func (v *View) NotReadyReason(now clock.Mark, force InForce) string {
-	switch {
-	case force.Configuration == 0:
-		return "no spec is in force here yet"
-	case !v.CaughtUp:
-		return "it is not yet sure that the spec here is the newest"
-	case !force.covers(v.NewestConfiguration, v.NewestClosure):
-		return "a newer spec or closure is known and not yet in force here"
-	case now.Since(v.LastContact) > isolatedAfter:
-		return "neither the leader nor any fellow has been heard lately"
-	}
-	return ""
-}
