--- a/process/cluster/membership/codec.go
+++ b/process/cluster/membership/codec.go
@@ -12,23 +12,23 @@
 		ConfigurationVersion: ident.Version(request.ConfigurationVersion), ClosureVersion: ident.Version(request.ClosureVersion), Ready: request.Ready, Steps: request.Steps}}
 }
 
-func encodeUpdates(told []MemberUpdate) []*peerapi.Member {
-	out := make([]*peerapi.Member, 0, len(told))
-	for _, one := range told {
-		out = append(out, &peerapi.Member{NodeId: string(one.NodeID), Address: one.Address, Zone: string(one.Zone), Roles: one.Roles, LastContactMsAgo: one.Age.Milliseconds(),
-			ConfigurationVersion: uint64(one.ConfigurationVersion), ClosureVersion: uint64(one.ClosureVersion), Ready: one.Ready, AttributesVersion: one.Version,
-			Overdue: one.Overdue, Direct: one.FirstHand, Ended: one.Ended})
+func encodeUpdates(updates []MemberUpdate) []*peerapi.Member {
+	contacts := make([]*peerapi.Member, 0, len(updates))
+	for _, update := range updates {
+		contacts = append(contacts, &peerapi.Member{NodeId: string(update.NodeID), Address: update.Address, Zone: string(update.Zone), Roles: update.Roles, LastContactMsAgo: update.Age.Milliseconds(),
+			ConfigurationVersion: uint64(update.ConfigurationVersion), ClosureVersion: uint64(update.ClosureVersion), Ready: update.Ready, AttributesVersion: update.Version,
+			Overdue: update.Overdue, Direct: update.FirstHand, Ended: update.Ended})
 	}
-	return out
+	return contacts
 }
 
-func decodeUpdates(contacts []*peerapi.Member) []MemberUpdate {
-	out := make([]MemberUpdate, 0, len(contacts))
-	for _, contact := range contacts {
-		out = append(out, MemberUpdate{MemberRecord: MemberRecord{Version: contact.AttributesVersion, Member: Member{NodeID: ident.NodeID(contact.NodeId), Address: contact.Address,
-			Zone: ident.ZoneID(contact.Zone), Roles: contact.Roles, ConfigurationVersion: ident.Version(contact.ConfigurationVersion), ClosureVersion: ident.Version(contact.ClosureVersion),
-			Ready: contact.Ready}},
-			Age: time.Duration(contact.LastContactMsAgo) * time.Millisecond, Overdue: contact.Overdue, FirstHand: contact.Direct, Ended: contact.Ended})
+func decodeUpdates(members []*peerapi.Member) []MemberUpdate {
+	updates := make([]MemberUpdate, 0, len(members))
+	for _, member := range members {
+		updates = append(updates, MemberUpdate{MemberRecord: MemberRecord{Version: member.AttributesVersion, Member: Member{NodeID: ident.NodeID(member.NodeId), Address: member.Address,
+			Zone: ident.ZoneID(member.Zone), Roles: member.Roles, ConfigurationVersion: ident.Version(member.ConfigurationVersion), ClosureVersion: ident.Version(member.ClosureVersion),
+			Ready: member.Ready}},
+			Age: time.Duration(member.LastContactMsAgo) * time.Millisecond, Overdue: member.Overdue, FirstHand: member.Direct, Ended: member.Ended})
 	}
-	return out
+	return updates
 }
--- a/process/cluster/membership/dissemination.go
+++ b/process/cluster/membership/dissemination.go
@@ -8,148 +8,148 @@
 )
 
 // ChangesSince gives what changed since a cursor.
-func (c *MemberList) ChangesSince(now clock.Mark, cursor Cursor) (told []MemberUpdate, next Cursor, afresh bool) {
-	return c.changesSince(now, cursor, false)
+func (l *MemberList) ChangesSince(now clock.Mark, cursor Cursor) (updates []MemberUpdate, next Cursor, fullResync bool) {
+	return l.changesSince(now, cursor, false)
 }
 
 // StatusChangesSince leaves out who changed only in what it has in force: with each bundle that is everyone, and only
 // control daemons go by it.
-func (c *MemberList) StatusChangesSince(now clock.Mark, cursor Cursor) (told []MemberUpdate, next Cursor, afresh bool) {
-	return c.changesSince(now, cursor, true)
+func (l *MemberList) StatusChangesSince(now clock.Mark, cursor Cursor) (updates []MemberUpdate, next Cursor, fullResync bool) {
+	return l.changesSince(now, cursor, true)
 }
 
-func (c *MemberList) changesSince(now clock.Mark, cursor Cursor, solid bool) (told []MemberUpdate, next Cursor, afresh bool) {
+func (l *MemberList) changesSince(now clock.Mark, cursor Cursor, statusOnly bool) (updates []MemberUpdate, next Cursor, fullResync bool) {
 	seen := cursor.Seen
-	if cursor.Incarnation != string(c.self) || seen > c.changeIndex {
-		seen, afresh = 0, true
+	if cursor.Incarnation != string(l.self) || seen > l.changeIndex {
+		seen, fullResync = 0, true
 	}
-	for at := c.byChange.Back(); at != nil; at = at.Prev() {
-		e := at.Value.(*entry)
-		if e.changeIndex <= seen {
+	for element := l.byChange.Back(); element != nil; element = element.Prev() {
+		entry := element.Value.(*memberEntry)
+		if entry.changeIndex <= seen {
 			break
 		}
-		if afresh && e.endedAt > 0 || solid && e.statusChangeIndex <= seen {
+		if fullResync && entry.endedAt > 0 || statusOnly && entry.statusChangeIndex <= seen {
 			continue
 		}
-		told = append(told, MemberUpdate{MemberRecord: e.record, Age: now.Since(c.lastContact(e)), Overdue: e.overdue, FirstHand: !e.secondHand, Ended: e.endedAt > 0})
+		updates = append(updates, MemberUpdate{MemberRecord: entry.record, Age: now.Since(l.lastContact(entry)), Overdue: entry.overdue, FirstHand: !entry.secondHand, Ended: entry.endedAt > 0})
 	}
-	slices.Reverse(told)
-	return told, Cursor{Incarnation: string(c.self), Seen: c.changeIndex}, afresh
+	slices.Reverse(updates)
+	return updates, Cursor{Incarnation: string(l.self), Seen: l.changeIndex}, fullResync
 }
 
 // AllWithin gives all who were heard within a window, for whoever must know their ages.
-func (c *MemberList) AllWithin(now clock.Mark, window time.Duration) (told []MemberUpdate) {
-	for at := c.byChange.Front(); at != nil; at = at.Next() {
-		e := at.Value.(*entry)
-		if age := now.Since(c.lastContact(e)); e.endedAt == 0 && age <= window {
-			told = append(told, MemberUpdate{MemberRecord: e.record, Age: age})
+func (l *MemberList) AllWithin(now clock.Mark, window time.Duration) (updates []MemberUpdate) {
+	for element := l.byChange.Front(); element != nil; element = element.Next() {
+		entry := element.Value.(*memberEntry)
+		if age := now.Since(l.lastContact(entry)); entry.endedAt == 0 && age <= window {
+			updates = append(updates, MemberUpdate{MemberRecord: entry.record, Age: age})
 		}
 	}
-	return told
+	return updates
 }
 
 // PullCursor is the cursor to ask at an address with, and whether this daemon's own row need be told there.
-func (c *MemberList) PullCursor(address string) (cursor Cursor, tellRow bool) {
-	p := c.sources[address]
-	if p == nil {
+func (l *MemberList) PullCursor(address string) (cursor Cursor, sendAttributes bool) {
+	source := l.sources[address]
+	if source == nil {
 		return Cursor{}, true
 	}
-	own := c.entries[c.self]
-	return p.cursor, own == nil || p.knownAttributesVersion != own.record.Version
+	own := l.entries[l.self]
+	return source.cursor, own == nil || source.knownAttributesVersion != own.record.Version
 }
 
 // SetKnownAttributes notes which version of this daemon's row is known at an address.
-func (c *MemberList) SetKnownAttributes(address string, version uint64) {
-	c.sourceAt(address).knownAttributesVersion = version
+func (l *MemberList) SetKnownAttributes(address string, version uint64) {
+	l.sourceAt(address).knownAttributesVersion = version
 }
 
 // MergeAll takes all that another daemon knows, with their ages, as told at a moment.
-func (c *MemberList) MergeAll(now clock.Mark, told []MemberUpdate) {
-	for _, one := range told {
-		if one.NodeID == c.self || one.NodeID == "" || one.Age < 0 {
+func (l *MemberList) MergeAll(now clock.Mark, updates []MemberUpdate) {
+	for _, update := range updates {
+		if update.NodeID == l.self || update.NodeID == "" || update.Age < 0 {
 			continue
 		}
-		if e, heard := c.findOrAdd(now, one, now-clock.Mark(one.Age)); e != nil {
-			e.contactFloor = max(e.contactFloor, heard)
-			c.updateLiveness(now, e)
+		if entry, contact := l.findOrAdd(now, update, now-clock.Mark(update.Age)); entry != nil {
+			entry.contactFloor = max(entry.contactFloor, contact)
+			l.updateLiveness(now, entry)
 		}
 	}
 }
 
 // Learn takes what changed at an address; until says up to when those who are not late there are vouched for.
-func (c *MemberList) Merge(now clock.Mark, address string, next Cursor, afresh bool, told []MemberUpdate, until clock.Mark) {
-	p := c.sourceAt(address)
-	if afresh || next.Incarnation != p.cursor.Incarnation {
-		c.releaseVouches(p)
+func (l *MemberList) Merge(now clock.Mark, address string, next Cursor, fullResync bool, updates []MemberUpdate, vouchedUntil clock.Mark) {
+	source := l.sourceAt(address)
+	if fullResync || next.Incarnation != source.cursor.Incarnation {
+		l.releaseVouches(source)
 	}
-	if next.Incarnation == p.cursor.Incarnation {
-		next.Seen = max(next.Seen, p.cursor.Seen)
+	if next.Incarnation == source.cursor.Incarnation {
+		next.Seen = max(next.Seen, source.cursor.Seen)
 	}
-	p.cursor, p.failedAt = next, 0
-	p.vouchedUntil = max(p.vouchedUntil, until)
+	source.cursor, source.failedAt = next, 0
+	source.vouchedUntil = max(source.vouchedUntil, vouchedUntil)
 	// Ends come first, so that who follows is not taken for who went.
-	for _, one := range told {
-		if e := c.entries[one.NodeID]; one.Ended && e != nil && e.endedAt == 0 && one.NodeID != c.self {
-			e.contactFloor, e.endedAt = min(c.lastContact(e), now-clock.Mark(one.Age)), now
-			for _, other := range c.sources {
-				delete(other.vouchesFor, one.NodeID)
+	for _, update := range updates {
+		if entry := l.entries[update.NodeID]; update.Ended && entry != nil && entry.endedAt == 0 && update.NodeID != l.self {
+			entry.contactFloor, entry.endedAt = min(l.lastContact(entry), now-clock.Mark(update.Age)), now
+			for _, other := range l.sources {
+				delete(other.vouchesFor, update.NodeID)
 			}
-			c.recordStatusChange(e)
+			l.recordStatusChange(entry)
 		}
 	}
-	for _, one := range told {
-		if one.NodeID == c.self || one.NodeID == "" || one.Ended {
+	for _, update := range updates {
+		if update.NodeID == l.self || update.NodeID == "" || update.Ended {
 			continue
 		}
-		heard := now - clock.Mark(max(0, one.Age))
-		vouched := !one.Overdue && (one.FirstHand || !c.servesControl)
+		contact := now - clock.Mark(max(0, update.Age))
+		vouched := !update.Overdue && (update.FirstHand || !l.servesControl)
 		if vouched {
-			heard = max(heard, until)
+			contact = max(contact, vouchedUntil)
 		}
-		e, heard := c.findOrAdd(now, one, heard)
-		if e == nil {
+		entry, contact := l.findOrAdd(now, update, contact)
+		if entry == nil {
 			continue
 		}
 		switch {
 		case vouched:
-			p.vouchesFor[one.NodeID] = true
-		case p.vouchesFor[one.NodeID]:
-			delete(p.vouchesFor, one.NodeID)
+			source.vouchesFor[update.NodeID] = true
+		case source.vouchesFor[update.NodeID]:
+			delete(source.vouchesFor, update.NodeID)
 			// What was taken for granted meanwhile is taken back.
-			e.contactFloor = max(e.contactFloor, heard)
+			entry.contactFloor = max(entry.contactFloor, contact)
 		default:
-			e.contactFloor = max(e.contactFloor, heard)
+			entry.contactFloor = max(entry.contactFloor, contact)
 		}
-		c.updateLiveness(now, e)
+		l.updateLiveness(now, entry)
 	}
-	if own := c.entryAt(address); own != nil {
-		p.servesControl = own.record.Serves(controlRole)
+	if own := l.entryAt(address); own != nil {
+		source.servesControl = own.record.Serves(controlRole)
 	}
 }
 
 // findOrAdd finds or makes the entry of a life that another told of; nil where it counts for nothing.
-func (c *MemberList) findOrAdd(now clock.Mark, one MemberUpdate, heard clock.Mark) (*entry, clock.Mark) {
-	e := c.entries[one.NodeID]
-	if e != nil && e.endedAt > 0 && now.Since(e.endedAt) <= endedQuarantine {
-		return nil, heard
+func (l *MemberList) findOrAdd(now clock.Mark, update MemberUpdate, contact clock.Mark) (*memberEntry, clock.Mark) {
+	entry := l.entries[update.NodeID]
+	if entry != nil && entry.endedAt > 0 && now.Since(entry.endedAt) <= endedQuarantine {
+		return nil, contact
 	}
-	if e == nil || e.endedAt > 0 {
+	if entry == nil || entry.endedAt > 0 {
 		// Of two lives with one name or one address the one heard later is the one that lives.
-		for _, other := range c.entries {
-			if other != e && other.endedAt == 0 && sameDaemon(other.record.Member, one.Member) && c.lastContact(other) > heard {
-				return nil, heard
+		for _, other := range l.entries {
+			if other != entry && other.endedAt == 0 && sameDaemon(other.record.Member, update.Member) && l.lastContact(other) > contact {
+				return nil, contact
 			}
 		}
-		if e == nil {
-			e = c.addEntry(heard, one.MemberRecord)
+		if entry == nil {
+			entry = l.addEntry(contact, update.MemberRecord)
 		} else {
-			e.endedAt = 0
-			c.endPredecessors(heard, e)
-			c.recordStatusChange(e)
+			entry.endedAt = 0
+			l.endPredecessors(contact, entry)
+			l.recordStatusChange(entry)
 		}
 	}
-	row := one.MemberRecord
-	row.HasAttributes = true
-	c.mergeRecord(e, row)
-	return e, heard
+	record := update.MemberRecord
+	record.HasAttributes = true
+	l.mergeRecord(entry, record)
+	return entry, contact
 }
--- a/process/cluster/membership/failuredetection.go
+++ b/process/cluster/membership/failuredetection.go
@@ -18,69 +18,69 @@
 const vouchValidFor = 1200 * time.Millisecond
 
 // lastContact is when a life was last heard, by whoever vouches for it.
-func (c *MemberList) lastContact(e *entry) clock.Mark {
-	heard := e.contactFloor
-	for _, p := range c.sources {
-		if p.vouchedUntil > heard && p.vouchesFor[e.record.NodeID] {
-			heard = p.vouchedUntil
+func (l *MemberList) lastContact(entry *memberEntry) clock.Mark {
+	latest := entry.contactFloor
+	for _, source := range l.sources {
+		if source.vouchedUntil > latest && source.vouchesFor[entry.record.NodeID] {
+			latest = source.vouchedUntil
 		}
 	}
-	return heard
+	return latest
 }
 
 // updateLiveness looks whether a life has come to be late, or is so no more.
-func (c *MemberList) updateLiveness(now clock.Mark, e *entry) {
-	first := e.lastPull > 0 && now.Since(e.lastPull) <= e.pullInterval+overdueSlack
-	second := false
-	if !first && c.servesControl {
-		for _, p := range c.sources {
-			second = second || p.servesControl && p.vouchesFor[e.record.NodeID] && now.Since(p.vouchedUntil) <= vouchValidFor
+func (l *MemberList) updateLiveness(now clock.Mark, entry *memberEntry) {
+	firstHand := entry.lastPull > 0 && now.Since(entry.lastPull) <= entry.pullInterval+overdueSlack
+	secondHand := false
+	if !firstHand && l.servesControl {
+		for _, source := range l.sources {
+			secondHand = secondHand || source.servesControl && source.vouchesFor[entry.record.NodeID] && now.Since(source.vouchedUntil) <= vouchValidFor
 		}
 	}
-	late := !first && !second || e.endedAt > 0
-	if late != e.overdue || second != e.secondHand {
-		e.overdue, e.secondHand = late, second
-		c.recordStatusChange(e)
+	overdue := !firstHand && !secondHand || entry.endedAt > 0
+	if overdue != entry.overdue || secondHand != entry.secondHand {
+		entry.overdue, entry.secondHand = overdue, secondHand
+		l.recordStatusChange(entry)
 	}
 }
 
 // endPredecessors ends all other lives with an entry's name or address.
-func (c *MemberList) endPredecessors(heard clock.Mark, e *entry) {
-	for _, other := range c.entries {
-		if other == e || other.endedAt > 0 || !sameDaemon(other.record.Member, e.record.Member) {
+func (l *MemberList) endPredecessors(at clock.Mark, entry *memberEntry) {
+	for _, other := range l.entries {
+		if other == entry || other.endedAt > 0 || !sameDaemon(other.record.Member, entry.record.Member) {
 			continue
 		}
-		other.contactFloor, other.endedAt = c.lastContact(other), heard
-		for _, p := range c.sources {
-			delete(p.vouchesFor, other.record.NodeID)
+		other.contactFloor, other.endedAt = l.lastContact(other), at
+		for _, source := range l.sources {
+			delete(source.vouchesFor, other.record.NodeID)
 		}
 		// It follows another life, so what that one knew is gone.
-		e.record.FirstContact = heard
-		c.recordStatusChange(other)
+		entry.record.FirstContact = at
+		l.recordStatusChange(other)
 	}
 }
 
 // Sweep lets time pass: it looks who is late, and forgets those last heard before a moment.
-func (c *MemberList) Sweep(now, forgetBefore clock.Mark) {
-	for at := c.byChange.Front(); at != nil; {
-		e, next := at.Value.(*entry), at.Next()
-		if c.lastContact(e) < forgetBefore && e.record.NodeID != c.self {
-			c.byChange.Remove(at)
-			delete(c.entries, e.record.NodeID)
-			c.cachedMembers = nil
-			for _, p := range c.sources {
-				delete(p.vouchesFor, e.record.NodeID)
+func (l *MemberList) Sweep(now, forgetBefore clock.Mark) {
+	for element := l.byChange.Front(); element != nil; {
+		entry, next := element.Value.(*memberEntry), element.Next()
+		if l.lastContact(entry) < forgetBefore && entry.record.NodeID != l.self {
+			l.byChange.Remove(element)
+			delete(l.entries, entry.record.NodeID)
+			l.cachedMembers = nil
+			for _, source := range l.sources {
+				delete(source.vouchesFor, entry.record.NodeID)
 			}
 		}
-		at = next
+		element = next
 	}
-	for _, e := range c.entries {
-		c.updateLiveness(now, e)
+	for _, entry := range l.entries {
+		l.updateLiveness(now, entry)
 	}
-	for address, p := range c.sources {
-		if max(p.vouchedUntil, p.failedAt) < forgetBefore {
-			c.releaseVouches(p)
-			delete(c.sources, address)
+	for address, source := range l.sources {
+		if max(source.vouchedUntil, source.failedAt) < forgetBefore {
+			l.releaseVouches(source)
+			delete(l.sources, address)
 		}
 	}
 }
--- a/process/cluster/membership/freshness.go
+++ b/process/cluster/membership/freshness.go
@@ -22,11 +22,11 @@
 )
 
 // EncodeConfirmation is what a daemon tells an asker of its own confirmation, which lies at a mark; zero is none.
-func EncodeConfirmation(confirmed, arrived clock.Mark) *peerapi.Confirmation {
-	if confirmed == 0 {
+func EncodeConfirmation(confirmedAt, requestArrivedAt clock.Mark) *peerapi.Confirmation {
+	if confirmedAt == 0 {
 		return &peerapi.Confirmation{}
 	}
-	after := confirmed.Since(arrived)
+	after := confirmedAt.Since(requestArrivedAt)
 	// Rounded down, so that it never grows younger as it is passed on.
 	return &peerapi.Confirmation{Known: true, AfterQuestionMs: int64(after.Truncate(time.Millisecond)/time.Millisecond) - 1}
 }
@@ -39,33 +39,33 @@
 }
 
 // confirmationIn reads a reply. The mark is counted from the moment of the question, which lies before its arrival.
-func confirmationIn(reply *peerapi.PullReply, asked, heard clock.Mark) sourceConfirmation {
-	word := reply.Confirmation
+func confirmationIn(reply *peerapi.PullReply, sentAt, receivedAt clock.Mark) sourceConfirmation {
+	confirmation := reply.Confirmation
 	switch {
-	case word == nil && reply.IsLeader:
+	case confirmation == nil && reply.IsLeader:
 		// A leader of an earlier build: as before, its answer vouches for the moment of the question.
-		return sourceConfirmation{known: true, confirmedAt: asked}
-	case word == nil:
+		return sourceConfirmation{known: true, confirmedAt: sentAt}
+	case confirmation == nil:
 		return sourceConfirmation{}
-	case !word.Known:
+	case !confirmation.Known:
 		return sourceConfirmation{known: true}
 	}
-	mark := asked + clock.Mark(time.Duration(word.AfterQuestionMs)*time.Millisecond)
-	return sourceConfirmation{known: true, confirmedAt: max(0, min(mark, heard))}
+	confirmedAt := sentAt + clock.Mark(time.Duration(confirmation.AfterQuestionMs)*time.Millisecond)
+	return sourceConfirmation{known: true, confirmedAt: max(0, min(confirmedAt, receivedAt))}
 }
 
 // stale says whether a source with this word is not to be relied on.
-func (w sourceConfirmation) stale(heard clock.Mark) bool {
-	return w.known && (w.confirmedAt == 0 || heard.Since(w.confirmedAt) > StaleAfter)
+func (w sourceConfirmation) stale(receivedAt clock.Mark) bool {
+	return w.known && (w.confirmedAt == 0 || receivedAt.Since(w.confirmedAt) > StaleAfter)
 }
 
 // SourceFreshness is how an address's news was confirmed when it was last heard.
-func (c *MemberList) SourceFreshness(address string) peerapi.SourceFreshness {
-	p := c.sources[address]
+func (l *MemberList) SourceFreshness(address string) peerapi.SourceFreshness {
+	source := l.sources[address]
 	switch {
-	case p == nil || !p.told:
+	case source == nil || !source.told:
 		return peerapi.SourceFreshness_SOURCE_UNKNOWN
-	case p.stale:
+	case source.stale:
 		return peerapi.SourceFreshness_SOURCE_STALE
 	}
 	return peerapi.SourceFreshness_SOURCE_CONFIRMED
@@ -73,16 +73,16 @@
 
 // recordSource notes a source's word; of one that is only asked now and then nothing is kept. turned says that it was
 // relied on before and is so no more, or the other way.
-func (c *MemberList) recordSource(address string, linked bool, word sourceConfirmation, heard clock.Mark) (stale, turned bool) {
-	stale = word.stale(heard)
-	if c.sources[address] == nil && !linked {
+func (l *MemberList) recordSource(address string, linked bool, confirmation sourceConfirmation, receivedAt clock.Mark) (stale, changed bool) {
+	stale = confirmation.stale(receivedAt)
+	if l.sources[address] == nil && !linked {
 		return stale, false
 	}
-	p := c.sourceAt(address)
-	turned = p.told && p.stale != stale && (p.wasConfirmed || !stale)
-	p.told, p.stale = word.known, stale
-	p.wasConfirmed = p.wasConfirmed || word.known && !stale
-	return stale, turned
+	source := l.sourceAt(address)
+	changed = source.told && source.stale != stale && (source.wasConfirmed || !stale)
+	source.told, source.stale = confirmation.known, stale
+	source.wasConfirmed = source.wasConfirmed || confirmation.known && !stale
+	return stale, changed
 }
 
 // NeedsMemberAddresses says whether an asker is to be told where the group's members are: one that asks again and again, and to
@@ -95,27 +95,27 @@
 const maxMemberAddresses = 32
 
 // recordMemberAddresses notes where a source says that the group's members are.
-func (c *MemberList) recordMemberAddresses(addresses []string) {
+func (l *MemberList) recordMemberAddresses(addresses []string) {
 	if len(addresses) > 0 {
-		c.memberAddresses = addresses[:min(len(addresses), maxMemberAddresses)]
+		l.memberAddresses = addresses[:min(len(addresses), maxMemberAddresses)]
 	}
 }
 
 // Confirm notes up to when what is in force here is confirmed to be all that was acknowledged.
-func (c *MemberList) Confirm(mark clock.Mark) { c.confirmedAt = max(c.confirmedAt, mark) }
+func (l *MemberList) Confirm(at clock.Mark) { l.confirmedAt = max(l.confirmedAt, at) }
 
 // ConfirmedAt is up to when what is in force here is confirmed to be all that was acknowledged; zero is never.
-func (c *MemberList) ConfirmedAt() clock.Mark { return c.confirmedAt }
+func (l *MemberList) ConfirmedAt() clock.Mark { return l.confirmedAt }
 
 // Unconfirmed says whether this daemon must look for another source.
-func (c *MemberList) Unconfirmed(now clock.Mark) bool {
-	return c.confirmedAt == 0 || now.Since(c.confirmedAt) > UnconfirmedAfter
+func (l *MemberList) Unconfirmed(now clock.Mark) bool {
+	return l.confirmedAt == 0 || now.Since(l.confirmedAt) > UnconfirmedAfter
 }
 
 // forgetConfirmations is for a group that was recovered: what the lost generation confirmed counts no more.
-func (c *MemberList) forgetConfirmations() {
-	c.confirmedAt = 0
-	for _, p := range c.sources {
-		p.told, p.stale, p.wasConfirmed = false, false, false
+func (l *MemberList) forgetConfirmations() {
+	l.confirmedAt = 0
+	for _, source := range l.sources {
+		source.told, source.stale, source.wasConfirmed = false, false, false
 	}
 }
--- a/process/cluster/membership/freshness_test.go
+++ b/process/cluster/membership/freshness_test.go
@@ -15,7 +15,7 @@
 func ms(n int) clock.Mark { return clock.Mark(time.Duration(n) * time.Millisecond) }
 
 // tracked is a routing daemon that has been answered by three control daemons, of which l1 leads in term 3.
-func tracked() (*Tracker, clock.Mark) {
+func newTestTracker() (*Tracker, clock.Mark) {
 	now := clock.Mark(time.Minute)
 	t := NewTracker(now-clock.Mark(time.Second), "edge#1", "edge", false)
 	t.memberList.SetSelf(now, MemberRecord{Member: Member{NodeID: "edge#1", Address: "edge", Roles: []string{"route"}}, Version: 1})
@@ -26,7 +26,7 @@
 }
 
 // answerFrom is a reply that took 10 ms each way, whose source was confirmed so long before the question arrived.
-func answerFrom(address string, now clock.Mark, before time.Duration, change func(*peerapi.PullReply)) PullResult {
+func resultFrom(address string, now clock.Mark, before time.Duration, change func(*peerapi.PullReply)) PullResult {
 	reply := &peerapi.PullReply{Group: "g", NodeId: address + "#1", LeaderAddress: "l1", LeaderTerm: 3, IsLeader: address == "l1", ConfigurationVersion: 7,
 		Confirmation: EncodeConfirmation(ms(3600000)-clock.Mark(before), ms(3600000))}
 	if change != nil {
@@ -35,36 +35,36 @@
 	return PullResult{PullTarget: PullTarget{Address: address, Linked: true}, SentAt: now - ms(20), ReceivedAt: now, Reply: reply}
 }
 
-var force = InForce{Configuration: 7}
+var testInForce = InForce{Configuration: 7}
 
 // Wherever the two clocks stand, and however long a reply was on its way, a confirmation never grows younger.
-func TestAConfirmationOnlyAgesAsItIsPassedOn(t *testing.T) {
+func TestConfirmationNeverGetsFresherInTransit(t *testing.T) {
 	for _, before := range []time.Duration{-700 * time.Millisecond, -time.Microsecond, 0, time.Microsecond, 300 * time.Millisecond, time.Hour} {
 		confirmed, arrived := clock.Mark(2*time.Hour)-clock.Mark(before), clock.Mark(2*time.Hour)
 		asked, way := clock.Mark(5*time.Minute), 40*time.Millisecond
 		reply := &peerapi.PullReply{Confirmation: EncodeConfirmation(confirmed, arrived)}
 		// In the asker's time the question arrived after its way there.
 		actual := asked + clock.Mark(way) - clock.Mark(before)
-		word := confirmationIn(reply, asked, max(actual, asked)+clock.Mark(time.Minute))
-		if word.confirmedAt > max(0, actual) || word.confirmedAt < actual-clock.Mark(way)-ms(2) {
-			t.Errorf("%v before: taken for %v, and it lay at %v", before, word.confirmedAt, actual)
+		confirmation := confirmationIn(reply, asked, max(actual, asked)+clock.Mark(time.Minute))
+		if confirmation.confirmedAt > max(0, actual) || confirmation.confirmedAt < actual-clock.Mark(way)-ms(2) {
+			t.Errorf("%v before: taken for %v, and it lay at %v", before, confirmation.confirmedAt, actual)
 		}
 	}
-	if word := confirmationIn(&peerapi.PullReply{Confirmation: EncodeConfirmation(0, ms(5000))}, ms(1), ms(2)); !word.known || word.confirmedAt != 0 || !word.stale(ms(2)) {
-		t.Errorf("never confirmed: %+v", word)
+	if confirmation := confirmationIn(&peerapi.PullReply{Confirmation: EncodeConfirmation(0, ms(5000))}, ms(1), ms(2)); !confirmation.known || confirmation.confirmedAt != 0 || !confirmation.stale(ms(2)) {
+		t.Errorf("never confirmed: %+v", confirmation)
 	}
 }
 
 // A daemon that two control daemons cut off from the others go on answering must not stay with them.
-func TestAStaleLeaderIsLeft(t *testing.T) {
-	tracker, now := tracked()
-	tracker.HandleResult(now, answerFrom("l1", now, 100*time.Millisecond, nil), force)
+func TestStaleLeaderIsDropped(t *testing.T) {
+	tracker, now := newTestTracker()
+	tracker.HandleResult(now, resultFrom("l1", now, 100*time.Millisecond, nil), testInForce)
 	if view := tracker.View(); view.LeaderAddress != "l1" || view.LastLeaderContact == 0 {
 		t.Fatalf("%+v", view)
 	}
 	heard := tracker.View().LastLeaderContact
 	now += ms(1500)
-	turned := tracker.HandleResult(now, answerFrom("l1", now, StaleAfter, nil), force)
+	turned := tracker.HandleResult(now, resultFrom("l1", now, StaleAfter, nil), testInForce)
 	if turned == nil || !turned.Stale || turned.Address != "l1" {
 		t.Errorf("turned: %+v", turned)
 	}
@@ -76,25 +76,25 @@
 		t.Errorf("only %q are asked", links)
 	}
 	// Hearsay of the leader that was left does not bring it back; its own confirmed word does.
-	tracker.HandleResult(now, answerFrom("c2", now, 100*time.Millisecond, nil), force)
+	tracker.HandleResult(now, resultFrom("c2", now, 100*time.Millisecond, nil), testInForce)
 	if view := tracker.View(); view.LeaderAddress != "" {
 		t.Errorf("hearsay made %q the leader", view.LeaderAddress)
 	}
-	if turned = tracker.HandleResult(now, answerFrom("l1", now, 50*time.Millisecond, nil), force); turned == nil || turned.Stale || tracker.View().LeaderAddress != "l1" {
+	if turned = tracker.HandleResult(now, resultFrom("l1", now, 50*time.Millisecond, nil), testInForce); turned == nil || turned.Stale || tracker.View().LeaderAddress != "l1" {
 		t.Errorf("turned %+v, leader %q", turned, tracker.View().LeaderAddress)
 	}
 }
 
-func TestAStaleRelayIsNotChosen(t *testing.T) {
-	tracker, now := tracked()
-	tracker.HandleResult(now, answerFrom("l1", now, 0, nil), force)
+func TestStaleRelayIsNotChosen(t *testing.T) {
+	tracker, now := newTestTracker()
+	tracker.HandleResult(now, resultFrom("l1", now, 0, nil), testInForce)
 	relay := tracker.memberList.secondLink(now, "l1", tracker.memberList.controlAddresses(now))
 	other := map[string]string{"c2": "c3", "c3": "c2"}[relay]
-	tracker.HandleResult(now, answerFrom(relay, now, 0, nil), force)
+	tracker.HandleResult(now, resultFrom(relay, now, 0, nil), testInForce)
 	if next := tracker.memberList.secondLink(now, "l1", tracker.memberList.controlAddresses(now)); next != relay {
 		t.Errorf("a confirmed relay is kept, not %q for %q", next, relay)
 	}
-	tracker.HandleResult(now, answerFrom(relay, now, StaleAfter, nil), force)
+	tracker.HandleResult(now, resultFrom(relay, now, StaleAfter, nil), testInForce)
 	if next := tracker.memberList.secondLink(now, "l1", tracker.memberList.controlAddresses(now)); next != other {
 		t.Errorf("%q is stale, and %q is asked", relay, next)
 	}
@@ -102,7 +102,7 @@
 
 // A fresh daemon is ready neither by a source that was never confirmed, nor by one confirmed too long ago, nor before
 // the group wrote it down, nor by one that announces more than is in force here.
-func TestAFreshDaemonIsReadyByAConfirmedSourceOnly(t *testing.T) {
+func TestNewDaemonCatchesUpOnlyFromAConfirmedSource(t *testing.T) {
 	for name, c := range map[string]struct {
 		before   time.Duration
 		enlisted time.Duration
@@ -110,18 +110,18 @@
 		change   func(*peerapi.PullReply)
 		settles  bool
 	}{
-		"confirmed":                {before: 100 * time.Millisecond, enlisted: time.Second, force: force, settles: true},
-		"by a relay":               {before: 600 * time.Millisecond, enlisted: time.Second, force: force, change: func(r *peerapi.PullReply) { r.IsLeader = false }, settles: true},
-		"too old":                  {before: StaleAfter, enlisted: 5 * time.Second, force: force},
-		"before the enlisting":     {before: 500 * time.Millisecond, enlisted: 400 * time.Millisecond, force: force},
-		"never confirmed":          {enlisted: time.Second, force: force, change: func(r *peerapi.PullReply) { r.Confirmation = &peerapi.Confirmation{} }},
+		"confirmed":                {before: 100 * time.Millisecond, enlisted: time.Second, force: testInForce, settles: true},
+		"by a relay":               {before: 600 * time.Millisecond, enlisted: time.Second, force: testInForce, change: func(r *peerapi.PullReply) { r.IsLeader = false }, settles: true},
+		"too old":                  {before: StaleAfter, enlisted: 5 * time.Second, force: testInForce},
+		"before the enlisting":     {before: 500 * time.Millisecond, enlisted: 400 * time.Millisecond, force: testInForce},
+		"never confirmed":          {enlisted: time.Second, force: testInForce, change: func(r *peerapi.PullReply) { r.Confirmation = &peerapi.Confirmation{} }},
 		"announces more":           {before: 100 * time.Millisecond, enlisted: time.Second, force: InForce{Configuration: 6}},
-		"not written down":         {before: 100 * time.Millisecond, force: force},
-		"leader of a build before": {enlisted: time.Second, force: force, change: func(r *peerapi.PullReply) { r.Confirmation = nil }, settles: true},
-		"relay of a build before":  {enlisted: time.Second, force: force, change: func(r *peerapi.PullReply) { r.Confirmation, r.IsLeader = nil, false }},
+		"not written down":         {before: 100 * time.Millisecond, force: testInForce},
+		"leader of a build before": {enlisted: time.Second, force: testInForce, change: func(r *peerapi.PullReply) { r.Confirmation = nil }, settles: true},
+		"relay of a build before":  {enlisted: time.Second, force: testInForce, change: func(r *peerapi.PullReply) { r.Confirmation, r.IsLeader = nil, false }},
 	} {
-		tracker, now := tracked()
-		tracker.HandleResult(now, answerFrom("l1", now, c.before, c.change), c.force)
+		tracker, now := newTestTracker()
+		tracker.HandleResult(now, resultFrom("l1", now, c.before, c.change), c.force)
 		own := LocalState{InForce: c.force}
 		if c.enlisted > 0 {
 			own.EnlistedAt = now - clock.Mark(c.enlisted)
@@ -133,17 +133,17 @@
 }
 
 // A control daemon that hears of the newest configuration only through one that routes is not in touch with the group.
-func TestAControlDaemonIsConfirmedWithinTheGroupOnly(t *testing.T) {
+func TestControlDaemonIsConfirmedOnlyWithinTheGroup(t *testing.T) {
 	for _, control := range []bool{true, false} {
-		edge, now := tracked()
+		edge, now := newTestTracker()
 		tracker := NewTracker(now-clock.Mark(time.Second), "c9#1", "c9", control)
 		tracker.memberList, edge.memberList.servesControl = edge.memberList, control
 		tracker.memberList.RecordPull(now, MemberRecord{Member: Member{NodeID: "r1#1", Address: "r1", Roles: []string{"route"}}, Version: 1, HasAttributes: true}, 0)
-		tracker.HandleResult(now, answerFrom("r1", now, 0, nil), force)
+		tracker.HandleResult(now, resultFrom("r1", now, 0, nil), testInForce)
 		if got := tracker.memberList.ConfirmedAt() > 0; got == control {
 			t.Errorf("control %t: confirmed by a routing daemon: %t", control, got)
 		}
-		tracker.HandleResult(now, answerFrom("c2", now, 0, nil), force)
+		tracker.HandleResult(now, resultFrom("c2", now, 0, nil), testInForce)
 		if tracker.memberList.ConfirmedAt() == 0 {
 			t.Errorf("control %t: not confirmed by a control daemon", control)
 		}
@@ -151,41 +151,41 @@
 }
 
 // Where all sources are stale the members that one of them remembers are asked as well.
-func TestAStaleSourceTellsOfTheOtherMembers(t *testing.T) {
-	tracker, now := tracked()
-	tracker.HandleResult(now, answerFrom("c2", now, 3*time.Second, func(r *peerapi.PullReply) { r.MemberAddresses = []string{"c7", "c8"} }), force)
+func TestStaleSourceNamesTheOtherMembers(t *testing.T) {
+	tracker, now := newTestTracker()
+	tracker.HandleResult(now, resultFrom("c2", now, 3*time.Second, func(r *peerapi.PullReply) { r.MemberAddresses = []string{"c7", "c8"} }), testInForce)
 	if links := tracker.Links(now); !slices.Contains(links, "c7") || !slices.Contains(links, "c8") {
 		t.Errorf("only %q are asked", links)
 	}
-	tracker.HandleResult(now, answerFrom("l1", now, 0, nil), force)
+	tracker.HandleResult(now, resultFrom("l1", now, 0, nil), testInForce)
 	if links := tracker.Links(now); slices.Contains(links, "c7") {
 		t.Errorf("confirmed, it asks %q", links)
 	}
 }
 
 // A leader that no longer leads must not send askers to itself for ever.
-func TestOneThatLeadsNoMoreNamesItselfNoMore(t *testing.T) {
-	tracker, now := tracked()
-	tracker.Refresh(now, LocalState{InForce: force, IsLeader: true, ConfirmedAt: now})
+func TestFormerLeaderStopsNamingItself(t *testing.T) {
+	tracker, now := newTestTracker()
+	tracker.Refresh(now, LocalState{InForce: testInForce, IsLeader: true, ConfirmedAt: now})
 	if tracker.View().LeaderAddress != "edge" {
 		t.Fatal(tracker.View().LeaderAddress)
 	}
-	if view := tracker.Refresh(now, LocalState{InForce: force}); view.LeaderAddress != "" {
+	if view := tracker.Refresh(now, LocalState{InForce: testInForce}); view.LeaderAddress != "" {
 		t.Errorf("the leader is %q", view.LeaderAddress)
 	}
-	tracker.HandleResult(now, answerFrom("l1", now, 0, nil), force)
-	tracker.HandleResult(now, PullResult{PullTarget: PullTarget{Address: "l1", Linked: true}, SentAt: now, ReceivedAt: now, Err: errors.New("silence")}, force)
+	tracker.HandleResult(now, resultFrom("l1", now, 0, nil), testInForce)
+	tracker.HandleResult(now, PullResult{PullTarget: PullTarget{Address: "l1", Linked: true}, SentAt: now, ReceivedAt: now, Err: errors.New("silence")}, testInForce)
 	if view := tracker.View(); view.LeaderAddress != "" || view.UnreachableTerm != 3 {
 		t.Errorf("%+v", view)
 	}
 }
 
 // That no bundle was ever in force is believed only of a leader that was confirmed in this daemon's life.
-func TestAStaleLeaderCantSayThatNothingEverRan(t *testing.T) {
+func TestStaleLeaderCannotReportThatNothingWasRolledOut(t *testing.T) {
 	for before, wanted := range map[time.Duration]bool{100 * time.Millisecond: true, 1100 * time.Millisecond: false} {
-		tracker, now := tracked()
-		tracker.HandleResult(now, answerFrom("l1", now, before, func(r *peerapi.PullReply) { r.FirstRolloutMsAgo = -1 }), force)
-		if view := tracker.Refresh(now, LocalState{InForce: force}); view.PredatesFirstRollout != wanted {
+		tracker, now := newTestTracker()
+		tracker.HandleResult(now, resultFrom("l1", now, before, func(r *peerapi.PullReply) { r.FirstRolloutMsAgo = -1 }), testInForce)
+		if view := tracker.Refresh(now, LocalState{InForce: testInForce}); view.PredatesFirstRollout != wanted {
 			t.Errorf("confirmed %v ago: %t", before, view.PredatesFirstRollout)
 		}
 	}
--- a/process/cluster/membership/leadership.go
+++ b/process/cluster/membership/leadership.go
@@ -9,9 +9,9 @@
 // dropLeader forgets where the leader is. From then on only its own word tells of a leader of that term.
 func (t *Tracker) dropLeader() { t.view.LeaderAddress, t.view.UnreachableTerm = "", t.view.LeaderTerm }
 
-func (t *Tracker) updateLeader(answer PullResult, word sourceConfirmation, stale bool) {
-	view, reply := &t.view, answer.Reply
-	if stale && view.LeaderAddress == answer.Address {
+func (t *Tracker) updateLeader(result PullResult, confirmation sourceConfirmation, stale bool) {
+	view, reply := &t.view, result.Reply
+	if stale && view.LeaderAddress == result.Address {
 		// No majority has followed it lately, so there may be another.
 		t.dropLeader()
 	}
@@ -19,11 +19,11 @@
 	case reply.IsLeader && (stale || reply.LeaderTerm < view.LeaderTerm):
 		// One that was followed by another and has not noticed yet, or that may have been.
 	case reply.IsLeader:
-		view.LastLeaderContact, view.LeaderAddress, view.LeaderTerm = max(view.LastLeaderContact, answer.SentAt), answer.Address, reply.LeaderTerm
-		ago := time.Duration(reply.FirstRolloutMsAgo) * time.Millisecond
+		view.LastLeaderContact, view.LeaderAddress, view.LeaderTerm = max(view.LastLeaderContact, result.SentAt), result.Address, reply.LeaderTerm
+		firstRolloutAge := time.Duration(reply.FirstRolloutMsAgo) * time.Millisecond
 		// That there was no bundle is known only up to when a majority confirmed the leader.
-		if ago >= 0 || word.confirmedAt >= view.Started {
-			view.PredatesFirstRollout = view.PredatesFirstRollout || predatesFirstRollout(ago, answer.SentAt.Since(view.Started))
+		if firstRolloutAge >= 0 || confirmation.confirmedAt >= view.Started {
+			view.PredatesFirstRollout = view.PredatesFirstRollout || predatesFirstRollout(firstRolloutAge, result.SentAt.Since(view.Started))
 		}
 	case reply.LeaderAddress != "" && (reply.LeaderTerm > max(view.LeaderTerm, view.UnreachableTerm) ||
 		view.LeaderAddress == "" && reply.LeaderTerm == view.LeaderTerm && view.UnreachableTerm < view.LeaderTerm || reply.LeaderTerm == 0):
@@ -44,6 +44,6 @@
 }
 
 // predatesFirstRollout says whether a life that has lasted so long began before the first bundle was in force.
-func predatesFirstRollout(firstRollAgo, lived time.Duration) bool {
-	return firstRollAgo < 0 || firstRollAgo > 0 && firstRollAgo < lived
+func predatesFirstRollout(firstRolloutAge, age time.Duration) bool {
+	return firstRolloutAge < 0 || firstRolloutAge > 0 && firstRolloutAge < age
 }
--- a/process/cluster/membership/member.go
+++ b/process/cluster/membership/member.go
@@ -28,7 +28,7 @@
 }
 
 // Serves says whether the fellow has a role.
-func (f Member) Serves(role string) bool { return slices.Contains(f.Roles, role) }
+func (m Member) Serves(role string) bool { return slices.Contains(m.Roles, role) }
 
 // MemberRecord is what a daemon says of itself, or another of it.
 type MemberRecord struct {
--- a/process/cluster/membership/memberlist.go
+++ b/process/cluster/membership/memberlist.go
@@ -9,7 +9,7 @@
 )
 
 // entry is one life of a daemon.
-type entry struct {
+type memberEntry struct {
 	record MemberRecord
 	// told is the version of the row that it told here itself.
 	reportedVersion uint64
@@ -39,9 +39,9 @@
 
 	// changeIndex counts the changes of the list; solid is the newest that is of more than what daemons have in force.
 	changeIndex, statusChangeIndex uint64
-	entries                        map[ident.NodeID]*entry
+	entries                        map[ident.NodeID]*memberEntry
 	byChange                       *list.List
-	sources                        map[string]*source
+	sources                        map[string]*pullSource
 	// cachedMembers is all lives as they were made into a map last, gatheredChanges and gatheredAt as of when.
 	cachedMembers     map[ident.NodeID]Member
 	cachedChangeIndex uint64
@@ -54,125 +54,125 @@
 
 // NewMemberList makes what a fresh daemon knows. relays says that it serves control.
 func NewMemberList(self ident.NodeID, address string, relays bool) *MemberList {
-	return &MemberList{self: self, address: address, servesControl: relays, entries: map[ident.NodeID]*entry{}, byChange: list.New(), sources: map[string]*source{}}
+	return &MemberList{self: self, address: address, servesControl: relays, entries: map[ident.NodeID]*memberEntry{}, byChange: list.New(), sources: map[string]*pullSource{}}
 }
 
 // ChangeIndex numbers the newest change of the list.
-func (c *MemberList) ChangeIndex() uint64 { return c.changeIndex }
+func (l *MemberList) ChangeIndex() uint64 { return l.changeIndex }
 
 // StatusChangeIndex numbers the newest change that is of more than what daemons have in force.
-func (c *MemberList) StatusChangeIndex() uint64 { return c.statusChangeIndex }
+func (l *MemberList) StatusChangeIndex() uint64 { return l.statusChangeIndex }
 
 // Describe takes what this daemon says of itself now.
-func (c *MemberList) SetSelf(now clock.Mark, row MemberRecord) {
-	row.HasAttributes = true
-	c.recordPull(now, row, time.Hour)
+func (l *MemberList) SetSelf(now clock.Mark, record MemberRecord) {
+	record.HasAttributes = true
+	l.recordPull(now, record, time.Hour)
 }
 
 // RecordPull takes what another says of itself as it asks. every is within what time it asks again; zero, that it may
 // not. It gives the version of its row that is known here.
-func (c *MemberList) RecordPull(now clock.Mark, row MemberRecord, every time.Duration) (known uint64) {
-	return c.recordPull(now, row, every)
+func (l *MemberList) RecordPull(now clock.Mark, record MemberRecord, interval time.Duration) (known uint64) {
+	return l.recordPull(now, record, interval)
 }
 
-func (c *MemberList) recordPull(now clock.Mark, row MemberRecord, every time.Duration) (known uint64) {
-	e := c.entries[row.NodeID]
-	if e == nil {
-		if !row.HasAttributes {
+func (l *MemberList) recordPull(now clock.Mark, record MemberRecord, interval time.Duration) (known uint64) {
+	entry := l.entries[record.NodeID]
+	if entry == nil {
+		if !record.HasAttributes {
 			return 0
 		}
-		e = c.addEntry(now, row)
+		entry = l.addEntry(now, record)
 	}
-	if e.endedAt > 0 {
+	if entry.endedAt > 0 {
 		// It speaks for itself, so it is the one that lives.
-		e.endedAt = 0
-		c.endPredecessors(now, e)
-		c.recordStatusChange(e)
+		entry.endedAt = 0
+		l.endPredecessors(now, entry)
+		l.recordStatusChange(entry)
 	}
-	e.contactFloor = max(e.contactFloor, now)
-	if every > 0 {
-		e.lastPull, e.pullInterval = now, every
+	entry.contactFloor = max(entry.contactFloor, now)
+	if interval > 0 {
+		entry.lastPull, entry.pullInterval = now, interval
 	}
-	if row.HasAttributes {
+	if record.HasAttributes {
 		// Steps are told at first hand alone.
-		e.record.Steps, e.reportedVersion = row.Steps, row.Version
+		entry.record.Steps, entry.reportedVersion = record.Steps, record.Version
 	}
-	c.mergeRecord(e, row)
-	c.updateLiveness(now, e)
-	return e.reportedVersion
+	l.mergeRecord(entry, record)
+	l.updateLiveness(now, entry)
+	return entry.reportedVersion
 }
 
 // mergeRecord joins what is said of a life with what is known.
-func (c *MemberList) mergeRecord(e *entry, row MemberRecord) {
-	before := e.record
+func (l *MemberList) mergeRecord(entry *memberEntry, record MemberRecord) {
+	before := entry.record
 	// Epochs only rise, whoever tells of them.
-	e.record.ConfigurationVersion, e.record.ClosureVersion = max(before.ConfigurationVersion, row.ConfigurationVersion), max(before.ClosureVersion, row.ClosureVersion)
-	if row.Version >= before.Version {
-		e.record.Ready = row.Ready
+	entry.record.ConfigurationVersion, entry.record.ClosureVersion = max(before.ConfigurationVersion, record.ConfigurationVersion), max(before.ClosureVersion, record.ClosureVersion)
+	if record.Version >= before.Version {
+		entry.record.Ready = record.Ready
 	}
-	if row.HasAttributes && row.Version >= before.Version {
-		e.record.Version, e.record.Address, e.record.Zone, e.record.Roles = row.Version, row.Address, row.Zone, row.Roles
+	if record.HasAttributes && record.Version >= before.Version {
+		entry.record.Version, entry.record.Address, entry.record.Zone, entry.record.Roles = record.Version, record.Address, record.Zone, record.Roles
 	}
 	switch {
-	case e.record.Ready != before.Ready || e.record.Version != before.Version:
-		c.recordStatusChange(e)
-	case e.record.ConfigurationVersion != before.ConfigurationVersion || e.record.ClosureVersion != before.ClosureVersion:
-		c.recordChange(e)
+	case entry.record.Ready != before.Ready || entry.record.Version != before.Version:
+		l.recordStatusChange(entry)
+	case entry.record.ConfigurationVersion != before.ConfigurationVersion || entry.record.ClosureVersion != before.ClosureVersion:
+		l.recordChange(entry)
 	}
 }
 
 // addEntry makes an entry for a life that is heard of first.
-func (c *MemberList) addEntry(heard clock.Mark, row MemberRecord) *entry {
-	e := &entry{contactFloor: heard}
-	e.record.Member = Member{NodeID: row.NodeID, Address: row.Address, Zone: row.Zone, Roles: row.Roles}
-	e.element = c.byChange.PushBack(e)
-	c.entries[row.NodeID] = e
-	c.recordStatusChange(e)
-	c.endPredecessors(heard, e)
-	return e
+func (l *MemberList) addEntry(at clock.Mark, record MemberRecord) *memberEntry {
+	entry := &memberEntry{contactFloor: at}
+	entry.record.Member = Member{NodeID: record.NodeID, Address: record.Address, Zone: record.Zone, Roles: record.Roles}
+	entry.element = l.byChange.PushBack(entry)
+	l.entries[record.NodeID] = entry
+	l.recordStatusChange(entry)
+	l.endPredecessors(at, entry)
+	return entry
 }
 
-func (c *MemberList) recordStatusChange(e *entry) {
-	c.recordChange(e)
-	e.statusChangeIndex, c.statusChangeIndex = c.changeIndex, c.changeIndex
+func (l *MemberList) recordStatusChange(entry *memberEntry) {
+	l.recordChange(entry)
+	entry.statusChangeIndex, l.statusChangeIndex = l.changeIndex, l.changeIndex
 }
 
-func (c *MemberList) recordChange(e *entry) {
-	c.changeIndex++
-	e.changeIndex = c.changeIndex
-	c.byChange.MoveToBack(e.element)
+func (l *MemberList) recordChange(entry *memberEntry) {
+	l.changeIndex++
+	entry.changeIndex = l.changeIndex
+	l.byChange.MoveToBack(entry.element)
 }
 
-func (c *MemberList) entryAt(address string) *entry {
-	for _, e := range c.entries {
-		if e.endedAt == 0 && e.record.Address == address {
-			return e
+func (l *MemberList) entryAt(address string) *memberEntry {
+	for _, entry := range l.entries {
+		if entry.endedAt == 0 && entry.record.Address == address {
+			return entry
 		}
 	}
 	return nil
 }
 
 // Member is what is known of one life; false where it is not known, or ended.
-func (c *MemberList) Member(id ident.NodeID) (Member, bool) {
-	e := c.entries[id]
-	if e == nil || e.endedAt > 0 {
+func (l *MemberList) Member(id ident.NodeID) (Member, bool) {
+	entry := l.entries[id]
+	if entry == nil || entry.endedAt > 0 {
 		return Member{}, false
 	}
-	return e.record.Member, true
+	return entry.record.Member, true
 }
 
 // Members gives all lives that count, as they are known now.
-func (c *MemberList) Members() map[ident.NodeID]Member {
-	out := make(map[ident.NodeID]Member, len(c.entries))
-	for id, e := range c.entries {
-		if e.endedAt > 0 {
+func (l *MemberList) Members() map[ident.NodeID]Member {
+	members := make(map[ident.NodeID]Member, len(l.entries))
+	for id, entry := range l.entries {
+		if entry.endedAt > 0 {
 			continue
 		}
-		fellow := e.record.Member
-		fellow.LastContact = c.lastContact(e)
-		out[id] = fellow
+		member := entry.record.Member
+		member.LastContact = l.lastContact(entry)
+		members[id] = member
 	}
-	return out
+	return members
 }
 
 const (
@@ -184,11 +184,11 @@
 
 // CachedMembers gives the same as Fellows, or what that gave lately if nothing but the moments at which others were
 // heard can have changed since. It must not be changed.
-func (c *MemberList) CachedMembers(now clock.Mark) map[ident.NodeID]Member {
-	lasts := min(time.Duration(len(c.entries))*cacheAgePerMember, maxCacheAge)
+func (l *MemberList) CachedMembers(now clock.Mark) map[ident.NodeID]Member {
+	maxAge := min(time.Duration(len(l.entries))*cacheAgePerMember, maxCacheAge)
 	// Control daemons acknowledge by who is in contact, so they know it as exactly as they can.
-	if c.servesControl || c.cachedMembers == nil || c.cachedChangeIndex != c.changeIndex || now.Since(c.cachedAt) >= lasts {
-		c.cachedMembers, c.cachedChangeIndex, c.cachedAt = c.Members(), c.changeIndex, now
+	if l.servesControl || l.cachedMembers == nil || l.cachedChangeIndex != l.changeIndex || now.Since(l.cachedAt) >= maxAge {
+		l.cachedMembers, l.cachedChangeIndex, l.cachedAt = l.Members(), l.changeIndex, now
 	}
-	return c.cachedMembers
+	return l.cachedMembers
 }
--- a/process/cluster/membership/membership.go
+++ b/process/cluster/membership/membership.go
@@ -132,9 +132,9 @@
 		return
 	}
 	select {
-	case told := <-event.reply:
-		reply.Members, reply.AllMembers = told.Members, told.AllMembers
-		reply.MembersIncarnation, reply.MembersSeen, reply.MembersFullResync = told.MembersIncarnation, told.MembersSeen, told.MembersFullResync
+	case members := <-event.reply:
+		reply.Members, reply.AllMembers = members.Members, members.AllMembers
+		reply.MembersIncarnation, reply.MembersSeen, reply.MembersFullResync = members.MembersIncarnation, members.MembersSeen, members.MembersFullResync
 	case <-m.mailbox.Done():
 	}
 }
@@ -191,10 +191,10 @@
 
 // localState is what this daemon knows of itself now. The confirmation comes first: what it vouches for is then in force.
 func (m *Membership) localState() LocalState {
-	own := LocalState{ConfirmedAt: m.host.ConfirmedAsLeader(), IsLeader: m.host.IsLeader(), EnlistedAt: m.host.EnlistedAt(), IsPlanner: m.host.IsPlanner()}
-	if own.IsLeader {
-		own.FirstRolloutAge = m.host.FirstRolloutAge()
+	state := LocalState{ConfirmedAt: m.host.ConfirmedAsLeader(), IsLeader: m.host.IsLeader(), EnlistedAt: m.host.EnlistedAt(), IsPlanner: m.host.IsPlanner()}
+	if state.IsLeader {
+		state.FirstRolloutAge = m.host.FirstRolloutAge()
 	}
-	own.Configuration, own.Closure = m.host.InForce()
-	return own
+	state.Configuration, state.Closure = m.host.InForce()
+	return state
 }
--- a/process/cluster/membership/pull.go
+++ b/process/cluster/membership/pull.go
@@ -46,14 +46,14 @@
 		// The answer to the last question may be held back for long; what has come to wait since must be heard of sooner.
 		m.startPull(ctx, pullKey{address: m.tracker.planner, onlyWithDemand: true})
 	}
-	troubled := m.tracker.ControlLost(now)
-	if m.ticks++; troubled || m.tracker.MemberList().Unconfirmed(now) || m.ticks%probeTicks == 0 {
+	controlLost := m.tracker.ControlLost(now)
+	if m.ticks++; controlLost || m.tracker.MemberList().Unconfirmed(now) || m.ticks%probeTicks == 0 {
 		if seeds := m.seeds(); len(seeds) > 0 {
-			m.startPull(ctx, pullKey{address: seeds[m.nextProbeSeed%len(seeds)], allMembers: troubled})
+			m.startPull(ctx, pullKey{address: seeds[m.nextProbeSeed%len(seeds)], allMembers: controlLost})
 			m.nextProbeSeed++
 		}
 		if contacts := m.view.Load().InContact(now, 10*time.Second); len(contacts) > 0 {
-			m.startPull(ctx, pullKey{address: contacts[rand.IntN(len(contacts))].Address, allMembers: troubled})
+			m.startPull(ctx, pullKey{address: contacts[rand.IntN(len(contacts))].Address, allMembers: controlLost})
 		}
 	}
 	m.publish()
@@ -75,71 +75,71 @@
 // refreshSelf takes up what this daemon says of itself now.
 func (m *Membership) refreshSelf() {
 	described := m.host.DescribeSelf()
-	row := recordOf(described)
-	row.Version = m.self.Version
-	if row.Version == 0 || row.Ready != m.self.Ready || !slices.Equal(row.Roles, m.self.Roles) || len(row.Steps) != len(m.self.Steps) ||
-		len(row.Steps) > 0 && row.Steps[len(row.Steps)-1].UnixMs != m.self.Steps[len(m.self.Steps)-1].UnixMs {
-		row.Version++
+	record := recordOf(described)
+	record.Version = m.self.Version
+	if record.Version == 0 || record.Ready != m.self.Ready || !slices.Equal(record.Roles, m.self.Roles) || len(record.Steps) != len(m.self.Steps) ||
+		len(record.Steps) > 0 && record.Steps[len(record.Steps)-1].UnixMs != m.self.Steps[len(m.self.Steps)-1].UnixMs {
+		record.Version++
 	}
-	m.self = row
-	m.tracker.memberList.SetSelf(m.clock.Elapsed(), row)
+	m.self = record
+	m.tracker.memberList.SetSelf(m.clock.Elapsed(), record)
 }
 
 // startPull puts a question, if it is not being asked already.
-func (m *Membership) startPull(ctx context.Context, q pullKey) {
-	if q.address == m.address || q.address == "" || m.inFlight[q] {
+func (m *Membership) startPull(ctx context.Context, key pullKey) {
+	if key.address == m.address || key.address == "" || m.inFlight[key] {
 		return
 	}
-	m.inFlight[q] = true
-	now, daemons, planner := m.clock.Elapsed(), len(m.view.Load().Members), m.tracker.planner
+	m.inFlight[key] = true
+	sentAt, fleetSize, planner := m.clock.Elapsed(), len(m.view.Load().Members), m.tracker.planner
 	request := m.host.DescribeSelf()
-	request.AttributesVersion, request.HasAttributes, request.AllMembers = m.self.Version, true, q.allMembers
-	m.tracker.FillRequest(request, PullTarget{Address: q.address, Linked: q.linked})
-	hold := time.Duration(0)
-	if q.linked {
+	request.AttributesVersion, request.HasAttributes, request.AllMembers = m.self.Version, true, key.allMembers
+	m.tracker.FillRequest(request, PullTarget{Address: key.address, Linked: key.linked})
+	maxWait := time.Duration(0)
+	if key.linked {
 		switch {
 		case !m.tracker.view.CaughtUp:
 			// It is not ready before it has heard all there is, so nothing is held back.
 		case m.servesControl:
-			hold = min(m.pace.waitFor(daemons), controlMaxWait)
+			maxWait = min(m.pace.waitFor(fleetSize), controlMaxWait)
 		default:
-			hold = m.pace.waitFor(daemons)
+			maxWait = m.pace.waitFor(fleetSize)
 		}
 	}
 	go func() {
-		waits := q.address == planner && m.host.AddDemand(request, q.onlyWithDemand)
-		if q.onlyWithDemand && !waits {
-			m.mailbox.Send(pullCompleted{pullKey: q, skipped: true})
+		reportsDemand := key.address == planner && m.host.AddDemand(request, key.onlyWithDemand)
+		if key.onlyWithDemand && !reportsDemand {
+			m.mailbox.Send(pullCompleted{pullKey: key, skipped: true})
 			return
 		}
-		if waits {
-			hold = min(hold, m.pace.waitWithDemand(daemons))
+		if reportsDemand {
+			maxWait = min(maxWait, m.pace.waitWithDemand(fleetSize))
 		}
-		if q.linked {
-			request.MaxWaitMs, request.BatchDelayMs, request.IntervalMs = hold.Milliseconds(), batchDelayFor(daemons).Milliseconds(), max(hold, pullEvery).Milliseconds()
+		if key.linked {
+			request.MaxWaitMs, request.BatchDelayMs, request.IntervalMs = maxWait.Milliseconds(), batchDelayFor(fleetSize).Milliseconds(), max(maxWait, pullEvery).Milliseconds()
 		}
-		bounded, cancel := context.WithTimeout(ctx, hold+PullTimeout)
+		bounded, cancel := context.WithTimeout(ctx, maxWait+PullTimeout)
 		defer cancel()
-		reply, err := m.host.PullFrom(bounded, q.address, request)
-		heard := m.clock.Elapsed()
+		reply, err := m.host.PullFrom(bounded, key.address, request)
+		receivedAt := m.clock.Elapsed()
 		if err == nil {
 			m.host.ApplyReply(reply)
 		}
-		m.mailbox.Send(pullCompleted{pullKey: q, sentAt: now, receivedAt: heard, maxWait: hold, reportsDemand: waits, reply: reply, err: err})
+		m.mailbox.Send(pullCompleted{pullKey: key, sentAt: sentAt, receivedAt: receivedAt, maxWait: maxWait, reportsDemand: reportsDemand, reply: reply, err: err})
 	}()
 }
 
-func (m *Membership) handleResult(now clock.Mark, e pullCompleted) {
-	if e.err != nil {
+func (m *Membership) handleResult(now clock.Mark, result pullCompleted) {
+	if result.err != nil {
 		m.FailedPulls.Add(1)
 	}
-	var force InForce
-	force.Configuration, force.Closure = m.host.InForce()
-	question := PullTarget{Address: e.address, Linked: e.linked, MaxWait: e.maxWait}
-	if turned := m.tracker.HandleResult(now, PullResult{PullTarget: question, SentAt: e.sentAt, ReceivedAt: e.receivedAt, Reply: e.reply, Err: e.err}, force); turned != nil {
-		if turned.Stale {
+	var inForce InForce
+	inForce.Configuration, inForce.Closure = m.host.InForce()
+	target := PullTarget{Address: result.address, Linked: result.linked, MaxWait: result.maxWait}
+	if change := m.tracker.HandleResult(now, PullResult{PullTarget: target, SentAt: result.sentAt, ReceivedAt: result.receivedAt, Reply: result.reply, Err: result.err}, inForce); change != nil {
+		if change.Stale {
 			m.StaleSources.Add(1)
 		}
-		m.host.SourceFreshnessChanged(*turned)
+		m.host.SourceFreshnessChanged(*change)
 	}
 }
--- a/process/cluster/membership/rollout.go
+++ b/process/cluster/membership/rollout.go
@@ -18,13 +18,13 @@
 
 // AwaitRollout waits until every daemon that may be serving, and every one in contact, has the epochs in
 // force, or until within has passed.
-func (m *Membership) AwaitRollout(ctx context.Context, spec, closure ident.Version, within time.Duration, serving func() []ident.NodeID) RolloutReach {
-	w := &rolloutWaiter{configuration: spec, closure: closure, deadline: m.clock.Elapsed() + clock.Mark(within), serving: serving, done: make(chan RolloutReach, 1)}
-	if !m.mailbox.Send(w) {
+func (m *Membership) AwaitRollout(ctx context.Context, configuration, closure ident.Version, within time.Duration, serving func() []ident.NodeID) RolloutReach {
+	waiting := &rolloutWaiter{configuration: configuration, closure: closure, deadline: m.clock.Elapsed() + clock.Mark(within), serving: serving, done: make(chan RolloutReach, 1)}
+	if !m.mailbox.Send(waiting) {
 		return RolloutReach{}
 	}
 	select {
-	case reach := <-w.done:
+	case reach := <-waiting.done:
 		return reach
 	case <-ctx.Done():
 	case <-m.mailbox.Done():
@@ -37,29 +37,29 @@
 		return
 	}
 	now := m.clock.Elapsed()
-	fellows := m.tracker.memberList.Members()
-	m.waiters = slices.DeleteFunc(m.waiters, func(w *rolloutWaiter) bool {
-		asked := w.serving()
-		for id, fellow := range fellows {
-			if now.Since(fellow.LastContact) <= ContactWindow && !slices.Contains(asked, id) {
-				asked = append(slices.Clip(asked), id)
+	members := m.tracker.memberList.Members()
+	m.waiters = slices.DeleteFunc(m.waiters, func(waiting *rolloutWaiter) bool {
+		required := waiting.serving()
+		for id, member := range members {
+			if now.Since(member.LastContact) <= ContactWindow && !slices.Contains(required, id) {
+				required = append(slices.Clip(required), id)
 			}
 		}
-		slices.Sort(asked)
+		slices.Sort(required)
 		var reach RolloutReach
-		for _, node := range asked {
+		for _, node := range required {
 			// Epochs only rise, so an old word that it has them still holds.
-			if fellow, known := fellows[node]; known && fellow.ConfigurationVersion >= w.configuration && fellow.ClosureVersion >= w.closure {
+			if member, known := members[node]; known && member.ConfigurationVersion >= waiting.configuration && member.ClosureVersion >= waiting.closure {
 				reach.Applied = append(reach.Applied, node)
 			} else {
 				reach.Missing = append(reach.Missing, node)
 			}
 		}
 		reach.Complete = len(reach.Missing) == 0
-		if !reach.Complete && now < w.deadline {
+		if !reach.Complete && now < waiting.deadline {
 			return false
 		}
-		w.done <- reach
+		waiting.done <- reach
 		return true
 	})
 }
--- a/process/cluster/membership/seeds_test.go
+++ b/process/cluster/membership/seeds_test.go
@@ -11,30 +11,30 @@
 )
 
 // oneSeed is a fleet of which one address answers, and all others say nothing.
-type oneSeed struct {
-	lone
-	answers string
+type oneSeedHost struct {
+	singlePeerHost
+	responding string
 }
 
-func (s *oneSeed) PullFrom(ctx context.Context, address string, request *peerapi.PullRequest) (*peerapi.PullReply, error) {
-	if address != s.answers {
+func (s *oneSeedHost) PullFrom(ctx context.Context, address string, request *peerapi.PullRequest) (*peerapi.PullReply, error) {
+	if address != s.responding {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	return s.lone.PullFrom(ctx, address, request)
+	return s.singlePeerHost.PullFrom(ctx, address, request)
 }
 
-// TestTheOneSeedThatAnswersIsFound: however many were told, all others may be down, and it may stand anywhere.
-func TestTheOneSeedThatAnswersIsFound(t *testing.T) {
+// TestOnlyRespondingSeedIsFound: however many were told, all others may be down, and it may stand anywhere.
+func TestOnlyRespondingSeedIsFound(t *testing.T) {
 	for count := 1; count <= 6; count++ {
-		for place := range count {
+		for position := range count {
 			synctest.Test(t, func(t *testing.T) {
 				var seeds []string
 				for n := range count {
 					seeds = append(seeds, fmt.Sprint("seed-", n))
 				}
-				fleet := &oneSeed{answers: seeds[place]}
-				m := New(madeUp{time.Now()}, fleet, func() []string { return seeds }, "self", Pace{MinWait: 600 * time.Millisecond, MaxWait: 750 * time.Millisecond})
+				fleet := &oneSeedHost{responding: seeds[position]}
+				m := New(syntheticClock{time.Now()}, fleet, func() []string { return seeds }, "self", Pace{MinWait: 600 * time.Millisecond, MaxWait: 750 * time.Millisecond})
 				ctx, cancel := context.WithCancel(t.Context())
 				go m.Run(ctx)
 				<-time.After(3 * time.Second)
@@ -42,8 +42,8 @@
 				synctest.Wait()
 				fleet.mutex.Lock()
 				defer fleet.mutex.Unlock()
-				if len(fleet.asked) == 0 {
-					t.Errorf("of %d seeds the one in place %d answers, and is never asked", count, place)
+				if len(fleet.pulls) == 0 {
+					t.Errorf("of %d seeds the one in place %d answers, and is never asked", count, position)
 				}
 			})
 		}
--- a/process/cluster/membership/size_test.go
+++ b/process/cluster/membership/size_test.go
@@ -17,7 +17,7 @@
 var daemonCounts = []int{12, 60, 370}
 
 // sizeRow is what a routing daemon says of itself.
-func sizeRow(number int, version uint64) MemberRecord {
+func sizeRecord(number int, version uint64) MemberRecord {
 	return MemberRecord{Member: Member{NodeID: ident.NodeID(fmt.Sprintf("edge-%d#%016x", number, number*7919)), Address: fmt.Sprintf("10.%d.%d.9:21003", number/250, number%250),
 		Zone: "zone-7", Roles: []string{"route"}, ConfigurationVersion: 5, Ready: true}, Version: version, HasAttributes: true}
 }
@@ -26,7 +26,7 @@
 func fullList(daemons int) *MemberList {
 	c := NewMemberList("core-0#1", "10.9.9.9:21003", true)
 	for i := range daemons {
-		c.RecordPull(0, sizeRow(i, 1), time.Second)
+		c.RecordPull(0, sizeRecord(i, 1), time.Second)
 	}
 	return c
 }
@@ -41,7 +41,7 @@
 			b.ReportAllocs()
 			turn := 0
 			for b.Loop() {
-				row := sizeRow(turn%daemons, 1)
+				row := sizeRecord(turn%daemons, 1)
 				row.HasAttributes = false
 				c.RecordPull(clock.Mark(turn), row, time.Second)
 				turn++
@@ -67,7 +67,7 @@
 			size := 0
 			for b.Loop() {
 				told, _, _ := c.ChangesSince(1, Cursor{})
-				size = toldBytes(b, told)
+				size = encodedSize(b, told)
 			}
 			b.ReportMetric(float64(size)/float64(daemons), "bytes/daemon")
 		})
@@ -82,17 +82,17 @@
 	b.Run("tell one change", func(b *testing.B) {
 		c := fullList(370)
 		_, seen, _ := c.ChangesSince(1, Cursor{})
-		c.RecordPull(1, sizeRow(7, 2), time.Second)
+		c.RecordPull(1, sizeRecord(7, 2), time.Second)
 		size := 0
 		for b.Loop() {
 			told, _, _ := c.ChangesSince(1, seen)
-			size = toldBytes(b, told)
+			size = encodedSize(b, told)
 		}
 		b.ReportMetric(float64(size), "bytes")
 	})
 }
 
-func toldBytes(b *testing.B, told []MemberUpdate) int {
+func encodedSize(b *testing.B, told []MemberUpdate) int {
 	b.Helper()
 	data, err := proto.Marshal(&peerapi.PullReply{Members: encodeUpdates(told)})
 	if err != nil {
--- a/process/cluster/membership/source.go
+++ b/process/cluster/membership/source.go
@@ -9,7 +9,7 @@
 const maxSources = 1024
 
 // source is what was learned at one address.
-type source struct {
+type pullSource struct {
 	cursor Cursor
 	// vouchedUntil is up to when it vouches for those it does not call late.
 	vouchedUntil clock.Mark
@@ -23,40 +23,40 @@
 	told, stale, wasConfirmed bool
 }
 
-func (c *MemberList) sourceAt(address string) *source {
-	p := c.sources[address]
-	if p == nil {
-		if len(c.sources) >= maxSources {
-			clear(c.sources)
+func (l *MemberList) sourceAt(address string) *pullSource {
+	source := l.sources[address]
+	if source == nil {
+		if len(l.sources) >= maxSources {
+			clear(l.sources)
 		}
-		p = &source{vouchesFor: map[ident.NodeID]bool{}}
-		c.sources[address] = p
+		source = &pullSource{vouchesFor: map[ident.NodeID]bool{}}
+		l.sources[address] = source
 	}
-	return p
+	return source
 }
 
 // Failed notes that nobody answered at an address.
-func (c *MemberList) RecordFailure(now clock.Mark, address string) {
-	c.sourceAt(address).failedAt = now
+func (l *MemberList) RecordFailure(now clock.Mark, address string) {
+	l.sourceAt(address).failedAt = now
 }
 
 // releaseVouches ends all that a peer vouched for at the moment up to which it did.
-func (c *MemberList) releaseVouches(p *source) {
-	for id := range p.vouchesFor {
-		if e := c.entries[id]; e != nil {
-			e.contactFloor = max(e.contactFloor, p.vouchedUntil)
+func (l *MemberList) releaseVouches(source *pullSource) {
+	for id := range source.vouchesFor {
+		if entry := l.entries[id]; entry != nil {
+			entry.contactFloor = max(entry.contactFloor, source.vouchedUntil)
 		}
 	}
-	clear(p.vouchesFor)
-	p.vouchedUntil = 0
+	clear(source.vouchesFor)
+	source.vouchedUntil = 0
 }
 
 // LastControlContact is when any control daemon last answered with its list.
-func (c *MemberList) LastControlContact() (heard clock.Mark) {
-	for _, p := range c.sources {
-		if p.servesControl {
-			heard = max(heard, p.vouchedUntil)
+func (l *MemberList) LastControlContact() (latest clock.Mark) {
+	for _, source := range l.sources {
+		if source.servesControl {
+			latest = max(latest, source.vouchedUntil)
 		}
 	}
-	return heard
+	return latest
 }
--- a/process/cluster/membership/tracker.go
+++ b/process/cluster/membership/tracker.go
@@ -96,54 +96,54 @@
 }
 
 // FillRequest puts into a question what the asker knows of the group and of the daemon that it asks.
-func (t *Tracker) FillRequest(request *peerapi.PullRequest, question PullTarget) {
+func (t *Tracker) FillRequest(request *peerapi.PullRequest, target PullTarget) {
 	request.LeaderAddress, request.LeaderTerm, request.PlannerAddress = t.view.LeaderAddress, t.view.LeaderTerm, t.planner
-	request.SourceFreshness = t.memberList.SourceFreshness(question.Address)
-	if !question.Linked {
+	request.SourceFreshness = t.memberList.SourceFreshness(target.Address)
+	if !target.Linked {
 		return
 	}
-	cursor, tellRow := t.memberList.PullCursor(question.Address)
-	request.MembersIncarnation, request.MembersSeen, request.HasAttributes = cursor.Incarnation, cursor.Seen, tellRow
-	if !tellRow {
+	cursor, sendAttributes := t.memberList.PullCursor(target.Address)
+	request.MembersIncarnation, request.MembersSeen, request.HasAttributes = cursor.Incarnation, cursor.Seen, sendAttributes
+	if !sendAttributes {
 		request.Zone, request.Roles, request.Steps = "", nil, nil
 	}
 }
 
 // HandleResult takes an answer; force is what is in force here after what it brought was taken over.
-func (t *Tracker) HandleResult(now clock.Mark, answer PullResult, force InForce) (turned *FreshnessChange) {
-	if answer.Err != nil {
-		t.handleFailure(now, answer.PullTarget)
+func (t *Tracker) HandleResult(now clock.Mark, result PullResult, inForce InForce) (change *FreshnessChange) {
+	if result.Err != nil {
+		t.handleFailure(now, result.PullTarget)
 		return nil
 	}
-	reply := answer.Reply
-	t.view.LastContact = max(t.view.LastContact, answer.SentAt)
+	reply := result.Reply
+	t.view.LastContact = max(t.view.LastContact, result.SentAt)
 	t.followGroup(ident.GroupID(reply.Group))
-	word := confirmationIn(reply, answer.SentAt, answer.ReceivedAt)
-	stale, changed := t.memberList.recordSource(answer.Address, answer.Linked, word, answer.ReceivedAt)
+	confirmation := confirmationIn(reply, result.SentAt, result.ReceivedAt)
+	stale, changed := t.memberList.recordSource(result.Address, result.Linked, confirmation, result.ReceivedAt)
 	if changed {
-		turned = &FreshnessChange{answer.Address, stale}
+		change = &FreshnessChange{result.Address, stale}
 	}
-	if word.confirmedAt > 0 && t.mayConfirm(answer) && force.covers(ident.Version(reply.ConfigurationVersion), ident.Version(reply.ClosureVersion)) {
-		t.memberList.Confirm(word.confirmedAt)
+	if confirmation.confirmedAt > 0 && t.mayConfirm(result) && inForce.covers(ident.Version(reply.ConfigurationVersion), ident.Version(reply.ClosureVersion)) {
+		t.memberList.Confirm(confirmation.confirmedAt)
 	}
 	t.memberList.recordMemberAddresses(reply.MemberAddresses)
-	t.updateLeader(answer, word, stale)
-	t.updatePlanner(answer.Address, reply)
+	t.updateLeader(result, confirmation, stale)
+	t.updatePlanner(result.Address, reply)
 	t.view.NewestConfiguration = max(t.view.NewestConfiguration, ident.Version(reply.ConfigurationVersion))
 	t.view.NewestClosure = max(t.view.NewestClosure, ident.Version(reply.ClosureVersion))
-	t.mergeMembers(now, answer)
-	return turned
+	t.mergeMembers(now, result)
+	return change
 }
 
 // handleFailure takes the lack of an answer.
-func (t *Tracker) handleFailure(now clock.Mark, question PullTarget) {
-	if question.Linked {
-		t.memberList.RecordFailure(now, question.Address)
+func (t *Tracker) handleFailure(now clock.Mark, target PullTarget) {
+	if target.Linked {
+		t.memberList.RecordFailure(now, target.Address)
 	}
-	if t.view.LeaderAddress == question.Address {
+	if t.view.LeaderAddress == target.Address {
 		t.dropLeader()
 	}
-	if t.planner == question.Address {
+	if t.planner == target.Address {
 		t.planner = ""
 	}
 }
@@ -163,25 +163,25 @@
 	t.view.Group = group
 }
 
-func (t *Tracker) mergeMembers(now clock.Mark, answer PullResult) {
-	reply := answer.Reply
-	told := decodeUpdates(reply.Members)
+func (t *Tracker) mergeMembers(now clock.Mark, result PullResult) {
+	reply := result.Reply
+	updates := decodeUpdates(reply.Members)
 	switch {
 	case reply.AllMembers:
-		t.memberList.MergeAll(now, told)
-	case answer.Linked:
-		t.memberList.SetKnownAttributes(answer.Address, reply.KnownAttributesVersion)
+		t.memberList.MergeAll(now, updates)
+	case result.Linked:
+		t.memberList.SetKnownAttributes(result.Address, reply.KnownAttributesVersion)
 		// It vouches for the moment of the answer, unless that lay about for long.
-		until := min(answer.ReceivedAt, answer.SentAt+clock.Mark(answer.MaxWait+replySlack))
-		t.memberList.Merge(now, answer.Address, Cursor{Incarnation: reply.MembersIncarnation, Seen: reply.MembersSeen}, reply.MembersFullResync, told, until)
+		vouchedUntil := min(result.ReceivedAt, result.SentAt+clock.Mark(result.MaxWait+replySlack))
+		t.memberList.Merge(now, result.Address, Cursor{Incarnation: reply.MembersIncarnation, Seen: reply.MembersSeen}, reply.MembersFullResync, updates, vouchedUntil)
 	}
 }
 
 // RecordPull notes a question that was asked here, and gives the version of the asker's row that is known here.
 func (t *Tracker) RecordPull(now clock.Mark, request *peerapi.PullRequest) (known uint64) {
-	row := recordOf(request)
-	row.Version, row.HasAttributes = request.AttributesVersion, request.HasAttributes
-	return t.memberList.RecordPull(now, row, time.Duration(request.IntervalMs)*time.Millisecond)
+	record := recordOf(request)
+	record.Version, record.HasAttributes = request.AttributesVersion, request.HasAttributes
+	return t.memberList.RecordPull(now, record, time.Duration(request.IntervalMs)*time.Millisecond)
 }
 
 // Tell gives what an asker lacks of the list of members.
@@ -191,33 +191,33 @@
 		reply.Members, reply.AllMembers = encodeUpdates(t.memberList.AllWithin(now, allMembersWindow)), true
 		return reply
 	}
-	since := t.memberList.ChangesSince
+	changesSince := t.memberList.ChangesSince
 	if request.RegistryUrgentOnly {
 		// The asker's relay tells it the rest.
-		since = t.memberList.StatusChangesSince
+		changesSince = t.memberList.StatusChangesSince
 	}
-	told, next, afresh := since(now, Cursor{Incarnation: request.MembersIncarnation, Seen: request.MembersSeen})
-	reply.Members, reply.MembersIncarnation, reply.MembersSeen, reply.MembersFullResync = encodeUpdates(told), next.Incarnation, next.Seen, afresh
+	updates, next, fullResync := changesSince(now, Cursor{Incarnation: request.MembersIncarnation, Seen: request.MembersSeen})
+	reply.Members, reply.MembersIncarnation, reply.MembersSeen, reply.MembersFullResync = encodeUpdates(updates), next.Incarnation, next.Seen, fullResync
 	return reply
 }
 
 // Refresh is the one place where the view takes up what this daemon knows of itself; it gives the new view.
-func (t *Tracker) Refresh(now clock.Mark, own LocalState) View {
+func (t *Tracker) Refresh(now clock.Mark, local LocalState) View {
 	view := &t.view
 	view.Members = t.memberList.CachedMembers(now)
-	if own.ConfirmedAt > 0 {
-		t.memberList.Confirm(own.ConfirmedAt)
+	if local.ConfirmedAt > 0 {
+		t.memberList.Confirm(local.ConfirmedAt)
 	}
 	switch {
-	case own.IsLeader:
+	case local.IsLeader:
 		view.LeaderAddress, view.LastLeaderContact, view.LastContact = t.self, now, now
-		if own.FirstRolloutAge >= 0 || own.ConfirmedAt >= view.Started {
-			view.PredatesFirstRollout = view.PredatesFirstRollout || predatesFirstRollout(own.FirstRolloutAge, now.Since(view.Started))
+		if local.FirstRolloutAge >= 0 || local.ConfirmedAt >= view.Started {
+			view.PredatesFirstRollout = view.PredatesFirstRollout || predatesFirstRollout(local.FirstRolloutAge, now.Since(view.Started))
 		}
 	case view.LeaderAddress == t.self:
 		t.dropLeader()
 	}
-	if own.IsPlanner {
+	if local.IsPlanner {
 		t.planner = t.self
 	} else if t.planner == t.self {
 		t.planner = ""
@@ -226,6 +226,6 @@
 	if !t.servesControl {
 		view.RelayAddress = t.memberList.Relay(now, view.LeaderAddress)
 	}
-	view.CaughtUp = view.CaughtUp || t.isCaughtUp(now, own)
+	view.CaughtUp = view.CaughtUp || t.isCaughtUp(now, local)
 	return *view
 }
--- a/process/cluster/membership/view.go
+++ b/process/cluster/membership/view.go
@@ -44,13 +44,13 @@
 
 // InContact lists the fellows heard within the window.
 func (v *View) InContact(now clock.Mark, window time.Duration) []Member {
-	var out []Member
-	for _, fellow := range v.Members {
-		if now.Since(fellow.LastContact) <= window {
-			out = append(out, fellow)
+	var members []Member
+	for _, member := range v.Members {
+		if now.Since(member.LastContact) <= window {
+			members = append(members, member)
 		}
 	}
-	slices.SortFunc(out, func(a, b Member) int {
+	slices.SortFunc(members, func(a, b Member) int {
 		switch {
 		case a.NodeID < b.NodeID:
 			return -1
@@ -59,17 +59,17 @@
 		}
 		return 0
 	})
-	return out
+	return members
 }
 
 // NotReadyReason says why a daemon may not take new work by what is known of the group; empty where it may.
-func (v *View) NotReadyReason(now clock.Mark, force InForce) string {
+func (v *View) NotReadyReason(now clock.Mark, inForce InForce) string {
 	switch {
-	case force.Configuration == 0:
+	case inForce.Configuration == 0:
 		return "no spec is in force here yet"
 	case !v.CaughtUp:
 		return "it is not yet sure that the spec here is the newest"
-	case !force.covers(v.NewestConfiguration, v.NewestClosure):
+	case !inForce.covers(v.NewestConfiguration, v.NewestClosure):
 		return "a newer spec or closure is known and not yet in force here"
 	case now.Since(v.LastContact) > isolatedAfter:
 		return "neither the leader nor any fellow has been heard lately"
