--- a/process/cluster/membership/freshness.go
+++ b/process/cluster/membership/freshness.go
@@ -33,7 +33,7 @@
 
 // sourceConfirmation is what a reply proves of its source's confirmation.
 type sourceConfirmation struct {
-	// told says that the source knows of confirmations at all; confirmed is its mark, zero where there is none.
+	// known says that the source knows of confirmations at all; confirmed is its mark, zero where there is none.
 	known       bool
 	confirmedAt clock.Mark
 }
--- a/process/cluster/membership/freshness_test.go
+++ b/process/cluster/membership/freshness_test.go
@@ -14,7 +14,7 @@
 // ms is a span of made-up time.
 func ms(n int) clock.Mark { return clock.Mark(time.Duration(n) * time.Millisecond) }
 
-// tracked is a routing daemon that has been answered by three control daemons, of which l1 leads in term 3.
+// newTestTracker is a routing daemon that has been answered by three control daemons, of which l1 leads in term 3.
 func newTestTracker() (*Tracker, clock.Mark) {
 	now := clock.Mark(time.Minute)
 	t := NewTracker(now-clock.Mark(time.Second), "edge#1", "edge", false)
@@ -25,7 +25,7 @@
 	return t, now
 }
 
-// answerFrom is a reply that took 10 ms each way, whose source was confirmed so long before the question arrived.
+// resultFrom is a reply that took 10 ms each way, whose source was confirmed so long before the question arrived.
 func resultFrom(address string, now clock.Mark, before time.Duration, change func(*peerapi.PullReply)) PullResult {
 	reply := &peerapi.PullReply{Group: "g", NodeId: address + "#1", LeaderAddress: "l1", LeaderTerm: 3, IsLeader: address == "l1", ConfigurationVersion: 7,
 		Confirmation: EncodeConfirmation(ms(3600000)-clock.Mark(before), ms(3600000))}
--- a/process/cluster/membership/links.go
+++ b/process/cluster/membership/links.go
@@ -48,7 +48,7 @@
 	return links
 }
 
-// control lists the addresses of the other control daemons that were heard of lately.
+// controlAddresses lists the addresses of the other control daemons that were heard of lately.
 func (l *MemberList) controlAddresses(now clock.Mark) []string {
 	var addresses []string
 	for _, entry := range l.entries {
@@ -60,7 +60,7 @@
 	return addresses
 }
 
-// second is the control daemon beside the leader that is asked again and again: one of the own zone if there is
+// secondLink is the control daemon beside the leader that is asked again and again: one of the own zone if there is
 // any. It is chosen by weight, so that the links of a fleet are spread, and stay where they are.
 func (l *MemberList) secondLink(now clock.Mark, leader string, control []string) string {
 	candidates := slices.DeleteFunc(slices.Clone(control), func(address string) bool {
--- a/process/cluster/membership/memberlist.go
+++ b/process/cluster/membership/memberlist.go
@@ -8,10 +8,10 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// entry is one life of a daemon.
+// memberEntry is one life of a daemon.
 type memberEntry struct {
 	record MemberRecord
-	// told is the version of the row that it told here itself.
+	// reportedVersion is the version of the row that it told here itself.
 	reportedVersion uint64
 	// contactFloor is when it was last heard for certain; others who vouch for it may make that later.
 	contactFloor clock.Mark
--- a/process/cluster/membership/memberlist_test.go
+++ b/process/cluster/membership/memberlist_test.go
@@ -17,17 +17,17 @@
 	controls = 3
 )
 
-// daemon is one machine of a simulated fleet, with the life that runs on it.
+// simulatedDaemon is one machine of a simulated fleet, with the life that runs on it.
 type simulatedDaemon struct {
 	name, address string
 	control       bool
 	incarnation   int
 	memberList    *MemberList
 	record        MemberRecord
-	// up is since when it runs; down says that it does not, cut that nothing reaches it.
+	// startedAt is since when it runs; down says that it does not, cut that nothing reaches it.
 	startedAt         clock.Mark
 	down, partitioned bool
-	// due is when it asks at an address next.
+	// nextPull is when it asks at an address next.
 	nextPull map[string]clock.Mark
 }
 
@@ -51,7 +51,7 @@
 	return f
 }
 
-// begin starts a daemon's next life.
+// restart starts a daemon's next life.
 func (f *simulatedFleet) restart(d *simulatedDaemon) {
 	d.incarnation++
 	id := ident.NodeID(fmt.Sprintf("%s#%d", d.name, d.incarnation))
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// ask is one linked question, with its answer as it is at the end of its hold.
+// pull is one linked question, with its answer as it is at the end of its hold.
 func (f *simulatedFleet) pull(d *simulatedDaemon, address string) {
 	other := f.daemonAt(address)
 	d.nextPull[address] = f.now + clock.Mark(f.maxWait)
@@ -128,7 +128,7 @@
 	return known && f.now.Since(fellow.LastContact) <= ContactWindow
 }
 
-// agree checks that each that runs and is reached sees all such, and nobody else.
+// assertAllAgree checks that each that runs and is reached sees all such, and nobody else.
 func (f *simulatedFleet) assertAllAgree(when string) {
 	f.t.Helper()
 	for _, d := range f.daemons {
@@ -251,7 +251,7 @@
 	}
 }
 
-// zoned is what a routing daemon in zone b knows, which can be told of others and by them.
+// zonedRouter is what a routing daemon in zone b knows, which can be told of others and by them.
 type zonedRouter struct {
 	*MemberList
 	now clock.Mark
@@ -273,7 +273,7 @@
 	return MemberRecord{Member: Member{NodeID: ident.NodeID(address + "#1"), Address: address, Zone: zone, Roles: []string{serve}}, Version: 1, HasAttributes: true}
 }
 
-// tell has a control daemon say of others of zone b that they ask it in time, or are late.
+// report has a control daemon say of others of zone b that they ask it in time, or are late.
 func (z zonedRouter) report(from string, late bool, of ...string) {
 	var told []MemberUpdate
 	for _, address := range of {
@@ -287,7 +287,7 @@
 func TestCachedMembersAgreeWithMembers(t *testing.T) {
 	const size = 100
 	f := newFleet(t, size, 600*time.Millisecond)
-	// earlier are the moments at which others were heard, as each daemon knew them some looks ago.
+	// look are the moments at which others were heard, as each daemon knew them some looks ago.
 	type look map[ident.NodeID]clock.Mark
 	earlier := map[*MemberList][]look{}
 	check := func() {
--- a/process/cluster/membership/seeds_test.go
+++ b/process/cluster/membership/seeds_test.go
@@ -10,7 +10,7 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// oneSeed is a fleet of which one address answers, and all others say nothing.
+// oneSeedHost is a fleet of which one address answers, and all others say nothing.
 type oneSeedHost struct {
 	singlePeerHost
 	responding string
--- a/process/cluster/membership/size_test.go
+++ b/process/cluster/membership/size_test.go
@@ -16,7 +16,7 @@
 
 var daemonCounts = []int{12, 60, 370}
 
-// sizeRow is what a routing daemon says of itself.
+// sizeRecord is what a routing daemon says of itself.
 func sizeRecord(number int, version uint64) MemberRecord {
 	return MemberRecord{Member: Member{NodeID: ident.NodeID(fmt.Sprintf("edge-%d#%016x", number, number*7919)), Address: fmt.Sprintf("10.%d.%d.9:21003", number/250, number%250),
 		Zone: "zone-7", Roles: []string{"route"}, ConfigurationVersion: 5, Ready: true}, Version: version, HasAttributes: true}
--- a/process/cluster/membership/source.go
+++ b/process/cluster/membership/source.go
@@ -8,7 +8,7 @@
 // maxSources bounds the addresses for which it is remembered what was learned there.
 const maxSources = 1024
 
-// source is what was learned at one address.
+// pullSource is what was learned at one address.
 type pullSource struct {
 	cursor Cursor
 	// vouchedUntil is up to when it vouches for those it does not call late.
--- a/process/cluster/membership/tracker.go
+++ b/process/cluster/membership/tracker.go
@@ -148,7 +148,7 @@
 	}
 }
 
-// follow takes up the group's name.
+// followGroup takes up the group's name.
 func (t *Tracker) followGroup(group ident.GroupID) {
 	if group == "" {
 		return
