--- a/daemon/demand.go
+++ b/daemon/demand.go
@@ -61,8 +61,8 @@
 	demands := d.forwarding.actor.Demands()
 	out := make([]*peerapi.Demand, 0, len(demands))
 	for _, one := range demands {
-		out = append(out, &peerapi.Demand{Pool: one.Pool, Model: one.Model, Adapter: one.Adapter, Queued: int64(one.Held), Running: int64(one.Running),
-			Tokens: one.Tokens, Arrivals: one.Arrivals, OldestMs: one.Oldest.Milliseconds(), Rank: int64(one.Rank)})
+		out = append(out, &peerapi.Demand{Pool: one.Pool, Model: one.Model, Adapter: one.Adapter, Queued: int64(one.Queued), Running: int64(one.Running),
+			Tokens: one.TokensPerSecond, Arrivals: one.ArrivalsPerSecond, OldestMs: one.OldestQueuedFor.Milliseconds(), Rank: int64(one.Rank)})
 	}
 	return out
 }
