--- a/process/engines/discovery/engine.go
+++ b/process/engines/discovery/engine.go
@@ -1,6 +1,7 @@
 package discovery
 
 import (
+	"slices"
 	"time"
 
 	"github.com/cresspond/cresspond/clock"
@@ -8,70 +9,74 @@
 	"github.com/cresspond/cresspond/wire/engineapi"
 )
 
-// Condition is how an engine is judged.
+// Condition is whether an engine may be sent anything, as far as its reports and answers go. Its strings are on pages.
 type Condition string
 
 const (
-	// Unheard: listed, and no report has been read yet.
+	// AwaitingReport engines are listed, and no report of them has been read yet.
 	AwaitingReport Condition = "unheard"
-	// Sound: reports come.
+	// Healthy engines report.
 	Healthy Condition = "sound"
-	// Suspect: reports fail, so nothing new is sent until some come again.
+	// Suspect engines fail to report, and get nothing new until they report again.
 	Suspect Condition = "suspect"
-	// SetAside: it sent junk, and rests for a while.
+	// Quarantined engines sent something invalid or failed several attempts, and get nothing new for a while.
 	Quarantined Condition = "set-aside"
 )
 
-// Engine is what is known of one; it is never changed once it is in a view.
+const (
+	// slowStartDuration is how long an engine that has just come, or come back, takes to reach its full capacity.
+	slowStartDuration = 4 * time.Second
+	// refusalValidFor bounds how long a refusal is believed when no report comes.
+	refusalValidFor = 2 * time.Second
+	// quarantineDuration is how long an engine is quarantined at least.
+	quarantineDuration = 3 * time.Second
+)
+
+// Engine is what is known of one engine; it is never changed once it is in a view.
 type Engine struct {
 	ID       ident.EngineID
 	Address  string
 	Zone     ident.ZoneID
 	Draining bool
-	// DrainKnown is when the draining was first known here.
+	// DrainingSince is when the draining was first known here.
 	DrainingSince clock.Mark
 	Condition     Condition
 	Report        engineapi.Report
-	// Asked is when the newest report was asked for: whatever happened later it can't show.
+	// ReportRequested is when the newest report was requested: it can't show what happened later.
 	ReportRequested clock.Mark
-	// Life counts the restarts seen: the counter went back, or the address changed.
+	// Incarnation counts the restarts seen: the call-seq went back, or the address changed.
 	Incarnation int
-	// WarmFrom is when this life, or its return, began; goes ramp up from there.
+	// SlowStartFrom is when this incarnation, or its return, began.
 	SlowStartFrom clock.Mark
-	// Turned is when its condition last changed.
-	ConditionSince   clock.Mark
-	failedReports    int
-	goodReports      int
-	quarantinedUntil clock.Mark
+	// ConditionSince is when its condition last changed.
+	ConditionSince clock.Mark
+
+	// The reports that failed, or were good, one after the other in this condition.
+	failedReports, goodReports int
+	// failedAttempts counts the attempts that failed one after the other.
 	failedAttempts   int
-	// fullAt is how many goes it ran when it last called itself saturated; zero while that is not known.
+	quarantinedUntil clock.Mark
+	// saturatedBusy is how many attempts it ran when it last reported to be saturated; zero while that is not known.
 	saturatedBusy int
-	lastListed    clock.Mark
+	// lastListed is when it was last in the platform's list.
+	lastListed clock.Mark
 }
 
-// Holds says whether the engine reports the model as loaded, with the adapter if one is named.
+// Holds reports whether the engine has loaded the model and, unless that is empty, the adapter.
 func (e *Engine) Holds(model, adapter string) bool {
 	for _, loaded := range e.Report.Models {
 		if loaded.Model != model || loaded.State != engineapi.Loaded {
 			continue
 		}
-		if adapter == "" {
+		if adapter == "" || slices.Contains(loaded.Adapters, adapter) {
 			return true
 		}
-		for _, name := range loaded.Adapters {
-			if name == adapter {
-				return true
-			}
-		}
 	}
 	return false
 }
 
-// rampSpan is how long an engine that has just come, or come back, takes to get its whole share of goes.
-const slowStartDuration = 4 * time.Second
-
-// Capacity is how many goes the engine may be given at once now. What it called full goes before what the
-// bundle says, and a cold one is let ramp up.
+// Capacity is how many attempts the engine may run at once now. slots is what the configuration says; the number at which
+// the engine was saturated is lower than that at most, and slow start lowers it further.
 func (e *Engine) Capacity(now clock.Mark, slots int) int {
 	if e.saturatedBusy > 0 {
 		slots = min(slots, e.saturatedBusy)
@@ -82,32 +87,22 @@
 	return slots
 }
 
-// refusalDoubt bounds how long a refusal is believed when no report comes.
-const refusalValidFor = 2 * time.Second
-
-// StillRefuses says whether an engine that refused then must be taken to refuse still: only a report
-// that was asked for later can show that there is room again.
+// StillRefuses reports whether an engine that refused an attempt must be taken to refuse still: only a report that was
+// requested later can show that there is capacity again.
 func StillRefuses(refused, reportRequested, now clock.Mark) bool {
 	return reportRequested <= refused && now.Since(refused) < refusalValidFor
 }
 
-// Usable says whether anything new may be sent, as far as its own condition goes.
+// Usable reports whether anything new may be sent to it, as far as its own condition goes.
 func (e *Engine) Usable() bool { return e.Condition == Healthy && !e.Draining }
 
-// View is all engines at one moment.
-type View struct {
-	Engines map[ident.EngineID]*Engine
-	// ListRead counts the readings of the platform's list.
-	ListReads int
-}
-
-func (e *Engine) withDraining(known clock.Mark) *Engine {
+func (e *Engine) withDraining(since clock.Mark) *Engine {
 	copied := *e
-	copied.Draining, copied.DrainingSince = true, known
+	copied.Draining, copied.DrainingSince = true, since
 	return &copied
 }
 
-// turn is the one place where an engine's condition changes.
+// setCondition changes an engine's condition; nothing else does.
 func (e *Engine) setCondition(condition Condition, now clock.Mark) {
 	if condition == Quarantined {
 		e.quarantinedUntil = now + clock.Mark(quarantineDuration)
@@ -120,3 +115,10 @@
 	}
 	e.Condition = condition
 }
+
+// View is all engines at one moment; it is never changed.
+type View struct {
+	Engines map[ident.EngineID]*Engine
+	// ListReads counts how often the platform's list was read.
+	ListReads int
+}
--- a/process/engines/discovery/fetch.go
+++ b/process/engines/discovery/fetch.go
@@ -2,10 +2,12 @@
 
 import (
 	"encoding/json"
-	"fmt"
+	"errors"
 	"io"
 	"strconv"
+	"time"
 
+	"github.com/rotisserie/eris"
 	"github.com/valyala/fasthttp"
 
 	"github.com/cresspond/cresspond/clock"
@@ -14,45 +16,40 @@
 	"github.com/cresspond/cresspond/wire/engineapi"
 )
 
-// junk is an answer that came but can't be understood.
-type invalidBody struct{ error }
+const (
+	requestTimeout = 800 * time.Millisecond
+	// maxReportBytes bounds what is read of a body.
+	maxReportBytes = 1 << 20
+)
 
-func plausible(report engineapi.Report) bool {
-	seen := map[string]bool{}
-	for _, loaded := range report.Models {
-		known := loaded.State == engineapi.Loading || loaded.State == engineapi.Loaded || loaded.State == engineapi.Unloading
-		if loaded.Model == "" || seen[loaded.Model] || !known {
-			return false
-		}
-		seen[loaded.Model] = true
-	}
-	return report.Busy >= 0
-}
+// errInvalid says that an answer came, and its body can't be understood.
+var errInvalid = errors.New("invalid body")
 
-// get asks once, over a connection that is kept only if all of an answer and nothing more came on it. The question
-// bears an id; an answer that bears another is not taken.
+// fetch sends a GET request once and decodes the JSON body. The connection is kept only if exactly one whole answer came
+// on it. The request has an id; an answer with another id is not taken. The error is errInvalid for a body that can't be
+// decoded.
 func (w *Watcher) fetch(id ident.EngineID, address, path string, into any) error {
+	requestID := "report-" + strconv.FormatUint(w.requests.Add(1), 16)
 	head := &fasthttp.RequestHeader{}
 	head.SetMethod(fasthttp.MethodGet)
 	head.SetRequestURI(path)
 	head.SetHost(address)
-	requestID := "report-" + strconv.FormatUint(w.requests.Add(1), 16)
 	head.Set(engineapi.HeaderAttempt, requestID)
-	response := w.reports.Send(connectionpool.Attempt{Engine: id, Address: address, ID: requestID, Head: head, Dress: func() {}, LastLook: func() string { return "" },
+	response := w.connections.Send(connectionpool.Attempt{Engine: id, Address: address, ID: requestID, Head: head, Dress: func() {}, LastLook: func() string { return "" },
 		Until: w.clock.Elapsed() + clock.Mark(requestTimeout), Cancel: &connectionpool.Cancel{}, Unnamed: connectionpool.UnnamedOnClean})
 	if response.Outcome != connectionpool.Answered {
-		return fmt.Errorf("%s: %s", response.Outcome, response.Reason)
+		return eris.Errorf("no answer: %s: %s", response.Outcome, response.Reason)
 	}
 	defer response.Close()
 	if status := response.Response().StatusCode(); status != fasthttp.StatusOK {
-		return fmt.Errorf("status %d", status)
+		return eris.Errorf("status %d", status)
 	}
 	body, err := io.ReadAll(io.LimitReader(response, maxReportBytes))
 	if err != nil {
-		return err
+		return eris.Wrap(err, "the body broke off")
 	}
 	if err := json.Unmarshal(body, into); err != nil {
-		return invalidBody{err}
+		return eris.Wrap(errInvalid, err.Error())
 	}
 	return nil
 }
--- a/process/engines/discovery/fetch_test.go
+++ b/process/engines/discovery/fetch_test.go
@@ -16,7 +16,8 @@
 	"github.com/cresspond/cresspond/wire/engineapi"
 )
 
-// reportingEngine answers each question with what answer gives, and closes where that is empty; it counts arrivals.
+// reportingEngine answers each request with what answer gives, and closes the connection where that is empty; it counts
+// arrivals.
 func reportingEngine(t *testing.T, answer func(number int64) string) (address string, arrivals *atomic.Int64) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -55,9 +56,9 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// TestAReportIsAskedForOnceAndSurplusIsNotTheNextOne: a reset question arrives once, and the second answer that comes
-// with the first is not read as the next one's.
-func TestAReportIsAskedForOnceAndSurplusIsNotTheNextOne(t *testing.T) {
+// TestReportIsFetchedOnceAndSurplusAnswerIsDiscarded: a request that is reset arrives once, and a second
+// answer that comes with the first is not read as the next one's.
+func TestReportIsFetchedOnceAndSurplusAnswerIsDiscarded(t *testing.T) {
 	w := New(clock.System{}, "", func() {})
 	address, arrivals := reportingEngine(t, func(number int64) string {
 		if number == 1 {
@@ -87,18 +88,18 @@
 		}
 		return count
 	}
-	asked := uint64(0)
+	requested := uint64(0)
 	if count := stale(func(address string) bool {
-		asked++
+		requested++
 		var report engineapi.Report
-		return w.fetch("s", address, engineapi.PathReport, &report) == nil && report.CallSeq == asked
+		return w.fetch("s", address, engineapi.PathReport, &report) == nil && report.CallSeq == requested
 	}); count != 0 {
 		t.Errorf("%d reports were stale or failed", count)
 	}
-	// The broken variant: a client that reads on where the last answer ended.
+	// The broken variant is a client that reads on where the last answer ended.
 	var conn net.Conn
 	var reader *bufio.Reader
-	asked = 0
+	requested = 0
 	if count := stale(func(address string) bool {
 		if conn == nil {
 			var err error
@@ -107,10 +108,10 @@
 			}
 			reader = bufio.NewReader(conn)
 		}
-		asked++
+		requested++
 		_, _ = io.WriteString(conn, "GET /x HTTP/1.1\r\nHost: h\r\n\r\n")
 		var response fasthttp.Response
-		return response.Read(reader) == nil && string(response.Body()) == fmt.Sprintf(`{"call-seq":%d}`, asked)
+		return response.Read(reader) == nil && string(response.Body()) == fmt.Sprintf(`{"call-seq":%d}`, requested)
 	}); count == 0 {
 		t.Error("the check does not see stale reports")
 	}
