--- a/process/engines/admission/core_test.go
+++ b/process/engines/admission/core_test.go
@@ -11,7 +11,7 @@
 	"github.com/cresspond/cresspond/process/engines/priority"
 )
 
-// stand is a keeper's core with made-up daemons that ask, run and give back.
+// simulation is a core with simulated daemons that acquire, use and release slots.
 type simulation struct {
 	core            *Core
 	now             clock.Mark
@@ -44,7 +44,7 @@
 	s.apply(s.core.Acquire(s.view(), Request{ID: id, Node: node, Engine: "e", Key: priority.Key{Value: value, Tenant: tenant}, Deadline: s.now + clock.Mark(150*time.Millisecond)}))
 }
 
-func TestNeverMoreThanTheCapacityAndNothingLeaks(t *testing.T) {
+func TestGrantsStayWithinCapacityAndNoSlotLeaks(t *testing.T) {
 	for seed := range uint64(30) {
 		random := rand.New(rand.NewPCG(seed, 8))
 		s := newSimulation(4)
@@ -71,7 +71,7 @@
 				granted++
 			}
 		}
-		// Whoever waits is denied in time, and all that was given is given back: nothing may be left.
+		// What waits is denied at its deadline, and all that was granted is released: nothing may be left.
 		s.capacity = 0
 		s.now += clock.Mark(time.Second)
 		s.apply(s.core.Tick(s.view()))
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestTheHighestBidGetsTheNextSlotAndHousesTakeTurns(t *testing.T) {
+func TestHighestPriorityIsGrantedFirstAndTenantsAlternate(t *testing.T) {
 	s := newSimulation(1)
 	s.acquire("first", "n", 1, "a")
 	for i := range 4 {
@@ -113,18 +113,18 @@
 	}
 }
 
-func TestSlotsOfADeadDaemonComeBack(t *testing.T) {
+func TestSlotsOfDeadDaemonAreTakenBack(t *testing.T) {
 	s := newSimulation(1)
 	s.acquire("gone", "n", 1, "a")
 	s.dead["n"] = true
 	s.apply(s.core.Tick(s.view()))
 	s.acquire("next", "m", 1, "a")
 	if !s.decisions["next"] {
-		t.Error("the dead daemon's slot was kept")
+		t.Error("the dead daemon's slot was not taken back")
 	}
 }
 
-func TestAfterARefusalOnlyALaterReportOpensTheEngine(t *testing.T) {
+func TestRefusingEngineGetsNothingBeforeLaterReport(t *testing.T) {
 	s := newSimulation(2)
 	s.reportRequested = s.now
 	s.acquire("one", "n", 1, "a")
@@ -132,12 +132,12 @@
 	s.apply(s.core.Release(s.view(), "e", "one", true))
 	s.acquire("two", "n", 1, "a")
 	if s.decisions["two"] {
-		t.Fatal("a slot was given on the word of an old report")
+		t.Fatal("a slot was granted because of an old report")
 	}
 	s.now += clock.Mark(20 * time.Millisecond)
 	s.reportRequested = s.now
 	s.apply(s.core.Tick(s.view()))
 	if !s.decisions["two"] {
-		t.Error("the later report did not open the engine")
+		t.Error("nothing was granted after the later report")
 	}
 }
