--- a/daemon/noderankingpage.go
+++ b/daemon/noderankingpage.go
@@ -14,7 +14,7 @@
 // nodesRead is what the ranks are read by; only whoever plans has them.
 const nodesRead = "nodes"
 
-// nodesAsked is a question for the ranks.
+// rankingQuery is a question for the ranks.
 type rankingQuery struct {
 	engine ident.EngineID
 	reply  chan operatorapi.Nodes
@@ -70,7 +70,7 @@
 	return operatorapi.Nodes{}, false
 }
 
-// answer makes the page, in the ranker's own turn.
+// answerQuery makes the page, in the ranker's own turn.
 func (n *nodeRanking) answerQuery(asked rankingQuery) {
 	out := operatorapi.Nodes{Mode: string(n.mode()), Claim: n.claim, Nodes: []operatorapi.Node{}}
 	table := n.rollout.Table()
@@ -92,7 +92,7 @@
 		}
 		row := rows[id]
 		node := operatorapi.Node{Engine: id, Pool: engine.Pool, Zone: engine.Zone, Stage: row.Stage.String(), SinceMs: row.Since.Milliseconds(), Score: round(row.Score),
-			Value: row.Value, Others: row.Peers, Samples: row.Samples, Observers: row.Observers, SlowPaths: row.Paths, Shut: !engine.Open}
+			Value: row.Value, Others: row.PeerValue, Samples: row.Samples, Observers: row.Observers, SlowPaths: row.SlowZones, Shut: !engine.Open}
 		if row.Samples > 0 {
 			node.Kind = row.Kind.String()
 		}
@@ -119,7 +119,7 @@
 		}
 	}
 	if asked.engine != "" {
-		why := nodehealth.Refuse(n.limits(), fleet, asked.engine)
+		why := nodehealth.CheckDrain(n.limits(), fleet, asked.engine)
 		out.Asked, out.AskedReason = why.String(), why.Reason()
 	}
 	asked.reply <- out
