--- a/process/cluster/membership/catchup.go
+++ b/process/cluster/membership/catchup.go
@@ -2,9 +2,9 @@
 
 import "github.com/cresspond/cresspond/clock"
 
-// mayConfirm says whether an answer may confirm what is in force here. Others rely on a control daemon for more than
-// the configuration, so it must hear its confirmation within the group: one that is cut off from the other members,
-// and hears of the newest configuration through daemons that only route, is no source for all that is new.
+// mayConfirm reports whether a reply may confirm what is in force here. A control daemon accepts confirmations from
+// control daemons only: if it is partitioned from them and learns the newest configuration through routing daemons, it
+// must not become a source for others, which rely on it for more than the configuration.
 func (t *Tracker) mayConfirm(result PullResult) bool {
 	if !t.servesControl || result.Reply.IsLeader {
 		return true
@@ -13,8 +13,8 @@
 	return source != nil && source.record.Serves(controlRole)
 }
 
-// isCaughtUp says whether a fresh daemon has made sure that what is in force here is not old: a majority has confirmed
-// it lately, and after the group knew that this life may be serving. What is acknowledged later waits for this life.
+// isCaughtUp reports whether what is in force here is up to date: a majority confirmed it lately, and after the group
+// committed this incarnation as one that may be serving. Any later change is acknowledged only after it is in force here.
 func (t *Tracker) isCaughtUp(now clock.Mark, local LocalState) bool {
 	confirmed := t.memberList.ConfirmedAt()
 	return local.Configuration > 0 && local.covers(t.view.NewestConfiguration, t.view.NewestClosure) &&
--- a/process/cluster/membership/codec.go
+++ b/process/cluster/membership/codec.go
@@ -7,11 +7,13 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
+// recordOf decodes a pull's record of its sender, without its version.
 func recordOf(request *peerapi.PullRequest) MemberRecord {
 	return MemberRecord{Member: Member{NodeID: ident.NodeID(request.NodeId), Address: request.Address, Zone: ident.ZoneID(request.Zone), Roles: request.Roles,
 		ConfigurationVersion: ident.Version(request.ConfigurationVersion), ClosureVersion: ident.Version(request.ClosureVersion), Ready: request.Ready, Steps: request.Steps}}
 }
 
+// encodeUpdates encodes members for a reply.
 func encodeUpdates(updates []MemberUpdate) []*peerapi.Member {
 	contacts := make([]*peerapi.Member, 0, len(updates))
 	for _, update := range updates {
@@ -22,6 +24,7 @@
 	return contacts
 }
 
+// decodeUpdates decodes the members in a reply.
 func decodeUpdates(members []*peerapi.Member) []MemberUpdate {
 	updates := make([]MemberUpdate, 0, len(members))
 	for _, member := range members {
--- a/process/cluster/membership/dissemination.go
+++ b/process/cluster/membership/dissemination.go
@@ -7,13 +7,14 @@
 	"github.com/cresspond/cresspond/clock"
 )
 
-// ChangesSince gives what changed since a cursor.
+// ChangesSince returns the members that changed after a cursor, and the cursor that follows. fullResync says that the
+// cursor is not one of this list, and that all members are returned.
 func (l *MemberList) ChangesSince(now clock.Mark, cursor Cursor) (updates []MemberUpdate, next Cursor, fullResync bool) {
 	return l.changesSince(now, cursor, false)
 }
 
-// StatusChangesSince leaves out who changed only in what it has in force: with each bundle that is everyone, and only
-// control daemons go by it.
+// StatusChangesSince is ChangesSince without members that changed only in the versions that they have in force. Each
+// rollout changes those of all members, and only control daemons depend on them.
 func (l *MemberList) StatusChangesSince(now clock.Mark, cursor Cursor) (updates []MemberUpdate, next Cursor, fullResync bool) {
 	return l.changesSince(now, cursor, true)
 }
@@ -31,13 +32,16 @@
 		if fullResync && entry.endedAt > 0 || statusOnly && entry.statusChangeIndex <= seen {
 			continue
 		}
-		updates = append(updates, MemberUpdate{MemberRecord: entry.record, Age: now.Since(l.lastContact(entry)), Overdue: entry.overdue, FirstHand: !entry.secondHand, Ended: entry.endedAt > 0})
+		updates = append(updates, MemberUpdate{
+			MemberRecord: entry.record, Age: now.Since(l.lastContact(entry)),
+			Overdue: entry.overdue, FirstHand: !entry.secondHand, Ended: entry.endedAt > 0,
+		})
 	}
 	slices.Reverse(updates)
 	return updates, Cursor{Incarnation: string(l.self), Seen: l.changeIndex}, fullResync
 }
 
-// AllWithin gives all who were heard within a window, for whoever must know their ages.
+// AllWithin returns all members with a contact within a window, for a caller that needs their ages.
 func (l *MemberList) AllWithin(now clock.Mark, window time.Duration) (updates []MemberUpdate) {
 	for element := l.byChange.Front(); element != nil; element = element.Next() {
 		entry := element.Value.(*memberEntry)
@@ -48,7 +52,7 @@
 	return updates
 }
 
-// PullCursor is the cursor to ask at an address with, and whether this daemon's own row need be told there.
+// PullCursor returns the cursor for a pull from an address, and whether this daemon's attributes must go with it.
 func (l *MemberList) PullCursor(address string) (cursor Cursor, sendAttributes bool) {
 	source := l.sources[address]
 	if source == nil {
@@ -58,12 +62,13 @@
 	return source.cursor, own == nil || source.knownAttributesVersion != own.record.Version
 }
 
-// SetKnownAttributes notes which version of this daemon's row is known at an address.
+// SetKnownAttributes records the version of this daemon's attributes that is known at an address.
 func (l *MemberList) SetKnownAttributes(address string, version uint64) {
 	l.sourceAt(address).knownAttributesVersion = version
 }
 
-// MergeAll takes all that another daemon knows, with their ages, as told at a moment.
+// MergeAll merges the result of a peer's AllWithin. Contacts are taken by their ages, so that they get no more recent by
+// being passed round.
 func (l *MemberList) MergeAll(now clock.Mark, updates []MemberUpdate) {
 	for _, update := range updates {
 		if update.NodeID == l.self || update.NodeID == "" || update.Age < 0 {
@@ -76,7 +81,8 @@
 	}
 }
 
-// Learn takes what changed at an address; until says up to when those who are not late there are vouched for.
+// Merge merges the changes in a reply from an address, which vouches for its members that are not overdue up to
+// vouchedUntil.
 func (l *MemberList) Merge(now clock.Mark, address string, next Cursor, fullResync bool, updates []MemberUpdate, vouchedUntil clock.Mark) {
 	source := l.sourceAt(address)
 	if fullResync || next.Incarnation != source.cursor.Incarnation {
@@ -87,54 +93,64 @@
 	}
 	source.cursor, source.failedAt = next, 0
 	source.vouchedUntil = max(source.vouchedUntil, vouchedUntil)
-	// Ends come first, so that who follows is not taken for who went.
+	// Ends come first, so that an incarnation is not rejected in favour of the one that it replaced.
 	for _, update := range updates {
-		if entry := l.entries[update.NodeID]; update.Ended && entry != nil && entry.endedAt == 0 && update.NodeID != l.self {
-			entry.contactFloor, entry.endedAt = min(l.lastContact(entry), now-clock.Mark(update.Age)), now
-			for _, other := range l.sources {
-				delete(other.vouchesFor, update.NodeID)
-			}
-			l.recordStatusChange(entry)
+		if update.Ended {
+			l.mergeEnd(now, update)
 		}
 	}
 	for _, update := range updates {
-		if update.NodeID == l.self || update.NodeID == "" || update.Ended {
-			continue
-		}
-		contact := now - clock.Mark(max(0, update.Age))
-		vouched := !update.Overdue && (update.FirstHand || !l.servesControl)
-		if vouched {
-			contact = max(contact, vouchedUntil)
-		}
-		entry, contact := l.findOrAdd(now, update, contact)
-		if entry == nil {
-			continue
-		}
-		switch {
-		case vouched:
-			source.vouchesFor[update.NodeID] = true
-		case source.vouchesFor[update.NodeID]:
-			delete(source.vouchesFor, update.NodeID)
-			// What was taken for granted meanwhile is taken back.
-			entry.contactFloor = max(entry.contactFloor, contact)
-		default:
-			entry.contactFloor = max(entry.contactFloor, contact)
+		if update.NodeID != l.self && update.NodeID != "" && !update.Ended {
+			l.mergeUpdate(now, source, update, vouchedUntil)
 		}
-		l.updateLiveness(now, entry)
 	}
-	if own := l.entryAt(address); own != nil {
-		source.servesControl = own.record.Serves(controlRole)
+	if entry := l.entryAt(address); entry != nil {
+		source.servesControl = entry.record.Serves(controlRole)
+	}
+}
+
+// mergeEnd takes a report that an incarnation was replaced.
+func (l *MemberList) mergeEnd(now clock.Mark, update MemberUpdate) {
+	entry := l.entries[update.NodeID]
+	if entry == nil || entry.endedAt > 0 || update.NodeID == l.self {
+		return
+	}
+	entry.contactFloor, entry.endedAt = min(l.lastContact(entry), now-clock.Mark(update.Age)), now
+	l.dropVouches(update.NodeID)
+	l.recordStatusChange(entry)
+}
+
+// mergeUpdate takes a source's report of a current incarnation. Among control daemons a source vouches only for members
+// that it knows at first hand: otherwise two of them could keep a stopped daemon alive by reporting it to each other.
+func (l *MemberList) mergeUpdate(now clock.Mark, source *pullSource, update MemberUpdate, vouchedUntil clock.Mark) {
+	contact := now - clock.Mark(max(0, update.Age))
+	vouched := !update.Overdue && (update.FirstHand || !l.servesControl)
+	if vouched {
+		contact = max(contact, vouchedUntil)
+	}
+	entry, contact := l.findOrAdd(now, update, contact)
+	if entry == nil {
+		return
+	}
+	if vouched {
+		source.vouchesFor[update.NodeID] = true
+	} else {
+		// The contact that the vouch implied until now is replaced by the reported one.
+		delete(source.vouchesFor, update.NodeID)
+		entry.contactFloor = max(entry.contactFloor, contact)
 	}
+	l.updateLiveness(now, entry)
 }
 
-// findOrAdd finds or makes the entry of a life that another told of; nil where it counts for nothing.
+// findOrAdd returns the entry of an incarnation that a peer reported, with the report merged; nil if the report is
+// ignored, since the incarnation was replaced.
 func (l *MemberList) findOrAdd(now clock.Mark, update MemberUpdate, contact clock.Mark) (*memberEntry, clock.Mark) {
 	entry := l.entries[update.NodeID]
 	if entry != nil && entry.endedAt > 0 && now.Since(entry.endedAt) <= endedQuarantine {
 		return nil, contact
 	}
 	if entry == nil || entry.endedAt > 0 {
-		// Of two lives with one name or one address the one heard later is the one that lives.
+		// Of two incarnations of one daemon the one with the later contact is the current one.
 		for _, other := range l.entries {
 			if other != entry && other.endedAt == 0 && sameDaemon(other.record.Member, update.Member) && l.lastContact(other) > contact {
 				return nil, contact
--- a/process/cluster/membership/failuredetection.go
+++ b/process/cluster/membership/failuredetection.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// overdueSlack is how much later than it said a daemon may ask again before others are told that it is late.
+	// overdueSlack is how much later than its interval a member may pull before it is disseminated as overdue.
 	overdueSlack = 450 * time.Millisecond
-	// endedQuarantine is for how long others' word that a life lives, which another life has followed, is not believed.
+	// endedQuarantine is how long indirect reports of an incarnation that was replaced are ignored.
 	endedQuarantine = 3 * time.Second
-	forgetAfter     = 60 * time.Second
+	// forgetAfter is how long after its last contact a member is removed.
+	forgetAfter = 60 * time.Second
+	// vouchValidFor is how long a control daemon's list counts as up to date after its last reply.
+	vouchValidFor = 1200 * time.Millisecond
 )
 
-// vouchValidFor is how long a control daemon's list is believed to be up to date after its last word.
-const vouchValidFor = 1200 * time.Millisecond
-
-// lastContact is when a life was last heard, by whoever vouches for it.
+// lastContact returns the last known contact with a member, direct or by a source that vouches for it.
 func (l *MemberList) lastContact(entry *memberEntry) clock.Mark {
 	latest := entry.contactFloor
 	for _, source := range l.sources {
@@ -28,13 +28,15 @@
 	return latest
 }
 
-// updateLiveness looks whether a life has come to be late, or is so no more.
+// updateLiveness sets whether a member is overdue. On a control daemon one that does not pull here is not overdue while
+// another control daemon vouches for it; it is then known at second hand, and not passed on to control daemons.
 func (l *MemberList) updateLiveness(now clock.Mark, entry *memberEntry) {
 	firstHand := entry.lastPull > 0 && now.Since(entry.lastPull) <= entry.pullInterval+overdueSlack
 	secondHand := false
 	if !firstHand && l.servesControl {
 		for _, source := range l.sources {
-			secondHand = secondHand || source.servesControl && source.vouchesFor[entry.record.NodeID] && now.Since(source.vouchedUntil) <= vouchValidFor
+			current := source.servesControl && now.Since(source.vouchedUntil) <= vouchValidFor
+			secondHand = secondHand || current && source.vouchesFor[entry.record.NodeID]
 		}
 	}
 	overdue := !firstHand && !secondHand || entry.endedAt > 0
@@ -44,23 +46,21 @@
 	}
 }
 
-// endPredecessors ends all other lives with an entry's name or address.
+// endPredecessors ends all other incarnations with an entry's name or address.
 func (l *MemberList) endPredecessors(at clock.Mark, entry *memberEntry) {
 	for _, other := range l.entries {
 		if other == entry || other.endedAt > 0 || !sameDaemon(other.record.Member, entry.record.Member) {
 			continue
 		}
 		other.contactFloor, other.endedAt = l.lastContact(other), at
-		for _, source := range l.sources {
-			delete(source.vouchesFor, other.record.NodeID)
-		}
-		// It follows another life, so what that one knew is gone.
+		l.dropVouches(other.record.NodeID)
+		// What the replaced incarnation held in memory is gone.
 		entry.record.FirstContact = at
 		l.recordStatusChange(other)
 	}
 }
 
-// Sweep lets time pass: it looks who is late, and forgets those last heard before a moment.
+// Sweep detects failures as time passes: it removes members without contact since forgetBefore, and marks the overdue.
 func (l *MemberList) Sweep(now, forgetBefore clock.Mark) {
 	for element := l.byChange.Front(); element != nil; {
 		entry, next := element.Value.(*memberEntry), element.Next()
@@ -68,9 +68,7 @@
 			l.byChange.Remove(element)
 			delete(l.entries, entry.record.NodeID)
 			l.cachedMembers = nil
-			for _, source := range l.sources {
-				delete(source.vouchesFor, entry.record.NodeID)
-			}
+			l.dropVouches(entry.record.NodeID)
 		}
 		element = next
 	}
--- a/process/cluster/membership/freshness.go
+++ b/process/cluster/membership/freshness.go
@@ -8,42 +8,44 @@
 )
 
 const (
-	// StaleAfter is how long ago a majority may have confirmed what a source of news announces. One whose
-	// confirmation is older is left for another, and lets no daemon become ready. In calm a relay's is at most half a
-	// second old: heartbeats go out every 100 ms, and control daemons ask each other at least every 250 ms.
+	// StaleAfter is the maximum age of the confirmation of a source. A source with an older one is left for another, and
+	// lets no daemon become ready. Without faults a relay's confirmation is at most half a second old: raft's heartbeats
+	// go out every 100 ms, and control daemons pull from each other at least every 250 ms.
 	StaleAfter = 1200 * time.Millisecond
-	// SwitchSourceWithin bounds the time from the last confirmation of a source to the moment at which the daemons that
-	// rely on it have left it: a source that turns stale answers the questions it holds back with its next beat. It
-	// is well inside the two seconds within which a configuration must be in force after its acknowledgement.
+	// SwitchSourceWithin bounds the time from a source's last confirmation until the daemons that rely on it have left
+	// it: a source that becomes stale replies to its pending long polls with its next tick. It is well within the two
+	// seconds in which a configuration must be in force after its acknowledgement.
 	SwitchSourceWithin = StaleAfter + 2*pullEvery
-	// UnconfirmedAfter is how old the confirmation of what is in force here may be before a daemon looks for another
-	// source wherever it may: a relay's confirmation may be StaleAfter old, and the next answer is held back.
+	// UnconfirmedAfter is how old the confirmation of what is in force here may be before a daemon links to all sources
+	// it knows: a relay's confirmation may be StaleAfter old, and its next reply is delayed.
 	UnconfirmedAfter = 2 * time.Second
 )
 
-// EncodeConfirmation is what a daemon tells an asker of its own confirmation, which lies at a mark; zero is none.
+// EncodeConfirmation encodes this daemon's own confirmation, zero for none, for the reply to a request.
 func EncodeConfirmation(confirmedAt, requestArrivedAt clock.Mark) *peerapi.Confirmation {
 	if confirmedAt == 0 {
 		return &peerapi.Confirmation{}
 	}
 	after := confirmedAt.Since(requestArrivedAt)
-	// Rounded down, so that it never grows younger as it is passed on.
+	// Rounded down, so that it never gets more recent as it is passed on.
 	return &peerapi.Confirmation{Known: true, AfterQuestionMs: int64(after.Truncate(time.Millisecond)/time.Millisecond) - 1}
 }
 
-// sourceConfirmation is what a reply proves of its source's confirmation.
+// sourceConfirmation is the confirmation in a reply.
 type sourceConfirmation struct {
-	// known says that the source knows of confirmations at all; confirmed is its mark, zero where there is none.
-	known       bool
+	// known says that the source reports confirmations: builds before them do not.
+	known bool
+	// confirmedAt is in local time; zero if the source was never confirmed.
 	confirmedAt clock.Mark
 }
 
-// confirmationIn reads a reply. The mark is counted from the moment of the question, which lies before its arrival.
+// confirmationIn decodes a reply's confirmation. It is counted from when the request was sent, which is before it
+// arrived, so it is never taken for more recent than it is.
 func confirmationIn(reply *peerapi.PullReply, sentAt, receivedAt clock.Mark) sourceConfirmation {
 	confirmation := reply.Confirmation
 	switch {
 	case confirmation == nil && reply.IsLeader:
-		// A leader of an earlier build: as before, its answer vouches for the moment of the question.
+		// A leader of an earlier build: as before, its reply vouches for the time of the request.
 		return sourceConfirmation{known: true, confirmedAt: sentAt}
 	case confirmation == nil:
 		return sourceConfirmation{}
@@ -54,68 +56,80 @@
 	return sourceConfirmation{known: true, confirmedAt: max(0, min(confirmedAt, receivedAt))}
 }
 
-// stale says whether a source with this word is not to be relied on.
-func (w sourceConfirmation) stale(receivedAt clock.Mark) bool {
-	return w.known && (w.confirmedAt == 0 || receivedAt.Since(w.confirmedAt) > StaleAfter)
-}
-
-// SourceFreshness is how an address's news was confirmed when it was last heard.
-func (l *MemberList) SourceFreshness(address string) peerapi.SourceFreshness {
-	source := l.sources[address]
+// freshness is that of a source with this confirmation.
+func (c sourceConfirmation) freshness(receivedAt clock.Mark) peerapi.SourceFreshness {
 	switch {
-	case source == nil || !source.told:
+	case !c.known:
 		return peerapi.SourceFreshness_SOURCE_UNKNOWN
-	case source.stale:
+	case c.confirmedAt == 0 || receivedAt.Since(c.confirmedAt) > StaleAfter:
 		return peerapi.SourceFreshness_SOURCE_STALE
 	}
 	return peerapi.SourceFreshness_SOURCE_CONFIRMED
 }
 
-// recordSource notes a source's word; of one that is only asked now and then nothing is kept. turned says that it was
-// relied on before and is so no more, or the other way.
+// SourceFreshness is that of the last reply from an address.
+func (l *MemberList) SourceFreshness(address string) peerapi.SourceFreshness {
+	if source := l.sources[address]; source != nil {
+		return source.freshness
+	}
+	return peerapi.SourceFreshness_SOURCE_UNKNOWN
+}
+
+// recordSource records the confirmation in a source's reply. A source that is probed, but not linked, is not added.
+// stale says that the reply is not to be relied on; changed, that a source that was once fresh became stale, or that a
+// stale one recovered.
 func (l *MemberList) recordSource(address string, linked bool, confirmation sourceConfirmation, receivedAt clock.Mark) (stale, changed bool) {
-	stale = confirmation.stale(receivedAt)
+	freshness := confirmation.freshness(receivedAt)
+	stale = freshness == peerapi.SourceFreshness_SOURCE_STALE
 	if l.sources[address] == nil && !linked {
 		return stale, false
 	}
 	source := l.sourceAt(address)
-	changed = source.told && source.stale != stale && (source.wasConfirmed || !stale)
-	source.told, source.stale = confirmation.known, stale
-	source.wasConfirmed = source.wasConfirmed || confirmation.known && !stale
+	wasStale := source.freshness == peerapi.SourceFreshness_SOURCE_STALE
+	known := source.freshness != peerapi.SourceFreshness_SOURCE_UNKNOWN
+	changed = known && wasStale != stale && (source.wasConfirmed || !stale)
+	source.freshness = freshness
+	source.wasConfirmed = source.wasConfirmed || freshness == peerapi.SourceFreshness_SOURCE_CONFIRMED
 	return stale, changed
 }
 
-// NeedsMemberAddresses says whether an asker is to be told where the group's members are: one that asks again and again, and to
-// whom the answering daemon's news is not confirmed. In calm that is its first question alone.
+// NeedsMemberAddresses reports whether a reply is to name the addresses of the group's members: if the caller links to
+// this daemon and has no confirmation from it. Without faults that is its first pull only.
 func NeedsMemberAddresses(request *peerapi.PullRequest) bool {
-	return request.SourceFreshness == peerapi.SourceFreshness_SOURCE_STALE || request.SourceFreshness == peerapi.SourceFreshness_SOURCE_UNKNOWN && request.IntervalMs > 0
+	switch request.SourceFreshness {
+	case peerapi.SourceFreshness_SOURCE_STALE:
+		return true
+	case peerapi.SourceFreshness_SOURCE_UNKNOWN:
+		return request.IntervalMs > 0
+	}
+	return false
 }
 
-// maxMemberAddresses bounds the addresses of members that are believed of one source.
+// maxMemberAddresses bounds the addresses of members that are accepted from one source.
 const maxMemberAddresses = 32
 
-// recordMemberAddresses notes where a source says that the group's members are.
+// recordMemberAddresses records the addresses of the group's members in a reply.
 func (l *MemberList) recordMemberAddresses(addresses []string) {
 	if len(addresses) > 0 {
 		l.memberAddresses = addresses[:min(len(addresses), maxMemberAddresses)]
 	}
 }
 
-// Confirm notes up to when what is in force here is confirmed to be all that was acknowledged.
+// Confirm records that what is in force here was up to date at a time.
 func (l *MemberList) Confirm(at clock.Mark) { l.confirmedAt = max(l.confirmedAt, at) }
 
-// ConfirmedAt is up to when what is in force here is confirmed to be all that was acknowledged; zero is never.
+// ConfirmedAt is the time up to which what is in force here is confirmed to be up to date; zero: never.
 func (l *MemberList) ConfirmedAt() clock.Mark { return l.confirmedAt }
 
-// Unconfirmed says whether this daemon must look for another source.
+// Unconfirmed reports whether this daemon must look for other sources.
 func (l *MemberList) Unconfirmed(now clock.Mark) bool {
 	return l.confirmedAt == 0 || now.Since(l.confirmedAt) > UnconfirmedAfter
 }
 
-// forgetConfirmations is for a group that was recovered: what the lost generation confirmed counts no more.
+// forgetConfirmations drops all confirmations when the group was recovered: those of its previous generation are void.
 func (l *MemberList) forgetConfirmations() {
 	l.confirmedAt = 0
 	for _, source := range l.sources {
-		source.told, source.stale, source.wasConfirmed = false, false, false
+		source.freshness, source.wasConfirmed = peerapi.SourceFreshness_SOURCE_UNKNOWN, false
 	}
 }
--- a/process/cluster/membership/freshness_test.go
+++ b/process/cluster/membership/freshness_test.go
@@ -50,7 +50,7 @@
 			t.Errorf("%v before: taken for %v, and it lay at %v", before, confirmation.confirmedAt, actual)
 		}
 	}
-	if confirmation := confirmationIn(&peerapi.PullReply{Confirmation: EncodeConfirmation(0, ms(5000))}, ms(1), ms(2)); !confirmation.known || confirmation.confirmedAt != 0 || !confirmation.stale(ms(2)) {
+	if confirmation := confirmationIn(&peerapi.PullReply{Confirmation: EncodeConfirmation(0, ms(5000))}, ms(1), ms(2)); !confirmation.known || confirmation.confirmedAt != 0 || confirmation.freshness(ms(2)) != peerapi.SourceFreshness_SOURCE_STALE {
 		t.Errorf("never confirmed: %+v", confirmation)
 	}
 }
--- a/process/cluster/membership/links.go
+++ b/process/cluster/membership/links.go
@@ -6,18 +6,19 @@
 
 	"github.com/cresspond/cresspond/clock"
 	"github.com/cresspond/cresspond/process/cluster/affinity"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 const (
-	// failedLinkBackoff is for how long a daemon that did not answer is not chosen again for a second link.
+	// failedLinkBackoff is how long after a failed pull a control daemon is not chosen for the second link.
 	failedLinkBackoff = 3 * time.Second
-	// linkWindow is how lately a control daemon must have been heard of to be asked.
+	// linkWindow is how recent the last contact with a control daemon must be to link to it.
 	linkWindow = 10 * time.Second
 )
 
-// Links lists the addresses to ask again and again. A control daemon asks all others of its kind, since only
-// together they know who lives and which engines are silent. Any other asks the leader, whoever plans, and one
-// more, so that news reaches it while the leader is frozen or cut off.
+// Links returns the addresses to keep long polls to. A control daemon links to all other control daemons, since only
+// together they know which members and engines are alive. A routing daemon links to the leader, the planner and one
+// more control daemon, so that updates reach it while the leader is frozen or partitioned off.
 func (l *MemberList) Links(now clock.Mark, leader, planner string) []string {
 	var links []string
 	control := l.controlAddresses(now)
@@ -36,8 +37,8 @@
 	add(planner)
 	add(l.secondLink(now, leader, control))
 	if leader == "" || l.Unconfirmed(now) {
-		// Only the leader's own word tells of it where it has failed to answer once; and sources that answer as well
-		// as before may all be cut off from the group.
+		// A leader that failed once is found again only by its own reply, so all must be asked; and sources may go on
+		// to reply though they are partitioned from the group.
 		for _, address := range control {
 			add(address)
 		}
@@ -48,7 +49,7 @@
 	return links
 }
 
-// controlAddresses lists the addresses of the other control daemons that were heard of lately.
+// controlAddresses returns the sorted addresses of the other control daemons with a recent contact.
 func (l *MemberList) controlAddresses(now clock.Mark) []string {
 	var addresses []string
 	for _, entry := range l.entries {
@@ -60,36 +61,48 @@
 	return addresses
 }
 
-// secondLink is the control daemon beside the leader that is asked again and again: one of the own zone if there is
-// any. It is chosen by weight, so that the links of a fleet are spread, and stay where they are.
+// secondLink chooses a control daemon to link to beside the leader: one of the own zone that is in contact with the
+// leader, if there is any. Rendezvous hashing spreads the links of a fleet and keeps them stable.
 func (l *MemberList) secondLink(now clock.Mark, leader string, control []string) string {
 	candidates := slices.DeleteFunc(slices.Clone(control), func(address string) bool {
-		source := l.sources[address]
-		return address == leader || source != nil && (source.stale || source.failedAt > 0 && now.Since(source.failedAt) <= failedLinkBackoff)
+		return address == leader || l.avoided(now, address)
 	})
-	if nearby := slices.DeleteFunc(slices.Clone(candidates), func(address string) bool { return !l.inOwnZone(address) || !l.leaderVouchesFor(leader, address) }); len(nearby) > 0 {
+	nearby := slices.DeleteFunc(slices.Clone(candidates), func(address string) bool {
+		return !l.inOwnZone(address) || !l.leaderVouchesFor(leader, address)
+	})
+	if len(nearby) > 0 {
 		candidates = nearby
 	}
 	chosen, _ := affinity.Owners("link "+l.address, candidates)
 	return chosen
 }
 
-// inOwnZone says whether a daemon of this one's zone is at an address.
+// avoided reports whether a source is stale or failed lately.
+func (l *MemberList) avoided(now clock.Mark, address string) bool {
+	source := l.sources[address]
+	if source == nil {
+		return false
+	}
+	failed := source.failedAt > 0 && now.Since(source.failedAt) <= failedLinkBackoff
+	return failed || source.freshness == peerapi.SourceFreshness_SOURCE_STALE
+}
+
+// inOwnZone reports whether the daemon at an address is in this one's zone.
 func (l *MemberList) inOwnZone(address string) bool {
 	own, other := l.entries[l.self], l.entryAt(address)
 	return own != nil && other != nil && own.record.Zone == other.record.Zone
 }
 
-// leaderVouchesFor says whether the leader hears from a control daemon. One that is cut off from the group answers as
-// well as before, and knows nothing new.
+// leaderVouchesFor reports whether the leader is in contact with a control daemon. One that is partitioned from the
+// group still replies, and knows nothing new. Without a known leader it is true.
 func (l *MemberList) leaderVouchesFor(leader, address string) bool {
 	source, other := l.sources[leader], l.entryAt(address)
 	return leader == "" || source != nil && other != nil && source.vouchesFor[other.record.NodeID]
 }
 
-// Relay is whom a daemon that only routes asks for all that is new; of others it asks what is urgent only. All
-// control daemons in touch with the leader know the same, and what goes from zone to zone is dear: so it is the
-// leader only where none of them is nearer.
+// Relay is the control daemon from which a routing daemon pulls all updates; from its other links it pulls only urgent
+// ones. All control daemons in contact with the leader know the same, and traffic between zones is expensive, so it is
+// the leader only if no other one is in the own zone.
 func (l *MemberList) Relay(now clock.Mark, leader string) string {
 	if leader != "" && l.inOwnZone(leader) {
 		return leader
--- a/process/cluster/membership/memberlist.go
+++ b/process/cluster/membership/memberlist.go
@@ -8,74 +8,76 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// memberEntry is one life of a daemon.
+// memberEntry is what is known of one incarnation of a daemon.
 type memberEntry struct {
 	record MemberRecord
-	// reportedVersion is the version of the row that it told here itself.
+	// reportedVersion is the version of the attributes that the member itself sent here.
 	reportedVersion uint64
-	// contactFloor is when it was last heard for certain; others who vouch for it may make that later.
+	// contactFloor is a lower bound of the last contact; sources that vouch for the member may make it later. Read it
+	// through lastContact.
 	contactFloor clock.Mark
-	// lastPull is when it last asked here in a row of questions, and every within what time it asks again.
+	// lastPull is when it last pulled here over a link, and pullInterval the time within which it pulls again.
 	lastPull     clock.Mark
 	pullInterval time.Duration
-	endedAt      clock.Mark
-	// overdue and second are as told: that it is late, and that this is known through others alone.
+	// endedAt is when another incarnation replaced it here; zero while it is current.
+	endedAt clock.Mark
+	// overdue and secondHand are as disseminated: that it did not pull in time, and that it is known through other
+	// control daemons only.
 	overdue, secondHand bool
-	// changeIndex numbers its last change, solid the last of anything but what it has in force.
+	// changeIndex is the index of its last change, statusChangeIndex that of its last change other than of the versions
+	// that it has in force.
 	changeIndex, statusChangeIndex uint64
-	element                        *list.Element
+	// element is its place in MemberList.byChange.
+	element *list.Element
 }
 
-// MemberList is what one daemon knows of the others, and how it comes to know it.
-//
-// A control daemon hears most others itself, as they ask it again and again. It tells who is late and who has
-// come, and nothing else: whoever has its list up to date takes all who are not late as heard at that moment.
-// What control daemons know through each other they tell those that only route, and not each other, so nobody
-// is kept alive by hearsay that goes round.
+// MemberList is what one daemon knows of the fleet's members. It is pure: it sends nothing and reads no clock. The
+// package comment describes how it detects failures and disseminates changes.
 type MemberList struct {
 	self          ident.NodeID
 	address       string
 	servesControl bool
 
-	// changeIndex counts the changes of the list; solid is the newest that is of more than what daemons have in force.
+	// changeIndex counts the changes of the list; statusChangeIndex is the newest one other than of versions in force.
 	changeIndex, statusChangeIndex uint64
 	entries                        map[ident.NodeID]*memberEntry
-	byChange                       *list.List
-	sources                        map[string]*pullSource
-	// cachedMembers is all lives as they were made into a map last, gatheredChanges and gatheredAt as of when.
+	// byChange holds all entries, the one that changed last at the back.
+	byChange *list.List
+	// sources are the peers that this daemon pulls from, by address.
+	sources map[string]*pullSource
+	// cachedMembers is the last result of Members that CachedMembers returned, and the others are as of when.
 	cachedMembers     map[ident.NodeID]Member
 	cachedChangeIndex uint64
 	cachedAt          clock.Mark
-	// confirmedAt is up to when what is in force here is confirmed to be all that was acknowledged.
+	// confirmedAt: see View.ConfirmedAt.
 	confirmedAt clock.Mark
-	// memberAddresses are where the group's members are by the word of a source that could not be relied on.
+	// memberAddresses are the addresses of the group's members by a source without a recent confirmation.
 	memberAddresses []string
 }
 
-// NewMemberList makes what a fresh daemon knows. relays says that it serves control.
-func NewMemberList(self ident.NodeID, address string, relays bool) *MemberList {
-	return &MemberList{self: self, address: address, servesControl: relays, entries: map[ident.NodeID]*memberEntry{}, byChange: list.New(), sources: map[string]*pullSource{}}
+// NewMemberList makes the empty list of a daemon with this node id and peer address.
+func NewMemberList(self ident.NodeID, address string, servesControl bool) *MemberList {
+	return &MemberList{
+		self: self, address: address, servesControl: servesControl,
+		entries: map[ident.NodeID]*memberEntry{}, byChange: list.New(), sources: map[string]*pullSource{},
+	}
 }
 
-// ChangeIndex numbers the newest change of the list.
+// ChangeIndex is the index of the newest change of the list.
 func (l *MemberList) ChangeIndex() uint64 { return l.changeIndex }
 
-// StatusChangeIndex numbers the newest change that is of more than what daemons have in force.
+// StatusChangeIndex is the index of the newest change other than of the versions that members have in force.
 func (l *MemberList) StatusChangeIndex() uint64 { return l.statusChangeIndex }
 
-// Describe takes what this daemon says of itself now.
+// SetSelf updates this daemon's own entry.
 func (l *MemberList) SetSelf(now clock.Mark, record MemberRecord) {
 	record.HasAttributes = true
-	l.recordPull(now, record, time.Hour)
+	l.RecordPull(now, record, selfInterval)
 }
 
-// RecordPull takes what another says of itself as it asks. every is within what time it asks again; zero, that it may
-// not. It gives the version of its row that is known here.
+// RecordPull takes a member's own record, as it pulls. interval is the time within which it pulls again; zero: it may
+// not. It returns the version of the attributes that the member itself sent here; zero if none.
 func (l *MemberList) RecordPull(now clock.Mark, record MemberRecord, interval time.Duration) (known uint64) {
-	return l.recordPull(now, record, interval)
-}
-
-func (l *MemberList) recordPull(now clock.Mark, record MemberRecord, interval time.Duration) (known uint64) {
 	entry := l.entries[record.NodeID]
 	if entry == nil {
 		if !record.HasAttributes {
@@ -84,7 +86,7 @@
 		entry = l.addEntry(now, record)
 	}
 	if entry.endedAt > 0 {
-		// It speaks for itself, so it is the one that lives.
+		// It reports itself, so it is the current incarnation.
 		entry.endedAt = 0
 		l.endPredecessors(now, entry)
 		l.recordStatusChange(entry)
@@ -94,7 +96,7 @@
 		entry.lastPull, entry.pullInterval = now, interval
 	}
 	if record.HasAttributes {
-		// Steps are told at first hand alone.
+		// Steps are known at first hand only.
 		entry.record.Steps, entry.reportedVersion = record.Steps, record.Version
 	}
 	l.mergeRecord(entry, record)
@@ -102,16 +104,18 @@
 	return entry.reportedVersion
 }
 
-// mergeRecord joins what is said of a life with what is known.
+// mergeRecord merges a report of a member, by itself or others, into its entry.
 func (l *MemberList) mergeRecord(entry *memberEntry, record MemberRecord) {
 	before := entry.record
-	// Epochs only rise, whoever tells of them.
-	entry.record.ConfigurationVersion, entry.record.ClosureVersion = max(before.ConfigurationVersion, record.ConfigurationVersion), max(before.ClosureVersion, record.ClosureVersion)
+	// Versions in force never decrease, whoever reports them.
+	entry.record.ConfigurationVersion = max(before.ConfigurationVersion, record.ConfigurationVersion)
+	entry.record.ClosureVersion = max(before.ClosureVersion, record.ClosureVersion)
 	if record.Version >= before.Version {
 		entry.record.Ready = record.Ready
 	}
 	if record.HasAttributes && record.Version >= before.Version {
-		entry.record.Version, entry.record.Address, entry.record.Zone, entry.record.Roles = record.Version, record.Address, record.Zone, record.Roles
+		entry.record.Version, entry.record.Address = record.Version, record.Address
+		entry.record.Zone, entry.record.Roles = record.Zone, record.Roles
 	}
 	switch {
 	case entry.record.Ready != before.Ready || entry.record.Version != before.Version:
@@ -121,7 +125,7 @@
 	}
 }
 
-// addEntry makes an entry for a life that is heard of first.
+// addEntry adds an incarnation that was not known, and ends those it replaces.
 func (l *MemberList) addEntry(at clock.Mark, record MemberRecord) *memberEntry {
 	entry := &memberEntry{contactFloor: at}
 	entry.record.Member = Member{NodeID: record.NodeID, Address: record.Address, Zone: record.Zone, Roles: record.Roles}
@@ -132,17 +136,20 @@
 	return entry
 }
 
+// recordStatusChange numbers a change of an entry other than of its versions in force.
 func (l *MemberList) recordStatusChange(entry *memberEntry) {
 	l.recordChange(entry)
 	entry.statusChangeIndex, l.statusChangeIndex = l.changeIndex, l.changeIndex
 }
 
+// recordChange numbers a change of an entry.
 func (l *MemberList) recordChange(entry *memberEntry) {
 	l.changeIndex++
 	entry.changeIndex = l.changeIndex
 	l.byChange.MoveToBack(entry.element)
 }
 
+// entryAt returns the current incarnation at an address, or nil.
 func (l *MemberList) entryAt(address string) *memberEntry {
 	for _, entry := range l.entries {
 		if entry.endedAt == 0 && entry.record.Address == address {
@@ -152,7 +159,7 @@
 	return nil
 }
 
-// Member is what is known of one life; false where it is not known, or ended.
+// Member returns what is known of one incarnation; false if it is not known or was replaced.
 func (l *MemberList) Member(id ident.NodeID) (Member, bool) {
 	entry := l.entries[id]
 	if entry == nil || entry.endedAt > 0 {
@@ -161,7 +168,7 @@
 	return entry.record.Member, true
 }
 
-// Members gives all lives that count, as they are known now.
+// Members returns all current incarnations.
 func (l *MemberList) Members() map[ident.NodeID]Member {
 	members := make(map[ident.NodeID]Member, len(l.entries))
 	for id, entry := range l.entries {
@@ -176,17 +183,19 @@
 }
 
 const (
-	// cacheAgePerMember is for how long, for each daemon of the fleet, a map of the others does on a daemon that only
-	// routes, since making it costs that much more; gatherMost bounds it.
+	// cacheAgePerMember and maxCacheAge set how old CachedMembers may be: building the map costs more the larger the
+	// fleet is.
 	cacheAgePerMember = 600 * time.Microsecond
 	maxCacheAge       = 200 * time.Millisecond
+	// selfInterval is the pull interval of this daemon's own entry, which every tick refreshes: it is never overdue.
+	selfInterval = time.Hour
 )
 
-// CachedMembers gives the same as Fellows, or what that gave lately if nothing but the moments at which others were
-// heard can have changed since. It must not be changed.
+// CachedMembers returns the same as Members, or a recent result of it if nothing but times of contact can have changed
+// since. The caller must not modify it.
 func (l *MemberList) CachedMembers(now clock.Mark) map[ident.NodeID]Member {
 	maxAge := min(time.Duration(len(l.entries))*cacheAgePerMember, maxCacheAge)
-	// Control daemons acknowledge by who is in contact, so they know it as exactly as they can.
+	// Control daemons acknowledge changes by who is in contact, so their view is always exact.
 	if l.servesControl || l.cachedMembers == nil || l.cachedChangeIndex != l.changeIndex || now.Since(l.cachedAt) >= maxAge {
 		l.cachedMembers, l.cachedChangeIndex, l.cachedAt = l.Members(), l.changeIndex, now
 	}
--- a/process/cluster/membership/membership.go
+++ b/process/cluster/membership/membership.go
@@ -12,152 +12,147 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// Host is what the actor needs of its daemon.
+// Host is what the actor needs of the daemon it runs in. Methods are called from the actor's goroutine, except AddDemand,
+// PullFrom and ApplyReply, which are called from a goroutine per pull.
 type Host interface {
-	// DescribeSelf is what this daemon says of itself, and what it has in force.
+	// DescribeSelf returns a pull request with this daemon's attributes and the versions it has in force.
 	DescribeSelf() *peerapi.PullRequest
-	// AddDemand adds what this daemon holds and asks for, for whoever plans, if that is asked for or something waits;
-	// it says whether anything does.
+	// AddDemand adds this daemon's demand to a pull to the planner and reports whether any request is queued. With
+	// onlyWaiting it adds it only in that case.
 	AddDemand(request *peerapi.PullRequest, onlyWaiting bool) bool
-	// InForce is what this daemon has in force.
-	InForce() (spec, closure ident.Version)
-	// ApplyReply takes over what a reply brought, and returns when it is in force.
+	// InForce returns the versions that this daemon has in force.
+	InForce() (configuration, closure ident.Version)
+	// ApplyReply applies the updates in a reply, and returns when they are in force.
 	ApplyReply(reply *peerapi.PullReply)
-	// PullFrom asks another daemon.
+	// PullFrom sends a pull to a peer.
 	PullFrom(ctx context.Context, address string, request *peerapi.PullRequest) (*peerapi.PullReply, error)
-	// IsLeader says whether this daemon leads the group.
+	// IsLeader reports whether this daemon leads the group.
 	IsLeader() bool
-	// FirstRolloutAge is, where this daemon leads, how long any bundle has been in force; negative while none was, zero if it can't tell.
+	// FirstRolloutAge is, on the leader, the time since the first bundle came in force: negative if none did, zero if
+	// unknown.
 	FirstRolloutAge() time.Duration
-	// EnlistedAt is when the group wrote this life down as one that may be serving; zero before.
+	// EnlistedAt is when the group committed this incarnation as one that may be serving; zero before.
 	EnlistedAt() clock.Mark
-	// IsPlanner says whether this daemon plans.
+	// IsPlanner reports whether this daemon is the planner.
 	IsPlanner() bool
-	// ConfirmedAsLeader is, where this daemon leads, up to when a majority has confirmed that, for what is in force
-	// here; zero elsewhere.
+	// ConfirmedAsLeader is, on the leader, the time up to which a majority has confirmed its leadership, for what is in
+	// force here; zero elsewhere.
 	ConfirmedAsLeader() clock.Mark
-	// SourceFreshnessChanged is called when a source of news came to be stale, or is so no more.
+	// SourceFreshnessChanged is called when a source became stale or recovered.
 	SourceFreshnessChanged(FreshnessChange)
-	// MembersChanged is called when the list of members changed, so that those whose answers are held back hear of it.
+	// MembersChanged is called when the member list changed, to wake the long polls that wait for it.
 	MembersChanged()
-	// Tick is called with each beat.
+	// Tick is called with each tick of the actor.
 	Tick()
 }
 
-// Membership is the actor.
+// mailboxSize is how many events may be queued before senders wait.
+const mailboxSize = 512
+
+// Membership is the actor: it owns a Tracker, sends its pulls and publishes its View. Exported methods are safe for
+// concurrent use; other fields than the atomic ones belong to the actor's goroutine.
 type Membership struct {
 	clock             clock.Clock
 	host              Host
 	seeds             func() []string
 	address           string
 	pace              Pace
-	mailbox           *actor.Mailbox[any]
+	mailbox           *actor.Mailbox[event]
 	tracker           *Tracker
 	view              atomic.Pointer[View]
 	changeIndex       atomic.Uint64
 	statusChangeIndex atomic.Uint64
 	inFlight          map[pullKey]bool
-	// demandReported says that the last question to the planner told of something that waits here.
+	// demandReported says that the last pull to the planner reported queued requests.
 	demandReported bool
 	waiters        []*rolloutWaiter
-	// nextProbeSeed and linkTurn count the seeds asked, now and then and in place of links.
+	// nextProbeSeed and nextLinkSeed are round-robin positions in the seeds, for probes and for links.
 	nextProbeSeed int
 	nextLinkSeed  int
 	ticks         int
+	// self is this daemon's own record.
 	self          MemberRecord
 	servesControl bool
-	Pulls         atomic.Uint64
-	FailedPulls   atomic.Uint64
-	// StaleSources counts how often a source of news was left because no majority had confirmed it lately.
+	// Pulls counts the pulls that were sent, FailedPulls those without a reply.
+	Pulls       atomic.Uint64
+	FailedPulls atomic.Uint64
+	// StaleSources counts how often a source became stale: no majority had confirmed it lately.
 	StaleSources atomic.Uint64
 }
 
-// New makes the actor; self is this daemon's own fellow address.
-func New(c clock.Clock, fleet Host, seeds func() []string, self string, pace Pace) *Membership {
-	m := &Membership{clock: c, host: fleet, seeds: seeds, address: self, pace: pace, mailbox: actor.NewMailbox[any](512), inFlight: map[pullKey]bool{}}
-	m.view.Store(&View{Members: map[ident.NodeID]Member{}, Started: c.Elapsed()})
+// New makes the actor. seeds returns the configured addresses to start from; address is this daemon's own peer address.
+func New(timer clock.Clock, host Host, seeds func() []string, address string, pace Pace) *Membership {
+	m := &Membership{
+		clock: timer, host: host, seeds: seeds, address: address, pace: pace,
+		mailbox: actor.NewMailbox[event](mailboxSize), inFlight: map[pullKey]bool{},
+	}
+	m.view.Store(&View{Members: map[ident.NodeID]Member{}, Started: timer.Elapsed()})
 	return m
 }
 
-// View gives the newest view.
+// View returns the newest view.
 func (m *Membership) View() *View { return m.view.Load() }
 
-// ZoneOf is where a daemon stands; empty where that is not known yet.
+// ZoneOf returns a daemon's zone; empty if it is not known yet.
 func (m *Membership) ZoneOf(node ident.NodeID) ident.ZoneID { return m.view.Load().Members[node].Zone }
 
-// ChangeIndex numbers the newest change of the list of members.
+// ChangeIndex is the index of the newest change of the member list.
 func (m *Membership) ChangeIndex() uint64 { return m.changeIndex.Load() }
 
-// StatusChangeIndex numbers the newest that is of more than what daemons have in force.
+// StatusChangeIndex is the index of the newest change other than of the versions that members have in force.
 func (m *Membership) StatusChangeIndex() uint64 { return m.statusChangeIndex.Load() }
 
-// Ready says whether this daemon may take new work, and if not, why.
+// Ready reports whether this daemon may accept new requests, and if not, why.
 func (m *Membership) Ready() (bool, string) {
 	view, now := m.view.Load(), m.clock.Elapsed()
-	var force InForce
-	force.Configuration, force.Closure = m.host.InForce()
-	why := view.NotReadyReason(now, force)
-	return why == "", why
+	reason := view.NotReadyReason(now, m.inForce())
+	return reason == "", reason
 }
 
-// Run runs the actor.
+// Run runs the actor until ctx ends.
 func (m *Membership) Run(ctx context.Context) {
 	described := m.host.DescribeSelf()
 	m.servesControl = slices.Contains(described.Roles, controlRole)
 	m.tracker = NewTracker(m.view.Load().Started, ident.NodeID(described.NodeId), m.address, m.servesControl)
-	m.mailbox.Run(ctx, pullEvery, func(event any) { m.handle(ctx, event) }, func() { m.tick(ctx) })
+	m.mailbox.Run(ctx, pullEvery, func(received event) { m.handle(ctx, received) }, func() { m.tick(ctx) })
 }
 
-// RecordPull notes a fellow's question, and gives the version of its row that is known here.
+// RecordPull records a peer's pull, and returns the version of its attributes that is known here: zero if none is.
 func (m *Membership) RecordPull(request *peerapi.PullRequest) uint64 {
-	event := pullReceived{request, make(chan uint64, 1)}
-	if !m.mailbox.Send(event) {
+	received := pullReceived{request, make(chan uint64, 1)}
+	if !m.mailbox.Send(received) {
 		return 0
 	}
 	select {
-	case known := <-event.known:
+	case known := <-received.known:
 		return known
 	case <-m.mailbox.Done():
 		return 0
 	}
 }
 
-// AddMembers puts into a reply what the asker lacks of the list of members.
+// AddMembers adds to a reply the changes of the member list that the caller misses.
 func (m *Membership) AddMembers(request *peerapi.PullRequest, reply *peerapi.PullReply) {
 	if !request.AllMembers && request.IntervalMs == 0 {
 		return
 	}
-	event := membersRequested{request, make(chan *peerapi.PullReply, 1)}
-	if !m.mailbox.Send(event) {
+	requested := membersRequested{request, make(chan *peerapi.PullReply, 1)}
+	if !m.mailbox.Send(requested) {
 		return
 	}
 	select {
-	case members := <-event.reply:
+	case members := <-requested.reply:
 		reply.Members, reply.AllMembers = members.Members, members.AllMembers
 		reply.MembersIncarnation, reply.MembersSeen, reply.MembersFullResync = members.MembersIncarnation, members.MembersSeen, members.MembersFullResync
 	case <-m.mailbox.Done():
 	}
 }
 
-func (m *Membership) handle(ctx context.Context, event any) {
+func (m *Membership) handle(ctx context.Context, received event) {
 	now := m.clock.Elapsed()
-	switch e := event.(type) {
+	switch e := received.(type) {
 	case pullCompleted:
-		delete(m.inFlight, e.pullKey)
-		if e.skipped {
-			return
-		}
-		if e.address == m.tracker.planner {
-			m.demandReported = e.reportsDemand
-		}
-		m.Pulls.Add(1)
-		m.handleResult(now, e)
-		m.publish()
-		m.notifyWaiters()
-		// One that answered is asked on at once; one that did not, or had nothing to hold back for, with the next beat.
-		if e.err == nil && e.linked && e.maxWait > 0 && now.Since(e.sentAt) >= minPullGap && slices.Contains(m.tracker.Links(now), e.address) {
-			m.startPull(ctx, e.pullKey)
-		}
+		m.handlePullCompleted(ctx, now, e)
 	case pullReceived:
 		e.known <- m.tracker.RecordPull(now, e.request)
 		m.publishChanges()
@@ -172,7 +167,13 @@
 	}
 }
 
-// publish is the one place where the view is replaced.
+// inForce returns the versions that this daemon has in force.
+func (m *Membership) inForce() InForce {
+	configuration, closure := m.host.InForce()
+	return InForce{Configuration: configuration, Closure: closure}
+}
+
+// publish is the only place where the view is replaced.
 func (m *Membership) publish() {
 	now := m.clock.Elapsed()
 	m.publishChanges()
@@ -180,7 +181,7 @@
 	m.view.Store(&view)
 }
 
-// publishChanges lets others know that the list of members changed.
+// publishChanges publishes the change indices, and wakes the long polls if the member list changed.
 func (m *Membership) publishChanges() {
 	if changes := m.tracker.memberList.ChangeIndex(); changes != m.changeIndex.Load() {
 		m.changeIndex.Store(changes)
@@ -189,12 +190,13 @@
 	}
 }
 
-// localState is what this daemon knows of itself now. The confirmation comes first: what it vouches for is then in force.
+// localState collects what this daemon knows of itself. The confirmation is read first, and what is in force last, so
+// that what the confirmation is about is in force.
 func (m *Membership) localState() LocalState {
 	state := LocalState{ConfirmedAt: m.host.ConfirmedAsLeader(), IsLeader: m.host.IsLeader(), EnlistedAt: m.host.EnlistedAt(), IsPlanner: m.host.IsPlanner()}
 	if state.IsLeader {
 		state.FirstRolloutAge = m.host.FirstRolloutAge()
 	}
-	state.Configuration, state.Closure = m.host.InForce()
+	state.InForce = m.inForce()
 	return state
 }
--- a/process/cluster/membership/pull.go
+++ b/process/cluster/membership/pull.go
@@ -7,35 +7,41 @@
 	"time"
 
 	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
 const (
-	// PullTimeout bounds one pull, beside what its answer may be held back for.
+	// PullTimeout bounds one pull, beyond the time for which its reply may be delayed.
 	PullTimeout = 700 * time.Millisecond
-	// probeTicks is how many beats pass between questions to a seed and to any daemon, so that a split that
-	// healed is noticed from either side.
+	// probeTicks is the number of ticks between probes of a seed and of a random member, which find out from either side
+	// that a partition has healed.
 	probeTicks = 10
-	// minPullGap is how soon after a question the next may follow at once.
+	// minPullGap is the least time from one pull of a link to the next one that follows its reply at once; a link that
+	// replies sooner is pulled with the next tick.
 	minPullGap = 50 * time.Millisecond
+	// probeWindow is how recent the last contact with a member that is probed must be.
+	probeWindow = 10 * time.Second
 )
 
-// pullKey is one question to one address.
+// pullKey identifies a pull: of each there is at most one in flight.
 type pullKey struct {
 	address string
-	// linked questions follow each other, and their answers are held back while nothing is new.
+	// linked pulls are long polls that follow each other; the others are single.
 	linked bool
-	// allMembers asks for all that is known of members, with ages.
+	// allMembers asks for all members with their ages, in place of changes.
 	allMembers bool
-	// onlyWithDemand is asked only if something waits here that the planner must hear of, beside any other question.
+	// onlyWithDemand is sent only if requests are queued here of which the planner must be notified.
 	onlyWithDemand bool
 }
 
+// tick detects failures, starts the pulls that are due and publishes the view. The order matters: pulls are chosen by
+// the swept list, and the view is published before waiters and the host look at it.
 func (m *Membership) tick(ctx context.Context) {
 	m.refreshSelf()
 	now := m.clock.Elapsed()
 	forgetBefore := now - clock.Mark(forgetAfter)
 	if now.Since(m.tracker.view.LastLeaderContact) > ContactWindow {
-		// Out of the leader's sight nobody is forgotten: those who fell silent may be on the other side of a split.
+		// Without contact to the leader no member is forgotten: unresponsive ones may be across a partition.
 		forgetBefore = 0
 	}
 	m.tracker.memberList.Sweep(now, forgetBefore)
@@ -43,7 +49,7 @@
 		m.startPull(ctx, pullKey{address: address, linked: true})
 	}
 	if !m.demandReported {
-		// The answer to the last question may be held back for long; what has come to wait since must be heard of sooner.
+		// The reply to the pull in flight may be delayed for long; requests queued since then must be reported sooner.
 		m.startPull(ctx, pullKey{address: m.tracker.planner, onlyWithDemand: true})
 	}
 	controlLost := m.tracker.ControlLost(now)
@@ -52,7 +58,7 @@
 			m.startPull(ctx, pullKey{address: seeds[m.nextProbeSeed%len(seeds)], allMembers: controlLost})
 			m.nextProbeSeed++
 		}
-		if contacts := m.view.Load().InContact(now, 10*time.Second); len(contacts) > 0 {
+		if contacts := m.view.Load().InContact(now, probeWindow); len(contacts) > 0 {
 			m.startPull(ctx, pullKey{address: contacts[rand.IntN(len(contacts))].Address, allMembers: controlLost})
 		}
 	}
@@ -61,31 +67,39 @@
 	m.host.Tick()
 }
 
-// links lists whom to ask again and again; before any control daemon is known, the seeds in turn.
+// links returns the addresses to keep long polls to: before any control daemon is known, one seed at a time.
 func (m *Membership) links(now clock.Mark) []string {
 	links := m.tracker.Links(now)
 	if seeds := m.seeds(); len(links) == 0 && len(seeds) > 0 {
-		// A turn of its own: two of one count would pass by every other seed of an even number.
+		// A position of its own: with one shared with probes, every other seed of an even number would be skipped.
 		m.nextLinkSeed++
 		return []string{seeds[m.nextLinkSeed%len(seeds)]}
 	}
 	return links
 }
 
-// refreshSelf takes up what this daemon says of itself now.
+// refreshSelf updates this daemon's own record, and raises its version if something changed.
 func (m *Membership) refreshSelf() {
 	described := m.host.DescribeSelf()
 	record := recordOf(described)
 	record.Version = m.self.Version
-	if record.Version == 0 || record.Ready != m.self.Ready || !slices.Equal(record.Roles, m.self.Roles) || len(record.Steps) != len(m.self.Steps) ||
-		len(record.Steps) > 0 && record.Steps[len(record.Steps)-1].UnixMs != m.self.Steps[len(m.self.Steps)-1].UnixMs {
+	if record.Version == 0 || record.Ready != m.self.Ready || !slices.Equal(record.Roles, m.self.Roles) || !sameSteps(record.Steps, m.self.Steps) {
 		record.Version++
 	}
 	m.self = record
 	m.tracker.memberList.SetSelf(m.clock.Elapsed(), record)
 }
 
-// startPull puts a question, if it is not being asked already.
+// sameSteps compares the number of steps and the time of the newest.
+func sameSteps(a, b []*peerapi.RolloutStep) bool {
+	if len(a) != len(b) {
+		return false
+	}
+	return len(a) == 0 || a[len(a)-1].UnixMs == b[len(b)-1].UnixMs
+}
+
+// startPull starts a pull in a goroutine of its own unless it is in flight. The goroutine applies the reply before it
+// sends pullCompleted, so that the tracker sees the reply's versions in force when it handles it.
 func (m *Membership) startPull(ctx context.Context, key pullKey) {
 	if key.address == m.address || key.address == "" || m.inFlight[key] {
 		return
@@ -95,17 +109,7 @@
 	request := m.host.DescribeSelf()
 	request.AttributesVersion, request.HasAttributes, request.AllMembers = m.self.Version, true, key.allMembers
 	m.tracker.FillRequest(request, PullTarget{Address: key.address, Linked: key.linked})
-	maxWait := time.Duration(0)
-	if key.linked {
-		switch {
-		case !m.tracker.view.CaughtUp:
-			// It is not ready before it has heard all there is, so nothing is held back.
-		case m.servesControl:
-			maxWait = min(m.pace.waitFor(fleetSize), controlMaxWait)
-		default:
-			maxWait = m.pace.waitFor(fleetSize)
-		}
-	}
+	maxWait := m.maxWait(key, fleetSize)
 	go func() {
 		reportsDemand := key.address == planner && m.host.AddDemand(request, key.onlyWithDemand)
 		if key.onlyWithDemand && !reportsDemand {
@@ -116,7 +120,9 @@
 			maxWait = min(maxWait, m.pace.waitWithDemand(fleetSize))
 		}
 		if key.linked {
-			request.MaxWaitMs, request.BatchDelayMs, request.IntervalMs = maxWait.Milliseconds(), batchDelayFor(fleetSize).Milliseconds(), max(maxWait, pullEvery).Milliseconds()
+			request.MaxWaitMs = maxWait.Milliseconds()
+			request.BatchDelayMs = batchDelayFor(fleetSize).Milliseconds()
+			request.IntervalMs = max(maxWait, pullEvery).Milliseconds()
 		}
 		bounded, cancel := context.WithTimeout(ctx, maxWait+PullTimeout)
 		defer cancel()
@@ -125,21 +131,60 @@
 		if err == nil {
 			m.host.ApplyReply(reply)
 		}
-		m.mailbox.Send(pullCompleted{pullKey: key, sentAt: sentAt, receivedAt: receivedAt, maxWait: maxWait, reportsDemand: reportsDemand, reply: reply, err: err})
+		m.mailbox.Send(pullCompleted{
+			pullKey: key, sentAt: sentAt, receivedAt: receivedAt, maxWait: maxWait,
+			reportsDemand: reportsDemand, reply: reply, err: err,
+		})
 	}()
 }
 
+// maxWait is how long the reply to a pull may be delayed.
+func (m *Membership) maxWait(key pullKey, fleetSize int) time.Duration {
+	switch {
+	case !key.linked, !m.tracker.view.CaughtUp:
+		// Until this daemon has caught up it is not ready, so its replies are not delayed.
+		return 0
+	case m.servesControl:
+		return min(m.pace.waitFor(fleetSize), controlMaxWait)
+	}
+	return m.pace.waitFor(fleetSize)
+}
+
+// handlePullCompleted takes a reply or its failure, and pulls again at once over a link that replied. A link that did
+// not, or replied immediately, is pulled with the next tick.
+func (m *Membership) handlePullCompleted(ctx context.Context, now clock.Mark, result pullCompleted) {
+	delete(m.inFlight, result.pullKey)
+	if result.skipped {
+		return
+	}
+	if result.address == m.tracker.planner {
+		m.demandReported = result.reportsDemand
+	}
+	m.Pulls.Add(1)
+	m.handleResult(now, result)
+	m.publish()
+	m.notifyWaiters()
+	waited := result.maxWait > 0 && now.Since(result.sentAt) >= minPullGap
+	if result.err == nil && result.linked && waited && slices.Contains(m.tracker.Links(now), result.address) {
+		m.startPull(ctx, result.pullKey)
+	}
+}
+
+// handleResult hands a result to the tracker, and a change of the source's freshness on to the host.
 func (m *Membership) handleResult(now clock.Mark, result pullCompleted) {
 	if result.err != nil {
 		m.FailedPulls.Add(1)
 	}
-	var inForce InForce
-	inForce.Configuration, inForce.Closure = m.host.InForce()
+	inForce := m.inForce()
 	target := PullTarget{Address: result.address, Linked: result.linked, MaxWait: result.maxWait}
-	if change := m.tracker.HandleResult(now, PullResult{PullTarget: target, SentAt: result.sentAt, ReceivedAt: result.receivedAt, Reply: result.reply, Err: result.err}, inForce); change != nil {
-		if change.Stale {
-			m.StaleSources.Add(1)
-		}
-		m.host.SourceFreshnessChanged(*change)
+	change := m.tracker.HandleResult(now, PullResult{
+		PullTarget: target, SentAt: result.sentAt, ReceivedAt: result.receivedAt, Reply: result.reply, Err: result.err,
+	}, inForce)
+	if change == nil {
+		return
+	}
+	if change.Stale {
+		m.StaleSources.Add(1)
 	}
+	m.host.SourceFreshnessChanged(*change)
 }
--- a/process/cluster/membership/rollout.go
+++ b/process/cluster/membership/rollout.go
@@ -9,15 +9,17 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// RolloutReach says who has a change in force, and who may be serving or was in contact and has not. All
-// says that nobody lacked it.
+// RolloutReach is how far a change has been rolled out.
 type RolloutReach struct {
+	// Applied are the daemons that have it in force; Missing those that have not, though they may be serving or are in
+	// contact.
 	Applied, Missing []ident.NodeID
-	Complete         bool
+	// Complete says that none is missing.
+	Complete bool
 }
 
-// AwaitRollout waits until every daemon that may be serving, and every one in contact, has the epochs in
-// force, or until within has passed.
+// AwaitRollout waits until every daemon that may be serving, and every one in contact, has the versions in force, or
+// until within has passed. It returns the zero value if ctx or the actor ends first.
 func (m *Membership) AwaitRollout(ctx context.Context, configuration, closure ident.Version, within time.Duration, serving func() []ident.NodeID) RolloutReach {
 	waiting := &rolloutWaiter{configuration: configuration, closure: closure, deadline: m.clock.Elapsed() + clock.Mark(within), serving: serving, done: make(chan RolloutReach, 1)}
 	if !m.mailbox.Send(waiting) {
@@ -32,6 +34,7 @@
 	return RolloutReach{}
 }
 
+// notifyWaiters replies to the waiters whose rollout is complete or whose deadline has passed, and keeps the others.
 func (m *Membership) notifyWaiters() {
 	if len(m.waiters) == 0 {
 		return
@@ -48,7 +51,7 @@
 		slices.Sort(required)
 		var reach RolloutReach
 		for _, node := range required {
-			// Epochs only rise, so an old word that it has them still holds.
+			// Versions never decrease, so an old report that it has them still holds.
 			if member, known := members[node]; known && member.ConfigurationVersion >= waiting.configuration && member.ClosureVersion >= waiting.closure {
 				reach.Applied = append(reach.Applied, node)
 			} else {
--- a/process/cluster/membership/source.go
+++ b/process/cluster/membership/source.go
@@ -3,26 +3,31 @@
 import (
 	"github.com/cresspond/cresspond/clock"
 	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// maxSources bounds the addresses for which it is remembered what was learned there.
+// maxSources bounds the number of sources that are remembered; beyond it all are dropped and learned again.
 const maxSources = 1024
 
-// pullSource is what was learned at one address.
+// pullSource is the state of pulls from one address.
 type pullSource struct {
+	// cursor is the position up to which its member list was received.
 	cursor Cursor
-	// vouchedUntil is up to when it vouches for those it does not call late.
-	vouchedUntil clock.Mark
-	vouchesFor   map[ident.NodeID]bool
-	// servesControl says that it serves control, rowKnown which version of this daemon's own row it knows.
-	servesControl          bool
+	// vouchesFor are the members that it reports as not overdue, and vouchedUntil is the time up to which it does.
+	vouchedUntil  clock.Mark
+	vouchesFor    map[ident.NodeID]bool
+	servesControl bool
+	// knownAttributesVersion is the version of this daemon's own attributes that it knows.
 	knownAttributesVersion uint64
-	failedAt               clock.Mark
-	// told says that it tells up to when its news is confirmed, stale that this was too long ago when it last
-	// answered, wasConfirmed that it ever was not.
-	told, stale, wasConfirmed bool
+	// failedAt is when the last pull failed; zero if it was answered.
+	failedAt clock.Mark
+	// freshness is that of its last reply. It is unknown also of builds that do not report confirmations.
+	freshness peerapi.SourceFreshness
+	// wasConfirmed says that a reply of it once was fresh.
+	wasConfirmed bool
 }
 
+// sourceAt returns the source at an address, which it adds if needed.
 func (l *MemberList) sourceAt(address string) *pullSource {
 	source := l.sources[address]
 	if source == nil {
@@ -35,12 +40,12 @@
 	return source
 }
 
-// Failed notes that nobody answered at an address.
+// RecordFailure records that a pull from an address failed.
 func (l *MemberList) RecordFailure(now clock.Mark, address string) {
 	l.sourceAt(address).failedAt = now
 }
 
-// releaseVouches ends all that a peer vouched for at the moment up to which it did.
+// releaseVouches ends what a source vouched for, and keeps the contacts that it did vouch for.
 func (l *MemberList) releaseVouches(source *pullSource) {
 	for id := range source.vouchesFor {
 		if entry := l.entries[id]; entry != nil {
@@ -51,7 +56,14 @@
 	source.vouchedUntil = 0
 }
 
-// LastControlContact is when any control daemon last answered with its list.
+// dropVouches has no source vouch for a member any more.
+func (l *MemberList) dropVouches(id ident.NodeID) {
+	for _, source := range l.sources {
+		delete(source.vouchesFor, id)
+	}
+}
+
+// LastControlContact is the time up to which the latest reply of any control daemon vouched.
 func (l *MemberList) LastControlContact() (latest clock.Mark) {
 	for _, source := range l.sources {
 		if source.servesControl {
--- a/process/cluster/membership/tracker.go
+++ b/process/cluster/membership/tracker.go
@@ -8,94 +8,97 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// controlLostAfter is how long no control daemon must have answered for all to be asked for all they know.
-const controlLostAfter = 1500 * time.Millisecond
-
-// replySlack is how much later than it was held back for an answer may come and still count as fresh.
-const replySlack = 300 * time.Millisecond
-
-// allMembersWindow is how lately those must have been heard that are told of to one that has lost the control daemons.
-const allMembersWindow = 5 * time.Second
+const (
+	// controlLostAfter is how long after the last reply of a control daemon any peer is asked for all members.
+	controlLostAfter = 1500 * time.Millisecond
+	// replySlack is how much longer than the long poll's wait a reply may take and still vouch for its time of arrival.
+	replySlack = 300 * time.Millisecond
+	// allMembersWindow is how recent the last contact with the members must be that a daemon that lost all control
+	// daemons is sent.
+	allMembersWindow = 5 * time.Second
+)
 
-// Tracker is the pure part of Membership: whom a daemon takes for the leader and for the planner, on whose news it
-// relies, and whether it has made sure that what is in force here is not old. It asks nobody and reads no clock.
+// Tracker is the pure core of Membership: the member list, the leader and the planner as far as they are known, and
+// whether this daemon is up to date. It sends nothing and reads no clock.
 type Tracker struct {
-	self string
-	// servesControl says that this daemon serves control.
+	// address is this daemon's own peer address.
+	address       string
 	servesControl bool
 	memberList    *MemberList
 	view          View
-	planner       string
+	// planner is the planner's address; empty if unknown.
+	planner string
 }
 
-// PullTarget is what was asked of an address.
+// PullTarget is where a pull goes, and in which way.
 type PullTarget struct {
 	Address string
-	// Linked questions follow each other, and their answers are held back while nothing is new.
+	// Linked pulls are long polls that follow each other; others are single probes.
 	Linked bool
-	// MaxWait is for how long the answer might be held back.
+	// MaxWait is how long the peer may delay its reply.
 	MaxWait time.Duration
 }
 
-// PullResult is a reply, or the lack of one, to a question. A reply may have waited in a frozen machine's buffers, so it
-// vouches for the moment at which it was asked for.
+// PullResult is the reply to a pull, or its failure. A reply may have waited in the buffers of a frozen machine, so it
+// vouches only for the time at which the request was sent.
 type PullResult struct {
 	PullTarget
 	SentAt, ReceivedAt clock.Mark
-	Reply              *peerapi.PullReply
-	Err                error
+	// Reply is nil if Err is not.
+	Reply *peerapi.PullReply
+	Err   error
 }
 
-// InForce is what a daemon has in force.
+// InForce are the versions that a daemon has in force.
 type InForce struct{ Configuration, Closure ident.Version }
 
-// covers says whether what is in force is at least what a source announces.
-func (f InForce) covers(spec, closure ident.Version) bool {
-	return f.Configuration >= spec && f.Closure >= closure
+// covers reports whether what is in force is at least what a source announces.
+func (f InForce) covers(configuration, closure ident.Version) bool {
+	return f.Configuration >= configuration && f.Closure >= closure
 }
 
 // LocalState is what a daemon knows of itself.
 type LocalState struct {
 	InForce
-	// IsLeader says that it leads the group, Confirmed up to when a majority has confirmed that, for what is in force.
-	IsLeader    bool
+	// IsLeader says that it leads the group.
+	IsLeader bool
+	// ConfirmedAt is the time up to which a majority has confirmed a leader; see Host.ConfirmedAsLeader.
 	ConfirmedAt clock.Mark
-	// FirstRolloutAge is, of a leader, how long any bundle has been in force; negative while none was, zero if it can't tell.
+	// FirstRolloutAge and EnlistedAt: see Host.
 	FirstRolloutAge time.Duration
-	// EnlistedAt is when the group wrote this life down as one that may be serving; zero before.
-	EnlistedAt clock.Mark
-	IsPlanner  bool
+	EnlistedAt      clock.Mark
+	IsPlanner       bool
 }
 
-// FreshnessChange says that a source of news came to be stale, or is so no more.
+// FreshnessChange says that a source became stale or recovered.
 type FreshnessChange struct {
 	Address string
 	Stale   bool
 }
 
-// NewTracker makes what a fresh daemon knows.
-func NewTracker(now clock.Mark, self ident.NodeID, address string, control bool) *Tracker {
-	return &Tracker{self: address, servesControl: control, memberList: NewMemberList(self, address, control),
+// NewTracker makes the state of a daemon that started now.
+func NewTracker(now clock.Mark, self ident.NodeID, address string, servesControl bool) *Tracker {
+	return &Tracker{address: address, servesControl: servesControl, memberList: NewMemberList(self, address, servesControl),
 		view: View{Members: map[ident.NodeID]Member{}, Started: now}}
 }
 
-// MemberList is the list of members.
+// MemberList returns the member list.
 func (t *Tracker) MemberList() *MemberList { return t.memberList }
 
-// View is what is known now.
+// View returns the view as of the last event; Refresh brings it up to date.
 func (t *Tracker) View() View { return t.view }
 
-// Links lists the addresses to ask again and again.
+// Links returns the addresses to keep long polls to.
 func (t *Tracker) Links(now clock.Mark) []string {
 	return t.memberList.Links(now, t.view.LeaderAddress, t.planner)
 }
 
-// ControlLost says whether no control daemon has answered for so long that anyone must be asked for all members.
+// ControlLost reports whether no control daemon has replied for so long that any peer is to be asked for all members.
 func (t *Tracker) ControlLost(now clock.Mark) bool {
 	return now.Since(t.memberList.LastControlContact()) > controlLostAfter
 }
 
-// FillRequest puts into a question what the asker knows of the group and of the daemon that it asks.
+// FillRequest adds to a pull what this daemon knows of the group and has received from the target.
 func (t *Tracker) FillRequest(request *peerapi.PullRequest, target PullTarget) {
 	request.LeaderAddress, request.LeaderTerm, request.PlannerAddress = t.view.LeaderAddress, t.view.LeaderTerm, t.planner
 	request.SourceFreshness = t.memberList.SourceFreshness(target.Address)
@@ -109,7 +112,11 @@
 	}
 }
 
-// HandleResult takes an answer; force is what is in force here after what it brought was taken over.
+// HandleResult takes the result of a pull. inForce is what is in force after the reply was applied. change is not nil if
+// the source became stale or recovered.
+//
+// The order matters: the confirmation is read before the leader is updated, since a stale leader is dropped; and a reply
+// confirms what is in force only if that covers the versions the reply announces.
 func (t *Tracker) HandleResult(now clock.Mark, result PullResult, inForce InForce) (change *FreshnessChange) {
 	if result.Err != nil {
 		t.handleFailure(now, result.PullTarget)
@@ -135,7 +142,7 @@
 	return change
 }
 
-// handleFailure takes the lack of an answer.
+// handleFailure takes the failure of a pull: a leader or planner that does not reply is forgotten.
 func (t *Tracker) handleFailure(now clock.Mark, target PullTarget) {
 	if target.Linked {
 		t.memberList.RecordFailure(now, target.Address)
@@ -148,13 +155,13 @@
 	}
 }
 
-// followGroup takes up the group's name.
+// followGroup takes the group's id. A recovered group's terms and confirmations start anew.
 func (t *Tracker) followGroup(group ident.GroupID) {
 	if group == "" {
 		return
 	}
 	if group != t.view.Group {
-		// Another generation counts its terms anew.
+		// Another generation counts its terms from zero.
 		t.view.LeaderTerm, t.view.UnreachableTerm = 0, 0
 		if t.view.Group != "" {
 			t.memberList.forgetConfirmations()
@@ -163,6 +170,7 @@
 	t.view.Group = group
 }
 
+// mergeMembers merges the members in a reply.
 func (t *Tracker) mergeMembers(now clock.Mark, result PullResult) {
 	reply := result.Reply
 	updates := decodeUpdates(reply.Members)
@@ -171,20 +179,21 @@
 		t.memberList.MergeAll(now, updates)
 	case result.Linked:
 		t.memberList.SetKnownAttributes(result.Address, reply.KnownAttributesVersion)
-		// It vouches for the moment of the answer, unless that lay about for long.
+		// It vouches for its time of arrival, unless it was buffered for longer than the wait explains.
 		vouchedUntil := min(result.ReceivedAt, result.SentAt+clock.Mark(result.MaxWait+replySlack))
-		t.memberList.Merge(now, result.Address, Cursor{Incarnation: reply.MembersIncarnation, Seen: reply.MembersSeen}, reply.MembersFullResync, updates, vouchedUntil)
+		next := Cursor{Incarnation: reply.MembersIncarnation, Seen: reply.MembersSeen}
+		t.memberList.Merge(now, result.Address, next, reply.MembersFullResync, updates, vouchedUntil)
 	}
 }
 
-// RecordPull notes a question that was asked here, and gives the version of the asker's row that is known here.
+// RecordPull records a peer's pull, and returns the version of its attributes that is known here.
 func (t *Tracker) RecordPull(now clock.Mark, request *peerapi.PullRequest) (known uint64) {
 	record := recordOf(request)
 	record.Version, record.HasAttributes = request.AttributesVersion, request.HasAttributes
 	return t.memberList.RecordPull(now, record, time.Duration(request.IntervalMs)*time.Millisecond)
 }
 
-// Tell gives what an asker lacks of the list of members.
+// MembersFor returns the part of a reply that holds the members that the caller misses.
 func (t *Tracker) MembersFor(now clock.Mark, request *peerapi.PullRequest) *peerapi.PullReply {
 	reply := &peerapi.PullReply{}
 	if request.AllMembers {
@@ -193,15 +202,16 @@
 	}
 	changesSince := t.memberList.ChangesSince
 	if request.RegistryUrgentOnly {
-		// The asker's relay tells it the rest.
+		// The caller receives the rest from its relay.
 		changesSince = t.memberList.StatusChangesSince
 	}
 	updates, next, fullResync := changesSince(now, Cursor{Incarnation: request.MembersIncarnation, Seen: request.MembersSeen})
-	reply.Members, reply.MembersIncarnation, reply.MembersSeen, reply.MembersFullResync = encodeUpdates(updates), next.Incarnation, next.Seen, fullResync
+	reply.Members, reply.MembersFullResync = encodeUpdates(updates), fullResync
+	reply.MembersIncarnation, reply.MembersSeen = next.Incarnation, next.Seen
 	return reply
 }
 
-// Refresh is the one place where the view takes up what this daemon knows of itself; it gives the new view.
+// Refresh brings the view up to date with this daemon's own state and returns it.
 func (t *Tracker) Refresh(now clock.Mark, local LocalState) View {
 	view := &t.view
 	view.Members = t.memberList.CachedMembers(now)
@@ -210,16 +220,16 @@
 	}
 	switch {
 	case local.IsLeader:
-		view.LeaderAddress, view.LastLeaderContact, view.LastContact = t.self, now, now
+		view.LeaderAddress, view.LastLeaderContact, view.LastContact = t.address, now, now
 		if local.FirstRolloutAge >= 0 || local.ConfirmedAt >= view.Started {
 			view.PredatesFirstRollout = view.PredatesFirstRollout || predatesFirstRollout(local.FirstRolloutAge, now.Since(view.Started))
 		}
-	case view.LeaderAddress == t.self:
+	case view.LeaderAddress == t.address:
 		t.dropLeader()
 	}
 	if local.IsPlanner {
-		t.planner = t.self
-	} else if t.planner == t.self {
+		t.planner = t.address
+	} else if t.planner == t.address {
 		t.planner = ""
 	}
 	view.PlannerAddress, view.ConfirmedAt = t.planner, t.memberList.ConfirmedAt()
