--- a/process/cluster/membership/source.go
+++ b/process/cluster/membership/source.go
@@ -13,7 +13,7 @@
 type pullSource struct {
 	// cursor is the position up to which its member list was received.
 	cursor Cursor
-	// vouchesFor are the members that it reports as not overdue, and vouchedUntil is the time up to which it does.
+	// vouchedUntil are the members that it reports as not overdue, and vouchedUntil is the time up to which it does.
 	vouchedUntil  clock.Mark
 	vouchesFor    map[ident.NodeID]bool
 	servesControl bool
