--- a/testbed/platformtest/engine/batch.go
+++ b/testbed/platformtest/engine/batch.go
@@ -6,74 +6,8 @@
 	"time"
 
 	"github.com/cresspond/cresspond/clock"
-	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
-// Pace is how fast an engine is, and how much it takes at once.
-type Pace struct {
-	Slots int
-	// Waiting is how many more it queues.
-	Waiting int
-	// Memory is in tokens, for running requests and kept parts together.
-	Memory int64
-	// A step gives each running request a token; it takes Step, PerRun more for each request that runs, and
-	// the time that the prompts read in it take.
-	StepTime, PerRequest time.Duration
-	PrefillPerMs         float64
-	// ReadAtOnce is the most of prompts read in one step.
-	PrefillAtOnce int
-	// Stride is how many tokens one event holds.
-	Stride int
-}
-
-// Job is one request in an engine's hands.
-type Job struct {
-	Number   uint64
-	Prompt   protocol.Prompt
-	Urgency  int
-	Deadline clock.Mark
-	// From is the last event that the caller has already; the run goes on behind it.
-	From int
-	// Probe takes a place and is done at once.
-	HealthCheck bool
-	// Hangs keeps a plain run from ever ending.
-	Hang bool
-
-	// Read and Kept count the tokens that were read, and that had not to be.
-	PrefilledTokens, CachedTokens int
-	prefillLeft                   int
-	generated                     int
-	began                         bool
-	running                       bool
-	ownMemory                     int64
-	pinned                        []*cachedPart
-}
-
-// Began says whether its first token is out.
-func (j *Job) Began() bool { return j.began }
-
-// tokens is how many tokens of its own run it makes.
-func (j *Job) tokens(stride int) int { return max(1, j.Prompt.TokensOut-j.From*stride) }
-
-// kept is one part of a prompt that the engine keeps; it stands for all parts before it too.
-type cachedPart struct {
-	key    string
-	tokens int64
-	// users are running requests, used is when it last was.
-	users int
-	used  uint64
-}
-
-// Sign is one thing that a step brought.
-type Progress struct {
-	Job *Job
-	// Event is the number of an event that is ready; zero is none. Last: it was the last one.
-	Event int
-	Last  bool
-	// Expired: its deadline has passed. PutBack: it had to make room and waits again.
-	Expired, Preempted bool
-}
-
 // Batch decides what an engine works on. It knows no clock and no socket.
 type Batch struct {
 	pace         Pace
@@ -110,7 +44,7 @@
 // Idle says that a step would do nothing.
 func (b *Batch) Idle() bool { return len(b.queue) == 0 && len(b.running) == 0 }
 
-// Offer takes a request in; false turns it away as full.
+// Submit takes a request in; false turns it away as full.
 func (b *Batch) Submit(job *Job) bool {
 	if b.pace.Memory > 0 && int64(job.Prompt.TokensIn+job.Prompt.TokensOut) > b.pace.Memory {
 		return false
@@ -139,7 +73,7 @@
 	}
 }
 
-// Drop takes the waiting requests that match out; those that have begun stay.
+// CancelQueued takes the waiting requests that match out; those that have begun stay.
 func (b *Batch) CancelQueued(match func(*Job) bool) (dropped []*Job) {
 	b.queue = slices.DeleteFunc(b.queue, func(job *Job) bool {
 		if job.began || !match(job) {
@@ -151,30 +85,11 @@
 	return dropped
 }
 
-// Works says whether any request that matches is running, or was put back after it began.
+// Running says whether any request that matches is running, or was put back after it began.
 func (b *Batch) Running(match func(*Job) bool) bool {
 	return slices.ContainsFunc(b.running, match) || slices.ContainsFunc(b.queue, func(job *Job) bool { return job.began && match(job) })
 }
 
-// Forget drops all kept parts of a model, or of an adapter of it.
-func (b *Batch) DropCache(owner string) {
-	for key, cached := range b.cache {
-		if cached.users == 0 && (keyOwner(key) == owner) {
-			b.cachedTokens -= cached.tokens
-			delete(b.cache, key)
-		}
-	}
-}
-
-func keyOwner(key string) string {
-	for i := range key {
-		if key[i] == '|' {
-			return key[:i]
-		}
-	}
-	return key
-}
-
 func (b *Batch) release(job *Job) {
 	b.running = slices.DeleteFunc(b.running, func(other *Job) bool { return other == job })
 	for _, cached := range job.pinned {
@@ -183,43 +98,6 @@
 	job.pinned, job.ownMemory, job.running = nil, 0, false
 }
 
-// room makes room for more tokens by giving up kept parts, those unused longest first.
-func (b *Batch) makeRoom(more int64) bool {
-	if b.pace.Memory == 0 {
-		return true
-	}
-	for {
-		_, all := b.Memory()
-		if all+more <= b.pace.Memory {
-			return true
-		}
-		var oldest *cachedPart
-		for _, cached := range b.cache {
-			// Of parts used at the same time the later in the prompt goes first; a key is longer the later it is.
-			if cached.users == 0 && (oldest == nil || cached.used < oldest.used ||
-				cached.used == oldest.used && (len(cached.key) > len(oldest.key) || len(cached.key) == len(oldest.key) && cached.key < oldest.key)) {
-				oldest = cached
-			}
-		}
-		if oldest == nil {
-			return false
-		}
-		b.cachedTokens -= oldest.tokens
-		delete(b.cache, oldest.key)
-	}
-}
-
-// chain gives the keys of a prompt's parts.
-func partKeys(prompt protocol.Prompt) []string {
-	key := prompt.WriteModel() + "|"
-	keys := make([]string, 0, len(prompt.Parts))
-	for _, cached := range prompt.Parts {
-		key += cached.ID + ","
-		keys = append(keys, key)
-	}
-	return keys
-}
-
 // admit gives waiting requests slots, in order; the first that finds no room stops the rest.
 func (b *Batch) admit(now clock.Mark, progress []Progress) []Progress {
 	for len(b.queue) > 0 {
@@ -275,25 +153,6 @@
 	return true
 }
 
-// keep turns what a request has read into parts that others can use.
-func (b *Batch) cacheParts(job *Job) {
-	keys := partKeys(job.Prompt)
-	for place := len(job.pinned); place < len(keys); place++ {
-		tokens := int64(job.Prompt.Parts[place].Tokens)
-		cached := b.cache[keys[place]]
-		if cached == nil {
-			cached = &cachedPart{key: keys[place], tokens: tokens}
-			b.cache[cached.key] = cached
-			b.cachedTokens += tokens
-		}
-		// Its own copy becomes the common one.
-		job.ownMemory = max(0, job.ownMemory-tokens)
-		cached.users++
-		cached.used = b.clock
-		job.pinned = append(job.pinned, cached)
-	}
-}
-
 // Begin starts a step: it says how long it takes, and what became of those that waited. Zero: nothing to do.
 func (b *Batch) Begin(now clock.Mark) (time.Duration, []Progress) {
 	progress := b.admit(now, nil)
--- a/testbed/platformtest/engine/engine_test.go
+++ b/testbed/platformtest/engine/engine_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// verdict holds what was seen against the rules on answers.
+// violations holds what was seen against the rules on answers.
 func (s *testEngine) violations(rules ...string) (violations []string) {
 	complete := &protocol.Config{Generation: 1, Routes: []protocol.Route{
 		{Label: "s", Authority: "h", PathPrefix: "/s/", Class: protocol.Streaming, DeadlineMs: 30000, Backend: "lm"}, {Label: "p", Authority: "h", PathPrefix: "/p/", Class: protocol.Mutating, DeadlineMs: 30000, Backend: "plain"}}}
--- a/testbed/platformtest/engine/faults.go
+++ b/testbed/platformtest/engine/faults.go
@@ -22,23 +22,23 @@
 const (
 	// Break closes the connection after At bytes of the answer.
 	Break FaultKind = "break"
-	// Surplus writes a whole answer more behind a whole answer.
+	// ExtraAnswer writes a whole answer more behind a whole answer.
 	ExtraAnswer FaultKind = "surplus"
-	// LateSurplus writes a whole answer more before the next answer.
+	// LateExtraAnswer writes a whole answer more before the next answer.
 	LateExtraAnswer FaultKind = "late-surplus"
-	// Junk writes bytes that are no answer.
+	// Malformed writes bytes that are no answer.
 	Malformed FaultKind = "junk"
-	// Foreign answers with another's attempt id.
+	// WrongAttemptID answers with another's attempt id.
 	WrongAttemptID FaultKind = "foreign"
-	// NoID answers without an attempt id.
+	// NoAttemptID answers without an attempt id.
 	NoAttemptID FaultKind = "no-id"
-	// Silence runs the request and says nothing more after At bytes, until the caller closes.
+	// Unresponsive runs the request and says nothing more after At bytes, until the caller closes.
 	Unresponsive FaultKind = "silence"
 	// Hang runs a plain request for ever, in its slot, until the caller closes.
 	Hang FaultKind = "hang"
-	// Own is the engine's own failure, after it has run.
+	// EngineError is the engine's own failure, after it has run.
 	EngineError FaultKind = "own"
-	// Unread closes before it has read the request.
+	// CloseUnread closes before it has read the request.
 	CloseUnread FaultKind = "unread"
 )
 
--- a/testbed/platformtest/engine/holdings.go
+++ b/testbed/platformtest/engine/holdings.go
@@ -1,41 +1,15 @@
 package engine
 
 import (
+	"fmt"
 	"net/http"
 	"slices"
-	"sync"
 	"time"
 
 	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
-// Store is the store of weights of a service; each load takes longer in proportion beyond some at once.
-type Store struct {
-	// AtOnce is how many loads go at full speed; zero is any number.
-	AtOnce int
-
-	mutex sync.Mutex
-	loads int
-}
-
-// begin counts a load in, and says how many times its usual time it takes.
-func (s *Store) begin() float64 {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.loads++
-	if s.AtOnce == 0 || s.loads <= s.AtOnce {
-		return 1
-	}
-	return float64(s.loads) / float64(s.AtOnce)
-}
-
-func (s *Store) end() {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.loads--
-}
-
-// Room is what an engine may hold, and how fast it gets it.
+// Capacity is what an engine may hold, and how fast it gets it.
 type Capacity struct {
 	Catalogue protocol.EngineID
 	// DiskShare is the part of a load's time that it takes from the engine's own disk.
@@ -50,7 +24,7 @@
 type Holdings struct {
 	capacity Capacity
 	models   []protocol.Holding
-	// had are the models that its disk has.
+	// onDisk are the models that its disk has.
 	onDisk  map[string]bool
 	callSeq uint64
 	fence   uint64
@@ -68,12 +42,12 @@
 	return h
 }
 
-// Verdict is what an engine answers to an order, and what follows.
+// OrderResult is what an engine answers to an order, and what follows.
 type OrderResult struct {
 	Status int
-	// Over: it cannot be held, and the engine falls.
+	// OverCapacity: it cannot be held, and the engine falls.
 	OverCapacity bool
-	// Takes is how long a load takes; Store: it comes from the store.
+	// Duration is how long a load takes; Store: it comes from the store.
 	Duration  time.Duration
 	FromStore bool
 }
@@ -87,7 +61,7 @@
 	return nil
 }
 
-// Held gives what is there of a model.
+// Holding gives what is there of a model.
 func (h *Holdings) Holding(label string) *protocol.Holding {
 	for place := range h.models {
 		if h.models[place].Label == label {
@@ -103,7 +77,7 @@
 	return holding != nil && (adapter == "" || slices.Contains(holding.Adapters, adapter))
 }
 
-// Concerned says whether the order under way is about this.
+// InPendingOrder says whether the order under way is about this.
 func (h *Holdings) InPendingOrder(model, adapter string) bool {
 	return h.pending != nil && h.pending.Model == model && (h.pending.Adapter == "" || h.pending.Adapter == adapter)
 }
@@ -205,3 +179,5 @@
 	}
 	return out
 }
+
+func adapterName(n int) string { return fmt.Sprintf("a%d", n) }
--- a/testbed/platformtest/engine/beat.go
+++ b/testbed/platformtest/engine/registration.go
@@ -13,7 +13,7 @@
 	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
-// mostAnswer is the longest acknowledgement that is taken for one.
+// maxAcknowledgement is the longest acknowledgement that is taken for one.
 const maxAcknowledgement = 4 << 10
 
 // controlClient is what engines call the control daemons with.
@@ -27,11 +27,11 @@
 		}}
 }
 
-// caller is how one life calls the control daemons.
+// registrar is how one life calls the control daemons.
 type registrar struct {
 	*incarnation
 	client *http.Client
-	// target is where the last acknowledgement wants later beats, held until a beat fails there.
+	// heartbeatTarget is where the last acknowledgement wants later beats, held until a beat fails there.
 	heartbeatTarget string
 	next            int
 	seq             uint64
@@ -78,7 +78,7 @@
 	return list[c.next%len(list)]
 }
 
-// once sends one beat and says whether it was acknowledged.
+// sendHeartbeat sends one beat and says whether it was acknowledged.
 func (c *registrar) sendHeartbeat() bool {
 	daemon := c.pick()
 	if daemon == "" {
@@ -140,7 +140,7 @@
 	})
 }
 
-// depart says that the life ends; it is tried at each daemon. It says whether one acknowledged it.
+// deregister says that the life ends; it is tried at each daemon. It says whether one acknowledged it.
 func (l *incarnation) deregister() bool {
 	client := controlClient(time.Second)
 	list := l.Config.Controls
@@ -178,3 +178,11 @@
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxAcknowledgement+1))
 	return response.StatusCode, data, err
 }
+
+func encode(value any) []byte {
+	data, err := json.Marshal(value)
+	if err != nil {
+		panic("broken invariant: an answer cannot be written: " + err.Error())
+	}
+	return data
+}
