--- a/testbed/platformtest/checker/configuration.go
+++ b/testbed/platformtest/checker/configuration.go
@@ -32,7 +32,7 @@
 	return places
 }
 
-// deed is one thing that shows which version a machine went by.
+// effect is one thing that shows which version a machine went by.
 type effect struct {
 	attempt *history.Attempt
 	at      clock.Mark
@@ -127,7 +127,7 @@
 	return f
 }
 
-// byLife parts what a machine showed by the lives of its processes.
+// byIncarnation parts what a machine showed by the lives of its processes.
 func (b *index) byIncarnation(machine string, list []effect) map[int][]effect {
 	out := map[int][]effect{}
 	for _, one := range list {
@@ -143,7 +143,7 @@
 	return out
 }
 
-// backIn looks within one life for a request that is handled by an older version than one sent well before showed.
+// revertIn looks within one life for a request that is handled by an older version than one sent well before showed.
 func (b *index) revertIn(f *Finding, machine string, list []effect) {
 	slices.SortStableFunc(list, func(x, y effect) int { return cmp.Compare(x.at, y.at) })
 	// newest is, up to each deed, the newest version that an engine had seen the effect of.
--- a/testbed/platformtest/checker/deadlines.go
+++ b/testbed/platformtest/checker/deadlines.go
@@ -53,7 +53,7 @@
 	return f
 }
 
-// triesOf is the largest number of engines that any version allows for a request.
+// maxAttempts is the largest number of engines that any version allows for a request.
 func (b *index) maxAttempts(attempt *history.Attempt) (most int) {
 	for _, version := range b.versions {
 		if route := version.Config.Find(attempt.Host, pathOf(attempt.URI)); route != nil {
@@ -63,7 +63,7 @@
 	return most
 }
 
-// engineTries holds the engines that one try ran on against what its route allows.
+// engineAttempts holds the engines that one try ran on against what its route allows.
 func (b *index) engineAttempts() Finding {
 	f := Finding{Rule: "BUDGET tries"}
 	var over []string
--- a/testbed/platformtest/checker/judge.go
+++ b/testbed/platformtest/checker/judge.go
@@ -38,11 +38,11 @@
 	f.Violations = append(f.Violations, fmt.Sprintf(format, args...))
 }
 
-// bench is a history, sorted and indexed.
+// index is a history, sorted and indexed.
 type index struct {
 	*history.History
 	bounds Bounds
-	// tries and arrivals are by attempt, lives by engine.
+	// attempts and arrivals are by attempt, lives by engine.
 	attempts     map[string]*history.Attempt
 	arrivals     map[string][]*history.Arrival
 	incarnations map[string]*history.Incarnation
@@ -51,7 +51,7 @@
 	memo               map[string][]int
 }
 
-// Judge runs all rules.
+// CheckAll runs all rules.
 func CheckAll(h *history.History, bounds Bounds) []Finding {
 	b := &index{History: h, memo: map[string][]int{}, bounds: bounds, attempts: map[string]*history.Attempt{}, arrivals: map[string][]*history.Arrival{}, incarnations: map[string]*history.Incarnation{}}
 	slices.SortStableFunc(h.Attempts, func(x, y *history.Attempt) int { return cmp.Compare(x.Began, y.Began) })
@@ -89,7 +89,7 @@
 	}
 }
 
-// troubled says whether anything that matches went on at some time of a span.
+// disrupted says whether anything that matches went on at some time of a span.
 func (b *index) disrupted(from, to clock.Mark, match func(*history.Disruption) bool) bool {
 	for _, disruption := range b.Disruptions {
 		if disruption.From <= to && (disruption.Until == 0 || disruption.Until >= from) && match(disruption) {
@@ -102,7 +102,7 @@
 // before gives the moment a span before another.
 func before(at clock.Mark, span time.Duration) clock.Mark { return at - clock.Mark(span) }
 
-// settled says whether the core was undisturbed through the time of contact before a moment.
+// coreSettled says whether the core was undisturbed through the time of contact before a moment.
 func (b *index) coreSettled(at clock.Mark) bool {
 	return !b.disrupted(before(at, b.bounds.Contact), at, func(t *history.Disruption) bool { return t.Core || t.Kind == history.Closing })
 }
@@ -139,7 +139,7 @@
 	return uri
 }
 
-// due gives the place of the oldest version that a request sent then may be handled by.
+// oldestValid gives the place of the oldest version that a request sent then may be handled by.
 func (b *index) oldestValid(sent clock.Mark, slack time.Duration) int {
 	oldest := 0
 	for place, version := range b.versions {
--- a/testbed/platformtest/checker/kept.go
+++ b/testbed/platformtest/checker/kept.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// keptLostFew is how many requests from kept connections may be lost without an answer.
+	// keepAliveLostFew is how many requests from kept connections may be lost without an answer.
 	keepAliveLostFew = 3
 	// sharesEnough is how many requests of a route show how it is shared out, sharesOff how far each part may be off.
 	sharesEnough = 200
 	sharesOff    = 0.2
 )
 
-// keptLost holds that a request that came on a kept connection and went on to a sound engine is answered.
+// lostOnKeepAlive holds that a request that came on a kept connection and went on to a sound engine is answered.
 func (b *index) lostOnKeepAlive() Finding {
 	f := Finding{Rule: "LOST on kept connections"}
 	var lost []string
--- a/testbed/platformtest/checker/leaving.go
+++ b/testbed/platformtest/checker/leaving.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// goneWithin is how long after a client has left something may still be done for it, and goneFew how many of its
+	// clientClosedWithin is how long after a client has left something may still be done for it, and goneFew how many of its
 	// requests may reach an engine later all the same.
 	clientClosedWithin = 500 * time.Millisecond
 	clientClosedFew    = 3
 )
 
-// gone holds what is done for clients that have left against the rule.
+// afterClientClosed holds what is done for clients that have left against the rule.
 func (b *index) afterClientClosed() Finding {
 	f := Finding{Rule: "GONE"}
 	var sent, atWork []string
@@ -51,7 +51,7 @@
 	return f
 }
 
-// linksTroubled says whether links or engines were in trouble in the time of contact before a span, and in it.
+// linksDisrupted says whether links or engines were in trouble in the time of contact before a span, and in it.
 func (b *index) linksDisrupted(from, to clock.Mark) bool {
 	return b.disrupted(before(from, b.bounds.Contact), to, func(t *history.Disruption) bool { return t.Kind == history.Link })
 }
--- a/testbed/platformtest/checker/requests.go
+++ b/testbed/platformtest/checker/requests.go
@@ -289,7 +289,7 @@
 	return f
 }
 
-// stillAt says whether an engine was still at work on it then.
+// stillRunning says whether an engine was still at work on it then.
 func (b *index) stillRunning(attempt *history.Attempt, at clock.Mark) bool {
 	return slices.ContainsFunc(b.arrivals[attempt.AttemptID], func(a *history.Arrival) bool { return a.At <= at && (a.Ended == 0 || a.Ended > at) })
 }
--- a/testbed/platformtest/client/client.go
+++ b/testbed/platformtest/client/client.go
@@ -27,17 +27,17 @@
 	Resumable        bool
 	Deadline, Target time.Duration
 	Gap              time.Duration
-	// Tries is how often it tries in all.
+	// MaxAttempts is how often it tries in all.
 	MaxAttempts int
-	// LeavesAfter is how long after it was sent the client closes its connection, whatever came; zero is never.
+	// CloseAfter is how long after it was sent the client closes its connection, whatever came; zero is never.
 	CloseAfter time.Duration
 	// Impatient clients try again at once, and do not wait as told.
 	Impatient bool
-	// Outlasts marks one whose work takes longer than its route's deadline.
+	// ExceedsDeadline marks one whose work takes longer than its route's deadline.
 	ExceedsDeadline bool
 	// Probe marks one that shows the configuration in force; Absent: its route is not there.
 	Probe, Absent bool
-	// At sends all tries to this daemon.
+	// Only sends all tries to this daemon.
 	Only *Daemon
 }
 
@@ -51,18 +51,18 @@
 // Client sends requests one after the other.
 type Client struct {
 	Recorder *history.Recorder
-	// Enter picks the daemon for a new connection from a zone; false if there is none.
+	// PickDaemon picks the daemon for a new connection from a zone; false if there is none.
 	PickDaemon func(zone string) (Daemon, bool)
-	// Keeps says that it keeps connections.
+	// KeepAlive says that it keeps connections.
 	KeepAlive bool
-	// NextAttempt gives ids that nobody else gives.
+	// NextAttemptID gives ids that nobody else gives.
 	NextAttemptID func() string
 
 	mutex    sync.Mutex
 	idleConn *Conn
 }
 
-// NewAttempts gives attempt ids from a seed.
+// NewAttemptIDs gives attempt ids from a seed.
 func NewAttemptIDs(seed uint64) func() string {
 	var mutex sync.Mutex
 	random := rand.New(rand.NewPCG(seed, 77))
@@ -127,7 +127,7 @@
 	}
 }
 
-// again says whether the page allows another try after this one.
+// shouldRetry says whether the page allows another try after this one.
 func shouldRetry(r *Request, attempt *history.Attempt) bool {
 	if attempt.Early || attempt.ClientClosed && !r.idempotent() {
 		return false
@@ -146,7 +146,7 @@
 	return attempt.Sent == 0 && !attempt.Connected
 }
 
-// enter gives a connection, kept or new.
+// connect gives a connection, kept or new.
 func (c *Client) connect(ctx context.Context, r *Request, fresh bool) (*Conn, Daemon, error) {
 	c.mutex.Lock()
 	kept := c.idleConn
@@ -171,7 +171,7 @@
 	return conn, daemon, err
 }
 
-// try makes one try.
+// attempt makes one try.
 func (c *Client) attempt(ctx context.Context, r *Request, left time.Duration, lastEvent string, fresh bool) *history.Attempt {
 	attempt := &history.Attempt{Request: r.ID, Kind: r.Kind, Session: r.Session, Zone: r.Zone, AttemptID: c.NextAttemptID(), Host: r.Host, Method: r.Method, URI: r.URI,
 		BodyDigest: protocol.Digest(r.Body), BodyBytes: len(r.Body), Prompt: r.Prompt, LastEvent: lastEvent, DeadlineMs: left.Milliseconds(), TargetMs: r.Target.Milliseconds(),
--- a/testbed/platformtest/client/conn.go
+++ b/testbed/platformtest/client/conn.go
@@ -32,13 +32,13 @@
 	Daemon string
 
 	mutex sync.Mutex
-	// waiting is the try whose answer is due; last is the one before.
+	// awaited is the try whose answer is due; last is the one before.
 	awaited, last *pending
 	requestCount  int
-	// over says that nothing more is read.
+	// readClosed says that nothing more is read.
 	readClosed bool
 	ended      chan struct{}
-	// closes says that the daemon wants it closed, until is how long it may be idle.
+	// closeAnnounced says that the daemon wants it closed, until is how long it may be idle.
 	closeAnnounced bool
 	idleDeadline   clock.Mark
 }
@@ -49,7 +49,7 @@
 	// method decides how an answer is framed.
 	method string
 	done   chan struct{}
-	// beats tells of each event, so that silence can be noticed.
+	// eventReceived tells of each event, so that silence can be noticed.
 	eventReceived chan struct{}
 }
 
@@ -118,7 +118,7 @@
 	close(due.done)
 }
 
-// end finishes a try after which nothing more is read; false.
+// finishAndStop finishes a try after which nothing more is read; false.
 func (c *Conn) finishAndStop(due *pending) bool {
 	c.mutex.Lock()
 	c.readClosed = true
@@ -127,7 +127,7 @@
 	return false
 }
 
-// take reads one answer; false ends the connection.
+// readAnswer reads one answer; false ends the connection.
 func (c *Conn) readAnswer(due *pending) bool {
 	c.recorder.Record(func(*history.History) {
 		if due.attempt.First == 0 {
--- a/testbed/platformtest/fleet/entry.go
+++ b/testbed/platformtest/fleet/entry.go
@@ -16,7 +16,7 @@
 type Entry struct {
 	fleet  *Fleet
 	client *http.Client
-	// every is how often each machine is asked.
+	// interval is how often each machine is asked.
 	interval time.Duration
 
 	mutex  sync.Mutex
@@ -85,14 +85,14 @@
 	}
 }
 
-// In says whether a machine gets new connections.
+// Eligible says whether a machine gets new connections.
 func (e *Entry) Eligible(m *Machine) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.missed[m] < 2
 }
 
-// Enter picks a machine for a client's new connection; a further try of the client meets another.
+// Pick picks a machine for a client's new connection; a further try of the client meets another.
 func (e *Entry) Pick(name string, attempt int, zone string) (client.Daemon, bool) {
 	zones := append([]string{zone}, e.fleet.Plan.Zones...)
 	for _, near := range zones {
--- a/testbed/platformtest/fleet/fleet.go
+++ b/testbed/platformtest/fleet/fleet.go
@@ -63,7 +63,7 @@
 	cmd          *exec.Cmd
 	exited       chan struct{}
 	exitExpected bool
-	// over ends the trouble that it is down for; overFreeze that it is frozen for.
+	// endDowntime ends the trouble that it is down for; overFreeze that it is frozen for.
 	endDowntime, endFreeze func()
 	started                bool
 	removed                bool
@@ -75,9 +75,9 @@
 	Machines []*Machine
 
 	mutex sync.Mutex
-	// lists is the operator's list over time.
+	// coreLists is the operator's list over time.
 	coreLists []coreList
-	// closing is set while one trouble takes all machines.
+	// crashingAll is set while one trouble takes all machines.
 	crashingAll bool
 	stopped     bool
 	exits       sync.WaitGroup
@@ -121,7 +121,7 @@
 	return m
 }
 
-// Of lists the machines of a class that were not removed.
+// OfClass lists the machines of a class that were not removed.
 func (f *Fleet) OfClass(class string) (out []*Machine) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -133,7 +133,7 @@
 	return out
 }
 
-// list notes which core machines the operator's list has from now on.
+// recordCores notes which core machines the operator's list has from now on.
 func (f *Fleet) recordCores() {
 	cores := f.OfClass(Core)
 	f.mutex.Lock()
@@ -173,7 +173,7 @@
 
 func (m *Machine) data() string { return m.folder + ".data" }
 
-// settle writes the settings file as it is at this moment.
+// writeSettings writes the settings file as it is at this moment.
 func (f *Fleet) writeSettings(m *Machine, bootstrap bool) error {
 	seeds := []string{}
 	for _, core := range f.OfClass(Core) {
@@ -230,7 +230,7 @@
 	return nil
 }
 
-// run starts a machine's process.
+// startProcess starts a machine's process.
 func (f *Fleet) startProcess(m *Machine) error {
 	log, err := os.OpenFile(m.Log(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -269,7 +269,7 @@
 	return nil
 }
 
-// ownEnd notes that a process ended by itself, and starts it again as the platform would.
+// onUnexpectedExit notes that a process ended by itself, and starts it again as the platform would.
 func (f *Fleet) onUnexpectedExit(m *Machine) {
 	end := f.Plan.Recorder.BeginDisruption(history.Disruption{Kind: history.UnexpectedExit, Machine: m.Name, Core: m.Class == Core})
 	f.mutex.Lock()
@@ -332,7 +332,7 @@
 	}
 }
 
-// Again starts a machine that is down, with the settings as they are by now.
+// Restart starts a machine that is down, with the settings as they are by now.
 func (f *Fleet) Restart(m *Machine) error {
 	if err := f.writeSettings(m, false); err != nil {
 		return err
@@ -412,7 +412,7 @@
 	return nil
 }
 
-// CloseAll is a closing fault: every process is killed, the disks of some are lost, and all start again.
+// CrashAll is a closing fault: every process is killed, the disks of some are lost, and all start again.
 func (f *Fleet) CrashAll(wiped ...*Machine) error {
 	end := f.Plan.Recorder.BeginDisruption(history.Disruption{Kind: history.Closing, Core: true})
 	f.mutex.Lock()
@@ -442,7 +442,7 @@
 	return nil
 }
 
-// End kills everything; nothing of it counts as anybody's own end.
+// KillAll kills everything; nothing of it counts as anybody's own end.
 func (f *Fleet) KillAll() {
 	f.mutex.Lock()
 	f.stopped = true
--- a/testbed/platformtest/history/history.go
+++ b/testbed/platformtest/history/history.go
@@ -24,7 +24,7 @@
 	LastEvent       string
 	DeadlineMs      int64
 	Prompt          protocol.Prompt
-	// Probe is a request for the health page.
+	// HealthCheck is a request for the health page.
 	HealthCheck bool
 	// Status is what the engine answered with; zero is nothing. NotRun: turned away by its own word.
 	Status   int
@@ -35,11 +35,11 @@
 	// Ended is when the engine had done with it; Whole: it wrote the answer whole.
 	Ended    clock.Mark
 	Complete bool
-	// Broke says that the engine itself broke the answer off, or made junk of it. Left: the caller closed.
+	// Broken says that the engine itself broke the answer off, or made junk of it. Left: the caller closed.
 	Broken, CallerClosed bool
 	// Events are written up to this id; From is the last id of the run that it went on from.
 	From, Events int
-	// ReadTokens were read anew, Kept were not read again.
+	// PrefilledTokens were read anew, Kept were not read again.
 	PrefilledTokens, CachedTokens int
 }
 
@@ -53,23 +53,23 @@
 	Service string
 	Order   protocol.Order
 	Status  int
-	// Over says that it would have gone beyond the engine's room.
+	// OverCapacity says that it would have gone beyond the engine's room.
 	OverCapacity bool
-	// Store says that the load came from the store of weights.
+	// FromStore says that the load came from the store of weights.
 	FromStore bool
 	// Done is when it was carried out.
 	Done clock.Mark
 }
 
-// Life is one life of an engine.
+// Incarnation is one life of an engine.
 type Incarnation struct {
 	Engine, Service, Zone, Address string
 	Began                          clock.Mark
 	Ended                          clock.Mark
-	// DrainAsked is when it first said that it leaves; DrainAcked, when that was acknowledged.
+	// DrainRequested is when it first said that it leaves; DrainAcked, when that was acknowledged.
 	DrainRequested, DrainAcked clock.Mark
 	DrainBy                    string
-	// Holds is what it held at its start.
+	// InitialModels is what it held at its start.
 	InitialModels []protocol.Holding
 	Slots         int
 	// Crashed says that the end was not planned.
@@ -85,7 +85,7 @@
 	Version string
 }
 
-// Try is one try of a client, as it saw it on its socket.
+// Attempt is one try of a client, as it saw it on its socket.
 type Attempt struct {
 	// Request is common to all tries for one answer; Kind names the sort of request, Session whose it is.
 	Request, Kind, Session string
@@ -118,14 +118,14 @@
 	Encoding          string
 	ResponseBody      []byte
 	Events            []Event
-	// Whole says that by its framing the answer came whole.
+	// Complete says that by its framing the answer came whole.
 	Complete bool
-	// GaveUp: the client closed first, at LeftAt. Early: it did so by its own will, and is owed no answer.
+	// ClientClosed: the client closed first, at LeftAt. Early: it did so by its own will, and is owed no answer.
 	ClientClosed, Early bool
 	ClosedAt            clock.Mark
-	// Outlasts: its work takes longer than its route's deadline, so nobody can serve it whole.
+	// ExceedsDeadline: its work takes longer than its route's deadline, so nobody can serve it whole.
 	ExceedsDeadline bool
-	// Junk is what came that is no answer in the protocol, Surplus what came while no request waited.
+	// Malformed is what came that is no answer in the protocol, Surplus what came while no request waited.
 	Malformed, Unsolicited string
 	Err                    string
 }
@@ -133,7 +133,7 @@
 // Success says that it counts as one: 2xx with the whole body.
 func (t *Attempt) Success() bool { return t.Status >= 200 && t.Status < 300 && t.Complete }
 
-// Promise says that the answer promises that the request has not run and never will.
+// PromisesNotRun says that the answer promises that the request has not run and never will.
 func (t *Attempt) PromisesNotRun() bool {
 	switch t.Status {
 	case 429, 503, 408, 421:
@@ -159,7 +159,7 @@
 	Operator   string
 	Base       uint64
 	Generation uint64
-	// Whole is the configuration that it makes; nil if it cannot be known.
+	// Config is the configuration that it makes; nil if it cannot be known.
 	Config *protocol.Config
 	// Fault says why it is invalid; empty is valid.
 	Fault           string
@@ -172,7 +172,7 @@
 	// Method and Body are what was sent; the same with the same base is the same order.
 	Method string
 	Body   []byte
-	// Again says that an order was sent again that had been answered before.
+	// Resent says that an order was sent again that had been answered before.
 	Resent bool
 }
 
@@ -191,7 +191,7 @@
 	Err    string
 }
 
-// Trouble is one thing done to the fleet from outside, unplanned unless Planned says so.
+// Disruption is one thing done to the fleet from outside, unplanned unless Planned says so.
 type Disruption struct {
 	From clock.Mark
 	// Until is zero while it goes on.
@@ -213,11 +213,11 @@
 	UnexpectedExit = "own-end"
 	// Link is trouble of the links between engines and daemons, or of an engine itself.
 	Link = "link"
-	// Machine is trouble of the machine that the rehearsal itself runs on.
+	// TestbedStall is trouble of the machine that the rehearsal itself runs on.
 	TestbedStall = "machine"
 )
 
-// Look is one question for readiness.
+// ReadinessCheck is one question for readiness.
 type ReadinessCheck struct {
 	At      clock.Mark
 	Machine string
@@ -241,7 +241,7 @@
 	Cores, Edges []string
 }
 
-// Book gathers a history from many hands.
+// Recorder gathers a history from many hands.
 type Recorder struct {
 	Clock clock.Clock
 
@@ -249,7 +249,7 @@
 	history History
 }
 
-// NewBook begins one.
+// NewRecorder begins one.
 func NewRecorder(c clock.Clock) *Recorder {
 	return &Recorder{Clock: c, history: History{Began: c.Elapsed()}}
 }
@@ -257,21 +257,21 @@
 // Now is the time by the book's clock.
 func (b *Recorder) Now() clock.Mark { return b.Clock.Elapsed() }
 
-// Note changes the history; what it is given must not be kept.
+// Record changes the history; what it is given must not be kept.
 func (b *Recorder) Record(change func(*History)) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	change(&b.history)
 }
 
-// Trouble notes the beginning of a trouble, and gives back what ends it.
+// BeginDisruption notes the beginning of a trouble, and gives back what ends it.
 func (b *Recorder) BeginDisruption(t Disruption) (over func()) {
 	noted := &t
 	b.Record(func(h *History) { noted.From = b.Now(); h.Disruptions = append(h.Disruptions, noted) })
 	return func() { b.Record(func(*History) { noted.Until = b.Now() }) }
 }
 
-// Read copies the history; all that goes on later is left out.
+// Snapshot copies the history; all that goes on later is left out.
 func (b *Recorder) Snapshot() *History {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/testbed/platformtest/operator/operator.go
+++ b/testbed/platformtest/operator/operator.go
@@ -25,7 +25,7 @@
 	Recorder *history.Recorder
 	// Controls is the list of control daemons, as late as the operator's list is.
 	Controls func() []string
-	// LoseAnswers drops that share of the answers on their way back.
+	// LoseAnswerShare drops that share of the answers on their way back.
 	LoseAnswerShare float64
 
 	mutex  sync.Mutex
@@ -154,7 +154,7 @@
 	return o.change(ctx, http.MethodPatch, history.Change{Base: on.Generation, Generation: patch.Generation, Config: on.Apply(patch), Fault: fault, Patch: true}, body)
 }
 
-// Again sends an order that was answered before once more, byte for byte; the same goes to as many other daemons at
+// Resend sends an order that was answered before once more, byte for byte; the same goes to as many other daemons at
 // the same time, whose answers nobody waits for.
 func (o *Operator) Resend(ctx context.Context, before history.Change, others int) *history.Change {
 	controls := o.Controls()
--- a/testbed/platformtest/scenario/buildfaults.go
+++ b/testbed/platformtest/scenario/buildfaults.go
@@ -9,74 +9,78 @@
 	"github.com/cresspond/cresspond/testbed/platformtest/fleet"
 )
 
-var errOneBuild = errors.New("a fault of two builds needs the other build's program")
-
-// buildFaults restart machines with another build. They are drawn on no day; a day with two builds begins and ends
-// with them, see withUpgrade.
+// buildFaults restart machines with another build. They are never drawn; a run with two builds begins and ends with
+// them, see withUpgrade.
 var buildFaults = []fault{
-	// One machine of each class is upgraded and another one downgraded.
-	{name: "program-swap", rest: 2 * time.Second, play: func(d *Run, ctx context.Context) error {
-		if d.OtherProgram == "" {
-			return errOneBuild
-		}
-		for _, class := range []string{fleet.Core, fleet.Edge} {
-			var chosen []*fleet.Machine
-			for _, program := range []string{d.OtherProgram, d.Program} {
-				if machines := d.running(class, program); len(machines) > 0 {
-					chosen = append(chosen, machines[d.draw(len(machines))])
-				}
-			}
-			for _, machine := range chosen {
-				if err := d.swapProgram(ctx, machine); err != nil {
-					return err
-				}
+	{name: "program-swap", rest: 2 * time.Second, play: (*Run).programSwap},
+	{name: "program-upgrade", rest: 4 * time.Second, play: (*Run).programUpgrade},
+}
+
+// programSwap upgrades one machine of each class and downgrades another one.
+func (r *Run) programSwap(ctx context.Context) error {
+	if r.OtherProgram == "" {
+		return errOneBuild
+	}
+	for _, class := range []string{fleet.Core, fleet.Edge} {
+		var chosen []*fleet.Machine
+		for _, program := range []string{r.OtherProgram, r.Program} {
+			if machines := r.running(class, program); len(machines) > 0 {
+				chosen = append(chosen, machines[r.draw(len(machines))])
 			}
 		}
-		return nil
-	}},
-	// All machines that still run the other build are upgraded, one after the other.
-	{name: "program-upgrade", rest: 4 * time.Second, play: func(d *Run, ctx context.Context) error {
-		if d.OtherProgram == "" {
-			return errOneBuild
+		for _, machine := range chosen {
+			if err := r.swapProgram(ctx, machine); err != nil {
+				return err
+			}
 		}
-		for _, class := range []string{fleet.Core, fleet.Edge} {
-			for _, machine := range d.running(class, d.OtherProgram) {
-				if err := d.swapProgram(ctx, machine); err != nil {
-					return err
-				}
+	}
+	return nil
+}
+
+// programUpgrade upgrades all machines that still run the other build, one after the other.
+func (r *Run) programUpgrade(ctx context.Context) error {
+	if r.OtherProgram == "" {
+		return errOneBuild
+	}
+	for _, class := range []string{fleet.Core, fleet.Edge} {
+		for _, machine := range r.running(class, r.OtherProgram) {
+			if err := r.swapProgram(ctx, machine); err != nil {
+				return err
 			}
 		}
-		return nil
-	}},
+	}
+	return nil
 }
 
-// withUpgrade adds to the faults of a day with two builds: machines change their build early, and in the end all of
+var errOneBuild = errors.New("a fault of two builds needs the other build's program")
+
+// withUpgrade adds to the faults of a run with two builds: machines change their build early, and in the end all of
 // them run Program.
 func withUpgrade(faults []fault) []fault {
 	return slices.Concat(buildFaults[:1], faults, buildFaults[1:])
 }
 
 // running lists the machines of a class that run a program.
-func (d *Run) running(class, program string) []*fleet.Machine {
-	return slices.DeleteFunc(d.Fleet.OfClass(class), func(machine *fleet.Machine) bool { return machine.Program() != program })
+func (r *Run) running(class, program string) []*fleet.Machine {
+	return slices.DeleteFunc(r.Fleet.OfClass(class), func(machine *fleet.Machine) bool { return machine.Program() != program })
 }
 
 // swapProgram restarts a machine with the other build, as planned, and lets it catch up.
-func (d *Run) swapProgram(ctx context.Context, machine *fleet.Machine) error {
-	d.Fleet.SwapProgram(machine)
-	d.Say("%s restarts with %s", machine.Name, machine.Program())
-	if err := d.restart(ctx, machine); err != nil {
+func (r *Run) swapProgram(ctx context.Context, machine *fleet.Machine) error {
+	r.Fleet.SwapProgram(machine)
+	r.Say("%s restarts with %s", machine.Name, machine.Program())
+	if err := r.restart(ctx, machine); err != nil {
 		return err
 	}
-	d.pause(ctx, catchUp)
+	r.pause(ctx, catchUp)
 	return nil
 }
 
-// restart asks a machine's process to end, and starts it again.
-func (d *Run) restart(ctx context.Context, machine *fleet.Machine) error {
-	if d.Fleet.Stop(machine) {
-		d.Say("%s did not end within its grace", machine.Name)
+// restart stops a machine's process gracefully and starts it again.
+func (r *Run) restart(ctx context.Context, machine *fleet.Machine) error {
+	if r.Fleet.Stop(machine) {
+		r.Say("%s did not end within its grace", machine.Name)
 	}
-	d.pause(ctx, 300*ms)
-	return d.Fleet.Restart(machine)
+	r.pause(ctx, 300*ms)
+	return r.Fleet.Restart(machine)
 }
--- a/testbed/platformtest/scenario/rankingfaults.go
+++ b/testbed/platformtest/scenario/rankingfaults.go
@@ -15,93 +15,105 @@
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
-// rankingActs are played only where they are named: they last long, and engines are ranked and drained meanwhile.
-// Whether anything is lost or run twice the judge says, as on any day.
+// rankingFaults are played only where they are named: they last long, and engines are ranked and drained meanwhile.
+// Whether a request is lost or run twice is checked as in any run.
 var rankingFaults = []fault{
-	{name: "node-stall", rest: time.Second, ranking: string(nodehealth.Drain), play: func(d *Run, ctx context.Context) error {
-		list, err := d.awaitRanked(ctx)
-		if err != nil {
-			return err
-		}
-		worse := list[d.draw(len(list))]
-		worse.Slow(80)
-		began := d.Recorder.Now()
-		if err := d.awaitDrained(ctx, worse); err != nil {
-			return err
-		}
-		d.Say("drained after %v", d.Recorder.Now().Since(began).Round(10*ms))
-		// What is left there goes on elsewhere or ends, and it returns by trial.
-		d.pause(ctx, 3*time.Second)
-		worse.Slow(1)
-		return d.awaitStage(ctx, worse, nodehealth.Sound)
-	}},
-	{name: "node-planner-lost", rest: 4 * time.Second, ranking: string(nodehealth.Drain), play: func(d *Run, ctx context.Context) error {
-		list, err := d.awaitRanked(ctx)
-		if err != nil {
-			return err
-		}
-		worse := list[d.draw(len(list))]
-		worse.Slow(100)
-		if err := d.awaitStage(ctx, worse, nodehealth.Suspect); err != nil {
-			return err
-		}
-		// Whoever plans falls while it makes up its mind.
-		planner, err := d.planner(ctx)
-		if err != nil {
-			return err
-		}
-		if err := d.killAndRestart(ctx, planner); err != nil {
-			return err
-		}
-		if err := d.awaitDrained(ctx, worse); err != nil {
-			return err
-		}
-		worse.Slow(1)
-		return d.awaitStage(ctx, worse, nodehealth.Sound)
-	}},
-	{name: "node-flap", rest: time.Second, ranking: string(nodehealth.Drain), play: func(d *Run, ctx context.Context) error {
-		list, err := d.awaitRanked(ctx)
-		if err != nil {
+	{name: "node-stall", rest: time.Second, ranking: string(nodehealth.Drain), play: (*Run).nodeStall},
+	{name: "node-planner-lost", rest: 4 * time.Second, ranking: string(nodehealth.Drain), play: (*Run).nodePlannerLost},
+	{name: "node-flap", rest: time.Second, ranking: string(nodehealth.Drain), play: (*Run).nodeFlap},
+	{name: "node-loaded", rest: time.Second, ranking: string(nodehealth.Drain), play: (*Run).nodeLoaded},
+}
+
+// nodeStall slows an engine until it is drained, and then lets it recover.
+func (r *Run) nodeStall(ctx context.Context) error {
+	list, err := r.awaitRanked(ctx)
+	if err != nil {
+		return err
+	}
+	worse := list[r.draw(len(list))]
+	worse.Slow(80)
+	began := r.Recorder.Now()
+	if err := r.awaitDrained(ctx, worse); err != nil {
+		return err
+	}
+	r.Say("drained after %v", r.Recorder.Now().Since(began).Round(10*ms))
+	// Its requests complete or are resumed elsewhere; then it is readmitted by trial requests.
+	r.pause(ctx, 3*time.Second)
+	worse.Slow(1)
+	return r.awaitStage(ctx, worse, nodehealth.Sound)
+}
+
+// nodePlannerLost kills the planner while it suspects a slow engine.
+func (r *Run) nodePlannerLost(ctx context.Context) error {
+	list, err := r.awaitRanked(ctx)
+	if err != nil {
+		return err
+	}
+	worse := list[r.draw(len(list))]
+	worse.Slow(100)
+	if err := r.awaitStage(ctx, worse, nodehealth.Suspect); err != nil {
+		return err
+	}
+	// The planner crashes before it has decided.
+	planner, err := r.planner(ctx)
+	if err != nil {
+		return err
+	}
+	if err := r.killAndRestart(ctx, planner); err != nil {
+		return err
+	}
+	if err := r.awaitDrained(ctx, worse); err != nil {
+		return err
+	}
+	worse.Slow(1)
+	return r.awaitStage(ctx, worse, nodehealth.Sound)
+}
+
+// nodeFlap slows an engine for 0.7 s of each 2.5 s; no other engine may be drained.
+func (r *Run) nodeFlap(ctx context.Context) error {
+	list, err := r.awaitRanked(ctx)
+	if err != nil {
+		return err
+	}
+	flaps := list[r.draw(len(list))]
+	for range 8 {
+		flaps.Slow(100)
+		r.pause(ctx, 700*ms)
+		flaps.Slow(1)
+		r.pause(ctx, 1800*ms)
+		if err := r.onlyShut(ctx, flaps); err != nil {
 			return err
 		}
-		flaps := list[d.draw(len(list))]
-		for range 8 {
-			flaps.Slow(100)
-			d.pause(ctx, 700*ms)
-			flaps.Slow(1)
-			d.pause(ctx, 1800*ms)
-			if err := d.onlyShut(ctx, flaps); err != nil {
-				return err
-			}
-		}
-		return nil
-	}},
-	{name: "node-loaded", rest: time.Second, ranking: string(nodehealth.Drain), play: func(d *Run, ctx context.Context) error {
-		// Much traffic, and nobody is sick.
-		if _, err := d.awaitRanked(ctx); err != nil {
+	}
+	return nil
+}
+
+// nodeLoaded sends four times the traffic while all engines are healthy; none may be drained.
+func (r *Run) nodeLoaded(ctx context.Context) error {
+	// Heavy traffic, and all engines are healthy.
+	if _, err := r.awaitRanked(ctx); err != nil {
+		return err
+	}
+	r.scaleLoad(4)
+	defer r.scaleLoad(1)
+	for range 10 {
+		r.pause(ctx, time.Second)
+		if err := r.onlyShut(ctx, nil); err != nil {
 			return err
 		}
-		d.scaleLoad(4)
-		defer d.scaleLoad(1)
-		for range 10 {
-			d.pause(ctx, time.Second)
-			if err := d.onlyShut(ctx, nil); err != nil {
-				return err
-			}
-		}
-		return nil
-	}},
+	}
+	return nil
 }
 
-// ranked waits until enough is known of the engines that are ranked.
-func (d *Run) awaitRanked(ctx context.Context) ([]*engine.Engine, error) {
-	// One more than usual, so that there is room for what a drained engine holds alone.
-	if _, err := d.newModel(zones[0], nil, ""); err != nil {
+// awaitRanked adds an engine and waits until all but two have a score.
+func (r *Run) awaitRanked(ctx context.Context) ([]*engine.Engine, error) {
+	// One more than usual, so that there is capacity for models that a drained engine has alone.
+	if _, err := r.newModel(zones[0], nil, ""); err != nil {
 		return nil, err
 	}
-	list := d.enginesOf("lm")
-	err := d.await(ctx, "engines are ranked", func() bool {
-		page, err := d.nodesPage(ctx)
+	list := r.enginesOf("lm")
+	err := r.await(ctx, "engines are ranked", func() bool {
+		page, err := r.nodesPage(ctx)
 		known := 0
 		for _, node := range page.Nodes {
 			if node.Pool == "lm" && node.Score > 0 {
@@ -113,10 +125,10 @@
 	return list, err
 }
 
-// nodes reads the ranks from any core machine, as an operator would.
-func (d *Run) nodesPage(ctx context.Context) (operatorapi.Nodes, error) {
+// nodesPage reads the ranking from any core machine, as an operator would.
+func (r *Run) nodesPage(ctx context.Context) (operatorapi.Nodes, error) {
 	last := errors.New("no core machine runs")
-	for _, m := range d.Fleet.OfClass(fleet.Core) {
+	for _, m := range r.Fleet.OfClass(fleet.Core) {
 		var page operatorapi.Nodes
 		if last = get(ctx, m, operatorapi.PathNodes, &page); last == nil {
 			return page, nil
@@ -143,22 +155,22 @@
 	return json.NewDecoder(response.Body).Decode(into)
 }
 
-// planner finds the core machine that plans.
-func (d *Run) planner(ctx context.Context) (*fleet.Machine, error) {
-	for _, m := range d.Fleet.OfClass(fleet.Core) {
+// planner finds the core machine that holds the planner's lease; where none answers it draws one.
+func (r *Run) planner(ctx context.Context) (*fleet.Machine, error) {
+	for _, m := range r.Fleet.OfClass(fleet.Core) {
 		var status operatorapi.Status
 		if err := get(ctx, m, operatorapi.PathStatus, &status); err == nil && status.Planner != nil && status.Planner.Held {
 			return m, nil
 		}
 	}
-	return d.anyMachine(fleet.Core), nil
+	return r.anyMachine(fleet.Core), nil
 }
 
-// awaitDrained waits until an engine is drained by rank, and fails where another one is first.
-func (d *Run) awaitDrained(ctx context.Context, slow *engine.Engine) error {
+// awaitDrained waits until an engine is drained by its rank, and fails where another one is drained first.
+func (r *Run) awaitDrained(ctx context.Context, slow *engine.Engine) error {
 	id, wrong := ident.EngineID(slow.Current()), ""
-	err := d.await(ctx, "the slow engine is drained", func() bool {
-		page, err := d.nodesPage(ctx)
+	err := r.await(ctx, "the slow engine is drained", func() bool {
+		page, err := r.nodesPage(ctx)
 		if err != nil {
 			return false
 		}
@@ -179,10 +191,10 @@
 	return err
 }
 
-func (d *Run) awaitStage(ctx context.Context, of *engine.Engine, stage nodehealth.Stage) error {
+func (r *Run) awaitStage(ctx context.Context, of *engine.Engine, stage nodehealth.Stage) error {
 	id := ident.EngineID(of.Current())
-	return d.await(ctx, "the engine's stage is "+stage.String(), func() bool {
-		page, err := d.nodesPage(ctx)
+	return r.await(ctx, "the engine's stage is "+stage.String(), func() bool {
+		page, err := r.nodesPage(ctx)
 		if err != nil {
 			return false
 		}
@@ -195,16 +207,16 @@
 	})
 }
 
-// onlyShut fails where the ranking shut any engine but one.
-func (d *Run) onlyShut(ctx context.Context, allowed *engine.Engine) error {
-	page, err := d.nodesPage(ctx)
+// onlyShut fails where the ranking has drained any engine but one.
+func (r *Run) onlyShut(ctx context.Context, allowed *engine.Engine) error {
+	page, err := r.nodesPage(ctx)
 	if err != nil {
-		// Nobody plans for a moment.
+		// There is no planner for a moment.
 		return nil
 	}
 	for _, node := range page.Nodes {
 		if node.ShutFor != "" && (allowed == nil || node.Engine != ident.EngineID(allowed.Current())) {
-			return fmt.Errorf("%s was drained, and is not sick: %s", node.Engine, node.ShutFor)
+			return fmt.Errorf("%s was drained, and is healthy: %s", node.Engine, node.ShutFor)
 		}
 	}
 	return nil
