--- a/testbed/platformtest/checker/deadlines.go
+++ b/testbed/platformtest/checker/deadlines.go
@@ -90,7 +90,7 @@
 	return f
 }
 
-// due is when a request must have its answer by the configurations that may be in force; zero is never.
+// dueBy is when a request must have its answer by the configurations that may be in force; zero is never.
 func (b *index) dueBy(attempt *history.Attempt) clock.Mark {
 	longest := int64(0)
 	for _, version := range b.versions {
--- a/testbed/platformtest/checker/judge.go
+++ b/testbed/platformtest/checker/judge.go
@@ -150,7 +150,7 @@
 	return oldest
 }
 
-// slack is the bound for a configuration that counts for a request: it is longer while the core is unsettled.
+// applyBound is the bound for a configuration that counts for a request: it is longer while the core is unsettled.
 func (b *index) applyBound(sent clock.Mark) time.Duration {
 	if b.coreSettled(sent) && b.coreSettled(before(sent, b.bounds.Apply)) {
 		return b.bounds.Apply
