--- a/connection/gateway/node.go
+++ b/connection/gateway/node.go
@@ -22,12 +22,12 @@
 	if kind == nodehealth.Connect {
 		return class
 	}
-	class.Model, class.Load = f.record.Ask.Model, nodehealth.LoadBand(f.send.Running)
+	class.Model, class.Load = f.record.Attributes.Model, nodehealth.LoadBand(f.send.EngineRunning)
 	switch kind {
 	case nodehealth.Stall:
 		class.TargetMs = f.send.GapTargetMs
 	case nodehealth.Transfer:
-		class.Size = nodehealth.SizeBand(f.send.Reading)
+		class.Size = nodehealth.SizeBand(f.send.PrefillTokens)
 	}
 	return class
 }
@@ -35,7 +35,7 @@
 // connected records how long a fresh connection took.
 func (f *flight) connected(answer *connectionpool.Answer) {
 	if f.Recorder != nil && answer.Connect > 0 {
-		f.Recorder.Cell(f.send.Engine, f.class(nodehealth.Connect)).Delay(answer.Connect)
+		f.Recorder.Cell(f.send.Engine, f.class(nodehealth.Connect)).RecordDelay(answer.Connect)
 	}
 }
 
@@ -52,7 +52,7 @@
 		return
 	}
 	now := f.Clock.Elapsed()
-	f.Recorder.Cell(f.send.Engine, f.class(nodehealth.Transfer)).Delay(now.Since(f.node.left))
+	f.Recorder.Cell(f.send.Engine, f.class(nodehealth.Transfer)).RecordDelay(now.Since(f.node.left))
 	f.node.last = now
 }
 
@@ -70,5 +70,5 @@
 	if s.node.stalls == nil {
 		s.node.stalls = s.Recorder.Cell(s.send.Engine, s.class(nodehealth.Stall))
 	}
-	s.node.stalls.Pause(now.Since(before))
+	s.node.stalls.RecordPause(now.Since(before))
 }
--- a/daemon/counters.go
+++ b/daemon/counters.go
@@ -18,7 +18,7 @@
 	slotRequestsFailed, attemptQueries, attemptsUncertain, attemptsTransferred        atomic.Uint64
 	engineHeartbeats, engineHeartbeatsLate, departuresAcknowledged, departuresUnknown atomic.Uint64
 	memberFaults, listenerFaults, notHandedOver, turnedStale                          atomic.Uint64
-	// ordersUnproven counts operators' calls whose fate the replicated state could not prove any more.
+	// appliesUnproven counts operators' calls whose fate the replicated state could not prove any more.
 	appliesUnproven atomic.Uint64
 	// group counts what this daemon's members of the control group noticed, over all their lives.
 	group replica.Counters
@@ -54,7 +54,7 @@
 	say("tenure_lost", c.leasesLost.Load())
 	say("mint_refused", d.generator.Refusals())
 	say("pulls", d.members.Pulls.Load())
-	say("pulls_failed", d.members.Failed.Load())
+	say("pulls_failed", d.members.FailedPulls.Load())
 	say("sources_left_as_stale", d.members.StaleSources.Load())
 	say("turned_stale", c.turnedStale.Load())
 	if confirmed := d.confirmed(); confirmed > 0 {
@@ -126,7 +126,7 @@
 	}
 }
 
-// countForwarding lists the counters of opaque requests.
+// eachForwardingCounter lists the counters of opaque requests.
 func (d *Daemon) eachForwardingCounter(say func(name string, value uint64)) {
 	side := &d.forwarding
 	if side.gateway == nil {
@@ -134,45 +134,45 @@
 	}
 	var c forwarding.Counters
 	held := 0
-	side.actor.Ask(func(core *forwarding.Core, _ forwarding.World) { c, held = core.Counters, core.HeldNow() })
+	side.actor.Do(func(core *forwarding.Core, _ forwarding.Environment) { c, held = core.Counters, core.QueueLength() })
 	say("opaque_read", side.gateway.Counters.Read.Load())
 	say("opaque_unreadable", side.gateway.Counters.Unreadable.Load())
 	say("opaque_too_large", side.gateway.Counters.TooLarge.Load())
 	say("opaque_open", uint64(max(0, side.gateway.Open())))
 	say("opaque_no_path", c.NoPath)
-	say("opaque_held", c.Held)
+	say("opaque_held", c.Queued)
 	say("opaque_held_now", uint64(held))
-	for place, count := range c.HeldFor {
-		say("opaque_held_for_"+forwarding.LackNames[place], count)
+	for place, count := range c.QueuedBy {
+		say("opaque_held_for_"+forwarding.BlockReasonNames[place], count)
 	}
-	for place, count := range c.EndedFor {
+	for place, count := range c.EndedBy {
 		say("opaque_ended_"+strings.ReplaceAll(forwarding.CauseNames[place], "-", "_"), count)
 	}
 	say("opaque_shed", c.Shed)
-	say("opaque_refused", c.Refused)
-	say("opaque_lost", c.Broken)
-	say("opaque_broken_off", c.BrokenOff)
-	say("opaque_whole", c.Whole)
-	say("opaque_engine_failures", c.Failed)
+	say("opaque_refused", c.Rejected)
+	say("opaque_lost", c.EndedAfterLoss)
+	say("opaque_broken_off", c.Truncated)
+	say("opaque_whole", c.Completed)
+	say("opaque_engine_failures", c.EngineErrors)
 	say("opaque_callers_left", c.CallersLeft)
 	say("opaque_streams", side.gateway.Counters.Streams.Load())
 	say("opaque_streams_resumed", c.Resumed)
-	say("attempts_moved_off", c.Moved)
-	say("attempts_stayed_at_emptied", c.Stayed)
+	say("attempts_moved_off", c.Migrated)
+	say("attempts_stayed_at_emptied", c.MigrationsDeclined)
 	say("opaque_events", side.gateway.Counters.Events.Load())
 	say("opaque_unsealed", side.gateway.Counters.Unsealed.Load())
 	say("attempts_first", c.Sent)
-	say("attempts_again", c.SentAgain)
-	say("attempts_again_denied", c.AgainDenied)
+	say("attempts_again", c.Retried)
+	say("attempts_again_denied", c.RetriesDenied)
 	say("attempts_speculative", c.Speculative)
-	say("attempts_speculative_refused", c.SpeculativeRefused)
-	say("attempts_held_back", c.HeldBack)
-	say("attempts_never_sent", c.NeverSent)
-	say("attempts_refused_by_engine", c.EngineRefused)
+	say("attempts_speculative_refused", c.SpeculativeRejected)
+	say("attempts_held_back", c.Withheld)
+	say("attempts_never_sent", c.Unreachable)
+	say("attempts_refused_by_engine", c.RejectedByEngine)
 	say("attempts_misdirected", c.Misdirected)
-	say("attempts_lost", c.Lost)
-	say("attempts_junk", c.Junk)
-	say("attempts_cut", c.Cut)
+	say("attempts_lost", c.ResponsesLost)
+	say("attempts_junk", c.ProtocolErrors)
+	say("attempts_cut", c.StreamsBroken)
 	say("choices_of_last_resort", c.LastResort)
 	p := &side.pools.Counters
 	busy, idle := side.pools.Open()
@@ -225,7 +225,7 @@
 	say("engines_spared", judged.Suppressed)
 }
 
-// count lists the counters of the ranking.
+// eachCounter lists the counters of the ranking.
 func (n *nodeRanking) eachCounter(say func(name string, value uint64)) {
 	if !n.on() {
 		return
@@ -246,9 +246,9 @@
 	say("ranking_suspected", c.Suspected)
 	say("ranking_cleared", c.Cleared)
 	say("ranking_drains", c.Drains)
-	say("ranking_releases", c.Releases)
+	say("ranking_releases", c.Reopened)
 	say("ranking_relapses", c.Relapses)
-	say("ranking_sounded", c.Sounded)
+	say("ranking_sounded", c.Recovered)
 	for place, count := range c.Refused {
 		if why := nodehealth.Refusal(place); why != nodehealth.Allowed {
 			say("ranking_refused_"+why.Name(), count)
--- a/daemon/demand.go
+++ b/daemon/demand.go
@@ -21,9 +21,9 @@
 // mostOutcomes bounds what is kept of others' outcomes until the planner takes them.
 const maxPeerOutcomes = 2000
 
-// Wants adds what this daemon holds and asks for, for whoever plans; it says whether anything waits. Where only
+// AddDemand adds what this daemon holds and asks for, for whoever plans; it says whether anything waits. Where only
 // what waits is worth a question, nothing is added if nothing does.
-func (d *Daemon) Wants(request *peerapi.PullRequest, onlyWaiting bool) (waits bool) {
+func (d *Daemon) AddDemand(request *peerapi.PullRequest, onlyWaiting bool) (waits bool) {
 	if !d.config.Serves(daemonconfig.Route) {
 		return false
 	}
@@ -61,8 +61,8 @@
 	demands := d.forwarding.actor.Demands()
 	out := make([]*peerapi.Demand, 0, len(demands))
 	for _, one := range demands {
-		out = append(out, &peerapi.Demand{Pool: one.Pool, Model: one.Model, Adapter: one.Adapter, Queued: int64(one.Held), Running: int64(one.Running),
-			Tokens: one.Tokens, Arrivals: one.Arrivals, OldestMs: one.Oldest.Milliseconds(), Rank: int64(one.Rank)})
+		out = append(out, &peerapi.Demand{Pool: one.Pool, Model: one.Model, Adapter: one.Adapter, Queued: int64(one.Queued), Running: int64(one.Running),
+			Tokens: one.TokensPerSecond, Arrivals: one.ArrivalsPerSecond, OldestMs: one.OldestQueuedFor.Milliseconds(), Rank: int64(one.Rank)})
 	}
 	return out
 }
@@ -123,7 +123,7 @@
 
 // hearOutcomes takes what an asker saw of engines, where this daemon plans.
 func (d *Daemon) receiveOutcomes(in *peerapi.PullRequest) {
-	if len(in.Outcomes) == 0 || !d.Plans() {
+	if len(in.Outcomes) == 0 || !d.IsPlanner() {
 		return
 	}
 	told := outlier.Observation{Zone: ident.ZoneID(in.Zone)}
--- a/testbed/platformtest/scenario/rankingfaults.go
+++ b/testbed/platformtest/scenario/rankingfaults.go
@@ -40,7 +40,7 @@
 	// Its requests complete or are resumed elsewhere; then it is readmitted by trial requests.
 	r.pause(ctx, 3*time.Second)
 	worse.Slow(1)
-	return r.awaitStage(ctx, worse, nodehealth.Sound)
+	return r.awaitStage(ctx, worse, nodehealth.Healthy)
 }
 
 // nodePlannerLost kills the planner while it suspects a slow engine.
@@ -66,7 +66,7 @@
 		return err
 	}
 	worse.Slow(1)
-	return r.awaitStage(ctx, worse, nodehealth.Sound)
+	return r.awaitStage(ctx, worse, nodehealth.Healthy)
 }
 
 // nodeFlap slows an engine for 0.7 s of each 2.5 s; no other engine may be drained.
