--- a/testbed/platformtest/checker/deadlines.go
+++ b/testbed/platformtest/checker/deadlines.go
@@ -53,7 +53,7 @@
 	return f
 }
 
-// triesOf is the largest number of engines that any version allows for a request.
+// maxAttempts is the largest number of engines that any version allows for a request.
 func (b *index) maxAttempts(attempt *history.Attempt) (most int) {
 	for _, version := range b.versions {
 		if route := version.Config.Find(attempt.Host, pathOf(attempt.URI)); route != nil {
@@ -63,7 +63,7 @@
 	return most
 }
 
-// engineTries holds the engines that one try ran on against what its route allows.
+// engineAttempts holds the engines that one try ran on against what its route allows.
 func (b *index) engineAttempts() Finding {
 	f := Finding{Rule: "BUDGET tries"}
 	var over []string
@@ -90,7 +90,7 @@
 	return f
 }
 
-// due is when a request must have its answer by the configurations that may be in force; zero is never.
+// dueBy is when a request must have its answer by the configurations that may be in force; zero is never.
 func (b *index) dueBy(attempt *history.Attempt) clock.Mark {
 	longest := int64(0)
 	for _, version := range b.versions {
