--- a/daemon/applybundle.go
+++ b/daemon/applybundle.go
@@ -41,21 +41,21 @@
 	ticker := time.NewTicker(applyRetryEvery)
 	defer ticker.Stop()
 	var request *peerapi.ApplyRequest
-	told := ""
+	redirected := ""
 	for {
 		answer, outcome := d.applyAsLeader(bounded, call)
 		if outcome == replica.Applied {
 			return answer
 		}
-		address := told
-		if told = ""; address == "" {
+		address := redirected
+		if redirected = ""; address == "" {
 			address = d.leaderAddress()
 		}
 		if address != "" && address != d.config.ReachedAt() && bounded.Err() == nil {
 			if request == nil {
 				request = d.applyRequest(call)
 			}
-			if answer, told, outcome = d.sendApply(bounded, address, request); outcome == replica.Applied {
+			if answer, redirected, outcome = d.sendApply(bounded, address, request); outcome == replica.Applied {
 				return answer
 			}
 		}
@@ -82,7 +82,7 @@
 }
 
 // sendApply asks another daemon that may lead; told is where it says that the leader is.
-func (d *Daemon) sendApply(ctx context.Context, address string, request *peerapi.ApplyRequest) (answer operatorapi.Applying, told string, outcome replica.Outcome) {
+func (d *Daemon) sendApply(ctx context.Context, address string, request *peerapi.ApplyRequest) (answer operatorapi.Applying, redirected string, outcome replica.Outcome) {
 	until, _ := ctx.Deadline()
 	bounded, cancel := d.whileLeader(ctx, address, time.Until(until))
 	defer cancel()
@@ -136,15 +136,15 @@
 // leadApply carries a call out as the leader. Whatever it answers but Unknown is proved by the state. An answer that
 // says Unknown is final all the same: no other leader could prove more.
 func (d *Daemon) applyAsLeader(ctx context.Context, call operatorapi.Apply) (operatorapi.Applying, replica.Outcome) {
-	held := d.replica.Load()
-	if held == nil || !held.Status().IsLeader {
+	groupMember := d.replica.Load()
+	if groupMember == nil || !groupMember.Status().IsLeader {
 		return operatorapi.Applying{}, replica.NotLeader
 	}
 	if !d.config.OneStep {
 		return operatorapi.Applying{Outcome: operatorapi.Forbidden, Reason: "this fleet's bundles are reviewed and signed off; propose it instead"}, replica.Applied
 	}
 	var standing directapply.Standing
-	if outcome := held.Read(ctx, func(state *statemachine.State) { standing = directapply.Look(state, call) }); outcome != replica.Applied {
+	if outcome := groupMember.Read(ctx, func(state *statemachine.State) { standing = directapply.Look(state, call) }); outcome != replica.Applied {
 		return operatorapi.Applying{}, outcome
 	}
 	decision, inTime := d.decideApply(ctx, call, standing)
@@ -153,7 +153,7 @@
 	}
 	answer := decision.Answer
 	if decision.Submit != nil {
-		got := held.Submit(ctx, *decision.Submit)
+		got := groupMember.Submit(ctx, *decision.Submit)
 		if got.Outcome != replica.Applied {
 			return operatorapi.Applying{}, got.Outcome
 		}
--- a/daemon/attemptowners.go
+++ b/daemon/attemptowners.go
@@ -41,118 +41,118 @@
 // among all that were heard before the latest of them fell silent.
 func selectAttemptOwners(attempt string, view *membership.View, now clock.Mark, self string) attemptOwners {
 	leaderSeen := view.HeardLeader > 0 && now.Since(view.HeardLeader) <= contactWindow
-	var current, before, stopping []string
+	var current, before, draining []string
 	routersSeen, routersKnown := 0, 0
-	for _, fellow := range view.Fellows {
-		silent := now.Since(fellow.Heard)
-		if !fellow.Ready {
+	for _, peer := range view.Fellows {
+		sinceContact := now.Since(peer.Heard)
+		if !peer.Ready {
 			// One that stops hands its memory on, and is asked while it is there.
-			if silent <= contactWindow {
-				stopping = append(stopping, fellow.Address)
+			if sinceContact <= contactWindow {
+				draining = append(draining, peer.Address)
 			}
 			continue
 		}
-		if silent <= contactWindow {
-			current = append(current, fellow.Address)
+		if sinceContact <= contactWindow {
+			current = append(current, peer.Address)
 		}
-		if silent <= contactWindow+uncertainWindow {
-			before = append(before, fellow.Address)
+		if sinceContact <= contactWindow+uncertainWindow {
+			before = append(before, peer.Address)
 		}
-		if fellow.Serves(string(daemonconfig.Route)) && (silent <= contactWindow+uncertainWindow || !leaderSeen) {
+		if peer.Serves(string(daemonconfig.Route)) && (sinceContact <= contactWindow+uncertainWindow || !leaderSeen) {
 			routersKnown++
-			if silent <= contactWindow {
+			if sinceContact <= contactWindow {
 				routersSeen++
 			}
 		}
 	}
 	if len(before) == 0 {
 		// Where all stop together, they are each other's homes to the last.
-		before, stopping = stopping, nil
+		before, draining = draining, nil
 	}
-	h := attemptOwners{informed: map[string]string{}, onlyDaemon: len(before) <= 1 && len(stopping) == 0}
+	owners := attemptOwners{informed: map[string]string{}, onlyDaemon: len(before) <= 1 && len(draining) == 0}
 	// Where the two halves of a split are equal, the one that sees the leader goes on.
-	h.minoritySide = 2*routersSeen < routersKnown || 2*routersSeen == routersKnown && !leaderSeen
+	owners.minoritySide = 2*routersSeen < routersKnown || 2*routersSeen == routersKnown && !leaderSeen
 	key := "attempt " + attempt
 	add := func(from []string, knows bool) {
 		slices.Sort(from)
 		first, second := affinity.Owners(key, from)
-		for home, partner := range map[string]string{first: second, second: first} {
-			if home == "" {
+		for owner, partner := range map[string]string{first: second, second: first} {
+			if owner == "" {
 				continue
 			}
-			if !slices.Contains(h.query, home) {
-				h.query = append(h.query, home)
+			if !slices.Contains(owners.query, owner) {
+				owners.query = append(owners.query, owner)
 			}
 			if knows {
-				h.informed[home] = partner
+				owners.informed[owner] = partner
 			}
 		}
 	}
 	add(before, true)
 	add(current, false)
-	add(slices.Concat(before, stopping), false)
-	if !slices.Contains(h.query, self) {
+	add(slices.Concat(before, draining), false)
+	if !slices.Contains(owners.query, self) {
 		// What this daemon remembers itself costs nothing to ask.
-		h.query = append(h.query, self)
+		owners.query = append(owners.query, self)
 	}
-	return h
+	return owners
 }
 
 // askHomes puts one question to all homes of an attempt at once, and weighs what they say.
-func (d *Daemon) queryAttemptOwners(ask deduplication.Ask) deduplication.Decision {
+func (d *Daemon) queryAttemptOwners(query deduplication.Ask) deduplication.Decision {
 	self := d.config.ReachedAt()
 	// Where each attempt arrives once, no other daemon and no earlier life can know of one.
 	local := d.config.Attempts == daemonconfig.LocalAttempts
-	h := attemptOwners{query: []string{self}, informed: map[string]string{self: ""}, onlyDaemon: true}
+	owners := attemptOwners{query: []string{self}, informed: map[string]string{self: ""}, onlyDaemon: true}
 	if !local {
-		h = selectAttemptOwners(ask.Attempt, d.members.View(), d.clock.Elapsed(), self)
+		owners = selectAttemptOwners(query.Attempt, d.members.View(), d.clock.Elapsed(), self)
 	}
-	type said struct {
+	type ownerReply struct {
 		home  string
 		reply *peerapi.AttemptReply
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), ownerLimit)
 	defer cancel()
-	answers := make(chan said, len(h.query))
-	for _, home := range h.query {
+	answers := make(chan ownerReply, len(owners.query))
+	for _, owner := range owners.query {
 		client := peerapi.Fellow(d)
-		if home != self {
-			client = d.links.To(home)
+		if owner != self {
+			client = d.links.To(owner)
 			d.counters.attemptQueries.Add(1)
 		}
-		request := &peerapi.AttemptRequest{Attempt: ask.Attempt, Owner: ask.Owner, Digest: ask.Digest, AgeMs: ask.Age.Milliseconds(), Action: string(ask.Act), OtherOwnerAddress: h.informed[home]}
+		request := &peerapi.AttemptRequest{Attempt: query.Attempt, Owner: query.Owner, Digest: query.Digest, AgeMs: query.Age.Milliseconds(), Action: string(query.Act), OtherOwnerAddress: owners.informed[owner]}
 		go func() {
 			reply, err := client.Attempt(ctx, request)
 			if err != nil {
 				reply = nil
 			}
-			answers <- said{home, reply}
+			answers <- ownerReply{owner, reply}
 		}()
 	}
-	var heard deduplication.Answers
-	for range h.query {
+	var replies deduplication.Answers
+	for range owners.query {
 		answer := <-answers
 		if answer.reply == nil {
 			continue
 		}
-		heard.Given = append(heard.Given, deduplication.Answer(answer.reply.Outcome))
-		_, knows := h.informed[answer.home]
-		heard.Knew = heard.Knew || knows && (local || !answer.reply.Fresh)
+		replies.Given = append(replies.Given, deduplication.Answer(answer.reply.Outcome))
+		_, knows := owners.informed[answer.home]
+		replies.Knew = replies.Knew || knows && (local || !answer.reply.Fresh)
 		// A daemon that may be cut off must not be the only one that knows.
-		heard.Written = heard.Written || answer.home != self || h.onlyDaemon
+		replies.Written = replies.Written || answer.home != self || owners.onlyDaemon
 	}
-	heard.Knew = heard.Knew && !h.minoritySide
-	verdict := deduplication.Decide(heard)
-	if verdict == deduplication.Doubt {
+	replies.Knew = replies.Knew && !owners.minoritySide
+	decision := deduplication.Decide(replies)
+	if decision == deduplication.Doubt {
 		d.counters.attemptsUncertain.Add(1)
 	}
-	return verdict
+	return decision
 }
 
 // askFor makes the question about one record of this daemon.
-func (d *Daemon) attemptQuery(act deduplication.Act, id dispatch.RecordID, request dispatch.Request, arrived clock.Mark) deduplication.Ask {
+func (d *Daemon) attemptQuery(action deduplication.Act, id dispatch.RecordID, request dispatch.Request, arrived clock.Mark) deduplication.Ask {
 	return deduplication.Ask{Attempt: request.Attempt, Owner: string(d.nodeID) + "/" + strconv.FormatUint(uint64(id), 10),
-		Digest: request.Digest, Age: d.clock.Elapsed().Since(arrived), Act: act}
+		Digest: request.Digest, Age: d.clock.Elapsed().Since(arrived), Act: action}
 }
 
 // young says whether this life may lack attempts of the one before. Where it saw the group before any
@@ -164,16 +164,16 @@
 
 // Attempt answers for the attempts whose home this daemon is.
 func (d *Daemon) Attempt(_ context.Context, in *peerapi.AttemptRequest) (*peerapi.AttemptReply, error) {
-	act := deduplication.Act(in.Action)
-	if in.Attempt == "" || in.Owner == "" || act != deduplication.Claim && act != deduplication.Refuse && act != deduplication.Free {
+	action := deduplication.Act(in.Action)
+	if in.Attempt == "" || in.Owner == "" || action != deduplication.Claim && action != deduplication.Refuse && action != deduplication.Free {
 		d.counters.malformedMessages.Add(1)
 		return nil, twirp.NewError(twirp.InvalidArgument, "this asks nothing about an attempt")
 	}
-	reply, young := &peerapi.AttemptReply{}, d.recentlyStarted()
+	reply, startedRecently := &peerapi.AttemptReply{}, d.recentlyStarted()
 	if !d.attempts.Do(func(now clock.Mark, memory *deduplication.Memory) {
 		reply.Outcome = string(memory.Take(now, deduplication.Ask{Attempt: in.Attempt, Owner: in.Owner, Digest: in.Digest,
-			Age: time.Duration(in.AgeMs) * time.Millisecond, Act: act}))
-		reply.Fresh = young && !memory.Whole(in.OtherOwnerAddress)
+			Age: time.Duration(in.AgeMs) * time.Millisecond, Act: action}))
+		reply.Fresh = startedRecently && !memory.Whole(in.OtherOwnerAddress)
 	}) {
 		return nil, twirp.NewError(twirp.Unavailable, "this daemon is stopping")
 	}
--- a/daemon/attemptowners_test.go
+++ b/daemon/attemptowners_test.go
@@ -24,11 +24,11 @@
 	return view
 }
 
-// TestWhoAsksLaterMeetsWhoWroteOrDoubts: one daemon writes an attempt down at its homes, then some daemons
+// TestLaterAttemptQueryMeetsAnInformedOwnerOrIsUncertain: one daemon writes an attempt down at its homes, then some daemons
 // die, stop or come, and another asks. It must ask a living home that was written to, or have none that counts as knowing.
-func TestWhoAsksLaterMeetsWhoWroteOrDoubts(t *testing.T) {
+func TestLaterAttemptQueryMeetsAnInformedOwnerOrIsUncertain(t *testing.T) {
 	met, doubted := 0, 0
-	run := func(seed uint64, silentFor time.Duration) (unsafe bool) {
+	run := func(seed uint64, sinceContact time.Duration) (unsafe bool) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		view := fleetOf(2 + random.IntN(10))
 		attempt := fmt.Sprint("attempt-", seed)
@@ -39,20 +39,20 @@
 			ids = append(ids, id)
 		}
 		slices.Sort(ids)
-		now := minute + clock.Mark(silentFor)
+		now := minute + clock.Mark(sinceContact)
 		for _, id := range ids {
-			fellow := view.Fellows[id]
-			fellow.Heard = now
+			peer := view.Fellows[id]
+			peer.Heard = now
 			switch random.IntN(4) {
 			case 0:
 				if id != "d1#1" {
-					fellow.Heard = minute
-					dead[fellow.Address] = true
+					peer.Heard = minute
+					dead[peer.Address] = true
 				}
 			case 1:
-				fellow.Ready = random.IntN(3) > 0
+				peer.Ready = random.IntN(3) > 0
 			}
-			view.Fellows[id] = fellow
+			view.Fellows[id] = peer
 		}
 		for i := range random.IntN(3) {
 			id := ident.NodeID(fmt.Sprintf("new%d#1", i))
@@ -61,14 +61,14 @@
 		view.HeardLeader = now
 		later := selectAttemptOwners(attempt, view, now, "10.0.0.1:1")
 		knows, meets := false, false
-		for _, home := range later.query {
-			if dead[home] {
+		for _, owner := range later.query {
+			if dead[owner] {
 				continue
 			}
-			fresh := home[:6] == "10.0.1"
-			_, knower := later.informed[home]
+			fresh := owner[:6] == "10.0.1"
+			_, knower := later.informed[owner]
 			knows = knows || knower && !fresh
-			meets = meets || slices.Contains(written, home)
+			meets = meets || slices.Contains(written, owner)
 		}
 		if meets {
 			met++
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestOnlyOneSideOfASplitTakesWhatMayNotRunTwice(t *testing.T) {
+func TestOnlyOneSideOfAPartitionRunsNonIdempotentAttempts(t *testing.T) {
 	for size := 2; size <= 11; size++ {
 		for there := 0; there <= size; there++ {
 			for _, leaderHere := range []bool{true, false} {
@@ -108,9 +108,9 @@
 					view := fleetOf(size)
 					for i := from; i < to; i++ {
 						id := ident.NodeID(fmt.Sprintf("d%d#1", i))
-						fellow := view.Fellows[id]
-						fellow.Heard = now
-						view.Fellows[id] = fellow
+						peer := view.Fellows[id]
+						peer.Heard = now
+						view.Fellows[id] = peer
 					}
 					if seesLeader {
 						view.HeardLeader = now
--- a/daemon/calllimits_test.go
+++ b/daemon/calllimits_test.go
@@ -27,68 +27,68 @@
 )
 
 // madeUp is a clock of made-up time, in which only waiting takes any.
-type madeUp struct{ began time.Time }
+type virtualClock struct{ began time.Time }
 
-func (c madeUp) Elapsed() clock.Mark { return clock.Mark(time.Hour + time.Since(c.began)) }
-func (c madeUp) Wall() time.Time     { return time.Now() }
+func (c virtualClock) Elapsed() clock.Mark { return clock.Mark(time.Hour + time.Since(c.began)) }
+func (c virtualClock) Wall() time.Time     { return time.Now() }
 
 // kept is a disk that keeps nothing, at once.
-type kept struct{}
+type discardDisk struct{}
 
-func (kept) Write(ident.GroupID, raft.Save) error { return nil }
+func (discardDisk) Write(ident.GroupID, raft.Save) error { return nil }
 
 // lines joins members in one process; a member that is cut says and hears nothing.
-type lines struct {
-	members map[raft.MemberID]*replica.Replica
-	cut     map[raft.MemberID]*atomic.Bool
-	self    raft.MemberID
+type memoryNetwork struct {
+	members     map[raft.MemberID]*replica.Replica
+	partitioned map[raft.MemberID]*atomic.Bool
+	self        raft.MemberID
 }
 
-func (l lines) Send(group ident.GroupID, member raft.Member, messages []raft.Message) {
-	if !l.cut[l.self].Load() && !l.cut[member.ID].Load() {
+func (l memoryNetwork) Send(group ident.GroupID, member raft.Member, messages []raft.Message) {
+	if !l.partitioned[l.self].Load() && !l.partitioned[member.ID].Load() {
 		l.members[member.ID].Receive(group, fmt.Sprint("core-", l.self), messages)
 	}
 }
 
 // silent is a network in which nobody answers.
-type silent struct{}
+type unresponsiveNetwork struct{}
 
-func (silent) RoundTrip(request *http.Request) (*http.Response, error) {
+func (unresponsiveNetwork) RoundTrip(request *http.Request) (*http.Response, error) {
 	<-request.Context().Done()
 	return nil, request.Context().Err()
 }
 
 // inGroup puts a daemon into a group of three, as its leader or as another, and cuts the leader off. act is
 // then called with the daemon.
-func inGroup(t *testing.T, leads bool, act func(t *testing.T, d *Daemon, measure func(call func()) time.Duration)) {
+func inGroup(t *testing.T, leads bool, check func(t *testing.T, d *Daemon, measure func(call func()) time.Duration)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer synctest.Wait()
 		defer cancel()
-		now := madeUp{time.Now()}
+		now := virtualClock{time.Now()}
 		const group = ident.GroupID("aa")
 		var members raft.Membership
 		for id := range raft.MemberID(3) {
 			members.Members = append(members.Members, raft.Member{ID: id + 1, Name: fmt.Sprint("core-", id+1), Address: fmt.Sprint("core-", id+1), Voter: true})
 		}
 		first := raft.Restored{HardState: raft.HardState{Term: 1}, Snapshot: raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: statemachine.New().Snapshot()}}
-		all, cut := map[raft.MemberID]*replica.Replica{}, map[raft.MemberID]*atomic.Bool{}
+		all, partitioned := map[raft.MemberID]*replica.Replica{}, map[raft.MemberID]*atomic.Bool{}
 		for _, member := range members.Members {
-			cut[member.ID] = &atomic.Bool{}
-			made, err := replica.New(member, group, first, replica.DefaultConfig(), now, kept{}, lines{all, cut, member.ID})
+			partitioned[member.ID] = &atomic.Bool{}
+			made, err := replica.New(member, group, first, replica.DefaultConfig(), now, discardDisk{}, memoryNetwork{all, partitioned, member.ID})
 			if err != nil {
 				t.Fatal(err)
 			}
 			all[member.ID] = made
 		}
-		for _, one := range all {
-			go one.Run(ctx)
+		for _, member := range all {
+			go member.Run(ctx)
 		}
 		leader := raft.MemberID(0)
 		for leader == 0 {
 			<-time.After(replica.TickInterval)
-			for id, one := range all {
-				if one.Status().IsLeader {
+			for id, member := range all {
+				if member.Status().IsLeader {
 					leader = id
 				}
 			}
@@ -104,7 +104,7 @@
 		settings.Serve = []daemonconfig.Role{daemonconfig.Control}
 		d := New(settings, "test", &log.Logger{Handler: discard.Default}, WithClock(now))
 		d.learnGroup(group)
-		d.links = peerclient.New(ctx, settings.FellowAddress, "", peerclient.WithTransport(silent{}))
+		d.links = peerclient.New(ctx, settings.FellowAddress, "", peerclient.WithTransport(unresponsiveNetwork{}))
 		d.members = membership.New(now, d, d.seeds, settings.FellowAddress, d.pace())
 		d.registry = registry.New(now, string(d.nodeID), true, d.heartbeatPeriod, d.controlContact)
 		go d.registry.Run(ctx)
@@ -113,12 +113,12 @@
 			t.Fatalf("%s takes %s for the leader, not core-%d", settings.Name, got, leader)
 		}
 		if leads {
-			cut[leader].Store(true)
+			partitioned[leader].Store(true)
 		} else {
 			// The leader acts on; it is this one's calls that nobody answers.
-			cut[self].Store(true)
+			partitioned[self].Store(true)
 		}
-		act(t, d, func(call func()) time.Duration {
+		check(t, d, func(call func()) time.Duration {
 			began := time.Now()
 			call()
 			return time.Since(began)
@@ -126,23 +126,23 @@
 	})
 }
 
-// TestNoCallWaitsPastItsLimitWhereNobodyAnswers: whoever calls at a daemon that is cut off is told so within the
+// TestCallsReturnWithinTheirLimitWhenTheGroupIsUnreachable: whoever calls at a daemon that is cut off is told so within the
 // second that tools take for a dead daemon, at every moment of the cut, to the millisecond of made-up time.
-func TestNoCallWaitsPastItsLimitWhereNobodyAnswers(t *testing.T) {
+func TestCallsReturnWithinTheirLimitWhenTheGroupIsUnreachable(t *testing.T) {
 	bundle := []byte(`{"name":"b","forward":{"revision":1,"pools":[{"name":"p"}],"paths":[]}}`)
-	whole := operatorapi.Apply{Digest: "whole", Operator: "ana", Whole: bundle}
+	full := operatorapi.Apply{Digest: "whole", Operator: "ana", Whole: bundle}
 	patch := operatorapi.Apply{Digest: "patch", Operator: "ana", Patch: &upstream.Patch{Revision: 2}}
 	// What packs bundles is shared by the whole process, so it is made outside of any made-up time.
 	if _, err := compression.Unpack(compression.Pack(bundle)); err != nil {
 		t.Fatal(err)
 	}
-	word := registry.Registration{ID: "e", Pool: "p", Address: "a:1", Slots: 1, CallSeq: 1, Draining: true}
+	registration := registry.Registration{ID: "e", Pool: "p", Address: "a:1", Slots: 1, CallSeq: 1, Draining: true}
 	for _, leads := range []bool{true, false} {
 		for _, after := range []time.Duration{0, 100 * time.Millisecond, 700 * time.Millisecond, 5 * time.Second} {
 			t.Run(fmt.Sprintf("leads %t, %v after the cut", leads, after), func(t *testing.T) {
 				inGroup(t, leads, func(t *testing.T, d *Daemon, measure func(func()) time.Duration) {
 					<-time.After(after)
-					for _, call := range []operatorapi.Apply{whole, patch} {
+					for _, call := range []operatorapi.Apply{full, patch} {
 						var got operatorapi.Applying
 						if took := measure(func() { got = d.ApplyBundle(t.Context(), call) }); took > applyLimit || got.Outcome != operatorapi.Unknown {
 							t.Errorf("an order: %s after %v", got.Outcome, took)
@@ -153,7 +153,7 @@
 						t.Errorf("reading back: %t after %v", known, took)
 					}
 					var outcome registry.Response
-					if took := measure(func() { outcome = d.Register(t.Context(), word) }); took > departureLimit || outcome.Outcome != registry.Unknown {
+					if took := measure(func() { outcome = d.Register(t.Context(), registration) }); took > departureLimit || outcome.Outcome != registry.Unknown {
 						t.Errorf("a leaving: %s after %v", outcome.Outcome, took)
 					}
 					if took := measure(func() { outcome = d.Deregister(t.Context(), "f") }); took > departureLimit || outcome.Outcome != registry.Unknown {
--- a/daemon/changetrace.go
+++ b/daemon/changetrace.go
@@ -14,26 +14,26 @@
 
 // trace gathers every daemon's steps for one change; state tells the newest epochs of the group.
 func (d *Daemon) changeTrace(change string, state []byte) []byte {
-	var known traceState
-	_ = json.Unmarshal(state, &known)
+	var newest traceState
+	_ = json.Unmarshal(state, &newest)
 	kind, number := "", uint64(0)
 	if before, after, found := strings.Cut(change, ":"); found {
 		kind = before
 		_, _ = fmt.Sscanf(after, "%d", &number)
 	}
-	epoch := known.Spec
+	version := newest.Configuration
 	if kind == "closure" {
-		epoch = known.Closure
+		version = newest.Closure
 	}
-	out := operatorapi.Trace{Change: change, Rows: []operatorapi.TraceRow{}, Epoch: ident.Version(epoch), Known: number > 0 && number <= epoch}
+	out := operatorapi.Trace{Change: change, Rows: []operatorapi.TraceRow{}, Epoch: ident.Version(version), Known: number > 0 && number <= version}
 	now := d.clock.Elapsed()
-	unheard := known.Serving
-	for _, fellow := range d.members.View().InContact(now, time.Minute) {
-		row := operatorapi.TraceRow{NodeID: fellow.NodeID, Zone: fellow.Zone, HeardMsAgo: now.Since(fellow.Heard).Milliseconds()}
-		if at := slices.Index(unheard, fellow.NodeID); at >= 0 {
-			row.Serving, unheard = true, slices.Delete(unheard, at, at+1)
+	unseen := newest.Serving
+	for _, peer := range d.members.View().InContact(now, time.Minute) {
+		row := operatorapi.TraceRow{NodeID: peer.NodeID, Zone: peer.Zone, HeardMsAgo: now.Since(peer.Heard).Milliseconds()}
+		if at := slices.Index(unseen, peer.NodeID); at >= 0 {
+			row.Serving, unseen = true, slices.Delete(unseen, at, at+1)
 		}
-		for _, step := range fellow.Steps {
+		for _, step := range peer.Steps {
 			if step.Change != change {
 				continue
 			}
@@ -46,14 +46,14 @@
 				row.InForceMs = step.UnixMs
 			}
 		}
-		held := fellow.SpecEpoch
+		appliedVersion := peer.SpecEpoch
 		if kind == "closure" {
-			held = fellow.ClosureEpoch
+			appliedVersion = peer.ClosureEpoch
 		}
-		row.Missing = uint64(held) < number
+		row.Missing = uint64(appliedVersion) < number
 		out.Rows = append(out.Rows, row)
 	}
-	for _, node := range unheard {
+	for _, node := range unseen {
 		// It may be serving and has not been heard for long, so the change can't count as in force there.
 		out.Rows = append(out.Rows, operatorapi.TraceRow{NodeID: node, HeardMsAgo: -1, Missing: true, Serving: true})
 	}
--- a/daemon/commands.go
+++ b/daemon/commands.go
@@ -122,8 +122,8 @@
 
 // lead carries a command out as the leader.
 func (d *Daemon) submitAsLeader(ctx context.Context, command statemachine.Command) (rollout.Response, replica.Outcome) {
-	held := d.replica.Load()
-	if held == nil || !held.Status().IsLeader {
+	groupMember := d.replica.Load()
+	if groupMember == nil || !groupMember.Status().IsLeader {
 		return rollout.Response{}, replica.NotLeader
 	}
 	if command.Op == statemachine.OpPropose {
@@ -137,10 +137,10 @@
 		}
 	}
 	if _, refused := d.refusal(command); refused {
-		return d.refuseAsLeader(ctx, held, command)
+		return d.refuseAsLeader(ctx, groupMember, command)
 	}
 	began := d.clock.Elapsed()
-	got := held.Submit(ctx, command)
+	got := groupMember.Submit(ctx, command)
 	answer := rollout.Response{Result: got.Result}
 	if command.Op == statemachine.OpLeave && got.Outcome == replica.Applied {
 		d.awaitDepartureKnown(ctx, command.Engine)
@@ -149,44 +149,44 @@
 	if got.Outcome != replica.Applied || got.Result.Verdict != statemachine.Done {
 		return answer, got.Outcome
 	}
-	var specEpoch, closureEpoch ident.Version
+	var configurationVersion, closureVersion ident.Version
 	switch command.Op {
 	case statemachine.OpRoll:
-		specEpoch = got.Result.Proposal.Epoch
+		configurationVersion = got.Result.Proposal.Epoch
 	case statemachine.OpClosure, statemachine.OpKeep, statemachine.OpLost:
-		closureEpoch = got.Result.Closures.Epoch
+		closureVersion = got.Result.Closures.Epoch
 	default:
 		return answer, got.Outcome
 	}
 	// Acknowledged means: on a majority's disks, and in force at every daemon that may be serving.
-	reach := d.members.AwaitReach(ctx, specEpoch, closureEpoch, reachLimit-d.clock.Elapsed().Since(began),
-		func() []ident.NodeID { return held.Status().ServingDaemons })
+	reach := d.members.AwaitReach(ctx, configurationVersion, closureVersion, reachLimit-d.clock.Elapsed().Since(began),
+		func() []ident.NodeID { return groupMember.Status().ServingDaemons })
 	answer.InForceAt, answer.Missing, answer.Acknowledged = reach.Have, reach.Lack, reach.All
 	return answer, got.Outcome
 }
 
 // refusal says why a command is refused by what this daemon knows beside the log, if it is.
 func (d *Daemon) refusal(command statemachine.Command) (rollout.Response, bool) {
-	refuse := func(verdict statemachine.Verdict, reason string) (rollout.Response, bool) {
-		return rollout.Response{Result: statemachine.Result{Verdict: verdict, Reason: reason}}, true
+	refuse := func(outcome statemachine.Verdict, reason string) (rollout.Response, bool) {
+		return rollout.Response{Result: statemachine.Result{Verdict: outcome, Reason: reason}}, true
 	}
-	switch t := d.rollout.Table(); {
-	case command.Op == statemachine.OpClosure && command.Closed && t != nil:
+	switch table := d.rollout.Table(); {
+	case command.Op == statemachine.OpClosure && command.Closed && table != nil:
 		// A name that the bundle does not know is a slip: called closed, it would shut nothing. Engines that
 		// register themselves stand in no bundle, and a bundle on them need not name zones.
-		_, engineKnown := t.Engine(command.Engine)
-		engineKnown = engineKnown || t.Forward != nil
-		zoneKnown := t.HasZone(command.Zone) || t.Forward != nil && len(t.Spec.Zones) == 0
+		_, engineKnown := table.Engine(command.Engine)
+		engineKnown = engineKnown || table.Forward != nil
+		zoneKnown := table.HasZone(command.Zone) || table.Forward != nil && len(table.Spec.Zones) == 0
 		if command.Engine != "" && !engineKnown || command.Zone != "" && !zoneKnown {
 			return refuse(statemachine.Missing, "the bundle in force has no such zone or engine")
 		}
 	case command.Op == statemachine.OpLost:
-		fellow, known := d.members.View().Fellows[command.Lost]
+		peer, known := d.members.View().Fellows[command.Lost]
 		if !known {
 			break
 		}
 		// One that speaks is not lost: it can be stopped as planned, and then needs no such word.
-		if ago := d.clock.Elapsed().Since(fellow.Heard); ago < lostAfter {
+		if ago := d.clock.Elapsed().Since(peer.Heard); ago < lostAfter {
 			return refuse(statemachine.Conflict, fmt.Sprintf("%s was heard %d ms ago; stop it instead", command.Lost, ago.Milliseconds()))
 		}
 	}
@@ -195,9 +195,9 @@
 
 // refuseAsLeader refuses a command for good, if a majority confirms that this daemon leads and what it knows is not
 // older than what is committed. Otherwise nothing is said: whoever leads by now may take the command.
-func (d *Daemon) refuseAsLeader(ctx context.Context, held *replica.Replica, command statemachine.Command) (rollout.Response, replica.Outcome) {
+func (d *Daemon) refuseAsLeader(ctx context.Context, groupMember *replica.Replica, command statemachine.Command) (rollout.Response, replica.Outcome) {
 	var committed ident.Version
-	if outcome := held.Read(ctx, func(state *statemachine.State) { committed = state.Epoch() }); outcome != replica.Applied {
+	if outcome := groupMember.Read(ctx, func(state *statemachine.State) { committed = state.Epoch() }); outcome != replica.Applied {
 		return rollout.Response{}, outcome
 	}
 	answer, refused := d.refusal(command)
--- a/daemon/configuration.go
+++ b/daemon/configuration.go
@@ -11,19 +11,19 @@
 func (d *Daemon) stateChanged(state *statemachine.State) {
 	d.applyDepartures(state)
 	closures := state.Closures.Clone()
-	epoch, inForce := state.Epoch(), statemachine.Proposal{}
+	version, inForce := state.Epoch(), statemachine.Proposal{}
 	if found, ok := state.InForce(); ok {
 		inForce = *found
 	}
 	// Not waited for: unpacking a bundle and building its table must not hold up the group.
-	go d.rollout.Offer(epoch, inForce.Packing(), &closures)
+	go d.rollout.Offer(version, inForce.Packing(), &closures)
 }
 
 // swapped is called after each change that is in force here.
 func (d *Daemon) configurationChanged() {
-	if t := d.rollout.Table(); t != nil {
-		if mark, lost := t.Closures.Lost[d.nodeID]; lost {
-			d.abort(eris.Errorf("this daemon was declared lost by %s, and so must not serve; start it again", mark.Operator))
+	if table := d.rollout.Table(); table != nil {
+		if closure, lost := table.Closures.Lost[d.nodeID]; lost {
+			d.abort(eris.Errorf("this daemon was declared lost by %s, and so must not serve; start it again", closure.Operator))
 		}
 	}
 	d.bell.ring(urgent)
@@ -40,9 +40,9 @@
 }
 
 // InForce is what this daemon has in force.
-func (d *Daemon) InForce() (spec, closure ident.Version) {
-	if t := d.rollout.Table(); t != nil {
-		return t.Epoch, t.Closures.Epoch
+func (d *Daemon) InForce() (configuration, closure ident.Version) {
+	if table := d.rollout.Table(); table != nil {
+		return table.Epoch, table.Closures.Epoch
 	}
 	return 0, 0
 }
--- a/daemon/configurationhistory.go
+++ b/daemon/configurationhistory.go
@@ -32,32 +32,32 @@
 			return
 		case <-ticker.C:
 		}
-		t := d.rollout.Table()
+		table := d.rollout.Table()
 		// Bundles that are applied in one step come often and are large, and the group itself keeps the newest.
-		if t == nil || t.Forward != nil {
+		if table == nil || table.Forward != nil {
 			continue
 		}
-		asked := 0
+		requested := 0
 		// The newest first, since the bound on their size drops the oldest.
-		for epoch := t.Epoch - 1; epoch >= 1 && asked < historyBatch && d.rollout.Lacks(epoch); epoch-- {
-			if _, known := d.rollout.Recall(epoch); known {
+		for version := table.Epoch - 1; version >= 1 && requested < historyBatch && d.rollout.Lacks(version); version-- {
+			if _, known := d.rollout.Recall(version); known {
 				continue
 			}
-			asked++
-			if raw := d.fetchConfiguration(ctx, epoch); len(raw) > 0 {
-				d.rollout.Remember(epoch, raw)
+			requested++
+			if raw := d.fetchConfiguration(ctx, version); len(raw) > 0 {
+				d.rollout.Remember(version, raw)
 			}
 		}
 	}
 }
 
 // fetchBundle asks the group for an earlier bundle, and a fellow where there is no group.
-func (d *Daemon) fetchConfiguration(ctx context.Context, epoch ident.Version) []byte {
+func (d *Daemon) fetchConfiguration(ctx context.Context, version ident.Version) []byte {
 	bounded, cancel := context.WithTimeout(ctx, historyLimit)
 	defer cancel()
 	if d.leaderAddress() != "" {
 		var proposal statemachine.Proposal
-		if found, ok := d.Look(bounded, "spec", fmt.Sprint(epoch)); ok && json.Unmarshal(found, &proposal) == nil {
+		if found, ok := d.Look(bounded, "spec", fmt.Sprint(version)); ok && json.Unmarshal(found, &proposal) == nil {
 			raw, err := proposal.Bundle()
 			if err != nil {
 				return nil
@@ -66,11 +66,11 @@
 		}
 		return nil
 	}
-	fellows := d.members.View().InContact(d.clock.Elapsed(), contactWindow)
-	if len(fellows) == 0 {
+	peers := d.members.View().InContact(d.clock.Elapsed(), contactWindow)
+	if len(peers) == 0 {
 		return nil
 	}
-	recalled, err := d.links.To(fellows[rand.IntN(len(fellows))].Address).Recall(bounded, &peerapi.RecallRequest{Version: uint64(epoch)})
+	recalled, err := d.links.To(peers[rand.IntN(len(peers))].Address).Recall(bounded, &peerapi.RecallRequest{Version: uint64(version)})
 	if err != nil {
 		return nil
 	}
@@ -84,8 +84,8 @@
 func (d *Daemon) Recall(_ context.Context, in *peerapi.RecallRequest) (*peerapi.RecallReply, error) {
 	raw, _ := d.rollout.Recall(ident.Version(in.Version))
 	out := &peerapi.RecallReply{Configuration: raw}
-	if t := d.rollout.Table(); t != nil {
-		out.Closures = rollout.EncodeClosures(t.Closures)
+	if table := d.rollout.Table(); table != nil {
+		out.Closures = rollout.EncodeClosures(table.Closures)
 	}
 	return out, nil
 }
--- a/daemon/controlcontact.go
+++ b/daemon/controlcontact.go
@@ -17,13 +17,13 @@
 	byAddress map[string]clock.Mark
 }
 
-func (h *syncTimes) record(address string, asked clock.Mark) {
+func (h *syncTimes) record(address string, requestedAt clock.Mark) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.byAddress == nil {
 		h.byAddress = map[string]clock.Mark{}
 	}
-	h.byAddress[address] = max(h.byAddress[address], asked)
+	h.byAddress[address] = max(h.byAddress[address], requestedAt)
 }
 
 func (h *syncTimes) latest(address string) clock.Mark {
@@ -44,14 +44,14 @@
 }
 
 // contactOf is contact for a view; heard is up to when a control daemon at an address has told all that it heard.
-func contactOf(view *membership.View, self ident.NodeID, now clock.Mark, heard func(address string) clock.Mark, period time.Duration, alone func() bool) registry.Connectivity {
+func contactOf(view *membership.View, self ident.NodeID, now clock.Mark, syncedAt func(address string) clock.Mark, period time.Duration, alone func() bool) registry.Connectivity {
 	out, others := registry.Connectivity{Horizon: now}, 0
-	for _, fellow := range view.Fellows {
-		if fellow.NodeID == self || !fellow.Serves(string(daemonconfig.Control)) || now.Since(fellow.Heard) > membership.ContactWindow {
+	for _, peer := range view.Fellows {
+		if peer.NodeID == self || !peer.Serves(string(daemonconfig.Control)) || now.Since(peer.Heard) > membership.ContactWindow {
 			continue
 		}
 		others++
-		out.Horizon = min(out.Horizon, heard(fellow.Address))
+		out.Horizon = min(out.Horizon, syncedAt(peer.Address))
 	}
 	out.CanDetectTimeouts = now.Since(out.Horizon) <= period && (others > 0 || alone()) && now.Since(view.HeardLeader) <= membership.ContactWindow
 	return out
@@ -59,6 +59,6 @@
 
 // alone says whether this daemon is the whole group.
 func (d *Daemon) soleVoter() bool {
-	held := d.replica.Load()
-	return held != nil && len(held.Status().Membership.Voters()) == 1 && held.Status().IsLeader
+	groupMember := d.replica.Load()
+	return groupMember != nil && len(groupMember.Status().Membership.Voters()) == 1 && groupMember.Status().IsLeader
 }
--- a/daemon/controlcontact_test.go
+++ b/daemon/controlcontact_test.go
@@ -11,17 +11,17 @@
 )
 
 // contactClock stands still.
-type contactClock struct{ now clock.Mark }
+type fixedClock struct{ now clock.Mark }
 
-func (c contactClock) Elapsed() clock.Mark { return c.now }
-func (c contactClock) Wall() time.Time     { return time.Time{} }
+func (c fixedClock) Elapsed() clock.Mark { return c.now }
+func (c fixedClock) Wall() time.Time     { return time.Time{} }
 
 // A daemon that only routes judges no engine silent, and does not go through the fleet several times a second for it:
 // it has no list of members here.
-func TestWhoeverOnlyRoutesJudgesNobody(t *testing.T) {
+func TestRouteOnlyDaemonNeverMarksEnginesUnresponsive(t *testing.T) {
 	settings := daemonconfig.Default()
 	settings.Serve = []daemonconfig.Role{daemonconfig.Route}
-	d := &Daemon{config: settings, clock: contactClock{clock.Mark(time.Minute)}}
+	d := &Daemon{config: settings, clock: fixedClock{clock.Mark(time.Minute)}}
 	if contact := d.controlContact(); contact.CanDetectTimeouts || contact.Horizon != clock.Mark(time.Minute) {
 		t.Errorf("%+v", contact)
 	}
@@ -29,7 +29,7 @@
 
 // Two control daemons of five that are cut off together hear each other as well as before, and not the beats that go
 // to the other three: they judge no engine silent. One in touch with the leader does, and so does the leader.
-func TestWhoIsCutOffTogetherJudgesNobody(t *testing.T) {
+func TestControlDaemonsPartitionedTogetherNeverMarkEnginesUnresponsive(t *testing.T) {
 	const now, period = clock.Mark(time.Hour), time.Second
 	ago := func(span time.Duration) clock.Mark { return now - clock.Mark(span) }
 	for name, c := range map[string]struct {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -78,9 +78,9 @@
 	poolPlanning *poolPlanning
 
 	// lacks is what the planner last said that it will not load soon.
-	unplaced atomic.Pointer[receivedUnplaced]
+	shortages atomic.Pointer[receivedShortages]
 	// poolLacks is the same of the pools.
-	poolUnplaced atomic.Pointer[receivedPoolUnplaced]
+	poolShortages atomic.Pointer[receivedPoolShortages]
 
 	// bell wakes those whose answers are held back. toldNews are the versions told from here, heardNews those
 	// heard; beatNews, urgentTold, drainingNow, heldLacks and bundleSeen are what was last found new.
@@ -89,7 +89,7 @@
 	lastPolled                     polledState
 	urgentNotified                 atomic.Uint64
 	enginesDraining                atomic.Bool
-	unplacedReport                 atomic.Pointer[unplacedReport]
+	shortageReport                 atomic.Pointer[shortageReport]
 	configurationSeen              atomic.Pointer[configurationSeen]
 
 	peerDemandMutex sync.Mutex
@@ -121,22 +121,22 @@
 }
 
 // New makes a daemon from checked settings.
-func New(c daemonconfig.Config, version string, logger log.Interface, options ...Option) *Daemon {
-	var life [4]byte
-	if _, err := rand.Read(life[:]); err != nil {
+func New(config daemonconfig.Config, version string, logger log.Interface, options ...Option) *Daemon {
+	var incarnation [4]byte
+	if _, err := rand.Read(incarnation[:]); err != nil {
 		panic("broken invariant: no randomness: " + err.Error())
 	}
 	d := &Daemon{
-		config: c, version: version, clock: clock.System{},
+		config: config, version: version, clock: clock.System{},
 		// Each life of a daemon is a holder of its own, so an earlier life's ids can't be minted again.
-		nodeID:        ident.NodeID(c.Name + "#" + hex.EncodeToString(life[:])),
+		nodeID:        ident.NodeID(config.Name + "#" + hex.EncodeToString(incarnation[:])),
 		replicaConfig: replica.DefaultConfig(), adoptedGroup: make(chan ident.GroupID, 1), fatal: make(chan error, 4), unreadyAnswered: make(chan struct{}, 8),
 		applySlot: make(chan struct{}, 1), applyLimit: applyLimit, applyReach: applyReach,
 		peerDemand: map[ident.NodeID]*demand.Receiver{}, affinityTable: affinity.NewTable(), wrapDisk: func(disk replica.Disk) replica.Disk { return disk }, stallLimit: stallLimit, overrunLimit: overrunLimit,
 	}
-	d.replicaConfig.Voters, d.replicaConfig.Build = c.Voters, version
-	if c.Compaction.Entries > 0 {
-		d.replicaConfig.CompactEntries, d.replicaConfig.RetainEntries = c.Compaction.Entries, c.Compaction.Keep
+	d.replicaConfig.Voters, d.replicaConfig.Build = config.Voters, version
+	if config.Compaction.Entries > 0 {
+		d.replicaConfig.CompactEntries, d.replicaConfig.RetainEntries = config.Compaction.Entries, config.Compaction.Keep
 	}
 	d.log = logger.WithField("node", string(d.nodeID))
 	for _, option := range options {
@@ -145,7 +145,7 @@
 	none := ident.GroupID("")
 	d.group.Store(&none)
 	d.generator = snowflake.New(d.clock, leaseMargin)
-	d.current.Store(&c)
+	d.current.Store(&config)
 	d.bell, d.callerGate = newBell(), newGate()
 	d.sentVersions.randomize()
 	return d
@@ -158,12 +158,12 @@
 func (d *Daemon) Bounds() daemonconfig.Bounds { return d.current.Load().Bounds }
 
 // Reload takes over what may change in a daemon's life from settings that were read again.
-func (d *Daemon) Reload(c daemonconfig.Config) {
+func (d *Daemon) Reload(config daemonconfig.Config) {
 	next := d.Config()
-	if slices.Equal(next.Seeds, c.Seeds) && next.Bounds == c.Bounds && next.DrainMs == c.DrainMs {
+	if slices.Equal(next.Seeds, config.Seeds) && next.Bounds == config.Bounds && next.DrainMs == config.DrainMs {
 		return
 	}
-	next.Seeds, next.Bounds, next.DrainMs = c.Seeds, c.Bounds, c.DrainMs
+	next.Seeds, next.Bounds, next.DrainMs = config.Seeds, config.Bounds, config.DrainMs
 	d.current.Store(&next)
 	d.log.WithField("seeds", next.Seeds).Info("settings read again")
 }
--- a/daemon/demand.go
+++ b/daemon/demand.go
@@ -126,15 +126,15 @@
 	if len(in.Outcomes) == 0 || !d.Plans() {
 		return
 	}
-	told := outlier.Observation{Zone: ident.ZoneID(in.Zone)}
+	observation := outlier.Observation{Zone: ident.ZoneID(in.Zone)}
 	for _, one := range in.Outcomes {
-		told.Digests = append(told.Digests, outlier.Digest{Engine: ident.EngineID(one.Engine), Attempts: int(one.Attempts), Failures: int(one.Failures),
+		observation.Digests = append(observation.Digests, outlier.Digest{Engine: ident.EngineID(one.Engine), Attempts: int(one.Attempts), Failures: int(one.Failures),
 			Refusals: int(one.Refusals), Overdue: int(one.Overdue)})
 	}
 	d.peerDemandMutex.Lock()
 	defer d.peerDemandMutex.Unlock()
 	if len(d.peerOutcomes) < maxPeerOutcomes {
-		d.peerOutcomes = append(d.peerOutcomes, told)
+		d.peerOutcomes = append(d.peerOutcomes, observation)
 	}
 }
 
--- a/daemon/dispatch.go
+++ b/daemon/dispatch.go
@@ -28,20 +28,20 @@
 func (d *Daemon) World() dispatch.World {
 	_, notReady := d.members.Ready()
 	return dispatch.World{
-		Lacks: d.unplacedNow(),
+		Lacks: d.shortagesNow(),
 		Now:   d.clock.Elapsed(), Table: d.rollout.Table(), Engines: d.watcher.View(), NotReady: notReady, Mint: d.generator.Mint,
 		Zone: d.config.Zone, ShareAssignments: true, Admission: true,
 	}
 }
 
 // lastLook is the last check before the first byte: what it reads is what is in force at that moment.
-func (d *Daemon) finalCheck(flight *dispatch.Call, send dispatch.Send) string {
-	t := d.rollout.Table()
+func (d *Daemon) finalCheck(call *dispatch.Call, send dispatch.Send) string {
+	table := d.rollout.Table()
 	engine := d.watcher.View().Engines[send.Engine]
 	switch {
-	case t == nil || !t.Allows(flight.Request.Route, flight.Request.Model, flight.Request.Adapter):
+	case table == nil || !table.Allows(call.Request.Route, call.Request.Model, call.Request.Adapter):
 		return "the spec in force no longer allows this"
-	case !t.Open(send.Engine):
+	case !table.Open(send.Engine):
 		return "the engine's zone is closed, or it is being drained"
 	case engine == nil || engine.Address != send.Address || !engine.Usable():
 		return "the engine is leaving or not sound"
@@ -49,7 +49,7 @@
 		return "the deadline has passed"
 	case send.Stamped && !d.generator.Held():
 		return "the worker id has lapsed"
-	case flight.Context().Err() != nil:
+	case call.Context().Err() != nil:
 		return "the caller has left"
 	}
 	if ready, why := d.members.Ready(); !ready {
@@ -62,8 +62,8 @@
 var errIncompleteAnswer = errors.New("the answer is not whole")
 
 // Carry runs one go to its end.
-func (d *Daemon) Carry(flight *dispatch.Call, send dispatch.Send, firstPiece func()) (dispatch.AttemptOutcome, string) {
-	giveBack, granted := d.requestSlot(flight, send)
+func (d *Daemon) Carry(call *dispatch.Call, send dispatch.Send, firstPiece func()) (dispatch.AttemptOutcome, string) {
+	giveBack, granted := d.requestSlot(call, send)
 	if !granted {
 		return dispatch.Withdrawn, "no slot of the engine is free"
 	}
@@ -72,37 +72,37 @@
 	// The homes are asked while the engine is dialled; the first byte waits for both.
 	claimed := make(chan deduplication.Decision, 1)
 	go func() {
-		claimed <- d.queryAttemptOwners(d.attemptQuery(deduplication.Claim, flight.ID, flight.Request, flight.Arrived))
+		claimed <- d.queryAttemptOwners(d.attemptQuery(deduplication.Claim, call.ID, call.Request, call.Arrived))
 	}()
 	var claim deduplication.Decision
 	departed := false
 	left := send.Deadline.Since(d.clock.Elapsed())
 	began := false
-	result := enginestream.Carry(flight.Context(), enginestream.Go{
-		Address: send.Address, Attempt: flight.Request.Attempt,
-		Work: engineapi.Generate{Model: flight.Request.Model, Adapter: flight.Request.Adapter, Prefix: flight.Request.Prefix,
-			Prompt: flight.Prompt, Session: flight.Request.Session, DeadlineMs: max(1, left.Milliseconds())},
+	result := enginestream.Carry(call.Context(), enginestream.Go{
+		Address: send.Address, Attempt: call.Request.Attempt,
+		Work: engineapi.Generate{Model: call.Request.Model, Adapter: call.Request.Adapter, Prefix: call.Request.Prefix,
+			Prompt: call.Prompt, Session: call.Request.Session, DeadlineMs: max(1, left.Milliseconds())},
 		MayLeave: func() string {
 			claim = <-claimed
 			reason := ""
-			if !mayStart(claim, flight.Request.Repeatable) {
+			if !mayStart(claim, call.Request.Repeatable) {
 				reason = "this attempt may be another daemon's"
-			} else if reason = d.finalCheck(flight, send); reason != "" {
+			} else if reason = d.finalCheck(call, send); reason != "" {
 				d.counters.finalCheckStops.Add(1)
 			}
 			departed = reason == ""
 			return reason
 		},
-		Piece: func(line []byte) bool {
+		Piece: func(chunk []byte) bool {
 			if !began {
 				began = true
 				firstPiece()
 			}
-			return flight.Piece(line)
+			return call.Piece(chunk)
 		},
 		FirstLimit: max(left, time.Millisecond), StallLimit: d.stallLimit, Limit: left + d.overrunLimit,
 	})
-	if outcome, reason := d.afterClaim(flight, result.Outcome, claim, claimed, departed); outcome != result.Outcome {
+	if outcome, reason := d.afterClaim(call, result.Outcome, claim, claimed, departed); outcome != result.Outcome {
 		return outcome, reason
 	}
 	bytes := uint64(result.Sent + result.Received)
@@ -128,10 +128,10 @@
 	if began {
 		switch result.Outcome {
 		case dispatch.Whole:
-			flight.Finish(nil, nil)
+			call.Finish(nil, nil)
 		default:
-			last := relay.Line(callerapi.Piece{Attempt: flight.Request.Attempt, N: result.Pieces, Outcome: callerapi.BrokenOff, Reason: result.Reason})
-			flight.Finish(last, errIncompleteAnswer)
+			last := relay.Line(callerapi.Piece{Attempt: call.Request.Attempt, N: result.Pieces, Outcome: callerapi.BrokenOff, Reason: result.Reason})
+			call.Finish(last, errIncompleteAnswer)
 		}
 	}
 	return result.Outcome, result.Reason
@@ -145,7 +145,7 @@
 
 // afterClaim frees the claim of a go that provably never ran, so that the same attempt may come again
 // anywhere, and says what becomes of one that the homes held back.
-func (d *Daemon) afterClaim(flight *dispatch.Call, outcome dispatch.AttemptOutcome, claim deduplication.Decision, claimed <-chan deduplication.Decision, departed bool) (dispatch.AttemptOutcome, string) {
+func (d *Daemon) afterClaim(call *dispatch.Call, outcome dispatch.AttemptOutcome, claim deduplication.Decision, claimed <-chan deduplication.Decision, departed bool) (dispatch.AttemptOutcome, string) {
 	if departed && outcome != dispatch.EngineRefused {
 		return outcome, ""
 	}
@@ -153,8 +153,8 @@
 		// The engine could not even be dialled; the claim may be on its way still.
 		claim = <-claimed
 	}
-	if mayStart(claim, flight.Request.Repeatable) || claim == deduplication.Doubt {
-		d.queryAttemptOwners(d.attemptQuery(deduplication.Free, flight.ID, flight.Request, flight.Arrived))
+	if mayStart(claim, call.Request.Repeatable) || claim == deduplication.Doubt {
+		d.queryAttemptOwners(d.attemptQuery(deduplication.Free, call.ID, call.Request, call.Arrived))
 	}
 	switch claim {
 	case deduplication.Replay:
@@ -164,7 +164,7 @@
 	case deduplication.Refused:
 		return dispatch.RefusedElsewhere, "another daemon refused this attempt meanwhile"
 	case deduplication.Doubt:
-		if !flight.Request.Repeatable {
+		if !call.Request.Repeatable {
 			return dispatch.Doubted, "whether this attempt has run through another daemon cannot be told now"
 		}
 	}
@@ -173,8 +173,8 @@
 
 // Refuse makes sure, before a caller is told that its work never runs, that no other daemon has sent it
 // or will: the word that may be given comes back.
-func (r requestPath) Refuse(flight *dispatch.Call, wanted dispatch.Answer) dispatch.Answer {
-	switch r.queryAttemptOwners(r.attemptQuery(deduplication.Refuse, flight.ID, flight.Request, flight.Arrived)) {
+func (r requestPath) Refuse(call *dispatch.Call, wanted dispatch.Answer) dispatch.Answer {
+	switch r.queryAttemptOwners(r.attemptQuery(deduplication.Refuse, call.ID, call.Request, call.Arrived)) {
 	case deduplication.Replay, deduplication.Other:
 		return dispatch.Answer{Kind: dispatch.Replay, Status: 409, Reason: "this attempt id was taken by another daemon and is not run again"}
 	case deduplication.Doubt:
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -43,14 +43,14 @@
 	d.draining.Store(true)
 	d.log.Info("draining")
 	defer d.stopForwarding(limit)()
-	var kept unreleasedSet
+	var remaining unreleasedSet
 	var wait sync.WaitGroup
-	wait.Go(func() { d.handOverRoles(limit, &kept) })
+	wait.Go(func() { d.handOverRoles(limit, &remaining) })
 	d.awaitNoNewConnections(limit)
 	for _, server := range servers {
 		wait.Go(func() {
 			if err := server.ShutdownWithContext(limit); err != nil {
-				kept.add(openResponses)
+				remaining.add(openResponses)
 				d.log.WithField("open", d.sessionAPI.Open()).Warn("stopped before all answers were written")
 			}
 		})
@@ -59,19 +59,19 @@
 	if d.config.Attempts != daemonconfig.LocalAttempts {
 		d.handOverAttempts(limit)
 		if limit.Err() != nil {
-			kept.add(attemptMemory)
+			remaining.add(attemptMemory)
 		}
 	}
-	d.awaitRegistrationsSeen(&kept)
+	d.awaitRegistrationsSeen(&remaining)
 	bounded, done := context.WithTimeout(context.Background(), releaseLimit)
 	defer done()
 	// Without a tenure too, the group hears that this life serves no more.
 	worker, last, _ := d.generator.Drop()
 	if _, ok := d.submit(bounded, statemachine.Command{Op: statemachine.OpRelease, NodeID: d.nodeID, WorkerID: worker, Last: last}); !ok {
-		kept.add(workerID)
+		remaining.add(workerID)
 	}
-	d.retireMember(limit, &kept)
-	if things := kept.list(); len(things) > 0 {
+	d.retireMember(limit, &remaining)
+	if things := remaining.list(); len(things) > 0 {
 		d.counters.notHandedOver.Add(uint64(len(things)))
 		d.log.WithField("kept", things).Warn("stopped without handing all over")
 		return
@@ -81,29 +81,29 @@
 
 // handOffice gives up what this daemon does for the others: planning, then leading. The group keeps its
 // size: a machine that stops may come back.
-func (d *Daemon) handOverRoles(limit context.Context, kept *unreleasedSet) {
+func (d *Daemon) handOverRoles(limit context.Context, remaining *unreleasedSet) {
 	if d.config.Serves(daemonconfig.Place) {
 		plans := d.Plans()
 		d.sessionPlacer.StandDown()
 		d.poolPlanning.standDown()
 		bounded, done := context.WithTimeout(limit, claimLimit)
 		if _, ok := d.submitOnce(bounded, statemachine.Command{Op: statemachine.OpDropClaim, NodeID: d.nodeID}); !ok && plans {
-			kept.add(plannersClaim)
+			remaining.add(plannersClaim)
 		}
 		done()
 	}
 	ticker := time.NewTicker(leadershipTransferEvery)
 	defer ticker.Stop()
 	for {
-		held := d.replica.Load()
-		if held == nil || !held.Status().IsLeader {
+		groupMember := d.replica.Load()
+		if groupMember == nil || !groupMember.Status().IsLeader {
 			return
 		}
 		// An heir that does not take the office is asked again, or another is.
-		held.TransferLeadership()
+		groupMember.TransferLeadership()
 		select {
 		case <-limit.Done():
-			kept.add(leadership)
+			remaining.add(leadership)
 			return
 		case <-ticker.C:
 		}
@@ -112,21 +112,21 @@
 
 // awaitMoved goes on taking new connections until the platform hands over no more of them.
 func (d *Daemon) awaitNoNewConnections(limit context.Context) {
-	most := defaultDrainNotice
+	limitForNotice := defaultDrainNotice
 	if d.config.ReadyListen != "" {
 		// Half of the time that there is stays for what was taken last.
-		most = min(maxDrainNotice, time.Duration(d.Config().DrainMs)*time.Millisecond/2)
+		limitForNotice = min(maxDrainNotice, time.Duration(d.Config().DrainMs)*time.Millisecond/2)
 	}
-	longest := time.NewTimer(most)
+	longest := time.NewTimer(limitForNotice)
 	defer longest.Stop()
-	var moved <-chan time.Time
-	for told := 0; ; {
+	var transferred <-chan time.Time
+	for answered := 0; ; {
 		select {
 		case <-d.unreadyAnswered:
-			if told++; told == unreadyAnswersNeeded {
-				moved = time.After(connectionInTransit)
+			if answered++; answered == unreadyAnswersNeeded {
+				transferred = time.After(connectionInTransit)
 			}
-		case <-moved:
+		case <-transferred:
 			return
 		case <-longest.C:
 			return
--- a/daemon/enginelist.go
+++ b/daemon/enginelist.go
@@ -9,13 +9,13 @@
 
 // Engines lists the engines that register themselves, as this daemon knows them.
 func (d *Daemon) Engines() operatorapi.Engines {
-	view, beats, now := d.registry.View(), d.registry.LastHeartbeats(), d.clock.Elapsed()
+	view, heartbeats, now := d.registry.View(), d.registry.LastHeartbeats(), d.clock.Elapsed()
 	out := operatorapi.Engines{Version: view.Version, Engines: []operatorapi.RegisteredEngine{}}
 	for id, engine := range view.Engines {
-		row := operatorapi.RegisteredEngine{ID: id, HeardMsAgo: now.Since(max(beats[id].Received, engine.LastHeartbeat)).Milliseconds(), Condition: operatorapi.EngineUsable,
+		row := operatorapi.RegisteredEngine{ID: id, HeardMsAgo: now.Since(max(heartbeats[id].Received, engine.LastHeartbeat)).Milliseconds(), Condition: operatorapi.EngineUsable,
 			Registration: operatorapi.Registration{Pool: engine.Pool, Address: engine.Address, Zone: engine.Zone, Software: engine.Software, Slots: engine.Slots,
 				Leaving: engine.Draining, LeaveMs: engine.TerminatesInMs, ColdMs: max(0, engine.SlowStartMs-now.Since(engine.LastHeartbeat).Milliseconds()), Phase: engine.Phase,
-				Models: []operatorapi.HeldModel{}, CallSeq: max(beats[id].CallSeq, engine.CallSeq)}}
+				Models: []operatorapi.HeldModel{}, CallSeq: max(heartbeats[id].CallSeq, engine.CallSeq)}}
 		switch {
 		case engine.Deregistered:
 			row.Condition = operatorapi.EngineGone
@@ -24,8 +24,8 @@
 		case engine.Draining:
 			row.Condition = operatorapi.EngineLeaving
 		}
-		for _, held := range engine.Models() {
-			row.Models = append(row.Models, operatorapi.HeldModel{Model: held.Model, Generation: held.Generation, Adapters: held.Adapters})
+		for _, loaded := range engine.Models() {
+			row.Models = append(row.Models, operatorapi.HeldModel{Model: loaded.Model, Generation: loaded.Generation, Adapters: loaded.Adapters})
 		}
 		if engine.Plan != nil {
 			row.Claim, row.Turn = engine.Plan.Claim, engine.Plan.Sequence
--- a/daemon/engineregistration.go
+++ b/daemon/engineregistration.go
@@ -24,11 +24,11 @@
 func (d *Daemon) Registry() *registry.Registry { return d.registry }
 
 // Register takes what an engine says of itself.
-func (d *Daemon) Register(ctx context.Context, word registry.Registration) registry.Response {
+func (d *Daemon) Register(ctx context.Context, registration registry.Registration) registry.Response {
 	if !d.config.Serves(daemonconfig.Control) {
 		return registry.Response{Outcome: registry.Unknown}
 	}
-	hearing, ok := d.registry.ReceiveHeartbeat(word)
+	hearing, ok := d.registry.ReceiveHeartbeat(registration)
 	if !ok {
 		return registry.Response{Outcome: registry.Unknown}
 	}
@@ -36,10 +36,10 @@
 	if hearing.Stale {
 		d.counters.engineHeartbeatsLate.Add(1)
 	}
-	if !word.Draining {
+	if !registration.Draining {
 		return registry.Response{Outcome: registry.Acknowledged}
 	}
-	return d.commitDeparture(ctx, word.ID, hearing)
+	return d.commitDeparture(ctx, registration.ID, hearing)
 }
 
 // Deregister takes an engine's word that it is gone.
@@ -84,9 +84,9 @@
 func (d *Daemon) awaitPeersInformed(ctx context.Context, change uint64, within time.Duration) bool {
 	return d.registry.AwaitPropagation(ctx, change, within, func() []ident.NodeID {
 		var peers []ident.NodeID
-		for _, fellow := range d.members.View().InContact(d.clock.Elapsed(), membership.ContactWindow) {
-			if fellow.NodeID != d.nodeID {
-				peers = append(peers, fellow.NodeID)
+		for _, peer := range d.members.View().InContact(d.clock.Elapsed(), membership.ContactWindow) {
+			if peer.NodeID != d.nodeID {
+				peers = append(peers, peer.NodeID)
 			}
 		}
 		return peers
--- a/daemon/engineslots.go
+++ b/daemon/engineslots.go
@@ -30,26 +30,26 @@
 // keeperOf is the address of the daemon that keeps an engine's slots.
 func (d *Daemon) slotOwner(engine ident.EngineID) string {
 	routers := d.readyPeers(slotOwnerWindow, func(f membership.Fellow) bool { return f.Serves(string(daemonconfig.Route)) })
-	keeper, _ := affinity.Owners("engine "+string(engine), routers)
-	return keeper
+	owner, _ := affinity.Owners("engine "+string(engine), routers)
+	return owner
 }
 
 // askPermit asks the engine's keeper for a slot. A keeper that can't be reached must not hold up the go:
 // the engine's own refusal then bounds what it gets.
-func (d *Daemon) requestSlot(flight *dispatch.Call, send dispatch.Send) (giveBack func(refused bool), granted bool) {
-	keeper := d.slotOwner(send.Engine)
+func (d *Daemon) requestSlot(call *dispatch.Call, send dispatch.Send) (giveBack func(refused bool), granted bool) {
+	owner := d.slotOwner(send.Engine)
 	request := &peerapi.PermitRequest{Engine: string(send.Engine), Id: string(d.nodeID) + "/" + strconv.FormatUint(d.slotRequestIDs.Add(1), 10),
 		NodeId: string(d.nodeID), HasAssignment: send.Assigned, Value: send.Worth, Rank: int64(send.Rank), Tenant: send.Tenant}
 	client := peerapi.Fellow(d)
-	if keeper != "" && keeper != d.config.ReachedAt() {
-		client = d.links.To(keeper)
+	if owner != "" && owner != d.config.ReachedAt() {
+		client = d.links.To(owner)
 	}
-	ctx, cancel := context.WithTimeout(flight.Context(), slotRequestLimit)
+	ctx, cancel := context.WithTimeout(call.Context(), slotRequestLimit)
 	defer cancel()
 	reply, err := client.Permit(ctx, request)
 	if err != nil {
 		d.counters.slotRequestsFailed.Add(1)
-		return func(bool) {}, flight.Context().Err() == nil
+		return func(bool) {}, call.Context().Err() == nil
 	}
 	if !reply.Granted {
 		return nil, false
@@ -84,15 +84,15 @@
 
 // yard is what the keeper of slots may look at.
 func (d *Daemon) slotView() admission.View {
-	now, t, view := d.clock.Elapsed(), d.rollout.Table(), d.watcher.View()
+	now, table, view := d.clock.Elapsed(), d.rollout.Table(), d.watcher.View()
 	return admission.View{
 		Now: now,
 		Capacity: func(id ident.EngineID) int {
 			engine, known := view.Engines[id]
-			if t == nil || !known || !engine.Usable() {
+			if table == nil || !known || !engine.Usable() {
 				return 0
 			}
-			allowed, _ := t.Engine(id)
+			allowed, _ := table.Engine(id)
 			return engine.Capacity(now, allowed.Slots)
 		},
 		Busy: func(id ident.EngineID) int {
@@ -108,8 +108,8 @@
 			return 0
 		},
 		Alive: func(node ident.NodeID) bool {
-			fellow, known := d.members.View().Fellows[node]
-			return node == d.nodeID || known && now.Since(fellow.Heard) < 3*time.Second
+			peer, known := d.members.View().Fellows[node]
+			return node == d.nodeID || known && now.Since(peer.Heard) < 3*time.Second
 		},
 	}
 }
--- a/daemon/forwarding.go
+++ b/daemon/forwarding.go
@@ -39,11 +39,11 @@
 }
 
 // forwardSettings takes what forwarding is held to from the daemon's own settings.
-func forwardSettings(c daemonconfig.Config) forwarding.Settings {
-	s := forwarding.DefaultSettings()
-	s.RetryRatio, s.RetrySlack, s.RetryWindow = c.Bounds.RetryRatio, c.Bounds.RetrySlack, time.Duration(c.Bounds.RetryWindowMs)*time.Millisecond
-	s.Off = c.Experiments.Off()
-	return s
+func forwardSettings(config daemonconfig.Config) forwarding.Settings {
+	settings := forwarding.DefaultSettings()
+	settings.RetryRatio, settings.RetrySlack, settings.RetryWindow = config.Bounds.RetryRatio, config.Bounds.RetrySlack, time.Duration(config.Bounds.RetryWindowMs)*time.Millisecond
+	settings.Off = config.Experiments.Off()
+	return settings
 }
 
 // WithPatience says for how long the deployment's clients wait for a stream in silence.
@@ -122,8 +122,8 @@
 
 // forwardIndex is the bundle's section in force; nil is none.
 func (d *Daemon) forwardIndex() *upstream.Index {
-	if t := d.rollout.Table(); t != nil {
-		return t.Forward
+	if table := d.rollout.Table(); table != nil {
+		return table.Forward
 	}
 	return nil
 }
@@ -136,10 +136,10 @@
 		Warm: func(engine *registry.Engine, pool string, careful bool) bool {
 			return d.forwarding.pools.Warm(engine.ID, engine.Address, pool, careful)
 		},
-		Edges: d.routingDaemonCount(now), Lacks: d.PoolUnplaced, Open: d.engineOpen, Emptied: d.engineDrainedByRanking, Leased: d.generator.Held(),
+		Edges: d.routingDaemonCount(now), Lacks: d.PoolShortage, Open: d.engineOpen, Emptied: d.engineDrainedByRanking, Leased: d.generator.Held(),
 		Mint: func() (ident.SnowflakeID, bool) {
-			id, verdict := d.generator.Mint()
-			return id, verdict == snowflake.Minted
+			id, outcome := d.generator.Mint()
+			return id, outcome == snowflake.Minted
 		},
 	}
 }
--- a/daemon/freshness.go
+++ b/daemon/freshness.go
@@ -10,12 +10,12 @@
 // ConfirmedAsLeader is, where this daemon leads, up to when a majority has confirmed that, if all that was committed
 // by then is in force here; zero elsewhere.
 func (d *Daemon) ConfirmedAsLeader() clock.Mark {
-	held := d.replica.Load()
-	if held == nil {
+	groupMember := d.replica.Load()
+	if groupMember == nil {
 		return 0
 	}
 	// The condition is read first: what is in force is looked at later, so it can only be newer.
-	condition := held.Status()
+	condition := groupMember.Status()
 	if !condition.IsLeader {
 		return 0
 	}
@@ -47,10 +47,10 @@
 	if stale {
 		d.counters.turnedStale.Add(1)
 	}
-	line := d.log.WithFields(log.Fields{"stale": stale})
+	entry := d.log.WithFields(log.Fields{"stale": stale})
 	if stale {
-		line.Warn("no majority of the control group has confirmed lately what is in force here")
+		entry.Warn("no majority of the control group has confirmed lately what is in force here")
 		return
 	}
-	line.Info("what is in force here is confirmed by a majority of the control group")
+	entry.Info("what is in force here is confirmed by a majority of the control group")
 }
--- a/daemon/groupidentity.go
+++ b/daemon/groupidentity.go
@@ -28,8 +28,8 @@
 		d.generator.Drop()
 		d.enlistedAt.Store(0)
 		d.log.WithField("group", string(group)).Warn("the group was recovered; following its next generation")
-		if life := d.memberIncarnation.Load(); life != nil && belongsToGroup(life.store) {
-			life.fail(superseded{eris.Errorf("this data folder belongs to group %s, which was recovered as %s; move the folder away, and the machine joins as a new member", *known, group)})
+		if incarnation := d.memberIncarnation.Load(); incarnation != nil && belongsToGroup(incarnation.store) {
+			incarnation.fail(superseded{eris.Errorf("this data folder belongs to group %s, which was recovered as %s; move the folder away, and the machine joins as a new member", *known, group)})
 		}
 		return true
 	}
@@ -69,8 +69,8 @@
 			out.Group = string(remembered)
 		}
 	}
-	if t := d.rollout.Table(); t != nil {
-		out.ConfigurationVersion, out.ClosureVersion = uint64(t.Epoch), uint64(t.Closures.Epoch)
+	if table := d.rollout.Table(); table != nil {
+		out.ConfigurationVersion, out.ClosureVersion = uint64(table.Epoch), uint64(table.Closures.Epoch)
 	}
 	out.LeaderMsAgo = -1
 	if heard := d.members.View().HeardLeader; heard > 0 {
--- a/daemon/handover.go
+++ b/daemon/handover.go
@@ -64,7 +64,7 @@
 )
 
 // tellBeats waits until another control daemon has seen all that engines said here, except for how busy they are.
-func (d *Daemon) awaitRegistrationsSeen(kept *unreleasedSet) {
+func (d *Daemon) awaitRegistrationsSeen(remaining *unreleasedSet) {
 	if !d.config.Serves(daemonconfig.Control) || len(d.registry.View().Engines) == 0 {
 		return
 	}
@@ -91,33 +91,33 @@
 			return
 		}
 	}
-	kept.add(engineRegistrations)
+	remaining.add(engineRegistrations)
 }
 
 // endMember ends this daemon's member of the group, after which nothing more can come to rest on its disk. It first
 // waits until the others can do without it, and then for the leader's word that they hold all that was committed.
-func (d *Daemon) retireMember(limit context.Context, kept *unreleasedSet) {
-	held, life := d.replica.Load(), d.memberIncarnation.Load()
-	if held == nil || life == nil {
+func (d *Daemon) retireMember(limit context.Context, remaining *unreleasedSet) {
+	groupMember, incarnation := d.replica.Load(), d.memberIncarnation.Load()
+	if groupMember == nil || incarnation == nil {
 		return
 	}
-	condition := held.Status()
-	self, known := condition.Membership.Find(life.store.Member)
+	condition := groupMember.Status()
+	self, known := condition.Membership.Find(incarnation.store.Member)
 	if !known || !self.Voter || len(condition.Membership.Voters()) == 1 {
 		return
 	}
 	bounded, cancel := context.WithTimeout(limit, memberRetireLimit)
 	defer cancel()
 	if !d.awaitLogReplicated(bounded, self) {
-		kept.add(logEntries)
+		remaining.add(logEntries)
 		return
 	}
 	d.memberRetired.Store(true)
-	life.cancel()
+	incarnation.cancel()
 	last, done := context.WithTimeout(context.Background(), logReplicatedLimit)
 	defer done()
 	if !d.awaitLogReplicated(last, self) {
-		kept.add(logEntries)
+		remaining.add(logEntries)
 	}
 }
 
@@ -128,11 +128,11 @@
 	offered := clock.Mark(0)
 	for {
 		leader := d.leaderAddress()
-		switch held := d.replica.Load(); {
-		case held != nil && held.Status().IsLeader:
+		switch groupMember := d.replica.Load(); {
+		case groupMember != nil && groupMember.Status().IsLeader:
 			if now := d.clock.Elapsed(); now.Since(offered) > leadershipTransferEvery {
 				offered = now
-				held.TransferLeadership()
+				groupMember.TransferLeadership()
 			}
 		case leader != "" && leader != self.Address && d.requestJoin(ctx, leader, self, true):
 			return true
--- a/daemon/idlelistener_test.go
+++ b/daemon/idlelistener_test.go
@@ -12,9 +12,9 @@
 	"github.com/valyala/fasthttp"
 )
 
-// TestAKeptConnectionRestsForAsLongAsTheBundleAllows: also where that changes, and longer than the server's own limit;
+// TestKeepAliveConnectionIdlesForAsLongAsTheConfigurationAllows: also where that changes, and longer than the server's own limit;
 // a request still has the server's time to be read.
-func TestAKeptConnectionRestsForAsLongAsTheBundleAllows(t *testing.T) {
+func TestKeepAliveConnectionIdlesForAsLongAsTheConfigurationAllows(t *testing.T) {
 	const read, usual = 100 * time.Millisecond, 200 * time.Millisecond
 	var rest atomic.Int64
 	under, err := net.Listen("tcp", "127.0.0.1:0")
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	listener := &keepAliveListener{Listener: under, readLimit: read, idleLimit: usual, keepAlive: func() time.Duration { return time.Duration(rest.Load()) }}
-	server := &fasthttp.Server{Handler: func(*fasthttp.RequestCtx) {}, ReadTimeout: read, IdleTimeout: usual, Logger: silentLogger{}}
+	server := &fasthttp.Server{Handler: func(*fasthttp.RequestCtx) {}, ReadTimeout: read, IdleTimeout: usual, Logger: discardLogger{}}
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() { under.Close() })
 	const request = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
--- a/daemon/joingroup.go
+++ b/daemon/joingroup.go
@@ -35,12 +35,12 @@
 // as this machine's disk remembers them, since the told ones may be gone.
 func (d *Daemon) seeds() []string {
 	out := d.current.Load().Seeds
-	held := d.replica.Load()
-	if held == nil {
+	groupMember := d.replica.Load()
+	if groupMember == nil {
 		return out
 	}
 	out = slices.Clip(out)
-	for _, member := range held.Status().Membership.Members {
+	for _, member := range groupMember.Status().Membership.Members {
 		if member.Address != "" && !slices.Contains(out, member.Address) {
 			out = append(out, member.Address)
 		}
@@ -49,30 +49,30 @@
 }
 
 // remembers says whether a data folder belongs to a group already.
-func belongsToGroup(held *store.Store) bool {
-	group, err := held.Group()
+func belongsToGroup(dataFolder *store.Store) bool {
+	group, err := dataFolder.Group()
 	return err != nil || group != ""
 }
 
-func (d *Daemon) findGroup(ctx context.Context, held *store.Store) (ident.GroupID, raft.Restored, error) {
+func (d *Daemon) findGroup(ctx context.Context, dataFolder *store.Store) (ident.GroupID, raft.Restored, error) {
 	var none raft.Restored
-	remembered, err := held.Group()
+	remembered, err := dataFolder.Group()
 	if err != nil {
 		return "", none, err
 	}
 	if remembered != "" {
-		restored, err := held.Load()
+		restored, err := dataFolder.Load()
 		return remembered, restored, err
 	}
 	ticker := time.NewTicker(200 * time.Millisecond)
 	defer ticker.Stop()
 	for {
-		decision, group, members := bootstrap.Decide(held.Member, d.identifySeeds(ctx))
+		decision, group, members := bootstrap.Decide(dataFolder.Member, d.identifySeeds(ctx))
 		switch decision {
 		case bootstrap.Join:
 			return group, none, nil
 		case bootstrap.Form:
-			return d.bootstrapGroup(held, members)
+			return d.bootstrapGroup(dataFolder, members)
 		}
 		select {
 		case <-ctx.Done():
@@ -85,38 +85,38 @@
 }
 
 // form writes the first state of a new group; it counts once it is synced.
-func (d *Daemon) bootstrapGroup(held *store.Store, members raft.Membership) (ident.GroupID, raft.Restored, error) {
+func (d *Daemon) bootstrapGroup(dataFolder *store.Store, members raft.Membership) (ident.GroupID, raft.Restored, error) {
 	var raw [8]byte
 	if _, err := rand.Read(raw[:]); err != nil {
 		panic("broken invariant: no randomness: " + err.Error())
 	}
 	group := ident.GroupID(hex.EncodeToString(raw[:]))
 	first := raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: statemachine.New().Snapshot()}
-	if err := held.Write(group, raft.Save{HardState: raft.HardState{Term: 1}, Snapshot: &first}); err != nil {
+	if err := dataFolder.Write(group, raft.Save{HardState: raft.HardState{Term: 1}, Snapshot: &first}); err != nil {
 		return "", raft.Restored{}, err
 	}
 	d.log.WithField("members", len(members.Members)).Info("formed a new group")
-	restored, err := held.Load()
+	restored, err := dataFolder.Load()
 	return group, restored, err
 }
 
 // askSeeds asks all seeds who they are. Once one of them tells of a group nobody else is waited for: a seed
-// that is gone for good must not hold up a machine that comes in its place.
+// that is gone for good must not hold up a machine that comes in its index.
 func (d *Daemon) identifySeeds(ctx context.Context) []bootstrap.Seed {
 	seeds := d.Config().Seeds
 	out := make([]bootstrap.Seed, len(seeds))
-	type said struct {
-		place    int
+	type seedReply struct {
+		index    int
 		identity *peerapi.Identity
 	}
-	answers := make(chan said, len(seeds))
+	answers := make(chan seedReply, len(seeds))
 	bounded, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	for place, address := range seeds {
-		out[place].Address = address
+	for index, address := range seeds {
+		out[index].Address = address
 		go func() {
 			if address == d.config.ReachedAt() {
-				answers <- said{place, d.identity()}
+				answers <- seedReply{index, d.identity()}
 				return
 			}
 			// A seed that does not answer is told by its lack of an identity.
@@ -124,7 +124,7 @@
 			if err != nil {
 				identity = nil
 			}
-			answers <- said{place, identity}
+			answers <- seedReply{index, identity}
 		}()
 	}
 	for range seeds {
@@ -132,7 +132,7 @@
 		if answer.identity == nil {
 			continue
 		}
-		out[answer.place] = seedOf(out[answer.place].Address, answer.identity)
+		out[answer.index] = seedOf(out[answer.index].Address, answer.identity)
 		if answer.identity.Group != "" {
 			break
 		}
@@ -154,7 +154,7 @@
 		member, known := condition.Membership.Find(self.ID)
 		leader := d.members.View().LeaderAddress
 		if d.draining.Load() {
-			// While it goes on, another that stands ready may take its place.
+			// While it goes on, another that stands ready may take its index.
 			if known && member.Voter && leader != "" && leader != self.Address {
 				d.requestJoin(ctx, leader, self, true)
 			}
@@ -187,20 +187,20 @@
 	if err := d.checkGroup(in.Group); err != nil {
 		return nil, err
 	}
-	held := d.replica.Load()
-	if held == nil || !held.Status().IsLeader {
+	groupMember := d.replica.Load()
+	if groupMember == nil || !groupMember.Status().IsLeader {
 		return d.notLeaderReply(), nil
 	}
 	if in.MemberId == 0 || in.Name == "" || in.Address == "" || in.Group == "" {
 		return nil, twirp.NewError(twirp.InvalidArgument, "a member needs an identity, a name and an address")
 	}
 	if in.Leaving {
-		if held.AnnounceLeaving(ctx, raft.MemberID(in.MemberId)) {
+		if groupMember.AnnounceLeaving(ctx, raft.MemberID(in.MemberId)) {
 			return &peerapi.SubmitReply{Outcome: string(replica.Applied)}, nil
 		}
 		// It was heard, and is not to end yet.
 		return &peerapi.SubmitReply{Outcome: string(replica.Unknown)}, nil
 	}
-	held.Join(raft.Member{ID: raft.MemberID(in.MemberId), Name: in.Name, Address: in.Address})
+	groupMember.Join(raft.Member{ID: raft.MemberID(in.MemberId), Name: in.Name, Address: in.Address})
 	return &peerapi.SubmitReply{Outcome: string(replica.Applied)}, nil
 }
--- a/daemon/leader.go
+++ b/daemon/leader.go
@@ -10,8 +10,8 @@
 
 // Leads says whether this daemon leads the group.
 func (d *Daemon) Leads() bool {
-	held := d.replica.Load()
-	return held != nil && held.Status().IsLeader
+	groupMember := d.replica.Load()
+	return groupMember != nil && groupMember.Status().IsLeader
 }
 
 // leaderAddress is where the leader is, as far as this daemon knows.
@@ -22,8 +22,8 @@
 
 // leaderAndTerm is where the leader is and in which term it leads, as far as this daemon knows.
 func (d *Daemon) leaderAndTerm() (string, uint64) {
-	if held := d.replica.Load(); held != nil {
-		if condition := held.Status(); condition.Leader.Address != "" {
+	if groupMember := d.replica.Load(); groupMember != nil {
+		if condition := groupMember.Status(); condition.Leader.Address != "" {
 			return condition.Leader.Address, uint64(condition.Term)
 		}
 	}
@@ -58,11 +58,11 @@
 // FirstRollAgo is, where this daemon leads, how long any bundle has been in force: negative while none
 // was, and zero where this daemon can't tell.
 func (d *Daemon) FirstRollAgo() time.Duration {
-	held := d.replica.Load()
-	if held == nil {
+	groupMember := d.replica.Load()
+	if groupMember == nil {
 		return 0
 	}
-	condition := held.Status()
+	condition := groupMember.Status()
 	// A recovered group may have lost its first bundles, so it can't tell when the first came.
 	if !condition.IsLeader || condition.Group.Recovered() {
 		return 0
--- a/daemon/listener.go
+++ b/daemon/listener.go
@@ -25,7 +25,7 @@
 func (d *Daemon) listen(stop <-chan struct{}, field, address string) (net.Listener, error) {
 	ticker := time.NewTicker(listenEvery)
 	defer ticker.Stop()
-	for told := false; ; told = true {
+	for logged := false; ; logged = true {
 		listener, err := net.Listen("tcp", address)
 		if err == nil {
 			return &retryingListener{Listener: listener, retry: d.config.Trouble == daemonconfig.WaitOnTrouble, faults: &d.counters.listenerFaults}, nil
@@ -34,7 +34,7 @@
 		if d.config.Trouble != daemonconfig.WaitOnTrouble {
 			return nil, err
 		}
-		if !told {
+		if !logged {
 			d.log.WithError(err).Warn("waiting for an address")
 		}
 		select {
@@ -86,14 +86,14 @@
 
 // Accept takes the next connection.
 func (l *retryingListener) Accept() (net.Conn, error) {
-	for pause := minAcceptBackoff; ; pause = min(2*pause, maxAcceptBackoff) {
+	for backoff := minAcceptBackoff; ; backoff = min(2*backoff, maxAcceptBackoff) {
 		conn, err := l.Listener.Accept()
 		if err == nil || !l.retry || errors.Is(err, net.ErrClosed) {
 			return conn, err
 		}
 		l.faults.Add(1)
 		// Whoever holds descriptors needs a moment to let go of some.
-		<-time.After(pause)
+		<-time.After(backoff)
 	}
 }
 
--- a/daemon/listener_test.go
+++ b/daemon/listener_test.go
@@ -10,13 +10,13 @@
 )
 
 // scarce is a listener that has no descriptor left for some accepts.
-type scarce struct {
+type flakyListener struct {
 	net.Listener
 	fails int
 	last  error
 }
 
-func (s *scarce) Accept() (net.Conn, error) {
+func (s *flakyListener) Accept() (net.Conn, error) {
 	if s.fails > 0 {
 		s.fails--
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
@@ -24,19 +24,19 @@
 	return nil, s.last
 }
 
-func TestAListenerWithoutDescriptorsGoesOnAccepting(t *testing.T) {
+func TestListenerKeepsAcceptingWhenOutOfDescriptors(t *testing.T) {
 	var troubles atomic.Uint64
-	steady := &retryingListener{Listener: &scarce{fails: 3, last: net.ErrClosed}, retry: true, faults: &troubles}
+	steady := &retryingListener{Listener: &flakyListener{fails: 3, last: net.ErrClosed}, retry: true, faults: &troubles}
 	if _, err := steady.Accept(); !errors.Is(err, net.ErrClosed) || troubles.Load() != 3 {
 		t.Errorf("%v after %d troubles", err, troubles.Load())
 	}
-	steady = &retryingListener{Listener: &scarce{fails: 3, last: net.ErrClosed}, faults: &troubles}
+	steady = &retryingListener{Listener: &flakyListener{fails: 3, last: net.ErrClosed}, faults: &troubles}
 	if _, err := steady.Accept(); !errors.Is(err, syscall.EMFILE) {
 		t.Error("where a person is to look, the trouble was hidden:", err)
 	}
 }
 
-func TestCallersLeaveDescriptorsForTheRest(t *testing.T) {
+func TestMaxConnectionsReservesDescriptors(t *testing.T) {
 	for descriptors, want := range map[int]int{0: 8192, 4100: 2340, 100: 64, 1 << 20: 8192} {
 		if got := maxConnections(descriptors); got != want {
 			t.Errorf("of %d descriptors callers may take %d, and not %d", descriptors, got, want)
@@ -45,14 +45,14 @@
 }
 
 // guarded says whether its gate was open when a connection was taken.
-type guarded struct {
+type gateObserver struct {
 	net.Listener
 	gate   *gate
 	early  bool
 	closed chan struct{}
 }
 
-func (g *guarded) Accept() (net.Conn, error) {
+func (g *gateObserver) Accept() (net.Conn, error) {
 	select {
 	case <-g.gate.opened:
 	default:
@@ -61,17 +61,17 @@
 	return nil, net.ErrClosed
 }
 
-func (g *guarded) Close() error { close(g.closed); return nil }
+func (g *gateObserver) Close() error { close(g.closed); return nil }
 
-// TestCallersWaitUnreadUntilThereIsWhatTheyAreServedBy: nobody is accepted before the gate is open, and the end of
+// TestGatedListenerAcceptsNothingUntilItsGateOpens: nobody is accepted before the gate is open, and the end of
 // the listener frees who waits at it.
-func TestCallersWaitUnreadUntilThereIsWhatTheyAreServedBy(t *testing.T) {
+func TestGatedListenerAcceptsNothingUntilItsGateOpens(t *testing.T) {
 	for _, end := range []func(*gatedListener){
 		func(l *gatedListener) { l.gate.open() },
 		func(l *gatedListener) { _ = l.Close() },
 	} {
 		shut := newGate()
-		under := &guarded{gate: shut, closed: make(chan struct{})}
+		under := &gateObserver{gate: shut, closed: make(chan struct{})}
 		listener := &gatedListener{Listener: under, gate: shut}
 		began, accepted := make(chan struct{}), make(chan error)
 		go func() {
@@ -92,9 +92,9 @@
 	}
 }
 
-// TestAStoppingDaemonTakesNothingTooLateToBeExcused: a platform that asks once a second has moved on by then, and what
+// TestDrainNoticeEndsWithinThePlatformsGracePeriod: a platform that asks once a second has moved on by then, and what
 // was sent later than three seconds after the signal must be answered whole, however long its engine takes.
-func TestAStoppingDaemonTakesNothingTooLateToBeExcused(t *testing.T) {
+func TestDrainNoticeEndsWithinThePlatformsGracePeriod(t *testing.T) {
 	const askedEvery, excusedUntil, onTheWay = time.Second, 3 * time.Second, 200 * time.Millisecond
 	if least := unreadyAnswersNeeded*askedEvery + connectionInTransit; maxDrainNotice < least {
 		t.Errorf("connections are taken for %v only, and are handed over for %v", maxDrainNotice, least)
--- a/daemon/longpoll.go
+++ b/daemon/longpoll.go
@@ -52,11 +52,11 @@
 }
 
 // versions number what is told whole where it changed, by one life's own count.
-type versions struct{ unplaced, draining atomic.Uint64 }
+type versions struct{ shortages, draining atomic.Uint64 }
 
 // beginAnywhere lets two lives never have the same versions.
 func (v *versions) randomize() {
-	v.unplaced.Store(rand.Uint64() >> 1)
+	v.shortages.Store(rand.Uint64() >> 1)
 	v.draining.Store(rand.Uint64() >> 1)
 }
 
@@ -76,7 +76,7 @@
 	gapPassed := false
 	for {
 		// Whoever listens first and looks then misses nothing.
-		anyNews, urgentNews := d.bell.listen()
+		anyUpdate, urgentUpdate := d.bell.listen()
 		switch d.updateUrgency(in) {
 		case urgent:
 			return
@@ -85,11 +85,11 @@
 				return
 			}
 			// More of its kind changes nothing.
-			anyNews = nil
+			anyUpdate = nil
 		}
 		select {
-		case <-anyNews:
-		case <-urgentNews:
+		case <-anyUpdate:
+		case <-urgentUpdate:
 		case <-gap.C:
 			gapPassed = true
 		case <-limit.C:
@@ -102,11 +102,11 @@
 
 // newsFor says whether there is anything that an asker does not know.
 func (d *Daemon) updateUrgency(in *peerapi.PullRequest) urgency {
-	spec, closure := d.InForce()
+	configuration, closure := d.InForce()
 	leader, term := d.leaderAndTerm()
 	planner, plans, self := d.members.View().PlannerAddress, d.Plans(), d.config.ReachedAt()
 	switch {
-	case d.sendsConfiguration(spec, in) || uint64(closure) > in.ClosureVersion,
+	case d.sendsConfiguration(configuration, in) || uint64(closure) > in.ClosureVersion,
 		// An asker that knows of a newer leader has no use for this one.
 		leader != "" && (term > in.LeaderTerm || in.LeaderAddress == ""),
 		in.Group == "" && d.Group() != "",
@@ -123,7 +123,7 @@
 	case !in.RegistryUrgentOnly && (d.registry.LatestNonLoadChange() > in.RegistryComplete || !in.EveryHeartbeat && d.registry.LatestChange() > in.RegistryComplete),
 		d.members.Solid() > in.MembersSeen || !in.RegistryUrgentOnly && d.members.Changes() > in.MembersSeen,
 		plans != (in.PlannerAddress == self) || in.PlannerAddress == "" && planner != "",
-		plans && d.sentVersions.unplaced.Load() != in.ShortagesVersion:
+		plans && d.sentVersions.shortages.Load() != in.ShortagesVersion:
 		return ordinary
 	}
 	return nothingNew
@@ -135,20 +135,20 @@
 
 // bundleSeen is since when a bundle is in force here, as far as was looked.
 type configurationSeen struct {
-	epoch ident.Version
-	at    clock.Mark
+	version ident.Version
+	at      clock.Mark
 }
 
 // tellsBundle says whether an asker is told the bundle in force here. A bundle is large, and who asks for what is
 // urgent only has it from its teller in a moment, who serves control from the group's log: these are told here only if
 // they still lack it after a while.
-func (d *Daemon) sendsConfiguration(epoch ident.Version, in *peerapi.PullRequest) bool {
+func (d *Daemon) sendsConfiguration(version ident.Version, in *peerapi.PullRequest) bool {
 	seen := d.configurationSeen.Load()
-	if seen == nil || seen.epoch != epoch {
-		seen = &configurationSeen{epoch, d.clock.Elapsed()}
+	if seen == nil || seen.version != version {
+		seen = &configurationSeen{version, d.clock.Elapsed()}
 		d.configurationSeen.Store(seen)
 	}
-	return uint64(epoch) > in.ConfigurationVersion && (!in.RegistryUrgentOnly && !in.EveryHeartbeat || d.clock.Elapsed().Since(seen.at) >= configurationDelay)
+	return uint64(version) > in.ConfigurationVersion && (!in.RegistryUrgentOnly && !in.EveryHeartbeat || d.clock.Elapsed().Since(seen.at) >= configurationDelay)
 }
 
 // News wakes those whose answers are held back, when the list of members changed.
@@ -199,10 +199,10 @@
 	if !d.Plans() {
 		return
 	}
-	held := &unplacedReport{sessions: d.sessionPlacer.Condition().Lacks, pools: d.poolPlanning.condition().Lacks}
-	if known := d.unplacedReport.Load(); known == nil || !held.similarTo(known) {
-		d.unplacedReport.Store(held)
-		d.sentVersions.unplaced.Add(1)
+	report := &shortageReport{sessions: d.sessionPlacer.Condition().Lacks, pools: d.poolPlanning.condition().Lacks}
+	if known := d.shortageReport.Load(); known == nil || !report.similarTo(known) {
+		d.shortageReport.Store(report)
+		d.sentVersions.shortages.Add(1)
 		d.bell.ring(ordinary)
 	}
 }
--- a/daemon/member.go
+++ b/daemon/member.go
@@ -50,8 +50,8 @@
 
 // held is the data folder in use; nil while there is none.
 func (d *Daemon) dataFolder() *store.Store {
-	if life := d.memberIncarnation.Load(); life != nil {
-		return life.store
+	if incarnation := d.memberIncarnation.Load(); incarnation != nil {
+		return incarnation.store
 	}
 	return nil
 }
@@ -67,11 +67,11 @@
 // runMember keeps this daemon in its group. Where the settings say to wait, trouble with the disk means that it
 // steps aside, tries again with growing pauses, and joins as a new member if its files are damaged.
 func (d *Daemon) runMember(ctx context.Context, opened *store.Store) {
-	pause, looks := minMemberBackoff, 0
-	differed := differBackoff{}
-	for probe := false; ; probe = true {
+	backoff, damageCount := minMemberBackoff, 0
+	stateDiffers := differBackoff{}
+	for probeDisk := false; ; probeDisk = true {
 		began := d.clock.Elapsed()
-		err := d.runMemberIncarnation(ctx, opened, probe)
+		err := d.runMemberIncarnation(ctx, opened, probeDisk)
 		opened = nil
 		if ctx.Err() != nil || d.memberRetired.Load() {
 			return
@@ -83,41 +83,41 @@
 		d.counters.memberFaults.Add(1)
 		if d.clock.Elapsed().Since(began) > 2*maxMemberBackoff {
 			// What held for a while was whole.
-			pause, looks = minMemberBackoff, 0
+			backoff, damageCount = minMemberBackoff, 0
 		}
-		line := d.log.WithError(err)
+		entry := d.log.WithError(err)
 		switch {
 		case errors.As(err, new(*replica.StateDivergedError)):
 			if err := store.SetAside(d.config.Data); err != nil {
 				d.log.WithError(err).Warn("the state that differs cannot be set aside yet")
 				break
 			}
-			pause = max(pause, differed.next())
-			line.WithField("pause", pause.String()).Warn("gave up a state that differs from what a majority holds; joining as a new member")
+			backoff = max(backoff, stateDiffers.next())
+			entry.WithField("pause", backoff.String()).Warn("gave up a state that differs from what a majority holds; joining as a new member")
 		case errors.As(err, new(superseded)), store.IsDamage(err):
-			if looks++; looks < damageConfirmations {
-				line.Warn("the data folder looks damaged")
+			if damageCount++; damageCount < damageConfirmations {
+				entry.Warn("the data folder looks damaged")
 				break
 			}
 			// What was acknowledged is on a majority; what this folder held can't be trusted, nor may the
 			// votes given under its identity be given again. A new identity has given none.
-			looks = 0
+			damageCount = 0
 			if err := store.SetAside(d.config.Data); err != nil {
 				d.log.WithError(err).Warn("the damaged files cannot be set aside yet")
 				break
 			}
-			line.Warn("set the damaged files aside; joining as a new member")
-		case pause == minMemberBackoff:
-			line.Warn("out of the group until the disk can be used")
+			entry.Warn("set the damaged files aside; joining as a new member")
+		case backoff == minMemberBackoff:
+			entry.Warn("out of the group until the disk can be used")
 		}
-		timer := time.NewTimer(pause)
+		timer := time.NewTimer(backoff)
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return
 		case <-timer.C:
 		}
-		pause = min(2*pause, maxMemberBackoff)
+		backoff = min(2*backoff, maxMemberBackoff)
 	}
 }
 
@@ -125,13 +125,13 @@
 type differBackoff struct{ delay time.Duration }
 
 func (p *differBackoff) next() time.Duration {
-	now := p.delay
+	current := p.delay
 	p.delay = min(max(minDifferBackoff, 2*p.delay), maxDifferBackoff)
-	return now
+	return current
 }
 
 // runMemberLife opens the folder, finds the group and runs this member of it until trouble comes.
-func (d *Daemon) runMemberIncarnation(ctx context.Context, opened *store.Store, probe bool) error {
+func (d *Daemon) runMemberIncarnation(ctx context.Context, opened *store.Store, probeDisk bool) error {
 	if opened == nil {
 		var err error
 		if opened, err = store.Open(d.config.Data, NewMember); err != nil {
@@ -139,7 +139,7 @@
 		}
 	}
 	defer opened.Close()
-	if probe {
+	if probeDisk {
 		// A disk that was full may still be.
 		if err := opened.Probe(); err != nil {
 			return err
@@ -147,14 +147,14 @@
 	}
 	bounded, cancel := context.WithCancel(ctx)
 	defer cancel()
-	life := &memberIncarnation{store: opened, failure: make(chan error, 1), cancel: cancel}
-	d.memberIncarnation.Store(life)
+	incarnation := &memberIncarnation{store: opened, failure: make(chan error, 1), cancel: cancel}
+	d.memberIncarnation.Store(incarnation)
 	defer d.memberIncarnation.Store(nil)
-	if err := d.runReplica(bounded, life); err != nil {
-		life.fail(err)
+	if err := d.runReplica(bounded, incarnation); err != nil {
+		incarnation.fail(err)
 	}
 	select {
-	case err := <-life.failure:
+	case err := <-incarnation.failure:
 		return err
 	default:
 		return ctx.Err()
@@ -162,21 +162,21 @@
 }
 
 // runControl brings this member into its group, or forms it, and then runs it.
-func (d *Daemon) runReplica(ctx context.Context, life *memberIncarnation) error {
-	group, restored, err := d.findGroup(ctx, life.store)
+func (d *Daemon) runReplica(ctx context.Context, incarnation *memberIncarnation) error {
+	group, restored, err := d.findGroup(ctx, incarnation.store)
 	if err != nil || ctx.Err() != nil {
 		return err
 	}
 	if !d.learnGroup(group) {
 		return eris.Errorf("the data folder belongs to group %s, and fellows belong to %s", group, d.Group())
 	}
-	self := raft.Member{ID: life.store.Member, Name: d.config.Name, Address: d.config.ReachedAt()}
-	if !belongsToGroup(life.store) {
+	self := raft.Member{ID: incarnation.store.Member, Name: d.config.Name, Address: d.config.ReachedAt()}
+	if !belongsToGroup(incarnation.store) {
 		// A fresh member belongs to whichever generation addresses it first.
 		group = ""
 	}
-	made, err := replica.New(self, group, restored, d.replicaConfig, d.clock, d.wrapDisk(life.store), d.links,
-		replica.WithConfigurationChangeHandler(d.stateChanged), replica.WithStatusChangeHandler(d.logMemberChange), replica.WithCounters(&d.counters.group), replica.WithNoticeHandler(d.noticeLogger()), replica.WithFatalHandler(life.fail))
+	made, err := replica.New(self, group, restored, d.replicaConfig, d.clock, d.wrapDisk(incarnation.store), d.links,
+		replica.WithConfigurationChangeHandler(d.stateChanged), replica.WithStatusChangeHandler(d.logMemberChange), replica.WithCounters(&d.counters.group), replica.WithNoticeHandler(d.noticeLogger()), replica.WithFatalHandler(incarnation.fail))
 	if err != nil {
 		return eris.Wrap(err, "the data folder cannot be read")
 	}
--- a/daemon/membernotices.go
+++ b/daemon/membernotices.go
@@ -11,17 +11,17 @@
 
 // groupTurned writes down what changed in this member's part in the group.
 func (d *Daemon) logMemberChange(before, after replica.Status) {
-	line := d.log.WithField("term", uint64(after.Term))
+	entry := d.log.WithField("term", uint64(after.Term))
 	switch {
 	case after.IsLeader && !before.IsLeader:
-		line.Info("leads the group")
+		entry.Info("leads the group")
 	case before.IsLeader && !after.IsLeader:
-		line.Info("leads the group no more")
+		entry.Info("leads the group no more")
 	case after.DiskStalled != before.DiskStalled:
-		line.WithField("stalled", after.DiskStalled).Info("the disk holds this member up, or does no more")
+		entry.WithField("stalled", after.DiskStalled).Info("the disk holds this member up, or does no more")
 	}
 	if after.IsLeader && len(after.DivergentMembers) > 0 && !slices.Equal(before.DivergentMembers, after.DivergentMembers) {
-		line.WithField("members", after.DivergentMembers).Warn("the states of these members differ from a majority's")
+		entry.WithField("members", after.DivergentMembers).Warn("the states of these members differ from a majority's")
 	}
 	if after.IsLeader && !slices.Equal(before.Membership.Members, after.Membership.Members) {
 		var voters, learners []string
@@ -32,7 +32,7 @@
 				learners = append(learners, member.Name)
 			}
 		}
-		line.WithFields(log.Fields{"voters": voters, "learners": learners}).Info("the group has other members")
+		entry.WithFields(log.Fields{"voters": voters, "learners": learners}).Info("the group has other members")
 	}
 }
 
@@ -41,19 +41,19 @@
 func (d *Daemon) noticeLogger() func(raft.Notice) {
 	var refused raft.Notice
 	return func(notice raft.Notice) {
-		line := d.log.WithFields(log.Fields{"peer": uint64(notice.Peer), "index": uint64(notice.Index), "bytes": notice.Bytes})
+		entry := d.log.WithFields(log.Fields{"peer": uint64(notice.Peer), "index": uint64(notice.Index), "bytes": notice.Bytes})
 		switch notice.Kind {
 		case raft.NoticeSnapshotSent, raft.NoticeSnapshotTaken:
-			line.Info(notice.Kind.String())
+			entry.Info(notice.Kind.String())
 		case raft.NoticeSnapshotRefused:
 			if notice.Peer != refused.Peer || notice.Index != refused.Index {
-				line.WithError(notice.Err).Warn(notice.Kind.String())
+				entry.WithError(notice.Err).Warn(notice.Kind.String())
 			}
 			refused = notice
 		case raft.NoticeStateDiffers:
 			// A leader's view of its peers is written down where it changes.
 			if notice.Err != nil {
-				line.WithError(notice.Err).Warn(notice.Kind.String())
+				entry.WithError(notice.Err).Warn(notice.Kind.String())
 			}
 		}
 	}
--- a/daemon/metrics_test.go
+++ b/daemon/metrics_test.go
@@ -12,9 +12,9 @@
 	"github.com/cresspond/cresspond/process/daemonconfig"
 )
 
-// TestAMetricsPortInUseIsNamedByItsKey: it ends the start where troubles end a daemon, and holds nothing up where they
+// TestMetricsPortInUseIsReportedByItsSettingsKey: it ends the start where troubles end a daemon, and holds nothing up where they
 // are waited for.
-func TestAMetricsPortInUseIsNamedByItsKey(t *testing.T) {
+func TestMetricsPortInUseIsReportedByItsSettingsKey(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/daemon/nodedigests_test.go
+++ b/daemon/nodedigests_test.go
@@ -21,7 +21,7 @@
 	return view
 }
 
-func TestDigestsTravel(t *testing.T) {
+func TestDigestsRoundTrip(t *testing.T) {
 	sent := []nodehealth.Digest{
 		{Engine: "a", Class: nodehealth.Class{Kind: nodehealth.Stall, Pool: "p", Model: "m", TargetMs: 400, Load: 5}, Buckets: []nodehealth.Bucket{{Value: 20, Count: 30}, {Value: 900, Count: 1}}},
 		{Engine: "a", Class: nodehealth.Class{Kind: nodehealth.Transfer, Pool: "p", Model: "m", Load: 5, Size: 4}, Buckets: []nodehealth.Bucket{{Value: 80, Count: 7}}},
@@ -34,7 +34,7 @@
 }
 
 // What another daemon tells may be anything; what makes no sense is left out.
-func TestGarbageDigestsAreLeftOut(t *testing.T) {
+func TestMalformedDigestsAreDropped(t *testing.T) {
 	many := make([]uint32, maxBuckets+1)
 	for name, class := range map[string]*peerapi.NodeClass{
 		"kind":     {Kind: 9, Values: []uint32{1}, Counts: []uint32{1}},
--- a/daemon/noderanking.go
+++ b/daemon/noderanking.go
@@ -172,9 +172,9 @@
 		state.emptying[id] = true
 	}
 	n.state.Store(state)
-	acts := append(decision.Acts, n.reopenVanished(now, view, table.Closures)...)
-	if len(acts) > 0 && !n.actionPending {
-		n.submitAction(ctx, acts[0])
+	actions := append(decision.Acts, n.reopenVanished(now, view, table.Closures)...)
+	if len(actions) > 0 && !n.actionPending {
+		n.submitAction(ctx, actions[0])
 	}
 }
 
@@ -193,8 +193,8 @@
 }
 
 func anyDrainedByRanking(closures closure.Set) bool {
-	for _, mark := range closures.Engines {
-		if mark.Ranking != nil {
+	for _, closure := range closures.Engines {
+		if closure.Ranking != nil {
 			return true
 		}
 	}
@@ -209,8 +209,8 @@
 			delete(n.vanished, id)
 		}
 	}
-	for id, mark := range closures.Engines {
-		if engine := view.Engines[id]; mark.Ranking == nil || engine != nil && !engine.Deregistered {
+	for id, closure := range closures.Engines {
+		if engine := view.Engines[id]; closure.Ranking == nil || engine != nil && !engine.Deregistered {
 			delete(n.vanished, id)
 			continue
 		}
@@ -226,48 +226,48 @@
 }
 
 // act has the group shut or open an engine, stamped and under the claim that was ranked under.
-func (n *nodeRanking) submitAction(ctx context.Context, act nodehealth.Act) {
-	stamp, verdict := n.generator.Mint()
-	if verdict != snowflake.Minted {
+func (n *nodeRanking) submitAction(ctx context.Context, action nodehealth.Act) {
+	stamp, outcome := n.generator.Mint()
+	if outcome != snowflake.Minted {
 		// Without a lease of a worker id nothing is decided.
 		n.decisionsMade.unleased.Add(1)
 		return
 	}
-	command := statemachine.Command{Op: statemachine.OpClosure, NodeID: n.nodeID, Operator: rankingOperator, Engine: act.Engine, Closed: act.Drain,
-		Ranking: &closure.Ranking{Claim: n.claim, Stamp: stamp, Reason: reasonOf(act)}}
+	command := statemachine.Command{Op: statemachine.OpClosure, NodeID: n.nodeID, Operator: rankingOperator, Engine: action.Engine, Closed: action.Drain,
+		Ranking: &closure.Ranking{Claim: n.claim, Stamp: stamp, Reason: reasonOf(action)}}
 	n.actionPending = true
 	go func() {
 		bounded, cancel := context.WithTimeout(ctx, actionLimit)
 		defer cancel()
 		answer, known := n.submitOnce(bounded, command)
-		n.mailbox.Send(actionResult{act, answer.Verdict, answer.Reason, known})
+		n.mailbox.Send(actionResult{action, answer.Verdict, answer.Reason, known})
 	}()
 }
 
-func (n *nodeRanking) logActionResult(e actionResult) {
-	logged := n.log.WithFields(log.Fields{"engine": string(e.action.Engine), "drain": e.action.Drain, "score": round(e.action.Standing.Score)})
+func (n *nodeRanking) logActionResult(result actionResult) {
+	logged := n.log.WithFields(log.Fields{"engine": string(result.action.Engine), "drain": result.action.Drain, "score": round(result.action.Standing.Score)})
 	switch {
-	case !e.known:
+	case !result.known:
 		n.decisionsMade.unknown.Add(1)
 		logged.Warn("ranking: the group gave no answer")
-	case e.outcome != statemachine.Done:
+	case result.outcome != statemachine.Done:
 		n.decisionsMade.refused.Add(1)
-		logged.WithField("reason", e.reason).Warn("ranking: the group refused")
+		logged.WithField("reason", result.reason).Warn("ranking: the group refused")
 	default:
 		n.decisionsMade.done.Add(1)
-		logged.WithFields(log.Fields{"kind": e.action.Standing.Kind.String(), "value": e.action.Standing.Value, "others": e.action.Standing.Peers}).Info("ranking: carried out")
+		logged.WithFields(log.Fields{"kind": result.action.Standing.Kind.String(), "value": result.action.Standing.Value, "others": result.action.Standing.Peers}).Info("ranking: carried out")
 	}
 }
 
-func reasonOf(act nodehealth.Act) string {
-	if !act.Drain {
+func reasonOf(action nodehealth.Act) string {
+	if !action.Drain {
 		return ""
 	}
 	unit := "ms"
-	if act.Standing.Kind == nodehealth.Stall {
+	if action.Standing.Kind == nodehealth.Stall {
 		unit = "thousandths of the longest pause aimed at"
 	}
-	return fmt.Sprintf("%s %.1f times that of others: %.0f against %.0f %s", act.Standing.Kind, act.Standing.Score, act.Standing.Value, act.Standing.Peers, unit)
+	return fmt.Sprintf("%s %.1f times that of others: %.0f against %.0f %s", action.Standing.Kind, action.Standing.Score, action.Standing.Value, action.Standing.Peers, unit)
 }
 
 func round(score float64) float64 { return float64(int(100*score)) / 100 }
@@ -291,12 +291,12 @@
 			continue
 		}
 		one := nodehealth.Engine{ID: id, Pool: engine.Pool, Zone: engine.Zone, Open: engine.Usable() && open(id, engine.Zone)}
-		mark, shut := closures.Engines[id]
-		one.Ranked = shut && mark.Ranking != nil
+		closure, shut := closures.Engines[id]
+		one.Ranked = shut && closure.Ranking != nil
 		_, one.Kept = closures.Kept[id]
-		for _, held := range engine.Models() {
-			for _, target := range append([]nodehealth.Target{{Model: held.Model}}, adaptersOf(held)...) {
-				if _, asked := n.recentDemand[demandKey{engine.Pool, target}]; asked && engine.Holds(target.Model, target.Adapter) {
+		for _, loaded := range engine.Models() {
+			for _, target := range append([]nodehealth.Target{{Model: loaded.Model}}, adaptersOf(loaded)...) {
+				if _, demanded := n.recentDemand[demandKey{engine.Pool, target}]; demanded && engine.Holds(target.Model, target.Adapter) {
 					one.Held = append(one.Held, target)
 				}
 			}
@@ -306,10 +306,10 @@
 	return out
 }
 
-func adaptersOf(held registry.LoadedModel) []nodehealth.Target {
-	out := make([]nodehealth.Target, 0, len(held.Adapters))
-	for _, adapter := range held.Adapters {
-		out = append(out, nodehealth.Target{Model: held.Model, Adapter: adapter})
+func adaptersOf(loaded registry.LoadedModel) []nodehealth.Target {
+	out := make([]nodehealth.Target, 0, len(loaded.Adapters))
+	for _, adapter := range loaded.Adapters {
+		out = append(out, nodehealth.Target{Model: loaded.Model, Adapter: adapter})
 	}
 	return out
 }
--- a/daemon/noderankingpage.go
+++ b/daemon/noderankingpage.go
@@ -22,7 +22,7 @@
 
 // Nodes gives the ranks by whoever plans.
 func (d *Daemon) Nodes(ctx context.Context, engine ident.EngineID) (operatorapi.Nodes, bool) {
-	if page, held := d.nodeRanking.page(ctx, engine); held {
+	if page, plansHere := d.nodeRanking.page(ctx, engine); plansHere {
 		return page, true
 	}
 	address := d.members.View().PlannerAddress
@@ -41,8 +41,8 @@
 
 // readNodes answers another daemon that asks for the ranks.
 func (d *Daemon) readNodes(ctx context.Context, engine string) *peerapi.ReadReply {
-	page, held := d.nodeRanking.page(ctx, ident.EngineID(engine))
-	if !held {
+	page, plansHere := d.nodeRanking.page(ctx, ident.EngineID(engine))
+	if !plansHere {
 		return &peerapi.ReadReply{Outcome: string(replica.NotLeader)}
 	}
 	data, err := json.Marshal(page)
@@ -57,12 +57,12 @@
 	if !n.plans() || !n.poolPlanning.condition().Held {
 		return operatorapi.Nodes{}, false
 	}
-	asked := rankingQuery{engine, make(chan operatorapi.Nodes, 1)}
-	if !n.mailbox.Send(asked) {
+	query := rankingQuery{engine, make(chan operatorapi.Nodes, 1)}
+	if !n.mailbox.Send(query) {
 		return operatorapi.Nodes{}, false
 	}
 	select {
-	case page := <-asked.reply:
+	case page := <-query.reply:
 		return page, true
 	case <-n.mailbox.Done():
 	case <-ctx.Done():
@@ -71,14 +71,14 @@
 }
 
 // answer makes the page, in the ranker's own turn.
-func (n *nodeRanking) answerQuery(asked rankingQuery) {
-	out := operatorapi.Nodes{Mode: string(n.mode()), Claim: n.claim, Nodes: []operatorapi.Node{}}
+func (n *nodeRanking) answerQuery(query rankingQuery) {
+	page := operatorapi.Nodes{Mode: string(n.mode()), Claim: n.claim, Nodes: []operatorapi.Node{}}
 	table := n.rollout.Table()
 	if table == nil {
-		asked.reply <- out
+		query.reply <- page
 		return
 	}
-	out.ClosureEpoch = table.Closures.Epoch
+	page.ClosureEpoch = table.Closures.Epoch
 	fleet := n.fleet(n.clock.Elapsed(), n.registry.View(), table.Closures, table.OpenRegistered)
 	rows := map[ident.EngineID]nodehealth.Row{}
 	ranked := n.state.Load().rows
@@ -99,16 +99,16 @@
 		if row.Refusal != nodehealth.Allowed {
 			node.Refusal = row.Refusal.String()
 		}
-		if mark, shut := table.Closures.Engines[id]; shut {
-			node.ShutBy = mark.Operator
-			if mark.Ranking != nil {
-				node.ShutFor = mark.Ranking.Reason
+		if closure, shut := table.Closures.Engines[id]; shut {
+			node.ShutBy = closure.Operator
+			if closure.Ranking != nil {
+				node.ShutFor = closure.Ranking.Reason
 			}
 		}
-		if mark, kept := table.Closures.Kept[id]; kept {
-			node.Kept = mark.Operator
+		if closure, kept := table.Closures.Kept[id]; kept {
+			node.Kept = closure.Operator
 		}
-		out.Nodes = append(out.Nodes, node)
+		page.Nodes = append(page.Nodes, node)
 	}
 	for _, row := range ranked {
 		add(row.Engine)
@@ -118,9 +118,9 @@
 			add(id)
 		}
 	}
-	if asked.engine != "" {
-		why := nodehealth.Refuse(n.limits(), fleet, asked.engine)
-		out.Asked, out.AskedReason = why.String(), why.Reason()
+	if query.engine != "" {
+		why := nodehealth.Refuse(n.limits(), fleet, query.engine)
+		page.Asked, page.AskedReason = why.String(), why.Reason()
 	}
-	asked.reply <- out
+	query.reply <- page
 }
--- a/daemon/poolplanning.go
+++ b/daemon/poolplanning.go
@@ -20,10 +20,10 @@
 }
 
 // PoolSettings are the planner's settings for a deployment with these bounds.
-func PoolSettings(c daemonconfig.Config) poolplacement.Settings {
-	settings := poolplacement.DefaultSettings("", time.Duration(c.Bounds.LeaseMs)*time.Millisecond)
-	settings.Off = c.Experiments.Off()
-	settings.Window = time.Duration(c.Bounds.OriginWindowMs) * time.Millisecond
+func PoolSettings(config daemonconfig.Config) poolplacement.Settings {
+	settings := poolplacement.DefaultSettings("", time.Duration(config.Bounds.LeaseMs)*time.Millisecond)
+	settings.Off = config.Experiments.Off()
+	settings.Window = time.Duration(config.Bounds.OriginWindowMs) * time.Millisecond
 	return settings
 }
 
@@ -73,8 +73,8 @@
 func (p poolPlanner) Input() poolplacement.Input {
 	now := p.clock.Elapsed()
 	in := poolplacement.Input{Now: now, View: p.registry.View()}
-	if t := p.rollout.Table(); t != nil && t.Forward != nil {
-		in.Section = t.Forward.Section
+	if table := p.rollout.Table(); table != nil && table.Forward != nil {
+		in.Section = table.Forward.Section
 	}
 	in.Demand = p.collectDemand(now, p.forwardDemands())
 	in.Shut, in.Emptying = func(engine *registry.Engine) bool { return !p.engineOpen(engine) }, p.nodeRanking.emptying()
@@ -83,8 +83,8 @@
 }
 
 // Claim asks the group for the claim.
-func (p poolPlanner) Claim(ctx context.Context, told *statemachine.Told, whole bool) poolplacement.ClaimAnswer {
-	answer, ok := p.submitOnce(ctx, statemachine.Command{Op: statemachine.OpClaim, NodeID: p.nodeID, Told: told, TellsAll: true, Whole: whole, Resume: true, Above: p.highestClaimSeen()})
+func (p poolPlanner) Claim(ctx context.Context, announced *statemachine.Told, complete bool) poolplacement.ClaimAnswer {
+	answer, ok := p.submitOnce(ctx, statemachine.Command{Op: statemachine.OpClaim, NodeID: p.nodeID, Told: announced, TellsAll: true, Whole: complete, Resume: true, Above: p.highestClaimSeen()})
 	switch {
 	case !ok || answer.Claim == nil:
 		return poolplacement.ClaimAnswer{}
--- a/daemon/pull.go
+++ b/daemon/pull.go
@@ -21,8 +21,8 @@
 		Group: string(d.Group()), NodeId: string(d.nodeID), Address: d.config.ReachedAt(), Zone: string(d.config.Zone), Roles: d.roleNames(),
 		Ready: !d.draining.Load(), AcceptsCompressed: true,
 	}
-	spec, closure := d.InForce()
-	request.ConfigurationVersion, request.ClosureVersion = uint64(spec), uint64(closure)
+	configuration, closure := d.InForce()
+	request.ConfigurationVersion, request.ClosureVersion = uint64(configuration), uint64(closure)
 	for _, step := range d.rollout.Steps() {
 		request.Steps = append(request.Steps, &peerapi.RolloutStep{Change: step.Change, Step: step.Step, UnixMs: step.At.UnixMilli()})
 	}
@@ -57,16 +57,16 @@
 	confirmation := membership.ConfirmationOf(d.confirmed(), arrived)
 	reply := &peerapi.PullReply{Confirmation: confirmation, Group: string(d.Group()), NodeId: string(d.nodeID), LeaderAddress: leader, LeaderTerm: term, IsLeader: d.Leads(), FirstRolloutMsAgo: d.FirstRollAgo().Milliseconds(),
 		KnownAttributesVersion: rowKnown, DemandBaseUnknown: wantsLost, IsPlanner: d.Plans(), PlannerAddress: d.members.View().PlannerAddress}
-	if t := d.rollout.Table(); t != nil {
-		reply.ConfigurationVersion, reply.ClosureVersion = uint64(t.Epoch), uint64(t.Closures.Epoch)
-		if d.sendsConfiguration(t.Epoch, in) {
-			reply.Configuration = t.Raw
-			if t.Bundle.Packed && in.AcceptsCompressed {
-				reply.Configuration, reply.ConfigurationCompressed = t.Bundle.Data, true
+	if table := d.rollout.Table(); table != nil {
+		reply.ConfigurationVersion, reply.ClosureVersion = uint64(table.Epoch), uint64(table.Closures.Epoch)
+		if d.sendsConfiguration(table.Epoch, in) {
+			reply.Configuration = table.Raw
+			if table.Bundle.Packed && in.AcceptsCompressed {
+				reply.Configuration, reply.ConfigurationCompressed = table.Bundle.Data, true
 			}
 		}
-		if in.ClosureVersion < uint64(t.Closures.Epoch) {
-			reply.Closures = rollout.EncodeClosures(t.Closures)
+		if in.ClosureVersion < uint64(table.Closures.Epoch) {
+			reply.Closures = rollout.EncodeClosures(table.Closures)
 		}
 	}
 	if membership.WantsMembers(in) {
@@ -75,7 +75,7 @@
 	d.members.Tell(in, reply)
 	reply.Draining, reply.DrainingVersion = d.drainingEngines(), d.sentVersions.draining.Load()
 	d.addRegistryChanges(in, reply)
-	d.addUnplaced(in, reply)
+	d.addShortages(in, reply)
 	return reply, nil
 }
 
@@ -91,7 +91,7 @@
 	}
 	d.receiveDraining(reply.Draining)
 	d.receivedVersions.draining.Store(reply.DrainingVersion)
-	d.receiveUnplaced(reply)
+	d.receiveShortages(reply)
 }
 
 // PullFrom asks another daemon, and takes over what it tells of engines.
@@ -115,11 +115,11 @@
 	cursor, wanted := d.registry.NextRequest(peer)
 	request.RegistryIncarnation, request.RegistrySeen, request.RegistryComplete = cursor.Incarnation, cursor.Seen, cursor.Complete
 	request.EveryHeartbeat = d.config.Serves(daemonconfig.Control)
-	request.ShortagesVersion, request.DrainingVersion = d.receivedVersions.unplaced.Load(), d.receivedVersions.draining.Load()
+	request.ShortagesVersion, request.DrainingVersion = d.receivedVersions.shortages.Load(), d.receivedVersions.draining.Load()
 	for _, id := range wanted {
 		request.RegistryRefetch = append(request.RegistryRefetch, string(id))
 	}
-	asked := d.clock.Elapsed()
+	requestedAt := d.clock.Elapsed()
 	reply, err := d.links.To(address).Pull(ctx, request)
 	if err != nil || !d.sameGroup(reply) {
 		return reply, err
@@ -127,7 +127,7 @@
 	d.registry.ApplyDelta(peer, registry.Delta{Cursor: registry.Cursor{Incarnation: reply.RegistryIncarnation, Seen: reply.RegistrySeen, Complete: reply.RegistryComplete},
 		FullResync: reply.RegistryFullResync, More: reply.RegistryMore, Records: registry.Decode(d.clock.Elapsed(), reply.Engines)}, wanted)
 	if !reply.RegistryMore && !request.RegistryUrgentOnly {
-		d.registrySyncTimes.record(address, asked)
+		d.registrySyncTimes.record(address, requestedAt)
 	}
 	return reply, nil
 }
@@ -143,11 +143,11 @@
 
 // memberAddresses are where the group's members are, by the log of this one.
 func (d *Daemon) memberAddresses() (out []string) {
-	held := d.replica.Load()
-	if held == nil {
+	groupMember := d.replica.Load()
+	if groupMember == nil {
 		return nil
 	}
-	for _, member := range held.Status().Membership.Members {
+	for _, member := range groupMember.Status().Membership.Members {
 		if member.Address != "" {
 			out = append(out, member.Address)
 		}
@@ -157,12 +157,12 @@
 
 // SourceTurned writes down that a source of news came to be stale, or is so no more.
 func (d *Daemon) SourceTurned(turned membership.Turned) {
-	line := d.log.WithField("address", turned.Address)
+	entry := d.log.WithField("address", turned.Address)
 	if turned.Stale {
-		line.Warn("a source of news is left: no majority of the control group has confirmed it lately")
+		entry.Warn("a source of news is left: no majority of the control group has confirmed it lately")
 		return
 	}
-	line.Info("a source of news is confirmed by a majority of the control group")
+	entry.Info("a source of news is confirmed by a majority of the control group")
 }
 
 // tellerFresh is how lately the teller must have told all for others to be asked for what is urgent only.
@@ -170,8 +170,8 @@
 
 // isSecond says whether an address is one of those of which only what is urgent is asked, because the teller tells the rest.
 func (d *Daemon) pullsUrgentOnly(address string) bool {
-	teller := d.members.View().TellerAddress
-	return !d.config.Serves(daemonconfig.Control) && teller != "" && teller != address && d.clock.Elapsed().Since(d.registrySyncTimes.latest(teller)) <= relayFresh
+	relayAddress := d.members.View().TellerAddress
+	return !d.config.Serves(daemonconfig.Control) && relayAddress != "" && relayAddress != address && d.clock.Elapsed().Since(d.registrySyncTimes.latest(relayAddress)) <= relayFresh
 }
 
 // followsRegistry says whether a question is one of those that go on, or of a daemon that has lost control. A
--- a/daemon/raftservice.go
+++ b/daemon/raftservice.go
@@ -24,8 +24,8 @@
 	if !d.config.Serves(daemonconfig.Control) {
 		return nil, twirp.NewError(twirp.FailedPrecondition, "this daemon does not serve control")
 	}
-	held := d.replica.Load()
-	if held == nil {
+	groupMember := d.replica.Load()
+	if groupMember == nil {
 		folder := d.dataFolder()
 		for _, message := range messages {
 			// Only a group that was told this folder's identity can name it.
@@ -39,6 +39,6 @@
 		}
 		return &peerapi.Empty{}, nil
 	}
-	held.Receive(ident.GroupID(in.Group), in.Address, messages)
+	groupMember.Receive(ident.GroupID(in.Group), in.Address, messages)
 	return &peerapi.Empty{}, nil
 }
--- a/daemon/reads.go
+++ b/daemon/reads.go
@@ -55,12 +55,12 @@
 
 // look reads part of the state at a linearizable point; a result of nothing means that it isn't there.
 func (d *Daemon) readAsLeader(ctx context.Context, what, key string) ([]byte, replica.Outcome) {
-	held := d.replica.Load()
-	if held == nil || !held.Status().IsLeader {
+	groupMember := d.replica.Load()
+	if groupMember == nil || !groupMember.Status().IsLeader {
 		return nil, replica.NotLeader
 	}
 	var result []byte
-	outcome := held.Read(ctx, func(state *statemachine.State) { result = encodeRead(state, what, key) })
+	outcome := groupMember.Read(ctx, func(state *statemachine.State) { result = encodeRead(state, what, key) })
 	if what == "trace" && outcome == replica.Applied {
 		result = d.changeTrace(key, result)
 	}
@@ -69,9 +69,9 @@
 
 // newest is what a trace needs of the state.
 type traceState struct {
-	Spec    uint64         `json:"spec"`
-	Closure uint64         `json:"closure"`
-	Serving []ident.NodeID `json:"serving"`
+	Configuration uint64         `json:"spec"`
+	Closure       uint64         `json:"closure"`
+	Serving       []ident.NodeID `json:"serving"`
 }
 
 func encodeRead(state *statemachine.State, what, key string) []byte {
@@ -84,21 +84,21 @@
 	}
 	switch what {
 	case "spec":
-		epoch, err := strconv.ParseUint(key, 10, 64)
+		version, err := strconv.ParseUint(key, 10, 64)
 		if err != nil {
 			return nil
 		}
-		if epoch == 0 {
-			epoch = uint64(state.Epoch())
+		if version == 0 {
+			version = uint64(state.Epoch())
 		}
-		if found, ok := state.At(ident.Version(epoch)); ok {
+		if found, ok := state.At(ident.Version(version)); ok {
 			return encode(found)
 		}
 	case "history":
 		list := []statemachine.Proposal{}
-		for epoch := ident.Version(1); epoch <= state.Epoch(); epoch++ {
+		for version := ident.Version(1); version <= state.Epoch(); version++ {
 			// Of bundles that were applied in one step only so many are known.
-			if found, ok := state.At(epoch); ok {
+			if found, ok := state.At(version); ok {
 				brief := *found
 				brief.Spec = nil
 				list = append(list, brief)
@@ -114,7 +114,7 @@
 	case "closures":
 		return encode(state.Closures)
 	case "trace":
-		return encode(traceState{Spec: uint64(state.Epoch()), Closure: uint64(state.Closures.Epoch), Serving: state.ServingNow()})
+		return encode(traceState{Configuration: uint64(state.Epoch()), Closure: uint64(state.Closures.Epoch), Serving: state.ServingNow()})
 	}
 	return nil
 }
--- a/daemon/rehoming.go
+++ b/daemon/rehoming.go
@@ -40,17 +40,17 @@
 // homeLives lists the daemons in sight that can be homes, by address.
 func (d *Daemon) liveOwners() map[string]ident.NodeID {
 	out := map[string]ident.NodeID{}
-	for _, fellow := range d.members.View().InContact(d.clock.Elapsed(), contactWindow) {
-		if fellow.Ready {
-			out[fellow.Address] = fellow.NodeID
+	for _, peer := range d.members.View().InContact(d.clock.Elapsed(), contactWindow) {
+		if peer.Ready {
+			out[peer.Address] = peer.NodeID
 		}
 	}
 	return out
 }
 
-func addressesOf(lives map[string]ident.NodeID) []string {
-	out := make([]string, 0, len(lives))
-	for address := range lives {
+func addressesOf(byAddress map[string]ident.NodeID) []string {
+	out := make([]string, 0, len(byAddress))
+	for address := range byAddress {
 		out = append(out, address)
 	}
 	slices.Sort(out)
@@ -62,9 +62,9 @@
 	oldFirst, oldSecond := affinity.Owners(key, oldAddresses)
 	newFirst, newSecond := affinity.Owners(key, newAddresses)
 	var out []string
-	for _, home := range []string{newFirst, newSecond} {
-		if home != "" && ((home != oldFirst && home != oldSecond) || before[home] != after[home]) {
-			out = append(out, home)
+	for _, owner := range []string{newFirst, newSecond} {
+		if owner != "" && ((owner != oldFirst && owner != oldSecond) || before[owner] != after[owner]) {
+			out = append(out, owner)
 		}
 	}
 	return out
@@ -81,49 +81,49 @@
 
 // rehome tells each home that an attempt has now, and did not have before in the same life.
 func (d *Daemon) transferOwnership(ctx context.Context, before, after map[string]ident.NodeID) {
-	same := len(before) == len(after)
-	for address, life := range after {
-		same = same && before[address] == life
+	unchanged := len(before) == len(after)
+	for address, incarnation := range after {
+		unchanged = unchanged && before[address] == incarnation
 	}
-	if same {
+	if unchanged {
 		return
 	}
 	d.transferAssignments(ctx, before, after)
 	oldAddresses, newAddresses := addressesOf(before), addressesOf(after)
-	batches, wholes := map[string][]*peerapi.AttemptRecord{}, map[string]bool{}
-	young, self := d.recentlyStarted(), d.config.ReachedAt()
+	batches, complete := map[string][]*peerapi.AttemptRecord{}, map[string]bool{}
+	startedRecently, self := d.recentlyStarted(), d.config.ReachedAt()
 	d.attempts.Do(func(now clock.Mark, memory *deduplication.Memory) {
 		memory.Each(func(attempt string, entry deduplication.Entry) {
-			for _, home := range newOwners("attempt "+attempt, before, after, oldAddresses, newAddresses) {
-				if home == self {
+			for _, owner := range newOwners("attempt "+attempt, before, after, oldAddresses, newAddresses) {
+				if owner == self {
 					continue
 				}
-				batches[home] = append(batches[home], &peerapi.AttemptRecord{Attempt: attempt, Owner: entry.Owner, Digest: entry.Digest,
+				batches[owner] = append(batches[owner], &peerapi.AttemptRecord{Attempt: attempt, Owner: entry.Owner, Digest: entry.Digest,
 					AgeMs: now.Since(entry.At).Milliseconds(), Refused: entry.Refused})
 			}
 		})
-		for address, life := range after {
+		for address, incarnation := range after {
 			// A life that follows another is told whether this is all that it shares with this daemon.
-			if before[address] != life && address != self {
-				wholes[address] = !young || memory.Whole(address)
+			if before[address] != incarnation && address != self {
+				complete[address] = !startedRecently || memory.Whole(address)
 				batches[address] = append(batches[address], nil...)
 			}
 		}
 	})
-	for home, batch := range batches {
-		told := true
+	for owner, batch := range batches {
+		delivered := true
 		for part := range slices.Chunk(batch, transferBatch) {
 			bounded, cancel := context.WithTimeout(ctx, time.Second)
 			// A home that misses this is not the only one that knows.
-			_, err := d.links.To(home).Remember(bounded, &peerapi.RememberRequest{Attempts: part})
+			_, err := d.links.To(owner).Remember(bounded, &peerapi.RememberRequest{Attempts: part})
 			cancel()
-			told = told && err == nil
+			delivered = delivered && err == nil
 			d.counters.attemptsTransferred.Add(uint64(len(part)))
 		}
-		if told && wholes[home] {
+		if delivered && complete[owner] {
 			bounded, cancel := context.WithTimeout(ctx, time.Second)
 			// One that misses this counts as young for some seconds more.
-			_, _ = d.links.To(home).Remember(bounded, &peerapi.RememberRequest{From: self, Complete: true})
+			_, _ = d.links.To(owner).Remember(bounded, &peerapi.RememberRequest{From: self, Complete: true})
 			cancel()
 		}
 	}
@@ -132,9 +132,9 @@
 // fellowsFor lists, in order, the addresses of daemons heard within the window that fit and are not stopping.
 func (d *Daemon) readyPeers(window time.Duration, fits func(membership.Fellow) bool) []string {
 	var addresses []string
-	for _, fellow := range d.members.View().InContact(d.clock.Elapsed(), window) {
-		if fellow.Ready && fits(fellow) {
-			addresses = append(addresses, fellow.Address)
+	for _, peer := range d.members.View().InContact(d.clock.Elapsed(), window) {
+		if peer.Ready && fits(peer) {
+			addresses = append(addresses, peer.Address)
 		}
 	}
 	slices.Sort(addresses)
--- a/daemon/routingdaemons.go
+++ b/daemon/routingdaemons.go
@@ -21,9 +21,9 @@
 		return int(counted)
 	}
 	names := map[string]bool{d.nodeID.Name(): true}
-	for _, fellow := range d.members.View().Fellows {
-		if now.Since(fellow.Heard) <= routingContactWindow && fellow.Serves(string(daemonconfig.Route)) {
-			names[fellow.NodeID.Name()] = true
+	for _, peer := range d.members.View().Fellows {
+		if now.Since(peer.Heard) <= routingContactWindow && peer.Serves(string(daemonconfig.Route)) {
+			names[peer.NodeID.Name()] = true
 		}
 	}
 	side.routingDaemons.Store(int64(len(names)))
--- a/daemon/run.go
+++ b/daemon/run.go
@@ -32,11 +32,11 @@
 	if err != nil {
 		return err
 	}
-	fellowListener, err := d.listen(stop, "fellowListen", d.config.FellowListen)
+	peerListener, err := d.listen(stop, "fellowListen", d.config.FellowListen)
 	if err != nil {
 		return err
 	}
-	defer fellowListener.Close()
+	defer peerListener.Close()
 	callerListener, err := d.listen(stop, "listen", d.config.Listen)
 	if err != nil {
 		return err
@@ -113,10 +113,10 @@
 		d.nodeRanking.start(run)
 	}
 
-	fellowServer := &http.Server{Handler: d.links.Traffic.Serve(peerapi.NewFellowServer(d)), ReadHeaderTimeout: 5 * time.Second}
-	serveFellows := serveFunc(func(listener net.Listener) error { return fellowServer.Serve(d.links.Traffic.Listen(listener)) })
-	go d.serveOn(ctx, serveFellows, fellowListener, "fellowListen", d.config.FellowListen)
-	defer fellowServer.Close()
+	peerServer := &http.Server{Handler: d.links.Traffic.Serve(peerapi.NewFellowServer(d)), ReadHeaderTimeout: 5 * time.Second}
+	servePeers := serveFunc(func(listener net.Listener) error { return peerServer.Serve(d.links.Traffic.Listen(listener)) })
+	go d.serveOn(ctx, servePeers, peerListener, "fellowListen", d.config.FellowListen)
+	defer peerServer.Close()
 	callerServer := d.server(d.handle, d.callerLimits)
 	callerServer.ErrorHandler = d.badCallerRequest
 	servers := []*fasthttp.Server{callerServer}
@@ -150,7 +150,7 @@
 			}
 		}()
 	}
-	d.log.WithFields(log.Fields{"listen": callerListener.Addr().String(), "fellows": fellowListener.Addr().String(),
+	d.log.WithFields(log.Fields{"listen": callerListener.Addr().String(), "fellows": peerListener.Addr().String(),
 		"serve": d.roleNames(), "zone": string(d.config.Zone), "version": d.version}).Info("started")
 
 	select {
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -36,10 +36,10 @@
 }
 
 // quiet drops the library's own lines: broken connections are counted, not told.
-type silentLogger struct{}
+type discardLogger struct{}
 
 // Printf drops a line.
-func (silentLogger) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 // badRequest answers what could not even be read as HTTP.
 func badRequest(ctx *fasthttp.RequestCtx, err error) {
@@ -83,7 +83,7 @@
 func (d *Daemon) server(handle fasthttp.RequestHandler, limits func(*fasthttp.RequestHeader) fasthttp.RequestConfig) *fasthttp.Server {
 	return &fasthttp.Server{
 		Handler: handle, Name: "cresspond", MaxRequestBodySize: maxCallerBody, HeaderReceived: limits, ReadTimeout: callerReadLimit, WriteTimeout: 5 * time.Minute,
-		IdleTimeout: keepAliveLimit, NoDefaultServerHeader: true, Concurrency: maxConnections(d.config.Machine.MostFds), CloseOnShutdown: true, Logger: silentLogger{}, ReadBufferSize: maxHeader,
+		IdleTimeout: keepAliveLimit, NoDefaultServerHeader: true, Concurrency: maxConnections(d.config.Machine.MostFds), CloseOnShutdown: true, Logger: discardLogger{}, ReadBufferSize: maxHeader,
 		// A form is some caller's body like any other, and goes on byte for byte.
 		ErrorHandler: badRequest, DisablePreParseMultipartForm: true,
 	}
--- a/daemon/sessionaffinity.go
+++ b/daemon/sessionaffinity.go
@@ -24,17 +24,17 @@
 }
 
 // seatAt asks one home; nil means that it can't be reached.
-func (d *Daemon) queryAssignment(home string, request *peerapi.SeatRequest) *peerapi.SeatReply {
-	if home == "" {
+func (d *Daemon) queryAssignment(owner string, request *peerapi.SeatRequest) *peerapi.SeatReply {
+	if owner == "" {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), assignmentLimit)
 	defer cancel()
-	ask := d.links.To(home).Seat
-	if home == d.config.ReachedAt() {
-		ask = d.Seat
+	query := d.links.To(owner).Seat
+	if owner == d.config.ReachedAt() {
+		query = d.Seat
 	}
-	reply, err := ask(ctx, request)
+	reply, err := query(ctx, request)
 	if err != nil {
 		return nil
 	}
@@ -42,10 +42,10 @@
 }
 
 // Assignment asks for a session's seat, and remembers it here too, so that it outlives its homes.
-func (r requestPath) Assignment(ask dispatch.AskAssignment) (ident.EngineID, bool) {
-	engine, found := r.findAssignment(ask)
+func (r requestPath) Assignment(query dispatch.AskAssignment) (ident.EngineID, bool) {
+	engine, found := r.findAssignment(query)
 	if found {
-		r.affinityTable.Note(r.clock.Elapsed(), ask.Session, engine)
+		r.affinityTable.Note(r.clock.Elapsed(), query.Session, engine)
 	}
 	return engine, found
 }
@@ -53,14 +53,14 @@
 // seatOf asks a session's homes. The first decides; the second keeps a copy, and knows better where the
 // first is gone or has just come back with nothing. Where neither knew of it, and daemons were lost
 // lately, all are asked.
-func (r requestPath) findAssignment(ask dispatch.AskAssignment) (ident.EngineID, bool) {
-	if ask.Engine != "" && ask.Replaces == "" && r.peersLostRecently() {
-		if engine, known := r.queryAllForAssignment(ask.Session); known {
-			ask.Engine = engine
+func (r requestPath) findAssignment(query dispatch.AskAssignment) (ident.EngineID, bool) {
+	if query.Engine != "" && query.Replaces == "" && r.peersLostRecently() {
+		if engine, known := r.queryAllForAssignment(query.Session); known {
+			query.Engine = engine
 		}
 	}
-	first, second := r.assignmentOwners(ask.Session)
-	request := &peerapi.SeatRequest{Session: ask.Session, Model: ask.Model, Adapter: ask.Adapter, Engine: string(ask.Engine), Replaces: string(ask.Replaces)}
+	first, second := r.assignmentOwners(query.Session)
+	request := &peerapi.SeatRequest{Session: query.Session, Model: query.Model, Adapter: query.Adapter, Engine: string(query.Engine), Replaces: string(query.Replaces)}
 	decided := r.queryAssignment(first, request)
 	if decided != nil && (!decided.Found || !decided.Fresh) {
 		return ident.EngineID(decided.Engine), decided.Found
@@ -69,12 +69,12 @@
 	switch {
 	case copied == nil && decided == nil:
 		// Homes that can't be reached must not hold up the session: the wish stands.
-		return ask.Engine, ask.Engine != ""
+		return query.Engine, query.Engine != ""
 	case copied == nil:
 		return ident.EngineID(decided.Engine), true
 	case decided != nil && !copied.Fresh && copied.Found && copied.Engine != decided.Engine:
 		// The first home had forgotten, so it is told what the second one knows.
-		r.queryAssignment(first, &peerapi.SeatRequest{Session: ask.Session, Engine: copied.Engine, Replaces: decided.Engine})
+		r.queryAssignment(first, &peerapi.SeatRequest{Session: query.Session, Engine: copied.Engine, Replaces: decided.Engine})
 	}
 	return ident.EngineID(copied.Engine), copied.Found
 }
@@ -82,9 +82,9 @@
 // lostLately says whether daemons were lost or have begun anew so lately that seats may have gone with them.
 func (d *Daemon) peersLostRecently() bool {
 	now := d.clock.Elapsed()
-	for _, fellow := range d.members.View().Fellows {
-		silent := now.Since(fellow.Heard)
-		if fellow.Ready && (silent > slotOwnerWindow && silent <= contactWindow+uncertainWindow || now.Since(fellow.Met) < uncertainWindow) {
+	for _, peer := range d.members.View().Fellows {
+		sinceContact := now.Since(peer.Heard)
+		if peer.Ready && (sinceContact > slotOwnerWindow && sinceContact <= contactWindow+uncertainWindow || now.Since(peer.Met) < uncertainWindow) {
 			return true
 		}
 	}
@@ -93,13 +93,13 @@
 
 // askAllForSeat asks every daemon in sight for a session's seat; the one used last counts.
 func (d *Daemon) queryAllForAssignment(session string) (ident.EngineID, bool) {
-	asked := addressesOf(d.liveOwners())
-	replies := make(chan *peerapi.SeatReply, len(asked))
-	for _, address := range asked {
+	addresses := addressesOf(d.liveOwners())
+	replies := make(chan *peerapi.SeatReply, len(addresses))
+	for _, address := range addresses {
 		go func() { replies <- d.queryAssignment(address, &peerapi.SeatRequest{Session: session}) }()
 	}
 	var newest *peerapi.SeatReply
-	for range asked {
+	for range addresses {
 		if reply := <-replies; reply != nil && reply.Found && (newest == nil || reply.UsedMsAgo < newest.UsedMsAgo) {
 			newest = reply
 		}
@@ -114,8 +114,8 @@
 func (r requestPath) EndAssignment(session string) {
 	first, second := r.assignmentOwners(session)
 	// A home that misses this forgets the seat when it has been idle long enough.
-	for _, home := range []string{first, second} {
-		r.queryAssignment(home, &peerapi.SeatRequest{Session: session, Ended: true})
+	for _, owner := range []string{first, second} {
+		r.queryAssignment(owner, &peerapi.SeatRequest{Session: session, Ended: true})
 	}
 }
 
@@ -138,8 +138,8 @@
 }
 
 func (d *Daemon) assignmentIdle() time.Duration {
-	if t := d.rollout.Table(); t != nil {
-		return t.SeatIdle()
+	if table := d.rollout.Table(); table != nil {
+		return table.SeatIdle()
 	}
 	return time.Minute
 }
@@ -154,9 +154,9 @@
 		if ctx.Err() != nil || oldFirst != self && oldSecond != self {
 			continue
 		}
-		for _, home := range newOwners(session, before, after, oldAddresses, newAddresses) {
-			if home != self && !unreached[home] {
-				unreached[home] = d.queryAssignment(home, &peerapi.SeatRequest{Session: session, Engine: string(engine)}) == nil
+		for _, owner := range newOwners(session, before, after, oldAddresses, newAddresses) {
+			if owner != self && !unreached[owner] {
+				unreached[owner] = d.queryAssignment(owner, &peerapi.SeatRequest{Session: session, Engine: string(engine)}) == nil
 			}
 		}
 	}
--- a/daemon/sessionplanning.go
+++ b/daemon/sessionplanning.go
@@ -73,6 +73,6 @@
 func (p sessionPlanner) MayStand() bool {
 	ready, _ := p.Ready()
 	// A bundle without engines of the platform's list leaves nothing to plan for sessions.
-	t := p.rollout.Table()
-	return ready && p.generator.Held() && (p.poolPlanning == nil || t != nil && len(t.Spec.Engines) > 0)
+	table := p.rollout.Table()
+	return ready && p.generator.Held() && (p.poolPlanning == nil || table != nil && len(table.Spec.Engines) > 0)
 }
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -17,9 +17,9 @@
 	ready, why := d.Ready()
 	out := operatorapi.Status{NodeID: d.nodeID, Version: d.version, Zone: d.config.Zone, Serve: d.roleNames(), Ready: ready, NotReady: why,
 		Group: d.Group(), Leader: d.leaderAddress(), Fellows: []operatorapi.Fellow{}, Engines: []operatorapi.Engine{}}
-	t := d.rollout.Table()
-	if t != nil {
-		out.SpecEpoch, out.ClosureEpoch = t.Epoch, t.Closures.Epoch
+	table := d.rollout.Table()
+	if table != nil {
+		out.SpecEpoch, out.ClosureEpoch = table.Epoch, table.Closures.Epoch
 	}
 	if confirmed := d.confirmed(); confirmed > 0 {
 		ago := max(0, now.Since(confirmed).Milliseconds())
@@ -46,13 +46,13 @@
 		condition := d.sessionPlacer.Condition()
 		out.Planner = &operatorapi.PlannerStatus{Held: condition.Held, Claim: condition.Claim, InFlight: condition.InFlight}
 	}
-	for _, fellow := range d.members.View().InContact(now, 30*time.Second) {
-		out.Fellows = append(out.Fellows, operatorapi.Fellow{NodeID: fellow.NodeID, Address: fellow.Address, Zone: fellow.Zone, Serve: fellow.Serve,
-			HeardMsAgo: now.Since(fellow.Heard).Milliseconds(), SpecEpoch: fellow.SpecEpoch, ClosureEpoch: fellow.ClosureEpoch, Ready: fellow.Ready})
+	for _, peer := range d.members.View().InContact(now, 30*time.Second) {
+		out.Fellows = append(out.Fellows, operatorapi.Fellow{NodeID: peer.NodeID, Address: peer.Address, Zone: peer.Zone, Serve: peer.Serve,
+			HeardMsAgo: now.Since(peer.Heard).Milliseconds(), SpecEpoch: peer.SpecEpoch, ClosureEpoch: peer.ClosureEpoch, Ready: peer.Ready})
 	}
 	for _, engine := range d.watcher.View().Engines {
 		row := operatorapi.Engine{ID: engine.ID, Address: engine.Address, Zone: engine.Zone, Condition: string(engine.Condition), Draining: engine.Draining,
-			Open: t != nil && t.Open(engine.ID), CallSeq: engine.Report.CallSeq, Models: []string{}}
+			Open: table != nil && table.Open(engine.ID), CallSeq: engine.Report.CallSeq, Models: []string{}}
 		for _, held := range engine.Report.Models {
 			row.Models = append(row.Models, held.Model+":"+string(held.State))
 		}
--- a/daemon/unplaced.go
+++ b/daemon/unplaced.go
@@ -11,17 +11,17 @@
 )
 
 // lacksFresh is for how long the planner's word on what it will not load is believed.
-const unplacedValidFor = 1500 * time.Millisecond
+const shortagesValidFor = 1500 * time.Millisecond
 
 // lackSlack is by how much a wait must have changed for others to be told.
-const unplacedTolerance = 400 * time.Millisecond
+const shortageTolerance = 400 * time.Millisecond
 
-type receivedUnplaced struct {
+type receivedShortages struct {
 	receivedAt clock.Mark
 	waits      map[dispatch.Wanted]time.Duration
 }
 
-type receivedPoolUnplaced struct {
+type receivedPoolShortages struct {
 	receivedAt clock.Mark
 	waits      map[PoolTarget]time.Duration
 }
@@ -30,24 +30,24 @@
 type PoolTarget struct{ Pool, Model, Adapter string }
 
 // heldLacks is what the planner here said last that it will not load soon, as told to others.
-type unplacedReport struct {
+type shortageReport struct {
 	sessions []sessionplacement.Lack
 	pools    []poolplacement.Lack
 }
 
 // like says whether two words on what is lacking are so near each other that others need not be told.
-func (h *unplacedReport) similarTo(other *unplacedReport) bool {
+func (h *shortageReport) similarTo(other *shortageReport) bool {
 	if len(h.sessions) != len(other.sessions) || len(h.pools) != len(other.pools) {
 		return false
 	}
-	near := func(a, b time.Duration) bool { return max(a-b, b-a) <= max(unplacedTolerance, b/4) }
-	for i, lack := range h.sessions {
-		if known := other.sessions[i]; lack.Model != known.Model || lack.Adapter != known.Adapter || !near(lack.Wait, known.Wait) {
+	near := func(a, b time.Duration) bool { return max(a-b, b-a) <= max(shortageTolerance, b/4) }
+	for i, shortage := range h.sessions {
+		if known := other.sessions[i]; shortage.Model != known.Model || shortage.Adapter != known.Adapter || !near(shortage.Wait, known.Wait) {
 			return false
 		}
 	}
-	for i, lack := range h.pools {
-		if known := other.pools[i]; lack.Pool != known.Pool || lack.Model != known.Model || lack.Adapter != known.Adapter || !near(lack.Wait, known.Wait) {
+	for i, shortage := range h.pools {
+		if known := other.pools[i]; shortage.Pool != known.Pool || shortage.Model != known.Model || shortage.Adapter != known.Adapter || !near(shortage.Wait, known.Wait) {
 			return false
 		}
 	}
@@ -55,71 +55,71 @@
 }
 
 // tellLacks puts what will not be loaded soon into a reply, where this daemon plans and the asker has it not.
-func (d *Daemon) addUnplaced(in *peerapi.PullRequest, reply *peerapi.PullReply) {
-	held := d.unplacedReport.Load()
-	if !reply.IsPlanner || held == nil {
+func (d *Daemon) addShortages(in *peerapi.PullRequest, reply *peerapi.PullReply) {
+	report := d.shortageReport.Load()
+	if !reply.IsPlanner || report == nil {
 		return
 	}
-	reply.ShortagesVersion = d.sentVersions.unplaced.Load()
+	reply.ShortagesVersion = d.sentVersions.shortages.Load()
 	if reply.ShortagesVersion == in.ShortagesVersion {
 		return
 	}
-	for _, lack := range held.sessions {
-		reply.Shortages = append(reply.Shortages, &peerapi.Shortage{Model: lack.Model, Adapter: lack.Adapter, WaitMs: lack.Wait.Milliseconds()})
+	for _, shortage := range report.sessions {
+		reply.Shortages = append(reply.Shortages, &peerapi.Shortage{Model: shortage.Model, Adapter: shortage.Adapter, WaitMs: shortage.Wait.Milliseconds()})
 	}
-	for _, lack := range held.pools {
-		reply.Shortages = append(reply.Shortages, &peerapi.Shortage{Pool: lack.Pool, Model: lack.Model, Adapter: lack.Adapter, WaitMs: lack.Wait.Milliseconds()})
+	for _, shortage := range report.pools {
+		reply.Shortages = append(reply.Shortages, &peerapi.Shortage{Pool: shortage.Pool, Model: shortage.Model, Adapter: shortage.Adapter, WaitMs: shortage.Wait.Milliseconds()})
 	}
 }
 
 // learnLacks takes the planner's word on what will not be loaded soon.
-func (d *Daemon) receiveUnplaced(reply *peerapi.PullReply) {
+func (d *Daemon) receiveShortages(reply *peerapi.PullReply) {
 	if !reply.IsPlanner || reply.ShortagesVersion == 0 {
 		return
 	}
 	now := d.clock.Elapsed()
-	if reply.ShortagesVersion == d.receivedVersions.unplaced.Load() {
+	if reply.ShortagesVersion == d.receivedVersions.shortages.Load() {
 		// The same as before, said again.
-		if known := d.unplaced.Load(); known != nil {
-			d.unplaced.Store(&receivedUnplaced{now, known.waits})
+		if known := d.shortages.Load(); known != nil {
+			d.shortages.Store(&receivedShortages{now, known.waits})
 		}
-		if known := d.poolUnplaced.Load(); known != nil {
-			d.poolUnplaced.Store(&receivedPoolUnplaced{now, known.waits})
+		if known := d.poolShortages.Load(); known != nil {
+			d.poolShortages.Store(&receivedPoolShortages{now, known.waits})
 		}
 		return
 	}
-	lacks := make(map[dispatch.Wanted]time.Duration, len(reply.Shortages))
-	for _, lack := range reply.Shortages {
-		if lack.Pool == "" {
-			lacks[dispatch.Wanted{Model: lack.Model, Adapter: lack.Adapter}] = time.Duration(lack.WaitMs) * time.Millisecond
+	shortages := make(map[dispatch.Wanted]time.Duration, len(reply.Shortages))
+	for _, shortage := range reply.Shortages {
+		if shortage.Pool == "" {
+			shortages[dispatch.Wanted{Model: shortage.Model, Adapter: shortage.Adapter}] = time.Duration(shortage.WaitMs) * time.Millisecond
 		}
 	}
-	d.receivePoolUnplaced(reply.Shortages)
-	d.unplaced.Store(&receivedUnplaced{now, lacks})
-	d.receivedVersions.unplaced.Store(reply.ShortagesVersion)
+	d.receivePoolShortages(reply.Shortages)
+	d.shortages.Store(&receivedShortages{now, shortages})
+	d.receivedVersions.shortages.Store(reply.ShortagesVersion)
 }
 
 // hearPoolLacks takes the planner's word on what will not be loaded soon.
-func (d *Daemon) receivePoolUnplaced(lacks []*peerapi.Shortage) {
+func (d *Daemon) receivePoolShortages(shortages []*peerapi.Shortage) {
 	waits := map[PoolTarget]time.Duration{}
-	for _, lack := range lacks {
-		if lack.Pool != "" {
-			waits[PoolTarget{lack.Pool, lack.Model, lack.Adapter}] = time.Duration(lack.WaitMs) * time.Millisecond
+	for _, shortage := range shortages {
+		if shortage.Pool != "" {
+			waits[PoolTarget{shortage.Pool, shortage.Model, shortage.Adapter}] = time.Duration(shortage.WaitMs) * time.Millisecond
 		}
 	}
-	d.poolUnplaced.Store(&receivedPoolUnplaced{d.clock.Elapsed(), waits})
+	d.poolShortages.Store(&receivedPoolShortages{d.clock.Elapsed(), waits})
 }
 
 // lacksNow is what will not be loaded soon, by the newest word of whoever plans.
-func (d *Daemon) unplacedNow() map[dispatch.Wanted]time.Duration {
+func (d *Daemon) shortagesNow() map[dispatch.Wanted]time.Duration {
 	if d.Plans() {
 		out := map[dispatch.Wanted]time.Duration{}
-		for _, lack := range d.sessionPlacer.Condition().Lacks {
-			out[dispatch.Wanted{Model: lack.Model, Adapter: lack.Adapter}] = lack.Wait
+		for _, shortage := range d.sessionPlacer.Condition().Lacks {
+			out[dispatch.Wanted{Model: shortage.Model, Adapter: shortage.Adapter}] = shortage.Wait
 		}
 		return out
 	}
-	if heard := d.unplaced.Load(); heard != nil && d.clock.Elapsed().Since(heard.receivedAt) < unplacedValidFor {
+	if heard := d.shortages.Load(); heard != nil && d.clock.Elapsed().Since(heard.receivedAt) < shortagesValidFor {
 		return heard.waits
 	}
 	return nil
@@ -127,17 +127,17 @@
 
 // PoolLack is for how long something is not likely to be there, by the planner's newest word; the request
 // path asks it before it holds a request.
-func (d *Daemon) PoolUnplaced(pool, model, adapter string) (wait time.Duration, lacking bool) {
+func (d *Daemon) PoolShortage(pool, model, adapter string) (wait time.Duration, lacking bool) {
 	if condition := d.poolPlanning.condition(); condition.Held {
-		for _, lack := range condition.Lacks {
-			if lack.Pool == pool && lack.Model == model && (lack.Adapter == "" || lack.Adapter == adapter) {
-				return lack.Wait, true
+		for _, shortage := range condition.Lacks {
+			if shortage.Pool == pool && shortage.Model == model && (shortage.Adapter == "" || shortage.Adapter == adapter) {
+				return shortage.Wait, true
 			}
 		}
 		return 0, false
 	}
-	heard := d.poolUnplaced.Load()
-	if heard == nil || d.clock.Elapsed().Since(heard.receivedAt) >= unplacedValidFor {
+	heard := d.poolShortages.Load()
+	if heard == nil || d.clock.Elapsed().Since(heard.receivedAt) >= shortagesValidFor {
 		return 0, false
 	}
 	if wait, lacking = heard.waits[PoolTarget{pool, model, ""}]; lacking {
--- a/daemon/workerlease.go
+++ b/daemon/workerlease.go
@@ -16,35 +16,35 @@
 // runTenancy acquires a worker id and renews it.
 func (d *Daemon) runWorkerLease(ctx context.Context) {
 	// Nothing can be held before a worker id is, so a fresh daemon looks often whether there is a leader to ask yet.
-	const beat, freshBeat = 250 * time.Millisecond, 50 * time.Millisecond
+	const renewCheckEvery, firstCheckEvery = 250 * time.Millisecond, 50 * time.Millisecond
 	renewEvery := d.replicaConfig.WorkerLease / 3
-	ticker := time.NewTicker(freshBeat)
+	ticker := time.NewTicker(firstCheckEvery)
 	defer ticker.Stop()
 	var renewed clock.Mark
 	for {
-		asked := d.clock.Elapsed()
-		worker, held := d.generator.Worker()
+		requestedAt := d.clock.Elapsed()
+		worker, leased := d.generator.Worker()
 		if !d.draining.Load() && d.enlistedAt.Load() == 0 {
 			d.registerServing(ctx)
 		}
 		switch {
 		case d.draining.Load():
-		case !held:
+		case !leased:
 			result, ok := d.submitOnce(ctx, statemachine.Command{Op: statemachine.OpAcquire, NodeID: d.nodeID})
 			if ok && result.Grant != nil {
-				d.generator.Take(*result.Grant, asked)
-				renewed = asked
-				ticker.Reset(beat)
+				d.generator.Take(*result.Grant, requestedAt)
+				renewed = requestedAt
+				ticker.Reset(renewCheckEvery)
 				d.counters.leasesAcquired.Add(1)
 				d.log.WithField("workerId", int64(result.Grant.WorkerID)).Info("worker id acquired")
 				d.admitCallers()
 			}
-		case asked.Since(renewed) >= renewEvery:
+		case requestedAt.Since(renewed) >= renewEvery:
 			result, ok := d.submitOnce(ctx, statemachine.Command{Op: statemachine.OpRenew, NodeID: d.nodeID, WorkerID: worker})
 			switch {
 			case ok && result.Grant != nil:
-				d.generator.Take(*result.Grant, asked)
-				renewed = asked
+				d.generator.Take(*result.Grant, requestedAt)
+				renewed = requestedAt
 				d.counters.leasesRenewed.Add(1)
 			case ok && result.Verdict == statemachine.Mismatch:
 				// The group no longer knows this tenure: nothing may be minted under it from now on.
