--- a/daemon/groupidentity.go
+++ b/daemon/groupidentity.go
@@ -70,7 +70,7 @@
 		}
 	}
 	if table := d.rollout.Table(); table != nil {
-		out.ConfigurationVersion, out.ClosureVersion = uint64(table.Epoch), uint64(table.Closures.Epoch)
+		out.ConfigurationVersion, out.ClosureVersion = uint64(table.Epoch), uint64(table.Closures.Version)
 	}
 	out.LeaderMsAgo = -1
 	if heard := d.members.View().HeardLeader; heard > 0 {
--- a/daemon/membernotices.go
+++ b/daemon/membernotices.go
@@ -43,9 +43,9 @@
 	return func(notice raft.Notice) {
 		entry := d.log.WithFields(log.Fields{"peer": uint64(notice.Peer), "index": uint64(notice.Index), "bytes": notice.Bytes})
 		switch notice.Kind {
-		case raft.NoticeSnapshotSent, raft.NoticeSnapshotTaken:
+		case raft.NoticeSnapshotSent, raft.NoticeSnapshotInstalled:
 			entry.Info(notice.Kind.String())
-		case raft.NoticeSnapshotRefused:
+		case raft.NoticeSnapshotRejected:
 			if notice.Peer != refused.Peer || notice.Index != refused.Index {
 				entry.WithError(notice.Err).Warn(notice.Kind.String())
 			}
--- a/daemon/noderankingpage.go
+++ b/daemon/noderankingpage.go
@@ -78,7 +78,7 @@
 		query.reply <- page
 		return
 	}
-	page.ClosureEpoch = table.Closures.Epoch
+	page.ClosureEpoch = table.Closures.Version
 	fleet := n.fleet(n.clock.Elapsed(), n.registry.View(), table.Closures, table.OpenRegistered)
 	rows := map[ident.EngineID]nodehealth.Row{}
 	ranked := n.state.Load().rows
@@ -105,7 +105,7 @@
 				node.ShutFor = closure.Ranking.Reason
 			}
 		}
-		if closure, kept := table.Closures.Kept[id]; kept {
+		if closure, kept := table.Closures.Protected[id]; kept {
 			node.Kept = closure.Operator
 		}
 		page.Nodes = append(page.Nodes, node)
--- a/daemon/pull.go
+++ b/daemon/pull.go
@@ -58,14 +58,14 @@
 	reply := &peerapi.PullReply{Confirmation: confirmation, Group: string(d.Group()), NodeId: string(d.nodeID), LeaderAddress: leader, LeaderTerm: term, IsLeader: d.Leads(), FirstRolloutMsAgo: d.FirstRollAgo().Milliseconds(),
 		KnownAttributesVersion: rowKnown, DemandBaseUnknown: wantsLost, IsPlanner: d.Plans(), PlannerAddress: d.members.View().PlannerAddress}
 	if table := d.rollout.Table(); table != nil {
-		reply.ConfigurationVersion, reply.ClosureVersion = uint64(table.Epoch), uint64(table.Closures.Epoch)
+		reply.ConfigurationVersion, reply.ClosureVersion = uint64(table.Epoch), uint64(table.Closures.Version)
 		if d.sendsConfiguration(table.Epoch, in) {
 			reply.Configuration = table.Raw
 			if table.Bundle.Packed && in.AcceptsCompressed {
 				reply.Configuration, reply.ConfigurationCompressed = table.Bundle.Data, true
 			}
 		}
-		if in.ClosureVersion < uint64(table.Closures.Epoch) {
+		if in.ClosureVersion < uint64(table.Closures.Version) {
 			reply.Closures = rollout.EncodeClosures(table.Closures)
 		}
 	}
--- a/daemon/reads.go
+++ b/daemon/reads.go
@@ -89,18 +89,18 @@
 			return nil
 		}
 		if version == 0 {
-			version = uint64(state.Epoch())
+			version = uint64(state.Version())
 		}
-		if found, ok := state.At(ident.Version(version)); ok {
+		if found, ok := state.ProposalAt(ident.Version(version)); ok {
 			return encode(found)
 		}
 	case "history":
 		list := []statemachine.Proposal{}
-		for version := ident.Version(1); version <= state.Epoch(); version++ {
+		for version := ident.Version(1); version <= state.Version(); version++ {
 			// Of bundles that were applied in one step only so many are known.
-			if found, ok := state.At(version); ok {
+			if found, ok := state.ProposalAt(version); ok {
 				brief := *found
-				brief.Spec = nil
+				brief.Configuration = nil
 				list = append(list, brief)
 			}
 		}
@@ -114,7 +114,7 @@
 	case "closures":
 		return encode(state.Closures)
 	case "trace":
-		return encode(traceState{Configuration: uint64(state.Epoch()), Closure: uint64(state.Closures.Epoch), Serving: state.ServingNow()})
+		return encode(traceState{Configuration: uint64(state.Version()), Closure: uint64(state.Closures.Version), Serving: state.ServingDaemons()})
 	}
 	return nil
 }
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -19,7 +19,7 @@
 		Group: d.Group(), Leader: d.leaderAddress(), Fellows: []operatorapi.Fellow{}, Engines: []operatorapi.Engine{}}
 	table := d.rollout.Table()
 	if table != nil {
-		out.SpecEpoch, out.ClosureEpoch = table.Epoch, table.Closures.Epoch
+		out.SpecEpoch, out.ClosureEpoch = table.Epoch, table.Closures.Version
 	}
 	if confirmed := d.confirmed(); confirmed > 0 {
 		ago := max(0, now.Since(confirmed).Milliseconds())
--- a/process/consensus/replica/actor.go
+++ b/process/consensus/replica/actor.go
@@ -80,7 +80,7 @@
 )
 
 // New makes a replica from what the disk holds.
-func New(self raft.Member, group ident.GroupID, restored raft.Restored, config Config, c clock.Clock, disk Disk, links Transport, options ...Option) (*Replica, error) {
+func New(self raft.Member, group ident.GroupID, restored raft.PersistentState, config Config, c clock.Clock, disk Disk, links Transport, options ...Option) (*Replica, error) {
 	random := rand.New(rand.NewPCG(uint64(self.ID), uint64(c.Elapsed())))
 	member := raft.New(self.ID, config.Timing, restored, random)
 	core, err := NewCore(config, member, restored.Snapshot.Data, c.Elapsed(), c.Wall)
@@ -138,7 +138,7 @@
 		r.waiters[r.lastRequestID] = e.respond
 		r.execute(r.core.Read(now, r.lastRequestID))
 	case transferRequested:
-		r.execute(r.core.Step(now, raft.Transfer{}))
+		r.execute(r.core.Step(now, raft.TransferLeadership{}))
 	case leavingAnnounced:
 		r.core.MarkLeaving(now, e.member)
 		e.safeToStop <- r.core.SafeToStop(now, e.member)
@@ -180,9 +180,9 @@
 		r.diskStalled = true
 		r.execute(r.core.Step(now, raft.DiskStalled{Stalled: true}))
 	}
-	if late := now.Since(r.lastTick); r.lastTick > 0 && late > r.core.config.Timing.Span(TickInterval) {
+	if late := now.Since(r.lastTick); r.lastTick > 0 && late > r.core.config.Timing.ElectionTimeout(TickInterval) {
 		// This process stood still for so long that the others may follow another by now.
-		r.execute(r.core.Step(now, raft.StandDown{}))
+		r.execute(r.core.Step(now, raft.StepDown{}))
 	}
 	r.lastTick = now
 	r.execute(r.core.Step(now, raft.Tick{}))
--- a/process/consensus/replica/digests.go
+++ b/process/consensus/replica/digests.go
@@ -61,7 +61,7 @@
 
 // keep takes this member's digest at an index, of a state of so many bytes.
 func (d *digestTracker) record(index raft.Index, sum uint64, bytes int) {
-	d.recent = append(d.recent, raft.StateDigest{Index: index, Form: d.form, Sum: sum})
+	d.recent = append(d.recent, raft.StateDigest{Index: index, Format: d.form, Sum: sum})
 	d.recent = d.recent[max(0, len(d.recent)-retainedDigests):]
 	// Steps are powers of two, so that members whose steps differ still meet at some indexes.
 	for d.interval = minDigestInterval; int(d.interval)*stateBytesPerEntry < bytes; d.interval *= 2 {
@@ -100,7 +100,7 @@
 	if !known {
 		return nil, nil
 	}
-	if asked.Differs && asked.Form == own.Form && asked.Sum != own.Sum {
+	if asked.Differs && asked.Format == own.Format && asked.Sum != own.Sum {
 		return nil, &StateDivergedError{Index: own.Index, Own: own.Sum, Majority: asked.Sum}
 	}
 	return &own, nil
@@ -159,7 +159,7 @@
 		return comparison{}
 	}
 	d.replied[from] = true
-	if said.Form != d.form {
+	if said.Format != d.form {
 		return comparison{}
 	}
 	d.replies[from] = said.Sum
--- a/process/consensus/replica/proposals.go
+++ b/process/consensus/replica/proposals.go
@@ -41,20 +41,20 @@
 	}
 	// All that depends on time or config is stamped here, so that apply is the same everywhere.
 	command.At = c.groupTime(now)
-	command.SpanMs = c.config.WorkerLease.Milliseconds()
-	if command.Op == statemachine.OpClaim {
-		command.SpanMs, command.GapMs = c.config.PlannerLease.Milliseconds(), c.config.PlannerLeaseGap.Milliseconds()
+	command.LeaseMs = c.config.WorkerLease.Milliseconds()
+	if command.Op == statemachine.OpAcquirePlanner {
+		command.LeaseMs, command.HandoverGapMs = c.config.PlannerLease.Milliseconds(), c.config.PlannerLeaseGap.Milliseconds()
 	}
 	data, err := json.Marshal(command)
 	if err != nil {
 		panic("broken invariant: a command cannot be encoded: " + err.Error())
 	}
 	effects := c.raft.Step(raft.Propose{Data: data})
-	if effects.Proposed == 0 {
+	if effects.ProposedIndex == 0 {
 		out := c.processRaftEffects(now, effects)
 		out.Responses = append(out.Responses, Response{RequestID: ref, Outcome: NotLeader})
 		return out
 	}
-	c.proposals[effects.Proposed] = proposal{requestID: ref, term: effects.ProposedTerm}
+	c.proposals[effects.ProposedIndex] = proposal{requestID: ref, term: effects.ProposedTerm}
 	return c.processRaftEffects(now, effects)
 }
--- a/process/consensus/replica/reads.go
+++ b/process/consensus/replica/reads.go
@@ -7,5 +7,5 @@
 
 // Read asks for a linearizable look at the state.
 func (c *Core) Read(now clock.Mark, ref uint64) Effects {
-	return c.processRaftEffects(now, c.raft.Step(raft.Read{Ref: ref}))
+	return c.processRaftEffects(now, c.raft.Step(raft.Read{RequestID: ref}))
 }
--- a/process/consensus/replica/status.go
+++ b/process/consensus/replica/status.go
@@ -26,7 +26,7 @@
 	// Serving lists the daemons that may be serving, by the state applied so far.
 	ServingDaemons []ident.NodeID
 	// Claim is the planner's claim by the state applied so far.
-	PlannerLease statemachine.Claim
+	PlannerLease statemachine.PlannerLease
 	// ConfirmedUntil is, where this member leads, up to when a majority has confirmed that; Spec and Closures are what
 	// is committed by the state applied so far.
 	ConfirmedUntil                        clock.Mark
@@ -51,8 +51,8 @@
 	core := r.core.Raft()
 	condition := Status{
 		Group: r.group, Role: core.Role(), Term: core.Term(), IsLeader: r.core.IsLeader(), Membership: core.Membership(),
-		CommitIndex: core.CommitIndex(), DiskStalled: r.diskStalled, GroupTime: r.core.State().Now, SinceFirstRollout: r.core.SinceFirstRollout(r.clock.Elapsed()), ServingDaemons: r.core.State().ServingNow(), PlannerLease: r.core.State().Claim,
-		ConfirmedUntil: r.core.ConfirmedUntil(), ConfigurationVersion: r.core.State().Epoch(), ClosuresVersion: r.core.State().Closures.Epoch,
+		CommitIndex: core.CommitIndex(), DiskStalled: r.diskStalled, GroupTime: r.core.State().Now, SinceFirstRollout: r.core.SinceFirstRollout(r.clock.Elapsed()), ServingDaemons: r.core.State().ServingDaemons(), PlannerLease: r.core.State().PlannerLease,
+		ConfirmedUntil: r.core.ConfirmedUntil(), ConfigurationVersion: r.core.State().Version(), ClosuresVersion: r.core.State().Closures.Version,
 		AppliedIndex: r.core.appliedIndex, Digest: r.core.Digest(), DivergentMembers: r.core.DivergentMembers(),
 	}
 	condition.Leader, _ = condition.Membership.Find(core.LeaderID())
