--- a/daemon/changetrace.go
+++ b/daemon/changetrace.go
@@ -29,7 +29,7 @@
 	now := d.clock.Elapsed()
 	unseen := newest.Serving
 	for _, peer := range d.members.View().InContact(now, time.Minute) {
-		row := operatorapi.TraceRow{NodeID: peer.NodeID, Zone: peer.Zone, HeardMsAgo: now.Since(peer.Heard).Milliseconds()}
+		row := operatorapi.TraceRow{NodeID: peer.NodeID, Zone: peer.Zone, HeardMsAgo: now.Since(peer.LastContact).Milliseconds()}
 		if at := slices.Index(unseen, peer.NodeID); at >= 0 {
 			row.Serving, unseen = true, slices.Delete(unseen, at, at+1)
 		}
@@ -46,9 +46,9 @@
 				row.InForceMs = step.UnixMs
 			}
 		}
-		appliedVersion := peer.SpecEpoch
+		appliedVersion := peer.ConfigurationVersion
 		if kind == "closure" {
-			appliedVersion = peer.ClosureEpoch
+			appliedVersion = peer.ClosureVersion
 		}
 		row.Missing = uint64(appliedVersion) < number
 		out.Rows = append(out.Rows, row)
--- a/daemon/controlcontact.go
+++ b/daemon/controlcontact.go
@@ -46,14 +46,14 @@
 // contactOf is contact for a view; heard is up to when a control daemon at an address has told all that it heard.
 func contactOf(view *membership.View, self ident.NodeID, now clock.Mark, syncedAt func(address string) clock.Mark, period time.Duration, alone func() bool) registry.Connectivity {
 	out, others := registry.Connectivity{Horizon: now}, 0
-	for _, peer := range view.Fellows {
-		if peer.NodeID == self || !peer.Serves(string(daemonconfig.Control)) || now.Since(peer.Heard) > membership.ContactWindow {
+	for _, peer := range view.Members {
+		if peer.NodeID == self || !peer.Serves(string(daemonconfig.Control)) || now.Since(peer.LastContact) > membership.ContactWindow {
 			continue
 		}
 		others++
 		out.Horizon = min(out.Horizon, syncedAt(peer.Address))
 	}
-	out.CanDetectTimeouts = now.Since(out.Horizon) <= period && (others > 0 || alone()) && now.Since(view.HeardLeader) <= membership.ContactWindow
+	out.CanDetectTimeouts = now.Since(out.Horizon) <= period && (others > 0 || alone()) && now.Since(view.LastLeaderContact) <= membership.ContactWindow
 	return out
 }
 
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -83,7 +83,7 @@
 // size: a machine that stops may come back.
 func (d *Daemon) handOverRoles(limit context.Context, remaining *unreleasedSet) {
 	if d.config.Serves(daemonconfig.Place) {
-		plans := d.Plans()
+		plans := d.IsPlanner()
 		d.sessionPlacer.StandDown()
 		d.poolPlanning.standDown()
 		bounded, done := context.WithTimeout(limit, claimLimit)
--- a/daemon/engineslots.go
+++ b/daemon/engineslots.go
@@ -29,7 +29,7 @@
 
 // keeperOf is the address of the daemon that keeps an engine's slots.
 func (d *Daemon) slotOwner(engine ident.EngineID) string {
-	routers := d.readyPeers(slotOwnerWindow, func(f membership.Fellow) bool { return f.Serves(string(daemonconfig.Route)) })
+	routers := d.readyPeers(slotOwnerWindow, func(f membership.Member) bool { return f.Serves(string(daemonconfig.Route)) })
 	owner, _ := affinity.Owners("engine "+string(engine), routers)
 	return owner
 }
@@ -108,8 +108,8 @@
 			return 0
 		},
 		Alive: func(node ident.NodeID) bool {
-			peer, known := d.members.View().Fellows[node]
-			return node == d.nodeID || known && now.Since(peer.Heard) < 3*time.Second
+			peer, known := d.members.View().Members[node]
+			return node == d.nodeID || known && now.Since(peer.LastContact) < 3*time.Second
 		},
 	}
 }
--- a/daemon/leader.go
+++ b/daemon/leader.go
@@ -8,10 +8,10 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// Leads says whether this daemon leads the group.
-func (d *Daemon) Leads() bool {
-	groupMember := d.replica.Load()
-	return groupMember != nil && groupMember.Status().IsLeader
+// IsLeader says whether this daemon leads the group.
+func (d *Daemon) IsLeader() bool {
+	held := d.replica.Load()
+	return held != nil && held.Status().IsLeader
 }
 
 // leaderAddress is where the leader is, as far as this daemon knows.
@@ -55,14 +55,14 @@
 	return bounded, cancel
 }
 
-// FirstRollAgo is, where this daemon leads, how long any bundle has been in force: negative while none
+// FirstRolloutAge is, where this daemon leads, how long any bundle has been in force: negative while none
 // was, and zero where this daemon can't tell.
-func (d *Daemon) FirstRollAgo() time.Duration {
-	groupMember := d.replica.Load()
-	if groupMember == nil {
+func (d *Daemon) FirstRolloutAge() time.Duration {
+	held := d.replica.Load()
+	if held == nil {
 		return 0
 	}
-	condition := groupMember.Status()
+	condition := held.Status()
 	// A recovered group may have lost its first bundles, so it can't tell when the first came.
 	if !condition.IsLeader || condition.Group.Recovered() {
 		return 0
--- a/daemon/routingdaemons.go
+++ b/daemon/routingdaemons.go
@@ -21,8 +21,8 @@
 		return int(counted)
 	}
 	names := map[string]bool{d.nodeID.Name(): true}
-	for _, peer := range d.members.View().Fellows {
-		if now.Since(peer.Heard) <= routingContactWindow && peer.Serves(string(daemonconfig.Route)) {
+	for _, peer := range d.members.View().Members {
+		if now.Since(peer.LastContact) <= routingContactWindow && peer.Serves(string(daemonconfig.Route)) {
 			names[peer.NodeID.Name()] = true
 		}
 	}
--- a/daemon/sessionaffinity.go
+++ b/daemon/sessionaffinity.go
@@ -20,7 +20,7 @@
 // Any daemon can be a home, whatever it serves, so that the restart of a lone routing daemon loses none.
 func (d *Daemon) assignmentOwners(session string) (first, second string) {
 	// A daemon that is stopping hands its seats over, and takes no more.
-	return affinity.Owners(session, d.readyPeers(3*time.Second, func(membership.Fellow) bool { return true }))
+	return affinity.Owners(session, d.readyPeers(3*time.Second, func(membership.Member) bool { return true }))
 }
 
 // seatAt asks one home; nil means that it can't be reached.
@@ -82,9 +82,9 @@
 // lostLately says whether daemons were lost or have begun anew so lately that seats may have gone with them.
 func (d *Daemon) peersLostRecently() bool {
 	now := d.clock.Elapsed()
-	for _, peer := range d.members.View().Fellows {
-		sinceContact := now.Since(peer.Heard)
-		if peer.Ready && (sinceContact > slotOwnerWindow && sinceContact <= contactWindow+uncertainWindow || now.Since(peer.Met) < uncertainWindow) {
+	for _, peer := range d.members.View().Members {
+		sinceContact := now.Since(peer.LastContact)
+		if peer.Ready && (sinceContact > slotOwnerWindow && sinceContact <= contactWindow+uncertainWindow || now.Since(peer.FirstContact) < uncertainWindow) {
 			return true
 		}
 	}
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -47,8 +47,8 @@
 		out.Planner = &operatorapi.PlannerStatus{Held: condition.Held, Claim: condition.Claim, InFlight: condition.InFlight}
 	}
 	for _, peer := range d.members.View().InContact(now, 30*time.Second) {
-		out.Fellows = append(out.Fellows, operatorapi.Fellow{NodeID: peer.NodeID, Address: peer.Address, Zone: peer.Zone, Serve: peer.Serve,
-			HeardMsAgo: now.Since(peer.Heard).Milliseconds(), SpecEpoch: peer.SpecEpoch, ClosureEpoch: peer.ClosureEpoch, Ready: peer.Ready})
+		out.Fellows = append(out.Fellows, operatorapi.Fellow{NodeID: peer.NodeID, Address: peer.Address, Zone: peer.Zone, Serve: peer.Roles,
+			HeardMsAgo: now.Since(peer.LastContact).Milliseconds(), SpecEpoch: peer.ConfigurationVersion, ClosureEpoch: peer.ClosureVersion, Ready: peer.Ready})
 	}
 	for _, engine := range d.watcher.View().Engines {
 		row := operatorapi.Engine{ID: engine.ID, Address: engine.Address, Zone: engine.Zone, Condition: string(engine.Condition), Draining: engine.Draining,
--- a/daemon/unplaced.go
+++ b/daemon/unplaced.go
@@ -112,7 +112,7 @@
 
 // lacksNow is what will not be loaded soon, by the newest word of whoever plans.
 func (d *Daemon) shortagesNow() map[dispatch.Wanted]time.Duration {
-	if d.Plans() {
+	if d.IsPlanner() {
 		out := map[dispatch.Wanted]time.Duration{}
 		for _, shortage := range d.sessionPlacer.Condition().Lacks {
 			out[dispatch.Wanted{Model: shortage.Model, Adapter: shortage.Adapter}] = shortage.Wait
