--- a/daemon/calllimits_test.go
+++ b/daemon/calllimits_test.go
@@ -26,18 +26,18 @@
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
-// madeUp is a clock of made-up time, in which only waiting takes any.
+// virtualClock is a clock of made-up time, in which only waiting takes any.
 type virtualClock struct{ began time.Time }
 
 func (c virtualClock) Elapsed() clock.Mark { return clock.Mark(time.Hour + time.Since(c.began)) }
 func (c virtualClock) Wall() time.Time     { return time.Now() }
 
-// kept is a disk that keeps nothing, at once.
+// discardDisk is a disk that keeps nothing, at once.
 type discardDisk struct{}
 
 func (discardDisk) Write(ident.GroupID, raft.Save) error { return nil }
 
-// lines joins members in one process; a member that is cut says and hears nothing.
+// memoryNetwork joins members in one process; a member that is cut says and hears nothing.
 type memoryNetwork struct {
 	members     map[raft.MemberID]*replica.Replica
 	partitioned map[raft.MemberID]*atomic.Bool
@@ -50,7 +50,7 @@
 	}
 }
 
-// silent is a network in which nobody answers.
+// unresponsiveNetwork is a network in which nobody answers.
 type unresponsiveNetwork struct{}
 
 func (unresponsiveNetwork) RoundTrip(request *http.Request) (*http.Response, error) {
--- a/daemon/configuration.go
+++ b/daemon/configuration.go
@@ -35,7 +35,7 @@
 func (d *Daemon) wakeRequestPath() {
 	d.dispatch.Poke()
 	if d.forwarding.actor != nil {
-		d.forwarding.actor.Poke()
+		d.forwarding.actor.Wake()
 	}
 }
 
--- a/daemon/controlcontact_test.go
+++ b/daemon/controlcontact_test.go
@@ -10,7 +10,7 @@
 	"github.com/cresspond/cresspond/process/daemonconfig"
 )
 
-// contactClock stands still.
+// fixedClock stands still.
 type fixedClock struct{ now clock.Mark }
 
 func (c fixedClock) Elapsed() clock.Mark { return c.now }
--- a/daemon/listener_test.go
+++ b/daemon/listener_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// scarce is a listener that has no descriptor left for some accepts.
+// flakyListener is a listener that has no descriptor left for some accepts.
 type flakyListener struct {
 	net.Listener
 	fails int
@@ -44,7 +44,7 @@
 	}
 }
 
-// guarded says whether its gate was open when a connection was taken.
+// gateObserver says whether its gate was open when a connection was taken.
 type gateObserver struct {
 	net.Listener
 	gate   *gate
--- a/daemon/longpoll_test.go
+++ b/daemon/longpoll_test.go
@@ -9,7 +9,7 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// heldClock is moved by hand.
+// manualClock is moved by hand.
 type manualClock struct{ now clock.Mark }
 
 func (c *manualClock) Elapsed() clock.Mark { return c.now }
