--- a/daemon/counters.go
+++ b/daemon/counters.go
@@ -248,9 +248,9 @@
 	say("ranking_suspected", counts.Suspected)
 	say("ranking_cleared", counts.Cleared)
 	say("ranking_drains", counts.Drains)
-	say("ranking_releases", counts.Releases)
+	say("ranking_releases", counts.Reopened)
 	say("ranking_relapses", counts.Relapses)
-	say("ranking_sounded", counts.Sounded)
+	say("ranking_sounded", counts.Recovered)
 	for place, count := range counts.Refused {
 		if why := nodehealth.Refusal(place); why != nodehealth.Allowed {
 			say("ranking_refused_"+why.Name(), count)
--- a/daemon/membernotices.go
+++ b/daemon/membernotices.go
@@ -9,7 +9,7 @@
 	"github.com/cresspond/cresspond/process/consensus/replica"
 )
 
-// logMemberChange writes down what changed in this member's part in the group.
+// groupTurned writes down what changed in this member's part in the group.
 func (d *Daemon) logMemberChange(before, after replica.Status) {
 	entry := d.log.WithField("term", uint64(after.Term))
 	switch {
@@ -36,7 +36,7 @@
 	}
 }
 
-// noticeLogger writes down what members of the group noticed of each other. A snapshot that is refused again and
+// groupNotices writes down what members of the group noticed of each other. A snapshot that is refused again and
 // again is one line.
 func (d *Daemon) noticeLogger() func(raft.Notice) {
 	var refused raft.Notice
