--- a/daemon/configuration.go
+++ b/daemon/configuration.go
@@ -19,7 +19,7 @@
 	go d.rollout.Offer(version, inForce.Payload(), &closures)
 }
 
-// swapped is called after each change that is in force here.
+// configurationChanged is called after each change that is in force here.
 func (d *Daemon) configurationChanged() {
 	if table := d.rollout.Table(); table != nil {
 		if closure, lost := table.Closures.Lost[d.nodeID]; lost {
--- a/daemon/controlcontact.go
+++ b/daemon/controlcontact.go
@@ -11,7 +11,7 @@
 	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
-// hearsay is up to when each other control daemon has told all that it heard.
+// syncTimes is up to when each other control daemon has told all that it heard.
 type syncTimes struct {
 	mutex     sync.Mutex
 	byAddress map[string]clock.Mark
@@ -32,7 +32,7 @@
 	return h.byAddress[address]
 }
 
-// contact says how well this daemon hears what other control daemons hear. One that is cut off from any that
+// controlContact says how well this daemon hears what other control daemons hear. One that is cut off from any that
 // lives can't tell an engine's silence from its own deafness; nor can several that were cut off from a majority together.
 func (d *Daemon) controlContact() registry.Connectivity {
 	now := d.clock.Elapsed()
@@ -57,7 +57,7 @@
 	return out
 }
 
-// alone says whether this daemon is the whole group.
+// soleVoter says whether this daemon is the whole group.
 func (d *Daemon) soleVoter() bool {
 	groupMember := d.replica.Load()
 	return groupMember != nil && len(groupMember.Status().Membership.Voters()) == 1 && groupMember.Status().IsLeader
--- a/daemon/engineclosures.go
+++ b/daemon/engineclosures.go
@@ -10,13 +10,13 @@
 	return table == nil || table.OpenRegistered(engine.ID, engine.Zone)
 }
 
-// engineEmptied says whether the ranking shut a registered engine.
+// engineDrainedByRanking says whether the ranking shut a registered engine.
 func (d *Daemon) engineDrainedByRanking(engine *registry.Engine) bool {
 	table := d.rollout.Table()
 	return table != nil && table.Closures.Engines[engine.ID].Ranking != nil
 }
 
-// moveOff has what is under way at engines that the ranking shut go on elsewhere.
+// migrateFromDrained has what is under way at engines that the ranking shut go on elsewhere.
 func (d *Daemon) migrateFromDrained() {
 	table := d.rollout.Table()
 	if table == nil || d.forwarding.gateway == nil {
--- a/daemon/membernotices.go
+++ b/daemon/membernotices.go
@@ -9,7 +9,7 @@
 	"github.com/cresspond/cresspond/process/consensus/replica"
 )
 
-// groupTurned writes down what changed in this member's part in the group.
+// logMemberChange writes down what changed in this member's part in the group.
 func (d *Daemon) logMemberChange(before, after replica.Status) {
 	entry := d.log.WithField("term", uint64(after.Term))
 	switch {
@@ -36,7 +36,7 @@
 	}
 }
 
-// groupNotices writes down what members of the group noticed of each other. A snapshot that is refused again and
+// noticeLogger writes down what members of the group noticed of each other. A snapshot that is refused again and
 // again is one line.
 func (d *Daemon) noticeLogger() func(raft.Notice) {
 	var refused raft.Notice
--- a/daemon/routingdaemons.go
+++ b/daemon/routingdaemons.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// edgesCounted is how long a count of the daemons that route is used.
+	// routingCountValidFor is how long a count of the daemons that route is used.
 	routingCountValidFor = time.Second
-	// edgesHeard is how lately one must have been heard of to count; one that is only cut off still sends.
+	// routingContactWindow is how lately one must have been heard of to count; one that is only cut off still sends.
 	routingContactWindow = time.Minute
 )
 
-// edges counts the daemons that route; another life of the same daemon is no other.
+// routingDaemonCount counts the daemons that route; another life of the same daemon is no other.
 func (d *Daemon) routingDaemonCount(now clock.Mark) int {
 	side := &d.forwarding
 	if counted := side.routingDaemons.Load(); counted > 0 && now.Since(clock.Mark(side.routingDaemonsAt.Load())) < routingCountValidFor {
--- a/daemon/unplaced.go
+++ b/daemon/unplaced.go
@@ -29,13 +29,13 @@
 // PoolTarget names a model, or one adapter of it, of a pool.
 type PoolTarget struct{ Pool, Model, Adapter string }
 
-// heldLacks is what the planner here said last that it will not load soon, as told to others.
+// shortageReport is what the planner here said last that it will not load soon, as told to others.
 type shortageReport struct {
 	sessions []sessionplacement.Lack
 	pools    []poolplacement.Lack
 }
 
-// like says whether two words on what is lacking are so near each other that others need not be told.
+// similarTo says whether two words on what is lacking are so near each other that others need not be told.
 func (h *shortageReport) similarTo(other *shortageReport) bool {
 	if len(h.sessions) != len(other.sessions) || len(h.pools) != len(other.pools) {
 		return false
@@ -54,7 +54,7 @@
 	return true
 }
 
-// tellLacks puts what will not be loaded soon into a reply, where this daemon plans and the asker has it not.
+// addShortages puts what will not be loaded soon into a reply, where this daemon plans and the asker has it not.
 func (d *Daemon) addShortages(in *peerapi.PullRequest, reply *peerapi.PullReply) {
 	report := d.shortageReport.Load()
 	if !reply.IsPlanner || report == nil {
@@ -72,7 +72,7 @@
 	}
 }
 
-// learnLacks takes the planner's word on what will not be loaded soon.
+// receiveShortages takes the planner's word on what will not be loaded soon.
 func (d *Daemon) receiveShortages(reply *peerapi.PullReply) {
 	if !reply.IsPlanner || reply.ShortagesVersion == 0 {
 		return
@@ -99,7 +99,7 @@
 	d.receivedVersions.shortages.Store(reply.ShortagesVersion)
 }
 
-// hearPoolLacks takes the planner's word on what will not be loaded soon.
+// receivePoolShortages takes the planner's word on what will not be loaded soon.
 func (d *Daemon) receivePoolShortages(shortages []*peerapi.Shortage) {
 	waits := map[PoolTarget]time.Duration{}
 	for _, shortage := range shortages {
@@ -110,7 +110,7 @@
 	d.poolShortages.Store(&receivedPoolShortages{d.clock.Elapsed(), waits})
 }
 
-// lacksNow is what will not be loaded soon, by the newest word of whoever plans.
+// shortagesNow is what will not be loaded soon, by the newest word of whoever plans.
 func (d *Daemon) shortagesNow() map[dispatch.Wanted]time.Duration {
 	if d.IsPlanner() {
 		out := map[dispatch.Wanted]time.Duration{}
