--- a/daemon/controlcontact.go
+++ b/daemon/controlcontact.go
@@ -11,19 +11,19 @@
 	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
-// hearsay is up to when each other control daemon has told all that it heard.
+// syncTimes is up to when each other control daemon has told all that it heard.
 type syncTimes struct {
 	mutex     sync.Mutex
 	byAddress map[string]clock.Mark
 }
 
-func (h *syncTimes) record(address string, asked clock.Mark) {
+func (h *syncTimes) record(address string, requestedAt clock.Mark) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.byAddress == nil {
 		h.byAddress = map[string]clock.Mark{}
 	}
-	h.byAddress[address] = max(h.byAddress[address], asked)
+	h.byAddress[address] = max(h.byAddress[address], requestedAt)
 }
 
 func (h *syncTimes) latest(address string) clock.Mark {
@@ -32,7 +32,7 @@
 	return h.byAddress[address]
 }
 
-// contact says how well this daemon hears what other control daemons hear. One that is cut off from any that
+// controlContact says how well this daemon hears what other control daemons hear. One that is cut off from any that
 // lives can't tell an engine's silence from its own deafness; nor can several that were cut off from a majority together.
 func (d *Daemon) controlContact() registry.Connectivity {
 	now := d.clock.Elapsed()
@@ -44,21 +44,21 @@
 }
 
 // contactOf is contact for a view; heard is up to when a control daemon at an address has told all that it heard.
-func contactOf(view *membership.View, self ident.NodeID, now clock.Mark, heard func(address string) clock.Mark, period time.Duration, alone func() bool) registry.Connectivity {
+func contactOf(view *membership.View, self ident.NodeID, now clock.Mark, syncedAt func(address string) clock.Mark, period time.Duration, alone func() bool) registry.Connectivity {
 	out, others := registry.Connectivity{Horizon: now}, 0
-	for _, fellow := range view.Members {
-		if fellow.NodeID == self || !fellow.Serves(string(daemonconfig.Control)) || now.Since(fellow.LastContact) > membership.ContactWindow {
+	for _, peer := range view.Members {
+		if peer.NodeID == self || !peer.Serves(string(daemonconfig.Control)) || now.Since(peer.LastContact) > membership.ContactWindow {
 			continue
 		}
 		others++
-		out.Horizon = min(out.Horizon, heard(fellow.Address))
+		out.Horizon = min(out.Horizon, syncedAt(peer.Address))
 	}
 	out.CanDetectTimeouts = now.Since(out.Horizon) <= period && (others > 0 || alone()) && now.Since(view.LastLeaderContact) <= membership.ContactWindow
 	return out
 }
 
-// alone says whether this daemon is the whole group.
+// soleVoter says whether this daemon is the whole group.
 func (d *Daemon) soleVoter() bool {
-	held := d.replica.Load()
-	return held != nil && len(held.Status().Membership.Voters()) == 1 && held.Status().IsLeader
+	groupMember := d.replica.Load()
+	return groupMember != nil && len(groupMember.Status().Membership.Voters()) == 1 && groupMember.Status().IsLeader
 }
