--- a/daemon/sessionplanning.go
+++ b/daemon/sessionplanning.go
@@ -14,7 +14,7 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// planning is the daemon as the placement actor sees it.
+// sessionPlanner is the daemon as the placement actor sees it.
 type sessionPlanner struct{ *Daemon }
 
 // Input gathers what the plan looks at.
@@ -73,6 +73,6 @@
 func (p sessionPlanner) MayStand() bool {
 	ready, _ := p.Ready()
 	// A bundle without engines of the platform's list leaves nothing to plan for sessions.
-	t := p.rollout.Table()
-	return ready && p.generator.Held() && (p.poolPlanning == nil || t != nil && len(t.Spec.Engines) > 0)
+	table := p.rollout.Table()
+	return ready && p.generator.Held() && (p.poolPlanning == nil || table != nil && len(table.Spec.Engines) > 0)
 }
