--- a/process/engines/admission/controller.go
+++ b/process/engines/admission/controller.go
@@ -23,7 +23,9 @@
 }
 
 // event is one call to the controller.
-type event interface{ apply(c *Controller) []Decision }
+type event interface {
+	apply(c *Controller) []Decision
+}
 
 type (
 	acquireEvent struct {
