--- a/daemon/groupidentity.go
+++ b/daemon/groupidentity.go
@@ -64,7 +64,7 @@
 func (d *Daemon) identity() *peerapi.Identity {
 	out := &peerapi.Identity{NodeId: string(d.nodeID), Group: string(d.Group()), ServesControl: d.config.Serves(daemonconfig.Control), JoinOnly: d.config.JoinOnly}
 	if folder := d.dataFolder(); folder != nil {
-		out.MemberId = uint64(folder.Member)
+		out.MemberId = uint64(folder.MemberID)
 		if remembered, err := folder.Group(); err == nil && remembered != "" {
 			out.Group = string(remembered)
 		}
--- a/daemon/handover.go
+++ b/daemon/handover.go
@@ -102,7 +102,7 @@
 		return
 	}
 	condition := held.Status()
-	self, known := condition.Membership.Find(life.store.Member)
+	self, known := condition.Membership.Find(life.store.MemberID)
 	if !known || !self.Voter || len(condition.Membership.Voters()) == 1 {
 		return
 	}
--- a/daemon/joingroup.go
+++ b/daemon/joingroup.go
@@ -67,7 +67,7 @@
 	ticker := time.NewTicker(200 * time.Millisecond)
 	defer ticker.Stop()
 	for {
-		decision, group, members := bootstrap.Decide(held.Member, d.identifySeeds(ctx))
+		decision, group, members := bootstrap.Decide(held.MemberID, d.identifySeeds(ctx))
 		switch decision {
 		case bootstrap.Join:
 			return group, none, nil
--- a/daemon/member.go
+++ b/daemon/member.go
@@ -88,13 +88,13 @@
 		line := d.log.WithError(err)
 		switch {
 		case errors.As(err, new(*replica.StateDivergedError)):
-			if err := store.SetAside(d.config.Data); err != nil {
+			if err := store.Quarantine(d.config.Data); err != nil {
 				d.log.WithError(err).Warn("the state that differs cannot be set aside yet")
 				break
 			}
 			pause = max(pause, differed.next())
 			line.WithField("pause", pause.String()).Warn("gave up a state that differs from what a majority holds; joining as a new member")
-		case errors.As(err, new(superseded)), store.IsDamage(err):
+		case errors.As(err, new(superseded)), store.IsDamaged(err):
 			if looks++; looks < damageConfirmations {
 				line.Warn("the data folder looks damaged")
 				break
@@ -102,7 +102,7 @@
 			// What was acknowledged is on a majority; what this folder held can't be trusted, nor may the
 			// votes given under its identity be given again. A new identity has given none.
 			looks = 0
-			if err := store.SetAside(d.config.Data); err != nil {
+			if err := store.Quarantine(d.config.Data); err != nil {
 				d.log.WithError(err).Warn("the damaged files cannot be set aside yet")
 				break
 			}
@@ -141,7 +141,7 @@
 	defer opened.Close()
 	if probe {
 		// A disk that was full may still be.
-		if err := opened.Probe(); err != nil {
+		if err := opened.CheckWritable(); err != nil {
 			return err
 		}
 	}
@@ -170,7 +170,7 @@
 	if !d.learnGroup(group) {
 		return eris.Errorf("the data folder belongs to group %s, and fellows belong to %s", group, d.Group())
 	}
-	self := raft.Member{ID: life.store.Member, Name: d.config.Name, Address: d.config.ReachedAt()}
+	self := raft.Member{ID: life.store.MemberID, Name: d.config.Name, Address: d.config.ReachedAt()}
 	if !belongsToGroup(life.store) {
 		// A fresh member belongs to whichever generation addresses it first.
 		group = ""
--- a/daemon/raftservice.go
+++ b/daemon/raftservice.go
@@ -29,7 +29,7 @@
 		folder := d.dataFolder()
 		for _, message := range messages {
 			// Only a group that was told this folder's identity can name it.
-			if folder != nil && message.To == folder.Member {
+			if folder != nil && message.To == folder.MemberID {
 				select {
 				case d.adoptedGroup <- ident.GroupID(in.Group):
 				default:
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -34,7 +34,7 @@
 		out.Raft = &operatorapi.RaftStatus{Role: condition.Role.String(), Term: uint64(condition.Term), Commit: uint64(condition.CommitIndex), Stalled: condition.DiskStalled,
 			Applied: uint64(condition.AppliedIndex), StateDigest: digestText(condition.Digest)}
 		if folder := d.dataFolder(); folder != nil {
-			self, _ := condition.Membership.Find(folder.Member)
+			self, _ := condition.Membership.Find(folder.MemberID)
 			out.Raft.Voter = self.Voter
 		}
 		for _, member := range condition.Membership.Members {
--- a/process/consensus/compatibility/stored_test.go
+++ b/process/consensus/compatibility/stored_test.go
@@ -78,7 +78,7 @@
 		t.Fatal(err)
 	}
 	member := storedMember{
-		Group: string(group), Member: uint64(opened.Member),
+		Group: string(group), Member: uint64(opened.MemberID),
 		Term: uint64(restored.HardState.Term), Vote: uint64(restored.HardState.Vote),
 		SnapshotIndex: uint64(restored.Snapshot.Index), SnapshotTerm: uint64(restored.Snapshot.Term),
 		SnapshotBytes: len(restored.Snapshot.Data), Membership: restored.Snapshot.Membership.Encode(),
--- a/process/consensus/recovery/recovery.go
+++ b/process/consensus/recovery/recovery.go
@@ -180,7 +180,7 @@
 
 // Write puts the plan into an empty folder as a group of one; the other machines join it.
 func Write(s *store.Store, plan Plan, name, address string) error {
-	self := raft.Member{ID: s.Member, Name: name, Address: address, Voter: true}
+	self := raft.Member{ID: s.MemberID, Name: name, Address: address, Voter: true}
 	first := raft.Snapshot{Index: 1, Term: 1, Membership: raft.Membership{Members: []raft.Member{self}}, Data: plan.State.Snapshot()}
 	return s.Write(plan.Group, raft.Save{HardState: raft.HardState{Term: 1}, Snapshot: &first})
 }
--- a/process/consensus/store/aside_test.go
+++ b/process/consensus/store/aside_test.go
@@ -14,8 +14,8 @@
 	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
-// written makes a folder with one save, and gives the identity in it.
-func written(t *testing.T) (string, raft.MemberID) {
+// newFolder makes a folder with one save, and gives the identity in it.
+func newFolder(t *testing.T) (string, raft.MemberID) {
 	t.Helper()
 	folder := t.TempDir()
 	s, err := Open(folder, newMember)
@@ -23,14 +23,14 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if err := s.Write("g", saveOf(1)); err != nil {
+	if err := s.Write("g", testSave(1)); err != nil {
 		t.Fatal(err)
 	}
-	return folder, s.Member
+	return folder, s.MemberID
 }
 
-func TestOnlyWhatNeverComesBackIsDamage(t *testing.T) {
-	folder, _ := written(t)
+func TestIsDamagedOnlyForPermanentErrors(t *testing.T) {
+	folder, _ := newFolder(t)
 	path := filepath.Join(folder, "member.sqlite")
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -42,47 +42,47 @@
 	if err := os.WriteFile(path, data, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(folder, newMember); !IsDamage(err) {
+	if _, err := Open(folder, newMember); !IsDamaged(err) {
 		t.Errorf("a torn file is no damage: %v", err)
 	}
 	if err := os.WriteFile(path, data[:50], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(folder, newMember); !IsDamage(err) {
+	if _, err := Open(folder, newMember); !IsDamaged(err) {
 		t.Errorf("a file without its head is no damage: %v", err)
 	}
 	for _, code := range []sqlite3.ErrNo{sqlite3.ErrFull, sqlite3.ErrIoErr, sqlite3.ErrCantOpen, sqlite3.ErrBusy, sqlite3.ErrReadonly, sqlite3.ErrPerm} {
-		if IsDamage(eris.Wrap(sqlite3.Error{Code: code}, "x")) {
+		if IsDamaged(eris.Wrap(sqlite3.Error{Code: code}, "x")) {
 			t.Errorf("code %d may pass, and is called damage", code)
 		}
 	}
-	if !IsDamage(eris.Wrap(sqlite3.Error{Code: sqlite3.ErrCorrupt}, "x")) || IsDamage(errors.New("x")) || IsDamage(nil) {
+	if !IsDamaged(eris.Wrap(sqlite3.Error{Code: sqlite3.ErrCorrupt}, "x")) || IsDamaged(errors.New("x")) || IsDamaged(nil) {
 		t.Error("damage is not told from the rest")
 	}
 }
 
-// TestSettingAsideMayStopAnywhere: whatever of it was done before the process ended, the next Open makes a new
+// TestInterruptedQuarantineIsFinishedByOpen: whatever of it was done before the process ended, the next Open makes a new
 // member of its own, and no old journal meets its file.
-func TestSettingAsideMayStopAnywhere(t *testing.T) {
+func TestInterruptedQuarantineIsFinishedByOpen(t *testing.T) {
 	for done := range 4 {
 		t.Run(fmt.Sprint(done), func(t *testing.T) {
-			folder, before := written(t)
+			folder, before := newFolder(t)
 			journal := filepath.Join(folder, "member.sqlite-journal")
 			if err := os.WriteFile(journal, []byte("left behind"), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			if err := os.WriteFile(filepath.Join(folder, markName), nil, 0o600); err != nil {
+			if err := os.WriteFile(filepath.Join(folder, quarantineMarker), nil, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			for i, name := range memberFiles {
+			for i, name := range databaseFiles {
 				if done > i {
-					if err := os.Rename(filepath.Join(folder, name), filepath.Join(folder, asidePrefix+"1."+name)); err != nil {
+					if err := os.Rename(filepath.Join(folder, name), filepath.Join(folder, quarantinePrefix+"1."+name)); err != nil {
 						t.Fatal(err)
 					}
 				}
 			}
 			if done == 3 {
-				if err := os.Remove(filepath.Join(folder, markName)); err != nil {
+				if err := os.Remove(filepath.Join(folder, quarantineMarker)); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -91,34 +91,34 @@
 				t.Fatal(err)
 			}
 			defer s.Close()
-			if s.Member == before {
+			if s.MemberID == before {
 				t.Error("the old identity lives on")
 			}
 			if group, err := s.Group(); err != nil || group != "" {
 				t.Errorf("the new member remembers group %q: %v", group, err)
 			}
-			if _, err := os.Stat(filepath.Join(folder, markName)); err == nil {
+			if _, err := os.Stat(filepath.Join(folder, quarantineMarker)); err == nil {
 				t.Error("the mark is still there")
 			}
-			if err := s.Probe(); err != nil {
+			if err := s.CheckWritable(); err != nil {
 				t.Error(err)
 			}
 		})
 	}
 }
 
-func TestOnlyTheNewestFilesSetAsideAreKept(t *testing.T) {
+func TestQuarantineRetainsNewestFiles(t *testing.T) {
 	folder := t.TempDir()
 	for i := range 5 {
 		s, err := Open(folder, func() raft.MemberID { return raft.MemberID(i + 1) })
 		if err != nil {
 			t.Fatal(err)
 		}
-		if s.Member != raft.MemberID(i+1) {
-			t.Errorf("round %d: member %d", i, s.Member)
+		if s.MemberID != raft.MemberID(i+1) {
+			t.Errorf("round %d: member %d", i, s.MemberID)
 		}
 		s.Close()
-		if err := SetAside(folder); err != nil {
+		if err := Quarantine(folder); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -126,13 +126,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var kept []string
+	var remaining []string
 	for _, entry := range entries {
-		if strings.HasPrefix(entry.Name(), asidePrefix) {
-			kept = append(kept, entry.Name())
+		if strings.HasPrefix(entry.Name(), quarantinePrefix) {
+			remaining = append(remaining, entry.Name())
 		}
 	}
-	if len(kept) != mostAside || kept[0] != "aside-4.member.sqlite" {
-		t.Error(kept)
+	if len(remaining) != maxQuarantined || remaining[0] != "aside-4.member.sqlite" {
+		t.Error(remaining)
 	}
 }
--- a/process/consensus/store/powerloss_test.go
+++ b/process/consensus/store/powerloss_test.go
@@ -13,11 +13,11 @@
 	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
-// copyOf is what is on the disk at this moment: the file, and the journal of a transaction under way.
-func copyOf(t *testing.T, folder string) string {
+// copyFolder is what is on the disk at this moment: the file, and the journal of a transaction under way.
+func copyFolder(t *testing.T, folder string) string {
 	t.Helper()
 	copied := t.TempDir()
-	for _, name := range memberFiles {
+	for _, name := range databaseFiles {
 		data, err := os.ReadFile(filepath.Join(folder, name))
 		if errors.Is(err, fs.ErrNotExist) {
 			continue
@@ -32,10 +32,10 @@
 	return copied
 }
 
-// loaded is what a member finds in a folder after its power came back.
-func loaded(t *testing.T, folder string) raft.PersistentState {
+// loadFolder is what a member finds in a folder after its power came back.
+func loadFolder(t *testing.T, folder string) raft.PersistentState {
 	t.Helper()
-	s := open(t, folder)
+	s := openStore(t, folder)
 	defer s.Close()
 	found, err := s.Load()
 	if err != nil {
@@ -44,39 +44,39 @@
 	return found
 }
 
-func voters() raft.Membership {
+func testMembership() raft.Membership {
 	return raft.Membership{Members: []raft.Member{{ID: 7, Name: "a", Address: "x", Voter: true}}}
 }
 
-func logOf(term raft.Term, from, to raft.Index) []raft.Entry {
-	var out []raft.Entry
+func testEntries(term raft.Term, from, to raft.Index) []raft.Entry {
+	var entries []raft.Entry
 	for index := from; index <= to; index++ {
-		out = append(out, raft.Entry{Term: term, Index: index, Data: bytes.Repeat([]byte{byte(index)}, 3000)})
+		entries = append(entries, raft.Entry{Term: term, Index: index, Data: bytes.Repeat([]byte{byte(index)}, 3000)})
 	}
-	return out
+	return entries
 }
 
-// writes are those that replace or cut what is there.
-func writes() map[string]raft.Save {
+// powerLossSaves are those that replace or cut what is there.
+func powerLossSaves() map[string]raft.Save {
 	return map[string]raft.Save{
 		"install": {HardState: raft.HardState{Term: 5, Vote: 3}, TruncateFrom: 1, CompactTo: 60,
-			Snapshot: &raft.Snapshot{Index: 60, Term: 5, Membership: voters(), Data: bytes.Repeat([]byte("new"), 100000)}},
+			Snapshot: &raft.Snapshot{Index: 60, Term: 5, Membership: testMembership(), Data: bytes.Repeat([]byte("new"), 100000)}},
 		"compaction": {HardState: raft.HardState{Term: 4, Vote: 7}, CompactTo: 37,
-			Snapshot: &raft.Snapshot{Index: 40, Term: 4, Membership: voters(), Data: bytes.Repeat([]byte("cut"), 100000)}},
-		"another leader's entries": {HardState: raft.HardState{Term: 6}, TruncateFrom: 30, Entries: logOf(6, 30, 44)},
+			Snapshot: &raft.Snapshot{Index: 40, Term: 4, Membership: testMembership(), Data: bytes.Repeat([]byte("cut"), 100000)}},
+		"another leader's entries": {HardState: raft.HardState{Term: 6}, TruncateFrom: 30, Entries: testEntries(6, 30, 44)},
 	}
 }
 
-// before fills a folder with a snapshot and a log.
-func before(t *testing.T, folder string) *Store {
+// newPowerLossStore fills a folder with a snapshot and a log.
+func newPowerLossStore(t *testing.T, folder string) *Store {
 	t.Helper()
-	s := open(t, folder)
+	s := openStore(t, folder)
 	// With next to no cache SQLite writes changed pages into the file while the transaction is under way.
 	if _, err := s.db.Exec("PRAGMA cache_size = 1"); err != nil {
 		t.Fatal(err)
 	}
-	first := raft.Save{HardState: raft.HardState{Term: 4, Vote: 7}, Entries: logOf(4, 11, 40),
-		Snapshot: &raft.Snapshot{Index: 10, Term: 3, Membership: voters(), Data: bytes.Repeat([]byte("old"), 100000)}}
+	first := raft.Save{HardState: raft.HardState{Term: 4, Vote: 7}, Entries: testEntries(4, 11, 40),
+		Snapshot: &raft.Snapshot{Index: 10, Term: 3, Membership: testMembership(), Data: bytes.Repeat([]byte("old"), 100000)}}
 	if err := s.Write("group", first); err != nil {
 		t.Fatal(err)
 	}
@@ -84,71 +84,71 @@
 }
 
 // When the power goes at any step of a write the folder holds what was before it; after its end, all of it.
-func TestPowerLossAtEachStepLeavesTheOldOrTheNew(t *testing.T) {
-	for name, save := range writes() {
+func TestPowerLossAtEachStatementLeavesOldOrNewState(t *testing.T) {
+	for name, save := range powerLossSaves() {
 		t.Run(name, func(t *testing.T) {
 			folder := t.TempDir()
-			s := before(t, folder)
+			s := newPowerLossStore(t, folder)
 			defer s.Close()
-			old := loaded(t, copyOf(t, folder))
-			steps, torn := stepsOf("group", save), 0
-			for count := 1; count <= len(steps); count++ {
+			old := loadFolder(t, copyFolder(t, folder))
+			statements, withJournal := statementsOf("group", save), 0
+			for count := 1; count <= len(statements); count++ {
 				tx, err := s.db.Begin()
 				if err != nil {
 					t.Fatal(err)
 				}
-				for _, step := range steps[:count] {
+				for _, step := range statements[:count] {
 					if err := step(tx); err != nil {
 						t.Fatal(err)
 					}
 				}
-				lost := copyOf(t, folder)
-				if _, err := os.Stat(filepath.Join(lost, memberFiles[1])); err == nil {
-					torn++
+				copied := copyFolder(t, folder)
+				if _, err := os.Stat(filepath.Join(copied, databaseFiles[1])); err == nil {
+					withJournal++
 				}
-				if got := loaded(t, lost); !reflect.DeepEqual(got, old) {
-					t.Fatalf("after %d of %d steps the folder holds neither what was before: %s", count, len(steps), brief(got))
+				if got := loadFolder(t, copied); !reflect.DeepEqual(got, old) {
+					t.Fatalf("after %d of %d steps the folder holds neither what was before: %s", count, len(statements), summary(got))
 				}
 				if err := tx.Rollback(); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if torn == 0 {
+			if withJournal == 0 {
 				t.Error("no transaction had touched the file")
 			}
 			if err := s.Write("group", save); err != nil {
 				t.Fatal(err)
 			}
-			if got := loaded(t, copyOf(t, folder)); reflect.DeepEqual(got, old) || got.HardState != save.HardState {
-				t.Errorf("after the write the folder holds %s", brief(got))
+			if got := loadFolder(t, copyFolder(t, folder)); reflect.DeepEqual(got, old) || got.HardState != save.HardState {
+				t.Errorf("after the write the folder holds %s", summary(got))
 			}
 		})
 	}
 }
 
 // The broken variant: with each step a transaction of its own, some power loss leaves a mixture.
-func TestStepsOnTheirOwnLeaveAMixture(t *testing.T) {
-	save := writes()["install"]
+func TestSeparateTransactionsLeaveMixedState(t *testing.T) {
+	save := powerLossSaves()["install"]
 	folder := t.TempDir()
-	s := before(t, folder)
+	s := newPowerLossStore(t, folder)
 	defer s.Close()
-	old, mixtures := loaded(t, copyOf(t, folder)), 0
-	steps := stepsOf("group", save)
-	for place, step := range steps {
+	old, mixtures := loadFolder(t, copyFolder(t, folder)), 0
+	statements := statementsOf("group", save)
+	for position, execute := range statements {
 		tx, err := s.db.Begin()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := step(tx); err != nil {
+		if err := execute(tx); err != nil {
 			t.Fatal(err)
 		}
 		if err := tx.Commit(); err != nil {
 			t.Fatal(err)
 		}
-		lost := open(t, copyOf(t, folder))
-		found, err := lost.Load()
-		lost.Close()
-		if place+1 < len(steps) && (err != nil || !reflect.DeepEqual(found, old)) {
+		reopened := openStore(t, copyFolder(t, folder))
+		found, err := reopened.Load()
+		reopened.Close()
+		if position+1 < len(statements) && (err != nil || !reflect.DeepEqual(found, old)) {
 			mixtures++
 		}
 	}
@@ -157,23 +157,23 @@
 	}
 }
 
-func brief(found raft.PersistentState) string {
+func summary(found raft.PersistentState) string {
 	return fmt.Sprintf("%+v, snapshot at %d, %d entries", found.HardState, found.Snapshot.Index, len(found.Entries))
 }
 
 // A log that does not go on where the snapshot ends, or holds a membership that can't be read, is damaged.
-func TestLogThatDoesNotFitTheSnapshotIsDamaged(t *testing.T) {
-	unreadable := logOf(4, 11, 12)
+func TestLogInconsistentWithSnapshotIsDamaged(t *testing.T) {
+	unreadable := testEntries(4, 11, 12)
 	unreadable[1].Kind = raft.EntryMembership
 	for name, entries := range map[string][]raft.Entry{
-		"a hole behind the snapshot": logOf(4, 12, 14), "an end before the snapshot": logOf(4, 5, 9), "a membership": unreadable,
+		"a hole behind the snapshot": testEntries(4, 12, 14), "an end before the snapshot": testEntries(4, 5, 9), "a membership": unreadable,
 	} {
-		s := open(t, t.TempDir())
-		save := raft.Save{HardState: raft.HardState{Term: 4}, Entries: entries, Snapshot: &raft.Snapshot{Index: 10, Term: 3, Membership: voters(), Data: []byte("x")}}
+		s := openStore(t, t.TempDir())
+		save := raft.Save{HardState: raft.HardState{Term: 4}, Entries: entries, Snapshot: &raft.Snapshot{Index: 10, Term: 3, Membership: testMembership(), Data: []byte("x")}}
 		if err := s.Write("group", save); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := s.Load(); !IsDamage(err) {
+		if _, err := s.Load(); !IsDamaged(err) {
 			t.Errorf("%s: %v", name, err)
 		}
 		s.Close()
--- a/process/consensus/store/store.go
+++ b/process/consensus/store/store.go
@@ -21,20 +21,20 @@
 )
 
 // FormVersion is the version of the tables; a folder of a later one is refused.
-const FormVersion = 1
+const SchemaVersion = 1
 
 // Store is one open data folder.
 type Store struct {
 	db     *sql.DB
 	lock   *os.File
 	folder string
-	// Member is the identity made with the folder.
-	Member raft.MemberID
-	// strict says that every row must have its sum.
-	strict bool
+	// MemberID is the identity made with the folder.
+	MemberID raft.MemberID
+	// checksumsRequired says that every row must have its sum.
+	checksumsRequired bool
 }
 
-const tables = `
+const schema = `
 CREATE TABLE IF NOT EXISTS meta (key TEXT PRIMARY KEY, value BLOB NOT NULL) WITHOUT ROWID;
 CREATE TABLE IF NOT EXISTS log (idx INTEGER PRIMARY KEY, term INTEGER NOT NULL, kind INTEGER NOT NULL, data BLOB);
 CREATE TABLE IF NOT EXISTS snapshot (one INTEGER PRIMARY KEY CHECK (one = 1), idx INTEGER NOT NULL, term INTEGER NOT NULL, membership BLOB NOT NULL, data BLOB);
@@ -43,7 +43,7 @@
 // Each row carries a sum, since SQLite believes a turned bit in what it holds for us. Rows of builds that
 // knew of no sums have none: the triggers take the sum off a row that such a build changes, and with the
 // first row without one the word that all have one goes.
-const untouched = `
+const checksumTriggers = `
 CREATE TRIGGER IF NOT EXISTS meta_unsummed AFTER UPDATE OF value ON meta WHEN NEW.value IS NOT OLD.value AND NEW.sum IS OLD.sum
 BEGIN UPDATE meta SET sum = NULL WHERE key = NEW.key; DELETE FROM meta WHERE key = 'all-summed'; END;
 CREATE TRIGGER IF NOT EXISTS meta_added AFTER INSERT ON meta WHEN NEW.sum IS NULL BEGIN DELETE FROM meta WHERE key = 'all-summed'; END;
@@ -52,73 +52,73 @@
 `
 
 // summed lists the tables whose rows carry sums.
-var summed = []string{"meta", "log", "snapshot"}
+var checksummedTables = []string{"meta", "log", "snapshot"}
 
 // keys are all that a group's folder must hold in meta; allSummed may stand beside them.
-var keys = []string{"form", "member", "group", "term", "vote"}
+var metaKeys = []string{"form", "member", "group", "term", "vote"}
 
-// damage is what is wrong with a folder that can never be used again as it is; any other error may pass.
-type damage struct{ error }
+// DamageError is what is wrong with a folder that can never be used again as it is; any other error may pass.
+type DamageError struct{ error }
 
 // Unwrap gives what was wrong.
-func (d damage) Unwrap() error { return d.error }
+func (d DamageError) Unwrap() error { return d.error }
 
-// IsDamage says whether an error means that a folder can never be used again as it is.
-func IsDamage(err error) bool {
-	var found damage
-	if errors.As(err, &found) {
+// IsDamaged says whether an error means that a folder can never be used again as it is.
+func IsDamaged(err error) bool {
+	var damage DamageError
+	if errors.As(err, &damage) {
 		return true
 	}
-	var said sqlite3.Error
-	return errors.As(err, &said) && (said.Code == sqlite3.ErrCorrupt || said.Code == sqlite3.ErrNotADB)
+	var sqliteError sqlite3.Error
+	return errors.As(err, &sqliteError) && (sqliteError.Code == sqlite3.ErrCorrupt || sqliteError.Code == sqlite3.ErrNotADB)
 }
 
-// damaged says that a folder can never be used again as it is.
-func damaged(format string, args ...any) error { return damage{eris.Errorf(format, args...)} }
+// damagef says that a folder can never be used again as it is.
+func damagef(format string, args ...any) error { return DamageError{eris.Errorf(format, args...)} }
 
 // sqliteHeader is how long the head of a SQLite file is.
-const sqliteHeader = 100
+const sqliteHeaderBytes = 100
 
 // allSummed says that every row has its sum, so that one without is damaged.
-const allSummed = "all-summed"
-
-// sumOf is a row's sum.
-func sumOf(parts ...any) int64 {
-	sum := crc32.New(crc32.MakeTable(crc32.Castagnoli))
-	for _, part := range parts {
-		if raw, isRaw := part.([]byte); isRaw {
-			_ = binary.Write(sum, binary.BigEndian, uint64(len(raw)))
-			_, _ = sum.Write(raw)
+const keyAllChecksummed = "all-summed"
+
+// checksum is a row's sum.
+func checksum(columns ...any) int64 {
+	hash := crc32.New(crc32.MakeTable(crc32.Castagnoli))
+	for _, column := range columns {
+		if blob, isBlob := column.([]byte); isBlob {
+			_ = binary.Write(hash, binary.BigEndian, uint64(len(blob)))
+			_, _ = hash.Write(blob)
 			continue
 		}
-		_, _ = fmt.Fprint(sum, part, ";")
+		_, _ = fmt.Fprint(hash, column, ";")
 	}
-	return int64(sum.Sum32())
+	return int64(hash.Sum32())
 }
 
-// holds says whether a row is what was written. One without a sum can't be told, where there may be such.
-func (s *Store) holds(sum sql.NullInt64, parts ...any) bool {
-	if !sum.Valid {
-		return !s.strict
+// checksumMatches says whether a row is what was written. One without a sum can't be told, where there may be such.
+func (s *Store) checksumMatches(stored sql.NullInt64, columns ...any) bool {
+	if !stored.Valid {
+		return !s.checksumsRequired
 	}
-	return sum.Int64 == sumOf(parts...)
+	return stored.Int64 == checksum(columns...)
 }
 
-// addSums gives the tables of an earlier build their sums.
-func (s *Store) addSums() error {
-	for _, name := range summed {
-		var has int
-		if err := s.db.QueryRow("SELECT count(*) FROM pragma_table_info(?) WHERE name = 'sum'", name).Scan(&has); err != nil {
+// addChecksums gives the tables of an earlier build their sums.
+func (s *Store) addChecksums() error {
+	for _, name := range checksummedTables {
+		var columns int
+		if err := s.db.QueryRow("SELECT count(*) FROM pragma_table_info(?) WHERE name = 'sum'", name).Scan(&columns); err != nil {
 			return eris.Wrapf(err, "table %s cannot be read", name)
 		}
-		if has > 0 {
+		if columns > 0 {
 			continue
 		}
 		if _, err := s.db.Exec("ALTER TABLE " + name + " ADD COLUMN sum INTEGER"); err != nil {
 			return eris.Wrapf(err, "table %s cannot be given sums", name)
 		}
 	}
-	_, err := s.db.Exec(untouched)
+	_, err := s.db.Exec(checksumTriggers)
 	return eris.Wrap(err, "the tables cannot be guarded")
 }
 
@@ -136,29 +136,29 @@
 		if err := rows.Scan(&key); err != nil {
 			return eris.Wrap(err, "the folder's keys cannot be read")
 		}
-		if key != allSummed && !slices.Contains(keys, key) {
-			return damaged("the folder is damaged (it has the unknown key %q)", key)
+		if key != keyAllChecksummed && !slices.Contains(metaKeys, key) {
+			return damagef("the folder is damaged (it has the unknown key %q)", key)
 		}
 		found[key] = true
 	}
 	if err := rows.Err(); err != nil {
 		return eris.Wrap(err, "the folder's keys cannot be read")
 	}
-	var written int
-	if err := s.db.QueryRow("SELECT (SELECT count(*) FROM log) + (SELECT count(*) FROM snapshot)").Scan(&written); err != nil {
+	var rowCount int
+	if err := s.db.QueryRow("SELECT (SELECT count(*) FROM log) + (SELECT count(*) FROM snapshot)").Scan(&rowCount); err != nil {
 		return eris.Wrap(err, "the folder's tables cannot be read")
 	}
-	s.strict = found[allSummed]
-	needed := keys[:0:0]
-	if len(found) > 0 || written > 0 {
-		needed = []string{"form", "member"}
+	s.checksumsRequired = found[keyAllChecksummed]
+	required := metaKeys[:0:0]
+	if len(found) > 0 || rowCount > 0 {
+		required = []string{"form", "member"}
 	}
-	if written > 0 || found["group"] || found["term"] || found["vote"] {
-		needed = keys
+	if rowCount > 0 || found["group"] || found["term"] || found["vote"] {
+		required = metaKeys
 	}
-	for _, key := range needed {
+	for _, key := range required {
 		if !found[key] {
-			return damaged("the folder is damaged (it lacks the key %q)", key)
+			return damagef("the folder is damaged (it lacks the key %q)", key)
 		}
 	}
 	return nil
@@ -180,7 +180,7 @@
 	}
 	s := &Store{lock: lock, folder: folder}
 	// Whoever began to set the files aside and ended meanwhile is followed up first.
-	if err := finishSetAside(folder); err != nil {
+	if err := finishQuarantine(folder); err != nil {
 		s.Close()
 		return nil, err
 	}
@@ -194,8 +194,8 @@
 func (s *Store) open(folder string, newMember func() raft.MemberID) error {
 	path := filepath.Join(folder, "member.sqlite")
 	// SQLite takes a file that is too short for a header for a new one.
-	if info, err := os.Stat(path); err == nil && info.Size() > 0 && info.Size() < sqliteHeader {
-		return damaged("%s is damaged (%d bytes long); move the folder away, and the machine joins again as a new member", path, info.Size())
+	if info, err := os.Stat(path); err == nil && info.Size() > 0 && info.Size() < sqliteHeaderBytes {
+		return damagef("%s is damaged (%d bytes long); move the folder away, and the machine joins again as a new member", path, info.Size())
 	}
 	db, err := sql.Open("sqlite3", "file:"+path+"?_journal_mode=DELETE&_synchronous=EXTRA&_locking_mode=EXCLUSIVE&_busy_timeout=0")
 	if err != nil {
@@ -203,30 +203,30 @@
 	}
 	db.SetMaxOpenConns(1)
 	s.db = db
-	var sound string
-	if err := db.QueryRow("PRAGMA quick_check").Scan(&sound); err != nil && !IsDamage(err) {
+	var checkResult string
+	if err := db.QueryRow("PRAGMA quick_check").Scan(&checkResult); err != nil && !IsDamaged(err) {
 		// A disk in trouble says nothing about what is on it.
 		return eris.Wrapf(err, "%s cannot be read", path)
-	} else if err != nil || sound != "ok" {
-		return damaged("%s is damaged (%s %v); move the folder away, and the machine joins again as a new member", path, sound, err)
+	} else if err != nil || checkResult != "ok" {
+		return damagef("%s is damaged (%s %v); move the folder away, and the machine joins again as a new member", path, checkResult, err)
 	}
-	if _, err := db.Exec(tables); err != nil {
+	if _, err := db.Exec(schema); err != nil {
 		return eris.Wrapf(err, "%s cannot be written", path)
 	}
-	if err := s.addSums(); err != nil {
+	if err := s.addChecksums(); err != nil {
 		return err
 	}
 	if err := s.checkKeys(); err != nil {
 		return eris.Wrapf(err, "%s cannot be trusted; move the folder away, and the machine joins again as a new member", path)
 	}
-	version, found, err := s.number("form")
+	version, found, err := s.metaNumber("form")
 	if err != nil {
 		return err
 	}
-	if found && version != FormVersion {
-		return eris.Errorf("%s has form %d, and this program reads form %d", path, version, FormVersion)
+	if found && version != SchemaVersion {
+		return eris.Errorf("%s has form %d, and this program reads form %d", path, version, SchemaVersion)
 	}
-	member, found, err := s.number("member")
+	member, found, err := s.metaNumber("member")
 	if err != nil {
 		return err
 	}
@@ -237,13 +237,13 @@
 			return eris.Wrap(err, "the identity cannot be written")
 		}
 		defer tx.Rollback()
-		if err := putNumber(tx, "member", member); err != nil {
+		if err := putMetaNumber(tx, "member", member); err != nil {
 			return err
 		}
-		if err := putNumber(tx, "form", FormVersion); err != nil {
+		if err := putMetaNumber(tx, "form", SchemaVersion); err != nil {
 			return err
 		}
-		if err := putNumber(tx, allSummed, 1); err != nil {
+		if err := putMetaNumber(tx, keyAllChecksummed, 1); err != nil {
 			return err
 		}
 		if err := tx.Commit(); err != nil {
@@ -253,7 +253,7 @@
 			return err
 		}
 	}
-	s.Member = raft.MemberID(member)
+	s.MemberID = raft.MemberID(member)
 	return nil
 }
 
@@ -277,77 +277,77 @@
 	return err
 }
 
-func (s *Store) blob(key string) ([]byte, bool, error) {
+func (s *Store) metaValue(key string) ([]byte, bool, error) {
 	var value []byte
 	var sum sql.NullInt64
 	err := s.db.QueryRow("SELECT value, sum FROM meta WHERE key = ?", key).Scan(&value, &sum)
 	if err == sql.ErrNoRows {
 		return nil, false, nil
 	}
-	if err == nil && !s.holds(sum, key, value) {
-		return nil, false, damaged("%s is damaged", key)
+	if err == nil && !s.checksumMatches(sum, key, value) {
+		return nil, false, damagef("%s is damaged", key)
 	}
 	return value, err == nil, eris.Wrapf(err, "%s cannot be read", key)
 }
 
-func (s *Store) number(key string) (uint64, bool, error) {
-	value, found, err := s.blob(key)
+func (s *Store) metaNumber(key string) (uint64, bool, error) {
+	value, found, err := s.metaValue(key)
 	if err != nil || !found {
 		return 0, false, err
 	}
 	if len(value) != 8 {
-		return 0, false, damaged("%s is damaged", key)
+		return 0, false, damagef("%s is damaged", key)
 	}
 	return binary.BigEndian.Uint64(value), true, nil
 }
 
-func putNumber(tx *sql.Tx, key string, value uint64) error {
-	return put(tx, key, binary.BigEndian.AppendUint64(nil, value))
+func putMetaNumber(tx *sql.Tx, key string, value uint64) error {
+	return putMeta(tx, key, binary.BigEndian.AppendUint64(nil, value))
 }
 
-func put(tx *sql.Tx, key string, value []byte) error {
-	_, err := tx.Exec("INSERT INTO meta (key, value, sum) VALUES (?, ?, ?) ON CONFLICT (key) DO UPDATE SET value = excluded.value, sum = excluded.sum", key, value, sumOf(key, value))
+func putMeta(tx *sql.Tx, key string, value []byte) error {
+	_, err := tx.Exec("INSERT INTO meta (key, value, sum) VALUES (?, ?, ?) ON CONFLICT (key) DO UPDATE SET value = excluded.value, sum = excluded.sum", key, value, checksum(key, value))
 	return eris.Wrapf(err, "%s cannot be written", key)
 }
 
 // Group gives the group this folder belongs to; empty before it belongs to one.
 func (s *Store) Group() (ident.GroupID, error) {
-	value, _, err := s.blob("group")
+	value, _, err := s.metaValue("group")
 	return ident.GroupID(value), err
 }
 
 // Load reads all that a member needs to go on.
 func (s *Store) Load() (raft.PersistentState, error) {
-	var out raft.PersistentState
-	term, _, err := s.number("term")
+	var state raft.PersistentState
+	term, _, err := s.metaNumber("term")
 	if err != nil {
-		return out, err
+		return state, err
 	}
-	vote, _, err := s.number("vote")
+	vote, _, err := s.metaNumber("vote")
 	if err != nil {
-		return out, err
+		return state, err
 	}
-	out.HardState = raft.HardState{Term: raft.Term(term), Vote: raft.MemberID(vote)}
+	state.HardState = raft.HardState{Term: raft.Term(term), Vote: raft.MemberID(vote)}
 	var index, snapshotTerm uint64
 	var membership, data []byte
 	var sum sql.NullInt64
 	err = s.db.QueryRow("SELECT idx, term, membership, data, sum FROM snapshot").Scan(&index, &snapshotTerm, &membership, &data, &sum)
 	if err != nil && err != sql.ErrNoRows {
-		return out, eris.Wrap(err, "the snapshot cannot be read")
+		return state, eris.Wrap(err, "the snapshot cannot be read")
 	}
 	if err == nil {
-		if !s.holds(sum, index, snapshotTerm, membership, data) {
-			return out, damaged("the snapshot is damaged")
+		if !s.checksumMatches(sum, index, snapshotTerm, membership, data) {
+			return state, damagef("the snapshot is damaged")
 		}
 		decoded, err := raft.DecodeMembership(membership)
 		if err != nil {
-			return out, damaged("the membership cannot be read: %v", err)
+			return state, damagef("the membership cannot be read: %v", err)
 		}
-		out.Snapshot = raft.Snapshot{Index: raft.Index(index), Term: raft.Term(snapshotTerm), Membership: decoded, Data: data}
+		state.Snapshot = raft.Snapshot{Index: raft.Index(index), Term: raft.Term(snapshotTerm), Membership: decoded, Data: data}
 	}
 	rows, err := s.db.Query("SELECT idx, term, kind, data, sum FROM log ORDER BY idx")
 	if err != nil {
-		return out, eris.Wrap(err, "the log cannot be read")
+		return state, eris.Wrap(err, "the log cannot be read")
 	}
 	defer rows.Close()
 	for rows.Next() {
@@ -355,36 +355,36 @@
 		var kind uint8
 		var entryData []byte
 		if err := rows.Scan(&entryIndex, &entryTerm, &kind, &entryData, &sum); err != nil {
-			return out, eris.Wrap(err, "the log cannot be read")
+			return state, eris.Wrap(err, "the log cannot be read")
 		}
-		if !s.holds(sum, entryIndex, entryTerm, kind, entryData) {
-			return out, damaged("the log is damaged at %d", entryIndex)
+		if !s.checksumMatches(sum, entryIndex, entryTerm, kind, entryData) {
+			return state, damagef("the log is damaged at %d", entryIndex)
 		}
-		if n := len(out.Entries); n > 0 && uint64(out.Entries[n-1].Index)+1 != entryIndex {
-			return out, damaged("the log has a hole before %d", entryIndex)
+		if n := len(state.Entries); n > 0 && uint64(state.Entries[n-1].Index)+1 != entryIndex {
+			return state, damagef("the log has a hole before %d", entryIndex)
 		}
-		out.Entries = append(out.Entries, raft.Entry{Term: raft.Term(entryTerm), Index: raft.Index(entryIndex), Kind: raft.EntryKind(kind), Data: entryData})
+		state.Entries = append(state.Entries, raft.Entry{Term: raft.Term(entryTerm), Index: raft.Index(entryIndex), Kind: raft.EntryKind(kind), Data: entryData})
 	}
 	if err := rows.Err(); err != nil {
-		return out, eris.Wrap(err, "the log cannot be read")
+		return state, eris.Wrap(err, "the log cannot be read")
 	}
-	return out, checkLog(out)
+	return state, checkHistory(state)
 }
 
-// checkLog makes sure that snapshot and entries are one history: the log goes on where the snapshot ends, and holds
+// checkHistory makes sure that snapshot and entries are one history: the log goes on where the snapshot ends, and holds
 // nothing that a member can't read.
-func checkLog(found raft.PersistentState) error {
-	if len(found.Entries) == 0 {
+func checkHistory(state raft.PersistentState) error {
+	if len(state.Entries) == 0 {
 		return nil
 	}
-	first, last := found.Entries[0], found.Entries[len(found.Entries)-1]
-	if first.Index > found.Snapshot.Index+1 {
-		return damaged("the log has a hole between the snapshot at %d and entry %d", found.Snapshot.Index, first.Index)
+	first, last := state.Entries[0], state.Entries[len(state.Entries)-1]
+	if first.Index > state.Snapshot.Index+1 {
+		return damagef("the log has a hole between the snapshot at %d and entry %d", state.Snapshot.Index, first.Index)
 	}
-	if last.Index < found.Snapshot.Index {
-		return damaged("the log ends at %d, before the snapshot at %d", last.Index, found.Snapshot.Index)
+	if last.Index < state.Snapshot.Index {
+		return damagef("the log ends at %d, before the snapshot at %d", last.Index, state.Snapshot.Index)
 	}
-	for _, entry := range found.Entries {
+	for _, entry := range state.Entries {
 		if entry.Kind != raft.EntryMembership {
 			continue
 		}
@@ -393,7 +393,7 @@
 			err = membership.Validate()
 		}
 		if err != nil {
-			return damaged("the membership at %d cannot be read: %v", entry.Index, err)
+			return damagef("the membership at %d cannot be read: %v", entry.Index, err)
 		}
 	}
 	return nil
@@ -406,55 +406,55 @@
 		return eris.Wrap(err, "a write cannot begin")
 	}
 	defer tx.Rollback()
-	for _, step := range stepsOf(group, save) {
-		if err := step(tx); err != nil {
+	for _, execute := range statementsOf(group, save) {
+		if err := execute(tx); err != nil {
 			return err
 		}
 	}
 	return eris.Wrap(tx.Commit(), "a write cannot be synced")
 }
 
-// writeStep is one statement of a write. All of a write are one transaction: a power loss between two leaves what was
+// statement is one statement of a write. All of a write are one transaction: a power loss between two leaves what was
 // before the first.
-type writeStep func(tx *sql.Tx) error
+type statement func(tx *sql.Tx) error
 
-// stepsOf lists the statements of a write in their order.
-func stepsOf(group ident.GroupID, save raft.Save) []writeStep {
-	steps := []writeStep{
-		func(tx *sql.Tx) error { return put(tx, "group", []byte(group)) },
-		func(tx *sql.Tx) error { return putNumber(tx, "term", uint64(save.HardState.Term)) },
-		func(tx *sql.Tx) error { return putNumber(tx, "vote", uint64(save.HardState.Vote)) },
+// statementsOf lists the statements of a write in their order.
+func statementsOf(group ident.GroupID, save raft.Save) []statement {
+	statements := []statement{
+		func(tx *sql.Tx) error { return putMeta(tx, "group", []byte(group)) },
+		func(tx *sql.Tx) error { return putMetaNumber(tx, "term", uint64(save.HardState.Term)) },
+		func(tx *sql.Tx) error { return putMetaNumber(tx, "vote", uint64(save.HardState.Vote)) },
 	}
 	if save.Snapshot != nil {
-		steps = append(steps, func(tx *sql.Tx) error { return putSnapshot(tx, *save.Snapshot) })
+		statements = append(statements, func(tx *sql.Tx) error { return putSnapshot(tx, *save.Snapshot) })
 	}
 	if save.CompactTo > 0 {
-		steps = append(steps, func(tx *sql.Tx) error {
+		statements = append(statements, func(tx *sql.Tx) error {
 			_, err := tx.Exec("DELETE FROM log WHERE idx <= ?", uint64(save.CompactTo))
 			return eris.Wrap(err, "the log cannot be shortened")
 		})
 	}
 	if save.TruncateFrom > 0 {
-		steps = append(steps, func(tx *sql.Tx) error {
+		statements = append(statements, func(tx *sql.Tx) error {
 			_, err := tx.Exec("DELETE FROM log WHERE idx >= ?", uint64(save.TruncateFrom))
 			return eris.Wrap(err, "the log cannot be cut")
 		})
 	}
 	for _, entry := range save.Entries {
-		steps = append(steps, func(tx *sql.Tx) error { return putEntry(tx, entry) })
+		statements = append(statements, func(tx *sql.Tx) error { return putEntry(tx, entry) })
 	}
-	return steps
+	return statements
 }
 
 func putSnapshot(tx *sql.Tx, snapshot raft.Snapshot) error {
 	index, term, membership := uint64(snapshot.Index), uint64(snapshot.Term), snapshot.Membership.Encode()
 	_, err := tx.Exec("INSERT OR REPLACE INTO snapshot (one, idx, term, membership, data, sum) VALUES (1, ?, ?, ?, ?, ?)",
-		index, term, membership, snapshot.Data, sumOf(index, term, membership, snapshot.Data))
+		index, term, membership, snapshot.Data, checksum(index, term, membership, snapshot.Data))
 	return eris.Wrap(err, "the snapshot cannot be written")
 }
 
 func putEntry(tx *sql.Tx, entry raft.Entry) error {
 	index, term, kind := uint64(entry.Index), uint64(entry.Term), uint8(entry.Kind)
-	_, err := tx.Exec("INSERT INTO log (idx, term, kind, data, sum) VALUES (?, ?, ?, ?, ?)", index, term, kind, entry.Data, sumOf(index, term, kind, entry.Data))
+	_, err := tx.Exec("INSERT INTO log (idx, term, kind, data, sum) VALUES (?, ?, ?, ?, ?)", index, term, kind, entry.Data, checksum(index, term, kind, entry.Data))
 	return eris.Wrap(err, "the log cannot be written")
 }
--- a/process/consensus/store/store_test.go
+++ b/process/consensus/store/store_test.go
@@ -16,7 +16,7 @@
 
 func newMember() raft.MemberID { return 7 }
 
-func open(t *testing.T, folder string) *Store {
+func openStore(t *testing.T, folder string) *Store {
 	t.Helper()
 	s, err := Open(folder, newMember)
 	if err != nil {
@@ -25,9 +25,9 @@
 	return s
 }
 
-func TestWhatWasWrittenIsThereAfterReopening(t *testing.T) {
+func TestWrittenStateIsLoadedAfterReopening(t *testing.T) {
 	folder := t.TempDir()
-	s := open(t, folder)
+	s := openStore(t, folder)
 	members := raft.Membership{Members: []raft.Member{{ID: 7, Name: "a", Address: "x", Voter: true}}}
 	saves := []raft.Save{
 		{HardState: raft.HardState{Term: 1}, Snapshot: &raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: []byte("first")}},
@@ -41,10 +41,10 @@
 		}
 	}
 	s.Close()
-	again := open(t, folder)
+	again := openStore(t, folder)
 	defer again.Close()
-	if group, err := again.Group(); err != nil || group != "group" || again.Member != 7 {
-		t.Fatal(group, err, again.Member)
+	if group, err := again.Group(); err != nil || group != "group" || again.MemberID != 7 {
+		t.Fatal(group, err, again.MemberID)
 	}
 	got, err := again.Load()
 	if err != nil {
@@ -62,9 +62,9 @@
 	}
 }
 
-func TestAFolderThatCannotServeIsRefusedWithAClearLine(t *testing.T) {
+func TestUnusableFolderIsRejectedWithClearError(t *testing.T) {
 	folder := t.TempDir()
-	s := open(t, folder)
+	s := openStore(t, folder)
 	if _, err := Open(folder, newMember); err == nil || !strings.Contains(err.Error(), "in use") {
 		t.Errorf("a folder in use was opened: %v", err)
 	}
@@ -95,8 +95,8 @@
 	}
 }
 
-func TestAFullDiskIsAnErrorAndLeavesTheOldStateWhole(t *testing.T) {
-	s := open(t, t.TempDir())
+func TestFullDiskFailsWriteAndPreservesOldState(t *testing.T) {
+	s := openStore(t, t.TempDir())
 	defer s.Close()
 	if err := s.Write("g", raft.Save{HardState: raft.HardState{Term: 1}, Entries: []raft.Entry{{Term: 1, Index: 1, Data: []byte("kept")}}}); err != nil {
 		t.Fatal(err)
@@ -114,12 +114,12 @@
 	}
 }
 
-func TestAnyRunOfAppendsAndCutsReadsBack(t *testing.T) {
+func TestAnySequenceOfAppendsAndTruncationsReadsBack(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(11)
 	parameters.MinSuccessfulTests = 25
 	properties := gopter.NewProperties(parameters)
 	properties.Property("the log on disk is the log in memory", prop.ForAll(func(steps []uint8) bool {
-		s := open(t, t.TempDir())
+		s := openStore(t, t.TempDir())
 		defer s.Close()
 		var model []raft.Entry
 		for i, step := range steps {
--- a/process/consensus/store/trouble_test.go
+++ b/process/consensus/store/trouble_test.go
@@ -18,22 +18,22 @@
 )
 
 // writerFolder names the folder of a writer process that this test program is started again as.
-const writerFolder = "CRESSPOND_TEST_WRITER"
+const writerFolderVariable = "CRESSPOND_TEST_WRITER"
 
 func TestMain(m *testing.M) {
-	if folder := os.Getenv(writerFolder); folder != "" {
+	if folder := os.Getenv(writerFolderVariable); folder != "" {
 		writeForever(folder)
 	}
 	os.Exit(m.Run())
 }
 
-// dataOf is what entry i holds, so that what is read back can be judged by its index.
-func dataOf(i int) []byte { return []byte(strings.Repeat(fmt.Sprintf("entry %d;", i), 1+i%40)) }
+// testData is what entry i holds, so that what is read back can be judged by its index.
+func testData(i int) []byte { return []byte(strings.Repeat(fmt.Sprintf("entry %d;", i), 1+i%40)) }
 
-func saveOf(i int) raft.Save {
-	save := raft.Save{HardState: raft.HardState{Term: raft.Term(i)}, Entries: []raft.Entry{{Term: raft.Term(i), Index: raft.Index(i), Data: dataOf(i)}}}
+func testSave(i int) raft.Save {
+	save := raft.Save{HardState: raft.HardState{Term: raft.Term(i)}, Entries: []raft.Entry{{Term: raft.Term(i), Index: raft.Index(i), Data: testData(i)}}}
 	if i%50 == 0 {
-		save.Snapshot = &raft.Snapshot{Index: raft.Index(i - 10), Term: raft.Term(i - 10), Data: dataOf(i - 10)}
+		save.Snapshot = &raft.Snapshot{Index: raft.Index(i - 10), Term: raft.Term(i - 10), Data: testData(i - 10)}
 		save.CompactTo = raft.Index(i - 20)
 	}
 	return save
@@ -47,7 +47,7 @@
 		os.Exit(1)
 	}
 	for i := 1; ; i++ {
-		if err := s.Write("g", saveOf(i)); err != nil {
+		if err := s.Write("g", testSave(i)); err != nil {
 			fmt.Println(err)
 			os.Exit(1)
 		}
@@ -55,8 +55,8 @@
 	}
 }
 
-// whole opens a folder and says whether all up to least is there and everything there is as it was written.
-func whole(folder string, least int) error {
+// verifyFolder opens a folder and says whether all up to least is there and everything there is as it was written.
+func verifyFolder(folder string, minAcknowledged int) error {
 	s, err := Open(folder, newMember)
 	if err != nil {
 		return err
@@ -66,47 +66,47 @@
 	if err != nil {
 		return err
 	}
-	last := int(got.HardState.Term)
-	if last < least {
-		return fmt.Errorf("LOST: %d was acknowledged, and %d is the last", least, last)
+	lastTerm := int(got.HardState.Term)
+	if lastTerm < minAcknowledged {
+		return fmt.Errorf("LOST: %d was acknowledged, and %d is the last", minAcknowledged, lastTerm)
 	}
-	if got.Snapshot.Index > 0 && string(got.Snapshot.Data) != string(dataOf(int(got.Snapshot.Index))) {
+	if got.Snapshot.Index > 0 && string(got.Snapshot.Data) != string(testData(int(got.Snapshot.Index))) {
 		return fmt.Errorf("LOST: the snapshot at %d is other than it was written", got.Snapshot.Index)
 	}
-	next := max(1, last-last%50-20+1)
-	if last < 50 {
+	next := max(1, lastTerm-lastTerm%50-20+1)
+	if lastTerm < 50 {
 		next = 1
 	}
 	for _, entry := range got.Entries {
-		if int(entry.Index) != next || int(entry.Term) != next || string(entry.Data) != string(dataOf(next)) {
+		if int(entry.Index) != next || int(entry.Term) != next || string(entry.Data) != string(testData(next)) {
 			return fmt.Errorf("LOST: entry %d of term %d stands where %d was written", entry.Index, entry.Term, next)
 		}
 		next++
 	}
-	if next != last+1 {
-		return fmt.Errorf("LOST: the log ends at %d, and term %d was synced with its entry", next-1, last)
+	if next != lastTerm+1 {
+		return fmt.Errorf("LOST: the log ends at %d, and term %d was synced with its entry", next-1, lastTerm)
 	}
 	return nil
 }
 
-func TestAWriterKilledAnywhereLosesNothingAcknowledged(t *testing.T) {
+func TestKilledWriterLosesNothingAcknowledged(t *testing.T) {
 	random := rand.New(rand.NewPCG(7, 7))
 	for round := range 25 {
 		folder := t.TempDir()
 		writer := exec.Command(os.Args[0])
-		writer.Env = append(os.Environ(), writerFolder+"="+folder)
-		out, err := writer.StdoutPipe()
+		writer.Env = append(os.Environ(), writerFolderVariable+"="+folder)
+		output, err := writer.StdoutPipe()
 		if err != nil {
 			t.Fatal(err)
 		}
 		if err := writer.Start(); err != nil {
 			t.Fatal(err)
 		}
-		lines, acknowledged := bufio.NewScanner(out), 0
+		scanner, acknowledged := bufio.NewScanner(output), 0
 		stopAt := 1 + random.IntN(140)
-		for acknowledged < stopAt && lines.Scan() {
-			if _, err := fmt.Sscan(lines.Text(), &acknowledged); err != nil {
-				t.Fatal(lines.Text())
+		for acknowledged < stopAt && scanner.Scan() {
+			if _, err := fmt.Sscan(scanner.Text(), &acknowledged); err != nil {
+				t.Fatal(scanner.Text())
 			}
 		}
 		// Some work of the processor stands between the acknowledgement and the stop, so that it meets writes at any point.
@@ -120,87 +120,87 @@
 			t.Fatal(err)
 		}
 		_ = writer.Process.Kill()
-		_, _ = io.Copy(io.Discard, out)
+		_, _ = io.Copy(io.Discard, output)
 		_ = writer.Wait()
-		for what, path := range map[string]string{"killed": folder, "copied": copied} {
-			if err := whole(path, acknowledged); err != nil {
-				t.Errorf("round %d, %s after %d: %v", round, what, acknowledged, err)
+		for state, path := range map[string]string{"killed": folder, "copied": copied} {
+			if err := verifyFolder(path, acknowledged); err != nil {
+				t.Errorf("round %d, %s after %d: %v", round, state, acknowledged, err)
 			}
 		}
 	}
 }
 
-func TestADamagedFolderOpensWholeOrStepsAside(t *testing.T) {
+func TestDamagedFolderIsReadCompletelyOrRejected(t *testing.T) {
 	folder := t.TempDir()
-	s := open(t, folder)
+	s := openStore(t, folder)
 	const written = 120
 	for i := 1; i <= written; i++ {
-		if err := s.Write("g", saveOf(i)); err != nil {
+		if err := s.Write("g", testSave(i)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	s.Close()
-	sound, err := os.ReadFile(filepath.Join(folder, "member.sqlite"))
+	original, err := os.ReadFile(filepath.Join(folder, "member.sqlite"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	held, aside := 0, 0
+	readable, rejected := 0, 0
 	seeds := uint64(400)
-	if wanted, err := strconv.ParseUint(os.Getenv("CRESSPOND_SEEDS"), 10, 32); err == nil {
-		seeds = wanted
+	if requested, err := strconv.ParseUint(os.Getenv("CRESSPOND_SEEDS"), 10, 32); err == nil {
+		seeds = requested
 	}
 	for seed := range seeds {
 		random := rand.New(rand.NewPCG(seed, 3))
-		data := append([]byte{}, sound...)
-		what := ""
+		data := append([]byte{}, original...)
+		damage := ""
 		if seed%4 == 0 {
 			data = data[:1+random.IntN(len(data)-1)]
-			what = fmt.Sprintf("cut to %d bytes", len(data))
+			damage = fmt.Sprintf("cut to %d bytes", len(data))
 		} else {
 			at := random.IntN(len(data))
 			data[at] ^= 1 << random.IntN(8)
-			what = fmt.Sprintf("a bit of byte %d turned", at)
+			damage = fmt.Sprintf("a bit of byte %d turned", at)
 		}
-		hurt := t.TempDir()
-		if err := os.WriteFile(filepath.Join(hurt, "member.sqlite"), data, 0o600); err != nil {
+		damagedFolder := t.TempDir()
+		if err := os.WriteFile(filepath.Join(damagedFolder, "member.sqlite"), data, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		switch err := whole(hurt, written); {
+		switch err := verifyFolder(damagedFolder, written); {
 		case err == nil:
-			held++
+			readable++
 		case strings.Contains(err.Error(), "LOST"):
-			t.Errorf("seed %d, %s: %v", seed, what, err)
+			t.Errorf("seed %d, %s: %v", seed, damage, err)
 		default:
-			aside++
+			rejected++
 		}
 	}
-	t.Logf("%d seeds: %d held, %d stepped aside", seeds, held, aside)
-	if held == 0 || aside == 0 {
-		t.Errorf("%d held, %d stepped aside: the damage is of one kind only", held, aside)
+	t.Logf("%d seeds: %d held, %d stepped aside", seeds, readable, rejected)
+	if readable == 0 || rejected == 0 {
+		t.Errorf("%d held, %d stepped aside: the damage is of one kind only", readable, rejected)
 	}
 }
 
-// TestAFolderOfAnEarlierBuildGoesOnEitherWay: tables without sums are read, and what an earlier build
+// TestFolderIsSharedWithBuildWithoutChecksums: tables without sums are read, and what an earlier build
 // writes into a folder of this one is believed as it was then.
-func TestAFolderOfAnEarlierBuildGoesOnEitherWay(t *testing.T) {
-	for _, began := range []string{"earlier", "this"} {
+func TestFolderIsSharedWithBuildWithoutChecksums(t *testing.T) {
+	for _, firstBuild := range []string{"earlier", "this"} {
 		folder := t.TempDir()
-		if began == "earlier" {
+		if firstBuild == "earlier" {
 			db, err := sql.Open("sqlite3", "file:"+filepath.Join(folder, "member.sqlite"))
 			if err != nil {
 				t.Fatal(err)
 			}
-			if _, err := db.Exec(tables + "INSERT INTO meta VALUES ('form', x'0000000000000001'), ('member', x'0000000000000007')"); err != nil {
+			if _, err := db.Exec(schema + "INSERT INTO meta VALUES ('form', x'0000000000000001'), ('member', x'0000000000000007')"); err != nil {
 				t.Fatal(err)
 			}
 			db.Close()
 		} else {
-			open(t, folder).Close()
+			openStore(t, folder).Close()
 		}
 		for i := 1; i <= 6; i++ {
-			s := open(t, folder)
+			s := openStore(t, folder)
 			if i%2 == 0 {
-				if err := s.Write("g", saveOf(i)); err != nil {
+				if err := s.Write("g", testSave(i)); err != nil {
 					t.Fatal(err)
 				}
 				s.Close()
@@ -211,7 +211,7 @@
 				"INSERT INTO meta (key, value) VALUES ('group', 'g') ON CONFLICT (key) DO UPDATE SET value = excluded.value",
 				fmt.Sprintf("INSERT INTO meta (key, value) VALUES ('term', x'%016x') ON CONFLICT (key) DO UPDATE SET value = excluded.value", i),
 				"INSERT INTO meta (key, value) VALUES ('vote', x'0000000000000000') ON CONFLICT (key) DO UPDATE SET value = excluded.value",
-				fmt.Sprintf("INSERT INTO log (idx, term, kind, data) VALUES (%d, %d, 0, x'%x')", i, i, dataOf(i)),
+				fmt.Sprintf("INSERT INTO log (idx, term, kind, data) VALUES (%d, %d, 0, x'%x')", i, i, testData(i)),
 			} {
 				if _, err := s.db.Exec(statement); err != nil {
 					t.Fatal(err)
@@ -219,8 +219,8 @@
 			}
 			s.Close()
 		}
-		if err := whole(folder, 6); err != nil {
-			t.Errorf("a folder of %s build: %v", began, err)
+		if err := verifyFolder(folder, 6); err != nil {
+			t.Errorf("a folder of %s build: %v", firstBuild, err)
 		}
 	}
 }
