--- a/daemon/handover.go
+++ b/daemon/handover.go
@@ -13,7 +13,7 @@
 	"github.com/cresspond/cresspond/process/daemonconfig"
 )
 
-// keptThing names what a stopping daemon alone holds.
+// unreleased names what a stopping daemon alone holds.
 type unreleased string
 
 const (
@@ -21,17 +21,17 @@
 	leadership    unreleased = "leadership"
 	plannersClaim unreleased = "planner's claim"
 	workerID      unreleased = "worker id"
-	// openAnswers are calls of callers and operators that were not answered.
+	// openResponses are calls of callers and operators that were not answered.
 	openResponses unreleased = "open answers"
 	// attemptMemory is what is remembered for attempts whose home this daemon is.
 	attemptMemory unreleased = "memory of attempts"
-	// engineNews is what engines said here of themselves that no other control daemon has seen.
+	// engineRegistrations is what engines said here of themselves that no other control daemon has seen.
 	engineRegistrations unreleased = "news of engines"
 	// logEntries are committed entries that too few other voters hold.
 	logEntries unreleased = "log entries"
 )
 
-// keptThings collects what could not be handed over before the end.
+// unreleasedSet collects what could not be handed over before the end.
 type unreleasedSet struct {
 	mutex     sync.Mutex
 	resources []unreleased
@@ -52,18 +52,18 @@
 }
 
 const (
-	// tellLimit bounds the wait for another control daemon to see the newest that engines said here.
+	// registrationsSeenLimit bounds the wait for another control daemon to see the newest that engines said here.
 	registrationsSeenLimit = 300 * time.Millisecond
-	// lastVoteLimit bounds how long a member stays for its vote and its copy of the log where too few others speak and
+	// memberRetireLimit bounds how long a member stays for its vote and its copy of the log where too few others speak and
 	// hold all: time for an election, and for one that stands ready to get a vote.
 	memberRetireLimit = 4 * time.Second
-	// elsewhereLimit bounds the wait for the same word after its end.
+	// logReplicatedLimit bounds the wait for the same word after its end.
 	logReplicatedLimit = 400 * time.Millisecond
-	// elsewhereEvery is how often the leader is asked for it.
+	// logReplicatedEvery is how often the leader is asked for it.
 	logReplicatedEvery = 25 * time.Millisecond
 )
 
-// tellBeats waits until another control daemon has seen all that engines said here, except for how busy they are.
+// awaitRegistrationsSeen waits until another control daemon has seen all that engines said here, except for how busy they are.
 func (d *Daemon) awaitRegistrationsSeen(kept *unreleasedSet) {
 	if !d.config.Serves(daemonconfig.Control) || len(d.registry.View().Engines) == 0 {
 		return
@@ -94,7 +94,7 @@
 	kept.add(engineRegistrations)
 }
 
-// endMember ends this daemon's member of the group, after which nothing more can come to rest on its disk. It first
+// retireMember ends this daemon's member of the group, after which nothing more can come to rest on its disk. It first
 // waits until the others can do without it, and then for the leader's word that they hold all that was committed.
 func (d *Daemon) retireMember(limit context.Context, kept *unreleasedSet) {
 	held, life := d.replica.Load(), d.memberIncarnation.Load()
@@ -121,7 +121,7 @@
 	}
 }
 
-// heldElsewhere asks whoever leads until that one says so; who leads hands over first.
+// awaitLogReplicated asks whoever leads until that one says so; who leads hands over first.
 func (d *Daemon) awaitLogReplicated(ctx context.Context, self raft.Member) bool {
 	ticker := time.NewTicker(logReplicatedEvery)
 	defer ticker.Stop()
