--- a/cmd/cresspond/bundle.go
+++ b/cmd/cresspond/bundle.go
@@ -48,11 +48,11 @@
 	if t.asJSON {
 		return showIndented(data)
 	}
-	var answer operatorapi.Applying
+	var answer operatorapi.ApplyResponse
 	if err := json.Unmarshal(data, &answer); err != nil {
 		return err
 	}
-	fmt.Printf("revision %d, epoch %d\n", answer.Revision, answer.Epoch)
+	fmt.Printf("revision %d, epoch %d\n", answer.Revision, answer.Version)
 	if answer.Acknowledged {
 		fmt.Printf("acknowledged: in force at all %d daemons in contact\n", len(answer.InForceAt))
 		return nil
--- a/cmd/cresspond/client.go
+++ b/cmd/cresspond/client.go
@@ -94,8 +94,8 @@
 	if word.Closures != nil {
 		fmt.Fprintf(&out, "; closures are at epoch %d", word.Closures.Version)
 	}
-	if word.Epoch > 0 && word.Closures == nil {
-		fmt.Fprintf(&out, "; epoch %d is in force", word.Epoch)
+	if word.Version > 0 && word.Closures == nil {
+		fmt.Fprintf(&out, "; epoch %d is in force", word.Version)
 	}
 	if word.Revision > 0 {
 		fmt.Fprintf(&out, ", as revision %d", word.Revision)
@@ -140,7 +140,7 @@
 	if !json.Valid(raw) {
 		return fmt.Errorf("%s is not JSON", file)
 	}
-	proposal.Spec = raw
+	proposal.Configuration = raw
 	body, err := proposal.Encode()
 	if err != nil {
 		return err
--- a/cmd/cresspond/closures.go
+++ b/cmd/cresspond/closures.go
@@ -28,7 +28,7 @@
 	zone := command.Arg("zone", "The zone.").Required().String()
 	base := baseFlag(command)
 	c.onAs(command, func(t *tool, operator string) error {
-		return t.post(operatorapi.PathZone, operatorapi.Zone{Zone: ident.ZoneID(*zone), Closed: &closed, Base: epochOf(base), Operator: operator})
+		return t.post(operatorapi.PathZone, operatorapi.ZoneClosure{Zone: ident.ZoneID(*zone), Closed: &closed, Base: epochOf(base), Operator: operator})
 	})
 }
 
@@ -36,7 +36,7 @@
 	engine := command.Arg("engine", "The engine.").Required().String()
 	base := baseFlag(command)
 	c.onAs(command, func(t *tool, operator string) error {
-		return t.post(operatorapi.PathDrain, operatorapi.Drain{Engine: ident.EngineID(*engine), Draining: &draining, Base: epochOf(base), Operator: operator})
+		return t.post(operatorapi.PathDrain, operatorapi.EngineDrain{Engine: ident.EngineID(*engine), Draining: &draining, Base: epochOf(base), Operator: operator})
 	})
 }
 
--- a/cmd/cresspond/daemons.go
+++ b/cmd/cresspond/daemons.go
@@ -14,7 +14,7 @@
 	lost := daemon.Command("lost", "Declare that a silent daemon will never serve again, so that changes need not wait for it.")
 	id := lost.Arg("daemon", "Its full name with the mark of its incarnation, as trace and status show it.").Required().String()
 	c.onAs(lost, func(t *tool, operator string) error {
-		return t.post(operatorapi.PathLost, operatorapi.Lost{Daemon: ident.NodeID(*id), Operator: operator})
+		return t.post(operatorapi.PathDeclareLost, operatorapi.DeclareLost{Daemon: ident.NodeID(*id), Operator: operator})
 	})
 
 	c.onPage(c.app.Command("status", "Show what a daemon knows of itself, its peers and the engines."), operatorapi.PathStatus, showStatus)
--- a/cmd/cresspond/nodes.go
+++ b/cmd/cresspond/nodes.go
@@ -17,13 +17,13 @@
 	c.onPage(nodes.Command("rank", "List the engines, the worst first."), operatorapi.PathNodes, showNodes)
 	for _, act := range []struct{ name, help string }{
 		{operatorapi.NodeDrain, "Send nothing more to an engine; refused where it is the last holder of something, or too many are shut."},
-		{operatorapi.NodeKeep, "Have the ranking not drain an engine; one that it has drained is tried again."},
+		{operatorapi.NodeProtect, "Have the ranking not drain an engine; one that it has drained is tried again."},
 		{operatorapi.NodeRelease, "Take a drain, or a keeping, back."},
 	} {
 		command := nodes.Command(act.name, act.help)
 		engine := command.Arg("engine", "The engine.").Required().String()
 		c.onAs(command, func(t *tool, operator string) error {
-			return t.post(operatorapi.PathNodes, operatorapi.NodeAct{Engine: ident.EngineID(*engine), Act: act.name, Operator: operator})
+			return t.post(operatorapi.PathNodes, operatorapi.NodeAction{Engine: ident.EngineID(*engine), Action: act.name, Operator: operator})
 		})
 	}
 }
@@ -33,7 +33,7 @@
 	if err := json.Unmarshal(data, &page); err != nil {
 		return err
 	}
-	fmt.Printf("ranking is set to %s; claim %d, closures at epoch %d\n\n", page.Mode, page.Claim, page.ClosureEpoch)
+	fmt.Printf("ranking is set to %s; claim %d, closures at epoch %d\n\n", page.Mode, page.Token, page.ClosureVersion)
 	out := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(out, "engine\tpool\tzone\tscore\tslowest in\tmeasured\tothers\tzones\tslow paths\tstage\tfor\tremarks")
 	for _, node := range page.Nodes {
@@ -53,14 +53,14 @@
 
 func remarks(node operatorapi.Node) string {
 	var out []string
-	if node.ShutBy != "" {
-		out = append(out, "drained by "+node.ShutBy)
+	if node.ClosedBy != "" {
+		out = append(out, "drained by "+node.ClosedBy)
 	}
-	if node.ShutFor != "" {
-		out = append(out, node.ShutFor)
+	if node.ClosedReason != "" {
+		out = append(out, node.ClosedReason)
 	}
-	if node.Kept != "" {
-		out = append(out, "kept by "+node.Kept)
+	if node.ProtectedBy != "" {
+		out = append(out, "kept by "+node.ProtectedBy)
 	}
 	if node.Refusal != "" {
 		out = append(out, "not drained: "+node.Refusal)
--- a/cmd/cresspond/proposals.go
+++ b/cmd/cresspond/proposals.go
@@ -29,13 +29,15 @@
 		command := specs.Command(act.name, act.help)
 		id := command.Arg("id", "The proposal's id.").Required().String()
 		c.onAs(command, func(t *tool, operator string) error {
-			return t.post(act.path, operatorapi.Act{ProposalID: *id, Operator: operator})
+			return t.post(act.path, operatorapi.ProposalAction{ProposalID: *id, Operator: operator})
 		})
 	}
 
 	get := specs.Command("get", "Read a bundle back, byte for byte.")
 	epoch := get.Arg("epoch", "Its epoch; 0 for the one in force.").Default("0").Uint64()
-	c.on(get, func(t *tool) error { return t.page(fmt.Sprintf("%s?epoch=%d", operatorapi.PathSpec, *epoch), showAsIs) })
+	c.on(get, func(t *tool) error {
+		return t.page(fmt.Sprintf("%s?epoch=%d", operatorapi.PathConfiguration, *epoch), showAsIs)
+	})
 
 	history := specs.Command("history", "List all epochs with their sign-offs.")
 	c.onPage(history, operatorapi.PathHistory, showHistory)
--- a/cmd/cresspond/show.go
+++ b/cmd/cresspond/show.go
@@ -54,8 +54,8 @@
 	showDaemon(status)
 	out := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(out, "\ndaemon\taddress\tzone\tserves\tspec\tclosures\theard")
-	for _, peer := range status.Fellows {
-		fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%d\t%d\t%d ms ago\n", peer.NodeID, peer.Address, peer.Zone, strings.Join(peer.Serve, ","), peer.SpecEpoch, peer.ClosureEpoch, peer.HeardMsAgo)
+	for _, peer := range status.Peers {
+		fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%d\t%d\t%d ms ago\n", peer.NodeID, peer.Address, peer.Zone, strings.Join(peer.Serve, ","), peer.ConfigurationVersion, peer.ClosureVersion, peer.LastContactMsAgo)
 	}
 	fmt.Fprintln(out, "\nengine\taddress\tzone\tcondition\topen\tdraining\tmodels")
 	for _, engine := range status.Engines {
@@ -71,7 +71,7 @@
 		ready = "not ready: " + status.NotReady
 	}
 	fmt.Printf("%s in zone %s serves %s, %s\nspec epoch %d, closure epoch %d, group %s, leader at %s\n", status.NodeID, status.Zone, strings.Join(status.Serve, ", "), ready,
-		status.SpecEpoch, status.ClosureEpoch, status.Group, status.Leader)
+		status.ConfigurationVersion, status.ClosureVersion, status.Group, status.Leader)
 	if status.WorkerID != nil {
 		fmt.Printf("worker id %d\n", *status.WorkerID)
 	}
@@ -87,8 +87,8 @@
 			}
 		}
 	}
-	if status.Planner != nil && status.Planner.Held {
-		fmt.Printf("plans under claim %d, %d orders under way\n", status.Planner.Claim, status.Planner.InFlight)
+	if status.Planner != nil && status.Planner.HasLease {
+		fmt.Printf("plans under claim %d, %d orders under way\n", status.Planner.Token, status.Planner.PendingOrders)
 	}
 }
 
@@ -108,7 +108,7 @@
 			}
 		}
 		fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%d ms ago\t%s\n", engine.ID, engine.Pool, engine.Address, engine.Zone, engine.Software, engine.Slots,
-			engine.Condition, engine.HeardMsAgo, strings.Join(models, " "))
+			engine.Condition, engine.LastContactMsAgo, strings.Join(models, " "))
 	}
 	return out.Flush()
 }
@@ -119,7 +119,7 @@
 		return err
 	}
 	if !trace.Known {
-		return fmt.Errorf("there is no change %s; the newest is %d", trace.Change, trace.Epoch)
+		return fmt.Errorf("there is no change %s; the newest is %d", trace.Change, trace.Version)
 	}
 	first := firstLearned(trace)
 	missing, err := showTraceRows(trace, first)
@@ -168,8 +168,8 @@
 			// A daemon that came later, or that went straight to a newer epoch, has no steps of its own for this one.
 			inForce = "holds it or a later one"
 		}
-		heard := fmt.Sprintf("%d ms ago", row.HeardMsAgo)
-		if row.HeardMsAgo < 0 {
+		heard := fmt.Sprintf("%d ms ago", row.LastContactMsAgo)
+		if row.LastContactMsAgo < 0 {
 			heard = "not for a minute or more"
 		}
 		fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\t%s\n", row.NodeID, row.Zone, step(row.LearnedMs), step(row.BuiltMs), inForce, heard)
--- a/configuration/compression/fuzz_test.go
+++ b/configuration/compression/fuzz_test.go
@@ -8,18 +8,18 @@
 // FuzzUnpack: any bytes are refused, or come to no more than is allowed and come back when they are packed again.
 func FuzzUnpack(f *testing.F) {
 	f.Add([]byte(nil))
-	f.Add(Pack([]byte(`{"name":"n"}`)))
-	f.Add(Pack(bytes.Repeat([]byte("path"), 10_000)))
-	f.Add(append(Pack([]byte("a")), Pack([]byte("b"))...))
+	f.Add(Compress([]byte(`{"name":"n"}`)))
+	f.Add(Compress(bytes.Repeat([]byte("path"), 10_000)))
+	f.Add(append(Compress([]byte("a")), Compress([]byte("b"))...))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		raw, err := Unpack(data)
+		raw, err := Decompress(data)
 		if err != nil {
 			return
 		}
-		if len(raw) > mostUnpacked {
+		if len(raw) > maxDecompressedBytes {
 			t.Fatalf("%d bytes came of %d", len(raw), len(data))
 		}
-		if again, err := Unpack(Pack(raw)); err != nil || !bytes.Equal(again, raw) {
+		if again, err := Decompress(Compress(raw)); err != nil || !bytes.Equal(again, raw) {
 			t.Fatalf("%d bytes did not come back: %v", len(raw), err)
 		}
 	})
--- a/configuration/compression/packed.go
+++ b/configuration/compression/packed.go
@@ -10,7 +10,7 @@
 )
 
 // mostUnpacked bounds what a packed bundle may grow to, whatever its head says.
-const mostUnpacked = 64 << 20
+const maxDecompressedBytes = 64 << 20
 
 // One of each serves the whole process: they keep their tables, and may be used by many at once. Both are
 // made when first needed, since most daemons never pack.
@@ -23,7 +23,7 @@
 		return made
 	})
 	decoder = sync.OnceValue(func() *zstd.Decoder {
-		made, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(mostUnpacked))
+		made, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxDecompressedBytes))
 		if err != nil {
 			panic("broken invariant: the unpacker's settings are wrong: " + err.Error())
 		}
@@ -32,10 +32,10 @@
 )
 
 // Pack compresses.
-func Pack(raw []byte) []byte { return encoder().EncodeAll(raw, nil) }
+func Compress(raw []byte) []byte { return encoder().EncodeAll(raw, nil) }
 
 // Unpack gives back what was packed.
-func Unpack(data []byte) ([]byte, error) {
+func Decompress(data []byte) ([]byte, error) {
 	raw, err := decoder().DecodeAll(data, nil)
 	return raw, eris.Wrap(err, "this cannot be unpacked")
 }
@@ -44,13 +44,13 @@
 type Bundle struct {
 	Data []byte
 	// Packed says that Data is compressed.
-	Packed bool
+	Compressed bool
 }
 
 // Raw gives the bundle as it was handed in.
 func (b Bundle) Raw() ([]byte, error) {
-	if !b.Packed || len(b.Data) == 0 {
+	if !b.Compressed || len(b.Data) == 0 {
 		return b.Data, nil
 	}
-	return Unpack(b.Data)
+	return Decompress(b.Data)
 }
--- a/configuration/compression/packed_test.go
+++ b/configuration/compression/packed_test.go
@@ -12,24 +12,24 @@
 func TestWhatIsPackedComesBack(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(7))
 	properties.Property("any bytes come back, and no bytes make it panic", prop.ForAll(func(raw []byte) bool {
-		back, err := Unpack(Pack(raw))
-		_, _ = Unpack(raw)
+		back, err := Decompress(Compress(raw))
+		_, _ = Decompress(raw)
 		return err == nil && bytes.Equal(back, raw)
 	}, gen.SliceOf(gen.UInt8())))
 	properties.TestingRun(t)
-	whole := Pack(bytes.Repeat([]byte("path"), 10_000))
+	whole := Compress(bytes.Repeat([]byte("path"), 10_000))
 	for cut := range whole {
-		if _, err := Unpack(whole[:cut]); err == nil && cut > 0 {
+		if _, err := Decompress(whole[:cut]); err == nil && cut > 0 {
 			t.Errorf("cut at %d of %d it looks whole", cut, len(whole))
 		}
 	}
-	if _, err := Unpack(Pack(make([]byte, mostUnpacked+1))); err == nil {
+	if _, err := Decompress(Compress(make([]byte, maxDecompressedBytes+1))); err == nil {
 		t.Error("more than the bound is unpacked")
 	}
 }
 
 func TestABundleIsItsBytesPackedOrNot(t *testing.T) {
-	for _, b := range []Bundle{{}, {Data: []byte("x")}, {Data: Pack([]byte("x")), Packed: true}, {Packed: true}} {
+	for _, b := range []Bundle{{}, {Data: []byte("x")}, {Data: Compress([]byte("x")), Compressed: true}, {Compressed: true}} {
 		raw, err := b.Raw()
 		if err != nil || len(b.Data) > 0 && string(raw) != "x" || len(b.Data) == 0 && len(raw) > 0 {
 			t.Errorf("%+v: %q, %v", b, raw, err)
--- a/configuration/document/duplicates.go
+++ b/configuration/document/duplicates.go
@@ -10,7 +10,7 @@
 )
 
 // manyKeys is how many keys of one object are compared one by one.
-const manyKeys = 24
+const maxKeysComparedPairwise = 24
 
 // mayDuplicateKeys says quickly whether any object may have a key twice: bundles of thousands of paths are
 // valid as a rule, and where they aren't, duplicateKeys lists the places.
@@ -57,8 +57,8 @@
 					return true
 				}
 			}
-			if in.few = append(in.few, key); len(in.few) > manyKeys {
-				in.many = make(map[string]bool, 2*manyKeys)
+			if in.few = append(in.few, key); len(in.few) > maxKeysComparedPairwise {
+				in.many = make(map[string]bool, 2*maxKeysComparedPairwise)
 				for _, one := range in.few {
 					in.many[strings.ToLower(string(one))] = true
 				}
--- a/configuration/document/forward_test.go
+++ b/configuration/document/forward_test.go
@@ -22,14 +22,14 @@
 }
 
 func TestABundleOnOpaqueRequestsNeedSayNothingOfSessions(t *testing.T) {
-	alone := Spec{Name: "alone", Forward: opaque()}
+	alone := Configuration{Name: "alone", Forward: opaque()}
 	if back, faults := parse(t, alone); len(faults) > 0 || !reflect.DeepEqual(*back, alone) {
 		t.Error(faults)
 	}
 	if _, faults := Parse([]byte(`{"name":"x","forward":{"revision":1,"paths":[],"pools":[],"limits":{}}}`)); len(faults) > 0 {
 		t.Error("parts left out of the text:", faults)
 	}
-	withZones := Spec{Name: "zones", Zones: []Zone{{Name: "z"}}, Forward: opaque()}
+	withZones := Configuration{Name: "zones", Zones: []Zone{{Name: "z"}}, Forward: opaque()}
 	if _, faults := parse(t, withZones); len(faults) > 0 {
 		t.Error("zones to close:", faults)
 	}
@@ -100,16 +100,16 @@
 	{"forward.paths[1].name", func(s *upstream.Section) { s.Paths = append(s.Paths, s.Paths[0]) }},
 	{"forward.paths[1].prefix", func(s *upstream.Section) { s.Paths = append(s.Paths, s.Paths[0]) }},
 	{"forward.pools[0].name", func(s *upstream.Section) { s.Pools[0].Name = "" }},
-	{"forward.pools[0].mostConnections", func(s *upstream.Section) { s.Pools[0].MostConnections = -1 }},
+	{"forward.pools[0].mostConnections", func(s *upstream.Section) { s.Pools[0].MaxConnections = -1 }},
 	{"forward.pools[0].catalogue.models[0].sizeMb", func(s *upstream.Section) {
 		s.Pools[0].Catalogue = &upstream.Catalogue{Models: []upstream.Model{{Name: "m"}}}
 	}},
-	{"forward.limits.mostBodyBytes", func(s *upstream.Section) { s.Limits.MostBodyBytes = -1 }},
+	{"forward.limits.mostBodyBytes", func(s *upstream.Section) { s.Limits.MaxBodyBytes = -1 }},
 }
 
 func TestFaultsOfOpaqueRequestsAreToldWithTheirPlaces(t *testing.T) {
 	for _, one := range opaqueBreaks {
-		s := Spec{Name: "x", Forward: opaque()}
+		s := Configuration{Name: "x", Forward: opaque()}
 		one.spoil(s.Forward)
 		if _, faults := parse(t, s); !strings.Contains(fmt.Sprint(faults), one.path+": ") {
 			t.Errorf("%s is not told in %v", one.path, faults)
@@ -183,12 +183,12 @@
 		t.Fatal(err)
 	}
 	strict, faults := Parse(data)
-	quick, err := Read(data)
+	quick, err := ParseCommitted(data)
 	if err != nil || len(faults) > 0 || !reflect.DeepEqual(strict, quick) {
 		t.Errorf("%v %v\n%+v\n%+v", err, faults, strict, quick)
 	}
 	for _, bad := range []string{"", "{", "[]", `{"name":1}`, `{"name":"x"} {`, `{"unheardOf":1}`, string(data[:len(data)-1])} {
-		if _, err := Read([]byte(bad)); err == nil {
+		if _, err := ParseCommitted([]byte(bad)); err == nil {
 			t.Errorf("%q is read", bad)
 		}
 	}
--- a/configuration/document/references.go
+++ b/configuration/document/references.go
@@ -7,8 +7,8 @@
 )
 
 // crossFaults finds names that stand twice or that nothing bears.
-func (s *Spec) crossFaults() []Fault {
-	c := &crossCheck{
+func (s *Configuration) referenceFaults() []Fault {
+	c := &referenceCheck{
 		zones: map[ident.ZoneID]bool{}, engines: map[ident.EngineID]bool{},
 		models: map[string]int64{}, adapters: map[string]string{}, routes: map[string]bool{},
 	}
@@ -18,16 +18,16 @@
 	c.checkAdapters(s.Adapters)
 	c.checkRoutes(s.Routes)
 	if s.Forward != nil {
-		s.Forward.Check(func(path, reason string) { c.faults = append(c.faults, Fault{"forward." + path, reason}) })
+		s.Forward.Validate(func(path, reason string) { c.faults = append(c.faults, Fault{"forward." + path, reason}) })
 	}
 	return c.faults
 }
 
 // crossCheck gathers the names of a bundle and the faults between them.
-type crossCheck struct {
-	zones       map[ident.ZoneID]bool
-	engines     map[ident.EngineID]bool
-	largestRoom int64
+type referenceCheck struct {
+	zones           map[ident.ZoneID]bool
+	engines         map[ident.EngineID]bool
+	largestCapacity int64
 	// models holds sizes, adapters the models that they belong to.
 	models   map[string]int64
 	adapters map[string]string
@@ -35,11 +35,11 @@
 	faults   []Fault
 }
 
-func (c *crossCheck) fault(reason, path string, args ...any) {
+func (c *referenceCheck) fault(reason, path string, args ...any) {
 	c.faults = append(c.faults, Fault{fmt.Sprintf(path, args...), reason})
 }
 
-func (c *crossCheck) checkZones(zones []Zone) {
+func (c *referenceCheck) checkZones(zones []Zone) {
 	for i, zone := range zones {
 		if c.zones[zone.Name] {
 			c.fault("stands twice", "zones[%d].name", i)
@@ -48,7 +48,7 @@
 	}
 }
 
-func (c *crossCheck) checkEngines(engines []Engine) {
+func (c *referenceCheck) checkEngines(engines []Engine) {
 	for i, engine := range engines {
 		if c.engines[engine.ID] {
 			c.fault("stands twice", "engines[%d].id", i)
@@ -57,23 +57,23 @@
 		if !c.zones[engine.Zone] {
 			c.fault("no such zone", "engines[%d].zone", i)
 		}
-		c.largestRoom = max(c.largestRoom, engine.Room)
+		c.largestCapacity = max(c.largestCapacity, engine.Capacity)
 	}
 }
 
-func (c *crossCheck) checkModels(models []Model) {
+func (c *referenceCheck) checkModels(models []Model) {
 	for i, model := range models {
 		if _, twice := c.models[model.Name]; twice {
 			c.fault("stands twice", "models[%d].name", i)
 		}
 		c.models[model.Name] = model.Size
-		if model.Size > c.largestRoom {
+		if model.Size > c.largestCapacity {
 			c.fault("fits on no engine", "models[%d].size", i)
 		}
 	}
 }
 
-func (c *crossCheck) checkAdapters(adapters []Adapter) {
+func (c *referenceCheck) checkAdapters(adapters []Adapter) {
 	for i, adapter := range adapters {
 		if _, twice := c.adapters[adapter.Name]; twice {
 			c.fault("stands twice", "adapters[%d].name", i)
@@ -85,7 +85,7 @@
 	}
 }
 
-func (c *crossCheck) checkRoutes(routes []Route) {
+func (c *referenceCheck) checkRoutes(routes []Route) {
 	for i, route := range routes {
 		if c.routes[route.Name] {
 			c.fault("stands twice", "routes[%d].name", i)
--- a/configuration/document/spec.go
+++ b/configuration/document/spec.go
@@ -18,7 +18,7 @@
 )
 
 // Spec is one bundle.
-type Spec struct {
+type Configuration struct {
 	Name     string    `json:"name" validate:"required,max=120"`
 	Zones    []Zone    `json:"zones" validate:"required,min=1,dive"`
 	Engines  []Engine  `json:"engines" validate:"required,min=1,dive"`
@@ -38,11 +38,11 @@
 
 // Engine is a back end that may be used; its address comes from the platform.
 type Engine struct {
-	ID            ident.EngineID `json:"id" validate:"required,max=64"`
-	Zone          ident.ZoneID   `json:"zone" validate:"required"`
-	Room          int64          `json:"room" validate:"gt=0"`
-	AdapterPlaces int            `json:"adapterPlaces" validate:"gte=0,lte=10000"`
-	Slots         int            `json:"slots" validate:"gt=0,lte=100000"`
+	ID           ident.EngineID `json:"id" validate:"required,max=64"`
+	Zone         ident.ZoneID   `json:"zone" validate:"required"`
+	Capacity     int64          `json:"room" validate:"gt=0"`
+	AdapterSlots int            `json:"adapterPlaces" validate:"gte=0,lte=10000"`
+	Slots        int            `json:"slots" validate:"gt=0,lte=100000"`
 }
 
 // Model is one entry of the catalogue.
@@ -59,32 +59,32 @@
 
 // Route is what a caller names; its worth and rank are its bid.
 type Route struct {
-	Name  string `json:"name" validate:"required,max=120"`
-	House string `json:"house" validate:"required,max=120"`
+	Name   string `json:"name" validate:"required,max=120"`
+	Tenant string `json:"house" validate:"required,max=120"`
 	// Worth is the bid: the highest is seated first. Among equal worths the lower rank goes first.
-	Worth    int64    `json:"worth" validate:"gte=0,lte=1000000000"`
+	Priority int64    `json:"worth" validate:"gte=0,lte=1000000000"`
 	Rank     int      `json:"rank" validate:"gte=0,lte=1000000"`
 	Models   []string `json:"models" validate:"required,min=1"`
 	Adapters []string `json:"adapters"`
 	// MostHeld bounds how many requests of this route one daemon holds; zero takes the limit for all.
-	MostHeld int `json:"mostHeld" validate:"gte=0,lte=1000000"`
+	MaxPending int `json:"mostHeld" validate:"gte=0,lte=1000000"`
 }
 
 // Store is the pace at which models may be read from the store, over the whole fleet.
 type Store struct {
-	LoadsAtOnce int   `json:"loadsAtOnce" validate:"gt=0,lte=1000"`
-	LoadGapMs   int64 `json:"loadGapMs" validate:"gte=0,lte=3600000"`
+	MaxConcurrentLoads int   `json:"loadsAtOnce" validate:"gt=0,lte=1000"`
+	LoadIntervalMs     int64 `json:"loadGapMs" validate:"gte=0,lte=3600000"`
 }
 
 // Limits bound what one daemon takes on.
 type Limits struct {
-	MostBodyBytes  int   `json:"mostBodyBytes" validate:"gt=0,lte=4194304"`
-	MostHeld       int   `json:"mostHeld" validate:"gt=0,lte=1000000"`
-	MostHeldBytes  int64 `json:"mostHeldBytes" validate:"gt=0"`
-	MostDeadlineMs int64 `json:"mostDeadlineMs" validate:"gt=0,lte=600000"`
-	SeatIdleMs     int64 `json:"seatIdleMs" validate:"gt=0,lte=86400000"`
+	MaxBodyBytes     int   `json:"mostBodyBytes" validate:"gt=0,lte=4194304"`
+	MaxPending       int   `json:"mostHeld" validate:"gt=0,lte=1000000"`
+	MaxPendingBytes  int64 `json:"mostHeldBytes" validate:"gt=0"`
+	MaxDeadlineMs    int64 `json:"mostDeadlineMs" validate:"gt=0,lte=600000"`
+	AssignmentIdleMs int64 `json:"seatIdleMs" validate:"gt=0,lte=86400000"`
 	// RetryShare is the greatest share of first goes that may be followed by another.
-	RetryShare float64 `json:"retryShare" validate:"gte=0,lte=0.5"`
+	MaxRetryRatio float64 `json:"retryShare" validate:"gte=0,lte=0.5"`
 }
 
 // Fault is one thing wrong with a bundle.
@@ -96,11 +96,11 @@
 func (f Fault) String() string { return f.Path + ": " + f.Reason }
 
 // MostBytes is how large a bundle may be.
-const MostBytes = 16 << 20
+const MaxBytes = 16 << 20
 
-var check = newCheck()
+var fieldValidator = newFieldValidator()
 
-func newCheck() *validator.Validate {
+func newFieldValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(field reflect.StructField) string {
 		return strings.Split(field.Tag.Get("json"), ",")[0]
@@ -109,9 +109,9 @@
 }
 
 // Parse reads a bundle strictly and gives every fault it finds, with its path.
-func Parse(data []byte) (*Spec, []Fault) {
-	if len(data) > MostBytes {
-		return nil, []Fault{{"", fmt.Sprintf("larger than %d bytes", MostBytes)}}
+func Parse(data []byte) (*Configuration, []Fault) {
+	if len(data) > MaxBytes {
+		return nil, []Fault{{"", fmt.Sprintf("larger than %d bytes", MaxBytes)}}
 	}
 	if mayDuplicateKeys(data) {
 		if faults := duplicateKeys(data); len(faults) > 0 {
@@ -120,7 +120,7 @@
 	}
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
-	var s Spec
+	var s Configuration
 	if err := decoder.Decode(&s); err != nil {
 		path, reason := "", strings.TrimPrefix(err.Error(), "json: ")
 		if typed, ok := err.(*json.UnmarshalTypeError); ok {
@@ -131,7 +131,7 @@
 	if _, err := decoder.Token(); err != io.EOF {
 		return nil, []Fault{{"", "something follows the bundle"}}
 	}
-	if faults := s.Check(); len(faults) > 0 {
+	if faults := s.Validate(); len(faults) > 0 {
 		return nil, faults
 	}
 	return &s, nil
@@ -139,8 +139,8 @@
 
 // Read takes a bundle that the group has committed, and so has been checked. It shares the memory of data,
 // which must stay as it is.
-func Read(data []byte) (*Spec, error) {
-	var s Spec
+func ParseCommitted(data []byte) (*Configuration, error) {
+	var s Configuration
 	const flags = fastjson.ZeroCopy | fastjson.DisallowUnknownFields
 	rest, err := fastjson.Parse(data, &s, flags)
 	if err == nil && len(bytes.TrimSpace(rest)) > 0 {
@@ -153,20 +153,20 @@
 }
 
 // Check gives every fault of what the bundle says.
-func (s *Spec) Check() []Fault { return append(tagFaults(s), s.crossFaults()...) }
+func (s *Configuration) Validate() []Fault { return append(fieldFaults(s), s.referenceFaults()...) }
 
 // ServesSessions says whether the bundle says anything of sessions.
-func (s *Spec) ServesSessions() bool {
+func (s *Configuration) ServesSessions() bool {
 	return len(s.Engines)+len(s.Models)+len(s.Adapters)+len(s.Routes) > 0 || s.Store != (Store{}) || s.Limits != (Limits{})
 }
 
 // leftOut says of a field's namespace that it need not be there: a bundle on opaque requests may say nothing
 // of sessions. One that says anything of them says all.
-func (s *Spec) leftOut(namespace []byte) bool {
+func (s *Configuration) isOptional(namespace []byte) bool {
 	if s.Forward == nil || s.ServesSessions() {
 		return false
 	}
-	part, _, _ := bytes.Cut(bytes.TrimPrefix(namespace, []byte("Spec.")), []byte("."))
+	part, _, _ := bytes.Cut(bytes.TrimPrefix(namespace, []byte("Configuration.")), []byte("."))
 	switch string(part) {
 	case "Engines", "Models", "Routes", "Store", "Limits":
 		return true
@@ -176,8 +176,8 @@
 	return false
 }
 
-func tagFaults(s *Spec) []Fault {
-	err := check.StructFiltered(s, s.leftOut)
+func fieldFaults(s *Configuration) []Fault {
+	err := fieldValidator.StructFiltered(s, s.isOptional)
 	if err == nil {
 		return nil
 	}
@@ -187,7 +187,7 @@
 	}
 	var faults []Fault
 	for _, one := range found {
-		path := strings.TrimPrefix(one.Namespace(), "Spec.")
+		path := strings.TrimPrefix(one.Namespace(), "Configuration.")
 		reason := "must satisfy " + one.Tag()
 		if one.Param() != "" {
 			reason += "=" + one.Param()
--- a/configuration/document/spec_test.go
+++ b/configuration/document/spec_test.go
@@ -15,26 +15,26 @@
 )
 
 // made builds a sound bundle of the given sizes.
-func made(zones, engines, models, routes int) Spec {
-	s := Spec{Name: "made", Store: Store{LoadsAtOnce: 1},
-		Limits: Limits{MostBodyBytes: 1, MostHeld: 1, MostHeldBytes: 1, MostDeadlineMs: 1, SeatIdleMs: 1, RetryShare: 0.1}}
+func made(zones, engines, models, routes int) Configuration {
+	s := Configuration{Name: "made", Store: Store{MaxConcurrentLoads: 1},
+		Limits: Limits{MaxBodyBytes: 1, MaxPending: 1, MaxPendingBytes: 1, MaxDeadlineMs: 1, AssignmentIdleMs: 1, MaxRetryRatio: 0.1}}
 	for i := range zones {
 		s.Zones = append(s.Zones, Zone{Name: zoneName(i)})
 	}
 	for i := range engines {
-		s.Engines = append(s.Engines, Engine{ID: engineID(i), Zone: zoneName(i % zones), Room: 100, Slots: 1})
+		s.Engines = append(s.Engines, Engine{ID: engineID(i), Zone: zoneName(i % zones), Capacity: 100, Slots: 1})
 	}
 	for i := range models {
 		s.Models = append(s.Models, Model{Name: fmt.Sprint("m", i), Size: int64(1 + i%100)})
 		s.Adapters = append(s.Adapters, Adapter{Name: fmt.Sprint("a", i), Model: fmt.Sprint("m", i)})
 	}
 	for i := range routes {
-		s.Routes = append(s.Routes, Route{Name: fmt.Sprint("r", i), House: "h", Models: []string{fmt.Sprint("m", i%models)}, Adapters: []string{fmt.Sprint("a", i%models)}})
+		s.Routes = append(s.Routes, Route{Name: fmt.Sprint("r", i), Tenant: "h", Models: []string{fmt.Sprint("m", i%models)}, Adapters: []string{fmt.Sprint("a", i%models)}})
 	}
 	return s
 }
 
-func parse(t *testing.T, s Spec) (*Spec, []Fault) {
+func parse(t *testing.T, s Configuration) (*Configuration, []Fault) {
 	t.Helper()
 	data, err := json.Marshal(s)
 	if err != nil {
@@ -46,21 +46,21 @@
 // breaks are ways to spoil a sound bundle, with where the fault must be told.
 var breaks = []struct {
 	path  string
-	spoil func(*Spec)
+	spoil func(*Configuration)
 }{
-	{"zones", func(s *Spec) { s.Zones = nil }},
-	{"zones[0].name", func(s *Spec) { s.Zones[0].Name = "" }},
-	{"engines[0].zone", func(s *Spec) { s.Engines[0].Zone = "nowhere" }},
-	{"engines[0].room", func(s *Spec) { s.Engines[0].Room = 0 }},
-	{"engines[0].slots", func(s *Spec) { s.Engines[0].Slots = -1 }},
-	{"models[0].size", func(s *Spec) { s.Models[0].Size = 101 }},
-	{"adapters[0].model", func(s *Spec) { s.Adapters[0].Model = "none" }},
-	{"routes[0].models", func(s *Spec) { s.Routes[0].Models = nil }},
-	{"routes[0].adapters[0]", func(s *Spec) { s.Routes[0].Adapters[0] = "none" }},
-	{"routes[0].worth", func(s *Spec) { s.Routes[0].Worth = -1 }},
-	{"store.loadsAtOnce", func(s *Spec) { s.Store.LoadsAtOnce = 0 }},
-	{"limits.mostDeadlineMs", func(s *Spec) { s.Limits.MostDeadlineMs = 0 }},
-	{"routes[1].name", func(s *Spec) { s.Routes = append(s.Routes[:1:1], s.Routes[0]) }},
+	{"zones", func(s *Configuration) { s.Zones = nil }},
+	{"zones[0].name", func(s *Configuration) { s.Zones[0].Name = "" }},
+	{"engines[0].zone", func(s *Configuration) { s.Engines[0].Zone = "nowhere" }},
+	{"engines[0].room", func(s *Configuration) { s.Engines[0].Capacity = 0 }},
+	{"engines[0].slots", func(s *Configuration) { s.Engines[0].Slots = -1 }},
+	{"models[0].size", func(s *Configuration) { s.Models[0].Size = 101 }},
+	{"adapters[0].model", func(s *Configuration) { s.Adapters[0].Model = "none" }},
+	{"routes[0].models", func(s *Configuration) { s.Routes[0].Models = nil }},
+	{"routes[0].adapters[0]", func(s *Configuration) { s.Routes[0].Adapters[0] = "none" }},
+	{"routes[0].worth", func(s *Configuration) { s.Routes[0].Priority = -1 }},
+	{"store.loadsAtOnce", func(s *Configuration) { s.Store.MaxConcurrentLoads = 0 }},
+	{"limits.mostDeadlineMs", func(s *Configuration) { s.Limits.MaxDeadlineMs = 0 }},
+	{"routes[1].name", func(s *Configuration) { s.Routes = append(s.Routes[:1:1], s.Routes[0]) }},
 }
 
 func TestSoundBundlesPassAndAnySetOfFaultsIsToldWhole(t *testing.T) {
--- a/configuration/routingtable/registered_test.go
+++ b/configuration/routingtable/registered_test.go
@@ -11,7 +11,7 @@
 
 func TestRegisteredEnginesAreOpenUnlessShutOrDrained(t *testing.T) {
 	closures := closure.Set{Zones: map[ident.ZoneID]closure.Record{"shut": {}}, Engines: map[ident.EngineID]closure.Record{"drained": {}}}
-	built := Build(1, nil, &document.Spec{Name: "opaque", Forward: &upstream.Section{Revision: 1}}, closures)
+	built := Build(1, nil, &document.Configuration{Name: "opaque", Forward: &upstream.Section{Revision: 1}}, closures)
 	for _, c := range []struct {
 		engine ident.EngineID
 		zone   ident.ZoneID
@@ -25,7 +25,7 @@
 	if built.Open("a") {
 		t.Error("an engine that stands in no bundle is open")
 	}
-	if !Build(1, nil, &document.Spec{}, closure.Set{}).OpenRegistered("a", "here") {
+	if !Build(1, nil, &document.Configuration{}, closure.Set{}).OpenRegistered("a", "here") {
 		t.Error("without any closures")
 	}
 }
--- a/configuration/routingtable/size_test.go
+++ b/configuration/routingtable/size_test.go
@@ -20,15 +20,15 @@
 		section.Paths = append(section.Paths, upstream.Path{Name: fmt.Sprintf("r-%06x", i), Host: fmt.Sprintf("host%d.example", i%97), Prefix: fmt.Sprintf("/p%06x/", i),
 			Class: upstream.Stream, Affine: true, DeadlineMs: 10000, TargetMs: 1300, GapTargetMs: 400, Rank: i % 3, Attempts: 2, Shares: []upstream.Share{{Pool: "pool", Weight: 1}}})
 	}
-	catalogue := &upstream.Catalogue{Slots: 96, MemoryTokens: 120000, RoomMb: 83000, AdapterPlaces: 8, LoadsPerSecond: 2}
+	catalogue := &upstream.Catalogue{Slots: 96, MemoryTokens: 120000, CapacityMb: 83000, AdapterSlots: 8, LoadsPerSecond: 2}
 	for i := range 140 {
 		catalogue.Models = append(catalogue.Models, upstream.Model{Name: fmt.Sprintf("model%04x", i), SizeMb: 34300, LoadMs: 2000, Adapters: 621, AdapterSizeMb: 40})
 	}
-	section.Pools = []upstream.Pool{{Name: "pool", MostConnections: 500, Catalogue: catalogue}}
-	data, err := json.Marshal(document.Spec{Name: "size", Zones: []document.Zone{{Name: "z"}}, Engines: []document.Engine{{ID: "listed", Zone: "z", Room: 1, Slots: 1}},
-		Models: []document.Model{{Name: "listed", Size: 1}}, Routes: []document.Route{{Name: "listed", House: "house", Models: []string{"listed"}}},
-		Store:  document.Store{LoadsAtOnce: 1},
-		Limits: document.Limits{MostBodyBytes: 64 << 10, MostHeld: 400, MostHeldBytes: 16 << 20, MostDeadlineMs: 60000, SeatIdleMs: 20000}, Forward: section})
+	section.Pools = []upstream.Pool{{Name: "pool", MaxConnections: 500, Catalogue: catalogue}}
+	data, err := json.Marshal(document.Configuration{Name: "size", Zones: []document.Zone{{Name: "z"}}, Engines: []document.Engine{{ID: "listed", Zone: "z", Capacity: 1, Slots: 1}},
+		Models: []document.Model{{Name: "listed", Size: 1}}, Routes: []document.Route{{Name: "listed", Tenant: "house", Models: []string{"listed"}}},
+		Store:  document.Store{MaxConcurrentLoads: 1},
+		Limits: document.Limits{MaxBodyBytes: 64 << 10, MaxPending: 400, MaxPendingBytes: 16 << 20, MaxDeadlineMs: 60000, AssignmentIdleMs: 20000}, Forward: section})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 			b.ReportAllocs()
 			size := 0
 			for b.Loop() {
-				size = len(compression.Pack(raw))
+				size = len(compression.Compress(raw))
 			}
 			b.ReportMetric(float64(len(raw)), "raw-bytes")
 			b.ReportMetric(float64(size), "packed-bytes")
@@ -57,16 +57,16 @@
 func BenchmarkSizeBuild(b *testing.B) {
 	for _, paths := range pathCounts {
 		raw := ofPaths(b, paths)
-		sent := compression.Pack(raw)
+		sent := compression.Compress(raw)
 		b.Run(fmt.Sprint("unpack ", paths, " paths"), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := compression.Unpack(sent); err != nil {
+				if _, err := compression.Decompress(sent); err != nil {
 					b.Fatal(err)
 				}
 			}
 		})
-		allowed := len(raw) <= document.MostBytes
+		allowed := len(raw) <= document.MaxBytes
 		b.Run(fmt.Sprint("check ", paths, " paths"), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
@@ -75,7 +75,7 @@
 				}
 			}
 		})
-		parsed := &document.Spec{}
+		parsed := &document.Configuration{}
 		if err := json.Unmarshal(raw, parsed); err != nil {
 			b.Fatal(err)
 		}
--- a/configuration/routingtable/table.go
+++ b/configuration/routingtable/table.go
@@ -22,9 +22,9 @@
 
 // Table is one epoch of the spec together with one epoch of the closures.
 type Table struct {
-	Epoch    ident.Version
-	Closures closure.Set
-	Spec     *document.Spec
+	Version       ident.Version
+	Closures      closure.Set
+	Configuration *document.Configuration
 	// Raw is the bundle as it was proposed, byte for byte.
 	Raw []byte
 	// Bundle is the same in the form in which it travels.
@@ -39,9 +39,9 @@
 }
 
 // Build makes the table for a bundle.
-func Build(epoch ident.Version, raw []byte, parsed *document.Spec, closures closure.Set) *Table {
+func Build(epoch ident.Version, raw []byte, parsed *document.Configuration, closures closure.Set) *Table {
 	t := &Table{
-		Epoch: epoch, Closures: closures, Spec: parsed, Raw: raw,
+		Version: epoch, Closures: closures, Configuration: parsed, Raw: raw,
 		routes: make(map[string]*Route, len(parsed.Routes)), engines: map[ident.EngineID]document.Engine{},
 		models: map[string]document.Model{}, adapters: map[string]document.Adapter{},
 	}
@@ -103,7 +103,7 @@
 
 // HasZone says whether the bundle names a zone.
 func (t *Table) HasZone(name ident.ZoneID) bool {
-	return slices.ContainsFunc(t.Spec.Zones, func(zone document.Zone) bool { return zone.Name == name })
+	return slices.ContainsFunc(t.Configuration.Zones, func(zone document.Zone) bool { return zone.Name == name })
 }
 
 // Allows says whether the bundle lets this route use this model and adapter.
@@ -132,6 +132,6 @@
 }
 
 // SeatIdle is how long a seat outlasts its session's last request.
-func (t *Table) SeatIdle() time.Duration {
-	return time.Duration(t.Spec.Limits.SeatIdleMs) * time.Millisecond
+func (t *Table) AssignmentIdle() time.Duration {
+	return time.Duration(t.Configuration.Limits.AssignmentIdleMs) * time.Millisecond
 }
--- a/configuration/upstream/check.go
+++ b/configuration/upstream/check.go
@@ -10,7 +10,7 @@
 
 // Check tells what is wrong with the section beyond the bounds of its single fields: names that stand
 // twice, names that nothing bears, and paths between which no request could choose.
-func (s *Section) Check(say func(path, reason string)) {
+func (s *Section) Validate(say func(path, reason string)) {
 	pools := make(map[string]bool, len(s.Pools))
 	for i, pool := range s.Pools {
 		if pools[pool.Name] {
--- a/configuration/upstream/forward.go
+++ b/configuration/upstream/forward.go
@@ -9,7 +9,7 @@
 
 const (
 	// Repeatable requests may run more than once.
-	Repeatable Class = "repeatable"
+	Idempotent Class = "repeatable"
 	// Once requests run at most once for each attempt of a client.
 	Once Class = "once"
 	// Stream requests are answered by events, and run at most once unless the path is resumable.
@@ -63,7 +63,7 @@
 	Name       string `json:"name" validate:"required,max=200"`
 	HealthPath string `json:"healthPath,omitempty"`
 	// MostConnections is how many connections one engine takes from all daemons together; zero is unknown.
-	MostConnections int `json:"mostConnections,omitempty" validate:"gte=0"`
+	MaxConnections int `json:"mostConnections,omitempty" validate:"gte=0"`
 	// Catalogue is there for pools whose engines hold models.
 	Catalogue *Catalogue `json:"catalogue,omitempty"`
 	// Note is kept and given back, and not read here.
@@ -75,8 +75,8 @@
 	Slots        int   `json:"slots" validate:"gte=0"`
 	MemoryTokens int64 `json:"memoryTokens" validate:"gte=0"`
 	// RoomMb is for models and adapters together.
-	RoomMb        float64 `json:"roomMb" validate:"gte=0"`
-	AdapterPlaces int     `json:"adapterPlaces" validate:"gte=0"`
+	CapacityMb   float64 `json:"roomMb" validate:"gte=0"`
+	AdapterSlots int     `json:"adapterPlaces" validate:"gte=0"`
 	// LoadsPerSecond is the pace of the store of weights, over all engines.
 	LoadsPerSecond float64 `json:"loadsPerSecond" validate:"gte=0"`
 	Models         []Model `json:"models" validate:"dive"`
@@ -93,8 +93,8 @@
 
 // Limits bound what a client may send; zero leaves the daemon's own limit.
 type Limits struct {
-	MostHeaderBytes int   `json:"mostHeaderBytes,omitempty" validate:"gte=0"`
-	MostBodyBytes   int64 `json:"mostBodyBytes,omitempty" validate:"gte=0"`
+	MaxHeaderBytes  int   `json:"mostHeaderBytes,omitempty" validate:"gte=0"`
+	MaxBodyBytes    int64 `json:"mostBodyBytes,omitempty" validate:"gte=0"`
 	HeaderTimeoutMs int64 `json:"headerTimeoutMs,omitempty" validate:"gte=0"`
 	IdleTimeoutMs   int64 `json:"idleTimeoutMs,omitempty" validate:"gte=0"`
 	// Note is kept and given back, and not read here.
--- a/configuration/upstream/forward_test.go
+++ b/configuration/upstream/forward_test.go
@@ -45,12 +45,12 @@
 	} {
 		s := sound()
 		c.spoil(&s)
-		if got := faults(s.Check); !slices.Equal(got, c.want) {
+		if got := faults(s.Validate); !slices.Equal(got, c.want) {
 			t.Errorf("told %v, want %v", got, c.want)
 		}
 	}
 	twice := Patch{Upsert: Items{Paths: []Path{named("a", "h", "/"), named("a", "h", "/x/")}, Pools: []Pool{{Name: "p"}, {Name: "p"}}}}
-	if got := faults(twice.Check); !slices.Equal(got, []string{"upsert.paths[1].name: stands twice", "upsert.pools[1].name: stands twice"}) {
+	if got := faults(twice.Validate); !slices.Equal(got, []string{"upsert.paths[1].name: stands twice", "upsert.pools[1].name: stands twice"}) {
 		t.Error(got)
 	}
 }
@@ -83,7 +83,7 @@
 		return out
 	}
 	properties.Property("items keep their places, new ones come last, and the old section stays", prop.ForAll(func(old, upsert, remove []uint8) string {
-		section := Section{Revision: 1, Paths: list(old, "old"), Pools: []Pool{{Name: "p"}}, Limits: Limits{MostBodyBytes: 7}, Note: json.RawMessage(`{"a":1}`)}
+		section := Section{Revision: 1, Paths: list(old, "old"), Pools: []Pool{{Name: "p"}}, Limits: Limits{MaxBodyBytes: 7}, Note: json.RawMessage(`{"a":1}`)}
 		before, err := json.Marshal(section)
 		if err != nil {
 			return err.Error()
@@ -114,7 +114,7 @@
 		if !slices.Equal(got, want) {
 			return fmt.Sprint(got, " and not ", want)
 		}
-		if merged.Revision != 2 || len(merged.Pools) != 1 || merged.Limits.MostBodyBytes != 7 || string(merged.Note) != `{"a":1}` {
+		if merged.Revision != 2 || len(merged.Pools) != 1 || merged.Limits.MaxBodyBytes != 7 || string(merged.Note) != `{"a":1}` {
 			return fmt.Sprintf("%+v", merged)
 		}
 		if after, err := json.Marshal(section); err != nil || string(after) != string(before) {
@@ -126,9 +126,9 @@
 }
 
 func TestMergingLimitsAndNotes(t *testing.T) {
-	section := Section{Limits: Limits{MostBodyBytes: 7, MostHeaderBytes: 8}, Note: json.RawMessage(`{"a":1,"b":2}`)}
-	merged := section.Merge(&Patch{Limits: &Limits{MostBodyBytes: 9}, Note: json.RawMessage(`{"b":3,"c":4}`)})
-	if !reflect.DeepEqual(merged.Limits, Limits{MostBodyBytes: 9}) || string(merged.Note) != `{"a":1,"b":3,"c":4}` {
+	section := Section{Limits: Limits{MaxBodyBytes: 7, MaxHeaderBytes: 8}, Note: json.RawMessage(`{"a":1,"b":2}`)}
+	merged := section.Merge(&Patch{Limits: &Limits{MaxBodyBytes: 9}, Note: json.RawMessage(`{"b":3,"c":4}`)})
+	if !reflect.DeepEqual(merged.Limits, Limits{MaxBodyBytes: 9}) || string(merged.Note) != `{"a":1,"b":3,"c":4}` {
 		t.Errorf("%+v", merged)
 	}
 	for _, old := range []string{"", "null", "[1]"} {
--- a/configuration/upstream/patch.go
+++ b/configuration/upstream/patch.go
@@ -31,12 +31,12 @@
 }
 
 // Check tells what is wrong with the patch by itself; what it makes is checked as a section.
-func (p *Patch) Check(say func(path, reason string)) {
-	twice(p.Upsert.Paths, pathName, "upsert.paths", say)
-	twice(p.Upsert.Pools, poolName, "upsert.pools", say)
+func (p *Patch) Validate(say func(path, reason string)) {
+	checkDuplicates(p.Upsert.Paths, pathName, "upsert.paths", say)
+	checkDuplicates(p.Upsert.Pools, poolName, "upsert.pools", say)
 }
 
-func twice[T any](items []T, name func(T) string, where string, say func(path, reason string)) {
+func checkDuplicates[T any](items []T, name func(T) string, where string, say func(path, reason string)) {
 	seen := make(map[string]bool, len(items))
 	for i, item := range items {
 		if seen[name(item)] {
--- a/connection/adminapi/based_test.go
+++ b/connection/adminapi/based_test.go
@@ -12,7 +12,7 @@
 func TestEachActOnANodeNamesTheClosuresItWasLookedUpIn(t *testing.T) {
 	for act, page := range map[string]operatorapi.Nodes{
 		"drain": ranks(nodehealth.Allowed, operatorapi.Node{}), "keep": ranks(nodehealth.Allowed, operatorapi.Node{}),
-		"release": ranks(nodehealth.ShutAlready, operatorapi.Node{Shut: true, ShutBy: "ana", Kept: "ana"}),
+		"release": ranks(nodehealth.ShutAlready, operatorapi.Node{Closed: true, ClosedBy: "ana", ProtectedBy: "ana"}),
 	} {
 		p := &planning{page: page}
 		status, word := post(p, fmt.Sprintf(`{"engine":"e","act":%q,"operator":"ana"}`, act))
--- a/connection/adminapi/bundle.go
+++ b/connection/adminapi/bundle.go
@@ -15,7 +15,7 @@
 )
 
 // bundle takes bundles that are applied in one step, and gives back the newest.
-func (d *Desk) bundle(ctx *fasthttp.RequestCtx) {
+func (d *Server) bundle(ctx *fasthttp.RequestCtx) {
 	switch string(ctx.Method()) {
 	case http.MethodGet, http.MethodHead:
 		d.newestBundle(ctx)
@@ -26,22 +26,22 @@
 	}
 }
 
-func (d *Desk) newestBundle(ctx *fasthttp.RequestCtx) {
+func (d *Server) newestBundle(ctx *fasthttp.RequestCtx) {
 	newest, known := d.daemon.NewestBundle(context.Background())
 	switch {
 	case !known:
 		fail(ctx, fasthttp.StatusServiceUnavailable, operatorapi.Error{Outcome: "unknown", Reason: "the control group gave no answer in time"})
-	case len(newest.Spec) == 0:
+	case len(newest.Configuration) == 0:
 		fail(ctx, fasthttp.StatusNotFound, operatorapi.Error{Outcome: "missing", Reason: "no bundle is in force yet"})
 	default:
 		ctx.Response.Header.Set(operatorapi.HeaderRevision, fmt.Sprint(newest.Revision))
-		ctx.Response.Header.Set(operatorapi.HeaderEpoch, fmt.Sprint(newest.Epoch))
+		ctx.Response.Header.Set(operatorapi.HeaderVersion, fmt.Sprint(newest.Version))
 		ctx.SetContentType("application/json")
-		ctx.SetBody(newest.Spec)
+		ctx.SetBody(newest.Configuration)
 	}
 }
 
-func (d *Desk) applyBundle(ctx *fasthttp.RequestCtx) {
+func (d *Server) applyBundle(ctx *fasthttp.RequestCtx) {
 	args := ctx.QueryArgs()
 	base, err := strconv.ParseUint(string(args.Peek("base")), 10, 64)
 	if err != nil {
@@ -49,27 +49,27 @@
 		return
 	}
 	operator := string(args.Peek("operator"))
-	if !needs(ctx, [2]string{"operator", operator}) {
+	if !checkRequired(ctx, [2]string{"operator", operator}) {
 		return
 	}
-	call := operatorapi.Apply{Base: ident.Revision(base), Operator: operator, Digest: operatorapi.Digest(string(ctx.Method()), ident.Revision(base), ctx.PostBody())}
+	call := operatorapi.ApplyRequest{Base: ident.Revision(base), Operator: operator, Digest: operatorapi.RequestDigest(string(ctx.Method()), ident.Revision(base), ctx.PostBody())}
 	if ctx.IsPut() {
 		// What an operator wrote is read strictly here; the leader is handed what is sound in itself.
 		if _, faults := document.Parse(ctx.PostBody()); len(faults) > 0 {
 			fail(ctx, fasthttp.StatusBadRequest, operatorapi.Error{Outcome: string(operatorapi.Invalid), Reason: "the bundle has faults", Faults: faults})
 			return
 		}
-		call.Whole = ctx.PostBody()
+		call.Configuration = ctx.PostBody()
 	} else {
 		call.Patch = &upstream.Patch{}
-		if !read(ctx, call.Patch) {
+		if !decodeBody(ctx, call.Patch) {
 			return
 		}
 	}
-	answerApplying(ctx, d.daemon.ApplyBundle(context.Background(), call))
+	respondApply(ctx, d.daemon.ApplyBundle(context.Background(), call))
 }
 
-func answerApplying(ctx *fasthttp.RequestCtx, got operatorapi.Applying) {
+func respondApply(ctx *fasthttp.RequestCtx, got operatorapi.ApplyResponse) {
 	status := map[operatorapi.ApplyOutcome]int{
 		operatorapi.Conflicted: fasthttp.StatusConflict, operatorapi.Invalid: fasthttp.StatusBadRequest,
 		operatorapi.Forbidden: fasthttp.StatusForbidden, operatorapi.Unknown: fasthttp.StatusServiceUnavailable,
@@ -82,8 +82,8 @@
 		status = fasthttp.StatusAccepted
 	}
 	if status < fasthttp.StatusBadRequest {
-		answer(ctx, status, got)
+		respond(ctx, status, got)
 		return
 	}
-	fail(ctx, status, operatorapi.Error{Outcome: string(got.Outcome), Reason: got.Reason, Faults: got.Faults, Epoch: got.Epoch, Revision: got.Revision})
+	fail(ctx, status, operatorapi.Error{Outcome: string(got.Outcome), Reason: got.Reason, Faults: got.Faults, Version: got.Version, Revision: got.Revision})
 }
--- a/connection/adminapi/engines.go
+++ b/connection/adminapi/engines.go
@@ -41,10 +41,10 @@
 }
 
 // engines serves the list, and what engines say of themselves.
-func (d *Desk) engines(ctx *fasthttp.RequestCtx, id string) {
+func (d *Server) engines(ctx *fasthttp.RequestCtx, id string) {
 	switch {
 	case id == "" && (ctx.IsGet() || ctx.IsHead()):
-		answer(ctx, fasthttp.StatusOK, d.daemon.Engines())
+		respond(ctx, fasthttp.StatusOK, d.daemon.Engines())
 	case id == "" || !ctx.IsPut() && !ctx.IsDelete():
 		fail(ctx, fasthttp.StatusMethodNotAllowed, operatorapi.Error{Outcome: "invalid", Reason: "this path takes another method"})
 	case len(id) > 200 || strings.Contains(id, "/"):
@@ -53,7 +53,7 @@
 		d.registered(ctx, d.daemon.Deregister(context.Background(), ident.EngineID(id)))
 	default:
 		var body operatorapi.Registration
-		if !read(ctx, &body) {
+		if !decodeBody(ctx, &body) {
 			return
 		}
 		if err := registrationCheck.Struct(body); err != nil {
@@ -62,7 +62,7 @@
 			return
 		}
 		word := registry.Registration{ID: ident.EngineID(id), Pool: body.Pool, Address: body.Address, Zone: body.Zone, Software: body.Software, Slots: body.Slots,
-			Draining: body.Leaving, TerminatesInMs: body.LeaveMs, SlowStartMs: body.ColdMs, Phase: body.Phase, CallSeq: body.CallSeq}
+			Draining: body.Draining, TerminatesInMs: body.TerminatesInMs, SlowStartMs: body.SlowStartMs, Phase: body.Phase, CallSeq: body.CallSeq}
 		for _, held := range body.Models {
 			word.Models = append(word.Models, registry.LoadedModel{Model: held.Model, Generation: held.Generation, Adapters: held.Adapters})
 		}
@@ -86,10 +86,10 @@
 	return field, strings.TrimSuffix(fmt.Sprintf("must satisfy %s=%s", found[0].Tag(), found[0].Param()), "=")
 }
 
-func (d *Desk) registered(ctx *fasthttp.RequestCtx, outcome registry.Response) {
+func (d *Server) registered(ctx *fasthttp.RequestCtx, outcome registry.Response) {
 	switch outcome.Outcome {
 	case registry.Acknowledged:
-		answer(ctx, fasthttp.StatusOK, operatorapi.Registered{Outcome: string(outcome.Outcome)})
+		respond(ctx, fasthttp.StatusOK, operatorapi.RegistrationResponse{Outcome: string(outcome.Outcome)})
 	case registry.Invalid:
 		fail(ctx, fasthttp.StatusBadRequest, operatorapi.Error{Outcome: string(outcome.Outcome), Reason: outcome.Reason, Field: outcome.Field})
 	default:
--- a/connection/adminapi/fuzz_test.go
+++ b/connection/adminapi/fuzz_test.go
@@ -34,9 +34,9 @@
 	return operatorapi.Nodes{}, true
 }
 
-// FuzzDesk: whatever body comes to a path that takes one, it is answered, and what is passed on is whole.
-func FuzzDesk(f *testing.F) {
-	paths := []string{operatorapi.PathPropose, operatorapi.PathReview, operatorapi.PathZone, operatorapi.PathDrain, operatorapi.PathLost, operatorapi.PathNodes, operatorapi.PathEngines + "/e-1"}
+// FuzzServer: whatever body comes to a path that takes one, it is answered, and what is passed on is whole.
+func FuzzServer(f *testing.F) {
+	paths := []string{operatorapi.PathPropose, operatorapi.PathReview, operatorapi.PathZone, operatorapi.PathDrain, operatorapi.PathDeclareLost, operatorapi.PathNodes, operatorapi.PathEngines + "/e-1"}
 	for place, text := range []string{
 		`{"proposalId":"p","operator":"ana","spec":{}}`, `{"proposalId":"p","operator":"ana"}`, `{"zone":"z","closed":true,"base":3,"operator":"ana"}`,
 		`{"engine":"e","draining":false,"base":0,"operator":"ana"}`, `{"daemon":"d#1","operator":"ana"}`, `{"engine":"e","act":"release","operator":"ana"}`,
--- a/connection/adminapi/nodes.go
+++ b/connection/adminapi/nodes.go
@@ -19,21 +19,21 @@
 }
 
 // nodes serves the ranks, and takes what operators say of one engine.
-func (d *Desk) nodes(ctx *fasthttp.RequestCtx) {
+func (d *Server) nodes(ctx *fasthttp.RequestCtx) {
 	switch {
 	case ctx.IsGet() || ctx.IsHead():
-		if page, known := d.ranks(ctx, ident.EngineID(ctx.QueryArgs().Peek("engine"))); known {
-			answer(ctx, fasthttp.StatusOK, page)
+		if page, known := d.ranking(ctx, ident.EngineID(ctx.QueryArgs().Peek("engine"))); known {
+			respond(ctx, fasthttp.StatusOK, page)
 		}
 	case ctx.IsPost():
-		d.nodeAct(ctx)
+		d.applyNodeAction(ctx)
 	default:
 		fail(ctx, fasthttp.StatusMethodNotAllowed, operatorapi.Error{Outcome: "invalid", Reason: "this path takes another method"})
 	}
 }
 
-func (d *Desk) ranks(ctx *fasthttp.RequestCtx, engine ident.EngineID) (operatorapi.Nodes, bool) {
-	bounded, cancel := context.WithTimeout(context.Background(), commandLimit)
+func (d *Server) ranking(ctx *fasthttp.RequestCtx, engine ident.EngineID) (operatorapi.Nodes, bool) {
+	bounded, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
 	page, known := d.daemon.Nodes(bounded, engine)
 	if !known {
@@ -42,16 +42,16 @@
 	return page, known
 }
 
-func (d *Desk) nodeAct(ctx *fasthttp.RequestCtx) {
-	var body operatorapi.NodeAct
-	if !read(ctx, &body) || !needs(ctx, [2]string{"engine", string(body.Engine)}, [2]string{"operator", body.Operator}) {
+func (d *Server) applyNodeAction(ctx *fasthttp.RequestCtx) {
+	var body operatorapi.NodeAction
+	if !decodeBody(ctx, &body) || !checkRequired(ctx, [2]string{"engine", string(body.Engine)}, [2]string{"operator", body.Operator}) {
 		return
 	}
-	if body.Act != operatorapi.NodeDrain && body.Act != operatorapi.NodeKeep && body.Act != operatorapi.NodeRelease {
+	if body.Action != operatorapi.NodeDrain && body.Action != operatorapi.NodeProtect && body.Action != operatorapi.NodeRelease {
 		fail(ctx, fasthttp.StatusBadRequest, operatorapi.Error{Outcome: "invalid", Reason: "must be drain, keep or release", Field: "act"})
 		return
 	}
-	page, known := d.ranks(ctx, body.Engine)
+	page, known := d.ranking(ctx, body.Engine)
 	if !known {
 		return
 	}
@@ -63,36 +63,36 @@
 		}
 		fail(ctx, status, operatorapi.Error{Outcome: why.String(), Reason: why.Reason(), Field: "engine"})
 	}
-	command := statemachine.Command{Op: statemachine.OpProtect, Engine: body.Engine, Operator: body.Operator, Closed: body.Act == operatorapi.NodeKeep,
+	command := statemachine.Command{Op: statemachine.OpProtect, Engine: body.Engine, Operator: body.Operator, Closed: body.Action == operatorapi.NodeProtect,
 		// Each act builds on the closures that it was looked up in: a copy of it that comes late finds itself, or others
 		// have acted since, and then it must not undo what they did.
-		Base: page.ClosureEpoch, HasBase: true}
-	shutByRank := place >= 0 && page.Nodes[place].ShutFor != ""
+		Base: page.ClosureVersion, HasBase: true}
+	shutByRank := place >= 0 && page.Nodes[place].ClosedReason != ""
 	switch {
-	case place < 0 && body.Act != operatorapi.NodeRelease:
+	case place < 0 && body.Action != operatorapi.NodeRelease:
 		refuse(nodehealth.Unknown)
 		return
-	case body.Act == operatorapi.NodeDrain:
+	case body.Action == operatorapi.NodeDrain:
 		// What the ranking shut an operator may shut for good: nothing more goes by that.
-		if why := refusalNamed(page.Asked); why != nodehealth.Allowed && !(why == nodehealth.ShutAlready && shutByRank) {
+		if why := refusalByName(page.DrainCheck); why != nodehealth.Allowed && !(why == nodehealth.ShutAlready && shutByRank) {
 			refuse(why)
 			return
 		}
 		// It builds on the closures it was checked against: another drain meanwhile has it checked anew.
 		command.Op, command.Closed = statemachine.OpClosure, true
-	case body.Act == operatorapi.NodeKeep && place >= 0 && page.Nodes[place].Shut && page.Nodes[place].ShutBy != "" && !shutByRank:
+	case body.Action == operatorapi.NodeProtect && place >= 0 && page.Nodes[place].Closed && page.Nodes[place].ClosedBy != "" && !shutByRank:
 		fail(ctx, fasthttp.StatusConflict, operatorapi.Error{Outcome: "drained", Reason: "an operator drains this engine; release it first", Field: "engine"})
 		return
-	case body.Act == operatorapi.NodeRelease && place >= 0 && page.Nodes[place].Kept == "" && page.Nodes[place].ShutBy == "":
+	case body.Action == operatorapi.NodeRelease && place >= 0 && page.Nodes[place].ProtectedBy == "" && page.Nodes[place].ClosedBy == "":
 		fail(ctx, fasthttp.StatusConflict, operatorapi.Error{Outcome: "neither", Reason: "this engine is neither drained nor kept", Field: "engine"})
 		return
-	case body.Act == operatorapi.NodeRelease && (place < 0 || page.Nodes[place].ShutBy != ""):
+	case body.Action == operatorapi.NodeRelease && (place < 0 || page.Nodes[place].ClosedBy != ""):
 		command.Op = statemachine.OpClosure
 	}
-	if body.Act == operatorapi.NodeRelease && place >= 0 && page.Nodes[place].Kept != "" && command.Op == statemachine.OpClosure {
+	if body.Action == operatorapi.NodeRelease && place >= 0 && page.Nodes[place].ProtectedBy != "" && command.Op == statemachine.OpClosure {
 		// Both are taken back, the keeping first: then the ranking decides.
-		unkeep := statemachine.Command{Op: statemachine.OpProtect, Engine: body.Engine, Operator: body.Operator, Base: page.ClosureEpoch, HasBase: true}
-		bounded, cancel := context.WithTimeout(context.Background(), commandLimit)
+		unkeep := statemachine.Command{Op: statemachine.OpProtect, Engine: body.Engine, Operator: body.Operator, Base: page.ClosureVersion, HasBase: true}
+		bounded, cancel := context.WithTimeout(context.Background(), commandTimeout)
 		got, done := d.daemon.Command(bounded, unkeep)
 		cancel()
 		if !done {
@@ -107,7 +107,7 @@
 }
 
 // refusalNamed reads a refusal by its name.
-func refusalNamed(name string) nodehealth.Refusal {
+func refusalByName(name string) nodehealth.Refusal {
 	for why := nodehealth.Allowed; why <= nodehealth.LastHolder; why++ {
 		if why.String() == name {
 			return why
--- a/connection/adminapi/nodes_test.go
+++ b/connection/adminapi/nodes_test.go
@@ -44,11 +44,11 @@
 
 func ranks(asked nodehealth.Refusal, node operatorapi.Node) operatorapi.Nodes {
 	node.Engine = "e"
-	return operatorapi.Nodes{ClosureEpoch: 9, Asked: asked.String(), Nodes: []operatorapi.Node{node}}
+	return operatorapi.Nodes{ClosureVersion: 9, DrainCheck: asked.String(), Nodes: []operatorapi.Node{node}}
 }
 
 func TestOperatorsActOnNodes(t *testing.T) {
-	byOperator, byRank := operatorapi.Node{Shut: true, ShutBy: "ana"}, operatorapi.Node{Shut: true, ShutBy: "ranking", ShutFor: "stall"}
+	byOperator, byRank := operatorapi.Node{Closed: true, ClosedBy: "ana"}, operatorapi.Node{Closed: true, ClosedBy: "ranking", ClosedReason: "stall"}
 	for name, c := range map[string]struct {
 		act    string
 		page   operatorapi.Nodes
@@ -61,17 +61,17 @@
 		"drain past the pool's bound":  {"drain", ranks(nodehealth.PastPool, operatorapi.Node{}), 409, "", false},
 		"drain past the zone's bound":  {"drain", ranks(nodehealth.PastZone, operatorapi.Node{}), 409, "", false},
 		"drain past the holders'":      {"drain", ranks(nodehealth.PastHolders, operatorapi.Node{}), 409, "", false},
-		"drain a kept one":             {"drain", ranks(nodehealth.KeptOpen, operatorapi.Node{Kept: "ana"}), 409, "", false},
+		"drain a kept one":             {"drain", ranks(nodehealth.KeptOpen, operatorapi.Node{ProtectedBy: "ana"}), 409, "", false},
 		"drain a drained one":          {"drain", ranks(nodehealth.ShutAlready, byOperator), 409, "", false},
 		"drain what the ranking did":   {"drain", ranks(nodehealth.ShutAlready, byRank), 200, statemachine.OpClosure, true},
-		"drain an unknown one":         {"drain", operatorapi.Nodes{Asked: nodehealth.Unknown.String()}, 404, "", false},
+		"drain an unknown one":         {"drain", operatorapi.Nodes{DrainCheck: nodehealth.Unknown.String()}, 404, "", false},
 		"keep":                         {"keep", ranks(nodehealth.Allowed, operatorapi.Node{}), 200, statemachine.OpProtect, true},
 		"keep what the ranking shut":   {"keep", ranks(nodehealth.ShutAlready, byRank), 200, statemachine.OpProtect, true},
 		"keep what an operator drains": {"keep", ranks(nodehealth.ShutAlready, byOperator), 409, "", false},
 		"keep an unknown one":          {"keep", operatorapi.Nodes{}, 404, "", false},
 		"release a drain":              {"release", ranks(nodehealth.ShutAlready, byOperator), 200, statemachine.OpClosure, false},
 		"release a rank's drain":       {"release", ranks(nodehealth.ShutAlready, byRank), 200, statemachine.OpClosure, false},
-		"release a keeping":            {"release", ranks(nodehealth.KeptOpen, operatorapi.Node{Kept: "ana"}), 200, statemachine.OpProtect, false},
+		"release a keeping":            {"release", ranks(nodehealth.KeptOpen, operatorapi.Node{ProtectedBy: "ana"}), 200, statemachine.OpProtect, false},
 		"release neither":              {"release", ranks(nodehealth.Allowed, operatorapi.Node{}), 409, "", false},
 		"release one that is gone":     {"release", operatorapi.Nodes{}, 200, statemachine.OpClosure, false},
 		"no such act":                  {"stop", ranks(nodehealth.Allowed, operatorapi.Node{}), 400, "", false},
@@ -99,7 +99,7 @@
 }
 
 func TestBothAreReleased(t *testing.T) {
-	p := &planning{page: ranks(nodehealth.ShutAlready, operatorapi.Node{Shut: true, ShutBy: "ana", Kept: "ana"})}
+	p := &planning{page: ranks(nodehealth.ShutAlready, operatorapi.Node{Closed: true, ClosedBy: "ana", ProtectedBy: "ana"})}
 	if status, word := post(p, `{"engine":"e","act":"release","operator":"ana"}`); status != 200 || len(p.commands) != 2 || p.commands[0].Op != statemachine.OpProtect || p.commands[1].Op != statemachine.OpClosure {
 		t.Fatalf("%d %+v %+v", status, word, p.commands)
 	}
--- a/connection/adminapi/operators.go
+++ b/connection/adminapi/operators.go
@@ -22,7 +22,7 @@
 // Daemon is what the desk needs of its daemon.
 type Daemon interface {
 	Command(ctx context.Context, command statemachine.Command) (rollout.Response, bool)
-	Look(ctx context.Context, what, key string) ([]byte, bool)
+	Query(ctx context.Context, what, key string) ([]byte, bool)
 	Ready() (bool, string)
 	Status() operatorapi.Status
 	Counters() string
@@ -34,45 +34,45 @@
 // Bundles puts bundles in force in one step, and gives back the newest.
 type Bundles interface {
 	// ApplyBundle answers in less than a second.
-	ApplyBundle(ctx context.Context, call operatorapi.Apply) operatorapi.Applying
+	ApplyBundle(ctx context.Context, call operatorapi.ApplyRequest) operatorapi.ApplyResponse
 	// NewestBundle is the newest committed one by the group's own word; false where that could not be had in time.
 	NewestBundle(ctx context.Context) (operatorapi.Bundle, bool)
 }
 
 // Desk serves operators.
-type Desk struct{ daemon Daemon }
+type Server struct{ daemon Daemon }
 
 // New makes a desk.
-func New(daemon Daemon) *Desk { return &Desk{daemon} }
+func New(daemon Daemon) *Server { return &Server{daemon} }
 
 // commandLimit is how long a command is tried before its outcome is called unknown.
-const commandLimit = 8 * time.Second
+const commandTimeout = 8 * time.Second
 
 // Handle serves one request.
-func (d *Desk) Handle(ctx *fasthttp.RequestCtx, path string) {
+func (d *Server) Handle(ctx *fasthttp.RequestCtx, path string) {
 	if id, own := strings.CutPrefix(path, operatorapi.PathEngines); own && (id == "" || id[0] == '/' && id != "/") {
 		d.engines(ctx, strings.TrimPrefix(id, "/"))
 		return
 	}
 	posts := map[string]func(*fasthttp.RequestCtx){
-		operatorapi.PathPropose: d.propose,
-		operatorapi.PathReview:  d.act(statemachine.OpReview),
-		operatorapi.PathSign:    d.act(statemachine.OpSignOff),
-		operatorapi.PathRoll:    d.act(statemachine.OpRollOut),
-		operatorapi.PathZone:    d.zone,
-		operatorapi.PathDrain:   d.drain,
-		operatorapi.PathLost:    d.lost,
+		operatorapi.PathPropose:     d.propose,
+		operatorapi.PathReview:      d.proposalAction(statemachine.OpReview),
+		operatorapi.PathSign:        d.proposalAction(statemachine.OpSignOff),
+		operatorapi.PathRoll:        d.proposalAction(statemachine.OpRollOut),
+		operatorapi.PathZone:        d.zone,
+		operatorapi.PathDrain:       d.drain,
+		operatorapi.PathDeclareLost: d.lost,
 	}
 	gets := map[string]func(*fasthttp.RequestCtx){
-		operatorapi.PathSpec:     d.spec,
-		operatorapi.PathHistory:  func(c *fasthttp.RequestCtx) { d.look(c, "history", "") },
-		operatorapi.PathProposal: func(c *fasthttp.RequestCtx) { d.look(c, "proposal", string(c.QueryArgs().Peek("id"))) },
-		operatorapi.PathClosures: func(c *fasthttp.RequestCtx) { d.look(c, "closures", "") },
-		operatorapi.PathTrace:    d.trace,
-		operatorapi.PathStatus:   func(c *fasthttp.RequestCtx) { answer(c, fasthttp.StatusOK, d.daemon.Status()) },
-		operatorapi.PathReady:    d.ready,
-		operatorapi.PathLive:     func(c *fasthttp.RequestCtx) { answer(c, fasthttp.StatusOK, map[string]bool{"live": true}) },
-		operatorapi.PathCounters: func(c *fasthttp.RequestCtx) { c.SetContentType("text/plain"); c.SetBodyString(d.daemon.Counters()) },
+		operatorapi.PathConfiguration: d.spec,
+		operatorapi.PathHistory:       func(c *fasthttp.RequestCtx) { d.query(c, "history", "") },
+		operatorapi.PathProposal:      func(c *fasthttp.RequestCtx) { d.query(c, "proposal", string(c.QueryArgs().Peek("id"))) },
+		operatorapi.PathClosures:      func(c *fasthttp.RequestCtx) { d.query(c, "closures", "") },
+		operatorapi.PathTrace:         d.trace,
+		operatorapi.PathStatus:        func(c *fasthttp.RequestCtx) { respond(c, fasthttp.StatusOK, d.daemon.Status()) },
+		operatorapi.PathReady:         d.ready,
+		operatorapi.PathLive:          func(c *fasthttp.RequestCtx) { respond(c, fasthttp.StatusOK, map[string]bool{"live": true}) },
+		operatorapi.PathCounters:      func(c *fasthttp.RequestCtx) { c.SetContentType("text/plain"); c.SetBodyString(d.daemon.Counters()) },
 	}
 	if path == operatorapi.PathNodes {
 		d.nodes(ctx)
@@ -96,7 +96,7 @@
 	}
 }
 
-func answer(ctx *fasthttp.RequestCtx, status int, body any) {
+func respond(ctx *fasthttp.RequestCtx, status int, body any) {
 	data, err := json.MarshalIndent(body, "", "  ")
 	if err != nil {
 		panic("broken invariant: an answer cannot be encoded: " + err.Error())
@@ -106,10 +106,10 @@
 	ctx.SetBody(append(data, '\n'))
 }
 
-func fail(ctx *fasthttp.RequestCtx, status int, body operatorapi.Error) { answer(ctx, status, body) }
+func fail(ctx *fasthttp.RequestCtx, status int, body operatorapi.Error) { respond(ctx, status, body) }
 
 // read takes a body strictly; it says false when it has answered with what is wrong.
-func read(ctx *fasthttp.RequestCtx, into any) bool {
+func decodeBody(ctx *fasthttp.RequestCtx, into any) bool {
 	decoder := json.NewDecoder(bytes.NewReader(ctx.PostBody()))
 	decoder.DisallowUnknownFields()
 	err := decoder.Decode(into)
@@ -129,7 +129,7 @@
 }
 
 // needs answers with the first empty field, if there is one.
-func needs(ctx *fasthttp.RequestCtx, fields ...[2]string) bool {
+func checkRequired(ctx *fasthttp.RequestCtx, fields ...[2]string) bool {
 	for _, field := range fields {
 		if field[1] == "" || len(field[1]) > 200 {
 			fail(ctx, fasthttp.StatusBadRequest, operatorapi.Error{Outcome: "invalid", Reason: "must be 1 to 200 bytes long", Field: field[0]})
@@ -139,8 +139,8 @@
 	return true
 }
 
-func (d *Desk) command(ctx *fasthttp.RequestCtx, command statemachine.Command) {
-	bounded, cancel := context.WithTimeout(context.Background(), commandLimit)
+func (d *Server) command(ctx *fasthttp.RequestCtx, command statemachine.Command) {
+	bounded, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
 	got, known := d.daemon.Command(bounded, command)
 	if !known {
@@ -158,54 +158,54 @@
 			// Committed, and not yet in force everywhere: this is no acknowledgement.
 			status = fasthttp.StatusAccepted
 		}
-		answer(ctx, status, got)
+		respond(ctx, status, got)
 		return
 	}
 	if status == 0 {
 		status = fasthttp.StatusInternalServerError
 	}
-	fail(ctx, status, operatorapi.Error{Outcome: string(got.Outcome), Reason: got.Reason, Faults: got.Faults, Winner: got.Winner, Epoch: got.Version, Closures: got.Closures})
+	fail(ctx, status, operatorapi.Error{Outcome: string(got.Outcome), Reason: got.Reason, Faults: got.Faults, Winner: got.Winner, Version: got.Version, Closures: got.Closures})
 }
 
-func (d *Desk) propose(ctx *fasthttp.RequestCtx) {
+func (d *Server) propose(ctx *fasthttp.RequestCtx) {
 	var body operatorapi.Propose
-	if !read(ctx, &body) || !needs(ctx, [2]string{"proposalId", body.ProposalID}, [2]string{"operator", body.Operator}) {
+	if !decodeBody(ctx, &body) || !checkRequired(ctx, [2]string{"proposalId", body.ProposalID}, [2]string{"operator", body.Operator}) {
 		return
 	}
-	if len(body.Spec) == 0 {
+	if len(body.Configuration) == 0 {
 		fail(ctx, fasthttp.StatusBadRequest, operatorapi.Error{Outcome: "invalid", Reason: "is missing", Field: "spec"})
 		return
 	}
-	d.command(ctx, statemachine.Command{Op: statemachine.OpPropose, ProposalID: body.ProposalID, Base: body.Base, Operator: body.Operator, Note: body.Note, Configuration: body.Spec})
+	d.command(ctx, statemachine.Command{Op: statemachine.OpPropose, ProposalID: body.ProposalID, Base: body.Base, Operator: body.Operator, Note: body.Note, Configuration: body.Configuration})
 }
 
-func (d *Desk) act(op statemachine.Op) func(*fasthttp.RequestCtx) {
+func (d *Server) proposalAction(op statemachine.Op) func(*fasthttp.RequestCtx) {
 	return func(ctx *fasthttp.RequestCtx) {
-		var body operatorapi.Act
-		if read(ctx, &body) && needs(ctx, [2]string{"proposalId", body.ProposalID}, [2]string{"operator", body.Operator}) {
+		var body operatorapi.ProposalAction
+		if decodeBody(ctx, &body) && checkRequired(ctx, [2]string{"proposalId", body.ProposalID}, [2]string{"operator", body.Operator}) {
 			d.command(ctx, statemachine.Command{Op: op, ProposalID: body.ProposalID, Operator: body.Operator, Note: body.Note})
 		}
 	}
 }
 
-func (d *Desk) zone(ctx *fasthttp.RequestCtx) {
-	var body operatorapi.Zone
-	if !read(ctx, &body) || !needs(ctx, [2]string{"zone", string(body.Zone)}, [2]string{"operator", body.Operator}) {
+func (d *Server) zone(ctx *fasthttp.RequestCtx) {
+	var body operatorapi.ZoneClosure
+	if !decodeBody(ctx, &body) || !checkRequired(ctx, [2]string{"zone", string(body.Zone)}, [2]string{"operator", body.Operator}) {
 		return
 	}
 	d.close(ctx, statemachine.Command{Zone: body.Zone, Operator: body.Operator}, body.Base, body.Closed, "closed")
 }
 
-func (d *Desk) drain(ctx *fasthttp.RequestCtx) {
-	var body operatorapi.Drain
-	if !read(ctx, &body) || !needs(ctx, [2]string{"engine", string(body.Engine)}, [2]string{"operator", body.Operator}) {
+func (d *Server) drain(ctx *fasthttp.RequestCtx) {
+	var body operatorapi.EngineDrain
+	if !decodeBody(ctx, &body) || !checkRequired(ctx, [2]string{"engine", string(body.Engine)}, [2]string{"operator", body.Operator}) {
 		return
 	}
 	d.close(ctx, statemachine.Command{Engine: body.Engine, Operator: body.Operator}, body.Base, body.Draining, "draining")
 }
 
 // close carries out a closure or an opening, which names the closures it builds on.
-func (d *Desk) close(ctx *fasthttp.RequestCtx, command statemachine.Command, base *ident.Version, closed *bool, closedField string) {
+func (d *Server) close(ctx *fasthttp.RequestCtx, command statemachine.Command, base *ident.Version, closed *bool, closedField string) {
 	missing := ""
 	switch {
 	case closed == nil:
@@ -222,18 +222,18 @@
 }
 
 // lost takes an operator's word that a daemon is gone for good.
-func (d *Desk) lost(ctx *fasthttp.RequestCtx) {
-	var body operatorapi.Lost
-	if read(ctx, &body) && needs(ctx, [2]string{"daemon", string(body.Daemon)}, [2]string{"operator", body.Operator}) {
+func (d *Server) lost(ctx *fasthttp.RequestCtx) {
+	var body operatorapi.DeclareLost
+	if decodeBody(ctx, &body) && checkRequired(ctx, [2]string{"daemon", string(body.Daemon)}, [2]string{"operator", body.Operator}) {
 		d.command(ctx, statemachine.Command{Op: statemachine.OpDeclareLost, LostDaemon: body.Daemon, Operator: body.Operator})
 	}
 }
 
 // find reads part of the state; it says false when it has answered why not.
-func (d *Desk) find(ctx *fasthttp.RequestCtx, what, key string) ([]byte, bool) {
-	bounded, cancel := context.WithTimeout(context.Background(), commandLimit)
+func (d *Server) find(ctx *fasthttp.RequestCtx, what, key string) ([]byte, bool) {
+	bounded, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
-	result, known := d.daemon.Look(bounded, what, key)
+	result, known := d.daemon.Query(bounded, what, key)
 	if !known {
 		fail(ctx, fasthttp.StatusServiceUnavailable, operatorapi.Error{Outcome: "unknown", Reason: "the control group gave no answer in time"})
 		return nil, false
@@ -245,7 +245,7 @@
 	return result, true
 }
 
-func (d *Desk) look(ctx *fasthttp.RequestCtx, what, key string) {
+func (d *Server) query(ctx *fasthttp.RequestCtx, what, key string) {
 	if result, ok := d.find(ctx, what, key); ok {
 		ctx.SetContentType("application/json")
 		ctx.SetBody(result)
@@ -253,7 +253,7 @@
 }
 
 // spec reads a bundle back, byte for byte.
-func (d *Desk) spec(ctx *fasthttp.RequestCtx) {
+func (d *Server) spec(ctx *fasthttp.RequestCtx) {
 	key := string(ctx.QueryArgs().Peek("epoch"))
 	if key == "" {
 		key = "0"
@@ -281,29 +281,29 @@
 		if proposal.Applied {
 			reason = "of bundles applied in one step only the newest are kept whole"
 		}
-		fail(ctx, fasthttp.StatusGone, operatorapi.Error{Outcome: "missing", Reason: reason, Epoch: proposal.Version})
+		fail(ctx, fasthttp.StatusGone, operatorapi.Error{Outcome: "missing", Reason: reason, Version: proposal.Version})
 		return
 	}
-	ctx.Response.Header.Set(operatorapi.HeaderEpoch, fmt.Sprint(proposal.Version))
+	ctx.Response.Header.Set(operatorapi.HeaderVersion, fmt.Sprint(proposal.Version))
 	ctx.SetContentType("application/json")
 	ctx.SetBody(raw)
 }
 
-func (d *Desk) trace(ctx *fasthttp.RequestCtx) {
+func (d *Server) trace(ctx *fasthttp.RequestCtx) {
 	change := string(ctx.QueryArgs().Peek("change"))
 	kind, number, _ := strings.Cut(change, ":")
 	if _, err := strconv.ParseUint(number, 10, 64); err != nil || kind != "spec" && kind != "closure" {
 		fail(ctx, fasthttp.StatusBadRequest, operatorapi.Error{Outcome: "invalid", Reason: "must be spec:N or closure:N", Field: "change"})
 		return
 	}
-	d.look(ctx, "trace", change)
+	d.query(ctx, "trace", change)
 }
 
-func (d *Desk) ready(ctx *fasthttp.RequestCtx) {
+func (d *Server) ready(ctx *fasthttp.RequestCtx) {
 	ready, why := d.daemon.Ready()
 	status := fasthttp.StatusOK
 	if !ready {
 		status = fasthttp.StatusServiceUnavailable
 	}
-	answer(ctx, status, map[string]any{"ready": ready, "reason": why})
+	respond(ctx, status, map[string]any{"ready": ready, "reason": why})
 }
--- a/connection/gateway/answers_test.go
+++ b/connection/gateway/answers_test.go
@@ -409,7 +409,7 @@
 	}
 	f.draining.Store(false)
 	section := *f.index.Load().Section
-	section.Limits.MostBodyBytes = 3
+	section.Limits.MaxBodyBytes = 3
 	f.index.Store(upstream.NewIndex(&section))
 	if got := f.call(ask("once", "a2", "ping")); got.status != 413 {
 		t.Errorf("%+v", got)
@@ -430,8 +430,8 @@
 		limits upstream.Limits
 		final  int
 	}{
-		{"body", upstream.Limits{MostBodyBytes: 3}, 413},
-		{"head", upstream.Limits{MostHeaderBytes: 40}, 431},
+		{"body", upstream.Limits{MaxBodyBytes: 3}, 413},
+		{"head", upstream.Limits{MaxHeaderBytes: 40}, 431},
 	} {
 		limited(c.limits)
 		f.old.Store(true)
--- a/connection/gateway/gateway.go
+++ b/connection/gateway/gateway.go
@@ -140,11 +140,11 @@
 	host, prefixed := string(ctx.Request.Header.Host()), PathOf(ctx.Request.Header.RequestURI())
 	record := forwarding.Record{Ask: ask, Host: host, Prefixed: prefixed, Arrived: arrived, Deadline: arrived + clock.Mark(longestWait)}
 	if index := g.Index(); index != nil {
-		if most := index.Section.Limits.MostHeaderBytes; most > 0 && headBytes(&ctx.Request.Header) > most {
+		if most := index.Section.Limits.MaxHeaderBytes; most > 0 && headBytes(&ctx.Request.Header) > most {
 			g.tooLarge(ctx, fasthttp.StatusRequestHeaderFieldsTooLarge, "the head is too large")
 			return
 		}
-		if most := index.Section.Limits.MostBodyBytes; most > 0 && int64(len(ctx.Request.Body())) > most {
+		if most := index.Section.Limits.MaxBodyBytes; most > 0 && int64(len(ctx.Request.Body())) > most {
 			g.tooLarge(ctx, fasthttp.StatusRequestEntityTooLarge, "the body is too large")
 			return
 		}
--- a/connection/gateway/gateway_test.go
+++ b/connection/gateway/gateway_test.go
@@ -137,7 +137,7 @@
 	resumable := path("resume", upstream.Stream)
 	resumable.Resumable = true
 	f.index.Store(upstream.NewIndex(&upstream.Section{Revision: 1, Pools: []upstream.Pool{{Name: "p"}},
-		Paths: []upstream.Path{path("once", upstream.Once), path("again", upstream.Repeatable), path("stream", upstream.Stream), resumable}}))
+		Paths: []upstream.Path{path("once", upstream.Once), path("again", upstream.Idempotent), path("stream", upstream.Stream), resumable}}))
 	f.engines(engines...)
 	settings := forwarding.DefaultSettings()
 	settings.RetrySlack = 1000
--- a/connection/sessionapi/frontdoor.go
+++ b/connection/sessionapi/frontdoor.go
@@ -157,8 +157,8 @@
 		return none, "", &fault{fasthttp.StatusServiceUnavailable, "", "no spec is in force here yet"}
 	}
 	body := ctx.PostBody()
-	if len(body) > t.Spec.Limits.MostBodyBytes {
-		return none, "", &fault{fasthttp.StatusRequestEntityTooLarge, "", fmt.Sprintf("the body is larger than %d bytes", t.Spec.Limits.MostBodyBytes)}
+	if len(body) > t.Configuration.Limits.MaxBodyBytes {
+		return none, "", &fault{fasthttp.StatusRequestEntityTooLarge, "", fmt.Sprintf("the body is larger than %d bytes", t.Configuration.Limits.MaxBodyBytes)}
 	}
 	attempt := string(ctx.Request.Header.Peek(callerapi.HeaderAttempt))
 	if !plainName(attempt) {
@@ -197,14 +197,14 @@
 		return none, "", &fault{fasthttp.StatusBadRequest, "prompt", "is missing"}
 	}
 	deadline := time.Duration(g.DeadlineMs) * time.Millisecond
-	if g.DeadlineMs <= 0 || g.DeadlineMs > t.Spec.Limits.MostDeadlineMs {
-		return none, "", &fault{fasthttp.StatusBadRequest, "deadlineMs", fmt.Sprintf("must be from 1 to %d", t.Spec.Limits.MostDeadlineMs)}
+	if g.DeadlineMs <= 0 || g.DeadlineMs > t.Configuration.Limits.MaxDeadlineMs {
+		return none, "", &fault{fasthttp.StatusBadRequest, "deadlineMs", fmt.Sprintf("must be from 1 to %d", t.Configuration.Limits.MaxDeadlineMs)}
 	}
 	route, known := t.Route(g.Route)
 	switch {
 	case !known:
 		return none, "", &fault{fasthttp.StatusNotFound, "route", "no such route"}
-	case route.House != g.House:
+	case route.Tenant != g.House:
 		return none, "", &fault{fasthttp.StatusForbidden, "house", "this route is not of that house"}
 	}
 	if _, known := t.Model(g.Model); !known {
@@ -220,9 +220,9 @@
 		return none, "", &fault{fasthttp.StatusForbidden, "adapter", "is not allowed on this route with this model"}
 	}
 	return dispatch.Request{
-		Attempt: attempt, Route: g.Route, Tenant: g.House, Worth: route.Worth, Rank: route.Rank, Model: g.Model, Adapter: g.Adapter,
+		Attempt: attempt, Route: g.Route, Tenant: g.House, Worth: route.Priority, Rank: route.Rank, Model: g.Model, Adapter: g.Adapter,
 		Prefix: g.Prefix, Session: g.Session, Bytes: len(body), Digest: digestOf(body), Deadline: d.clock.Elapsed() + clock.Mark(max(deadline, leastPortion)),
-		Repeatable: g.Repeatable, EndSession: g.EndSession, MaxQueued: route.MostHeld,
+		Repeatable: g.Repeatable, EndSession: g.EndSession, MaxQueued: route.MaxPending,
 	}, g.Prompt, nil
 }
 
--- a/connection/sessionapi/fuzz_test.go
+++ b/connection/sessionapi/fuzz_test.go
@@ -17,8 +17,8 @@
 // FuzzGenerate: a caller's request is refused with a status of its own fault, or is one that the table allows, under the
 // attempt id that came.
 func FuzzGenerate(f *testing.F) {
-	bundle := &document.Spec{Name: "s", Models: []document.Model{{Name: "m"}}, Routes: []document.Route{{Name: "r", House: "h", Models: []string{"m"}}},
-		Limits: document.Limits{MostBodyBytes: 1 << 16, MostDeadlineMs: 60000}}
+	bundle := &document.Configuration{Name: "s", Models: []document.Model{{Name: "m"}}, Routes: []document.Route{{Name: "r", Tenant: "h", Models: []string{"m"}}},
+		Limits: document.Limits{MaxBodyBytes: 1 << 16, MaxDeadlineMs: 60000}}
 	tables := routingtable.Build(1, nil, bundle, closure.Set{})
 	door := New(context.Background(), clock.System{}, func() *routingtable.Table { return tables }, nil)
 	whole, err := json.Marshal(callerapi.Generate{Route: "r", House: "h", Model: "m", Prompt: "p", DeadlineMs: 1000})
--- a/daemon/applybundle.go
+++ b/daemon/applybundle.go
@@ -35,7 +35,7 @@
 
 // ApplyBundle brings an operator's call to the leader. The same call may be brought there many times, also to
 // several leaders: whichever copy is committed first counts, and all others find it by its digest.
-func (d *Daemon) ApplyBundle(ctx context.Context, call operatorapi.Apply) operatorapi.Applying {
+func (d *Daemon) ApplyBundle(ctx context.Context, call operatorapi.ApplyRequest) operatorapi.ApplyResponse {
 	bounded, cancel := context.WithTimeout(ctx, d.applyLimit)
 	defer cancel()
 	ticker := time.NewTicker(applyRetryEvery)
@@ -61,28 +61,28 @@
 		}
 		select {
 		case <-bounded.Done():
-			return operatorapi.Applying{Outcome: operatorapi.Unknown, Reason: "the control group gave no answer in time; send the same call again"}
+			return operatorapi.ApplyResponse{Outcome: operatorapi.Unknown, Reason: "the control group gave no answer in time; send the same call again"}
 		case <-ticker.C:
 		}
 	}
 }
 
-func (d *Daemon) applyRequest(call operatorapi.Apply) *peerapi.ApplyRequest {
+func (d *Daemon) applyRequest(call operatorapi.ApplyRequest) *peerapi.ApplyRequest {
 	request := &peerapi.ApplyRequest{Group: string(d.Group()), BaseVersion: uint64(call.Base), Digest: call.Digest, Operator: call.Operator}
 	if call.Patch != nil {
 		data, err := json.Marshal(call.Patch)
 		if err != nil {
 			panic("broken invariant: a patch cannot be encoded: " + err.Error())
 		}
-		request.Patch = compression.Pack(data)
+		request.Patch = compression.Compress(data)
 	} else {
-		request.Bundle = compression.Pack(call.Whole)
+		request.Bundle = compression.Compress(call.Configuration)
 	}
 	return request
 }
 
 // sendApply asks another daemon that may lead; told is where it says that the leader is.
-func (d *Daemon) sendApply(ctx context.Context, address string, request *peerapi.ApplyRequest) (answer operatorapi.Applying, told string, outcome replica.Outcome) {
+func (d *Daemon) sendApply(ctx context.Context, address string, request *peerapi.ApplyRequest) (answer operatorapi.ApplyResponse, told string, outcome replica.Outcome) {
 	until, _ := ctx.Deadline()
 	bounded, cancel := d.whileLeader(ctx, address, time.Until(until))
 	defer cancel()
@@ -111,16 +111,16 @@
 		d.counters.malformedMessages.Add(1)
 		return twirp.NewError(twirp.InvalidArgument, "this is no call to apply a bundle")
 	}
-	call := operatorapi.Apply{Base: ident.Revision(in.BaseVersion), Digest: in.Digest, Operator: in.Operator}
+	call := operatorapi.ApplyRequest{Base: ident.Revision(in.BaseVersion), Digest: in.Digest, Operator: in.Operator}
 	if len(in.Patch) > 0 {
-		data, err := compression.Unpack(in.Patch)
+		data, err := compression.Decompress(in.Patch)
 		call.Patch = &upstream.Patch{}
 		if err != nil || json.Unmarshal(data, call.Patch) != nil {
 			return nil, garbage()
 		}
 	} else {
 		var err error
-		if call.Whole, err = compression.Unpack(in.Bundle); err != nil {
+		if call.Configuration, err = compression.Decompress(in.Bundle); err != nil {
 			return nil, garbage()
 		}
 	}
@@ -135,29 +135,29 @@
 
 // leadApply carries a call out as the leader. Whatever it answers but Unknown is proved by the state. An answer that
 // says Unknown is final all the same: no other leader could prove more.
-func (d *Daemon) applyAsLeader(ctx context.Context, call operatorapi.Apply) (operatorapi.Applying, replica.Outcome) {
+func (d *Daemon) applyAsLeader(ctx context.Context, call operatorapi.ApplyRequest) (operatorapi.ApplyResponse, replica.Outcome) {
 	held := d.replica.Load()
 	if held == nil || !held.Status().IsLeader {
-		return operatorapi.Applying{}, replica.NotLeader
+		return operatorapi.ApplyResponse{}, replica.NotLeader
 	}
 	if !d.config.OneStep {
-		return operatorapi.Applying{Outcome: operatorapi.Forbidden, Reason: "this fleet's bundles are reviewed and signed off; propose it instead"}, replica.Applied
+		return operatorapi.ApplyResponse{Outcome: operatorapi.Forbidden, Reason: "this fleet's bundles are reviewed and signed off; propose it instead"}, replica.Applied
 	}
-	var standing directapply.Standing
-	if outcome := held.Read(ctx, func(state *statemachine.State) { standing = directapply.Look(state, call) }); outcome != replica.Applied {
-		return operatorapi.Applying{}, outcome
+	var standing directapply.View
+	if outcome := held.Read(ctx, func(state *statemachine.State) { standing = directapply.ViewOf(state, call) }); outcome != replica.Applied {
+		return operatorapi.ApplyResponse{}, outcome
 	}
 	decision, inTime := d.decideApply(ctx, call, standing)
 	if !inTime {
-		return operatorapi.Applying{}, replica.Unknown
+		return operatorapi.ApplyResponse{}, replica.Unknown
 	}
-	answer := decision.Answer
+	answer := decision.Response
 	if decision.Submit != nil {
 		got := held.Submit(ctx, *decision.Submit)
 		if got.Outcome != replica.Applied {
-			return operatorapi.Applying{}, got.Outcome
+			return operatorapi.ApplyResponse{}, got.Outcome
 		}
-		answer = directapply.After(got.Result)
+		answer = directapply.ResponseTo(got.Result)
 	}
 	switch answer.Outcome {
 	case operatorapi.Applied:
@@ -170,7 +170,7 @@
 
 // decide works a call out, one at a time: each may hold some megabytes for some tenths of a second. It says
 // false when the time ran out.
-func (d *Daemon) decideApply(ctx context.Context, call operatorapi.Apply, standing directapply.Standing) (directapply.Decision, bool) {
+func (d *Daemon) decideApply(ctx context.Context, call operatorapi.ApplyRequest, standing directapply.View) (directapply.Decision, bool) {
 	select {
 	case d.applySlot <- struct{}{}:
 	case <-ctx.Done():
@@ -181,13 +181,13 @@
 }
 
 // awaitContacts waits a short time until a bundle that is committed is in force at the daemons in contact.
-func (d *Daemon) awaitContacts(ctx context.Context, answer *operatorapi.Applying) {
+func (d *Daemon) awaitContacts(ctx context.Context, answer *operatorapi.ApplyResponse) {
 	limit := d.applyReach
 	if until, bounded := ctx.Deadline(); bounded {
 		limit = min(limit, time.Until(until)-applyMargin)
 	}
 	// Only those in contact are waited for: one that is gone must not hold up what is committed.
-	reach := d.members.AwaitReach(ctx, answer.Epoch, 0, limit, func() []ident.NodeID { return nil })
+	reach := d.members.AwaitReach(ctx, answer.Version, 0, limit, func() []ident.NodeID { return nil })
 	answer.Acknowledged, answer.InForceAt, answer.Missing = reach.All, reach.Have, reach.Lack
 }
 
@@ -196,8 +196,8 @@
 func (d *Daemon) NewestBundle(ctx context.Context) (operatorapi.Bundle, bool) {
 	bounded, cancel := context.WithTimeout(ctx, d.applyLimit-applyMargin)
 	defer cancel()
-	var newest directapply.Newest
-	data, known := d.Look(bounded, "bundle", "")
+	var newest directapply.Latest
+	data, known := d.Query(bounded, "bundle", "")
 	if !known || json.Unmarshal(data, &newest) != nil {
 		return operatorapi.Bundle{}, false
 	}
--- a/daemon/calllimits_test.go
+++ b/daemon/calllimits_test.go
@@ -130,10 +130,10 @@
 // second that tools take for a dead daemon, at every moment of the cut, to the millisecond of made-up time.
 func TestNoCallWaitsPastItsLimitWhereNobodyAnswers(t *testing.T) {
 	bundle := []byte(`{"name":"b","forward":{"revision":1,"pools":[{"name":"p"}],"paths":[]}}`)
-	whole := operatorapi.Apply{Digest: "whole", Operator: "ana", Whole: bundle}
-	patch := operatorapi.Apply{Digest: "patch", Operator: "ana", Patch: &upstream.Patch{Revision: 2}}
+	whole := operatorapi.ApplyRequest{Digest: "whole", Operator: "ana", Configuration: bundle}
+	patch := operatorapi.ApplyRequest{Digest: "patch", Operator: "ana", Patch: &upstream.Patch{Revision: 2}}
 	// What packs bundles is shared by the whole process, so it is made outside of any made-up time.
-	if _, err := compression.Unpack(compression.Pack(bundle)); err != nil {
+	if _, err := compression.Decompress(compression.Compress(bundle)); err != nil {
 		t.Fatal(err)
 	}
 	word := registry.Registration{ID: "e", Pool: "p", Address: "a:1", Slots: 1, CallSeq: 1, Draining: true}
@@ -142,8 +142,8 @@
 			t.Run(fmt.Sprintf("leads %t, %v after the cut", leads, after), func(t *testing.T) {
 				inGroup(t, leads, func(t *testing.T, d *Daemon, measure func(func()) time.Duration) {
 					<-time.After(after)
-					for _, call := range []operatorapi.Apply{whole, patch} {
-						var got operatorapi.Applying
+					for _, call := range []operatorapi.ApplyRequest{whole, patch} {
+						var got operatorapi.ApplyResponse
 						if took := measure(func() { got = d.ApplyBundle(t.Context(), call) }); took > applyLimit || got.Outcome != operatorapi.Unknown {
 							t.Errorf("an order: %s after %v", got.Outcome, took)
 						}
--- a/daemon/changetrace.go
+++ b/daemon/changetrace.go
@@ -25,11 +25,11 @@
 	if kind == "closure" {
 		epoch = known.Closure
 	}
-	out := operatorapi.Trace{Change: change, Rows: []operatorapi.TraceRow{}, Epoch: ident.Version(epoch), Known: number > 0 && number <= epoch}
+	out := operatorapi.Trace{Change: change, Rows: []operatorapi.TraceRow{}, Version: ident.Version(epoch), Known: number > 0 && number <= epoch}
 	now := d.clock.Elapsed()
 	unheard := known.Serving
 	for _, fellow := range d.members.View().InContact(now, time.Minute) {
-		row := operatorapi.TraceRow{NodeID: fellow.NodeID, Zone: fellow.Zone, HeardMsAgo: now.Since(fellow.Heard).Milliseconds()}
+		row := operatorapi.TraceRow{NodeID: fellow.NodeID, Zone: fellow.Zone, LastContactMsAgo: now.Since(fellow.Heard).Milliseconds()}
 		if at := slices.Index(unheard, fellow.NodeID); at >= 0 {
 			row.Serving, unheard = true, slices.Delete(unheard, at, at+1)
 		}
@@ -55,7 +55,7 @@
 	}
 	for _, node := range unheard {
 		// It may be serving and has not been heard for long, so the change can't count as in force there.
-		out.Rows = append(out.Rows, operatorapi.TraceRow{NodeID: node, HeardMsAgo: -1, Missing: true, Serving: true})
+		out.Rows = append(out.Rows, operatorapi.TraceRow{NodeID: node, LastContactMsAgo: -1, Missing: true, Serving: true})
 	}
 	out.Acknowledged = out.Known && !slices.ContainsFunc(out.Rows, func(row operatorapi.TraceRow) bool { return row.Serving && row.Missing })
 	data, err := json.Marshal(out)
--- a/daemon/commands.go
+++ b/daemon/commands.go
@@ -176,7 +176,7 @@
 		// register themselves stand in no bundle, and a bundle on them need not name zones.
 		_, engineKnown := t.Engine(command.Engine)
 		engineKnown = engineKnown || t.Forward != nil
-		zoneKnown := t.HasZone(command.Zone) || t.Forward != nil && len(t.Spec.Zones) == 0
+		zoneKnown := t.HasZone(command.Zone) || t.Forward != nil && len(t.Configuration.Zones) == 0
 		if command.Engine != "" && !engineKnown || command.Zone != "" && !zoneKnown {
 			return refuse(statemachine.Missing, "the bundle in force has no such zone or engine")
 		}
--- a/daemon/configuration.go
+++ b/daemon/configuration.go
@@ -16,7 +16,7 @@
 		inForce = *found
 	}
 	// Not waited for: unpacking a bundle and building its table must not hold up the group.
-	go d.rollout.Offer(epoch, inForce.Payload(), &closures)
+	go d.rollout.Offer(epoch, inForce.Bundle(), &closures)
 }
 
 // swapped is called after each change that is in force here.
@@ -42,7 +42,7 @@
 // InForce is what this daemon has in force.
 func (d *Daemon) InForce() (spec, closure ident.Version) {
 	if t := d.rollout.Table(); t != nil {
-		return t.Epoch, t.Closures.Version
+		return t.Version, t.Closures.Version
 	}
 	return 0, 0
 }
--- a/daemon/configurationhistory.go
+++ b/daemon/configurationhistory.go
@@ -39,13 +39,13 @@
 		}
 		asked := 0
 		// The newest first, since the bound on their size drops the oldest.
-		for epoch := t.Epoch - 1; epoch >= 1 && asked < historyBatch && d.rollout.Lacks(epoch); epoch-- {
-			if _, known := d.rollout.Recall(epoch); known {
+		for epoch := t.Version - 1; epoch >= 1 && asked < historyBatch && d.rollout.RetainsPast(epoch); epoch-- {
+			if _, known := d.rollout.Past(epoch); known {
 				continue
 			}
 			asked++
 			if raw := d.fetchConfiguration(ctx, epoch); len(raw) > 0 {
-				d.rollout.Remember(epoch, raw)
+				d.rollout.RememberPast(epoch, raw)
 			}
 		}
 	}
@@ -57,7 +57,7 @@
 	defer cancel()
 	if d.leaderAddress() != "" {
 		var proposal statemachine.Proposal
-		if found, ok := d.Look(bounded, "spec", fmt.Sprint(epoch)); ok && json.Unmarshal(found, &proposal) == nil {
+		if found, ok := d.Query(bounded, "spec", fmt.Sprint(epoch)); ok && json.Unmarshal(found, &proposal) == nil {
 			raw, err := proposal.Decompress()
 			if err != nil {
 				return nil
@@ -82,7 +82,7 @@
 
 // Recall gives back a bundle that was in force here.
 func (d *Daemon) Recall(_ context.Context, in *peerapi.RecallRequest) (*peerapi.RecallReply, error) {
-	raw, _ := d.rollout.Recall(ident.Version(in.Version))
+	raw, _ := d.rollout.Past(ident.Version(in.Version))
 	out := &peerapi.RecallReply{Configuration: raw}
 	if t := d.rollout.Table(); t != nil {
 		out.Closures = rollout.EncodeClosures(t.Closures)
--- a/daemon/counters.go
+++ b/daemon/counters.go
@@ -52,7 +52,7 @@
 	say("tenure_acquired", c.leasesAcquired.Load())
 	say("tenure_renewed", c.leasesRenewed.Load())
 	say("tenure_lost", c.leasesLost.Load())
-	say("mint_refused", d.generator.Refusals())
+	say("mint_refused", d.generator.Rejections())
 	say("pulls", d.members.Pulls.Load())
 	say("pulls_failed", d.members.Failed.Load())
 	say("sources_left_as_stale", d.members.StaleSources.Load())
@@ -71,7 +71,7 @@
 	say("snapshots_taken", c.group.SnapshotsInstalled.Load())
 	say("snapshots_refused", c.group.SnapshotsRejected.Load())
 	say("states_differ", c.group.StateDivergences.Load())
-	say("offers_refused", d.rollout.Refused.Load())
+	say("offers_refused", d.rollout.Rejected.Load())
 	w := &d.watcher.Counters
 	say("engine_reports_failed", w.FailedReports.Load())
 	say("engine_reports_junk", w.InvalidReports.Load())
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -43,7 +43,7 @@
 	log     log.Interface
 
 	links             *peerclient.Links
-	rollout           *rollout.Keeper
+	rollout           *rollout.Manager
 	members           *membership.Membership
 	registry          *registry.Registry
 	registrySyncTimes syncTimes
@@ -53,7 +53,7 @@
 	generator         *snowflake.Generator
 	dispatch          *dispatch.Actor
 	sessionAPI        *sessionapi.Door
-	adminAPI          *adminapi.Desk
+	adminAPI          *adminapi.Server
 	sessionPlacer     *sessionplacement.Actor
 	affinityTable     *affinity.Table
 	engineSlots       *admission.Controller
--- a/daemon/dispatch.go
+++ b/daemon/dispatch.go
@@ -29,7 +29,7 @@
 	_, notReady := d.members.Ready()
 	return dispatch.World{
 		Lacks: d.unplacedNow(),
-		Now:   d.clock.Elapsed(), Table: d.rollout.Table(), Engines: d.watcher.View(), NotReady: notReady, Mint: d.generator.Mint,
+		Now:   d.clock.Elapsed(), Table: d.rollout.Table(), Engines: d.watcher.View(), NotReady: notReady, Mint: d.generator.Next,
 		Zone: d.config.Zone, ShareAssignments: true, Admission: true,
 	}
 }
@@ -47,7 +47,7 @@
 		return "the engine is leaving or not sound"
 	case d.clock.Elapsed() >= send.Deadline:
 		return "the deadline has passed"
-	case send.Stamped && !d.generator.Held():
+	case send.Stamped && !d.generator.HasLease():
 		return "the worker id has lapsed"
 	case flight.Context().Err() != nil:
 		return "the caller has left"
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -66,7 +66,7 @@
 	bounded, done := context.WithTimeout(context.Background(), releaseLimit)
 	defer done()
 	// Without a tenure too, the group hears that this life serves no more.
-	worker, last, _ := d.generator.Drop()
+	worker, last, _ := d.generator.ReleaseLease()
 	if _, ok := d.submit(bounded, statemachine.Command{Op: statemachine.OpRelease, NodeID: d.nodeID, WorkerID: worker, LastTimestamp: last}); !ok {
 		kept.add(workerID)
 	}
--- a/daemon/enginelist.go
+++ b/daemon/enginelist.go
@@ -12,23 +12,23 @@
 	view, beats, now := d.registry.View(), d.registry.LastHeartbeats(), d.clock.Elapsed()
 	out := operatorapi.Engines{Version: view.Version, Engines: []operatorapi.RegisteredEngine{}}
 	for id, engine := range view.Engines {
-		row := operatorapi.RegisteredEngine{ID: id, HeardMsAgo: now.Since(max(beats[id].Received, engine.LastHeartbeat)).Milliseconds(), Condition: operatorapi.EngineUsable,
+		row := operatorapi.RegisteredEngine{ID: id, LastContactMsAgo: now.Since(max(beats[id].Received, engine.LastHeartbeat)).Milliseconds(), Condition: operatorapi.EngineUsable,
 			Registration: operatorapi.Registration{Pool: engine.Pool, Address: engine.Address, Zone: engine.Zone, Software: engine.Software, Slots: engine.Slots,
-				Leaving: engine.Draining, LeaveMs: engine.TerminatesInMs, ColdMs: max(0, engine.SlowStartMs-now.Since(engine.LastHeartbeat).Milliseconds()), Phase: engine.Phase,
-				Models: []operatorapi.HeldModel{}, CallSeq: max(beats[id].CallSeq, engine.CallSeq)}}
+				Draining: engine.Draining, TerminatesInMs: engine.TerminatesInMs, SlowStartMs: max(0, engine.SlowStartMs-now.Since(engine.LastHeartbeat).Milliseconds()), Phase: engine.Phase,
+				Models: []operatorapi.LoadedModel{}, CallSeq: max(beats[id].CallSeq, engine.CallSeq)}}
 		switch {
 		case engine.Deregistered:
-			row.Condition = operatorapi.EngineGone
+			row.Condition = operatorapi.EngineRemoved
 		case engine.TimedOut:
-			row.Condition = operatorapi.EngineSilent
+			row.Condition = operatorapi.EngineUnresponsive
 		case engine.Draining:
-			row.Condition = operatorapi.EngineLeaving
+			row.Condition = operatorapi.EngineDraining
 		}
 		for _, held := range engine.Models() {
-			row.Models = append(row.Models, operatorapi.HeldModel{Model: held.Model, Generation: held.Generation, Adapters: held.Adapters})
+			row.Models = append(row.Models, operatorapi.LoadedModel{Model: held.Model, Generation: held.Generation, Adapters: held.Adapters})
 		}
 		if engine.Plan != nil {
-			row.Claim, row.Turn = engine.Plan.Claim, engine.Plan.Sequence
+			row.Token, row.Sequence = engine.Plan.Claim, engine.Plan.Sequence
 		}
 		out.Engines = append(out.Engines, row)
 	}
--- a/daemon/forwarding.go
+++ b/daemon/forwarding.go
@@ -70,7 +70,7 @@
 	side.pools = connectionpool.New(d.clock, side.dialect)
 	side.actor = forwarding.NewActor(side.settings, d.forwardWorld)
 	side.gateway = gateway.New(gateway.Surroundings{
-		Clock: d.clock, Dialect: side.dialect, Index: d.forwardIndex, View: side.view, Current: d.tableIsCurrent, Held: d.generator.Held, EngineOpen: d.engineOpen,
+		Clock: d.clock, Dialect: side.dialect, Index: d.forwardIndex, View: side.view, Current: d.tableIsCurrent, Held: d.generator.HasLease, EngineOpen: d.engineOpen,
 		Draining: d.draining.Load, Settings: side.settings, Recorder: d.nodeRanking.recorder,
 	}, side.actor, side.pools)
 	go side.actor.Run(ctx)
@@ -136,10 +136,10 @@
 		Warm: func(engine *registry.Engine, pool string, careful bool) bool {
 			return d.forwarding.pools.Warm(engine.ID, engine.Address, pool, careful)
 		},
-		Edges: d.routingDaemonCount(now), Lacks: d.PoolUnplaced, Open: d.engineOpen, Emptied: d.engineDrainedByRanking, Leased: d.generator.Held(),
+		Edges: d.routingDaemonCount(now), Lacks: d.PoolUnplaced, Open: d.engineOpen, Emptied: d.engineDrainedByRanking, Leased: d.generator.HasLease(),
 		Mint: func() (ident.SnowflakeID, bool) {
-			id, verdict := d.generator.Mint()
-			return id, verdict == snowflake.Minted
+			id, verdict := d.generator.Next()
+			return id, verdict == snowflake.Generated
 		},
 	}
 }
--- a/daemon/freshness.go
+++ b/daemon/freshness.go
@@ -23,7 +23,7 @@
 	switch {
 	case table == nil && condition.ConfigurationVersion > 0:
 		return 0
-	case table != nil && (table.Epoch < condition.ConfigurationVersion || table.Closures.Version < condition.ClosuresVersion):
+	case table != nil && (table.Version < condition.ConfigurationVersion || table.Closures.Version < condition.ClosuresVersion):
 		// It is committed and its table is still being built.
 		return 0
 	}
--- a/daemon/groupidentity.go
+++ b/daemon/groupidentity.go
@@ -25,7 +25,7 @@
 			return d.Group() == group
 		}
 		// What the lost generation granted counts no more, and the next may not know of this daemon.
-		d.generator.Drop()
+		d.generator.ReleaseLease()
 		d.enlistedAt.Store(0)
 		d.log.WithField("group", string(group)).Warn("the group was recovered; following its next generation")
 		if life := d.memberIncarnation.Load(); life != nil && belongsToGroup(life.store) {
@@ -70,13 +70,13 @@
 		}
 	}
 	if t := d.rollout.Table(); t != nil {
-		out.ConfigurationVersion, out.ClosureVersion = uint64(t.Epoch), uint64(t.Closures.Version)
+		out.ConfigurationVersion, out.ClosureVersion = uint64(t.Version), uint64(t.Closures.Version)
 	}
 	out.LeaderMsAgo = -1
 	if heard := d.members.View().HeardLeader; heard > 0 {
 		out.LeaderMsAgo = d.clock.Elapsed().Since(heard).Milliseconds()
 	}
-	out.LeaseUntilMs = int64(d.generator.Ceiling())
+	out.LeaseUntilMs = int64(d.generator.LatestTimestamp())
 	if d.config.Serves(daemonconfig.Place) {
 		out.Claim = uint64(max(d.sessionPlacer.Condition().Claim, d.poolPlanning.condition().Claim))
 	}
--- a/daemon/noderanking.go
+++ b/daemon/noderanking.go
@@ -227,8 +227,8 @@
 
 // act has the group shut or open an engine, stamped and under the claim that was ranked under.
 func (n *nodeRanking) submitAction(ctx context.Context, act nodehealth.Act) {
-	stamp, verdict := n.generator.Mint()
-	if verdict != snowflake.Minted {
+	stamp, verdict := n.generator.Next()
+	if verdict != snowflake.Generated {
 		// Without a lease of a worker id nothing is decided.
 		n.decisionsMade.unleased.Add(1)
 		return
--- a/daemon/noderankingpage.go
+++ b/daemon/noderankingpage.go
@@ -72,13 +72,13 @@
 
 // answer makes the page, in the ranker's own turn.
 func (n *nodeRanking) answerQuery(asked rankingQuery) {
-	out := operatorapi.Nodes{Mode: string(n.mode()), Claim: n.claim, Nodes: []operatorapi.Node{}}
+	out := operatorapi.Nodes{Mode: string(n.mode()), Token: n.claim, Nodes: []operatorapi.Node{}}
 	table := n.rollout.Table()
 	if table == nil {
 		asked.reply <- out
 		return
 	}
-	out.ClosureEpoch = table.Closures.Version
+	out.ClosureVersion = table.Closures.Version
 	fleet := n.fleet(n.clock.Elapsed(), n.registry.View(), table.Closures, table.OpenRegistered)
 	rows := map[ident.EngineID]nodehealth.Row{}
 	ranked := n.state.Load().rows
@@ -92,7 +92,7 @@
 		}
 		row := rows[id]
 		node := operatorapi.Node{Engine: id, Pool: engine.Pool, Zone: engine.Zone, Stage: row.Stage.String(), SinceMs: row.Since.Milliseconds(), Score: round(row.Score),
-			Value: row.Value, Others: row.Peers, Samples: row.Samples, Observers: row.Observers, SlowPaths: row.Paths, Shut: !engine.Open}
+			Value: row.Value, Others: row.Peers, Samples: row.Samples, Observers: row.Observers, SlowPaths: row.Paths, Closed: !engine.Open}
 		if row.Samples > 0 {
 			node.Kind = row.Kind.String()
 		}
@@ -100,13 +100,13 @@
 			node.Refusal = row.Refusal.String()
 		}
 		if mark, shut := table.Closures.Engines[id]; shut {
-			node.ShutBy = mark.Operator
+			node.ClosedBy = mark.Operator
 			if mark.Ranking != nil {
-				node.ShutFor = mark.Ranking.Reason
+				node.ClosedReason = mark.Ranking.Reason
 			}
 		}
 		if mark, kept := table.Closures.Protected[id]; kept {
-			node.Kept = mark.Operator
+			node.ProtectedBy = mark.Operator
 		}
 		out.Nodes = append(out.Nodes, node)
 	}
@@ -120,7 +120,7 @@
 	}
 	if asked.engine != "" {
 		why := nodehealth.Refuse(n.limits(), fleet, asked.engine)
-		out.Asked, out.AskedReason = why.String(), why.Reason()
+		out.DrainCheck, out.DrainCheckReason = why.String(), why.Reason()
 	}
 	asked.reply <- out
 }
--- a/daemon/poolplanning.go
+++ b/daemon/poolplanning.go
@@ -95,15 +95,15 @@
 }
 
 // Mint stamps an order, LeaseHeld says whether the lease it was minted under still holds.
-func (p poolPlanner) Mint() (ident.SnowflakeID, snowflake.Outcome) { return p.generator.Mint() }
+func (p poolPlanner) Mint() (ident.SnowflakeID, snowflake.Outcome) { return p.generator.Next() }
 
 // LeaseHeld says whether the lease of the worker id still holds.
-func (p poolPlanner) LeaseHeld() bool { return p.generator.Held() }
+func (p poolPlanner) LeaseHeld() bool { return p.generator.HasLease() }
 
 // MayStand says whether this daemon should try to plan.
 func (p poolPlanner) MayStand() bool {
 	ready, _ := p.members.Ready()
-	return ready && !p.draining.Load() && p.generator.Held() && p.config.Serves(daemonconfig.Place)
+	return ready && !p.draining.Load() && p.generator.HasLease() && p.config.Serves(daemonconfig.Place)
 }
 
 // First says whether this daemon should have the claim before others. One that does not lead: a claim outlasts
--- a/daemon/pull.go
+++ b/daemon/pull.go
@@ -58,10 +58,10 @@
 	reply := &peerapi.PullReply{Confirmation: confirmation, Group: string(d.Group()), NodeId: string(d.nodeID), LeaderAddress: leader, LeaderTerm: term, IsLeader: d.Leads(), FirstRolloutMsAgo: d.FirstRollAgo().Milliseconds(),
 		KnownAttributesVersion: rowKnown, DemandBaseUnknown: wantsLost, IsPlanner: d.Plans(), PlannerAddress: d.members.View().PlannerAddress}
 	if t := d.rollout.Table(); t != nil {
-		reply.ConfigurationVersion, reply.ClosureVersion = uint64(t.Epoch), uint64(t.Closures.Version)
-		if d.sendsConfiguration(t.Epoch, in) {
+		reply.ConfigurationVersion, reply.ClosureVersion = uint64(t.Version), uint64(t.Closures.Version)
+		if d.sendsConfiguration(t.Version, in) {
 			reply.Configuration = t.Raw
-			if t.Bundle.Packed && in.AcceptsCompressed {
+			if t.Bundle.Compressed && in.AcceptsCompressed {
 				reply.Configuration, reply.ConfigurationCompressed = t.Bundle.Data, true
 			}
 		}
@@ -87,7 +87,7 @@
 		return
 	}
 	if len(reply.Configuration) > 0 || len(reply.Closures) > 0 {
-		d.rollout.Offer(ident.Version(reply.ConfigurationVersion), compression.Bundle{Data: reply.Configuration, Packed: reply.ConfigurationCompressed}, rollout.DecodeClosures(reply.Closures))
+		d.rollout.Offer(ident.Version(reply.ConfigurationVersion), compression.Bundle{Data: reply.Configuration, Compressed: reply.ConfigurationCompressed}, rollout.DecodeClosures(reply.Closures))
 	}
 	d.receiveDraining(reply.Draining)
 	d.receivedVersions.draining.Store(reply.DrainingVersion)
--- a/daemon/reads.go
+++ b/daemon/reads.go
@@ -17,7 +17,7 @@
 const readLimit = 700 * time.Millisecond
 
 // Look reads part of the state through whoever leads.
-func (d *Daemon) Look(ctx context.Context, what, key string) ([]byte, bool) {
+func (d *Daemon) Query(ctx context.Context, what, key string) ([]byte, bool) {
 	ticker := time.NewTicker(100 * time.Millisecond)
 	defer ticker.Stop()
 	for {
@@ -110,7 +110,7 @@
 			return encode(found)
 		}
 	case "bundle":
-		return encode(directapply.NewestOf(state))
+		return encode(directapply.LatestOf(state))
 	case "closures":
 		return encode(state.Closures)
 	case "trace":
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -22,7 +22,7 @@
 	// mostHeader bounds a request's head; what bundles allow is less.
 	maxHeader = 32 << 10
 	// mostBundleBody leaves room for a bundle's largest size and what is said around it.
-	maxConfigurationBody = document.MostBytes + 64<<10
+	maxConfigurationBody = document.MaxBytes + 64<<10
 )
 
 // bodyLimit lets only what holds a bundle be as large as a bundle may be.
@@ -181,5 +181,5 @@
 			return bodyLimit(header)
 		}
 	}
-	return fasthttp.RequestConfig{MaxRequestBodySize: int(index.Section.Limits.MostBodyBytes)}
+	return fasthttp.RequestConfig{MaxRequestBodySize: int(index.Section.Limits.MaxBodyBytes)}
 }
--- a/daemon/sessionaffinity.go
+++ b/daemon/sessionaffinity.go
@@ -139,7 +139,7 @@
 
 func (d *Daemon) assignmentIdle() time.Duration {
 	if t := d.rollout.Table(); t != nil {
-		return t.SeatIdle()
+		return t.AssignmentIdle()
 	}
 	return time.Minute
 }
--- a/daemon/sessionplanning.go
+++ b/daemon/sessionplanning.go
@@ -62,11 +62,11 @@
 }
 
 // Mint stamps an order.
-func (p sessionPlanner) Mint() (ident.SnowflakeID, snowflake.Outcome) { return p.generator.Mint() }
+func (p sessionPlanner) Mint() (ident.SnowflakeID, snowflake.Outcome) { return p.generator.Next() }
 
 // Order sends an order.
 func (p sessionPlanner) Order(ctx context.Context, address string, order engineapi.Order, limit time.Duration, mayLeave func() bool) (*engineapi.OrderAnswer, bool) {
-	return enginestream.Order(ctx, address, order, limit, func() bool { return mayLeave() && p.generator.Held() })
+	return enginestream.Order(ctx, address, order, limit, func() bool { return mayLeave() && p.generator.HasLease() })
 }
 
 // MayStand says whether this daemon should try to plan.
@@ -74,5 +74,5 @@
 	ready, _ := p.Ready()
 	// A bundle without engines of the platform's list leaves nothing to plan for sessions.
 	t := p.rollout.Table()
-	return ready && p.generator.Held() && (p.poolPlanning == nil || t != nil && len(t.Spec.Engines) > 0)
+	return ready && p.generator.HasLease() && (p.poolPlanning == nil || t != nil && len(t.Configuration.Engines) > 0)
 }
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -16,16 +16,16 @@
 	now := d.clock.Elapsed()
 	ready, why := d.Ready()
 	out := operatorapi.Status{NodeID: d.nodeID, Version: d.version, Zone: d.config.Zone, Serve: d.roleNames(), Ready: ready, NotReady: why,
-		Group: d.Group(), Leader: d.leaderAddress(), Fellows: []operatorapi.Fellow{}, Engines: []operatorapi.Engine{}}
+		Group: d.Group(), Leader: d.leaderAddress(), Peers: []operatorapi.Peer{}, Engines: []operatorapi.Engine{}}
 	t := d.rollout.Table()
 	if t != nil {
-		out.SpecEpoch, out.ClosureEpoch = t.Epoch, t.Closures.Version
+		out.ConfigurationVersion, out.ClosureVersion = t.Version, t.Closures.Version
 	}
 	if confirmed := d.confirmed(); confirmed > 0 {
 		ago := max(0, now.Since(confirmed).Milliseconds())
 		out.ConfirmedMsAgo = &ago
 	}
-	if worker, held := d.generator.Worker(); held {
+	if worker, held := d.generator.WorkerID(); held {
 		number := int64(worker)
 		out.WorkerID = &number
 	}
@@ -44,11 +44,11 @@
 	}
 	if d.config.Serves(daemonconfig.Place) {
 		condition := d.sessionPlacer.Condition()
-		out.Planner = &operatorapi.PlannerStatus{Held: condition.Held, Claim: condition.Claim, InFlight: condition.InFlight}
+		out.Planner = &operatorapi.PlannerStatus{HasLease: condition.Held, Token: condition.Claim, PendingOrders: condition.InFlight}
 	}
 	for _, fellow := range d.members.View().InContact(now, 30*time.Second) {
-		out.Fellows = append(out.Fellows, operatorapi.Fellow{NodeID: fellow.NodeID, Address: fellow.Address, Zone: fellow.Zone, Serve: fellow.Serve,
-			HeardMsAgo: now.Since(fellow.Heard).Milliseconds(), SpecEpoch: fellow.SpecEpoch, ClosureEpoch: fellow.ClosureEpoch, Ready: fellow.Ready})
+		out.Peers = append(out.Peers, operatorapi.Peer{NodeID: fellow.NodeID, Address: fellow.Address, Zone: fellow.Zone, Serve: fellow.Serve,
+			LastContactMsAgo: now.Since(fellow.Heard).Milliseconds(), ConfigurationVersion: fellow.SpecEpoch, ClosureVersion: fellow.ClosureEpoch, Ready: fellow.Ready})
 	}
 	for _, engine := range d.watcher.View().Engines {
 		row := operatorapi.Engine{ID: engine.ID, Address: engine.Address, Zone: engine.Zone, Condition: string(engine.Condition), Draining: engine.Draining,
--- a/daemon/workerlease.go
+++ b/daemon/workerlease.go
@@ -23,7 +23,7 @@
 	var renewed clock.Mark
 	for {
 		asked := d.clock.Elapsed()
-		worker, held := d.generator.Worker()
+		worker, held := d.generator.WorkerID()
 		if !d.draining.Load() && d.enlistedAt.Load() == 0 {
 			d.registerServing(ctx)
 		}
@@ -32,7 +32,7 @@
 		case !held:
 			result, ok := d.submitOnce(ctx, statemachine.Command{Op: statemachine.OpAcquire, NodeID: d.nodeID})
 			if ok && result.Grant != nil {
-				d.generator.Take(*result.Grant, asked)
+				d.generator.SetLease(*result.Grant, asked)
 				renewed = asked
 				ticker.Reset(beat)
 				d.counters.leasesAcquired.Add(1)
@@ -43,12 +43,12 @@
 			result, ok := d.submitOnce(ctx, statemachine.Command{Op: statemachine.OpRenew, NodeID: d.nodeID, WorkerID: worker})
 			switch {
 			case ok && result.Grant != nil:
-				d.generator.Take(*result.Grant, asked)
+				d.generator.SetLease(*result.Grant, asked)
 				renewed = asked
 				d.counters.leasesRenewed.Add(1)
 			case ok && result.Outcome == statemachine.Mismatch:
 				// The group no longer knows this tenure: nothing may be minted under it from now on.
-				d.generator.Drop()
+				d.generator.ReleaseLease()
 				d.counters.leasesLost.Add(1)
 				d.log.Warn("worker id lost")
 			}
--- a/process/consensus/replica/leadership.go
+++ b/process/consensus/replica/leadership.go
@@ -101,7 +101,7 @@
 	if !c.isLeader || now.Since(c.leaderSince) < c.config.WorkerLease || c.reclaimIndex > c.appliedIndex {
 		return
 	}
-	if !c.state.Workers.Due(c.groupTime(now)) {
+	if !c.state.Workers.HasExpired(c.groupTime(now)) {
 		return
 	}
 	more := c.Submit(now, 0, statemachine.Command{Op: statemachine.OpReclaim})
--- a/process/consensus/replica/orders_test.go
+++ b/process/consensus/replica/orders_test.go
@@ -43,7 +43,7 @@
 	// calls are all calls as their senders saw them, orders what was in them, sent all orders in their turn.
 	calls  []*linearizability.Call
 	orders map[string]*linearizability.Order
-	sent   []operatorapi.Apply
+	sent   []operatorapi.ApplyRequest
 	// lossy is the share of messages between operators and members that is lost, beside the network's own.
 	lossy float64
 	// way breaks the way of an order on purpose.
@@ -51,16 +51,16 @@
 }
 
 // carry brings one copy of a call to a member over the network; the answer may be lost on the way.
-func (o *simOrders) carry(to *simNode, call operatorapi.Apply, answer func(operatorapi.Applying)) {
+func (o *simOrders) carry(to *simNode, call operatorapi.ApplyRequest, answer func(operatorapi.ApplyResponse)) {
 	if o.loses() {
 		return
 	}
-	back := func(got operatorapi.Applying) {
+	back := func(got operatorapi.ApplyResponse) {
 		if !o.loses() {
 			o.after(o.ms(1, 10), func() { answer(got) })
 		}
 	}
-	unknown := operatorapi.Applying{Outcome: operatorapi.Unknown}
+	unknown := operatorapi.ApplyResponse{Outcome: operatorapi.Unknown}
 	o.after(o.ms(1, 10), func() {
 		if !to.up || o.now < to.frozenUntil {
 			return
@@ -72,7 +72,7 @@
 				back(unknown)
 				return
 			}
-			standing := directapply.Look(a.State, call)
+			standing := directapply.ViewOf(a.State, call)
 			// Working it out takes a while, in which anything may happen.
 			o.after(o.ms(1, 60), func() {
 				if to.life != life || !to.up || o.now < to.frozenUntil {
@@ -80,10 +80,10 @@
 				}
 				decision := standing.Decide(call)
 				if o.way == hasty && call.Base > standing.Revision || o.way == baseFirst && call.Base != standing.Revision {
-					decision = directapply.Decision{Answer: operatorapi.Applying{Outcome: operatorapi.Conflicted, Revision: standing.Revision}}
+					decision = directapply.Decision{Response: operatorapi.ApplyResponse{Outcome: operatorapi.Conflicted, Revision: standing.Revision}}
 				}
 				if decision.Submit == nil {
-					back(decision.Answer)
+					back(decision.Response)
 					return
 				}
 				o.refs++
@@ -92,7 +92,7 @@
 						back(unknown)
 						return
 					}
-					back(directapply.After(b.Result))
+					back(directapply.ResponseTo(b.Result))
 				}
 				to.carryOut(to.core.Submit(o.now, o.refs, *decision.Submit))
 			})
@@ -126,7 +126,7 @@
 }
 
 // invent makes a new order.
-func (o *simOrders) invent(who, turn int, base ident.Revision) operatorapi.Apply {
+func (o *simOrders) invent(who, turn int, base ident.Revision) operatorapi.ApplyRequest {
 	switch o.random.IntN(10) {
 	case 0, 1:
 		base += ident.Revision(1 + o.random.IntN(4))
@@ -135,15 +135,15 @@
 	}
 	revision := uint64(base) + 1 + o.random.Uint64N(4)
 	digest := fmt.Sprintf("%d-%d", who, turn)
-	call := operatorapi.Apply{Base: base, Digest: digest, Operator: fmt.Sprint(who)}
+	call := operatorapi.ApplyRequest{Base: base, Digest: digest, Operator: fmt.Sprint(who)}
 	if base > 0 && o.random.IntN(2) == 0 {
 		call.Patch = &upstream.Patch{Revision: revision, Upsert: upstream.Items{Pools: []upstream.Pool{{Name: fmt.Sprint("p", turn%9)}}}}
 	} else {
-		whole, err := json.Marshal(document.Spec{Name: digest, Forward: &upstream.Section{Revision: revision, Pools: []upstream.Pool{{Name: "p"}}}})
+		whole, err := json.Marshal(document.Configuration{Name: digest, Forward: &upstream.Section{Revision: revision, Pools: []upstream.Pool{{Name: "p"}}}})
 		if err != nil {
 			panic(err)
 		}
-		call.Whole = whole
+		call.Configuration = whole
 	}
 	o.orders[digest] = &linearizability.Order{Digest: digest, Base: uint64(base), Revision: revision, Content: statemachine.AppliedID(digest), Validity: linearizability.Sound}
 	o.base[digest] = base
@@ -168,7 +168,7 @@
 			next(revision)
 		}
 	}
-	o.askNewest(o.some(1)[0], func(newest directapply.Newest) {
+	o.askNewest(o.some(1)[0], func(newest directapply.Latest) {
 		if !done {
 			noted.End, noted.Outcome = int64(o.now), linearizability.Acknowledged
 			noted.Read.Revision = uint64(newest.Revision)
@@ -190,7 +190,7 @@
 }
 
 // askNewest brings one reading to a member over the network; request and answer may be lost.
-func (o *simOrders) askNewest(to *simNode, answer func(directapply.Newest)) {
+func (o *simOrders) askNewest(to *simNode, answer func(directapply.Latest)) {
 	if o.loses() {
 		return
 	}
@@ -199,7 +199,7 @@
 			return
 		}
 		seen := func(state *statemachine.State) {
-			newest := directapply.NewestOf(state)
+			newest := directapply.LatestOf(state)
 			if !o.loses() {
 				o.after(o.ms(1, 10), func() { answer(newest) })
 			}
@@ -222,14 +222,14 @@
 
 // call sends an order, and the same again to other members as long as there is no clear answer; some go to three
 // members at once. A few operators give up.
-func (o *simOrders) call(who int, order operatorapi.Apply, base ident.Revision, next func(ident.Revision)) {
+func (o *simOrders) call(who int, order operatorapi.ApplyRequest, base ident.Revision, next func(ident.Revision)) {
 	noted := o.begin(linearizability.Call{Client: who, Order: o.orders[order.Digest]})
 	done := false
 	finish := func(revision ident.Revision) {
 		done = true
 		next(revision)
 	}
-	take := func(got operatorapi.Applying) {
+	take := func(got operatorapi.ApplyResponse) {
 		outcome := linearizability.Acknowledged
 		switch got.Outcome {
 		case operatorapi.Applied:
@@ -277,17 +277,17 @@
 // loses says whether a message is lost: on some seeds, every fifth at each step.
 func (o *simOrders) loses() bool { return o.random.Float64() < max(o.loss, o.lossy) }
 
-func (o *simOrders) acknowledged(order operatorapi.Apply, got operatorapi.Applying) {
+func (o *simOrders) acknowledged(order operatorapi.ApplyRequest, got operatorapi.ApplyResponse) {
 	if o.refused[order.Digest] {
 		o.fault("order %s was refused and then acknowledged", order.Digest)
 	}
-	if known, before := o.acked[order.Digest]; before && known != got.Epoch {
-		o.fault("order %s is acknowledged as epoch %d and as %d", order.Digest, known, got.Epoch)
+	if known, before := o.acked[order.Digest]; before && known != got.Version {
+		o.fault("order %s is acknowledged as epoch %d and as %d", order.Digest, known, got.Version)
 	}
-	o.acked[order.Digest], o.newest = got.Epoch, max(o.newest, got.Revision)
+	o.acked[order.Digest], o.newest = got.Version, max(o.newest, got.Revision)
 }
 
-func (o *simOrders) wasRefused(order operatorapi.Apply, got operatorapi.Applying) {
+func (o *simOrders) wasRefused(order operatorapi.ApplyRequest, got operatorapi.ApplyResponse) {
 	if _, taken := o.acked[order.Digest]; taken {
 		o.fault("order %s was acknowledged and then refused: %+v", order.Digest, got)
 	}
--- a/process/consensus/replica/simulation_test.go
+++ b/process/consensus/replica/simulation_test.go
@@ -719,7 +719,7 @@
 
 func (h *simHolder) act() {
 	s := h.sim
-	worker, held := h.generator.Worker()
+	worker, held := h.generator.WorkerID()
 	now := h.Elapsed()
 	if now.Since(h.asking) > 400*time.Millisecond && (!held || now.Since(h.renewed) >= 10*time.Second) {
 		h.asking = now
@@ -736,13 +736,13 @@
 			if s.broken == tenureOverrun {
 				grant.LeaseExpiry += 600000
 			}
-			h.generator.Take(grant, now)
+			h.generator.SetLease(grant, now)
 			h.renewed = now
 		})
 	}
 	for range 3 {
-		id, verdict := h.generator.Mint()
-		if verdict != snowflake.Minted {
+		id, verdict := h.generator.Next()
+		if verdict != snowflake.Generated {
 			return
 		}
 		s.mints++
@@ -755,7 +755,7 @@
 
 // leave releases the tenure and begins another life.
 func (h *simHolder) leave() {
-	worker, last, held := h.generator.Drop()
+	worker, last, held := h.generator.ReleaseLease()
 	if held {
 		if h.sim.broken == floorForgotten {
 			last = 0
--- a/process/consensus/statemachine/apply.go
+++ b/process/consensus/statemachine/apply.go
@@ -101,12 +101,12 @@
 
 // Bundle gives the bundle as it was handed in; nothing where it is no longer kept.
 func (p *Proposal) Decompress() ([]byte, error) {
-	return p.Payload().Raw()
+	return p.Bundle().Raw()
 }
 
 // Packing gives the bundle as it travels.
-func (p *Proposal) Payload() compression.Bundle {
-	return compression.Bundle{Data: p.Configuration, Packed: p.Compressed}
+func (p *Proposal) Bundle() compression.Bundle {
+	return compression.Bundle{Data: p.Configuration, Compressed: p.Compressed}
 }
 
 // applyBundle proposes, reviews, signs and rolls in one step, for fleets that let an operator alone do so.
--- a/process/consensus/statemachine/statemachine.go
+++ b/process/consensus/statemachine/statemachine.go
@@ -143,7 +143,7 @@
 	if err := s.validate(); err != nil {
 		return nil, eris.Wrap(err, "a snapshot is not sound")
 	}
-	s.Workers.Rebuild()
+	s.Workers.RebuildExpiries()
 	if s.Revision == 0 {
 		// Earlier builds counted no revisions, and each bundle that they put in force would have made one.
 		s.Revision = ident.Revision(s.Version())
--- a/process/placement/poolplacement/actor.go
+++ b/process/placement/poolplacement/actor.go
@@ -220,7 +220,7 @@
 	addresses := map[ident.EngineID]string{}
 	for _, order := range given {
 		stamp, verdict := a.around.Mint()
-		if verdict != snowflake.Minted {
+		if verdict != snowflake.Generated {
 			// Without a lease of a worker id nothing may be ordered.
 			a.planner.Withdraw(now, order.Engine)
 			continue
--- a/process/placement/poolplacement/actor_test.go
+++ b/process/placement/poolplacement/actor_test.go
@@ -66,7 +66,7 @@
 	at := ident.GroupTime(w.now / clock.Mark(time.Millisecond))
 	return ClaimAnswer{Granted: &statemachine.PlannerLease{Token: w.holder, Now: at, Expiry: at.Add(3 * time.Second)}}
 }
-func (w *frozenWorld) Mint() (ident.SnowflakeID, snowflake.Outcome) { return 1, snowflake.Minted }
+func (w *frozenWorld) Mint() (ident.SnowflakeID, snowflake.Outcome) { return 1, snowflake.Generated }
 func (w *frozenWorld) LeaseHeld() bool                              { return true }
 func (w *frozenWorld) MayStand() bool                               { return true }
 func (w *frozenWorld) First() bool                                  { return true }
@@ -117,7 +117,7 @@
 	const engines = 4
 	w := &frozenWorld{now: clock.Mark(time.Hour), holder: 7, view: &registry.View{Engines: map[ident.EngineID]*registry.Engine{}, Pools: map[string][]*registry.Engine{}}}
 	w.changed = sync.NewCond(&w.Mutex)
-	catalogue := &upstream.Catalogue{Slots: 8, MemoryTokens: 100000, RoomMb: 100, AdapterPlaces: 1, LoadsPerSecond: 10}
+	catalogue := &upstream.Catalogue{Slots: 8, MemoryTokens: 100000, CapacityMb: 100, AdapterSlots: 1, LoadsPerSecond: 10}
 	for place := range engines {
 		id, model := ident.EngineID(fmt.Sprint("e", place)), fmt.Sprint("m", place)
 		catalogue.Models = append(catalogue.Models, upstream.Model{Name: model, SizeMb: 90, LoadMs: 1000})
--- a/process/placement/poolplacement/batch_test.go
+++ b/process/placement/poolplacement/batch_test.go
@@ -136,7 +136,7 @@
 	}
 	left := make([]float64, engines)
 	for i := range left {
-		left[i] = catalogue.RoomMb
+		left[i] = catalogue.CapacityMb
 	}
 	place := func(model upstream.Model) {
 		best := 0
@@ -295,7 +295,7 @@
 			size, places = model.AdapterSizeMb, places+1
 		}
 		// Whatever the engine answers, an order past its room is one too many.
-		if room+size > f.truth.RoomMb || places > f.truth.AdapterPlaces {
+		if room+size > f.truth.CapacityMb || places > f.truth.AdapterSlots {
 			f.fault("LIMIT: %s was ordered past its room: %.0f and %.0f MB, %d places", e.id, room, size, places)
 		}
 	}
--- a/process/placement/poolplacement/emptying_test.go
+++ b/process/placement/poolplacement/emptying_test.go
@@ -15,7 +15,7 @@
 		shut, emptying bool
 		loads          bool
 	}{"open": {}, "shut": {shut: true, loads: true}, "to be shut": {emptying: true, loads: true}} {
-		catalogue := &upstream.Catalogue{RoomMb: 100, LoadsPerSecond: 5, Models: []upstream.Model{{Name: "m", SizeMb: 10, LoadMs: 1000}, {Name: "n", SizeMb: 10, LoadMs: 1000}}}
+		catalogue := &upstream.Catalogue{CapacityMb: 100, LoadsPerSecond: 5, Models: []upstream.Model{{Name: "m", SizeMb: 10, LoadMs: 1000}, {Name: "n", SizeMb: 10, LoadMs: 1000}}}
 		section := &upstream.Section{Pools: []upstream.Pool{{Name: "pool", Catalogue: catalogue}}, Paths: []upstream.Path{{Name: "a", Shares: []upstream.Share{{Pool: "pool", Weight: 1}}}}}
 		view := &registry.View{Engines: map[ident.EngineID]*registry.Engine{}, Pools: map[string][]*registry.Engine{}}
 		for _, id := range []ident.EngineID{"holds", "free"} {
--- a/process/placement/poolplacement/engine.go
+++ b/process/placement/poolplacement/engine.go
@@ -96,7 +96,7 @@
 // left is the room and the adapter places that are left, counting all that is reported, ordered or
 // perhaps ordered; what goes counts until a report shows that it has gone.
 func (e *engine) left() (room float64, places int) {
-	room, places = e.pool.catalogue.RoomMb, e.pool.catalogue.AdapterPlaces
+	room, places = e.pool.catalogue.CapacityMb, e.pool.catalogue.AdapterSlots
 	for _, held := range e.report.Models {
 		model := e.pool.models[held.Model]
 		if model == nil {
--- a/process/placement/poolplacement/grown_test.go
+++ b/process/placement/poolplacement/grown_test.go
@@ -39,7 +39,7 @@
 func grownPlanner(engines, models int) (*Planner, *upstream.Section, clock.Mark) {
 	section := sizeSection(0)
 	catalogue := section.Pools[0].Catalogue
-	catalogue.RoomMb, catalogue.LoadsPerSecond, catalogue.Models = 200000, 40, nil
+	catalogue.CapacityMb, catalogue.LoadsPerSecond, catalogue.Models = 200000, 40, nil
 	for i := range models {
 		catalogue.Models = append(catalogue.Models, upstream.Model{Name: fmt.Sprintf("model%04x", i), SizeMb: 60000, LoadMs: 2000, Adapters: 2, AdapterSizeMb: 40})
 	}
--- a/process/placement/poolplacement/lag_test.go
+++ b/process/placement/poolplacement/lag_test.go
@@ -79,7 +79,7 @@
 // not a round of reports later. How far they lag is learned.
 func TestAnOrderIsSettledAsSoonAsReportsCanShowIt(t *testing.T) {
 	for _, lag := range []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond} {
-		catalogue := upstream.Catalogue{Slots: 64, RoomMb: 100, AdapterPlaces: 200, LoadsPerSecond: 2, Models: []upstream.Model{{Name: "m", SizeMb: 10, LoadMs: 1000, Adapters: 100}}}
+		catalogue := upstream.Catalogue{Slots: 64, CapacityMb: 100, AdapterSlots: 200, LoadsPerSecond: 2, Models: []upstream.Model{{Name: "m", SizeMb: 10, LoadMs: 1000, Adapters: 100}}}
 		l := newLone(t, catalogue, lag, registry.LoadedModel{Model: "m"})
 		total, rounds := time.Duration(0), 0
 		for i := range 80 {
@@ -107,7 +107,7 @@
 
 // A load is looked for when it should show, and what waits for the engine is not kept for a round of reports.
 func TestALoadIsLookedForWhenItShouldShow(t *testing.T) {
-	catalogue := upstream.Catalogue{Slots: 64, RoomMb: 100, AdapterPlaces: 8, LoadsPerSecond: 2, Models: []upstream.Model{{Name: "m", SizeMb: 10, LoadMs: 2000}}}
+	catalogue := upstream.Catalogue{Slots: 64, CapacityMb: 100, AdapterSlots: 8, LoadsPerSecond: 2, Models: []upstream.Model{{Name: "m", SizeMb: 10, LoadMs: 2000}}}
 	l := newLone(t, catalogue, 200*time.Millisecond)
 	l.ask(Demand{Pool: "p", Model: "m", Held: 1, Arrivals: 1})
 	orders := l.step()
--- a/process/placement/poolplacement/missing_test.go
+++ b/process/placement/poolplacement/missing_test.go
@@ -28,7 +28,7 @@
 
 // newScarce makes a pool of so many engines; each holds the model that placed gives it. The target is of the urgent path.
 func newScarce(t *testing.T, target time.Duration, placed ...string) *scarce {
-	catalogue := &upstream.Catalogue{Slots: 64, MemoryTokens: 100_000, RoomMb: 10, AdapterPlaces: 8, LoadsPerSecond: 100}
+	catalogue := &upstream.Catalogue{Slots: 64, MemoryTokens: 100_000, CapacityMb: 10, AdapterSlots: 8, LoadsPerSecond: 100}
 	seen := map[string]bool{}
 	for _, name := range append([]string{"wanted"}, placed...) {
 		if !seen[name] {
--- a/process/placement/poolplacement/models.go
+++ b/process/placement/poolplacement/models.go
@@ -161,7 +161,7 @@
 
 // wayFor lists what must go from an engine so that a model fits, and what that costs.
 func (s *survey) wayFor(e *engine, size float64, w want) (victims []registry.Target, cost float64, ok bool) {
-	if size > e.pool.catalogue.RoomMb {
+	if size > e.pool.catalogue.CapacityMb {
 		return nil, 0, false
 	}
 	room, _ := e.left()
--- a/process/placement/poolplacement/plan_test.go
+++ b/process/placement/poolplacement/plan_test.go
@@ -18,7 +18,7 @@
 
 // sharedCatalogue is 35 models of three sizes, more than nine engines can hold with replicas.
 func sharedCatalogue() upstream.Catalogue {
-	c := upstream.Catalogue{Slots: fakeSlots, MemoryTokens: 150000, RoomMb: 200000, AdapterPlaces: 8, LoadsPerSecond: 2.6}
+	c := upstream.Catalogue{Slots: fakeSlots, MemoryTokens: 150000, CapacityMb: 200000, AdapterSlots: 8, LoadsPerSecond: 2.6}
 	sizes, loads := []float64{34300, 51000, 72700}, []int64{1500, 2200, 3200}
 	for i := range 35 {
 		adapters := 0
--- a/process/placement/poolplacement/rank_test.go
+++ b/process/placement/poolplacement/rank_test.go
@@ -9,7 +9,7 @@
 
 // What is asked for by more urgent paths counts for more, and is never kept waiting for being rare.
 func TestUrgentDemandCountsForMore(t *testing.T) {
-	catalogue := &upstream.Catalogue{RoomMb: 100, LoadsPerSecond: 1, Models: []upstream.Model{{Name: "urgent", SizeMb: 10, LoadMs: 1000}, {Name: "patient", SizeMb: 10, LoadMs: 1000}}}
+	catalogue := &upstream.Catalogue{CapacityMb: 100, LoadsPerSecond: 1, Models: []upstream.Model{{Name: "urgent", SizeMb: 10, LoadMs: 1000}, {Name: "patient", SizeMb: 10, LoadMs: 1000}}}
 	shares := []upstream.Share{{Pool: "pool", Weight: 1}}
 	section := &upstream.Section{Pools: []upstream.Pool{{Name: "pool", Catalogue: catalogue}},
 		Paths: []upstream.Path{{Name: "a", Rank: 3, Shares: shares}, {Name: "b", Rank: 5, Shares: shares}}}
--- a/process/placement/poolplacement/room_test.go
+++ b/process/placement/poolplacement/room_test.go
@@ -24,7 +24,7 @@
 
 func newPairFleet(t *testing.T, engines int) *pairFleet {
 	t.Helper()
-	catalogue := &upstream.Catalogue{Slots: 64, RoomMb: 15, AdapterPlaces: 8, LoadsPerSecond: 0.5}
+	catalogue := &upstream.Catalogue{Slots: 64, CapacityMb: 15, AdapterSlots: 8, LoadsPerSecond: 0.5}
 	view := &registry.View{Version: 1, Engines: map[ident.EngineID]*registry.Engine{}, Pools: map[string][]*registry.Engine{}}
 	f := &pairFleet{t: t, now: clock.Mark(time.Hour), reports: map[ident.EngineID]Report{}}
 	for i := range 2 * engines {
--- a/process/placement/poolplacement/size_test.go
+++ b/process/placement/poolplacement/size_test.go
@@ -17,7 +17,7 @@
 const sizeModels = 140
 
 func sizeSection(adapters int) *upstream.Section {
-	catalogue := &upstream.Catalogue{Slots: 96, MemoryTokens: 120000, RoomMb: 83000, AdapterPlaces: 8, LoadsPerSecond: 2}
+	catalogue := &upstream.Catalogue{Slots: 96, MemoryTokens: 120000, CapacityMb: 83000, AdapterSlots: 8, LoadsPerSecond: 2}
 	for i := range sizeModels {
 		catalogue.Models = append(catalogue.Models, upstream.Model{Name: fmt.Sprintf("model%04x", i), SizeMb: 34300, LoadMs: 2000, Adapters: adapters / sizeModels, AdapterSizeMb: 40})
 	}
--- a/process/placement/poolplacement/tune_test.go
+++ b/process/placement/poolplacement/tune_test.go
@@ -13,7 +13,7 @@
 )
 
 func smallCatalogue() upstream.Catalogue {
-	c := upstream.Catalogue{Slots: 96, MemoryTokens: 123322, RoomMb: 83000, AdapterPlaces: 8, LoadsPerSecond: 2.1}
+	c := upstream.Catalogue{Slots: 96, MemoryTokens: 123322, CapacityMb: 83000, AdapterSlots: 8, LoadsPerSecond: 2.1}
 	for i := range 31 {
 		m := upstream.Model{Name: fmt.Sprintf("m%02d", i), SizeMb: 34300, LoadMs: 2000, AdapterSizeMb: 40}
 		if i%5 >= 3 {
--- a/process/placement/poolplacement/turns_test.go
+++ b/process/placement/poolplacement/turns_test.go
@@ -12,7 +12,7 @@
 
 // crowdedCatalogue is one model of twelve adapters, four more than an engine has places.
 func crowdedCatalogue() upstream.Catalogue {
-	return upstream.Catalogue{Slots: fakeSlots, MemoryTokens: 150000, RoomMb: 83000, AdapterPlaces: 8, LoadsPerSecond: 2,
+	return upstream.Catalogue{Slots: fakeSlots, MemoryTokens: 150000, CapacityMb: 83000, AdapterSlots: 8, LoadsPerSecond: 2,
 		Models: []upstream.Model{{Name: "m00", SizeMb: 60000, LoadMs: 2000, Adapters: 12, AdapterSizeMb: 40}}}
 }
 
--- a/process/placement/sessionplacement/actor.go
+++ b/process/placement/sessionplacement/actor.go
@@ -152,7 +152,7 @@
 	}()
 	for _, directed := range given {
 		stamp, outcome := a.around.Mint()
-		if outcome != snowflake.Minted {
+		if outcome != snowflake.Generated {
 			// Without a lease on a worker id nothing may be ordered.
 			a.planner.Withdraw(directed.Engine)
 			continue
--- a/process/placement/sessionplacement/adapter.go
+++ b/process/placement/sessionplacement/adapter.go
@@ -16,7 +16,7 @@
 			continue
 		}
 		allowed, _ := in.Table.Engine(id)
-		if adapters(engine) < allowed.AdapterPlaces {
+		if adapters(engine) < allowed.AdapterSlots {
 			return p.issue(in, engine, engineapi.Order{Kind: engineapi.LoadAdapter, Model: w.model, Adapter: w.adapter}), true
 		}
 		if full == nil {
--- a/process/placement/sessionplacement/demand.go
+++ b/process/placement/sessionplacement/demand.go
@@ -91,9 +91,9 @@
 // idleShortages lists the models of the spec's routes that nobody asks for and that stand nowhere.
 func (p *Planner) idleShortages(in Input, sums map[item]requests) []shortage {
 	best := map[string]int64{}
-	for _, route := range in.Table.Spec.Routes {
+	for _, route := range in.Table.Configuration.Routes {
 		for _, model := range route.Models {
-			best[model] = max(best[model], route.Worth)
+			best[model] = max(best[model], route.Priority)
 		}
 	}
 	var out []shortage
--- a/process/placement/sessionplacement/evict.go
+++ b/process/placement/sessionplacement/evict.go
@@ -45,7 +45,7 @@
 func (p *Planner) mayMakeRoom(in Input, engine *discovery.Engine, w shortage, size int64) bool {
 	allowed, _ := in.Table.Engine(engine.ID)
 	_, present := find(engine, w.model)
-	return p.free(in, engine, w) && !present && allowed.Room >= size
+	return p.free(in, engine, w) && !present && allowed.Capacity >= size
 }
 
 // evictable says whether a model may be unloaded for what is wanted.
--- a/process/placement/sessionplacement/lack.go
+++ b/process/placement/sessionplacement/lack.go
@@ -58,11 +58,11 @@
 		switch {
 		case w.adapter == "" && present, w.adapter != "" && (!present || held.State != engineapi.Loaded):
 		case w.adapter != "":
-			if adapters(engine) < allowed.AdapterPlaces {
+			if adapters(engine) < allowed.AdapterSlots {
 				out = append(out, 0)
 			}
 			out = append(out, p.waysOfAdapters(in, engine, w)...)
-		case allowed.Room < model.Size:
+		case allowed.Capacity < model.Size:
 		case p.room(in, engine) >= model.Size || p.inFlight[id] != nil:
 			// It waits for the store's pace, or for an order that is under way: that is soon.
 			out = append(out, 0)
--- a/process/placement/sessionplacement/load.go
+++ b/process/placement/sessionplacement/load.go
@@ -88,7 +88,7 @@
 // room is what is left on an engine, counting all that is loaded, coming, or not yet surely gone.
 func (p *Planner) room(in Input, engine *discovery.Engine) int64 {
 	allowed, _ := in.Table.Engine(engine.ID)
-	left := allowed.Room
+	left := allowed.Capacity
 	for _, held := range engine.Report.Models {
 		if model, known := in.Table.Model(held.Model); known {
 			left -= model.Size
@@ -123,8 +123,8 @@
 			loading++
 		}
 	}
-	gap := time.Duration(in.Table.Spec.Store.LoadGapMs) * time.Millisecond
-	most := in.Table.Spec.Store.LoadsAtOnce
+	gap := time.Duration(in.Table.Configuration.Store.LoadIntervalMs) * time.Millisecond
+	most := in.Table.Configuration.Store.MaxConcurrentLoads
 	if idle && most > 1 {
 		most--
 	}
--- a/process/placement/sessionplacement/placement_test.go
+++ b/process/placement/sessionplacement/placement_test.go
@@ -63,18 +63,18 @@
 )
 
 func newYard(seed uint64) *yard {
-	s := &document.Spec{Name: "yard", Zones: []document.Zone{{Name: "a"}, {Name: "b"}}, Store: document.Store{LoadsAtOnce: atOnce, LoadGapMs: loadGap.Milliseconds()},
-		Limits: document.Limits{SeatIdleMs: 1000}}
+	s := &document.Configuration{Name: "yard", Zones: []document.Zone{{Name: "a"}, {Name: "b"}}, Store: document.Store{MaxConcurrentLoads: atOnce, LoadIntervalMs: loadGap.Milliseconds()},
+		Limits: document.Limits{AssignmentIdleMs: 1000}}
 	y := &yard{random: rand.New(rand.NewPCG(seed, 5)), now: clock.Mark(time.Hour), planner: NewPlanner(), engines: map[ident.EngineID]*fakeEngine{}}
 	for i := range engineCount {
 		id := ident.EngineID(fmt.Sprint("e", i))
-		s.Engines = append(s.Engines, document.Engine{ID: id, Zone: s.Zones[i%2].Name, Room: 100, AdapterPlaces: 2, Slots: 4})
+		s.Engines = append(s.Engines, document.Engine{ID: id, Zone: s.Zones[i%2].Name, Capacity: 100, AdapterSlots: 2, Slots: 4})
 		y.engines[id] = &fakeEngine{models: map[string]*fakeModel{}}
 	}
 	for i := range modelCount {
 		s.Models = append(s.Models, document.Model{Name: fmt.Sprint("m", i), Size: int64(30 + 5*(i%4))})
 		s.Adapters = append(s.Adapters, document.Adapter{Name: fmt.Sprint("x", i), Model: fmt.Sprint("m", i)})
-		s.Routes = append(s.Routes, document.Route{Name: fmt.Sprint("r", i), House: "h", Worth: int64(10 * (i + 1)), Models: []string{fmt.Sprint("m", i)}, Adapters: []string{fmt.Sprint("x", i)}})
+		s.Routes = append(s.Routes, document.Route{Name: fmt.Sprint("r", i), Tenant: "h", Priority: int64(10 * (i + 1)), Models: []string{fmt.Sprint("m", i)}, Adapters: []string{fmt.Sprint("x", i)}})
 	}
 	y.table = routingtable.Build(1, nil, s, closure.Set{})
 	return y
--- a/process/rollout/directapply/applying.go
+++ b/process/rollout/directapply/applying.go
@@ -15,24 +15,24 @@
 
 // Standing is what the state says at one moment that bears on a call. The moment must lie after the call
 // arrived: then whatever is decided by it is proved.
-type Standing struct {
-	Newest
+type View struct {
+	Latest
 	// Order is what the state proves of the call.
-	Order statemachine.ApplyStatus
+	Status statemachine.ApplyStatus
 	// Taken is what an earlier copy of the call put in force.
-	Taken *statemachine.Proposal
+	Committed *statemachine.Proposal
 }
 
 // Newest is the newest bundle; the proposal is nil before the first.
-type Newest struct {
+type Latest struct {
 	Revision ident.Revision         `json:"revision"`
-	Epoch    ident.Version          `json:"epoch"`
+	Version  ident.Version          `json:"epoch"`
 	Proposal *statemachine.Proposal `json:"proposal,omitempty"`
 }
 
 // NewestOf reads it; the proposal is a copy, and its bundle is never changed.
-func NewestOf(state *statemachine.State) Newest {
-	out := Newest{Revision: state.Revision, Epoch: state.Version()}
+func LatestOf(state *statemachine.State) Latest {
+	out := Latest{Revision: state.Revision, Version: state.Version()}
 	if found, ok := state.InForce(); ok {
 		copied := *found
 		out.Proposal = &copied
@@ -41,98 +41,98 @@
 }
 
 // Look reads where a call stands.
-func Look(state *statemachine.State, call operatorapi.Apply) Standing {
-	out := Standing{Newest: NewestOf(state), Order: state.ApplyStatus(call.Digest, call.Base)}
+func ViewOf(state *statemachine.State, call operatorapi.ApplyRequest) View {
+	out := View{Latest: LatestOf(state), Status: state.ApplyStatus(call.Digest, call.Base)}
 	if found, ok := state.Applied(call.Digest); ok {
 		copied := *found
-		out.Taken = &copied
+		out.Committed = &copied
 	}
 	return out
 }
 
 // Bundle gives the bundle as it was handed in.
-func (n Newest) Bundle() (operatorapi.Bundle, error) {
-	out := operatorapi.Bundle{Revision: n.Revision, Epoch: n.Epoch}
+func (n Latest) Bundle() (operatorapi.Bundle, error) {
+	out := operatorapi.Bundle{Revision: n.Revision, Version: n.Version}
 	if n.Proposal == nil {
 		return out, nil
 	}
 	var err error
-	out.Spec, err = n.Proposal.Decompress()
+	out.Configuration, err = n.Proposal.Decompress()
 	return out, err
 }
 
 // Decision is what to do about a call.
 type Decision struct {
 	// Answer is final where Submit is nil. One that says Applied is to be acknowledged.
-	Answer operatorapi.Applying
+	Response operatorapi.ApplyResponse
 	// Submit is the command that will decide.
 	Submit *statemachine.Command
 }
 
 // Decide goes by what the state proves of the call before it looks at the bundle: an order that was taken is never
 // refused, and one that may have been taken neither.
-func (s Standing) Decide(call operatorapi.Apply) Decision {
-	switch s.Order {
+func (s View) Decide(call operatorapi.ApplyRequest) Decision {
+	switch s.Status {
 	case statemachine.ApplyCommitted:
-		return Decision{Answer: operatorapi.Applying{Outcome: operatorapi.Applied, Revision: s.Revision, Epoch: s.Taken.Version}}
+		return Decision{Response: operatorapi.ApplyResponse{Outcome: operatorapi.Applied, Revision: s.Revision, Version: s.Committed.Version}}
 	case statemachine.ApplyMalformed:
-		return Decision{Answer: s.invalid(document.Fault{Path: "base", Reason: "is no revision that a bundle can have"})}
+		return Decision{Response: s.invalid(document.Fault{Path: "base", Reason: "is no revision that a bundle can have"})}
 	case statemachine.ApplyUnproven:
-		return Decision{Answer: unproven(s.Revision, s.Epoch)}
+		return Decision{Response: unproven(s.Revision, s.Version)}
 	case statemachine.ApplyConflicted:
 		// Revisions only rise and refusals are kept, so no copy of this call can win any more.
-		return Decision{Answer: conflict(s.Revision, s.Epoch)}
+		return Decision{Response: conflict(s.Revision, s.Version)}
 	case statemachine.ApplyAhead:
 		// This base may yet come in force, and another copy of the call with it. So the call goes through the
 		// log without its bundle, and is written down as refused.
 		return Decision{Submit: &statemachine.Command{Op: statemachine.OpApply, Operator: call.Operator, Digest: call.Digest, BaseRevision: call.Base}}
 	}
-	parsed, whole, faults := s.workOut(call)
+	parsed, whole, faults := s.buildConfiguration(call)
 	if len(faults) > 0 {
 		// They rest on the call and on the one bundle that ever has this revision, so no copy can be taken.
-		return Decision{Answer: s.invalid(faults...)}
+		return Decision{Response: s.invalid(faults...)}
 	}
 	return Decision{Submit: &statemachine.Command{Op: statemachine.OpApply, Operator: call.Operator, Digest: call.Digest, BaseRevision: call.Base,
-		Revision: ident.Revision(parsed.Forward.Revision), Configuration: compression.Pack(whole), Compressed: true}}
+		Revision: ident.Revision(parsed.Forward.Revision), Configuration: compression.Compress(whole), Compressed: true}}
 }
 
 // After is the answer when the command was applied.
-func After(result statemachine.Result) operatorapi.Applying {
+func ResponseTo(result statemachine.Result) operatorapi.ApplyResponse {
 	switch result.Outcome {
 	case statemachine.Done:
-		return operatorapi.Applying{Outcome: operatorapi.Applied, Revision: result.Revision, Epoch: result.Proposal.Version}
+		return operatorapi.ApplyResponse{Outcome: operatorapi.Applied, Revision: result.Revision, Version: result.Proposal.Version}
 	case statemachine.Conflict:
 		return conflict(result.Revision, result.Version)
 	case statemachine.Unproven:
 		return unproven(result.Revision, result.Version)
 	}
-	return operatorapi.Applying{Outcome: operatorapi.Invalid, Reason: result.Reason}
+	return operatorapi.ApplyResponse{Outcome: operatorapi.Invalid, Reason: result.Reason}
 }
 
-func conflict(revision ident.Revision, epoch ident.Version) operatorapi.Applying {
-	return operatorapi.Applying{Outcome: operatorapi.Conflicted, Revision: revision, Epoch: epoch, Reason: "another bundle is in force than the one this call builds on"}
+func conflict(revision ident.Revision, epoch ident.Version) operatorapi.ApplyResponse {
+	return operatorapi.ApplyResponse{Outcome: operatorapi.Conflicted, Revision: revision, Version: epoch, Reason: "another bundle is in force than the one this call builds on"}
 }
 
 // unproven is no clear answer: neither an acknowledgement nor a refusal could be proved.
-func unproven(revision ident.Revision, epoch ident.Version) operatorapi.Applying {
-	return operatorapi.Applying{Outcome: operatorapi.Unknown, Revision: revision, Epoch: epoch, Reason: "whether this call was taken is not known any more: read the bundle in force and build on that"}
+func unproven(revision ident.Revision, epoch ident.Version) operatorapi.ApplyResponse {
+	return operatorapi.ApplyResponse{Outcome: operatorapi.Unknown, Revision: revision, Version: epoch, Reason: "whether this call was taken is not known any more: read the bundle in force and build on that"}
 }
 
-func (s Standing) invalid(faults ...document.Fault) operatorapi.Applying {
-	return operatorapi.Applying{Outcome: operatorapi.Invalid, Revision: s.Revision, Epoch: s.Epoch, Faults: faults, Reason: "the bundle has faults"}
+func (s View) invalid(faults ...document.Fault) operatorapi.ApplyResponse {
+	return operatorapi.ApplyResponse{Outcome: operatorapi.Invalid, Revision: s.Revision, Version: s.Version, Faults: faults, Reason: "the bundle has faults"}
 }
 
 // workOut makes the whole bundle of a call that builds on the one in force, and finds its faults.
-func (s Standing) workOut(call operatorapi.Apply) (parsed *document.Spec, whole []byte, faults []document.Fault) {
+func (s View) buildConfiguration(call operatorapi.ApplyRequest) (parsed *document.Configuration, whole []byte, faults []document.Fault) {
 	if call.Patch != nil {
 		parsed, whole, faults = s.merge(call.Patch)
-	} else if read, err := document.Read(call.Whole); err != nil {
+	} else if read, err := document.ParseCommitted(call.Configuration); err != nil {
 		faults = []document.Fault{{Reason: err.Error()}}
 	} else {
-		parsed, whole = read, call.Whole
+		parsed, whole = read, call.Configuration
 	}
 	if len(faults) == 0 {
-		faults = parsed.Check()
+		faults = parsed.Validate()
 	}
 	switch {
 	case len(faults) > 0:
@@ -147,20 +147,20 @@
 }
 
 // merge makes the whole bundle that a patch makes of the one in force.
-func (s Standing) merge(patch *upstream.Patch) (*document.Spec, []byte, []document.Fault) {
-	nothing := func(reason string) (*document.Spec, []byte, []document.Fault) {
+func (s View) merge(patch *upstream.Patch) (*document.Configuration, []byte, []document.Fault) {
+	nothing := func(reason string) (*document.Configuration, []byte, []document.Fault) {
 		return nil, nil, []document.Fault{{Reason: reason}}
 	}
 	bundle, err := s.Bundle()
-	if err != nil || len(bundle.Spec) == 0 {
+	if err != nil || len(bundle.Configuration) == 0 {
 		return nothing("there is no bundle in force that this could change")
 	}
-	before, err := document.Read(bundle.Spec)
+	before, err := document.ParseCommitted(bundle.Configuration)
 	if err != nil || before.Forward == nil {
 		return nothing("the bundle in force has no part that this could change")
 	}
 	var faults []document.Fault
-	patch.Check(func(path, reason string) { faults = append(faults, document.Fault{Path: path, Reason: reason}) })
+	patch.Validate(func(path, reason string) { faults = append(faults, document.Fault{Path: path, Reason: reason}) })
 	if len(faults) > 0 {
 		return nil, nil, faults
 	}
--- a/process/rollout/rollout.go
+++ b/process/rollout/rollout.go
@@ -36,7 +36,7 @@
 )
 
 // SpecChange and ClosureChange name changes for the tracer.
-func SpecChange(epoch ident.Version) string { return fmt.Sprintf("spec:%d", epoch) }
+func ConfigurationChange(epoch ident.Version) string { return fmt.Sprintf("spec:%d", epoch) }
 
 // ClosureChange names one epoch of the closures.
 func ClosureChange(epoch ident.Version) string { return fmt.Sprintf("closure:%d", epoch) }
@@ -44,33 +44,33 @@
 // mostPastBytes bounds the bundles kept for recall, mostPackedBytes those among them that came packed: they
 // are put in force in one step, come often, and the group itself keeps the newest.
 const (
-	mostPastBytes   = 64 << 20
-	mostPackedBytes = 4 << 20
+	maxPastBytes           = 64 << 20
+	maxCompressedPastBytes = 4 << 20
 )
 
 // mostSteps is how many steps are remembered.
-const mostSteps = 48
+const maxSteps = 48
 
 // Keeper is the actor that holds what is in force.
-type Keeper struct {
-	box   *actor.Mailbox[offer]
-	wall  func() time.Time
-	table atomic.Pointer[routingtable.Table]
-	steps atomic.Pointer[[]Step]
+type Manager struct {
+	mailbox *actor.Mailbox[offer]
+	wall    func() time.Time
+	table   atomic.Pointer[routingtable.Table]
+	steps   atomic.Pointer[[]Step]
 	// early holds closures learned before any spec.
-	early closure.Set
+	closuresBeforeTable closure.Set
 	// past holds the bundles that were in force here, so that a lost group's can be recalled.
-	past                   sync.Map
-	pastBytes, packedBytes int
+	past                       sync.Map
+	pastBytes, compressedBytes int
 	// dropped is the newest epoch that was dropped for want of room: it and all before are not kept.
-	dropped atomic.Uint64
+	droppedVersion atomic.Uint64
 	// Refused counts offers that were garbage or that differ from what has the same epoch.
-	Refused atomic.Uint64
-	onSwap  func()
+	Rejected atomic.Uint64
+	onSwap   func()
 }
 
 type offer struct {
-	epoch    ident.Version
+	version  ident.Version
 	bundle   compression.Bundle
 	closures *closure.Set
 	// past says that it was in force before, and is only to be remembered.
@@ -79,20 +79,20 @@
 }
 
 // New makes a keeper; onSwap is called after each change that is in force.
-func New(wall func() time.Time, onSwap func()) *Keeper {
-	k := &Keeper{box: actor.NewMailbox[offer](64), wall: wall, onSwap: onSwap}
+func New(wall func() time.Time, onSwap func()) *Manager {
+	k := &Manager{mailbox: actor.NewMailbox[offer](64), wall: wall, onSwap: onSwap}
 	k.steps.Store(&[]Step{})
 	return k
 }
 
 // Run runs the actor.
-func (k *Keeper) Run(ctx context.Context) { k.box.Run(ctx, 0, k.take, nil) }
+func (k *Manager) Run(ctx context.Context) { k.mailbox.Run(ctx, 0, k.handle, nil) }
 
 // Table is what is in force, or nil.
-func (k *Keeper) Table() *routingtable.Table { return k.table.Load() }
+func (k *Manager) Table() *routingtable.Table { return k.table.Load() }
 
 // Recall gives a bundle that was in force here in this life.
-func (k *Keeper) Recall(epoch ident.Version) ([]byte, bool) {
+func (k *Manager) Past(epoch ident.Version) ([]byte, bool) {
 	found, known := k.past.Load(epoch)
 	if !known {
 		return nil, false
@@ -102,131 +102,133 @@
 }
 
 // Steps lists what was done lately.
-func (k *Keeper) Steps() []Step { return *k.steps.Load() }
+func (k *Manager) Steps() []Step { return *k.steps.Load() }
 
 // Offer hands in what was learned; either part may be empty. It returns when the offer is in force or passed by.
-func (k *Keeper) Offer(epoch ident.Version, bundle compression.Bundle, closures *closure.Set) {
-	k.send(offer{epoch: epoch, bundle: bundle, closures: closures})
+func (k *Manager) Offer(epoch ident.Version, bundle compression.Bundle, closures *closure.Set) {
+	k.send(offer{version: epoch, bundle: bundle, closures: closures})
 }
 
 // Remember hands in a bundle that was in force before this life began.
-func (k *Keeper) Remember(epoch ident.Version, raw []byte) {
-	k.send(offer{epoch: epoch, bundle: compression.Bundle{Data: raw}, past: true})
+func (k *Manager) RememberPast(epoch ident.Version, raw []byte) {
+	k.send(offer{version: epoch, bundle: compression.Bundle{Data: raw}, past: true})
 }
 
 // Lacks says whether an earlier bundle would be kept if it were handed in.
-func (k *Keeper) Lacks(epoch ident.Version) bool { return uint64(epoch) > k.dropped.Load() }
+func (k *Manager) RetainsPast(epoch ident.Version) bool {
+	return uint64(epoch) > k.droppedVersion.Load()
+}
 
-func (k *Keeper) send(o offer) {
+func (k *Manager) send(o offer) {
 	o.done = make(chan struct{})
-	if !k.box.Send(o) {
+	if !k.mailbox.Send(o) {
 		return
 	}
 	select {
 	case <-o.done:
-	case <-k.box.Done():
+	case <-k.mailbox.Done():
 	}
 }
 
 // keep remembers a bundle, and drops the oldest ones where they grow too many.
-func (k *Keeper) keep(epoch ident.Version, bundle compression.Bundle) {
+func (k *Manager) retain(epoch ident.Version, bundle compression.Bundle) {
 	if _, known := k.past.LoadOrStore(epoch, bundle); known {
 		return
 	}
 	k.count(bundle, 1)
-	for k.pastBytes > mostPastBytes || k.packedBytes > mostPackedBytes && epoch > k.oldest(epoch) {
+	for k.pastBytes > maxPastBytes || k.compressedBytes > maxCompressedPastBytes && epoch > k.oldest(epoch) {
 		oldest := k.oldest(epoch)
 		dropped, _ := k.past.LoadAndDelete(oldest)
 		k.count(dropped.(compression.Bundle), -1)
-		k.dropped.Store(max(k.dropped.Load(), uint64(oldest)))
+		k.droppedVersion.Store(max(k.droppedVersion.Load(), uint64(oldest)))
 	}
 }
 
-func (k *Keeper) count(bundle compression.Bundle, sign int) {
+func (k *Manager) count(bundle compression.Bundle, sign int) {
 	k.pastBytes += sign * len(bundle.Data)
-	if bundle.Packed {
-		k.packedBytes += sign * len(bundle.Data)
+	if bundle.Compressed {
+		k.compressedBytes += sign * len(bundle.Data)
 	}
 }
 
-func (k *Keeper) oldest(epoch ident.Version) ident.Version {
+func (k *Manager) oldest(epoch ident.Version) ident.Version {
 	k.past.Range(func(key, _ any) bool { epoch = min(epoch, key.(ident.Version)); return true })
 	return epoch
 }
 
-func (k *Keeper) note(change, step string) {
+func (k *Manager) recordStep(change, step string) {
 	old := *k.steps.Load()
-	if len(old) >= mostSteps {
-		old = old[len(old)-mostSteps+1:]
+	if len(old) >= maxSteps {
+		old = old[len(old)-maxSteps+1:]
 	}
 	next := append(append(make([]Step, 0, len(old)+1), old...), Step{change, step, k.wall()})
 	k.steps.Store(&next)
 }
 
-func (k *Keeper) take(o offer) {
+func (k *Manager) handle(o offer) {
 	defer close(o.done)
 	if o.past {
-		k.keep(o.epoch, o.bundle)
+		k.retain(o.version, o.bundle)
 		return
 	}
 	held := k.table.Load()
 	next := held
 	var changes []string
-	if o.epoch > 0 && len(o.bundle.Data) > 0 {
+	if o.version > 0 && len(o.bundle.Data) > 0 {
 		switch {
-		case held != nil && o.epoch < held.Epoch:
+		case held != nil && o.version < held.Version:
 			// An older spec is never taken, whoever offers it.
-		case held != nil && o.epoch == held.Epoch:
-			k.compare(held, o.bundle)
+		case held != nil && o.version == held.Version:
+			k.checkDuplicate(held, o.bundle)
 		default:
-			change := SpecChange(o.epoch)
-			raw, parsed, err := read(o.bundle)
+			change := ConfigurationChange(o.version)
+			raw, parsed, err := parse(o.bundle)
 			if err != nil {
-				k.Refused.Add(1)
+				k.Rejected.Add(1)
 				return
 			}
-			k.note(change, Learned)
-			closures := k.early
+			k.recordStep(change, Learned)
+			closures := k.closuresBeforeTable
 			if held != nil {
 				closures = held.Closures
 			}
-			next = routingtable.Build(o.epoch, raw, parsed, closures)
+			next = routingtable.Build(o.version, raw, parsed, closures)
 			next.Bundle = o.bundle
-			k.note(change, Built)
+			k.recordStep(change, Built)
 			changes = append(changes, change)
 		}
 	}
-	if o.closures != nil && o.closures.Version > k.closureEpoch() {
+	if o.closures != nil && o.closures.Version > k.closureVersion() {
 		change := ClosureChange(o.closures.Version)
-		k.note(change, Learned)
+		k.recordStep(change, Learned)
 		if next != nil {
 			next = next.WithClosures(*o.closures)
 			changes = append(changes, change)
 		}
-		k.early = *o.closures
+		k.closuresBeforeTable = *o.closures
 	}
 	if next == held {
 		return
 	}
 	k.table.Store(next)
-	if next.Raw != nil && (held == nil || held.Epoch != next.Epoch) {
-		k.keep(next.Epoch, next.Bundle)
+	if next.Raw != nil && (held == nil || held.Version != next.Version) {
+		k.retain(next.Version, next.Bundle)
 	}
 	for _, change := range changes {
-		k.note(change, InForce)
+		k.recordStep(change, InForce)
 	}
 	k.onSwap()
 }
 
 // read makes a bundle of what was offered. One that is packed has been checked before it was committed; others
 // may be anything.
-func read(bundle compression.Bundle) ([]byte, *document.Spec, error) {
+func parse(bundle compression.Bundle) ([]byte, *document.Configuration, error) {
 	raw, err := bundle.Raw()
 	if err != nil {
 		return nil, nil, err
 	}
-	if bundle.Packed {
-		parsed, err := document.Read(raw)
+	if bundle.Compressed {
+		parsed, err := document.ParseCommitted(raw)
 		return raw, parsed, err
 	}
 	parsed, faults := document.Parse(raw)
@@ -237,20 +239,20 @@
 }
 
 // compare counts an offer that differs from what has the same epoch.
-func (k *Keeper) compare(held *routingtable.Table, offered compression.Bundle) {
-	if held.Bundle.Packed == offered.Packed && bytes.Equal(held.Bundle.Data, offered.Data) {
+func (k *Manager) checkDuplicate(held *routingtable.Table, offered compression.Bundle) {
+	if held.Bundle.Compressed == offered.Compressed && bytes.Equal(held.Bundle.Data, offered.Data) {
 		return
 	}
 	if raw, err := offered.Raw(); err != nil || !bytes.Equal(raw, held.Raw) {
-		k.Refused.Add(1)
+		k.Rejected.Add(1)
 	}
 }
 
-func (k *Keeper) closureEpoch() ident.Version {
+func (k *Manager) closureVersion() ident.Version {
 	if held := k.table.Load(); held != nil {
 		return held.Closures.Version
 	}
-	return k.early.Version
+	return k.closuresBeforeTable.Version
 }
 
 // EncodeClosures and DecodeClosures are the form in which closures travel between daemons.
--- a/process/rollout/rollout_test.go
+++ b/process/rollout/rollout_test.go
@@ -20,7 +20,7 @@
 
 // bundleOf is the bundle of an epoch; another variant is other bytes under the same number.
 func bundleOf(t testing.TB, epoch ident.Version, variant string) []byte {
-	raw, err := json.Marshal(document.Spec{Name: variant, Forward: &upstream.Section{Revision: uint64(epoch), Pools: []upstream.Pool{{Name: "p"}}}})
+	raw, err := json.Marshal(document.Configuration{Name: variant, Forward: &upstream.Section{Revision: uint64(epoch), Pools: []upstream.Pool{{Name: "p"}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,9 +30,9 @@
 // seen is what one observer saw in force, one after the other.
 type seen struct{ bundles, closures []ident.Version }
 
-func (s *seen) look(k *Keeper) {
+func (s *seen) look(k *Manager) {
 	if held := k.Table(); held != nil {
-		s.bundles, s.closures = append(s.bundles, held.Epoch), append(s.closures, held.Closures.Version)
+		s.bundles, s.closures = append(s.bundles, held.Version), append(s.closures, held.Closures.Version)
 	}
 }
 
@@ -46,10 +46,10 @@
 }
 
 // run starts a keeper that tells the observer of each change, and gives back how to end it.
-func run(observer *seen) (*Keeper, func()) {
+func run(observer *seen) (*Manager, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	var keeper *Keeper
+	var keeper *Manager
 	keeper = New(func() time.Time { return time.Time{} }, func() { observer.look(keeper) })
 	go func() { defer close(ended); keeper.Run(ctx) }()
 	return keeper, func() { cancel(); <-ended }
@@ -86,11 +86,11 @@
 					case offers[place]%7 == 0:
 						bundle.Data, closures = []byte("garbage"), nil
 					case offers[place]%2 == 0:
-						bundle = compression.Bundle{Data: compression.Pack(raw), Packed: true}
+						bundle = compression.Bundle{Data: compression.Compress(raw), Compressed: true}
 					}
 					keeper.Offer(epoch, bundle, closures)
 					readers[offerer].look(keeper)
-					if held := keeper.Table(); offers[place]%7 != 0 && epoch > 0 && (held == nil || held.Epoch < epoch) {
+					if held := keeper.Table(); offers[place]%7 != 0 && epoch > 0 && (held == nil || held.Version < epoch) {
 						t.Errorf("epoch %d was offered, and an older one is in force", epoch)
 					}
 				}
@@ -107,7 +107,7 @@
 		if newest == 0 {
 			return held == nil
 		}
-		return held != nil && held.Epoch == newest && held.Closures.Version == newestClosure
+		return held != nil && held.Version == newest && held.Closures.Version == newestClosure
 	}, gen.SliceOfN(40, gen.UInt8())))
 	properties.TestingRun(t)
 }
@@ -118,14 +118,14 @@
 	defer end()
 	first := bundleOf(t, 5, "first")
 	keeper.Offer(5, compression.Bundle{Data: first}, nil)
-	keeper.Offer(5, compression.Bundle{Data: compression.Pack(first), Packed: true}, nil)
-	if refused := keeper.Refused.Load(); refused != 0 {
+	keeper.Offer(5, compression.Bundle{Data: compression.Compress(first), Compressed: true}, nil)
+	if refused := keeper.Rejected.Load(); refused != 0 {
 		t.Errorf("%d refused of the same bytes", refused)
 	}
 	keeper.Offer(5, compression.Bundle{Data: bundleOf(t, 5, "second")}, nil)
 	keeper.Offer(4, compression.Bundle{Data: bundleOf(t, 4, "older")}, nil)
-	if held := keeper.Table(); string(held.Raw) != string(first) || held.Epoch != 5 || keeper.Refused.Load() != 1 {
-		t.Errorf("epoch %d, %s, %d refused", held.Epoch, held.Raw, keeper.Refused.Load())
+	if held := keeper.Table(); string(held.Raw) != string(first) || held.Version != 5 || keeper.Rejected.Load() != 1 {
+		t.Errorf("epoch %d, %s, %d refused", held.Version, held.Raw, keeper.Rejected.Load())
 	}
 }
 
@@ -133,16 +133,16 @@
 func TestWhatIsRememberedIsNotInForce(t *testing.T) {
 	keeper, end := run(&seen{})
 	defer end()
-	keeper.Remember(9, bundleOf(t, 9, "earlier"))
+	keeper.RememberPast(9, bundleOf(t, 9, "earlier"))
 	if keeper.Table() != nil {
 		t.Error("what was only remembered is in force")
 	}
 	keeper.Offer(3, compression.Bundle{Data: bundleOf(t, 3, "now")}, nil)
-	keeper.Remember(10, bundleOf(t, 10, "earlier"))
-	if held := keeper.Table(); held == nil || held.Epoch != 3 {
+	keeper.RememberPast(10, bundleOf(t, 10, "earlier"))
+	if held := keeper.Table(); held == nil || held.Version != 3 {
 		t.Errorf("%+v", held)
 	}
-	if raw, known := keeper.Recall(10); !known || string(raw) != string(bundleOf(t, 10, "earlier")) {
+	if raw, known := keeper.Past(10); !known || string(raw) != string(bundleOf(t, 10, "earlier")) {
 		t.Error("it can't be recalled")
 	}
 }
--- a/process/workerid/snowflake/snowflake.go
+++ b/process/workerid/snowflake/snowflake.go
@@ -16,7 +16,7 @@
 	timeBits     = 41
 	sequenceMask = 1<<sequenceBits - 1
 	// Epoch is the fixed moment from which the time bits count: 2024-01-01 UTC.
-	Epoch ident.GroupTime = 1704067200000
+	BaseTime ident.GroupTime = 1704067200000
 )
 
 // Outcome is the outcome of one minting.
@@ -24,30 +24,30 @@
 
 const (
 	// Minted says that an id was given.
-	Minted Outcome = "minted"
+	Generated Outcome = "minted"
 	// NoLease says that no lease is held, or that it has lapsed.
 	NoLease Outcome = "no-tenure"
 	// Backward says that the clock went back or stands at or below the floor.
-	Backward Outcome = "backward"
+	ClockBackward Outcome = "backward"
 	// OutOfBits says that the time no longer fits.
-	OutOfBits Outcome = "out-of-bits"
+	TimeOverflow Outcome = "out-of-bits"
 )
 
 // window is what a grant allows; it is replaced whole.
-type window struct {
+type leaseWindow struct {
 	worker ident.WorkerID
 	// base is the group's time at mark, as given by the grant.
-	base ident.GroupTime
-	mark clock.Mark
+	grantedTime ident.GroupTime
+	grantedAt   clock.Mark
 	// floor and ceiling bound the timestamps; both ends are shut.
-	floor, ceiling ident.GroupTime
+	floor, latest ident.GroupTime
 	// until is when minting stops on the holder's own clock.
-	until clock.Mark
+	expiry clock.Mark
 }
 
 // at is the group's time as this window carries it on.
-func (w *window) at(now clock.Mark) ident.GroupTime {
-	return w.base + ident.GroupTime(now.Since(w.mark)/time.Millisecond)
+func (w *leaseWindow) groupTime(now clock.Mark) ident.GroupTime {
+	return w.grantedTime + ident.GroupTime(now.Since(w.grantedAt)/time.Millisecond)
 }
 
 // Generator mints ids while a lease lasts. Its clock is the group's time carried on by the
@@ -55,10 +55,10 @@
 type Generator struct {
 	clock  clock.Clock
 	margin time.Duration
-	window atomic.Pointer[window]
+	lease  atomic.Pointer[leaseWindow]
 	// last packs the last timestamp and sequence given out.
-	last     atomic.Uint64
-	refusals atomic.Uint64
+	last       atomic.Uint64
+	rejections atomic.Uint64
 }
 
 // New makes a generator; margin is taken off the end of each lease for clock-rate error.
@@ -68,86 +68,86 @@
 
 // Take takes up a grant. asked is read from the clock before the request was sent, so the
 // holder's lease never outlasts the group's.
-func (g *Generator) Take(grant workerid.Grant, asked clock.Mark) {
+func (g *Generator) SetLease(grant workerid.Grant, asked clock.Mark) {
 	span := time.Duration(grant.LeaseExpiry-grant.Now) * time.Millisecond
-	next := &window{
-		worker: grant.WorkerID, base: grant.Now, mark: asked,
-		floor: grant.Floor, ceiling: grant.LeaseExpiry, until: asked + clock.Mark(span-g.margin),
+	next := &leaseWindow{
+		worker: grant.WorkerID, grantedTime: grant.Now, grantedAt: asked,
+		floor: grant.Floor, latest: grant.LeaseExpiry, expiry: asked + clock.Mark(span-g.margin),
 	}
-	if held := g.window.Load(); held != nil {
+	if held := g.lease.Load(); held != nil {
 		if held.worker != grant.WorkerID {
 			// Another worker id starts another sequence of ids; the old one's last must not hold it back.
 			g.last.Store(0)
 		} else {
 			// The group's time may lag the holder's after an election; the holder's own goes on, bounded by the ceiling.
-			next.base = max(next.base, held.at(asked))
+			next.grantedTime = max(next.grantedTime, held.groupTime(asked))
 		}
 	}
-	g.window.Store(next)
+	g.lease.Store(next)
 }
 
 // Drop forgets the lease and gives the last timestamp minted under it.
-func (g *Generator) Drop() (ident.WorkerID, ident.GroupTime, bool) {
-	held := g.window.Swap(nil)
+func (g *Generator) ReleaseLease() (ident.WorkerID, ident.GroupTime, bool) {
+	held := g.lease.Swap(nil)
 	if held == nil {
 		return 0, 0, false
 	}
-	return held.worker, ident.GroupTime(g.last.Load()>>sequenceBits) + Epoch, true
+	return held.worker, ident.GroupTime(g.last.Load()>>sequenceBits) + BaseTime, true
 }
 
 // Held says whether a lease is held that has not lapsed on this machine's clock.
-func (g *Generator) Held() bool {
-	held := g.window.Load()
-	return held != nil && g.clock.Elapsed() < held.until
+func (g *Generator) HasLease() bool {
+	held := g.lease.Load()
+	return held != nil && g.clock.Elapsed() < held.expiry
 }
 
 // Worker is the worker id held, if any.
-func (g *Generator) Worker() (ident.WorkerID, bool) {
-	held := g.window.Load()
-	if held == nil || g.clock.Elapsed() >= held.until {
+func (g *Generator) WorkerID() (ident.WorkerID, bool) {
+	held := g.lease.Load()
+	if held == nil || g.clock.Elapsed() >= held.expiry {
 		return 0, false
 	}
 	return held.worker, true
 }
 
 // Ceiling is the latest timestamp that may be minted under the lease held.
-func (g *Generator) Ceiling() ident.GroupTime {
-	if held := g.window.Load(); held != nil {
-		return held.ceiling
+func (g *Generator) LatestTimestamp() ident.GroupTime {
+	if held := g.lease.Load(); held != nil {
+		return held.latest
 	}
 	return 0
 }
 
 // Refusals counts mintings that were refused.
-func (g *Generator) Refusals() uint64 { return g.refusals.Load() }
+func (g *Generator) Rejections() uint64 { return g.rejections.Load() }
 
 // Mint gives the next id, or why there is none.
-func (g *Generator) Mint() (ident.SnowflakeID, Outcome) {
+func (g *Generator) Next() (ident.SnowflakeID, Outcome) {
 	for {
-		held := g.window.Load()
+		held := g.lease.Load()
 		now := g.clock.Elapsed()
-		if held == nil || now >= held.until {
-			g.refusals.Add(1)
+		if held == nil || now >= held.expiry {
+			g.rejections.Add(1)
 			return 0, NoLease
 		}
-		at := held.at(now)
+		at := held.groupTime(now)
 		// Outside the window an id could meet one of another holder, so that is an error and not a wait.
-		if at <= held.floor || at > held.ceiling || at <= Epoch {
-			g.refusals.Add(1)
-			return 0, Backward
+		if at <= held.floor || at > held.latest || at <= BaseTime {
+			g.rejections.Add(1)
+			return 0, ClockBackward
 		}
-		stamp := uint64(at - Epoch)
+		stamp := uint64(at - BaseTime)
 		if stamp>>timeBits != 0 {
-			g.refusals.Add(1)
-			return 0, OutOfBits
+			g.rejections.Add(1)
+			return 0, TimeOverflow
 		}
 		last := g.last.Load()
 		lastStamp := last >> sequenceBits
 		next := stamp << sequenceBits
 		switch {
 		case stamp < lastStamp:
-			g.refusals.Add(1)
-			return 0, Backward
+			g.rejections.Add(1)
+			return 0, ClockBackward
 		case stamp == lastStamp:
 			if last&sequenceMask == sequenceMask {
 				// The millisecond is used up: spin into the next one.
@@ -159,16 +159,16 @@
 			continue
 		}
 		// The window may have been replaced or dropped meanwhile; only the one still in force vouches for the id.
-		if g.window.Load() != held {
+		if g.lease.Load() != held {
 			continue
 		}
-		return ident.SnowflakeID(stamp<<(workerBits+sequenceBits) | uint64(held.worker)<<sequenceBits | next&sequenceMask), Minted
+		return ident.SnowflakeID(stamp<<(workerBits+sequenceBits) | uint64(held.worker)<<sequenceBits | next&sequenceMask), Generated
 	}
 }
 
 // Parts takes an id apart.
-func Parts(id ident.SnowflakeID) (at ident.GroupTime, worker ident.WorkerID, sequence int) {
+func Decompose(id ident.SnowflakeID) (at ident.GroupTime, worker ident.WorkerID, sequence int) {
 	raw := uint64(id)
-	return ident.GroupTime(raw>>(workerBits+sequenceBits)) + Epoch,
+	return ident.GroupTime(raw>>(workerBits+sequenceBits)) + BaseTime,
 		ident.WorkerID(raw >> sequenceBits & (1<<workerBits - 1)), int(raw & sequenceMask)
 }
--- a/process/workerid/workerid.go
+++ b/process/workerid/workerid.go
@@ -60,7 +60,7 @@
 }
 
 // Rebuild remakes the expiry heap after the table was read from a snapshot.
-func (t *Table) Rebuild() {
+func (t *Table) RebuildExpiries() {
 	t.expiries = t.expiries[:0]
 	for _, lease := range t.Leases {
 		t.expiries = append(t.expiries, expiry{lease.LeaseExpiry, lease.WorkerID})
@@ -92,7 +92,7 @@
 
 // Renew moves the expiry of a lease that this daemon holds.
 func (t *Table) Renew(node ident.NodeID, worker ident.WorkerID, now ident.GroupTime, span time.Duration) (Grant, LeaseOutcome) {
-	lease, held := t.holder(node, worker)
+	lease, held := t.leaseOf(node, worker)
 	if !held || lease.LeaseExpiry <= now {
 		return Grant{}, Mismatch
 	}
@@ -103,7 +103,7 @@
 
 // Release ends a lease early; last is the last timestamp that was minted under it.
 func (t *Table) Release(node ident.NodeID, worker ident.WorkerID, last ident.GroupTime) LeaseOutcome {
-	lease, held := t.holder(node, worker)
+	lease, held := t.leaseOf(node, worker)
 	if !held {
 		return Mismatch
 	}
@@ -127,11 +127,11 @@
 }
 
 // Due says whether Reclaim would find anything.
-func (t *Table) Due(now ident.GroupTime) bool {
+func (t *Table) HasExpired(now ident.GroupTime) bool {
 	return len(t.expiries) > 0 && t.expiries[0].at <= now
 }
 
-func (t *Table) holder(node ident.NodeID, worker ident.WorkerID) (Lease, bool) {
+func (t *Table) leaseOf(node ident.NodeID, worker ident.WorkerID) (Lease, bool) {
 	known, ok := t.Nodes[node]
 	if !ok || known != worker {
 		return Lease{}, false
--- a/request/dispatch/core.go
+++ b/request/dispatch/core.go
@@ -68,7 +68,7 @@
 func (c *Core) Step(world World, event Event) Effects {
 	c.world, c.out = world, Effects{}
 	if world.Table != nil {
-		c.Budget.SetShare(world.Table.Spec.Limits.RetryShare)
+		c.Budget.SetShare(world.Table.Configuration.Limits.MaxRetryRatio)
 	}
 	switch e := event.(type) {
 	case Arrive:
--- a/request/dispatch/core_test.go
+++ b/request/dispatch/core_test.go
@@ -17,15 +17,15 @@
 
 // world is one engine that holds model m, in a spec that allows it.
 func world(now clock.Mark, minted bool) World {
-	s := &document.Spec{Name: "x", Zones: []document.Zone{{Name: "z"}}, Engines: []document.Engine{{ID: "e", Zone: "z", Room: 10, Slots: 1}},
-		Models: []document.Model{{Name: "m", Size: 5}}, Routes: []document.Route{{Name: "r", House: "h", Models: []string{"m"}}},
-		Limits: document.Limits{MostHeld: 10, MostHeldBytes: 1000, RetryShare: 0.1, SeatIdleMs: 60000}}
+	s := &document.Configuration{Name: "x", Zones: []document.Zone{{Name: "z"}}, Engines: []document.Engine{{ID: "e", Zone: "z", Capacity: 10, Slots: 1}},
+		Models: []document.Model{{Name: "m", Size: 5}}, Routes: []document.Route{{Name: "r", Tenant: "h", Models: []string{"m"}}},
+		Limits: document.Limits{MaxPending: 10, MaxPendingBytes: 1000, MaxRetryRatio: 0.1, AssignmentIdleMs: 60000}}
 	return World{Now: now, Table: routingtable.Build(1, nil, s, closure.Set{}), Zone: "z",
 		Engines: &discovery.View{Engines: map[ident.EngineID]*discovery.Engine{"e": {ID: "e", Zone: "z", Condition: discovery.Healthy, ReportRequested: now,
 			Report: engineapi.Report{Models: []engineapi.ModelReport{{Model: "m", State: engineapi.Loaded}}}}}},
 		Mint: func() (ident.SnowflakeID, snowflake.Outcome) {
 			if minted {
-				return 1, snowflake.Minted
+				return 1, snowflake.Generated
 			}
 			return 0, snowflake.NoLease
 		}}
@@ -151,8 +151,8 @@
 	w := world(start, true)
 	w.ShareAssignments = true
 	// Two engines hold the model; the owner says that the session is assigned to the one that would not be picked.
-	s := w.Table.Spec
-	s.Engines = append(s.Engines, document.Engine{ID: "f", Zone: "z", Room: 10, Slots: 1})
+	s := w.Table.Configuration
+	s.Engines = append(s.Engines, document.Engine{ID: "f", Zone: "z", Capacity: 10, Slots: 1})
 	w.Table = routingtable.Build(1, nil, s, closure.Set{})
 	other := *w.Engines.Engines["e"]
 	other.ID = "f"
--- a/request/dispatch/ending.go
+++ b/request/dispatch/ending.go
@@ -65,7 +65,7 @@
 	if c.world.Table == nil {
 		return
 	}
-	idle := c.world.Table.SeatIdle()
+	idle := c.world.Table.AssignmentIdle()
 	for session, assignment := range c.assignments {
 		if assignment.Running == 0 && c.world.Now.Since(assignment.Used) > idle {
 			delete(c.assignments, session)
--- a/request/dispatch/queue.go
+++ b/request/dispatch/queue.go
@@ -9,8 +9,8 @@
 )
 
 func (c *Core) enqueue(record *Record) bool {
-	limits := c.world.Table.Spec.Limits
-	full := c.queuedCount >= limits.MostHeld || c.queuedBytes+int64(record.Bytes) > limits.MostHeldBytes ||
+	limits := c.world.Table.Configuration.Limits
+	full := c.queuedCount >= limits.MaxPending || c.queuedBytes+int64(record.Bytes) > limits.MaxPendingBytes ||
 		record.MaxQueued > 0 && c.queuedByRoute[record.Route] >= record.MaxQueued
 	if full && !c.giveWay(record) {
 		c.refuse(record, 429, "too much is held already", c.retryAfter())
@@ -20,7 +20,7 @@
 	if len(record.Stamps) <= record.Attempts {
 		stamp, answer := c.world.Mint()
 		// Queueing needs a lease on a worker id: without a stamp a replay could not be told from a fresh attempt.
-		if answer != snowflake.Minted {
+		if answer != snowflake.Generated {
 			c.refuse(record, 503, "no worker id is held here, so nothing can be held", time.Second)
 			return false
 		}
--- a/request/forwarding/choose.go
+++ b/request/forwarding/choose.go
@@ -354,8 +354,8 @@
 
 // connectionShare is this daemon's part of the connections that an engine takes.
 func connectionShare(pool *upstream.Pool, edges int) int {
-	if pool == nil || pool.MostConnections == 0 {
+	if pool == nil || pool.MaxConnections == 0 {
 		return 0
 	}
-	return max(1, pool.MostConnections/max(edges, 1))
+	return max(1, pool.MaxConnections/max(edges, 1))
 }
--- a/request/forwarding/core_test.go
+++ b/request/forwarding/core_test.go
@@ -45,7 +45,7 @@
 }
 
 func sectionOf(paths ...upstream.Path) *upstream.Index {
-	catalogue := &upstream.Catalogue{Slots: 64, MemoryTokens: 100_000, RoomMb: 100, AdapterPlaces: 4, LoadsPerSecond: 1,
+	catalogue := &upstream.Catalogue{Slots: 64, MemoryTokens: 100_000, CapacityMb: 100, AdapterSlots: 4, LoadsPerSecond: 1,
 		Models: []upstream.Model{{Name: "m", SizeMb: 10, LoadMs: 1500, Adapters: 3, AdapterSizeMb: 1}}}
 	return upstream.NewIndex(&upstream.Section{Revision: 1, Paths: paths, Pools: []upstream.Pool{{Name: "plain"}, {Name: "other"}, {Name: "batch", Catalogue: catalogue}}})
 }
@@ -159,7 +159,7 @@
 
 // What operators have closed gets nothing new, and what waits goes there as soon as it is open again.
 func TestAClosedEngineGetsNothingNew(t *testing.T) {
-	b := newBench(t, pathOf("p", upstream.Repeatable, "plain"))
+	b := newBench(t, pathOf("p", upstream.Idempotent, "plain"))
 	b.register(enginesOf("plain", 2, 6)...)
 	closed := map[ident.EngineID]bool{"plain-0": true}
 	world := func() World {
@@ -188,7 +188,7 @@
 }
 
 func TestWithoutALeaseNothingIsHeldOrTriedAgain(t *testing.T) {
-	b := newBench(t, pathOf("p", upstream.Repeatable, "plain"))
+	b := newBench(t, pathOf("p", upstream.Idempotent, "plain"))
 	b.lease = false
 	b.ended(b.admit("p"), fasthttp.StatusServiceUnavailable, NoLease)
 	b.register(enginesOf("plain", 2, 6)...)
@@ -323,7 +323,7 @@
 }
 
 func TestAnEnginesOwnFailureGoesOnUnlessItMayBeTriedElsewhere(t *testing.T) {
-	b := newBench(t, pathOf("again", upstream.Repeatable, "plain"), pathOf("once", upstream.Once, "plain"))
+	b := newBench(t, pathOf("again", upstream.Idempotent, "plain"), pathOf("once", upstream.Once, "plain"))
 	b.register(enginesOf("plain", 2, 6)...)
 	r := b.admit("once")
 	b.sent(r)
@@ -397,7 +397,7 @@
 		random := rand.New(rand.NewPCG(seed, 7))
 		resumable := pathOf("resume", upstream.Stream, "plain")
 		resumable.Resumable = true
-		paths := []upstream.Path{pathOf("once", upstream.Once, "plain"), pathOf("again", upstream.Repeatable, "plain", "other"), pathOf("stream", upstream.Stream, "batch"), resumable}
+		paths := []upstream.Path{pathOf("once", upstream.Once, "plain"), pathOf("again", upstream.Idempotent, "plain", "other"), pathOf("stream", upstream.Stream, "batch"), resumable}
 		for place := range paths {
 			paths[place].Attempts = 1 + random.IntN(3)
 			paths[place].Rank = random.IntN(3)
@@ -533,7 +533,7 @@
 			}
 			for _, r := range runs {
 				read(r)
-				if r.class != upstream.Repeatable && !(r.class == upstream.Stream && r.path.Resumable) && r.ran > 1 {
+				if r.class != upstream.Idempotent && !(r.class == upstream.Stream && r.path.Resumable) && r.ran > 1 {
 					fail(r, "ran twice")
 				}
 				if r.record.stage == Held && b.now > r.deadline {
@@ -655,7 +655,7 @@
 	path := pathOf("p", upstream.Once, "narrow")
 	b := newBench(t, path)
 	section := *b.index.Section
-	section.Pools = append(section.Pools, upstream.Pool{Name: "narrow", MostConnections: 10, Catalogue: &upstream.Catalogue{}})
+	section.Pools = append(section.Pools, upstream.Pool{Name: "narrow", MaxConnections: 10, Catalogue: &upstream.Catalogue{}})
 	b.index = upstream.NewIndex(&section)
 	b.edges = 3
 	b.register(engineOf("narrow", 0, 64))
@@ -815,7 +815,7 @@
 // TestNothingIsHeldOrTriedAgainForACallerThatLeftMeanwhile: that the caller left may be heard while an attempt is
 // under way whose sender has just reported how it ended.
 func TestNothingIsHeldOrTriedAgainForACallerThatLeftMeanwhile(t *testing.T) {
-	for _, class := range []upstream.Class{upstream.Once, upstream.Repeatable, upstream.Stream} {
+	for _, class := range []upstream.Class{upstream.Once, upstream.Idempotent, upstream.Stream} {
 		for outcome := HeldBack; outcome <= Failed; outcome++ {
 			b := newBench(t, pathOf("p", class, "plain"))
 			b.register(enginesOf("plain", 3, 4)...)
--- a/request/forwarding/move_test.go
+++ b/request/forwarding/move_test.go
@@ -19,9 +19,9 @@
 func moveBench(t *testing.T) *bench {
 	resumable := pathOf("resume", upstream.Stream, "plain")
 	resumable.Resumable = true
-	single := pathOf("single", upstream.Repeatable, "plain")
+	single := pathOf("single", upstream.Idempotent, "plain")
 	single.Attempts = 1
-	b := newBench(t, resumable, pathOf("stream", upstream.Stream, "plain"), pathOf("again", upstream.Repeatable, "plain"), pathOf("once", upstream.Once, "plain"), single)
+	b := newBench(t, resumable, pathOf("stream", upstream.Stream, "plain"), pathOf("again", upstream.Idempotent, "plain"), pathOf("once", upstream.Once, "plain"), single)
 	b.register(enginesOf("plain", 2, 64)...)
 	return b
 }
--- a/request/forwarding/record.go
+++ b/request/forwarding/record.go
@@ -136,7 +136,7 @@
 }
 
 // repeatable says whether the request may run more than once.
-func (r *Record) repeatable() bool { return r.Path != nil && r.Path.Class == upstream.Repeatable }
+func (r *Record) repeatable() bool { return r.Path != nil && r.Path.Class == upstream.Idempotent }
 
 // resumable says whether an answer that broke off may go on at another engine.
 func (r *Record) resumable() bool {
--- a/request/forwarding/routes_test.go
+++ b/request/forwarding/routes_test.go
@@ -10,7 +10,7 @@
 
 // TestWeightsAreKeptOverManyTries: each pool of a path gets about what its weight says, and the same try always the same.
 func TestWeightsAreKeptOverManyTries(t *testing.T) {
-	path := pathOf("p", upstream.Repeatable, "plain", "other", "batch")
+	path := pathOf("p", upstream.Idempotent, "plain", "other", "batch")
 	weights := map[string]int64{"plain": 90, "other": 10, "batch": 0}
 	for place := range path.Shares {
 		path.Shares[place].Weight = weights[path.Shares[place].Pool]
--- a/request/forwarding/unreached_test.go
+++ b/request/forwarding/unreached_test.go
@@ -82,7 +82,7 @@
 
 // TestAnUnreachableEngineStillCountsWhereModelsDoNot: on a plain pool a moment's rest is waited for.
 func TestAnUnreachableEngineStillCountsWhereModelsDoNot(t *testing.T) {
-	b := newBench(t, pathOf("p", upstream.Repeatable, "plain"))
+	b := newBench(t, pathOf("p", upstream.Idempotent, "plain"))
 	b.register(engineOf("plain", 0, 4))
 	first := b.admit("p")
 	b.sent(first)
--- a/request/forwarding/warm_test.go
+++ b/request/forwarding/warm_test.go
@@ -14,7 +14,7 @@
 		pool  string
 		model string
 	}{{"batch", "m"}, {"plain", ""}} {
-		b := newBench(t, pathOf("p", upstream.Repeatable, one.pool))
+		b := newBench(t, pathOf("p", upstream.Idempotent, one.pool))
 		b.core.meanTokens = 1_000
 		b.register(enginesOf(one.pool, 30, 64, one.model)...)
 		warm := ident.EngineID(one.pool + "-7")
--- a/testbed/checker/orders.go
+++ b/testbed/checker/orders.go
@@ -48,7 +48,7 @@
 func workerOf(stamp string) string {
 	var id ident.SnowflakeID
 	_, _ = fmt.Sscanf(stamp, "%d", &id)
-	_, worker, _ := snowflake.Parts(id)
+	_, worker, _ := snowflake.Decompose(id)
 	return fmt.Sprint(worker)
 }
 
--- a/testbed/deployment/deployment.go
+++ b/testbed/deployment/deployment.go
@@ -115,16 +115,16 @@
 
 // Grown makes a bundle with so many more routes, which nobody asks for.
 func (d Deployment) Grown(note string, without map[string]bool, extra int) []byte {
-	s := document.Spec{
+	s := document.Configuration{
 		Name:   d.Name + " " + note,
-		Store:  document.Store{LoadsAtOnce: LoadsAtOnce, LoadGapMs: LoadGap.Milliseconds()},
-		Limits: document.Limits{MostBodyBytes: 64 << 10, MostHeld: 400, MostHeldBytes: 16 << 20, MostDeadlineMs: 60000, SeatIdleMs: 20000, RetryShare: 0.1},
+		Store:  document.Store{MaxConcurrentLoads: LoadsAtOnce, LoadIntervalMs: LoadGap.Milliseconds()},
+		Limits: document.Limits{MaxBodyBytes: 64 << 10, MaxPending: 400, MaxPendingBytes: 16 << 20, MaxDeadlineMs: 60000, AssignmentIdleMs: 20000, MaxRetryRatio: 0.1},
 	}
 	for _, zone := range d.Zones {
 		s.Zones = append(s.Zones, document.Zone{Name: zone})
 	}
 	for i := range d.Engines {
-		s.Engines = append(s.Engines, document.Engine{ID: EngineID(i), Zone: d.EngineZone(i), Room: d.Room, AdapterPlaces: d.AdapterPlaces, Slots: d.Slots})
+		s.Engines = append(s.Engines, document.Engine{ID: EngineID(i), Zone: d.EngineZone(i), Capacity: d.Room, AdapterSlots: d.AdapterPlaces, Slots: d.Slots})
 	}
 	for i := range d.Models {
 		s.Models = append(s.Models, document.Model{Name: ModelName(i), Size: Size(i)})
@@ -136,7 +136,7 @@
 		if without[kind.Route] {
 			continue
 		}
-		route := document.Route{Name: kind.Route, House: kind.House, Worth: kind.Worth, Rank: kind.Rank}
+		route := document.Route{Name: kind.Route, Tenant: kind.House, Priority: kind.Worth, Rank: kind.Rank}
 		allowed := map[int]bool{}
 		for _, model := range d.ModelsFor(k) {
 			route.Models = append(route.Models, ModelName(model))
@@ -150,7 +150,7 @@
 		s.Routes = append(s.Routes, route)
 	}
 	for i := range extra {
-		s.Routes = append(s.Routes, document.Route{Name: fmt.Sprintf("grown-%06d", i), House: d.Kinds[0].House, Worth: int64(i % 100), Rank: i % 7, Models: []string{ModelName(i % d.Models)}})
+		s.Routes = append(s.Routes, document.Route{Name: fmt.Sprintf("grown-%06d", i), Tenant: d.Kinds[0].House, Priority: int64(i % 100), Rank: i % 7, Models: []string{ModelName(i % d.Models)}})
 	}
 	data, err := json.MarshalIndent(s, "", " ")
 	if err != nil {
--- a/testbed/endtoend/bundle_test.go
+++ b/testbed/endtoend/bundle_test.go
@@ -19,12 +19,12 @@
 )
 
 // forwarding is a bundle on opaque requests alone.
-func forwarding(revision uint64, paths int) document.Spec {
+func forwarding(revision uint64, paths int) document.Configuration {
 	section := &upstream.Section{Revision: revision, Pools: []upstream.Pool{{Name: "p"}, {Name: "q"}}}
 	for i := range paths {
 		section.Paths = append(section.Paths, path(fmt.Sprint("r", i), "p"))
 	}
-	return document.Spec{Name: "opaque", Forward: section}
+	return document.Configuration{Name: "opaque", Forward: section}
 }
 
 func path(name, pool string) upstream.Path {
@@ -113,7 +113,7 @@
 	return status, word
 }
 
-func (b *bench) newest() (read document.Spec) {
+func (b *bench) newest() (read document.Configuration) {
 	b.t.Helper()
 	status, _, data := b.clear("GET", "", nil)
 	if status != 200 {
@@ -198,7 +198,7 @@
 		t.Error("the loser again:", status, word)
 	}
 	for _, b := range group {
-		b.await("all have it in force", func() bool { return b.status().SpecEpoch == 3 })
+		b.await("all have it in force", func() bool { return b.status().ConfigurationVersion == 3 })
 	}
 }
 
--- a/testbed/endtoend/caller_test.go
+++ b/testbed/endtoend/caller_test.go
@@ -306,8 +306,8 @@
 // zone shuts or opens the engines' zone.
 func (b *bench) zone(closed bool) {
 	b.t.Helper()
-	base := b.status().ClosureEpoch
-	if status, word := b.answered(operatorapi.PathZone, encode(b.t, operatorapi.Zone{Zone: "here", Closed: &closed, Base: &base, Operator: "ana"})); status != 200 {
+	base := b.status().ClosureVersion
+	if status, word := b.answered(operatorapi.PathZone, encode(b.t, operatorapi.ZoneClosure{Zone: "here", Closed: &closed, Base: &base, Operator: "ana"})); status != 200 {
 		b.t.Fatal(status, word)
 	}
 }
@@ -404,7 +404,7 @@
 }
 
 func TestHoldingIsBounded(t *testing.T) {
-	b := start(t, func(s *document.Spec) { s.Limits.MostHeld = 5 }, engine.Config{Slots: 1, PieceTime: 20 * time.Millisecond})
+	b := start(t, func(s *document.Configuration) { s.Limits.MaxPending = 5 }, engine.Config{Slots: 1, PieceTime: 20 * time.Millisecond})
 	var wait sync.WaitGroup
 	outcomes := make(chan string, 40)
 	for i := range 40 {
@@ -438,7 +438,7 @@
 	// A stand-in that gets no processor frees a slot later than its last byte tells, and must refuse what comes for
 	// it. So the count is made again with a fresh one, three times in all: who floods does so each time.
 	for count := 1; ; count++ {
-		b := startAgain(t, func(s *document.Spec) { s.Engines[0].Slots = 4 }, engine.Config{Slots: 2, PieceTime: 5 * time.Millisecond})
+		b := startAgain(t, func(s *document.Configuration) { s.Engines[0].Slots = 4 }, engine.Config{Slots: 2, PieceTime: 5 * time.Millisecond})
 		var wait sync.WaitGroup
 		for i := range 12 {
 			wait.Add(1)
@@ -483,7 +483,7 @@
 	// The data folder is whole: another life serves the same epoch.
 	b.stop, b.hurry = make(chan struct{}), make(chan struct{})
 	b.run()
-	b.await("the next life serves", func() bool { return b.status().Ready && b.status().SpecEpoch == 1 })
+	b.await("the next life serves", func() bool { return b.status().Ready && b.status().ConfigurationVersion == 1 })
 	// What ran in the life before is forgotten, so for a while nothing is run that may not run twice.
 	if record := b.call("stopping-0", work()); record.Outcome != callerapi.Unknown || !record.RetryAfter {
 		t.Errorf("%+v", record)
--- a/testbed/endtoend/cutoff_test.go
+++ b/testbed/endtoend/cutoff_test.go
@@ -41,13 +41,13 @@
 	leader := leaderOf(p.core)
 	p.cut(leader, p.core)
 	yes := true
-	base := leader.status().ClosureEpoch
+	base := leader.status().ClosureVersion
 	for _, call := range []struct {
 		name, path string
 		body       any
 	}{
-		{"a closure of a zone that it does not know", operatorapi.PathZone, operatorapi.Zone{Zone: "nowhere", Closed: &yes, Base: &base, Operator: "ana"}},
-		{"a closure of one that it knows", operatorapi.PathZone, operatorapi.Zone{Zone: "there", Closed: &yes, Base: &base, Operator: "ana"}},
+		{"a closure of a zone that it does not know", operatorapi.PathZone, operatorapi.ZoneClosure{Zone: "nowhere", Closed: &yes, Base: &base, Operator: "ana"}},
+		{"a closure of one that it knows", operatorapi.PathZone, operatorapi.ZoneClosure{Zone: "there", Closed: &yes, Base: &base, Operator: "ana"}},
 	} {
 		if status, word, _ := leader.post(call.path, encode(t, call.body)); status != 503 {
 			t.Errorf("%s: %d %+v", call.name, status, word)
@@ -86,7 +86,7 @@
 	p := part(t, 3, nil)
 	leader := leaderOf(p.core)
 	rest := p.others(leader)
-	before := leader.status().ClosureEpoch
+	before := leader.status().ClosureVersion
 	p.cut(leader, p.core)
 	rest[0].await("another leads", func() bool { return leaderOf(rest) != nil })
 	fresh := p.add("fresh", []string{leader.reached}, nil)
@@ -95,10 +95,10 @@
 	for _, b := range append(slices.Clone(p.edges), fresh) {
 		b.await("it has the closure", func() bool {
 			status := b.status()
-			if b == fresh && status.Ready && status.ClosureEpoch <= before {
-				t.Fatalf("%s is ready with closures of epoch %d, and %d was replaced", b.name, status.ClosureEpoch, before)
+			if b == fresh && status.Ready && status.ClosureVersion <= before {
+				t.Fatalf("%s is ready with closures of epoch %d, and %d was replaced", b.name, status.ClosureVersion, before)
 			}
-			return status.ClosureEpoch > before
+			return status.ClosureVersion > before
 		})
 		if took, _ := acknowledged.took(); b != fresh && took > knownWithin {
 			t.Errorf("%s had the closure only %v after its acknowledgement", b.name, took)
@@ -107,5 +107,5 @@
 	fresh.await("it is ready", func() bool { return fresh.status().Ready })
 	leader.await("it says that it is stale", func() bool { return leader.counter("turned_stale") > 0 })
 	p.links.Heal()
-	leader.await("it has the closure once it is back", func() bool { return leader.status().ClosureEpoch > before })
+	leader.await("it has the closure once it is back", func() bool { return leader.status().ClosureVersion > before })
 }
--- a/testbed/endtoend/disk_test.go
+++ b/testbed/endtoend/disk_test.go
@@ -68,7 +68,7 @@
 		fulls[at].Store(false)
 		leader.await("it follows again", func() bool {
 			raft := leader.status().Raft
-			return raft != nil && raft.Voter && leader.status().ClosureEpoch == all[(at+2)%3].status().ClosureEpoch
+			return raft != nil && raft.Voter && leader.status().ClosureVersion == all[(at+2)%3].status().ClosureVersion
 		})
 	}
 	callers.stop()
@@ -129,7 +129,7 @@
 	lone.run()
 	lone.await("it is ready, with what came while it was away", func() bool {
 		status := lone.status()
-		return status.Ready && status.ClosureEpoch == all[1].status().ClosureEpoch && status.Raft != nil && status.Raft.Voter
+		return status.Ready && status.ClosureVersion == all[1].status().ClosureVersion && status.Raft != nil && status.Raft.Voter
 	})
 	// With the others' leader gone it is part of the next majority.
 	leader := leaderOf(all[:2])
@@ -154,7 +154,7 @@
 	all := several(t, 3, func(int) []daemon.Option { return nil }, waiting)
 	shut(all[0], true)
 	hurt := all[1]
-	before := hurt.status().ClosureEpoch
+	before := hurt.status().ClosureVersion
 	close(hurt.stop)
 	if err := <-hurt.ended; err != nil {
 		t.Fatal(err)
@@ -175,7 +175,7 @@
 	hurt.run()
 	hurt.await("it votes again", func() bool {
 		raft := hurt.status().Raft
-		return raft != nil && raft.Voter && hurt.status().ClosureEpoch >= before
+		return raft != nil && raft.Voter && hurt.status().ClosureVersion >= before
 	})
 	entries, err := os.ReadDir(hurt.data)
 	if err != nil {
--- a/testbed/endtoend/harness_test.go
+++ b/testbed/endtoend/harness_test.go
@@ -108,21 +108,21 @@
 	}
 }
 
-func testSpec(engines, slots int) document.Spec {
-	s := document.Spec{
+func testSpec(engines, slots int) document.Configuration {
+	s := document.Configuration{
 		Name: "bench", Zones: []document.Zone{{Name: "here"}, {Name: "there"}},
 		Models:   []document.Model{{Name: "m", Size: 10}, {Name: "other", Size: 10}},
 		Adapters: []document.Adapter{{Name: "a", Model: "m"}, {Name: "b", Model: "other"}},
 		Routes: []document.Route{
-			{Name: "r", House: "h", Worth: 10, Models: []string{"m"}, Adapters: []string{"a"}},
-			{Name: "high", House: "h", Worth: 90, Models: []string{"m"}},
-			{Name: "rival", House: "k", Worth: 10, Models: []string{"m"}},
+			{Name: "r", Tenant: "h", Priority: 10, Models: []string{"m"}, Adapters: []string{"a"}},
+			{Name: "high", Tenant: "h", Priority: 90, Models: []string{"m"}},
+			{Name: "rival", Tenant: "k", Priority: 10, Models: []string{"m"}},
 		},
-		Store:  document.Store{LoadsAtOnce: 4},
-		Limits: document.Limits{MostBodyBytes: 4096, MostHeld: 50, MostHeldBytes: 1 << 20, MostDeadlineMs: 30000, SeatIdleMs: 20000, RetryShare: 0.1},
+		Store:  document.Store{MaxConcurrentLoads: 4},
+		Limits: document.Limits{MaxBodyBytes: 4096, MaxPending: 50, MaxPendingBytes: 1 << 20, MaxDeadlineMs: 30000, AssignmentIdleMs: 20000, MaxRetryRatio: 0.1},
 	}
 	for i := range engines {
-		s.Engines = append(s.Engines, document.Engine{ID: ident.EngineID(fmt.Sprintf("e%d", i)), Zone: "here", Room: 25, AdapterPlaces: 4, Slots: slots})
+		s.Engines = append(s.Engines, document.Engine{ID: ident.EngineID(fmt.Sprintf("e%d", i)), Zone: "here", Capacity: 25, AdapterSlots: 4, Slots: slots})
 	}
 	return s
 }
@@ -137,14 +137,14 @@
 }
 
 // start brings up a daemon and its engines, rolls a bundle and waits until model m is held by all engines that should hold it.
-func start(t *testing.T, change func(*document.Spec), configs ...engine.Config) *bench {
+func start(t *testing.T, change func(*document.Configuration), configs ...engine.Config) *bench {
 	t.Helper()
 	t.Parallel()
 	return startAgain(t, change, configs...)
 }
 
 // startAgain does the same in a test that may have begun with another.
-func startAgain(t *testing.T, change func(*document.Spec), configs ...engine.Config) *bench {
+func startAgain(t *testing.T, change func(*document.Configuration), configs ...engine.Config) *bench {
 	t.Helper()
 	b := standIns(t, configs...)
 	if slices.ContainsFunc(configs, func(c engine.Config) bool { return c.Fault != "" }) {
@@ -252,7 +252,7 @@
 }
 
 // begin rolls the first bundle and waits until the engines hold what they should.
-func (b *bench) begin(change func(*document.Spec), configs ...engine.Config) {
+func (b *bench) begin(change func(*document.Configuration), configs ...engine.Config) {
 	b.t.Helper()
 	slots := 4
 	if len(configs) > 0 && configs[0].Slots > 0 {
@@ -359,7 +359,7 @@
 
 func (b *bench) propose(id string, base uint64, operator string, bundle []byte) (int, operatorapi.Error) {
 	b.t.Helper()
-	body, err := operatorapi.Propose{ProposalID: id, Base: ident.Version(base), Operator: operator, Spec: bundle}.Encode()
+	body, err := operatorapi.Propose{ProposalID: id, Base: ident.Version(base), Operator: operator, Configuration: bundle}.Encode()
 	if err != nil {
 		b.t.Fatal(err)
 	}
@@ -379,7 +379,7 @@
 
 func (b *bench) act(path, id, operator string) (int, operatorapi.Error) {
 	b.t.Helper()
-	return b.answered(path, encode(b.t, operatorapi.Act{ProposalID: id, Operator: operator}))
+	return b.answered(path, encode(b.t, operatorapi.ProposalAction{ProposalID: id, Operator: operator}))
 }
 
 func (b *bench) roll(id string, base uint64, bundle []byte) {
--- a/testbed/endtoend/leaving_test.go
+++ b/testbed/endtoend/leaving_test.go
@@ -97,7 +97,7 @@
 
 func leaves(i int) operatorapi.Registration {
 	r := registration(i, 100)
-	r.Leaving = true
+	r.Draining = true
 	return r
 }
 
@@ -105,7 +105,7 @@
 func (p *parted) knowBy(acknowledged span, id string, some []*bench) {
 	p.t.Helper()
 	for _, b := range some {
-		b.await("it knows that "+id+" leaves", func() bool { return b.condition(id) == operatorapi.EngineLeaving })
+		b.await("it knows that "+id+" leaves", func() bool { return b.condition(id) == operatorapi.EngineDraining })
 		if after, _ := acknowledged.took(); after > knownWithin {
 			p.t.Errorf("%s knew of %s only %v after the acknowledgement", b.name, id, after)
 		}
@@ -151,6 +151,6 @@
 	p.knowBy(begin(), "r2", append(append([]*bench{}, followers...), p.edges...))
 	p.links.Heal()
 	for _, id := range []string{"r0", "r1", "r2"} {
-		leader.await("it knows of "+id+" once it is back", func() bool { return leader.condition(id) == operatorapi.EngineLeaving })
+		leader.await("it knows of "+id+" once it is back", func() bool { return leader.condition(id) == operatorapi.EngineDraining })
 	}
 }
--- a/testbed/endtoend/linearizable_test.go
+++ b/testbed/endtoend/linearizable_test.go
@@ -95,7 +95,7 @@
 	noted := r.note(linearizability.Call{Client: who, Read: &linearizability.Read{}})
 	for range racerSendings {
 		status, _, data, _ := r.core[random.IntN(len(r.core))].bundleCall("GET", "", nil)
-		var bundle document.Spec
+		var bundle document.Configuration
 		if status != 200 || json.Unmarshal(data, &bundle) != nil || bundle.Forward == nil {
 			continue
 		}
@@ -280,8 +280,8 @@
 			t.Errorf("%s: %d", name, status)
 		}
 	}
-	if got := b.newest(); b.status().SpecEpoch != 1 || !same(t, got.Forward, forwarding(5, 1).Forward) {
-		t.Errorf("one of them changed something: epoch %d", b.status().SpecEpoch)
+	if got := b.newest(); b.status().ConfigurationVersion != 1 || !same(t, got.Forward, forwarding(5, 1).Forward) {
+		t.Errorf("one of them changed something: epoch %d", b.status().ConfigurationVersion)
 	}
 	// One on a base to come is refused, and stays so once that base is there.
 	ahead := encode(t, forwarding(12, 2))
