--- a/testbed/endtoend/machine_test.go
+++ b/testbed/endtoend/machine_test.go
@@ -115,8 +115,8 @@
 // shut closes or opens the second zone, as often as it takes until the group has taken it.
 func shut(b *bench, closed bool) {
 	b.await("the closure is committed", func() bool {
-		base := b.status().ClosureEpoch
-		status, _, _ := b.post(operatorapi.PathZone, encode(b.t, operatorapi.Zone{Zone: "there", Closed: &closed, Base: &base, Operator: "ana"}))
+		base := b.status().ClosureVersion
+		status, _, _ := b.post(operatorapi.PathZone, encode(b.t, operatorapi.ZoneClosure{Zone: "there", Closed: &closed, Base: &base, Operator: "ana"}))
 		return status == 200 || status == 202
 	})
 }
@@ -145,7 +145,7 @@
 		callers.goOn(10)
 		stalled.mutex.Unlock()
 		leader.await("the stalled member follows", func() bool {
-			return !leader.status().Raft.Stalled && leader.status().ClosureEpoch == all[2].status().ClosureEpoch
+			return !leader.status().Raft.Stalled && leader.status().ClosureVersion == all[2].status().ClosureVersion
 		})
 	}
 	callers.stop()
--- a/testbed/endtoend/opaque_test.go
+++ b/testbed/endtoend/opaque_test.go
@@ -59,7 +59,7 @@
 func (e *plainEngine) beat(b *bench, leaving bool) {
 	b.t.Helper()
 	e.seq++
-	word := operatorapi.Registration{Pool: "p", Address: e.address, Zone: "here", Slots: 20, CallSeq: e.seq, Leaving: leaving}
+	word := operatorapi.Registration{Pool: "p", Address: e.address, Zone: "here", Slots: 20, CallSeq: e.seq, Draining: leaving}
 	b.await(e.id+" is acknowledged", func() bool { status, _ := b.say("PUT", e.id, word); return status == 200 })
 }
 
@@ -86,7 +86,7 @@
 func TestOpaqueRequestsFollowBundlesAndEngines(t *testing.T) {
 	all := together(t, 3, true, func(int) []daemon.Option { return []daemon.Option{daemon.WithForwarding(dialect.Own())} })
 	bundle := forwarding(1, 2)
-	bundle.Forward.Paths[1].Class, bundle.Forward.Paths[1].Attempts = upstream.Repeatable, 3
+	bundle.Forward.Paths[1].Class, bundle.Forward.Paths[1].Attempts = upstream.Idempotent, 3
 	// An answer to what may be there somewhere is not that it is nowhere.
 	if status, _, _ := all[0].ask("/r0/x", "early"); status != 503 {
 		t.Error("before any bundle:", status)
@@ -146,7 +146,7 @@
 func TestAPlannedStopAnswersOpaqueRequests(t *testing.T) {
 	all := together(t, 3, true, func(int) []daemon.Option { return []daemon.Option{daemon.WithForwarding(dialect.Own())} })
 	b := all[1]
-	bundle := document.Spec{Name: "opaque", Forward: &upstream.Section{Revision: 1, Pools: []upstream.Pool{{Name: "p"}}, Paths: []upstream.Path{path("slow", "p")}}}
+	bundle := document.Configuration{Name: "opaque", Forward: &upstream.Section{Revision: 1, Pools: []upstream.Pool{{Name: "p"}}, Paths: []upstream.Path{path("slow", "p")}}}
 	bundle.Forward.Paths[0].DeadlineMs = 20_000
 	if status, word := b.acknowledged("PUT", 0, encode(t, bundle)); status != 200 {
 		t.Fatal(status, word)
--- a/testbed/endtoend/operator_test.go
+++ b/testbed/endtoend/operator_test.go
@@ -38,7 +38,7 @@
 	}
 	status, word := b.propose("p2", 0, "ana", bundle)
 	expect("a stale base", status, 409, word)
-	if word.Winner != "first" || word.Epoch != 1 {
+	if word.Winner != "first" || word.Version != 1 {
 		t.Errorf("the loser is not told the winner: %+v", word)
 	}
 	status, word = b.propose("p2", 7, "ana", bundle)
@@ -59,7 +59,7 @@
 	expect("the author's own sign-off", status, 403, word)
 	status, word = b.act(operatorapi.PathSign, "nothing", "berta")
 	expect("an unknown proposal", status, 404, word)
-	if now := b.status().SpecEpoch; now != 1 {
+	if now := b.status().ConfigurationVersion; now != 1 {
 		t.Errorf("epoch %d is in force", now)
 	}
 	status, word = b.propose("rival", 1, "eva", b.bundle)
@@ -72,13 +72,13 @@
 	expect("the same roll again", status, 200, word)
 	status, word = b.act(operatorapi.PathReview, "rival", "berta")
 	expect("the loser of the race", status, 409, word)
-	if now := b.status().SpecEpoch; now != 2 {
+	if now := b.status().ConfigurationVersion; now != 2 {
 		t.Errorf("epoch %d is in force after one roll asked for twice", now)
 	}
-	if _, back := b.get(operatorapi.PathSpec+"?epoch=2", nil); !bytes.Equal(back, bytes.TrimSpace(bundle)) {
+	if _, back := b.get(operatorapi.PathConfiguration+"?epoch=2", nil); !bytes.Equal(back, bytes.TrimSpace(bundle)) {
 		t.Error("the bundle does not read back byte for byte")
 	}
-	if _, back := b.get(operatorapi.PathSpec+"?epoch=1", nil); !bytes.Equal(back, b.bundle) {
+	if _, back := b.get(operatorapi.PathConfiguration+"?epoch=1", nil); !bytes.Equal(back, b.bundle) {
 		t.Error("the first bundle does not read back byte for byte")
 	}
 	var history []statemachine.Proposal
@@ -101,7 +101,7 @@
 	s.Models[0].Size = 0
 	s.Models = append(s.Models, s.Models[1])
 	s.Routes[0].Models = append(s.Routes[0].Models, "none")
-	s.Limits.RetryShare = 2
+	s.Limits.MaxRetryRatio = 2
 	status, word := b.propose("faulty", 1, "ana", encode(t, s))
 	if status != 400 {
 		t.Fatal(status, word)
@@ -128,7 +128,7 @@
 		}
 	}
 	for path, body := range map[string]string{
-		operatorapi.PathRoll: `{"proposalId":"x"}`, operatorapi.PathZone: `{"zone":"here","closed":true,"operator":"ana"}`, operatorapi.PathLost: `{"daemon":"","operator":"ana"}`, operatorapi.PathReview: `{`,
+		operatorapi.PathRoll: `{"proposalId":"x"}`, operatorapi.PathZone: `{"zone":"here","closed":true,"operator":"ana"}`, operatorapi.PathDeclareLost: `{"daemon":"","operator":"ana"}`, operatorapi.PathReview: `{`,
 		operatorapi.PathSign: `{"proposalId":5,"operator":"a"}`, operatorapi.PathDrain: `{"engine":"","draining":true,"operator":"a"}`,
 	} {
 		if status, word, _ := b.post(path, []byte(body)); status != 400 || word.Reason == "" {
@@ -137,14 +137,14 @@
 	}
 	for path, body := range map[string]string{
 		operatorapi.PathZone: `{"zone":"nowhere","closed":true,"base":0,"operator":"ana"}`, operatorapi.PathDrain: `{"engine":"none","draining":true,"base":0,"operator":"ana"}`,
-		operatorapi.PathLost: `{"daemon":"nobody#1","operator":"ana"}`,
+		operatorapi.PathDeclareLost: `{"daemon":"nobody#1","operator":"ana"}`,
 	} {
 		if status, word, _ := b.post(path, []byte(body)); status != 404 {
 			t.Errorf("%s %s: %d %+v", path, body, status, word)
 		}
 	}
-	if now := b.status(); now.SpecEpoch != 1 || now.ClosureEpoch != 0 {
-		t.Errorf("epochs %d and %d are in force", now.SpecEpoch, now.ClosureEpoch)
+	if now := b.status(); now.ConfigurationVersion != 1 || now.ClosureVersion != 0 {
+		t.Errorf("epochs %d and %d are in force", now.ConfigurationVersion, now.ClosureVersion)
 	}
 }
 
@@ -153,10 +153,10 @@
 func TestOfTwoClosuresOnOneBaseOneLoses(t *testing.T) {
 	b := start(t, nil, engine.Config{})
 	shut := func(zone, operator string, closed bool, base ident.Version) (int, operatorapi.Error) {
-		return b.answered(operatorapi.PathZone, encode(t, operatorapi.Zone{Zone: ident.ZoneID(zone), Closed: &closed, Base: &base, Operator: operator}))
+		return b.answered(operatorapi.PathZone, encode(t, operatorapi.ZoneClosure{Zone: ident.ZoneID(zone), Closed: &closed, Base: &base, Operator: operator}))
 	}
 	for round := range 10 {
-		base := b.status().ClosureEpoch
+		base := b.status().ClosureVersion
 		statuses := make(chan int, 2)
 		for _, operator := range []string{"ana", "berta"} {
 			go func() {
@@ -167,7 +167,7 @@
 		if first, second := <-statuses, <-statuses; first+second != 200+409 {
 			t.Fatalf("round %d: %d and %d", round, first, second)
 		}
-		now := b.status().ClosureEpoch
+		now := b.status().ClosureVersion
 		if now != base+1 {
 			t.Fatalf("round %d: from epoch %d to %d", round, base, now)
 		}
--- a/testbed/endtoend/order_test.go
+++ b/testbed/endtoend/order_test.go
@@ -125,13 +125,13 @@
 	var revision uint64
 	o.core[0].await("all have the same in force", func() bool {
 		status, _, data, _ := o.core[0].bundleCall("GET", "", nil)
-		var read document.Spec
+		var read document.Configuration
 		if status != 200 || json.Unmarshal(data, &read) != nil {
 			return false
 		}
 		revision = read.Forward.Revision
 		for _, b := range o.core[1:] {
-			if b.status().SpecEpoch != o.core[0].status().SpecEpoch {
+			if b.status().ConfigurationVersion != o.core[0].status().ConfigurationVersion {
 				return false
 			}
 		}
@@ -166,8 +166,8 @@
 	if status, word := others[1].applied(5, rival); status != 409 || word.Revision != 6 {
 		t.Errorf("another on the same base: %d %+v", status, word)
 	}
-	if revision := o.settled(); revision != 6 || leader.status().SpecEpoch != 2 {
-		t.Errorf("revision %d is in force, as epoch %d", revision, leader.status().SpecEpoch)
+	if revision := o.settled(); revision != 6 || leader.status().ConfigurationVersion != 2 {
+		t.Errorf("revision %d is in force, as epoch %d", revision, leader.status().ConfigurationVersion)
 	}
 	if status, word := leader.applied(5, six); !taken(status) {
 		t.Error("the same order at the old leader:", status, word)
--- a/testbed/endtoend/registering_test.go
+++ b/testbed/endtoend/registering_test.go
@@ -60,7 +60,7 @@
 
 func registration(number int, callSeq uint64) operatorapi.Registration {
 	return operatorapi.Registration{Pool: "p", Address: fmt.Sprintf("10.0.0.%d:80", number), Zone: "here", Slots: 4, CallSeq: callSeq,
-		Models: []operatorapi.HeldModel{{Model: "m", Generation: 1, Adapters: []string{"a"}}}}
+		Models: []operatorapi.LoadedModel{{Model: "m", Generation: 1, Adapters: []string{"a"}}}}
 }
 
 func TestEnginesThatRegisterAreKnownEverywhereAndLeaveForGood(t *testing.T) {
@@ -80,9 +80,9 @@
 		everywhere(fmt.Sprint("r", i), operatorapi.EngineUsable)
 	}
 	leaving := registration(0, 2)
-	leaving.Leaving = true
+	leaving.Draining = true
 	all[1].leave("PUT", "r0", leaving)
-	everywhere("r0", operatorapi.EngineLeaving)
+	everywhere("r0", operatorapi.EngineDraining)
 	// What was told to one daemon, and acknowledged, is known to all that are in contact already. The
 	// acknowledgement waits for them no longer than its reach, so one that took so long says nothing: it is tried
 	// again with another engine.
@@ -92,14 +92,14 @@
 			t.Fatal(status, word)
 		}
 		everywhere(id, operatorapi.EngineUsable)
-		word.CallSeq, word.Leaving = 2, true
+		word.CallSeq, word.Draining = 2, true
 		asked := time.Now()
 		all[1].leave("PUT", id, word)
 		inTime := time.Since(asked) < leaveReach
 		held = true
 		for _, b := range all {
 			condition := b.condition(id)
-			held = held && condition == operatorapi.EngineLeaving
+			held = held && condition == operatorapi.EngineDraining
 			if !held && (inTime || number == 20) {
 				t.Fatalf("%s: %s is %q", b.name, id, condition)
 			}
@@ -113,7 +113,7 @@
 		b.leave("DELETE", fmt.Sprint("never-known-", i), nil)
 	}
 	all[2].leave("DELETE", "r1", nil)
-	everywhere("r1", operatorapi.EngineGone)
+	everywhere("r1", operatorapi.EngineRemoved)
 	for i, b := range all {
 		// Neither is taken up again, whoever is told.
 		if status, _ := b.say("PUT", "r1", registration(1, 99)); status != 200 {
@@ -135,7 +135,7 @@
 		}
 	}
 	// Who misses its beats is silent everywhere.
-	everywhere("r2", operatorapi.EngineSilent)
+	everywhere("r2", operatorapi.EngineUnresponsive)
 	if status, _ := all[0].say("PUT", "r2", registration(2, 2)); status != 200 {
 		t.Error(status)
 	}
@@ -150,7 +150,7 @@
 		"address":               func(r *operatorapi.Registration) { r.Address = "nowhere" },
 		"slots":                 func(r *operatorapi.Registration) { r.Slots = 0 },
 		"callSeq":               func(r *operatorapi.Registration) { r.CallSeq = 0 },
-		"coldMs":                func(r *operatorapi.Registration) { r.ColdMs = -1 },
+		"coldMs":                func(r *operatorapi.Registration) { r.SlowStartMs = -1 },
 		"models[0].model":       func(r *operatorapi.Registration) { r.Models[0].Model = "" },
 		"models[0].adapters[0]": func(r *operatorapi.Registration) { r.Models[0].Adapters[0] = "" },
 	} {
@@ -196,7 +196,7 @@
 		beat()
 		var heard operatorapi.RegisteredEngine
 		p.core[1].await("the beat is known to another", func() bool { heard = list(p.core[1]).Engines[0]; return heard.CallSeq == seq })
-		if heard.HeardMsAgo < soon {
+		if heard.LastContactMsAgo < soon {
 			inTime++
 		}
 		for _, b := range p.all() {
@@ -219,7 +219,7 @@
 	}
 	// Without beats it is silent, at those that route too.
 	for _, b := range p.all() {
-		b.await("r0 is silent", func() bool { return b.condition("r0") == operatorapi.EngineSilent })
+		b.await("r0 is silent", func() bool { return b.condition("r0") == operatorapi.EngineUnresponsive })
 	}
 }
 
--- a/testbed/endtoend/snapshot_test.go
+++ b/testbed/endtoend/snapshot_test.go
@@ -53,7 +53,7 @@
 		})
 		away.await("it votes with all that came meanwhile", func() bool {
 			status := away.status()
-			return status.Raft != nil && status.Raft.Voter && status.ClosureEpoch == all[0].status().ClosureEpoch
+			return status.Raft != nil && status.Raft.Voter && status.ClosureVersion == all[0].status().ClosureVersion
 		})
 		if away.counter("snapshots_taken") == 0 {
 			t.Errorf("it took no snapshot (wiped: %t)", wiped)
@@ -185,7 +185,7 @@
 // all that was closed.
 func again(t *testing.T, b *bench, wiped bool) time.Duration {
 	t.Helper()
-	wanted := b.status().ClosureEpoch
+	wanted := b.status().ClosureVersion
 	restart(t, b, func() {
 		if wiped {
 			if err := os.RemoveAll(b.data); err != nil {
@@ -196,7 +196,7 @@
 	began := machine.Elapsed()
 	b.await("it votes again", func() bool {
 		status := b.status()
-		return status.Raft != nil && status.Raft.Voter && status.ClosureEpoch >= wanted
+		return status.Raft != nil && status.Raft.Voter && status.ClosureVersion >= wanted
 	})
 	return machine.Elapsed().Since(began)
 }
--- a/testbed/interleaving/interleave_test.go
+++ b/testbed/interleaving/interleave_test.go
@@ -88,17 +88,17 @@
 // mintCase: one minter, a release, and the group that gives the same worker id to another at once.
 func mintCase(handIn bool) func() Case {
 	return func() Case {
-		start := snowflake.Epoch + 1_000_000
+		start := snowflake.BaseTime + 1_000_000
 		now := second
 		group := workerid.New()
 		var ids []ident.SnowflakeID
 		current := &yieldingClock{now: &now}
 		first := snowflake.New(switching{current}, 0)
 		grant, _ := group.Acquire("first", start, 30*time.Second)
-		first.Take(grant, now)
+		first.SetLease(grant, now)
 		second := snowflake.New(yieldingClock{now: &now}, 0)
 		mint := func(g *snowflake.Generator) {
-			if id, verdict := g.Mint(); verdict == snowflake.Minted {
+			if id, verdict := g.Next(); verdict == snowflake.Generated {
 				ids = append(ids, id)
 			}
 		}
@@ -111,7 +111,7 @@
 			}
 		}
 		handover := func(yield func()) {
-			worker, last, held := first.Drop()
+			worker, last, held := first.ReleaseLease()
 			if !held {
 				return
 			}
@@ -127,7 +127,7 @@
 				return
 			}
 			yield()
-			second.Take(grant, now)
+			second.SetLease(grant, now)
 			mint(second)
 			mint(second)
 		}
@@ -161,7 +161,7 @@
 // expiryCase: a holder mints while its tenure runs out and the group reclaims it for another.
 func expiryCase(margin time.Duration) func() Case {
 	return func() Case {
-		start := snowflake.Epoch + 1_000_000
+		start := snowflake.BaseTime + 1_000_000
 		now := second
 		span := 3 * time.Second
 		group := workerid.New()
@@ -172,12 +172,12 @@
 			// The broken holder believes its tenure to be longer than it is.
 			grant.LeaseExpiry += ident.GroupTime(-margin / time.Millisecond)
 		}
-		first.Take(grant, now)
+		first.SetLease(grant, now)
 		var ids []ident.SnowflakeID
 		minter := func(yield func()) {
 			for range 3 {
 				yield()
-				if id, verdict := first.Mint(); verdict == snowflake.Minted {
+				if id, verdict := first.Next(); verdict == snowflake.Generated {
 					ids = append(ids, id)
 				}
 			}
@@ -190,8 +190,8 @@
 				if verdict != workerid.Granted || grant.WorkerID != 0 {
 					continue
 				}
-				next.Take(grant, now)
-				if id, verdict := next.Mint(); verdict == snowflake.Minted {
+				next.SetLease(grant, now)
+				if id, verdict := next.Next(); verdict == snowflake.Generated {
 					ids = append(ids, id)
 				}
 			}
@@ -213,10 +213,10 @@
 }
 
 func bench(zoneShut bool) *routingtable.Table {
-	s := &document.Spec{
-		Name: "x", Zones: []document.Zone{{Name: "z"}}, Engines: []document.Engine{{ID: "e", Zone: "z", Room: 10, Slots: 1}},
-		Models: []document.Model{{Name: "m", Size: 5}}, Routes: []document.Route{{Name: "r", House: "h", Models: []string{"m"}}},
-		Limits: document.Limits{MostHeld: 10, MostHeldBytes: 1000, RetryShare: 0.1, SeatIdleMs: 1000},
+	s := &document.Configuration{
+		Name: "x", Zones: []document.Zone{{Name: "z"}}, Engines: []document.Engine{{ID: "e", Zone: "z", Capacity: 10, Slots: 1}},
+		Models: []document.Model{{Name: "m", Size: 5}}, Routes: []document.Route{{Name: "r", Tenant: "h", Models: []string{"m"}}},
+		Limits: document.Limits{MaxPending: 10, MaxPendingBytes: 1000, MaxRetryRatio: 0.1, AssignmentIdleMs: 1000},
 	}
 	closures := closure.Set{Zones: map[ident.ZoneID]closure.Record{}}
 	if zoneShut {
@@ -252,7 +252,7 @@
 func (r *router) step(event dispatch.Event) {
 	effects := r.core.Step(dispatch.World{Now: r.now, Table: r.table, Engines: engineView(), Zone: "z", Mint: func() (ident.SnowflakeID, snowflake.Outcome) {
 		r.stamp++
-		return r.stamp, snowflake.Minted
+		return r.stamp, snowflake.Generated
 	}}, event)
 	for _, tell := range effects.Replies {
 		r.refused[tell.ID] = r.refused[tell.ID] || tell.Answer.Kind == dispatch.Refused
--- a/testbed/interleaving/orders_test.go
+++ b/testbed/interleaving/orders_test.go
@@ -73,13 +73,13 @@
 	order             statemachine.ApplyStatus
 }
 
-func keyOf(standing directapply.Standing, call operatorapi.Apply) standingKey {
-	key := standingKey{revision: standing.Revision, epoch: standing.Epoch, digest: call.Digest, base: call.Base, order: standing.Order}
+func keyOf(standing directapply.View, call operatorapi.ApplyRequest) standingKey {
+	key := standingKey{revision: standing.Revision, epoch: standing.Version, digest: call.Digest, base: call.Base, order: standing.Status}
 	if standing.Proposal != nil {
 		key.newest, key.bundle = standing.Proposal.ID, string(standing.Proposal.Configuration)
 	}
-	if standing.Taken != nil {
-		key.taken, key.takenEpoch = standing.Taken.ID, standing.Taken.Version
+	if standing.Committed != nil {
+		key.taken, key.takenEpoch = standing.Committed.ID, standing.Committed.Version
 	}
 	return key
 }
@@ -89,12 +89,12 @@
 type decisions map[standingKey]decided
 
 type decided struct {
-	standing directapply.Standing
-	call     operatorapi.Apply
+	standing directapply.View
+	call     operatorapi.ApplyRequest
 	decision directapply.Decision
 }
 
-func (d decisions) of(standing directapply.Standing, call operatorapi.Apply) directapply.Decision {
+func (d decisions) of(standing directapply.View, call operatorapi.ApplyRequest) directapply.Decision {
 	key := keyOf(standing, call)
 	known, again := d[key]
 	if !again {
@@ -115,10 +115,10 @@
 }
 
 // carry is one copy of a call at whoever leads, with a turn given up between each two of its steps.
-func carry(l *orderLog, known decisions, call operatorapi.Apply, broken string, out *operatorapi.Applying) func(func()) {
+func carry(l *orderLog, known decisions, call operatorapi.ApplyRequest, broken string, out *operatorapi.ApplyResponse) func(func()) {
 	return func(yield func()) {
 		out.Outcome = operatorapi.Unknown
-		standing := directapply.Look(l.state, call)
+		standing := directapply.ViewOf(l.state, call)
 		yield()
 		decision := known.of(standing, call)
 		switch {
@@ -131,13 +131,13 @@
 			out.Outcome = operatorapi.Conflicted
 			return
 		case decision.Submit == nil:
-			*out = decision.Answer
+			*out = decision.Response
 			return
 		}
 		entry := l.put(*decision.Submit)
 		yield()
 		if l.commit(entry) {
-			*out = directapply.After(*entry.result)
+			*out = directapply.ResponseTo(*entry.result)
 		}
 	}
 }
@@ -145,38 +145,38 @@
 func orderBundle(revision uint64, pool string) []byte {
 	section := &upstream.Section{Revision: revision, Pools: []upstream.Pool{{Name: pool}}, Paths: []upstream.Path{
 		{Name: "r", Host: "h", Prefix: "/", Class: upstream.Once, DeadlineMs: 1, Attempts: 1, Shares: []upstream.Share{{Pool: pool, Weight: 1}}}}}
-	data, err := json.Marshal(document.Spec{Name: "b", Forward: section})
+	data, err := json.Marshal(document.Configuration{Name: "b", Forward: section})
 	if err != nil {
 		panic(err)
 	}
 	return data
 }
 
-func wholeCall(base, revision uint64) operatorapi.Apply {
+func wholeCall(base, revision uint64) operatorapi.ApplyRequest {
 	whole := orderBundle(revision, "p")
-	return operatorapi.Apply{Base: ident.Revision(base), Digest: operatorapi.Digest("PUT", ident.Revision(base), whole), Whole: whole}
+	return operatorapi.ApplyRequest{Base: ident.Revision(base), Digest: operatorapi.RequestDigest("PUT", ident.Revision(base), whole), Configuration: whole}
 }
 
-func patchCall(base, revision uint64) operatorapi.Apply {
+func patchCall(base, revision uint64) operatorapi.ApplyRequest {
 	patch := &upstream.Patch{Revision: revision, Upsert: upstream.Items{Pools: []upstream.Pool{{Name: "q"}}}}
-	return operatorapi.Apply{Base: ident.Revision(base), Digest: fmt.Sprint("patch ", base, revision), Patch: patch}
+	return operatorapi.ApplyRequest{Base: ident.Revision(base), Digest: fmt.Sprint("patch ", base, revision), Patch: patch}
 }
 
 // orderCase: copies of a few calls race on a group that has revision 5 in force; where crash is set, what is
 // not committed may be lost at any moment.
-func orderCase(t *testing.T, crash bool, broken string, calls ...operatorapi.Apply) func() Case {
+func orderCase(t *testing.T, crash bool, broken string, calls ...operatorapi.ApplyRequest) func() Case {
 	return limitedOrderCase(t, statemachine.DefaultLimits(), crash, broken, calls...)
 }
 
 // limitedOrderCase does so with a state that remembers only so much.
-func limitedOrderCase(t *testing.T, limits statemachine.Limits, crash bool, broken string, calls ...operatorapi.Apply) func() Case {
+func limitedOrderCase(t *testing.T, limits statemachine.Limits, crash bool, broken string, calls ...operatorapi.ApplyRequest) func() Case {
 	known := decisions{}
 	t.Cleanup(func() { known.same(t) })
 	return func() Case {
 		l := &orderLog{state: statemachine.New(statemachine.WithLimits(limits))}
-		var first operatorapi.Applying
+		var first operatorapi.ApplyResponse
 		carry(l, known, wholeCall(0, 5), "", &first)(func() {})
-		answers := make([]operatorapi.Applying, len(calls))
+		answers := make([]operatorapi.ApplyResponse, len(calls))
 		c := Case{}
 		for i, call := range calls {
 			c.Threads = append(c.Threads, carry(l, known, call, broken, &answers[i]))
@@ -205,7 +205,7 @@
 				inForce := won[call.Digest]
 				switch answers[i].Outcome {
 				case operatorapi.Applied:
-					if !inForce || known && answers[i].Epoch != proposal.Version {
+					if !inForce || known && answers[i].Version != proposal.Version {
 						return fmt.Errorf("call %d was acknowledged and is not there", i)
 					}
 				case operatorapi.Conflicted, operatorapi.Invalid:
@@ -262,7 +262,7 @@
 func TestFaultyOrders(t *testing.T) {
 	t.Parallel()
 	unknownPool := &upstream.Patch{Revision: 7, Remove: upstream.Names{Pools: []string{"p"}}}
-	faulty := operatorapi.Apply{Base: 5, Digest: "faulty", Patch: unknownPool}
+	faulty := operatorapi.ApplyRequest{Base: 5, Digest: "faulty", Patch: unknownPool}
 	// The base that makes it sound comes from another order, and is not its own base.
 	holds(t, orderCase(t, true, "", faulty, faulty, wholeCall(5, 8)))
 	holds(t, orderCase(t, true, "", wholeCall(5, 5), wholeCall(5, 3), patchCall(5, 6)))
--- a/testbed/partitionsim/checker_test.go
+++ b/testbed/partitionsim/checker_test.go
@@ -244,7 +244,7 @@
 }
 
 // sawAnswer checks a control daemon's answer to an operator's call.
-func (w *world) sawAnswer(n *node, asked, arrived clock.Mark, call operatorapi.Apply, got operatorapi.Applying) {
+func (w *world) sawAnswer(n *node, asked, arrived clock.Mark, call operatorapi.ApplyRequest, got operatorapi.ApplyResponse) {
 	if w.now < n.frozenUntil {
 		return
 	}
@@ -267,7 +267,7 @@
 	}
 	if got.Outcome == operatorapi.Applied {
 		w.taken[call.Digest] = true
-		w.acknowledged(got.Epoch, 0)
+		w.acknowledged(got.Version, 0)
 	} else {
 		w.refused[call.Digest] = true
 	}
--- a/testbed/partitionsim/node_test.go
+++ b/testbed/partitionsim/node_test.go
@@ -50,7 +50,7 @@
 	// offered is the newest that was handed to the keeper by the log.
 	offeredSpec, offeredClosure ident.Version
 
-	keeper   *rollout.Keeper
+	keeper   *rollout.Manager
 	stop     context.CancelFunc
 	tracker  *membership.Tracker
 	view     membership.View
@@ -253,7 +253,7 @@
 	life := n.life
 	n.w.after(n.w.ms(0, 60), func() {
 		n.do(life, func() {
-			n.keeper.Offer(epoch, inForce.Payload(), &closures)
+			n.keeper.Offer(epoch, inForce.Bundle(), &closures)
 			n.news()
 		})
 	})
@@ -262,7 +262,7 @@
 // force is what is in force here.
 func (n *node) force() (force membership.InForce) {
 	if table := n.keeper.Table(); table != nil {
-		force.Spec, force.Closure = table.Epoch, table.Closures.Version
+		force.Spec, force.Closure = table.Version, table.Closures.Version
 	}
 	return force
 }
@@ -503,9 +503,9 @@
 	reply := &peerapi.PullReply{Group: group, NodeId: string(n.id()), LeaderAddress: leader, LeaderTerm: term, IsLeader: n.leads(),
 		Confirmation: membership.ConfirmationOf(confirmed, held.arrived)}
 	if table := n.keeper.Table(); table != nil {
-		reply.ConfigurationVersion, reply.ClosureVersion = uint64(table.Epoch), uint64(table.Closures.Version)
+		reply.ConfigurationVersion, reply.ClosureVersion = uint64(table.Version), uint64(table.Closures.Version)
 		if n.tellsBundle(in) {
-			reply.Configuration, reply.ConfigurationCompressed = table.Bundle.Data, table.Bundle.Packed
+			reply.Configuration, reply.ConfigurationCompressed = table.Bundle.Data, table.Bundle.Compressed
 		}
 		if in.ClosureVersion < uint64(table.Closures.Version) {
 			reply.Closures = rollout.EncodeClosures(table.Closures)
--- a/testbed/partitionsim/operators_test.go
+++ b/testbed/partitionsim/operators_test.go
@@ -26,7 +26,7 @@
 )
 
 func bundleOf(reply *peerapi.PullReply) compression.Bundle {
-	return compression.Bundle{Data: reply.Configuration, Packed: reply.ConfigurationCompressed}
+	return compression.Bundle{Data: reply.Configuration, Compressed: reply.ConfigurationCompressed}
 }
 
 // copyReply copies what is distorted, and shares the rest.
@@ -46,21 +46,21 @@
 		base += ident.Revision(1 + w.random.IntN(3))
 	}
 	revision := uint64(base) + 1 + w.random.Uint64N(3)
-	call := operatorapi.Apply{Base: base, Digest: fmt.Sprintf("%d-%d", who, turn), Operator: fmt.Sprint(who)}
+	call := operatorapi.ApplyRequest{Base: base, Digest: fmt.Sprintf("%d-%d", who, turn), Operator: fmt.Sprint(who)}
 	if base > 0 && w.random.IntN(2) == 0 {
 		call.Patch = &upstream.Patch{Revision: revision, Upsert: upstream.Items{Pools: []upstream.Pool{{Name: fmt.Sprint("p", turn%5)}}}}
 	} else {
-		whole, err := json.Marshal(document.Spec{Name: call.Digest, Forward: &upstream.Section{Revision: revision, Pools: []upstream.Pool{{Name: "p"}}}})
+		whole, err := json.Marshal(document.Configuration{Name: call.Digest, Forward: &upstream.Section{Revision: revision, Pools: []upstream.Pool{{Name: "p"}}}})
 		if err != nil {
 			panic(err)
 		}
-		call.Whole = whole
+		call.Configuration = whole
 	}
 	w.order(who, turn, call)
 }
 
 // order sends one call to some control daemon, and again to another where there is no clear answer.
-func (w *world) order(who, turn int, call operatorapi.Apply) {
+func (w *world) order(who, turn int, call operatorapi.ApplyRequest) {
 	if w.ended {
 		return
 	}
@@ -72,7 +72,7 @@
 		life, asked := to.life, w.now
 		to.do(life, func() {
 			arrived := w.now
-			to.apply(call, func(got operatorapi.Applying) {
+			to.apply(call, func(got operatorapi.ApplyResponse) {
 				w.sawAnswer(to, asked, arrived, call, got)
 				lost := w.random.IntN(8) == 0
 				w.after(w.ms(1, 6), func() {
@@ -94,9 +94,9 @@
 }
 
 // apply is a control daemon's way of a call: to the leader, again and again until the time is over.
-func (n *node) apply(call operatorapi.Apply, answer func(operatorapi.Applying)) {
+func (n *node) apply(call operatorapi.ApplyRequest, answer func(operatorapi.ApplyResponse)) {
 	until, life, done := n.clock()+clock.Mark(applyLimit), n.life, false
-	finish := func(got operatorapi.Applying) {
+	finish := func(got operatorapi.ApplyResponse) {
 		if !done {
 			done = true
 			answer(got)
@@ -111,7 +111,7 @@
 			return
 		}
 		if n.leads() {
-			n.lead(call, func(got operatorapi.Applying, outcome replica.Outcome) {
+			n.lead(call, func(got operatorapi.ApplyResponse, outcome replica.Outcome) {
 				if outcome == replica.Applied {
 					finish(got)
 					return
@@ -121,7 +121,7 @@
 			return
 		}
 		if n.w.variant == refusesByOwnState && n.core.State().Revision != call.Base {
-			finish(operatorapi.Applying{Outcome: operatorapi.Conflicted, Revision: n.core.State().Revision})
+			finish(operatorapi.ApplyResponse{Outcome: operatorapi.Conflicted, Revision: n.core.State().Revision})
 			return
 		}
 		address := told
@@ -139,7 +139,7 @@
 				back(func() { n.w.after(applyAgain, again(named)) })
 				return
 			}
-			to.lead(call, func(got operatorapi.Applying, outcome replica.Outcome) {
+			to.lead(call, func(got operatorapi.ApplyResponse, outcome replica.Outcome) {
 				back(func() {
 					if outcome == replica.Applied {
 						finish(got)
@@ -150,29 +150,29 @@
 			})
 		}, func() { n.w.after(applyAgain, again("")) })
 	}
-	n.w.after(applyLimit, func() { n.do(life, func() { finish(operatorapi.Applying{Outcome: operatorapi.Unknown}) }) })
+	n.w.after(applyLimit, func() { n.do(life, func() { finish(operatorapi.ApplyResponse{Outcome: operatorapi.Unknown}) }) })
 	try("")
 }
 
 // lead carries a call out at whoever takes itself for the leader.
-func (n *node) lead(call operatorapi.Apply, answer func(operatorapi.Applying, replica.Outcome)) {
+func (n *node) lead(call operatorapi.ApplyRequest, answer func(operatorapi.ApplyResponse, replica.Outcome)) {
 	life := n.life
 	n.read(func(read replica.Response) {
 		if read.Outcome != replica.Applied {
-			answer(operatorapi.Applying{}, read.Outcome)
+			answer(operatorapi.ApplyResponse{}, read.Outcome)
 			return
 		}
-		standing := directapply.Look(read.State, call)
+		standing := directapply.ViewOf(read.State, call)
 		// Working it out takes a while, in which anything may happen.
 		n.w.after(n.w.ms(0, 30), func() {
 			n.do(life, func() {
 				decision := standing.Decide(call)
 				if decision.Submit == nil {
-					answer(decision.Answer, replica.Applied)
+					answer(decision.Response, replica.Applied)
 					return
 				}
 				n.submitHere(*decision.Submit, func(got replica.Response) {
-					answer(directapply.After(got.Result), got.Outcome)
+					answer(directapply.ResponseTo(got.Result), got.Outcome)
 				})
 			})
 		})
--- a/testbed/platformtest/scenario/nodes.go
+++ b/testbed/platformtest/scenario/nodes.go
@@ -147,7 +147,7 @@
 func (d *Day) planner(ctx context.Context) (*fleet.Machine, error) {
 	for _, m := range d.Fleet.Of(fleet.Core) {
 		var status operatorapi.Status
-		if err := get(ctx, m, operatorapi.PathStatus, &status); err == nil && status.Planner != nil && status.Planner.Held {
+		if err := get(ctx, m, operatorapi.PathStatus, &status); err == nil && status.Planner != nil && status.Planner.HasLease {
 			return m, nil
 		}
 	}
@@ -163,11 +163,11 @@
 			return false
 		}
 		for _, node := range page.Nodes {
-			if node.ShutFor == "" {
+			if node.ClosedReason == "" {
 				continue
 			}
 			if node.Engine != id {
-				wrong = fmt.Sprintf("%s was drained, and %s is slow: %s", node.Engine, id, node.ShutFor)
+				wrong = fmt.Sprintf("%s was drained, and %s is slow: %s", node.Engine, id, node.ClosedReason)
 			}
 			return true
 		}
@@ -203,8 +203,8 @@
 		return nil
 	}
 	for _, node := range page.Nodes {
-		if node.ShutFor != "" && (allowed == nil || node.Engine != ident.EngineID(allowed.Current())) {
-			return fmt.Errorf("%s was drained, and is not sick: %s", node.Engine, node.ShutFor)
+		if node.ClosedReason != "" && (allowed == nil || node.Engine != ident.EngineID(allowed.Current())) {
+			return fmt.Errorf("%s was drained, and is not sick: %s", node.Engine, node.ClosedReason)
 		}
 	}
 	return nil
--- a/testbed/scale/engines.go
+++ b/testbed/scale/engines.go
@@ -60,7 +60,7 @@
 		e.body = operatorapi.Registration{Pool: poolName, Address: address, Zone: zoneName(number % zones), Software: "hollow", Slots: 96, Phase: "colocated"}
 		// Engines hold a few models each, with some adapters.
 		for at := range 3 {
-			held := operatorapi.HeldModel{Model: modelName((number*3 + at) % h.models), Generation: 1, Adapters: []string{}}
+			held := operatorapi.LoadedModel{Model: modelName((number*3 + at) % h.models), Generation: 1, Adapters: []string{}}
 			for adapter := range 2 {
 				held.Adapters = append(held.Adapters, fmt.Sprintf("a%d", 1+(number+adapter)%50))
 			}
--- a/testbed/scale/start.go
+++ b/testbed/scale/start.go
@@ -123,7 +123,7 @@
 	var status operatorapi.Status
 	_, _ = s.fleet.get(m, operatorapi.PathStatus, &status)
 	return s.cut("not all daemons were ready within %s; %s at %s says %q, %v; it takes %q for the leader, knows %d others, has a worker id: %t, and epoch %d in force",
-		s.readyWithin(), m.name, m.address, why, err, status.Leader, len(status.Fellows), status.WorkerID != nil, status.SpecEpoch)
+		s.readyWithin(), m.name, m.address, why, err, status.Leader, len(status.Peers), status.WorkerID != nil, status.ConfigurationVersion)
 }
 
 // measureAtRest brings the fleet to a number of engines, lets it settle and measures it.
--- a/testbed/scenario/behind.go
+++ b/testbed/scenario/behind.go
@@ -108,17 +108,17 @@
 	if err != nil {
 		return err
 	}
-	word := operatorapi.Lost{Daemon: status.NodeID, Operator: "berta"}
-	if code, _ := r.Ask(operatorapi.PathLost, word, nil); code != http.StatusConflict {
+	word := operatorapi.DeclareLost{Daemon: status.NodeID, Operator: "berta"}
+	if code, _ := r.Ask(operatorapi.PathDeclareLost, word, nil); code != http.StatusConflict {
 		return fmt.Errorf("a daemon that is heard was declared lost, with status %d", code)
 	}
-	if code, _ := r.Ask(operatorapi.PathLost, operatorapi.Lost{Daemon: "nobody#0", Operator: "berta"}, nil); code != http.StatusNotFound {
+	if code, _ := r.Ask(operatorapi.PathDeclareLost, operatorapi.DeclareLost{Daemon: "nobody#0", Operator: "berta"}, nil); code != http.StatusNotFound {
 		return fmt.Errorf("an unknown daemon was declared lost, with status %d", code)
 	}
 	r.Say("%s is cut off for good, as it seems, and is declared lost", p.Name)
 	r.cutOff([]*fleet.Process{p}, true, true)
 	if err := r.Await("it may be declared lost", func() bool {
-		code, _ := r.Ask(operatorapi.PathLost, word, nil)
+		code, _ := r.Ask(operatorapi.PathDeclareLost, word, nil)
 		return code == http.StatusOK
 	}); err != nil {
 		return err
--- a/testbed/scenario/bundles.go
+++ b/testbed/scenario/bundles.go
@@ -18,7 +18,7 @@
 
 func (r *Run) rollBody(note string, base uint64, body []byte) error {
 	id := fmt.Sprintf("%s-%d", note, r.Seed)
-	if _, err := r.Ask(operatorapi.PathPropose, operatorapi.Propose{ProposalID: id, Base: ident.Version(base), Operator: "ana", Spec: body}, nil); err != nil {
+	if _, err := r.Ask(operatorapi.PathPropose, operatorapi.Propose{ProposalID: id, Base: ident.Version(base), Operator: "ana", Configuration: body}, nil); err != nil {
 		return err
 	}
 	return r.finishRoll(id, body)
@@ -27,7 +27,7 @@
 func (r *Run) finishRoll(id string, body []byte) error {
 	for _, step := range []struct{ path, operator string }{{operatorapi.PathReview, "berta"}, {operatorapi.PathSign, "chen"}, {operatorapi.PathRoll, "ana"}} {
 		var answer rollout.Response
-		status, err := r.Ask(step.path, operatorapi.Act{ProposalID: id, Operator: step.operator}, &answer)
+		status, err := r.Ask(step.path, operatorapi.ProposalAction{ProposalID: id, Operator: step.operator}, &answer)
 		if err != nil {
 			return err
 		}
@@ -49,7 +49,7 @@
 	committed := act
 	committed.Kind, committed.Subject = checker.Committed, fmt.Sprintf("epoch %d (%s), lacking at %v", act.Epoch, id, answer.Missing)
 	r.Act(committed)
-	r.follow(operatorapi.PathRoll, operatorapi.Act{ProposalID: id, Operator: "ana"}, func() { act.At = 0; r.Act(act) })
+	r.follow(operatorapi.PathRoll, operatorapi.ProposalAction{ProposalID: id, Operator: "ana"}, func() { act.At = 0; r.Act(act) })
 }
 
 // Race lets two operators take different bundles to the same base: one must lose.
@@ -58,11 +58,11 @@
 	for _, name := range []string{"race-a", "race-b"} {
 		id := fmt.Sprintf("%s-%d", name, r.Seed)
 		bodies[id] = r.Fleet.Deployment.Spec(name, r.without)
-		if _, err := r.Ask(operatorapi.PathPropose, operatorapi.Propose{ProposalID: id, Base: ident.Version(base), Operator: "ana", Spec: bodies[id]}, nil); err != nil {
+		if _, err := r.Ask(operatorapi.PathPropose, operatorapi.Propose{ProposalID: id, Base: ident.Version(base), Operator: "ana", Configuration: bodies[id]}, nil); err != nil {
 			return err
 		}
 		for _, step := range []struct{ path, operator string }{{operatorapi.PathReview, "berta"}, {operatorapi.PathSign, "chen"}} {
-			if _, err := r.Ask(step.path, operatorapi.Act{ProposalID: id, Operator: step.operator}, nil); err != nil {
+			if _, err := r.Ask(step.path, operatorapi.ProposalAction{ProposalID: id, Operator: step.operator}, nil); err != nil {
 				return err
 			}
 		}
@@ -76,7 +76,7 @@
 	for id := range bodies {
 		go func() {
 			o := outcome{id: id}
-			o.status, _ = r.Ask(operatorapi.PathRoll, operatorapi.Act{ProposalID: id, Operator: "ana"}, &o.answer)
+			o.status, _ = r.Ask(operatorapi.PathRoll, operatorapi.ProposalAction{ProposalID: id, Operator: "ana"}, &o.answer)
 			outcomes <- o
 		}()
 	}
@@ -97,22 +97,22 @@
 // RefuseOnes hands in bundles that must never be in force: one with faults, one signed by its author.
 func (r *Run) RefuseOnes(base uint64) error {
 	bad := []byte(strings.Replace(string(r.Fleet.Deployment.Spec("bad", nil)), `"zones"`, `"zonen"`, 1))
-	status, err := r.Ask(operatorapi.PathPropose, operatorapi.Propose{ProposalID: "bad", Base: ident.Version(base), Operator: "ana", Spec: bad}, nil)
+	status, err := r.Ask(operatorapi.PathPropose, operatorapi.Propose{ProposalID: "bad", Base: ident.Version(base), Operator: "ana", Configuration: bad}, nil)
 	if status != http.StatusBadRequest {
 		return fmt.Errorf("a bundle with faults was answered with %d: %w", status, err)
 	}
 	r.Act(checker.Act{Kind: checker.Refused, Subject: "a bundle with faults", Body: bad})
 	own := r.Fleet.Deployment.Spec("own", r.without)
-	if _, err := r.Ask(operatorapi.PathPropose, operatorapi.Propose{ProposalID: "own", Base: ident.Version(base), Operator: "ana", Spec: own}, nil); err != nil {
+	if _, err := r.Ask(operatorapi.PathPropose, operatorapi.Propose{ProposalID: "own", Base: ident.Version(base), Operator: "ana", Configuration: own}, nil); err != nil {
 		return err
 	}
-	if _, err := r.Ask(operatorapi.PathReview, operatorapi.Act{ProposalID: "own", Operator: "berta"}, nil); err != nil {
+	if _, err := r.Ask(operatorapi.PathReview, operatorapi.ProposalAction{ProposalID: "own", Operator: "berta"}, nil); err != nil {
 		return err
 	}
-	if status, err := r.Ask(operatorapi.PathSign, operatorapi.Act{ProposalID: "own", Operator: "ana"}, nil); status != http.StatusForbidden {
+	if status, err := r.Ask(operatorapi.PathSign, operatorapi.ProposalAction{ProposalID: "own", Operator: "ana"}, nil); status != http.StatusForbidden {
 		return fmt.Errorf("an author's own sign-off was answered with %d: %w", status, err)
 	}
-	if status, err := r.Ask(operatorapi.PathRoll, operatorapi.Act{ProposalID: "own", Operator: "ana"}, nil); status != http.StatusForbidden {
+	if status, err := r.Ask(operatorapi.PathRoll, operatorapi.ProposalAction{ProposalID: "own", Operator: "ana"}, nil); status != http.StatusForbidden {
 		return fmt.Errorf("an unsigned roll was answered with %d: %w", status, err)
 	}
 	r.Act(checker.Act{Kind: checker.Refused, Subject: "an unsigned bundle", Body: own})
--- a/testbed/scenario/leaving.go
+++ b/testbed/scenario/leaving.go
@@ -93,7 +93,7 @@
 		return err
 	}
 	asked := journal.Now()
-	if _, err := r.Ask(operatorapi.PathDrain, operatorapi.Drain{Engine: ident.EngineID(p.Name), Draining: &draining, Base: &base, Operator: "ana"}, nil); err != nil {
+	if _, err := r.Ask(operatorapi.PathDrain, operatorapi.EngineDrain{Engine: ident.EngineID(p.Name), Draining: &draining, Base: &base, Operator: "ana"}, nil); err != nil {
 		return fmt.Errorf("%s: %w", p.Name, err)
 	}
 	if draining {
--- a/testbed/scenario/operators.go
+++ b/testbed/scenario/operators.go
@@ -86,7 +86,7 @@
 		return err
 	}
 	asked := journal.Now()
-	body := operatorapi.Zone{Zone: zone, Closed: &closed, Base: &base, Operator: "ana"}
+	body := operatorapi.ZoneClosure{Zone: zone, Closed: &closed, Base: &base, Operator: "ana"}
 	status, err := r.Ask(operatorapi.PathZone, body, nil)
 	if err != nil {
 		return err
--- a/testbed/scenario/readback.go
+++ b/testbed/scenario/readback.go
@@ -27,7 +27,7 @@
 	for _, proposal := range list {
 		back := checker.ReadBack{Epoch: uint64(proposal.Version)}
 		for _, p := range r.anyDaemon() {
-			body, err := r.Fleet.Get(p, fmt.Sprintf("%s?epoch=%d", operatorapi.PathSpec, proposal.Version), nil)
+			body, err := r.Fleet.Get(p, fmt.Sprintf("%s?epoch=%d", operatorapi.PathConfiguration, proposal.Version), nil)
 			back.Body, back.Err = body, ""
 			if err == nil {
 				break
--- a/testbed/scenario/splits.go
+++ b/testbed/scenario/splits.go
@@ -136,8 +136,8 @@
 		return nil, err
 	}
 	zones, yes := r.Fleet.Deployment.Zones, true
-	mine := operatorapi.Zone{Zone: zones[0], Closed: &yes, Base: &base, Operator: "ana"}
-	theirs := operatorapi.Zone{Zone: zones[1], Closed: &yes, Base: &base, Operator: "berta"}
+	mine := operatorapi.ZoneClosure{Zone: zones[0], Closed: &yes, Base: &base, Operator: "ana"}
+	theirs := operatorapi.ZoneClosure{Zone: zones[1], Closed: &yes, Base: &base, Operator: "berta"}
 	there := make(chan int, 1)
 	go func() {
 		status, _ := r.Fleet.Post(old, operatorapi.PathZone, theirs, nil)
@@ -153,7 +153,7 @@
 	}
 	return func() error {
 		for _, act := range []struct {
-			body operatorapi.Zone
+			body operatorapi.ZoneClosure
 			won  bool
 		}{{mine, won(status)}, {theirs, !won(status)}} {
 			again, err := r.Ask(operatorapi.PathZone, act.body, nil)
@@ -236,7 +236,7 @@
 // planner finds the daemon that holds the claim; a frozen one does not answer.
 func (r *Run) planner() *fleet.Process {
 	for _, p := range r.cores() {
-		if status, err := r.Fleet.Status(p); err == nil && status.Planner != nil && status.Planner.Held {
+		if status, err := r.Fleet.Status(p); err == nil && status.Planner != nil && status.Planner.HasLease {
 			return p
 		}
 	}
--- a/testbed/scenario/watch.go
+++ b/testbed/scenario/watch.go
@@ -37,7 +37,7 @@
 				if err == nil {
 					r.mutex.Lock()
 					r.history.Observations = append(r.history.Observations, checker.Observation{At: at, Daemon: p.Name, Incarnation: string(status.NodeID),
-						SpecEpoch: uint64(status.SpecEpoch), ClosureEpoch: uint64(status.ClosureEpoch), Ready: status.Ready})
+						SpecEpoch: uint64(status.ConfigurationVersion), ClosureEpoch: uint64(status.ClosureVersion), Ready: status.Ready})
 					r.mutex.Unlock()
 				}
 			}
--- a/wire/operatorapi/bundle.go
+++ b/wire/operatorapi/bundle.go
@@ -18,19 +18,19 @@
 )
 
 // Apply is one operator's call to put a bundle in force in one step. Either Whole or Patch is there.
-type Apply struct {
+type ApplyRequest struct {
 	// Base is the revision in force that it builds on; 0 for the first.
 	Base ident.Revision `json:"base"`
 	// Digest tells this call from all others: the same call sent again finds itself.
 	Digest   string `json:"digest"`
 	Operator string `json:"operator"`
 	// Whole is a bundle that spec.Read can read; whether it is sound, the leader checks.
-	Whole []byte          `json:"whole,omitempty"`
-	Patch *upstream.Patch `json:"patch,omitempty"`
+	Configuration []byte          `json:"whole,omitempty"`
+	Patch         *upstream.Patch `json:"patch,omitempty"`
 }
 
 // Digest makes a call's digest from all that its sender said, as the sender said it.
-func Digest(method string, base ident.Revision, body []byte) string {
+func RequestDigest(method string, base ident.Revision, body []byte) string {
 	sum := sha256.New()
 	sum.Write([]byte(method + " " + strconv.FormatUint(uint64(base), 10) + "\n"))
 	sum.Write(body)
@@ -54,11 +54,11 @@
 )
 
 // Applying is the answer to such a call.
-type Applying struct {
+type ApplyResponse struct {
 	Outcome ApplyOutcome `json:"outcome"`
 	// Revision and Epoch are what was in force when the answer was made.
 	Revision ident.Revision `json:"revision,omitempty"`
-	Epoch    ident.Version  `json:"epoch,omitempty"`
+	Version  ident.Version  `json:"epoch,omitempty"`
 	// Acknowledged says that it is in force at all daemons in contact with the leader.
 	Acknowledged bool             `json:"acknowledged,omitempty"`
 	InForceAt    []ident.NodeID   `json:"inForceAt,omitempty"`
@@ -70,7 +70,7 @@
 // Bundle is the newest bundle, as it was handed in or merged.
 type Bundle struct {
 	Revision ident.Revision
-	Epoch    ident.Version
+	Version  ident.Version
 	// Spec is the bundle's bytes; nothing before the first.
-	Spec []byte
+	Configuration []byte
 }
--- a/wire/operatorapi/engines.go
+++ b/wire/operatorapi/engines.go
@@ -6,7 +6,7 @@
 const PathEngines = "/v1/engines"
 
 // HeldModel is one model that an engine holds, with its adapters.
-type HeldModel struct {
+type LoadedModel struct {
 	Model      string   `json:"model" validate:"required,max=200"`
 	Generation uint64   `json:"generation"`
 	Adapters   []string `json:"adapters" validate:"max=65536,dive,required,max=200"`
@@ -14,26 +14,26 @@
 
 // Registration is what an engine says of itself, again and again.
 type Registration struct {
-	Pool     string       `json:"pool" validate:"required,max=200"`
-	Address  string       `json:"address" validate:"required,ipport"`
-	Zone     ident.ZoneID `json:"zone" validate:"max=200"`
-	Software string       `json:"software" validate:"max=200"`
-	Slots    int          `json:"slots" validate:"gte=1,lte=1000000"`
-	Leaving  bool         `json:"leaving"`
-	LeaveMs  int64        `json:"leaveMs,omitempty" validate:"gte=0"`
-	ColdMs   int64        `json:"coldMs,omitempty" validate:"gte=0"`
-	Phase    string       `json:"phase,omitempty" validate:"max=200"`
-	Models   []HeldModel  `json:"models" validate:"max=65536,dive"`
+	Pool           string        `json:"pool" validate:"required,max=200"`
+	Address        string        `json:"address" validate:"required,ipport"`
+	Zone           ident.ZoneID  `json:"zone" validate:"max=200"`
+	Software       string        `json:"software" validate:"max=200"`
+	Slots          int           `json:"slots" validate:"gte=1,lte=1000000"`
+	Draining       bool          `json:"leaving"`
+	TerminatesInMs int64         `json:"leaveMs,omitempty" validate:"gte=0"`
+	SlowStartMs    int64         `json:"coldMs,omitempty" validate:"gte=0"`
+	Phase          string        `json:"phase,omitempty" validate:"max=200"`
+	Models         []LoadedModel `json:"models" validate:"max=65536,dive"`
 	// CallSeq rises with each call, so that a late one can be known.
 	CallSeq uint64 `json:"callSeq" validate:"required"`
 }
 
 // The conditions of a registered engine.
 const (
-	EngineUsable  = "usable"
-	EngineLeaving = "leaving"
-	EngineSilent  = "silent"
-	EngineGone    = "gone"
+	EngineUsable       = "usable"
+	EngineDraining     = "leaving"
+	EngineUnresponsive = "silent"
+	EngineRemoved      = "gone"
 )
 
 // RegisteredEngine is one row of the list.
@@ -42,10 +42,10 @@
 	Registration
 	Condition string `json:"condition"`
 	// HeardMsAgo is when any control daemon last heard it, as far as the answering daemon knows.
-	HeardMsAgo int64 `json:"heardMsAgo"`
+	LastContactMsAgo int64 `json:"heardMsAgo"`
 	// Claim and Turn are of the planner's newest word on it.
-	Claim ident.FencingToken `json:"claim,omitempty"`
-	Turn  uint64             `json:"turn,omitempty"`
+	Token    ident.FencingToken `json:"claim,omitempty"`
+	Sequence uint64             `json:"turn,omitempty"`
 }
 
 // Engines is the list.
@@ -55,6 +55,6 @@
 }
 
 // Registered answers an engine.
-type Registered struct {
+type RegistrationResponse struct {
 	Outcome string `json:"outcome"`
 }
--- a/wire/operatorapi/nodes.go
+++ b/wire/operatorapi/nodes.go
@@ -24,10 +24,10 @@
 	Observers int            `json:"observers,omitempty"`
 	SlowPaths []ident.ZoneID `json:"slowPaths,omitempty"`
 	// Shut says that nothing new goes to it, ShutBy who shut it and ShutFor why, Kept who keeps it from the ranking.
-	Shut    bool   `json:"shut,omitempty"`
-	ShutBy  string `json:"shutBy,omitempty"`
-	ShutFor string `json:"shutFor,omitempty"`
-	Kept    string `json:"kept,omitempty"`
+	Closed       bool   `json:"shut,omitempty"`
+	ClosedBy     string `json:"shutBy,omitempty"`
+	ClosedReason string `json:"shutFor,omitempty"`
+	ProtectedBy  string `json:"kept,omitempty"`
 	// Refusal is why the ranking does not drain it though it is slow.
 	Refusal string `json:"refusal,omitempty"`
 }
@@ -36,25 +36,25 @@
 type Nodes struct {
 	// Mode is what ranking is used for: off, watch or drain.
 	Mode  string             `json:"mode"`
-	Claim ident.FencingToken `json:"claim"`
+	Token ident.FencingToken `json:"claim"`
 	// ClosureEpoch is the one that the list was made under, and that what operators say builds on.
-	ClosureEpoch ident.Version `json:"closureEpoch"`
-	Nodes        []Node        `json:"nodes"`
+	ClosureVersion ident.Version `json:"closureEpoch"`
+	Nodes          []Node        `json:"nodes"`
 	// Asked is whether the engine that was asked about may be drained: allowed, or why not.
-	Asked       string `json:"asked,omitempty"`
-	AskedReason string `json:"askedReason,omitempty"`
+	DrainCheck       string `json:"asked,omitempty"`
+	DrainCheckReason string `json:"askedReason,omitempty"`
 }
 
 // What operators may say of a node.
 const (
 	NodeDrain   = "drain"
-	NodeKeep    = "keep"
+	NodeProtect = "keep"
 	NodeRelease = "release"
 )
 
 // NodeAct drains an engine, keeps it from the ranking, or takes both back.
-type NodeAct struct {
+type NodeAction struct {
 	Engine   ident.EngineID `json:"engine"`
-	Act      string         `json:"act"`
+	Action   string         `json:"act"`
 	Operator string         `json:"operator"`
 }
--- a/wire/operatorapi/operatorapi.go
+++ b/wire/operatorapi/operatorapi.go
@@ -21,7 +21,7 @@
 	// PathRoll puts a signed proposal in force.
 	PathRoll = "/v1/spec/roll"
 	// PathSpec gives the bundle of an epoch, byte for byte.
-	PathSpec = "/v1/spec"
+	PathConfiguration = "/v1/spec"
 	// PathHistory lists the proposals that came in force.
 	PathHistory = "/v1/spec/history"
 	// PathProposal gives one proposal.
@@ -33,7 +33,7 @@
 	// PathClosures lists what is closed.
 	PathClosures = "/v1/closures"
 	// PathLost takes an operator's statement that a daemon will never serve again.
-	PathLost = "/v1/daemon/lost"
+	PathDeclareLost = "/v1/daemon/lost"
 	// PathStatus shows what a daemon knows.
 	PathStatus = "/v1/status"
 	// PathTrace follows one change through all daemons.
@@ -45,21 +45,21 @@
 	// PathCounters lists the daemon's counters as text.
 	PathCounters = "/counters"
 	// HeaderEpoch carries the epoch of a bundle that is read back.
-	HeaderEpoch = "X-Spec-Epoch"
+	HeaderVersion = "X-Spec-Epoch"
 )
 
 // Propose hands in a bundle; Spec is kept byte for byte.
 type Propose struct {
-	ProposalID string          `json:"proposalId"`
-	Base       ident.Version   `json:"base"`
-	Operator   string          `json:"operator"`
-	Note       string          `json:"note"`
-	Spec       json.RawMessage `json:"spec"`
+	ProposalID    string          `json:"proposalId"`
+	Base          ident.Version   `json:"base"`
+	Operator      string          `json:"operator"`
+	Note          string          `json:"note"`
+	Configuration json.RawMessage `json:"spec"`
 }
 
 // Encode gives the wire form with the bundle as it is; json.Marshal would change its white space.
 func (p Propose) Encode() ([]byte, error) {
-	raw := bytes.TrimSpace(p.Spec)
+	raw := bytes.TrimSpace(p.Configuration)
 	head, err := json.Marshal(struct {
 		ProposalID string        `json:"proposalId"`
 		Base       ident.Version `json:"base"`
@@ -73,14 +73,14 @@
 }
 
 // Act reviews, signs or rolls a proposal.
-type Act struct {
+type ProposalAction struct {
 	ProposalID string `json:"proposalId"`
 	Operator   string `json:"operator"`
 	Note       string `json:"note"`
 }
 
 // Zone closes or opens a zone. Base is the closure epoch it builds on.
-type Zone struct {
+type ZoneClosure struct {
 	Zone     ident.ZoneID   `json:"zone"`
 	Closed   *bool          `json:"closed"`
 	Base     *ident.Version `json:"base"`
@@ -88,13 +88,13 @@
 }
 
 // Lost declares that a life of a daemon will never serve again.
-type Lost struct {
+type DeclareLost struct {
 	Daemon   ident.NodeID `json:"daemon"`
 	Operator string       `json:"operator"`
 }
 
 // Drain starts or ends an operator's draining of an engine.
-type Drain struct {
+type EngineDrain struct {
 	Engine   ident.EngineID `json:"engine"`
 	Draining *bool          `json:"draining"`
 	Base     *ident.Version `json:"base"`
@@ -108,7 +108,7 @@
 	Field   string           `json:"field,omitempty"`
 	Faults  []document.Fault `json:"faults,omitempty"`
 	Winner  string           `json:"winner,omitempty"`
-	Epoch   ident.Version    `json:"epoch,omitempty"`
+	Version ident.Version    `json:"epoch,omitempty"`
 	// Revision is the one in force, said of calls that name one as their base.
 	Revision ident.Revision `json:"revision,omitempty"`
 	// Closures is what won over a closure that lost its race.
@@ -117,23 +117,23 @@
 
 // Status is one daemon's own word.
 type Status struct {
-	NodeID       ident.NodeID  `json:"nodeId"`
-	Version      string        `json:"version"`
-	Zone         ident.ZoneID  `json:"zone"`
-	Serve        []string      `json:"serve"`
-	Ready        bool          `json:"ready"`
-	NotReady     string        `json:"notReady,omitempty"`
-	Group        ident.GroupID `json:"group,omitempty"`
-	Leader       string        `json:"leader,omitempty"`
-	SpecEpoch    ident.Version `json:"specEpoch"`
-	ClosureEpoch ident.Version `json:"closureEpoch"`
+	NodeID               ident.NodeID  `json:"nodeId"`
+	Version              string        `json:"version"`
+	Zone                 ident.ZoneID  `json:"zone"`
+	Serve                []string      `json:"serve"`
+	Ready                bool          `json:"ready"`
+	NotReady             string        `json:"notReady,omitempty"`
+	Group                ident.GroupID `json:"group,omitempty"`
+	Leader               string        `json:"leader,omitempty"`
+	ConfigurationVersion ident.Version `json:"specEpoch"`
+	ClosureVersion       ident.Version `json:"closureEpoch"`
 	// ConfirmedMsAgo is how long ago a majority of the control group confirmed that no newer epochs had been
 	// acknowledged; it is missing where that never was.
 	ConfirmedMsAgo *int64         `json:"confirmedMsAgo,omitempty"`
 	WorkerID       *int64         `json:"workerId,omitempty"`
 	Raft           *RaftStatus    `json:"raft,omitempty"`
 	Planner        *PlannerStatus `json:"planner,omitempty"`
-	Fellows        []Fellow       `json:"fellows"`
+	Peers          []Peer         `json:"fellows"`
 	Engines        []Engine       `json:"engines"`
 }
 
@@ -162,21 +162,21 @@
 
 // PlannerStatus is where the planner stands.
 type PlannerStatus struct {
-	Held     bool               `json:"held"`
-	Claim    ident.FencingToken `json:"claim,omitempty"`
-	InFlight int                `json:"inFlight"`
+	HasLease      bool               `json:"held"`
+	Token         ident.FencingToken `json:"claim,omitempty"`
+	PendingOrders int                `json:"inFlight"`
 }
 
 // Fellow is another daemon as this one knows it.
-type Fellow struct {
-	NodeID       ident.NodeID  `json:"nodeId"`
-	Address      string        `json:"address"`
-	Zone         ident.ZoneID  `json:"zone"`
-	Serve        []string      `json:"serve"`
-	HeardMsAgo   int64         `json:"heardMsAgo"`
-	SpecEpoch    ident.Version `json:"specEpoch"`
-	ClosureEpoch ident.Version `json:"closureEpoch"`
-	Ready        bool          `json:"ready"`
+type Peer struct {
+	NodeID               ident.NodeID  `json:"nodeId"`
+	Address              string        `json:"address"`
+	Zone                 ident.ZoneID  `json:"zone"`
+	Serve                []string      `json:"serve"`
+	LastContactMsAgo     int64         `json:"heardMsAgo"`
+	ConfigurationVersion ident.Version `json:"specEpoch"`
+	ClosureVersion       ident.Version `json:"closureEpoch"`
+	Ready                bool          `json:"ready"`
 }
 
 // Engine is an engine as this daemon knows it.
@@ -193,22 +193,22 @@
 
 // Trace follows one change through all daemons.
 type Trace struct {
-	Change string        `json:"change"`
-	Rows   []TraceRow    `json:"rows"`
-	Known  bool          `json:"known"`
-	Epoch  ident.Version `json:"epoch"`
+	Change  string        `json:"change"`
+	Rows    []TraceRow    `json:"rows"`
+	Known   bool          `json:"known"`
+	Version ident.Version `json:"epoch"`
 	// Acknowledged says that every daemon that may be serving has the change, or a later one.
 	Acknowledged bool `json:"acknowledged"`
 }
 
 // TraceRow is one daemon's steps, by wall clock in milliseconds; zero where a step is not known.
 type TraceRow struct {
-	NodeID     ident.NodeID `json:"nodeId"`
-	Zone       ident.ZoneID `json:"zone"`
-	LearnedMs  int64        `json:"learnedMs,omitempty"`
-	BuiltMs    int64        `json:"builtMs,omitempty"`
-	InForceMs  int64        `json:"inForceMs,omitempty"`
-	HeardMsAgo int64        `json:"heardMsAgo"`
+	NodeID           ident.NodeID `json:"nodeId"`
+	Zone             ident.ZoneID `json:"zone"`
+	LearnedMs        int64        `json:"learnedMs,omitempty"`
+	BuiltMs          int64        `json:"builtMs,omitempty"`
+	InForceMs        int64        `json:"inForceMs,omitempty"`
+	LastContactMsAgo int64        `json:"heardMsAgo"`
 	// Missing says that the daemon has not got this change, Serving that the group counts it as one that may be serving.
 	Missing bool `json:"missing"`
 	Serving bool `json:"serving"`
