--- a/configuration/compression/packed.go
+++ b/configuration/compression/packed.go
@@ -31,10 +31,10 @@
 	})
 )
 
-// Pack compresses.
+// Compress compresses.
 func Compress(raw []byte) []byte { return encoder().EncodeAll(raw, nil) }
 
-// Unpack gives back what was packed.
+// Decompress gives back what was packed.
 func Decompress(data []byte) ([]byte, error) {
 	raw, err := decoder().DecodeAll(data, nil)
 	return raw, eris.Wrap(err, "this cannot be unpacked")
@@ -43,7 +43,7 @@
 // Bundle is a bundle as it travels.
 type Bundle struct {
 	Data []byte
-	// Packed says that Data is compressed.
+	// Compressed says that Data is compressed.
 	Compressed bool
 }
 
--- a/configuration/document/spec.go
+++ b/configuration/document/spec.go
@@ -17,7 +17,7 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// Spec is one bundle.
+// Configuration is one bundle.
 type Configuration struct {
 	Name     string    `json:"name" validate:"required,max=120"`
 	Zones    []Zone    `json:"zones" validate:"required,min=1,dive"`
@@ -61,12 +61,12 @@
 type Route struct {
 	Name   string `json:"name" validate:"required,max=120"`
 	Tenant string `json:"house" validate:"required,max=120"`
-	// Worth is the bid: the highest is seated first. Among equal worths the lower rank goes first.
+	// Priority is the bid: the highest is seated first. Among equal worths the lower rank goes first.
 	Priority int64    `json:"worth" validate:"gte=0,lte=1000000000"`
 	Rank     int      `json:"rank" validate:"gte=0,lte=1000000"`
 	Models   []string `json:"models" validate:"required,min=1"`
 	Adapters []string `json:"adapters"`
-	// MostHeld bounds how many requests of this route one daemon holds; zero takes the limit for all.
+	// MaxPending bounds how many requests of this route one daemon holds; zero takes the limit for all.
 	MaxPending int `json:"mostHeld" validate:"gte=0,lte=1000000"`
 }
 
@@ -83,7 +83,7 @@
 	MaxPendingBytes  int64 `json:"mostHeldBytes" validate:"gt=0"`
 	MaxDeadlineMs    int64 `json:"mostDeadlineMs" validate:"gt=0,lte=600000"`
 	AssignmentIdleMs int64 `json:"seatIdleMs" validate:"gt=0,lte=86400000"`
-	// RetryShare is the greatest share of first goes that may be followed by another.
+	// MaxRetryRatio is the greatest share of first goes that may be followed by another.
 	MaxRetryRatio float64 `json:"retryShare" validate:"gte=0,lte=0.5"`
 }
 
@@ -137,7 +137,7 @@
 	return &s, nil
 }
 
-// Read takes a bundle that the group has committed, and so has been checked. It shares the memory of data,
+// ParseCommitted takes a bundle that the group has committed, and so has been checked. It shares the memory of data,
 // which must stay as it is.
 func ParseCommitted(data []byte) (*Configuration, error) {
 	var s Configuration
@@ -152,7 +152,7 @@
 	return &s, nil
 }
 
-// Check gives every fault of what the bundle says.
+// Validate gives every fault of what the bundle says.
 func (s *Configuration) Validate() []Fault { return append(fieldFaults(s), s.referenceFaults()...) }
 
 // ServesSessions says whether the bundle says anything of sessions.
@@ -160,7 +160,7 @@
 	return len(s.Engines)+len(s.Models)+len(s.Adapters)+len(s.Routes) > 0 || s.Store != (Store{}) || s.Limits != (Limits{})
 }
 
-// leftOut says of a field's namespace that it need not be there: a bundle on opaque requests may say nothing
+// isOptional says of a field's namespace that it need not be there: a bundle on opaque requests may say nothing
 // of sessions. One that says anything of them says all.
 func (s *Configuration) isOptional(namespace []byte) bool {
 	if s.Forward == nil || s.ServesSessions() {
--- a/configuration/routingtable/table.go
+++ b/configuration/routingtable/table.go
@@ -131,7 +131,7 @@
 	return !zoneShut && !draining
 }
 
-// SeatIdle is how long a seat outlasts its session's last request.
+// AssignmentIdle is how long a seat outlasts its session's last request.
 func (t *Table) AssignmentIdle() time.Duration {
 	return time.Duration(t.Configuration.Limits.AssignmentIdleMs) * time.Millisecond
 }
--- a/configuration/upstream/forward.go
+++ b/configuration/upstream/forward.go
@@ -8,7 +8,7 @@
 type Class string
 
 const (
-	// Repeatable requests may run more than once.
+	// Idempotent requests may run more than once.
 	Idempotent Class = "repeatable"
 	// Once requests run at most once for each attempt of a client.
 	Once Class = "once"
@@ -62,7 +62,7 @@
 type Pool struct {
 	Name       string `json:"name" validate:"required,max=200"`
 	HealthPath string `json:"healthPath,omitempty"`
-	// MostConnections is how many connections one engine takes from all daemons together; zero is unknown.
+	// MaxConnections is how many connections one engine takes from all daemons together; zero is unknown.
 	MaxConnections int `json:"mostConnections,omitempty" validate:"gte=0"`
 	// Catalogue is there for pools whose engines hold models.
 	Catalogue *Catalogue `json:"catalogue,omitempty"`
@@ -74,7 +74,7 @@
 type Catalogue struct {
 	Slots        int   `json:"slots" validate:"gte=0"`
 	MemoryTokens int64 `json:"memoryTokens" validate:"gte=0"`
-	// RoomMb is for models and adapters together.
+	// CapacityMb is for models and adapters together.
 	CapacityMb   float64 `json:"roomMb" validate:"gte=0"`
 	AdapterSlots int     `json:"adapterPlaces" validate:"gte=0"`
 	// LoadsPerSecond is the pace of the store of weights, over all engines.
--- a/configuration/upstream/patch.go
+++ b/configuration/upstream/patch.go
@@ -30,7 +30,7 @@
 	Pools []string `json:"pools,omitempty"`
 }
 
-// Check tells what is wrong with the patch by itself; what it makes is checked as a section.
+// Validate tells what is wrong with the patch by itself; what it makes is checked as a section.
 func (p *Patch) Validate(say func(path, reason string)) {
 	checkDuplicates(p.Upsert.Paths, pathName, "upsert.paths", say)
 	checkDuplicates(p.Upsert.Pools, poolName, "upsert.pools", say)
--- a/connection/adminapi/nodes.go
+++ b/connection/adminapi/nodes.go
@@ -106,7 +106,7 @@
 	d.command(ctx, command)
 }
 
-// refusalNamed reads a refusal by its name.
+// refusalByName reads a refusal by its name.
 func refusalByName(name string) nodehealth.Refusal {
 	for why := nodehealth.Allowed; why <= nodehealth.LastHolder; why++ {
 		if why.String() == name {
--- a/connection/adminapi/operators.go
+++ b/connection/adminapi/operators.go
@@ -39,7 +39,7 @@
 	NewestBundle(ctx context.Context) (operatorapi.Bundle, bool)
 }
 
-// Desk serves operators.
+// Server serves operators.
 type Server struct{ daemon Daemon }
 
 // New makes a desk.
@@ -108,7 +108,7 @@
 
 func fail(ctx *fasthttp.RequestCtx, status int, body operatorapi.Error) { respond(ctx, status, body) }
 
-// read takes a body strictly; it says false when it has answered with what is wrong.
+// decodeBody takes a body strictly; it says false when it has answered with what is wrong.
 func decodeBody(ctx *fasthttp.RequestCtx, into any) bool {
 	decoder := json.NewDecoder(bytes.NewReader(ctx.PostBody()))
 	decoder.DisallowUnknownFields()
@@ -128,7 +128,7 @@
 	return false
 }
 
-// needs answers with the first empty field, if there is one.
+// checkRequired answers with the first empty field, if there is one.
 func checkRequired(ctx *fasthttp.RequestCtx, fields ...[2]string) bool {
 	for _, field := range fields {
 		if field[1] == "" || len(field[1]) > 200 {
--- a/daemon/forwarding.go
+++ b/daemon/forwarding.go
@@ -22,7 +22,7 @@
 type forwardingPath struct {
 	dialect  dialect.Dialect
 	settings forwarding.Settings
-	patience forwarding.Patience
+	patience forwarding.ClientTimeout
 	// view gives the registered engines.
 	view func() *registry.View
 
@@ -42,12 +42,12 @@
 func forwardSettings(c daemonconfig.Config) forwarding.Settings {
 	s := forwarding.DefaultSettings()
 	s.RetryRatio, s.RetrySlack, s.RetryWindow = c.Bounds.RetryRatio, c.Bounds.RetrySlack, time.Duration(c.Bounds.RetryWindowMs)*time.Millisecond
-	s.Off = c.Experiments.Off()
+	s.Disabled = c.Experiments.Off()
 	return s
 }
 
 // WithPatience says for how long the deployment's clients wait for a stream in silence.
-func WithPatience(patience forwarding.Patience) Option {
+func WithPatience(patience forwarding.ClientTimeout) Option {
 	return func(d *Daemon) { d.forwarding.patience = patience }
 }
 
@@ -60,7 +60,7 @@
 func (d *Daemon) startForwarding(ctx context.Context) {
 	side := &d.forwarding
 	side.settings = forwardSettings(d.config)
-	side.settings.Patience = side.patience
+	side.settings.ClientTimeout = side.patience
 	if d.config.Log == log.DebugLevel.String() {
 		side.settings.ObserveLoss = d.logLoss
 	}
@@ -79,8 +79,8 @@
 
 // logLoss writes a line for a request that was not served, or late.
 func (d *Daemon) logLoss(loss forwarding.Loss) {
-	d.log.WithFields(log.Fields{"path": loss.Path, "model": loss.Model, "reason": loss.Reason.String(), "lack": loss.Lack, "returned": loss.Returned,
-		"waitedMs": loss.Waited.Milliseconds(), "heldMs": loss.Held.Milliseconds(), "attempts": loss.Attempts}).Debug("request lost or late")
+	d.log.WithFields(log.Fields{"path": loss.Path, "model": loss.Model, "reason": loss.Reason.String(), "lack": loss.BlockedBy, "returned": loss.Resubmitted,
+		"waitedMs": loss.Waited.Milliseconds(), "heldMs": loss.Queued.Milliseconds(), "attempts": loss.Attempts}).Debug("request lost or late")
 }
 
 // sweepEvery is how often connections that engines have let go of are closed here too.
@@ -100,7 +100,7 @@
 			engine, known := view.Engines[id]
 			return known && !engine.Deregistered
 		})
-		d.forwarding.actor.Ask(func(core *forwarding.Core, _ forwarding.World) { core.Forget(view) })
+		d.forwarding.actor.Do(func(core *forwarding.Core, _ forwarding.Environment) { core.Forget(view) })
 	}
 }
 
@@ -129,15 +129,15 @@
 }
 
 // forwardWorld is what forwarding may look at now.
-func (d *Daemon) forwardWorld() forwarding.World {
+func (d *Daemon) forwardWorld() forwarding.Environment {
 	now := d.clock.Elapsed()
-	return forwarding.World{
-		Now: now, Index: d.forwardIndex(), Current: d.tableIsCurrent(), View: d.forwarding.view(), Zone: d.config.Zone,
-		Warm: func(engine *registry.Engine, pool string, careful bool) bool {
+	return forwarding.Environment{
+		Now: now, Index: d.forwardIndex(), IndexCurrent: d.tableIsCurrent(), View: d.forwarding.view(), Zone: d.config.Zone,
+		HasIdleConnection: func(engine *registry.Engine, pool string, careful bool) bool {
 			return d.forwarding.pools.Warm(engine.ID, engine.Address, pool, careful)
 		},
-		Edges: d.routingDaemonCount(now), Lacks: d.PoolUnplaced, Open: d.engineOpen, Emptied: d.engineDrainedByRanking, Leased: d.generator.HasLease(),
-		Mint: func() (ident.SnowflakeID, bool) {
+		Routers: d.routingDaemonCount(now), NotLoadedFor: d.PoolUnplaced, EngineOpen: d.engineOpen, EngineEvacuated: d.engineDrainedByRanking, HasWorkerID: d.generator.HasLease(),
+		MintID: func() (ident.SnowflakeID, bool) {
 			id, verdict := d.generator.Next()
 			return id, verdict == snowflake.Generated
 		},
--- a/daemon/reads.go
+++ b/daemon/reads.go
@@ -16,7 +16,7 @@
 // readLimit is how long a leader's answer to a read is waited for.
 const readLimit = 700 * time.Millisecond
 
-// Look reads part of the state through whoever leads.
+// Query reads part of the state through whoever leads.
 func (d *Daemon) Query(ctx context.Context, what, key string) ([]byte, bool) {
 	ticker := time.NewTicker(100 * time.Millisecond)
 	defer ticker.Stop()
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -47,8 +47,8 @@
 		out.Planner = &operatorapi.PlannerStatus{HasLease: condition.Held, Token: condition.Claim, PendingOrders: condition.InFlight}
 	}
 	for _, fellow := range d.members.View().InContact(now, 30*time.Second) {
-		out.Peers = append(out.Peers, operatorapi.Peer{NodeID: fellow.NodeID, Address: fellow.Address, Zone: fellow.Zone, Serve: fellow.Serve,
-			LastContactMsAgo: now.Since(fellow.Heard).Milliseconds(), ConfigurationVersion: fellow.SpecEpoch, ClosureVersion: fellow.ClosureEpoch, Ready: fellow.Ready})
+		out.Peers = append(out.Peers, operatorapi.Peer{NodeID: fellow.NodeID, Address: fellow.Address, Zone: fellow.Zone, Serve: fellow.Roles,
+			LastContactMsAgo: now.Since(fellow.LastContact).Milliseconds(), ConfigurationVersion: fellow.ConfigurationVersion, ClosureVersion: fellow.ClosureVersion, Ready: fellow.Ready})
 	}
 	for _, engine := range d.watcher.View().Engines {
 		row := operatorapi.Engine{ID: engine.ID, Address: engine.Address, Zone: engine.Zone, Condition: string(engine.Condition), Draining: engine.Draining,
--- a/process/rollout/directapply/applying.go
+++ b/process/rollout/directapply/applying.go
@@ -13,24 +13,24 @@
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
-// Standing is what the state says at one moment that bears on a call. The moment must lie after the call
+// View is what the state says at one moment that bears on a call. The moment must lie after the call
 // arrived: then whatever is decided by it is proved.
 type View struct {
 	Latest
-	// Order is what the state proves of the call.
+	// Status is what the state proves of the call.
 	Status statemachine.ApplyStatus
-	// Taken is what an earlier copy of the call put in force.
+	// Committed is what an earlier copy of the call put in force.
 	Committed *statemachine.Proposal
 }
 
-// Newest is the newest bundle; the proposal is nil before the first.
+// Latest is the newest bundle; the proposal is nil before the first.
 type Latest struct {
 	Revision ident.Revision         `json:"revision"`
 	Version  ident.Version          `json:"epoch"`
 	Proposal *statemachine.Proposal `json:"proposal,omitempty"`
 }
 
-// NewestOf reads it; the proposal is a copy, and its bundle is never changed.
+// LatestOf reads it; the proposal is a copy, and its bundle is never changed.
 func LatestOf(state *statemachine.State) Latest {
 	out := Latest{Revision: state.Revision, Version: state.Version()}
 	if found, ok := state.InForce(); ok {
@@ -40,7 +40,7 @@
 	return out
 }
 
-// Look reads where a call stands.
+// ViewOf reads where a call stands.
 func ViewOf(state *statemachine.State, call operatorapi.ApplyRequest) View {
 	out := View{Latest: LatestOf(state), Status: state.ApplyStatus(call.Digest, call.Base)}
 	if found, ok := state.Applied(call.Digest); ok {
@@ -63,7 +63,7 @@
 
 // Decision is what to do about a call.
 type Decision struct {
-	// Answer is final where Submit is nil. One that says Applied is to be acknowledged.
+	// Response is final where Submit is nil. One that says Applied is to be acknowledged.
 	Response operatorapi.ApplyResponse
 	// Submit is the command that will decide.
 	Submit *statemachine.Command
@@ -96,7 +96,7 @@
 		Revision: ident.Revision(parsed.Forward.Revision), Configuration: compression.Compress(whole), Compressed: true}}
 }
 
-// After is the answer when the command was applied.
+// ResponseTo is the answer when the command was applied.
 func ResponseTo(result statemachine.Result) operatorapi.ApplyResponse {
 	switch result.Outcome {
 	case statemachine.Done:
@@ -122,7 +122,7 @@
 	return operatorapi.ApplyResponse{Outcome: operatorapi.Invalid, Revision: s.Revision, Version: s.Version, Faults: faults, Reason: "the bundle has faults"}
 }
 
-// workOut makes the whole bundle of a call that builds on the one in force, and finds its faults.
+// buildConfiguration makes the whole bundle of a call that builds on the one in force, and finds its faults.
 func (s View) buildConfiguration(call operatorapi.ApplyRequest) (parsed *document.Configuration, whole []byte, faults []document.Fault) {
 	if call.Patch != nil {
 		parsed, whole, faults = s.merge(call.Patch)
--- a/process/rollout/rollout.go
+++ b/process/rollout/rollout.go
@@ -35,7 +35,7 @@
 	InForce = "in-force"
 )
 
-// SpecChange and ClosureChange name changes for the tracer.
+// ConfigurationChange and ClosureChange name changes for the tracer.
 func ConfigurationChange(epoch ident.Version) string { return fmt.Sprintf("spec:%d", epoch) }
 
 // ClosureChange names one epoch of the closures.
@@ -51,20 +51,20 @@
 // mostSteps is how many steps are remembered.
 const maxSteps = 48
 
-// Keeper is the actor that holds what is in force.
+// Manager is the actor that holds what is in force.
 type Manager struct {
 	mailbox *actor.Mailbox[offer]
 	wall    func() time.Time
 	table   atomic.Pointer[routingtable.Table]
 	steps   atomic.Pointer[[]Step]
-	// early holds closures learned before any spec.
+	// closuresBeforeTable holds closures learned before any spec.
 	closuresBeforeTable closure.Set
 	// past holds the bundles that were in force here, so that a lost group's can be recalled.
 	past                       sync.Map
 	pastBytes, compressedBytes int
-	// dropped is the newest epoch that was dropped for want of room: it and all before are not kept.
+	// droppedVersion is the newest epoch that was dropped for want of room: it and all before are not kept.
 	droppedVersion atomic.Uint64
-	// Refused counts offers that were garbage or that differ from what has the same epoch.
+	// Rejected counts offers that were garbage or that differ from what has the same epoch.
 	Rejected atomic.Uint64
 	onSwap   func()
 }
@@ -91,7 +91,7 @@
 // Table is what is in force, or nil.
 func (k *Manager) Table() *routingtable.Table { return k.table.Load() }
 
-// Recall gives a bundle that was in force here in this life.
+// Past gives a bundle that was in force here in this life.
 func (k *Manager) Past(epoch ident.Version) ([]byte, bool) {
 	found, known := k.past.Load(epoch)
 	if !known {
@@ -109,12 +109,12 @@
 	k.send(offer{version: epoch, bundle: bundle, closures: closures})
 }
 
-// Remember hands in a bundle that was in force before this life began.
+// RememberPast hands in a bundle that was in force before this life began.
 func (k *Manager) RememberPast(epoch ident.Version, raw []byte) {
 	k.send(offer{version: epoch, bundle: compression.Bundle{Data: raw}, past: true})
 }
 
-// Lacks says whether an earlier bundle would be kept if it were handed in.
+// RetainsPast says whether an earlier bundle would be kept if it were handed in.
 func (k *Manager) RetainsPast(epoch ident.Version) bool {
 	return uint64(epoch) > k.droppedVersion.Load()
 }
@@ -130,7 +130,7 @@
 	}
 }
 
-// keep remembers a bundle, and drops the oldest ones where they grow too many.
+// retain remembers a bundle, and drops the oldest ones where they grow too many.
 func (k *Manager) retain(epoch ident.Version, bundle compression.Bundle) {
 	if _, known := k.past.LoadOrStore(epoch, bundle); known {
 		return
@@ -220,7 +220,7 @@
 	k.onSwap()
 }
 
-// read makes a bundle of what was offered. One that is packed has been checked before it was committed; others
+// parse makes a bundle of what was offered. One that is packed has been checked before it was committed; others
 // may be anything.
 func parse(bundle compression.Bundle) ([]byte, *document.Configuration, error) {
 	raw, err := bundle.Raw()
@@ -238,7 +238,7 @@
 	return raw, parsed, nil
 }
 
-// compare counts an offer that differs from what has the same epoch.
+// checkDuplicate counts an offer that differs from what has the same epoch.
 func (k *Manager) checkDuplicate(held *routingtable.Table, offered compression.Bundle) {
 	if held.Bundle.Compressed == offered.Compressed && bytes.Equal(held.Bundle.Data, offered.Data) {
 		return
--- a/process/workerid/snowflake/snowflake.go
+++ b/process/workerid/snowflake/snowflake.go
@@ -15,7 +15,7 @@
 	sequenceBits = 12
 	timeBits     = 41
 	sequenceMask = 1<<sequenceBits - 1
-	// Epoch is the fixed moment from which the time bits count: 2024-01-01 UTC.
+	// BaseTime is the fixed moment from which the time bits count: 2024-01-01 UTC.
 	BaseTime ident.GroupTime = 1704067200000
 )
 
@@ -23,29 +23,29 @@
 type Outcome string
 
 const (
-	// Minted says that an id was given.
+	// Generated says that an id was given.
 	Generated Outcome = "minted"
 	// NoLease says that no lease is held, or that it has lapsed.
 	NoLease Outcome = "no-tenure"
-	// Backward says that the clock went back or stands at or below the floor.
+	// ClockBackward says that the clock went back or stands at or below the floor.
 	ClockBackward Outcome = "backward"
-	// OutOfBits says that the time no longer fits.
+	// TimeOverflow says that the time no longer fits.
 	TimeOverflow Outcome = "out-of-bits"
 )
 
-// window is what a grant allows; it is replaced whole.
+// leaseWindow is what a grant allows; it is replaced whole.
 type leaseWindow struct {
 	worker ident.WorkerID
-	// base is the group's time at mark, as given by the grant.
+	// grantedTime is the group's time at mark, as given by the grant.
 	grantedTime ident.GroupTime
 	grantedAt   clock.Mark
 	// floor and ceiling bound the timestamps; both ends are shut.
 	floor, latest ident.GroupTime
-	// until is when minting stops on the holder's own clock.
+	// expiry is when minting stops on the holder's own clock.
 	expiry clock.Mark
 }
 
-// at is the group's time as this window carries it on.
+// groupTime is the group's time as this window carries it on.
 func (w *leaseWindow) groupTime(now clock.Mark) ident.GroupTime {
 	return w.grantedTime + ident.GroupTime(now.Since(w.grantedAt)/time.Millisecond)
 }
@@ -66,7 +66,7 @@
 	return &Generator{clock: c, margin: margin}
 }
 
-// Take takes up a grant. asked is read from the clock before the request was sent, so the
+// SetLease takes up a grant. asked is read from the clock before the request was sent, so the
 // holder's lease never outlasts the group's.
 func (g *Generator) SetLease(grant workerid.Grant, asked clock.Mark) {
 	span := time.Duration(grant.LeaseExpiry-grant.Now) * time.Millisecond
@@ -86,7 +86,7 @@
 	g.lease.Store(next)
 }
 
-// Drop forgets the lease and gives the last timestamp minted under it.
+// ReleaseLease forgets the lease and gives the last timestamp minted under it.
 func (g *Generator) ReleaseLease() (ident.WorkerID, ident.GroupTime, bool) {
 	held := g.lease.Swap(nil)
 	if held == nil {
@@ -95,13 +95,13 @@
 	return held.worker, ident.GroupTime(g.last.Load()>>sequenceBits) + BaseTime, true
 }
 
-// Held says whether a lease is held that has not lapsed on this machine's clock.
+// HasLease says whether a lease is held that has not lapsed on this machine's clock.
 func (g *Generator) HasLease() bool {
 	held := g.lease.Load()
 	return held != nil && g.clock.Elapsed() < held.expiry
 }
 
-// Worker is the worker id held, if any.
+// WorkerID is the worker id held, if any.
 func (g *Generator) WorkerID() (ident.WorkerID, bool) {
 	held := g.lease.Load()
 	if held == nil || g.clock.Elapsed() >= held.expiry {
@@ -110,7 +110,7 @@
 	return held.worker, true
 }
 
-// Ceiling is the latest timestamp that may be minted under the lease held.
+// LatestTimestamp is the latest timestamp that may be minted under the lease held.
 func (g *Generator) LatestTimestamp() ident.GroupTime {
 	if held := g.lease.Load(); held != nil {
 		return held.latest
@@ -118,10 +118,10 @@
 	return 0
 }
 
-// Refusals counts mintings that were refused.
+// Rejections counts mintings that were refused.
 func (g *Generator) Rejections() uint64 { return g.rejections.Load() }
 
-// Mint gives the next id, or why there is none.
+// Next gives the next id, or why there is none.
 func (g *Generator) Next() (ident.SnowflakeID, Outcome) {
 	for {
 		held := g.lease.Load()
@@ -166,7 +166,7 @@
 	}
 }
 
-// Parts takes an id apart.
+// Decompose takes an id apart.
 func Decompose(id ident.SnowflakeID) (at ident.GroupTime, worker ident.WorkerID, sequence int) {
 	raw := uint64(id)
 	return ident.GroupTime(raw>>(workerBits+sequenceBits)) + BaseTime,
--- a/process/workerid/workerid.go
+++ b/process/workerid/workerid.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// Rebuild remakes the expiry heap after the table was read from a snapshot.
+// RebuildExpiries remakes the expiry heap after the table was read from a snapshot.
 func (t *Table) RebuildExpiries() {
 	t.expiries = t.expiries[:0]
 	for _, lease := range t.Leases {
@@ -126,7 +126,7 @@
 	return count
 }
 
-// Due says whether Reclaim would find anything.
+// HasExpired says whether Reclaim would find anything.
 func (t *Table) HasExpired(now ident.GroupTime) bool {
 	return len(t.expiries) > 0 && t.expiries[0].at <= now
 }
--- a/wire/operatorapi/bundle.go
+++ b/wire/operatorapi/bundle.go
@@ -17,19 +17,19 @@
 	HeaderRevision = "X-Bundle-Revision"
 )
 
-// Apply is one operator's call to put a bundle in force in one step. Either Whole or Patch is there.
+// ApplyRequest is one operator's call to put a bundle in force in one step. Either Whole or Patch is there.
 type ApplyRequest struct {
 	// Base is the revision in force that it builds on; 0 for the first.
 	Base ident.Revision `json:"base"`
 	// Digest tells this call from all others: the same call sent again finds itself.
 	Digest   string `json:"digest"`
 	Operator string `json:"operator"`
-	// Whole is a bundle that spec.Read can read; whether it is sound, the leader checks.
+	// Configuration is a bundle that spec.Read can read; whether it is sound, the leader checks.
 	Configuration []byte          `json:"whole,omitempty"`
 	Patch         *upstream.Patch `json:"patch,omitempty"`
 }
 
-// Digest makes a call's digest from all that its sender said, as the sender said it.
+// RequestDigest makes a call's digest from all that its sender said, as the sender said it.
 func RequestDigest(method string, base ident.Revision, body []byte) string {
 	sum := sha256.New()
 	sum.Write([]byte(method + " " + strconv.FormatUint(uint64(base), 10) + "\n"))
@@ -53,7 +53,7 @@
 	Unknown ApplyOutcome = "unknown"
 )
 
-// Applying is the answer to such a call.
+// ApplyResponse is the answer to such a call.
 type ApplyResponse struct {
 	Outcome ApplyOutcome `json:"outcome"`
 	// Revision and Epoch are what was in force when the answer was made.
@@ -71,6 +71,6 @@
 type Bundle struct {
 	Revision ident.Revision
 	Version  ident.Version
-	// Spec is the bundle's bytes; nothing before the first.
+	// Configuration is the bundle's bytes; nothing before the first.
 	Configuration []byte
 }
--- a/wire/operatorapi/engines.go
+++ b/wire/operatorapi/engines.go
@@ -5,7 +5,7 @@
 // PathEngines lists the engines that register themselves; an engine's own path is behind it and a slash.
 const PathEngines = "/v1/engines"
 
-// HeldModel is one model that an engine holds, with its adapters.
+// LoadedModel is one model that an engine holds, with its adapters.
 type LoadedModel struct {
 	Model      string   `json:"model" validate:"required,max=200"`
 	Generation uint64   `json:"generation"`
@@ -41,9 +41,9 @@
 	ID ident.EngineID `json:"id"`
 	Registration
 	Condition string `json:"condition"`
-	// HeardMsAgo is when any control daemon last heard it, as far as the answering daemon knows.
+	// LastContactMsAgo is when any control daemon last heard it, as far as the answering daemon knows.
 	LastContactMsAgo int64 `json:"heardMsAgo"`
-	// Claim and Turn are of the planner's newest word on it.
+	// Token and Turn are of the planner's newest word on it.
 	Token    ident.FencingToken `json:"claim,omitempty"`
 	Sequence uint64             `json:"turn,omitempty"`
 }
@@ -54,7 +54,7 @@
 	Engines []RegisteredEngine `json:"engines"`
 }
 
-// Registered answers an engine.
+// RegistrationResponse answers an engine.
 type RegistrationResponse struct {
 	Outcome string `json:"outcome"`
 }
--- a/wire/operatorapi/nodes.go
+++ b/wire/operatorapi/nodes.go
@@ -23,7 +23,7 @@
 	// Observers is from how many zones it is seen, SlowPaths from which alone it is slow.
 	Observers int            `json:"observers,omitempty"`
 	SlowPaths []ident.ZoneID `json:"slowPaths,omitempty"`
-	// Shut says that nothing new goes to it, ShutBy who shut it and ShutFor why, Kept who keeps it from the ranking.
+	// Closed says that nothing new goes to it, ShutBy who shut it and ShutFor why, Kept who keeps it from the ranking.
 	Closed       bool   `json:"shut,omitempty"`
 	ClosedBy     string `json:"shutBy,omitempty"`
 	ClosedReason string `json:"shutFor,omitempty"`
@@ -37,10 +37,10 @@
 	// Mode is what ranking is used for: off, watch or drain.
 	Mode  string             `json:"mode"`
 	Token ident.FencingToken `json:"claim"`
-	// ClosureEpoch is the one that the list was made under, and that what operators say builds on.
+	// ClosureVersion is the one that the list was made under, and that what operators say builds on.
 	ClosureVersion ident.Version `json:"closureEpoch"`
 	Nodes          []Node        `json:"nodes"`
-	// Asked is whether the engine that was asked about may be drained: allowed, or why not.
+	// DrainCheck is whether the engine that was asked about may be drained: allowed, or why not.
 	DrainCheck       string `json:"asked,omitempty"`
 	DrainCheckReason string `json:"askedReason,omitempty"`
 }
@@ -52,7 +52,7 @@
 	NodeRelease = "release"
 )
 
-// NodeAct drains an engine, keeps it from the ranking, or takes both back.
+// NodeAction drains an engine, keeps it from the ranking, or takes both back.
 type NodeAction struct {
 	Engine   ident.EngineID `json:"engine"`
 	Action   string         `json:"act"`
--- a/wire/operatorapi/operatorapi.go
+++ b/wire/operatorapi/operatorapi.go
@@ -20,7 +20,7 @@
 	PathSign = "/v1/spec/sign"
 	// PathRoll puts a signed proposal in force.
 	PathRoll = "/v1/spec/roll"
-	// PathSpec gives the bundle of an epoch, byte for byte.
+	// PathConfiguration gives the bundle of an epoch, byte for byte.
 	PathConfiguration = "/v1/spec"
 	// PathHistory lists the proposals that came in force.
 	PathHistory = "/v1/spec/history"
@@ -32,7 +32,7 @@
 	PathDrain = "/v1/engine"
 	// PathClosures lists what is closed.
 	PathClosures = "/v1/closures"
-	// PathLost takes an operator's statement that a daemon will never serve again.
+	// PathDeclareLost takes an operator's statement that a daemon will never serve again.
 	PathDeclareLost = "/v1/daemon/lost"
 	// PathStatus shows what a daemon knows.
 	PathStatus = "/v1/status"
@@ -44,7 +44,7 @@
 	PathLive = "/live"
 	// PathCounters lists the daemon's counters as text.
 	PathCounters = "/counters"
-	// HeaderEpoch carries the epoch of a bundle that is read back.
+	// HeaderVersion carries the epoch of a bundle that is read back.
 	HeaderVersion = "X-Spec-Epoch"
 )
 
@@ -72,14 +72,14 @@
 	return slices.Concat(head[:len(head)-1], []byte(`,"spec":`), raw, []byte("}")), nil
 }
 
-// Act reviews, signs or rolls a proposal.
+// ProposalAction reviews, signs or rolls a proposal.
 type ProposalAction struct {
 	ProposalID string `json:"proposalId"`
 	Operator   string `json:"operator"`
 	Note       string `json:"note"`
 }
 
-// Zone closes or opens a zone. Base is the closure epoch it builds on.
+// ZoneClosure closes or opens a zone. Base is the closure epoch it builds on.
 type ZoneClosure struct {
 	Zone     ident.ZoneID   `json:"zone"`
 	Closed   *bool          `json:"closed"`
@@ -87,13 +87,13 @@
 	Operator string         `json:"operator"`
 }
 
-// Lost declares that a life of a daemon will never serve again.
+// DeclareLost declares that a life of a daemon will never serve again.
 type DeclareLost struct {
 	Daemon   ident.NodeID `json:"daemon"`
 	Operator string       `json:"operator"`
 }
 
-// Drain starts or ends an operator's draining of an engine.
+// EngineDrain starts or ends an operator's draining of an engine.
 type EngineDrain struct {
 	Engine   ident.EngineID `json:"engine"`
 	Draining *bool          `json:"draining"`
@@ -167,7 +167,7 @@
 	PendingOrders int                `json:"inFlight"`
 }
 
-// Fellow is another daemon as this one knows it.
+// Peer is another daemon as this one knows it.
 type Peer struct {
 	NodeID               ident.NodeID  `json:"nodeId"`
 	Address              string        `json:"address"`
