--- a/daemon/counters.go
+++ b/daemon/counters.go
@@ -18,7 +18,7 @@
 	slotRequestsFailed, attemptQueries, attemptsUncertain, attemptsTransferred        atomic.Uint64
 	engineHeartbeats, engineHeartbeatsLate, departuresAcknowledged, departuresUnknown atomic.Uint64
 	memberFaults, listenerFaults, notHandedOver, turnedStale                          atomic.Uint64
-	// ordersUnproven counts operators' calls whose fate the replicated state could not prove any more.
+	// appliesUnproven counts operators' calls whose fate the replicated state could not prove any more.
 	appliesUnproven atomic.Uint64
 	// group counts what this daemon's members of the control group noticed, over all their lives.
 	group replica.Counters
@@ -126,7 +126,7 @@
 	}
 }
 
-// countForwarding lists the counters of opaque requests.
+// eachForwardingCounter lists the counters of opaque requests.
 func (d *Daemon) eachForwardingCounter(say func(name string, value uint64)) {
 	side := &d.forwarding
 	if side.gateway == nil {
@@ -225,7 +225,7 @@
 	say("engines_spared", judged.Suppressed)
 }
 
-// count lists the counters of the ranking.
+// eachCounter lists the counters of the ranking.
 func (n *nodeRanking) eachCounter(say func(name string, value uint64)) {
 	if !n.on() {
 		return
--- a/daemon/noderanking.go
+++ b/daemon/noderanking.go
@@ -30,7 +30,7 @@
 	settings nodehealth.Settings
 	// recorder is there where requests are forwarded and ranking is not off.
 	recorder *nodehealth.Recorder
-	// toldAt is when digests were last told.
+	// sentMutex is when digests were last told.
 	sentMutex   sync.Mutex
 	sentAt      clock.Mark
 	digestsSent atomic.Uint64
@@ -39,14 +39,14 @@
 	// ranker is there while the claim is held; claim is the one it was made for.
 	ranker *nodehealth.Ranker
 	claim  ident.FencingToken
-	// asked says that an act is under way, stepNext when the next step is due.
+	// actionPending says that an act is under way, stepNext when the next step is due.
 	actionPending bool
 	stepNext      clock.Mark
 	// vanished is since when an engine that the ranking shut is not registered.
 	vanished map[ident.EngineID]clock.Mark
 	// refusals is why slow engines were not drained at the newest step.
 	refusals map[ident.EngineID]nodehealth.Refusal
-	// asked for lately: only that must not lose its last holder.
+	// recentDemand for lately: only that must not lose its last holder.
 	recentDemand  map[demandKey]clock.Mark
 	state         atomic.Pointer[rankingState]
 	decisionsMade actionCounts
@@ -66,7 +66,7 @@
 	took     time.Duration
 }
 
-// rankingActs counts what became of what was decided.
+// actionCounts counts what became of what was decided.
 type actionCounts struct{ done, refused, unknown, unleased atomic.Uint64 }
 
 type (
@@ -85,13 +85,13 @@
 const (
 	// rankEvery is how often engines are ranked, where a step takes less than a tenth of that.
 	rankEvery = time.Second
-	// wantedFor is for how long something counts as asked for.
+	// demandRetained is for how long something counts as asked for.
 	demandRetained = 30 * time.Second
 	// vanishedFor is after what time the mark of an engine that is gone is taken away.
 	vanishedFor = 30 * time.Second
-	// actLimit bounds how long an act is waited for.
+	// actionLimit bounds how long an act is waited for.
 	actionLimit = 5 * time.Second
-	// rankingName is who shuts engines by rank.
+	// rankingOperator is who shuts engines by rank.
 	rankingOperator = "ranking"
 )
 
@@ -113,7 +113,7 @@
 	return n.poolPlanning != nil && n.config.Serves(daemonconfig.Place)
 }
 
-// run starts the ranker. It runs where ranking is off too, to open what was shut before it was switched off.
+// start starts the ranker. It runs where ranking is off too, to open what was shut before it was switched off.
 func (n *nodeRanking) start(run func(func(context.Context))) {
 	if n.plans() {
 		run(func(ctx context.Context) { n.mailbox.Run(ctx, rankEvery/4, n.take, func() { n.step(ctx) }) })
@@ -134,7 +134,7 @@
 	}
 }
 
-// beat ranks, while this daemon holds the claim.
+// step ranks, while this daemon holds the claim.
 func (n *nodeRanking) step(ctx context.Context) {
 	condition := n.poolPlanning.condition()
 	if !condition.Held {
@@ -201,7 +201,7 @@
 	return false
 }
 
-// forgotten lists the openings of engines that were shut by rank and are gone, so that their marks don't pile up.
+// reopenVanished lists the openings of engines that were shut by rank and are gone, so that their marks don't pile up.
 func (n *nodeRanking) reopenVanished(now clock.Mark, view *registry.View, closures closure.Set) []nodehealth.Act {
 	var out []nodehealth.Act
 	for id := range n.vanished {
@@ -225,7 +225,7 @@
 	return out
 }
 
-// act has the group shut or open an engine, stamped and under the claim that was ranked under.
+// submitAction has the group shut or open an engine, stamped and under the claim that was ranked under.
 func (n *nodeRanking) submitAction(ctx context.Context, act nodehealth.Act) {
 	stamp, verdict := n.generator.Next()
 	if verdict != snowflake.Generated {
--- a/daemon/noderankingpage.go
+++ b/daemon/noderankingpage.go
@@ -14,7 +14,7 @@
 // nodesRead is what the ranks are read by; only whoever plans has them.
 const nodesRead = "nodes"
 
-// nodesAsked is a question for the ranks.
+// rankingQuery is a question for the ranks.
 type rankingQuery struct {
 	engine ident.EngineID
 	reply  chan operatorapi.Nodes
@@ -70,7 +70,7 @@
 	return operatorapi.Nodes{}, false
 }
 
-// answer makes the page, in the ranker's own turn.
+// answerQuery makes the page, in the ranker's own turn.
 func (n *nodeRanking) answerQuery(asked rankingQuery) {
 	out := operatorapi.Nodes{Mode: string(n.mode()), Token: n.claim, Nodes: []operatorapi.Node{}}
 	table := n.rollout.Table()
--- a/testbed/platformtest/scenario/nodes.go
+++ b/testbed/platformtest/scenario/nodes.go
@@ -93,7 +93,7 @@
 	}},
 }
 
-// ranked waits until enough is known of the engines that are ranked.
+// awaitRanked waits until enough is known of the engines that are ranked.
 func (d *Run) awaitRanked(ctx context.Context) ([]*engine.Engine, error) {
 	// One more than usual, so that there is room for what a drained engine holds alone.
 	if _, err := d.newModel(zones[0], nil, ""); err != nil {
@@ -113,7 +113,7 @@
 	return list, err
 }
 
-// nodes reads the ranks from any core machine, as an operator would.
+// nodesPage reads the ranks from any core machine, as an operator would.
 func (d *Run) nodesPage(ctx context.Context) (operatorapi.Nodes, error) {
 	last := errors.New("no core machine runs")
 	for _, m := range d.Fleet.OfClass(fleet.Core) {
