--- a/connection/adminapi/nodes.go
+++ b/connection/adminapi/nodes.go
@@ -74,7 +74,7 @@
 		return
 	case body.Action == operatorapi.NodeDrain:
 		// What the ranking shut an operator may shut for good: nothing more goes by that.
-		if why := refusalByName(page.DrainCheck); why != nodehealth.Allowed && !(why == nodehealth.ShutAlready && shutByRank) {
+		if why := refusalByName(page.DrainCheck); why != nodehealth.Allowed && !(why == nodehealth.AlreadyClosed && shutByRank) {
 			refuse(why)
 			return
 		}
@@ -108,7 +108,7 @@
 
 // refusalByName reads a refusal by its name.
 func refusalByName(name string) nodehealth.Refusal {
-	for why := nodehealth.Allowed; why <= nodehealth.LastHolder; why++ {
+	for why := nodehealth.Allowed; why <= nodehealth.LastReplica; why++ {
 		if why.String() == name {
 			return why
 		}
