--- a/daemon/changetrace.go
+++ b/daemon/changetrace.go
@@ -12,7 +12,7 @@
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
-// trace gathers every daemon's steps for one change; state tells the newest epochs of the group.
+// changeTrace gathers every daemon's steps for one change; state tells the newest epochs of the group.
 func (d *Daemon) changeTrace(change string, state []byte) []byte {
 	var known traceState
 	_ = json.Unmarshal(state, &known)
--- a/daemon/configuration.go
+++ b/daemon/configuration.go
@@ -19,7 +19,7 @@
 	go d.rollout.Offer(epoch, inForce.Bundle(), &closures)
 }
 
-// swapped is called after each change that is in force here.
+// configurationChanged is called after each change that is in force here.
 func (d *Daemon) configurationChanged() {
 	if t := d.rollout.Table(); t != nil {
 		if mark, lost := t.Closures.Lost[d.nodeID]; lost {
--- a/daemon/dispatch.go
+++ b/daemon/dispatch.go
@@ -15,13 +15,13 @@
 const (
 	// stallLimit is how long the next piece of a stream is waited for.
 	stallLimit = 8 * time.Second
-	// runOver is how long a stream that began in time may go on past its deadline.
+	// overrunLimit is how long a stream that began in time may go on past its deadline.
 	overrunLimit = 15 * time.Second
-	// enoughTime is how much time a go must have had for its failure to count against the engine.
+	// fairAttemptTime is how much time a go must have had for its failure to count against the engine.
 	fairAttemptTime = 2 * time.Second
 )
 
-// routing is the daemon as the dispatch actor sees it.
+// requestPath is the daemon as the dispatch actor sees it.
 type requestPath struct{ *Daemon }
 
 // World is what the request path may look at now.
@@ -34,7 +34,7 @@
 	}
 }
 
-// lastLook is the last check before the first byte: what it reads is what is in force at that moment.
+// finalCheck is the last check before the first byte: what it reads is what is in force at that moment.
 func (d *Daemon) finalCheck(flight *dispatch.Call, send dispatch.Send) string {
 	t := d.rollout.Table()
 	engine := d.watcher.View().Engines[send.Engine]
@@ -137,7 +137,7 @@
 	return result.Outcome, result.Reason
 }
 
-// mayGo says whether a go may leave on what the homes said. Where they can't be asked, only the caller's
+// mayStart says whether a go may leave on what the homes said. Where they can't be asked, only the caller's
 // own word that the work may run twice lets it go.
 func mayStart(claim deduplication.Decision, repeatable bool) bool {
 	return claim == deduplication.May || claim == deduplication.Doubt && repeatable
--- a/daemon/freshness.go
+++ b/daemon/freshness.go
@@ -42,7 +42,7 @@
 	return confirmed == 0 || d.clock.Elapsed().Since(confirmed) > membership.StaleAfter
 }
 
-// noteStale writes down that what is in force here came to be unconfirmed, or is so no more.
+// logStale writes down that what is in force here came to be unconfirmed, or is so no more.
 func (d *Daemon) logStale(stale bool) {
 	if stale {
 		d.counters.turnedStale.Add(1)
