--- a/request/forwarding/record.go
+++ b/request/forwarding/record.go
@@ -41,7 +41,7 @@
 	StageResponding: {StageQueued, StageSending, StageResponding, StageEnded},
 }
 
-// transition is the one function by which a record changes its stage.
+// move is the one function by which a record changes its stage.
 func (r *Request) transition(to Stage) {
 	for _, way := range allowedTransitions[r.stage] {
 		if way == to {
@@ -68,9 +68,9 @@
 	stage Stage
 	// pool is drawn once, so that all attempts go to the same.
 	pool string
-	// firstByteDeadline is when an answer must have begun, or its caller is likely to be gone.
+	// firstBy is when an answer must have begun, or its caller is likely to be gone.
 	firstByteDeadline clock.Mark
-	// resubmitted says that the client seems to have been refused before: it has less time than it began with.
+	// returned says that the client seems to have been refused before: it has less time than it began with.
 	resubmitted bool
 	// sequence orders those that wait by arrival.
 	sequence uint64
@@ -78,26 +78,26 @@
 	enginesTried int
 	triedEngines []ident.EngineID
 	engine       ident.EngineID
-	// mintedIDs are the minted ids of its queueing and of each retry.
+	// stamps are the minted ids of its queueing and of each retry.
 	mintedIDs []ident.SnowflakeID
 	// mayHaveRun says that an attempt may have run, so no refusal may be promised.
 	mayHaveRun bool
-	// responseBegun says that the caller has bytes of an answer, callerLeft that it waits for none any more.
+	// begun says that the caller has bytes of an answer, callerLeft that it waits for none any more.
 	responseBegun, callerLeft bool
 	// lastEvent is the last event passed on, if any was.
 	lastEvent string
-	// queuedAt is since when it is held, heldFor how long it was held before, heldLack what it lacked when it was.
+	// heldAt is since when it is held, heldFor how long it was held before, heldLack what it lacked when it was.
 	queuedAt      clock.Mark
 	queuedFor     time.Duration
 	queuedBecause blockReason
-	// blockedBecause is what it lacked when it last could not be sent, shed that it was refused by an estimate.
+	// lack is what it lacked when it last could not be sent, shed that it was refused by an estimate.
 	blockedBecause blockReason
 	shed           bool
 	lossCounted    bool
-	// withheldCount counts the attempts that were stopped at the last look.
+	// heldBack counts the attempts that were stopped at the last look.
 	withheldCount int
 	sentAt        clock.Mark
-	// memoryTokens is the tokens of memory, and unread those of its prompt that the engine chosen has not kept;
+	// needs is the tokens of memory, and unread those of its prompt that the engine chosen has not kept;
 	// awaited says that the answer has not begun.
 	memoryTokens, prefillTokens int
 	awaitingFirstByte           bool
@@ -109,11 +109,11 @@
 	// wasOverdue that it was when its first byte had not come.
 	overdueAfter                     time.Duration
 	outcomeReported, reportedOverdue bool
-	// expectedCost is what the engine chosen was expected to cost.
+	// score is what the engine chosen was expected to cost.
 	expectedCost float64
-	// migrating says that the attempt under way was stopped to be made elsewhere, paid that the next one is in the budget.
+	// moving says that the attempt under way was stopped to be made elsewhere, paid that the next one is in the budget.
 	migrating, retryCharged bool
-	// firstSendCounted says that its first arrival at an engine is in the budget.
+	// counted says that its first arrival at an engine is in the budget.
 	firstSendCounted bool
 	steps            chan Step
 }
@@ -127,7 +127,7 @@
 // Stage tells where the record stands.
 func (r *Request) Stage() Stage { return r.stage }
 
-// responseDeadline is until when the answer, or what follows of it, is worth waiting for.
+// answerBy is until when the answer, or what follows of it, is worth waiting for.
 func (r *Request) responseDeadline() clock.Mark {
 	if r.responseBegun || r.firstByteDeadline == 0 {
 		return r.Deadline
