--- a/process/consensus/statemachine/apply.go
+++ b/process/consensus/statemachine/apply.go
@@ -11,15 +11,15 @@
 const (
 	// appliedPrefix begins the ids of bundles that were applied in one step; no proposal may take such an id.
 	appliedPrefix = "apply:"
-	// keptApplied is how many orders that were taken are known by their digest. One that is forgotten has no
+	// maxVersions is how many orders that were taken are known by their digest. One that is forgotten has no
 	// clear answer from then on.
 	maxVersions = 4096
-	// mostRefused is how many orders on bases that are not there yet may be refused at once. A refusal can't be
+	// maxRejectedApplies is how many orders on bases that are not there yet may be refused at once. A refusal can't be
 	// forgotten before its base has passed; while there is no room for another, such an order has no clear answer.
 	maxRejectedApplies = 256
 	// MostRevision is the highest revision: the highest whole number that every reader of JSON takes exactly.
 	MaxRevision ident.Revision = 1 << 53
-	// mostDigestBytes bounds a digest.
+	// maxDigestBytes bounds a digest.
 	maxDigestBytes = 256
 )
 
@@ -85,7 +85,7 @@
 
 func (s *State) canRecordRejection() bool { return len(s.RejectedAhead) < s.limits.RejectedApplies }
 
-// forgetRefused drops the refusals whose base has passed: revisions only rise, so those can't win any more.
+// dropPassedRejections drops the refusals whose base has passed: revisions only rise, so those can't win any more.
 func (s *State) dropPassedRejections() {
 	s.RejectedAhead = slices.DeleteFunc(s.RejectedAhead, func(o RejectedApply) bool { return o.Base < s.Revision })
 }
@@ -142,7 +142,7 @@
 	return Result{Outcome: Done, Proposal: applied.withoutConfiguration()}
 }
 
-// refuseOrder writes an order down as refused, so that no copy of it wins later.
+// rejectApply writes an order down as refused, so that no copy of it wins later.
 func (s *State) rejectApply(c Command) Result {
 	if !s.canRecordRejection() {
 		return Result{Outcome: Unproven, Reason: "too many refused orders wait for their base"}
--- a/request/forwarding/move_test.go
+++ b/request/forwarding/move_test.go
@@ -8,7 +8,7 @@
 	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
-// emptied is a world in which one engine was shut by rank.
+// evacuating is a world in which one engine was shut by rank.
 func (fixture *coreFixture) evacuating(id string) Environment {
 	env := fixture.world()
 	env.EngineEvacuated = func(engine *registry.Engine) bool { return string(engine.ID) == id }
--- a/request/forwarding/record.go
+++ b/request/forwarding/record.go
@@ -41,7 +41,7 @@
 	StageResponding: {StageQueued, StageSending, StageResponding, StageEnded},
 }
 
-// move is the one function by which a record changes its stage.
+// transition is the one function by which a record changes its stage.
 func (r *Request) transition(to Stage) {
 	for _, way := range allowedTransitions[r.stage] {
 		if way == to {
@@ -68,9 +68,9 @@
 	stage Stage
 	// pool is drawn once, so that all attempts go to the same.
 	pool string
-	// firstBy is when an answer must have begun, or its caller is likely to be gone.
+	// firstByteDeadline is when an answer must have begun, or its caller is likely to be gone.
 	firstByteDeadline clock.Mark
-	// returned says that the client seems to have been refused before: it has less time than it began with.
+	// resubmitted says that the client seems to have been refused before: it has less time than it began with.
 	resubmitted bool
 	// sequence orders those that wait by arrival.
 	sequence uint64
@@ -78,26 +78,26 @@
 	enginesTried int
 	triedEngines []ident.EngineID
 	engine       ident.EngineID
-	// stamps are the minted ids of its queueing and of each retry.
+	// mintedIDs are the minted ids of its queueing and of each retry.
 	mintedIDs []ident.SnowflakeID
 	// mayHaveRun says that an attempt may have run, so no refusal may be promised.
 	mayHaveRun bool
-	// begun says that the caller has bytes of an answer, callerLeft that it waits for none any more.
+	// responseBegun says that the caller has bytes of an answer, callerLeft that it waits for none any more.
 	responseBegun, callerLeft bool
 	// lastEvent is the last event passed on, if any was.
 	lastEvent string
-	// heldAt is since when it is held, heldFor how long it was held before, heldLack what it lacked when it was.
+	// queuedAt is since when it is held, heldFor how long it was held before, heldLack what it lacked when it was.
 	queuedAt      clock.Mark
 	queuedFor     time.Duration
 	queuedBecause blockReason
-	// lack is what it lacked when it last could not be sent, shed that it was refused by an estimate.
+	// blockedBecause is what it lacked when it last could not be sent, shed that it was refused by an estimate.
 	blockedBecause blockReason
 	shed           bool
 	lossCounted    bool
-	// heldBack counts the attempts that were stopped at the last look.
+	// withheldCount counts the attempts that were stopped at the last look.
 	withheldCount int
 	sentAt        clock.Mark
-	// needs is the tokens of memory, and unread those of its prompt that the engine chosen has not kept;
+	// memoryTokens is the tokens of memory, and unread those of its prompt that the engine chosen has not kept;
 	// awaited says that the answer has not begun.
 	memoryTokens, prefillTokens int
 	awaitingFirstByte           bool
@@ -109,11 +109,11 @@
 	// wasOverdue that it was when its first byte had not come.
 	overdueAfter                     time.Duration
 	outcomeReported, reportedOverdue bool
-	// score is what the engine chosen was expected to cost.
+	// expectedCost is what the engine chosen was expected to cost.
 	expectedCost float64
-	// moving says that the attempt under way was stopped to be made elsewhere, paid that the next one is in the budget.
+	// migrating says that the attempt under way was stopped to be made elsewhere, paid that the next one is in the budget.
 	migrating, retryCharged bool
-	// counted says that its first arrival at an engine is in the budget.
+	// firstSendCounted says that its first arrival at an engine is in the budget.
 	firstSendCounted bool
 	steps            chan Step
 }
@@ -127,7 +127,7 @@
 // Stage tells where the record stands.
 func (r *Request) Stage() Stage { return r.stage }
 
-// answerBy is until when the answer, or what follows of it, is worth waiting for.
+// responseDeadline is until when the answer, or what follows of it, is worth waiting for.
 func (r *Request) responseDeadline() clock.Mark {
 	if r.responseBegun || r.firstByteDeadline == 0 {
 		return r.Deadline
--- a/testbed/partitionsim/node_test.go
+++ b/testbed/partitionsim/node_test.go
@@ -47,7 +47,7 @@
 	beaten clock.Mark
 	refs   uint64
 	asked  map[uint64]func(replica.Response)
-	// offered is the newest that was handed to the keeper by the log.
+	// offeredSpec is the newest that was handed to the keeper by the log.
 	offeredSpec, offeredClosure ident.Version
 
 	keeper   *rollout.Manager
