--- a/daemon/joingroup.go
+++ b/daemon/joingroup.go
@@ -67,7 +67,7 @@
 	ticker := time.NewTicker(200 * time.Millisecond)
 	defer ticker.Stop()
 	for {
-		decision, group, members := bootstrap.Decide(dataFolder.Member, d.identifySeeds(ctx))
+		decision, group, members := bootstrap.Decide(dataFolder.MemberID, d.identifySeeds(ctx))
 		switch decision {
 		case bootstrap.Join:
 			return group, none, nil
