--- a/daemon/counters.go
+++ b/daemon/counters.go
@@ -52,7 +52,7 @@
 	say("tenure_acquired", counts.leasesAcquired.Load())
 	say("tenure_renewed", counts.leasesRenewed.Load())
 	say("tenure_lost", counts.leasesLost.Load())
-	say("mint_refused", d.generator.Refusals())
+	say("mint_refused", d.generator.Rejections())
 	say("pulls", d.members.Pulls.Load())
 	say("pulls_failed", d.members.FailedPulls.Load())
 	say("sources_left_as_stale", d.members.StaleSources.Load())
@@ -71,7 +71,7 @@
 	say("snapshots_taken", counts.group.SnapshotsInstalled.Load())
 	say("snapshots_refused", counts.group.SnapshotsRejected.Load())
 	say("states_differ", counts.group.StateDivergences.Load())
-	say("offers_refused", d.rollout.Refused.Load())
+	say("offers_refused", d.rollout.Rejected.Load())
 	watched := &d.watcher.Counters
 	say("engine_reports_failed", watched.FailedReports.Load())
 	say("engine_reports_junk", watched.InvalidReports.Load())
--- a/daemon/noderanking.go
+++ b/daemon/noderanking.go
@@ -227,8 +227,8 @@
 
 // submitAction has the group shut or open an engine, stamped and under the claim that was ranked under.
 func (n *nodeRanking) submitAction(ctx context.Context, action nodehealth.Action) {
-	stamp, outcome := n.generator.Mint()
-	if outcome != snowflake.Minted {
+	stamp, outcome := n.generator.Next()
+	if outcome != snowflake.Generated {
 		// Without a lease of a worker id nothing is decided.
 		n.decisionsMade.unleased.Add(1)
 		return
--- a/request/forwarding/move_test.go
+++ b/request/forwarding/move_test.go
@@ -8,7 +8,7 @@
 	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
-// emptied is a world in which one engine was shut by rank.
+// evacuating is a world in which one engine was shut by rank.
 func (fixture *coreFixture) evacuating(id string) Environment {
 	env := fixture.world()
 	env.EngineEvacuated = func(engine *registry.Engine) bool { return string(engine.ID) == id }
@@ -19,9 +19,9 @@
 func newMigrationFixture(t *testing.T) *coreFixture {
 	resumable := pathOf("resume", upstream.Stream, "plain")
 	resumable.Resumable = true
-	single := pathOf("single", upstream.Repeatable, "plain")
+	single := pathOf("single", upstream.Idempotent, "plain")
 	single.Attempts = 1
-	fixture := newCoreFixture(t, resumable, pathOf("stream", upstream.Stream, "plain"), pathOf("again", upstream.Repeatable, "plain"), pathOf("once", upstream.Once, "plain"), single)
+	fixture := newCoreFixture(t, resumable, pathOf("stream", upstream.Stream, "plain"), pathOf("again", upstream.Idempotent, "plain"), pathOf("once", upstream.Once, "plain"), single)
 	fixture.register(enginesOf("plain", 2, 64)...)
 	return fixture
 }
