--- a/cmd/cresspond-platform/main.go
+++ b/cmd/cresspond-platform/main.go
@@ -117,7 +117,7 @@
 	return daemon.New(settings, version, log.Log,
 		daemon.WithReadiness(func(*daemon.Daemon) daemon.Handler { return platform.Readiness{} }),
 		daemon.WithForwarding(platform.Dialect()),
-		daemon.WithPatience(platform.Patience()),
+		daemon.WithPatience(platform.ClientTimeout()),
 		daemon.WithControl(func(d *daemon.Daemon) daemon.Handler { return platform.NewEngines(d) }),
 		daemon.WithPoolPlanning(platform.NewEngineClient(), daemon.PoolSettings(settings)),
 		daemon.WithControl(func(d *daemon.Daemon) daemon.Handler { return platform.NewOperator(d) }),
