--- a/cmd/cresspond-platform/main.go
+++ b/cmd/cresspond-platform/main.go
@@ -51,7 +51,7 @@
 		os.Exit(application.ExitWrongUsage)
 	}
 	settings.Ranking.Mode = nodehealth.Mode(*ranks)
-	settings.Log, settings.Experiments.Without = *logLevel, *without
+	settings.Log, settings.Experiments.Disabled = *logLevel, *without
 	if *checkOnly {
 		fmt.Println("the settings are sound")
 		return
--- a/cmd/cresspondd/flags.go
+++ b/cmd/cresspondd/flags.go
@@ -59,9 +59,9 @@
 	set(&settings.Name, *f.name)
 	set((*string)(&settings.Zone), *f.zone)
 	set(&settings.Listen, *f.listen)
-	set(&settings.FellowListen, *f.peerListen)
-	set(&settings.FellowAddress, *f.peerAddress)
-	set(&settings.Data, *f.data)
+	set(&settings.PeerListen, *f.peerListen)
+	set(&settings.PeerAddress, *f.peerAddress)
+	set(&settings.DataDir, *f.data)
 	set(&settings.Platform, *f.platform)
 	set(&settings.Log, *f.level)
 	if *f.drainMs >= 0 {
@@ -71,9 +71,9 @@
 		settings.Seeds = *f.seeds
 	}
 	if len(*f.serve) > 0 {
-		settings.Serve = nil
+		settings.Roles = nil
 		for _, role := range *f.serve {
-			settings.Serve = append(settings.Serve, daemonconfig.Role(role))
+			settings.Roles = append(settings.Roles, daemonconfig.Role(role))
 		}
 	}
 }
--- a/cmd/cresspondd/recover.go
+++ b/cmd/cresspondd/recover.go
@@ -48,15 +48,15 @@
 	if err != nil {
 		return err
 	}
-	opened, err := store.Open(settings.Data, daemon.NewMember)
+	opened, err := store.Open(settings.DataDir, daemon.NewMember)
 	if err != nil {
 		return err
 	}
 	defer opened.Close()
 	if remembered, err := opened.Group(); err != nil || remembered != "" {
-		return eris.Errorf("the data folder %s belongs to group %s already; recover into an empty one", settings.Data, remembered)
+		return eris.Errorf("the data folder %s belongs to group %s already; recover into an empty one", settings.DataDir, remembered)
 	}
-	if err := recovery.Write(opened, plan, settings.Name, settings.ReachedAt()); err != nil {
+	if err := recovery.Write(opened, plan, settings.Name, settings.AdvertisedPeerAddress()); err != nil {
 		return err
 	}
 	fmt.Printf("group %s: spec epoch %d, closure epoch %d\n", plan.Group, plan.State.Version(), plan.State.Closures.Version)
--- a/daemon/applybundle.go
+++ b/daemon/applybundle.go
@@ -51,7 +51,7 @@
 		if told = ""; address == "" {
 			address = d.leaderAddress()
 		}
-		if address != "" && address != d.config.ReachedAt() && bounded.Err() == nil {
+		if address != "" && address != d.config.AdvertisedPeerAddress() && bounded.Err() == nil {
 			if request == nil {
 				request = d.applyRequest(call)
 			}
@@ -88,7 +88,7 @@
 	defer cancel()
 	sent := &peerapi.ApplyRequest{Group: request.Group, BaseVersion: request.BaseVersion, Digest: request.Digest, Operator: request.Operator,
 		Bundle: request.Bundle, Patch: request.Patch, TimeoutMs: time.Until(until).Milliseconds()}
-	reply, err := d.links.To(address).Apply(bounded, sent)
+	reply, err := d.links.Client(address).Apply(bounded, sent)
 	if err != nil {
 		return answer, "", replica.Unknown
 	}
@@ -140,7 +140,7 @@
 	if held == nil || !held.Status().IsLeader {
 		return operatorapi.Applying{}, replica.NotLeader
 	}
-	if !d.config.OneStep {
+	if !d.config.DirectApply {
 		return operatorapi.Applying{Outcome: operatorapi.Forbidden, Reason: "this fleet's bundles are reviewed and signed off; propose it instead"}, replica.Applied
 	}
 	var standing directapply.Standing
--- a/daemon/attemptowners.go
+++ b/daemon/attemptowners.go
@@ -100,9 +100,9 @@
 
 // askHomes puts one question to all homes of an attempt at once, and weighs what they say.
 func (d *Daemon) queryAttemptOwners(ask deduplication.Ask) deduplication.Decision {
-	self := d.config.ReachedAt()
+	self := d.config.AdvertisedPeerAddress()
 	// Where each attempt arrives once, no other daemon and no earlier life can know of one.
-	local := d.config.Attempts == daemonconfig.LocalAttempts
+	local := d.config.AttemptScope == daemonconfig.LocalAttempts
 	h := attemptOwners{query: []string{self}, informed: map[string]string{self: ""}, onlyDaemon: true}
 	if !local {
 		h = selectAttemptOwners(ask.Attempt, d.members.View(), d.clock.Elapsed(), self)
@@ -117,7 +117,7 @@
 	for _, home := range h.query {
 		client := peerapi.Fellow(d)
 		if home != self {
-			client = d.links.To(home)
+			client = d.links.Client(home)
 			d.counters.attemptQueries.Add(1)
 		}
 		request := &peerapi.AttemptRequest{Attempt: ask.Attempt, Owner: ask.Owner, Digest: ask.Digest, AgeMs: ask.Age.Milliseconds(), Action: string(ask.Act), OtherOwnerAddress: h.informed[home]}
--- a/daemon/calllimits_test.go
+++ b/daemon/calllimits_test.go
@@ -100,12 +100,12 @@
 			self = leader%3 + 1
 		}
 		settings := daemonconfig.Default()
-		settings.Name, settings.FellowAddress, settings.OneStep = fmt.Sprint("core-", self), fmt.Sprint("core-", self), true
-		settings.Serve = []daemonconfig.Role{daemonconfig.Control}
+		settings.Name, settings.PeerAddress, settings.DirectApply = fmt.Sprint("core-", self), fmt.Sprint("core-", self), true
+		settings.Roles = []daemonconfig.Role{daemonconfig.Control}
 		d := New(settings, "test", &log.Logger{Handler: discard.Default}, WithClock(now))
 		d.learnGroup(group)
-		d.links = peerclient.New(ctx, settings.FellowAddress, "", peerclient.WithTransport(silent{}))
-		d.members = membership.New(now, d, d.seeds, settings.FellowAddress, d.pace())
+		d.links = peerclient.New(ctx, settings.PeerAddress, "", peerclient.WithTransport(silent{}))
+		d.members = membership.New(now, d, d.seeds, settings.PeerAddress, d.pace())
 		d.registry = registry.New(now, string(d.nodeID), true, d.heartbeatPeriod, d.controlContact)
 		go d.registry.Run(ctx)
 		d.replica.Store(all[self])
--- a/daemon/commands.go
+++ b/daemon/commands.go
@@ -67,7 +67,7 @@
 	}
 	address := d.leaderAddress()
 	for range 2 {
-		if address == "" || address == d.config.ReachedAt() {
+		if address == "" || address == d.config.AdvertisedPeerAddress() {
 			return rollout.Response{}, false
 		}
 		limit := submitLimit
@@ -76,7 +76,7 @@
 			limit += reachLimit
 		}
 		bounded, cancel := d.whileLeader(ctx, address, limit)
-		reply, err := d.links.To(address).Submit(bounded, &peerapi.SubmitRequest{Group: string(d.Group()), Command: data})
+		reply, err := d.links.Client(address).Submit(bounded, &peerapi.SubmitRequest{Group: string(d.Group()), Command: data})
 		cancel()
 		if err != nil {
 			return rollout.Response{}, false
--- a/daemon/configurationhistory.go
+++ b/daemon/configurationhistory.go
@@ -70,7 +70,7 @@
 	if len(fellows) == 0 {
 		return nil
 	}
-	recalled, err := d.links.To(fellows[rand.IntN(len(fellows))].Address).Recall(bounded, &peerapi.RecallRequest{Version: uint64(epoch)})
+	recalled, err := d.links.Client(fellows[rand.IntN(len(fellows))].Address).Recall(bounded, &peerapi.RecallRequest{Version: uint64(epoch)})
 	if err != nil {
 		return nil
 	}
--- a/daemon/controlcontact_test.go
+++ b/daemon/controlcontact_test.go
@@ -20,7 +20,7 @@
 // it has no list of members here.
 func TestWhoeverOnlyRoutesJudgesNobody(t *testing.T) {
 	settings := daemonconfig.Default()
-	settings.Serve = []daemonconfig.Role{daemonconfig.Route}
+	settings.Roles = []daemonconfig.Role{daemonconfig.Route}
 	d := &Daemon{config: settings, clock: contactClock{clock.Mark(time.Minute)}}
 	if contact := d.controlContact(); contact.CanDetectTimeouts || contact.Horizon != clock.Mark(time.Minute) {
 		t.Errorf("%+v", contact)
--- a/daemon/counters.go
+++ b/daemon/counters.go
@@ -40,11 +40,11 @@
 	say("fellow_foreign_group", c.foreignGroup.Load())
 	say("fellow_garbage", c.malformedMessages.Load())
 	t := &d.links.Traffic
-	say("fellow_bytes_sent", t.Sent.Load())
-	say("fellow_bytes_received", t.Received.Load())
-	say("fellow_calls_made", t.Asked.Load())
-	say("fellow_calls_served", t.Answered.Load())
-	say("fellow_connections_opened", t.Opened.Load())
+	say("fellow_bytes_sent", t.SentBytes.Load())
+	say("fellow_bytes_received", t.ReceivedBytes.Load())
+	say("fellow_calls_made", t.Requests.Load())
+	say("fellow_calls_served", t.Served.Load())
+	say("fellow_connections_opened", t.Connections.Load())
 	say("member_troubles", c.memberFaults.Load())
 	say("listener_troubles", c.listenerFaults.Load())
 	say("orders_unproven", c.appliesUnproven.Load())
@@ -60,9 +60,9 @@
 	if confirmed := d.confirmed(); confirmed > 0 {
 		say("confirmed_ms_ago", uint64(max(0, d.clock.Elapsed().Since(confirmed).Milliseconds())))
 	}
-	say("raft_sent", d.links.Sent.Load())
-	say("raft_dropped", d.links.Dropped.Load())
-	say("raft_failed", d.links.Failed.Load())
+	say("raft_sent", d.links.SentMessages.Load())
+	say("raft_dropped", d.links.DroppedBatches.Load())
+	say("raft_failed", d.links.FailedBatches.Load())
 	if held := d.replica.Load(); held != nil {
 		say("raft_refused", held.Rejected.Load())
 	}
@@ -114,7 +114,7 @@
 	}
 	d.eachForwardingCounter(say)
 	d.nodeRanking.eachCounter(say)
-	if d.config.Serves(daemonconfig.Place) {
+	if d.config.Serves(daemonconfig.Placement) {
 		p := d.sessionPlacer.Condition().Counters
 		say("orders", p.Orders)
 		say("orders_done", p.Done)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -42,7 +42,7 @@
 	clock   clock.Clock
 	log     log.Interface
 
-	links             *peerclient.Links
+	links             *peerclient.Pool
 	rollout           *rollout.Keeper
 	members           *membership.Membership
 	registry          *registry.Registry
@@ -169,8 +169,8 @@
 }
 
 func (d *Daemon) roleNames() []string {
-	out := make([]string, 0, len(d.config.Serve))
-	for _, role := range d.config.Serve {
+	out := make([]string, 0, len(d.config.Roles))
+	for _, role := range d.config.Roles {
 		out = append(out, string(role))
 	}
 	return out
--- a/daemon/demand.go
+++ b/daemon/demand.go
@@ -42,7 +42,7 @@
 		return false
 	}
 	message := d.demandSender.Next(d.clock.Elapsed(), request.PlannerAddress, all, seated)
-	request.DemandVersion, request.DemandBaseVersion, request.Demand, request.Sessions = message.Seq, message.Base, message.Demand, message.Seats
+	request.DemandVersion, request.DemandBaseVersion, request.Demand, request.Sessions = message.Seq, message.Base, message.Demand, message.Sessions
 	for _, one := range d.forwardOutcomes() {
 		request.Outcomes = append(request.Outcomes, &peerapi.EngineOutcomes{Engine: string(one.Engine), Attempts: int64(one.Attempts), Failures: int64(one.Failures),
 			Refusals: int64(one.Refusals), Overdue: int64(one.Overdue)})
@@ -79,7 +79,7 @@
 		heard = &demand.Receiver{}
 		d.peerDemand[ident.NodeID(in.NodeId)] = heard
 	}
-	return heard.Take(d.clock.Elapsed(), demand.Message{Seq: in.DemandVersion, Base: in.DemandBaseVersion, Demand: in.Demand, Seats: in.Sessions})
+	return heard.Apply(d.clock.Elapsed(), demand.Report{Seq: in.DemandVersion, Base: in.DemandBaseVersion, Demand: in.Demand, Sessions: in.Sessions})
 }
 
 // heardDemand adds up what this daemon and all others were lately heard to ask for.
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -56,7 +56,7 @@
 		})
 	}
 	wait.Wait()
-	if d.config.Attempts != daemonconfig.LocalAttempts {
+	if d.config.AttemptScope != daemonconfig.LocalAttempts {
 		d.handOverAttempts(limit)
 		if limit.Err() != nil {
 			kept.add(attemptMemory)
@@ -82,7 +82,7 @@
 // handOffice gives up what this daemon does for the others: planning, then leading. The group keeps its
 // size: a machine that stops may come back.
 func (d *Daemon) handOverRoles(limit context.Context, kept *unreleasedSet) {
-	if d.config.Serves(daemonconfig.Place) {
+	if d.config.Serves(daemonconfig.Placement) {
 		plans := d.IsPlanner()
 		d.sessionPlacer.StandDown()
 		d.poolPlanning.standDown()
--- a/daemon/engineregistration.go
+++ b/daemon/engineregistration.go
@@ -115,5 +115,5 @@
 
 // beatPeriod is how often engines that register themselves beat.
 func (d *Daemon) heartbeatPeriod() time.Duration {
-	return time.Duration(d.Bounds().BeatMs) * time.Millisecond
+	return time.Duration(d.Bounds().HeartbeatMs) * time.Millisecond
 }
--- a/daemon/engineslots.go
+++ b/daemon/engineslots.go
@@ -41,8 +41,8 @@
 	request := &peerapi.PermitRequest{Engine: string(send.Engine), Id: string(d.nodeID) + "/" + strconv.FormatUint(d.slotRequestIDs.Add(1), 10),
 		NodeId: string(d.nodeID), HasAssignment: send.Assigned, Value: send.Worth, Rank: int64(send.Rank), Tenant: send.Tenant}
 	client := peerapi.Fellow(d)
-	if keeper != "" && keeper != d.config.ReachedAt() {
-		client = d.links.To(keeper)
+	if keeper != "" && keeper != d.config.AdvertisedPeerAddress() {
+		client = d.links.Client(keeper)
 	}
 	ctx, cancel := context.WithTimeout(flight.Context(), slotRequestLimit)
 	defer cancel()
--- a/daemon/forwarding.go
+++ b/daemon/forwarding.go
@@ -42,7 +42,7 @@
 func forwardSettings(c daemonconfig.Config) forwarding.Settings {
 	s := forwarding.DefaultSettings()
 	s.RetryRatio, s.RetrySlack, s.RetryWindow = c.Bounds.RetryRatio, c.Bounds.RetrySlack, time.Duration(c.Bounds.RetryWindowMs)*time.Millisecond
-	s.Disabled = c.Experiments.Off()
+	s.Disabled = c.Experiments.DisabledMechanisms()
 	return s
 }
 
--- a/daemon/groupidentity.go
+++ b/daemon/groupidentity.go
@@ -77,7 +77,7 @@
 		out.LeaderMsAgo = d.clock.Elapsed().Since(heard).Milliseconds()
 	}
 	out.LeaseUntilMs = int64(d.generator.Ceiling())
-	if d.config.Serves(daemonconfig.Place) {
+	if d.config.Serves(daemonconfig.Placement) {
 		out.Claim = uint64(max(d.sessionPlacer.Condition().Claim, d.poolPlanning.condition().Claim))
 	}
 	return out
--- a/daemon/joingroup.go
+++ b/daemon/joingroup.go
@@ -115,12 +115,12 @@
 	for place, address := range seeds {
 		out[place].Address = address
 		go func() {
-			if address == d.config.ReachedAt() {
+			if address == d.config.AdvertisedPeerAddress() {
 				answers <- said{place, d.identity()}
 				return
 			}
 			// A seed that does not answer is told by its lack of an identity.
-			identity, err := d.links.To(address).Identify(bounded, &peerapi.Empty{})
+			identity, err := d.links.Client(address).Identify(bounded, &peerapi.Empty{})
 			if err != nil {
 				identity = nil
 			}
@@ -178,7 +178,7 @@
 func (d *Daemon) requestJoin(ctx context.Context, leader string, self raft.Member, leaving bool) bool {
 	bounded, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	reply, err := d.links.To(leader).Join(bounded, &peerapi.JoinRequest{Group: string(d.Group()), MemberId: uint64(self.ID), Name: self.Name, Address: self.Address, Leaving: leaving})
+	reply, err := d.links.Client(leader).Join(bounded, &peerapi.JoinRequest{Group: string(d.Group()), MemberId: uint64(self.ID), Name: self.Name, Address: self.Address, Leaving: leaving})
 	return err == nil && reply.Outcome == string(replica.Applied)
 }
 
--- a/daemon/listener.go
+++ b/daemon/listener.go
@@ -28,10 +28,10 @@
 	for told := false; ; told = true {
 		listener, err := net.Listen("tcp", address)
 		if err == nil {
-			return &retryingListener{Listener: listener, retry: d.config.Trouble == daemonconfig.WaitOnTrouble, faults: &d.counters.listenerFaults}, nil
+			return &retryingListener{Listener: listener, retry: d.config.OnFault == daemonconfig.RetryOnFault, faults: &d.counters.listenerFaults}, nil
 		}
 		err = eris.Wrapf(err, "%s %s cannot be used", field, address)
-		if d.config.Trouble != daemonconfig.WaitOnTrouble {
+		if d.config.OnFault != daemonconfig.RetryOnFault {
 			return nil, err
 		}
 		if !told {
@@ -64,7 +64,7 @@
 			return
 		}
 		err = eris.Wrapf(err, "%s %s failed", field, address)
-		if d.config.Trouble != daemonconfig.WaitOnTrouble {
+		if d.config.OnFault != daemonconfig.RetryOnFault {
 			d.abort(err)
 			return
 		}
--- a/daemon/longpoll.go
+++ b/daemon/longpoll.go
@@ -104,7 +104,7 @@
 func (d *Daemon) updateUrgency(in *peerapi.PullRequest) urgency {
 	spec, closure := d.InForce()
 	leader, term := d.leaderAndTerm()
-	planner, plans, self := d.members.View().PlannerAddress, d.IsPlanner(), d.config.ReachedAt()
+	planner, plans, self := d.members.View().PlannerAddress, d.IsPlanner(), d.config.AdvertisedPeerAddress()
 	switch {
 	case d.sendsConfiguration(spec, in) || uint64(closure) > in.ClosureVersion,
 		// An asker that knows of a newer leader has no use for this one.
--- a/daemon/member.go
+++ b/daemon/member.go
@@ -58,10 +58,10 @@
 
 // openStore opens the data folder at the start, where a folder that can't be used is to end the daemon.
 func (d *Daemon) openStore() (*store.Store, error) {
-	if !d.config.Serves(daemonconfig.Control) || d.config.Trouble == daemonconfig.WaitOnTrouble {
+	if !d.config.Serves(daemonconfig.Control) || d.config.OnFault == daemonconfig.RetryOnFault {
 		return nil, nil
 	}
-	return store.Open(d.config.Data, NewMember)
+	return store.Open(d.config.DataDir, NewMember)
 }
 
 // runMember keeps this daemon in its group. Where the settings say to wait, trouble with the disk means that it
@@ -76,7 +76,7 @@
 		if ctx.Err() != nil || d.memberRetired.Load() {
 			return
 		}
-		if d.config.Trouble != daemonconfig.WaitOnTrouble {
+		if d.config.OnFault != daemonconfig.RetryOnFault {
 			d.fatal <- err
 			return
 		}
@@ -88,7 +88,7 @@
 		line := d.log.WithError(err)
 		switch {
 		case errors.As(err, new(*replica.StateDivergedError)):
-			if err := store.SetAside(d.config.Data); err != nil {
+			if err := store.SetAside(d.config.DataDir); err != nil {
 				d.log.WithError(err).Warn("the state that differs cannot be set aside yet")
 				break
 			}
@@ -102,7 +102,7 @@
 			// What was acknowledged is on a majority; what this folder held can't be trusted, nor may the
 			// votes given under its identity be given again. A new identity has given none.
 			looks = 0
-			if err := store.SetAside(d.config.Data); err != nil {
+			if err := store.SetAside(d.config.DataDir); err != nil {
 				d.log.WithError(err).Warn("the damaged files cannot be set aside yet")
 				break
 			}
@@ -134,7 +134,7 @@
 func (d *Daemon) runMemberIncarnation(ctx context.Context, opened *store.Store, probe bool) error {
 	if opened == nil {
 		var err error
-		if opened, err = store.Open(d.config.Data, NewMember); err != nil {
+		if opened, err = store.Open(d.config.DataDir, NewMember); err != nil {
 			return err
 		}
 	}
@@ -170,7 +170,7 @@
 	if !d.learnGroup(group) {
 		return eris.Errorf("the data folder belongs to group %s, and fellows belong to %s", group, d.Group())
 	}
-	self := raft.Member{ID: life.store.Member, Name: d.config.Name, Address: d.config.ReachedAt()}
+	self := raft.Member{ID: life.store.Member, Name: d.config.Name, Address: d.config.AdvertisedPeerAddress()}
 	if !belongsToGroup(life.store) {
 		// A fresh member belongs to whichever generation addresses it first.
 		group = ""
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -39,7 +39,7 @@
 	if d.config.MetricsListen == "" {
 		return nil
 	}
-	if d.config.Trouble == daemonconfig.WaitOnTrouble {
+	if d.config.OnFault == daemonconfig.RetryOnFault {
 		go func() {
 			if listener, err := d.listen(ctx.Done(), daemonconfig.MetricsKey, d.config.MetricsListen); err == nil {
 				d.serveMetrics(ctx, listener)
--- a/daemon/metrics_test.go
+++ b/daemon/metrics_test.go
@@ -21,11 +21,11 @@
 	}
 	defer taken.Close()
 	for _, one := range []struct {
-		trouble daemonconfig.Trouble
+		trouble daemonconfig.FaultPolicy
 		refused bool
-	}{{daemonconfig.EndOnTrouble, true}, {daemonconfig.WaitOnTrouble, false}} {
+	}{{daemonconfig.ExitOnFault, true}, {daemonconfig.RetryOnFault, false}} {
 		settings := daemonconfig.Default()
-		settings.Name, settings.Trouble, settings.MetricsListen = "edge-1", one.trouble, taken.Addr().String()
+		settings.Name, settings.OnFault, settings.MetricsListen = "edge-1", one.trouble, taken.Addr().String()
 		d := New(settings, "test", &log.Logger{Handler: discard.Default})
 		ctx, cancel := context.WithCancel(context.Background())
 		err := d.startMetrics(ctx)
--- a/daemon/noderanking.go
+++ b/daemon/noderanking.go
@@ -110,7 +110,7 @@
 
 // plans says whether this daemon may ever rank. One that never was put together to plan pools can't.
 func (n *nodeRanking) plans() bool {
-	return n.poolPlanning != nil && n.config.Serves(daemonconfig.Place)
+	return n.poolPlanning != nil && n.config.Serves(daemonconfig.Placement)
 }
 
 // start starts the ranker. It runs where ranking is off too, to open what was shut before it was switched off.
--- a/daemon/noderankingpage.go
+++ b/daemon/noderankingpage.go
@@ -26,12 +26,12 @@
 		return page, true
 	}
 	address := d.members.View().PlannerAddress
-	if address == "" || address == d.config.ReachedAt() {
+	if address == "" || address == d.config.AdvertisedPeerAddress() {
 		return operatorapi.Nodes{}, false
 	}
 	bounded, cancel := context.WithTimeout(ctx, readLimit)
 	defer cancel()
-	reply, err := d.links.To(address).Read(bounded, &peerapi.ReadRequest{Group: string(d.Group()), What: nodesRead, Key: string(engine)})
+	reply, err := d.links.Client(address).Read(bounded, &peerapi.ReadRequest{Group: string(d.Group()), What: nodesRead, Key: string(engine)})
 	var page operatorapi.Nodes
 	if err != nil || reply.Outcome != string(replica.Applied) || json.Unmarshal(reply.Result, &page) != nil {
 		return operatorapi.Nodes{}, false
--- a/daemon/poolplanning.go
+++ b/daemon/poolplanning.go
@@ -22,7 +22,7 @@
 // PoolSettings are the planner's settings for a deployment with these bounds.
 func PoolSettings(c daemonconfig.Config) poolplacement.Settings {
 	settings := poolplacement.DefaultSettings("", time.Duration(c.Bounds.LeaseMs)*time.Millisecond)
-	settings.Off = c.Experiments.Off()
+	settings.Off = c.Experiments.DisabledMechanisms()
 	settings.Window = time.Duration(c.Bounds.OriginWindowMs) * time.Millisecond
 	return settings
 }
@@ -103,7 +103,7 @@
 // MayStand says whether this daemon should try to plan.
 func (p poolPlanner) MayStand() bool {
 	ready, _ := p.members.Ready()
-	return ready && !p.draining.Load() && p.generator.Held() && p.config.Serves(daemonconfig.Place)
+	return ready && !p.draining.Load() && p.generator.Held() && p.config.Serves(daemonconfig.Placement)
 }
 
 // First says whether this daemon should have the claim before others. One that does not lead: a claim outlasts
--- a/daemon/pull.go
+++ b/daemon/pull.go
@@ -18,7 +18,7 @@
 // DescribeSelf is this daemon's own row, as told in each pull.
 func (d *Daemon) DescribeSelf() *peerapi.PullRequest {
 	request := &peerapi.PullRequest{
-		Group: string(d.Group()), NodeId: string(d.nodeID), Address: d.config.ReachedAt(), Zone: string(d.config.Zone), Roles: d.roleNames(),
+		Group: string(d.Group()), NodeId: string(d.nodeID), Address: d.config.AdvertisedPeerAddress(), Zone: string(d.config.Zone), Roles: d.roleNames(),
 		Ready: !d.draining.Load(), AcceptsCompressed: true,
 	}
 	spec, closure := d.InForce()
@@ -98,14 +98,14 @@
 func (d *Daemon) PullFrom(ctx context.Context, address string, request *peerapi.PullRequest) (*peerapi.PullReply, error) {
 	reply, err := d.pullFrom(ctx, address, request)
 	if request.DemandVersion > 0 && (err != nil || reply.DemandBaseUnknown) {
-		d.demandSender.Lost()
+		d.demandSender.MarkLost()
 	}
 	return reply, err
 }
 
 func (d *Daemon) pullFrom(ctx context.Context, address string, request *peerapi.PullRequest) (*peerapi.PullReply, error) {
 	if !followsRegistry(request) {
-		return d.links.To(address).Pull(ctx, request)
+		return d.links.Client(address).Pull(ctx, request)
 	}
 	peer := address
 	if request.RegistryUrgentOnly = d.pullsUrgentOnly(address); request.RegistryUrgentOnly {
@@ -120,7 +120,7 @@
 		request.RegistryRefetch = append(request.RegistryRefetch, string(id))
 	}
 	asked := d.clock.Elapsed()
-	reply, err := d.links.To(address).Pull(ctx, request)
+	reply, err := d.links.Client(address).Pull(ctx, request)
 	if err != nil || !d.sameGroup(reply) {
 		return reply, err
 	}
@@ -135,7 +135,7 @@
 // pace is how often this daemon asks others again. Where attempts are known to the fleet, all must soon know
 // who came and went, so that each attempt's homes are agreed on; else there is time.
 func (d *Daemon) pace() membership.Pace {
-	if d.config.Attempts == daemonconfig.LocalAttempts {
+	if d.config.AttemptScope == daemonconfig.LocalAttempts {
 		return membership.Pace{MinWait: 600 * time.Millisecond, MaxWait: 750 * time.Millisecond}
 	}
 	return membership.Pace{MinWait: 150 * time.Millisecond, MaxWait: 750 * time.Millisecond}
--- a/daemon/reads.go
+++ b/daemon/reads.go
@@ -25,9 +25,9 @@
 		if outcome == replica.Applied {
 			return result, true
 		}
-		if address := d.leaderAddress(); address != "" && address != d.config.ReachedAt() {
+		if address := d.leaderAddress(); address != "" && address != d.config.AdvertisedPeerAddress() {
 			bounded, cancel := d.whileLeader(ctx, address, readLimit)
-			reply, err := d.links.To(address).Read(bounded, &peerapi.ReadRequest{Group: string(d.Group()), What: what, Key: key})
+			reply, err := d.links.Client(address).Read(bounded, &peerapi.ReadRequest{Group: string(d.Group()), What: what, Key: key})
 			cancel()
 			if err == nil && reply.Outcome == string(replica.Applied) {
 				return reply.Result, true
--- a/daemon/rehoming.go
+++ b/daemon/rehoming.go
@@ -74,8 +74,8 @@
 func (d *Daemon) handOverAttempts(ctx context.Context) {
 	after := d.liveOwners()
 	before := maps.Clone(after)
-	before[d.config.ReachedAt()] = d.nodeID
-	delete(after, d.config.ReachedAt())
+	before[d.config.AdvertisedPeerAddress()] = d.nodeID
+	delete(after, d.config.AdvertisedPeerAddress())
 	d.transferOwnership(ctx, before, after)
 }
 
@@ -91,7 +91,7 @@
 	d.transferAssignments(ctx, before, after)
 	oldAddresses, newAddresses := addressesOf(before), addressesOf(after)
 	batches, wholes := map[string][]*peerapi.AttemptRecord{}, map[string]bool{}
-	young, self := d.recentlyStarted(), d.config.ReachedAt()
+	young, self := d.recentlyStarted(), d.config.AdvertisedPeerAddress()
 	d.attempts.Do(func(now clock.Mark, memory *deduplication.Memory) {
 		memory.Each(func(attempt string, entry deduplication.Entry) {
 			for _, home := range newOwners("attempt "+attempt, before, after, oldAddresses, newAddresses) {
@@ -115,7 +115,7 @@
 		for part := range slices.Chunk(batch, transferBatch) {
 			bounded, cancel := context.WithTimeout(ctx, time.Second)
 			// A home that misses this is not the only one that knows.
-			_, err := d.links.To(home).Remember(bounded, &peerapi.RememberRequest{Attempts: part})
+			_, err := d.links.Client(home).Remember(bounded, &peerapi.RememberRequest{Attempts: part})
 			cancel()
 			told = told && err == nil
 			d.counters.attemptsTransferred.Add(uint64(len(part)))
@@ -123,7 +123,7 @@
 		if told && wholes[home] {
 			bounded, cancel := context.WithTimeout(ctx, time.Second)
 			// One that misses this counts as young for some seconds more.
-			_, _ = d.links.To(home).Remember(bounded, &peerapi.RememberRequest{From: self, Complete: true})
+			_, _ = d.links.Client(home).Remember(bounded, &peerapi.RememberRequest{From: self, Complete: true})
 			cancel()
 		}
 	}
--- a/daemon/run.go
+++ b/daemon/run.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	fellowListener, err := d.listen(stop, "fellowListen", d.config.FellowListen)
+	fellowListener, err := d.listen(stop, "fellowListen", d.config.PeerListen)
 	if err != nil {
 		return err
 	}
@@ -63,10 +63,10 @@
 		defer readyListener.Close()
 	}
 
-	d.links = peerclient.New(ctx, d.config.ReachedAt(), d.config.FellowListen)
+	d.links = peerclient.New(ctx, d.config.AdvertisedPeerAddress(), d.config.PeerListen)
 	d.rollout = rollout.New(d.clock.Wall, d.configurationChanged)
 	d.watcher = discovery.New(d.clock, d.config.Platform, d.wakeRequestPath)
-	d.members = membership.New(d.clock, d, d.seeds, d.config.ReachedAt(), d.pace())
+	d.members = membership.New(d.clock, d, d.seeds, d.config.AdvertisedPeerAddress(), d.pace())
 	d.registry = registry.New(d.clock, string(d.nodeID), d.config.Serves(daemonconfig.Control), d.heartbeatPeriod, d.controlContact)
 	d.registry.Subscribe(d.wakeRequestPath)
 	d.registry.Subscribe(d.registryChanged)
@@ -95,7 +95,7 @@
 	run(d.members.Run)
 	run(d.registry.Run)
 	run(d.attempts.Run)
-	if d.config.Attempts != daemonconfig.LocalAttempts {
+	if d.config.AttemptScope != daemonconfig.LocalAttempts {
 		run(d.runOwnershipTransfer)
 	}
 	run(d.runHistory)
@@ -104,10 +104,10 @@
 		run(d.dispatch.Run)
 		run(d.engineSlots.Run)
 	}
-	if d.config.Serves(daemonconfig.Route) || d.config.Serves(daemonconfig.Place) {
+	if d.config.Serves(daemonconfig.Route) || d.config.Serves(daemonconfig.Placement) {
 		run(d.watcher.Run)
 	}
-	if d.config.Serves(daemonconfig.Place) {
+	if d.config.Serves(daemonconfig.Placement) {
 		run(d.sessionPlacer.Run)
 		d.poolPlanning.start(run)
 		d.nodeRanking.start(run)
@@ -115,7 +115,7 @@
 
 	fellowServer := &http.Server{Handler: d.links.Traffic.Serve(peerapi.NewFellowServer(d)), ReadHeaderTimeout: 5 * time.Second}
 	serveFellows := serveFunc(func(listener net.Listener) error { return fellowServer.Serve(d.links.Traffic.Listen(listener)) })
-	go d.serveOn(ctx, serveFellows, fellowListener, "fellowListen", d.config.FellowListen)
+	go d.serveOn(ctx, serveFellows, fellowListener, "fellowListen", d.config.PeerListen)
 	defer fellowServer.Close()
 	callerServer := d.server(d.handle, d.callerLimits)
 	callerServer.ErrorHandler = d.badCallerRequest
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -83,7 +83,7 @@
 func (d *Daemon) server(handle fasthttp.RequestHandler, limits func(*fasthttp.RequestHeader) fasthttp.RequestConfig) *fasthttp.Server {
 	return &fasthttp.Server{
 		Handler: handle, Name: "cresspond", MaxRequestBodySize: maxCallerBody, HeaderReceived: limits, ReadTimeout: callerReadLimit, WriteTimeout: 5 * time.Minute,
-		IdleTimeout: keepAliveLimit, NoDefaultServerHeader: true, Concurrency: maxConnections(d.config.Machine.MostFds), CloseOnShutdown: true, Logger: silentLogger{}, ReadBufferSize: maxHeader,
+		IdleTimeout: keepAliveLimit, NoDefaultServerHeader: true, Concurrency: maxConnections(d.config.Machine.MaxFileDescriptors), CloseOnShutdown: true, Logger: silentLogger{}, ReadBufferSize: maxHeader,
 		// A form is some caller's body like any other, and goes on byte for byte.
 		ErrorHandler: badRequest, DisablePreParseMultipartForm: true,
 	}
--- a/daemon/sessionaffinity.go
+++ b/daemon/sessionaffinity.go
@@ -30,8 +30,8 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), assignmentLimit)
 	defer cancel()
-	ask := d.links.To(home).Seat
-	if home == d.config.ReachedAt() {
+	ask := d.links.Client(home).Seat
+	if home == d.config.AdvertisedPeerAddress() {
 		ask = d.Seat
 	}
 	reply, err := ask(ctx, request)
@@ -146,7 +146,7 @@
 
 // rehomeSeats gives the seats whose home this daemon was to the homes that have come to be.
 func (d *Daemon) transferAssignments(ctx context.Context, before, after map[string]ident.NodeID) {
-	self := d.config.ReachedAt()
+	self := d.config.AdvertisedPeerAddress()
 	oldAddresses, newAddresses := addressesOf(before), addressesOf(after)
 	unreached := map[string]bool{}
 	for session, engine := range d.affinityTable.All() {
--- a/daemon/sessionplanning.go
+++ b/daemon/sessionplanning.go
@@ -45,7 +45,7 @@
 				}
 			})
 		}
-		for _, seat := range heard.Seats {
+		for _, seat := range heard.Sessions {
 			in.Assignments = append(in.Assignments, sessionplacement.Assignments{Engine: ident.EngineID(seat.Engine), Model: seat.Model, Adapter: seat.Adapter, Sessions: int(seat.Sessions)})
 		}
 	}
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -42,7 +42,7 @@
 				Differs: slices.Contains(condition.DivergentMembers, member.ID)})
 		}
 	}
-	if d.config.Serves(daemonconfig.Place) {
+	if d.config.Serves(daemonconfig.Placement) {
 		condition := d.sessionPlacer.Condition()
 		out.Planner = &operatorapi.PlannerStatus{Held: condition.Held, Claim: condition.Claim, InFlight: condition.InFlight}
 	}
--- a/daemon/workerlease.go
+++ b/daemon/workerlease.go
@@ -64,7 +64,7 @@
 // enlist has the group write down that this life may be serving, so that no change counts as in force
 // everywhere without it.
 func (d *Daemon) registerServing(ctx context.Context) {
-	answer, ok := d.submitOnce(ctx, statemachine.Command{Op: statemachine.OpRegister, NodeID: d.nodeID, Address: d.config.ReachedAt()})
+	answer, ok := d.submitOnce(ctx, statemachine.Command{Op: statemachine.OpRegister, NodeID: d.nodeID, Address: d.config.AdvertisedPeerAddress()})
 	switch {
 	case ok && answer.Outcome == statemachine.Done:
 		d.enlistedAt.Store(int64(d.clock.Elapsed()))
--- a/process/cluster/peerclient/answers.go
+++ b/process/cluster/peerclient/answers.go
@@ -6,31 +6,31 @@
 )
 
 // answerType is the content type of every answer that a daemon gives another.
-const answerType = "application/protobuf"
+const responseContentType = "application/protobuf"
 
-// errForeignAnswer says that an answer can't be from a daemon, or can't be told whole.
-type errForeignAnswer struct {
+// InvalidResponseError says that an answer can't be from a daemon, or can't be told whole.
+type InvalidResponseError struct {
 	contentType string
 	length      int64
 }
 
-func (e errForeignAnswer) Error() string {
+func (e InvalidResponseError) Error() string {
 	return fmt.Sprintf("an answer of type %q and length %d is no daemon's", e.contentType, e.length)
 }
 
-// checkedAnswers lets successes through only if they are a daemon's and say how long they are. The encoding can't
+// checkedResponses lets successes through only if they are a daemon's and say how long they are. The encoding can't
 // tell: an empty body and a body that is cut between two fields are messages too, with fields that say nothing.
-type checkedAnswers struct{ http.RoundTripper }
+type checkedResponses struct{ http.RoundTripper }
 
-func (c checkedAnswers) RoundTrip(request *http.Request) (*http.Response, error) {
+func (c checkedResponses) RoundTrip(request *http.Request) (*http.Response, error) {
 	response, err := c.RoundTripper.RoundTrip(request)
 	if err != nil || response.StatusCode != http.StatusOK {
 		return response, err
 	}
 	contentType := response.Header.Get("Content-Type")
-	if contentType == answerType && response.ContentLength >= 0 {
+	if contentType == responseContentType && response.ContentLength >= 0 {
 		return response, nil
 	}
 	_ = response.Body.Close()
-	return nil, errForeignAnswer{contentType, response.ContentLength}
+	return nil, InvalidResponseError{contentType, response.ContentLength}
 }
--- a/process/cluster/peerclient/answers_test.go
+++ b/process/cluster/peerclient/answers_test.go
@@ -149,7 +149,7 @@
 		write(conn, replyTo(t, "applied"))
 		return number != 1
 	})
-	client := New(t.Context(), "127.0.0.1:1", "127.0.0.1:1").To(p.address)
+	client := New(t.Context(), "127.0.0.1:1", "127.0.0.1:1").Client(p.address)
 	for number := int64(1); number <= 3; number++ {
 		// The first connection ends once it was answered on; the call after that finds it closed or not.
 		if number == 2 {
@@ -187,7 +187,7 @@
 		"redirect":          {"HTTP/1.1 307 Temporary Redirect\r\nLocation: http://127.0.0.1:1/\r\nContent-Length: 0\r\n\r\n", false},
 	} {
 		p := listenAsPeer(t, func(conn net.Conn, _ int64) bool { write(conn, c.text); return false })
-		reply, err := New(t.Context(), "127.0.0.1:1", "127.0.0.1:1").To(p.address).Submit(t.Context(), &peerapi.SubmitRequest{})
+		reply, err := New(t.Context(), "127.0.0.1:1", "127.0.0.1:1").Client(p.address).Submit(t.Context(), &peerapi.SubmitRequest{})
 		if (err == nil) != c.ok || c.ok && reply.Outcome != "applied" {
 			t.Errorf("%s: %v, %v", name, reply, err)
 		}
@@ -209,7 +209,7 @@
 		write(conn, replyTo(t, fmt.Sprint("answer ", number)))
 		return true
 	})
-	client := New(t.Context(), "127.0.0.1:1", "127.0.0.1:1").To(p.address)
+	client := New(t.Context(), "127.0.0.1:1", "127.0.0.1:1").Client(p.address)
 	for number := 1; number <= 2; number++ {
 		reply, err := client.Submit(t.Context(), &peerapi.SubmitRequest{})
 		if err != nil || reply.Outcome != fmt.Sprint("answer ", number) {
--- a/process/cluster/peerclient/size_test.go
+++ b/process/cluster/peerclient/size_test.go
@@ -28,14 +28,14 @@
 	asking := New(ctx, "127.0.0.1:1", "127.0.0.1:1")
 	before, calls := processorTime(b), 0
 	for b.Loop() {
-		if _, err := asking.To(listener.Addr().String()).Identify(ctx, &peerapi.Empty{}); err != nil {
+		if _, err := asking.Client(listener.Addr().String()).Identify(ctx, &peerapi.Empty{}); err != nil {
 			b.Fatal(err)
 		}
 		calls++
 	}
 	b.ReportMetric(float64(processorTime(b)-before)/float64(calls), "processor-ns/call")
-	b.ReportMetric(float64(asking.Traffic.Sent.Load())/float64(calls), "bytes-asked/call")
-	b.ReportMetric(float64(asking.Traffic.Received.Load())/float64(calls), "bytes-answered/call")
+	b.ReportMetric(float64(asking.Traffic.SentBytes.Load())/float64(calls), "bytes-asked/call")
+	b.ReportMetric(float64(asking.Traffic.ReceivedBytes.Load())/float64(calls), "bytes-answered/call")
 }
 
 func processorTime(b *testing.B) time.Duration {
--- a/process/cluster/peerclient/traffic.go
+++ b/process/cluster/peerclient/traffic.go
@@ -10,9 +10,9 @@
 // Traffic is what this daemon spends on talking to its peers, both as the one who asks and as the one who is
 // asked. It is counted on the connections themselves, so that heads and failed calls are in it too.
 type Traffic struct {
-	Sent, Received atomic.Uint64
-	// Asked counts the calls made, Answered those served, Opened the connections made.
-	Asked, Answered, Opened atomic.Uint64
+	SentBytes, ReceivedBytes atomic.Uint64
+	// Requests counts the calls made, Answered those served, Opened the connections made.
+	Requests, Served, Connections atomic.Uint64
 }
 
 // Listen counts all that comes in and goes out over a listener's connections.
@@ -21,7 +21,7 @@
 // Serve counts the calls that a handler serves.
 func (t *Traffic) Serve(inner http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		t.Answered.Add(1)
+		t.Served.Add(1)
 		// Peers share no clock, and read no date.
 		w.Header()["Date"] = nil
 		inner.ServeHTTP(w, r)
@@ -35,7 +35,7 @@
 		if err != nil {
 			return nil, err
 		}
-		t.Opened.Add(1)
+		t.Connections.Add(1)
 		return countedConn{conn, t}, nil
 	}
 }
@@ -62,27 +62,27 @@
 
 func (c countedConn) Read(into []byte) (int, error) {
 	n, err := c.Conn.Read(into)
-	c.traffic.Received.Add(uint64(n))
+	c.traffic.ReceivedBytes.Add(uint64(n))
 	return n, err
 }
 
 func (c countedConn) Write(from []byte) (int, error) {
 	// Counted before it leaves: whoever has received it and looks here must find it counted.
-	c.traffic.Sent.Add(uint64(len(from)))
+	c.traffic.SentBytes.Add(uint64(len(from)))
 	n, err := c.Conn.Write(from)
 	if unsent := len(from) - n; unsent > 0 {
-		c.traffic.Sent.Add(-uint64(unsent))
+		c.traffic.SentBytes.Add(-uint64(unsent))
 	}
 	return n, err
 }
 
-// countedCalls counts the calls that a client makes.
-type countedCalls struct {
+// countedRequests counts the calls that a client makes.
+type countedRequests struct {
 	http.RoundTripper
 	traffic *Traffic
 }
 
-func (c countedCalls) RoundTrip(request *http.Request) (*http.Response, error) {
-	c.traffic.Asked.Add(1)
+func (c countedRequests) RoundTrip(request *http.Request) (*http.Response, error) {
+	c.traffic.Requests.Add(1)
 	return c.RoundTripper.RoundTrip(request)
 }
--- a/process/cluster/peerclient/traffic_test.go
+++ b/process/cluster/peerclient/traffic_test.go
@@ -31,19 +31,19 @@
 	asking := New(ctx, "127.0.0.1:1", "127.0.0.1:1")
 	const calls = 20
 	for range calls {
-		if _, err := asking.To(listener.Addr().String()).Identify(ctx, &peerapi.Empty{}); err != nil {
+		if _, err := asking.Client(listener.Addr().String()).Identify(ctx, &peerapi.Empty{}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	at := &asking.Traffic
-	if got := at.Asked.Load(); got != calls || asked.Answered.Load() != calls {
-		t.Errorf("%d calls were made, %d counted as made and %d as served", calls, got, asked.Answered.Load())
+	if got := at.Requests.Load(); got != calls || asked.Served.Load() != calls {
+		t.Errorf("%d calls were made, %d counted as made and %d as served", calls, got, asked.Served.Load())
 	}
-	if at.Opened.Load() != 1 {
-		t.Errorf("%d connections were opened for calls made one after the other", at.Opened.Load())
+	if at.Connections.Load() != 1 {
+		t.Errorf("%d connections were opened for calls made one after the other", at.Connections.Load())
 	}
-	if at.Sent.Load() == 0 || at.Sent.Load() != asked.Received.Load() || at.Received.Load() == 0 || at.Received.Load() != asked.Sent.Load() {
-		t.Errorf("sent %d and received %d on one side, received %d and sent %d on the other", at.Sent.Load(), at.Received.Load(), asked.Received.Load(), asked.Sent.Load())
+	if at.SentBytes.Load() == 0 || at.SentBytes.Load() != asked.ReceivedBytes.Load() || at.ReceivedBytes.Load() == 0 || at.ReceivedBytes.Load() != asked.SentBytes.Load() {
+		t.Errorf("sent %d and received %d on one side, received %d and sent %d on the other", at.SentBytes.Load(), at.ReceivedBytes.Load(), asked.ReceivedBytes.Load(), asked.SentBytes.Load())
 	}
 }
 
@@ -66,7 +66,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	asking := New(ctx, "127.0.0.1:1", "127.0.0.1:1")
-	if _, err := asking.To(listener.Addr().String()).Identify(ctx, &peerapi.Empty{}); err != nil {
+	if _, err := asking.Client(listener.Addr().String()).Identify(ctx, &peerapi.Empty{}); err != nil {
 		t.Fatal(err)
 	}
 	for name := range <-heads {
@@ -75,7 +75,7 @@
 		}
 	}
 	// The call's line, host and two fields; the answer's line, two fields and a name of five bytes.
-	if sent, received := asking.Traffic.Sent.Load(), asking.Traffic.Received.Load(); sent > 140 || received > 90 {
+	if sent, received := asking.Traffic.SentBytes.Load(), asking.Traffic.ReceivedBytes.Load(); sent > 140 || received > 90 {
 		t.Errorf("%d bytes asked and %d answered", sent, received)
 	}
 }
--- a/process/daemonconfig/config.go
+++ b/process/daemonconfig/config.go
@@ -27,8 +27,8 @@
 	Route Role = "route"
 	// Control is a member of the Raft group, and needs a disk.
 	Control Role = "control"
-	// Place plans and orders loads.
-	Place Role = "place"
+	// Placement plans and orders loads.
+	Placement Role = "place"
 )
 
 // Config is what one daemon is told of its place.
@@ -36,13 +36,13 @@
 	Name string       `json:"name" validate:"required,max=64,excludesall=#/ "`
 	Zone ident.ZoneID `json:"zone" validate:"required,max=64"`
 	// Listen is for callers and operators, FellowListen for other daemons.
-	Listen       string `json:"listen" validate:"required,ipport"`
-	FellowListen string `json:"fellowListen" validate:"required,ipport"`
-	// FellowAddress is how others reach FellowListen; empty takes FellowListen itself.
-	FellowAddress string   `json:"fellowAddress" validate:"omitempty,ipport"`
-	Seeds         []string `json:"seeds" validate:"required,min=1,max=7,unique,dive,ipport"`
-	Serve         []Role   `json:"serve" validate:"required,min=1,unique,dive,oneof=route control place"`
-	Data          string   `json:"data" validate:"required_if_control"`
+	Listen     string `json:"listen" validate:"required,ipport"`
+	PeerListen string `json:"fellowListen" validate:"required,ipport"`
+	// PeerAddress is how others reach FellowListen; empty takes FellowListen itself.
+	PeerAddress string   `json:"fellowAddress" validate:"omitempty,ipport"`
+	Seeds       []string `json:"seeds" validate:"required,min=1,max=7,unique,dive,ipport"`
+	Roles       []Role   `json:"serve" validate:"required,min=1,unique,dive,oneof=route control place"`
+	DataDir     string   `json:"data" validate:"required_if_control"`
 	// ReadyListen is an address of its own for the platform's question whether this daemon is ready; empty
 	// leaves it on Listen alone.
 	ReadyListen string `json:"readyListen,omitempty" validate:"omitempty,ipport"`
@@ -54,11 +54,11 @@
 	MetricsPath   string `json:"metricsPath,omitempty" validate:"required_with=MetricsListen,omitempty,startswith=/"`
 	// OpaqueOnly says that Listen carries the clients' opaque requests and nothing else.
 	OpaqueOnly bool `json:"opaqueOnly,omitempty"`
-	// Attempts says how far attempts are known: over the fleet, or by the daemon they came to.
-	Attempts AttemptScope `json:"attempts,omitempty" validate:"omitempty,oneof=fleet local"`
-	// Trouble says what to do about a disk or an address that can't be used.
-	Trouble  Trouble `json:"trouble,omitempty" validate:"omitempty,oneof=end wait"`
-	Platform string  `json:"platform" validate:"omitempty,ipport"`
+	// AttemptScope says how far attempts are known: over the fleet, or by the daemon they came to.
+	AttemptScope AttemptScope `json:"attempts,omitempty" validate:"omitempty,oneof=fleet local"`
+	// OnFault says what to do about a disk or an address that can't be used.
+	OnFault  FaultPolicy `json:"trouble,omitempty" validate:"omitempty,oneof=end wait"`
+	Platform string      `json:"platform" validate:"omitempty,ipport"`
 	// JoinOnly daemons never form a group: theirs exists already, whatever their data folder remembers.
 	JoinOnly bool `json:"joinOnly,omitempty"`
 	// Voters is how many machines of the control group are to vote: three stand losing one, five two. It must be
@@ -68,9 +68,9 @@
 	Compaction Compaction `json:"compaction"`
 	// DrainMs is how long a stopping daemon may take to finish what it has read.
 	DrainMs int64 `json:"drainMs" validate:"gte=0,lte=600000"`
-	// OneStep lets an operator alone put a bundle in force in one step, without review and sign-off. It must
+	// DirectApply lets an operator alone put a bundle in force in one step, without review and sign-off. It must
 	// be the same on all daemons that serve control.
-	OneStep bool `json:"oneStep"`
+	DirectApply bool `json:"oneStep"`
 	// Log is the least level that is logged.
 	Log string `json:"log" validate:"oneof=debug info warn error"`
 	// Machine is what this daemon may use, Bounds the times and amounts that the deployment holds it to.
@@ -85,13 +85,13 @@
 
 // Experiments changes how daemons decide, for measurements only. It should be the same on all daemons.
 type Experiments struct {
-	// Without names the mechanisms that are switched off; package mechanism lists them.
-	Without []string `json:"without,omitempty" validate:"omitempty,unique,dive,mechanism"`
+	// Disabled names the mechanisms that are switched off; package mechanism lists them.
+	Disabled []string `json:"without,omitempty" validate:"omitempty,unique,dive,mechanism"`
 }
 
-// Off gives the mechanisms that are switched off. Names that Check refuses are passed over.
-func (e Experiments) Off() featuregates.Set {
-	off, _ := featuregates.Parse(e.Without)
+// DisabledMechanisms gives the mechanisms that are switched off. Names that Check refuses are passed over.
+func (e Experiments) DisabledMechanisms() featuregates.Set {
+	off, _ := featuregates.Parse(e.Disabled)
 	return off
 }
 
@@ -108,15 +108,15 @@
 	LocalAttempts AttemptScope = "local"
 )
 
-// Trouble says what to do about a disk or an address that can't be used.
-type Trouble string
+// FaultPolicy says what to do about a disk or an address that can't be used.
+type FaultPolicy string
 
 const (
-	// EndOnTrouble ends the daemon and says why, so that a person looks first.
-	EndOnTrouble Trouble = "end"
-	// WaitOnTrouble keeps the daemon up: it steps aside from its group, tries again, and sets damaged files
+	// ExitOnFault ends the daemon and says why, so that a person looks first.
+	ExitOnFault FaultPolicy = "end"
+	// RetryOnFault keeps the daemon up: it steps aside from its group, tries again, and sets damaged files
 	// aside to join as a new member.
-	WaitOnTrouble Trouble = "wait"
+	RetryOnFault FaultPolicy = "wait"
 )
 
 // Compaction says when a control daemon replaces its log by a snapshot of the state. It may differ between daemons.
@@ -132,25 +132,25 @@
 
 // Machine is what this daemon may use of its machine; zero is unknown.
 type Machine struct {
-	MemoryMb int64   `json:"memoryMb,omitempty" validate:"gte=0"`
-	MostFds  int     `json:"mostFds,omitempty" validate:"gte=0"`
-	LinkMbps float64 `json:"linkMbps,omitempty" validate:"gte=0"`
+	MemoryMb           int64   `json:"memoryMb,omitempty" validate:"gte=0"`
+	MaxFileDescriptors int     `json:"mostFds,omitempty" validate:"gte=0"`
+	LinkMbps           float64 `json:"linkMbps,omitempty" validate:"gte=0"`
 	// CPU is the share of a core, times how fast it runs.
 	CPU float64 `json:"cpu,omitempty" validate:"gte=0"`
 }
 
 // Bounds are the times and amounts that a deployment holds its daemons to.
 type Bounds struct {
-	// BeatMs is how often an engine says that it lives.
-	BeatMs int64 `json:"beatMs" validate:"gt=0"`
+	// HeartbeatMs is how often an engine says that it lives.
+	HeartbeatMs int64 `json:"beatMs" validate:"gt=0"`
 	// ContactMs is how long daemons must have been whole and joined before bounds hold for them.
 	ContactMs int64 `json:"contactMs" validate:"gt=0"`
 	// AcknowledgeMs is how long an operator waits at most for an acknowledgement.
 	AcknowledgeMs int64 `json:"acknowledgeMs" validate:"gt=0"`
 	// CatchUpMs is how soon after its start a new member must vote.
 	CatchUpMs int64 `json:"catchUpMs" validate:"gt=0"`
-	// LeaveMs is how long after its leaving was acknowledged an engine may still be sent requests.
-	LeaveMs int64 `json:"leaveMs" validate:"gt=0"`
+	// EngineDrainMs is how long after its leaving was acknowledged an engine may still be sent requests.
+	EngineDrainMs int64 `json:"leaveMs" validate:"gt=0"`
 	// AddressReuseMs is when the address of an engine that ended may be another's.
 	AddressReuseMs int64 `json:"addressReuseMs" validate:"gte=0"`
 	// ApplyMs is when an acknowledged bundle must be in force everywhere, RevertMs how soon after one was
@@ -170,11 +170,11 @@
 	// lie unanswered in one that stops.
 	PassMs      int64 `json:"passMs" validate:"gt=0"`
 	LossSlackMs int64 `json:"lossSlackMs" validate:"gte=0"`
-	// FenceChecked says that engines refuse orders under a lower fence than they have seen. LeaseMs is the
+	// FencingChecked says that engines refuse orders under a lower fence than they have seen. LeaseMs is the
 	// least time between orders of two planners, ThawSlackMs how long after a thaw an order may still come.
-	FenceChecked bool  `json:"fenceChecked,omitempty"`
-	LeaseMs      int64 `json:"leaseMs" validate:"gt=0"`
-	ThawSlackMs  int64 `json:"thawSlackMs" validate:"gte=0"`
+	FencingChecked bool  `json:"fenceChecked,omitempty"`
+	LeaseMs        int64 `json:"leaseMs" validate:"gt=0"`
+	ThawSlackMs    int64 `json:"thawSlackMs" validate:"gte=0"`
 	// OriginWindowMs is the window over which loads from the store are counted, OriginExcess how far they may
 	// pass its pace within it.
 	OriginWindowMs int64   `json:"originWindowMs" validate:"gt=0"`
@@ -183,7 +183,7 @@
 
 // DefaultBounds are the bounds of a deployment that says nothing.
 func DefaultBounds() Bounds {
-	return Bounds{BeatMs: 1000, ContactMs: 3000, AcknowledgeMs: 4000, CatchUpMs: 4000, LeaveMs: 2000, AddressReuseMs: 2000, ApplyMs: 2000,
+	return Bounds{HeartbeatMs: 1000, ContactMs: 3000, AcknowledgeMs: 4000, CatchUpMs: 4000, EngineDrainMs: 2000, AddressReuseMs: 2000, ApplyMs: 2000,
 		RevertMs: 250, RetryRatio: 0.2, RetryWindowMs: 10000, RetrySlack: 10, RecoverMs: 12000, PassMs: 120, LossSlackMs: 200, LeaseMs: 3000,
 		ThawSlackMs: 300, OriginWindowMs: 5000, OriginExcess: 1}
 }
@@ -205,18 +205,18 @@
 
 // Default gives the settings that need not be said.
 func Default() Config {
-	return Config{Voters: 3, Compaction: DefaultCompaction(), DrainMs: 30000, Log: "info", Attempts: FleetAttempts, Trouble: EndOnTrouble, Bounds: DefaultBounds(), Ranking: nodehealth.DefaultSettings(), MetricsPath: defaultMetricsPath}
+	return Config{Voters: 3, Compaction: DefaultCompaction(), DrainMs: 30000, Log: "info", AttemptScope: FleetAttempts, OnFault: ExitOnFault, Bounds: DefaultBounds(), Ranking: nodehealth.DefaultSettings(), MetricsPath: defaultMetricsPath}
 }
 
 // Serves says whether the daemon has a role.
-func (c Config) Serves(role Role) bool { return slices.Contains(c.Serve, role) }
+func (c Config) Serves(role Role) bool { return slices.Contains(c.Roles, role) }
 
-// ReachedAt is the address other daemons use.
-func (c Config) ReachedAt() string {
-	if c.FellowAddress != "" {
-		return c.FellowAddress
+// AdvertisedPeerAddress is the address other daemons use.
+func (c Config) AdvertisedPeerAddress() string {
+	if c.PeerAddress != "" {
+		return c.PeerAddress
 	}
-	return c.FellowListen
+	return c.PeerListen
 }
 
 // Fault is one thing wrong with the settings.
@@ -278,7 +278,7 @@
 	}))
 	must(v.RegisterValidation("required_if_control", func(level validator.FieldLevel) bool {
 		c, ok := level.Parent().Interface().(Config)
-		return !ok || !c.Serves(Control) || c.Data != ""
+		return !ok || !c.Serves(Control) || c.DataDir != ""
 	}, true))
 	return v
 }
--- a/process/daemonconfig/config_test.go
+++ b/process/daemonconfig/config_test.go
@@ -21,7 +21,7 @@
 
 func TestSoundSettingsPassAndDefaultsHold(t *testing.T) {
 	c, faults := Read(write(t, sound))
-	if len(faults) > 0 || len(c.Check("f")) > 0 || c.DrainMs != 30000 || c.ReachedAt() != "127.0.0.1:7001" || !c.Serves(Route) || c.Serves(Control) {
+	if len(faults) > 0 || len(c.Check("f")) > 0 || c.DrainMs != 30000 || c.AdvertisedPeerAddress() != "127.0.0.1:7001" || !c.Serves(Route) || c.Serves(Control) {
 		t.Errorf("%+v %v %v", c, faults, c.Check("f"))
 	}
 }
@@ -106,8 +106,8 @@
 		t.Errorf("%v", faults)
 	}
 	c, _ = Read(write(t, strings.Replace(sound, `"zone"`, `"experiments":{"without":["homes"]},"zone"`, 1)))
-	if faults := c.Check("f"); len(faults) > 0 || c.Experiments.Off().String() != "homes" {
-		t.Errorf("%v, %v", faults, c.Experiments.Off())
+	if faults := c.Check("f"); len(faults) > 0 || c.Experiments.DisabledMechanisms().String() != "homes" {
+		t.Errorf("%v, %v", faults, c.Experiments.DisabledMechanisms())
 	}
 }
 
--- a/process/featuregates/mechanism.go
+++ b/process/featuregates/mechanism.go
@@ -16,44 +16,44 @@
 type Mechanism uint8
 
 const (
-	// KeptPrefixes weighs which parts of a prompt an engine is known to have kept.
-	KeptPrefixes Mechanism = iota
-	// Homes sends prompts with the same shared parts to few engines, by rendezvous.
-	Homes
+	// PrefixCacheAffinity weighs which parts of a prompt an engine is known to have kept.
+	PrefixCacheAffinity Mechanism = iota
+	// PrefixOwners sends prompts with the same shared parts to few engines, by rendezvous.
+	PrefixOwners
 	// ZoneCost makes an engine in another zone dearer.
 	ZoneCost
 	// WarmConnections prefers engines that a connection is kept to.
 	WarmConnections
-	// Awaiting weighs for how long an engine's oldest first byte has been awaited.
-	Awaiting
-	// Speculation sends one request ahead of the news that a load is done.
-	Speculation
+	// FirstByteWait weighs for how long an engine's oldest first byte has been awaited.
+	FirstByteWait
+	// SpeculativeDispatch sends one request ahead of the news that a load is done.
+	SpeculativeDispatch
 	// Shedding refuses by a draw what is expected to be answered long after its target.
 	Shedding
 	// LoadEstimates refuses at once what a load will come too late for.
 	LoadEstimates
-	// Badness makes engines dearer whose attempts failed lately.
-	Badness
+	// ErrorPenalty makes engines dearer whose attempts failed lately.
+	ErrorPenalty
 	// SlowStart makes engines dearer that are slow from their start.
 	SlowStart
 	// Resumption takes broken streams up at another engine.
 	Resumption
 	// Retries sends a request again that provably did not run.
 	Retries
-	// Notice tells all daemons of an unload before it is ordered.
-	Notice
+	// UnloadNotice tells all daemons of an unload before it is ordered.
+	UnloadNotice
 	// RankWeight places models of urgent paths before others.
 	RankWeight
-	// CopiesByDemand places further copies of models whose copies have too much to do.
-	CopiesByDemand
-	// Trend foresees from how demand grows what will be asked for once a load has ended.
-	Trend
-	// SecondCopies places a second copy of what stands on one engine only.
-	SecondCopies
-	// Debt lets requests that came in vain count for the model they asked for.
-	Debt
-	// AdapterTurns keeps adapters in use on an engine for a while before one is exchanged.
-	AdapterTurns
+	// ReplicasByDemand places further copies of models whose copies have too much to do.
+	ReplicasByDemand
+	// DemandTrend foresees from how demand grows what will be asked for once a load has ended.
+	DemandTrend
+	// SecondReplicas places a second copy of what stands on one engine only.
+	SecondReplicas
+	// UnmetDemand lets requests that came in vain count for the model they asked for.
+	UnmetDemand
+	// AdapterDwell keeps adapters in use on an engine for a while before one is exchanged.
+	AdapterDwell
 	// Hysteresis asks a load to be worth clearly more than what makes way for it.
 	Hysteresis
 	count
@@ -63,26 +63,26 @@
 type Description struct{ Name, Purpose string }
 
 var descriptions = [count]Description{
-	KeptPrefixes:    {"kept-prefixes", "weigh which parts of a prompt an engine has kept"},
-	Homes:           {"homes", "send prompts with the same shared parts to few engines"},
-	ZoneCost:        {"zone-cost", "prefer engines of the own zone"},
-	WarmConnections: {"warm-connections", "prefer engines that a connection is kept to"},
-	Awaiting:        {"awaiting", "weigh for how long an engine's oldest first byte has been awaited"},
-	Speculation:     {"speculation", "send one request ahead of the news that a load is done"},
-	Shedding:        {"shedding", "refuse by a draw what is expected long after its target"},
-	LoadEstimates:   {"load-estimates", "refuse at once what a load will come too late for"},
-	Badness:         {"badness", "prefer engines that did not fail lately"},
-	SlowStart:       {"slow-start", "send less to engines that are slow from their start"},
-	Resumption:      {"resumption", "take broken streams up at another engine"},
-	Retries:         {"retries", "send again what provably did not run"},
-	Notice:          {"notice", "tell all daemons of an unload before it is ordered"},
-	RankWeight:      {"rank-weight", "place models of urgent paths before others"},
-	CopiesByDemand:  {"copies-by-demand", "place further copies of models that have too much to do"},
-	Trend:           {"trend", "foresee what will be asked for once a load has ended"},
-	SecondCopies:    {"second-copies", "place a second copy of what stands on one engine"},
-	Debt:            {"debt", "count requests that came in vain for the model they asked for"},
-	AdapterTurns:    {"adapter-turns", "keep adapters in use for a while before one is exchanged"},
-	Hysteresis:      {"hysteresis", "load only what is worth clearly more than what makes way"},
+	PrefixCacheAffinity: {"kept-prefixes", "weigh which parts of a prompt an engine has kept"},
+	PrefixOwners:        {"homes", "send prompts with the same shared parts to few engines"},
+	ZoneCost:            {"zone-cost", "prefer engines of the own zone"},
+	WarmConnections:     {"warm-connections", "prefer engines that a connection is kept to"},
+	FirstByteWait:       {"awaiting", "weigh for how long an engine's oldest first byte has been awaited"},
+	SpeculativeDispatch: {"speculation", "send one request ahead of the news that a load is done"},
+	Shedding:            {"shedding", "refuse by a draw what is expected long after its target"},
+	LoadEstimates:       {"load-estimates", "refuse at once what a load will come too late for"},
+	ErrorPenalty:        {"badness", "prefer engines that did not fail lately"},
+	SlowStart:           {"slow-start", "send less to engines that are slow from their start"},
+	Resumption:          {"resumption", "take broken streams up at another engine"},
+	Retries:             {"retries", "send again what provably did not run"},
+	UnloadNotice:        {"notice", "tell all daemons of an unload before it is ordered"},
+	RankWeight:          {"rank-weight", "place models of urgent paths before others"},
+	ReplicasByDemand:    {"copies-by-demand", "place further copies of models that have too much to do"},
+	DemandTrend:         {"trend", "foresee what will be asked for once a load has ended"},
+	SecondReplicas:      {"second-copies", "place a second copy of what stands on one engine"},
+	UnmetDemand:         {"debt", "count requests that came in vain for the model they asked for"},
+	AdapterDwell:        {"adapter-turns", "keep adapters in use for a while before one is exchanged"},
+	Hysteresis:          {"hysteresis", "load only what is worth clearly more than what makes way"},
 }
 
 // Descriptions lists all mechanisms.
--- a/process/placement/demand/demand.go
+++ b/process/placement/demand/demand.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// wholeEvery is how often all is announced again. A part that is lost is noticed, so this is for what nobody thought of.
-	wholeEvery = 30 * time.Second
-	// Half is the time after which rates count half where nothing new is asked for. Both sides let them fade, so that
+	// fullReportEvery is how often all is announced again. A part that is lost is noticed, so this is for what nobody thought of.
+	fullReportEvery = 30 * time.Second
+	// HalfLife is the time after which rates count half where nothing new is asked for. Both sides let them fade, so that
 	// only what is asked for anew need be announced.
-	Half = 5 * time.Second
-	// leastRate is the rate below which what neither waits nor runs is forgotten; leastAnnounced is the same where it is
+	HalfLife = 5 * time.Second
+	// minRate is the rate below which what neither waits nor runs is forgotten; minAnnouncedRate is the same where it is
 	// announced, and higher, so that whoever heard of it forgets it last.
-	leastRate, leastAnnounced = 0.001, 0.01
+	minRate, minAnnouncedRate = 0.001, 0.01
 	// endSlack is for how long at least after the last announcement it is not announced that nothing runs any more.
 	endSlack = 2 * time.Second
 	// oldestSlack is by how much the age of the oldest may differ from what it must have grown to.
@@ -32,35 +32,35 @@
 // KeyOf is what a demand is for.
 func KeyOf(demand *peerapi.Demand) Key { return Key{demand.Pool, demand.Model, demand.Adapter} }
 
-// Message is one announcement. Base is the one it builds on; zero is whole.
-type Message struct {
+// Report is one announcement. Base is the one it builds on; zero is whole.
+type Report struct {
 	Seq, Base uint64
 	Demand    []*peerapi.Demand
-	Seats     []*peerapi.EngineSessions
+	Sessions  []*peerapi.EngineSessions
 }
 
-type announced struct {
+type entry struct {
 	demand *peerapi.Demand
 	at     clock.Mark
 }
 
 // Sender is the side of the daemon that announces its demand. It may be used by several at once.
 type Sender struct {
-	mutex   sync.Mutex
-	to      string
-	seq     uint64
-	known   map[Key]announced
-	wholeAt clock.Mark
-	lost    bool
+	mutex          sync.Mutex
+	to             string
+	seq            uint64
+	known          map[Key]entry
+	lastFullReport clock.Mark
+	lost           bool
 }
 
 // Next makes the next message to an address.
-func (t *Sender) Next(now clock.Mark, to string, all []*peerapi.Demand, seats []*peerapi.EngineSessions) Message {
+func (t *Sender) Next(now clock.Mark, to string, all []*peerapi.Demand, seats []*peerapi.EngineSessions) Report {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	out := Message{Seq: t.seq + 1, Base: t.seq, Seats: seats}
-	if to != t.to || t.lost || t.known == nil || now.Since(t.wholeAt) >= wholeEvery {
-		t.to, t.lost, t.wholeAt, t.known, out.Base = to, false, now, map[Key]announced{}, 0
+	out := Report{Seq: t.seq + 1, Base: t.seq, Sessions: seats}
+	if to != t.to || t.lost || t.known == nil || now.Since(t.lastFullReport) >= fullReportEvery {
+		t.to, t.lost, t.lastFullReport, t.known, out.Base = to, false, now, map[Key]entry{}, 0
 	}
 	t.seq++
 	present := make(map[Key]bool, len(all))
@@ -70,13 +70,13 @@
 		if before, known := t.known[key]; known && unchanged(before, demand, now) {
 			continue
 		}
-		t.known[key] = announced{demand, now}
+		t.known[key] = entry{demand, now}
 		out.Demand = append(out.Demand, demand)
 	}
 	for key, before := range t.known {
 		if !present[key] {
 			delete(t.known, key)
-			if before.idle() && before.demand.Arrivals*left(now.Since(before.at)) < leastAnnounced {
+			if before.idle() && before.demand.Arrivals*remainingShare(now.Since(before.at)) < minAnnouncedRate {
 				// It is forgotten there by itself.
 				continue
 			}
@@ -87,21 +87,23 @@
 	return out
 }
 
-// Lost notes that a message may not have come.
-func (t *Sender) Lost() {
+// MarkLost notes that a message may not have come.
+func (t *Sender) MarkLost() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.lost = true
 }
 
 // idle says that nothing of it waited or ran.
-func (t announced) idle() bool { return t.demand.Queued == 0 && t.demand.Running == 0 }
+func (t entry) idle() bool { return t.demand.Queued == 0 && t.demand.Running == 0 }
 
-// left is the share of a rate that is left after a time.
-func left(since time.Duration) float64 { return math.Exp2(-float64(since) / float64(Half)) }
+// remainingShare is the share of a rate that is left after a time.
+func remainingShare(since time.Duration) float64 {
+	return math.Exp2(-float64(since) / float64(HalfLife))
+}
 
 // unchanged says whether a demand is so much like what was announced that it need not be announced anew.
-func unchanged(before announced, demand *peerapi.Demand, now clock.Mark) bool {
+func unchanged(before entry, demand *peerapi.Demand, now clock.Mark) bool {
 	was := before.demand
 	// That nothing runs any more is announced too, or the sum over many daemons that each ask for little would be far off;
 	// but not at once, since what was asked for a moment ago is likely to be asked for again.
@@ -115,7 +117,7 @@
 			return false
 		}
 	}
-	share := left(now.Since(before.at))
+	share := remainingShare(now.Since(before.at))
 	like := func(a, b, least float64) bool { return math.Abs(a-b) <= max(least, a/4) }
 	return like(float64(was.Queued), float64(demand.Queued), 1) && like(float64(was.Running), float64(demand.Running), 2) &&
 		like(was.Tokens*share, demand.Tokens, 1) && like(was.Arrivals*share, demand.Arrivals, 0.1)
@@ -124,30 +126,30 @@
 // Receiver is what one incarnation of a daemon has announced.
 type Receiver struct {
 	// At is when it last announced anything.
-	At    clock.Mark
-	Seats []*peerapi.EngineSessions
-	seq   uint64
-	known map[Key]announced
+	At       clock.Mark
+	Sessions []*peerapi.EngineSessions
+	seq      uint64
+	known    map[Key]entry
 }
 
-// Take takes a message; it says false where one before it is lacking, so that all must be announced again.
-func (h *Receiver) Take(now clock.Mark, m Message) bool {
+// Apply takes a message; it says false where one before it is lacking, so that all must be announced again.
+func (h *Receiver) Apply(now clock.Mark, m Report) bool {
 	switch {
 	case m.Seq <= h.seq:
 		// Overtaken by a newer one, which held it all or built on it.
 		return true
 	case m.Base == 0:
-		h.known = make(map[Key]announced, len(m.Demand))
+		h.known = make(map[Key]entry, len(m.Demand))
 	case m.Base != h.seq:
 		return false
 	}
-	h.seq, h.At, h.Seats = m.Seq, now, m.Seats
+	h.seq, h.At, h.Sessions = m.Seq, now, m.Sessions
 	for _, demand := range m.Demand {
 		if demand.Queued == 0 && demand.Running == 0 && demand.Tokens == 0 && demand.Arrivals == 0 {
 			delete(h.known, KeyOf(demand))
 			continue
 		}
-		h.known[KeyOf(demand)] = announced{demand, now}
+		h.known[KeyOf(demand)] = entry{demand, now}
 	}
 	return true
 }
@@ -156,8 +158,8 @@
 func (h *Receiver) Each(now clock.Mark, give func(demand *peerapi.Demand, ago time.Duration, share float64)) {
 	for key, one := range h.known {
 		ago := now.Since(one.at)
-		share := left(ago)
-		if one.idle() && one.demand.Arrivals*share < leastRate {
+		share := remainingShare(ago)
+		if one.idle() && one.demand.Arrivals*share < minRate {
 			delete(h.known, key)
 			continue
 		}
--- a/process/placement/demand/demand_test.go
+++ b/process/placement/demand/demand_test.go
@@ -38,7 +38,7 @@
 		now := clock.Mark(time.Minute)
 		since := map[string]clock.Mark{}
 		asked := map[string]*peerapi.Demand{}
-		var late []Message
+		var late []Report
 		for step := range 400 {
 			now += clock.Mark(time.Duration(random.IntN(300)) * time.Millisecond)
 			model := fmt.Sprint("m", random.IntN(8))
@@ -62,20 +62,20 @@
 			message := sender.Next(now, "a", all, nil)
 			switch random.IntN(10) {
 			case 0:
-				sender.Lost()
+				sender.MarkLost()
 				continue
 			case 1:
 				// It comes late, after the next.
 				late = append(late, message)
 				continue
 			}
-			taken := receiver.Take(now, message)
+			taken := receiver.Apply(now, message)
 			for _, old := range late {
-				receiver.Take(now, old)
+				receiver.Apply(now, old)
 			}
 			late = nil
 			if !taken {
-				sender.Lost()
+				sender.MarkLost()
 				continue
 			}
 			got := gather(&receiver, now)
@@ -83,7 +83,7 @@
 				t.Fatalf("seed %d, step %d: %d are known, %d asked for", seed, step, len(got), len(all))
 			}
 			for _, one := range all {
-				if !unchanged(announced{got[one.Model], now}, one, now) {
+				if !unchanged(entry{got[one.Model], now}, one, now) {
 					t.Fatalf("seed %d, step %d: %v is known as %v", seed, step, one, got[one.Model])
 				}
 			}
@@ -94,7 +94,7 @@
 // fadedDemand is a demand whose rates have faded for a time since its last request.
 func fadedDemand(model string, held, running int64, oldest, since time.Duration) *peerapi.Demand {
 	out := demand(model, held, running, oldest)
-	out.Tokens, out.Arrivals = out.Tokens*left(since), out.Arrivals*left(since)
+	out.Tokens, out.Arrivals = out.Tokens*remainingShare(since), out.Arrivals*remainingShare(since)
 	return out
 }
 
@@ -111,7 +111,7 @@
 	if m := sender.Next(now, "b", []*peerapi.Demand{fadedDemand("m", 1, 4, time.Second, time.Second)}, nil); m.Base != 0 || len(m.Demand) != 1 {
 		t.Errorf("another planner gets all: %+v", m)
 	}
-	if m := sender.Next(now+clock.Mark(wholeEvery), "b", []*peerapi.Demand{demand("m", 1, 4, time.Second+wholeEvery)}, nil); m.Base != 0 || len(m.Demand) != 1 {
+	if m := sender.Next(now+clock.Mark(fullReportEvery), "b", []*peerapi.Demand{demand("m", 1, 4, time.Second+fullReportEvery)}, nil); m.Base != 0 || len(m.Demand) != 1 {
 		t.Errorf("all is sent again in time: %+v", m)
 	}
 }
@@ -134,12 +134,12 @@
 		}
 		message := sender.Next(now, "a", all, nil)
 		rows += len(message.Demand)
-		if !receiver.Take(now, message) {
+		if !receiver.Apply(now, message) {
 			t.Fatal("a message was not taken")
 		}
 		got := gather(&receiver, now)["m"]
 		switch {
-		case len(all) == 0 && got != nil && got.Arrivals > leastAnnounced:
+		case len(all) == 0 && got != nil && got.Arrivals > minAnnouncedRate:
 			t.Fatalf("second %d: %v is known of what nobody asks for", step, got)
 		case len(all) > 0 && (got == nil || got.Running != running && step != 1 || math.Abs(got.Arrivals-rate) > 0.001):
 			t.Fatalf("second %d: %v of %v", step, got, all[0])
--- a/process/placement/plannerlease/claim.go
+++ b/process/placement/plannerlease/claim.go
@@ -11,50 +11,50 @@
 	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
-type holding struct {
-	number ident.FencingToken
-	until  clock.Mark
+type grant struct {
+	token  ident.FencingToken
+	expiry clock.Mark
 }
 
-// Holder is one planner's hold on the claim. Any thread may ask it; one takes and drops.
-type Holder struct {
+// Lease is one planner's hold on the claim. Any thread may ask it; one takes and drops.
+type Lease struct {
 	clock clock.Clock
 	// margin is taken off the end of a claim for clock-rate error.
-	margin time.Duration
-	held   atomic.Pointer[holding]
+	margin  time.Duration
+	current atomic.Pointer[grant]
 }
 
-// NewHolder makes a holder that holds nothing.
-func NewHolder(c clock.Clock, margin time.Duration) *Holder { return &Holder{clock: c, margin: margin} }
+// New makes a holder that holds nothing.
+func New(c clock.Clock, margin time.Duration) *Lease { return &Lease{clock: c, margin: margin} }
 
-// Held gives the claim that is held now.
-func (h *Holder) Held() (ident.FencingToken, bool) {
-	held := h.held.Load()
-	if held == nil || h.clock.Elapsed() >= held.until {
+// Token gives the claim that is held now.
+func (h *Lease) Token() (ident.FencingToken, bool) {
+	held := h.current.Load()
+	if held == nil || h.clock.Elapsed() >= held.expiry {
 		return 0, false
 	}
-	return held.number, true
+	return held.token, true
 }
 
-// Commands says whether engines may be commanded under this claim now.
-func (h *Holder) Commands(number ident.FencingToken) bool {
-	held, now := h.Held()
+// Allows says whether engines may be commanded under this claim now.
+func (h *Lease) Allows(number ident.FencingToken) bool {
+	held, now := h.Token()
 	return now && held == number
 }
 
-// Take is the one place where a claim is taken up or prolonged; asked is read from the clock before the
+// Renew is the one place where a claim is taken up or prolonged; asked is read from the clock before the
 // group was asked. It says whether the claim is fresh, or had lapsed here.
-func (h *Holder) Take(asked clock.Mark, granted *statemachine.PlannerLease) (fresh bool) {
+func (h *Lease) Renew(asked clock.Mark, granted *statemachine.PlannerLease) (fresh bool) {
 	span := time.Duration(granted.Expiry-granted.Now)*time.Millisecond - h.margin
-	before, still := h.Held()
-	next := &holding{number: granted.Token, until: asked + clock.Mark(span)}
-	if held := h.held.Load(); held != nil && held.number == next.number && held.until > next.until {
+	before, still := h.Token()
+	next := &grant{token: granted.Token, expiry: asked + clock.Mark(span)}
+	if held := h.current.Load(); held != nil && held.token == next.token && held.expiry > next.expiry {
 		// Answers may come out of order; what was granted holds.
-		next.until = held.until
+		next.expiry = held.expiry
 	}
-	h.held.Store(next)
+	h.current.Store(next)
 	return !still || before != granted.Token
 }
 
-// Drop lets go.
-func (h *Holder) Drop() { h.held.Store(nil) }
+// Release lets go.
+func (h *Lease) Release() { h.current.Store(nil) }
--- a/process/placement/poolplacement/actor.go
+++ b/process/placement/poolplacement/actor.go
@@ -58,7 +58,7 @@
 	clock    clock.Clock
 	log      log.Interface
 	box      *actor.Mailbox[any]
-	claim    *plannerlease.Holder
+	claim    *plannerlease.Lease
 	planner  *Planner
 	// plannerOf is the claim that the planner was made for.
 	plannerOf ident.FencingToken
@@ -110,7 +110,7 @@
 // NewActor makes the actor.
 func NewActor(around Surroundings, client EngineClient, settings Settings, c clock.Clock, logger log.Interface) *Actor {
 	a := &Actor{around: around, client: client, settings: settings, clock: c, log: logger, box: actor.NewMailbox[any](1024),
-		claim: plannerlease.NewHolder(c, claimMargin), planner: NewPlanner(settings, c.Elapsed()), asks: make(chan struct{}, asksAtOnce)}
+		claim: plannerlease.New(c, claimMargin), planner: NewPlanner(settings, c.Elapsed()), asks: make(chan struct{}, asksAtOnce)}
 	a.condition.Store(&Condition{})
 	return a
 }
@@ -143,7 +143,7 @@
 		a.beat(ctx)
 		return
 	}
-	if number, held := a.claim.Held(); held && number == a.plannerOf {
+	if number, held := a.claim.Token(); held && number == a.plannerOf {
 		a.askForReports(ctx, now)
 	}
 }
@@ -151,7 +151,7 @@
 func (a *Actor) beat(ctx context.Context) {
 	now := a.clock.Elapsed()
 	a.askForClaim(ctx, now)
-	number, held := a.claim.Held()
+	number, held := a.claim.Token()
 	if held && number == a.plannerOf {
 		a.plan(ctx, now, number)
 	}
@@ -175,7 +175,7 @@
 	if a.stopped || a.asking || now < a.askNext {
 		return
 	}
-	_, held := a.claim.Held()
+	_, held := a.claim.Token()
 	if !held {
 		if !a.around.MayStand() {
 			a.stoodFrom = 0
@@ -240,7 +240,7 @@
 // send tells the group of the orders first, so that a successor counts the loads and keeps quiet after the
 // last however this daemon ends, and then sends them.
 func (a *Actor) send(ctx context.Context, number ident.FencingToken, told *statemachine.Announcement, orders []Order, addresses map[ident.EngineID]string) {
-	mayLeave := func() bool { return a.claim.Commands(number) && a.around.LeaseHeld() }
+	mayLeave := func() bool { return a.claim.Allows(number) && a.around.LeaseHeld() }
 	asked := a.clock.Elapsed()
 	give := func(order Order) {
 		// The limit counts from before the telling, so that what was told of is not on its way for longer.
@@ -296,13 +296,13 @@
 		if !a.planner.Reported(now, e.asked, e.engine, e.report, e.ok) {
 			return
 		}
-		if number, held := a.claim.Held(); held && number == a.plannerOf {
+		if number, held := a.claim.Token(); held && number == a.plannerOf {
 			// An engine is free again: what waits for it is ordered, and what has come is told, without a beat's delay.
 			a.plan(ctx, now, number)
 		}
 	case standDown:
 		a.stopped = true
-		a.claim.Drop()
+		a.claim.Release()
 		close(e.done)
 	}
 }
@@ -328,7 +328,7 @@
 		// went on is no fresh one: nobody else has ordered meanwhile.
 		a.inherit(now, granted)
 	}
-	a.claim.Take(e.asked, granted)
+	a.claim.Renew(e.asked, granted)
 }
 
 func (a *Actor) inherit(now clock.Mark, granted *statemachine.PlannerLease) {
--- a/process/placement/poolplacement/adapters.go
+++ b/process/placement/poolplacement/adapters.go
@@ -95,7 +95,7 @@
 	if len(s.adapterCopies[w.Target]) > 0 && !w.urgent {
 		stay, factor = idleStay, 2
 	}
-	mayTrade := s.now.Since(e.traded) >= adapterTurn || s.off(featuregates.AdapterTurns)
+	mayTrade := s.now.Since(e.traded) >= adapterTurn || s.off(featuregates.AdapterDwell)
 	var victim registry.Target
 	for _, held := range e.report.Models {
 		if s.pool.models[held.Model] == nil || s.pool.models[held.Model].AdapterSizeMb < s.pool.size(w.Target) {
--- a/process/placement/poolplacement/survey.go
+++ b/process/placement/poolplacement/survey.go
@@ -217,7 +217,7 @@
 // notice is how long all daemons must have had to hear that something goes: none where nobody uses it and hardly
 // anybody would ask meanwhile. Who does is told by the engine that it did not run, and waits like all others.
 func (s *survey) notice(victim registry.Target) time.Duration {
-	if s.off(featuregates.Notice) {
+	if s.off(featuregates.UnloadNotice) {
 		return 0
 	}
 	a := s.asks.models[victim.Model]
--- a/process/placement/poolplacement/value.go
+++ b/process/placement/poolplacement/value.go
@@ -53,16 +53,16 @@
 func (s *survey) gain(a *ask, copies []*engine) (gain float64, urgent bool) {
 	if len(copies) == 0 {
 		gain = a.rate() + s.heldWeight(a)*float64(a.held)
-		if !s.off(featuregates.Debt) {
+		if !s.off(featuregates.UnmetDemand) {
 			gain += debtWeight * a.debt
 		}
 		return gain, a.held > 0 || a.arrivals > 0.05
 	}
 	// Some copy stands or is on its way: one more helps as far as those are overloaded.
-	if !s.off(featuregates.CopiesByDemand) {
+	if !s.off(featuregates.ReplicasByDemand) {
 		gain = a.rate()*s.uneven(a, len(copies), above)*strain(s.press(a, copies)) + queueWeight*max(0, a.heldSlow-1)*strain(s.press(a, copies))
 	}
-	if len(copies) == 1 && !s.off(featuregates.SecondCopies) {
+	if len(copies) == 1 && !s.off(featuregates.SecondReplicas) {
 		// With a second copy no crash of one engine leaves nobody.
 		gain = max(gain, secondCopy*a.rate())
 	}
--- a/process/placement/sessionplacement/actor.go
+++ b/process/placement/sessionplacement/actor.go
@@ -43,7 +43,7 @@
 	clock     clock.Clock
 	mailbox   *actor.Mailbox[any]
 	planner   *Planner
-	claim     *plannerlease.Holder
+	claim     *plannerlease.Lease
 	asking    bool
 	askedAt   clock.Mark
 	condition atomic.Pointer[Condition]
@@ -76,7 +76,7 @@
 
 // NewActor makes the actor.
 func NewActor(around Surroundings, c clock.Clock) *Actor {
-	a := &Actor{around: around, clock: c, mailbox: actor.NewMailbox[any](64), planner: NewPlanner(), claim: plannerlease.NewHolder(c, claimMargin)}
+	a := &Actor{around: around, clock: c, mailbox: actor.NewMailbox[any](64), planner: NewPlanner(), claim: plannerlease.New(c, claimMargin)}
 	a.condition.Store(&Condition{})
 	return a
 }
@@ -102,7 +102,7 @@
 
 func (a *Actor) tick(ctx context.Context) {
 	now := a.clock.Elapsed()
-	number, held := a.claim.Held()
+	number, held := a.claim.Token()
 	if !a.stopped && !a.asking && now.Since(a.askedAt) >= renewEvery && a.around.MayStand() {
 		a.asking, a.askedAt = true, now
 		orders, turn := a.announce(held)
@@ -116,7 +116,7 @@
 	if held {
 		a.plan(ctx, number)
 	}
-	number, held = a.claim.Held()
+	number, held = a.claim.Token()
 	a.condition.Store(&Condition{Claim: number, Held: held, InFlight: len(a.planner.inFlight), Lacks: a.planner.Lacks, Counters: a.planner.Counters})
 }
 
@@ -166,7 +166,7 @@
 				a.mailbox.Send(answered{directed.Engine, order, nil, false})
 				return
 			}
-			answer, sent := a.around.Order(ctx, directed.Address, order, orderLimit, func() bool { return a.claim.Commands(number) })
+			answer, sent := a.around.Order(ctx, directed.Address, order, orderLimit, func() bool { return a.claim.Allows(number) })
 			a.mailbox.Send(answered{directed.Engine, order, answer, sent})
 		}()
 	}
@@ -178,7 +178,7 @@
 		a.asking = false
 		a.takeClaim(e)
 	case answered:
-		if number, held := a.claim.Held(); !held || e.order.Claim != number {
+		if number, held := a.claim.Token(); !held || e.order.Claim != number {
 			return
 		}
 		if !e.sent {
@@ -188,7 +188,7 @@
 		a.planner.Answered(a.clock.Elapsed(), e.engine, e.order, e.answer)
 	case standDown:
 		a.stopped = true
-		a.claim.Drop()
+		a.claim.Release()
 		close(e.done)
 	}
 }
@@ -198,7 +198,7 @@
 	if !e.ok || a.stopped {
 		return
 	}
-	if a.claim.Take(e.asked, e.claim) {
+	if a.claim.Renew(e.asked, e.claim) {
 		// A fresh claim starts from the reports alone, once they can tell of what was ordered before.
 		counters := a.planner.Counters
 		a.planner = NewPlanner()
--- a/request/forwarding/choose.go
+++ b/request/forwarding/choose.go
@@ -185,13 +185,13 @@
 		all[index].rendezvousHash = xxhash.Sum64(append(c.hashBuffer[:length], all[index].engine.ID...))
 	}
 	found := min(rendezvousReplicas, len(all))
-	if c.settings.Disabled.Has(featuregates.Homes) {
+	if c.settings.Disabled.Has(featuregates.PrefixOwners) {
 		found = 0
 	}
 	for index := range found {
 		selectInto(all, index, func(a, b candidate) bool { return a.rendezvousHash > b.rendezvousHash })
 	}
-	if len(request.Attributes.Parts) > 0 && len(all) > found && !c.settings.Disabled.Has(featuregates.KeptPrefixes) {
+	if len(request.Attributes.Parts) > 0 && len(all) > found && !c.settings.Disabled.Has(featuregates.PrefixCacheAffinity) {
 		most := 0
 		for _, one := range all[:found] {
 			most = max(most, one.state.prefixes.cachedTokens(request))
@@ -274,10 +274,10 @@
 	state, engine := one.state, one.engine
 	state.observeReport(engine.Plan)
 	cached := 0.0
-	if !c.settings.Disabled.Has(featuregates.KeptPrefixes) {
+	if !c.settings.Disabled.Has(featuregates.PrefixCacheAffinity) {
 		cached = float64(state.prefixes.cachedTokens(request))
 	}
-	if index < rendezvousReplicas && !c.settings.Disabled.Has(featuregates.Homes) {
+	if index < rendezvousReplicas && !c.settings.Disabled.Has(featuregates.PrefixOwners) {
 		cached = max(cached, expectedPrefixHit[index]*float64(sharedTokens(request)))
 	}
 	score := max(0, float64(request.Attributes.TokensIn)-cached) + float64(state.prefillTokens)
@@ -292,7 +292,7 @@
 	score += costPerRunning * active
 	path := c.pathState(request)
 	score += firstByteWeight * path.tokensIn(decayed(state.firstByteTime, state.firstByteAt, env.Now))
-	if !c.settings.Disabled.Has(featuregates.Awaiting) {
+	if !c.settings.Disabled.Has(featuregates.FirstByteWait) {
 		score += awaitedFirstByteWeight * path.tokensIn(state.longestAwaited(env.Now))
 	}
 	// An engine that has kept silent for long although it was asked is likely to go on so.
@@ -331,7 +331,7 @@
 
 // worse is the smoothed share of an engine's failures that its choice goes by.
 func (c *Core) failureRate(state *engineState, env Environment) float64 {
-	if c.settings.Disabled.Has(featuregates.Badness) {
+	if c.settings.Disabled.Has(featuregates.ErrorPenalty) {
 		return 0
 	}
 	return state.decayedFailureRate(env.Now)
--- a/request/forwarding/demand.go
+++ b/request/forwarding/demand.go
@@ -55,7 +55,7 @@
 }
 
 // demandHalf is the time after which an arrival counts half. Whoever plans lets rates fade alike.
-const demandHalfLife = demand.Half
+const demandHalfLife = demand.HalfLife
 
 func (c *Core) demandState(request *Request) *demandState {
 	key := demandKey{request.pool, request.Attributes.Model, request.Attributes.Adapter}
--- a/request/forwarding/speculate.go
+++ b/request/forwarding/speculate.go
@@ -38,7 +38,7 @@
 // loaded it says truthfully that it did not run the request. One request goes first, and the others once it
 // was not refused.
 func (c *Core) speculativeEngine(request *Request, env Environment, pool *upstream.Pool) *registry.Engine {
-	if c.settings.Disabled.Has(featuregates.Speculation) {
+	if c.settings.Disabled.Has(featuregates.SpeculativeDispatch) {
 		return nil
 	}
 	target := registry.Target{Model: request.Attributes.Model, Adapter: request.Attributes.Adapter}
--- a/testbed/endtoend/bundle_test.go
+++ b/testbed/endtoend/bundle_test.go
@@ -43,7 +43,7 @@
 			b = &bench{t: t, platform: first.platform}
 			b.place()
 		}
-		b.name, b.settle = fmt.Sprint("d", i), func(c *daemonconfig.Config) { c.OneStep = oneStep }
+		b.name, b.settle = fmt.Sprint("d", i), func(c *daemonconfig.Config) { c.DirectApply = oneStep }
 		if options != nil {
 			b.options = options(i)
 		}
--- a/testbed/endtoend/cutoff_test.go
+++ b/testbed/endtoend/cutoff_test.go
@@ -37,7 +37,7 @@
 // A leader that is cut off from the other members, and from nobody else, neither confirms nor refuses anything for
 // good: neither by the log nor by what it knows beside it.
 func TestALeaderThatIsCutOffRefusesNothingForGood(t *testing.T) {
-	p := part(t, 1, func(c *daemonconfig.Config) { c.OneStep = true })
+	p := part(t, 1, func(c *daemonconfig.Config) { c.DirectApply = true })
 	leader := leaderOf(p.core)
 	p.cut(leader, p.core)
 	yes := true
--- a/testbed/endtoend/disk_test.go
+++ b/testbed/endtoend/disk_test.go
@@ -31,7 +31,7 @@
 // waiting has a daemon wait where its disk is in trouble. Each attempt arrives once, so that nothing but the
 // disk is in the way of a request.
 func waiting(c *daemonconfig.Config) {
-	c.Trouble, c.Attempts = daemonconfig.WaitOnTrouble, daemonconfig.LocalAttempts
+	c.OnFault, c.AttemptScope = daemonconfig.RetryOnFault, daemonconfig.LocalAttempts
 }
 
 func TestALeaderWithAFullDiskStepsAsideAndComesBack(t *testing.T) {
--- a/testbed/endtoend/harness_test.go
+++ b/testbed/endtoend/harness_test.go
@@ -271,12 +271,12 @@
 // run starts the daemon on its data folder.
 func (b *bench) run() {
 	settings := daemonconfig.Default()
-	settings.Name, settings.Zone, settings.Listen, settings.FellowListen = b.name, "here", b.address, b.fellow
-	settings.Seeds, settings.Serve, settings.FellowAddress = b.seeds, []daemonconfig.Role{daemonconfig.Route, daemonconfig.Control, daemonconfig.Place}, b.reached
+	settings.Name, settings.Zone, settings.Listen, settings.PeerListen = b.name, "here", b.address, b.fellow
+	settings.Seeds, settings.Roles, settings.PeerAddress = b.seeds, []daemonconfig.Role{daemonconfig.Route, daemonconfig.Control, daemonconfig.Placement}, b.reached
 	if b.serve != nil {
-		settings.Serve = b.serve
+		settings.Roles = b.serve
 	}
-	settings.Data, settings.Platform = b.data, b.platform.Address()
+	settings.DataDir, settings.Platform = b.data, b.platform.Address()
 	if b.settle != nil {
 		b.settle(&settings)
 	}
--- a/testbed/endtoend/leaving_test.go
+++ b/testbed/endtoend/leaving_test.go
@@ -47,7 +47,7 @@
 		b.logs = memory.New()
 		b.name, b.reached = fmt.Sprint("core", i), listener.Addr().String()
 		if i < 3 {
-			b.serve, seeds = []daemonconfig.Role{daemonconfig.Control, daemonconfig.Place}, append(seeds, b.reached)
+			b.serve, seeds = []daemonconfig.Role{daemonconfig.Control, daemonconfig.Placement}, append(seeds, b.reached)
 			p.core = append(p.core, b)
 		} else {
 			b.name, b.serve = fmt.Sprint("edge", i-3), []daemonconfig.Role{daemonconfig.Route}
@@ -114,7 +114,7 @@
 
 func TestALeaverIsKnownEverywhereThoughItsLeaderWasCutOff(t *testing.T) {
 	// Engines here beat once, so that none is taken for silent where its leaving is looked for.
-	p := part(t, 3, func(c *daemonconfig.Config) { c.Bounds.BeatMs = 600000 })
+	p := part(t, 3, func(c *daemonconfig.Config) { c.Bounds.HeartbeatMs = 600000 })
 	p.register("r0", "r1", "r2")
 	leader := leaderOf(p.core)
 	var followers []*bench
--- a/testbed/endtoend/life_test.go
+++ b/testbed/endtoend/life_test.go
@@ -19,7 +19,7 @@
 	b := prepare(t, engine.Config{Slots: 4, PieceTime: 300 * time.Millisecond})
 	readiness := free(t)
 	b.settle = func(c *daemonconfig.Config) {
-		c.ReadyListen, c.Attempts, c.DrainMs = readiness, daemonconfig.LocalAttempts, 60000
+		c.ReadyListen, c.AttemptScope, c.DrainMs = readiness, daemonconfig.LocalAttempts, 60000
 	}
 	b.run()
 	b.await("the group acts", func() bool { return b.status().Raft != nil && b.status().Raft.Role == "leader" })
--- a/testbed/endtoend/order_test.go
+++ b/testbed/endtoend/order_test.go
@@ -72,7 +72,7 @@
 		t.Cleanup(func() { listener.Close() })
 		b.name, b.reached = fmt.Sprint("core", i), listener.Addr().String()
 		seeds, o.core = append(seeds, b.reached), append(o.core, b)
-		b.settle = func(c *daemonconfig.Config) { c.OneStep = true }
+		b.settle = func(c *daemonconfig.Config) { c.DirectApply = true }
 		b.options = []daemon.Option{daemon.WithDisk(func(under replica.Disk) replica.Disk {
 			return noting{under, func() {
 				if hook := o.written.Load(); hook != nil {
--- a/testbed/endtoend/registering_test.go
+++ b/testbed/endtoend/registering_test.go
@@ -167,7 +167,7 @@
 
 func TestBeatsToOneDaemonKeepAnEngineUsableAtAll(t *testing.T) {
 	const period = time.Second
-	p := part(t, 1, func(c *daemonconfig.Config) { c.Bounds.BeatMs = period.Milliseconds() })
+	p := part(t, 1, func(c *daemonconfig.Config) { c.Bounds.HeartbeatMs = period.Milliseconds() })
 	list := func(b *bench) operatorapi.Engines {
 		var out operatorapi.Engines
 		b.get(operatorapi.PathEngines, &out)
--- a/testbed/fleet/fleet.go
+++ b/testbed/fleet/fleet.go
@@ -130,13 +130,13 @@
 // settle writes a daemon's settings.
 func (f *Fleet) settle(p *Process) error {
 	settings := daemonconfig.Default()
-	settings.Name, settings.Zone, settings.Listen, settings.FellowListen = p.Name, p.Zone, p.Address, p.Fellow
-	settings.FellowAddress = p.Reached
+	settings.Name, settings.Zone, settings.Listen, settings.PeerListen = p.Name, p.Zone, p.Address, p.Fellow
+	settings.PeerAddress = p.Reached
 	settings.Seeds, settings.Platform = f.seeds, f.Platform.Address()
-	settings.Serve = []daemonconfig.Role{daemonconfig.Route}
+	settings.Roles = []daemonconfig.Role{daemonconfig.Route}
 	if p.Core {
-		settings.Serve = []daemonconfig.Role{daemonconfig.Control, daemonconfig.Place}
-		settings.Data = f.DataOf(p)
+		settings.Roles = []daemonconfig.Role{daemonconfig.Control, daemonconfig.Placement}
+		settings.DataDir = f.DataOf(p)
 	}
 	data, err := json.MarshalIndent(settings, "", "  ")
 	if err != nil {
--- a/testbed/scale/deployed.go
+++ b/testbed/scale/deployed.go
@@ -45,7 +45,7 @@
 	}
 	at := func(port int) string { return net.JoinHostPort(ip, strconv.Itoa(first+port)) }
 	out := boot{NodeName: m.name, Serves: []string{"edge"}, IP: ip, Zone: string(m.settings.Zone), PortRange: []int{first + portFellow, first + portFellow + 5}, Bootstrap: true,
-		DataDir: m.settings.Data, BeatPeriodMs: m.settings.Bounds.BeatMs, BindAddrs: map[string]string{"front": at(portFront), "readiness": at(portReady)},
+		DataDir: m.settings.DataDir, BeatPeriodMs: m.settings.Bounds.HeartbeatMs, BindAddrs: map[string]string{"front": at(portFront), "readiness": at(portReady)},
 		Limits: map[string]float64{"cpu-share": 0.4, "cores": 1, "memory-mb": 284}, Bounds: map[string]float64{"lease-ms": 3000}}
 	if m.core {
 		out.Serves, out.BindAddrs = []string{"control"}, map[string]string{"control": at(portControl)}
--- a/testbed/scale/fleet.go
+++ b/testbed/scale/fleet.go
@@ -128,15 +128,15 @@
 		ip := f.addresses.ip()
 		at := func(port int) string { return net.JoinHostPort(ip, strconv.Itoa(first+port)) }
 		s := daemonconfig.Default()
-		s.Name, s.Zone, s.Log, s.Attempts, s.Trouble = m.name, zoneName(i%size.Zones), "warn", daemonconfig.LocalAttempts, daemonconfig.WaitOnTrouble
-		s.Serve = []daemonconfig.Role{daemonconfig.Route}
-		s.Bounds.BeatMs, s.OneStep = o.Beat.Milliseconds(), true
-		s.Listen, s.FellowListen = at(portFront), at(portFellow)
+		s.Name, s.Zone, s.Log, s.AttemptScope, s.OnFault = m.name, zoneName(i%size.Zones), "warn", daemonconfig.LocalAttempts, daemonconfig.RetryOnFault
+		s.Roles = []daemonconfig.Role{daemonconfig.Route}
+		s.Bounds.HeartbeatMs, s.DirectApply = o.Beat.Milliseconds(), true
+		s.Listen, s.PeerListen = at(portFront), at(portFellow)
 		m.address = s.Listen
 		if m.core {
-			s.Serve = []daemonconfig.Role{daemonconfig.Control, daemonconfig.Place}
-			s.Data = filepath.Join(folder, m.name+".data")
-			seeds = append(seeds, s.FellowListen)
+			s.Roles = []daemonconfig.Role{daemonconfig.Control, daemonconfig.Placement}
+			s.DataDir = filepath.Join(folder, m.name+".data")
+			seeds = append(seeds, s.PeerListen)
 			m.control = s.Listen
 			if f.deployed {
 				m.control, m.address = at(portControl), at(portControl)
