--- a/daemon/applybundle.go
+++ b/daemon/applybundle.go
@@ -27,9 +27,9 @@
 	applyReach = 600 * time.Millisecond
 	// applyMargin is left for the answer's way back.
 	applyMargin = 60 * time.Millisecond
-	// mostDigest bounds the digest of a call that another daemon passes on.
+	// maxDigestBytes bounds the digest of a call that another daemon passes on.
 	maxDigestBytes = 256
-	// applyAgain is how soon a leader is looked for again.
+	// applyRetryEvery is how soon a leader is looked for again.
 	applyRetryEvery = 50 * time.Millisecond
 )
 
@@ -133,7 +133,7 @@
 	return d.submitReply(answer, outcome)
 }
 
-// leadApply carries a call out as the leader. Whatever it answers but Unknown is proved by the state. An answer that
+// applyAsLeader carries a call out as the leader. Whatever it answers but Unknown is proved by the state. An answer that
 // says Unknown is final all the same: no other leader could prove more.
 func (d *Daemon) applyAsLeader(ctx context.Context, call operatorapi.Apply) (operatorapi.Applying, replica.Outcome) {
 	held := d.replica.Load()
@@ -168,7 +168,7 @@
 	return answer, replica.Applied
 }
 
-// decide works a call out, one at a time: each may hold some megabytes for some tenths of a second. It says
+// decideApply works a call out, one at a time: each may hold some megabytes for some tenths of a second. It says
 // false when the time ran out.
 func (d *Daemon) decideApply(ctx context.Context, call operatorapi.Apply, standing directapply.Standing) (directapply.Decision, bool) {
 	select {
--- a/daemon/attemptowners.go
+++ b/daemon/attemptowners.go
@@ -18,26 +18,26 @@
 )
 
 const (
-	// sightWindow is how lately a daemon must have been heard to be in sight.
+	// contactWindow is how lately a daemon must have been heard to be in sight.
 	contactWindow = 3 * time.Second
-	// doubtSpan is how long one that fell silent, or has just begun, leaves doubt about what it knew.
+	// uncertainWindow is how long one that fell silent, or has just begun, leaves doubt about what it knew.
 	uncertainWindow = 8 * time.Second
-	// homeLimit bounds the wait for a home's answer.
+	// ownerLimit bounds the wait for a home's answer.
 	ownerLimit = 200 * time.Millisecond
 )
 
-// homes are the daemons to ask about an attempt.
+// attemptOwners are the daemons to ask about an attempt.
 type attemptOwners struct {
-	// ask lists their addresses; knowers holds those that would know of an earlier claim, with each one's partner.
+	// query lists their addresses; knowers holds those that would know of an earlier claim, with each one's partner.
 	query    []string
 	informed map[string]string
-	// alone says that no other daemon is known.
+	// onlyDaemon says that no other daemon is known.
 	onlyDaemon bool
-	// fewInSight says that most routing daemons may be on the other side of a split.
+	// minoritySide says that most routing daemons may be on the other side of a split.
 	minoritySide bool
 }
 
-// homesOf finds the homes of an attempt: those it has among the daemons in sight, and those it had
+// selectAttemptOwners finds the homes of an attempt: those it has among the daemons in sight, and those it had
 // among all that were heard before the latest of them fell silent.
 func selectAttemptOwners(attempt string, view *membership.View, now clock.Mark, self string) attemptOwners {
 	leaderSeen := view.LastLeaderContact > 0 && now.Since(view.LastLeaderContact) <= contactWindow
@@ -98,7 +98,7 @@
 	return h
 }
 
-// askHomes puts one question to all homes of an attempt at once, and weighs what they say.
+// queryAttemptOwners puts one question to all homes of an attempt at once, and weighs what they say.
 func (d *Daemon) queryAttemptOwners(ask deduplication.Ask) deduplication.Decision {
 	self := d.config.AdvertisedPeerAddress()
 	// Where each attempt arrives once, no other daemon and no earlier life can know of one.
@@ -149,13 +149,13 @@
 	return verdict
 }
 
-// askFor makes the question about one record of this daemon.
+// attemptQuery makes the question about one record of this daemon.
 func (d *Daemon) attemptQuery(act deduplication.Act, id dispatch.RecordID, request dispatch.Request, arrived clock.Mark) deduplication.Ask {
 	return deduplication.Ask{Attempt: request.Attempt, Owner: string(d.nodeID) + "/" + strconv.FormatUint(uint64(id), 10),
 		Digest: request.Digest, Age: d.clock.Elapsed().Since(arrived), Act: act}
 }
 
-// young says whether this life may lack attempts of the one before. Where it saw the group before any
+// recentlyStarted says whether this life may lack attempts of the one before. Where it saw the group before any
 // bundle was in force, nothing can have run that it does not know of.
 func (d *Daemon) recentlyStarted() bool {
 	view := d.members.View()
--- a/daemon/commands.go
+++ b/daemon/commands.go
@@ -120,7 +120,7 @@
 	return &peerapi.SubmitReply{Outcome: string(outcome), Result: data}, nil
 }
 
-// lead carries a command out as the leader.
+// submitAsLeader carries a command out as the leader.
 func (d *Daemon) submitAsLeader(ctx context.Context, command statemachine.Command) (rollout.Response, replica.Outcome) {
 	held := d.replica.Load()
 	if held == nil || !held.Status().IsLeader {
--- a/daemon/configurationhistory.go
+++ b/daemon/configurationhistory.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// fetchBundle asks the group for an earlier bundle, and a fellow where there is no group.
+// fetchConfiguration asks the group for an earlier bundle, and a fellow where there is no group.
 func (d *Daemon) fetchConfiguration(ctx context.Context, epoch ident.Version) []byte {
 	bounded, cancel := context.WithTimeout(ctx, historyLimit)
 	defer cancel()
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -47,7 +47,7 @@
 	members           *membership.Membership
 	registry          *registry.Registry
 	registrySyncTimes syncTimes
-	// leavesNoted is how many leaves of the replicated state the registry was told of; only the replica's actor uses it.
+	// departuresApplied is how many leaves of the replicated state the registry was told of; only the replica's actor uses it.
 	departuresApplied uint64
 	watcher           *discovery.Watcher
 	generator         *snowflake.Generator
@@ -66,20 +66,20 @@
 	group             atomic.Pointer[ident.GroupID]
 	adoptedGroup      chan ident.GroupID
 	draining          atomic.Bool
-	// memberEnds says that this daemon's member of the group ends before the daemon does, and no other life follows.
+	// memberRetired says that this daemon's member of the group ends before the daemon does, and no other life follows.
 	memberRetired atomic.Bool
 	// enlistedAt is when the group wrote this life down as one that may be serving; zero before.
 	enlistedAt atomic.Int64
 	fatal      chan error
-	// callers is shut until callers are accepted.
+	// callerGate is shut until callers are accepted.
 	callerGate *gate
 
-	// pools plans for engines that register themselves, where the daemon was put together so.
+	// poolPlanning plans for engines that register themselves, where the daemon was put together so.
 	poolPlanning *poolPlanning
 
-	// lacks is what the planner last said that it will not load soon.
+	// unplaced is what the planner last said that it will not load soon.
 	unplaced atomic.Pointer[receivedUnplaced]
-	// poolLacks is the same of the pools.
+	// poolUnplaced is the same of the pools.
 	poolUnplaced atomic.Pointer[receivedPoolUnplaced]
 
 	// bell wakes those whose answers are held back. toldNews are the versions told from here, heardNews those
@@ -94,27 +94,27 @@
 
 	peerDemandMutex sync.Mutex
 	peerDemand      map[ident.NodeID]*demand.Receiver
-	// fleetOutcomes is what others saw of engines, until the planner takes it.
+	// peerOutcomes is what others saw of engines, until the planner takes it.
 	peerOutcomes []outlier.Observation
-	// wants tells whoever plans what is asked for here.
+	// demandSender tells whoever plans what is asked for here.
 	demandSender demand.Sender
 
 	// stallLimit is how long the next piece of a stream is waited for, runOver how long one may outlast its deadline.
 	stallLimit, overrunLimit time.Duration
-	// applying bounds how many orders to apply a bundle are worked out at once.
+	// applySlot bounds how many orders to apply a bundle are worked out at once.
 	applySlot              chan struct{}
 	applyLimit, applyReach time.Duration
-	// aroundDisk stands between the member and its data folder.
+	// wrapDisk stands between the member and its data folder.
 	wrapDisk func(replica.Disk) replica.Disk
 
 	// controlMakers and readyMakers make what stands before the desk, at the operators' and the readiness address.
 	controlMakers, readinessMakers     []func(*Daemon) Handler
 	controlHandlers, readinessHandlers []Handler
-	// unreadyTold says that the platform was told while this daemon stops that it takes nothing new.
+	// unreadyAnswered says that the platform was told while this daemon stops that it takes nothing new.
 	unreadyAnswered chan struct{}
 
 	forwarding forwardingPath
-	// nodes ranks engines by how their nodes behave.
+	// nodeRanking ranks engines by how their nodes behave.
 	nodeRanking *nodeRanking
 
 	counters counters
--- a/daemon/demand.go
+++ b/daemon/demand.go
@@ -67,7 +67,7 @@
 	return out
 }
 
-// hearWants takes what an asker holds and asks for; it says false where what that builds on is not known.
+// receiveDemand takes what an asker holds and asks for; it says false where what that builds on is not known.
 func (d *Daemon) receiveDemand(in *peerapi.PullRequest) bool {
 	if in.DemandVersion == 0 {
 		return true
@@ -82,7 +82,7 @@
 	return heard.Apply(d.clock.Elapsed(), demand.Report{Seq: in.DemandVersion, Base: in.DemandBaseVersion, Demand: in.Demand, Sessions: in.Sessions})
 }
 
-// heardDemand adds up what this daemon and all others were lately heard to ask for.
+// collectDemand adds up what this daemon and all others were lately heard to ask for.
 func (d *Daemon) collectDemand(now clock.Mark, own []*peerapi.Demand) []poolplacement.Demand {
 	var out []poolplacement.Demand
 	take := func(demand *peerapi.Demand, ago time.Duration, share float64) {
@@ -121,7 +121,7 @@
 	return d.forwarding.actor.Outcomes()
 }
 
-// hearOutcomes takes what an asker saw of engines, where this daemon plans.
+// receiveOutcomes takes what an asker saw of engines, where this daemon plans.
 func (d *Daemon) receiveOutcomes(in *peerapi.PullRequest) {
 	if len(in.Outcomes) == 0 || !d.IsPlanner() {
 		return
@@ -138,7 +138,7 @@
 	}
 }
 
-// heardOutcomes gives what this daemon and others saw of engines since it was last asked for.
+// takeOutcomes gives what this daemon and others saw of engines since it was last asked for.
 func (d *Daemon) takeOutcomes() []outlier.Observation {
 	own := d.forwardOutcomes()
 	d.peerDemandMutex.Lock()
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// noticeLag is how long a stopping daemon whose readiness nobody asks for at an address of its own goes on
+	// defaultDrainNotice is how long a stopping daemon whose readiness nobody asks for at an address of its own goes on
 	// taking connections that are still handed to it.
 	defaultDrainNotice = 1500 * time.Millisecond
-	// mostNotice bounds that time where readiness is asked for: it is asked once a second, and counts twice. What
+	// maxDrainNotice bounds that time where readiness is asked for: it is asked once a second, and counts twice. What
 	// is sent within three seconds of the signal may outlast the daemon; what comes later would have to be finished.
 	maxDrainNotice = 2700 * time.Millisecond
-	// missesSeen is how many answers of not being ready keep new connections away, and lastHandedOver how long
+	// unreadyAnswersNeeded is how many answers of not being ready keep new connections away, and lastHandedOver how long
 	// a connection that was handed over before may be on its way.
 	unreadyAnswersNeeded = 2
 	connectionInTransit  = 300 * time.Millisecond
-	// handOverEvery is how often a stopping leader offers its office.
+	// leadershipTransferEvery is how often a stopping leader offers its office.
 	leadershipTransferEvery = 300 * time.Millisecond
 	// claimLimit bounds the word that the planner's claim is free, releaseLimit the release of the worker id.
 	claimLimit   = time.Second
@@ -79,7 +79,7 @@
 	d.log.Info("stopped")
 }
 
-// handOffice gives up what this daemon does for the others: planning, then leading. The group keeps its
+// handOverRoles gives up what this daemon does for the others: planning, then leading. The group keeps its
 // size: a machine that stops may come back.
 func (d *Daemon) handOverRoles(limit context.Context, kept *unreleasedSet) {
 	if d.config.Serves(daemonconfig.Placement) {
@@ -110,7 +110,7 @@
 	}
 }
 
-// awaitMoved goes on taking new connections until the platform hands over no more of them.
+// awaitNoNewConnections goes on taking new connections until the platform hands over no more of them.
 func (d *Daemon) awaitNoNewConnections(limit context.Context) {
 	most := defaultDrainNotice
 	if d.config.ReadyListen != "" {
--- a/daemon/engineregistration.go
+++ b/daemon/engineregistration.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// leaveLimit is how long an engine that leaves waits for its acknowledgement; it then asks the next daemon.
+	// departureLimit is how long an engine that leaves waits for its acknowledgement; it then asks the next daemon.
 	departureLimit = 800 * time.Millisecond
-	// leaveReach is how long the acknowledgement waits for all in contact to know.
+	// departureReach is how long the acknowledgement waits for all in contact to know.
 	departureReach = 300 * time.Millisecond
-	// leftLately is for how long a fresh control daemon tells all of those who left.
+	// recentDeparture is for how long a fresh control daemon tells all of those who left.
 	recentDeparture = time.Minute
 )
 
@@ -54,7 +54,7 @@
 	return d.commitDeparture(ctx, id, hearing)
 }
 
-// leave has the group write down that an engine leaves. All hear of it from here meanwhile, since it does no
+// commitDeparture has the group write down that an engine leaves. All hear of it from here meanwhile, since it does no
 // harm to know it early; the acknowledgement rests on the group, so that it outlives this daemon.
 func (d *Daemon) commitDeparture(ctx context.Context, id ident.EngineID, hearing registry.HeartbeatResult) registry.Response {
 	bounded, cancel := context.WithTimeout(ctx, departureLimit)
@@ -75,7 +75,7 @@
 	return registry.Response{Outcome: registry.Acknowledged}
 }
 
-// awaitLeave is called at the leader when a leave is committed: it waits until all in contact know.
+// awaitDepartureKnown is called at the leader when a leave is committed: it waits until all in contact know.
 func (d *Daemon) awaitDepartureKnown(ctx context.Context, id ident.EngineID) {
 	change := d.registry.MarkDraining([]ident.EngineID{id}, false, true)
 	d.awaitPeersInformed(ctx, change, departureReach)
@@ -93,7 +93,7 @@
 	})
 }
 
-// noteLeft takes over who left by the replicated state. It is called on the replica's actor, and so waits for nothing.
+// applyDepartures takes over who left by the replicated state. It is called on the replica's actor, and so waits for nothing.
 func (d *Daemon) applyDepartures(state *statemachine.State) {
 	lately, before := []ident.EngineID{}, []ident.EngineID{}
 	// After a snapshot all are noted again, which changes nothing.
@@ -113,7 +113,7 @@
 	}
 }
 
-// beatPeriod is how often engines that register themselves beat.
+// heartbeatPeriod is how often engines that register themselves beat.
 func (d *Daemon) heartbeatPeriod() time.Duration {
 	return time.Duration(d.Bounds().HeartbeatMs) * time.Millisecond
 }
--- a/daemon/engineslots.go
+++ b/daemon/engineslots.go
@@ -19,22 +19,22 @@
 )
 
 const (
-	// keeperWindow is how lately a daemon must have been heard to keep slots.
+	// slotOwnerWindow is how lately a daemon must have been heard to keep slots.
 	slotOwnerWindow = 1500 * time.Millisecond
-	// permitWait is how long a bid waits at the keeper before it is weighed anew here.
+	// slotWait is how long a bid waits at the keeper before it is weighed anew here.
 	slotWait         = 150 * time.Millisecond
 	slotRequestLimit = 400 * time.Millisecond
 	slotReuseDelay   = 10 * time.Millisecond
 )
 
-// keeperOf is the address of the daemon that keeps an engine's slots.
+// slotOwner is the address of the daemon that keeps an engine's slots.
 func (d *Daemon) slotOwner(engine ident.EngineID) string {
 	routers := d.readyPeers(slotOwnerWindow, func(f membership.Member) bool { return f.Serves(string(daemonconfig.Route)) })
 	keeper, _ := affinity.Owners("engine "+string(engine), routers)
 	return keeper
 }
 
-// askPermit asks the engine's keeper for a slot. A keeper that can't be reached must not hold up the go:
+// requestSlot asks the engine's keeper for a slot. A keeper that can't be reached must not hold up the go:
 // the engine's own refusal then bounds what it gets.
 func (d *Daemon) requestSlot(flight *dispatch.Call, send dispatch.Send) (giveBack func(refused bool), granted bool) {
 	keeper := d.slotOwner(send.Engine)
@@ -82,7 +82,7 @@
 	return &peerapi.PermitReply{Granted: granted}, nil
 }
 
-// yard is what the keeper of slots may look at.
+// slotView is what the keeper of slots may look at.
 func (d *Daemon) slotView() admission.View {
 	now, t, view := d.clock.Elapsed(), d.rollout.Table(), d.watcher.View()
 	return admission.View{
--- a/daemon/forwarding.go
+++ b/daemon/forwarding.go
@@ -18,7 +18,7 @@
 	"github.com/cresspond/cresspond/wire/dialect"
 )
 
-// forwardSide is what a daemon that forwards opaque requests has beside the rest.
+// forwardingPath is what a daemon that forwards opaque requests has beside the rest.
 type forwardingPath struct {
 	dialect  dialect.Dialect
 	settings forwarding.Settings
@@ -29,7 +29,7 @@
 	actor   *forwarding.Actor
 	pools   *connectionpool.Pools
 	gateway *gateway.Gateway
-	// edges is how many daemons route, as last counted, edgesAt when that was.
+	// routingDaemons is how many daemons route, as last counted, edgesAt when that was.
 	routingDaemons, routingDaemonsAt atomic.Int64
 }
 
--- a/daemon/groupidentity.go
+++ b/daemon/groupidentity.go
@@ -40,7 +40,7 @@
 	return d.group.CompareAndSwap(known, &group) || d.Group() == group
 }
 
-// ours says whether a message is of this daemon's group; one that names none is from a fresh daemon.
+// checkGroup says whether a message is of this daemon's group; one that names none is from a fresh daemon.
 func (d *Daemon) checkGroup(group string) error {
 	known := d.Group()
 	if ident.GroupID(group).Succeeds(known) {
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// ofOurs says whether a reply is of this daemon's group, or of one where neither knows a group yet.
+// sameGroup says whether a reply is of this daemon's group, or of one where neither knows a group yet.
 func (d *Daemon) sameGroup(reply *peerapi.PullReply) bool {
 	known := d.Group()
 	return known == "" || reply.Group == "" || reply.Group == string(known) || ident.GroupID(reply.Group).Succeeds(known)
--- a/daemon/joingroup.go
+++ b/daemon/joingroup.go
@@ -48,7 +48,7 @@
 	return out
 }
 
-// remembers says whether a data folder belongs to a group already.
+// belongsToGroup says whether a data folder belongs to a group already.
 func belongsToGroup(held *store.Store) bool {
 	group, err := held.Group()
 	return err != nil || group != ""
@@ -84,7 +84,7 @@
 	}
 }
 
-// form writes the first state of a new group; it counts once it is synced.
+// bootstrapGroup writes the first state of a new group; it counts once it is synced.
 func (d *Daemon) bootstrapGroup(held *store.Store, members raft.Membership) (ident.GroupID, raft.PersistentState, error) {
 	var raw [8]byte
 	if _, err := rand.Read(raw[:]); err != nil {
@@ -100,7 +100,7 @@
 	return group, restored, err
 }
 
-// askSeeds asks all seeds who they are. Once one of them tells of a group nobody else is waited for: a seed
+// identifySeeds asks all seeds who they are. Once one of them tells of a group nobody else is waited for: a seed
 // that is gone for good must not hold up a machine that comes in its place.
 func (d *Daemon) identifySeeds(ctx context.Context) []bootstrap.Seed {
 	seeds := d.Config().Seeds
@@ -173,7 +173,7 @@
 	}
 }
 
-// askToJoin tells the leader that this member wants to be taken in, or that it stops. It says whether the leader
+// requestJoin tells the leader that this member wants to be taken in, or that it stops. It says whether the leader
 // agreed: to one that stops, that nothing rests on its copy of the log. A lost call is made again on the next beat.
 func (d *Daemon) requestJoin(ctx context.Context, leader string, self raft.Member, leaving bool) bool {
 	bounded, cancel := context.WithTimeout(ctx, time.Second)
--- a/daemon/listener.go
+++ b/daemon/listener.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// steadyListener goes on accepting where one connection could not be: the other side may be gone already, or
+// retryingListener goes on accepting where one connection could not be: the other side may be gone already, or
 // this process may have no descriptor left for the moment. Only its own end ends it.
 type retryingListener struct {
 	net.Listener
--- a/daemon/longpoll.go
+++ b/daemon/longpoll.go
@@ -54,7 +54,7 @@
 // versions number what is told whole where it changed, by one life's own count.
 type versions struct{ unplaced, draining atomic.Uint64 }
 
-// beginAnywhere lets two lives never have the same versions.
+// randomize lets two lives never have the same versions.
 func (v *versions) randomize() {
 	v.unplaced.Store(rand.Uint64() >> 1)
 	v.draining.Store(rand.Uint64() >> 1)
@@ -63,7 +63,7 @@
 // mostHold bounds how long an answer is held back, whatever the asker says.
 const maxHold = 2 * time.Second
 
-// holdBack waits until there is news for an asker, for as long as it lets its answer be held back.
+// awaitUpdate waits until there is news for an asker, for as long as it lets its answer be held back.
 func (d *Daemon) awaitUpdate(ctx context.Context, in *peerapi.PullRequest) {
 	hold := min(time.Duration(in.MaxWaitMs)*time.Millisecond, maxHold)
 	if hold <= 0 {
@@ -100,7 +100,7 @@
 	}
 }
 
-// newsFor says whether there is anything that an asker does not know.
+// updateUrgency says whether there is anything that an asker does not know.
 func (d *Daemon) updateUrgency(in *peerapi.PullRequest) urgency {
 	spec, closure := d.InForce()
 	leader, term := d.leaderAndTerm()
@@ -133,13 +133,13 @@
 // and to the log of one that serves control.
 const configurationDelay = 400 * time.Millisecond
 
-// bundleSeen is since when a bundle is in force here, as far as was looked.
+// configurationSeen is since when a bundle is in force here, as far as was looked.
 type configurationSeen struct {
 	epoch ident.Version
 	at    clock.Mark
 }
 
-// tellsBundle says whether an asker is told the bundle in force here. A bundle is large, and who asks for what is
+// sendsConfiguration says whether an asker is told the bundle in force here. A bundle is large, and who asks for what is
 // urgent only has it from its teller in a moment, who serves control from the group's log: these are told here only if
 // they still lack it after a while.
 func (d *Daemon) sendsConfiguration(epoch ident.Version, in *peerapi.PullRequest) bool {
@@ -154,7 +154,7 @@
 // MembersChanged wakes those whose answers are held back, when the list of members changed.
 func (d *Daemon) MembersChanged() { d.bell.ring(ordinary) }
 
-// registryNews does so when the registry changed.
+// registryChanged does so when the registry changed.
 func (d *Daemon) registryChanged() {
 	how := ordinary
 	if newest := d.registry.LatestUrgentChange(); newest != d.urgentNotified.Swap(newest) {
@@ -164,7 +164,7 @@
 	d.admitCallers()
 }
 
-// beatNews is what a beat looks at.
+// polledState is what a beat looks at.
 type polledState struct {
 	leader     string
 	term       uint64
--- a/daemon/member.go
+++ b/daemon/member.go
@@ -14,32 +14,32 @@
 )
 
 const (
-	// firstRetry and mostRetry bound the pause before a data folder that could not be used is tried again.
+	// minMemberBackoff and mostRetry bound the pause before a data folder that could not be used is tried again.
 	minMemberBackoff = 200 * time.Millisecond
 	maxMemberBackoff = time.Second
-	// damageLooks is how often a folder must look damaged before its files are set aside: they cannot come back.
+	// damageConfirmations is how often a folder must look damaged before its files are set aside: they cannot come back.
 	damageConfirmations = 2
-	// firstDifferPause and mostDifferPause bound the pause before this daemon joins once more after its state differed
+	// minDifferBackoff and mostDifferPause bound the pause before this daemon joins once more after its state differed
 	// more than once: something is wrong with this machine or build, and joining over and over would not mend it.
 	minDifferBackoff = 10 * time.Second
 	maxDifferBackoff = 10 * time.Minute
-	// letGoLimit is how long a stopping daemon waits for its disk.
+	// memberStopLimit is how long a stopping daemon waits for its disk.
 	memberStopLimit = 500 * time.Millisecond
 )
 
 // superseded says that a folder belongs to a generation of the group that another has followed.
 type superseded struct{ error }
 
-// membershipLife is this daemon's own part in the control group: its data folder, and what runs on it.
+// memberIncarnation is this daemon's own part in the control group: its data folder, and what runs on it.
 // Trouble with the disk ends one such life and begins another, while the daemon goes on.
 type memberIncarnation struct {
 	store *store.Store
-	// broken ends the life and says why.
+	// failure ends the life and says why.
 	failure chan error
 	cancel  context.CancelFunc
 }
 
-// end ends the life; the first reason stays.
+// fail ends the life; the first reason stays.
 func (l *memberIncarnation) fail(why error) {
 	select {
 	case l.failure <- why:
@@ -48,7 +48,7 @@
 	l.cancel()
 }
 
-// held is the data folder in use; nil while there is none.
+// dataFolder is the data folder in use; nil while there is none.
 func (d *Daemon) dataFolder() *store.Store {
 	if life := d.memberIncarnation.Load(); life != nil {
 		return life.store
@@ -121,7 +121,7 @@
 	}
 }
 
-// differPauses are the pauses before joining anew with another state: none at first, then longer and longer.
+// differBackoff are the pauses before joining anew with another state: none at first, then longer and longer.
 type differBackoff struct{ delay time.Duration }
 
 func (p *differBackoff) next() time.Duration {
@@ -130,7 +130,7 @@
 	return now
 }
 
-// runMemberLife opens the folder, finds the group and runs this member of it until trouble comes.
+// runMemberIncarnation opens the folder, finds the group and runs this member of it until trouble comes.
 func (d *Daemon) runMemberIncarnation(ctx context.Context, opened *store.Store, probe bool) error {
 	if opened == nil {
 		var err error
@@ -161,7 +161,7 @@
 	}
 }
 
-// runControl brings this member into its group, or forms it, and then runs it.
+// runReplica brings this member into its group, or forms it, and then runs it.
 func (d *Daemon) runReplica(ctx context.Context, life *memberIncarnation) error {
 	group, restored, err := d.findGroup(ctx, life.store)
 	if err != nil || ctx.Err() != nil {
--- a/daemon/poolplanning.go
+++ b/daemon/poolplanning.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// make makes the actor, before any other of the daemon's runs.
+// build makes the actor, before any other of the daemon's runs.
 func (p *poolPlanning) build(d *Daemon) {
 	if p == nil {
 		return
--- a/daemon/pull.go
+++ b/daemon/pull.go
@@ -168,7 +168,7 @@
 // tellerFresh is how lately the teller must have told all for others to be asked for what is urgent only.
 const relayFresh = 2500 * time.Millisecond
 
-// isSecond says whether an address is one of those of which only what is urgent is asked, because the teller tells the rest.
+// pullsUrgentOnly says whether an address is one of those of which only what is urgent is asked, because the teller tells the rest.
 func (d *Daemon) pullsUrgentOnly(address string) bool {
 	teller := d.members.View().RelayAddress
 	return !d.config.Serves(daemonconfig.Control) && teller != "" && teller != address && d.clock.Elapsed().Since(d.registrySyncTimes.latest(teller)) <= relayFresh
--- a/daemon/reads.go
+++ b/daemon/reads.go
@@ -53,7 +53,7 @@
 	return &peerapi.ReadReply{Outcome: string(outcome), Result: result, LeaderAddress: d.leaderAddress()}, nil
 }
 
-// look reads part of the state at a linearizable point; a result of nothing means that it isn't there.
+// readAsLeader reads part of the state at a linearizable point; a result of nothing means that it isn't there.
 func (d *Daemon) readAsLeader(ctx context.Context, what, key string) ([]byte, replica.Outcome) {
 	held := d.replica.Load()
 	if held == nil || !held.Status().IsLeader {
@@ -67,7 +67,7 @@
 	return result, outcome
 }
 
-// newest is what a trace needs of the state.
+// traceState is what a trace needs of the state.
 type traceState struct {
 	Spec    uint64         `json:"spec"`
 	Closure uint64         `json:"closure"`
--- a/daemon/rehoming.go
+++ b/daemon/rehoming.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	// rememberAtOnce is how many attempts are handed over in one message.
+	// transferBatch is how many attempts are handed over in one message.
 	transferBatch = 1000
 	transferEvery = 300 * time.Millisecond
 )
 
-// runRehoming hands attempts to the homes they come to have as daemons come and go.
+// runOwnershipTransfer hands attempts to the homes they come to have as daemons come and go.
 func (d *Daemon) runOwnershipTransfer(ctx context.Context) {
 	ticker := time.NewTicker(transferEvery)
 	defer ticker.Stop()
@@ -37,7 +37,7 @@
 	}
 }
 
-// homeLives lists the daemons in sight that can be homes, by address.
+// liveOwners lists the daemons in sight that can be homes, by address.
 func (d *Daemon) liveOwners() map[string]ident.NodeID {
 	out := map[string]ident.NodeID{}
 	for _, fellow := range d.members.View().InContact(d.clock.Elapsed(), contactWindow) {
@@ -57,7 +57,7 @@
 	return out
 }
 
-// newcomers lists the homes that something has now, and did not have before in the same life.
+// newOwners lists the homes that something has now, and did not have before in the same life.
 func newOwners(key string, before, after map[string]ident.NodeID, oldAddresses, newAddresses []string) []string {
 	oldFirst, oldSecond := affinity.Owners(key, oldAddresses)
 	newFirst, newSecond := affinity.Owners(key, newAddresses)
@@ -70,7 +70,7 @@
 	return out
 }
 
-// handOver gives all that is remembered here to the homes it has without this daemon.
+// handOverAttempts gives all that is remembered here to the homes it has without this daemon.
 func (d *Daemon) handOverAttempts(ctx context.Context) {
 	after := d.liveOwners()
 	before := maps.Clone(after)
@@ -79,7 +79,7 @@
 	d.transferOwnership(ctx, before, after)
 }
 
-// rehome tells each home that an attempt has now, and did not have before in the same life.
+// transferOwnership tells each home that an attempt has now, and did not have before in the same life.
 func (d *Daemon) transferOwnership(ctx context.Context, before, after map[string]ident.NodeID) {
 	same := len(before) == len(after)
 	for address, life := range after {
@@ -129,7 +129,7 @@
 	}
 }
 
-// fellowsFor lists, in order, the addresses of daemons heard within the window that fit and are not stopping.
+// readyPeers lists, in order, the addresses of daemons heard within the window that fit and are not stopping.
 func (d *Daemon) readyPeers(window time.Duration, fits func(membership.Member) bool) []string {
 	var addresses []string
 	for _, fellow := range d.members.View().InContact(d.clock.Elapsed(), window) {
--- a/daemon/run.go
+++ b/daemon/run.go
@@ -163,7 +163,7 @@
 	return nil
 }
 
-// stepAside ends the daemon, once.
+// abort ends the daemon, once.
 func (d *Daemon) abort(why error) {
 	select {
 	case d.fatal <- why:
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -19,9 +19,9 @@
 
 const (
 	maxCallerBody = 4 << 20
-	// mostHeader bounds a request's head; what bundles allow is less.
+	// maxHeader bounds a request's head; what bundles allow is less.
 	maxHeader = 32 << 10
-	// mostBundleBody leaves room for a bundle's largest size and what is said around it.
+	// maxConfigurationBody leaves room for a bundle's largest size and what is said around it.
 	maxConfigurationBody = document.MostBytes + 64<<10
 )
 
@@ -35,7 +35,7 @@
 	return fasthttp.RequestConfig{}
 }
 
-// quiet drops the library's own lines: broken connections are counted, not told.
+// silentLogger drops the library's own lines: broken connections are counted, not told.
 type silentLogger struct{}
 
 // Printf drops a line.
@@ -55,7 +55,7 @@
 	ctx.SetConnectionClose()
 }
 
-// badCall is badRequest where callers come in: how large a body is read there follows from the table in force, and
+// badCallerRequest is badRequest where callers come in: how large a body is read there follows from the table in force, and
 // that may be old.
 func (d *Daemon) badCallerRequest(ctx *fasthttp.RequestCtx, err error) {
 	if err == fasthttp.ErrBodyTooLarge && d.isForwarded(ctx, string(ctx.Path())) {
@@ -65,7 +65,7 @@
 	badRequest(ctx, err)
 }
 
-// mostConnections is how many connections a listener keeps open: what callers take must leave descriptors for
+// maxConnections is how many connections a listener keeps open: what callers take must leave descriptors for
 // engines, peers and files.
 func maxConnections(descriptors int) int {
 	const (
@@ -106,7 +106,7 @@
 	}
 }
 
-// letGo lets whoever is answered by a stopping daemon connect elsewhere next time.
+// closeIfDraining lets whoever is answered by a stopping daemon connect elsewhere next time.
 func (d *Daemon) closeIfDraining(ctx *fasthttp.RequestCtx) {
 	if d.draining.Load() {
 		ctx.SetConnectionClose()
@@ -119,7 +119,7 @@
 	d.serveOperators(ctx)
 }
 
-// operate serves operators and engines.
+// serveOperators serves operators and engines.
 func (d *Daemon) serveOperators(ctx *fasthttp.RequestCtx) {
 	for _, handler := range d.controlHandlers {
 		if handler.Handle(ctx) {
--- a/daemon/sessionaffinity.go
+++ b/daemon/sessionaffinity.go
@@ -16,14 +16,14 @@
 // seatLimit bounds the question to a session's home; a daemon that gets no answer decides alone.
 const assignmentLimit = 300 * time.Millisecond
 
-// seatHomes are the addresses of the two daemons that keep a session's seat.
+// assignmentOwners are the addresses of the two daemons that keep a session's seat.
 // Any daemon can be a home, whatever it serves, so that the restart of a lone routing daemon loses none.
 func (d *Daemon) assignmentOwners(session string) (first, second string) {
 	// A daemon that is stopping hands its seats over, and takes no more.
 	return affinity.Owners(session, d.readyPeers(3*time.Second, func(membership.Member) bool { return true }))
 }
 
-// seatAt asks one home; nil means that it can't be reached.
+// queryAssignment asks one home; nil means that it can't be reached.
 func (d *Daemon) queryAssignment(home string, request *peerapi.SeatRequest) *peerapi.SeatReply {
 	if home == "" {
 		return nil
@@ -50,7 +50,7 @@
 	return engine, found
 }
 
-// seatOf asks a session's homes. The first decides; the second keeps a copy, and knows better where the
+// findAssignment asks a session's homes. The first decides; the second keeps a copy, and knows better where the
 // first is gone or has just come back with nothing. Where neither knew of it, and daemons were lost
 // lately, all are asked.
 func (r requestPath) findAssignment(ask dispatch.AskAssignment) (ident.EngineID, bool) {
@@ -79,7 +79,7 @@
 	return ident.EngineID(copied.Engine), copied.Found
 }
 
-// lostLately says whether daemons were lost or have begun anew so lately that seats may have gone with them.
+// peersLostRecently says whether daemons were lost or have begun anew so lately that seats may have gone with them.
 func (d *Daemon) peersLostRecently() bool {
 	now := d.clock.Elapsed()
 	for _, fellow := range d.members.View().Members {
@@ -91,7 +91,7 @@
 	return false
 }
 
-// askAllForSeat asks every daemon in sight for a session's seat; the one used last counts.
+// queryAllForAssignment asks every daemon in sight for a session's seat; the one used last counts.
 func (d *Daemon) queryAllForAssignment(session string) (ident.EngineID, bool) {
 	asked := addressesOf(d.liveOwners())
 	replies := make(chan *peerapi.SeatReply, len(asked))
@@ -144,7 +144,7 @@
 	return time.Minute
 }
 
-// rehomeSeats gives the seats whose home this daemon was to the homes that have come to be.
+// transferAssignments gives the seats whose home this daemon was to the homes that have come to be.
 func (d *Daemon) transferAssignments(ctx context.Context, before, after map[string]ident.NodeID) {
 	self := d.config.AdvertisedPeerAddress()
 	oldAddresses, newAddresses := addressesOf(before), addressesOf(after)
--- a/daemon/sessionplanning.go
+++ b/daemon/sessionplanning.go
@@ -14,7 +14,7 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// planning is the daemon as the placement actor sees it.
+// sessionPlanner is the daemon as the placement actor sees it.
 type sessionPlanner struct{ *Daemon }
 
 // Input gathers what the plan looks at.
--- a/daemon/workerlease.go
+++ b/daemon/workerlease.go
@@ -13,7 +13,7 @@
 // tenureMargin is taken off the end of each tenure for clock-rate error.
 const leaseMargin = time.Second
 
-// runTenancy acquires a worker id and renews it.
+// runWorkerLease acquires a worker id and renews it.
 func (d *Daemon) runWorkerLease(ctx context.Context) {
 	// Nothing can be held before a worker id is, so a fresh daemon looks often whether there is a leader to ask yet.
 	const beat, freshBeat = 250 * time.Millisecond, 50 * time.Millisecond
@@ -61,7 +61,7 @@
 	}
 }
 
-// enlist has the group write down that this life may be serving, so that no change counts as in force
+// registerServing has the group write down that this life may be serving, so that no change counts as in force
 // everywhere without it.
 func (d *Daemon) registerServing(ctx context.Context) {
 	answer, ok := d.submitOnce(ctx, statemachine.Command{Op: statemachine.OpRegister, NodeID: d.nodeID, Address: d.config.AdvertisedPeerAddress()})
--- a/request/forwarding/choose.go
+++ b/request/forwarding/choose.go
@@ -11,18 +11,18 @@
 	"github.com/cresspond/cresspond/process/featuregates"
 )
 
-// lack is why nothing can take a record now; of several reasons the greatest counts.
+// blockReason is why nothing can take a record now; of several reasons the greatest counts.
 type blockReason uint8
 
 const (
 	notBlocked blockReason = iota
-	// noEngines: the pool has no engine that may get anything new.
+	// blockedNoEngine: the pool has no engine that may get anything new.
 	blockedNoEngine
-	// noModel: no engine holds what is asked for.
+	// blockedNoModel: no engine holds what is asked for.
 	blockedNoModel
-	// allTried: all that fit were tried by this record.
+	// blockedAllTried: all that fit were tried by this record.
 	blockedAllTried
-	// allFull: all that fit have all that this daemon may send them, or rest.
+	// blockedAllBusy: all that fit have all that this daemon may send them, or rest.
 	blockedAllBusy
 	blockReasonCount
 )
@@ -34,7 +34,7 @@
 type candidate struct {
 	engine *registry.Engine
 	state  *engineState
-	// order is its place by rendezvous: the higher first, the same at all daemons.
+	// rendezvousHash is its place by rendezvous: the higher first, the same at all daemons.
 	rendezvousHash uint64
 }
 
@@ -42,7 +42,7 @@
 // parts together, and keeps daemons that look at the same old report from all running to the same engine.
 const rendezvousReplicas = 2
 
-// choose gives the best engine for a record, or why there is none.
+// chooseEngine gives the best engine for a record, or why there is none.
 func (c *Core) chooseEngine(request *Request, env Environment) (*registry.Engine, blockReason) {
 	if env.View == nil {
 		return nil, blockedNoEngine
@@ -148,7 +148,7 @@
 	return best, lowest
 }
 
-// weighedIn says whether a request is of the share that an engine is to get: less than all where the fleet has found
+// admittedByWeight says whether a request is of the share that an engine is to get: less than all where the fleet has found
 // it ill. The same request draws the same, or a second look would let in what the first left out.
 func admittedByWeight(request *Request, engine *registry.Engine, env Environment) bool {
 	share := engine.Plan.Weight(env.Zone, env.Now)
@@ -159,7 +159,7 @@
 	return drawn < share
 }
 
-// most is how many attempts this daemon has at an engine at most. Small engines are shared out, since what
+// maxInFlight is how many attempts this daemon has at an engine at most. Small engines are shared out, since what
 // piles up there is turned away; batching ones take a queue, and order it by urgency over all daemons.
 func maxInFlight(engine *registry.Engine, pool *upstream.Pool, env Environment) int {
 	slots, edges := max(engine.Slots, 1), max(env.Routers, 1)
@@ -174,7 +174,7 @@
 	return bound
 }
 
-// nearest moves the engines to choose from to the front, and gives them: a prompt's homes by rendezvous, in
+// shortlist moves the engines to choose from to the front, and gives them: a prompt's homes by rendezvous, in
 // order, then the one that this daemon knows to have kept most of it, one that a connection is kept to, and one drawn by
 // the request.
 func (c *Core) shortlist(request *Request, all []candidate, env Environment) []candidate {
@@ -216,12 +216,12 @@
 	return all[:found]
 }
 
-// warm says whether a connection to an engine is kept that a record's attempt could use.
+// hasIdleConnection says whether a connection to an engine is kept that a record's attempt could use.
 func (c *Core) hasIdleConnection(request *Request, engine *registry.Engine, env Environment) bool {
 	return env.HasIdleConnection != nil && !c.settings.Disabled.Has(featuregates.WarmConnections) && env.HasIdleConnection(engine, request.pool, !request.mayRepeat())
 }
 
-// bring swaps the first of those from place on to place.
+// selectInto swaps the first of those from place on to place.
 func selectInto(all []candidate, index int, before func(a, b candidate) bool) {
 	first := index
 	for other := index + 1; other < len(all); other++ {
@@ -232,7 +232,7 @@
 	all[index], all[first] = all[first], all[index]
 }
 
-// affinity is what a prompt shares with others: the last part is its own or its session's, so the one before
+// affinityKey is what a prompt shares with others: the last part is its own or its session's, so the one before
 // that. Those of a session go where its shared parts are, and so meet its own there.
 func affinityKey(request *Request) string {
 	if len(request.Attributes.Parts) == 0 {
@@ -243,31 +243,31 @@
 }
 
 const (
-	// perRunning is what one more running request costs, in tokens that could be read meanwhile.
+	// costPerRunning is what one more running request costs, in tokens that could be read meanwhile.
 	costPerRunning = 24
-	// lately is how much the time that an engine took lately counts against what is known to be there now.
+	// firstByteWeight is how much the time that an engine took lately counts against what is known to be there now.
 	firstByteWeight = 0.2
-	// awaited is the same of the time for which a first byte is awaited there already. That grows with a queue at
+	// awaitedFirstByteWeight is the same of the time for which a first byte is awaited there already. That grows with a queue at
 	// once; first bytes tell of it only when they have come through it.
 	awaitedFirstByteWeight = 0.7
-	// crowded, coldCost and farTokens are costs as shares of a usual prompt: of one that does not fit into the
+	// memoryOverflowCost, coldCost and farTokens are costs as shares of a usual prompt: of one that does not fit into the
 	// memory left, of an engine that is slow from its start, of another zone.
 	memoryOverflowCost = 2.0
 	warmupCost         = 0.25
 	remoteZoneTokens   = 0.3
-	// connectTokens is the same of a connection that must be made, connectPlaces its cost as a share of an engine's places.
+	// connectTokenCost is the same of a connection that must be made, connectPlaces its cost as a share of an engine's places.
 	connectTokenCost = 0.3
 	connectSlotCost  = 0.15
-	// farPlaces is another zone's cost as a share of an engine's places.
+	// remoteZoneSlotCost is another zone's cost as a share of an engine's places.
 	remoteZoneSlotCost = 0.1
-	// perBadness is how many times dearer an engine is that fails all it gets.
+	// failureCostFactor is how many times dearer an engine is that fails all it gets.
 	failureCostFactor = 6
 )
 
 // keptAtHome is how much of the shared parts the homes of a prompt are expected to have kept, by place.
 var expectedPrefixHit = [rendezvousReplicas]float64{0.8, 0.3}
 
-// batchScore is the expected cost of a batching engine, in tokens to be read before this request's first.
+// batchCost is the expected cost of a batching engine, in tokens to be read before this request's first.
 // Queues that reports tell of are left out: they are a second old, and daemons that all go by the same old
 // word run to the same engine (0.90 of requests in time without, 0.80 with them, at four fifths of the load).
 func (c *Core) batchCost(request *Request, one candidate, env Environment, index int) float64 {
@@ -306,7 +306,7 @@
 	return score*(1+failureCostFactor*c.failureRate(state, env)) + c.zoneCost(engine, env, remoteZoneTokens*c.meanPromptTokens)
 }
 
-// plainScore is the share of an engine's places that are taken, as far as this daemon knows.
+// slotCost is the share of an engine's places that are taken, as far as this daemon knows.
 func (c *Core) slotCost(request *Request, one candidate, env Environment) float64 {
 	score := float64(one.state.inFlight) / float64(max(one.engine.Slots, 1))
 	if quiet := one.state.unresponsiveFor(env.Now) - 2*one.state.firstByteTime; quiet > 0 {
@@ -329,7 +329,7 @@
 	return c.engine.SlowStartMs > 0 && c.engine.SlowStartMs > env.Now.Since(c.engine.LastHeartbeat).Milliseconds()
 }
 
-// worse is the smoothed share of an engine's failures that its choice goes by.
+// failureRate is the smoothed share of an engine's failures that its choice goes by.
 func (c *Core) failureRate(state *engineState, env Environment) float64 {
 	if c.settings.Disabled.Has(featuregates.ErrorPenalty) {
 		return 0
@@ -337,7 +337,7 @@
 	return state.decayedFailureRate(env.Now)
 }
 
-// far is the cost of an engine that stands in another zone.
+// zoneCost is the cost of an engine that stands in another zone.
 func (c *Core) zoneCost(engine *registry.Engine, env Environment, cost float64) float64 {
 	if c.settings.Disabled.Has(featuregates.ZoneCost) || env.Zone == "" || engine.Zone == env.Zone {
 		return 0
