--- a/daemon/pull.go
+++ b/daemon/pull.go
@@ -58,10 +58,10 @@
 	reply := &peerapi.PullReply{Confirmation: confirmation, Group: string(d.Group()), NodeId: string(d.nodeID), LeaderAddress: leader, LeaderTerm: term, IsLeader: d.IsLeader(), FirstRolloutMsAgo: d.FirstRolloutAge().Milliseconds(),
 		KnownAttributesVersion: rowKnown, DemandBaseUnknown: wantsLost, IsPlanner: d.IsPlanner(), PlannerAddress: d.members.View().PlannerAddress}
 	if table := d.rollout.Table(); table != nil {
-		reply.ConfigurationVersion, reply.ClosureVersion = uint64(table.Epoch), uint64(table.Closures.Version)
-		if d.sendsConfiguration(table.Epoch, in) {
+		reply.ConfigurationVersion, reply.ClosureVersion = uint64(table.Version), uint64(table.Closures.Version)
+		if d.sendsConfiguration(table.Version, in) {
 			reply.Configuration = table.Raw
-			if table.Bundle.Packed && in.AcceptsCompressed {
+			if table.Bundle.Compressed && in.AcceptsCompressed {
 				reply.Configuration, reply.ConfigurationCompressed = table.Bundle.Data, true
 			}
 		}
@@ -87,7 +87,7 @@
 		return
 	}
 	if len(reply.Configuration) > 0 || len(reply.Closures) > 0 {
-		d.rollout.Offer(ident.Version(reply.ConfigurationVersion), compression.Bundle{Data: reply.Configuration, Packed: reply.ConfigurationCompressed}, rollout.DecodeClosures(reply.Closures))
+		d.rollout.Offer(ident.Version(reply.ConfigurationVersion), compression.Bundle{Data: reply.Configuration, Compressed: reply.ConfigurationCompressed}, rollout.DecodeClosures(reply.Closures))
 	}
 	d.receiveDraining(reply.Draining)
 	d.receivedVersions.draining.Store(reply.DrainingVersion)
