--- a/configuration/upstream/check.go
+++ b/configuration/upstream/check.go
@@ -8,9 +8,9 @@
 // HostKey is the form in which hosts are compared: their case says nothing, nor does the root's dot.
 func HostKey(host string) string { return strings.ToLower(strings.TrimSuffix(host, ".")) }
 
-// Check tells what is wrong with the section beyond the bounds of its single fields: names that stand
+// Validate tells what is wrong with the section beyond the bounds of its single fields: names that stand
 // twice, names that nothing bears, and paths between which no request could choose.
-func (s *Section) Check(say func(path, reason string)) {
+func (s *Section) Validate(say func(path, reason string)) {
 	pools := make(map[string]bool, len(s.Pools))
 	for i, pool := range s.Pools {
 		if pools[pool.Name] {
--- a/daemon/handover.go
+++ b/daemon/handover.go
@@ -13,7 +13,7 @@
 	"github.com/cresspond/cresspond/process/daemonconfig"
 )
 
-// keptThing names what a stopping daemon alone holds.
+// unreleased names what a stopping daemon alone holds.
 type unreleased string
 
 const (
@@ -21,17 +21,17 @@
 	leadership    unreleased = "leadership"
 	plannersClaim unreleased = "planner's claim"
 	workerID      unreleased = "worker id"
-	// openAnswers are calls of callers and operators that were not answered.
+	// openResponses are calls of callers and operators that were not answered.
 	openResponses unreleased = "open answers"
 	// attemptMemory is what is remembered for attempts whose home this daemon is.
 	attemptMemory unreleased = "memory of attempts"
-	// engineNews is what engines said here of themselves that no other control daemon has seen.
+	// engineRegistrations is what engines said here of themselves that no other control daemon has seen.
 	engineRegistrations unreleased = "news of engines"
 	// logEntries are committed entries that too few other voters hold.
 	logEntries unreleased = "log entries"
 )
 
-// keptThings collects what could not be handed over before the end.
+// unreleasedSet collects what could not be handed over before the end.
 type unreleasedSet struct {
 	mutex     sync.Mutex
 	resources []unreleased
@@ -52,19 +52,19 @@
 }
 
 const (
-	// tellLimit bounds the wait for another control daemon to see the newest that engines said here.
+	// registrationsSeenLimit bounds the wait for another control daemon to see the newest that engines said here.
 	registrationsSeenLimit = 300 * time.Millisecond
-	// lastVoteLimit bounds how long a member stays for its vote and its copy of the log where too few others speak and
+	// memberRetireLimit bounds how long a member stays for its vote and its copy of the log where too few others speak and
 	// hold all: time for an election, and for one that stands ready to get a vote.
 	memberRetireLimit = 4 * time.Second
-	// elsewhereLimit bounds the wait for the same word after its end.
+	// logReplicatedLimit bounds the wait for the same word after its end.
 	logReplicatedLimit = 400 * time.Millisecond
-	// elsewhereEvery is how often the leader is asked for it.
+	// logReplicatedEvery is how often the leader is asked for it.
 	logReplicatedEvery = 25 * time.Millisecond
 )
 
-// tellBeats waits until another control daemon has seen all that engines said here, except for how busy they are.
-func (d *Daemon) awaitRegistrationsSeen(kept *unreleasedSet) {
+// awaitRegistrationsSeen waits until another control daemon has seen all that engines said here, except for how busy they are.
+func (d *Daemon) awaitRegistrationsSeen(remaining *unreleasedSet) {
 	if !d.config.Serves(daemonconfig.Control) || len(d.registry.View().Engines) == 0 {
 		return
 	}
@@ -91,48 +91,48 @@
 			return
 		}
 	}
-	kept.add(engineRegistrations)
+	remaining.add(engineRegistrations)
 }
 
-// endMember ends this daemon's member of the group, after which nothing more can come to rest on its disk. It first
+// retireMember ends this daemon's member of the group, after which nothing more can come to rest on its disk. It first
 // waits until the others can do without it, and then for the leader's word that they hold all that was committed.
-func (d *Daemon) retireMember(limit context.Context, kept *unreleasedSet) {
-	held, life := d.replica.Load(), d.memberIncarnation.Load()
-	if held == nil || life == nil {
+func (d *Daemon) retireMember(limit context.Context, remaining *unreleasedSet) {
+	groupMember, incarnation := d.replica.Load(), d.memberIncarnation.Load()
+	if groupMember == nil || incarnation == nil {
 		return
 	}
-	condition := held.Status()
-	self, known := condition.Membership.Find(life.store.Member)
+	condition := groupMember.Status()
+	self, known := condition.Membership.Find(incarnation.store.MemberID)
 	if !known || !self.Voter || len(condition.Membership.Voters()) == 1 {
 		return
 	}
 	bounded, cancel := context.WithTimeout(limit, memberRetireLimit)
 	defer cancel()
 	if !d.awaitLogReplicated(bounded, self) {
-		kept.add(logEntries)
+		remaining.add(logEntries)
 		return
 	}
 	d.memberRetired.Store(true)
-	life.cancel()
+	incarnation.cancel()
 	last, done := context.WithTimeout(context.Background(), logReplicatedLimit)
 	defer done()
 	if !d.awaitLogReplicated(last, self) {
-		kept.add(logEntries)
+		remaining.add(logEntries)
 	}
 }
 
-// heldElsewhere asks whoever leads until that one says so; who leads hands over first.
+// awaitLogReplicated asks whoever leads until that one says so; who leads hands over first.
 func (d *Daemon) awaitLogReplicated(ctx context.Context, self raft.Member) bool {
 	ticker := time.NewTicker(logReplicatedEvery)
 	defer ticker.Stop()
 	offered := clock.Mark(0)
 	for {
 		leader := d.leaderAddress()
-		switch held := d.replica.Load(); {
-		case held != nil && held.Status().IsLeader:
+		switch groupMember := d.replica.Load(); {
+		case groupMember != nil && groupMember.Status().IsLeader:
 			if now := d.clock.Elapsed(); now.Since(offered) > leadershipTransferEvery {
 				offered = now
-				held.TransferLeadership()
+				groupMember.TransferLeadership()
 			}
 		case leader != "" && leader != self.Address && d.requestJoin(ctx, leader, self, true):
 			return true
--- a/daemon/poolplanning.go
+++ b/daemon/poolplanning.go
@@ -20,10 +20,10 @@
 }
 
 // PoolSettings are the planner's settings for a deployment with these bounds.
-func PoolSettings(c daemonconfig.Config) poolplacement.Settings {
-	settings := poolplacement.DefaultSettings("", time.Duration(c.Bounds.LeaseMs)*time.Millisecond)
-	settings.Off = c.Experiments.DisabledMechanisms()
-	settings.Window = time.Duration(c.Bounds.OriginWindowMs) * time.Millisecond
+func PoolSettings(config daemonconfig.Config) poolplacement.Settings {
+	settings := poolplacement.DefaultSettings("", time.Duration(config.Bounds.LeaseMs)*time.Millisecond)
+	settings.Off = config.Experiments.DisabledMechanisms()
+	settings.Window = time.Duration(config.Bounds.OriginWindowMs) * time.Millisecond
 	return settings
 }
 
@@ -73,8 +73,8 @@
 func (p poolPlanner) Input() poolplacement.Input {
 	now := p.clock.Elapsed()
 	in := poolplacement.Input{Now: now, View: p.registry.View()}
-	if t := p.rollout.Table(); t != nil && t.Forward != nil {
-		in.Section = t.Forward.Section
+	if table := p.rollout.Table(); table != nil && table.Forward != nil {
+		in.Section = table.Forward.Section
 	}
 	in.Demand = p.collectDemand(now, p.forwardDemands())
 	in.Shut, in.Emptying = func(engine *registry.Engine) bool { return !p.engineOpen(engine) }, p.nodeRanking.emptying()
@@ -83,8 +83,8 @@
 }
 
 // Claim asks the group for the claim.
-func (p poolPlanner) Claim(ctx context.Context, told *statemachine.Announcement, whole bool) poolplacement.ClaimAnswer {
-	answer, ok := p.submitOnce(ctx, statemachine.Command{Op: statemachine.OpAcquirePlanner, NodeID: p.nodeID, Announcement: told, AnnouncesAll: true, WithAnnounced: whole, Resume: true, TokenAbove: p.highestClaimSeen()})
+func (p poolPlanner) Claim(ctx context.Context, announced *statemachine.Announcement, complete bool) poolplacement.ClaimAnswer {
+	answer, ok := p.submitOnce(ctx, statemachine.Command{Op: statemachine.OpAcquirePlanner, NodeID: p.nodeID, Announcement: announced, AnnouncesAll: true, WithAnnounced: complete, Resume: true, TokenAbove: p.highestClaimSeen()})
 	switch {
 	case !ok || answer.PlannerLease == nil:
 		return poolplacement.ClaimAnswer{}
@@ -95,15 +95,15 @@
 }
 
 // Mint stamps an order, LeaseHeld says whether the lease it was minted under still holds.
-func (p poolPlanner) Mint() (ident.SnowflakeID, snowflake.Outcome) { return p.generator.Mint() }
+func (p poolPlanner) Mint() (ident.SnowflakeID, snowflake.Outcome) { return p.generator.Next() }
 
 // LeaseHeld says whether the lease of the worker id still holds.
-func (p poolPlanner) LeaseHeld() bool { return p.generator.Held() }
+func (p poolPlanner) LeaseHeld() bool { return p.generator.HasLease() }
 
 // MayStand says whether this daemon should try to plan.
 func (p poolPlanner) MayStand() bool {
 	ready, _ := p.members.Ready()
-	return ready && !p.draining.Load() && p.generator.Held() && p.config.Serves(daemonconfig.Placement)
+	return ready && !p.draining.Load() && p.generator.HasLease() && p.config.Serves(daemonconfig.Placement)
 }
 
 // First says whether this daemon should have the claim before others. One that does not lead: a claim outlasts
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -22,7 +22,7 @@
 	// maxHeader bounds a request's head; what bundles allow is less.
 	maxHeader = 32 << 10
 	// maxConfigurationBody leaves room for a bundle's largest size and what is said around it.
-	maxConfigurationBody = document.MostBytes + 64<<10
+	maxConfigurationBody = document.MaxBytes + 64<<10
 )
 
 // bodyLimit lets only what holds a bundle be as large as a bundle may be.
@@ -35,11 +35,11 @@
 	return fasthttp.RequestConfig{}
 }
 
-// silentLogger drops the library's own lines: broken connections are counted, not told.
-type silentLogger struct{}
+// discardLogger drops the library's own lines: broken connections are counted, not told.
+type discardLogger struct{}
 
 // Printf drops a line.
-func (silentLogger) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 // badRequest answers what could not even be read as HTTP.
 func badRequest(ctx *fasthttp.RequestCtx, err error) {
@@ -83,7 +83,7 @@
 func (d *Daemon) server(handle fasthttp.RequestHandler, limits func(*fasthttp.RequestHeader) fasthttp.RequestConfig) *fasthttp.Server {
 	return &fasthttp.Server{
 		Handler: handle, Name: "cresspond", MaxRequestBodySize: maxCallerBody, HeaderReceived: limits, ReadTimeout: callerReadLimit, WriteTimeout: 5 * time.Minute,
-		IdleTimeout: keepAliveLimit, NoDefaultServerHeader: true, Concurrency: maxConnections(d.config.Machine.MaxFileDescriptors), CloseOnShutdown: true, Logger: silentLogger{}, ReadBufferSize: maxHeader,
+		IdleTimeout: keepAliveLimit, NoDefaultServerHeader: true, Concurrency: maxConnections(d.config.Machine.MaxFileDescriptors), CloseOnShutdown: true, Logger: discardLogger{}, ReadBufferSize: maxHeader,
 		// A form is some caller's body like any other, and goes on byte for byte.
 		ErrorHandler: badRequest, DisablePreParseMultipartForm: true,
 	}
@@ -181,5 +181,5 @@
 			return bodyLimit(header)
 		}
 	}
-	return fasthttp.RequestConfig{MaxRequestBodySize: int(index.Section.Limits.MostBodyBytes)}
+	return fasthttp.RequestConfig{MaxRequestBodySize: int(index.Section.Limits.MaxBodyBytes)}
 }
--- a/process/cluster/peerclient/fellows.go
+++ b/process/cluster/peerclient/fellows.go
@@ -116,8 +116,8 @@
 	return client
 }
 
-// SendRaft puts raft messages on the line to a member and never waits.
-func (l *Pool) SendRaft(group ident.GroupID, member raft.Member, messages []raft.Message) {
+// Send puts raft messages on the line to a member and never waits.
+func (l *Pool) Send(group ident.GroupID, member raft.Member, messages []raft.Message) {
 	if member.Address == "" {
 		return
 	}
--- a/request/forwarding/routes_test.go
+++ b/request/forwarding/routes_test.go
@@ -10,7 +10,7 @@
 
 // TestPoolSelectionFollowsWeightsAndIsDeterministic: each pool of a path gets about what its weight says, and the same try always the same.
 func TestPoolSelectionFollowsWeightsAndIsDeterministic(t *testing.T) {
-	path := pathOf("p", upstream.Repeatable, "plain", "other", "batch")
+	path := pathOf("p", upstream.Idempotent, "plain", "other", "batch")
 	weights := map[string]int64{"plain": 90, "other": 10, "batch": 0}
 	for index := range path.Shares {
 		path.Shares[index].Weight = weights[path.Shares[index].Pool]
