--- a/process/consensus/store/checksum.go
+++ b/process/consensus/store/checksum.go
@@ -9,12 +9,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// allSummed says that every row has its sum, so that one without is damaged.
-const keyAllChecksummed = "all-summed"
-
-// Each row carries a sum, since SQLite believes a turned bit in what it holds for us. Rows of builds that
-// knew of no sums have none: the triggers take the sum off a row that such a build changes, and with the
-// first row without one the word that all have one goes.
+// checksumTriggers keep the checksums right while an earlier build, which knows of none, writes to the folder: a row that
+// it changes loses its checksum, and with the first row without one the key all-summed is deleted.
 const checksumTriggers = `
 CREATE TRIGGER IF NOT EXISTS meta_unsummed AFTER UPDATE OF value ON meta WHEN NEW.value IS NOT OLD.value AND NEW.sum IS OLD.sum
 BEGIN UPDATE meta SET sum = NULL WHERE key = NEW.key; DELETE FROM meta WHERE key = 'all-summed'; END;
@@ -23,10 +19,10 @@
 CREATE TRIGGER IF NOT EXISTS snapshot_added AFTER INSERT ON snapshot WHEN NEW.sum IS NULL BEGIN DELETE FROM meta WHERE key = 'all-summed'; END;
 `
 
-// summed lists the tables whose rows carry sums.
+// checksummedTables lists the tables whose rows carry checksums.
 var checksummedTables = []string{"meta", "log", "snapshot"}
 
-// checksum is a row's sum.
+// checksum is the CRC-32C of a row, with unambiguous column boundaries. It is stored on disk.
 func checksum(columns ...any) int64 {
 	hash := crc32.New(crc32.MakeTable(crc32.Castagnoli))
 	for _, column := range columns {
@@ -40,7 +36,8 @@
 	return int64(hash.Sum32())
 }
 
-// checksumMatches says whether a row is what was written. One without a sum can't be told, where there may be such.
+// checksumMatches says whether a row is as it was written. One without a checksum is accepted only in a folder that
+// an earlier build has written to.
 func (s *Store) checksumMatches(stored sql.NullInt64, columns ...any) bool {
 	if !stored.Valid {
 		return !s.checksumsRequired
@@ -48,7 +45,7 @@
 	return stored.Int64 == checksum(columns...)
 }
 
-// addChecksums gives the tables of an earlier build their sums.
+// addChecksums adds the checksum column to tables of an earlier build, and the triggers.
 func (s *Store) addChecksums() error {
 	for _, name := range checksummedTables {
 		var columns int
@@ -59,9 +56,9 @@
 			continue
 		}
 		if _, err := s.db.Exec("ALTER TABLE " + name + " ADD COLUMN sum INTEGER"); err != nil {
-			return eris.Wrapf(err, "table %s cannot be given sums", name)
+			return eris.Wrapf(err, "table %s cannot be given checksums", name)
 		}
 	}
 	_, err := s.db.Exec(checksumTriggers)
-	return eris.Wrap(err, "the tables cannot be guarded")
+	return eris.Wrap(err, "the checksum triggers cannot be created")
 }
--- a/process/consensus/store/damage_test.go
+++ b/process/consensus/store/damage_test.go
@@ -17,7 +17,7 @@
 	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
-// writerFolder names the folder of a writer process that this test program is started again as.
+// writerFolderVariable names the folder of the writer process that this test program is started again as.
 const writerFolderVariable = "CRESSPOND_TEST_WRITER"
 
 func TestMain(m *testing.M) {
@@ -27,7 +27,7 @@
 	os.Exit(m.Run())
 }
 
-// testData is what entry i holds, so that what is read back can be judged by its index.
+// testData is the data of entry i, so that an entry can be verified by its index.
 func testData(i int) []byte { return []byte(strings.Repeat(fmt.Sprintf("entry %d;", i), 1+i%40)) }
 
 func testSave(i int) raft.Save {
@@ -39,7 +39,7 @@
 	return save
 }
 
-// writeForever writes one save after the other, and says each one's number once it is synced.
+// writeForever writes one save after the other, and prints the number of each once it is synced.
 func writeForever(folder string) {
 	s, err := Open(folder, newMember)
 	if err != nil {
@@ -55,7 +55,7 @@
 	}
 }
 
-// verifyFolder opens a folder and says whether all up to least is there and everything there is as it was written.
+// verifyFolder checks that all acknowledged saves are in a folder, and that everything in it is as it was written.
 func verifyFolder(folder string, minAcknowledged int) error {
 	s, err := Open(folder, newMember)
 	if err != nil {
@@ -79,7 +79,7 @@
 	}
 	for _, entry := range got.Entries {
 		if int(entry.Index) != next || int(entry.Term) != next || string(entry.Data) != string(testData(next)) {
-			return fmt.Errorf("LOST: entry %d of term %d stands where %d was written", entry.Index, entry.Term, next)
+			return fmt.Errorf("LOST: entry %d of term %d is where %d was written", entry.Index, entry.Term, next)
 		}
 		next++
 	}
@@ -109,11 +109,11 @@
 				t.Fatal(scanner.Text())
 			}
 		}
-		// Some work of the processor stands between the acknowledgement and the stop, so that it meets writes at any point.
+		// Busy work between the acknowledgement and the stop, so that the stop hits writes at any point.
 		for range random.IntN(400_000) {
 			acknowledged += 0
 		}
-		// Stopped, the folder can be copied as it stands, with the journal of a write in hand.
+		// While the writer is stopped the folder can be copied, with the journal of a write in progress.
 		_ = writer.Process.Signal(syscall.SIGSTOP)
 		copied := t.TempDir()
 		if err := os.CopyFS(copied, os.DirFS(folder)); err != nil {
@@ -155,11 +155,11 @@
 		damage := ""
 		if seed%4 == 0 {
 			data = data[:1+random.IntN(len(data)-1)]
-			damage = fmt.Sprintf("cut to %d bytes", len(data))
+			damage = fmt.Sprintf("truncated to %d bytes", len(data))
 		} else {
 			at := random.IntN(len(data))
 			data[at] ^= 1 << random.IntN(8)
-			damage = fmt.Sprintf("a bit of byte %d turned", at)
+			damage = fmt.Sprintf("a bit of byte %d flipped", at)
 		}
 		damagedFolder := t.TempDir()
 		if err := os.WriteFile(filepath.Join(damagedFolder, "member.sqlite"), data, 0o600); err != nil {
@@ -174,14 +174,14 @@
 			rejected++
 		}
 	}
-	t.Logf("%d seeds: %d held, %d stepped aside", seeds, readable, rejected)
+	t.Logf("%d seeds: %d read, %d rejected", seeds, readable, rejected)
 	if readable == 0 || rejected == 0 {
-		t.Errorf("%d held, %d stepped aside: the damage is of one kind only", readable, rejected)
+		t.Errorf("%d read, %d rejected: the damage is of one kind only", readable, rejected)
 	}
 }
 
-// TestFolderIsSharedWithBuildWithoutChecksums: tables without sums are read, and what an earlier build
-// writes into a folder of this one is believed as it was then.
+// TestFolderIsSharedWithBuildWithoutChecksums: tables without checksums are read, and what an earlier build
+// writes to a folder of this one is accepted without checksums, as it was then.
 func TestFolderIsSharedWithBuildWithoutChecksums(t *testing.T) {
 	for _, firstBuild := range []string{"earlier", "this"} {
 		folder := t.TempDir()
@@ -206,7 +206,7 @@
 				s.Close()
 				continue
 			}
-			// As the build before wrote it.
+			// As a build without checksums wrote it.
 			for _, statement := range []string{
 				"INSERT INTO meta (key, value) VALUES ('group', 'g') ON CONFLICT (key) DO UPDATE SET value = excluded.value",
 				fmt.Sprintf("INSERT INTO meta (key, value) VALUES ('term', x'%016x') ON CONFLICT (key) DO UPDATE SET value = excluded.value", i),
@@ -220,7 +220,7 @@
 			s.Close()
 		}
 		if err := verifyFolder(folder, 6); err != nil {
-			t.Errorf("a folder of %s build: %v", firstBuild, err)
+			t.Errorf("a folder created by the %s build: %v", firstBuild, err)
 		}
 	}
 }
--- a/process/consensus/store/load.go
+++ b/process/consensus/store/load.go
@@ -8,70 +8,99 @@
 	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
-// Load reads all that a member needs to go on.
+// Load reads the persistent state of the member; it is empty in a new folder. An error that IsDamaged recognizes says
+// that a row does not match its checksum, or that log and snapshot are not one history.
 func (s *Store) Load() (raft.PersistentState, error) {
-	var state raft.PersistentState
-	term, _, err := s.metaNumber("term")
+	hardState, err := s.loadHardState()
 	if err != nil {
-		return state, err
+		return raft.PersistentState{}, err
 	}
-	vote, _, err := s.metaNumber("vote")
+	snapshot, err := s.loadSnapshot()
 	if err != nil {
-		return state, err
+		return raft.PersistentState{}, err
 	}
-	state.HardState = raft.HardState{Term: raft.Term(term), Vote: raft.MemberID(vote)}
-	var index, snapshotTerm uint64
+	entries, err := s.loadEntries()
+	if err != nil {
+		return raft.PersistentState{}, err
+	}
+	state := raft.PersistentState{HardState: hardState, Snapshot: snapshot, Entries: entries}
+	return state, checkHistory(state)
+}
+
+// loadHardState reads term and vote.
+func (s *Store) loadHardState() (raft.HardState, error) {
+	term, _, err := s.metaNumber(keyTerm)
+	if err != nil {
+		return raft.HardState{}, err
+	}
+	vote, _, err := s.metaNumber(keyVote)
+	if err != nil {
+		return raft.HardState{}, err
+	}
+	return raft.HardState{Term: raft.Term(term), Vote: raft.MemberID(vote)}, nil
+}
+
+// loadSnapshot reads the snapshot; it is empty where there is none.
+func (s *Store) loadSnapshot() (raft.Snapshot, error) {
+	var index, term uint64
 	var membership, data []byte
 	var sum sql.NullInt64
-	err = s.db.QueryRow("SELECT idx, term, membership, data, sum FROM snapshot").Scan(&index, &snapshotTerm, &membership, &data, &sum)
-	if err != nil && err != sql.ErrNoRows {
-		return state, eris.Wrap(err, "the snapshot cannot be read")
+	err := s.db.QueryRow("SELECT idx, term, membership, data, sum FROM snapshot").Scan(&index, &term, &membership, &data, &sum)
+	if err == sql.ErrNoRows {
+		return raft.Snapshot{}, nil
 	}
-	if err == nil {
-		if !s.checksumMatches(sum, index, snapshotTerm, membership, data) {
-			return state, damagef("the snapshot is damaged")
-		}
-		decoded, err := raft.DecodeMembership(membership)
-		if err != nil {
-			return state, damagef("the membership cannot be read: %v", err)
-		}
-		state.Snapshot = raft.Snapshot{Index: raft.Index(index), Term: raft.Term(snapshotTerm), Membership: decoded, Data: data}
+	if err != nil {
+		return raft.Snapshot{}, eris.Wrap(err, "the snapshot cannot be read")
+	}
+	if !s.checksumMatches(sum, index, term, membership, data) {
+		return raft.Snapshot{}, damagef("the snapshot is damaged")
 	}
+	decoded, err := raft.DecodeMembership(membership)
+	if err != nil {
+		return raft.Snapshot{}, damagef("the membership cannot be read: %v", err)
+	}
+	return raft.Snapshot{Index: raft.Index(index), Term: raft.Term(term), Membership: decoded, Data: data}, nil
+}
+
+// loadEntries reads the log, which has no gaps.
+func (s *Store) loadEntries() ([]raft.Entry, error) {
 	rows, err := s.db.Query("SELECT idx, term, kind, data, sum FROM log ORDER BY idx")
 	if err != nil {
-		return state, eris.Wrap(err, "the log cannot be read")
+		return nil, eris.Wrap(err, "the log cannot be read")
 	}
 	defer rows.Close()
+	var entries []raft.Entry
 	for rows.Next() {
-		var entryIndex, entryTerm uint64
+		var index, term uint64
 		var kind uint8
-		var entryData []byte
-		if err := rows.Scan(&entryIndex, &entryTerm, &kind, &entryData, &sum); err != nil {
-			return state, eris.Wrap(err, "the log cannot be read")
+		var data []byte
+		var sum sql.NullInt64
+		if err := rows.Scan(&index, &term, &kind, &data, &sum); err != nil {
+			return nil, eris.Wrap(err, "the log cannot be read")
 		}
-		if !s.checksumMatches(sum, entryIndex, entryTerm, kind, entryData) {
-			return state, damagef("the log is damaged at %d", entryIndex)
+		if !s.checksumMatches(sum, index, term, kind, data) {
+			return nil, damagef("the log is damaged at %d", index)
 		}
-		if n := len(state.Entries); n > 0 && uint64(state.Entries[n-1].Index)+1 != entryIndex {
-			return state, damagef("the log has a hole before %d", entryIndex)
+		if count := len(entries); count > 0 && uint64(entries[count-1].Index)+1 != index {
+			return nil, damagef("the log has a gap before %d", index)
 		}
-		state.Entries = append(state.Entries, raft.Entry{Term: raft.Term(entryTerm), Index: raft.Index(entryIndex), Kind: raft.EntryKind(kind), Data: entryData})
+		entries = append(entries, raft.Entry{Term: raft.Term(term), Index: raft.Index(index), Kind: raft.EntryKind(kind), Data: data})
 	}
 	if err := rows.Err(); err != nil {
-		return state, eris.Wrap(err, "the log cannot be read")
+		return nil, eris.Wrap(err, "the log cannot be read")
 	}
-	return state, checkHistory(state)
+	return entries, nil
 }
 
-// checkHistory makes sure that snapshot and entries are one history: the log goes on where the snapshot ends, and holds
-// nothing that a member can't read.
+// checkHistory checks that snapshot and entries are one history: the log goes on where the snapshot ends, and its
+// memberships are valid.
 func checkHistory(state raft.PersistentState) error {
 	if len(state.Entries) == 0 {
 		return nil
 	}
 	first, last := state.Entries[0], state.Entries[len(state.Entries)-1]
 	if first.Index > state.Snapshot.Index+1 {
-		return damagef("the log has a hole between the snapshot at %d and entry %d", state.Snapshot.Index, first.Index)
+		return damagef("the log has a gap between the snapshot at %d and entry %d", state.Snapshot.Index, first.Index)
 	}
 	if last.Index < state.Snapshot.Index {
 		return damagef("the log ends at %d, before the snapshot at %d", last.Index, state.Snapshot.Index)
--- a/process/consensus/store/meta.go
+++ b/process/consensus/store/meta.go
@@ -9,6 +9,7 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
+// metaValue reads a value of the table meta, and whether it is there.
 func (s *Store) metaValue(key string) ([]byte, bool, error) {
 	var value []byte
 	var sum sql.NullInt64
@@ -22,6 +23,7 @@
 	return value, err == nil, eris.Wrapf(err, "%s cannot be read", key)
 }
 
+// metaNumber reads a value that putMetaNumber wrote.
 func (s *Store) metaNumber(key string) (uint64, bool, error) {
 	value, found, err := s.metaValue(key)
 	if err != nil || !found {
@@ -33,17 +35,21 @@
 	return binary.BigEndian.Uint64(value), true, nil
 }
 
+// putMetaNumber writes a number as eight bytes, big endian.
 func putMetaNumber(tx *sql.Tx, key string, value uint64) error {
 	return putMeta(tx, key, binary.BigEndian.AppendUint64(nil, value))
 }
 
+// putMeta inserts or replaces a value of the table meta.
 func putMeta(tx *sql.Tx, key string, value []byte) error {
-	_, err := tx.Exec("INSERT INTO meta (key, value, sum) VALUES (?, ?, ?) ON CONFLICT (key) DO UPDATE SET value = excluded.value, sum = excluded.sum", key, value, checksum(key, value))
+	const upsert = `INSERT INTO meta (key, value, sum) VALUES (?, ?, ?)
+		ON CONFLICT (key) DO UPDATE SET value = excluded.value, sum = excluded.sum`
+	_, err := tx.Exec(upsert, key, value, checksum(key, value))
 	return eris.Wrapf(err, "%s cannot be written", key)
 }
 
-// Group gives the group this folder belongs to; empty before it belongs to one.
+// Group returns the group that the member belongs to; empty before it has joined one.
 func (s *Store) Group() (ident.GroupID, error) {
-	value, _, err := s.metaValue("group")
+	value, _, err := s.metaValue(keyGroup)
 	return ident.GroupID(value), err
 }
--- a/process/consensus/store/powerloss_test.go
+++ b/process/consensus/store/powerloss_test.go
@@ -13,7 +13,7 @@
 	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
-// copyFolder is what is on the disk at this moment: the file, and the journal of a transaction under way.
+// copyFolder copies what is on the disk at this moment: the database, and the journal of an open transaction.
 func copyFolder(t *testing.T, folder string) string {
 	t.Helper()
 	copied := t.TempDir()
@@ -32,7 +32,7 @@
 	return copied
 }
 
-// loadFolder is what a member finds in a folder after its power came back.
+// loadFolder is what a member loads after a power loss.
 func loadFolder(t *testing.T, folder string) raft.PersistentState {
 	t.Helper()
 	s := openStore(t, folder)
@@ -56,7 +56,7 @@
 	return entries
 }
 
-// powerLossSaves are those that replace or cut what is there.
+// powerLossSaves are saves that replace, compact or truncate what is there.
 func powerLossSaves() map[string]raft.Save {
 	return map[string]raft.Save{
 		"install": {HardState: raft.HardState{Term: 5, Vote: 3}, TruncateFrom: 1, CompactTo: 60,
@@ -71,7 +71,7 @@
 func newPowerLossStore(t *testing.T, folder string) *Store {
 	t.Helper()
 	s := openStore(t, folder)
-	// With next to no cache SQLite writes changed pages into the file while the transaction is under way.
+	// With hardly any cache SQLite writes changed pages into the file before the transaction is committed.
 	if _, err := s.db.Exec("PRAGMA cache_size = 1"); err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 	return s
 }
 
-// When the power goes at any step of a write the folder holds what was before it; after its end, all of it.
+// After a power loss at any statement of a write the folder has the state before it; after its end, all of it.
 func TestPowerLossAtEachStatementLeavesOldOrNewState(t *testing.T) {
 	for name, save := range powerLossSaves() {
 		t.Run(name, func(t *testing.T) {
@@ -97,8 +97,8 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				for _, step := range statements[:count] {
-					if err := step(tx); err != nil {
+				for _, execute := range statements[:count] {
+					if err := execute(tx); err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -107,26 +107,26 @@
 					withJournal++
 				}
 				if got := loadFolder(t, copied); !reflect.DeepEqual(got, old) {
-					t.Fatalf("after %d of %d steps the folder holds neither what was before: %s", count, len(statements), summary(got))
+					t.Fatalf("after %d of %d statements the folder does not have the state before: %s", count, len(statements), summary(got))
 				}
 				if err := tx.Rollback(); err != nil {
 					t.Fatal(err)
 				}
 			}
 			if withJournal == 0 {
-				t.Error("no transaction had touched the file")
+				t.Error("no transaction had written to the database")
 			}
 			if err := s.Write("group", save); err != nil {
 				t.Fatal(err)
 			}
 			if got := loadFolder(t, copyFolder(t, folder)); reflect.DeepEqual(got, old) || got.HardState != save.HardState {
-				t.Errorf("after the write the folder holds %s", summary(got))
+				t.Errorf("after the write the folder has %s", summary(got))
 			}
 		})
 	}
 }
 
-// The broken variant: with each step a transaction of its own, some power loss leaves a mixture.
+// The broken variant: with a transaction for each statement, some power loss leaves a mixed state.
 func TestSeparateTransactionsLeaveMixedState(t *testing.T) {
 	save := powerLossSaves()["install"]
 	folder := t.TempDir()
@@ -153,7 +153,7 @@
 		}
 	}
 	if mixtures == 0 {
-		t.Error("the check does not see a mixture")
+		t.Error("the check does not see a mixed state")
 	}
 }
 
@@ -161,12 +161,12 @@
 	return fmt.Sprintf("%+v, snapshot at %d, %d entries", found.HardState, found.Snapshot.Index, len(found.Entries))
 }
 
-// A log that does not go on where the snapshot ends, or holds a membership that can't be read, is damaged.
+// A log that does not go on where the snapshot ends, or has an unreadable membership, is damaged.
 func TestLogInconsistentWithSnapshotIsDamaged(t *testing.T) {
 	unreadable := testEntries(4, 11, 12)
 	unreadable[1].Kind = raft.EntryMembership
 	for name, entries := range map[string][]raft.Entry{
-		"a hole behind the snapshot": testEntries(4, 12, 14), "an end before the snapshot": testEntries(4, 5, 9), "a membership": unreadable,
+		"a gap after the snapshot": testEntries(4, 12, 14), "an end before the snapshot": testEntries(4, 5, 9), "a membership": unreadable,
 	} {
 		s := openStore(t, t.TempDir())
 		save := raft.Save{HardState: raft.HardState{Term: 4}, Entries: entries, Snapshot: &raft.Snapshot{Index: 10, Term: 3, Membership: testMembership(), Data: []byte("x")}}
--- a/process/consensus/store/quarantine.go
+++ b/process/consensus/store/quarantine.go
@@ -14,24 +14,23 @@
 )
 
 const (
-	// quarantineMarker stands in a folder while its files are set aside, so that one half done is never opened.
+	// quarantineMarker is a file that exists while a quarantine is in progress, so that it is finished before the folder
+	// is opened.
 	quarantineMarker = "setting-aside"
-	// writeTestName is a file that comes and goes while a disk is looked at, probeBytes how large it is.
-	writeTestName  = "probe"
-	writeTestBytes = 64 << 10
-	// quarantinePrefix begins the names of files that were set aside; mostAside is how many sets are kept.
+	// quarantinePrefix begins the names of quarantined files; maxQuarantined is how many sets of them are retained.
 	quarantinePrefix = "aside-"
 	maxQuarantined   = 2
 )
 
-// memberFiles are all files of a member.
-var databaseFiles = []string{"member.sqlite", "member.sqlite-journal"}
+// databaseFiles are the files that hold the state of a member.
+var databaseFiles = []string{databaseName, databaseName + "-journal"}
 
-// Quarantine renames a damaged folder's files, so that the next Open makes a new member. The store must be closed.
+// Quarantine renames the database of a damaged folder, so that the next Open creates a new member in it. The store must be
+// closed. After an interruption the next Open finishes the quarantine.
 func Quarantine(folder string) error {
 	marker, err := os.OpenFile(filepath.Join(folder, quarantineMarker), os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
-		return eris.Wrap(err, "the damaged files cannot be set aside")
+		return eris.Wrap(err, "the damaged files cannot be quarantined")
 	}
 	err = marker.Sync()
 	if closing := marker.Close(); err == nil {
@@ -41,12 +40,12 @@
 		err = syncFolder(folder)
 	}
 	if err != nil {
-		return eris.Wrap(err, "the damaged files cannot be set aside")
+		return eris.Wrap(err, "the damaged files cannot be quarantined")
 	}
 	return finishQuarantine(folder)
 }
 
-// finishQuarantine does what is left to do where files are being set aside.
+// finishQuarantine does what is left of a quarantine in progress; without one it does nothing.
 func finishQuarantine(folder string) error {
 	marker := filepath.Join(folder, quarantineMarker)
 	if _, err := os.Stat(marker); errors.Is(err, fs.ErrNotExist) {
@@ -63,15 +62,15 @@
 		next = sets[len(sets)-1] + 1
 	}
 	for _, name := range databaseFiles {
-		err := os.Rename(filepath.Join(folder, name), filepath.Join(folder, fmt.Sprintf("%s%d.%s", quarantinePrefix, next, name)))
+		err := os.Rename(filepath.Join(folder, name), filepath.Join(folder, quarantinedName(next, name)))
 		if err != nil && !errors.Is(err, fs.ErrNotExist) {
-			return eris.Wrap(err, "the damaged files cannot be set aside")
+			return eris.Wrap(err, "the damaged files cannot be quarantined")
 		}
 	}
-	// The disk is small: only the newest are kept for a look.
+	// Only the newest are retained for an investigation, since disks are small.
 	for len(sets) >= maxQuarantined {
 		for _, name := range databaseFiles {
-			_ = os.Remove(filepath.Join(folder, fmt.Sprintf("%s%d.%s", quarantinePrefix, sets[0], name)))
+			_ = os.Remove(filepath.Join(folder, quarantinedName(sets[0], name)))
 		}
 		sets = sets[1:]
 	}
@@ -79,12 +78,17 @@
 		return err
 	}
 	if err := os.Remove(marker); err != nil {
-		return eris.Wrap(err, "the damaged files cannot be set aside")
+		return eris.Wrap(err, "the damaged files cannot be quarantined")
 	}
 	return syncFolder(folder)
 }
 
-// quarantinedSets lists the numbers of the sets of files that were set aside, in order.
+// quarantinedName is the name of a database file in a quarantined set.
+func quarantinedName(set int, name string) string {
+	return fmt.Sprintf("%s%d.%s", quarantinePrefix, set, name)
+}
+
+// quarantinedSets lists the numbers of the quarantined sets of files, in order.
 func quarantinedSets(folder string) ([]int, error) {
 	entries, err := os.ReadDir(folder)
 	if err != nil {
--- a/process/consensus/store/quarantine_test.go
+++ b/process/consensus/store/quarantine_test.go
@@ -14,7 +14,7 @@
 	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
-// newFolder makes a folder with one save, and gives the identity in it.
+// newFolder makes a folder with one save, and returns the identity in it.
 func newFolder(t *testing.T) (string, raft.MemberID) {
 	t.Helper()
 	folder := t.TempDir()
@@ -43,13 +43,13 @@
 		t.Fatal(err)
 	}
 	if _, err := Open(folder, newMember); !IsDamaged(err) {
-		t.Errorf("a torn file is no damage: %v", err)
+		t.Errorf("an overwritten file is not recognized as damaged: %v", err)
 	}
 	if err := os.WriteFile(path, data[:50], 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Open(folder, newMember); !IsDamaged(err) {
-		t.Errorf("a file without its head is no damage: %v", err)
+		t.Errorf("a file that is shorter than its header is not recognized as damaged: %v", err)
 	}
 	for _, code := range []sqlite3.ErrNo{sqlite3.ErrFull, sqlite3.ErrIoErr, sqlite3.ErrCantOpen, sqlite3.ErrBusy, sqlite3.ErrReadonly, sqlite3.ErrPerm} {
 		if IsDamaged(eris.Wrap(sqlite3.Error{Code: code}, "x")) {
@@ -57,12 +57,12 @@
 		}
 	}
 	if !IsDamaged(eris.Wrap(sqlite3.Error{Code: sqlite3.ErrCorrupt}, "x")) || IsDamaged(errors.New("x")) || IsDamaged(nil) {
-		t.Error("damage is not told from the rest")
+		t.Error("damage is not told from other errors")
 	}
 }
 
-// TestInterruptedQuarantineIsFinishedByOpen: whatever of it was done before the process ended, the next Open makes a new
-// member of its own, and no old journal meets its file.
+// TestInterruptedQuarantineIsFinishedByOpen: wherever the process ended in a quarantine, the next Open creates a new
+// member, and no old journal is applied to its database.
 func TestInterruptedQuarantineIsFinishedByOpen(t *testing.T) {
 	for done := range 4 {
 		t.Run(fmt.Sprint(done), func(t *testing.T) {
@@ -92,13 +92,13 @@
 			}
 			defer s.Close()
 			if s.MemberID == before {
-				t.Error("the old identity lives on")
+				t.Error("the old identity is still in use")
 			}
 			if group, err := s.Group(); err != nil || group != "" {
-				t.Errorf("the new member remembers group %q: %v", group, err)
+				t.Errorf("the new member belongs to group %q: %v", group, err)
 			}
 			if _, err := os.Stat(filepath.Join(folder, quarantineMarker)); err == nil {
-				t.Error("the mark is still there")
+				t.Error("the marker is still there")
 			}
 			if err := s.CheckWritable(); err != nil {
 				t.Error(err)
--- a/process/consensus/store/store_test.go
+++ b/process/consensus/store/store_test.go
@@ -1,6 +1,7 @@
 package store
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -65,7 +66,7 @@
 func TestUnusableFolderIsRejectedWithClearError(t *testing.T) {
 	folder := t.TempDir()
 	s := openStore(t, folder)
-	if _, err := Open(folder, newMember); err == nil || !strings.Contains(err.Error(), "in use") {
+	if _, err := Open(folder, newMember); !errors.Is(err, ErrInUse) || IsDamaged(err) || !strings.Contains(err.Error(), "in use") {
 		t.Errorf("a folder in use was opened: %v", err)
 	}
 	if err := s.Write("g", raft.Save{HardState: raft.HardState{Term: 1}}); err != nil {
@@ -91,7 +92,29 @@
 		t.Fatal(err)
 	}
 	if _, err := Open(file, newMember); err == nil {
-		t.Error("a file was taken for a folder")
+		t.Error("a file was opened as a folder")
+	}
+}
+
+func TestOtherSchemaVersionIsRejectedAndNotDamage(t *testing.T) {
+	folder := t.TempDir()
+	s := openStore(t, folder)
+	later := SchemaVersion + 1
+	tx, err := s.db.Begin()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := putMetaNumber(tx, keySchemaVersion, uint64(later)); err != nil {
+		t.Fatal(err)
+	}
+	if err := tx.Commit(); err != nil {
+		t.Fatal(err)
+	}
+	s.Close()
+	_, err = Open(folder, newMember)
+	var found SchemaVersionError
+	if !errors.As(err, &found) || found.Found != uint64(later) || IsDamaged(err) {
+		t.Errorf("opened with %v", err)
 	}
 }
 
@@ -101,12 +124,12 @@
 	if err := s.Write("g", raft.Save{HardState: raft.HardState{Term: 1}, Entries: []raft.Entry{{Term: 1, Index: 1, Data: []byte("kept")}}}); err != nil {
 		t.Fatal(err)
 	}
-	// SQLite's own bound on the file stands in for a disk that is full.
+	// SQLite's own bound on the size of the file simulates a full disk.
 	if _, err := s.db.Exec("PRAGMA max_page_count = 12"); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Write("g", raft.Save{HardState: raft.HardState{Term: 9}, Entries: []raft.Entry{{Term: 9, Index: 2, Data: make([]byte, 1<<20)}}}); err == nil {
-		t.Fatal("a write onto a full disk was called synced")
+		t.Fatal("a write to a full disk was reported as synced")
 	}
 	got, err := s.Load()
 	if err != nil || got.HardState.Term != 1 || len(got.Entries) != 1 || string(got.Entries[0].Data) != "kept" {
--- a/process/consensus/store/writable.go
+++ b/process/consensus/store/writable.go
@@ -7,7 +7,14 @@
 	"github.com/rotisserie/eris"
 )
 
-// CheckWritable makes sure that the disk takes writes again, and some more bytes than before.
+const (
+	// writeTestName is a file that exists while CheckWritable runs; writeTestBytes is its size.
+	writeTestName  = "probe"
+	writeTestBytes = 64 << 10
+)
+
+// CheckWritable checks that the disk accepts new bytes and that the database accepts a transaction. A member whose disk
+// failed calls it before it joins its group again.
 func (s *Store) CheckWritable() error {
 	name := filepath.Join(s.folder, writeTestName)
 	defer os.Remove(name)
@@ -17,7 +24,7 @@
 	}
 	defer file.Close()
 	if _, err := file.Write(make([]byte, writeTestBytes)); err != nil {
-		return eris.Wrap(err, "the disk takes no more bytes")
+		return eris.Wrap(err, "the disk accepts no more bytes")
 	}
 	if err := file.Sync(); err != nil {
 		return eris.Wrap(err, "a write cannot be synced")
@@ -27,7 +34,7 @@
 		return eris.Wrap(err, "a write cannot begin")
 	}
 	defer tx.Rollback()
-	if err := putMetaNumber(tx, "form", SchemaVersion); err != nil {
+	if err := putMetaNumber(tx, keySchemaVersion, SchemaVersion); err != nil {
 		return err
 	}
 	return eris.Wrap(tx.Commit(), "a write cannot be synced")
--- a/process/consensus/store/write.go
+++ b/process/consensus/store/write.go
@@ -9,7 +9,7 @@
 	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
-// Write puts one save on disk, whole or not at all, and returns when it is synced.
+// Write writes a save in one transaction, and returns when it is synced. After an error the old state is on disk.
 func (s *Store) Write(group ident.GroupID, save raft.Save) error {
 	tx, err := s.db.Begin()
 	if err != nil {
@@ -24,16 +24,15 @@
 	return eris.Wrap(tx.Commit(), "a write cannot be synced")
 }
 
-// statement is one statement of a write. All of a write are one transaction: a power loss between two leaves what was
-// before the first.
+// statement is one statement of the transaction of a write.
 type statement func(tx *sql.Tx) error
 
-// statementsOf lists the statements of a write in their order.
+// statementsOf lists the statements of a write, in the order that raft.Save documents.
 func statementsOf(group ident.GroupID, save raft.Save) []statement {
 	statements := []statement{
-		func(tx *sql.Tx) error { return putMeta(tx, "group", []byte(group)) },
-		func(tx *sql.Tx) error { return putMetaNumber(tx, "term", uint64(save.HardState.Term)) },
-		func(tx *sql.Tx) error { return putMetaNumber(tx, "vote", uint64(save.HardState.Vote)) },
+		func(tx *sql.Tx) error { return putMeta(tx, keyGroup, []byte(group)) },
+		func(tx *sql.Tx) error { return putMetaNumber(tx, keyTerm, uint64(save.HardState.Term)) },
+		func(tx *sql.Tx) error { return putMetaNumber(tx, keyVote, uint64(save.HardState.Vote)) },
 	}
 	if save.Snapshot != nil {
 		statements = append(statements, func(tx *sql.Tx) error { return putSnapshot(tx, *save.Snapshot) })
@@ -41,13 +40,13 @@
 	if save.CompactTo > 0 {
 		statements = append(statements, func(tx *sql.Tx) error {
 			_, err := tx.Exec("DELETE FROM log WHERE idx <= ?", uint64(save.CompactTo))
-			return eris.Wrap(err, "the log cannot be shortened")
+			return eris.Wrap(err, "the log cannot be compacted")
 		})
 	}
 	if save.TruncateFrom > 0 {
 		statements = append(statements, func(tx *sql.Tx) error {
 			_, err := tx.Exec("DELETE FROM log WHERE idx >= ?", uint64(save.TruncateFrom))
-			return eris.Wrap(err, "the log cannot be cut")
+			return eris.Wrap(err, "the log cannot be truncated")
 		})
 	}
 	for _, entry := range save.Entries {
@@ -56,6 +55,7 @@
 	return statements
 }
 
+// putSnapshot replaces the stored snapshot.
 func putSnapshot(tx *sql.Tx, snapshot raft.Snapshot) error {
 	index, term, membership := uint64(snapshot.Index), uint64(snapshot.Term), snapshot.Membership.Encode()
 	_, err := tx.Exec("INSERT OR REPLACE INTO snapshot (one, idx, term, membership, data, sum) VALUES (1, ?, ?, ?, ?, ?)",
@@ -63,8 +63,10 @@
 	return eris.Wrap(err, "the snapshot cannot be written")
 }
 
+// putEntry adds an entry to the log.
 func putEntry(tx *sql.Tx, entry raft.Entry) error {
 	index, term, kind := uint64(entry.Index), uint64(entry.Term), uint8(entry.Kind)
-	_, err := tx.Exec("INSERT INTO log (idx, term, kind, data, sum) VALUES (?, ?, ?, ?, ?)", index, term, kind, entry.Data, checksum(index, term, kind, entry.Data))
+	_, err := tx.Exec("INSERT INTO log (idx, term, kind, data, sum) VALUES (?, ?, ?, ?, ?)",
+		index, term, kind, entry.Data, checksum(index, term, kind, entry.Data))
 	return eris.Wrap(err, "the log cannot be written")
 }
