--- a/daemon/admitcallers.go
+++ b/daemon/admitcallers.go
@@ -11,7 +11,7 @@
 // admitCallers opens the door to callers once there is what it takes to serve and to hold their requests.
 func (d *Daemon) admitCallers() {
 	if d.forwardIndex() != nil && d.generator.Held() && len(d.registry.View().Engines) > 0 {
-		d.callerGate.open()
+		d.callerGate.Open()
 	}
 }
 
--- a/daemon/configuration.go
+++ b/daemon/configuration.go
@@ -3,6 +3,7 @@
 import (
 	"github.com/rotisserie/eris"
 
+	"github.com/cresspond/cresspond/daemon/longpoll"
 	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
@@ -26,7 +27,7 @@
 			d.abort(eris.Errorf("this daemon was declared lost by %s, and so must not serve; start it again", closure.Operator))
 		}
 	}
-	d.bell.ring(urgent)
+	d.notifier.Notify(longpoll.Urgent)
 	d.wakeRequestPath()
 	d.migrateFromDrained()
 	d.admitCallers()
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -14,6 +14,8 @@
 	"github.com/cresspond/cresspond/clock"
 	"github.com/cresspond/cresspond/connection/adminapi"
 	"github.com/cresspond/cresspond/connection/sessionapi"
+	"github.com/cresspond/cresspond/daemon/listener"
+	"github.com/cresspond/cresspond/daemon/longpoll"
 	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/process/cluster/affinity"
 	"github.com/cresspond/cresspond/process/cluster/deduplication"
@@ -72,7 +74,9 @@
 	enlistedAt atomic.Int64
 	fatal      chan error
 	// callerGate is shut until callers are accepted.
-	callerGate *gate
+	callerGate *listener.Gate
+	// listeners opens the listeners of this daemon, and says what a fault of one means.
+	listeners listener.Opener
 
 	// poolPlanning plans for engines that register themselves, where the daemon was put together so.
 	poolPlanning *poolPlanning
@@ -84,7 +88,7 @@
 
 	// bell wakes those whose answers are held back. toldNews are the versions told from here, heardNews those
 	// heard; beatNews, urgentTold, drainingNow, heldLacks and bundleSeen are what was last found new.
-	bell                           *bell
+	notifier                       *longpoll.Notifier
 	sentVersions, receivedVersions versions
 	lastPolled                     polledState
 	urgentNotified                 atomic.Uint64
@@ -146,7 +150,8 @@
 	d.group.Store(&none)
 	d.generator = snowflake.New(d.clock, leaseMargin)
 	d.current.Store(&config)
-	d.bell, d.callerGate = newBell(), newGate()
+	d.notifier, d.callerGate = longpoll.NewNotifier(), listener.NewGate()
+	d.listeners = listener.Opener{Retry: config.Trouble == daemonconfig.WaitOnTrouble, Log: d.log, Faults: &d.counters.listenerFaults}
 	d.sentVersions.randomize()
 	return d
 }
--- a/daemon/longpoll.go
+++ b/daemon/longpoll.go
@@ -3,54 +3,15 @@
 import (
 	"context"
 	"math/rand/v2"
-	"sync"
 	"sync/atomic"
 	"time"
 
 	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/daemon/longpoll"
 	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// Daemons ask each other again and again for what is new. The answer is held back while nothing is, so that
-// news travels at once and rest costs little.
-
-// urgency says how soon an asker must hear what is new.
-type urgency int
-
-const (
-	nothingNew urgency = iota
-	// ordinary news waits for more of its kind, urgent news does not.
-	ordinary
-	urgent
-)
-
-// bell wakes those whose answers are held back.
-type bell struct {
-	mutex            sync.Mutex
-	ordinary, urgent chan struct{}
-}
-
-func newBell() *bell { return &bell{ordinary: make(chan struct{}), urgent: make(chan struct{})} }
-
-func (b *bell) ring(how urgency) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	// What is urgent wakes all.
-	close(b.ordinary)
-	b.ordinary = make(chan struct{})
-	if how == urgent {
-		close(b.urgent)
-		b.urgent = make(chan struct{})
-	}
-}
-
-func (b *bell) listen() (ordinary, urgent <-chan struct{}) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return b.ordinary, b.urgent
-}
-
 // versions number what is told whole where it changed, by one life's own count.
 type versions struct{ shortages, draining atomic.Uint64 }
 
@@ -60,48 +21,17 @@
 	v.draining.Store(rand.Uint64() >> 1)
 }
 
-// mostHold bounds how long an answer is held back, whatever the asker says.
+// maxHold bounds how long an answer is held back, whatever the caller allows.
 const maxHold = 2 * time.Second
 
-// awaitUpdate waits until there is news for an asker, for as long as it lets its answer be held back.
+// awaitUpdate waits until there is something new for a peer, for as long as it lets its answer be held back.
 func (d *Daemon) awaitUpdate(ctx context.Context, in *peerapi.PullRequest) {
-	hold := min(time.Duration(in.MaxWaitMs)*time.Millisecond, maxHold)
-	if hold <= 0 {
-		return
-	}
-	limit := time.NewTimer(hold)
-	defer limit.Stop()
-	gap := time.NewTimer(min(time.Duration(in.BatchDelayMs)*time.Millisecond, hold))
-	defer gap.Stop()
-	gapPassed := false
-	for {
-		// Whoever listens first and looks then misses nothing.
-		anyUpdate, urgentUpdate := d.bell.listen()
-		switch d.updateUrgency(in) {
-		case urgent:
-			return
-		case ordinary:
-			if gapPassed {
-				return
-			}
-			// More of its kind changes nothing.
-			anyUpdate = nil
-		}
-		select {
-		case <-anyUpdate:
-		case <-urgentUpdate:
-		case <-gap.C:
-			gapPassed = true
-		case <-limit.C:
-			return
-		case <-ctx.Done():
-			return
-		}
-	}
+	d.notifier.Await(ctx, min(time.Duration(in.MaxWaitMs)*time.Millisecond, maxHold), time.Duration(in.BatchDelayMs)*time.Millisecond,
+		func() longpoll.Urgency { return d.updateUrgency(in) })
 }
 
 // updateUrgency says whether there is anything that an asker does not know.
-func (d *Daemon) updateUrgency(in *peerapi.PullRequest) urgency {
+func (d *Daemon) updateUrgency(in *peerapi.PullRequest) longpoll.Urgency {
 	configuration, closure := d.InForce()
 	leader, term := d.leaderAndTerm()
 	planner, plans, self := d.members.View().PlannerAddress, d.IsPlanner(), d.config.ReachedAt()
@@ -117,16 +47,16 @@
 		in.RegistryIncarnation != string(d.nodeID) || d.registry.LatestUrgentChange() > in.RegistryComplete || len(in.RegistryRefetch) > 0,
 		in.MembersIncarnation != string(d.nodeID),
 		d.enginesDraining.Load() && d.sentVersions.draining.Load() != in.DrainingVersion:
-		return urgent
+		return longpoll.Urgent
 	// Of how busy engines are there is always something new; control daemons, who tell it across zones, let it wait
 	// for the end of the hold.
 	case !in.RegistryUrgentOnly && (d.registry.LatestNonLoadChange() > in.RegistryComplete || !in.EveryHeartbeat && d.registry.LatestChange() > in.RegistryComplete),
 		d.members.StatusChangeIndex() > in.MembersSeen || !in.RegistryUrgentOnly && d.members.ChangeIndex() > in.MembersSeen,
 		plans != (in.PlannerAddress == self) || in.PlannerAddress == "" && planner != "",
 		plans && d.sentVersions.shortages.Load() != in.ShortagesVersion:
-		return ordinary
+		return longpoll.Ordinary
 	}
-	return nothingNew
+	return longpoll.Nothing
 }
 
 // bundleRest is for how long a new bundle is left to the teller of an asker that asks here for what is urgent only,
@@ -152,15 +82,15 @@
 }
 
 // MembersChanged wakes those whose answers are held back, when the list of members changed.
-func (d *Daemon) MembersChanged() { d.bell.ring(ordinary) }
+func (d *Daemon) MembersChanged() { d.notifier.Notify(longpoll.Ordinary) }
 
 // registryChanged does so when the registry changed.
 func (d *Daemon) registryChanged() {
-	how := ordinary
+	how := longpoll.Ordinary
 	if newest := d.registry.LatestUrgentChange(); newest != d.urgentNotified.Swap(newest) {
-		how = urgent
+		how = longpoll.Urgent
 	}
-	d.bell.ring(how)
+	d.notifier.Notify(how)
 	d.admitCallers()
 }
 
@@ -194,7 +124,7 @@
 		d.logStale(now.stale)
 	}
 	if now != before {
-		d.bell.ring(urgent)
+		d.notifier.Notify(longpoll.Urgent)
 	}
 	if !d.IsPlanner() {
 		return
@@ -203,6 +133,6 @@
 	if known := d.shortageReport.Load(); known == nil || !held.similarTo(known) {
 		d.shortageReport.Store(held)
 		d.sentVersions.shortages.Add(1)
-		d.bell.ring(ordinary)
+		d.notifier.Notify(longpoll.Ordinary)
 	}
 }
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -41,13 +41,13 @@
 	}
 	if d.config.Trouble == daemonconfig.WaitOnTrouble {
 		go func() {
-			if listener, err := d.listen(ctx.Done(), daemonconfig.MetricsKey, d.config.MetricsListen); err == nil {
+			if listener, err := d.listeners.Open(ctx.Done(), daemonconfig.MetricsKey, d.config.MetricsListen); err == nil {
 				d.serveMetrics(ctx, listener)
 			}
 		}()
 		return nil
 	}
-	listener, err := d.listen(ctx.Done(), daemonconfig.MetricsKey, d.config.MetricsListen)
+	listener, err := d.listeners.Open(ctx.Done(), daemonconfig.MetricsKey, d.config.MetricsListen)
 	if err != nil {
 		return err
 	}
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -1,7 +1,9 @@
 package daemon
 
 import (
+	"context"
 	"errors"
+	"net"
 	"net/http"
 	"slices"
 	"strings"
@@ -12,11 +14,20 @@
 	"github.com/cresspond/cresspond/configuration/document"
 	"github.com/cresspond/cresspond/connection/gateway"
 	"github.com/cresspond/cresspond/connection/sessionapi"
+	"github.com/cresspond/cresspond/daemon/listener"
 	"github.com/cresspond/cresspond/process/daemonconfig"
 	"github.com/cresspond/cresspond/wire/callerapi"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
+const (
+	// callerReadLimit is how long a request may take to be read.
+	callerReadLimit = 20 * time.Second
+	// keepAliveLimit is how long connections may idle where the configuration in force allows no more. A server waits
+	// for longer than callerReadLimit only while a connection idles, by which listener.KeepAliveListener knows one.
+	keepAliveLimit = time.Minute
+)
+
 const (
 	maxCallerBody = 4 << 20
 	// maxHeader bounds a request's head; what bundles allow is less.
@@ -183,3 +194,10 @@
 	}
 	return fasthttp.RequestConfig{MaxRequestBodySize: int(index.Section.Limits.MostBodyBytes)}
 }
+
+// serveOn runs a server on a listener until the daemon stops, and ends the daemon at a fault that is not retried.
+func (d *Daemon) serveOn(ctx context.Context, server listener.Server, opened net.Listener, setting, address string) {
+	if err := d.listeners.Serve(ctx, server, opened, setting, address, d.draining.Load); err != nil {
+		d.abort(err)
+	}
+}
