--- a/daemon/admitcallers.go
+++ b/daemon/admitcallers.go
@@ -15,7 +15,7 @@
 	}
 }
 
-// callerRest is how long callers may leave a kept connection at rest, by the bundle in force.
+// callerKeepAlive is how long callers may leave a kept connection at rest, by the bundle in force.
 func (d *Daemon) callerKeepAlive() time.Duration {
 	index := d.forwardIndex()
 	if index == nil {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -86,7 +86,7 @@
 	// poolShortages is the same of the pools.
 	poolShortages atomic.Pointer[receivedPoolShortages]
 
-	// bell wakes those whose answers are held back. toldNews are the versions told from here, heardNews those
+	// notifier wakes those whose answers are held back. toldNews are the versions told from here, heardNews those
 	// heard; beatNews, urgentTold, drainingNow, heldLacks and bundleSeen are what was last found new.
 	notifier                       *longpoll.Notifier
 	sentVersions, receivedVersions versions
