--- a/daemon/configuration.go
+++ b/daemon/configuration.go
@@ -17,7 +17,7 @@
 		inForce = *found
 	}
 	// Not waited for: unpacking a bundle and building its table must not hold up the group.
-	go d.rollout.Offer(version, inForce.Payload(), &closures)
+	go d.rollout.Offer(version, inForce.Bundle(), &closures)
 }
 
 // configurationChanged is called after each change that is in force here.
@@ -43,7 +43,7 @@
 // InForce is what this daemon has in force.
 func (d *Daemon) InForce() (configuration, closure ident.Version) {
 	if table := d.rollout.Table(); table != nil {
-		return table.Epoch, table.Closures.Version
+		return table.Version, table.Closures.Version
 	}
 	return 0, 0
 }
--- a/daemon/groupidentity.go
+++ b/daemon/groupidentity.go
@@ -25,7 +25,7 @@
 			return d.Group() == group
 		}
 		// What the lost generation granted counts no more, and the next may not know of this daemon.
-		d.generator.Drop()
+		d.generator.ReleaseLease()
 		d.enlistedAt.Store(0)
 		d.log.WithField("group", string(group)).Warn("the group was recovered; following its next generation")
 		if incarnation := d.memberIncarnation.Load(); incarnation != nil && belongsToGroup(incarnation.store) {
@@ -64,19 +64,19 @@
 func (d *Daemon) identity() *peerapi.Identity {
 	out := &peerapi.Identity{NodeId: string(d.nodeID), Group: string(d.Group()), ServesControl: d.config.Serves(daemonconfig.Control), JoinOnly: d.config.JoinOnly}
 	if folder := d.dataFolder(); folder != nil {
-		out.MemberId = uint64(folder.Member)
+		out.MemberId = uint64(folder.MemberID)
 		if remembered, err := folder.Group(); err == nil && remembered != "" {
 			out.Group = string(remembered)
 		}
 	}
 	if table := d.rollout.Table(); table != nil {
-		out.ConfigurationVersion, out.ClosureVersion = uint64(table.Epoch), uint64(table.Closures.Version)
+		out.ConfigurationVersion, out.ClosureVersion = uint64(table.Version), uint64(table.Closures.Version)
 	}
 	out.LeaderMsAgo = -1
 	if heard := d.members.View().LastLeaderContact; heard > 0 {
 		out.LeaderMsAgo = d.clock.Elapsed().Since(heard).Milliseconds()
 	}
-	out.LeaseUntilMs = int64(d.generator.Ceiling())
+	out.LeaseUntilMs = int64(d.generator.LatestTimestamp())
 	if d.config.Serves(daemonconfig.Place) {
 		out.Claim = uint64(max(d.sessionPlacer.Condition().Claim, d.poolPlanning.condition().Claim))
 	}
--- a/daemon/handover.go
+++ b/daemon/handover.go
@@ -102,7 +102,7 @@
 		return
 	}
 	condition := groupMember.Status()
-	self, known := condition.Membership.Find(incarnation.store.Member)
+	self, known := condition.Membership.Find(incarnation.store.MemberID)
 	if !known || !self.Voter || len(condition.Membership.Voters()) == 1 {
 		return
 	}
--- a/daemon/sessionaffinity.go
+++ b/daemon/sessionaffinity.go
@@ -139,7 +139,7 @@
 
 func (d *Daemon) assignmentIdle() time.Duration {
 	if table := d.rollout.Table(); table != nil {
-		return table.SeatIdle()
+		return table.AssignmentIdle()
 	}
 	return time.Minute
 }
--- a/request/forwarding/unreached_test.go
+++ b/request/forwarding/unreached_test.go
@@ -82,7 +82,7 @@
 
 // TestUnreachableEngineCountsInPoolWithoutModels: on a plain pool a moment's rest is waited for.
 func TestUnreachableEngineCountsInPoolWithoutModels(t *testing.T) {
-	fixture := newCoreFixture(t, pathOf("p", upstream.Repeatable, "plain"))
+	fixture := newCoreFixture(t, pathOf("p", upstream.Idempotent, "plain"))
 	fixture.register(engineOf("plain", 0, 4))
 	first := fixture.admit("p")
 	fixture.sent(first)
--- a/request/forwarding/warm_test.go
+++ b/request/forwarding/warm_test.go
@@ -14,7 +14,7 @@
 		pool  string
 		model string
 	}{{"batch", "m"}, {"plain", ""}} {
-		fixture := newCoreFixture(t, pathOf("p", upstream.Repeatable, one.pool))
+		fixture := newCoreFixture(t, pathOf("p", upstream.Idempotent, one.pool))
 		fixture.core.meanPromptTokens = 1_000
 		fixture.register(enginesOf(one.pool, 30, 64, one.model)...)
 		warm := ident.EngineID(one.pool + "-7")
