--- a/daemon/commands.go
+++ b/daemon/commands.go
@@ -176,7 +176,7 @@
 		// register themselves stand in no bundle, and a bundle on them need not name zones.
 		_, engineKnown := table.Engine(command.Engine)
 		engineKnown = engineKnown || table.Forward != nil
-		zoneKnown := table.HasZone(command.Zone) || table.Forward != nil && len(table.Spec.Zones) == 0
+		zoneKnown := table.HasZone(command.Zone) || table.Forward != nil && len(table.Configuration.Zones) == 0
 		if command.Engine != "" && !engineKnown || command.Zone != "" && !zoneKnown {
 			return refuse(statemachine.Missing, "the bundle in force has no such zone or engine")
 		}
--- a/daemon/configuration.go
+++ b/daemon/configuration.go
@@ -3,6 +3,7 @@
 import (
 	"github.com/rotisserie/eris"
 
+	"github.com/cresspond/cresspond/daemon/longpoll"
 	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
@@ -16,7 +17,7 @@
 		inForce = *found
 	}
 	// Not waited for: unpacking a bundle and building its table must not hold up the group.
-	go d.rollout.Offer(version, inForce.Payload(), &closures)
+	go d.rollout.Offer(version, inForce.Bundle(), &closures)
 }
 
 // configurationChanged is called after each change that is in force here.
@@ -26,7 +27,7 @@
 			d.abort(eris.Errorf("this daemon was declared lost by %s, and so must not serve; start it again", closure.Operator))
 		}
 	}
-	d.bell.ring(urgent)
+	d.notifier.Notify(longpoll.Urgent)
 	d.wakeRequestPath()
 	d.migrateFromDrained()
 	d.admitCallers()
@@ -42,7 +43,7 @@
 // InForce is what this daemon has in force.
 func (d *Daemon) InForce() (configuration, closure ident.Version) {
 	if table := d.rollout.Table(); table != nil {
-		return table.Epoch, table.Closures.Version
+		return table.Version, table.Closures.Version
 	}
 	return 0, 0
 }
--- a/daemon/configurationhistory.go
+++ b/daemon/configurationhistory.go
@@ -39,13 +39,13 @@
 		}
 		requested := 0
 		// The newest first, since the bound on their size drops the oldest.
-		for version := table.Epoch - 1; version >= 1 && requested < historyBatch && d.rollout.Lacks(version); version-- {
-			if _, known := d.rollout.Recall(version); known {
+		for version := table.Version - 1; version >= 1 && requested < historyBatch && d.rollout.RetainsPast(version); version-- {
+			if _, known := d.rollout.Past(version); known {
 				continue
 			}
 			requested++
 			if raw := d.fetchConfiguration(ctx, version); len(raw) > 0 {
-				d.rollout.Remember(version, raw)
+				d.rollout.RememberPast(version, raw)
 			}
 		}
 	}
@@ -57,7 +57,7 @@
 	defer cancel()
 	if d.leaderAddress() != "" {
 		var proposal statemachine.Proposal
-		if found, ok := d.Look(bounded, "spec", fmt.Sprint(version)); ok && json.Unmarshal(found, &proposal) == nil {
+		if found, ok := d.Query(bounded, "spec", fmt.Sprint(version)); ok && json.Unmarshal(found, &proposal) == nil {
 			raw, err := proposal.Decompress()
 			if err != nil {
 				return nil
@@ -82,7 +82,7 @@
 
 // Recall gives back a bundle that was in force here.
 func (d *Daemon) Recall(_ context.Context, in *peerapi.RecallRequest) (*peerapi.RecallReply, error) {
-	raw, _ := d.rollout.Recall(ident.Version(in.Version))
+	raw, _ := d.rollout.Past(ident.Version(in.Version))
 	out := &peerapi.RecallReply{Configuration: raw}
 	if table := d.rollout.Table(); table != nil {
 		out.Closures = rollout.EncodeClosures(table.Closures)
--- a/daemon/noderankingpage.go
+++ b/daemon/noderankingpage.go
@@ -72,13 +72,13 @@
 
 // answerQuery makes the page, in the ranker's own turn.
 func (n *nodeRanking) answerQuery(query rankingQuery) {
-	page := operatorapi.Nodes{Mode: string(n.mode()), Claim: n.claim, Nodes: []operatorapi.Node{}}
+	page := operatorapi.Nodes{Mode: string(n.mode()), Token: n.claim, Nodes: []operatorapi.Node{}}
 	table := n.rollout.Table()
 	if table == nil {
 		query.reply <- page
 		return
 	}
-	page.ClosureEpoch = table.Closures.Version
+	page.ClosureVersion = table.Closures.Version
 	fleet := n.fleet(n.clock.Elapsed(), n.registry.View(), table.Closures, table.OpenRegistered)
 	rows := map[ident.EngineID]nodehealth.Row{}
 	ranked := n.state.Load().rows
@@ -92,7 +92,7 @@
 		}
 		row := rows[id]
 		node := operatorapi.Node{Engine: id, Pool: engine.Pool, Zone: engine.Zone, Stage: row.Stage.String(), SinceMs: row.Since.Milliseconds(), Score: round(row.Score),
-			Value: row.Value, Others: row.PeerValue, Samples: row.Samples, Observers: row.Observers, SlowPaths: row.SlowZones, Shut: !engine.Open}
+			Value: row.Value, Others: row.PeerValue, Samples: row.Samples, Observers: row.Observers, SlowPaths: row.SlowZones, Closed: !engine.Open}
 		if row.Samples > 0 {
 			node.Kind = row.Kind.String()
 		}
@@ -100,13 +100,13 @@
 			node.Refusal = row.Refusal.String()
 		}
 		if closure, shut := table.Closures.Engines[id]; shut {
-			node.ShutBy = closure.Operator
+			node.ClosedBy = closure.Operator
 			if closure.Ranking != nil {
-				node.ShutFor = closure.Ranking.Reason
+				node.ClosedReason = closure.Ranking.Reason
 			}
 		}
 		if closure, kept := table.Closures.Protected[id]; kept {
-			node.Kept = closure.Operator
+			node.ProtectedBy = closure.Operator
 		}
 		page.Nodes = append(page.Nodes, node)
 	}
@@ -120,7 +120,7 @@
 	}
 	if query.engine != "" {
 		why := nodehealth.CheckDrain(n.limits(), fleet, query.engine)
-		page.Asked, page.AskedReason = why.String(), why.Reason()
+		page.DrainCheck, page.DrainCheckReason = why.String(), why.Reason()
 	}
 	query.reply <- page
 }
