--- a/request/forwarding/demand.go
+++ b/request/forwarding/demand.go
@@ -27,15 +27,15 @@
 	tokensPerSecond, arrivalsPerSecond float64
 	decayedAt                          clock.Mark
 	rank                               int
-	// lackedAt is since when no engine holds it, readyAt when the planner last said that one would, load how long
+	// missingSince is since when no engine holds it, readyAt when the planner last said that one would, load how long
 	// a load was to take.
 	missingSince, readyAt clock.Mark
 	expectedLoadTime      time.Duration
-	// back is when clients come back that were refused because something is not loaded yet.
+	// expectedReturns is when clients come back that were refused because something is not loaded yet.
 	expectedReturns []clock.Mark
 }
 
-// returning notes a client that was told to come back.
+// expectReturn notes a client that was told to come back.
 func (d *demandState) expectReturn(at clock.Mark) {
 	if len(d.expectedReturns) < maxExpectedReturns {
 		d.expectedReturns = append(d.expectedReturns, at)
@@ -44,11 +44,11 @@
 
 const (
 	maxExpectedReturns = 100
-	// returnSlack is how much later than told a client may be back.
+	// returnGracePeriod is how much later than told a client may be back.
 	returnGracePeriod = 300 * time.Millisecond
 )
 
-// expecting counts those that are not back yet.
+// countExpectedReturns counts those that are not back yet.
 func (d *demandState) countExpectedReturns(now clock.Mark) int {
 	d.expectedReturns = slices.DeleteFunc(d.expectedReturns, func(at clock.Mark) bool { return now > at+clock.Mark(returnGracePeriod) })
 	return len(d.expectedReturns)
@@ -65,7 +65,7 @@
 	return c.demands[key]
 }
 
-// fade lets what was noted before count less.
+// decay lets what was noted before count less.
 func (d *demandState) decay(now clock.Mark) {
 	share := math.Exp2(-float64(now.Since(d.decayedAt)) / float64(demandHalfLife))
 	d.tokensPerSecond *= share
@@ -73,7 +73,7 @@
 	d.decayedAt = now
 }
 
-// arrived notes a request.
+// recordArrival notes a request.
 func (c *Core) recordArrival(request *Request, now clock.Mark) {
 	state := c.demandState(request)
 	state.decay(now)
--- a/request/forwarding/speculate.go
+++ b/request/forwarding/speculate.go
@@ -12,28 +12,28 @@
 )
 
 const (
-	// dueMargin is how long after the time that the planner told a load is taken to be done.
+	// speculationMargin is how long after the time that the planner told a load is taken to be done.
 	speculationMargin = 20 * time.Millisecond
-	// refusedBy is by when an engine that does not hold what it is asked for has said so.
+	// rejectionWindow is by when an engine that does not hold what it is asked for has said so.
 	rejectionWindow = 30 * time.Millisecond
-	// speculateAgain is how long after a first refusal the next request is sent ahead of the news, doubled with
+	// initialSpeculationBackoff is how long after a first refusal the next request is sent ahead of the news, doubled with
 	// each further one up to mostSpeculateAgain.
 	initialSpeculationBackoff = 100 * time.Millisecond
 	maxSpeculationBackoff     = 800 * time.Millisecond
-	// dueFor is for how long after its time a load without news is taken to be done.
+	// speculationWindow is for how long after its time a load without news is taken to be done.
 	speculationWindow = 10 * time.Second
 )
 
 // speculation is what became of requests that were sent to an engine for what it was to have loaded by now.
 type speculation struct {
-	// ready is the time that was told, sentAt when the first request went that was not refused so far.
+	// expectedReadyAt is the time that was told, sentAt when the first request went that was not refused so far.
 	expectedReadyAt, sentAt clock.Mark
-	// refusals in a row, and until when the last of them keeps others back.
+	// rejections in a row, and until when the last of them keeps others back.
 	rejections   int
 	backoffUntil clock.Mark
 }
 
-// due gives an engine that by the planner's word should have loaded what a record asks for, though no report
+// speculativeEngine gives an engine that by the planner's word should have loaded what a record asks for, though no report
 // says so yet. Reports are some hundred ms old, and none come while nobody plans; an engine that has not
 // loaded it says truthfully that it did not run the request. One request goes first, and the others once it
 // was not refused.
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// comingAt is when an engine is to have loaded a target by the planner's word. While something else must make
+// expectedReadyAt is when an engine is to have loaded a target by the planner's word. While something else must make
 // way on it the order has not left, so its time is a guess.
 func expectedReadyAt(engine *registry.Engine, target registry.Target) (clock.Mark, bool) {
 	if engine.Plan == nil || len(engine.Plan.Retiring) > 0 {
@@ -78,7 +78,7 @@
 	return 0, false
 }
 
-// speculates says whether a request may go ahead of the news now.
+// maySpeculate says whether a request may go ahead of the news now.
 func (e *engineState) maySpeculate(target registry.Target, ready, now clock.Mark) bool {
 	one := e.speculations[target]
 	if one == nil || one.expectedReadyAt != ready {
@@ -90,7 +90,7 @@
 	return now >= one.backoffUntil
 }
 
-// speculated notes a request that goes ahead of the news.
+// recordSpeculation notes a request that goes ahead of the news.
 func (e *engineState) recordSpeculation(target registry.Target, ready, now clock.Mark) {
 	one := e.speculations[target]
 	if one == nil || one.expectedReadyAt != ready {
@@ -108,14 +108,14 @@
 	}
 }
 
-// withdrawn notes that the one that was to go first did not arrive, so that another one is to.
+// withdrawSpeculation notes that the one that was to go first did not arrive, so that another one is to.
 func (e *engineState) withdrawSpeculation(request *Request) {
 	if one := e.speculations[registry.Target{Model: request.Attributes.Model, Adapter: request.Attributes.Adapter}]; one != nil && one.sentAt == request.sentAt {
 		one.sentAt = 0
 	}
 }
 
-// tooSoon notes that it was refused.
+// speculationRejected notes that it was refused.
 func (e *engineState) speculationRejected(target registry.Target, now clock.Mark) {
 	one := e.speculations[target]
 	if one == nil || one.sentAt == 0 {
