--- a/daemon/attemptowners.go
+++ b/daemon/attemptowners.go
@@ -100,9 +100,9 @@
 
 // queryAttemptOwners puts one question to all homes of an attempt at once, and weighs what they say.
 func (d *Daemon) queryAttemptOwners(query deduplication.Ask) deduplication.Decision {
-	self := d.config.ReachedAt()
+	self := d.config.AdvertisedPeerAddress()
 	// Where each attempt arrives once, no other daemon and no earlier life can know of one.
-	local := d.config.Attempts == daemonconfig.LocalAttempts
+	local := d.config.AttemptScope == daemonconfig.LocalAttempts
 	owners := attemptOwners{query: []string{self}, informed: map[string]string{self: ""}, onlyDaemon: true}
 	if !local {
 		owners = selectAttemptOwners(query.Attempt, d.members.View(), d.clock.Elapsed(), self)
@@ -117,7 +117,7 @@
 	for _, owner := range owners.query {
 		client := peerapi.Fellow(d)
 		if owner != self {
-			client = d.links.To(owner)
+			client = d.links.Client(owner)
 			d.counters.attemptQueries.Add(1)
 		}
 		request := &peerapi.AttemptRequest{Attempt: query.Attempt, Owner: query.Owner, Digest: query.Digest, AgeMs: query.Age.Milliseconds(), Action: string(query.Act), OtherOwnerAddress: owners.informed[owner]}
--- a/daemon/engineslots.go
+++ b/daemon/engineslots.go
@@ -41,8 +41,8 @@
 	request := &peerapi.PermitRequest{Engine: string(send.Engine), Id: string(d.nodeID) + "/" + strconv.FormatUint(d.slotRequestIDs.Add(1), 10),
 		NodeId: string(d.nodeID), HasAssignment: send.Assigned, Value: send.Worth, Rank: int64(send.Rank), Tenant: send.Tenant}
 	client := peerapi.Fellow(d)
-	if owner != "" && owner != d.config.ReachedAt() {
-		client = d.links.To(owner)
+	if owner != "" && owner != d.config.AdvertisedPeerAddress() {
+		client = d.links.Client(owner)
 	}
 	ctx, cancel := context.WithTimeout(call.Context(), slotRequestLimit)
 	defer cancel()
--- a/daemon/forwarding.go
+++ b/daemon/forwarding.go
@@ -42,7 +42,7 @@
 func forwardSettings(config daemonconfig.Config) forwarding.Settings {
 	settings := forwarding.DefaultSettings()
 	settings.RetryRatio, settings.RetrySlack, settings.RetryWindow = config.Bounds.RetryRatio, config.Bounds.RetrySlack, time.Duration(config.Bounds.RetryWindowMs)*time.Millisecond
-	settings.Disabled = config.Experiments.Off()
+	settings.Disabled = config.Experiments.DisabledMechanisms()
 	return settings
 }
 
