--- a/process/consensus/replica/actor_test.go
+++ b/process/consensus/replica/actor_test.go
@@ -15,7 +15,8 @@
 type stillClock struct{}
 
 func (stillClock) Elapsed() clock.Mark { return clock.Mark(time.Hour) }
-func (stillClock) Wall() time.Time     { return time.UnixMilli(1790000000000) }
+
+func (stillClock) Wall() time.Time { return time.UnixMilli(1790000000000) }
 
 // sentMessages is links that remember.
 type sentMessages struct{ all []raft.Message }
--- /dev/null
+++ b/process/consensus/replica/faults_test.go
@@ -0,0 +1,97 @@
+package replica
+
+import (
+	"os"
+	"strconv"
+	"testing"
+	"time"
+
+	"github.com/cresspond/cresspond/process/consensus/raft"
+	"github.com/cresspond/cresspond/process/consensus/statemachine"
+)
+
+func TestGroupUnderTrouble(t *testing.T) {
+	seeds := uint64(60)
+	// More seeds for a search: CRESSPOND_SEEDS=5000 go test ./process/consensus/replica
+	if wanted, err := strconv.ParseUint(os.Getenv("CRESSPOND_SEEDS"), 10, 64); err == nil {
+		seeds = wanted
+	}
+	mints, acks, reads, crashes, wipes, replaced, losses := 0, 0, 0, 0, 0, 0, 0
+	compared, notices := 0, map[raft.NoticeKind]int{}
+	for seed := range seeds {
+		size := []int{3, 3, 1, 5, 3, 1}[seed%6]
+		s := newSim(t, seed, size, sound)
+		s.run(90 * time.Second)
+		for _, violation := range s.violations {
+			t.Errorf("seed %d, %d members: %s", seed, size, violation)
+		}
+		mints, acks, reads, crashes = mints+s.mints, acks+s.acks, reads+s.reads, crashes+s.crashes
+		wipes, replaced, losses = wipes+s.wipes, replaced+s.replaced, losses+s.losses
+		compared += s.compared
+		for kind, count := range s.notices {
+			notices[kind] += count
+		}
+	}
+	t.Logf("%d digests compared, notices: %v", compared, notices)
+	if compared == 0 || notices[raft.NoticeSnapshotInstalled] == 0 || notices[raft.NoticeStateDiffers] > 0 || notices[raft.NoticeMessageRejected] > 0 {
+		t.Errorf("%d digests were compared; notices: %v", compared, notices)
+	}
+	t.Logf("seeds 0 to %d: %d ids minted, %d closures acknowledged, %d reads checked, %d crashes, %d wiped disks, %d machines replaced, %d times the most at once", seeds-1, mints, acks, reads, crashes, wipes, replaced, losses)
+}
+
+// TestTheCheckerBites breaks the machinery on purpose: each break must be caught by some seed.
+func TestTheCheckerBites(t *testing.T) {
+	for _, broken := range []brk{diskLies, voteForgotten, readsUnasked, floorForgotten, tenureOverrun, wipedKeepsName} {
+		t.Run(string(broken), func(t *testing.T) {
+			for seed := range uint64(80) {
+				s := newSim(t, seed, 3, broken)
+				if broken == diskLies {
+					s.losePowerWhileWriting()
+				}
+				if caught := s.tryRun(90 * time.Second); caught != "" {
+					t.Logf("seed %d: %s", seed, caught)
+					return
+				}
+			}
+			t.Error("no seed caught it")
+		})
+	}
+}
+
+// TestPowerLostWhileWriting: what catches a disk that lies finds nothing where none does.
+func TestPowerLostWhileWriting(t *testing.T) {
+	for seed := range uint64(20) {
+		s := newSim(t, seed, 3, sound)
+		s.losePowerWhileWriting()
+		if fault := s.tryRun(90 * time.Second); fault != "" {
+			t.Errorf("seed %d: %s", seed, fault)
+		}
+	}
+}
+
+// TestSlowDisksCauseNoElection: with disks that take 150 ms for each write the group goes on under one leader.
+func TestSlowDisksCauseNoElection(t *testing.T) {
+	for seed := range uint64(40) {
+		s := newSim(t, seed, 3, sound)
+		s.faults, s.loss, s.diskTakes = false, 0, 150*time.Millisecond
+		s.runFor(10 * time.Second)
+		terms, acks := len(s.leaderOf), 0
+		var shut func(number int)
+		shut = func(number int) {
+			command := statemachine.Command{Op: statemachine.OpClosure, Zone: "z", Closed: acks%2 == 0}
+			s.ask(s.nodes[number%3], &command, func(a Response) {
+				if a.Outcome == Applied {
+					acks++
+				}
+				if acks < 12 {
+					shut(number + 1)
+				}
+			})
+		}
+		shut(0)
+		s.runFor(30 * time.Second)
+		if acks != 12 || terms == 0 || len(s.leaderOf) != terms || len(s.violations) > 0 {
+			t.Errorf("seed %d: %d of 12 acknowledged, from %d to %d leaders, %v", seed, acks, terms, len(s.leaderOf), s.violations)
+		}
+	}
+}
