--- a/process/consensus/replica/apply_checks_test.go
+++ b/process/consensus/replica/apply_checks_test.go
@@ -9,25 +9,25 @@
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
-func (o *simOrders) acknowledged(order operatorapi.Apply, got operatorapi.Applying) {
-	if o.refused[order.Digest] {
-		o.fault("order %s was refused and then acknowledged", order.Digest)
+func (o *simulatedApplies) recordAcknowledged(order operatorapi.Apply, got operatorapi.Applying) {
+	if o.rejected[order.Digest] {
+		o.reportViolation("request %s was rejected and then acknowledged", order.Digest)
 	}
-	if known, before := o.acked[order.Digest]; before && known != got.Epoch {
-		o.fault("order %s is acknowledged as epoch %d and as %d", order.Digest, known, got.Epoch)
+	if known, before := o.acknowledgedVersions[order.Digest]; before && known != got.Epoch {
+		o.reportViolation("request %s is acknowledged as version %d and as %d", order.Digest, known, got.Epoch)
 	}
-	o.acked[order.Digest], o.newest = got.Epoch, max(o.newest, got.Revision)
+	o.acknowledgedVersions[order.Digest], o.newest = got.Epoch, max(o.newest, got.Revision)
 }
 
-func (o *simOrders) wasRefused(order operatorapi.Apply, got operatorapi.Applying) {
-	if _, taken := o.acked[order.Digest]; taken {
-		o.fault("order %s was acknowledged and then refused: %+v", order.Digest, got)
+func (o *simulatedApplies) recordRejected(order operatorapi.Apply, got operatorapi.Applying) {
+	if _, taken := o.acknowledgedVersions[order.Digest]; taken {
+		o.reportViolation("request %s was acknowledged and then rejected: %+v", order.Digest, got)
 	}
-	o.refused[order.Digest] = true
+	o.rejected[order.Digest] = true
 }
 
 // linearizable checks the history of all calls against the model.
-func (o *simOrders) linearizable(within time.Duration) linearizability.Result {
+func (o *simulatedApplies) linearizable(within time.Duration) linearizability.Result {
 	calls := make([]linearizability.Call, len(o.calls))
 	for place, call := range o.calls {
 		calls[place] = *call
@@ -35,38 +35,38 @@
 	return linearizability.Check(calls, within)
 }
 
-// check looks at what all members hold in the end.
-func (o *simOrders) check() {
+// check compares what all members hold in the end with what was acknowledged and rejected.
+func (o *simulatedApplies) check() {
 	for _, n := range o.nodes {
-		if n.gone {
+		if n.removed {
 			continue
 		}
 		state := n.core.state
 		wonOn := map[ident.Revision]string{}
-		for epoch := ident.Version(1); epoch <= state.Version(); epoch++ {
-			found, ok := state.ProposalAt(epoch)
+		for version := ident.Version(1); version <= state.Version(); version++ {
+			found, ok := state.ProposalAt(version)
 			if !ok {
-				if epoch > state.Dropped {
-					o.fault("member %d lacks epoch %d", n.id, epoch)
+				if version > state.Dropped {
+					o.reportViolation("member %d lacks version %d", n.id, version)
 				}
 				continue
 			}
 			digest := found.ID[len(statemachine.AppliedID("")):]
-			if o.refused[digest] {
-				o.fault("member %d has %s in force as epoch %d, and it was refused", n.id, digest, epoch)
+			if o.rejected[digest] {
+				o.reportViolation("member %d has %s in force as version %d, and it was rejected", n.id, digest, version)
 			}
-			if other, won := wonOn[o.base[digest]]; won {
-				o.fault("member %d: %s and %s won on base %d", n.id, other, digest, o.base[digest])
+			if other, won := wonOn[o.baseRevisions[digest]]; won {
+				o.reportViolation("member %d: %s and %s won on base %d", n.id, other, digest, o.baseRevisions[digest])
 			}
-			wonOn[o.base[digest]] = digest
+			wonOn[o.baseRevisions[digest]] = digest
 		}
-		for digest, epoch := range o.acked {
-			if found, ok := state.Applied(digest); ok && found.Version != epoch || !ok && epoch > state.Dropped {
-				o.fault("member %d: %s was acknowledged as epoch %d and is not there", n.id, digest, epoch)
+		for digest, version := range o.acknowledgedVersions {
+			if found, ok := state.Applied(digest); ok && found.Version != version || !ok && version > state.Dropped {
+				o.reportViolation("member %d: %s was acknowledged as version %d and is missing", n.id, digest, version)
 			}
 		}
 		if state.Revision < o.newest {
-			o.fault("member %d ends at revision %d, and %d was acknowledged", n.id, state.Revision, o.newest)
+			o.reportViolation("member %d ends at revision %d, and %d was acknowledged", n.id, state.Revision, o.newest)
 		}
 	}
 }
--- a/process/consensus/replica/digests_test.go
+++ b/process/consensus/replica/digests_test.go
@@ -7,17 +7,17 @@
 	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
-// parted makes a member's state another than its log says.
-func parted(n *simNode, by uint64) {
-	n.sim.mayGiveUp = true
+// diverge makes a member's state differ from what its log says.
+func diverge(n *simulatedNode, by uint64) {
+	n.sim.resignationExpected = true
 	n.core.state.PlannerLease.OrdersSequence += by
 }
 
-// agree says that all members applied as much and hold equal states.
-func agree(s *sim) bool {
-	var first *simNode
+// statesAgree reports whether all members applied the same entries and hold equal states.
+func statesAgree(s *simulation) bool {
+	var first *simulatedNode
 	for _, n := range s.nodes {
-		if n.gone {
+		if n.removed {
 			continue
 		}
 		if first == nil {
@@ -30,33 +30,33 @@
 	return true
 }
 
-// A member whose state differs, whoever it is, is found by its digest, gives up its state and votes again with a
-// sound one; nobody else gives up.
-func TestMemberWhoseStateDiffersGivesItUp(t *testing.T) {
+// A member whose state diverges, leader or not, is detected by its digest, gives up its state and votes again with a
+// correct one; no other member resigns.
+func TestDivergentMemberResignsAndRejoins(t *testing.T) {
 	longest := time.Duration(0)
 	for seed := range uint64(40) {
 		size := []int{3, 5}[seed%2]
-		s := calmSim(t, seed, size)
+		s := newFaultlessSimulation(t, seed, size)
 		victim := s.leader()
 		if seed%4 < 2 {
-			victim = s.nodes[(victim.place+1)%size]
+			victim = s.nodes[(victim.index+1)%size]
 		}
 		id := victim.id
-		parted(victim, 1)
-		longest = max(longest, s.until(time.Minute, func() bool { return len(s.gaveUp) > 0 }))
-		if len(s.gaveUp) != 1 || s.gaveUp[0] != id {
-			t.Fatalf("seed %d: %v gave up, and the state of %d differed", seed, s.gaveUp, id)
+		diverge(victim, 1)
+		longest = max(longest, s.runUntil(time.Minute, func() bool { return len(s.resigned) > 0 }))
+		if len(s.resigned) != 1 || s.resigned[0] != id {
+			t.Fatalf("seed %d: %v resigned, and the state of %d diverged", seed, s.resigned, id)
 		}
-		if took := s.until(10*time.Second, s.whole); took >= 10*time.Second {
-			t.Errorf("seed %d: not whole %v after it gave up", seed, took)
+		if took := s.runUntil(10*time.Second, s.fullyRepaired); took >= 10*time.Second {
+			t.Errorf("seed %d: not repaired %v after it resigned", seed, took)
 		}
 		s.runFor(30 * time.Second)
-		s.ended = true
-		if s.until(5*time.Second, func() bool { return agree(s) }) >= 5*time.Second || len(s.gaveUp) != 1 {
-			t.Errorf("seed %d: states differ in the end, %v gave up", seed, s.gaveUp)
+		s.operatorsStopped = true
+		if s.runUntil(5*time.Second, func() bool { return statesAgree(s) }) >= 5*time.Second || len(s.resigned) != 1 {
+			t.Errorf("seed %d: states differ in the end, %v resigned", seed, s.resigned)
 		}
 		if s.notices[raft.NoticeStateDiffers] == 0 {
-			t.Errorf("seed %d: nothing was noticed", seed)
+			t.Errorf("seed %d: no divergence was noticed", seed)
 		}
 		for _, violation := range s.violations {
 			t.Errorf("seed %d: %s", seed, violation)
@@ -65,72 +65,72 @@
 	t.Logf("found within %v", longest)
 }
 
-// Of two that differ in a group of five one gives up at a time: the next only once the first one's place is taken.
-func TestMembersThatDifferGiveUpOneAtATime(t *testing.T) {
+// Of two divergent members in a group of five one resigns at a time: the next only once the first is replaced.
+func TestDivergentMembersResignOneAtATime(t *testing.T) {
 	for seed := range uint64(20) {
-		s := calmSim(t, seed, 5)
-		at := s.leader().place
-		parted(s.nodes[(at+1)%5], 1)
-		parted(s.nodes[(at+2)%5], 1+seed%2)
-		if s.until(time.Minute, func() bool { return len(s.gaveUp) == 1 }); len(s.gaveUp) != 1 {
-			t.Fatalf("seed %d: %v gave up", seed, s.gaveUp)
+		s := newFaultlessSimulation(t, seed, 5)
+		leaderIndex := s.leader().index
+		diverge(s.nodes[(leaderIndex+1)%5], 1)
+		diverge(s.nodes[(leaderIndex+2)%5], 1+seed%2)
+		if s.runUntil(time.Minute, func() bool { return len(s.resigned) == 1 }); len(s.resigned) != 1 {
+			t.Fatalf("seed %d: %v resigned", seed, s.resigned)
 		}
-		first := s.gaveUp[0]
-		s.until(time.Minute, func() bool {
+		first := s.resigned[0]
+		s.runUntil(time.Minute, func() bool {
 			members := s.leader()
 			if members == nil {
 				return false
 			}
-			if _, belongs := members.core.raft.Membership().Find(first); belongs && len(s.gaveUp) > 1 {
-				t.Errorf("seed %d: a second gave up while the first one's place was not taken", seed)
+			if _, belongs := members.core.raft.Membership().Find(first); belongs && len(s.resigned) > 1 {
+				t.Errorf("seed %d: a second resigned before the first was replaced", seed)
 			}
-			return len(s.gaveUp) == 2
+			return len(s.resigned) == 2
 		})
-		if len(s.gaveUp) != 2 || s.until(15*time.Second, s.whole) >= 15*time.Second {
-			t.Errorf("seed %d: %v gave up, whole: %t", seed, s.gaveUp, s.whole())
+		if len(s.resigned) != 2 || s.runUntil(15*time.Second, s.fullyRepaired) >= 15*time.Second {
+			t.Errorf("seed %d: %v resigned, repaired: %t", seed, s.resigned, s.fullyRepaired())
 		}
 	}
 }
 
-// Where no majority agrees nobody gives up: nobody knows who is right. It is noticed.
-func TestNobodyGivesUpWithoutAMajority(t *testing.T) {
+// Where no majority agrees no member resigns, since none can know which state is right. The divergence is noticed.
+func TestNoMemberResignsWithoutAMajorityDigest(t *testing.T) {
 	for seed := range uint64(20) {
-		s := calmSim(t, seed, 3)
+		s := newFaultlessSimulation(t, seed, 3)
 		for place, n := range s.nodes {
-			parted(n, uint64(place))
+			diverge(n, uint64(place))
 		}
 		s.runFor(time.Minute)
-		if len(s.gaveUp) > 0 || s.notices[raft.NoticeStateDiffers] == 0 {
-			t.Errorf("seed %d: %v gave up, %d noticed", seed, s.gaveUp, s.notices[raft.NoticeStateDiffers])
+		if len(s.resigned) > 0 || s.notices[raft.NoticeStateDiffers] == 0 {
+			t.Errorf("seed %d: %v resigned, %d noticed", seed, s.resigned, s.notices[raft.NoticeStateDiffers])
 		}
 		if leader := s.leader(); leader == nil || len(leader.core.DivergentMembers()) == 0 {
-			t.Errorf("seed %d: nobody is said to differ", seed)
+			t.Errorf("seed %d: no member is reported as divergent", seed)
 		}
 	}
 }
 
 // Members of another build may hold another state, and are not compared.
-func TestBuildsThatApplyOtherwiseAreNotCompared(t *testing.T) {
-	s := calmSim(t, 1, 3)
-	other := s.nodes[(s.leader().place+1)%3]
+func TestDigestsOfDifferentBuildsAreNotCompared(t *testing.T) {
+	s := newFaultlessSimulation(t, 1, 3)
+	other := s.nodes[(s.leader().index+1)%3]
 	other.core.digests.form++
-	parted(other, 1)
+	diverge(other, 1)
 	s.runFor(time.Minute)
-	if len(s.gaveUp) > 0 || s.notices[raft.NoticeStateDiffers] > 0 {
-		t.Errorf("%v gave up, %d noticed", s.gaveUp, s.notices[raft.NoticeStateDiffers])
+	if len(s.resigned) > 0 || s.notices[raft.NoticeStateDiffers] > 0 {
+		t.Errorf("%v resigned, %d noticed", s.resigned, s.notices[raft.NoticeStateDiffers])
 	}
 }
 
-// The broken variant: without digests a differing state stays, and is served.
-func TestWithoutDigestsADifferingStateStays(t *testing.T) {
-	s := calmSim(t, 1, 3)
+// An injected defect: without digests a divergent state stays, and is served.
+func TestDivergentStateStaysWithoutDigests(t *testing.T) {
+	s := newFaultlessSimulation(t, 1, 3)
 	for _, n := range s.nodes {
 		n.core.digests.interval = 1 << 40
 	}
-	parted(s.nodes[(s.leader().place+1)%3], 1)
+	diverge(s.nodes[(s.leader().index+1)%3], 1)
 	s.runFor(time.Minute)
-	s.ended = true
-	if s.until(5*time.Second, func() bool { return agree(s) }) < 5*time.Second {
-		t.Error("the check does not see states that differ")
+	s.operatorsStopped = true
+	if s.runUntil(5*time.Second, func() bool { return statesAgree(s) }) < 5*time.Second {
+		t.Error("the check does not detect states that differ")
 	}
 }
--- a/process/consensus/replica/faults_test.go
+++ b/process/consensus/replica/faults_test.go
@@ -10,7 +10,7 @@
 	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
-func TestGroupUnderTrouble(t *testing.T) {
+func TestGroupUnderFaults(t *testing.T) {
 	seeds := uint64(60)
 	// More seeds for a search: CRESSPOND_SEEDS=5000 go test ./process/consensus/replica
 	if wanted, err := strconv.ParseUint(os.Getenv("CRESSPOND_SEEDS"), 10, 64); err == nil {
@@ -20,14 +20,14 @@
 	compared, notices := 0, map[raft.NoticeKind]int{}
 	for seed := range seeds {
 		size := []int{3, 3, 1, 5, 3, 1}[seed%6]
-		s := newSim(t, seed, size, sound)
-		s.run(90 * time.Second)
+		s := newSimulation(t, seed, size, noDefect)
+		s.runHistory(90 * time.Second)
 		for _, violation := range s.violations {
 			t.Errorf("seed %d, %d members: %s", seed, size, violation)
 		}
 		mints, acks, reads, crashes = mints+s.mints, acks+s.acks, reads+s.reads, crashes+s.crashes
 		wipes, replaced, losses = wipes+s.wipes, replaced+s.replaced, losses+s.losses
-		compared += s.compared
+		compared += s.digestsCompared
 		for kind, count := range s.notices {
 			notices[kind] += count
 		}
@@ -36,19 +36,19 @@
 	if compared == 0 || notices[raft.NoticeSnapshotInstalled] == 0 || notices[raft.NoticeStateDiffers] > 0 || notices[raft.NoticeMessageRejected] > 0 {
 		t.Errorf("%d digests were compared; notices: %v", compared, notices)
 	}
-	t.Logf("seeds 0 to %d: %d ids minted, %d closures acknowledged, %d reads checked, %d crashes, %d wiped disks, %d machines replaced, %d times the most at once", seeds-1, mints, acks, reads, crashes, wipes, replaced, losses)
+	t.Logf("seeds 0 to %d: %d ids generated, %d closures acknowledged, %d reads checked, %d crashes, %d wiped disks, %d machines replaced, %d times the most at once", seeds-1, mints, acks, reads, crashes, wipes, replaced, losses)
 }
 
-// TestTheCheckerBites breaks the machinery on purpose: each break must be caught by some seed.
-func TestTheCheckerBites(t *testing.T) {
-	for _, broken := range []brk{diskLies, voteForgotten, readsUnasked, floorForgotten, tenureOverrun, wipedKeepsName} {
+// TestCheckerCatchesInjectedDefects proves the checker: some seed must catch each defect.
+func TestCheckerCatchesInjectedDefects(t *testing.T) {
+	for _, broken := range []defect{lyingDisk, forgottenVotes, unconfirmedReads, forgottenFloors, overrunLease, wipedKeepsIdentity} {
 		t.Run(string(broken), func(t *testing.T) {
 			for seed := range uint64(80) {
-				s := newSim(t, seed, 3, broken)
-				if broken == diskLies {
+				s := newSimulation(t, seed, 3, broken)
+				if broken == lyingDisk {
 					s.losePowerWhileWriting()
 				}
-				if caught := s.tryRun(90 * time.Second); caught != "" {
+				if caught := s.runUntilViolation(90 * time.Second); caught != "" {
 					t.Logf("seed %d: %s", seed, caught)
 					return
 				}
@@ -58,28 +58,28 @@
 	}
 }
 
-// TestPowerLostWhileWriting: what catches a disk that lies finds nothing where none does.
-func TestPowerLostWhileWriting(t *testing.T) {
+// The faults that catch a lying disk find nothing where disks are sound.
+func TestGroupSurvivesPowerLossDuringWrites(t *testing.T) {
 	for seed := range uint64(20) {
-		s := newSim(t, seed, 3, sound)
+		s := newSimulation(t, seed, 3, noDefect)
 		s.losePowerWhileWriting()
-		if fault := s.tryRun(90 * time.Second); fault != "" {
+		if fault := s.runUntilViolation(90 * time.Second); fault != "" {
 			t.Errorf("seed %d: %s", seed, fault)
 		}
 	}
 }
 
-// TestSlowDisksCauseNoElection: with disks that take 150 ms for each write the group goes on under one leader.
+// With disks that take 150 ms for each write the group continues under one leader.
 func TestSlowDisksCauseNoElection(t *testing.T) {
 	for seed := range uint64(40) {
-		s := newSim(t, seed, 3, sound)
-		s.faults, s.loss, s.diskTakes = false, 0, 150*time.Millisecond
+		s := newSimulation(t, seed, 3, noDefect)
+		s.faultsEnabled, s.loss, s.writeDuration = false, 0, 150*time.Millisecond
 		s.runFor(10 * time.Second)
 		terms, acks := len(s.leaderOf), 0
 		var shut func(number int)
 		shut = func(number int) {
 			command := statemachine.Command{Op: statemachine.OpClosure, Zone: "z", Closed: acks%2 == 0}
-			s.ask(s.nodes[number%3], &command, func(a Response) {
+			s.request(s.nodes[number%3], &command, func(a Response) {
 				if a.Outcome == Applied {
 					acks++
 				}
--- a/process/consensus/replica/leadership_test.go
+++ b/process/consensus/replica/leadership_test.go
@@ -8,13 +8,13 @@
 	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
-// confirmationWatch looks at every step of the simulated group: what a leader says is confirmed must lie before
+// confirmationWatch observes the simulated group all the time: what a leader reports as confirmed must lie before
 // anyone was elected in a later term.
 type confirmationWatch struct {
-	*sim
-	// electedAt is when each term's leader came to lead.
+	*simulation
+	// electedAt is when each term's leader was elected.
 	electedAt map[raft.Term]clock.Mark
-	// byReceipt breaks the rule on purpose: a reply vouches for the moment at which it was taken.
+	// byReceipt injects a defect: a reply counts for the moment at which it was received.
 	byReceipt bool
 	looked    int
 }
@@ -40,27 +40,27 @@
 		}
 		w.looked++
 		if confirmed > w.now {
-			w.fault("member %d is confirmed in the future", n.id)
+			w.reportViolation("member %d is confirmed in the future", n.id)
 		}
 		for later, at := range w.electedAt {
 			if later > term && at < confirmed {
-				w.fault("member %d was confirmed in term %d up to %v, and term %d had a leader at %v", n.id, term, time.Duration(confirmed), later, time.Duration(at))
+				w.reportViolation("member %d was confirmed in term %d up to %v, and term %d had a leader at %v", n.id, term, time.Duration(confirmed), later, time.Duration(at))
 			}
 		}
 	}
-	w.after(3*time.Millisecond, w.look)
+	w.schedule(3*time.Millisecond, w.look)
 }
 
 func watchConfirmations(t *testing.T, seed uint64, size int, byReceipt bool) *confirmationWatch {
-	w := &confirmationWatch{sim: newSim(t, seed, size, sound), electedAt: map[raft.Term]clock.Mark{}, byReceipt: byReceipt}
+	w := &confirmationWatch{simulation: newSimulation(t, seed, size, noDefect), electedAt: map[raft.Term]clock.Mark{}, byReceipt: byReceipt}
 	w.look()
-	w.run(40 * time.Second)
+	w.runHistory(40 * time.Second)
 	return w
 }
 
-// What a leader takes for confirmed is so: nobody was elected after it before that moment, through crashes, freezes,
-// cuts of each way, stalled disks and messages that come late or twice.
-func TestAConfirmationIsNeverTooYoung(t *testing.T) {
+// Nobody is elected in a later term before the moment up to which a leader is confirmed, through crashes, suspensions,
+// partitions, stalled disks and messages that are delayed or duplicated.
+func TestConfirmedLeadershipPrecedesEveryLaterElection(t *testing.T) {
 	looked := 0
 	for seed := range uint64(24) {
 		w := watchConfirmations(t, seed, []int{3, 5, 3, 1}[seed%4], false)
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestTheConfirmationCheckerBites(t *testing.T) {
+func TestConfirmationCheckerCatchesConfirmationByReceiptTime(t *testing.T) {
 	for seed := range uint64(40) {
 		if w := watchConfirmations(t, seed, 3, true); len(w.violations) > 0 {
 			t.Logf("seed %d: %s", seed, w.violations[0])
--- a/process/consensus/replica/second_loss_cases_test.go
+++ b/process/consensus/replica/second_loss_cases_test.go
@@ -13,46 +13,46 @@
 	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
-// lossCase is one history: a first trouble, and a second one at a step of its repair.
-type lossCase struct {
+// secondLossCase is one history: a first fault, and a second one at a step of its repair.
+type secondLossCase struct {
 	size          int
-	first, second trouble
+	first, second faultKind
 	victim, next  int
-	// events is how many events after the first trouble the second comes; zero stands for the end of catchUp.
-	events    int
-	diskTakes time.Duration
-	// endsUnheld breaks the rule that one that stops waits for the others.
-	endsUnheld bool
+	// events is how many events after the first fault the second comes; zero stands for the end of catchUpTime.
+	events        int
+	writeDuration time.Duration
+	// stopsUnsafely injects a defect: a member that stops does not wait for an up-to-date majority.
+	stopsUnsafely bool
 }
 
-func (c lossCase) String() string {
-	return fmt.Sprintf("%d members, disk %v, first %q at %d, then %q at %d after %d events", c.size, c.diskTakes, c.first, c.victim, c.second, c.next, c.events)
+func (c secondLossCase) String() string {
+	return fmt.Sprintf("%d members, disk %v, first %q at %d, then %q at %d after %d events", c.size, c.writeDuration, c.first, c.victim, c.second, c.next, c.events)
 }
 
 type membershipRule func(MembershipPlan) (raft.Membership, bool)
 
-func (c lossCase) begin(t *testing.T, rule membershipRule) *sim {
-	s := calmSim(t, 1, c.size)
-	s.plan, s.diskTakes, s.endsUnheld, s.ended = rule, c.diskTakes, c.endsUnheld, true
-	s.closeAndOpen(true)
+func (c secondLossCase) begin(t *testing.T, rule membershipRule) *simulation {
+	s := newFaultlessSimulation(t, 1, c.size)
+	s.membershipRule, s.writeDuration, s.stopsUnsafely, s.operatorsStopped = rule, c.writeDuration, c.stopsUnsafely, true
+	s.toggleClosure(true)
 	s.runFor(time.Second)
-	s.strike(c.first, s.here()[c.victim])
+	s.inject(c.first, s.presentMachines()[c.victim])
 	return s
 }
 
-// steps lists after how many events the repair takes a step, with the event before each.
-func (c lossCase) steps(t *testing.T, rule membershipRule) []int {
+// steps lists the event counts right before and after each step of the repair.
+func (c secondLossCase) steps(t *testing.T, rule membershipRule) []int {
 	s := c.begin(t, rule)
-	from, end := s.now, s.now+clock.Mark(c.first.over()+catchUp)
-	if c.first == replacedBefore {
+	from, end := s.now, s.now+clock.Mark(c.first.repairTime()+catchUpTime)
+	if c.first == replacedBeforehand {
 		// Until SIGTERM nothing is lost or repaired.
-		from += clock.Mark(catchUp)
+		from += clock.Mark(catchUpTime)
 	}
 	var out []int
-	last := s.shape()
+	last := s.repairFingerprint()
 	for count := 1; len(s.events) > 0 && s.events[0].at < end; count++ {
 		s.runEvents(1)
-		if shape := s.shape(); shape != last && s.now >= from {
+		if shape := s.repairFingerprint(); shape != last && s.now >= from {
 			out = append(out, count-1, count)
 			last = shape
 		}
@@ -60,71 +60,72 @@
 	return slices.Compact(out)
 }
 
-// play runs the case; it says what went wrong, and how long the group took to act.
-func (c lossCase) play(t *testing.T, rule membershipRule) (string, time.Duration) {
+// play runs the case. It returns the violation, if any, and how long the group took to recover.
+func (c secondLossCase) play(t *testing.T, rule membershipRule) (string, time.Duration) {
 	s := c.begin(t, rule)
-	back := s.now + clock.Mark(c.first.over())
+	back := s.now + clock.Mark(c.first.repairTime())
 	if c.events > 0 {
 		s.runEvents(c.events)
 	} else {
-		s.runFor(c.first.over() + catchUp)
+		s.runFor(c.first.repairTime() + catchUpTime)
 	}
-	here := s.here()
+	here := s.presentMachines()
 	if c.next >= len(here) {
 		return "", 0
 	}
 	victim := here[c.next]
-	s.strike(c.second, victim)
-	if c.events > 0 && c.size == 3 && c.first != replacedBefore {
-		// Two of three are away: the group acts once one is back.
-		s.runFor(max(back.Since(s.now), c.second.awayFor()))
+	s.inject(c.second, victim)
+	if c.events > 0 && c.size == 3 && c.first != replacedBeforehand {
+		// Two of three are away: the group recovers once one is back.
+		s.runFor(max(back.Since(s.now), c.second.downtimeAsSecond()))
 	}
-	took := s.acts(actsWithin)
-	if took < actsWithin {
-		// And still once whoever stops has ended, and whoever is to come has come.
-		s.runFor(max(0, back.Since(s.now)) + mostWait)
-		took = max(took, s.acts(actsWithin))
+	took := s.recoveryTime(recoveryLimit)
+	if took < recoveryLimit {
+		// It must still work once the machine that stops has ended and its replacement has come.
+		s.runFor(max(0, back.Since(s.now)) + drainExtension)
+		took = max(took, s.recoveryTime(recoveryLimit))
 	}
 	switch {
 	case len(s.violations) > 0:
 		return s.violations[0], took
-	case took >= actsWithin:
-		return fmt.Sprintf("it does not act within %v", actsWithin), took
+	case took >= recoveryLimit:
+		return fmt.Sprintf("it does not recover within %v", recoveryLimit), took
 	}
 	return "", took
 }
 
-// awayFor is how long a second machine stays away where two are more than the group stands.
-func (k trouble) awayFor() time.Duration {
-	if k == lostForGood {
+// downtimeAsSecond is how long a second machine stays away where two lost machines are more than the group survives.
+func (k faultKind) downtimeAsSecond() time.Duration {
+	if k == lostForever {
 		return 0
 	}
-	return k.over()
+	return k.repairTime()
 }
 
-// thorough asks for all cases to be listed, and one of so many of them to be played: CRESSPOND_SECOND_LOSS=1 plays all.
-func thorough() (every int, asked bool) {
+// playEvery reads from the environment that all cases are to be listed and every n-th played: CRESSPOND_SECOND_LOSS=1
+// plays all.
+func playEvery() (every int, requested bool) {
 	every, err := strconv.Atoi(os.Getenv("CRESSPOND_SECOND_LOSS"))
 	return every, err == nil && every > 0
 }
 
-// disks lists how long a write takes: with disks of 30 ms there are more steps to lose a machine at.
-func disks() []time.Duration {
-	if _, asked := thorough(); asked {
-		return []time.Duration{0, thirtySyncs}
+// writeDurations lists the durations of a write: disks of 30 ms give more steps at which a machine can be lost.
+func writeDurations() []time.Duration {
+	if _, requested := playEvery(); requested {
+		return []time.Duration{0, slowWriteDuration}
 	}
-	return []time.Duration{thirtySyncs}
+	return []time.Duration{slowWriteDuration}
 }
 
-// afterCatchUp lists every pair of troubles and machines, the second as soon as the first counts as over.
-func afterCatchUp(size int) []lossCase {
-	var out []lossCase
-	for _, disk := range disks() {
-		for _, first := range repaired {
+// casesAfterCatchUp lists every pair of faults and machines, the second as soon as the first counts as repaired.
+func casesAfterCatchUp(size int) []secondLossCase {
+	var out []secondLossCase
+	for _, disk := range writeDurations() {
+		for _, first := range repairedFaults {
 			for victim := range size {
-				for _, second := range append(slices.Clone(repaired), lostForGood) {
+				for _, second := range append(slices.Clone(repairedFaults), lostForever) {
 					for next := range size {
-						out = append(out, lossCase{size: size, first: first, second: second, victim: victim, next: next, diskTakes: disk})
+						out = append(out, secondLossCase{size: size, first: first, second: second, victim: victim, next: next, writeDuration: disk})
 					}
 				}
 			}
@@ -133,16 +134,16 @@
 	return out
 }
 
-// amidRepair lists every step of each repair, with a second loss there: for good where the group must stand that,
-// and of power only where the first took a disk with it and one loss is what the group stands.
-func amidRepair(t *testing.T, size int, firsts []trouble, rule membershipRule) []lossCase {
-	var out []lossCase
-	for _, disk := range disks() {
+// casesDuringRepair lists every step of each repair with a second loss there: for good where the group must survive that,
+// and of power only where the first lost its disk too and the group survives no more than one such loss.
+func casesDuringRepair(t *testing.T, size int, firsts []faultKind, rule membershipRule) []secondLossCase {
+	var out []secondLossCase
+	for _, disk := range writeDurations() {
 		for _, first := range firsts {
 			for victim := range size {
-				c := lossCase{size: size, first: first, victim: victim, diskTakes: disk, second: returnsWithDisk}
-				if first.keepsDisk() || first == replacedBefore || size == 5 {
-					c.second = lostForGood
+				c := secondLossCase{size: size, first: first, victim: victim, writeDuration: disk, second: returnsWithDisk}
+				if first.keepsDisk() || first == replacedBeforehand || size == 5 {
+					c.second = lostForever
 				}
 				for _, events := range c.steps(t, rule) {
 					for next := range size {
@@ -157,16 +158,16 @@
 	return out
 }
 
-// tally is what came of playing cases.
+// tally sums up the cases that were played.
 type tally struct {
 	played, failed int
 	longest        time.Duration
 	example        string
 }
 
-// playAll plays one of so many cases, or all where that is asked for.
-func playAll(t *testing.T, cases []lossCase, every int, rule membershipRule) (out tally) {
-	if wanted, asked := thorough(); asked {
+// playAll plays every n-th case, or as many as the environment asks for.
+func playAll(t *testing.T, cases []secondLossCase, every int, rule membershipRule) (out tally) {
+	if wanted, requested := playEvery(); requested {
 		every = wanted
 	}
 	for place := 0; place < len(cases); place += every {
--- a/process/consensus/replica/second_loss_faults_test.go
+++ b/process/consensus/replica/second_loss_faults_test.go
@@ -13,152 +13,152 @@
 	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
-// These tests lose a second machine while, or right after, the first is being repaired. They go through the kinds of
-// trouble, the machines they may strike and the steps of the repair one by one, instead of drawing them.
+// These tests lose a second machine while, or right after, the first is being repaired. They enumerate the kinds of
+// faults, the machines and the steps of the repair, instead of drawing them at random.
 
 const (
-	// catchUp is for how long a machine counts as lost after it came back.
-	catchUp = 4 * time.Second
-	// actsWithin is how long the group may take to acknowledge again after a loss that it must stand.
-	actsWithin = 4 * time.Second
-	// backAfter is how long a machine stays away that comes back or is replaced.
-	backAfter = time.Second
-	// drainTakes is how long a daemon takes from SIGTERM to its end, mostWait for how much longer it stays where too few
-	// others hold what it holds.
-	drainTakes = 2 * time.Second
-	mostWait   = 4 * time.Second
+	// catchUpTime is for how long a machine still counts as lost after it came back.
+	catchUpTime = 4 * time.Second
+	// recoveryLimit is how long the group may take to acknowledge again after a loss that it must survive.
+	recoveryLimit = 4 * time.Second
+	// downtime is how long a machine stays away that returns or is replaced.
+	downtime = time.Second
+	// drainDuration is how long a daemon takes from SIGTERM to its end, drainExtension how much longer it stays at most
+	// where no majority of the others is up to date.
+	drainDuration  = 2 * time.Second
+	drainExtension = 4 * time.Second
 )
 
-// trouble is what happens to one machine.
-type trouble string
+// faultKind is what happens to one machine.
+type faultKind string
 
 const (
-	returnsWithDisk trouble = "lost, back with its disk"
-	returnsEmpty    trouble = "lost, back with an empty disk"
-	replacedAnew    trouble = "lost, replaced at a new address"
-	replacedBefore  trouble = "replacement stands ready, then SIGTERM"
-	stopsForGood    trouble = "SIGTERM without return, then replaced"
-	stopsAndReturns trouble = "SIGTERM, back with its disk"
-	diskStalls      trouble = "its disk stalls for 3 s"
-	freezes         trouble = "frozen for 3 s"
-	lostForGood     trouble = "lost for good"
+	returnsWithDisk    faultKind = "lost, back with its disk"
+	returnsWithoutDisk faultKind = "lost, back with an empty disk"
+	replacedAfterwards faultKind = "lost, replaced at a new address"
+	replacedBeforehand faultKind = "replacement ready, then SIGTERM"
+	stopsForever       faultKind = "SIGTERM without return, then replaced"
+	stopsAndReturns    faultKind = "SIGTERM, back with its disk"
+	diskStalls         faultKind = "its disk stalls for 3 s"
+	freezes            faultKind = "suspended for 3 s"
+	lostForever        faultKind = "lost for good"
 )
 
-// repaired lists the troubles after which the group is whole again.
-var repaired = []trouble{returnsWithDisk, returnsEmpty, replacedAnew, replacedBefore, stopsForGood, stopsAndReturns, diskStalls, freezes}
+// repairedFaults lists the faults after which the group gets back to full strength.
+var repairedFaults = []faultKind{returnsWithDisk, returnsWithoutDisk, replacedAfterwards, replacedBeforehand, stopsForever, stopsAndReturns, diskStalls, freezes}
 
-// keepsDisk says whether the machine itself comes back with all it had written.
-func (k trouble) keepsDisk() bool {
-	return slices.Contains([]trouble{returnsWithDisk, stopsAndReturns, diskStalls, freezes}, k)
+// keepsDisk reports whether the machine itself comes back with all it had written.
+func (k faultKind) keepsDisk() bool {
+	return slices.Contains([]faultKind{returnsWithDisk, stopsAndReturns, diskStalls, freezes}, k)
 }
 
-// over is after how long the machine, or the one in its place, is there again.
-func (k trouble) over() time.Duration {
+// repairTime is the time until the machine or its replacement is up again.
+func (k faultKind) repairTime() time.Duration {
 	switch k {
-	case stopsForGood, stopsAndReturns:
-		return drainTakes + backAfter
-	case replacedBefore:
-		return catchUp + drainTakes
+	case stopsForever, stopsAndReturns:
+		return drainDuration + downtime
+	case replacedBeforehand:
+		return catchUpTime + drainDuration
 	case diskStalls, freezes:
 		return 3 * time.Second
 	}
-	return backAfter
+	return downtime
 }
 
-// strike brings the trouble about.
-func (s *sim) strike(kind trouble, victim *simNode) {
+// inject makes the fault happen.
+func (s *simulation) inject(kind faultKind, victim *simulatedNode) {
 	switch kind {
 	case returnsWithDisk:
 		victim.crash()
-		s.after(backAfter, victim.revive)
-	case returnsEmpty:
+		s.schedule(downtime, victim.restart)
+	case returnsWithoutDisk:
 		victim.crash()
-		victim.empty()
-		s.after(backAfter, victim.revive)
-	case replacedAnew:
-		victim.loseForGood()
-		s.after(backAfter, s.add)
-	case replacedBefore:
-		s.add()
-		s.after(catchUp, func() { victim.terminate(victim.loseForGood) })
-	case stopsForGood:
+		victim.wipeDisk()
+		s.schedule(downtime, victim.restart)
+	case replacedAfterwards:
+		victim.removeForGood()
+		s.schedule(downtime, s.addMachine)
+	case replacedBeforehand:
+		s.addMachine()
+		s.schedule(catchUpTime, func() { victim.terminate(victim.removeForGood) })
+	case stopsForever:
 		victim.terminate(func() {
-			victim.loseForGood()
-			s.after(backAfter, s.add)
+			victim.removeForGood()
+			s.schedule(downtime, s.addMachine)
 		})
 	case stopsAndReturns:
 		victim.terminate(func() {
 			victim.crash()
-			s.after(backAfter, victim.revive)
+			s.schedule(downtime, victim.restart)
 		})
 	case diskStalls:
 		victim.stallUntil = s.now + clock.Mark(3*time.Second)
 	case freezes:
 		victim.frozenUntil = s.now + clock.Mark(3*time.Second)
-	case lostForGood:
-		victim.loseForGood()
+	case lostForever:
+		victim.removeForGood()
 	}
 }
 
-func (n *simNode) loseForGood() {
+func (n *simulatedNode) removeForGood() {
 	n.crash()
-	n.gone = true
+	n.removed = true
 }
 
-// terminate does what a daemon does after SIGTERM: it hands over, and says that it leaves, until it ends.
-func (n *simNode) terminate(end func()) {
-	life, ends := n.life, n.sim.now+clock.Mark(drainTakes)
-	var beat func()
-	beat = func() {
-		if n.life != life || !n.up {
+// terminate does what a daemon does after SIGTERM: it transfers its leadership and announces its shutdown until it ends.
+func (n *simulatedNode) terminate(end func()) {
+	incarnation, ends := n.incarnation, n.sim.now+clock.Mark(drainDuration)
+	var announce func()
+	announce = func() {
+		if n.incarnation != incarnation || !n.up {
 			return
 		}
 		mayEnd := false
 		if leader := n.sim.leader(); n.core.IsLeader() {
-			n.carryOut(n.core.Step(n.sim.now, raft.TransferLeadership{}))
+			n.execute(n.core.Step(n.sim.now, raft.TransferLeadership{}))
 		} else if leader != nil {
 			leader.core.MarkLeaving(n.sim.now, n.id)
 			mayEnd = leader.core.SafeToStop(n.sim.now, n.id)
 		}
-		if late := n.sim.now.Since(ends); late >= 0 && (mayEnd || n.sim.endsUnheld) || late > mostWait {
+		if late := n.sim.now.Since(ends); late >= 0 && (mayEnd || n.sim.stopsUnsafely) || late > drainExtension {
 			end()
 			return
 		}
-		n.sim.after(250*time.Millisecond, beat)
+		n.sim.schedule(250*time.Millisecond, announce)
 	}
-	beat()
+	announce()
 }
 
-// closeAndOpen is an operator that asks whoever leads, and at once again when it was answered or has waited long enough.
-func (s *sim) closeAndOpen(closed bool) {
+// toggleClosure is an operator that sends requests to the leader, the next one as soon as one is answered or timed out.
+func (s *simulation) toggleClosure(closed bool) {
 	const patience = 200 * time.Millisecond
 	answered := false
 	again := func() {
 		if !answered {
 			answered = true
-			s.after(20*time.Millisecond, func() { s.closeAndOpen(!closed) })
+			s.schedule(20*time.Millisecond, func() { s.toggleClosure(!closed) })
 		}
 	}
-	s.after(patience, again)
+	s.schedule(patience, again)
 	leader := s.leader()
 	if leader == nil {
 		return
 	}
-	s.ask(leader, &statemachine.Command{Op: statemachine.OpClosure, Zone: "z", Closed: closed}, func(a Response) {
+	s.request(leader, &statemachine.Command{Op: statemachine.OpClosure, Zone: "z", Closed: closed}, func(a Response) {
 		if a.Outcome == Applied && a.Result.Closures != nil {
 			s.acks++
-			s.ackedEpoch = max(s.ackedEpoch, a.Result.Closures.Version)
+			s.ackedVersion = max(s.ackedVersion, a.Result.Closures.Version)
 		}
 		again()
 	})
 }
 
-// here lists the machines that are there, the leader first.
-func (s *sim) here() []*simNode {
+// presentMachines lists the machines that were not removed, the leader first.
+func (s *simulation) presentMachines() []*simulatedNode {
 	leader := s.leader()
-	out := slices.DeleteFunc(slices.Clone(s.nodes), func(n *simNode) bool { return n.gone })
-	slices.SortStableFunc(out, func(a, b *simNode) int {
-		rank := func(n *simNode) int {
+	out := slices.DeleteFunc(slices.Clone(s.nodes), func(n *simulatedNode) bool { return n.removed })
+	slices.SortStableFunc(out, func(a, b *simulatedNode) int {
+		rank := func(n *simulatedNode) int {
 			if n == leader {
 				return 0
 			}
@@ -169,30 +169,31 @@
 	return out
 }
 
-// runEvents runs so many events.
-func (s *sim) runEvents(count int) {
+// runEvents runs the next events.
+func (s *simulation) runEvents(count int) {
 	for range count {
-		event := heap.Pop(&s.events).(simEvent)
+		event := heap.Pop(&s.events).(scheduledEvent)
 		s.now = event.at
 		event.run()
 	}
 }
 
-// acts says how long it takes until something new is acknowledged by a leader that holds all that was.
-func (s *sim) acts(within time.Duration) time.Duration {
+// recoveryTime is the time until something new is acknowledged by a leader that holds all that was acknowledged before.
+func (s *simulation) recoveryTime(within time.Duration) time.Duration {
 	before := s.acks
-	return s.until(within, func() bool {
+	return s.runUntil(within, func() bool {
 		leader := s.leader()
-		return s.acks > before && leader != nil && leader.core.state.Closures.Version >= s.ackedEpoch
+		return s.acks > before && leader != nil && leader.core.state.Closures.Version >= s.ackedVersion
 	})
 }
 
-// shape tells the steps of a repair apart: who is there, leads, votes, has written what membership, and is ready.
-func (s *sim) shape() string {
+// repairFingerprint tells the steps of a repair apart: which machines are up, lead, vote, have written which membership,
+// and are ready.
+func (s *simulation) repairFingerprint() string {
 	var out strings.Builder
 	for _, n := range s.nodes {
 		core := n.core.raft
-		fmt.Fprintf(&out, "%t %t %t %d %d %d|", n.up, n.gone, n.stalled, n.id, core.Role(), core.Term())
+		fmt.Fprintf(&out, "%t %t %t %d %d %d|", n.up, n.removed, n.stalled, n.id, core.Role(), core.Term())
 		for _, member := range core.Membership().Members {
 			fmt.Fprintf(&out, "%d %t,", member.ID, member.Voter)
 		}
--- a/process/consensus/replica/second_loss_test.go
+++ b/process/consensus/replica/second_loss_test.go
@@ -6,31 +6,31 @@
 	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
-// TestASecondLossAfterTheFirstIsRepaired: whatever happened to one machine, and whatever happens to any as soon as the
-// first counts as back, the group acts within the stated time, and its leader holds all that was acknowledged.
-func TestASecondLossAfterTheFirstIsRepaired(t *testing.T) {
+// Whatever happened to one machine, and whatever happens to any as soon as the first counts as repaired, the group
+// recovers within recoveryLimit, and its leader holds all that was acknowledged.
+func TestGroupSurvivesSecondLossAfterRepair(t *testing.T) {
 	for _, group := range []struct{ size, every int }{{3, 11}, {5, 97}} {
-		cases := afterCatchUp(group.size)
+		cases := casesAfterCatchUp(group.size)
 		playAll(t, cases, group.every, nil).report(t, group.size, len(cases))
 	}
 }
 
-// TestASecondLossAtEachStepOfARepair: the same at each step between.
-func TestASecondLossAtEachStepOfARepair(t *testing.T) {
+// The same with the second loss at each step of the repair.
+func TestGroupSurvivesSecondLossAtEachRepairStep(t *testing.T) {
 	for _, group := range []struct {
 		size, every int
-		firsts      []trouble
-	}{{3, 41, repaired}, {5, 97, []trouble{replacedBefore}}} {
+		firsts      []faultKind
+	}{{3, 41, repairedFaults}, {5, 97, []faultKind{replacedBeforehand}}} {
 		firsts := group.firsts
-		if _, asked := thorough(); asked {
-			firsts = repaired
+		if _, requested := playEvery(); requested {
+			firsts = repairedFaults
 		}
-		cases := amidRepair(t, group.size, firsts, nil)
+		cases := casesDuringRepair(t, group.size, firsts, nil)
 		playAll(t, cases, group.every, nil).report(t, group.size, len(cases))
 	}
 }
 
-// removeBeforePromote is the rule without promoteForLeaving: who leaves goes first, and another comes after.
+// removeBeforePromote is the plan without promoteForLeaving: the member that leaves is removed before another is promoted.
 func removeBeforePromote(p MembershipPlan) (raft.Membership, bool) {
 	ready := p.readyLearners()
 	for _, step := range []func() (raft.Membership, bool){
@@ -47,7 +47,7 @@
 	return raft.Membership{}, false
 }
 
-// removeWithNobodyReady lets go of whoever is absent, whether or not another can take the place.
+// removeWithNobodyReady removes an absent voter whether or not a learner can take its place.
 func removeWithNobodyReady(p MembershipPlan) (raft.Membership, bool) {
 	if absent, found := p.absentVoter(); found {
 		return p.Current.Without(absent), true
@@ -55,20 +55,20 @@
 	return p.Next()
 }
 
-// TestTheLossCheckerCatchesBrokenRules: each broken rule must fail in some case.
-func TestTheLossCheckerCatchesBrokenRules(t *testing.T) {
+// Each broken membership rule must fail in some case.
+func TestSecondLossCheckerCatchesBrokenMembershipRules(t *testing.T) {
 	for name, broken := range map[string]struct {
 		rule       membershipRule
-		firsts     []trouble
+		firsts     []faultKind
 		endsUnheld bool
 	}{
-		"who leaves goes before another votes": {rule: removeBeforePromote, firsts: []trouble{replacedBefore}},
-		"who is absent goes with nobody ready": {rule: removeWithNobodyReady, firsts: []trouble{stopsAndReturns, freezes}},
-		"who stops waits for nobody":           {firsts: []trouble{replacedBefore}, endsUnheld: true},
+		"a leaving voter is removed before another is promoted": {rule: removeBeforePromote, firsts: []faultKind{replacedBeforehand}},
+		"an absent voter is removed with no learner ready":      {rule: removeWithNobodyReady, firsts: []faultKind{stopsAndReturns, freezes}},
+		"a stopping voter waits for no one":                     {firsts: []faultKind{replacedBeforehand}, endsUnheld: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for place, c := range amidRepair(t, 3, broken.firsts, broken.rule) {
-				c.endsUnheld = broken.endsUnheld
+			for place, c := range casesDuringRepair(t, 3, broken.firsts, broken.rule) {
+				c.stopsUnsafely = broken.endsUnheld
 				if fault, _ := c.play(t, broken.rule); fault != "" {
 					t.Logf("case %d, %v: %s", place, c, fault)
 					return
--- a/process/consensus/replica/simulated_disk_test.go
+++ b/process/consensus/replica/simulated_disk_test.go
@@ -6,13 +6,13 @@
 	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
-type simDisk struct {
+type simulatedDisk struct {
 	state raft.PersistentState
 }
 
-// write is what SQLite does with a save.
-func (d *simDisk) write(save raft.Save, broken brk) {
-	if broken != voteForgotten {
+// write does what the SQLite store does with a save.
+func (d *simulatedDisk) write(save raft.Save, broken defect) {
+	if broken != forgottenVotes {
 		d.state.HardState = save.HardState
 	}
 	if save.Snapshot != nil {
@@ -24,34 +24,34 @@
 	d.state.Entries = append(d.state.Entries, save.Entries...)
 }
 
-type simWrite struct {
+type simulatedWrite struct {
 	save  *raft.Save
 	later []raft.Message
 }
 
-func (n *simNode) writeNext(life int) {
+func (n *simulatedNode) writeNext(incarnation int) {
 	s := n.sim
-	wait := s.diskTakes + s.ms(1, 8)
+	wait := s.writeDuration + s.randomDuration(1, 8)
 	if n.stallUntil > s.now {
 		wait += n.stallUntil.Since(s.now)
 	}
-	s.after(wait, func() {
-		if n.life != life || !n.up || len(n.queue) == 0 {
+	s.schedule(wait, func() {
+		if n.incarnation != incarnation || !n.up || len(n.queue) == 0 {
 			return
 		}
 		done := n.queue[0]
-		n.queue, n.since = n.queue[1:], n.since[1:]
+		n.queue, n.queuedAt = n.queue[1:], n.queuedAt[1:]
 		if done.save != nil {
-			n.disk.write(*done.save, s.broken)
-			if n.written != nil {
-				n.written(*done.save)
+			n.disk.write(*done.save, s.defect)
+			if n.onWrite != nil {
+				n.onWrite(*done.save)
 			}
 		}
 		if len(n.queue) > 0 {
-			n.writeNext(life)
+			n.writeNext(incarnation)
 		} else if n.stalled {
 			n.stalled = false
-			n.carryOut(n.core.Step(s.now, raft.DiskStalled{}))
+			n.execute(n.core.Step(s.now, raft.DiskStalled{}))
 		}
 		if done.save != nil {
 			last := raft.Persisted{}
@@ -61,7 +61,7 @@
 				last = raft.Persisted{Index: done.save.Snapshot.Index, Term: done.save.Snapshot.Term}
 			}
 			if last.Index > 0 {
-				n.carryOut(n.core.Step(s.now, last))
+				n.execute(n.core.Step(s.now, last))
 			}
 		}
 		n.send(done.later)
--- a/process/consensus/replica/simulated_faults_test.go
+++ b/process/consensus/replica/simulated_faults_test.go
@@ -7,77 +7,77 @@
 	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
-// powerOfAll is the trouble in which all machines lose power.
-const powerOfAll = 2
+// powerLossOfAll is the fault in which all machines lose power.
+const powerLossOfAll = 2
 
-// trouble makes one failure after the other happen.
-func (s *sim) trouble() {
-	wait := s.ms(200, 2500)
-	if s.calm {
-		wait = s.ms(2000, 16000)
+// scheduleFaults makes one fault after the other happen.
+func (s *simulation) scheduleFaults() {
+	wait := s.randomDuration(200, 2500)
+	if s.sparseFaults {
+		wait = s.randomDuration(2000, 16000)
 	}
-	s.after(wait, func() {
-		if !s.faults {
+	s.schedule(wait, func() {
+		if !s.faultsEnabled {
 			return
 		}
-		n := s.some(1)[0]
+		n := s.randomMachines(1)[0]
 		kind := s.random.IntN(14)
-		if s.onlyPower {
-			kind = powerOfAll
+		if s.powerLossOnly {
+			kind = powerLossOfAll
 		}
 		switch kind {
 		case 0, 1:
 			n.crash()
-			s.after(s.ms(50, 4000), n.revive)
-		case powerOfAll:
+			s.schedule(s.randomDuration(50, 4000), n.restart)
+		case powerLossOfAll:
 			// All at once.
 			for _, each := range s.nodes {
 				each.crash()
-				s.after(s.ms(50, 2000), each.revive)
+				s.schedule(s.randomDuration(50, 2000), each.restart)
 			}
 		case 3:
-			// Cut one member off, both ways or one way.
+			// Partition one member off, both ways or one way.
 			way := s.random.IntN(3)
 			for _, other := range s.nodes {
 				if other == n {
 					continue
 				}
 				if way != 0 {
-					s.cut[[2]int{n.place, other.place}] = true
+					s.partitioned[[2]int{n.index, other.index}] = true
 				}
 				if way != 1 {
-					s.cut[[2]int{other.place, n.place}] = true
+					s.partitioned[[2]int{other.index, n.index}] = true
 				}
 			}
-			s.after(s.ms(500, 6000), func() { clear(s.cut) })
+			s.schedule(s.randomDuration(500, 6000), func() { clear(s.partitioned) })
 		case 4:
-			n.frozenUntil = s.now + clock.Mark(s.ms(500, 5000))
+			n.frozenUntil = s.now + clock.Mark(s.randomDuration(500, 5000))
 		case 5:
-			n.stallUntil = s.now + clock.Mark(s.ms(500, 4000))
+			n.stallUntil = s.now + clock.Mark(s.randomDuration(500, 4000))
 		case 6:
 			n.wallJump += time.Duration(s.random.IntN(20000)-10000) * time.Second
 		case 7:
 			h := s.holders[s.random.IntN(len(s.holders))]
-			h.frozen = s.now + clock.Mark(s.ms(1000, 45000))
+			h.frozenUntil = s.now + clock.Mark(s.randomDuration(1000, 45000))
 		case 10:
 			n.wipe()
 		case 11:
 			n.replace()
 		case 12:
-			s.lose()
+			s.loseMinorityAndPower()
 		case 13:
-			// As many as may be lost are replaced at once.
-			if s.size >= 3 && s.whole() {
-				for _, each := range s.some((s.size - 1) / 2) {
-					each.leave()
+			// As many as the group survives are replaced at once.
+			if s.voters >= 3 && s.fullyRepaired() {
+				for _, each := range s.randomMachines((s.voters - 1) / 2) {
+					each.removeAndReplace()
 				}
 			}
 		case 9:
-			// Back at once, over and over: what a vote was must not be forgotten in between.
+			// Restarted at once, over and over: a vote must not be forgotten in between.
 			for i := range 6 {
-				s.after(time.Duration(i)*s.ms(100, 400), func() {
+				s.schedule(time.Duration(i)*s.randomDuration(100, 400), func() {
 					n.crash()
-					s.after(s.ms(1, 20), n.revive)
+					s.schedule(s.randomDuration(1, 20), n.restart)
 				})
 			}
 		case 8:
@@ -85,74 +85,76 @@
 			if s.random.IntN(2) == 0 {
 				h.begin()
 			} else {
-				h.leave()
+				h.releaseAndRestart()
 			}
 		}
-		s.trouble()
+		s.scheduleFaults()
 	})
 }
 
 // wipe brings a machine back with an empty data folder: another member at the old address.
-func (n *simNode) wipe() {
+func (n *simulatedNode) wipe() {
 	s := n.sim
-	// One loss at a time: the group stands losing one machine, and this is the one until it votes again.
-	if s.size < 3 || n.gone || !s.whole() {
+	// One loss at a time: the group survives the loss of one machine, and this is the one until it votes again.
+	if s.voters < 3 || n.removed || !s.fullyRepaired() {
 		return
 	}
 	n.crash()
-	n.empty()
-	s.after(s.ms(50, 3000), n.revive)
+	n.wipeDisk()
+	s.schedule(s.randomDuration(50, 3000), n.restart)
 }
 
-// empty is a new data folder: it makes another identity.
-func (n *simNode) empty() {
+// wipeDisk empties the data folder, which gives the machine another member identity.
+func (n *simulatedNode) wipeDisk() {
 	n.sim.wipes++
-	n.sim.lostDisks[n.id] = n.disk.state
-	n.id = raft.MemberID(10000*n.sim.wipes + n.place + 1)
+	n.sim.wipedDisks[n.id] = n.disk.state
+	n.id = raft.MemberID(10000*n.sim.wipes + n.index + 1)
 	n.disk.state = raft.PersistentState{}
 }
 
-// replace takes a machine away for good; an empty one comes a little later, with another name at another address.
-func (n *simNode) replace() {
+// replace removes a machine for good; an empty one comes a little later, with another name at another address.
+func (n *simulatedNode) replace() {
 	s := n.sim
-	if s.size < 3 || n.gone || !s.whole() {
+	if s.voters < 3 || n.removed || !s.fullyRepaired() {
 		return
 	}
-	n.leave()
+	n.removeAndReplace()
 }
 
-// leave takes the machine away; another comes.
-func (n *simNode) leave() {
+// removeAndReplace removes the machine and adds another.
+func (n *simulatedNode) removeAndReplace() {
 	n.crash()
-	n.gone = true
+	n.removed = true
 	n.sim.replaced++
-	n.sim.after(n.sim.ms(0, 2000), n.sim.add)
+	n.sim.schedule(n.sim.randomDuration(0, 2000), n.sim.addMachine)
 }
 
-// lose is the worst that the group must stand: as many disks as may be lost are, while all others lose power.
-func (s *sim) lose() {
-	if s.size < 3 || !s.whole() {
+// loseMinorityAndPower is the worst that the group must survive: a minority loses its disks while all others lose power.
+func (s *simulation) loseMinorityAndPower() {
+	if s.voters < 3 || !s.fullyRepaired() {
 		return
 	}
 	s.losses++
-	for i, n := range s.some(s.size) {
+	for i, n := range s.randomMachines(s.voters) {
 		n.crash()
-		if i < (s.size-1)/2 {
-			n.empty()
+		if i < (s.voters-1)/2 {
+			n.wipeDisk()
 		}
-		s.after(s.ms(50, 2500), n.revive)
+		s.schedule(s.randomDuration(50, 2500), n.restart)
 	}
 }
 
-// losePowerWhileWriting has disks take long, and all machines lose power over and over.
-func (s *sim) losePowerWhileWriting() { s.onlyPower, s.diskTakes = true, 100*time.Millisecond }
+// losePowerWhileWriting slows the disks, and has all machines lose power over and over.
+func (s *simulation) losePowerWhileWriting() {
+	s.powerLossOnly, s.writeDuration = true, 100*time.Millisecond
+}
 
-// heal ends all trouble.
-func (s *sim) heal() {
-	s.faults, s.loss, s.damage = false, 0, nil
-	clear(s.cut)
+// heal ends all faults.
+func (s *simulation) heal() {
+	s.faultsEnabled, s.loss, s.damageSnapshot = false, 0, nil
+	clear(s.partitioned)
 	for _, n := range s.nodes {
 		n.frozenUntil, n.stallUntil = 0, 0
-		n.revive()
+		n.restart()
 	}
 }
--- a/process/consensus/replica/simulated_network_test.go
+++ b/process/consensus/replica/simulated_network_test.go
@@ -9,52 +9,52 @@
 	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
-func (n *simNode) send(messages []raft.Message) {
+func (n *simulatedNode) send(messages []raft.Message) {
 	s := n.sim
 	for _, m := range messages {
 		if m.Kind == raft.MsgHeartbeatReply && m.StateDigest != nil {
-			s.compared++
+			s.digestsCompared++
 		}
 		if m.To == n.id {
-			n.carryOut(n.core.Step(s.now, raft.Receive{Message: m}))
+			n.execute(n.core.Step(s.now, raft.Receive{Message: m}))
 			continue
 		}
 		to := s.nodeOf(m.To)
-		if to == nil || s.cut[[2]int{n.place, to.place}] || s.random.Float64() < s.loss {
+		if to == nil || s.partitioned[[2]int{n.index, to.index}] || s.random.Float64() < s.loss {
 			continue
 		}
-		if m.Snapshot != nil && s.damage != nil {
-			s.damage(&m)
+		if m.Snapshot != nil && s.damageSnapshot != nil {
+			s.damageSnapshot(&m)
 		}
-		if s.wholeSnapshots {
+		if s.unchunkedSnapshots {
 			m.AcceptsChunks = false
 		}
 		copies := 1
-		if s.faults && s.random.IntN(50) == 0 {
+		if s.faultsEnabled && s.random.IntN(50) == 0 {
 			copies = 2
 		}
 		for range copies {
-			delay := s.ms(1, 6)
-			if s.faults && s.random.IntN(40) == 0 {
-				delay += s.ms(0, 400)
+			delay := s.randomDuration(1, 6)
+			if s.faultsEnabled && s.random.IntN(40) == 0 {
+				delay += s.randomDuration(0, 400)
 			}
-			line, sent := n.lineTime(m)
+			line, sent := n.linkDelay(m)
 			if !sent {
 				continue
 			}
-			s.after(delay+line, func() { to.receive(m) })
+			s.schedule(delay+line, func() { to.receive(m) })
 		}
 	}
 }
 
-// callLimit is how long a call with messages may take before it is given up.
-const callLimit = 3 * time.Second
+// callTimeout is how long a call with messages may take.
+const callTimeout = 3 * time.Second
 
-// lineTime is how long a message waits for a machine's link, and takes on it. As between daemons, what is large is
-// dropped where a megabyte waits already, and a call that takes too long is given up.
-func (n *simNode) lineTime(m raft.Message) (time.Duration, bool) {
+// linkDelay is how long a message waits for a machine's link and takes on it; false where it is dropped. As between
+// daemons, large messages are dropped where a megabyte is queued already, and calls time out.
+func (n *simulatedNode) linkDelay(m raft.Message) (time.Duration, bool) {
 	s := n.sim
-	if s.link == 0 {
+	if s.linkBytesPerSecond == 0 {
 		return 0, true
 	}
 	const headBytes, mostWaiting, large = 300, 1 << 20, 4 << 10
@@ -65,43 +65,43 @@
 	if m.Snapshot != nil {
 		size += len(m.Snapshot.Data)
 	}
-	if s.busyUntil == nil {
-		s.busyUntil = map[int]clock.Mark{}
+	if s.linkBusyUntil == nil {
+		s.linkBusyUntil = map[int]clock.Mark{}
 	}
 	takes := func(bytes int) time.Duration {
-		return time.Duration(bytes) * time.Second / time.Duration(s.link)
+		return time.Duration(bytes) * time.Second / time.Duration(s.linkBytesPerSecond)
 	}
-	free := max(s.busyUntil[n.place], s.now)
+	free := max(s.linkBusyUntil[n.index], s.now)
 	if size > large && free.Since(s.now) > takes(mostWaiting) {
 		return 0, false
 	}
-	s.busyUntil[n.place] = free + clock.Mark(takes(size))
+	s.linkBusyUntil[n.index] = free + clock.Mark(takes(size))
 	s.sentBytes += size
-	line := s.busyUntil[n.place].Since(s.now)
-	return line, line <= callLimit
+	line := s.linkBusyUntil[n.index].Since(s.now)
+	return line, line <= callTimeout
 }
 
-// ask sends a command or a read to a node over the network, and its answer back.
-func (s *sim) ask(to *simNode, command *statemachine.Command, answer func(Response)) {
-	s.refs++
-	ref := s.refs
+// request sends a command, or a read where there is none, to a node over the network, and its response back.
+func (s *simulation) request(to *simulatedNode, command *statemachine.Command, answer func(Response)) {
+	s.lastRequestID++
+	ref := s.lastRequestID
 	if s.random.Float64() < s.loss {
 		return
 	}
-	s.after(s.ms(1, 10), func() {
+	s.schedule(s.randomDuration(1, 10), func() {
 		if !to.up || s.now < to.frozenUntil {
 			return
 		}
-		s.asked[ref] = func(a Response) {
+		s.responders[ref] = func(a Response) {
 			if s.random.Float64() < s.loss {
 				return
 			}
-			// The state may be read only until the answer is handled, so a read is looked at here.
+			// The state may be used only until the response is handled, so the read takes place here.
 			var seen ident.Version
 			if a.State != nil {
 				seen = a.State.Closures.Version
 			}
-			s.after(s.ms(1, 10), func() {
+			s.schedule(s.randomDuration(1, 10), func() {
 				if a.State != nil {
 					a.Result.Version = seen
 				}
@@ -109,15 +109,15 @@
 			})
 		}
 		if command == nil {
-			if s.broken == readsUnasked && to.core.raft.Role() == raft.Leader {
-				reply := s.asked[ref]
-				delete(s.asked, ref)
+			if s.defect == unconfirmedReads && to.core.raft.Role() == raft.Leader {
+				reply := s.responders[ref]
+				delete(s.responders, ref)
 				reply(Response{Outcome: Applied, State: to.core.state})
 				return
 			}
-			to.carryOut(to.core.Read(s.now, ref))
+			to.execute(to.core.Read(s.now, ref))
 			return
 		}
-		to.carryOut(to.core.Submit(s.now, ref, *command))
+		to.execute(to.core.Submit(s.now, ref, *command))
 	})
 }
--- a/process/consensus/replica/simulation_test.go
+++ b/process/consensus/replica/simulation_test.go
@@ -15,145 +15,152 @@
 	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
-// The simulator runs a whole group and its holders in made-up time: links that lose, repeat, delay
-// and cut one way, disks that stall and lose what was not synced, machines that crash, freeze and are
-// wiped, and clocks whose time of day jumps. A checker holds what must never happen.
+// The simulation runs a complete group and its clients in simulated time, deterministically by its seed: a network that
+// loses, duplicates and delays messages and is partitioned one way or both, disks that stall and lose what was not
+// synced, machines that crash, are suspended and are wiped, and clocks whose time of day jumps. Checks after each step
+// report violations of the invariants (simulation_checks_test.go).
 
-// brk names a way to break the machinery on purpose, to see that the checker bites.
-type brk string
+// defect names a defect that is injected on purpose, to prove that the checks catch it.
+type defect string
 
 const (
-	sound          brk = ""
-	diskLies       brk = "a disk that says synced before it is"
-	voteForgotten  brk = "a term and a vote that are not kept"
-	readsUnasked   brk = "reads answered without asking a majority"
-	floorForgotten brk = "floors that are forgotten"
-	tenureOverrun  brk = "a holder that mints on after its tenure"
-	wipedKeepsName brk = "a wiped member that votes under its old identity"
+	noDefect           defect = ""
+	lyingDisk          defect = "a disk that reports a sync before it happened"
+	forgottenVotes     defect = "a term and a vote that are not persisted"
+	unconfirmedReads   defect = "reads answered without confirmation by a majority"
+	forgottenFloors    defect = "timestamp floors that are forgotten"
+	overrunLease       defect = "a holder that generates ids after its lease expired"
+	wipedKeepsIdentity defect = "a wiped member that votes under its old identity"
 )
 
-type simEvent struct {
+type scheduledEvent struct {
 	at  clock.Mark
 	seq int
 	run func()
 }
 
-type simHeap []simEvent
+type eventQueue []scheduledEvent
 
-func (h simHeap) Len() int { return len(h) }
+func (h eventQueue) Len() int { return len(h) }
 
-func (h simHeap) Less(i, j int) bool {
+func (h eventQueue) Less(i, j int) bool {
 	return h[i].at < h[j].at || (h[i].at == h[j].at && h[i].seq < h[j].seq)
 }
 
-func (h simHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h eventQueue) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-func (h *simHeap) Push(x any) { *h = append(*h, x.(simEvent)) }
+func (h *eventQueue) Push(x any) { *h = append(*h, x.(scheduledEvent)) }
 
-func (h *simHeap) Pop() any { old := *h; last := old[len(old)-1]; *h = old[:len(old)-1]; return last }
+func (h *eventQueue) Pop() any {
+	old := *h
+	last := old[len(old)-1]
+	*h = old[:len(old)-1]
+	return last
+}
 
-type sim struct {
-	t       *testing.T
-	random  *rand.Rand
-	broken  brk
-	now     clock.Mark
-	events  simHeap
-	seq     int
-	nodes   []*simNode
-	holders []*simHolder
-	cut     map[[2]int]bool
-	loss    float64
-	faults  bool
+type simulation struct {
+	t             *testing.T
+	random        *rand.Rand
+	defect        defect
+	now           clock.Mark
+	events        eventQueue
+	seq           int
+	nodes         []*simulatedNode
+	holders       []*simulatedLeaseHolder
+	partitioned   map[[2]int]bool
+	loss          float64
+	faultsEnabled bool
 
-	// What the checker keeps.
-	violations  []string
-	leaderOf    map[raft.Term]raft.MemberID
-	applied     map[raft.Index]string
-	minted      map[ident.SnowflakeID]string
-	mints       int
-	ackedEpoch  ident.Version
-	firstNow    ident.GroupTime
-	firstAt     clock.Mark
-	acks, reads int
-	refs        uint64
-	asked       map[uint64]func(Response)
-	crashes     int
-	// calm leaves time between troubles, so that a leader lasts long enough to reclaim what lapsed.
-	calm bool
-	// ended stops the operators, so that what they were told can spread before the end is looked at.
-	ended                   bool
+	// What the checks keep.
+	violations     []string
+	leaderOf       map[raft.Term]raft.MemberID
+	applied        map[raft.Index]string
+	minted         map[ident.SnowflakeID]string
+	mints          int
+	ackedVersion   ident.Version
+	firstGroupTime ident.GroupTime
+	firstAt        clock.Mark
+	acks, reads    int
+	lastRequestID  uint64
+	responders     map[uint64]func(Response)
+	crashes        int
+	// sparseFaults leaves time between faults, so that a leader lasts long enough to reclaim expired leases.
+	sparseFaults bool
+	// operatorsStopped stops the operators, so that what was acknowledged can spread before the final checks.
+	operatorsStopped        bool
 	wipes, replaced, losses int
-	// size is how many machines are to vote.
-	size int
-	// diskTakes is how long each write takes beside the rest.
-	diskTakes time.Duration
-	// notices counts what members noticed, compared the digests that peers answered with, gaveUp who gave up its state.
-	notices  map[raft.NoticeKind]int
-	compared int
-	gaveUp   []raft.MemberID
-	// highest is the last entry that any leader applied, lostDisks what identities held whose disks were wiped.
-	highest   raft.Index
-	lostDisks map[raft.MemberID]raft.PersistentState
-	// mayGiveUp says that some state was made to differ.
-	mayGiveUp bool
+	// voters is how many machines are to vote.
+	voters int
+	// writeDuration is added to the duration of each write.
+	writeDuration time.Duration
+	// notices counts the members' notices, digestsCompared the digests in replies; resigned lists the members that
+	// resigned.
+	notices         map[raft.NoticeKind]int
+	digestsCompared int
+	resigned        []raft.MemberID
+	// highestApplied is the last entry that any leader applied, wipedDisks what the members held whose disks were wiped.
+	highestApplied raft.Index
+	wipedDisks     map[raft.MemberID]raft.PersistentState
+	// resignationExpected says that some state was made to diverge.
+	resignationExpected bool
 	// config is the group's.
 	config Config
-	// link, where it is set, is how many bytes a second each machine sends, one message after the other; busyUntil
-	// says until when a machine's link is taken. wholeSnapshots has members say that they take no parts.
-	link           int
-	busyUntil      map[int]clock.Mark
-	wholeSnapshots bool
-	// damage changes snapshots on their way, while there is trouble.
-	damage func(*raft.Message)
-	// plan decides on the next membership; nil stands for the real plan.
-	plan func(MembershipPlan) (raft.Membership, bool)
-	// onlyPower has all machines lose power over and over, and nothing else happen.
-	onlyPower bool
-	// endsUnheld has those that stop end though nobody said that they may.
-	endsUnheld bool
-	// sentBytes is how much all machines sent.
+	// linkBytesPerSecond, where it is set, limits what each machine sends, one message after the other; linkBusyUntil is
+	// when a machine's link is free. unchunkedSnapshots has members announce that they accept no chunks.
+	linkBytesPerSecond int
+	linkBusyUntil      map[int]clock.Mark
+	unchunkedSnapshots bool
+	// damageSnapshot alters snapshots in transit, until the faults end.
+	damageSnapshot func(*raft.Message)
+	// membershipRule decides on the next membership; nil stands for MembershipPlan.Next.
+	membershipRule func(MembershipPlan) (raft.Membership, bool)
+	// powerLossOnly restricts the faults to power losses of all machines.
+	powerLossOnly bool
+	// stopsUnsafely has machines that stop end before they may.
+	stopsUnsafely bool
+	// sentBytes is the number of bytes that all machines sent.
 	sentBytes int
 }
 
-func (s *sim) after(d time.Duration, run func()) {
+func (s *simulation) schedule(d time.Duration, run func()) {
 	s.seq++
-	heap.Push(&s.events, simEvent{s.now + clock.Mark(d), s.seq, run})
+	heap.Push(&s.events, scheduledEvent{s.now + clock.Mark(d), s.seq, run})
 }
 
-func (s *sim) ms(from, to int) time.Duration {
+func (s *simulation) randomDuration(from, to int) time.Duration {
 	return time.Duration(from+s.random.IntN(to-from+1)) * time.Millisecond
 }
 
-func simConfig(size int) Config {
+func simulationConfig(size int) Config {
 	config := DefaultConfig()
 	config.CompactEntries, config.RetainEntries = 40, 10
 	config.Voters = size
 	return config
 }
 
-func newSim(t *testing.T, seed uint64, size int, broken brk) *sim {
-	return newAdjustedSim(t, seed, size, broken, nil)
+func newSimulation(t *testing.T, seed uint64, size int, broken defect) *simulation {
+	return newAdjustedSimulation(t, seed, size, broken, nil)
 }
 
-// newAdjustedSim makes a simulated group with its members' settings changed by adjust.
-func newAdjustedSim(t *testing.T, seed uint64, size int, broken brk, adjust func(*Config)) *sim {
-	config := simConfig(size)
+// newAdjustedSimulation makes a simulated group whose configuration is changed by adjust.
+func newAdjustedSimulation(t *testing.T, seed uint64, size int, broken defect, adjust func(*Config)) *simulation {
+	config := simulationConfig(size)
 	if adjust != nil {
 		adjust(&config)
 	}
-	return newSimWith(t, seed, config, broken)
+	return newSimulationWith(t, seed, config, broken)
 }
 
-func newSimWith(t *testing.T, seed uint64, config Config, broken brk) *sim {
+func newSimulationWith(t *testing.T, seed uint64, config Config, broken defect) *simulation {
 	size := config.Voters
-	s := &sim{t: t, random: rand.New(rand.NewPCG(seed, 99)), broken: broken, now: clock.Mark(time.Hour), cut: map[[2]int]bool{}, loss: 0.02, faults: true, calm: seed%2 == 1,
-		size: size, leaderOf: map[raft.Term]raft.MemberID{}, applied: map[raft.Index]string{}, minted: map[ident.SnowflakeID]string{}, asked: map[uint64]func(Response){}, notices: map[raft.NoticeKind]int{}, lostDisks: map[raft.MemberID]raft.PersistentState{}, config: config}
+	s := &simulation{t: t, random: rand.New(rand.NewPCG(seed, 99)), defect: broken, now: clock.Mark(time.Hour), partitioned: map[[2]int]bool{}, loss: 0.02, faultsEnabled: true, sparseFaults: seed%2 == 1,
+		voters: size, leaderOf: map[raft.Term]raft.MemberID{}, applied: map[raft.Index]string{}, minted: map[ident.SnowflakeID]string{}, responders: map[uint64]func(Response){}, notices: map[raft.NoticeKind]int{}, wipedDisks: map[raft.MemberID]raft.PersistentState{}, config: config}
 	var members raft.Membership
 	for i := range size {
 		members.Members = append(members.Members, raft.Member{ID: raft.MemberID(i + 1), Name: fmt.Sprint("core-", i), Address: fmt.Sprint(i), Voter: true})
 	}
 	for i := range size {
-		n := &simNode{sim: s, place: i, id: raft.MemberID(i + 1)}
+		n := &simulatedNode{sim: s, index: i, id: raft.MemberID(i + 1)}
 		n.disk.state = raft.PersistentState{HardState: raft.HardState{Term: 1}, Snapshot: raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: statemachine.New().Snapshot()}}
 		s.nodes = append(s.nodes, n)
 		n.start()
@@ -161,51 +168,51 @@
 	return s
 }
 
-// some picks some of the machines that are there.
-func (s *sim) some(count int) []*simNode {
-	here := slices.DeleteFunc(slices.Clone(s.nodes), func(n *simNode) bool { return n.gone })
+// randomMachines draws from the machines that were not removed.
+func (s *simulation) randomMachines(count int) []*simulatedNode {
+	here := slices.DeleteFunc(slices.Clone(s.nodes), func(n *simulatedNode) bool { return n.removed })
 	s.random.Shuffle(len(here), func(i, j int) { here[i], here[j] = here[j], here[i] })
 	return here[:min(count, len(here))]
 }
 
-// add brings up a new machine with an empty disk.
-func (s *sim) add() {
-	n := &simNode{sim: s, place: len(s.nodes), id: raft.MemberID(1000 + len(s.nodes))}
+// addMachine starts a new machine with an empty disk.
+func (s *simulation) addMachine() {
+	n := &simulatedNode{sim: s, index: len(s.nodes), id: raft.MemberID(1000 + len(s.nodes))}
 	s.nodes = append(s.nodes, n)
 	n.start()
 }
 
-// whole says that all machines that are to be there are up and vote, so that one of them may be lost.
-func (s *sim) whole() bool {
+// fullyRepaired reports whether all machines that are to be there are up and vote, so that one of them may be lost.
+func (s *simulation) fullyRepaired() bool {
 	here := 0
 	for _, n := range s.nodes {
-		if n.gone {
+		if n.removed {
 			continue
 		}
 		here++
 		members := n.core.raft.Membership()
-		if self, known := members.Find(n.id); !n.up || !known || !self.Voter || len(members.Voters()) != s.size {
+		if self, known := members.Find(n.id); !n.up || !known || !self.Voter || len(members.Voters()) != s.voters {
 			return false
 		}
-		// Whoever was replaced must be out.
+		// Replaced machines must not vote any more.
 		for _, other := range s.nodes {
-			if found, in := members.Find(other.id); other.gone && in && found.Voter {
+			if found, in := members.Find(other.id); other.removed && in && found.Voter {
 				return false
 			}
 		}
 	}
-	return here == s.size
+	return here == s.voters
 }
 
-// nextMembership asks the plan.
-func (s *sim) nextMembership(plan MembershipPlan) (raft.Membership, bool) {
-	if s.plan != nil {
-		return s.plan(plan)
+// nextMembership applies the membership rule of this simulation.
+func (s *simulation) nextMembership(plan MembershipPlan) (raft.Membership, bool) {
+	if s.membershipRule != nil {
+		return s.membershipRule(plan)
 	}
 	return plan.Next()
 }
 
-func (s *sim) nodeOf(id raft.MemberID) *simNode {
+func (s *simulation) nodeOf(id raft.MemberID) *simulatedNode {
 	for _, n := range s.nodes {
 		if n.id == id {
 			return n
@@ -214,81 +221,81 @@
 	return nil
 }
 
-func (s *sim) runFor(d time.Duration) {
+func (s *simulation) runFor(d time.Duration) {
 	end := s.now + clock.Mark(d)
 	for len(s.events) > 0 && s.events[0].at <= end && len(s.violations) < 5 {
-		event := heap.Pop(&s.events).(simEvent)
+		event := heap.Pop(&s.events).(scheduledEvent)
 		s.now = event.at
 		event.run()
 	}
 	s.now = max(s.now, end)
 }
 
-// run is one history: trouble for a while, then quiet, in which the group must act again within the brief's twelve seconds.
-func (s *sim) run(trouble time.Duration) {
+// runHistory plays one history: faults for a while, then none, when the group must recover within twelve seconds.
+func (s *simulation) runHistory(faultDuration time.Duration) {
 	for i := range 4 {
-		h := &simHolder{sim: s, name: fmt.Sprint("holder-", i), rate: 1 + (s.random.Float64()-0.5)*0.002}
+		h := &simulatedLeaseHolder{sim: s, name: fmt.Sprint("holder-", i), rate: 1 + (s.random.Float64()-0.5)*0.002}
 		s.holders = append(s.holders, h)
 		h.begin()
 	}
-	s.operate()
-	s.trouble()
-	if s.calm {
-		trouble *= 2
+	s.scheduleOperator()
+	s.scheduleFaults()
+	if s.sparseFaults {
+		faultDuration *= 2
 	}
-	s.runFor(trouble)
+	s.runFor(faultDuration)
 	s.heal()
 	before := s.acks
 	s.runFor(12 * time.Second)
 	if s.acks == before && len(s.violations) == 0 {
-		s.fault("nothing was acknowledged within 12 s of the last trouble")
+		s.reportViolation("nothing was acknowledged within 12 s of the last fault")
 	}
-	s.ended = true
+	s.operatorsStopped = true
 	s.runFor(2 * time.Second)
-	if s.size >= 3 && !s.whole() {
-		s.fault("not all machines vote 14 s after the last trouble")
+	if s.voters >= 3 && !s.fullyRepaired() {
+		s.reportViolation("not all machines vote 14 s after the last fault")
 	}
 	for _, n := range s.nodes {
-		if n.gone {
+		if n.removed {
 			continue
 		}
-		if n.core.state.Closures.Version < s.ackedEpoch {
-			s.fault("member %d ends with closures at epoch %d, and %d was acknowledged", n.id, n.core.state.Closures.Version, s.ackedEpoch)
+		if n.core.state.Closures.Version < s.ackedVersion {
+			s.reportViolation("member %d ends with closures at version %d, and %d was acknowledged", n.id, n.core.state.Closures.Version, s.ackedVersion)
 		}
 	}
 	if s.mints == 0 || s.reads == 0 {
-		s.fault("nothing was checked: %d mints, %d reads", s.mints, s.reads)
+		s.reportViolation("nothing was checked: %d mints, %d reads", s.mints, s.reads)
 	}
 }
 
-// tryRun takes a broken invariant's panic for a catch too.
-func (s *sim) tryRun(trouble time.Duration) (caught string) {
+// runUntilViolation returns the first violation, or the panic of a broken invariant.
+func (s *simulation) runUntilViolation(faultDuration time.Duration) (caught string) {
 	defer func() {
 		if p := recover(); p != nil {
 			caught = fmt.Sprint(p)
 		}
 	}()
-	s.run(trouble)
+	s.runHistory(faultDuration)
 	return cmp.Or(append(s.violations, "")...)
 }
 
-// calmSim is a group without troubles of its own, that has been told something.
-func calmSim(t *testing.T, seed uint64, size int) *sim {
-	s := newSim(t, seed, size, sound)
-	s.faults, s.loss = false, 0
-	h := &simHolder{sim: s, name: "holder", rate: 1}
+// newFaultlessSimulation makes a group without random faults that has acknowledged something.
+func newFaultlessSimulation(t *testing.T, seed uint64, size int) *simulation {
+	s := newSimulation(t, seed, size, noDefect)
+	s.faultsEnabled, s.loss = false, 0
+	h := &simulatedLeaseHolder{sim: s, name: "holder", rate: 1}
 	s.holders = append(s.holders, h)
 	h.begin()
-	s.operate()
+	s.scheduleOperator()
 	s.runFor(5 * time.Second)
 	if s.acks == 0 {
-		t.Fatal("the group does not act")
+		t.Fatal("the group acknowledges nothing")
 	}
 	return s
 }
 
-// until runs until something holds, and says how long that took.
-func (s *sim) until(most time.Duration, holds func() bool) time.Duration {
+// runUntil runs until a condition holds, and returns how long that took.
+func (s *simulation) runUntil(most time.Duration, holds func() bool) time.Duration {
 	began := s.now
 	for s.now.Since(began) < most && !holds() {
 		s.runFor(10 * time.Millisecond)
@@ -296,8 +303,8 @@
 	return s.now.Since(began)
 }
 
-// leader finds who leads.
-func (s *sim) leader() *simNode {
+// leader returns the node that leads; nil where none does.
+func (s *simulation) leader() *simulatedNode {
 	for _, n := range s.nodes {
 		if n.up && s.now >= n.frozenUntil && n.core.IsLeader() {
 			return n
--- a/process/consensus/replica/snapshots_test.go
+++ b/process/consensus/replica/snapshots_test.go
@@ -11,34 +11,34 @@
 	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
-// cutOften is a group whose log is cut so often that every absence ends with a snapshot.
-func cutOften(t *testing.T, seed uint64, size, every, keep int) *sim {
-	config := simConfig(size)
+// newFrequentlyCompactedSimulation makes a group whose log is compacted so often that every absence ends with a snapshot.
+func newFrequentlyCompactedSimulation(t *testing.T, seed uint64, size, every, keep int) *simulation {
+	config := simulationConfig(size)
 	config.CompactEntries, config.RetainEntries = every, keep
-	return newSimWith(t, seed, config, sound)
+	return newSimulationWith(t, seed, config, noDefect)
 }
 
-// seedsOr is how many seeds are played: more for a search by CRESSPOND_SEEDS.
-func seedsOr(usual uint64) uint64 {
+// seedCount is how many seeds are played; CRESSPOND_SEEDS sets more for a search.
+func seedCount(usual uint64) uint64 {
 	if wanted, err := strconv.ParseUint(os.Getenv("CRESSPOND_SEEDS"), 10, 64); err == nil {
 		return wanted
 	}
 	return usual
 }
 
-// The same troubles with logs cut after a few entries: every restart, cut and wipe meets snapshots.
-func TestGroupUnderTroubleWithShortLogs(t *testing.T) {
+// The same faults with logs compacted after a few entries: every restart, partition and wipe meets snapshots.
+func TestGroupUnderFaultsWithFrequentSnapshots(t *testing.T) {
 	notices, compared := map[raft.NoticeKind]int{}, 0
-	seeds := seedsOr(30)
+	seeds := seedCount(30)
 	for seed := range seeds {
 		size := []int{3, 5, 3}[seed%3]
 		shape := [][2]int{{25, 3}, {5, 1}, {12, 0}}[seed%3]
-		s := cutOften(t, seed, size, shape[0], shape[1])
-		s.run(60 * time.Second)
+		s := newFrequentlyCompactedSimulation(t, seed, size, shape[0], shape[1])
+		s.runHistory(60 * time.Second)
 		for _, violation := range s.violations {
 			t.Errorf("seed %d, %d members, cut after %d, %d kept: %s", seed, size, shape[0], shape[1], violation)
 		}
-		compared += s.compared
+		compared += s.digestsCompared
 		for kind, count := range s.notices {
 			notices[kind] += count
 		}
@@ -49,29 +49,29 @@
 	}
 }
 
-// Snapshots damaged on their way, with a checksum and without one, are refused and sent anew; no member ends, none
-// takes a damaged one that can be told, and all are whole in time.
-func TestSnapshotsDamagedOnTheirWayAreRefused(t *testing.T) {
+// Snapshots damaged in transit, with a checksum and without one, are rejected and sent again; no member fails, none
+// installs one whose damage can be detected, and all are repaired in time.
+func TestSnapshotsDamagedInTransitAreRejected(t *testing.T) {
 	refused := 0
-	for seed := range seedsOr(20) {
-		s := cutOften(t, seed, 3, 10, 2)
-		s.damage = func(m *raft.Message) {
+	for seed := range seedCount(20) {
+		s := newFrequentlyCompactedSimulation(t, seed, 3, 10, 2)
+		s.damageSnapshot = func(m *raft.Message) {
 			if s.random.IntN(3) != 0 || len(m.Snapshot.Data) == 0 {
 				return
 			}
 			changed := *m.Snapshot
 			changed.Data = slices.Clone(changed.Data)
 			if seed%2 == 0 {
-				// A byte of text changed, as only a checksum can tell.
+				// A byte of text altered, as only a checksum can detect.
 				changed.Data[s.random.IntN(len(changed.Data))] ^= 1
 			} else {
-				// As a build without checksums sends it, cut short.
+				// As a build without checksums sends it, truncated.
 				changed.Checksum, changed.Data = nil, changed.Data[:s.random.IntN(len(changed.Data))]
 				m.SnapshotSize = uint64(len(changed.Data))
 			}
 			m.Snapshot = &changed
 		}
-		s.run(60 * time.Second)
+		s.runHistory(60 * time.Second)
 		for _, violation := range s.violations {
 			t.Errorf("seed %d: %s", seed, violation)
 		}
@@ -79,17 +79,17 @@
 	}
 	t.Logf("%d refused", refused)
 	if refused == 0 {
-		t.Error("none was refused")
+		t.Error("no snapshot was rejected")
 	}
 }
 
-// The broken variant: where checksums are taken off, a changed byte that can be read is seen by the digests of states.
-func TestChangedSnapshotsWithoutChecksumAreCaughtByDigests(t *testing.T) {
+// An injected defect: where checksums are left out, an altered state that can be read is detected by the digests.
+func TestDigestsCatchAlteredSnapshotsWithoutChecksum(t *testing.T) {
 	for seed := range uint64(60) {
-		s := calmSim(t, seed, 3)
-		s.mayGiveUp = true
+		s := newFaultlessSimulation(t, seed, 3)
+		s.resignationExpected = true
 		changed := 0
-		s.damage = func(m *raft.Message) {
+		s.damageSnapshot = func(m *raft.Message) {
 			state, err := statemachine.Restore(m.Snapshot.Data)
 			if err != nil {
 				t.Fatal(err)
@@ -100,15 +100,15 @@
 			m.Snapshot, m.SnapshotSize = &other, uint64(len(other.Data))
 			changed++
 		}
-		victim := s.nodes[(s.leader().place+1)%3]
+		victim := s.nodes[(s.leader().index+1)%3]
 		victim.crash()
 		s.runFor(20 * time.Second)
-		victim.revive()
-		s.until(5*time.Second, func() bool { return changed > 0 })
-		s.damage = nil
-		s.until(time.Minute, func() bool { return len(s.gaveUp) > 0 })
-		if changed > 0 && len(s.gaveUp) > 0 {
-			t.Logf("seed %d: %v gave up", seed, s.gaveUp)
+		victim.restart()
+		s.runUntil(5*time.Second, func() bool { return changed > 0 })
+		s.damageSnapshot = nil
+		s.runUntil(time.Minute, func() bool { return len(s.resigned) > 0 })
+		if changed > 0 && len(s.resigned) > 0 {
+			t.Logf("seed %d: %v resigned", seed, s.resigned)
 			return
 		}
 	}
