--- a/connection/gateway/answers_test.go
+++ b/connection/gateway/answers_test.go
@@ -335,7 +335,7 @@
 	second := f.dial()
 	_, _ = io.WriteString(second, ask("once", "a2", "ping"))
 	held := func() (now int) {
-		f.actor.Ask(func(c *forwarding.Core, _ forwarding.World) { now = c.HeldNow() })
+		f.actor.Do(func(c *forwarding.Core, _ forwarding.Environment) { now = c.QueueLength() })
 		return now
 	}
 	for held() == 0 {
@@ -409,7 +409,7 @@
 	}
 	f.draining.Store(false)
 	section := *f.index.Load().Section
-	section.Limits.MostBodyBytes = 3
+	section.Limits.MaxBodyBytes = 3
 	f.index.Store(upstream.NewIndex(&section))
 	if got := f.call(ask("once", "a2", "ping")); got.status != 413 {
 		t.Errorf("%+v", got)
@@ -430,8 +430,8 @@
 		limits upstream.Limits
 		final  int
 	}{
-		{"body", upstream.Limits{MostBodyBytes: 3}, 413},
-		{"head", upstream.Limits{MostHeaderBytes: 40}, 431},
+		{"body", upstream.Limits{MaxBodyBytes: 3}, 413},
+		{"head", upstream.Limits{MaxHeaderBytes: 40}, 431},
 	} {
 		limited(c.limits)
 		f.old.Store(true)
@@ -497,7 +497,7 @@
 	send("once", "held")
 	held := 0
 	for held == 0 {
-		f.actor.Ask(func(c *forwarding.Core, _ forwarding.World) { held = c.HeldNow() })
+		f.actor.Do(func(c *forwarding.Core, _ forwarding.Environment) { held = c.QueueLength() })
 	}
 	f.gateway.Stop()
 	for id, status := range map[string]int{"sent": 502, "repeatable": 502, "held": 503} {
--- a/daemon/admitcallers.go
+++ b/daemon/admitcallers.go
@@ -10,12 +10,12 @@
 
 // admitCallers opens the door to callers once there is what it takes to serve and to hold their requests.
 func (d *Daemon) admitCallers() {
-	if d.forwardIndex() != nil && d.generator.Held() && len(d.registry.View().Engines) > 0 {
-		d.callerGate.open()
+	if d.forwardIndex() != nil && d.generator.HasLease() && len(d.registry.View().Engines) > 0 {
+		d.callerGate.Open()
 	}
 }
 
-// callerRest is how long callers may leave a kept connection at rest, by the bundle in force.
+// callerKeepAlive is how long callers may leave a kept connection at rest, by the bundle in force.
 func (d *Daemon) callerKeepAlive() time.Duration {
 	index := d.forwardIndex()
 	if index == nil {
--- a/daemon/changetrace.go
+++ b/daemon/changetrace.go
@@ -12,28 +12,28 @@
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
-// trace gathers every daemon's steps for one change; state tells the newest epochs of the group.
+// changeTrace gathers every daemon's steps for one change; state tells the newest epochs of the group.
 func (d *Daemon) changeTrace(change string, state []byte) []byte {
-	var known traceState
-	_ = json.Unmarshal(state, &known)
+	var newest traceState
+	_ = json.Unmarshal(state, &newest)
 	kind, number := "", uint64(0)
 	if before, after, found := strings.Cut(change, ":"); found {
 		kind = before
 		_, _ = fmt.Sscanf(after, "%d", &number)
 	}
-	epoch := known.Spec
+	version := newest.Configuration
 	if kind == "closure" {
-		epoch = known.Closure
+		version = newest.Closure
 	}
-	out := operatorapi.Trace{Change: change, Rows: []operatorapi.TraceRow{}, Epoch: ident.Version(epoch), Known: number > 0 && number <= epoch}
+	out := operatorapi.Trace{Change: change, Rows: []operatorapi.TraceRow{}, Version: ident.Version(version), Known: number > 0 && number <= version}
 	now := d.clock.Elapsed()
-	unheard := known.Serving
-	for _, fellow := range d.members.View().InContact(now, time.Minute) {
-		row := operatorapi.TraceRow{NodeID: fellow.NodeID, Zone: fellow.Zone, HeardMsAgo: now.Since(fellow.LastContact).Milliseconds()}
-		if at := slices.Index(unheard, fellow.NodeID); at >= 0 {
-			row.Serving, unheard = true, slices.Delete(unheard, at, at+1)
+	unseen := newest.Serving
+	for _, peer := range d.members.View().InContact(now, time.Minute) {
+		row := operatorapi.TraceRow{NodeID: peer.NodeID, Zone: peer.Zone, LastContactMsAgo: now.Since(peer.LastContact).Milliseconds()}
+		if at := slices.Index(unseen, peer.NodeID); at >= 0 {
+			row.Serving, unseen = true, slices.Delete(unseen, at, at+1)
 		}
-		for _, step := range fellow.Steps {
+		for _, step := range peer.Steps {
 			if step.Change != change {
 				continue
 			}
@@ -46,16 +46,16 @@
 				row.InForceMs = step.UnixMs
 			}
 		}
-		held := fellow.ConfigurationVersion
+		appliedVersion := peer.ConfigurationVersion
 		if kind == "closure" {
-			held = fellow.ClosureVersion
+			appliedVersion = peer.ClosureVersion
 		}
-		row.Missing = uint64(held) < number
+		row.Missing = uint64(appliedVersion) < number
 		out.Rows = append(out.Rows, row)
 	}
-	for _, node := range unheard {
+	for _, node := range unseen {
 		// It may be serving and has not been heard for long, so the change can't count as in force there.
-		out.Rows = append(out.Rows, operatorapi.TraceRow{NodeID: node, HeardMsAgo: -1, Missing: true, Serving: true})
+		out.Rows = append(out.Rows, operatorapi.TraceRow{NodeID: node, LastContactMsAgo: -1, Missing: true, Serving: true})
 	}
 	out.Acknowledged = out.Known && !slices.ContainsFunc(out.Rows, func(row operatorapi.TraceRow) bool { return row.Serving && row.Missing })
 	data, err := json.Marshal(out)
--- a/daemon/leader.go
+++ b/daemon/leader.go
@@ -22,8 +22,8 @@
 
 // leaderAndTerm is where the leader is and in which term it leads, as far as this daemon knows.
 func (d *Daemon) leaderAndTerm() (string, uint64) {
-	if held := d.replica.Load(); held != nil {
-		if condition := held.Status(); condition.Leader.Address != "" {
+	if groupMember := d.replica.Load(); groupMember != nil {
+		if condition := groupMember.Status(); condition.Leader.Address != "" {
 			return condition.Leader.Address, uint64(condition.Term)
 		}
 	}
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -22,7 +22,7 @@
 		return nil
 	}
 	var losses map[forwarding.LossKey]uint64
-	d.forwarding.actor.Ask(func(core *forwarding.Core, _ forwarding.World) { losses = core.Losses() })
+	d.forwarding.actor.Do(func(core *forwarding.Core, _ forwarding.Environment) { losses = core.Losses() })
 	out := make([]metrics.Loss, 0, len(losses))
 	for key, count := range losses {
 		out = append(out, metrics.Loss{Path: key.Path, Model: key.Model, Reason: key.Reason.String(), Count: count})
@@ -39,15 +39,15 @@
 	if d.config.MetricsListen == "" {
 		return nil
 	}
-	if d.config.Trouble == daemonconfig.WaitOnTrouble {
+	if d.config.OnFault == daemonconfig.RetryOnFault {
 		go func() {
-			if listener, err := d.listen(ctx.Done(), daemonconfig.MetricsKey, d.config.MetricsListen); err == nil {
+			if listener, err := d.listeners.Open(ctx.Done(), daemonconfig.MetricsKey, d.config.MetricsListen); err == nil {
 				d.serveMetrics(ctx, listener)
 			}
 		}()
 		return nil
 	}
-	listener, err := d.listen(ctx.Done(), daemonconfig.MetricsKey, d.config.MetricsListen)
+	listener, err := d.listeners.Open(ctx.Done(), daemonconfig.MetricsKey, d.config.MetricsListen)
 	if err != nil {
 		return err
 	}
--- a/daemon/metrics_test.go
+++ b/daemon/metrics_test.go
@@ -12,20 +12,20 @@
 	"github.com/cresspond/cresspond/process/daemonconfig"
 )
 
-// TestAMetricsPortInUseIsNamedByItsKey: it ends the start where troubles end a daemon, and holds nothing up where they
+// TestMetricsPortInUseIsReportedByItsSettingsKey: it ends the start where troubles end a daemon, and holds nothing up where they
 // are waited for.
-func TestAMetricsPortInUseIsNamedByItsKey(t *testing.T) {
+func TestMetricsPortInUseIsReportedByItsSettingsKey(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer taken.Close()
 	for _, one := range []struct {
-		trouble daemonconfig.Trouble
+		trouble daemonconfig.FaultPolicy
 		refused bool
-	}{{daemonconfig.EndOnTrouble, true}, {daemonconfig.WaitOnTrouble, false}} {
+	}{{daemonconfig.ExitOnFault, true}, {daemonconfig.RetryOnFault, false}} {
 		settings := daemonconfig.Default()
-		settings.Name, settings.Trouble, settings.MetricsListen = "edge-1", one.trouble, taken.Addr().String()
+		settings.Name, settings.OnFault, settings.MetricsListen = "edge-1", one.trouble, taken.Addr().String()
 		d := New(settings, "test", &log.Logger{Handler: discard.Default})
 		ctx, cancel := context.WithCancel(context.Background())
 		err := d.startMetrics(ctx)
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -1,7 +1,9 @@
 package daemon
 
 import (
+	"context"
 	"errors"
+	"net"
 	"net/http"
 	"slices"
 	"strings"
@@ -12,17 +14,26 @@
 	"github.com/cresspond/cresspond/configuration/document"
 	"github.com/cresspond/cresspond/connection/gateway"
 	"github.com/cresspond/cresspond/connection/sessionapi"
+	"github.com/cresspond/cresspond/daemon/listener"
 	"github.com/cresspond/cresspond/process/daemonconfig"
 	"github.com/cresspond/cresspond/wire/callerapi"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
+const (
+	// callerReadLimit is how long a request may take to be read.
+	callerReadLimit = 20 * time.Second
+	// keepAliveLimit is how long connections may idle where the configuration in force allows no more. A server waits
+	// for longer than callerReadLimit only while a connection idles, by which listener.KeepAliveListener knows one.
+	keepAliveLimit = time.Minute
+)
+
 const (
 	maxCallerBody = 4 << 20
-	// mostHeader bounds a request's head; what bundles allow is less.
+	// maxHeader bounds a request's head; what bundles allow is less.
 	maxHeader = 32 << 10
-	// mostBundleBody leaves room for a bundle's largest size and what is said around it.
-	maxConfigurationBody = document.MostBytes + 64<<10
+	// maxConfigurationBody leaves room for a bundle's largest size and what is said around it.
+	maxConfigurationBody = document.MaxBytes + 64<<10
 )
 
 // bodyLimit lets only what holds a bundle be as large as a bundle may be.
@@ -35,11 +46,11 @@
 	return fasthttp.RequestConfig{}
 }
 
-// quiet drops the library's own lines: broken connections are counted, not told.
-type silentLogger struct{}
+// discardLogger drops the library's own lines: broken connections are counted, not told.
+type discardLogger struct{}
 
 // Printf drops a line.
-func (silentLogger) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 // badRequest answers what could not even be read as HTTP.
 func badRequest(ctx *fasthttp.RequestCtx, err error) {
@@ -55,7 +66,7 @@
 	ctx.SetConnectionClose()
 }
 
-// badCall is badRequest where callers come in: how large a body is read there follows from the table in force, and
+// badCallerRequest is badRequest where callers come in: how large a body is read there follows from the table in force, and
 // that may be old.
 func (d *Daemon) badCallerRequest(ctx *fasthttp.RequestCtx, err error) {
 	if err == fasthttp.ErrBodyTooLarge && d.isForwarded(ctx, string(ctx.Path())) {
@@ -65,7 +76,7 @@
 	badRequest(ctx, err)
 }
 
-// mostConnections is how many connections a listener keeps open: what callers take must leave descriptors for
+// maxConnections is how many connections a listener keeps open: what callers take must leave descriptors for
 // engines, peers and files.
 func maxConnections(descriptors int) int {
 	const (
@@ -83,7 +94,7 @@
 func (d *Daemon) server(handle fasthttp.RequestHandler, limits func(*fasthttp.RequestHeader) fasthttp.RequestConfig) *fasthttp.Server {
 	return &fasthttp.Server{
 		Handler: handle, Name: "cresspond", MaxRequestBodySize: maxCallerBody, HeaderReceived: limits, ReadTimeout: callerReadLimit, WriteTimeout: 5 * time.Minute,
-		IdleTimeout: keepAliveLimit, NoDefaultServerHeader: true, Concurrency: maxConnections(d.config.Machine.MostFds), CloseOnShutdown: true, Logger: silentLogger{}, ReadBufferSize: maxHeader,
+		IdleTimeout: keepAliveLimit, NoDefaultServerHeader: true, Concurrency: maxConnections(d.config.Machine.MaxFileDescriptors), CloseOnShutdown: true, Logger: discardLogger{}, ReadBufferSize: maxHeader,
 		// A form is some caller's body like any other, and goes on byte for byte.
 		ErrorHandler: badRequest, DisablePreParseMultipartForm: true,
 	}
@@ -106,7 +117,7 @@
 	}
 }
 
-// letGo lets whoever is answered by a stopping daemon connect elsewhere next time.
+// closeIfDraining lets whoever is answered by a stopping daemon connect elsewhere next time.
 func (d *Daemon) closeIfDraining(ctx *fasthttp.RequestCtx) {
 	if d.draining.Load() {
 		ctx.SetConnectionClose()
@@ -119,7 +130,7 @@
 	d.serveOperators(ctx)
 }
 
-// operate serves operators and engines.
+// serveOperators serves operators and engines.
 func (d *Daemon) serveOperators(ctx *fasthttp.RequestCtx) {
 	for _, handler := range d.controlHandlers {
 		if handler.Handle(ctx) {
@@ -181,5 +192,12 @@
 			return bodyLimit(header)
 		}
 	}
-	return fasthttp.RequestConfig{MaxRequestBodySize: int(index.Section.Limits.MostBodyBytes)}
+	return fasthttp.RequestConfig{MaxRequestBodySize: int(index.Section.Limits.MaxBodyBytes)}
+}
+
+// serveOn runs a server on a listener until the daemon stops, and ends the daemon at a fault that is not retried.
+func (d *Daemon) serveOn(ctx context.Context, server listener.Server, opened net.Listener, setting, address string) {
+	if err := d.listeners.Serve(ctx, server, opened, setting, address, d.draining.Load); err != nil {
+		d.abort(err)
+	}
 }
--- a/process/consensus/replica/apply_checks_test.go
+++ b/process/consensus/replica/apply_checks_test.go
@@ -9,17 +9,17 @@
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
-func (o *simulatedApplies) recordAcknowledged(order operatorapi.Apply, got operatorapi.Applying) {
+func (o *simulatedApplies) recordAcknowledged(order operatorapi.ApplyRequest, got operatorapi.ApplyResponse) {
 	if o.rejected[order.Digest] {
 		o.reportViolation("request %s was rejected and then acknowledged", order.Digest)
 	}
-	if known, before := o.acknowledgedVersions[order.Digest]; before && known != got.Epoch {
-		o.reportViolation("request %s is acknowledged as version %d and as %d", order.Digest, known, got.Epoch)
+	if known, before := o.acknowledgedVersions[order.Digest]; before && known != got.Version {
+		o.reportViolation("request %s is acknowledged as version %d and as %d", order.Digest, known, got.Version)
 	}
-	o.acknowledgedVersions[order.Digest], o.newest = got.Epoch, max(o.newest, got.Revision)
+	o.acknowledgedVersions[order.Digest], o.newest = got.Version, max(o.newest, got.Revision)
 }
 
-func (o *simulatedApplies) recordRejected(order operatorapi.Apply, got operatorapi.Applying) {
+func (o *simulatedApplies) recordRejected(order operatorapi.ApplyRequest, got operatorapi.ApplyResponse) {
 	if _, taken := o.acknowledgedVersions[order.Digest]; taken {
 		o.reportViolation("request %s was acknowledged and then rejected: %+v", order.Digest, got)
 	}
--- a/process/consensus/replica/apply_operators_test.go
+++ b/process/consensus/replica/apply_operators_test.go
@@ -32,7 +32,7 @@
 	// calls are all calls as their senders saw them, requests their contents by digest, sent all requests in sequence.
 	calls    []*linearizability.Call
 	requests map[string]*linearizability.Order
-	sent     []operatorapi.Apply
+	sent     []operatorapi.ApplyRequest
 	// extraLoss is the fraction of messages between operators and members that is lost, beside the network's own loss.
 	extraLoss float64
 	// defect is injected on purpose.
@@ -49,16 +49,16 @@
 )
 
 // deliver sends one copy of a request to a member over the network; the response may be lost.
-func (o *simulatedApplies) deliver(to *simulatedNode, call operatorapi.Apply, answer func(operatorapi.Applying)) {
+func (o *simulatedApplies) deliver(to *simulatedNode, call operatorapi.ApplyRequest, answer func(operatorapi.ApplyResponse)) {
 	if o.lost() {
 		return
 	}
-	back := func(got operatorapi.Applying) {
+	back := func(got operatorapi.ApplyResponse) {
 		if !o.lost() {
 			o.schedule(o.randomDuration(1, 10), func() { answer(got) })
 		}
 	}
-	unknown := operatorapi.Applying{Outcome: operatorapi.Unknown}
+	unknown := operatorapi.ApplyResponse{Outcome: operatorapi.Unknown}
 	o.schedule(o.randomDuration(1, 10), func() {
 		if !to.up || o.now < to.frozenUntil {
 			return
@@ -70,7 +70,7 @@
 				back(unknown)
 				return
 			}
-			standing := directapply.Look(a.State, call)
+			standing := directapply.ViewOf(a.State, call)
 			// The decision takes a while, in which anything may happen.
 			o.schedule(o.randomDuration(1, 60), func() {
 				if to.incarnation != incarnation || !to.up || o.now < to.frozenUntil {
@@ -78,10 +78,10 @@
 				}
 				decision := standing.Decide(call)
 				if o.defect == rejectsByRead && call.Base > standing.Revision || o.defect == checksBaseFirst && call.Base != standing.Revision {
-					decision = directapply.Decision{Answer: operatorapi.Applying{Outcome: operatorapi.Conflicted, Revision: standing.Revision}}
+					decision = directapply.Decision{Response: operatorapi.ApplyResponse{Outcome: operatorapi.Conflicted, Revision: standing.Revision}}
 				}
 				if decision.Submit == nil {
-					back(decision.Answer)
+					back(decision.Response)
 					return
 				}
 				o.lastRequestID++
@@ -90,7 +90,7 @@
 						back(unknown)
 						return
 					}
-					back(directapply.After(b.Result))
+					back(directapply.ResponseTo(b.Result))
 				}
 				to.execute(to.core.Submit(o.now, o.lastRequestID, *decision.Submit))
 			})
@@ -124,7 +124,7 @@
 }
 
 // newRequest makes a new apply request.
-func (o *simulatedApplies) newRequest(who, turn int, base ident.Revision) operatorapi.Apply {
+func (o *simulatedApplies) newRequest(who, turn int, base ident.Revision) operatorapi.ApplyRequest {
 	switch o.random.IntN(10) {
 	case 0, 1:
 		base += ident.Revision(1 + o.random.IntN(4))
@@ -133,15 +133,15 @@
 	}
 	revision := uint64(base) + 1 + o.random.Uint64N(4)
 	digest := fmt.Sprintf("%d-%d", who, turn)
-	call := operatorapi.Apply{Base: base, Digest: digest, Operator: fmt.Sprint(who)}
+	call := operatorapi.ApplyRequest{Base: base, Digest: digest, Operator: fmt.Sprint(who)}
 	if base > 0 && o.random.IntN(2) == 0 {
 		call.Patch = &upstream.Patch{Revision: revision, Upsert: upstream.Items{Pools: []upstream.Pool{{Name: fmt.Sprint("p", turn%9)}}}}
 	} else {
-		encoded, err := json.Marshal(document.Spec{Name: digest, Forward: &upstream.Section{Revision: revision, Pools: []upstream.Pool{{Name: "p"}}}})
+		encoded, err := json.Marshal(document.Configuration{Name: digest, Forward: &upstream.Section{Revision: revision, Pools: []upstream.Pool{{Name: "p"}}}})
 		if err != nil {
 			panic(err)
 		}
-		call.Whole = encoded
+		call.Configuration = encoded
 	}
 	o.requests[digest] = &linearizability.Order{Digest: digest, Base: uint64(base), Revision: revision, Content: statemachine.AppliedID(digest), Validity: linearizability.Sound}
 	o.baseRevisions[digest] = base
@@ -166,7 +166,7 @@
 			next(revision)
 		}
 	}
-	o.requestNewest(o.randomMachines(1)[0], func(newest directapply.Newest) {
+	o.requestNewest(o.randomMachines(1)[0], func(newest directapply.Latest) {
 		if !done {
 			noted.End, noted.Outcome = int64(o.now), linearizability.Acknowledged
 			noted.Read.Revision = uint64(newest.Revision)
@@ -188,7 +188,7 @@
 }
 
 // requestNewest sends one read to a member over the network; request and response may be lost.
-func (o *simulatedApplies) requestNewest(to *simulatedNode, answer func(directapply.Newest)) {
+func (o *simulatedApplies) requestNewest(to *simulatedNode, answer func(directapply.Latest)) {
 	if o.lost() {
 		return
 	}
@@ -197,7 +197,7 @@
 			return
 		}
 		seen := func(state *statemachine.State) {
-			newest := directapply.NewestOf(state)
+			newest := directapply.LatestOf(state)
 			if !o.lost() {
 				o.schedule(o.randomDuration(1, 10), func() { answer(newest) })
 			}
@@ -220,14 +220,14 @@
 
 // sendUntilAnswered sends a request, and retries it at other members as long as there is no definite answer; some go to
 // three members at once. A few operators give up.
-func (o *simulatedApplies) sendUntilAnswered(who int, order operatorapi.Apply, base ident.Revision, next func(ident.Revision)) {
+func (o *simulatedApplies) sendUntilAnswered(who int, order operatorapi.ApplyRequest, base ident.Revision, next func(ident.Revision)) {
 	noted := o.recordCall(linearizability.Call{Client: who, Order: o.requests[order.Digest]})
 	done := false
 	finish := func(revision ident.Revision) {
 		done = true
 		next(revision)
 	}
-	take := func(got operatorapi.Applying) {
+	take := func(got operatorapi.ApplyResponse) {
 		outcome := linearizability.Acknowledged
 		switch got.Outcome {
 		case operatorapi.Applied:
--- a/process/consensus/replica/simulated_clients_test.go
+++ b/process/consensus/replica/simulated_clients_test.go
@@ -57,7 +57,7 @@
 
 func (h *simulatedLeaseHolder) renewAndGenerate() {
 	s := h.sim
-	worker, leased := h.generator.Worker()
+	worker, leased := h.generator.WorkerID()
 	now := h.Elapsed()
 	if now.Since(h.requestedAt) > 400*time.Millisecond && (!leased || now.Since(h.renewedAt) >= 10*time.Second) {
 		h.requestedAt = now
@@ -74,13 +74,13 @@
 			if s.defect == overrunLease {
 				grant.LeaseExpiry += 600000
 			}
-			h.generator.Take(grant, now)
+			h.generator.SetLease(grant, now)
 			h.renewedAt = now
 		})
 	}
 	for range 3 {
-		id, outcome := h.generator.Mint()
-		if outcome != snowflake.Minted {
+		id, outcome := h.generator.Next()
+		if outcome != snowflake.Generated {
 			return
 		}
 		s.mints++
@@ -93,7 +93,7 @@
 
 // releaseAndRestart releases the lease and begins another incarnation.
 func (h *simulatedLeaseHolder) releaseAndRestart() {
-	worker, last, leased := h.generator.Drop()
+	worker, last, leased := h.generator.ReleaseLease()
 	if leased {
 		if h.sim.defect == forgottenFloors {
 			last = 0
--- a/process/consensus/store/store_test.go
+++ b/process/consensus/store/store_test.go
@@ -1,6 +1,7 @@
 package store
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -16,7 +17,7 @@
 
 func newMember() raft.MemberID { return 7 }
 
-func open(t *testing.T, folder string) *Store {
+func openStore(t *testing.T, folder string) *Store {
 	t.Helper()
 	s, err := Open(folder, newMember)
 	if err != nil {
@@ -25,9 +26,9 @@
 	return s
 }
 
-func TestWhatWasWrittenIsThereAfterReopening(t *testing.T) {
+func TestWrittenStateIsLoadedAfterReopening(t *testing.T) {
 	folder := t.TempDir()
-	s := open(t, folder)
+	s := openStore(t, folder)
 	members := raft.Membership{Members: []raft.Member{{ID: 7, Name: "a", Address: "x", Voter: true}}}
 	saves := []raft.Save{
 		{HardState: raft.HardState{Term: 1}, Snapshot: &raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: []byte("first")}},
@@ -41,10 +42,10 @@
 		}
 	}
 	s.Close()
-	again := open(t, folder)
+	again := openStore(t, folder)
 	defer again.Close()
-	if group, err := again.Group(); err != nil || group != "group" || again.Member != 7 {
-		t.Fatal(group, err, again.Member)
+	if group, err := again.Group(); err != nil || group != "group" || again.MemberID != 7 {
+		t.Fatal(group, err, again.MemberID)
 	}
 	got, err := again.Load()
 	if err != nil {
@@ -62,10 +63,10 @@
 	}
 }
 
-func TestAFolderThatCannotServeIsRefusedWithAClearLine(t *testing.T) {
+func TestUnusableFolderIsRejectedWithClearError(t *testing.T) {
 	folder := t.TempDir()
-	s := open(t, folder)
-	if _, err := Open(folder, newMember); err == nil || !strings.Contains(err.Error(), "in use") {
+	s := openStore(t, folder)
+	if _, err := Open(folder, newMember); !errors.Is(err, ErrInUse) || IsDamaged(err) || !strings.Contains(err.Error(), "in use") {
 		t.Errorf("a folder in use was opened: %v", err)
 	}
 	if err := s.Write("g", raft.Save{HardState: raft.HardState{Term: 1}}); err != nil {
@@ -91,22 +92,44 @@
 		t.Fatal(err)
 	}
 	if _, err := Open(file, newMember); err == nil {
-		t.Error("a file was taken for a folder")
+		t.Error("a file was opened as a folder")
 	}
 }
 
-func TestAFullDiskIsAnErrorAndLeavesTheOldStateWhole(t *testing.T) {
-	s := open(t, t.TempDir())
+func TestOtherSchemaVersionIsRejectedAndNotDamage(t *testing.T) {
+	folder := t.TempDir()
+	s := openStore(t, folder)
+	later := SchemaVersion + 1
+	tx, err := s.db.Begin()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := putMetaNumber(tx, keySchemaVersion, uint64(later)); err != nil {
+		t.Fatal(err)
+	}
+	if err := tx.Commit(); err != nil {
+		t.Fatal(err)
+	}
+	s.Close()
+	_, err = Open(folder, newMember)
+	var found SchemaVersionError
+	if !errors.As(err, &found) || found.Found != uint64(later) || IsDamaged(err) {
+		t.Errorf("opened with %v", err)
+	}
+}
+
+func TestFullDiskFailsWriteAndPreservesOldState(t *testing.T) {
+	s := openStore(t, t.TempDir())
 	defer s.Close()
 	if err := s.Write("g", raft.Save{HardState: raft.HardState{Term: 1}, Entries: []raft.Entry{{Term: 1, Index: 1, Data: []byte("kept")}}}); err != nil {
 		t.Fatal(err)
 	}
-	// SQLite's own bound on the file stands in for a disk that is full.
+	// SQLite's own bound on the size of the file simulates a full disk.
 	if _, err := s.db.Exec("PRAGMA max_page_count = 12"); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Write("g", raft.Save{HardState: raft.HardState{Term: 9}, Entries: []raft.Entry{{Term: 9, Index: 2, Data: make([]byte, 1<<20)}}}); err == nil {
-		t.Fatal("a write onto a full disk was called synced")
+		t.Fatal("a write to a full disk was reported as synced")
 	}
 	got, err := s.Load()
 	if err != nil || got.HardState.Term != 1 || len(got.Entries) != 1 || string(got.Entries[0].Data) != "kept" {
@@ -114,12 +137,12 @@
 	}
 }
 
-func TestAnyRunOfAppendsAndCutsReadsBack(t *testing.T) {
+func TestAnySequenceOfAppendsAndTruncationsReadsBack(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(11)
 	parameters.MinSuccessfulTests = 25
 	properties := gopter.NewProperties(parameters)
 	properties.Property("the log on disk is the log in memory", prop.ForAll(func(steps []uint8) bool {
-		s := open(t, t.TempDir())
+		s := openStore(t, t.TempDir())
 		defer s.Close()
 		var model []raft.Entry
 		for i, step := range steps {
