--- a/daemon/joingroup.go
+++ b/daemon/joingroup.go
@@ -67,12 +67,12 @@
 	ticker := time.NewTicker(200 * time.Millisecond)
 	defer ticker.Stop()
 	for {
-		decision, group, members := bootstrap.Decide(dataFolder.MemberID, d.identifySeeds(ctx))
-		switch decision {
+		decision := bootstrap.Decide(dataFolder.MemberID, d.identifySeeds(ctx))
+		switch decision.Action {
 		case bootstrap.Join:
-			return group, none, nil
-		case bootstrap.Form:
-			return d.bootstrapGroup(dataFolder, members)
+			return decision.Group, none, nil
+		case bootstrap.Bootstrap:
+			return d.bootstrapGroup(dataFolder, decision.Membership)
 		}
 		select {
 		case <-ctx.Done():
@@ -102,9 +102,9 @@
 
 // identifySeeds asks all seeds who they are. Once one of them tells of a group nobody else is waited for: a seed
 // that is gone for good must not hold up a machine that comes in its index.
-func (d *Daemon) identifySeeds(ctx context.Context) []bootstrap.Seed {
+func (d *Daemon) identifySeeds(ctx context.Context) []bootstrap.SeedStatus {
 	seeds := d.Config().Seeds
-	out := make([]bootstrap.Seed, len(seeds))
+	out := make([]bootstrap.SeedStatus, len(seeds))
 	type seedReply struct {
 		index    int
 		identity *peerapi.Identity
@@ -140,8 +140,8 @@
 	return out
 }
 
-func seedOf(address string, identity *peerapi.Identity) bootstrap.Seed {
-	return bootstrap.Seed{Address: address, Answered: true, Member: raft.MemberID(identity.MemberId), Name: ident.NodeID(identity.NodeId).Name(),
+func seedOf(address string, identity *peerapi.Identity) bootstrap.SeedStatus {
+	return bootstrap.SeedStatus{Address: address, Reachable: true, Member: raft.MemberID(identity.MemberId), Name: ident.NodeID(identity.NodeId).Name(),
 		Group: ident.GroupID(identity.Group), ServesControl: identity.ServesControl, JoinOnly: identity.JoinOnly}
 }
 
--- a/process/consensus/linearizability/linearizability.go
+++ b/process/consensus/linearizability/linearizability.go
@@ -1,6 +1,7 @@
-// Package linearizability checks what operators were told against a model: a register that holds the configuration
-// in force, is read, and is written on the condition that it still has the revision that the writer names. Tests and
-// rehearsals use it; no daemon does.
+// Package linearizability checks a history of operators' calls against a model: a register that holds the configuration
+// in force. It can be read, and written on the condition that its revision is still the one that the writer names. The
+// search is that of Wing and Gong, with the improvements of Lowe, by github.com/anishathalye/porcupine. Tests and the
+// testbed use the package; no daemon does.
 package linearizability
 
 import (
@@ -12,99 +13,101 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Outcome is what a call ended with, as its caller saw it.
+// Outcome is the result of a call, as its caller saw it.
 type Outcome string
 
 const (
-	// Unanswered calls may take effect at any time after their start, or never.
-	Unanswered Outcome = "unanswered"
-	// Acknowledged says that the order was taken, by this call or an earlier one.
+	// Unknown says that no clear answer came: a write may take effect at any time after its start, or never.
+	Unknown Outcome = "unknown"
+	// Acknowledged says that the write took effect, by this call or by an earlier one with the same bytes.
 	Acknowledged Outcome = "acknowledged"
-	// Refused says that the order never was in force and never will be.
-	Refused Outcome = "refused"
+	// Rejected says that the write never took effect and never will.
+	Rejected Outcome = "rejected"
 )
 
-// Validity says what is known of an order's content.
+// Validity says what the test knows about the content of a write.
 type Validity string
 
 const (
-	// Sound orders must not be refused on the revision in force.
-	Sound Validity = "sound"
-	// Invalid orders must never be taken.
+	// Valid writes must not be rejected on the revision in force.
+	Valid Validity = "valid"
+	// Invalid writes must never take effect.
 	Invalid Validity = "invalid"
-	// Uncertain orders may be either.
+	// Uncertain writes may do either.
 	Uncertain Validity = "uncertain"
 )
 
-// Order is one change of the configuration. The same bytes sent again, by whomever, are the same order.
-type Order struct {
-	// Digest names the order.
+// Write is one conditional change of the configuration. The same bytes sent again, by whomever, are the same write.
+type Write struct {
+	// Digest identifies the write.
 	Digest string
-	// Base is the revision that it builds on, Revision the one that it leads to.
+	// Base is the revision that must be in force, Revision the one that is in force afterwards.
 	Base, Revision uint64
-	// Content tells what is read once it has won; empty where that is not known.
+	// Content is what is read once the write took effect; empty where that is not known.
 	Content  string
 	Validity Validity
 }
 
-// Read is what a reading call saw. An empty content is not known.
+// Read is what a reading call returned. An empty Content is not known.
 type Read struct {
 	Revision uint64
 	Content  string
 }
 
-// Call is one operator's call with all its sendings. Either Order or Read is there.
+// Call is one operator's call with all its attempts. Exactly one of Write and Read is set.
 type Call struct {
 	// Client makes one call at a time.
 	Client int
-	// Start is when it was first sent, End when a clear answer came, by one clock.
+	// Start is the time of the first attempt, End that of a clear answer, on one clock of any unit.
 	Start, End int64
-	Order      *Order
+	Write      *Write
 	Read       *Read
 	Outcome    Outcome
 }
 
+// String describes the call for a test failure.
 func (c Call) String() string {
 	if c.Read != nil {
 		return fmt.Sprintf("client %d [%d, %d] read revision %d %s", c.Client, c.Start, c.End, c.Read.Revision, c.Read.Content)
 	}
-	return fmt.Sprintf("client %d [%d, %d] order %s (%s, %d to %d) %s", c.Client, c.Start, c.End, c.Order.Digest, c.Order.Validity, c.Order.Base, c.Order.Revision, c.Outcome)
+	return fmt.Sprintf("client %d [%d, %d] write %s (%s, %d to %d) %s", c.Client, c.Start, c.End,
+		c.Write.Digest, c.Write.Validity, c.Write.Base, c.Write.Revision, c.Outcome)
 }
 
-// Verdict is the outcome of a check.
-type Verdict string
+// Status is the outcome of a check.
+type Status string
 
 const (
-	// Linearizable: one order of effects explains all answers.
-	Linearizable Verdict = "linearizable"
-	// Broken: no order of effects does.
-	Broken Verdict = "broken"
-	// Undecided: the search ran out of time.
-	Undecided Verdict = "undecided"
+	// Linearizable says that one sequence of effects explains all outcomes.
+	Linearizable Status = "linearizable"
+	// Violated says that no sequence of effects does.
+	Violated Status = "violated"
+	// Undecided says that the search timed out.
+	Undecided Status = "undecided"
 )
 
-// Result is what a check found.
+// Result is the result of a check.
 type Result struct {
-	Verdict Verdict
-	// Reason names the call at which the longest explanation ends, where there is none for all.
+	Status Status
+	// Reason says, unless Linearizable, why not: it names the first call that the longest explanation leaves out.
 	Reason string
 }
 
-// Check looks for one order of effects that explains all answers, for so long at most. Reads without an answer
-// tell nothing and are left out.
-func Check(calls []Call, within time.Duration) Result {
-	operations, kept := toOperations(calls)
-	checked, info := porcupine.CheckOperationsVerbose(model(), operations, within)
-	switch checked {
+// Check searches for one sequence of effects that explains all outcomes, until the time-out. Reads without an answer
+// prove nothing and are left out.
+func Check(history []Call, timeout time.Duration) Result {
+	operations, calls := toOperations(history)
+	outcome, info := porcupine.CheckOperationsVerbose(model(), operations, timeout)
+	switch outcome {
 	case porcupine.Ok:
-		return Result{Verdict: Linearizable}
+		return Result{Status: Linearizable}
 	case porcupine.Illegal:
-		return Result{Verdict: Broken, Reason: reason(kept, info.PartialLinearizations())}
+		return Result{Status: Violated, Reason: reason(calls, info.PartialLinearizations())}
 	}
-	return Result{Verdict: Undecided, Reason: fmt.Sprintf("%d calls could not be judged within %v", len(kept), within)}
+	return Result{Status: Undecided, Reason: fmt.Sprintf("%d calls could not be checked within %v", len(calls), timeout)}
 }
 
-// reason names the first call that the longest explanation leaves out.
+// reason names the first call that the longest partial linearization leaves out.
 func reason(calls []Call, partial [][][]int) string {
 	longest := []int{}
 	for _, partition := range partial {
@@ -114,132 +117,138 @@
 			}
 		}
 	}
-	in := map[int]bool{}
-	for _, place := range longest {
-		in[place] = true
+	inLongest := map[int]bool{}
+	for _, index := range longest {
+		inLongest[index] = true
 	}
 	first := -1
-	for place, call := range calls {
-		if !in[place] && call.Outcome != Unanswered && (first < 0 || call.End < calls[first].End) {
-			first = place
+	for index, call := range calls {
+		if !inLongest[index] && call.Outcome != Unknown && (first < 0 || call.End < calls[first].End) {
+			first = index
 		}
 	}
 	if first < 0 {
-		return "no order of effects explains the answers"
+		return "no sequence of effects explains the outcomes"
 	}
 	return fmt.Sprintf("%d of %d calls can be explained, and not: %s", len(longest), len(calls), calls[first])
 }
 
-// input is a call as the model takes it, with its order's place in the sets of the state.
+// input is the input of an operation of the model. A nil write is a read; index numbers the write in the sets of the
+// register.
 type input struct {
-	order *Order
-	place int
+	write *Write
+	index int
 }
 
-// output is its answer.
+// output is the output of an operation of the model.
 type output struct {
 	outcome Outcome
 	read    Read
 }
 
-func toOperations(calls []Call) (operations []porcupine.Operation, kept []Call) {
-	places := map[string]int{}
-	for _, call := range calls {
-		in, out := input{order: call.Order}, output{outcome: call.Outcome}
-		if call.Order != nil {
-			place, known := places[call.Order.Digest]
+// toOperations converts calls, and returns those that were converted in the same order. An unknown write never ends.
+func toOperations(history []Call) (operations []porcupine.Operation, converted []Call) {
+	indexes := map[string]int{}
+	for _, call := range history {
+		in, out := input{write: call.Write}, output{outcome: call.Outcome}
+		switch {
+		case call.Write != nil:
+			index, known := indexes[call.Write.Digest]
 			if !known {
-				place = len(places)
-				places[call.Order.Digest] = place
+				index = len(indexes)
+				indexes[call.Write.Digest] = index
 			}
-			in.place = place
-		} else if call.Outcome == Unanswered {
+			in.index = index
+		case call.Outcome == Unknown:
 			continue
-		} else {
+		default:
 			out.read = *call.Read
 		}
 		end := call.End
-		if call.Outcome == Unanswered {
+		if call.Outcome == Unknown {
 			end = math.MaxInt64
 		}
 		operations = append(operations, porcupine.Operation{ClientId: call.Client, Input: in, Call: call.Start, Output: out, Return: end})
-		kept = append(kept, call)
+		converted = append(converted, call)
 	}
-	return operations, kept
+	return operations, converted
 }
 
-// register is the model's state.
+// register is the state of the model. It is comparable, as the search requires.
 type register struct {
 	revision uint64
 	content  string
-	// taken and refused are sets of orders by place.
-	taken, refused placeSet
+	// acknowledged and rejected are the writes that took effect, and those that never will, by index.
+	acknowledged, rejected indexSet
 }
 
-// placeSet is a set of small numbers that can be compared.
-type placeSet string
+// indexSet is a comparable set of small numbers: a bit set in a string.
+type indexSet string
 
-func (s placeSet) has(place int) bool { return place/8 < len(s) && s[place/8]&(1<<(place%8)) != 0 }
+// contains says whether index is in the set.
+func (s indexSet) contains(index int) bool { return index/8 < len(s) && s[index/8]&(1<<(index%8)) != 0 }
 
-func (s placeSet) with(place int) placeSet {
+// with returns a copy that contains index.
+func (s indexSet) with(index int) indexSet {
 	bytes := []byte(s)
-	if missing := place/8 + 1 - len(bytes); missing > 0 {
+	if missing := index/8 + 1 - len(bytes); missing > 0 {
 		bytes = append(bytes, strings.Repeat("\x00", missing)...)
 	}
-	bytes[place/8] |= 1 << (place % 8)
-	return placeSet(bytes)
+	bytes[index/8] |= 1 << (index % 8)
+	return indexSet(bytes)
 }
 
+// model is the sequential specification of the register.
 func model() porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return register{} },
 		Step: func(state, in, out any) (bool, any) {
-			asked, answered := in.(input), out.(output)
-			if asked.order == nil {
-				return state.(register).read(answered.read), state
+			operation, result := in.(input), out.(output)
+			if operation.write == nil {
+				return state.(register).allowsRead(result.read), state
 			}
-			return state.(register).take(asked, answered.outcome)
+			return state.(register).applyWrite(operation, result.outcome)
 		},
 	}
 }
 
-// read says whether the register can be read so.
-func (r register) read(seen Read) bool {
-	return seen.Revision == r.revision && (seen.Content == "" || r.content == "" || seen.Content == r.content)
+// allowsRead says whether a read may return this.
+func (r register) allowsRead(read Read) bool {
+	return read.Revision == r.revision && (read.Content == "" || r.content == "" || read.Content == r.content)
 }
 
-// take says whether an order can be answered so, and what the register is then.
-func (r register) take(in input, answer Outcome) (bool, register) {
-	if r.taken.has(in.place) {
-		return answer != Refused, r
+// applyWrite says whether a write may have this outcome, and returns the register after it.
+func (r register) applyWrite(in input, outcome Outcome) (bool, register) {
+	if r.acknowledged.contains(in.index) {
+		return outcome != Rejected, r
 	}
-	if r.refused.has(in.place) {
-		return answer != Acknowledged, r
+	if r.rejected.contains(in.index) {
+		return outcome != Acknowledged, r
 	}
-	wins := in.order.Base == r.revision && in.order.Revision > r.revision && in.order.Validity != Invalid
-	switch answer {
+	effective := in.write.Base == r.revision && in.write.Revision > r.revision && in.write.Validity != Invalid
+	switch outcome {
 	case Acknowledged:
-		return wins, r.after(in)
-	case Refused:
-		return !wins || in.order.Validity == Uncertain, r.without(in)
+		return effective, r.afterAcknowledged(in)
+	case Rejected:
+		return !effective || in.write.Validity == Uncertain, r.afterRejected(in)
 	}
-	// Whatever it did, it did as an answered call would have; one that did nothing comes last of all.
-	if wins {
-		return true, r.after(in)
+	// An unknown write takes effect as an acknowledged one would. One that had no effect is linearized last of all.
+	if effective {
+		return true, r.afterAcknowledged(in)
 	}
-	return true, r.without(in)
+	return true, r.afterRejected(in)
 }
 
-// after is the register once an order has won.
-func (r register) after(in input) register {
-	r.revision, r.content, r.taken = in.order.Revision, in.order.Content, r.taken.with(in.place)
+// afterAcknowledged is the register after a write took effect.
+func (r register) afterAcknowledged(in input) register {
+	r.revision, r.content, r.acknowledged = in.write.Revision, in.write.Content, r.acknowledged.with(in.index)
 	return r
 }
 
-// without is the register once an order has been refused. One on a base that has passed can't win anyway.
-func (r register) without(in input) register {
-	if in.order.Base >= r.revision {
-		r.refused = r.refused.with(in.place)
+// afterRejected is the register after a write was rejected. One on a superseded base can't take effect anyway.
+func (r register) afterRejected(in input) register {
+	if in.write.Base >= r.revision {
+		r.rejected = r.rejected.with(in.index)
 	}
 	return r
 }
--- a/process/consensus/replica/orders_test.go
+++ b/process/consensus/replica/orders_test.go
@@ -42,7 +42,7 @@
 	resends, unclear int
 	// calls are all calls as their senders saw them, orders what was in them, sent all orders in their turn.
 	calls  []*linearizability.Call
-	orders map[string]*linearizability.Order
+	orders map[string]*linearizability.Write
 	sent   []operatorapi.ApplyRequest
 	// lossy is the share of messages between operators and members that is lost, beside the network's own.
 	lossy float64
@@ -145,7 +145,7 @@
 		}
 		call.Configuration = whole
 	}
-	o.orders[digest] = &linearizability.Order{Digest: digest, Base: uint64(base), Revision: revision, Content: statemachine.AppliedID(digest), Validity: linearizability.Sound}
+	o.orders[digest] = &linearizability.Write{Digest: digest, Base: uint64(base), Revision: revision, Content: statemachine.AppliedID(digest), Validity: linearizability.Valid}
 	o.base[digest] = base
 	o.sent = append(o.sent, call)
 	return call
@@ -153,7 +153,7 @@
 
 // begin notes a call's start, and gives what notes its clear answer.
 func (o *simOrders) begin(call linearizability.Call) *linearizability.Call {
-	call.Start, call.Outcome = int64(o.now), linearizability.Unanswered
+	call.Start, call.Outcome = int64(o.now), linearizability.Unknown
 	o.calls = append(o.calls, &call)
 	return &call
 }
@@ -223,7 +223,7 @@
 // call sends an order, and the same again to other members as long as there is no clear answer; some go to three
 // members at once. A few operators give up.
 func (o *simOrders) call(who int, order operatorapi.ApplyRequest, base ident.Revision, next func(ident.Revision)) {
-	noted := o.begin(linearizability.Call{Client: who, Order: o.orders[order.Digest]})
+	noted := o.begin(linearizability.Call{Client: who, Write: o.orders[order.Digest]})
 	done := false
 	finish := func(revision ident.Revision) {
 		done = true
@@ -236,7 +236,7 @@
 			o.acknowledged(order, got)
 		case operatorapi.Conflicted, operatorapi.Invalid:
 			o.wasRefused(order, got)
-			outcome = linearizability.Refused
+			outcome = linearizability.Rejected
 		default:
 			o.unclear++
 			return
@@ -362,7 +362,7 @@
 		config.HistoryLimits = limits
 	}
 	o := &simOrders{sim: newAdjustedSim(t, seed, size, sound, adjust), acked: map[string]ident.Version{}, refused: map[string]bool{}, base: map[string]ident.Revision{},
-		orders: map[string]*linearizability.Order{}}
+		orders: map[string]*linearizability.Write{}}
 	if seed%4 == 3 {
 		o.lossy = 0.2
 	}
@@ -400,8 +400,8 @@
 		for _, violation := range o.violations {
 			t.Errorf("seed %d, %d members: %s", seed, size, violation)
 		}
-		if got := o.linearizable(time.Minute); got.Verdict != linearizability.Linearizable {
-			t.Errorf("seed %d, %d members: %s: %s", seed, size, got.Verdict, got.Reason)
+		if got := o.linearizable(time.Minute); got.Status != linearizability.Linearizable {
+			t.Errorf("seed %d, %d members: %s: %s", seed, size, got.Status, got.Reason)
 		}
 		acked, refused, resends, crashes = acked+len(o.acked), refused+len(o.refused), resends+o.resends, crashes+o.crashes
 		calls, unclear = calls+len(o.calls), unclear+o.unclear
@@ -441,7 +441,7 @@
 				o.forget()
 				o.run(60 * time.Second)
 				// What no order of effects explains can take long to rule out: then the next seed is looked at.
-				if got := o.linearizable(2 * time.Second); got.Verdict == linearizability.Broken {
+				if got := o.linearizable(2 * time.Second); got.Status == linearizability.Violated {
 					t.Logf("seed %d: %s", seed, got.Reason)
 					return
 				}
--- a/testbed/endtoend/linearizable_test.go
+++ b/testbed/endtoend/linearizable_test.go
@@ -45,7 +45,7 @@
 
 // raceOrder is an order and how it is sent.
 type raceOrder struct {
-	order  *linearizability.Order
+	order  *linearizability.Write
 	method string
 	body   []byte
 }
@@ -55,7 +55,7 @@
 func (r *race) note(call linearizability.Call) *racedCall {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	call.Start, call.Outcome = r.now(), linearizability.Unanswered
+	call.Start, call.Outcome = r.now(), linearizability.Unknown
 	noted := &racedCall{Call: call}
 	r.calls = append(r.calls, noted)
 	return noted
@@ -65,7 +65,7 @@
 func (r *race) invent(random *rand.Rand, who, turn int, base uint64) raceOrder {
 	name := fmt.Sprintf("%d-%d", who, turn)
 	revision := base + 1 + random.Uint64N(3)
-	made := raceOrder{method: "PUT", order: &linearizability.Order{Digest: name, Base: base, Revision: revision, Validity: linearizability.Sound}}
+	made := raceOrder{method: "PUT", order: &linearizability.Write{Digest: name, Base: base, Revision: revision, Validity: linearizability.Valid}}
 	if base > 0 && random.IntN(4) == 0 {
 		made.method = "PATCH"
 		made.body = encode(r.t, upstream.Patch{Revision: revision, Upsert: upstream.Items{Paths: []upstream.Path{path(name, "q")}}})
@@ -108,7 +108,7 @@
 
 // order sends an order until there is a clear answer, at times to all daemons at once. A fifth of the answers is lost.
 func (r *race) order(random *rand.Rand, who int, made raceOrder) {
-	noted := r.note(linearizability.Call{Client: who, Order: made.order})
+	noted := r.note(linearizability.Call{Client: who, Write: made.order})
 	query := fmt.Sprintf("?operator=ana&base=%d", made.order.Base)
 	for range racerSendings {
 		var wait sync.WaitGroup
@@ -128,7 +128,7 @@
 			noted.End, noted.Outcome = r.now(), linearizability.Acknowledged
 			return
 		case status == 409 || status == 400:
-			noted.End, noted.Outcome = r.now(), linearizability.Refused
+			noted.End, noted.Outcome = r.now(), linearizability.Rejected
 			return
 		}
 	}
@@ -201,7 +201,7 @@
 	r := &race{ordered: order(t), began: time.Now()}
 	first := forwarding(5, 1)
 	r.calls = append(r.calls, &racedCall{Call: linearizability.Call{Client: racers, Start: -2, End: -1, Outcome: linearizability.Acknowledged,
-		Order: &linearizability.Order{Digest: "first", Base: 0, Revision: 5, Content: first.Name, Validity: linearizability.Sound}}})
+		Write: &linearizability.Write{Digest: "first", Base: 0, Revision: 5, Content: first.Name, Validity: linearizability.Valid}}})
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -222,15 +222,15 @@
 	}
 	t.Logf("%d calls: %v", len(r.calls), outcomes)
 	asSeen := func(call *racedCall) linearizability.Call { return call.Call }
-	if got := linearizability.Check(r.judged(asSeen), time.Minute); got.Verdict != linearizability.Linearizable {
-		t.Errorf("%s: %s", got.Verdict, got.Reason)
+	if got := linearizability.Check(r.judged(asSeen), time.Minute); got.Status != linearizability.Linearizable {
+		t.Errorf("%s: %s", got.Status, got.Reason)
 	}
 	unproved := func(call *racedCall) linearizability.Call {
 		out := call.Call
 		for _, one := range call.sendings {
 			if one.status == 503 {
 				// What can't be told is called a refusal.
-				out.End, out.Outcome = int64(one.at), linearizability.Refused
+				out.End, out.Outcome = int64(one.at), linearizability.Rejected
 				break
 			}
 		}
@@ -239,7 +239,7 @@
 	before := map[int]linearizability.Read{}
 	stale := func(call *racedCall) linearizability.Call {
 		out := call.Call
-		if out.Read == nil || out.Outcome == linearizability.Unanswered {
+		if out.Read == nil || out.Outcome == linearizability.Unknown {
 			return out
 		}
 		if older, known := before[out.Client]; known {
@@ -249,8 +249,8 @@
 		return out
 	}
 	for name, broken := range map[string]func(*racedCall) linearizability.Call{"refusals without proof": unproved, "reads of what was before": stale} {
-		if got := linearizability.Check(r.judged(broken), time.Minute); got.Verdict != linearizability.Broken {
-			t.Errorf("%s: %s", name, got.Verdict)
+		if got := linearizability.Check(r.judged(broken), time.Minute); got.Status != linearizability.Violated {
+			t.Errorf("%s: %s", name, got.Status)
 		} else {
 			t.Logf("%s: %s", name, got.Reason)
 		}
--- a/testbed/platformtest/checker/linearizable.go
+++ b/testbed/platformtest/checker/linearizable.go
@@ -17,8 +17,8 @@
 	f := Finding{Rule: "CONFIG linearizable"}
 	calls := b.operatorCalls()
 	f.Checked = len(calls)
-	if got := linearizability.Check(calls, judgeWithin); got.Verdict != linearizability.Linearizable {
-		f.violation("%s: %s", got.Verdict, got.Reason)
+	if got := linearizability.Check(calls, judgeWithin); got.Status != linearizability.Linearizable {
+		f.violation("%s: %s", got.Status, got.Reason)
 	}
 	return f
 }
@@ -28,10 +28,10 @@
 func (b *index) operatorCalls() (calls []linearizability.Call) {
 	rivals := b.rivals()
 	for _, change := range b.Changes {
-		call := linearizability.Call{Client: len(calls), Start: int64(change.Began), End: int64(change.Answered), Order: orderOf(change), Outcome: outcomes[change.Outcome]}
+		call := linearizability.Call{Client: len(calls), Start: int64(change.Began), End: int64(change.Answered), Write: orderOf(change), Outcome: outcomes[change.Outcome]}
 		if change.Patch && rivals[change.Base] > 1 {
 			// Which of them it changed is not known, so neither is what it makes.
-			call.Order.Content, call.Order.Validity = "", linearizability.Uncertain
+			call.Write.Content, call.Write.Validity = "", linearizability.Uncertain
 		}
 		calls = append(calls, call)
 	}
@@ -64,11 +64,11 @@
 }
 
 var outcomes = map[history.Outcome]linearizability.Outcome{
-	history.Acknowledged: linearizability.Acknowledged, history.Refused: linearizability.Refused, history.Unclear: linearizability.Unanswered,
+	history.Acknowledged: linearizability.Acknowledged, history.Refused: linearizability.Rejected, history.Unclear: linearizability.Unknown,
 }
 
-func orderOf(change *history.Change) *linearizability.Order {
-	order := &linearizability.Order{Digest: change.Digest(), Base: change.Base, Revision: change.Generation, Validity: linearizability.Sound}
+func orderOf(change *history.Change) *linearizability.Write {
+	order := &linearizability.Write{Digest: change.Digest(), Base: change.Base, Revision: change.Generation, Validity: linearizability.Valid}
 	if change.Fault != "" {
 		order.Validity = linearizability.Invalid
 	}
