--- a/request/forwarding/actor.go
+++ b/request/forwarding/actor.go
@@ -56,12 +56,6 @@
 	time.AfterFunc(next.Since(now), func() { a.mailbox.Send(func(c *Core, env Environment) { c.DispatchQueued(env) }) })
 }
 
-// NewRecord makes a record with room for its steps.
-func NewRequest(request Request) *Request {
-	request.steps = make(chan Step, 1)
-	return &request
-}
-
 // Next waits for what the record's sender does next.
 func (a *Actor) NextStep(request *Request) Step {
 	select {
--- a/request/forwarding/answer.go
+++ b/request/forwarding/answer.go
@@ -45,6 +45,29 @@
 	RetryAfter time.Duration
 }
 
+// finish ends a record with our own answer.
+func (c *Core) finish(request *Request, env Environment, cause Cause, comeBack time.Duration) {
+	if request.stage == StageQueued {
+		c.dequeue(request)
+		request.queuedFor += env.Now.Since(request.queuedAt)
+	}
+	c.recordLoss(request, c.reasonOf(request, cause, env), env.Now)
+	request.transition(StageEnded)
+	answer := finalAnswer(request, cause, comeBack)
+	c.Counters.EndedBy[cause]++
+	switch {
+	case cause == CauseCallerLeft:
+		c.Counters.CallersLeft++
+	case answer.Status == 0:
+		c.Counters.Truncated++
+	case request.mayHaveRun:
+		c.Counters.EndedAfterLoss++
+	default:
+		c.Counters.Rejected++
+	}
+	request.give(Step{Answer: &answer})
+}
+
 // finalAnswer is the one place where the answer to a record is made. What it promises depends on nothing
 // but what became of the record's attempts.
 func finalAnswer(request *Request, cause Cause, comeBack time.Duration) Answer {
--- a/request/forwarding/engine.go
+++ b/request/forwarding/enginestate.go
@@ -2,7 +2,6 @@
 
 import (
 	"maps"
-	"math"
 	"slices"
 	"time"
 
@@ -51,13 +50,6 @@
 	return state
 }
 
-func (c *Core) retryBudget(pool string) *retryBudget {
-	if c.retryBudgets[pool] == nil {
-		c.retryBudgets[pool] = &retryBudget{}
-	}
-	return c.retryBudgets[pool]
-}
-
 // Forget drops what is known of engines that are no longer registered and have nothing under way.
 func (c *Core) Forget(view *registry.View) {
 	for id, state := range c.engines {
@@ -82,104 +74,6 @@
 	e.awaitingSince = append(e.awaitingSince, env.Now)
 }
 
-// oldest is for how long the first byte that has been awaited longest has been.
-func (e *engineState) longestAwaited(now clock.Mark) time.Duration {
-	if len(e.awaitingSince) == 0 {
-		return 0
-	}
-	return now.Since(e.awaitingSince[0])
-}
-
-// hear takes up a new report.
-func (e *engineState) observeReport(plan *registry.Plan) {
-	if plan != nil && plan.Received != e.reportedAt {
-		e.reportedAt, e.inFlightAtReport = plan.Received, e.inFlight
-	}
-}
-
-// running is how many requests run and wait there, this daemon's newest included.
-func (e *engineState) requestCount(engine *registry.Engine, env Environment, settings Settings) int {
-	running := e.inFlight
-	if plan := engine.Plan; plan != nil && env.Now.Since(plan.Received) < settings.ReportMaxAge {
-		e.observeReport(plan)
-		running = max(running, plan.Active+plan.Queued+max(0, e.inFlight-e.inFlightAtReport))
-	}
-	return running
-}
-
-// quiet is for how long it has given no sign although it was asked.
-func (e *engineState) unresponsiveFor(now clock.Mark) time.Duration {
-	if e.awaitingCount == 0 {
-		return 0
-	}
-	return now.Since(e.waitingSince)
-}
-
-// began notes that an attempt's answer has begun, so that its prompt is read.
-func (e *engineState) responseBegun(request *Request, env Environment) {
-	e.stopAwaiting(request, env)
-	waited := env.Now.Since(request.sentAt)
-	smooth(&e.firstByteTime, waited)
-	e.firstByteAt = env.Now
-	e.recordSuccess()
-}
-
-// read takes an attempt off those whose answer has not begun.
-func (e *engineState) stopAwaiting(request *Request, env Environment) {
-	if request.awaitingFirstByte {
-		request.awaitingFirstByte = false
-		e.awaitingCount--
-		if index := slices.Index(e.awaitingSince, request.sentAt); index >= 0 {
-			e.awaitingSince = slices.Delete(e.awaitingSince, index, index+1)
-		}
-		e.prefillTokens -= request.prefillTokens
-		e.waitingSince = env.Now
-	}
-}
-
-func (e *engineState) recordSuccess() {
-	e.consecutiveFailures, e.connectFailures = 0, 0
-	e.backoffUntil, e.unhealthyUntil = 0, 0
-	e.failureRate *= 0.8
-}
-
-// worse is the smoothed share of its failures. It fades, since an engine that is passed by has no way to show
-// that it is well again.
-func (e *engineState) decayedFailureRate(now clock.Mark) float64 {
-	if e.failureRate < 0.01 {
-		return 0
-	}
-	return e.failureRate * math.Exp2(-float64(now.Since(e.lastFailureAt))/float64(failureRateHalfLife))
-}
-
-const failureRateHalfLife = 3 * time.Second
-
-const (
-	initialBackoff = 250 * time.Millisecond
-	maxBackoff     = 4 * time.Second
-)
-
-// restAfter is how long an engine rests after so many failures in a row.
-func backoffAfter(failures int) clock.Mark {
-	return clock.Mark(min(initialBackoff<<min(max(failures-1, 0), 4), maxBackoff))
-}
-
-// unreachable notes that it could not be reached; it gets nothing for a while, and then one at a time.
-func (e *engineState) recordUnreachable(env Environment) {
-	e.connectFailures++
-	e.lastFailureAt, e.failureRate = env.Now, 0.8*e.decayedFailureRate(env.Now)+0.2
-	e.backoffUntil = env.Now + backoffAfter(e.connectFailures)
-}
-
-// ill notes a failure; one that fails again and again gets nothing for a while that another engine can take.
-func (e *engineState) recordFailure(env Environment, atOnce bool) {
-	e.consecutiveFailures++
-	e.lastFailureAt, e.failureRate = env.Now, 0.8*e.decayedFailureRate(env.Now)+0.2
-	if atOnce || e.consecutiveFailures >= failureThreshold || e.failureRate > 0.6 {
-		e.unhealthyUntil = env.Now + backoffAfter(e.consecutiveFailures)
-	}
-}
-
 // ended notes how an attempt ended.
 func (e *engineState) attemptEnded(request *Request, outcome Outcome, env Environment) {
 	e.inFlight--
@@ -223,31 +117,57 @@
 	}
 }
 
-// lacks says whether it said lately that it does not hold what is asked for, or is not who it was taken for.
-func (e *engineState) reportedMissing(request *Request, now clock.Mark) bool {
-	return len(e.missingUntil) > 0 && now < e.missingUntil[registry.Target{Model: request.Attributes.Model, Adapter: request.Attributes.Adapter}]
+// began notes that an attempt's answer has begun, so that its prompt is read.
+func (e *engineState) responseBegun(request *Request, env Environment) {
+	e.stopAwaiting(request, env)
+	waited := env.Now.Since(request.sentAt)
+	smooth(&e.firstByteTime, waited)
+	e.firstByteAt = env.Now
+	e.recordSuccess()
 }
 
-// missingFor is about how long a report takes to show what an engine has let go of.
-const missingTTL = time.Second
-
-const rejectedBackoff = 50 * time.Millisecond
+// read takes an attempt off those whose answer has not begun.
+func (e *engineState) stopAwaiting(request *Request, env Environment) {
+	if request.awaitingFirstByte {
+		request.awaitingFirstByte = false
+		e.awaitingCount--
+		if index := slices.Index(e.awaitingSince, request.sentAt); index >= 0 {
+			e.awaitingSince = slices.Delete(e.awaitingSince, index, index+1)
+		}
+		e.prefillTokens -= request.prefillTokens
+		e.waitingSince = env.Now
+	}
+}
 
-// manyFailures in a row are no chance.
-const failureThreshold = 3
+// oldest is for how long the first byte that has been awaited longest has been.
+func (e *engineState) longestAwaited(now clock.Mark) time.Duration {
+	if len(e.awaitingSince) == 0 {
+		return 0
+	}
+	return now.Since(e.awaitingSince[0])
+}
 
-// gone says whether it seems to be there no more: it can't be reached, and has nothing of this daemon under way
-// either. One that only resets what is too much for it goes on with what it has.
-func (e *engineState) isUnreachable() bool {
-	return e.connectFailures >= failureThreshold || e.connectFailures > 0 && e.inFlight == 0
+// quiet is for how long it has given no sign although it was asked.
+func (e *engineState) unresponsiveFor(now clock.Mark) time.Duration {
+	if e.awaitingCount == 0 {
+		return 0
+	}
+	return now.Since(e.waitingSince)
 }
 
-// resting says whether it gets nothing now.
-func (e *engineState) inBackoff(now clock.Mark) bool {
-	return now < e.backoffUntil || e.connectFailures >= failureThreshold && e.awaitingCount > 0
+// hear takes up a new report.
+func (e *engineState) observeReport(plan *registry.Plan) {
+	if plan != nil && plan.Received != e.reportedAt {
+		e.reportedAt, e.inFlightAtReport = plan.Received, e.inFlight
+	}
 }
 
-// failing says whether it gets something only where nothing else can take it.
-func (e *engineState) isUnhealthy(now clock.Mark) bool {
-	return now < e.unhealthyUntil || e.consecutiveFailures >= failureThreshold && e.awaitingCount > 0
+// running is how many requests run and wait there, this daemon's newest included.
+func (e *engineState) requestCount(engine *registry.Engine, env Environment, settings Settings) int {
+	running := e.inFlight
+	if plan := engine.Plan; plan != nil && env.Now.Since(plan.Received) < settings.ReportMaxAge {
+		e.observeReport(plan)
+		running = max(running, plan.Active+plan.Queued+max(0, e.inFlight-e.inFlightAtReport))
+	}
+	return running
 }
--- a/request/forwarding/kept.go
+++ b/request/forwarding/prefixcache.go
@@ -1,6 +1,8 @@
 package forwarding
 
-import "container/list"
+import (
+	"container/list"
+)
 
 // mostKeptParts bounds what is remembered of the parts sent to one engine.
 const maxCachedPrefixParts = 512
--- /dev/null
+++ b/request/forwarding/queue.go
@@ -0,0 +1,121 @@
+package forwarding
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"github.com/cresspond/cresspond/clock"
+)
+
+// hold keeps a record until an engine can take it, or ends it if none will in time.
+func (c *Core) enqueue(request *Request, env Environment, blocked blockReason) {
+	if c.shuttingDown {
+		c.finish(request, env, CauseShuttingDown, minRetryAfter)
+		return
+	}
+	if wait, hopeless := c.shouldGiveUp(request, env, blocked); hopeless {
+		if blocked == blockedNoModel && wait <= request.Deadline.Since(env.Now)/retryAfterDivisor {
+			// It is still wanted: whoever plans must not forget it until the client has come back.
+			c.demandState(request).expectReturn(env.Now + clock.Mark(wait))
+		}
+		c.finish(request, env, CauseNoCapacity, wait)
+		return
+	}
+	if request.stage == StageQueued {
+		return
+	}
+	if !c.mintID(request, env) {
+		c.finish(request, env, CauseNoWorkerID, c.retryAfter(request, env))
+		return
+	}
+	request.transition(StageQueued)
+	request.queuedAt, request.queuedBecause = env.Now, blocked
+	c.Counters.Queued++
+	c.Counters.QueuedBy[blocked]++
+	c.queue = append(c.queue, request)
+	c.demandState(request).queued++
+}
+
+// unhold takes a record out of those held.
+func (c *Core) dequeue(request *Request) {
+	if index := slices.Index(c.queue, request); index >= 0 {
+		c.queue = slices.Delete(c.queue, index, index+1)
+		c.demandState(request).queued--
+	}
+}
+
+// raisedBy is by how many ranks a record rises over all of its time; none is held for more than half of it.
+const agingRanks = 8
+
+// rankOf is the rank by which a record that waits is served; waiting raises it, so that none starves.
+func effectiveRank(request *Request, now clock.Mark) float64 {
+	duration := max(request.responseDeadline().Since(request.ArrivedAt), time.Millisecond)
+	return float64(request.Path.Rank) - agingRanks*float64(now.Since(request.ArrivedAt))/float64(duration)
+}
+
+// Pass looks at all that are held, the most urgent first.
+func (c *Core) DispatchQueued(env Environment) {
+	if len(c.queue) == 0 {
+		return
+	}
+	waiting := slices.Clone(c.queue)
+	ranks := make(map[*Request]float64, len(waiting))
+	for _, request := range waiting {
+		ranks[request] = effectiveRank(request, env.Now)
+	}
+	slices.SortFunc(waiting, func(a, b *Request) int {
+		if order := cmp.Compare(ranks[a], ranks[b]); order != 0 {
+			return order
+		}
+		return cmp.Compare(a.sequence, b.sequence)
+	})
+	for _, request := range waiting {
+		if request.stage == StageQueued {
+			c.dispatch(request, env)
+		}
+	}
+}
+
+// HeldNow counts those that wait.
+func (c *Core) QueueLength() int { return len(c.queue) }
+
+// before counts those that are held for the same pool and are served first.
+func (c *Core) queuedAhead(request *Request, env Environment) int {
+	count, rank := 0, effectiveRank(request, env.Now)
+	for _, other := range c.queue {
+		if other != request && other.pool == request.pool && effectiveRank(other, env.Now) <= rank {
+			count++
+		}
+	}
+	return count
+}
+
+const maxWakeInterval = 50 * time.Millisecond
+
+// NextLook is when the records that wait must be looked at again even if nothing happens.
+func (c *Core) NextWake(now clock.Mark) (clock.Mark, bool) {
+	if len(c.queue) == 0 {
+		return 0, false
+	}
+	next := c.queue[0].responseDeadline()
+	for _, request := range c.queue {
+		next = min(next, request.responseDeadline()-clock.Mark(c.minAttemptTime(request)), request.ArrivedAt+clock.Mark(maxQueueTime(request)))
+		if waitEnds := request.ArrivedAt + clock.Mark(initialQueueTime(request)); waitEnds > now {
+			next = min(next, waitEnds)
+		}
+	}
+	// What is about to come or to rest out can't be told in one moment, so there is an upper bound.
+	return max(min(next, now+clock.Mark(maxWakeInterval)), now+clock.Mark(time.Millisecond)), true
+}
+
+// mostHeld is how long a request may be held: under half of the time it had.
+func maxQueueTime(request *Request) time.Duration {
+	return request.responseDeadline().Since(request.ArrivedAt) * 9 / 20
+}
+
+// firstWord is how long a request is held while nothing is known of when it can be served: well under the
+// quarter of its target within which a refusal does no harm.
+func initialQueueTime(request *Request) time.Duration {
+	return time.Duration(request.Path.TargetMs) * time.Millisecond / 5
+}
--- a/request/forwarding/record.go
+++ b/request/forwarding/request.go
@@ -1,5 +1,3 @@
-// Package forwarding is the way of opaque requests through a routing daemon: which engine serves one, who
-// waits, what may be tried again, and the final answer. The core is pure; the actor beside it has the I/O.
 package forwarding
 
 import (
@@ -11,47 +9,6 @@
 	"github.com/cresspond/cresspond/wire/dialect"
 )
 
-// Stage is where a record stands.
-type Stage uint8
-
-const (
-	// Admitted: read, and not yet looked at by the passes.
-	StageAdmitted Stage = iota
-	// Held: waiting for an engine, stamped with a minted id.
-	StageQueued
-	// Sending: an attempt was handed to a sender; the bytes may be on their way.
-	StageSending
-	// Passing: bytes of an engine's answer went on to the caller.
-	StageResponding
-	// Ended: nothing more will happen.
-	StageEnded
-)
-
-func (s Stage) String() string {
-	return [...]string{"admitted", "held", "sending", "passing", "ended"}[s]
-}
-
-// allowed lists the ways from each stage to the next.
-var allowedTransitions = map[Stage][]Stage{
-	StageAdmitted: {StageQueued, StageSending, StageEnded},
-	StageQueued:   {StageSending, StageEnded},
-	// An attempt that did not run, or may be made again, leads back to holding or to the next one.
-	StageSending: {StageQueued, StageSending, StageResponding, StageEnded},
-	// A stream that may be taken up goes on at another engine, within the answer that has begun.
-	StageResponding: {StageQueued, StageSending, StageResponding, StageEnded},
-}
-
-// move is the one function by which a record changes its stage.
-func (r *Request) transition(to Stage) {
-	for _, way := range allowedTransitions[r.stage] {
-		if way == to {
-			r.stage = to
-			return
-		}
-	}
-	panic("broken invariant: a record may not go from " + r.stage.String() + " to " + to.String())
-}
-
 // Record is one request on its way.
 type Request struct {
 	Attributes dialect.Ask
@@ -118,6 +75,12 @@
 	steps            chan Step
 }
 
+// NewRecord makes a record with room for its steps.
+func NewRequest(request Request) *Request {
+	request.steps = make(chan Step, 1)
+	return &request
+}
+
 // Seen is what a sender sees of an attempt besides how it ends.
 type AttemptObservation struct {
 	// Connect is how long a fresh connection took; zero is a kept one. LongestGap is the longest wait for a next event.
@@ -148,32 +111,10 @@
 // mayRepeat says whether another attempt may be made although an earlier one may have run.
 func (r *Request) mayRepeat() bool { return r.repeatable() || r.resumable() }
 
-// Step is what the record's sender does next: one of the three.
-type Step struct {
-	Attempt *Attempt
-	Answer  *Answer
-	// Pass lets the engine's own failure go on, since no better answer is to be had.
-	PassEngineError bool
-}
-
-// Send is one attempt to make.
-type Attempt struct {
-	Engine   ident.EngineID
-	Address  string
-	Zone     ident.ZoneID
-	Pool     string
-	TimeLeft time.Duration
-	Urgency  int
-	// Careful attempts can't be made again.
-	NotRepeatable bool
-	// LastEvent takes a stream up after this event, if Resumes.
-	LastEvent      string
-	Resume         bool
-	MaxConnections int
-	// Stamped says that it was held or tried before, which only a lease allows.
-	NeedsWorkerID bool
-	// Running is how many requests run and wait there, Reading how many tokens are to be read before its first
-	// byte, both as far as this daemon knows; GapTargetMs is the path's.
-	EngineRunning, PrefillTokens int
-	GapTargetMs                  int64
+// resumeAt is the event after which the next attempt goes on.
+func (r *Request) resumeAfter() string {
+	if r.lastEvent != "" {
+		return r.lastEvent
+	}
+	return r.Attributes.LastEvent
 }
--- a/request/forwarding/window.go
+++ b/request/forwarding/retrybudget.go
@@ -40,3 +40,10 @@
 
 // again notes a further send.
 func (b *retryBudget) recordRetry(now clock.Mark) { b.retries = append(b.retries, now) }
+
+func (c *Core) retryBudget(pool string) *retryBudget {
+	if c.retryBudgets[pool] == nil {
+		c.retryBudgets[pool] = &retryBudget{}
+	}
+	return c.retryBudgets[pool]
+}
