--- a/request/forwarding/actor.go
+++ b/request/forwarding/actor.go
@@ -13,18 +13,18 @@
 // mailboxSize is how many events wait for the actor before a sender has to.
 const mailboxSize = 256
 
-// Actor runs the core over events, one after the other.
+// Actor owns a Core and runs its events one after the other. Its methods are safe for concurrent use.
 type Actor struct {
 	core        *Core
 	environment func() Environment
 	mailbox     *actor.Mailbox[func(*Core, Environment)]
-	// waking is when the next look is due, as far as one is ordered.
+	// nextWakeAt is when the timer that was set last wakes the actor.
 	nextWakeAt  clock.Mark
 	queueLength atomic.Int64
 	stopped     chan struct{}
 }
 
-// NewActor makes an actor; world gathers what the passes look at.
+// NewActor makes an actor; environment is called for each event, on the actor's goroutine.
 func NewActor(settings Settings, world func() Environment) *Actor {
 	return &Actor{
 		core:        NewCore(settings),
@@ -34,7 +34,7 @@
 	}
 }
 
-// Run takes events until ctx ends; whoever waits then is answered.
+// Run processes events until ctx ends, and then ends all queued requests.
 func (a *Actor) Run(ctx context.Context) {
 	a.mailbox.Run(ctx, 0, func(event func(*Core, Environment)) {
 		env := a.environment()
@@ -46,7 +46,7 @@
 	close(a.stopped)
 }
 
-// order has the actor woken for its next look; one timer is under way at a time.
+// scheduleWake sets a timer for the next dispatch of the queue, unless an earlier one is pending.
 func (a *Actor) scheduleWake(now clock.Mark) {
 	next, due := a.core.NextWake(now)
 	if !due || a.nextWakeAt > now && a.nextWakeAt <= next {
@@ -56,7 +56,7 @@
 	time.AfterFunc(next.Since(now), func() { a.mailbox.Send(func(c *Core, env Environment) { c.DispatchQueued(env) }) })
 }
 
-// Next waits for what the record's sender does next.
+// NextStep waits for the request's next step. After the actor has stopped it gives a final answer.
 func (a *Actor) NextStep(request *Request) Step {
 	select {
 	case step := <-request.steps:
@@ -73,13 +73,13 @@
 	}
 }
 
-// Admit takes a record in; it says false when the actor has ended.
+// Admit hands in a request; false if the actor has stopped.
 func (a *Actor) Admit(request *Request) bool {
 	return a.mailbox.Send(func(c *Core, env Environment) { c.Admit(request, env) })
 }
 
-// Attempted reports how an attempt ended, with the last event that went on to the caller. Unless the
-// record is served, the next step follows.
+// AttemptEnded reports an attempt's outcome and the last event passed on, if any. Unless the request is served, the next
+// step follows; false if the actor has stopped.
 func (a *Actor) AttemptEnded(request *Request, outcome Outcome, lastEvent string) bool {
 	return a.mailbox.Send(func(c *Core, env Environment) {
 		if lastEvent != "" {
@@ -89,17 +89,17 @@
 	})
 }
 
-// Begun reports that the answer begins to go on to the caller.
+// ResponseBegun reports that bytes of the response are passed on from now on.
 func (a *Actor) ResponseBegun(request *Request) {
 	a.mailbox.Send(func(c *Core, env Environment) { c.ResponseBegun(request, env) })
 }
 
-// CallerLeft reports that nobody waits any more.
+// CallerLeft reports that the caller disconnected.
 func (a *Actor) CallerLeft(request *Request) {
 	a.mailbox.Send(func(c *Core, env Environment) { c.CallerLeft(request, env) })
 }
 
-// Poke has those that wait looked at again, since the table or the engines changed.
+// Wake has queued requests dispatched, because the routing table or the engines changed.
 func (a *Actor) Wake() {
 	// Nobody waits most of the time, and then there is nothing to look at.
 	if a.queueLength.Load() > 0 {
@@ -107,7 +107,7 @@
 	}
 }
 
-// Ask runs a question on the core and waits for it; it says false when the actor has ended.
+// Do runs a function on the actor's goroutine and waits for it; false if the actor has stopped.
 func (a *Actor) Do(question func(*Core, Environment)) bool {
 	done := make(chan struct{})
 	if !a.mailbox.Send(func(c *Core, env Environment) { question(c, env); close(done) }) {
@@ -121,14 +121,14 @@
 	}
 }
 
-// Outcomes gives what became of attempts at engines since it was last asked for.
+// Outcomes gives the outcomes of attempts by engine since the last call.
 func (a *Actor) Outcomes() []outlier.Digest {
 	var out []outlier.Digest
 	a.Do(func(c *Core, env Environment) { out = c.Outcomes(env.Now) })
 	return out
 }
 
-// Demands lists what is asked for now.
+// Demands gives the demand for each pool, model and adapter.
 func (a *Actor) Demands() []Demand {
 	var out []Demand
 	a.Do(func(c *Core, env Environment) { out = c.Demands(env.Now) })
--- a/request/forwarding/answer.go
+++ b/request/forwarding/answer.go
@@ -6,46 +6,47 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Cause is why a record ends without an engine's whole answer.
+// Cause is why a request ends without an engine's full response.
 type Cause uint8
 
 const (
-	// NoTable: nothing is in force here, or it may be old.
+	// CauseNoTable: no routing table is in force, or it may be outdated.
 	CauseNoTable Cause = iota
-	// NoPath: the table in force has no path for it.
+	// CauseNoPath: the routing table has no path for the request.
 	CauseNoPath
-	// NoRoom: no engine can take it in time.
+	// CauseNoCapacity: no engine can take the request in time.
 	CauseNoCapacity
-	// NoLease: it would have to be held or tried again, and no worker id is held.
+	// CauseNoWorkerID: the request would have to be queued or retried, and no worker id is held.
 	CauseNoWorkerID
-	// Spent: no attempt is left to it, or none in the budget.
+	// CauseRetriesExhausted: the path allows no further attempt, or the retry budget none now.
 	CauseRetriesExhausted
-	// Late: its deadline has come, or is too near.
+	// CauseDeadline: the deadline has passed, or is too near for an attempt.
 	CauseDeadline
-	// Broken: its attempt may have run, and may not be made again.
+	// CauseResponseLost: an attempt may have run, and the request may not be repeated.
 	CauseResponseLost
-	// CallerLeft: nobody waits for the answer.
+	// CauseCallerLeft: the caller disconnected.
 	CauseCallerLeft
-	// Stopping: the daemon ends.
+	// CauseShuttingDown: the daemon shuts down.
 	CauseShuttingDown
 	causeCount
 )
 
+// String gives the cause's name as clients and operators see it.
 func (c Cause) String() string { return CauseNames[c] }
 
-// CauseNames are the names of causes, in the order in which they are counted.
+// CauseNames are the names used in answers and metrics, indexed by Cause.
 var CauseNames = [causeCount]string{"no-table", "no-path", "no-room", "no-lease", "spent", "late", "broken", "caller-left", "stopping"}
 
-// Answer is the final answer to a record that gets no engine's answer.
+// Answer is this daemon's own final answer to a request.
 type Answer struct {
-	// Status is zero where the answer that has begun is broken off, or nobody waits for one.
+	// Status is the HTTP status; zero where a response that has begun is broken off, or the caller is gone.
 	Status int
 	Cause  Cause
-	// ComeBack is when asking again makes sense.
+	// RetryAfter is when the client should try again; zero says nothing.
 	RetryAfter time.Duration
 }
 
-// finish ends a record with our own answer.
+// finish ends a request with this daemon's own answer.
 func (c *Core) finish(request *Request, env Environment, cause Cause, comeBack time.Duration) {
 	if request.stage == StageQueued {
 		c.dequeue(request)
@@ -68,8 +69,8 @@
 	request.give(Step{Answer: &answer})
 }
 
-// finalAnswer is the one place where the answer to a record is made. What it promises depends on nothing
-// but what became of the record's attempts.
+// finalAnswer is the one place that makes answers. Whether an answer says that the request has not run depends only on
+// the request's attempts.
 func finalAnswer(request *Request, cause Cause, comeBack time.Duration) Answer {
 	answer := Answer{Cause: cause}
 	switch {
--- a/request/forwarding/baseline.go
+++ b/request/forwarding/baseline.go
@@ -5,20 +5,22 @@
 )
 
 const (
-	// overdueTimes is how many times as long as like ones a first byte may take before it counts as overdue.
+	// overdueFactor is by how many times a first byte may exceed the usual time before it is overdue.
 	overdueFactor = 4
-	// leastOverdue is the share of its target that it may take in any case.
+	// minOverdueShare is the share of its target that it may take in any case.
 	minOverdueShare = 0.5
-	// enoughSeen is how many first bytes say what is usual; before, what takes unknownOverdue targets is overdue.
+	// minBaselineSamples is how many first bytes make a baseline; before, a first byte is overdue after
+	// unknownBaselineFactor targets.
 	minBaselineSamples    = 8
 	unknownBaselineFactor = 2
-	// middleStep is by how much each first byte moves what is usual, up or down.
+	// medianStep is the relative step by which each first byte moves the median.
 	medianStep = 0.05
 )
 
-// middle follows the median of times, which a share of engines that are far slower does not move much.
+// runningMedian approximates the median of times, which a share of far slower engines does not move much.
 type runningMedian struct{ time.Duration }
 
+// add moves the median one step towards the newest time.
 func (m *runningMedian) add(newest time.Duration) {
 	switch {
 	case m.Duration == 0:
@@ -30,15 +32,15 @@
 	}
 }
 
-// usual is what first bytes of a path usually take: the median of times, and the mean of what they cost. Over all of
-// its models, since a daemon of many sees few requests of each.
+// firstByteBaseline is what first bytes of a path usually take: the median time, and the mean of the expected cost in
+// prompt tokens. It covers all models of a path, since one daemon sees few requests of each.
 type firstByteBaseline struct {
 	firstByteTime runningMedian
 	meanCost      float64
 	samples       int
 }
 
-// note takes up one more first byte.
+// add takes in one more first byte.
 func (u *firstByteBaseline) add(waited time.Duration, score float64) {
 	u.firstByteTime.add(waited)
 	if u.samples++; score > 0 {
@@ -46,6 +48,7 @@
 	}
 }
 
+// baseline gives the baseline of a request's path.
 func (c *Core) baseline(request *Request) *firstByteBaseline {
 	u := c.baselines[request.Path.Name]
 	if u == nil {
@@ -58,8 +61,8 @@
 	return u
 }
 
-// overdueAfter is from when on the first byte of an attempt is overdue: long after those of its path are there usually,
-// more for what costs more than usual. A full batch and a big prompt take their time.
+// overdueAfter is how long an attempt's first byte may take before it is overdue: a multiple of the usual time, more for
+// a request of more than the usual cost, since full batches and large prompts take their time.
 func (c *Core) overdueAfter(request *Request) time.Duration {
 	u, target := c.baseline(request), time.Duration(request.Path.TargetMs)*time.Millisecond
 	if u.samples < minBaselineSamples {
--- a/request/forwarding/blockreason.go
+++ b/request/forwarding/blockreason.go
@@ -1,20 +1,21 @@
 package forwarding
 
-// lack is why nothing can take a record now; of several reasons the greatest counts.
+// blockReason is why no engine can take a request now. The constants are ordered: of several engines' reasons the
+// greatest, which came closest to an engine, is the request's.
 type blockReason uint8
 
 const (
 	notBlocked blockReason = iota
-	// noEngines: the pool has no engine that may get anything new.
+	// blockedNoEngine: the pool has no engine that accepts new requests.
 	blockedNoEngine
-	// noModel: no engine holds what is asked for.
+	// blockedNoModel: no engine has loaded the model and adapter.
 	blockedNoModel
-	// allTried: all that fit were tried by this record.
+	// blockedAllTried: the request was sent to each suitable engine already.
 	blockedAllTried
-	// allFull: all that fit have all that this daemon may send them, or rest.
+	// blockedAllBusy: each suitable engine is in backoff, or has as many attempts as this daemon may have there.
 	blockedAllBusy
 	blockReasonCount
 )
 
-// LackNames are the names of what may lack, in the order in which they are counted.
+// BlockReasonNames are the names used in metrics and logs, indexed by blockReason.
 var BlockReasonNames = [blockReasonCount]string{"nothing", "engines", "models", "untried", "room"}
--- a/request/forwarding/core.go
+++ b/request/forwarding/core.go
@@ -10,43 +10,49 @@
 	"github.com/cresspond/cresspond/process/featuregates"
 )
 
-// Core decides what becomes of records. It belongs to one actor.
+// Core decides what becomes of requests. It is pure and not safe for concurrent use: one Actor owns it.
 type Core struct {
 	settings Settings
 	Counters Counters
 
-	sequence     uint64
-	queue        []*Request
+	// sequence is the last request's; queue holds the requests in StageQueued, in no order.
+	sequence uint64
+	queue    []*Request
+	// engines holds what this daemon itself has seen of each engine, retryBudgets the retries by pool.
 	engines      map[ident.EngineID]*engineState
 	retryBudgets map[string]*retryBudget
-	demands      map[demandKey]*demandState
-	paths        map[pathKey]*pathState
-	// running counts the attempts under way by pool.
+	// demands and paths are keyed by pool, model and adapter, and by path and model.
+	demands map[demandKey]*demandState
+	paths   map[pathKey]*pathState
+	// attemptsByPool counts the attempts under way.
 	attemptsByPool map[string]int
-	// ledger is what became of attempts; awaited are those whose answer has not begun.
+	// outcomes collects what outlier detection is told of attempts; awaitingFirstByte are those that may become overdue,
+	// baselines what first bytes usually take, by path.
 	outcomes          *outlier.Recorder
 	awaitingFirstByte []*Request
 	baselines         map[string]*firstByteBaseline
-	// planTook and spreadTook are smoothed times that a planner, and the word of what it did, took lately.
+	// planningTime is the smoothed time from a missing model to its load order, propagationTime the same from the end of
+	// a load to this daemon's knowing of it.
 	planningTime, propagationTime time.Duration
-	// meanTokens is a smoothed size of prompts.
+	// meanPromptTokens is a smoothed size of prompts, in tokens.
 	meanPromptTokens float64
-	// candidates, weighedOut and failing are of the choice in hand.
+	// candidates, ejected, unhealthy and hashBuffer are scratch space of chooseEngine, kept to save allocations.
 	candidates, ejected, unhealthy []candidate
 	hashBuffer                     []byte
-	// losses counts the requests that were not served, or late.
+	// losses counts requests that were not served in time.
 	losses map[LossKey]uint64
-	// stopping says that the daemon ends: nothing is held or tried again any more.
+	// shuttingDown reports that nothing is queued or retried any more.
 	shuttingDown bool
 }
 
-// NewCore makes an empty core.
+// NewCore makes a core without requests.
 func NewCore(settings Settings) *Core {
 	return &Core{settings: settings, engines: map[ident.EngineID]*engineState{}, retryBudgets: map[string]*retryBudget{},
 		demands: map[demandKey]*demandState{}, paths: map[pathKey]*pathState{}, attemptsByPool: map[string]int{}, outcomes: outlier.NewRecorder(), baselines: map[string]*firstByteBaseline{}, losses: map[LossKey]uint64{}}
 }
 
-// Admit takes a record in and looks at it at once.
+// Admit takes in a new request and dispatches it. The sender gets its first step now, or once the request leaves the
+// queue.
 func (c *Core) Admit(request *Request, env Environment) {
 	c.Counters.Admitted++
 	c.sequence++
@@ -69,7 +75,7 @@
 	c.dispatch(request, env)
 }
 
-// look sends a record, holds it, or ends it.
+// dispatch starts an attempt, queues the request, or ends it.
 func (c *Core) dispatch(request *Request, env Environment) {
 	if request.callerLeft {
 		c.finish(request, env, CauseCallerLeft, 0)
@@ -113,7 +119,8 @@
 	c.startAttempt(request, env, chosen)
 }
 
-// CallerLeft drops a record that waits; one under way is ended by its sender, and goes nowhere after.
+// CallerLeft ends a request that waits, since its caller disconnected. The sender ends an attempt under way, after which
+// the request ends too.
 func (c *Core) CallerLeft(request *Request, env Environment) {
 	request.callerLeft = true
 	if request.stage == StageQueued || request.stage == StageAdmitted {
@@ -121,7 +128,7 @@
 	}
 }
 
-// Stop ends all that wait; whatever is under way ends with the attempt it makes now.
+// Stop ends all queued requests; those under way end with their current attempts.
 func (c *Core) Stop(env Environment) {
 	c.shuttingDown = true
 	for _, request := range slices.Clone(c.queue) {
--- a/request/forwarding/demand.go
+++ b/request/forwarding/demand.go
@@ -9,33 +9,34 @@
 	"github.com/cresspond/cresspond/process/placement/demand"
 )
 
-// Demand is what is asked of one pool for one model and adapter.
+// Demand is the demand that this daemon sees for one pool, model and adapter. The planner places models by it.
 type Demand struct {
 	Pool, Model, Adapter string
 	Queued, Running      int
-	// Tokens and Arrivals are smoothed numbers a second.
+	// TokensPerSecond and ArrivalsPerSecond are decayed means; an output token counts as ten.
 	TokensPerSecond, ArrivalsPerSecond float64
-	// Oldest is how long the one held longest has waited, Rank the most urgent rank among those asked for.
+	// OldestQueuedFor is the longest time that a queued request has waited, Rank the most urgent rank that asked for it.
 	OldestQueuedFor time.Duration
 	Rank            int
 }
 
 type demandKey struct{ pool, model, adapter string }
 
+// demandState is what is kept for a demandKey. queued and running count requests, the rates decay from decayedAt on.
 type demandState struct {
 	queued, running                    int
 	tokensPerSecond, arrivalsPerSecond float64
 	decayedAt                          clock.Mark
 	rank                               int
-	// lackedAt is since when no engine holds it, readyAt when the planner last said that one would, load how long
-	// a load was to take.
+	// missingSince is since when no engine has it loaded, readyAt when the planner last announced that one will,
+	// expectedLoadTime how long the load was to take.
 	missingSince, readyAt clock.Mark
 	expectedLoadTime      time.Duration
-	// back is when clients come back that were refused because something is not loaded yet.
+	// expectedReturns is when clients are expected to retry that were rejected because it is not loaded yet.
 	expectedReturns []clock.Mark
 }
 
-// returning notes a client that was told to come back.
+// expectReturn records a client that was asked to retry.
 func (d *demandState) expectReturn(at clock.Mark) {
 	if len(d.expectedReturns) < maxExpectedReturns {
 		d.expectedReturns = append(d.expectedReturns, at)
@@ -43,20 +44,22 @@
 }
 
 const (
+	// maxExpectedReturns bounds the returns remembered.
 	maxExpectedReturns = 100
-	// returnSlack is how much later than told a client may be back.
+	// returnGracePeriod is how much later than asked a client may retry.
 	returnGracePeriod = 300 * time.Millisecond
 )
 
-// expecting counts those that are not back yet.
+// countExpectedReturns counts the clients that have yet to retry.
 func (d *demandState) countExpectedReturns(now clock.Mark) int {
 	d.expectedReturns = slices.DeleteFunc(d.expectedReturns, func(at clock.Mark) bool { return now > at+clock.Mark(returnGracePeriod) })
 	return len(d.expectedReturns)
 }
 
-// demandHalf is the time after which an arrival counts half. Whoever plans lets rates fade alike.
+// demandHalfLife is the half-life of rates; the planner lets them decay alike.
 const demandHalfLife = demand.Half
 
+// demandState gives the state for a request's pool, model and adapter.
 func (c *Core) demandState(request *Request) *demandState {
 	key := demandKey{request.pool, request.Attributes.Model, request.Attributes.Adapter}
 	if c.demands[key] == nil {
@@ -65,7 +68,7 @@
 	return c.demands[key]
 }
 
-// fade lets what was noted before count less.
+// decay lets rates decay until now.
 func (d *demandState) decay(now clock.Mark) {
 	share := math.Exp2(-float64(now.Since(d.decayedAt)) / float64(demandHalfLife))
 	d.tokensPerSecond *= share
@@ -73,7 +76,7 @@
 	d.decayedAt = now
 }
 
-// arrived notes a request.
+// recordArrival counts a request in the rates.
 func (c *Core) recordArrival(request *Request, now clock.Mark) {
 	state := c.demandState(request)
 	state.decay(now)
@@ -87,7 +90,7 @@
 	}
 }
 
-// Demands lists what is asked for now, and forgets what has not been for long.
+// Demands lists the demand now, and forgets what has not been asked for in a long time.
 func (c *Core) Demands(now clock.Mark) []Demand {
 	oldest := map[demandKey]clock.Mark{}
 	for _, request := range c.queue {
--- a/request/forwarding/enginehealth.go
+++ b/request/forwarding/enginehealth.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"github.com/cresspond/cresspond/clock"
-	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
 const failureRateHalfLife = 3 * time.Second
@@ -61,7 +60,7 @@
 
 // lacks says whether it said lately that it does not hold what is asked for, or is not who it was taken for.
 func (e *engineState) reportedMissing(request *Request, now clock.Mark) bool {
-	return len(e.missingUntil) > 0 && now < e.missingUntil[registry.Target{Model: request.Attributes.Model, Adapter: request.Attributes.Adapter}]
+	return len(e.missingUntil) > 0 && now < e.missingUntil[request.target()]
 }
 
 // gone says whether it seems to be there no more: it can't be reached, and has nothing of this daemon under way
--- a/request/forwarding/enginestate.go
+++ b/request/forwarding/enginestate.go
@@ -101,7 +101,7 @@
 		e.waitingSince = requested
 	case OutcomeMisdirected, OutcomeRejected:
 		if request.speculative {
-			e.speculationRejected(registry.Target{Model: request.Attributes.Model, Adapter: request.Attributes.Adapter}, env.Now)
+			e.speculationRejected(request.target(), env.Now)
 			return
 		}
 		if outcome == OutcomeRejected {
@@ -113,7 +113,7 @@
 			e.missingUntil = map[registry.Target]clock.Mark{}
 		}
 		maps.DeleteFunc(e.missingUntil, func(_ registry.Target, until clock.Mark) bool { return env.Now >= until })
-		e.missingUntil[registry.Target{Model: request.Attributes.Model, Adapter: request.Attributes.Adapter}] = env.Now + clock.Mark(missingTTL)
+		e.missingUntil[request.target()] = env.Now + clock.Mark(missingTTL)
 	}
 }
 
--- a/request/forwarding/environment.go
+++ b/request/forwarding/environment.go
@@ -9,25 +9,34 @@
 	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
-// World is what the passes may look at; it is gathered anew for each event.
+// Environment is everything outside the core that a decision may depend on. It is gathered anew for each event.
 type Environment struct {
+	// Now is the time of the event, on the process's monotonic clock.
 	Now clock.Mark
-	// Index is the table in force; Current says that it is known to be new enough.
-	Index        *upstream.Index
+	// Index is the routing table in force; nil is none.
+	Index *upstream.Index
+	// IndexCurrent reports whether the table is known to be recent enough to say that a path does not exist.
 	IndexCurrent bool
-	View         *registry.View
-	Zone         ident.ZoneID
-	// Edges is how many daemons route, this one included.
+	// View is the registered engines.
+	View *registry.View
+	// Zone is this daemon's own zone; empty is unknown.
+	Zone ident.ZoneID
+	// Routers counts the daemons that route, this one included.
 	Routers int
-	// Leased says whether a worker id is held, Mint mints under it.
+	// HasWorkerID reports whether this daemon holds a worker id, under which MintID can mint.
 	HasWorkerID bool
-	MintID      func() (ident.SnowflakeID, bool)
-	// Open says whether operators let new requests go to an engine: neither it nor its zone is closed. Nil is yes.
+	// MintID mints an id under the worker id; false where none is held.
+	MintID func() (ident.SnowflakeID, bool)
+	// EngineOpen reports whether operators let new requests go to an engine: neither it nor its zone is closed. Nil is
+	// always.
 	EngineOpen func(*registry.Engine) bool
-	// Emptied says that an engine is shut because its node is sick, so that what can go on elsewhere does. Nil is never.
+	// EngineEvacuated reports whether an engine was closed because its node is unhealthy, so that requests under way there
+	// migrate. Nil is never.
 	EngineEvacuated func(*registry.Engine) bool
-	// Warm says whether a connection to an engine is kept that an attempt of a pool could use. Nil is never.
+	// HasIdleConnection reports whether the connection pool has an idle connection to an engine that an attempt of a pool
+	// could use; careful is of attempts that can't be repeated. Nil means that connections are not taken into account.
 	HasIdleConnection func(engine *registry.Engine, pool string, careful bool) bool
-	// Lacks says for how long a model or adapter is not likely to be loaded, where the planner said so.
+	// NotLoadedFor gives the planner's estimate of how long a model or adapter will not be loaded; false where it gave
+	// none. Nil is never any.
 	NotLoadedFor func(pool, model, adapter string) (time.Duration, bool)
 }
--- a/request/forwarding/giveup.go
+++ b/request/forwarding/giveup.go
@@ -7,20 +7,22 @@
 )
 
 const (
+	// minRetryAfter is the least time that a client is asked to wait.
 	minRetryAfter = 50 * time.Millisecond
-	// planTime is about how long a planner takes to hear of a lack and order a load, spreadTime how long after a
-	// load's end engines are known to hold it; both until it is known how long they took here.
+	// defaultPlanningTime is assumed from a missing model to its load order, defaultPropagationTime from the end of a
+	// load to this daemon's knowing of it, until both are measured.
 	defaultPlanningTime    = 500 * time.Millisecond
 	defaultPropagationTime = 250 * time.Millisecond
-	// leastPlan and mostPlan bound what is learned of both.
+	// minLearnedTime and maxLearnedTime bound what is learned of both.
 	minLearnedTime, maxLearnedTime = 50 * time.Millisecond, 3 * time.Second
-	// readyMargin is how much later than told something may come to be there.
+	// readyMargin is how much later than announced a load may be done.
 	readyMargin = 50 * time.Millisecond
-	// comesBackBy is the share of the time left by which a client that is told to is back.
+	// retryAfterDivisor: a client that is asked to retry does so within the remaining time divided by this.
 	retryAfterDivisor = 3
 )
 
-// comeBack is when asking again makes sense: later than what holds it up now, and early enough to be served.
+// retryAfter is when retrying makes sense if nothing better is known: after the current congestion, early enough to be
+// served.
 func (c *Core) retryAfter(request *Request, env Environment) time.Duration {
 	if request.Path == nil {
 		return time.Second
@@ -28,9 +30,9 @@
 	return max(request.Deadline.Since(env.Now)/4, minRetryAfter)
 }
 
-// hopeless says whether a record that nothing can take now is to be given up, and when to come back. A
-// request is given up as soon as it is known that it can't be served in time, and never held for half of the
-// time it had; while there is hope it is held.
+// shouldGiveUp reports whether to reject a request that no engine can take now, and when the client should retry. A
+// request is rejected as soon as it is known that it can't be served in time, and otherwise once it has been queued for
+// maxQueueTime.
 func (c *Core) shouldGiveUp(request *Request, env Environment, blocked blockReason) (comeBack time.Duration, hopeless bool) {
 	left, waited := request.responseDeadline().Since(env.Now), env.Now.Since(request.ArrivedAt)
 	most := maxQueueTime(request)
@@ -55,7 +57,8 @@
 	return c.retryAfter(request, env), waited >= initialQueueTime(request)
 }
 
-// untilLoaded decides on a record whose model or adapter no engine holds, and which is there after a wait.
+// shouldGiveUpLoad is shouldGiveUp for a request whose model or adapter no engine has loaded; it is expected to be
+// loaded after wait, by the planner's word if announced.
 func (c *Core) shouldGiveUpLoad(request *Request, wait time.Duration, sure bool, env Environment) (comeBack time.Duration, hopeless bool) {
 	left, waited := request.responseDeadline().Since(env.Now), env.Now.Since(request.ArrivedAt)
 	target, most := time.Duration(request.Path.TargetMs)*time.Millisecond, maxQueueTime(request)
--- a/request/forwarding/loadwait.go
+++ b/request/forwarding/loadwait.go
@@ -9,8 +9,8 @@
 	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
-// loadWait is how long something that no engine holds is likely to take to be there, and whether that is
-// the planner's word.
+// estimateLoadWait estimates when a model and adapter that no engine has will be loaded, and reports whether the planner
+// announced that.
 func (c *Core) estimateLoadWait(request *Request, env Environment) (time.Duration, bool) {
 	state := c.demandState(request)
 	load, catalogued := c.loadTime(request, env)
@@ -58,7 +58,7 @@
 	return max(0, complete-since), false
 }
 
-// loadTime is how long a load takes of what a record asks for; false where the catalogue does not have it.
+// loadTime is how long the load takes; false if the catalogue does not have the model.
 func (c *Core) loadTime(request *Request, env Environment) (time.Duration, bool) {
 	model, known := env.Index.Model(request.pool, request.Attributes.Model)
 	if !known {
@@ -73,7 +73,7 @@
 	return time.Duration(model.LoadMs) * time.Millisecond, true
 }
 
-// known takes what was learned, or else what is usual.
+// learnedOr gives a measured time, or the usual one while there is none.
 func learnedOr(learned, usual time.Duration) time.Duration {
 	if learned == 0 {
 		return usual
@@ -81,7 +81,8 @@
 	return learned
 }
 
-// present learns how long it took something to be there, where somebody waited for it all the while.
+// learnLoadTimes updates planningTime or propagationTime once a model is available that a request waited for all the
+// while.
 func (c *Core) learnLoadTimes(request *Request, env Environment) {
 	state := c.demandState(request)
 	if state.missingSince == 0 {
--- a/request/forwarding/loss.go
+++ b/request/forwarding/loss.go
@@ -6,33 +6,33 @@
 	"github.com/cresspond/cresspond/clock"
 )
 
-// Loss is one request that earned less than it could have.
+// Loss describes one request that was not served, or whose response began after its target.
 type Loss struct {
 	Path, Model string
 	Reason      Reason
-	// Lack is what it lacked when it last could not be sent.
+	// BlockedBy names what blocked it when it could not be sent last.
 	BlockedBy string
-	// Returned says that it had come before and was refused.
+	// Resubmitted reports that it was probably rejected before.
 	Resubmitted bool
-	// Waited is how long it had been here, Held how long of that it was held, Attempts how many engines had it.
+	// Waited is how long the request was here, Queued how long of that it was queued, Attempts how many engines got it.
 	Waited, Queued time.Duration
 	Attempts       int
 }
 
-// LossKey is what losses are counted by. Models beyond mostLossKeys are counted under otherModels.
+// LossKey is what losses are counted by. Models beyond maxLossKeys are counted under overflowModel.
 type LossKey struct {
 	Path, Model string
 	Reason      Reason
 }
 
 const (
-	// mostLossKeys bounds the counters of losses.
+	// maxLossKeys bounds the counters of losses.
 	maxLossKeys = 2_000
-	// otherModels is the model of losses that are not counted by model any more.
+	// overflowModel stands for models that are not counted one by one.
 	overflowModel = "other"
 )
 
-// lost counts a loss, and tells it to whoever observes losses.
+// recordLoss counts a request's loss, once, and passes it to Settings.ObserveLoss.
 func (c *Core) recordLoss(request *Request, reason Reason, now clock.Mark) {
 	if reason == ReasonNone || request.lossCounted {
 		return
@@ -52,7 +52,7 @@
 	}
 }
 
-// Losses gives how many requests were lost or late, by path, model and reason.
+// Losses gives the number of losses by path, model and reason.
 func (c *Core) Losses() map[LossKey]uint64 {
 	out := make(map[LossKey]uint64, len(c.losses))
 	for key, count := range c.losses {
--- a/request/forwarding/migrate.go
+++ b/request/forwarding/migrate.go
@@ -1,8 +1,8 @@
 package forwarding
 
-// MoveOff decides whether what a record has under way at an engine that is emptied is stopped, to be made elsewhere.
-// It is only where nothing can be lost by it: it may run again, or go on after its last event; another engine can take
-// it now; and its next attempt is in the budget already. What may run once only stays to its end.
+// Migrate reports whether the sender should stop an attempt at an evacuated engine, to make it elsewhere. That is so
+// only where nothing is lost: the request is repeatable or resumable after its last event, another engine can take it
+// now, and the retry budget has been charged. Requests that may run only once stay.
 func (c *Core) Migrate(request *Request, env Environment) bool {
 	if request.stage != StageSending && request.stage != StageResponding || request.migrating || c.shuttingDown || env.EngineEvacuated == nil || env.View == nil || env.Index == nil {
 		return false
@@ -21,6 +21,7 @@
 	return true
 }
 
+// canMigrate reports whether an attempt can be made elsewhere now.
 func (c *Core) canMigrate(request *Request, env Environment) bool {
 	path, found := env.Index.Lookup(request.Host, request.URLPath)
 	switch {
--- a/request/forwarding/outlierreport.go
+++ b/request/forwarding/outlierreport.go
@@ -9,16 +9,27 @@
 	"github.com/cresspond/cresspond/process/engines/outlier"
 )
 
-// noteOutcome counts an attempt in the ledger, once.
+// reportState is whether an attempt has been counted for outlier detection. Each attempt is counted once.
+type reportState uint8
+
+const (
+	unreported reportState = iota
+	// reported: counted when its first byte came, or when it ended.
+	reported
+	// reportedOverdue: counted while its first byte was overdue.
+	reportedOverdue
+)
+
+// reportOutcome counts an attempt for outlier detection, unless it has been.
 func (c *Core) reportOutcome(request *Request, outcome outlier.Outcome) {
-	if request.outcomeReported {
+	if request.report != unreported {
 		return
 	}
-	request.outcomeReported = true
+	request.report = reported
 	c.outcomes.Record(request.engine, outcome)
 }
 
-// noteEnd counts how an attempt ended. What our side or the caller did says nothing of the engine.
+// reportEnd counts how an attempt ended. What this daemon or the caller did says nothing about the engine.
 func (c *Core) reportEnd(request *Request, outcome Outcome, env Environment) {
 	switch outcome {
 	case OutcomeCompleted:
@@ -28,15 +39,15 @@
 	case OutcomeEngineError, OutcomeResponseLost, OutcomeProtocolError, OutcomeStreamBroken:
 		switch {
 		case env.Now >= request.Deadline && outcome != OutcomeEngineError:
-			// It ran into its own deadline, and was counted when it was overdue, if it was.
-		case request.outcomeReported && !request.reportedOverdue:
+			// It ran into its own deadline, and was counted when it became overdue, if it did.
+		case request.report == reported:
 			c.outcomes.RecordTruncated(request.engine)
 		default:
 			c.reportOutcome(request, outlier.Failure)
 		}
 	case OutcomeRejected:
 		if !request.speculative {
-			// One that went ahead of the news of a load may well come too soon.
+			// A speculative attempt may be rejected by a healthy engine.
 			c.reportOutcome(request, outlier.Refusal)
 		}
 	}
@@ -50,19 +61,20 @@
 	c.stopAwaiting(request)
 }
 
-// noteFirst counts an attempt whose first byte has come.
+// reportFirstByte counts an attempt whose first byte has come.
 func (c *Core) reportFirstByte(request *Request, now clock.Mark) {
-	waited, u := now.Since(request.sentAt), c.baseline(request)
-	c.outcomes.RecordFirstByteExcess(request.engine, waited-u.firstByteTime.Duration)
+	waited, baseline := now.Since(request.sentAt), c.baseline(request)
+	c.outcomes.RecordFirstByteExcess(request.engine, waited-baseline.firstByteTime.Duration)
 	if waited > request.overdueAfter {
 		c.reportOutcome(request, outlier.Overdue)
 	} else {
 		c.reportOutcome(request, outlier.Success)
 	}
-	u.add(waited, request.expectedCost)
+	baseline.add(waited, request.expectedCost)
 	c.stopAwaiting(request)
 }
 
+// stopAwaiting takes a request off those whose first byte may become overdue.
 func (c *Core) stopAwaiting(request *Request) {
 	if index := slices.Index(c.awaitingFirstByte, request); index >= 0 {
 		last := len(c.awaitingFirstByte) - 1
@@ -72,19 +84,19 @@
 	}
 }
 
-// Outcomes gives what became of attempts since it was last asked for. Attempts that wait for far longer than like
-// ones count now: an engine that hangs would else be known only when deadlines pass.
+// Outcomes gives the outcomes of attempts by engine since the last call. An attempt whose first byte is overdue counts at
+// once: otherwise an engine that hangs would be noticed only when deadlines pass.
 func (c *Core) Outcomes(now clock.Mark) []outlier.Digest {
 	for _, request := range c.awaitingFirstByte {
-		if !request.outcomeReported && now.Since(request.sentAt) > request.overdueAfter {
-			request.reportedOverdue = true
+		if request.report == unreported && now.Since(request.sentAt) > request.overdueAfter {
 			c.reportOutcome(request, outlier.Overdue)
+			request.report = reportedOverdue
 		}
 	}
 	return c.outcomes.TakeDigests()
 }
 
-// Reading gives what this daemon saw of an engine lately.
+// EngineStatistics gives what this daemon recently measured of an engine.
 func (c *Core) EngineStatistics(engine ident.EngineID) outlier.Reading {
 	return c.outcomes.Reading(engine)
 }
--- a/request/forwarding/pathstate.go
+++ b/request/forwarding/pathstate.go
@@ -9,21 +9,23 @@
 	"github.com/cresspond/cresspond/process/featuregates"
 )
 
-// pathKey tells models apart: each has its engines, and its pace.
+// pathKey is a path and model: each model has its own engines and speed.
 type pathKey struct{ path, model string }
 
-// pathState is what this daemon has seen of one path's requests for one model.
+// pathState is what this daemon measured of one path's requests for one model.
 type pathState struct {
-	// first is a smoothed time from sending to the first byte, served the same to the whole answer.
+	// firstByteTime and serviceTime are smoothed times from sending to the first byte and to the end of the response.
 	firstByteTime, serviceTime time.Duration
-	// pace is a smoothed time to the first byte for each token of expected cost, paced when it was last seen,
-	// best the least of it lately: what a token takes where nothing is in its way.
+	// timePerToken is the smoothed time to the first byte in ns for each token of expected cost, bestTimePerToken its
+	// recent minimum: what a token takes on an idle engine. measuredAt is when timePerToken was measured last.
 	timePerToken, bestTimePerToken float64
 	measuredAt                     clock.Mark
 }
 
+// maxPathStates bounds the states kept.
 const maxPathStates = 10_000
 
+// pathState gives the state of a request's path and model.
 func (c *Core) pathState(request *Request) *pathState {
 	key := pathKey{request.Path.Name, request.Attributes.Model}
 	state := c.paths[key]
@@ -38,7 +40,7 @@
 	return state
 }
 
-// began notes how long the first byte took.
+// responseBegun records how long the first byte of an attempt took.
 func (p *pathState) responseBegun(request *Request, now clock.Mark) {
 	waited := now.Since(request.sentAt)
 	smooth(&p.firstByteTime, waited)
@@ -56,7 +58,7 @@
 	p.measuredAt = now
 }
 
-// tokens is how many tokens could be read in a time.
+// tokensIn is how many prompt tokens an idle engine reads in a time.
 func (p *pathState) tokensIn(duration time.Duration) float64 {
 	if p.bestTimePerToken <= 0 || duration <= 0 {
 		return 0
@@ -64,12 +66,11 @@
 	return float64(duration) / p.bestTimePerToken
 }
 
-// sheds says whether a request is given up although an engine could be sent it: where its first byte is
-// likely to come too late, it would only make those behind it late as well. Between in time and far too late
-// a draw decides, since all daemons shedding and letting in by turns is worse than either. Nothing is shed
-// while first bytes come well in time, nor what went out before. Those that come back are no exception: where
-// they were, each wave of refusals came back as the next flood. What was seen counts less the
-// longer ago, or a path that was given up on would never be tried again.
+// shouldShed reports whether to reject a request although an engine could take it, because its first byte is expected so
+// late that it would only delay the requests behind it. Between ShedStart and ShedStart+ShedRange the probability rises
+// from 0 to 1: routers that all shed and admit in turns oscillate. Nothing is shed while first bytes come well in time,
+// and no request that was sent already. Resubmitted requests are not exempt: when they were, each wave of rejections
+// came back as the next overload. Measurements decay, or a path that sheds everything would never be tried again.
 func (p *pathState) shouldShed(request *Request, env Environment, settings Settings, least time.Duration) bool {
 	expected := decayed(time.Duration(request.expectedCost*p.timePerToken), p.measuredAt, env.Now)
 	if expected > request.responseDeadline().Since(env.Now)-least {
@@ -86,10 +87,11 @@
 	return (float64(expected)/target-settings.ShedStart)/settings.ShedRange > drawn
 }
 
+// minAttemptFloor is the least time that any attempt needs.
 const minAttemptFloor = 5 * time.Millisecond
 
-// least is the time that an attempt needs at least to be worth sending: what it took lately, but no more than
-// its target, or a bad hour would keep the next request from even being tried.
+// minAttemptTime is the least time left with which an attempt is worth making: half of what first bytes took lately, but
+// at most half the target, or one bad hour would keep later requests from being tried.
 func (c *Core) minAttemptTime(request *Request) time.Duration {
 	if request.Path == nil {
 		return 0
@@ -98,12 +100,12 @@
 	return max(target/10, min(c.pathState(request).firstByteTime, target)/2, minAttemptFloor)
 }
 
-// fading lets what was seen count less the longer ago: half after a second.
+// decayed lets a measurement count less with its age: half after a second.
 func decayed(seen time.Duration, at, now clock.Mark) time.Duration {
 	return time.Duration(float64(seen) * float64(time.Second) / float64(time.Second+now.Since(at)))
 }
 
-// smooth moves a smoothed time towards the newest.
+// smooth moves an exponential moving average of weight 1/8 towards the newest value.
 func smooth(into *time.Duration, newest time.Duration) {
 	if *into == 0 {
 		*into = newest
--- a/request/forwarding/prefixcache.go
+++ b/request/forwarding/prefixcache.go
@@ -4,23 +4,24 @@
 	"container/list"
 )
 
-// mostKeptParts bounds what is remembered of the parts sent to one engine.
+// maxCachedPrefixParts bounds the prompt parts remembered for one engine.
 const maxCachedPrefixParts = 512
 
-// keptParts remembers, per engine, the parts of prompts that were sent there last.
+// prefixCache is this daemon's guess at an engine's KV cache: an LRU list of the prompt parts sent there.
 type prefixCache struct {
 	recency  *list.List
 	elements map[prefixPartKey]*list.Element
 }
 
-// partKey holds the model and adapter too: a part kept for one is of no use to another.
+// prefixPartKey includes model and adapter, since a cached part serves one of them only.
 type prefixPartKey struct{ model, adapter, id string }
 
+// newPrefixCache makes an empty cache.
 func newPrefixCache() *prefixCache {
 	return &prefixCache{recency: list.New(), elements: map[prefixPartKey]*list.Element{}}
 }
 
-// note remembers the parts of a prompt.
+// add records a prompt's parts as most recently used.
 func (k *prefixCache) add(request *Request) {
 	for _, part := range request.Attributes.Parts {
 		key := prefixPartKey{request.Attributes.Model, request.Attributes.Adapter, part.ID}
@@ -37,7 +38,7 @@
 	}
 }
 
-// keptTokens counts the tokens of the parts, from the first on, that were sent there before.
+// cachedTokens counts the tokens of the prompt's leading parts that were sent there before.
 func (k *prefixCache) cachedTokens(request *Request) int {
 	tokens := 0
 	for _, part := range request.Attributes.Parts {
--- a/request/forwarding/queue.go
+++ b/request/forwarding/queue.go
@@ -8,7 +8,7 @@
 	"github.com/cresspond/cresspond/clock"
 )
 
-// hold keeps a record until an engine can take it, or ends it if none will in time.
+// enqueue queues a request until an engine can take it, or ends it if none is expected to in time.
 func (c *Core) enqueue(request *Request, env Environment, blocked blockReason) {
 	if c.shuttingDown {
 		c.finish(request, env, CauseShuttingDown, minRetryAfter)
@@ -37,7 +37,7 @@
 	c.demandState(request).queued++
 }
 
-// unhold takes a record out of those held.
+// dequeue takes a request out of the queue.
 func (c *Core) dequeue(request *Request) {
 	if index := slices.Index(c.queue, request); index >= 0 {
 		c.queue = slices.Delete(c.queue, index, index+1)
@@ -45,16 +45,17 @@
 	}
 }
 
-// raisedBy is by how many ranks a record rises over all of its time; none is held for more than half of it.
+// agingRanks is by how many ranks a request rises over all the time until its response deadline. It is queued for less
+// than half of that.
 const agingRanks = 8
 
-// rankOf is the rank by which a record that waits is served; waiting raises it, so that none starves.
+// effectiveRank is the rank by which queued requests are ordered. It rises with waiting, so that no rank starves.
 func effectiveRank(request *Request, now clock.Mark) float64 {
 	duration := max(request.responseDeadline().Since(request.ArrivedAt), time.Millisecond)
 	return float64(request.Path.Rank) - agingRanks*float64(now.Since(request.ArrivedAt))/float64(duration)
 }
 
-// Pass looks at all that are held, the most urgent first.
+// DispatchQueued dispatches all queued requests, those of the lowest effective rank first.
 func (c *Core) DispatchQueued(env Environment) {
 	if len(c.queue) == 0 {
 		return
@@ -77,10 +78,10 @@
 	}
 }
 
-// HeldNow counts those that wait.
+// QueueLength counts the queued requests.
 func (c *Core) QueueLength() int { return len(c.queue) }
 
-// before counts those that are held for the same pool and are served first.
+// queuedAhead counts the requests queued for the same pool that are dispatched earlier.
 func (c *Core) queuedAhead(request *Request, env Environment) int {
 	count, rank := 0, effectiveRank(request, env.Now)
 	for _, other := range c.queue {
@@ -91,9 +92,10 @@
 	return count
 }
 
+// maxWakeInterval bounds the time between two dispatches of the queue: the ends of loads and backoffs are not computed.
 const maxWakeInterval = 50 * time.Millisecond
 
-// NextLook is when the records that wait must be looked at again even if nothing happens.
+// NextWake is when queued requests must be dispatched again even if no event happens; false if none is queued.
 func (c *Core) NextWake(now clock.Mark) (clock.Mark, bool) {
 	if len(c.queue) == 0 {
 		return 0, false
@@ -109,13 +111,13 @@
 	return max(min(next, now+clock.Mark(maxWakeInterval)), now+clock.Mark(time.Millisecond)), true
 }
 
-// mostHeld is how long a request may be held: under half of the time it had.
+// maxQueueTime is how long a request may be queued: less than half of the time until its response deadline.
 func maxQueueTime(request *Request) time.Duration {
 	return request.responseDeadline().Since(request.ArrivedAt) * 9 / 20
 }
 
-// firstWord is how long a request is held while nothing is known of when it can be served: well under the
-// quarter of its target within which a refusal does no harm.
+// initialQueueTime is how long a request is queued while nothing tells when it can be served: less than the quarter of
+// its target within which a rejection does no harm.
 func initialQueueTime(request *Request) time.Duration {
 	return time.Duration(request.Path.TargetMs) * time.Millisecond / 5
 }
--- a/request/forwarding/request.go
+++ b/request/forwarding/request.go
@@ -6,91 +6,108 @@
 	"github.com/cresspond/cresspond/clock"
 	"github.com/cresspond/cresspond/configuration/upstream"
 	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/engines/registry"
 	"github.com/cresspond/cresspond/wire/dialect"
 )
 
-// Record is one request on its way.
+// Request is one request on its way through this daemon. The gateway sets the exported fields before it is admitted;
+// the rest belongs to the core.
 type Request struct {
+	// Attributes are what the request's header says: its id, model, adapter, size, prompt parts and deadline.
 	Attributes dialect.Ask
-	// Path is what served it by the table in force when it was read; nil is none.
+	// Path is the path of the routing table that serves it; nil is none. It is looked up again before each attempt.
 	Path *upstream.Path
-	// Host and Prefixed are what it is looked up by, again, before each attempt.
+	// Host and URLPath are what the path is looked up by.
 	Host, URLPath string
-	ArrivedAt     clock.Mark
-	Deadline      clock.Mark
+	// ArrivedAt is when it was read, Deadline until when its whole response is worth anything.
+	ArrivedAt, Deadline clock.Mark
 
-	// Seen is what the sender saw of the attempt under way; it is the sender's until it reports how that ended.
+	// Observed is the sender's until it reports how the attempt ended.
 	Observed AttemptObservation
 
 	stage Stage
-	// pool is drawn once, so that all attempts go to the same.
+	// pool is selected once, so that all attempts go to the same pool while the table allows it.
 	pool string
-	// firstBy is when an answer must have begun, or its caller is likely to be gone.
+	// firstByteDeadline is when the client is expected to give up if no response has begun.
 	firstByteDeadline clock.Mark
-	// returned says that the client seems to have been refused before: it has less time than it began with.
+	// resubmitted reports that the client was probably rejected before: less time is left than the path gives.
 	resubmitted bool
-	// sequence orders those that wait by arrival.
+	// sequence orders queued requests by arrival.
 	sequence uint64
-	// Attempts is how many engines it was sent to, tried which; engine is the newest.
+	// enginesTried counts the engines that got it; triedEngines lists those that don't get it again.
 	enginesTried int
 	triedEngines []ident.EngineID
-	engine       ident.EngineID
-	// stamps are the minted ids of its queueing and of each retry.
+	// mintedIDs are the ids of its queueing and of each retry.
 	mintedIDs []ident.SnowflakeID
-	// mayHaveRun says that an attempt may have run, so no refusal may be promised.
+	// mayHaveRun reports that an attempt may have run, so that no rejection may be answered.
 	mayHaveRun bool
-	// begun says that the caller has bytes of an answer, callerLeft that it waits for none any more.
+	// responseBegun reports that the caller has bytes of a response; callerLeft that the caller disconnected.
 	responseBegun, callerLeft bool
-	// lastEvent is the last event passed on, if any was.
+	// lastEvent is the id of the last event passed on.
 	lastEvent string
-	// heldAt is since when it is held, heldFor how long it was held before, heldLack what it lacked when it was.
+	// queuedAt is when it was queued last, queuedFor how long it was queued before, queuedBecause what blocked it.
 	queuedAt      clock.Mark
 	queuedFor     time.Duration
 	queuedBecause blockReason
-	// lack is what it lacked when it last could not be sent, shed that it was refused by an estimate.
+	// blockedBecause is what blocked it when it could not be sent last; shed reports that it was shed.
 	blockedBecause blockReason
 	shed           bool
-	lossCounted    bool
-	// heldBack counts the attempts that were stopped at the last look.
+	// lossCounted reports that it is counted among the losses, which happens once.
+	lossCounted bool
+	// withheldCount counts the attempts that were withheld.
 	withheldCount int
-	sentAt        clock.Mark
-	// needs is the tokens of memory, and unread those of its prompt that the engine chosen has not kept;
-	// awaited says that the answer has not begun.
-	memoryTokens, prefillTokens int
-	awaitingFirstByte           bool
-	// speculative says that it goes ahead of the news of a load, tooSoonAt where it came too soon last, boundTo
-	// to which engine alone it may go any more.
+	// memoryTokens is the KV-cache memory that it may take, in tokens.
+	memoryTokens int
+	// firstSendCounted reports that its first send is counted in the retry budget.
+	firstSendCounted bool
+
+	// The fields from here on describe the newest attempt. engine is where it is, sentAt when it was sent.
+	engine ident.EngineID
+	sentAt clock.Mark
+	// prefillTokens is the part of the prompt that the engine has not cached; awaitingFirstByte reports that it counts in
+	// the engine's prefill backlog.
+	prefillTokens     int
+	awaitingFirstByte bool
+	// expectedCost is what the engine was expected to cost, in prompt tokens; zero in pools that do not batch.
+	expectedCost float64
+	// speculative reports that the engine has not yet reported to have loaded the model. lastSpeculationRejectedBy is
+	// the engine that rejected it last for that; onlyEngine the one engine that it may still go to, if set.
 	speculative                           bool
 	lastSpeculationRejectedBy, onlyEngine ident.EngineID
-	// overdueAfter is how long its first byte may take; noted says that the attempt is counted in the ledger,
-	// wasOverdue that it was when its first byte had not come.
-	overdueAfter                     time.Duration
-	outcomeReported, reportedOverdue bool
-	// score is what the engine chosen was expected to cost.
-	expectedCost float64
-	// moving says that the attempt under way was stopped to be made elsewhere, paid that the next one is in the budget.
+	// overdueAfter is how long the first byte may take, report whether the attempt is counted for outlier detection.
+	overdueAfter time.Duration
+	report       reportState
+	// migrating reports that this daemon stops the attempt to make it elsewhere; retryCharged that the retry budget is
+	// charged for the next one already.
 	migrating, retryCharged bool
-	// counted says that its first arrival at an engine is in the budget.
-	firstSendCounted bool
-	steps            chan Step
+
+	// steps holds the sender's next step; there is at most one.
+	steps chan Step
 }
 
-// NewRecord makes a record with room for its steps.
+// NewRequest makes a request that can be admitted.
 func NewRequest(request Request) *Request {
 	request.steps = make(chan Step, 1)
 	return &request
 }
 
-// Seen is what a sender sees of an attempt besides how it ends.
+// AttemptObservation is what a sender measures of an attempt besides its outcome.
 type AttemptObservation struct {
-	// Connect is how long a fresh connection took; zero is a kept one. LongestGap is the longest wait for a next event.
-	ConnectTime, LongestEventGap time.Duration
+	// ConnectTime is how long a new connection took; zero means that an idle one was used.
+	ConnectTime time.Duration
+	// LongestEventGap is the longest wait for a next event of a stream.
+	LongestEventGap time.Duration
 }
 
-// Stage tells where the record stands.
+// Stage gives the request's state.
 func (r *Request) Stage() Stage { return r.stage }
 
-// answerBy is until when the answer, or what follows of it, is worth waiting for.
+// target is the model and adapter that it asks for.
+func (r *Request) target() registry.Target {
+	return registry.Target{Model: r.Attributes.Model, Adapter: r.Attributes.Adapter}
+}
+
+// responseDeadline is until when a response must begin or, once it has begun, end.
 func (r *Request) responseDeadline() clock.Mark {
 	if r.responseBegun || r.firstByteDeadline == 0 {
 		return r.Deadline
@@ -98,20 +115,20 @@
 	return r.firstByteDeadline
 }
 
-// repeatable says whether the request may run more than once.
+// repeatable reports whether the request may run more than once.
 func (r *Request) repeatable() bool {
 	return r.Path != nil && r.Path.Class == upstream.Repeatable
 }
 
-// resumable says whether an answer that broke off may go on at another engine.
+// resumable reports whether a response that broke off may be resumed at another engine.
 func (r *Request) resumable() bool {
 	return r.Path != nil && r.Path.Class == upstream.Stream && r.Path.Resumable
 }
 
-// mayRepeat says whether another attempt may be made although an earlier one may have run.
+// mayRepeat reports whether another attempt may be made although an earlier one may have run.
 func (r *Request) mayRepeat() bool { return r.repeatable() || r.resumable() }
 
-// resumeAt is the event after which the next attempt goes on.
+// resumeAfter is the id of the event after which the next attempt resumes; empty starts anew.
 func (r *Request) resumeAfter() string {
 	if r.lastEvent != "" {
 		return r.lastEvent
--- a/request/forwarding/routes.go
+++ b/request/forwarding/routes.go
@@ -9,7 +9,7 @@
 	"github.com/cresspond/cresspond/configuration/upstream"
 )
 
-// drawPool draws a pool by the weights of the path, the same for the same attempt.
+// selectPool selects a pool by the path's weights. The same attempt id gives the same pool.
 func selectPool(path *upstream.Path, attempt string) string {
 	var sum uint64
 	for _, share := range path.Shares {
@@ -28,7 +28,7 @@
 	return path.Shares[len(path.Shares)-1].Pool
 }
 
-// Leads says whether the table in force still sends a request to a pool.
+// RoutesTo reports whether the routing table still sends a request to a pool.
 func RoutesTo(index *upstream.Index, host, prefixed, pool string) bool {
 	if index == nil {
 		return false
@@ -37,11 +37,12 @@
 	return found && pathRoutesTo(path, pool)
 }
 
+// pathRoutesTo reports whether a path sends requests to a pool.
 func pathRoutesTo(path *upstream.Path, pool string) bool {
 	return slices.ContainsFunc(path.Shares, func(share upstream.Share) bool { return share.Pool == pool && share.Weight > 0 })
 }
 
-// rerouted takes up the table in force for a record. It says false when the record has ended.
+// reroute applies the routing table in force to a request. It reports false if that ended the request.
 func (c *Core) reroute(request *Request, env Environment) bool {
 	if env.Index == nil {
 		c.finish(request, env, CauseNoTable, time.Second)
--- a/request/forwarding/speculate.go
+++ b/request/forwarding/speculate.go
@@ -41,7 +41,7 @@
 	if c.settings.Disabled.Has(featuregates.Speculation) {
 		return nil
 	}
-	target := registry.Target{Model: request.Attributes.Model, Adapter: request.Attributes.Adapter}
+	target := request.target()
 	for _, engine := range env.View.Pools[request.pool] {
 		if !engine.Usable() || env.EngineOpen != nil && !env.EngineOpen(engine) || request.onlyEngine != "" && request.onlyEngine != engine.ID || slices.Contains(request.triedEngines, engine.ID) {
 			continue
@@ -51,7 +51,7 @@
 			continue
 		}
 		state := c.engineState(engine.ID)
-		if state.inBackoff(env.Now) || state.isUnhealthy(env.Now) || state.inFlight >= maxInFlight(engine, pool, env) || !state.maySpeculate(target, ready, env.Now) {
+		if state.inBackoff(env.Now) || state.isUnhealthy(env.Now) || state.inFlight >= maxInFlight(engine, pool, env.Routers) || !state.maySpeculate(target, ready, env.Now) {
 			continue
 		}
 		if request.enginesTried > 0 && !c.retryBudget(request.pool).allowsRetry(env.Now, c.settings, env.Routers) {
@@ -110,7 +110,7 @@
 
 // withdrawn notes that the one that was to go first did not arrive, so that another one is to.
 func (e *engineState) withdrawSpeculation(request *Request) {
-	if one := e.speculations[registry.Target{Model: request.Attributes.Model, Adapter: request.Attributes.Adapter}]; one != nil && one.sentAt == request.sentAt {
+	if one := e.speculations[request.target()]; one != nil && one.sentAt == request.sentAt {
 		one.sentAt = 0
 	}
 }
--- a/request/forwarding/stage.go
+++ b/request/forwarding/stage.go
@@ -1,42 +1,42 @@
 package forwarding
 
-// Stage is where a record stands.
+// Stage is the state of one request.
 type Stage uint8
 
 const (
-	// Admitted: read, and not yet looked at by the passes.
+	// StageAdmitted: read, and not yet dispatched.
 	StageAdmitted Stage = iota
-	// Held: waiting for an engine, stamped with a minted id.
+	// StageQueued: waiting for an engine, under a minted id.
 	StageQueued
-	// Sending: an attempt was handed to a sender; the bytes may be on their way.
+	// StageSending: an attempt was given to the sender; bytes may be on their way.
 	StageSending
-	// Passing: bytes of an engine's answer went on to the caller.
+	// StageResponding: bytes of an engine's response were passed on to the caller.
 	StageResponding
-	// Ended: nothing more will happen.
+	// StageEnded: served, or answered by this daemon.
 	StageEnded
 )
 
 func (s Stage) String() string {
-	return [...]string{"admitted", "held", "sending", "passing", "ended"}[s]
+	return [...]string{"admitted", "queued", "sending", "responding", "ended"}[s]
 }
 
-// allowed lists the ways from each stage to the next.
+// allowedTransitions lists the stages that may follow each stage.
 var allowedTransitions = map[Stage][]Stage{
 	StageAdmitted: {StageQueued, StageSending, StageEnded},
 	StageQueued:   {StageSending, StageEnded},
-	// An attempt that did not run, or may be made again, leads back to holding or to the next one.
+	// After an attempt that did not run, or may be repeated, the request is queued or sent again.
 	StageSending: {StageQueued, StageSending, StageResponding, StageEnded},
-	// A stream that may be taken up goes on at another engine, within the answer that has begun.
+	// A resumable stream continues at another engine, within the response that has begun.
 	StageResponding: {StageQueued, StageSending, StageResponding, StageEnded},
 }
 
-// move is the one function by which a record changes its stage.
+// transition is the only function that changes a request's stage.
 func (r *Request) transition(to Stage) {
-	for _, way := range allowedTransitions[r.stage] {
-		if way == to {
+	for _, next := range allowedTransitions[r.stage] {
+		if next == to {
 			r.stage = to
 			return
 		}
 	}
-	panic("broken invariant: a record may not go from " + r.stage.String() + " to " + to.String())
+	panic("broken invariant: a request may not go from " + r.stage.String() + " to " + to.String())
 }
--- a/request/forwarding/step.go
+++ b/request/forwarding/step.go
@@ -6,35 +6,41 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// Step is what the record's sender does next: one of the three.
+// Step is what a request's sender does next: exactly one field is set.
 type Step struct {
+	// Attempt is an attempt to make.
 	Attempt *Attempt
-	Answer  *Answer
-	// Pass lets the engine's own failure go on, since no better answer is to be had.
+	// Answer is this daemon's own final answer.
+	Answer *Answer
+	// PassEngineError passes the engine's error on, since no better response is to be had.
 	PassEngineError bool
 }
 
-// Send is one attempt to make.
+// Attempt is one attempt to make at an engine.
 type Attempt struct {
-	Engine   ident.EngineID
-	Address  string
-	Zone     ident.ZoneID
-	Pool     string
+	Engine  ident.EngineID
+	Address string
+	Zone    ident.ZoneID
+	Pool    string
+	// TimeLeft is until the request's deadline.
 	TimeLeft time.Duration
-	Urgency  int
-	// Careful attempts can't be made again.
+	// Urgency is the path's rank; the lowest is the most urgent.
+	Urgency int
+	// NotRepeatable attempts can't be made again once a byte has left.
 	NotRepeatable bool
-	// LastEvent takes a stream up after this event, if Resumes.
-	LastEvent      string
-	Resume         bool
+	// LastEvent is the event after which a stream resumes, if Resume is set.
+	LastEvent string
+	Resume    bool
+	// MaxConnections bounds this daemon's connections to the engine; zero is no limit.
 	MaxConnections int
-	// Stamped says that it was held or tried before, which only a lease allows.
+	// NeedsWorkerID reports that the request was queued or retried, so that it may leave only under a worker id.
 	NeedsWorkerID bool
-	// Running is how many requests run and wait there, Reading how many tokens are to be read before its first
-	// byte, both as far as this daemon knows; GapTargetMs is the path's.
+	// EngineRunning is how many requests run and wait at the engine, PrefillTokens how many prompt tokens it reads before
+	// this attempt's first byte, both as far as this daemon knows.
 	EngineRunning, PrefillTokens int
-	GapTargetMs                  int64
+	// GapTargetMs is the path's target for the time between events, in milliseconds; zero is none.
+	GapTargetMs int64
 }
 
-// step gives a record's sender the next thing to do. A record has at most one that is not yet taken.
-func (r *Request) give(s Step) { r.steps <- s }
+// give hands the sender its next step. The sender takes each step before the core gives the next one.
+func (r *Request) give(step Step) { r.steps <- step }
