--- a/request/forwarding/actor.go
+++ b/request/forwarding/actor.go
@@ -25,10 +25,10 @@
 }
 
 // NewActor makes an actor; environment is called for each event, on the actor's goroutine.
-func NewActor(settings Settings, world func() Environment) *Actor {
+func NewActor(settings Settings, environment func() Environment) *Actor {
 	return &Actor{
 		core:        NewCore(settings),
-		environment: world,
+		environment: environment,
 		mailbox:     actor.NewMailbox[func(*Core, Environment)](mailboxSize),
 		stopped:     make(chan struct{}),
 	}
@@ -67,7 +67,7 @@
 	case step := <-request.steps:
 		return step
 	default:
-		// The actor has ended, and nobody else changes the record any more.
+		// The actor has stopped, and nobody else changes the request any more.
 		answer := finalAnswer(request, CauseShuttingDown, time.Second)
 		return Step{Answer: &answer}
 	}
@@ -108,9 +108,9 @@
 }
 
 // Do runs a function on the actor's goroutine and waits for it; false if the actor has stopped.
-func (a *Actor) Do(question func(*Core, Environment)) bool {
+func (a *Actor) Do(task func(*Core, Environment)) bool {
 	done := make(chan struct{})
-	if !a.mailbox.Send(func(c *Core, env Environment) { question(c, env); close(done) }) {
+	if !a.mailbox.Send(func(c *Core, env Environment) { task(c, env); close(done) }) {
 		return false
 	}
 	select {
--- a/request/forwarding/answer.go
+++ b/request/forwarding/answer.go
@@ -47,14 +47,14 @@
 }
 
 // finish ends a request with this daemon's own answer.
-func (c *Core) finish(request *Request, env Environment, cause Cause, comeBack time.Duration) {
+func (c *Core) finish(request *Request, env Environment, cause Cause, retryAfter time.Duration) {
 	if request.stage == StageQueued {
 		c.dequeue(request)
 		request.queuedFor += env.Now.Since(request.queuedAt)
 	}
 	c.recordLoss(request, c.reasonOf(request, cause, env), env.Now)
 	request.transition(StageEnded)
-	answer := finalAnswer(request, cause, comeBack)
+	answer := finalAnswer(request, cause, retryAfter)
 	c.Counters.EndedBy[cause]++
 	switch {
 	case cause == CauseCallerLeft:
@@ -71,11 +71,11 @@
 
 // finalAnswer is the one place that makes answers. Whether an answer says that the request has not run depends only on
 // the request's attempts.
-func finalAnswer(request *Request, cause Cause, comeBack time.Duration) Answer {
+func finalAnswer(request *Request, cause Cause, retryAfter time.Duration) Answer {
 	answer := Answer{Cause: cause}
 	switch {
+	// A response that has begun has its status already; it is broken off, so that it does not look complete.
 	case request.responseBegun || cause == CauseCallerLeft:
-		// An answer that has begun has its status already; it must not look whole.
 	case request.mayHaveRun && cause == CauseDeadline:
 		answer.Status = fasthttp.StatusGatewayTimeout
 	case request.mayHaveRun:
@@ -83,7 +83,7 @@
 	case cause == CauseNoPath:
 		answer.Status = fasthttp.StatusNotFound
 	default:
-		answer.Status, answer.RetryAfter = fasthttp.StatusServiceUnavailable, comeBack
+		answer.Status, answer.RetryAfter = fasthttp.StatusServiceUnavailable, retryAfter
 	}
 	return answer
 }
--- a/request/forwarding/baseline.go
+++ b/request/forwarding/baseline.go
@@ -41,36 +41,36 @@
 }
 
 // add takes in one more first byte.
-func (u *firstByteBaseline) add(waited time.Duration, score float64) {
-	u.firstByteTime.add(waited)
-	if u.samples++; score > 0 {
-		u.meanCost += (score - u.meanCost) / float64(min(u.samples, 16))
+func (baseline *firstByteBaseline) add(waited time.Duration, cost float64) {
+	baseline.firstByteTime.add(waited)
+	if baseline.samples++; cost > 0 {
+		baseline.meanCost += (cost - baseline.meanCost) / float64(min(baseline.samples, 16))
 	}
 }
 
 // baseline gives the baseline of a request's path.
 func (c *Core) baseline(request *Request) *firstByteBaseline {
-	u := c.baselines[request.Path.Name]
-	if u == nil {
+	baseline := c.baselines[request.Path.Name]
+	if baseline == nil {
 		if len(c.baselines) >= maxPathStates {
 			clear(c.baselines)
 		}
-		u = &firstByteBaseline{}
-		c.baselines[request.Path.Name] = u
+		baseline = &firstByteBaseline{}
+		c.baselines[request.Path.Name] = baseline
 	}
-	return u
+	return baseline
 }
 
 // overdueAfter is how long an attempt's first byte may take before it is overdue: a multiple of the usual time, more for
 // a request of more than the usual cost, since full batches and large prompts take their time.
 func (c *Core) overdueAfter(request *Request) time.Duration {
-	u, target := c.baseline(request), time.Duration(request.Path.TargetMs)*time.Millisecond
-	if u.samples < minBaselineSamples {
+	baseline, target := c.baseline(request), time.Duration(request.Path.TargetMs)*time.Millisecond
+	if baseline.samples < minBaselineSamples {
 		return max(unknownBaselineFactor*target, time.Second)
 	}
 	larger := 1.0
-	if request.expectedCost > 0 && u.meanCost > 0 {
-		larger = max(1, request.expectedCost/u.meanCost)
+	if request.expectedCost > 0 && baseline.meanCost > 0 {
+		larger = max(1, request.expectedCost/baseline.meanCost)
 	}
-	return max(time.Duration(minOverdueShare*float64(target)), time.Duration(overdueFactor*larger*float64(u.firstByteTime.Duration)))
+	return max(time.Duration(minOverdueShare*float64(target)), time.Duration(overdueFactor*larger*float64(baseline.firstByteTime.Duration)))
 }
--- a/request/forwarding/core.go
+++ b/request/forwarding/core.go
@@ -47,8 +47,17 @@
 
 // NewCore makes a core without requests.
 func NewCore(settings Settings) *Core {
-	return &Core{settings: settings, engines: map[ident.EngineID]*engineState{}, retryBudgets: map[string]*retryBudget{},
-		demands: map[demandKey]*demandState{}, paths: map[pathKey]*pathState{}, attemptsByPool: map[string]int{}, outcomes: outlier.NewRecorder(), baselines: map[string]*firstByteBaseline{}, losses: map[LossKey]uint64{}}
+	return &Core{
+		settings:       settings,
+		engines:        map[ident.EngineID]*engineState{},
+		retryBudgets:   map[string]*retryBudget{},
+		demands:        map[demandKey]*demandState{},
+		paths:          map[pathKey]*pathState{},
+		attemptsByPool: map[string]int{},
+		outcomes:       outlier.NewRecorder(),
+		baselines:      map[string]*firstByteBaseline{},
+		losses:         map[LossKey]uint64{},
+	}
 }
 
 // Admit takes in a new request and dispatches it. The sender gets its first step now, or once the request leaves the
@@ -89,7 +98,7 @@
 		c.finish(request, env, CauseDeadline, c.retryAfter(request, env))
 		return
 	}
-	if request.enginesTried > 0 && (request.enginesTried >= request.Path.Attempts || c.settings.Disabled.Has(featuregates.Retries) && !request.mayHaveRun) && request.onlyEngine == "" {
+	if c.attemptsExhausted(request) {
 		c.finish(request, env, CauseRetriesExhausted, c.retryAfter(request, env))
 		return
 	}
@@ -99,7 +108,7 @@
 	}
 	chosen, blocked := c.chooseEngine(request, env)
 	if blocked == blockedAllTried && request.mayHaveRun {
-		// It broke off, and none but the engine that it broke off at holds its model: it goes on once another does.
+		// Only the engine where the response broke off has the model: the request resumes once another one loads it.
 		blocked = blockedNoModel
 	}
 	request.blockedBecause = blocked
@@ -119,6 +128,15 @@
 	c.startAttempt(request, env, chosen)
 }
 
+// attemptsExhausted reports whether the request's path allows no further attempt. One that came too soon to an engine may
+// still go to that engine.
+func (c *Core) attemptsExhausted(request *Request) bool {
+	if request.enginesTried == 0 || request.onlyEngine != "" {
+		return false
+	}
+	return request.enginesTried >= request.Path.Attempts || c.settings.Disabled.Has(featuregates.Retries) && !request.mayHaveRun
+}
+
 // CallerLeft ends a request that waits, since its caller disconnected. The sender ends an attempt under way, after which
 // the request ends too.
 func (c *Core) CallerLeft(request *Request, env Environment) {
--- a/request/forwarding/core_test.go
+++ b/request/forwarding/core_test.go
@@ -95,8 +95,8 @@
 	fixture.made++
 	found, _ := fixture.index.Lookup("h", "/"+path+"/")
 	request := Request{Attributes: dialect.Ask{Attempt: fmt.Sprintf("a%d", fixture.made)}, Path: found, Host: "h", URLPath: "/" + path + "/", ArrivedAt: fixture.now, Deadline: fixture.now + ms(4000)}
-	for _, one := range change {
-		one(&request)
+	for _, option := range change {
+		option(&request)
 	}
 	return NewRequest(request)
 }
@@ -162,26 +162,26 @@
 	fixture := newCoreFixture(t, pathOf("p", upstream.Repeatable, "plain"))
 	fixture.register(enginesOf("plain", 2, 6)...)
 	closed := map[ident.EngineID]bool{"plain-0": true}
-	world := func() Environment {
+	environment := func() Environment {
 		env := fixture.world()
 		env.EngineOpen = func(engine *registry.Engine) bool { return !closed[engine.ID] }
 		return env
 	}
 	for range 6 {
 		request := fixture.record("p")
-		fixture.core.Admit(request, world())
+		fixture.core.Admit(request, environment())
 		if send := fixture.sent(request); send.Engine != "plain-1" {
 			t.Fatalf("sent to %s, which is closed", send.Engine)
 		}
 	}
 	closed["plain-1"] = true
 	request := fixture.record("p")
-	fixture.core.Admit(request, world())
+	fixture.core.Admit(request, environment())
 	if step, there := pendingStep(request); there {
 		t.Fatalf("all engines are closed: %+v", step)
 	}
 	closed["plain-0"] = false
-	fixture.core.DispatchQueued(world())
+	fixture.core.DispatchQueued(environment())
 	if send := fixture.sent(request); send.Engine != "plain-0" {
 		t.Fatalf("sent to %s, which is closed", send.Engine)
 	}
@@ -288,12 +288,12 @@
 	for step := 0; request.stage == StageQueued; step++ {
 		next, due := fixture.core.NextWake(fixture.now)
 		if !due || next <= fixture.now {
-			t.Fatal("nobody looks again", next, due)
+			t.Fatal("no wake is due", next, due)
 		}
 		fixture.now = next
 		fixture.core.DispatchQueued(fixture.world())
 		if fixture.now.Since(request.ArrivedAt) > 2100*time.Millisecond {
-			t.Fatal("held on")
+			t.Fatal("still queued")
 		}
 	}
 	fixture.ended(request, fasthttp.StatusServiceUnavailable, CauseNoCapacity)
@@ -435,7 +435,7 @@
 						fail(request, "two attempts at a time")
 					}
 					if request.promised {
-						fail(request, "sent after a promise")
+						fail(request, "sent after a rejection")
 					}
 					request.send = step.Attempt
 				case step.Answer != nil:
@@ -539,14 +539,14 @@
 				if request.record.stage == StageQueued && fixture.now > request.deadline {
 					fixture.core.DispatchQueued(fixture.world())
 					if read(request); !request.ended {
-						fail(request, "held past its deadline")
+						fail(request, "queued past its deadline")
 					}
 				}
 				if request.arrivals > request.path.Attempts || len(request.engines) > request.path.Attempts {
 					fail(request, "went to more engines than the path allows")
 				}
 				if request.record.stage == StageQueued && len(request.record.mintedIDs) == 0 {
-					fail(request, "held without a stamp")
+					fail(request, "queued without a minted id")
 				}
 			}
 		}
@@ -581,7 +581,7 @@
 			}
 		}
 		if fixture.core.QueueLength() != 0 {
-			t.Fatalf("seed %d: %d held", seed, fixture.core.QueueLength())
+			t.Fatalf("seed %d: %d queued", seed, fixture.core.QueueLength())
 		}
 	}
 }
@@ -590,11 +590,11 @@
 // within the share of first ones, counted in the window, the one before or the one half a window before.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParameters())
-	properties.Property("budget", prop.ForAll(func(seed uint64, edges int, burst int) bool {
+	properties.Property("budget", prop.ForAll(func(seed uint64, routers int, burst int) bool {
 		random := rand.New(rand.NewPCG(seed, 3))
 		settings := DefaultSettings()
 		settings.RetryRatio, settings.RetrySlack, settings.RetryWindow = 0.2, 58, 10*time.Second
-		daemons := make([]retryBudget, edges)
+		daemons := make([]retryBudget, routers)
 		var firsts, further []clock.Mark
 		now := clock.Mark(time.Hour)
 		for range 3000 {
@@ -602,12 +602,12 @@
 			if random.IntN(400) == 0 {
 				now += clock.Mark(time.Duration(random.IntN(20)) * time.Second)
 			}
-			daemon := &daemons[random.IntN(edges)]
+			daemon := &daemons[random.IntN(routers)]
 			// Storms send nothing but further ones for a while.
 			if storm := now/clock.Mark(7*time.Second)%2 == 0; !storm && random.IntN(2) == 0 {
 				daemon.recordFirstSend(now, now, settings.RetryWindow)
 				firsts = append(firsts, now)
-			} else if daemon.allowsRetry(now, settings, edges) {
+			} else if daemon.allowsRetry(now, settings, routers) {
 				daemon.recordRetry(now)
 				further = append(further, now)
 			}
@@ -722,7 +722,7 @@
 				fixture.core.AttemptEnded(request, OutcomeRejected, fixture.world())
 			}
 			if fixture.now.Since(request.ArrivedAt) >= time.Duration(c.timeLeftMs)*time.Millisecond/2 {
-				t.Fatalf("%s: held for half of its time", name)
+				t.Fatalf("%s: queued for half of its time", name)
 			}
 		}
 		fixture.ended(request, 503, CauseNoCapacity)
--- a/request/forwarding/demand.go
+++ b/request/forwarding/demand.go
@@ -107,11 +107,11 @@
 			delete(c.demands, key)
 			continue
 		}
-		one := Demand{Pool: key.pool, Model: key.model, Adapter: key.adapter, Queued: state.queued + expecting, Running: state.running, TokensPerSecond: state.tokensPerSecond, ArrivalsPerSecond: state.arrivalsPerSecond, Rank: state.rank}
+		option := Demand{Pool: key.pool, Model: key.model, Adapter: key.adapter, Queued: state.queued + expecting, Running: state.running, TokensPerSecond: state.tokensPerSecond, ArrivalsPerSecond: state.arrivalsPerSecond, Rank: state.rank}
 		if at, known := oldest[key]; known {
-			one.OldestQueuedFor = now.Since(at)
+			option.OldestQueuedFor = now.Since(at)
 		}
-		out = append(out, one)
+		out = append(out, option)
 	}
 	return out
 }
--- a/request/forwarding/enginehealth.go
+++ b/request/forwarding/enginehealth.go
@@ -7,34 +7,38 @@
 	"github.com/cresspond/cresspond/clock"
 )
 
+// failureRateHalfLife is how fast the failure rate of an engine that gets no requests decays.
 const failureRateHalfLife = 3 * time.Second
 
 const (
+	// initialBackoff is doubled with each failure in a row, up to maxBackoff.
 	initialBackoff = 250 * time.Millisecond
 	maxBackoff     = 4 * time.Second
 )
 
-// restAfter is how long an engine rests after so many failures in a row.
+// backoffAfter is the backoff after so many failures in a row.
 func backoffAfter(failures int) clock.Mark {
 	return clock.Mark(min(initialBackoff<<min(max(failures-1, 0), 4), maxBackoff))
 }
 
-// missingFor is about how long a report takes to show what an engine has let go of.
+// missingTTL is about how long it takes until a report shows what an engine has unloaded.
 const missingTTL = time.Second
 
+// rejectedBackoff is the backoff after a rejection.
 const rejectedBackoff = 50 * time.Millisecond
 
-// manyFailures in a row are no chance.
+// failureThreshold is how many failures in a row are no coincidence.
 const failureThreshold = 3
 
+// recordSuccess ends backoff and unhealthiness; the failure rate remains in part.
 func (e *engineState) recordSuccess() {
 	e.consecutiveFailures, e.connectFailures = 0, 0
 	e.backoffUntil, e.unhealthyUntil = 0, 0
 	e.failureRate *= 0.8
 }
 
-// worse is the smoothed share of its failures. It fades, since an engine that is passed by has no way to show
-// that it is well again.
+// decayedFailureRate is the smoothed share of failures. It decays, since an engine that gets no requests can't show that
+// it has recovered.
 func (e *engineState) decayedFailureRate(now clock.Mark) float64 {
 	if e.failureRate < 0.01 {
 		return 0
@@ -42,14 +46,15 @@
 	return e.failureRate * math.Exp2(-float64(now.Since(e.lastFailureAt))/float64(failureRateHalfLife))
 }
 
-// unreachable notes that it could not be reached; it gets nothing for a while, and then one at a time.
+// recordUnreachable records a failed connection: the engine backs off, and then gets one request at a time.
 func (e *engineState) recordUnreachable(env Environment) {
 	e.connectFailures++
 	e.lastFailureAt, e.failureRate = env.Now, 0.8*e.decayedFailureRate(env.Now)+0.2
 	e.backoffUntil = env.Now + backoffAfter(e.connectFailures)
 }
 
-// ill notes a failure; one that fails again and again gets nothing for a while that another engine can take.
+// recordFailure records a failed attempt. After repeated failures, or immediately if asked, the engine is unhealthy for
+// the backoff.
 func (e *engineState) recordFailure(env Environment, atOnce bool) {
 	e.consecutiveFailures++
 	e.lastFailureAt, e.failureRate = env.Now, 0.8*e.decayedFailureRate(env.Now)+0.2
@@ -58,23 +63,24 @@
 	}
 }
 
-// lacks says whether it said lately that it does not hold what is asked for, or is not who it was taken for.
+// reportedMissing reports whether the engine said lately that it has not loaded what is asked for, or that it is another
+// engine.
 func (e *engineState) reportedMissing(request *Request, now clock.Mark) bool {
 	return len(e.missingUntil) > 0 && now < e.missingUntil[request.target()]
 }
 
-// gone says whether it seems to be there no more: it can't be reached, and has nothing of this daemon under way
-// either. One that only resets what is too much for it goes on with what it has.
+// isUnreachable reports whether the engine seems to be gone: connections fail, and no attempt is in flight there. One
+// that only resets what is too much for it continues with what it has.
 func (e *engineState) isUnreachable() bool {
 	return e.connectFailures >= failureThreshold || e.connectFailures > 0 && e.inFlight == 0
 }
 
-// resting says whether it gets nothing now.
+// inBackoff reports whether the engine gets no request now.
 func (e *engineState) inBackoff(now clock.Mark) bool {
 	return now < e.backoffUntil || e.connectFailures >= failureThreshold && e.awaitingCount > 0
 }
 
-// failing says whether it gets something only where nothing else can take it.
+// isUnhealthy reports whether the engine gets only requests that no other can take.
 func (e *engineState) isUnhealthy(now clock.Mark) bool {
 	return now < e.unhealthyUntil || e.consecutiveFailures >= failureThreshold && e.awaitingCount > 0
 }
--- a/request/forwarding/enginestate.go
+++ b/request/forwarding/enginestate.go
@@ -10,37 +10,40 @@
 	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
-// engineState is what this daemon itself knows of an engine.
+// engineState is what this daemon itself has seen of an engine. It belongs to Core.
 type engineState struct {
-	// inFlight is its own attempts there, reading the tokens of prompts sent and not yet begun, memory the
-	// tokens that its attempts may take.
+	// inFlight counts this daemon's attempts there, prefillTokens their prompt tokens before the first byte,
+	// memoryTokens the KV memory that they may take.
 	inFlight, prefillTokens, memoryTokens int
-	// told is the newest report taken into account, ownThen the attempts in flight when it came.
+	// reportedAt is the newest report taken into account, inFlightAtReport the attempts in flight when it came.
 	reportedAt       clock.Mark
 	inFlightAtReport int
-	// waiting counts the attempts whose answer has not begun; asked is when the first of them left, or when
-	// the engine last gave a sign since.
+	// awaitingCount counts the attempts without a first byte; waitingSince is when the first of them was sent, or when
+	// the engine last responded.
 	awaitingCount int
 	waitingSince  clock.Mark
-	// awaiting is when each attempt left whose answer has not begun, the first of them first.
+	// awaitingSince is when each attempt without a first byte was sent, ascending.
 	awaitingSince []clock.Mark
-	// failures is how many attempts failed in a row, unreached how many times it could not be reached, badness a
-	// smoothed share of both, failedAt the last of them.
+	// consecutiveFailures counts failed attempts in a row, connectFailures failed connections; failureRate is the
+	// smoothed share of both, lastFailureAt the last of them.
 	consecutiveFailures, connectFailures int
 	failureRate                          float64
 	lastFailureAt                        clock.Mark
-	// restUntil is until when it gets nothing, illUntil until when only what nothing else can take.
+	// backoffUntil is until when the engine gets no request, unhealthyUntil until when only those that no other can
+	// take.
 	backoffUntil, unhealthyUntil clock.Mark
-	// missing is until when something is taken not to be there, since the engine said so, whatever its report.
+	// missingUntil is until when a model or adapter counts as not loaded, whatever the report, because the engine said
+	// so.
 	missingUntil map[registry.Target]clock.Mark
-	// firstByte is a smoothed time from sending to the first byte, firstAt when one was last seen.
+	// firstByteTime is a smoothed time from sending to the first byte, firstByteAt when one came last.
 	firstByteTime time.Duration
 	firstByteAt   clock.Mark
 	prefixes      *prefixCache
-	// speculations are of what it was to have loaded by now, as far as no report shows it.
+	// speculations are the attempts at models that should be loaded by now but are not yet reported.
 	speculations map[registry.Target]*speculation
 }
 
+// engineState gives the state of an engine, new if there is none.
 func (c *Core) engineState(id ident.EngineID) *engineState {
 	state := c.engines[id]
 	if state == nil {
@@ -50,7 +53,7 @@
 	return state
 }
 
-// Forget drops what is known of engines that are no longer registered and have nothing under way.
+// Forget drops the state of engines that are not registered any more and have no attempt in flight.
 func (c *Core) Forget(view *registry.View) {
 	for id, state := range c.engines {
 		if _, known := view.Engines[id]; !known && state.inFlight == 0 {
@@ -60,7 +63,7 @@
 	c.outcomes.Prune(func(id ident.EngineID) bool { return c.engines[id] != nil })
 }
 
-// took notes an attempt that is about to leave.
+// attemptStarted counts an attempt that is about to be sent.
 func (e *engineState) attemptStarted(request *Request, env Environment) {
 	e.inFlight++
 	e.memoryTokens += request.memoryTokens
@@ -74,7 +77,7 @@
 	e.awaitingSince = append(e.awaitingSince, env.Now)
 }
 
-// ended notes how an attempt ended.
+// attemptEnded takes in an attempt's outcome.
 func (e *engineState) attemptEnded(request *Request, outcome Outcome, env Environment) {
 	e.inFlight--
 	e.memoryTokens -= request.memoryTokens
@@ -91,7 +94,7 @@
 	case OutcomeProtocolError:
 		e.recordFailure(env, true)
 	case OutcomeResponseLost, OutcomeStreamBroken, OutcomeEngineError:
-		// One that ran into its own deadline says little of the engine, but it is no sign of life either.
+		// An attempt that ran into its own deadline says little about the engine, but it is no response either.
 		if env.Now < request.Deadline {
 			e.recordFailure(env, false)
 		} else if outcome == OutcomeResponseLost {
@@ -105,7 +108,7 @@
 			return
 		}
 		if outcome == OutcomeRejected {
-			// It is full, or about to be: a moment's rest spreads what comes over others.
+			// It is full, or nearly: a short backoff spreads the next requests over other engines.
 			e.backoffUntil = max(e.backoffUntil, env.Now+clock.Mark(rejectedBackoff))
 			return
 		}
@@ -117,7 +120,7 @@
 	}
 }
 
-// began notes that an attempt's answer has begun, so that its prompt is read.
+// responseBegun records an attempt's first byte, by which its prompt has been read.
 func (e *engineState) responseBegun(request *Request, env Environment) {
 	e.stopAwaiting(request, env)
 	waited := env.Now.Since(request.sentAt)
@@ -126,7 +129,7 @@
 	e.recordSuccess()
 }
 
-// read takes an attempt off those whose answer has not begun.
+// stopAwaiting takes an attempt off those without a first byte.
 func (e *engineState) stopAwaiting(request *Request, env Environment) {
 	if request.awaitingFirstByte {
 		request.awaitingFirstByte = false
@@ -139,7 +142,7 @@
 	}
 }
 
-// oldest is for how long the first byte that has been awaited longest has been.
+// longestAwaited is the longest time for which a first byte is awaited; zero is none.
 func (e *engineState) longestAwaited(now clock.Mark) time.Duration {
 	if len(e.awaitingSince) == 0 {
 		return 0
@@ -147,7 +150,7 @@
 	return now.Since(e.awaitingSince[0])
 }
 
-// quiet is for how long it has given no sign although it was asked.
+// unresponsiveFor is how long the engine has not responded although it has requests; zero if it has none.
 func (e *engineState) unresponsiveFor(now clock.Mark) time.Duration {
 	if e.awaitingCount == 0 {
 		return 0
@@ -155,14 +158,14 @@
 	return now.Since(e.waitingSince)
 }
 
-// hear takes up a new report.
+// observeReport takes note of a new report.
 func (e *engineState) observeReport(plan *registry.Plan) {
 	if plan != nil && plan.Received != e.reportedAt {
 		e.reportedAt, e.inFlightAtReport = plan.Received, e.inFlight
 	}
 }
 
-// running is how many requests run and wait there, this daemon's newest included.
+// requestCount is how many requests run and wait there, this daemon's newest included.
 func (e *engineState) requestCount(engine *registry.Engine, env Environment, settings Settings) int {
 	running := e.inFlight
 	if plan := engine.Plan; plan != nil && env.Now.Since(plan.Received) < settings.ReportMaxAge {
--- a/request/forwarding/giveup.go
+++ b/request/forwarding/giveup.go
@@ -33,12 +33,12 @@
 // shouldGiveUp reports whether to reject a request that no engine can take now, and when the client should retry. A
 // request is rejected as soon as it is known that it can't be served in time, and otherwise once it has been queued for
 // maxQueueTime.
-func (c *Core) shouldGiveUp(request *Request, env Environment, blocked blockReason) (comeBack time.Duration, hopeless bool) {
+func (c *Core) shouldGiveUp(request *Request, env Environment, blocked blockReason) (retryAfter time.Duration, giveUp bool) {
 	left, waited := request.responseDeadline().Since(env.Now), env.Now.Since(request.ArrivedAt)
 	most := maxQueueTime(request)
 	switch {
+	// The engines that were tried won't do better for this request.
 	case blocked == blockedAllTried:
-		// Those that were tried won't do better for this one.
 		return c.retryAfter(request, env), true
 	case blocked == blockedNoModel:
 		wait, sure := c.estimateLoadWait(request, env)
@@ -49,37 +49,38 @@
 	case waited >= most:
 		return c.retryAfter(request, env), true
 	case blocked == blockedAllBusy:
-		// Its turn comes when those before it have got theirs.
+		// Its turn comes when the requests queued ahead have been served.
 		wait := time.Duration(c.queuedAhead(request, env)+1) * c.pathState(request).serviceTime / time.Duration(max(c.attemptsByPool[request.pool], 1))
 		return c.retryAfter(request, env), wait > left-c.minAttemptTime(request) && waited >= initialQueueTime(request)
 	}
-	// An engine may register at any moment, but nothing says that one will.
+	// An engine may register at any moment, but nothing announces one.
 	return c.retryAfter(request, env), waited >= initialQueueTime(request)
 }
 
 // shouldGiveUpLoad is shouldGiveUp for a request whose model or adapter no engine has loaded; it is expected to be
 // loaded after wait, by the planner's word if announced.
-func (c *Core) shouldGiveUpLoad(request *Request, wait time.Duration, sure bool, env Environment) (comeBack time.Duration, hopeless bool) {
+func (c *Core) shouldGiveUpLoad(request *Request, wait time.Duration, announced bool, env Environment) (retryAfter time.Duration, giveUp bool) {
 	left, waited := request.responseDeadline().Since(env.Now), env.Now.Since(request.ArrivedAt)
 	target, most := time.Duration(request.Path.TargetMs)*time.Millisecond, maxQueueTime(request)
-	// A client counts from all of the time it has, whatever it waits for one answer to begin.
+	// Clients retry within their whole deadline, however long they wait for one response to begin.
 	back := request.Deadline.Since(env.Now) / retryAfterDivisor
-	reports := min(wait+readyMargin, back)
+	retryAfter = min(wait+readyMargin, back)
 	switch {
 	case waited >= most:
-		return max(reports, minRetryAfter), true
-	case !sure && waited < min(initialQueueTime(request), most):
-		// The planner's word is on its way.
+		return max(retryAfter, minRetryAfter), true
+	// The planner's announcement is on its way.
+	case !announced && waited < min(initialQueueTime(request), most):
 		return 0, false
 	case wait > left-c.minAttemptTime(request):
-		return max(reports, minRetryAfter), true
+		return max(retryAfter, minRetryAfter), true
+	// It was rejected before and its client won't retry once more, or it can't be rejected any more: wait while there is
+	// time.
 	case request.resubmitted || request.mayHaveRun:
-		// It was refused before, and won't come a third time, or can't be refused any more: it stays while there is time.
 		return 0, false
+	// It would be late here, and in time if the client retries when the load is done.
 	case waited+wait > target && wait <= back+target/2:
-		// It will be late here, and in time for a client that comes back when it is there.
-		return max(reports, minRetryAfter), true
+		return max(retryAfter, minRetryAfter), true
 	}
-	// Held for as long as it may be, it would be given up before it is there.
-	return max(reports, minRetryAfter), waited+wait > most
+	// Queued for maxQueueTime, it would be rejected before the load is done.
+	return max(retryAfter, minRetryAfter), waited+wait > most
 }
--- a/request/forwarding/loadwait.go
+++ b/request/forwarding/loadwait.go
@@ -13,32 +13,32 @@
 // announced that.
 func (c *Core) estimateLoadWait(request *Request, env Environment) (time.Duration, bool) {
 	state := c.demandState(request)
-	load, catalogued := c.loadTime(request, env)
+	loadTime, catalogued := c.loadTime(request, env)
 	if state.missingSince == 0 {
-		state.missingSince, state.readyAt, state.expectedLoadTime = env.Now, 0, load
+		state.missingSince, state.readyAt, state.expectedLoadTime = env.Now, 0, loadTime
 	}
-	plan, spread := learnedOr(c.planningTime, defaultPlanningTime), learnedOr(c.propagationTime, defaultPropagationTime)
+	planning, propagation := learnedOr(c.planningTime, defaultPlanningTime), learnedOr(c.propagationTime, defaultPropagationTime)
 	soonest := clock.Mark(math.MaxInt64)
 	for _, engine := range env.View.Pools[request.pool] {
 		if engine.Plan == nil || !engine.Usable() {
 			continue
 		}
-		for _, one := range engine.Plan.PendingLoads {
-			if one.Model != request.Attributes.Model {
+		for _, option := range engine.Plan.PendingLoads {
+			if option.Model != request.Attributes.Model {
 				continue
 			}
-			switch one.Adapter {
+			switch option.Adapter {
 			case request.Attributes.Adapter:
-				soonest = min(soonest, one.Ready)
+				soonest = min(soonest, option.Ready)
 			case "":
 				// The adapter can only be ordered once its model is there.
-				soonest = min(soonest, one.Ready+clock.Mark(plan))
+				soonest = min(soonest, option.Ready+clock.Mark(planning))
 			}
 		}
 	}
 	if soonest < math.MaxInt64 {
 		state.readyAt = soonest
-		return max(0, (soonest + clock.Mark(spread)).Since(env.Now)), true
+		return max(0, (soonest + clock.Mark(propagation)).Since(env.Now)), true
 	}
 	if env.NotLoadedFor != nil {
 		if wait, unavailable := env.NotLoadedFor(request.pool, request.Attributes.Model, request.Attributes.Adapter); unavailable {
@@ -49,13 +49,13 @@
 		// Nobody can load what the catalogue does not have.
 		return time.Hour, true
 	}
-	complete := plan + load + spread
+	total := planning + loadTime + propagation
 	since := env.Now.Since(state.missingSince)
-	if since > 2*complete {
+	if since > 2*total {
 		// Whoever plans has not done it so far, and may begin now at best.
 		since = 0
 	}
-	return max(0, complete-since), false
+	return max(0, total-since), false
 }
 
 // loadTime is how long the load takes; false if the catalogue does not have the model.
--- a/request/forwarding/migrate.go
+++ b/request/forwarding/migrate.go
@@ -32,18 +32,18 @@
 	case request.enginesTried+1 >= path.Attempts:
 		return false
 	case request.responseDeadline().Since(env.Now) <= 2*c.minAttemptTime(request):
-		// It is as good as over.
+		// It is nearly over.
 		return false
 	case !env.HasWorkerID || !c.retryBudget(request.pool).allowsRetry(env.Now, c.settings, env.Routers):
 		return false
 	}
-	// What the choice made now cost must still be known when its first byte comes.
-	score, speculative := request.expectedCost, request.speculative
+	// chooseEngine overwrites what is still needed when the current attempt's first byte comes.
+	cost, speculative := request.expectedCost, request.speculative
 	chosen, _ := c.chooseEngine(request, env)
-	ahead := request.speculative
-	request.expectedCost, request.speculative = score, speculative
-	if ahead {
-		// Where the next one only may have it by then, what runs had better stay.
+	nextSpeculative := request.speculative
+	request.expectedCost, request.speculative = cost, speculative
+	if nextSpeculative {
+		// An engine that may not have loaded the model yet is no better than the current one.
 		return false
 	}
 	return chosen != nil && chosen.ID != request.engine
--- a/request/forwarding/migrate_test.go
+++ b/request/forwarding/migrate_test.go
@@ -119,9 +119,9 @@
 	engine := engineOf("batch", 0, 64, "m")
 	engine.Plan = &registry.Plan{Active: 7, Queued: 2, Received: fixture.now, Models: []registry.LoadedModel{{Model: "m"}}}
 	fixture.register(engine)
-	one := fixture.sent(fixture.admit("resume", prompt("m", 1000, "a", "b")))
-	if one.EngineRunning != 10 || one.PrefillTokens != 1000 || one.GapTargetMs != 400 {
-		t.Fatalf("nine by the report, and this one: %+v", one)
+	option := fixture.sent(fixture.admit("resume", prompt("m", 1000, "a", "b")))
+	if option.EngineRunning != 10 || option.PrefillTokens != 1000 || option.GapTargetMs != 400 {
+		t.Fatalf("nine by the report, and this one: %+v", option)
 	}
 	fixture.now += clock.Mark(fixture.core.settings.ReportMaxAge)
 	two := fixture.sent(fixture.admit("resume", prompt("m", 500, "c", "d")))
--- a/request/forwarding/outlierreport_test.go
+++ b/request/forwarding/outlierreport_test.go
@@ -58,11 +58,11 @@
 		fixture.core.AttemptEnded(request, c.outcome, fixture.world())
 		reports = append(reports, fixture.core.Outcomes(fixture.now)...)
 		sum := outlier.Digest{}
-		for _, one := range reports {
-			sum.Attempts, sum.Failures, sum.Refusals, sum.Overdue = sum.Attempts+one.Attempts, sum.Failures+one.Failures, sum.Refusals+one.Refusals, sum.Overdue+one.Overdue
+		for _, option := range reports {
+			sum.Attempts, sum.Failures, sum.Refusals, sum.Overdue = sum.Attempts+option.Attempts, sum.Failures+option.Failures, sum.Refusals+option.Refusals, sum.Overdue+option.Overdue
 		}
 		if sum != c.want {
-			t.Errorf("%s: told %+v, want %+v", name, sum, c.want)
+			t.Errorf("%s: reported %+v, want %+v", name, sum, c.want)
 		}
 		if request.stage != StageSending && len(fixture.core.awaitingFirstByte) != 0 {
 			t.Errorf("%s: %d still awaited", name, len(fixture.core.awaitingFirstByte))
--- a/request/forwarding/outliers_test.go
+++ b/request/forwarding/outliers_test.go
@@ -209,7 +209,7 @@
 		for seed := range uint64(2) {
 			alone, together = alone.plus(simulateFaults(seed, false, c.fault)), together.plus(simulateFaults(seed, true, c.fault))
 		}
-		t.Logf("%s: alone %s, shared %s, %d ejections, %d engines held back falsely", name, alone, together, together.ejections, together.wronglyEjected)
+		t.Logf("%s: alone %s, shared %s, %d ejections, %d engines ejected wrongly", name, alone, together, together.ejections, together.wronglyEjected)
 		if float64(together.broken) > c.broken*float64(alone.broken)+1 {
 			t.Errorf("%s: %d broke, %d without sharing", name, together.broken, alone.broken)
 		}
@@ -217,7 +217,7 @@
 			t.Errorf("%s: %.4f in time", name, share)
 		}
 		if together.wronglyEjected > 2*c.falsely {
-			t.Errorf("%s: %d sound engines were held back", name, together.wronglyEjected)
+			t.Errorf("%s: %d healthy engines were ejected", name, together.wronglyEjected)
 		}
 	}
 }
--- a/request/forwarding/pathstate.go
+++ b/request/forwarding/pathstate.go
@@ -47,13 +47,13 @@
 	if request.expectedCost <= 0 {
 		return
 	}
-	pace := float64(waited) / request.expectedCost
+	perToken := float64(waited) / request.expectedCost
 	if p.timePerToken == 0 {
-		p.timePerToken, p.bestTimePerToken = pace, pace
+		p.timePerToken, p.bestTimePerToken = perToken, perToken
 	}
-	p.timePerToken += (pace - p.timePerToken) / 8
-	if p.bestTimePerToken += (pace - p.bestTimePerToken) / 256; pace < p.bestTimePerToken {
-		p.bestTimePerToken = pace
+	p.timePerToken += (perToken - p.timePerToken) / 8
+	if p.bestTimePerToken += (perToken - p.bestTimePerToken) / 256; perToken < p.bestTimePerToken {
+		p.bestTimePerToken = perToken
 	}
 	p.measuredAt = now
 }
@@ -83,8 +83,8 @@
 	if settings.ShedRange <= 0 || target <= 0 || float64(decayed(p.firstByteTime, p.measuredAt, env.Now)) < settings.ShedMinFirstByte*target {
 		return false
 	}
-	drawn := float64(xxhash.Sum64String(request.Attributes.Attempt)>>40) / (1 << 24)
-	return (float64(expected)/target-settings.ShedStart)/settings.ShedRange > drawn
+	draw := float64(xxhash.Sum64String(request.Attributes.Attempt)>>40) / (1 << 24)
+	return (float64(expected)/target-settings.ShedStart)/settings.ShedRange > draw
 }
 
 // minAttemptFloor is the least time that any attempt needs.
--- a/request/forwarding/queue.go
+++ b/request/forwarding/queue.go
@@ -14,9 +14,9 @@
 		c.finish(request, env, CauseShuttingDown, minRetryAfter)
 		return
 	}
-	if wait, hopeless := c.shouldGiveUp(request, env, blocked); hopeless {
+	if wait, giveUp := c.shouldGiveUp(request, env, blocked); giveUp {
 		if blocked == blockedNoModel && wait <= request.Deadline.Since(env.Now)/retryAfterDivisor {
-			// It is still wanted: whoever plans must not forget it until the client has come back.
+			// The planner must count the request until the client has retried.
 			c.demandState(request).expectReturn(env.Now + clock.Mark(wait))
 		}
 		c.finish(request, env, CauseNoCapacity, wait)
@@ -107,7 +107,7 @@
 			next = min(next, waitEnds)
 		}
 	}
-	// What is about to come or to rest out can't be told in one moment, so there is an upper bound.
+	// Ends of loads and backoffs are not among these times, hence the upper bound.
 	return max(min(next, now+clock.Mark(maxWakeInterval)), now+clock.Mark(time.Millisecond)), true
 }
 
--- a/request/forwarding/reason.go
+++ b/request/forwarding/reason.go
@@ -8,77 +8,79 @@
 	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
-// Reason is why a request earned less than it could have: it was not served, or its answer began too late.
+// Reason is why a request was not served, or why its response began after its path's target. Package daemon publishes
+// losses by reason.
 type Reason uint8
 
 const (
-	// ReasonNone is of a request that was served in time.
+	// ReasonNone: served in time.
 	ReasonNone Reason = iota
-	// ReasonNoTable: no configuration is in force here, or it may be old.
+	// ReasonNoTable: no routing table is in force, or it may be outdated.
 	ReasonNoTable
-	// ReasonNoPath: the configuration has no path for it.
+	// ReasonNoPath: the routing table has no path for it.
 	ReasonNoPath
-	// ReasonNoLease: it would have to be held or tried again, and no worker id is held.
+	// ReasonNoWorkerID: it would have to be queued or retried, and no worker id is held.
 	ReasonNoWorkerID
-	// ReasonStopping: the daemon ends.
+	// ReasonShuttingDown: the daemon shuts down.
 	ReasonShuttingDown
-	// ReasonNoEngine: its pool has no engine that may get anything new.
+	// ReasonNoEngine: its pool has no engine that accepts new requests.
 	ReasonNoEngine
-	// ReasonModelAbsent: no engine holds its model, and none is told to load it.
+	// ReasonModelAbsent: no engine has loaded its model, and none is ordered to.
 	ReasonModelAbsent
 	// ReasonModelLoading: an engine is loading its model, too late for it.
 	ReasonModelLoading
-	// ReasonAdapterAbsent: engines hold its model, but none its adapter, and none is told to load it.
+	// ReasonAdapterAbsent: engines have loaded its model, but none its adapter, and none is ordered to.
 	ReasonAdapterAbsent
 	// ReasonAdapterLoading: an engine is loading its adapter, too late for it.
 	ReasonAdapterLoading
-	// ReasonEnginesTried: each engine that could take it has refused or failed it.
+	// ReasonEnginesTried: each suitable engine has rejected or failed it.
 	ReasonEnginesTried
-	// ReasonEnginesFull: each engine that could take it has all that this daemon may send there, or rests.
+	// ReasonEnginesBusy: each suitable engine is in backoff, or has as many attempts as this daemon may have there.
 	ReasonEnginesBusy
-	// ReasonShed: its first byte was expected too late, so it was refused at once.
+	// ReasonShed: it was shed, because its first byte was expected too late.
 	ReasonShed
-	// ReasonAttemptsSpent: it was sent to as many engines as its path allows.
+	// ReasonAttemptsExhausted: it was sent to as many engines as its path allows.
 	ReasonAttemptsExhausted
-	// ReasonBudgetSpent: the budget of its pool for sending again was empty.
+	// ReasonBudgetExhausted: its pool's retry budget was exhausted.
 	ReasonBudgetExhausted
-	// ReasonDeadline: its deadline came, or was too near for an attempt.
+	// ReasonDeadline: its deadline passed, or was too near for an attempt.
 	ReasonDeadline
-	// ReasonHeldBack: the last look before each attempt found a change, too often.
+	// ReasonWithheld: the check before sending withheld it too often.
 	ReasonWithheld
-	// ReasonEngineFailure: the engine answered with a failure of its own.
+	// ReasonEngineError: the engine answered with an error of its own.
 	ReasonEngineError
-	// ReasonEngineLost: the engine broke off or gave no answer, and the request may not be repeated.
+	// ReasonResponseLost: the engine broke off or did not answer, and the request may not be repeated.
 	ReasonResponseLost
-	// ReasonCallerLeftHeld: its caller left while it was held.
+	// ReasonCallerLeftQueued: its caller disconnected before it was sent.
 	ReasonCallerLeftQueued
-	// ReasonCallerLeftAtEngine: its caller left while an engine had it.
+	// ReasonCallerLeftAtEngine: its caller disconnected after it was sent.
 	ReasonCallerLeftAtEngine
-	// ReasonLateReturn: served after its target, most of which had passed before it came back here.
+	// ReasonLateResubmission: late, and most of the time had passed before the client's retry arrived.
 	ReasonLateResubmission
-	// ReasonLateLoad: served after its target, most of which it was held for a model or an adapter.
+	// ReasonLateLoad: late, and for most of the time it was queued for a model or adapter.
 	ReasonLateLoad
-	// ReasonLateHeld: served after its target, most of which it was held for another reason.
+	// ReasonLateQueued: late, and for most of the time it was queued for another reason.
 	ReasonLateQueued
-	// ReasonLateAttempts: served after its target, most of which went to attempts that brought nothing.
+	// ReasonLateAttempts: late, and most of the time went to unsuccessful attempts.
 	ReasonLateAttempts
-	// ReasonLateEngine: served after its target, most of which the engine took for the first byte.
+	// ReasonLateEngine: late, and most of the time the engine took for the first byte.
 	ReasonLateEngine
 	reasonCount
 )
 
-// reasonNames are the names of reasons, in the order in which they are counted.
+// reasonNames are the names used in metrics and logs, indexed by Reason.
 var reasonNames = [reasonCount]string{"none", "no_table", "no_path", "no_lease", "stopping", "no_engine", "model_absent", "model_loading",
 
 	"adapter_absent", "adapter_loading", "engines_tried", "engines_full", "shed", "attempts_spent", "budget_spent", "deadline", "held_back",
 	"engine_failure", "engine_lost", "caller_left_held", "caller_left_at_engine", "late_return", "late_load", "late_held", "late_attempts", "late_engine"}
 
+// String gives the reason's name in metrics and logs.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Late says that the request was served all the same.
+// Late reports that the request was served, after its target.
 func (r Reason) Late() bool { return r >= ReasonLateResubmission }
 
-// reasonOf says why a record ends with an answer of our own.
+// reasonOf gives the reason of a request that ends with this daemon's own answer.
 func (c *Core) reasonOf(request *Request, cause Cause, env Environment) Reason {
 	switch cause {
 	case CauseNoTable:
@@ -110,7 +112,7 @@
 	return c.blockedReason(request, env)
 }
 
-// lackReason says why nothing could take a record.
+// blockedReason gives the reason of a request that no engine could take.
 func (c *Core) blockedReason(request *Request, env Environment) Reason {
 	switch request.blockedBecause {
 	case blockedNoEngine:
@@ -125,7 +127,7 @@
 	return ReasonWithheld
 }
 
-// loadReason tells what is not loaded apart from what is being loaded.
+// loadReason distinguishes what is not loaded from what is being loaded.
 func loadReason(request *Request, env Environment) Reason {
 	modelLoaded, modelLoading, adapterLoading := false, false, false
 	for _, engine := range env.View.Pools[request.pool] {
@@ -136,9 +138,11 @@
 		if engine.Plan == nil {
 			continue
 		}
-		modelLoading = modelLoading || slices.ContainsFunc(engine.Plan.PendingLoads, func(one registry.PendingLoad) bool { return one.Model == request.Attributes.Model && one.Adapter == "" })
-		adapterLoading = adapterLoading || slices.ContainsFunc(engine.Plan.PendingLoads, func(one registry.PendingLoad) bool {
-			return one.Model == request.Attributes.Model && one.Adapter == request.Attributes.Adapter
+		modelLoading = modelLoading || slices.ContainsFunc(engine.Plan.PendingLoads, func(option registry.PendingLoad) bool {
+			return option.Model == request.Attributes.Model && option.Adapter == ""
+		})
+		adapterLoading = adapterLoading || slices.ContainsFunc(engine.Plan.PendingLoads, func(option registry.PendingLoad) bool {
+			return option.Model == request.Attributes.Model && option.Adapter == request.Attributes.Adapter
 		})
 	}
 	switch {
@@ -152,7 +156,8 @@
 	return ReasonModelAbsent
 }
 
-// lateReason says what took most of the time of an answer that begins after its path's target.
+// lateReason gives what took most of the time of a response that begins after its path's target; ReasonNone if it does
+// not.
 func (c *Core) lateReason(request *Request, now clock.Mark) Reason {
 	target := time.Duration(request.Path.TargetMs) * time.Millisecond
 	before := time.Duration(0)
--- a/request/forwarding/reason_test.go
+++ b/request/forwarding/reason_test.go
@@ -44,7 +44,7 @@
 			fixture.core.DispatchQueued(fixture.world())
 		}
 	}
-	for _, one := range []struct {
+	for _, option := range []struct {
 		want Reason
 		play func(fixture *coreFixture)
 	}{
@@ -117,9 +117,9 @@
 		}},
 	} {
 		fixture := newCoreFixture(t, pathOf("p", upstream.Stream, "batch"))
-		one.play(fixture)
-		if key := onlyLoss(t, fixture.core); key.Reason != one.want {
-			t.Errorf("counted under %s, want %s", key.Reason, one.want)
+		option.play(fixture)
+		if key := onlyLoss(t, fixture.core); key.Reason != option.want {
+			t.Errorf("counted under %s, want %s", key.Reason, option.want)
 		}
 	}
 }
--- a/request/forwarding/retrybudget.go
+++ b/request/forwarding/retrybudget.go
@@ -34,9 +34,9 @@
 // allowsRetry reports whether one more retry may be sent now. The share then holds in every window that ends now or
 // later, since retries leave the window no sooner than the first sends beside them. RetrySlack is divided among the
 // routers.
-func (b *retryBudget) allowsRetry(now clock.Mark, settings Settings, edges int) bool {
+func (b *retryBudget) allowsRetry(now clock.Mark, settings Settings, routers int) bool {
 	b.firstSends, b.retries = prune(b.firstSends, now, settings.RetryWindow), prune(b.retries, now, settings.RetryWindow)
-	slack := settings.RetrySlack / float64(max(edges, 1))
+	slack := settings.RetrySlack / float64(max(routers, 1))
 	return float64(len(b.retries)+1) <= settings.RetryUtilization*(settings.RetryRatio*float64(len(b.firstSends))+slack)
 }
 
--- a/request/forwarding/routes.go
+++ b/request/forwarding/routes.go
@@ -18,22 +18,22 @@
 	if sum == 0 {
 		return path.Shares[0].Pool
 	}
-	drawn := xxhash.Sum64String(attempt) % sum
+	draw := xxhash.Sum64String(attempt) % sum
 	for _, share := range path.Shares {
-		if drawn < uint64(share.Weight) {
+		if draw < uint64(share.Weight) {
 			return share.Pool
 		}
-		drawn -= uint64(share.Weight)
+		draw -= uint64(share.Weight)
 	}
 	return path.Shares[len(path.Shares)-1].Pool
 }
 
 // RoutesTo reports whether the routing table still sends a request to a pool.
-func RoutesTo(index *upstream.Index, host, prefixed, pool string) bool {
+func RoutesTo(index *upstream.Index, host, urlPath, pool string) bool {
 	if index == nil {
 		return false
 	}
-	path, found := index.Lookup(host, prefixed)
+	path, found := index.Lookup(host, urlPath)
 	return found && pathRoutesTo(path, pool)
 }
 
@@ -59,7 +59,7 @@
 	}
 	request.Path = path
 	if request.mayHaveRun && (!request.mayRepeat() || !pathRoutesTo(path, request.pool)) {
-		// What may have run goes on only where, and if, the newest table lets it.
+		// A request that may have run continues only where the current table allows it.
 		c.finish(request, env, CauseResponseLost, 0)
 		return false
 	}
--- a/request/forwarding/routes_test.go
+++ b/request/forwarding/routes_test.go
@@ -16,17 +16,17 @@
 		path.Shares[index].Weight = weights[path.Shares[index].Pool]
 	}
 	const tries = 20_000
-	drawn := map[string]int{}
+	draw := map[string]int{}
 	for n := range tries {
 		attempt := fmt.Sprintf("%016x", n*7919)
 		pool := selectPool(&path, attempt)
 		if again := selectPool(&path, attempt); again != pool {
 			t.Fatalf("%s is drawn to %s and %s", attempt, pool, again)
 		}
-		drawn[pool]++
+		draw[pool]++
 	}
 	for pool, weight := range weights {
-		if got, want := float64(drawn[pool])/tries, float64(weight)/100; math.Abs(got-want) > 0.02 {
+		if got, want := float64(draw[pool])/tries, float64(weight)/100; math.Abs(got-want) > 0.02 {
 			t.Errorf("%s got %.3f of the tries and not %.2f", pool, got, want)
 		}
 	}
--- a/request/forwarding/shortlist.go
+++ b/request/forwarding/shortlist.go
@@ -9,13 +9,13 @@
 	"github.com/cresspond/cresspond/process/featuregates"
 )
 
-// homes is how many engines, by rendezvous, a prompt's shared parts live on. Choosing between few keeps the
-// parts together, and keeps daemons that look at the same old report from all running to the same engine.
+// rendezvousReplicas is how many engines a prompt's shared parts are kept at, by rendezvous hashing. Few engines keep
+// the parts together, and keep routers that see the same old report from all choosing the same engine.
 const rendezvousReplicas = 2
 
-// nearest moves the engines to choose from to the front, and gives them: a prompt's homes by rendezvous, in
-// order, then the one that this daemon knows to have kept most of it, one that a connection is kept to, and one drawn by
-// the request.
+// shortlist moves the candidates worth comparing to the front and gives them: the prompt's engines by rendezvous hash,
+// the highest first; the one whose prefix cache is known to hold most of the prompt; one with an idle connection; and
+// one drawn by the request. It reorders its argument.
 func (c *Core) shortlist(request *Request, all []candidate, env Environment) []candidate {
 	c.hashBuffer = append(c.hashBuffer[:0], request.Attributes.Model...)
 	c.hashBuffer = append(append(append(append(c.hashBuffer, '/'), request.Attributes.Adapter...), '/'), affinityKey(request)...)
@@ -32,8 +32,8 @@
 	}
 	if len(request.Attributes.Parts) > 0 && len(all) > found && !c.settings.Disabled.Has(featuregates.KeptPrefixes) {
 		most := 0
-		for _, one := range all[:found] {
-			most = max(most, one.state.prefixes.cachedTokens(request))
+		for _, option := range all[:found] {
+			most = max(most, option.state.prefixes.cachedTokens(request))
 		}
 		selectInto(all, found, func(a, b candidate) bool {
 			return a.state.prefixes.cachedTokens(request) > b.state.prefixes.cachedTokens(request)
@@ -42,12 +42,12 @@
 			found++
 		}
 	}
-	if warm := slices.IndexFunc(all[found:], func(one candidate) bool { return c.hasIdleConnection(request, one.engine, env) }); warm >= 0 {
+	if warm := slices.IndexFunc(all[found:], func(option candidate) bool { return c.hasIdleConnection(request, option.engine, env) }); warm >= 0 {
 		all[found], all[found+warm] = all[found+warm], all[found]
 		found++
 	}
 	if len(all) > found {
-		// Any one besides: where many ask about one thing, its homes are not enough, and all must not run to the same.
+		// With a popular prefix its engines are not enough, and the overflow must not all go to the same one.
 		at := found + int(xxhash.Sum64String(request.Attributes.Attempt)%uint64(len(all)-found))
 		all[found], all[at] = all[at], all[found]
 		found++
@@ -55,12 +55,12 @@
 	return all[:found]
 }
 
-// warm says whether a connection to an engine is kept that a record's attempt could use.
+// hasIdleConnection reports whether an idle connection to an engine could carry the request's attempt.
 func (c *Core) hasIdleConnection(request *Request, engine *registry.Engine, env Environment) bool {
 	return env.HasIdleConnection != nil && !c.settings.Disabled.Has(featuregates.WarmConnections) && env.HasIdleConnection(engine, request.pool, !request.mayRepeat())
 }
 
-// bring swaps the first of those from place on to place.
+// selectInto swaps the first candidate in order, of those from index on, to index.
 func selectInto(all []candidate, index int, before func(a, b candidate) bool) {
 	first := index
 	for other := index + 1; other < len(all); other++ {
@@ -71,11 +71,11 @@
 	all[index], all[first] = all[first], all[index]
 }
 
-// affinity is what a prompt shares with others: the last part is its own or its session's, so the one before
-// that. Those of a session go where its shared parts are, and so meet its own there.
+// affinityKey is what a prompt shares with others: the id of its last part but one. The last part is the prompt's own,
+// or its session's, so requests of a session go where their shared parts are and find their own there too.
 func affinityKey(request *Request) string {
 	if len(request.Attributes.Parts) == 0 {
-		// Nothing is shared, so each request goes its own way.
+		// Nothing is shared, so requests are spread.
 		return request.Attributes.Attempt
 	}
 	return request.Attributes.Parts[max(0, len(request.Attributes.Parts)-2)].ID
--- a/request/forwarding/simulate_test.go
+++ b/request/forwarding/simulate_test.go
@@ -219,9 +219,9 @@
 	if engine.reading || len(engine.queue) == 0 || engine.active >= 64 {
 		return
 	}
-	one := engine.queue[0]
+	option := engine.queue[0]
 	tokens, known := 0, true
-	for _, part := range one.record.Attributes.Parts {
+	for _, part := range option.record.Attributes.Parts {
 		if known = known && engine.kept[part.ID]; !known {
 			tokens += part.Tokens
 			engine.kept[part.ID] = true
@@ -230,14 +230,14 @@
 	engine.read += tokens
 	engine.reading = true
 	duration := time.Duration(tokens)*s.perToken + 8*time.Millisecond
-	if engine.fault != nil && engine.fault(one.daemon) == slowEngine {
+	if engine.fault != nil && engine.fault(option.daemon) == slowEngine {
 		duration *= 8
 	}
 	s.after(duration, func() {
 		engine.reading = false
 		engine.queue = engine.queue[1:]
 		engine.active++
-		request, d := one.record, one.daemon
+		request, d := option.record, option.daemon
 		waited := s.now.Since(request.ArrivedAt)
 		s.first = append(s.first, waited)
 		utility := s.lateUtility
@@ -256,7 +256,7 @@
 		}
 		s.utility += utility * weight
 		d.core.ResponseBegun(request, d.world())
-		s.after(time.Duration(one.events)*30*time.Millisecond, func() {
+		s.after(time.Duration(option.events)*30*time.Millisecond, func() {
 			engine.active--
 			d.core.AttemptEnded(request, OutcomeCompleted, d.world())
 			s.read(engine)
@@ -395,7 +395,7 @@
 		t.Errorf("%.3f in time", share)
 	}
 	if share := float64(s.engines[2].arrivals) / float64(requested); share > 0.1 {
-		t.Errorf("the dead one got %.2f of all", share)
+		t.Errorf("the dead engine got %.2f of all", share)
 	}
 	for subject, count := range s.requests {
 		if count >= 10 && s.servedInTime[subject] < count/2 {
@@ -437,7 +437,7 @@
 	}
 	for engine, n := range count {
 		if n > 2*2000/8 {
-			t.Errorf("%s is home to %d of 2000", engine, n)
+			t.Errorf("%s serves %d of 2000", engine, n)
 		}
 	}
 	if len(count) != 8 {
@@ -468,10 +468,10 @@
 		return came
 	}
 	if came := arrivals(200, false); came > 15 {
-		t.Errorf("%d of 200 ran into it", came)
+		t.Errorf("%d of 200 were sent to the failing engine", came)
 	}
 	if came := arrivals(2000, true); came < 200 {
-		t.Errorf("only %d of 2000 since it is well", came)
+		t.Errorf("only %d of 2000 were sent to it after its recovery", came)
 	}
 }
 
@@ -485,16 +485,16 @@
 	}
 	fixture.register(engines...)
 	fixture.routers = 6
-	world := fixture.world()
-	world.Zone = "z1"
+	environment := fixture.world()
+	environment.Zone = "z1"
 	shortlisted, sent := 0, []*Request{}
 	for range 100 {
 		request := fixture.record("p")
-		fixture.core.Admit(request, world)
+		fixture.core.Admit(request, environment)
 		if fixture.sent(request).Engine == "plain-1" {
 			shortlisted++
 		}
-		fixture.core.AttemptEnded(request, OutcomeCompleted, world)
+		fixture.core.AttemptEnded(request, OutcomeCompleted, environment)
 	}
 	if shortlisted < 60 {
 		t.Errorf("%d of 100 stayed near", shortlisted)
@@ -502,18 +502,18 @@
 	at := map[ident.EngineID]int{}
 	for range 10 {
 		request := fixture.record("p")
-		fixture.core.Admit(request, world)
+		fixture.core.Admit(request, environment)
 		if request.stage == StageSending {
 			at[fixture.sent(request).Engine]++
 			sent = append(sent, request)
 		}
 	}
 	if len(sent) != 6 || at["plain-0"] != 2 || at["plain-1"] != 2 || at["plain-2"] != 2 {
-		t.Errorf("%v, %d held", at, fixture.core.QueueLength())
+		t.Errorf("%v, %d queued", at, fixture.core.QueueLength())
 	}
 	// Each place that comes free goes to one that waits.
-	fixture.core.AttemptEnded(sent[0], OutcomeCompleted, world)
+	fixture.core.AttemptEnded(sent[0], OutcomeCompleted, environment)
 	if fixture.core.QueueLength() != 3 {
-		t.Errorf("%d held", fixture.core.QueueLength())
+		t.Errorf("%d queued", fixture.core.QueueLength())
 	}
 }
--- a/request/forwarding/speculate_test.go
+++ b/request/forwarding/speculate_test.go
@@ -73,7 +73,7 @@
 		}
 	}
 	if attempts < 3 || attempts > 5 {
-		t.Errorf("asked %d times in 1.5 s", attempts)
+		t.Errorf("%d attempts in 1.5 s", attempts)
 	}
 	// Another engine has it now, but the path allows one engine.
 	with := engineOf("batch", 1, 64, "m")
--- a/request/forwarding/warm_test.go
+++ b/request/forwarding/warm_test.go
@@ -10,18 +10,18 @@
 
 // TestEngineWithIdleConnectionIsPreferred: to one that is no better otherwise, and not to one with far less to do.
 func TestEngineWithIdleConnectionIsPreferred(t *testing.T) {
-	for _, one := range []struct {
+	for _, option := range []struct {
 		pool  string
 		model string
 	}{{"batch", "m"}, {"plain", ""}} {
-		fixture := newCoreFixture(t, pathOf("p", upstream.Repeatable, one.pool))
+		fixture := newCoreFixture(t, pathOf("p", upstream.Repeatable, option.pool))
 		fixture.core.meanPromptTokens = 1_000
-		fixture.register(enginesOf(one.pool, 30, 64, one.model)...)
-		warm := ident.EngineID(one.pool + "-7")
-		world := func() Environment {
+		fixture.register(enginesOf(option.pool, 30, 64, option.model)...)
+		warm := ident.EngineID(option.pool + "-7")
+		environment := func() Environment {
 			env := fixture.world()
 			env.HasIdleConnection = func(engine *registry.Engine, pool string, careful bool) bool {
-				if pool != one.pool || careful {
+				if pool != option.pool || careful {
 					t.Errorf("asked for a pool %q, careful %t", pool, careful)
 				}
 				return engine.ID == warm
@@ -29,18 +29,18 @@
 			return env
 		}
 		for range 5 {
-			request := fixture.record("p", prompt(one.model, 1_000))
-			fixture.core.Admit(request, world())
+			request := fixture.record("p", prompt(option.model, 1_000))
+			fixture.core.Admit(request, environment())
 			if send := fixture.sent(request); send.Engine != warm {
-				t.Errorf("%s: sent to %s, and not where a connection is kept to", one.pool, send.Engine)
+				t.Errorf("%s: sent to %s, and not where a connection is kept to", option.pool, send.Engine)
 			}
-			fixture.core.AttemptEnded(request, OutcomeCompleted, world())
+			fixture.core.AttemptEnded(request, OutcomeCompleted, environment())
 		}
 		fixture.core.engineState(warm).inFlight = 60
-		request := fixture.record("p", prompt(one.model, 1_000))
-		fixture.core.Admit(request, world())
+		request := fixture.record("p", prompt(option.model, 1_000))
+		fixture.core.Admit(request, environment())
 		if send := fixture.sent(request); send.Engine == warm {
-			t.Errorf("%s: sent to an engine that is nearly full", one.pool)
+			t.Errorf("%s: sent to an engine that is nearly full", option.pool)
 		}
 	}
 }
