--- a/request/forwarding/core_test.go
+++ b/request/forwarding/core_test.go
@@ -19,12 +19,12 @@
 	"github.com/cresspond/cresspond/wire/dialect"
 )
 
-// bench is a core with a world that a test sets.
+// coreFixture is a core with a world that a test sets.
 type coreFixture struct {
 	t    testing.TB
 	core *Core
 	now  clock.Mark
-	// lease says whether a worker id is held.
+	// hasWorkerID says whether a worker id is held.
 	hasWorkerID, current bool
 	index                *upstream.Index
 	view                 *registry.View
@@ -107,7 +107,7 @@
 	return request
 }
 
-// taken gives a record's next step, if there is one.
+// pendingStep gives a record's next step, if there is one.
 func pendingStep(request *Request) (Step, bool) {
 	select {
 	case step := <-request.steps:
@@ -368,7 +368,7 @@
 	fixture.ended(request, 0, CauseResponseLost)
 }
 
-// run is what a simulated engine side knows of one record.
+// simulatedRequest is what a simulated engine side knows of one record.
 type simulatedRequest struct {
 	record   *Request
 	path     *upstream.Path
@@ -674,7 +674,7 @@
 // it is there is told when, and nothing is held for half of its time.
 func TestQueueTimeForModelLoad(t *testing.T) {
 	for name, c := range map[string]struct {
-		// ready is when the planner says it is there, or when it says that it is not; left the client's time.
+		// readyInMs is when the planner says it is there, or when it says that it is not; left the client's time.
 		readyInMs, notLoadedForMs, timeLeftMs int
 		queued                                bool
 		low, high                             time.Duration
--- a/request/forwarding/outliers_test.go
+++ b/request/forwarding/outliers_test.go
@@ -11,12 +11,12 @@
 	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
-// illness is what becomes of an attempt at an engine.
+// faultKind is what becomes of an attempt at an engine.
 type faultKind uint8
 
 const (
 	noFault faultKind = iota
-	// fails answers with a failure of its own, resets breaks the connection, hangs never says anything, slows takes
+	// engineErrors answers with a failure of its own, resets breaks the connection, hangs never says anything, slows takes
 	// eight times as long, refuses turns away what it had room for, unreached can't be reached.
 	engineErrors
 	connectionResets
@@ -26,7 +26,7 @@
 	unreachableEngine
 )
 
-// falls says whether an attempt falls to an engine's illness, and has that come about.
+// failsAt says whether an attempt falls to an engine's illness, and has that come about.
 func (s *simulation) failsAt(d *simulatedRouter, request *Request, engine *simulatedEngine) bool {
 	if engine.fault == nil {
 		return false
@@ -51,7 +51,7 @@
 	return true
 }
 
-// share has daemons tell a judge what they see, as they do whoever plans: with a question about each 750 ms.
+// shareOutcomes has daemons tell a judge what they see, as they do whoever plans: with a question about each 750 ms.
 func (s *simulation) shareOutcomes() {
 	for _, d := range s.daemons {
 		d.core.settings.EjectOutliers = true
@@ -103,7 +103,7 @@
 	step()
 }
 
-// sicken has a share of the engines fall ill for a while.
+// makeUnhealthy has a share of the engines fall ill for a while.
 func (s *simulation) makeUnhealthy(engines int, from, duration time.Duration, fault func(d *simulatedRouter) faultKind) (unhealthy map[ident.EngineID]bool) {
 	unhealthy = map[ident.EngineID]bool{}
 	begins := s.now + clock.Mark(from)
@@ -120,7 +120,7 @@
 	return unhealthy
 }
 
-// often gives an illness to a share of attempts.
+// withProbability gives an illness to a share of attempts.
 func (s *simulation) withProbability(share float64, fault faultKind) func(*simulatedRouter) faultKind {
 	return func(*simulatedRouter) faultKind {
 		if s.random.Float64() < share {
@@ -130,7 +130,7 @@
 	}
 }
 
-// grown is a grown deployment: many daemons, each of which sends an engine a request in twenty seconds.
+// largeDeployment is a grown deployment: many daemons, each of which sends an engine a request in twenty seconds.
 func largeDeployment(seed uint64) *simulation {
 	s := newSimulation(seed, 58, 60)
 	for n, d := range s.daemons {
@@ -144,7 +144,7 @@
 	wronglyEjected, ejections          uint64
 }
 
-// play runs a grown deployment in which a fifth of the engines fall ill from the fifth second on.
+// simulateFaults runs a grown deployment in which a fifth of the engines fall ill from the fifth second on.
 func simulateFaults(seed uint64, shared bool, fault func(s *simulation) func(*simulatedRouter) faultKind) (out simulationResult) {
 	s := largeDeployment(seed)
 	if shared {
--- a/request/forwarding/simulate_test.go
+++ b/request/forwarding/simulate_test.go
@@ -57,7 +57,7 @@
 	t.now = until
 }
 
-// batcher is an engine that reads prompts one after the other, and keeps the parts it has read.
+// simulatedEngine is an engine that reads prompts one after the other, and keeps the parts it has read.
 type simulatedEngine struct {
 	registered *registry.Engine
 	queue      []*job
@@ -65,7 +65,7 @@
 	active     int
 	kept       map[string]bool
 	dead       bool
-	// ill says what becomes of an attempt from a daemon, nil that the engine is well.
+	// fault says what becomes of an attempt from a daemon, nil that the engine is well.
 	fault    func(d *simulatedRouter) faultKind
 	read     int
 	arrivals int
@@ -78,7 +78,7 @@
 	events int
 }
 
-// simulated is one daemon.
+// simulatedRouter is one daemon.
 type simulatedRouter struct {
 	core  *Core
 	world func() Environment
@@ -105,7 +105,7 @@
 	clientsRetry         bool
 	drainTime            time.Duration
 	resubmitted          map[*Request]bool
-	// judge weighs what daemons tell, where they do; broken counts requests that an engine's trouble cost.
+	// detector weighs what daemons tell, where they do; broken counts requests that an engine's trouble cost.
 	detector       *outlier.Detector
 	brokenRequests int
 }
@@ -164,7 +164,7 @@
 	s.view = view
 }
 
-// take does what a record's sender would.
+// takeStep does what a record's sender would.
 func (s *simulation) takeStep(d *simulatedRouter, request *Request) {
 	step, there := pendingStep(request)
 	if !there {
