--- a/daemon/configuration.go
+++ b/daemon/configuration.go
@@ -3,6 +3,7 @@
 import (
 	"github.com/rotisserie/eris"
 
+	"github.com/cresspond/cresspond/daemon/longpoll"
 	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
@@ -11,22 +12,22 @@
 func (d *Daemon) stateChanged(state *statemachine.State) {
 	d.applyDepartures(state)
 	closures := state.Closures.Clone()
-	epoch, inForce := state.Version(), statemachine.Proposal{}
+	version, inForce := state.Version(), statemachine.Proposal{}
 	if found, ok := state.InForce(); ok {
 		inForce = *found
 	}
 	// Not waited for: unpacking a bundle and building its table must not hold up the group.
-	go d.rollout.Offer(epoch, inForce.Payload(), &closures)
+	go d.rollout.Offer(version, inForce.Bundle(), &closures)
 }
 
-// swapped is called after each change that is in force here.
+// configurationChanged is called after each change that is in force here.
 func (d *Daemon) configurationChanged() {
-	if t := d.rollout.Table(); t != nil {
-		if mark, lost := t.Closures.Lost[d.nodeID]; lost {
-			d.abort(eris.Errorf("this daemon was declared lost by %s, and so must not serve; start it again", mark.Operator))
+	if table := d.rollout.Table(); table != nil {
+		if closure, lost := table.Closures.Lost[d.nodeID]; lost {
+			d.abort(eris.Errorf("this daemon was declared lost by %s, and so must not serve; start it again", closure.Operator))
 		}
 	}
-	d.bell.ring(urgent)
+	d.notifier.Notify(longpoll.Urgent)
 	d.wakeRequestPath()
 	d.migrateFromDrained()
 	d.admitCallers()
@@ -40,9 +41,9 @@
 }
 
 // InForce is what this daemon has in force.
-func (d *Daemon) InForce() (spec, closure ident.Version) {
-	if t := d.rollout.Table(); t != nil {
-		return t.Epoch, t.Closures.Version
+func (d *Daemon) InForce() (configuration, closure ident.Version) {
+	if table := d.rollout.Table(); table != nil {
+		return table.Version, table.Closures.Version
 	}
 	return 0, 0
 }
--- a/daemon/demand.go
+++ b/daemon/demand.go
@@ -42,7 +42,7 @@
 		return false
 	}
 	message := d.demandSender.Next(d.clock.Elapsed(), request.PlannerAddress, all, seated)
-	request.DemandVersion, request.DemandBaseVersion, request.Demand, request.Sessions = message.Seq, message.Base, message.Demand, message.Seats
+	request.DemandVersion, request.DemandBaseVersion, request.Demand, request.Sessions = message.Seq, message.Base, message.Demand, message.Sessions
 	for _, one := range d.forwardOutcomes() {
 		request.Outcomes = append(request.Outcomes, &peerapi.EngineOutcomes{Engine: string(one.Engine), Attempts: int64(one.Attempts), Failures: int64(one.Failures),
 			Refusals: int64(one.Refusals), Overdue: int64(one.Overdue)})
@@ -67,7 +67,7 @@
 	return out
 }
 
-// hearWants takes what an asker holds and asks for; it says false where what that builds on is not known.
+// receiveDemand takes what an asker holds and asks for; it says false where what that builds on is not known.
 func (d *Daemon) receiveDemand(in *peerapi.PullRequest) bool {
 	if in.DemandVersion == 0 {
 		return true
@@ -79,10 +79,10 @@
 		heard = &demand.Receiver{}
 		d.peerDemand[ident.NodeID(in.NodeId)] = heard
 	}
-	return heard.Take(d.clock.Elapsed(), demand.Message{Seq: in.DemandVersion, Base: in.DemandBaseVersion, Demand: in.Demand, Seats: in.Sessions})
+	return heard.Apply(d.clock.Elapsed(), demand.Report{Seq: in.DemandVersion, Base: in.DemandBaseVersion, Demand: in.Demand, Sessions: in.Sessions})
 }
 
-// heardDemand adds up what this daemon and all others were lately heard to ask for.
+// collectDemand adds up what this daemon and all others were lately heard to ask for.
 func (d *Daemon) collectDemand(now clock.Mark, own []*peerapi.Demand) []poolplacement.Demand {
 	var out []poolplacement.Demand
 	take := func(demand *peerapi.Demand, ago time.Duration, share float64) {
@@ -121,24 +121,24 @@
 	return d.forwarding.actor.Outcomes()
 }
 
-// hearOutcomes takes what an asker saw of engines, where this daemon plans.
+// receiveOutcomes takes what an asker saw of engines, where this daemon plans.
 func (d *Daemon) receiveOutcomes(in *peerapi.PullRequest) {
 	if len(in.Outcomes) == 0 || !d.IsPlanner() {
 		return
 	}
-	told := outlier.Observation{Zone: ident.ZoneID(in.Zone)}
+	observation := outlier.Observation{Zone: ident.ZoneID(in.Zone)}
 	for _, one := range in.Outcomes {
-		told.Digests = append(told.Digests, outlier.Digest{Engine: ident.EngineID(one.Engine), Attempts: int(one.Attempts), Failures: int(one.Failures),
+		observation.Digests = append(observation.Digests, outlier.Digest{Engine: ident.EngineID(one.Engine), Attempts: int(one.Attempts), Failures: int(one.Failures),
 			Refusals: int(one.Refusals), Overdue: int(one.Overdue)})
 	}
 	d.peerDemandMutex.Lock()
 	defer d.peerDemandMutex.Unlock()
 	if len(d.peerOutcomes) < maxPeerOutcomes {
-		d.peerOutcomes = append(d.peerOutcomes, told)
+		d.peerOutcomes = append(d.peerOutcomes, observation)
 	}
 }
 
-// heardOutcomes gives what this daemon and others saw of engines since it was last asked for.
+// takeOutcomes gives what this daemon and others saw of engines since it was last asked for.
 func (d *Daemon) takeOutcomes() []outlier.Observation {
 	own := d.forwardOutcomes()
 	d.peerDemandMutex.Lock()
--- a/daemon/groupidentity.go
+++ b/daemon/groupidentity.go
@@ -25,11 +25,11 @@
 			return d.Group() == group
 		}
 		// What the lost generation granted counts no more, and the next may not know of this daemon.
-		d.generator.Drop()
+		d.generator.ReleaseLease()
 		d.enlistedAt.Store(0)
 		d.log.WithField("group", string(group)).Warn("the group was recovered; following its next generation")
-		if life := d.memberIncarnation.Load(); life != nil && belongsToGroup(life.store) {
-			life.fail(superseded{eris.Errorf("this data folder belongs to group %s, which was recovered as %s; move the folder away, and the machine joins as a new member", *known, group)})
+		if incarnation := d.memberIncarnation.Load(); incarnation != nil && belongsToGroup(incarnation.store) {
+			incarnation.fail(superseded{eris.Errorf("this data folder belongs to group %s, which was recovered as %s; move the folder away, and the machine joins as a new member", *known, group)})
 		}
 		return true
 	}
@@ -40,7 +40,7 @@
 	return d.group.CompareAndSwap(known, &group) || d.Group() == group
 }
 
-// ours says whether a message is of this daemon's group; one that names none is from a fresh daemon.
+// checkGroup says whether a message is of this daemon's group; one that names none is from a fresh daemon.
 func (d *Daemon) checkGroup(group string) error {
 	known := d.Group()
 	if ident.GroupID(group).Succeeds(known) {
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// ofOurs says whether a reply is of this daemon's group, or of one where neither knows a group yet.
+// sameGroup says whether a reply is of this daemon's group, or of one where neither knows a group yet.
 func (d *Daemon) sameGroup(reply *peerapi.PullReply) bool {
 	known := d.Group()
 	return known == "" || reply.Group == "" || reply.Group == string(known) || ident.GroupID(reply.Group).Succeeds(known)
@@ -64,20 +64,20 @@
 func (d *Daemon) identity() *peerapi.Identity {
 	out := &peerapi.Identity{NodeId: string(d.nodeID), Group: string(d.Group()), ServesControl: d.config.Serves(daemonconfig.Control), JoinOnly: d.config.JoinOnly}
 	if folder := d.dataFolder(); folder != nil {
-		out.MemberId = uint64(folder.Member)
+		out.MemberId = uint64(folder.MemberID)
 		if remembered, err := folder.Group(); err == nil && remembered != "" {
 			out.Group = string(remembered)
 		}
 	}
-	if t := d.rollout.Table(); t != nil {
-		out.ConfigurationVersion, out.ClosureVersion = uint64(t.Epoch), uint64(t.Closures.Version)
+	if table := d.rollout.Table(); table != nil {
+		out.ConfigurationVersion, out.ClosureVersion = uint64(table.Version), uint64(table.Closures.Version)
 	}
 	out.LeaderMsAgo = -1
 	if heard := d.members.View().LastLeaderContact; heard > 0 {
 		out.LeaderMsAgo = d.clock.Elapsed().Since(heard).Milliseconds()
 	}
-	out.LeaseUntilMs = int64(d.generator.Ceiling())
-	if d.config.Serves(daemonconfig.Place) {
+	out.LeaseUntilMs = int64(d.generator.LatestTimestamp())
+	if d.config.Serves(daemonconfig.Placement) {
 		out.Claim = uint64(max(d.sessionPlacer.Condition().Claim, d.poolPlanning.condition().Claim))
 	}
 	return out
--- a/daemon/routingdaemons.go
+++ b/daemon/routingdaemons.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	// edgesCounted is how long a count of the daemons that route is used.
+	// routingCountValidFor is how long a count of the daemons that route is used.
 	routingCountValidFor = time.Second
-	// edgesHeard is how lately one must have been heard of to count; one that is only cut off still sends.
+	// routingContactWindow is how lately one must have been heard of to count; one that is only cut off still sends.
 	routingContactWindow = time.Minute
 )
 
-// edges counts the daemons that route; another life of the same daemon is no other.
+// routingDaemonCount counts the daemons that route; another life of the same daemon is no other.
 func (d *Daemon) routingDaemonCount(now clock.Mark) int {
 	side := &d.forwarding
 	if counted := side.routingDaemons.Load(); counted > 0 && now.Since(clock.Mark(side.routingDaemonsAt.Load())) < routingCountValidFor {
 		return int(counted)
 	}
 	names := map[string]bool{d.nodeID.Name(): true}
-	for _, fellow := range d.members.View().Members {
-		if now.Since(fellow.LastContact) <= routingContactWindow && fellow.Serves(string(daemonconfig.Route)) {
-			names[fellow.NodeID.Name()] = true
+	for _, peer := range d.members.View().Members {
+		if now.Since(peer.LastContact) <= routingContactWindow && peer.Serves(string(daemonconfig.Route)) {
+			names[peer.NodeID.Name()] = true
 		}
 	}
 	side.routingDaemons.Store(int64(len(names)))
--- a/daemon/sessionplanning.go
+++ b/daemon/sessionplanning.go
@@ -14,7 +14,7 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// planning is the daemon as the placement actor sees it.
+// sessionPlanner is the daemon as the placement actor sees it.
 type sessionPlanner struct{ *Daemon }
 
 // Input gathers what the plan looks at.
@@ -45,7 +45,7 @@
 				}
 			})
 		}
-		for _, seat := range heard.Seats {
+		for _, seat := range heard.Sessions {
 			in.Assignments = append(in.Assignments, sessionplacement.Assignments{Engine: ident.EngineID(seat.Engine), Model: seat.Model, Adapter: seat.Adapter, Sessions: int(seat.Sessions)})
 		}
 	}
@@ -62,17 +62,17 @@
 }
 
 // Mint stamps an order.
-func (p sessionPlanner) Mint() (ident.SnowflakeID, snowflake.Outcome) { return p.generator.Mint() }
+func (p sessionPlanner) Mint() (ident.SnowflakeID, snowflake.Outcome) { return p.generator.Next() }
 
 // Order sends an order.
 func (p sessionPlanner) Order(ctx context.Context, address string, order engineapi.Order, limit time.Duration, mayLeave func() bool) (*engineapi.OrderAnswer, bool) {
-	return enginestream.Order(ctx, address, order, limit, func() bool { return mayLeave() && p.generator.Held() })
+	return enginestream.Order(ctx, address, order, limit, func() bool { return mayLeave() && p.generator.HasLease() })
 }
 
 // MayStand says whether this daemon should try to plan.
 func (p sessionPlanner) MayStand() bool {
 	ready, _ := p.Ready()
 	// A bundle without engines of the platform's list leaves nothing to plan for sessions.
-	t := p.rollout.Table()
-	return ready && p.generator.Held() && (p.poolPlanning == nil || t != nil && len(t.Spec.Engines) > 0)
+	table := p.rollout.Table()
+	return ready && p.generator.HasLease() && (p.poolPlanning == nil || table != nil && len(table.Configuration.Engines) > 0)
 }
--- a/request/forwarding/attempt.go
+++ b/request/forwarding/attempt.go
@@ -93,8 +93,8 @@
 
 // connectionShare is this daemon's share of the connections that an engine of the pool accepts; zero is no limit.
 func connectionShare(pool *upstream.Pool, routers int) int {
-	if pool == nil || pool.MostConnections == 0 {
+	if pool == nil || pool.MaxConnections == 0 {
 		return 0
 	}
-	return max(1, pool.MostConnections/max(routers, 1))
+	return max(1, pool.MaxConnections/max(routers, 1))
 }
--- a/request/forwarding/core_test.go
+++ b/request/forwarding/core_test.go
@@ -45,7 +45,7 @@
 }
 
 func routingTable(paths ...upstream.Path) *upstream.Index {
-	catalogue := &upstream.Catalogue{Slots: 64, MemoryTokens: 100_000, RoomMb: 100, AdapterPlaces: 4, LoadsPerSecond: 1,
+	catalogue := &upstream.Catalogue{Slots: 64, MemoryTokens: 100_000, CapacityMb: 100, AdapterSlots: 4, LoadsPerSecond: 1,
 		Models: []upstream.Model{{Name: "m", SizeMb: 10, LoadMs: 1500, Adapters: 3, AdapterSizeMb: 1}}}
 	return upstream.NewIndex(&upstream.Section{Revision: 1, Paths: paths, Pools: []upstream.Pool{{Name: "plain"}, {Name: "other"}, {Name: "batch", Catalogue: catalogue}}})
 }
@@ -159,7 +159,7 @@
 
 // What operators have closed gets nothing new, and what waits goes there as soon as it is open again.
 func TestClosedEngineReceivesNoNewRequests(t *testing.T) {
-	fixture := newCoreFixture(t, pathOf("p", upstream.Repeatable, "plain"))
+	fixture := newCoreFixture(t, pathOf("p", upstream.Idempotent, "plain"))
 	fixture.register(enginesOf("plain", 2, 6)...)
 	closed := map[ident.EngineID]bool{"plain-0": true}
 	environment := func() Environment {
@@ -188,7 +188,7 @@
 }
 
 func TestWithoutWorkerIDNothingIsQueuedOrRetried(t *testing.T) {
-	fixture := newCoreFixture(t, pathOf("p", upstream.Repeatable, "plain"))
+	fixture := newCoreFixture(t, pathOf("p", upstream.Idempotent, "plain"))
 	fixture.hasWorkerID = false
 	fixture.ended(fixture.admit("p"), fasthttp.StatusServiceUnavailable, CauseNoWorkerID)
 	fixture.register(enginesOf("plain", 2, 6)...)
@@ -323,7 +323,7 @@
 }
 
 func TestEngineErrorIsPassedOnUnlessRequestCanBeRetried(t *testing.T) {
-	fixture := newCoreFixture(t, pathOf("again", upstream.Repeatable, "plain"), pathOf("once", upstream.Once, "plain"))
+	fixture := newCoreFixture(t, pathOf("again", upstream.Idempotent, "plain"), pathOf("once", upstream.Once, "plain"))
 	fixture.register(enginesOf("plain", 2, 6)...)
 	request := fixture.admit("once")
 	fixture.sent(request)
@@ -397,7 +397,7 @@
 		random := rand.New(rand.NewPCG(seed, 7))
 		resumable := pathOf("resume", upstream.Stream, "plain")
 		resumable.Resumable = true
-		paths := []upstream.Path{pathOf("once", upstream.Once, "plain"), pathOf("again", upstream.Repeatable, "plain", "other"), pathOf("stream", upstream.Stream, "batch"), resumable}
+		paths := []upstream.Path{pathOf("once", upstream.Once, "plain"), pathOf("again", upstream.Idempotent, "plain", "other"), pathOf("stream", upstream.Stream, "batch"), resumable}
 		for index := range paths {
 			paths[index].Attempts = 1 + random.IntN(3)
 			paths[index].Rank = random.IntN(3)
@@ -533,7 +533,7 @@
 			}
 			for _, request := range runs {
 				read(request)
-				if request.class != upstream.Repeatable && !(request.class == upstream.Stream && request.path.Resumable) && request.ran > 1 {
+				if request.class != upstream.Idempotent && !(request.class == upstream.Stream && request.path.Resumable) && request.ran > 1 {
 					fail(request, "ran twice")
 				}
 				if request.record.stage == StageQueued && fixture.now > request.deadline {
@@ -655,7 +655,7 @@
 	path := pathOf("p", upstream.Once, "narrow")
 	fixture := newCoreFixture(t, path)
 	section := *fixture.index.Section
-	section.Pools = append(section.Pools, upstream.Pool{Name: "narrow", MostConnections: 10, Catalogue: &upstream.Catalogue{}})
+	section.Pools = append(section.Pools, upstream.Pool{Name: "narrow", MaxConnections: 10, Catalogue: &upstream.Catalogue{}})
 	fixture.index = upstream.NewIndex(&section)
 	fixture.routers = 3
 	fixture.register(engineOf("narrow", 0, 64))
@@ -815,7 +815,7 @@
 // TestRequestOfDisconnectedCallerIsNeitherQueuedNorRetried: that the caller left may be heard while an attempt is
 // under way whose sender has just reported how it ended.
 func TestRequestOfDisconnectedCallerIsNeitherQueuedNorRetried(t *testing.T) {
-	for _, class := range []upstream.Class{upstream.Once, upstream.Repeatable, upstream.Stream} {
+	for _, class := range []upstream.Class{upstream.Once, upstream.Idempotent, upstream.Stream} {
 		for outcome := OutcomeWithheld; outcome <= OutcomeEngineError; outcome++ {
 			fixture := newCoreFixture(t, pathOf("p", class, "plain"))
 			fixture.register(enginesOf("plain", 3, 4)...)
--- a/request/forwarding/cost.go
+++ b/request/forwarding/cost.go
@@ -42,10 +42,10 @@
 	state, engine := option.state, option.engine
 	state.observeReport(engine.Plan)
 	cached := 0.0
-	if !c.settings.Disabled.Has(featuregates.KeptPrefixes) {
+	if !c.settings.Disabled.Has(featuregates.PrefixCacheAffinity) {
 		cached = float64(state.prefixes.cachedTokens(request))
 	}
-	if index < rendezvousReplicas && !c.settings.Disabled.Has(featuregates.Homes) {
+	if index < rendezvousReplicas && !c.settings.Disabled.Has(featuregates.PrefixOwners) {
 		cached = max(cached, expectedPrefixHit[index]*float64(sharedTokens(request)))
 	}
 	cost := max(0, float64(request.Attributes.TokensIn)-cached) + float64(state.prefillTokens)
@@ -60,7 +60,7 @@
 	cost += costPerRunning * active
 	path := c.pathState(request)
 	cost += firstByteWeight * path.tokensIn(decayed(state.firstByteTime, state.firstByteAt, env.Now))
-	if !c.settings.Disabled.Has(featuregates.Awaiting) {
+	if !c.settings.Disabled.Has(featuregates.FirstByteWait) {
 		cost += awaitedFirstByteWeight * path.tokensIn(state.longestAwaited(env.Now))
 	}
 	// An engine that has not responded for long is likely not to respond soon.
@@ -101,7 +101,7 @@
 
 // failureRate is the decayed share of an engine's attempts that failed.
 func (c *Core) failureRate(state *engineState, env Environment) float64 {
-	if c.settings.Disabled.Has(featuregates.Badness) {
+	if c.settings.Disabled.Has(featuregates.ErrorPenalty) {
 		return 0
 	}
 	return state.decayedFailureRate(env.Now)
--- a/request/forwarding/request.go
+++ b/request/forwarding/request.go
@@ -117,7 +117,7 @@
 
 // repeatable reports whether the request may run more than once.
 func (r *Request) repeatable() bool {
-	return r.Path != nil && r.Path.Class == upstream.Repeatable
+	return r.Path != nil && r.Path.Class == upstream.Idempotent
 }
 
 // resumable reports whether a response that broke off may be resumed at another engine.
--- a/request/forwarding/shortlist.go
+++ b/request/forwarding/shortlist.go
@@ -24,13 +24,13 @@
 		all[index].rendezvousHash = xxhash.Sum64(append(c.hashBuffer[:length], all[index].engine.ID...))
 	}
 	found := min(rendezvousReplicas, len(all))
-	if c.settings.Disabled.Has(featuregates.Homes) {
+	if c.settings.Disabled.Has(featuregates.PrefixOwners) {
 		found = 0
 	}
 	for index := range found {
 		selectInto(all, index, func(a, b candidate) bool { return a.rendezvousHash > b.rendezvousHash })
 	}
-	if len(request.Attributes.Parts) > 0 && len(all) > found && !c.settings.Disabled.Has(featuregates.KeptPrefixes) {
+	if len(request.Attributes.Parts) > 0 && len(all) > found && !c.settings.Disabled.Has(featuregates.PrefixCacheAffinity) {
 		most := 0
 		for _, option := range all[:found] {
 			most = max(most, option.state.prefixes.cachedTokens(request))
--- a/request/forwarding/speculate.go
+++ b/request/forwarding/speculate.go
@@ -38,7 +38,7 @@
 // has not loaded the model rejects the request without running it. One request is sent first, others once it has not
 // been rejected.
 func (c *Core) speculativeEngine(request *Request, env Environment, pool *upstream.Pool) *registry.Engine {
-	if c.settings.Disabled.Has(featuregates.Speculation) {
+	if c.settings.Disabled.Has(featuregates.SpeculativeDispatch) {
 		return nil
 	}
 	target := request.target()
--- a/request/forwarding/warm_test.go
+++ b/request/forwarding/warm_test.go
@@ -14,7 +14,7 @@
 		pool  string
 		model string
 	}{{"batch", "m"}, {"plain", ""}} {
-		fixture := newCoreFixture(t, pathOf("p", upstream.Repeatable, option.pool))
+		fixture := newCoreFixture(t, pathOf("p", upstream.Idempotent, option.pool))
 		fixture.core.meanPromptTokens = 1_000
 		fixture.register(enginesOf(option.pool, 30, 64, option.model)...)
 		warm := ident.EngineID(option.pool + "-7")
