--- a/daemon/counters.go
+++ b/daemon/counters.go
@@ -7,11 +7,17 @@
 
 	"github.com/cresspond/cresspond/process/consensus/replica"
 	"github.com/cresspond/cresspond/process/daemonconfig"
+	"github.com/cresspond/cresspond/process/engines/connectionpool"
 	"github.com/cresspond/cresspond/process/engines/nodehealth"
 	"github.com/cresspond/cresspond/process/placement/poolplacement"
 	"github.com/cresspond/cresspond/request/forwarding"
 )
 
+// reportCounter takes the name and the value of one counter or level. The names are those of the counters page, and
+// dashboards rest on them.
+type reportCounter = func(name string, value uint64)
+
+// counters are what this daemon itself counts; its actors count the rest.
 type counters struct {
 	foreignGroup, malformedMessages, leasesAcquired, leasesRenewed, leasesLost        atomic.Uint64
 	bytesOwnZone, bytesOtherZone, malformedStreams, finalCheckStops                   atomic.Uint64
@@ -35,99 +41,127 @@
 }
 
 // EachCounter gives this daemon's counters and levels by name.
-func (d *Daemon) EachCounter(say func(name string, value uint64)) {
+func (d *Daemon) EachCounter(report reportCounter) {
+	d.eachPeerCounter(report)
+	d.eachGroupCounter(report)
+	d.eachEngineCounter(report)
+	if d.config.Serves(daemonconfig.Route) {
+		d.eachSessionCounter(report)
+	}
+	d.eachForwardingCounter(report)
+	d.nodeRanking.eachCounter(report)
+	if d.config.Serves(daemonconfig.Place) {
+		d.eachSessionPlanningCounter(report)
+		d.poolPlanning.eachCounter(report)
+	}
+}
+
+// eachPeerCounter lists the counters of the connections between daemons, and of this daemon's life cycle.
+func (d *Daemon) eachPeerCounter(report reportCounter) {
 	counts := &d.counters
-	say("fellow_foreign_group", counts.foreignGroup.Load())
-	say("fellow_garbage", counts.malformedMessages.Load())
+	report("fellow_foreign_group", counts.foreignGroup.Load())
+	report("fellow_garbage", counts.malformedMessages.Load())
 	traffic := &d.links.Traffic
-	say("fellow_bytes_sent", traffic.Sent.Load())
-	say("fellow_bytes_received", traffic.Received.Load())
-	say("fellow_calls_made", traffic.Asked.Load())
-	say("fellow_calls_served", traffic.Answered.Load())
-	say("fellow_connections_opened", traffic.Opened.Load())
-	say("member_troubles", counts.memberFaults.Load())
-	say("listener_troubles", counts.listenerFaults.Load())
-	say("orders_unproven", counts.appliesUnproven.Load())
-	say("stop_not_handed_over", counts.notHandedOver.Load())
-	say("tenure_acquired", counts.leasesAcquired.Load())
-	say("tenure_renewed", counts.leasesRenewed.Load())
-	say("tenure_lost", counts.leasesLost.Load())
-	say("mint_refused", d.generator.Rejections())
-	say("pulls", d.members.Pulls.Load())
-	say("pulls_failed", d.members.FailedPulls.Load())
-	say("sources_left_as_stale", d.members.StaleSources.Load())
-	say("turned_stale", counts.turnedStale.Load())
+	report("fellow_bytes_sent", traffic.Sent.Load())
+	report("fellow_bytes_received", traffic.Received.Load())
+	report("fellow_calls_made", traffic.Asked.Load())
+	report("fellow_calls_served", traffic.Answered.Load())
+	report("fellow_connections_opened", traffic.Opened.Load())
+	report("member_troubles", counts.memberFaults.Load())
+	report("listener_troubles", counts.listenerFaults.Load())
+	report("orders_unproven", counts.appliesUnproven.Load())
+	report("stop_not_handed_over", counts.notHandedOver.Load())
+	report("tenure_acquired", counts.leasesAcquired.Load())
+	report("tenure_renewed", counts.leasesRenewed.Load())
+	report("tenure_lost", counts.leasesLost.Load())
+	report("mint_refused", d.generator.Rejections())
+	report("pulls", d.members.Pulls.Load())
+	report("pulls_failed", d.members.FailedPulls.Load())
+	report("sources_left_as_stale", d.members.StaleSources.Load())
+	report("turned_stale", counts.turnedStale.Load())
 	if confirmed := d.confirmed(); confirmed > 0 {
-		say("confirmed_ms_ago", uint64(max(0, d.clock.Elapsed().Since(confirmed).Milliseconds())))
+		report("confirmed_ms_ago", uint64(max(0, d.clock.Elapsed().Since(confirmed).Milliseconds())))
 	}
-	say("raft_sent", d.links.Sent.Load())
-	say("raft_dropped", d.links.Dropped.Load())
-	say("raft_failed", d.links.Failed.Load())
+}
+
+// eachGroupCounter lists the counters of the control group, as this daemon's member sees it.
+func (d *Daemon) eachGroupCounter(report reportCounter) {
+	group := &d.counters.group
+	report("raft_sent", d.links.Sent.Load())
+	report("raft_dropped", d.links.Dropped.Load())
+	report("raft_failed", d.links.Failed.Load())
 	if groupMember := d.replica.Load(); groupMember != nil {
-		say("raft_refused", groupMember.Rejected.Load())
+		report("raft_refused", groupMember.Rejected.Load())
 	}
-	say("raft_malformed", counts.group.MessagesRejected.Load())
-	say("snapshots_sent", counts.group.SnapshotsSent.Load())
-	say("snapshots_taken", counts.group.SnapshotsInstalled.Load())
-	say("snapshots_refused", counts.group.SnapshotsRejected.Load())
-	say("states_differ", counts.group.StateDivergences.Load())
-	say("offers_refused", d.rollout.Rejected.Load())
+	report("raft_malformed", group.MessagesRejected.Load())
+	report("snapshots_sent", group.SnapshotsSent.Load())
+	report("snapshots_taken", group.SnapshotsInstalled.Load())
+	report("snapshots_refused", group.SnapshotsRejected.Load())
+	report("states_differ", group.StateDivergences.Load())
+	report("offers_refused", d.rollout.Rejected.Load())
+}
+
+// eachEngineCounter lists the counters of discovery and of registrations.
+func (d *Daemon) eachEngineCounter(report reportCounter) {
+	counts := &d.counters
 	watched := &d.watcher.Counters
-	say("engine_reports_failed", watched.FailedReports.Load())
-	say("engine_reports_junk", watched.InvalidReports.Load())
-	say("engine_lives", watched.Restarts.Load())
-	say("engine_set_aside", watched.Quarantines.Load())
-	say("engines_registered", uint64(len(d.registry.View().Engines)))
+	report("engine_reports_failed", watched.FailedReports.Load())
+	report("engine_reports_junk", watched.InvalidReports.Load())
+	report("engine_lives", watched.Restarts.Load())
+	report("engine_set_aside", watched.Quarantines.Load())
+	report("engines_registered", uint64(len(d.registry.View().Engines)))
 	if d.config.Serves(daemonconfig.Control) {
-		say("engine_beats", counts.engineHeartbeats.Load())
-		say("engine_beats_late", counts.engineHeartbeatsLate.Load())
-		say("leaves_acknowledged", counts.departuresAcknowledged.Load())
-		say("leaves_unknown", counts.departuresUnknown.Load())
-	}
-	if d.config.Serves(daemonconfig.Route) {
-		snapshot := d.dispatch.Snapshot()
-		say("requests_invalid", d.sessionAPI.Invalid.Load())
-		say("requests_let_in", snapshot.Counters.Admitted)
-		say("requests_held", snapshot.Counters.Queued)
-		say("requests_held_now", uint64(snapshot.Queued))
-		say("requests_refused", snapshot.Counters.RefusedHere)
-		say("requests_refused_as_hopeless", snapshot.Counters.Hopeless)
-		say("requests_replayed", snapshot.Counters.Replays)
-		say("requests_whole", snapshot.Counters.Whole)
-		say("requests_broken_off", snapshot.Counters.CutOff)
-		say("requests_lost", snapshot.Counters.Lost)
-		say("callers_left", snapshot.Counters.CallersLeft)
-		say("sessions_reseated", snapshot.Counters.Reseated)
-		say("goes_first", snapshot.FirstAttempts)
-		say("goes_again", snapshot.Retries)
-		say("goes_again_denied", snapshot.Denied)
-		say("goes_refused_by_engine", snapshot.Counters.EngineRefusals)
-		say("goes_held_back", snapshot.Counters.Withdrawn)
-		say("attempt_calls", counts.attemptQueries.Load())
-		say("attempt_doubts", counts.attemptsUncertain.Load())
-		say("attempts_moved", counts.attemptsTransferred.Load())
-		say("permits_unasked", counts.slotRequestsFailed.Load())
-		say("goes_stopped_at_last_look", counts.finalCheckStops.Load())
-		say("bytes_own_zone", counts.bytesOwnZone.Load())
-		say("bytes_other_zone", counts.bytesOtherZone.Load())
-		say("engines_junk_streams", counts.malformedStreams.Load())
-	}
-	d.eachForwardingCounter(say)
-	d.nodeRanking.eachCounter(say)
-	if d.config.Serves(daemonconfig.Place) {
-		planned := d.sessionPlacer.Condition().Counters
-		say("orders", planned.Orders)
-		say("orders_done", planned.Done)
-		say("orders_refused", planned.Refused)
-		say("orders_void", planned.Void)
-		say("orders_never_arrived", planned.NeverArrived)
-		say("orders_failed", planned.Failed)
-		d.poolPlanning.eachCounter(say)
+		report("engine_beats", counts.engineHeartbeats.Load())
+		report("engine_beats_late", counts.engineHeartbeatsLate.Load())
+		report("leaves_acknowledged", counts.departuresAcknowledged.Load())
+		report("leaves_unknown", counts.departuresUnknown.Load())
 	}
 }
 
+// eachSessionCounter lists the counters of session requests, from their arrival to their attempts at engines.
+func (d *Daemon) eachSessionCounter(report reportCounter) {
+	counts := &d.counters
+	snapshot := d.dispatch.Snapshot()
+	report("requests_invalid", d.sessionAPI.Invalid.Load())
+	report("requests_let_in", snapshot.Counters.Admitted)
+	report("requests_held", snapshot.Counters.Queued)
+	report("requests_held_now", uint64(snapshot.Queued))
+	report("requests_refused", snapshot.Counters.RefusedHere)
+	report("requests_refused_as_hopeless", snapshot.Counters.Hopeless)
+	report("requests_replayed", snapshot.Counters.Replays)
+	report("requests_whole", snapshot.Counters.Whole)
+	report("requests_broken_off", snapshot.Counters.CutOff)
+	report("requests_lost", snapshot.Counters.Lost)
+	report("callers_left", snapshot.Counters.CallersLeft)
+	report("sessions_reseated", snapshot.Counters.Reseated)
+	report("goes_first", snapshot.FirstAttempts)
+	report("goes_again", snapshot.Retries)
+	report("goes_again_denied", snapshot.Denied)
+	report("goes_refused_by_engine", snapshot.Counters.EngineRefusals)
+	report("goes_held_back", snapshot.Counters.Withdrawn)
+	report("attempt_calls", counts.attemptQueries.Load())
+	report("attempt_doubts", counts.attemptsUncertain.Load())
+	report("attempts_moved", counts.attemptsTransferred.Load())
+	report("permits_unasked", counts.slotRequestsFailed.Load())
+	report("goes_stopped_at_last_look", counts.finalCheckStops.Load())
+	report("bytes_own_zone", counts.bytesOwnZone.Load())
+	report("bytes_other_zone", counts.bytesOtherZone.Load())
+	report("engines_junk_streams", counts.malformedStreams.Load())
+}
+
+// eachSessionPlanningCounter lists the counters of the orders of the planner for sessions.
+func (d *Daemon) eachSessionPlanningCounter(report reportCounter) {
+	planned := d.sessionPlacer.Condition().Counters
+	report("orders", planned.Orders)
+	report("orders_done", planned.Done)
+	report("orders_refused", planned.Refused)
+	report("orders_void", planned.Void)
+	report("orders_never_arrived", planned.NeverArrived)
+	report("orders_failed", planned.Failed)
+}
+
 // eachForwardingCounter lists the counters of opaque requests.
-func (d *Daemon) eachForwardingCounter(say func(name string, value uint64)) {
+func (d *Daemon) eachForwardingCounter(report reportCounter) {
 	side := &d.forwarding
 	if side.gateway == nil {
 		return
@@ -137,134 +171,149 @@
 	side.actor.Do(func(core *forwarding.Core, _ forwarding.Environment) {
 		counts, queued = core.Counters, core.QueueLength()
 	})
-	say("opaque_read", side.gateway.Counters.Read.Load())
-	say("opaque_unreadable", side.gateway.Counters.Unreadable.Load())
-	say("opaque_too_large", side.gateway.Counters.TooLarge.Load())
-	say("opaque_open", uint64(max(0, side.gateway.Open())))
-	say("opaque_no_path", counts.NoPath)
-	say("opaque_held", counts.Queued)
-	say("opaque_held_now", uint64(queued))
-	for place, count := range counts.QueuedBy {
-		say("opaque_held_for_"+forwarding.BlockReasonNames[place], count)
+	eachForwardedRequestCounter(report, side, &counts, queued)
+	eachForwardedAttemptCounter(report, &counts)
+	eachEngineConnectionCounter(report, side.pools)
+}
+
+// eachForwardedRequestCounter lists the counters of requests on the paths of the configuration.
+func eachForwardedRequestCounter(report reportCounter, side *forwardingPath, counts *forwarding.Counters, queued int) {
+	report("opaque_read", side.gateway.Counters.Read.Load())
+	report("opaque_unreadable", side.gateway.Counters.Unreadable.Load())
+	report("opaque_too_large", side.gateway.Counters.TooLarge.Load())
+	report("opaque_open", uint64(max(0, side.gateway.Open())))
+	report("opaque_no_path", counts.NoPath)
+	report("opaque_held", counts.Queued)
+	report("opaque_held_now", uint64(queued))
+	for index, count := range counts.QueuedBy {
+		report("opaque_held_for_"+forwarding.BlockReasonNames[index], count)
 	}
-	for place, count := range counts.EndedBy {
-		say("opaque_ended_"+strings.ReplaceAll(forwarding.CauseNames[place], "-", "_"), count)
+	for index, count := range counts.EndedBy {
+		report("opaque_ended_"+strings.ReplaceAll(forwarding.CauseNames[index], "-", "_"), count)
 	}
-	say("opaque_shed", counts.Shed)
-	say("opaque_refused", counts.Rejected)
-	say("opaque_lost", counts.EndedAfterLoss)
-	say("opaque_broken_off", counts.Truncated)
-	say("opaque_whole", counts.Completed)
-	say("opaque_engine_failures", counts.EngineErrors)
-	say("opaque_callers_left", counts.CallersLeft)
-	say("opaque_streams", side.gateway.Counters.Streams.Load())
-	say("opaque_streams_resumed", counts.Resumed)
-	say("attempts_moved_off", counts.Migrated)
-	say("attempts_stayed_at_emptied", counts.MigrationsDeclined)
-	say("opaque_events", side.gateway.Counters.Events.Load())
-	say("opaque_unsealed", side.gateway.Counters.Unsealed.Load())
-	say("attempts_first", counts.Sent)
-	say("attempts_again", counts.Retried)
-	say("attempts_again_denied", counts.RetriesDenied)
-	say("attempts_speculative", counts.Speculative)
-	say("attempts_speculative_refused", counts.SpeculativeRejected)
-	say("attempts_held_back", counts.Withheld)
-	say("attempts_never_sent", counts.Unreachable)
-	say("attempts_refused_by_engine", counts.RejectedByEngine)
-	say("attempts_misdirected", counts.Misdirected)
-	say("attempts_lost", counts.ResponsesLost)
-	say("attempts_junk", counts.ProtocolErrors)
-	say("attempts_cut", counts.StreamsBroken)
-	say("choices_of_last_resort", counts.LastResort)
-	connections := &side.pools.Counters
-	busy, idle := side.pools.Open()
-	say("engine_connections_busy", uint64(max(0, busy)))
-	say("engine_connections_idle", uint64(idle))
-	say("engine_connections_dialled", connections.Dialled.Load())
-	say("engine_connections_failed", connections.DialsFailed.Load())
-	say("engine_connections_reused", connections.Reused.Load())
-	say("engine_connections_found_stale", connections.FoundStale.Load())
-	say("engine_connections_dropped_idle", connections.DroppedIdle.Load())
-	say("engine_answers_surplus", connections.Surplus.Load())
-	say("engine_answers_foreign", connections.Foreign.Load())
-	say("engine_answers_junk", connections.Junk.Load())
-	say("engine_bytes_sent", connections.BytesSent.Load())
-	say("engine_bytes_received", connections.BytesReceived.Load())
+	report("opaque_shed", counts.Shed)
+	report("opaque_refused", counts.Rejected)
+	report("opaque_lost", counts.EndedAfterLoss)
+	report("opaque_broken_off", counts.Truncated)
+	report("opaque_whole", counts.Completed)
+	report("opaque_engine_failures", counts.EngineErrors)
+	report("opaque_callers_left", counts.CallersLeft)
+	report("opaque_streams", side.gateway.Counters.Streams.Load())
+	report("opaque_streams_resumed", counts.Resumed)
+	report("attempts_moved_off", counts.Migrated)
+	report("attempts_stayed_at_emptied", counts.MigrationsDeclined)
+	report("opaque_events", side.gateway.Counters.Events.Load())
+	report("opaque_unsealed", side.gateway.Counters.Unsealed.Load())
+}
+
+// eachForwardedAttemptCounter lists the counters of their attempts at engines.
+func eachForwardedAttemptCounter(report reportCounter, counts *forwarding.Counters) {
+	report("attempts_first", counts.Sent)
+	report("attempts_again", counts.Retried)
+	report("attempts_again_denied", counts.RetriesDenied)
+	report("attempts_speculative", counts.Speculative)
+	report("attempts_speculative_refused", counts.SpeculativeRejected)
+	report("attempts_held_back", counts.Withheld)
+	report("attempts_never_sent", counts.Unreachable)
+	report("attempts_refused_by_engine", counts.RejectedByEngine)
+	report("attempts_misdirected", counts.Misdirected)
+	report("attempts_lost", counts.ResponsesLost)
+	report("attempts_junk", counts.ProtocolErrors)
+	report("attempts_cut", counts.StreamsBroken)
+	report("choices_of_last_resort", counts.LastResort)
+}
+
+// eachEngineConnectionCounter lists the counters of the connections to engines.
+func eachEngineConnectionCounter(report reportCounter, pools *connectionpool.Pools) {
+	connections := &pools.Counters
+	busy, idle := pools.Open()
+	report("engine_connections_busy", uint64(max(0, busy)))
+	report("engine_connections_idle", uint64(idle))
+	report("engine_connections_dialled", connections.Dialled.Load())
+	report("engine_connections_failed", connections.DialsFailed.Load())
+	report("engine_connections_reused", connections.Reused.Load())
+	report("engine_connections_found_stale", connections.FoundStale.Load())
+	report("engine_connections_dropped_idle", connections.DroppedIdle.Load())
+	report("engine_answers_surplus", connections.Surplus.Load())
+	report("engine_answers_foreign", connections.Foreign.Load())
+	report("engine_answers_junk", connections.Junk.Load())
+	report("engine_bytes_sent", connections.BytesSent.Load())
+	report("engine_bytes_received", connections.BytesReceived.Load())
 }
 
-func (p *poolPlanning) eachCounter(say func(name string, value uint64)) {
+func (p *poolPlanning) eachCounter(report reportCounter) {
 	if p == nil || p.placer == nil {
 		return
 	}
 	counts := p.condition().Counters
-	say("pool_orders", counts.Orders)
-	say("pool_loads", counts.Loads)
-	say("pool_unloads", counts.Evicts)
-	say("pool_adapter_loads", counts.AdapterLoads)
-	say("pool_adapter_unloads", counts.AdapterEvicts)
-	say("pool_orders_done", counts.Done)
-	say("pool_orders_held_already", counts.Already)
-	say("pool_orders_refused", counts.Refused)
-	say("pool_orders_never_arrived", counts.NeverArrived)
-	say("pool_orders_failed", counts.Failed)
-	say("pool_orders_unsent", counts.Unsent)
-	say("pool_orders_void", counts.Void)
-	say("pool_plans_cancelled", counts.Cancelled)
-	say("pool_reports", counts.Reports)
-	say("pool_reports_failed", counts.FailedReports)
-	say("pool_reports_stale", counts.StaleReports)
+	report("pool_orders", counts.Orders)
+	report("pool_loads", counts.Loads)
+	report("pool_unloads", counts.Evicts)
+	report("pool_adapter_loads", counts.AdapterLoads)
+	report("pool_adapter_unloads", counts.AdapterEvicts)
+	report("pool_orders_done", counts.Done)
+	report("pool_orders_held_already", counts.Already)
+	report("pool_orders_refused", counts.Refused)
+	report("pool_orders_never_arrived", counts.NeverArrived)
+	report("pool_orders_failed", counts.Failed)
+	report("pool_orders_unsent", counts.Unsent)
+	report("pool_orders_void", counts.Void)
+	report("pool_plans_cancelled", counts.Cancelled)
+	report("pool_reports", counts.Reports)
+	report("pool_reports_failed", counts.FailedReports)
+	report("pool_reports_stale", counts.StaleReports)
 	for obstacle, count := range counts.Unplaced {
-		say("pool_unplaced_for_"+poolplacement.ObstacleNames[obstacle], count)
+		report("pool_unplaced_for_"+poolplacement.ObstacleNames[obstacle], count)
 	}
 	judged := p.condition().Judged
-	say("engine_outcomes_heard", judged.Attempts)
-	say("engine_outcomes_wrong", judged.Failures)
-	say("engine_outcomes_dropped", judged.DigestsDropped)
-	say("engines_ejected", judged.Ejections)
-	say("engines_ejected_again", judged.Relapses)
-	say("engines_slowed", judged.Throttled)
-	say("engines_returned", judged.Returns)
-	say("engines_spared", judged.Suppressed)
+	report("engine_outcomes_heard", judged.Attempts)
+	report("engine_outcomes_wrong", judged.Failures)
+	report("engine_outcomes_dropped", judged.DigestsDropped)
+	report("engines_ejected", judged.Ejections)
+	report("engines_ejected_again", judged.Relapses)
+	report("engines_slowed", judged.Throttled)
+	report("engines_returned", judged.Returns)
+	report("engines_spared", judged.Suppressed)
 }
 
 // eachCounter lists the counters of the ranking.
-func (n *nodeRanking) eachCounter(say func(name string, value uint64)) {
+func (n *nodeRanking) eachCounter(report reportCounter) {
 	if !n.on() {
 		return
 	}
 	if n.recorder != nil {
-		say("ranking_digests_told", n.digestsSent.Load())
-		say("ranking_measurements_dropped", n.recorder.Dropped())
+		report("ranking_digests_told", n.digestsSent.Load())
+		report("ranking_measurements_dropped", n.recorder.Dropped())
 	}
 	if !n.plans() {
 		return
 	}
 	state := n.state.Load()
 	counts := state.counters
-	say("ranking_digests_heard", counts.Digests)
-	say("ranking_digests_dropped", counts.DigestsDropped)
-	say("ranking_steps", counts.Steps)
-	say("ranking_step_us", uint64(state.took.Microseconds()))
-	say("ranking_suspected", counts.Suspected)
-	say("ranking_cleared", counts.Cleared)
-	say("ranking_drains", counts.Drains)
-	say("ranking_releases", counts.Reopened)
-	say("ranking_relapses", counts.Relapses)
-	say("ranking_sounded", counts.Recovered)
-	for place, count := range counts.Refused {
-		if why := nodehealth.Refusal(place); why != nodehealth.Allowed {
-			say("ranking_refused_"+why.Name(), count)
+	report("ranking_digests_heard", counts.Digests)
+	report("ranking_digests_dropped", counts.DigestsDropped)
+	report("ranking_steps", counts.Steps)
+	report("ranking_step_us", uint64(state.took.Microseconds()))
+	report("ranking_suspected", counts.Suspected)
+	report("ranking_cleared", counts.Cleared)
+	report("ranking_drains", counts.Drains)
+	report("ranking_releases", counts.Reopened)
+	report("ranking_relapses", counts.Relapses)
+	report("ranking_sounded", counts.Recovered)
+	for index, count := range counts.Refused {
+		if why := nodehealth.Refusal(index); why != nodehealth.Allowed {
+			report("ranking_refused_"+why.Name(), count)
 		}
 	}
-	say("ranking_acts_done", n.decisionsMade.done.Load())
-	say("ranking_acts_refused", n.decisionsMade.refused.Load())
-	say("ranking_acts_unknown", n.decisionsMade.unknown.Load())
-	say("ranking_acts_unleased", n.decisionsMade.unleased.Load())
+	report("ranking_acts_done", n.decisionsMade.done.Load())
+	report("ranking_acts_refused", n.decisionsMade.refused.Load())
+	report("ranking_acts_unknown", n.decisionsMade.unknown.Load())
+	report("ranking_acts_unleased", n.decisionsMade.unleased.Load())
 	drained := uint64(0)
 	for _, row := range state.rows {
 		if row.Stage == nodehealth.Drained {
 			drained++
 		}
 	}
-	say("ranking_drained_now", drained)
+	report("ranking_drained_now", drained)
 }
--- a/daemon/dispatch.go
+++ b/daemon/dispatch.go
@@ -105,13 +105,23 @@
 	if outcome, reason := d.afterClaim(call, result.Outcome, claim, claimed, departed); outcome != result.Outcome {
 		return outcome, reason
 	}
+	refused = result.Outcome == dispatch.EngineRefused || result.Outcome == dispatch.NeverSent
+	d.recordAttempt(send, left, result)
+	if began {
+		finishAnswer(call, result)
+	}
+	return result.Outcome, result.Reason
+}
+
+// recordAttempt counts the bytes of an attempt, and has discovery judge the engine by its outcome. left is the time
+// that the attempt had when it began.
+func (d *Daemon) recordAttempt(send dispatch.Send, left time.Duration, result enginestream.Result) {
 	bytes := uint64(result.Sent + result.Received)
 	if send.Zone == d.config.Zone {
 		d.counters.bytesOwnZone.Add(bytes)
 	} else {
 		d.counters.bytesOtherZone.Add(bytes)
 	}
-	refused = result.Outcome == dispatch.EngineRefused || result.Outcome == dispatch.NeverSent
 	switch result.Outcome {
 	case dispatch.Whole:
 		d.watcher.ReportAttempt(send.Engine, true)
@@ -125,16 +135,16 @@
 		d.counters.malformedStreams.Add(1)
 		d.watcher.Quarantine(send.Engine)
 	}
-	if began {
-		switch result.Outcome {
-		case dispatch.Whole:
-			call.Finish(nil, nil)
-		default:
-			last := relay.Line(callerapi.Piece{Attempt: call.Request.Attempt, N: result.Pieces, Outcome: callerapi.BrokenOff, Reason: result.Reason})
-			call.Finish(last, errIncompleteAnswer)
-		}
+}
+
+// finishAnswer ends an answer of which the caller has a part already.
+func finishAnswer(call *dispatch.Call, result enginestream.Result) {
+	if result.Outcome == dispatch.Whole {
+		call.Finish(nil, nil)
+		return
 	}
-	return result.Outcome, result.Reason
+	last := relay.Line(callerapi.Piece{Attempt: call.Request.Attempt, N: result.Pieces, Outcome: callerapi.BrokenOff, Reason: result.Reason})
+	call.Finish(last, errIncompleteAnswer)
 }
 
 // mayStart says whether a go may leave on what the homes said. Where they can't be asked, only the caller's
