--- a/daemon/admitcallers.go
+++ b/daemon/admitcallers.go
@@ -4,18 +4,20 @@
 	"time"
 )
 
-// acceptLimit is how long a fresh daemon lets callers wait to be accepted at most: less than the second that they
-// wait for their request to be read.
+// callerGateLimit is how long callers wait at most to be accepted by a daemon that has just started. It is less than
+// the second that they wait for their request to be read.
 const callerGateLimit = 900 * time.Millisecond
 
-// admitCallers opens the door to callers once there is what it takes to serve and to hold their requests.
+// admitCallers accepts callers from now on, if this daemon has what it takes to serve them: a configuration, a worker
+// id lease and engines.
 func (d *Daemon) admitCallers() {
 	if d.forwardIndex() != nil && d.generator.HasLease() && len(d.registry.View().Engines) > 0 {
 		d.callerGate.Open()
 	}
 }
 
-// callerKeepAlive is how long callers may leave a kept connection at rest, by the bundle in force.
+// callerKeepAlive is how long callers may keep an idle connection by the configuration in force; zero where it
+// doesn't say.
 func (d *Daemon) callerKeepAlive() time.Duration {
 	index := d.forwardIndex()
 	if index == nil {
@@ -24,5 +26,5 @@
 	return min(time.Duration(index.Section.Limits.IdleTimeoutMs)*time.Millisecond, maxKeepAlive)
 }
 
-// mostRest bounds what a bundle may say.
+// maxKeepAlive bounds what a configuration may ask for.
 const maxKeepAlive = 10 * time.Minute
--- a/daemon/applybundle.go
+++ b/daemon/applybundle.go
@@ -18,23 +18,25 @@
 )
 
 const (
-	// applyLimit bounds a call to apply a bundle: operators' tools take a second of silence for a dead daemon.
+	// applyLimit bounds a call to apply a configuration: operators' tools take a daemon that is silent for a second
+	// to be down.
 	applyLimit = 850 * time.Millisecond
-	// applyReach is how long an answer waits for the daemons in contact. Being committed by a majority is what
-	// the answer rests on, since nothing takes that back; the wait only lets whoever watches the fleet from
-	// then on see the new bundle everywhere at once. It stays short, since one silent daemon must not make
-	// the operator call again.
+	// applyReach is how long an answer waits for the daemons in contact to put the configuration in force. The answer
+	// rests on the commit by a majority alone, which nothing undoes; the wait only lets an operator who looks at the
+	// fleet next see the same configuration everywhere. It is short, since one unresponsive daemon must not make the
+	// operator repeat the call.
 	applyReach = 600 * time.Millisecond
-	// applyMargin is left for the answer's way back.
+	// applyMargin is what is left of applyLimit for the answer to travel back.
 	applyMargin = 60 * time.Millisecond
-	// maxDigestBytes bounds the digest of a call that another daemon passes on.
+	// maxDigestBytes bounds the digest of a call that another daemon forwards.
 	maxDigestBytes = 256
-	// applyRetryEvery is how soon a leader is looked for again.
+	// applyRetryEvery is how often the leader is looked for again.
 	applyRetryEvery = 50 * time.Millisecond
 )
 
-// ApplyBundle brings an operator's call to the leader. The same call may be brought there many times, also to
-// several leaders: whichever copy is committed first counts, and all others find it by its digest.
+// ApplyBundle forwards an operator's configuration to the leader until it is answered or applyLimit has passed. The
+// call is idempotent, and may reach several leaders: the first one to be committed counts, and the others find it by
+// its digest.
 func (d *Daemon) ApplyBundle(ctx context.Context, call operatorapi.ApplyRequest) operatorapi.ApplyResponse {
 	bounded, cancel := context.WithTimeout(ctx, d.applyLimit)
 	defer cancel()
@@ -81,7 +83,7 @@
 	return request
 }
 
-// sendApply asks another daemon that may lead; told is where it says that the leader is.
+// sendApply forwards the call to a daemon that may lead; redirected is where that one says that the leader is.
 func (d *Daemon) sendApply(ctx context.Context, address string, request *peerapi.ApplyRequest) (answer operatorapi.ApplyResponse, redirected string, outcome replica.Outcome) {
 	until, _ := ctx.Deadline()
 	bounded, cancel := d.whileLeader(ctx, address, time.Until(until))
@@ -99,7 +101,7 @@
 	return answer, reply.LeaderAddress, outcome
 }
 
-// Apply takes an operator's call, if this daemon leads.
+// Apply serves a forwarded call, if this daemon leads. It is part of the peer protocol.
 func (d *Daemon) Apply(ctx context.Context, in *peerapi.ApplyRequest) (*peerapi.SubmitReply, error) {
 	if err := d.checkGroup(in.Group); err != nil {
 		return nil, err
@@ -133,8 +135,8 @@
 	return d.submitReply(answer, outcome)
 }
 
-// applyAsLeader carries a call out as the leader. Whatever it answers but Unknown is proved by the state. An answer that
-// says Unknown is final all the same: no other leader could prove more.
+// applyAsLeader carries a call out as the leader. Each answer but Unknown is proved by the replicated state. An
+// Unknown that comes with the outcome Applied is final as well: no other leader could prove more.
 func (d *Daemon) applyAsLeader(ctx context.Context, call operatorapi.ApplyRequest) (operatorapi.ApplyResponse, replica.Outcome) {
 	groupMember := d.replica.Load()
 	if groupMember == nil || !groupMember.Status().IsLeader {
@@ -168,8 +170,8 @@
 	return answer, replica.Applied
 }
 
-// decideApply works a call out, one at a time: each may hold some megabytes for some tenths of a second. It says
-// false when the time ran out.
+// decideApply works out what a call asks for. One call is worked out at a time, since each may take some megabytes
+// for some tenths of a second. It returns false if ctx ended first.
 func (d *Daemon) decideApply(ctx context.Context, call operatorapi.ApplyRequest, standing directapply.View) (directapply.Decision, bool) {
 	select {
 	case d.applySlot <- struct{}{}:
@@ -180,19 +182,19 @@
 	return standing.Decide(call), true
 }
 
-// awaitContacts waits a short time until a bundle that is committed is in force at the daemons in contact.
+// awaitContacts waits a short time until a committed configuration is in force at the daemons in contact.
 func (d *Daemon) awaitContacts(ctx context.Context, answer *operatorapi.ApplyResponse) {
 	limit := d.applyReach
 	if until, bounded := ctx.Deadline(); bounded {
 		limit = min(limit, time.Until(until)-applyMargin)
 	}
-	// Only those in contact are waited for: one that is gone must not hold up what is committed.
+	// Daemons out of contact are not waited for: what is committed must not wait for a machine that is down.
 	reach := d.members.AwaitRollout(ctx, answer.Version, 0, limit, func() []ident.NodeID { return nil })
 	answer.Acknowledged, answer.InForceAt, answer.Missing = reach.Complete, reach.Applied, reach.Missing
 }
 
-// NewestBundle reads the newest committed bundle through whoever leads. What this daemon itself has in force
-// may be older, so without the group's word there is no answer.
+// NewestBundle reads the newest committed configuration from the leader. This daemon may have an older one in force,
+// so it returns false where the group doesn't answer in time.
 func (d *Daemon) NewestBundle(ctx context.Context) (operatorapi.Bundle, bool) {
 	bounded, cancel := context.WithTimeout(ctx, d.applyLimit-applyMargin)
 	defer cancel()
--- a/daemon/attemptowners.go
+++ b/daemon/attemptowners.go
@@ -18,27 +18,29 @@
 )
 
 const (
-	// contactWindow is how lately a daemon must have been heard to be in sight.
+	// contactWindow is how recent the last contact with a daemon must be for it to count as reachable.
 	contactWindow = 3 * time.Second
-	// uncertainWindow is how long one that fell silent, or has just begun, leaves doubt about what it knew.
+	// uncertainWindow is for how long a daemon that became unreachable, or has just started, leaves it uncertain
+	// which attempts it knew of.
 	uncertainWindow = 8 * time.Second
-	// ownerLimit bounds the wait for a home's answer.
+	// ownerLimit bounds the wait for an owner's answer.
 	ownerLimit = 200 * time.Millisecond
 )
 
-// attemptOwners are the daemons to ask about an attempt.
+// attemptOwners are the daemons to query about an attempt: those that remember it, chosen by consistent hashing.
 type attemptOwners struct {
-	// query lists their addresses; knowers holds those that would know of an earlier claim, with each one's partner.
+	// query lists their addresses. informed holds those that would know of an earlier claim, each with the address of
+	// the other owner.
 	query    []string
 	informed map[string]string
 	// onlyDaemon says that no other daemon is known.
 	onlyDaemon bool
-	// minoritySide says that most routing daemons may be on the other side of a split.
+	// minoritySide says that most routing daemons may be on the other side of a network partition.
 	minoritySide bool
 }
 
-// selectAttemptOwners finds the homes of an attempt: those it has among the daemons in sight, and those it had
-// among all that were heard before the latest of them fell silent.
+// selectAttemptOwners finds the owners of an attempt: those that it has among the daemons in contact, and those that
+// it had among all that were in contact before the last of them became unreachable.
 func selectAttemptOwners(attempt string, view *membership.View, now clock.Mark, self string) attemptOwners {
 	leaderSeen := view.LastLeaderContact > 0 && now.Since(view.LastLeaderContact) <= contactWindow
 	var current, before, draining []string
@@ -46,7 +48,7 @@
 	for _, peer := range view.Members {
 		sinceContact := now.Since(peer.LastContact)
 		if !peer.Ready {
-			// One that stops hands its memory on, and is asked while it is there.
+			// A draining daemon transfers its memory to others, and is queried for as long as it is there.
 			if sinceContact <= contactWindow {
 				draining = append(draining, peer.Address)
 			}
@@ -66,11 +68,11 @@
 		}
 	}
 	if len(before) == 0 {
-		// Where all stop together, they are each other's homes to the last.
+		// Where all daemons drain together, they own each other's attempts to the last.
 		before, draining = draining, nil
 	}
 	owners := attemptOwners{informed: map[string]string{}, onlyDaemon: len(before) <= 1 && len(draining) == 0}
-	// Where the two halves of a split are equal, the one that sees the leader goes on.
+	// Where both sides of a partition have equally many, the side that sees the leader goes on.
 	owners.minoritySide = 2*routersSeen < routersKnown || 2*routersSeen == routersKnown && !leaderSeen
 	key := "attempt " + attempt
 	add := func(from []string, knows bool) {
@@ -92,16 +94,16 @@
 	add(current, false)
 	add(slices.Concat(before, draining), false)
 	if !slices.Contains(owners.query, self) {
-		// What this daemon remembers itself costs nothing to ask.
+		// A query of this daemon's own memory costs nothing.
 		owners.query = append(owners.query, self)
 	}
 	return owners
 }
 
-// queryAttemptOwners puts one question to all homes of an attempt at once, and weighs what they say.
+// queryAttemptOwners queries all owners of an attempt at once, and decides by their answers.
 func (d *Daemon) queryAttemptOwners(query deduplication.Ask) deduplication.Decision {
 	self := d.config.ReachedAt()
-	// Where each attempt arrives once, no other daemon and no earlier life can know of one.
+	// Where each attempt arrives only once, neither another daemon nor an earlier incarnation can know of it.
 	local := d.config.Attempts == daemonconfig.LocalAttempts
 	owners := attemptOwners{query: []string{self}, informed: map[string]string{self: ""}, onlyDaemon: true}
 	if !local {
@@ -138,7 +140,7 @@
 		replies.Given = append(replies.Given, deduplication.Answer(answer.reply.Outcome))
 		_, knows := owners.informed[answer.home]
 		replies.Knew = replies.Knew || knows && (local || !answer.reply.Fresh)
-		// A daemon that may be cut off must not be the only one that knows.
+		// A daemon that may be partitioned must not be the only one to know.
 		replies.Written = replies.Written || answer.home != self || owners.onlyDaemon
 	}
 	replies.Knew = replies.Knew && !owners.minoritySide
@@ -149,20 +151,20 @@
 	return decision
 }
 
-// attemptQuery makes the question about one record of this daemon.
+// attemptQuery returns the query about one request of this daemon.
 func (d *Daemon) attemptQuery(action deduplication.Act, id dispatch.RecordID, request dispatch.Request, arrived clock.Mark) deduplication.Ask {
 	return deduplication.Ask{Attempt: request.Attempt, Owner: string(d.nodeID) + "/" + strconv.FormatUint(uint64(id), 10),
 		Digest: request.Digest, Age: d.clock.Elapsed().Since(arrived), Act: action}
 }
 
-// recentlyStarted says whether this life may lack attempts of the one before. Where it saw the group before any
-// bundle was in force, nothing can have run that it does not know of.
+// recentlyStarted says whether this incarnation may not know of attempts that the one before knew of. If it saw the
+// group before the first configuration was in force, there can't have been any.
 func (d *Daemon) recentlyStarted() bool {
 	view := d.members.View()
 	return !view.PredatesFirstRollout && d.clock.Elapsed().Since(view.Started) < uncertainWindow
 }
 
-// Attempt answers for the attempts whose home this daemon is.
+// Attempt answers queries about the attempts that this daemon owns. It is part of the peer protocol.
 func (d *Daemon) Attempt(_ context.Context, in *peerapi.AttemptRequest) (*peerapi.AttemptReply, error) {
 	action := deduplication.Act(in.Action)
 	if in.Attempt == "" || in.Owner == "" || action != deduplication.Claim && action != deduplication.Refuse && action != deduplication.Free {
@@ -180,7 +182,7 @@
 	return reply, nil
 }
 
-// Remember takes attempts over from another home.
+// Remember takes over attempts that another owner transfers. It is part of the peer protocol.
 func (d *Daemon) Remember(_ context.Context, in *peerapi.RememberRequest) (*peerapi.Empty, error) {
 	d.attempts.Do(func(now clock.Mark, memory *deduplication.Memory) {
 		for _, one := range in.Attempts {
--- a/daemon/attemptowners_test.go
+++ b/daemon/attemptowners_test.go
@@ -14,7 +14,7 @@
 
 const minute = clock.Mark(time.Minute)
 
-// fleetOf is a view of routing daemons, all heard just now by one that sees the leader.
+// fleetOf is a view of routing daemons that were all just in contact, seen by one that sees the leader.
 func fleetOf(size int) *membership.View {
 	view := &membership.View{Members: map[ident.NodeID]membership.Member{}, LastLeaderContact: minute}
 	for i := range size {
@@ -24,8 +24,9 @@
 	return view
 }
 
-// TestLaterAttemptQueryMeetsAnInformedOwnerOrIsUncertain: one daemon writes an attempt down at its homes, then some daemons
-// die, stop or come, and another asks. It must ask a living home that was written to, or have none that counts as knowing.
+// TestLaterAttemptQueryMeetsAnInformedOwnerOrIsUncertain: one daemon records an attempt at its owners, then daemons
+// fail, drain or join, and another daemon queries. It must query a live owner that has the record, or have no owner
+// that counts as informed.
 func TestLaterAttemptQueryMeetsAnInformedOwnerOrIsUncertain(t *testing.T) {
 	met, doubted := 0, 0
 	run := func(seed uint64, sinceContact time.Duration) (unsafe bool) {
@@ -85,7 +86,7 @@
 	if met == 0 || doubted == 0 {
 		t.Fatalf("met %d, doubted %d: the histories are too tame", met, doubted)
 	}
-	// The broken variant forgets those who fell silent at once: that must show.
+	// A variant that forgets unreachable daemons at once must be caught by the same check.
 	caught := false
 	for seed := range uint64(20_000) {
 		caught = caught || run(seed, contactWindow+uncertainWindow+time.Second)
@@ -99,7 +100,8 @@
 	for size := 2; size <= 11; size++ {
 		for there := 0; there <= size; there++ {
 			for _, leaderHere := range []bool{true, false} {
-				// Each side hears its own daemons now, and heard the others two seconds before the sight window's end.
+				// Each side is in contact with its own daemons now, and last was with the others two seconds before
+				// the contact window ended.
 				now := minute + clock.Mark(contactWindow+2*time.Second)
 				side := func(from, to int, seesLeader bool) bool {
 					if from == to {
--- a/daemon/calllimits_test.go
+++ b/daemon/calllimits_test.go
@@ -26,18 +26,18 @@
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
-// virtualClock is a clock of made-up time, in which only waiting takes any.
+// virtualClock is a clock of synctest's fake time, which only waiting moves.
 type virtualClock struct{ began time.Time }
 
 func (c virtualClock) Elapsed() clock.Mark { return clock.Mark(time.Hour + time.Since(c.began)) }
 func (c virtualClock) Wall() time.Time     { return time.Now() }
 
-// discardDisk is a disk that keeps nothing, at once.
+// discardDisk is a disk that discards all writes at once.
 type discardDisk struct{}
 
 func (discardDisk) Write(ident.GroupID, raft.Save) error { return nil }
 
-// memoryNetwork joins members in one process; a member that is cut says and hears nothing.
+// memoryNetwork connects members in one process; a partitioned member neither sends nor receives.
 type memoryNetwork struct {
 	members     map[raft.MemberID]*replica.Replica
 	partitioned map[raft.MemberID]*atomic.Bool
@@ -50,7 +50,7 @@
 	}
 }
 
-// unresponsiveNetwork is a network in which nobody answers.
+// unresponsiveNetwork is a network in which no request is answered.
 type unresponsiveNetwork struct{}
 
 func (unresponsiveNetwork) RoundTrip(request *http.Request) (*http.Response, error) {
@@ -58,7 +58,7 @@
 	return nil, request.Context().Err()
 }
 
-// inGroup puts a daemon into a group of three, as its leader or as another, and cuts the leader off. act is
+// inGroup makes a daemon one of a group of three, its leader or another, and partitions it from the others. check is
 // then called with the daemon.
 func inGroup(t *testing.T, leads bool, check func(t *testing.T, d *Daemon, measure func(call func()) time.Duration)) {
 	synctest.Test(t, func(t *testing.T) {
@@ -93,7 +93,7 @@
 				}
 			}
 		}
-		// All know who leads before it is cut off.
+		// All members know the leader before the partition.
 		<-time.After(5 * replica.TickInterval)
 		self := leader
 		if !leads {
@@ -115,7 +115,7 @@
 		if leads {
 			partitioned[leader].Store(true)
 		} else {
-			// The leader acts on; it is this one's calls that nobody answers.
+			// The leader carries on; it is the calls of this member that nobody answers.
 			partitioned[self].Store(true)
 		}
 		check(t, d, func(call func()) time.Duration {
@@ -126,13 +126,14 @@
 	})
 }
 
-// TestCallsReturnWithinTheirLimitWhenTheGroupIsUnreachable: whoever calls at a daemon that is cut off is told so within the
-// second that tools take for a dead daemon, at every moment of the cut, to the millisecond of made-up time.
+// TestCallsReturnWithinTheirLimitWhenTheGroupIsUnreachable: whoever calls a partitioned daemon gets an answer within
+// the second after which tools take a daemon to be down, at every moment of the partition, to the millisecond of fake
+// time.
 func TestCallsReturnWithinTheirLimitWhenTheGroupIsUnreachable(t *testing.T) {
 	bundle := []byte(`{"name":"b","forward":{"revision":1,"pools":[{"name":"p"}],"paths":[]}}`)
 	full := operatorapi.ApplyRequest{Digest: "whole", Operator: "ana", Configuration: bundle}
 	patch := operatorapi.ApplyRequest{Digest: "patch", Operator: "ana", Patch: &upstream.Patch{Revision: 2}}
-	// What packs bundles is shared by the whole process, so it is made outside of any made-up time.
+	// The compressor is shared by the whole process, so it is made outside of the fake time.
 	if _, err := compression.Decompress(compression.Compress(bundle)); err != nil {
 		t.Fatal(err)
 	}
--- a/daemon/changetrace.go
+++ b/daemon/changetrace.go
@@ -12,7 +12,8 @@
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
-// changeTrace gathers every daemon's steps for one change; state tells the newest epochs of the group.
+// changeTrace gathers the steps of each daemon for one change, named "spec:N" or "closure:N"; state is an encoded
+// traceState.
 func (d *Daemon) changeTrace(change string, state []byte) []byte {
 	var newest traceState
 	_ = json.Unmarshal(state, &newest)
@@ -54,7 +55,8 @@
 		out.Rows = append(out.Rows, row)
 	}
 	for _, node := range unseen {
-		// It may be serving and has not been heard for long, so the change can't count as in force there.
+		// The daemon may be serving and has been out of contact for long, so the change can't count as in force
+		// there.
 		out.Rows = append(out.Rows, operatorapi.TraceRow{NodeID: node, LastContactMsAgo: -1, Missing: true, Serving: true})
 	}
 	out.Acknowledged = out.Known && !slices.ContainsFunc(out.Rows, func(row operatorapi.TraceRow) bool { return row.Serving && row.Missing })
--- a/daemon/commands.go
+++ b/daemon/commands.go
@@ -16,17 +16,17 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// lostAfter is how long a daemon must have been silent before it may be declared lost.
+// lostAfter is how long a daemon must have been out of contact before an operator may declare it lost.
 const lostAfter = 10 * time.Second
 
-// submitLimit is how long a leader's answer is waited for; a command that is sent again finds itself, so one
-// that may have gone to a leader who is cut off is better sent again soon.
+// submitLimit is how long a leader's answer is waited for. Commands are idempotent, so one that may have gone to a
+// partitioned leader is better sent again soon.
 const submitLimit = 1200 * time.Millisecond
 
-// reachLimit is how long an acknowledgement waits for daemons in contact.
+// reachLimit is how long an acknowledgement waits for a change to be in force at the daemons that may be serving.
 const reachLimit = 1800 * time.Millisecond
 
-// ops lists the commands that may come from outside the leader.
+// forwardableOps lists the commands that another daemon may forward to the leader.
 var forwardableOps = map[statemachine.Op]bool{
 	statemachine.OpAcquire: true, statemachine.OpRenew: true, statemachine.OpRelease: true,
 	statemachine.OpPropose: true, statemachine.OpReview: true, statemachine.OpSignOff: true, statemachine.OpRollOut: true,
@@ -34,13 +34,13 @@
 	statemachine.OpEngineDeparted: true,
 }
 
-// Command brings an operator's command to the leader, and gives up when ctx ends.
+// Command submits an operator's command to the leader, and gives up when ctx ends.
 func (d *Daemon) Command(ctx context.Context, command statemachine.Command) (rollout.Response, bool) {
 	return d.submit(ctx, command)
 }
 
-// submit brings a command to the leader, again and again until ctx ends. All commands may be sent
-// again: each finds what it did before.
+// submit submits a command to the leader over and over until it is answered or ctx ends. All commands are idempotent:
+// a repeated one finds what it did before.
 func (d *Daemon) submit(ctx context.Context, command statemachine.Command) (rollout.Response, bool) {
 	ticker := time.NewTicker(100 * time.Millisecond)
 	defer ticker.Stop()
@@ -56,7 +56,7 @@
 	}
 }
 
-// submitOnce brings a command to the leader, following one redirect.
+// submitOnce submits a command to the leader, following one redirect.
 func (d *Daemon) submitOnce(ctx context.Context, command statemachine.Command) (rollout.Response, bool) {
 	if answer, outcome := d.submitAsLeader(ctx, command); outcome != replica.NotLeader {
 		return answer, outcome == replica.Applied
@@ -72,7 +72,7 @@
 		}
 		limit := submitLimit
 		if command.Op.Propagates() {
-			// The leader answers these when they are everywhere, or when it has waited long enough for that.
+			// The leader answers these once they are in force everywhere, or once it has waited long enough for that.
 			limit += reachLimit
 		}
 		bounded, cancel := d.whileLeader(ctx, address, limit)
@@ -94,7 +94,7 @@
 	return rollout.Response{}, false
 }
 
-// Submit takes a command, if this daemon leads.
+// Submit serves a forwarded command, if this daemon leads. It is part of the peer protocol.
 func (d *Daemon) Submit(ctx context.Context, in *peerapi.SubmitRequest) (*peerapi.SubmitReply, error) {
 	if err := d.checkGroup(in.Group); err != nil {
 		return nil, err
@@ -108,7 +108,7 @@
 	return d.submitReply(answer, outcome)
 }
 
-// submitReply tells another daemon what the leader answered, or who leads.
+// submitReply encodes what the leader answered, or who leads.
 func (d *Daemon) submitReply(answer any, outcome replica.Outcome) (*peerapi.SubmitReply, error) {
 	if outcome == replica.NotLeader {
 		return d.notLeaderReply(), nil
@@ -120,14 +120,15 @@
 	return &peerapi.SubmitReply{Outcome: string(outcome), Result: data}, nil
 }
 
-// submitAsLeader carries a command out as the leader.
+// submitAsLeader carries a command out as the leader, and waits until the changes that have to be in force everywhere
+// are.
 func (d *Daemon) submitAsLeader(ctx context.Context, command statemachine.Command) (rollout.Response, replica.Outcome) {
 	groupMember := d.replica.Load()
 	if groupMember == nil || !groupMember.Status().IsLeader {
 		return rollout.Response{}, replica.NotLeader
 	}
 	if command.Op == statemachine.OpPropose {
-		// A bundle with faults never gets into the log.
+		// A configuration with faults never gets into the log.
 		parsed, faults := document.Parse(command.Configuration)
 		if len(faults) > 0 {
 			return rollout.Response{Result: statemachine.Result{Outcome: statemachine.Malformed, Reason: "the bundle has faults"}, Faults: faults}, replica.Applied
@@ -158,22 +159,22 @@
 	default:
 		return answer, got.Outcome
 	}
-	// Acknowledged means: on a majority's disks, and in force at every daemon that may be serving.
+	// Acknowledged means that a change is on a majority's disks and in force at every daemon that may be serving.
 	reach := d.members.AwaitRollout(ctx, configurationVersion, closureVersion, reachLimit-d.clock.Elapsed().Since(began),
 		func() []ident.NodeID { return groupMember.Status().ServingDaemons })
 	answer.InForceAt, answer.Missing, answer.Acknowledged = reach.Applied, reach.Missing, reach.Complete
 	return answer, got.Outcome
 }
 
-// refusal says why a command is refused by what this daemon knows beside the log, if it is.
+// refusal returns why a command is rejected by what this daemon knows beside the log, if it is.
 func (d *Daemon) refusal(command statemachine.Command) (rollout.Response, bool) {
 	refuse := func(outcome statemachine.Outcome, reason string) (rollout.Response, bool) {
 		return rollout.Response{Result: statemachine.Result{Outcome: outcome, Reason: reason}}, true
 	}
 	switch table := d.rollout.Table(); {
 	case command.Op == statemachine.OpClosure && command.Closed && table != nil:
-		// A name that the bundle does not know is a slip: called closed, it would shut nothing. Engines that
-		// register themselves stand in no bundle, and a bundle on them need not name zones.
+		// A name that is not in the configuration is a typing error, and closing it would close nothing. Engines that
+		// register themselves are in no configuration, and one for them need not name zones.
 		_, engineKnown := table.Engine(command.Engine)
 		engineKnown = engineKnown || table.Forward != nil
 		zoneKnown := table.HasZone(command.Zone) || table.Forward != nil && len(table.Configuration.Zones) == 0
@@ -185,7 +186,7 @@
 		if !known {
 			break
 		}
-		// One that speaks is not lost: it can be stopped as planned, and then needs no such word.
+		// A daemon in contact is not lost: it can be stopped as planned, and needn't be declared lost then.
 		if ago := d.clock.Elapsed().Since(peer.LastContact); ago < lostAfter {
 			return refuse(statemachine.Conflict, fmt.Sprintf("%s was heard %d ms ago; stop it instead", command.LostDaemon, ago.Milliseconds()))
 		}
@@ -193,8 +194,8 @@
 	return rollout.Response{}, false
 }
 
-// refuseAsLeader refuses a command for good, if a majority confirms that this daemon leads and what it knows is not
-// older than what is committed. Otherwise nothing is said: whoever leads by now may take the command.
+// refuseAsLeader rejects a command for good if a majority confirms that this daemon leads, and if what it has in
+// force is not older than what is committed. Otherwise the outcome is unknown: a newer leader may accept the command.
 func (d *Daemon) refuseAsLeader(ctx context.Context, groupMember *replica.Replica, command statemachine.Command) (rollout.Response, replica.Outcome) {
 	var committed ident.Version
 	if outcome := groupMember.Read(ctx, func(state *statemachine.State) { committed = state.Version() }); outcome != replica.Applied {
--- a/daemon/configuration.go
+++ b/daemon/configuration.go
@@ -8,7 +8,8 @@
 	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
-// stateChanged is called by the replica when the spec in force or the closures are others.
+// stateChanged is called by the replica, on its goroutine, when the committed configuration or the closures have
+// changed.
 func (d *Daemon) stateChanged(state *statemachine.State) {
 	d.applyDepartures(state)
 	closures := state.Closures.Clone()
@@ -16,11 +17,12 @@
 	if found, ok := state.InForce(); ok {
 		inForce = *found
 	}
-	// Not waited for: unpacking a bundle and building its table must not hold up the group.
+	// On a goroutine of its own, which ends with the offer: decompressing a configuration and building its table must
+	// not hold up the group.
 	go d.rollout.Offer(version, inForce.Bundle(), &closures)
 }
 
-// configurationChanged is called after each change that is in force here.
+// configurationChanged is called after each change of the configuration or the closures in force here.
 func (d *Daemon) configurationChanged() {
 	if table := d.rollout.Table(); table != nil {
 		if closure, lost := table.Closures.Lost[d.nodeID]; lost {
@@ -40,7 +42,7 @@
 	}
 }
 
-// InForce is what this daemon has in force.
+// InForce returns the versions of the configuration and of the closures that are in force here; zero is none.
 func (d *Daemon) InForce() (configuration, closure ident.Version) {
 	if table := d.rollout.Table(); table != nil {
 		return table.Version, table.Closures.Version
--- a/daemon/configurationhistory.go
+++ b/daemon/configurationhistory.go
@@ -15,14 +15,15 @@
 )
 
 const (
-	// historyEvery is how often earlier bundles that are lacking are asked for, historyAtOnce how many.
+	// historyEvery is how often missing earlier configurations are fetched, historyBatch how many at a time, and
+	// historyLimit how long each may take.
 	historyEvery = 500 * time.Millisecond
 	historyBatch = 8
 	historyLimit = 2 * time.Second
 )
 
-// runHistory fetches the bundles that were in force before this life began, so that they outlive the
-// disks that hold them.
+// runHistory fetches the configurations that were in force before this incarnation, so that they outlive the disks
+// that hold them. It runs on a goroutine of its own until ctx ends.
 func (d *Daemon) runHistory(ctx context.Context) {
 	ticker := time.NewTicker(historyEvery)
 	defer ticker.Stop()
@@ -33,12 +34,13 @@
 		case <-ticker.C:
 		}
 		table := d.rollout.Table()
-		// Bundles that are applied in one step come often and are large, and the group itself keeps the newest.
+		// Configurations that are applied in one step come often and are large, and the group itself retains the
+		// newest.
 		if table == nil || table.Forward != nil {
 			continue
 		}
 		requested := 0
-		// The newest first, since the bound on their size drops the oldest.
+		// The newest come first, since the bound on their total size drops the oldest.
 		for version := table.Version - 1; version >= 1 && requested < historyBatch && d.rollout.RetainsPast(version); version-- {
 			if _, known := d.rollout.Past(version); known {
 				continue
@@ -51,7 +53,7 @@
 	}
 }
 
-// fetchConfiguration asks the group for an earlier bundle, and a fellow where there is no group.
+// fetchConfiguration queries the group for an earlier configuration, or any peer where no leader is known.
 func (d *Daemon) fetchConfiguration(ctx context.Context, version ident.Version) []byte {
 	bounded, cancel := context.WithTimeout(ctx, historyLimit)
 	defer cancel()
@@ -80,7 +82,7 @@
 	return recalled.Configuration
 }
 
-// Recall gives back a bundle that was in force here.
+// Recall returns a configuration that was in force here. It is part of the peer protocol.
 func (d *Daemon) Recall(_ context.Context, in *peerapi.RecallRequest) (*peerapi.RecallReply, error) {
 	raw, _ := d.rollout.Past(ident.Version(in.Version))
 	out := &peerapi.RecallReply{Configuration: raw}
--- a/daemon/controlcontact.go
+++ b/daemon/controlcontact.go
@@ -11,7 +11,7 @@
 	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
-// syncTimes is up to when each other control daemon has told all that it heard.
+// syncTimes is, for each other control daemon, up to when its registry has been pulled completely.
 type syncTimes struct {
 	mutex     sync.Mutex
 	byAddress map[string]clock.Mark
@@ -32,18 +32,20 @@
 	return h.byAddress[address]
 }
 
-// controlContact says how well this daemon hears what other control daemons hear. One that is cut off from any that
-// lives can't tell an engine's silence from its own deafness; nor can several that were cut off from a majority together.
+// controlContact says how well this daemon is in contact with the other control daemons. One that is partitioned from
+// a live one can't tell an engine's silence from its own loss of contact; nor can several that were partitioned from
+// a majority together.
 func (d *Daemon) controlContact() registry.Connectivity {
 	now := d.clock.Elapsed()
 	if !d.config.Serves(daemonconfig.Control) {
-		// It judges nobody, so it need not look through the fleet for it.
+		// It never marks engines as unresponsive, so it needn't look through the fleet.
 		return registry.Connectivity{Horizon: now}
 	}
 	return contactOf(d.members.View(), d.nodeID, now, d.registrySyncTimes.latest, d.heartbeatPeriod(), d.soleVoter)
 }
 
-// contactOf is contact for a view; heard is up to when a control daemon at an address has told all that it heard.
+// contactOf is controlContact for a view; syncedAt is up to when the registry of the control daemon at an address was
+// pulled.
 func contactOf(view *membership.View, self ident.NodeID, now clock.Mark, syncedAt func(address string) clock.Mark, period time.Duration, alone func() bool) registry.Connectivity {
 	out, others := registry.Connectivity{Horizon: now}, 0
 	for _, peer := range view.Members {
@@ -57,7 +59,7 @@
 	return out
 }
 
-// soleVoter says whether this daemon is the whole group.
+// soleVoter says whether this daemon is the only voter of the group, and leads it.
 func (d *Daemon) soleVoter() bool {
 	groupMember := d.replica.Load()
 	return groupMember != nil && len(groupMember.Status().Membership.Voters()) == 1 && groupMember.Status().IsLeader
--- a/daemon/controlcontact_test.go
+++ b/daemon/controlcontact_test.go
@@ -10,14 +10,14 @@
 	"github.com/cresspond/cresspond/process/daemonconfig"
 )
 
-// fixedClock stands still.
+// fixedClock always tells the same time.
 type fixedClock struct{ now clock.Mark }
 
 func (c fixedClock) Elapsed() clock.Mark { return c.now }
 func (c fixedClock) Wall() time.Time     { return time.Time{} }
 
-// A daemon that only routes judges no engine silent, and does not go through the fleet several times a second for it:
-// it has no list of members here.
+// A daemon that only routes marks no engine unresponsive, and does not go through the fleet several times a second
+// for it: it has no membership here.
 func TestRouteOnlyDaemonNeverMarksEnginesUnresponsive(t *testing.T) {
 	settings := daemonconfig.Default()
 	settings.Serve = []daemonconfig.Role{daemonconfig.Route}
@@ -27,8 +27,9 @@
 	}
 }
 
-// Two control daemons of five that are cut off together hear each other as well as before, and not the beats that go
-// to the other three: they judge no engine silent. One in touch with the leader does, and so does the leader.
+// Two control daemons of five that are partitioned together are in contact with each other as before, but don't get
+// the heartbeats that go to the other three: they mark no engine unresponsive. A daemon in contact with the leader
+// does, and so does the leader.
 func TestControlDaemonsPartitionedTogetherNeverMarkEnginesUnresponsive(t *testing.T) {
 	const now, period = clock.Mark(time.Hour), time.Second
 	ago := func(span time.Duration) clock.Mark { return now - clock.Mark(span) }
--- a/daemon/counters.go
+++ b/daemon/counters.go
@@ -24,13 +24,13 @@
 	slotRequestsFailed, attemptQueries, attemptsUncertain, attemptsTransferred        atomic.Uint64
 	engineHeartbeats, engineHeartbeatsLate, departuresAcknowledged, departuresUnknown atomic.Uint64
 	memberFaults, listenerFaults, notHandedOver, turnedStale                          atomic.Uint64
-	// appliesUnproven counts operators' calls whose fate the replicated state could not prove any more.
+	// appliesUnproven counts operators' calls whose outcome the replicated state could not prove any more.
 	appliesUnproven atomic.Uint64
-	// group counts what this daemon's members of the control group noticed, over all their lives.
+	// group counts what this daemon's members of the control group noticed, over all their incarnations.
 	group replica.Counters
 }
 
-// Counters lists this daemon's counters, a line each.
+// Counters returns this daemon's counters as text, one on each line.
 func (d *Daemon) Counters() string {
 	var out strings.Builder
 	d.EachCounter(func(name string, value uint64) { fmt.Fprintf(&out, "%s %d\n", name, value) })
@@ -40,7 +40,7 @@
 	return out.String()
 }
 
-// EachCounter gives this daemon's counters and levels by name.
+// EachCounter reports this daemon's counters and levels by name, in the order of the page.
 func (d *Daemon) EachCounter(report reportCounter) {
 	d.eachPeerCounter(report)
 	d.eachGroupCounter(report)
@@ -160,7 +160,7 @@
 	report("orders_failed", planned.Failed)
 }
 
-// eachForwardingCounter lists the counters of opaque requests.
+// eachForwardingCounter lists the counters of forwarded requests.
 func (d *Daemon) eachForwardingCounter(report reportCounter) {
 	side := &d.forwarding
 	if side.gateway == nil {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -34,10 +34,11 @@
 	"github.com/cresspond/cresspond/request/dispatch"
 )
 
-// Daemon is one process.
+// Daemon is one process. Its fields are set by New and by buildActors, and not written after that but for atomics and
+// what a mutex guards; each actor owns its own state, and is called from any goroutine.
 type Daemon struct {
 	config daemonconfig.Config
-	// current is config with what a later reading of the settings changed.
+	// current is config with what Reload changed.
 	current atomic.Pointer[daemonconfig.Config]
 	version string
 	nodeID  ident.NodeID
@@ -49,7 +50,8 @@
 	members           *membership.Membership
 	registry          *registry.Registry
 	registrySyncTimes syncTimes
-	// departuresApplied is how many leaves of the replicated state the registry was told of; only the replica's actor uses it.
+	// departuresApplied is how many departures of the replicated state the registry has been told of. Only the
+	// replica's goroutine uses it.
 	departuresApplied uint64
 	watcher           *discovery.Watcher
 	generator         *snowflake.Generator
@@ -68,26 +70,27 @@
 	group             atomic.Pointer[ident.GroupID]
 	adoptedGroup      chan ident.GroupID
 	draining          atomic.Bool
-	// memberRetired says that this daemon's member of the group ends before the daemon does, and no other life follows.
+	// memberRetired says that this daemon's member of the group ends before the daemon does, and no other incarnation
+	// follows.
 	memberRetired atomic.Bool
-	// enlistedAt is when the group wrote this life down as one that may be serving; zero before.
+	// enlistedAt is when the group recorded this incarnation as one that may be serving; zero before.
 	enlistedAt atomic.Int64
 	fatal      chan error
-	// callerGate is shut until callers are accepted.
+	// callerGate is closed until callers are accepted.
 	callerGate *listener.Gate
 	// listeners opens the listeners of this daemon, and says what a fault of one means.
 	listeners listener.Opener
 
-	// poolPlanning plans for engines that register themselves, where the daemon was put together so.
+	// poolPlanning plans for engines that register themselves; nil where the daemon was made without it.
 	poolPlanning *poolPlanning
 
-	// shortages is what the planner last said that it will not load soon.
+	// shortages is what the planner of sessions last said that it can't load soon.
 	shortages atomic.Pointer[receivedShortages]
-	// poolShortages is the same of the pools.
+	// poolShortages is the same from the planner of pools.
 	poolShortages atomic.Pointer[receivedPoolShortages]
 
-	// notifier wakes those whose answers are held back. toldNews are the versions told from here, heardNews those
-	// heard; beatNews, urgentTold, drainingNow, heldLacks and bundleSeen are what was last found new.
+	// notifier wakes the peers whose answers are held back. sentVersions number what was sent from here and
+	// receivedVersions what was received; the fields after them are what was last found to be new.
 	notifier                       *longpoll.Notifier
 	sentVersions, receivedVersions versions
 	lastPolled                     polledState
@@ -98,33 +101,35 @@
 
 	peerDemandMutex sync.Mutex
 	peerDemand      map[ident.NodeID]*demand.Receiver
-	// peerOutcomes is what others saw of engines, until the planner takes it.
+	// peerOutcomes are the outcomes of peers' attempts at engines, until the planner takes them.
 	peerOutcomes []outlier.Observation
-	// demandSender tells whoever plans what is asked for here.
+	// demandSender encodes what is demanded here for the planner.
 	demandSender demand.Sender
 
-	// stallLimit is how long the next piece of a stream is waited for, runOver how long one may outlast its deadline.
+	// stallLimit is how long the next chunk of a stream is waited for, overrunLimit how long a stream may outlast its
+	// deadline.
 	stallLimit, overrunLimit time.Duration
-	// applySlot bounds how many orders to apply a bundle are worked out at once.
+	// applySlot lets one call to apply a configuration be worked out at a time.
 	applySlot              chan struct{}
 	applyLimit, applyReach time.Duration
-	// wrapDisk stands between the member and its data folder.
+	// wrapDisk wraps the data folder that the member writes to; tests inject faults by it.
 	wrapDisk func(replica.Disk) replica.Disk
 
-	// controlMakers and readyMakers make what stands before the desk, at the operators' and the readiness address.
+	// controlMakers and readinessMakers make the handlers that come before the admin API, at the operators' and the
+	// readiness address.
 	controlMakers, readinessMakers     []func(*Daemon) Handler
 	controlHandlers, readinessHandlers []Handler
-	// unreadyAnswered says that the platform was told while this daemon stops that it takes nothing new.
+	// unreadyAnswered gets an element for each readiness check that was answered with "not ready" while draining.
 	unreadyAnswered chan struct{}
 
 	forwarding forwardingPath
-	// nodeRanking ranks engines by how their nodes behave.
+	// nodeRanking ranks engines by the health of their nodes.
 	nodeRanking *nodeRanking
 
 	counters counters
 }
 
-// New makes a daemon from checked settings.
+// New makes a daemon from validated settings. It opens nothing and starts no goroutine; Run does.
 func New(config daemonconfig.Config, version string, logger log.Interface, options ...Option) *Daemon {
 	var incarnation [4]byte
 	if _, err := rand.Read(incarnation[:]); err != nil {
@@ -132,7 +137,7 @@
 	}
 	d := &Daemon{
 		config: config, version: version, clock: clock.System{},
-		// Each life of a daemon is a holder of its own, so an earlier life's ids can't be minted again.
+		// Each incarnation has a node id of its own, so the lease and the ids of an earlier one can't be used again.
 		nodeID:        ident.NodeID(config.Name + "#" + hex.EncodeToString(incarnation[:])),
 		replicaConfig: replica.DefaultConfig(), adoptedGroup: make(chan ident.GroupID, 1), fatal: make(chan error, 4), unreadyAnswered: make(chan struct{}, 8),
 		applySlot: make(chan struct{}, 1), applyLimit: applyLimit, applyReach: applyReach,
@@ -156,13 +161,13 @@
 	return d
 }
 
-// Config is the settings as last read. Only seeds and bounds change in a daemon's life.
+// Config returns the settings as last read. Only seeds, bounds and the drain time change while a daemon runs.
 func (d *Daemon) Config() daemonconfig.Config { return *d.current.Load() }
 
-// Bounds are what the deployment holds its daemons to, as last read.
+// Bounds returns the limits that the deployment sets its daemons, as last read.
 func (d *Daemon) Bounds() daemonconfig.Bounds { return d.current.Load().Bounds }
 
-// Reload takes over what may change in a daemon's life from settings that were read again.
+// Reload takes over what may change while a daemon runs from settings that were read again, and ignores the rest.
 func (d *Daemon) Reload(config daemonconfig.Config) {
 	next := d.Config()
 	if slices.Equal(next.Seeds, config.Seeds) && next.Bounds == config.Bounds && next.DrainMs == config.DrainMs {
--- a/daemon/demand.go
+++ b/daemon/demand.go
@@ -18,11 +18,11 @@
 	demandFresh        = 2 * time.Second
 )
 
-// mostOutcomes bounds what is kept of others' outcomes until the planner takes them.
+// maxPeerOutcomes bounds how many observations of peers are retained until the planner takes them.
 const maxPeerOutcomes = 2000
 
-// AddDemand adds what this daemon holds and asks for, for whoever plans; it says whether anything waits. Where only
-// what waits is worth a question, nothing is added if nothing does.
+// AddDemand adds to a pull what this daemon has queued and running, for the planner, and says whether anything is
+// queued. With onlyWaiting it adds nothing unless something is.
 func (d *Daemon) AddDemand(request *peerapi.PullRequest, onlyWaiting bool) (waits bool) {
 	if !d.config.Serves(daemonconfig.Route) {
 		return false
@@ -53,7 +53,7 @@
 	return waits
 }
 
-// forwardDemands lists what opaque requests ask for here, for whoever plans.
+// forwardDemands lists the demand of forwarded requests here, for the planner.
 func (d *Daemon) forwardDemands() []*peerapi.Demand {
 	if d.forwarding.actor == nil {
 		return nil
@@ -67,7 +67,8 @@
 	return out
 }
 
-// receiveDemand takes what an asker holds and asks for; it says false where what that builds on is not known.
+// receiveDemand takes a peer's demand. It returns false if that is a difference to a message that did not arrive
+// here.
 func (d *Daemon) receiveDemand(in *peerapi.PullRequest) bool {
 	if in.DemandVersion == 0 {
 		return true
@@ -82,7 +83,7 @@
 	return heard.Take(d.clock.Elapsed(), demand.Message{Seq: in.DemandVersion, Base: in.DemandBaseVersion, Demand: in.Demand, Seats: in.Sessions})
 }
 
-// collectDemand adds up what this daemon and all others were lately heard to ask for.
+// collectDemand gathers the recent demand of this daemon, as own, and of all others.
 func (d *Daemon) collectDemand(now clock.Mark, own []*peerapi.Demand) []poolplacement.Demand {
 	var out []poolplacement.Demand
 	take := func(demand *peerapi.Demand, ago time.Duration, share float64) {
@@ -113,7 +114,7 @@
 	return out
 }
 
-// forwardOutcomes gives what became of attempts at engines since it was last asked for.
+// forwardOutcomes takes the outcomes of forwarded attempts at engines since the last call.
 func (d *Daemon) forwardOutcomes() []outlier.Digest {
 	if d.forwarding.actor == nil {
 		return nil
@@ -121,7 +122,7 @@
 	return d.forwarding.actor.Outcomes()
 }
 
-// receiveOutcomes takes what an asker saw of engines, where this daemon plans.
+// receiveOutcomes takes the outcomes of a peer's attempts at engines, if this daemon is the planner.
 func (d *Daemon) receiveOutcomes(in *peerapi.PullRequest) {
 	if len(in.Outcomes) == 0 || !d.IsPlanner() {
 		return
@@ -138,7 +139,7 @@
 	}
 }
 
-// takeOutcomes gives what this daemon and others saw of engines since it was last asked for.
+// takeOutcomes takes the outcomes that this daemon and its peers saw since the last call.
 func (d *Daemon) takeOutcomes() []outlier.Observation {
 	own := d.forwardOutcomes()
 	d.peerDemandMutex.Lock()
--- a/daemon/dispatch.go
+++ b/daemon/dispatch.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// stallLimit is how long the next piece of a stream is waited for.
+	// stallLimit is how long the next chunk of a stream is waited for.
 	stallLimit = 8 * time.Second
-	// overrunLimit is how long a stream that began in time may go on past its deadline.
+	// overrunLimit is how long a stream that began in time may go on after its deadline.
 	overrunLimit = 15 * time.Second
-	// fairAttemptTime is how much time a go must have had for its failure to count against the engine.
+	// fairAttemptTime is how much time an attempt must have had for its failure to count against the engine.
 	fairAttemptTime = 2 * time.Second
 )
 
-// requestPath is the daemon as the dispatch actor sees it.
+// requestPath is the daemon as the dispatch actor sees it. Its methods are called on the goroutines of requests.
 type requestPath struct{ *Daemon }
 
-// World is what the request path may look at now.
+// World returns what the dispatch actor decides by.
 func (d *Daemon) World() dispatch.World {
 	_, notReady := d.members.Ready()
 	return dispatch.World{
@@ -34,7 +34,8 @@
 	}
 }
 
-// finalCheck is the last check before the first byte: what it reads is what is in force at that moment.
+// finalCheck is the last check before the first byte is sent, by what is in force at that moment. It returns why the
+// attempt must not be sent, or "".
 func (d *Daemon) finalCheck(call *dispatch.Call, send dispatch.Send) string {
 	table := d.rollout.Table()
 	engine := d.watcher.View().Engines[send.Engine]
@@ -58,10 +59,11 @@
 	return ""
 }
 
-// errBroken makes the connection end without its last chunk.
+// errIncompleteAnswer makes the caller's connection end without the last chunk, so that the caller can tell.
 var errIncompleteAnswer = errors.New("the answer is not whole")
 
-// Carry runs one go to its end.
+// Carry runs one attempt at an engine to its end, and returns its outcome and the reason. firstPiece is called before
+// the first chunk is passed on.
 func (d *Daemon) Carry(call *dispatch.Call, send dispatch.Send, firstPiece func()) (dispatch.AttemptOutcome, string) {
 	giveBack, granted := d.requestSlot(call, send)
 	if !granted {
@@ -69,7 +71,7 @@
 	}
 	refused := false
 	defer func() { giveBack(refused) }()
-	// The homes are asked while the engine is dialled; the first byte waits for both.
+	// The owners of the attempt are queried while the engine is dialled; the first byte waits for both.
 	claimed := make(chan deduplication.Decision, 1)
 	go func() {
 		claimed <- d.queryAttemptOwners(d.attemptQuery(deduplication.Claim, call.ID, call.Request, call.Arrived))
@@ -126,7 +128,7 @@
 	case dispatch.Whole:
 		d.watcher.ReportAttempt(send.Engine, true)
 	case dispatch.Lost, dispatch.NeverSent, dispatch.Cut:
-		// One that began late and ran into its own deadline says nothing against the engine.
+		// An attempt that began late and ran into its own deadline says nothing about the engine.
 		if d.clock.Elapsed() < send.Deadline || left >= fairAttemptTime {
 			d.watcher.ReportAttempt(send.Engine, false)
 		}
@@ -147,20 +149,20 @@
 	call.Finish(last, errIncompleteAnswer)
 }
 
-// mayStart says whether a go may leave on what the homes said. Where they can't be asked, only the caller's
-// own word that the work may run twice lets it go.
+// mayStart says whether an attempt may be sent by what its owners answered. If they can't be reached, only an
+// idempotent request may.
 func mayStart(claim deduplication.Decision, repeatable bool) bool {
 	return claim == deduplication.May || claim == deduplication.Doubt && repeatable
 }
 
-// afterClaim frees the claim of a go that provably never ran, so that the same attempt may come again
-// anywhere, and says what becomes of one that the homes held back.
+// afterClaim frees the claim of an attempt that provably never ran, so that it may come again at any daemon, and
+// returns the outcome of one that its owners rejected.
 func (d *Daemon) afterClaim(call *dispatch.Call, outcome dispatch.AttemptOutcome, claim deduplication.Decision, claimed <-chan deduplication.Decision, departed bool) (dispatch.AttemptOutcome, string) {
 	if departed && outcome != dispatch.EngineRefused {
 		return outcome, ""
 	}
 	if claim == "" {
-		// The engine could not even be dialled; the claim may be on its way still.
+		// The engine could not be dialled, and the claim may still be on its way.
 		claim = <-claimed
 	}
 	if mayStart(claim, call.Request.Repeatable) || claim == deduplication.Doubt {
@@ -181,8 +183,8 @@
 	return outcome, ""
 }
 
-// Refuse makes sure, before a caller is told that its work never runs, that no other daemon has sent it
-// or will: the word that may be given comes back.
+// Refuse makes sure, before a caller is told that its request never ran, that no other daemon has sent it or will. It
+// returns the answer that may be given.
 func (r requestPath) Refuse(call *dispatch.Call, wanted dispatch.Answer) dispatch.Answer {
 	switch r.queryAttemptOwners(r.attemptQuery(deduplication.Refuse, call.ID, call.Request, call.Arrived)) {
 	case deduplication.Replay, deduplication.Other:
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -12,24 +12,28 @@
 )
 
 const (
-	// defaultDrainNotice is how long a stopping daemon whose readiness nobody asks for at an address of its own goes on
-	// taking connections that are still handed to it.
+	// defaultDrainNotice is how long a draining daemon goes on accepting connections where its readiness is not
+	// checked at an address of its own.
 	defaultDrainNotice = 1500 * time.Millisecond
-	// maxDrainNotice bounds that time where readiness is asked for: it is asked once a second, and counts twice. What
-	// is sent within three seconds of the signal may outlast the daemon; what comes later would have to be finished.
+	// maxDrainNotice bounds that time where readiness is checked: the platform checks once a second, and acts on the
+	// second failure. What is sent within three seconds of the signal may outlast the daemon; what comes later would
+	// have to be completed.
 	maxDrainNotice = 2700 * time.Millisecond
-	// unreadyAnswersNeeded is how many answers of not being ready keep new connections away, and lastHandedOver how long
-	// a connection that was handed over before may be on its way.
+	// unreadyAnswersNeeded is how many failed readiness checks keep new connections away, and connectionInTransit how
+	// long a connection that was assigned before may still be on its way.
 	unreadyAnswersNeeded = 2
 	connectionInTransit  = 300 * time.Millisecond
-	// leadershipTransferEvery is how often a stopping leader offers its office.
+	// leadershipTransferEvery is how often a draining leader tries to transfer its leadership.
 	leadershipTransferEvery = 300 * time.Millisecond
-	// claimLimit bounds the word that the planner's claim is free, releaseLimit the release of the worker id.
+	// claimLimit bounds the release of the planner's lease, and releaseLimit that of the worker id.
 	claimLimit   = time.Second
 	releaseLimit = 400 * time.Millisecond
 )
 
-// drain stops taking new work, finishes what was read, hands over and lets go.
+// drain completes the requests that were read, transfers what this daemon alone holds and releases its leases, in
+// this order: leadership and planning, connections, memory of attempts, registrations, the worker id, the member of
+// the group. The member is last, since the steps before it need the group. Closing hurry, or the drain time of the
+// settings, cuts each step short.
 func (d *Daemon) drain(servers []*fasthttp.Server, hurry <-chan struct{}) {
 	limit, cancel := context.WithTimeout(context.Background(), time.Duration(d.Config().DrainMs)*time.Millisecond)
 	defer cancel()
@@ -65,7 +69,7 @@
 	d.awaitRegistrationsSeen(&remaining)
 	bounded, done := context.WithTimeout(context.Background(), releaseLimit)
 	defer done()
-	// Without a tenure too, the group hears that this life serves no more.
+	// The group is told that this incarnation no longer serves, also where it has no lease.
 	worker, last, _ := d.generator.ReleaseLease()
 	if _, ok := d.submit(bounded, statemachine.Command{Op: statemachine.OpRelease, NodeID: d.nodeID, WorkerID: worker, LastTimestamp: last}); !ok {
 		remaining.add(workerID)
@@ -79,8 +83,7 @@
 	d.log.Info("stopped")
 }
 
-// handOverRoles gives up what this daemon does for the others: planning, then leading. The group keeps its
-// size: a machine that stops may come back.
+// handOverRoles gives up planning, and then leadership. The group keeps its size: a machine that stops may come back.
 func (d *Daemon) handOverRoles(limit context.Context, remaining *unreleasedSet) {
 	if d.config.Serves(daemonconfig.Place) {
 		plans := d.IsPlanner()
@@ -99,7 +102,7 @@
 		if groupMember == nil || !groupMember.Status().IsLeader {
 			return
 		}
-		// An heir that does not take the office is asked again, or another is.
+		// A successor that does not take over is tried again, or another one is.
 		groupMember.TransferLeadership()
 		select {
 		case <-limit.Done():
@@ -110,11 +113,12 @@
 	}
 }
 
-// awaitNoNewConnections goes on taking new connections until the platform hands over no more of them.
+// awaitNoNewConnections returns once the platform has had the time to stop assigning connections to this daemon; they
+// are accepted until then.
 func (d *Daemon) awaitNoNewConnections(limit context.Context) {
 	limitForNotice := defaultDrainNotice
 	if d.config.ReadyListen != "" {
-		// Half of the time that there is stays for what was taken last.
+		// The other half of the drain time is left for the requests that were accepted last.
 		limitForNotice = min(maxDrainNotice, time.Duration(d.Config().DrainMs)*time.Millisecond/2)
 	}
 	longest := time.NewTimer(limitForNotice)
--- a/daemon/drain_test.go
+++ b/daemon/drain_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// TestDrainNoticeEndsWithinThePlatformsGracePeriod: a platform that asks once a second has moved on by then, and what
-// was sent later than three seconds after the signal must be answered whole, however long its engine takes.
+// TestDrainNoticeEndsWithinThePlatformsGracePeriod: a platform that checks readiness once a second has noticed by
+// then, and what was sent later than three seconds after the signal must be answered completely, however long its
+// engine takes.
 func TestDrainNoticeEndsWithinThePlatformsGracePeriod(t *testing.T) {
 	const askedEvery, excusedUntil, onTheWay = time.Second, 3 * time.Second, 200 * time.Millisecond
 	if least := unreadyAnswersNeeded*askedEvery + connectionInTransit; maxDrainNotice < least {
--- a/daemon/enginelist.go
+++ b/daemon/enginelist.go
@@ -7,7 +7,7 @@
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
-// Engines lists the engines that register themselves, as this daemon knows them.
+// Engines lists the engines that register themselves, as this daemon knows them, by id.
 func (d *Daemon) Engines() operatorapi.Engines {
 	view, heartbeats, now := d.registry.View(), d.registry.LastHeartbeats(), d.clock.Elapsed()
 	out := operatorapi.Engines{Version: view.Version, Engines: []operatorapi.RegisteredEngine{}}
--- a/daemon/engineregistration.go
+++ b/daemon/engineregistration.go
@@ -12,18 +12,19 @@
 )
 
 const (
-	// departureLimit is how long an engine that leaves waits for its acknowledgement; it then asks the next daemon.
+	// departureLimit is how long a departing engine waits for its acknowledgement; it then tries the next daemon.
 	departureLimit = 800 * time.Millisecond
-	// departureReach is how long the acknowledgement waits for all in contact to know.
+	// departureReach is how long the acknowledgement waits for all daemons in contact to know.
 	departureReach = 300 * time.Millisecond
-	// recentDeparture is for how long a fresh control daemon tells all of those who left.
+	// recentDeparture is how recent a departure must be for a control daemon that has just started to pass it on.
 	recentDeparture = time.Minute
 )
 
-// Registry is what this daemon knows of the engines that register themselves.
+// Registry returns what this daemon knows of the engines that register themselves.
 func (d *Daemon) Registry() *registry.Registry { return d.registry }
 
-// Register takes what an engine says of itself.
+// Register takes a registration or a heartbeat of an engine. It answers Unknown where it can't be acknowledged; the
+// engine then tries another daemon.
 func (d *Daemon) Register(ctx context.Context, registration registry.Registration) registry.Response {
 	if !d.config.Serves(daemonconfig.Control) {
 		return registry.Response{Outcome: registry.Unknown}
@@ -42,7 +43,7 @@
 	return d.commitDeparture(ctx, registration.ID, hearing)
 }
 
-// Deregister takes an engine's word that it is gone.
+// Deregister takes an engine's notice that it is gone.
 func (d *Daemon) Deregister(ctx context.Context, id ident.EngineID) registry.Response {
 	if !d.config.Serves(daemonconfig.Control) {
 		return registry.Response{Outcome: registry.Unknown}
@@ -54,13 +55,13 @@
 	return d.commitDeparture(ctx, id, hearing)
 }
 
-// commitDeparture has the group write down that an engine leaves. All hear of it from here meanwhile, since it does no
-// harm to know it early; the acknowledgement rests on the group, so that it outlives this daemon.
+// commitDeparture commits an engine's departure. Others may learn of it from here before, which does no harm; the
+// acknowledgement rests on the commit, so that it outlives this daemon.
 func (d *Daemon) commitDeparture(ctx context.Context, id ident.EngineID, hearing registry.HeartbeatResult) registry.Response {
 	bounded, cancel := context.WithTimeout(ctx, departureLimit)
 	defer cancel()
 	if hearing.DrainCommitted {
-		// Said again: it is written down, and need only have had the time to get about.
+		// A repeated notice: the departure is committed, and only needs the time to spread.
 		d.awaitPeersInformed(bounded, hearing.Change, departureReach-d.clock.Elapsed().Since(hearing.DrainCommittedAt))
 		d.counters.departuresAcknowledged.Add(1)
 		return registry.Response{Outcome: registry.Acknowledged}
@@ -75,7 +76,8 @@
 	return registry.Response{Outcome: registry.Acknowledged}
 }
 
-// awaitDepartureKnown is called at the leader when a leave is committed: it waits until all in contact know.
+// awaitDepartureKnown is called at the leader when a departure is committed, and waits until all daemons in contact
+// know of it.
 func (d *Daemon) awaitDepartureKnown(ctx context.Context, id ident.EngineID) {
 	change := d.registry.MarkDraining([]ident.EngineID{id}, false, true)
 	d.awaitPeersInformed(ctx, change, departureReach)
@@ -93,10 +95,11 @@
 	})
 }
 
-// applyDepartures takes over who left by the replicated state. It is called on the replica's actor, and so waits for nothing.
+// applyDepartures passes the departures of the replicated state on to the registry. It runs on the replica's
+// goroutine, and so must not block: the registry is told on a goroutine that ends with that.
 func (d *Daemon) applyDepartures(state *statemachine.State) {
 	lately, before := []ident.EngineID{}, []ident.EngineID{}
-	// After a snapshot all are noted again, which changes nothing.
+	// After a snapshot all departures come again, which changes nothing.
 	for _, left := range state.DepartedSince(d.departuresApplied) {
 		if left.At.Add(recentDeparture) < state.Now {
 			before = append(before, left.Engine)
@@ -113,7 +116,7 @@
 	}
 }
 
-// heartbeatPeriod is how often engines that register themselves beat.
+// heartbeatPeriod is how often engines that register themselves send a heartbeat.
 func (d *Daemon) heartbeatPeriod() time.Duration {
 	return time.Duration(d.Bounds().BeatMs) * time.Millisecond
 }
--- a/daemon/engineslots.go
+++ b/daemon/engineslots.go
@@ -19,23 +19,24 @@
 )
 
 const (
-	// slotOwnerWindow is how lately a daemon must have been heard to keep slots.
+	// slotOwnerWindow is how recent the last contact with a daemon must be for it to own slots.
 	slotOwnerWindow = 1500 * time.Millisecond
-	// slotWait is how long a bid waits at the keeper before it is weighed anew here.
+	// slotWait is how long a request waits at the owner before it is prioritised anew here, slotRequestLimit bounds a
+	// call to the owner, and slotReuseDelay is how long a released slot is not assigned again.
 	slotWait         = 150 * time.Millisecond
 	slotRequestLimit = 400 * time.Millisecond
 	slotReuseDelay   = 10 * time.Millisecond
 )
 
-// slotOwner is the address of the daemon that keeps an engine's slots.
+// slotOwner returns the address of the daemon that owns an engine's slots.
 func (d *Daemon) slotOwner(engine ident.EngineID) string {
 	routers := d.readyPeers(slotOwnerWindow, func(f membership.Member) bool { return f.Serves(string(daemonconfig.Route)) })
 	owner, _ := affinity.Owners("engine "+string(engine), routers)
 	return owner
 }
 
-// requestSlot asks the engine's keeper for a slot. A keeper that can't be reached must not hold up the go:
-// the engine's own refusal then bounds what it gets.
+// requestSlot asks the owner of an engine's slots for one. An owner that can't be reached must not hold up the
+// attempt: the engine's own admission then bounds it.
 func (d *Daemon) requestSlot(call *dispatch.Call, send dispatch.Send) (giveBack func(refused bool), granted bool) {
 	owner := d.slotOwner(send.Engine)
 	request := &peerapi.PermitRequest{Engine: string(send.Engine), Id: string(d.nodeID) + "/" + strconv.FormatUint(d.slotRequestIDs.Add(1), 10),
@@ -55,17 +56,18 @@
 		return nil, false
 	}
 	return func(refused bool) {
-		// An engine frees a slot a moment after its last byte, so the slot is not given on at once.
+		// An engine frees a slot a moment after its last byte, so the slot is not assigned again at once.
 		time.AfterFunc(slotReuseDelay, func() {
 			ctx, cancel := context.WithTimeout(context.Background(), slotRequestLimit)
 			defer cancel()
-			// A keeper that misses this hears it from the daemon's silence, or takes the slot back in time.
+			// An owner that misses this takes the slot back when the daemon is out of contact, or when its time is
+			// over.
 			_, _ = client.Permit(ctx, &peerapi.PermitRequest{Engine: request.Engine, Id: request.Id, Release: true, Refused: refused})
 		})
 	}, true
 }
 
-// Permit serves bids for the slots of engines kept here.
+// Permit serves requests for the slots that this daemon owns. It is part of the peer protocol.
 func (d *Daemon) Permit(ctx context.Context, in *peerapi.PermitRequest) (*peerapi.PermitReply, error) {
 	if in.Engine == "" || in.Id == "" {
 		return nil, twirp.NewError(twirp.InvalidArgument, "a permit is for an engine, and has an id")
@@ -82,7 +84,7 @@
 	return &peerapi.PermitReply{Granted: granted}, nil
 }
 
-// slotView is what the keeper of slots may look at.
+// slotView returns what the owner of slots decides by.
 func (d *Daemon) slotView() admission.View {
 	now, table, view := d.clock.Elapsed(), d.rollout.Table(), d.watcher.View()
 	return admission.View{
--- a/daemon/forwarding.go
+++ b/daemon/forwarding.go
@@ -18,27 +18,27 @@
 	"github.com/cresspond/cresspond/wire/dialect"
 )
 
-// forwardingPath is what a daemon that forwards opaque requests has beside the rest.
+// forwardingPath is what only a daemon that forwards requests to registered engines has.
 type forwardingPath struct {
 	dialect  dialect.Dialect
 	settings forwarding.Settings
 	patience forwarding.ClientTimeout
-	// view gives the registered engines.
+	// view returns the registered engines.
 	view func() *registry.View
 
 	actor   *forwarding.Actor
 	pools   *connectionpool.Pools
 	gateway *gateway.Gateway
-	// routingDaemons is how many daemons route, as last counted, edgesAt when that was.
+	// routingDaemons is how many daemons route, as counted at routingDaemonsAt.
 	routingDaemons, routingDaemonsAt atomic.Int64
 }
 
-// WithForwarding has the daemon serve the paths of opaque requests that a bundle names.
+// WithForwarding has the daemon forward the requests on the paths that a configuration names.
 func WithForwarding(d dialect.Dialect) Option {
 	return func(daemon *Daemon) { daemon.forwarding.dialect = d }
 }
 
-// forwardSettings takes what forwarding is held to from the daemon's own settings.
+// forwardSettings returns the settings of forwarding that are from the daemon's own.
 func forwardSettings(config daemonconfig.Config) forwarding.Settings {
 	settings := forwarding.DefaultSettings()
 	settings.RetryRatio, settings.RetrySlack, settings.RetryWindow = config.Bounds.RetryRatio, config.Bounds.RetrySlack, time.Duration(config.Bounds.RetryWindowMs)*time.Millisecond
@@ -46,17 +46,17 @@
 	return settings
 }
 
-// WithPatience says for how long the deployment's clients wait for a stream in silence.
+// WithPatience says how long the deployment's clients wait for the next chunk of a stream.
 func WithPatience(patience forwarding.ClientTimeout) Option {
 	return func(d *Daemon) { d.forwarding.patience = patience }
 }
 
-// forwards says whether opaque requests are served here.
+// forwards says whether requests are forwarded here.
 func (d *Daemon) forwards() bool {
 	return d.forwarding.dialect != nil && d.config.Serves(daemonconfig.Route)
 }
 
-// startForwarding puts the request path together.
+// startForwarding builds and starts the path of forwarded requests. Its goroutines end with ctx.
 func (d *Daemon) startForwarding(ctx context.Context) {
 	side := &d.forwarding
 	side.settings = forwardSettings(d.config)
@@ -77,13 +77,13 @@
 	go d.runSweeps(ctx)
 }
 
-// logLoss writes a line for a request that was not served, or late.
+// logLoss logs a request that was not served, or too late.
 func (d *Daemon) logLoss(loss forwarding.Loss) {
 	d.log.WithFields(log.Fields{"path": loss.Path, "model": loss.Model, "reason": loss.Reason.String(), "lack": loss.BlockedBy, "returned": loss.Resubmitted,
 		"waitedMs": loss.Waited.Milliseconds(), "heldMs": loss.Queued.Milliseconds(), "attempts": loss.Attempts}).Debug("request lost or late")
 }
 
-// sweepEvery is how often connections that engines have let go of are closed here too.
+// sweepEvery is how often connections are closed that engines have closed on their side.
 const sweepEvery = 5 * time.Second
 
 func (d *Daemon) runSweeps(ctx context.Context) {
@@ -104,10 +104,11 @@
 	}
 }
 
-// answerMargin is how long before a stopping daemon lets go all that it still has must have its answer.
+// answerMargin is how long before the end of the drain time all requests that are left are answered.
 const answerMargin = 700 * time.Millisecond
 
-// stopForwarding has all opaque requests answered in time before the limit; what it gives back calls that off.
+// stopForwarding has all forwarded requests answered in time before the limit. It returns a function that calls that
+// off.
 func (d *Daemon) stopForwarding(limit context.Context) func() {
 	if d.forwarding.gateway == nil {
 		return func() {}
@@ -120,7 +121,7 @@
 	return func() { timer.Stop() }
 }
 
-// forwardIndex is the bundle's section in force; nil is none.
+// forwardIndex returns the forwarding section of the configuration in force; nil is none.
 func (d *Daemon) forwardIndex() *upstream.Index {
 	if table := d.rollout.Table(); table != nil {
 		return table.Forward
@@ -128,7 +129,7 @@
 	return nil
 }
 
-// forwardWorld is what forwarding may look at now.
+// forwardWorld returns what forwarding decides by.
 func (d *Daemon) forwardWorld() forwarding.Environment {
 	now := d.clock.Elapsed()
 	return forwarding.Environment{
--- a/daemon/freshness.go
+++ b/daemon/freshness.go
@@ -7,14 +7,14 @@
 	"github.com/cresspond/cresspond/process/cluster/membership"
 )
 
-// ConfirmedAsLeader is, where this daemon leads, up to when a majority has confirmed that, if all that was committed
-// by then is in force here; zero elsewhere.
+// ConfirmedAsLeader returns, if this daemon leads, up to when a majority has confirmed that, provided that all that
+// was committed by then is in force here; zero elsewhere.
 func (d *Daemon) ConfirmedAsLeader() clock.Mark {
 	groupMember := d.replica.Load()
 	if groupMember == nil {
 		return 0
 	}
-	// The condition is read first: what is in force is looked at later, so it can only be newer.
+	// The status is read first: what is in force is read later, and so can only be newer.
 	condition := groupMember.Status()
 	if !condition.IsLeader {
 		return 0
@@ -24,25 +24,25 @@
 	case table == nil && condition.ConfigurationVersion > 0:
 		return 0
 	case table != nil && (table.Version < condition.ConfigurationVersion || table.Closures.Version < condition.ClosuresVersion):
-		// It is committed and its table is still being built.
+		// The configuration is committed, and its table is still being built.
 		return 0
 	}
 	return condition.ConfirmedUntil
 }
 
-// confirmed is up to when a majority has confirmed that what is in force here is all that was acknowledged; zero is
-// never.
+// confirmed returns up to when a majority has confirmed that what is in force here is all that was acknowledged; zero
+// is never.
 func (d *Daemon) confirmed() clock.Mark {
 	return max(d.members.View().ConfirmedAt, d.ConfirmedAsLeader())
 }
 
-// stale says whether this daemon's news is not to be relied on by others.
+// stale says whether others must not rely on what is in force here.
 func (d *Daemon) stale() bool {
 	confirmed := d.confirmed()
 	return confirmed == 0 || d.clock.Elapsed().Since(confirmed) > membership.StaleAfter
 }
 
-// logStale writes down that what is in force here came to be unconfirmed, or is so no more.
+// logStale logs that what is in force here has become stale, or is confirmed again.
 func (d *Daemon) logStale(stale bool) {
 	if stale {
 		d.counters.turnedStale.Add(1)
--- a/daemon/groupidentity.go
+++ b/daemon/groupidentity.go
@@ -11,10 +11,10 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// Group is the group this daemon knows.
+// Group returns the control group that this daemon belongs to; empty before it knows one.
 func (d *Daemon) Group() ident.GroupID { return *d.group.Load() }
 
-// learnGroup takes up the group's name; it says false when another is known already.
+// learnGroup makes this daemon one of a group, and returns false if it belongs to another already.
 func (d *Daemon) learnGroup(group ident.GroupID) bool {
 	known := d.group.Load()
 	if group == "" || *known == group {
@@ -24,7 +24,7 @@
 		if !d.group.CompareAndSwap(known, &group) {
 			return d.Group() == group
 		}
-		// What the lost generation granted counts no more, and the next may not know of this daemon.
+		// Leases of the lost generation are void, and the next one may not know of this daemon.
 		d.generator.ReleaseLease()
 		d.enlistedAt.Store(0)
 		d.log.WithField("group", string(group)).Warn("the group was recovered; following its next generation")
@@ -40,11 +40,12 @@
 	return d.group.CompareAndSwap(known, &group) || d.Group() == group
 }
 
-// checkGroup says whether a message is of this daemon's group; one that names none is from a fresh daemon.
+// checkGroup returns an error if a message is from another group; one that names none is from a daemon that has just
+// started.
 func (d *Daemon) checkGroup(group string) error {
 	known := d.Group()
 	if ident.GroupID(group).Succeeds(known) {
-		// The group was recovered after its majority was lost: this is its next generation.
+		// The group was recovered after it had lost its majority: this is its next generation.
 		d.learnGroup(ident.GroupID(group))
 		return nil
 	}
@@ -55,7 +56,7 @@
 	return nil
 }
 
-// sameGroup says whether a reply is of this daemon's group, or of one where neither knows a group yet.
+// sameGroup says whether a reply is from this daemon's group, or neither side knows one yet.
 func (d *Daemon) sameGroup(reply *peerapi.PullReply) bool {
 	known := d.Group()
 	return known == "" || reply.Group == "" || reply.Group == string(known) || ident.GroupID(reply.Group).Succeeds(known)
@@ -83,7 +84,7 @@
 	return out
 }
 
-// Identify says who this is.
+// Identify answers who this daemon is. It is part of the peer protocol.
 func (d *Daemon) Identify(context.Context, *peerapi.Empty) (*peerapi.Identity, error) {
 	return d.identity(), nil
 }
--- a/daemon/handover.go
+++ b/daemon/handover.go
@@ -13,25 +13,26 @@
 	"github.com/cresspond/cresspond/process/daemonconfig"
 )
 
-// unreleased names what a stopping daemon alone holds.
+// unreleased names something that a draining daemon alone holds and could not transfer or release.
 type unreleased string
 
 const (
-	// leadership ends by an election instead, plannersClaim and workerID by their time.
+	// Leadership ends by an election instead; the planner's lease and the worker id by their expiry.
 	leadership    unreleased = "leadership"
 	plannersClaim unreleased = "planner's claim"
 	workerID      unreleased = "worker id"
-	// openResponses are calls of callers and operators that were not answered.
+	// openResponses are requests of callers and operators that were not answered.
 	openResponses unreleased = "open answers"
-	// attemptMemory is what is remembered for attempts whose home this daemon is.
+	// attemptMemory is the memory of the attempts that this daemon owns.
 	attemptMemory unreleased = "memory of attempts"
-	// engineRegistrations is what engines said here of themselves that no other control daemon has seen.
+	// engineRegistrations are registrations that no other control daemon has seen.
 	engineRegistrations unreleased = "news of engines"
 	// logEntries are committed entries that too few other voters hold.
 	logEntries unreleased = "log entries"
 )
 
-// unreleasedSet collects what could not be handed over before the end.
+// unreleasedSet collects what could not be transferred or released in time. It is safe for use from several
+// goroutines.
 type unreleasedSet struct {
 	mutex     sync.Mutex
 	resources []unreleased
@@ -52,18 +53,19 @@
 }
 
 const (
-	// registrationsSeenLimit bounds the wait for another control daemon to see the newest that engines said here.
+	// registrationsSeenLimit bounds the wait for another control daemon to see the newest registrations.
 	registrationsSeenLimit = 300 * time.Millisecond
-	// memberRetireLimit bounds how long a member stays for its vote and its copy of the log where too few others speak and
-	// hold all: time for an election, and for one that stands ready to get a vote.
+	// memberRetireLimit bounds how long a member stays while too few others are in contact and hold the log: the time
+	// for an election, and for a learner to be promoted.
 	memberRetireLimit = 4 * time.Second
-	// logReplicatedLimit bounds the wait for the same word after its end.
+	// logReplicatedLimit bounds the wait for the same confirmation after the member has ended.
 	logReplicatedLimit = 400 * time.Millisecond
-	// logReplicatedEvery is how often the leader is asked for it.
+	// logReplicatedEvery is how often the leader is queried for it.
 	logReplicatedEvery = 25 * time.Millisecond
 )
 
-// awaitRegistrationsSeen waits until another control daemon has seen all that engines said here, except for how busy they are.
+// awaitRegistrationsSeen waits until another control daemon has seen all registrations that were made here, except
+// for the engines' load.
 func (d *Daemon) awaitRegistrationsSeen(remaining *unreleasedSet) {
 	if !d.config.Serves(daemonconfig.Control) || len(d.registry.View().Engines) == 0 {
 		return
@@ -94,8 +96,9 @@
 	remaining.add(engineRegistrations)
 }
 
-// retireMember ends this daemon's member of the group, after which nothing more can come to rest on its disk. It first
-// waits until the others can do without it, and then for the leader's word that they hold all that was committed.
+// retireMember ends this daemon's member of the group, after which nothing more is written to its disk. It first
+// waits until the others can do without it, and then for the leader's confirmation that they hold all that was
+// committed.
 func (d *Daemon) retireMember(limit context.Context, remaining *unreleasedSet) {
 	groupMember, incarnation := d.replica.Load(), d.memberIncarnation.Load()
 	if groupMember == nil || incarnation == nil {
@@ -121,7 +124,8 @@
 	}
 }
 
-// awaitLogReplicated asks whoever leads until that one says so; who leads hands over first.
+// awaitLogReplicated queries the leader until it confirms that the others hold the log; if this member leads, it
+// transfers its leadership first.
 func (d *Daemon) awaitLogReplicated(ctx context.Context, self raft.Member) bool {
 	ticker := time.NewTicker(logReplicatedEvery)
 	defer ticker.Stop()
--- a/daemon/joingroup.go
+++ b/daemon/joingroup.go
@@ -19,10 +19,10 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// joinEvery is how often a member that does not vote yet asks to be taken in.
+// joinEvery is how often a member that does not vote yet asks the leader to join.
 const joinEvery = 250 * time.Millisecond
 
-// NewMember makes the identity of a new data folder.
+// NewMember returns a random identity for a new data folder.
 func NewMember() raft.MemberID {
 	var raw [8]byte
 	if _, err := rand.Read(raw[:]); err != nil {
@@ -31,8 +31,8 @@
 	return raft.MemberID(binary.BigEndian.Uint64(raw[:])>>1 | 1)
 }
 
-// seeds are the addresses at which the fleet may be found: those that were told, and the members of the group
-// as this machine's disk remembers them, since the told ones may be gone.
+// seeds returns the addresses at which the fleet may be found: those of the settings, and the members of the group by
+// this machine's disk, since the machines of the settings may be gone.
 func (d *Daemon) seeds() []string {
 	out := d.current.Load().Seeds
 	groupMember := d.replica.Load()
@@ -48,7 +48,7 @@
 	return out
 }
 
-// belongsToGroup says whether a data folder belongs to a group already.
+// belongsToGroup says whether a data folder belongs to a group already, or can't be read.
 func belongsToGroup(dataFolder *store.Store) bool {
 	group, err := dataFolder.Group()
 	return err != nil || group != ""
@@ -84,7 +84,7 @@
 	}
 }
 
-// bootstrapGroup writes the first state of a new group; it counts once it is synced.
+// bootstrapGroup writes the first state of a new group, which exists once that is synced.
 func (d *Daemon) bootstrapGroup(dataFolder *store.Store, members raft.Membership) (ident.GroupID, raft.PersistentState, error) {
 	var raw [8]byte
 	if _, err := rand.Read(raw[:]); err != nil {
@@ -100,8 +100,8 @@
 	return group, restored, err
 }
 
-// identifySeeds asks all seeds who they are. Once one of them tells of a group nobody else is waited for: a seed
-// that is gone for good must not hold up a machine that comes in its index.
+// identifySeeds asks all seeds at once who they are. Once one of them knows a group the others are not waited for: a
+// seed that is gone for good must not hold up the machine that replaces it.
 func (d *Daemon) identifySeeds(ctx context.Context) []bootstrap.Seed {
 	seeds := d.Config().Seeds
 	out := make([]bootstrap.Seed, len(seeds))
@@ -119,7 +119,7 @@
 				answers <- seedReply{index, d.identity()}
 				return
 			}
-			// A seed that does not answer is told by its lack of an identity.
+			// A seed that does not answer has no identity.
 			identity, err := d.links.To(address).Identify(bounded, &peerapi.Empty{})
 			if err != nil {
 				identity = nil
@@ -145,7 +145,8 @@
 		Group: ident.GroupID(identity.Group), ServesControl: identity.ServesControl, JoinOnly: identity.JoinOnly}
 }
 
-// runJoin asks to be taken in until this member votes.
+// runJoin asks the leader to join until this member votes, and while draining to leave. It runs on a goroutine of its
+// own until ctx, that of the member's incarnation, ends.
 func (d *Daemon) runJoin(ctx context.Context, made *replica.Replica, self raft.Member) {
 	ticker := time.NewTicker(joinEvery)
 	defer ticker.Stop()
@@ -154,13 +155,13 @@
 		member, known := condition.Membership.Find(self.ID)
 		leader := d.members.View().LeaderAddress
 		if d.draining.Load() {
-			// While it goes on, another that stands ready may take its index.
+			// While this member goes on, a learner may be promoted in its stead.
 			if known && member.Voter && leader != "" && leader != self.Address {
 				d.requestJoin(ctx, leader, self, true)
 			}
 			leader = ""
 		}
-		// One that hears no leader, while others do, may have been let go without its knowing.
+		// A member without a leader may have been removed without its knowing, if others do have one.
 		outside := !known || !member.Voter || condition.Leader.ID == 0
 		if outside && leader != "" && leader != self.Address {
 			d.requestJoin(ctx, leader, self, false)
@@ -173,8 +174,9 @@
 	}
 }
 
-// requestJoin tells the leader that this member wants to be taken in, or that it stops. It says whether the leader
-// agreed: to one that stops, that nothing rests on its copy of the log. A lost call is made again on the next beat.
+// requestJoin tells the leader that this member wants to join, or with leaving that it stops. It returns whether the
+// leader agreed: for a member that stops, that nothing depends on its copy of the log. A call that is lost is made
+// again at the next tick.
 func (d *Daemon) requestJoin(ctx context.Context, leader string, self raft.Member, leaving bool) bool {
 	bounded, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -182,7 +184,7 @@
 	return err == nil && reply.Outcome == string(replica.Applied)
 }
 
-// Join takes a new data folder into the group, if this daemon leads.
+// Join adds a member to the group or lets one leave, if this daemon leads. It is part of the peer protocol.
 func (d *Daemon) Join(ctx context.Context, in *peerapi.JoinRequest) (*peerapi.SubmitReply, error) {
 	if err := d.checkGroup(in.Group); err != nil {
 		return nil, err
@@ -198,7 +200,7 @@
 		if groupMember.AnnounceLeaving(ctx, raft.MemberID(in.MemberId)) {
 			return &peerapi.SubmitReply{Outcome: string(replica.Applied)}, nil
 		}
-		// It was heard, and is not to end yet.
+		// The member must not end yet.
 		return &peerapi.SubmitReply{Outcome: string(replica.Unknown)}, nil
 	}
 	groupMember.Join(raft.Member{ID: raft.MemberID(in.MemberId), Name: in.Name, Address: in.Address})
--- a/daemon/leader.go
+++ b/daemon/leader.go
@@ -8,19 +8,19 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// IsLeader says whether this daemon leads the group.
+// IsLeader says whether this daemon leads the control group.
 func (d *Daemon) IsLeader() bool {
 	held := d.replica.Load()
 	return held != nil && held.Status().IsLeader
 }
 
-// leaderAddress is where the leader is, as far as this daemon knows.
+// leaderAddress returns the address of the leader as far as this daemon knows; empty is unknown.
 func (d *Daemon) leaderAddress() string {
 	address, _ := d.leaderAndTerm()
 	return address
 }
 
-// leaderAndTerm is where the leader is and in which term it leads, as far as this daemon knows.
+// leaderAndTerm returns the address and the term of the leader, as far as this daemon knows.
 func (d *Daemon) leaderAndTerm() (string, uint64) {
 	if groupMember := d.replica.Load(); groupMember != nil {
 		if condition := groupMember.Status(); condition.Leader.Address != "" {
@@ -35,7 +35,8 @@
 	return &peerapi.SubmitReply{Outcome: string(replica.NotLeader), LeaderAddress: d.leaderAddress()}
 }
 
-// whileLeader bounds a question to the leader by a time, and by another being known to lead.
+// whileLeader bounds a request to the leader by a limit, and ends it once another daemon is known to lead. Its
+// goroutine ends with the context that it returns.
 func (d *Daemon) whileLeader(ctx context.Context, address string, limit time.Duration) (context.Context, context.CancelFunc) {
 	bounded, cancel := context.WithTimeout(ctx, limit)
 	go func() {
@@ -55,15 +56,15 @@
 	return bounded, cancel
 }
 
-// FirstRolloutAge is, where this daemon leads, how long any bundle has been in force: negative while none
-// was, and zero where this daemon can't tell.
+// FirstRolloutAge returns, if this daemon leads, how long any configuration has been in force: negative while none
+// has been, and zero where this daemon can't tell.
 func (d *Daemon) FirstRolloutAge() time.Duration {
 	held := d.replica.Load()
 	if held == nil {
 		return 0
 	}
 	condition := held.Status()
-	// A recovered group may have lost its first bundles, so it can't tell when the first came.
+	// A recovered group may have lost its first configurations, so it can't tell when the first came.
 	if !condition.IsLeader || condition.Group.Recovered() {
 		return 0
 	}
--- a/daemon/longpoll.go
+++ b/daemon/longpoll.go
@@ -12,10 +12,10 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// versions number what is told whole where it changed, by one life's own count.
+// versions number what is sent as a whole whenever it changes. The numbers count within one incarnation.
 type versions struct{ shortages, draining atomic.Uint64 }
 
-// randomize lets two lives never have the same versions.
+// randomize makes two incarnations never have the same numbers.
 func (v *versions) randomize() {
 	v.shortages.Store(rand.Uint64() >> 1)
 	v.draining.Store(rand.Uint64() >> 1)
@@ -30,26 +30,26 @@
 		func() longpoll.Urgency { return d.updateUrgency(in) })
 }
 
-// updateUrgency says whether there is anything that an asker does not know.
+// updateUrgency returns how urgent what a peer does not know yet is.
 func (d *Daemon) updateUrgency(in *peerapi.PullRequest) longpoll.Urgency {
 	configuration, closure := d.InForce()
 	leader, term := d.leaderAndTerm()
 	planner, plans, self := d.members.View().PlannerAddress, d.IsPlanner(), d.config.ReachedAt()
 	switch {
 	case d.sendsConfiguration(configuration, in) || uint64(closure) > in.ClosureVersion,
-		// An asker that knows of a newer leader has no use for this one.
+		// A peer that knows of a newer leader has no use for this one.
 		leader != "" && (term > in.LeaderTerm || in.LeaderAddress == ""),
 		in.Group == "" && d.Group() != "",
-		// Whoever relies on this daemon must hear at once that it can't any more, or can again.
+		// A peer that relies on this daemon must learn at once that it has become stale, or is confirmed again.
 		in.SourceFreshness == peerapi.SourceFreshness_SOURCE_CONFIRMED && d.stale(),
 		in.SourceFreshness == peerapi.SourceFreshness_SOURCE_STALE && !d.stale(),
-		// Numbers of another life count for nothing.
+		// Cursors of another incarnation are void.
 		in.RegistryIncarnation != string(d.nodeID) || d.registry.LatestUrgentChange() > in.RegistryComplete || len(in.RegistryRefetch) > 0,
 		in.MembersIncarnation != string(d.nodeID),
 		d.enginesDraining.Load() && d.sentVersions.draining.Load() != in.DrainingVersion:
 		return longpoll.Urgent
-	// Of how busy engines are there is always something new; control daemons, who tell it across zones, let it wait
-	// for the end of the hold.
+	// The load of engines changes all the time; control daemons, who exchange it across zones, let it wait until the
+	// hold is over.
 	case !in.RegistryUrgentOnly && (d.registry.LatestNonLoadChange() > in.RegistryComplete || !in.EveryHeartbeat && d.registry.LatestChange() > in.RegistryComplete),
 		d.members.StatusChangeIndex() > in.MembersSeen || !in.RegistryUrgentOnly && d.members.ChangeIndex() > in.MembersSeen,
 		plans != (in.PlannerAddress == self) || in.PlannerAddress == "" && planner != "",
@@ -59,19 +59,19 @@
 	return longpoll.Nothing
 }
 
-// bundleRest is for how long a new bundle is left to the teller of an asker that asks here for what is urgent only,
-// and to the log of one that serves control.
+// configurationDelay is for how long a new configuration is left to the relay of a peer that pulls only urgent
+// changes here, and to the log of one that serves control.
 const configurationDelay = 400 * time.Millisecond
 
-// configurationSeen is since when a bundle is in force here, as far as was looked.
+// configurationSeen records since when a configuration is in force here, as far as anybody looked.
 type configurationSeen struct {
 	version ident.Version
 	at      clock.Mark
 }
 
-// sendsConfiguration says whether an asker is told the bundle in force here. A bundle is large, and who asks for what is
-// urgent only has it from its teller in a moment, who serves control from the group's log: these are told here only if
-// they still lack it after a while.
+// sendsConfiguration says whether a peer is sent the configuration in force here. A configuration is large. Who pulls
+// only urgent changes soon gets it from its relay, and who serves control from the group's log: these are sent it
+// only if they still miss it after a while.
 func (d *Daemon) sendsConfiguration(version ident.Version, in *peerapi.PullRequest) bool {
 	seen := d.configurationSeen.Load()
 	if seen == nil || seen.version != version {
@@ -81,10 +81,10 @@
 	return uint64(version) > in.ConfigurationVersion && (!in.RegistryUrgentOnly && !in.EveryHeartbeat || d.clock.Elapsed().Since(seen.at) >= configurationDelay)
 }
 
-// MembersChanged wakes those whose answers are held back, when the list of members changed.
+// MembersChanged wakes the peers whose answers are held back, since the membership has changed.
 func (d *Daemon) MembersChanged() { d.notifier.Notify(longpoll.Ordinary) }
 
-// registryChanged does so when the registry changed.
+// registryChanged does so when the registry has changed, and may let callers in.
 func (d *Daemon) registryChanged() {
 	how := longpoll.Ordinary
 	if newest := d.registry.LatestUrgentChange(); newest != d.urgentNotified.Swap(newest) {
@@ -94,7 +94,7 @@
 	d.admitCallers()
 }
 
-// polledState is what a beat looks at.
+// polledState is what Tick compares.
 type polledState struct {
 	leader     string
 	term       uint64
@@ -104,7 +104,7 @@
 	drainKnown clock.Mark
 }
 
-// Tick looks for news that nobody else tells of. Only the actor of members calls it.
+// Tick looks for changes that nobody notifies of. Only the goroutine of the membership actor calls it.
 func (d *Daemon) Tick() {
 	leader, term := d.leaderAndTerm()
 	now := polledState{leader: leader, term: term, leads: d.IsLeader(), stale: d.stale()}
--- a/daemon/longpoll_test.go
+++ b/daemon/longpoll_test.go
@@ -9,14 +9,14 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// manualClock is moved by hand.
+// manualClock is a clock that the test moves.
 type manualClock struct{ now clock.Mark }
 
 func (c *manualClock) Elapsed() clock.Mark { return c.now }
 func (c *manualClock) Wall() time.Time     { return time.Time{} }
 
-// A daemon asks its teller, the leader and whoever plans: three copies of a bundle of a thousand paths would take a
-// quarter of a second of a 10 Mbit/s link, and most of that goes from zone to zone.
+// A daemon pulls from its relay, the leader and the planner: three copies of a configuration of a thousand paths
+// would take a quarter of a second of a 10 Mbit/s link, and most of that between zones.
 func TestConfigurationIsSentOnceUnlessItsRelayFails(t *testing.T) {
 	at := &manualClock{now: minute}
 	d := &Daemon{clock: at}
--- a/daemon/member.go
+++ b/daemon/member.go
@@ -14,32 +14,35 @@
 )
 
 const (
-	// minMemberBackoff and mostRetry bound the pause before a data folder that could not be used is tried again.
+	// minMemberBackoff and maxMemberBackoff bound the backoff before a data folder that could not be used is tried
+	// again.
 	minMemberBackoff = 200 * time.Millisecond
 	maxMemberBackoff = time.Second
-	// damageConfirmations is how often a folder must look damaged before its files are set aside: they cannot come back.
+	// damageConfirmations is how often a folder must look damaged before its files are moved aside, which can't be
+	// undone.
 	damageConfirmations = 2
-	// minDifferBackoff and mostDifferPause bound the pause before this daemon joins once more after its state differed
-	// more than once: something is wrong with this machine or build, and joining over and over would not mend it.
+	// minDifferBackoff and maxDifferBackoff bound the backoff before this daemon joins anew after its state has
+	// differed more than once: something is wrong with this machine or build, and joining over and over would not
+	// repair it.
 	minDifferBackoff = 10 * time.Second
 	maxDifferBackoff = 10 * time.Minute
-	// memberStopLimit is how long a stopping daemon waits for its disk.
+	// memberStopLimit is how long a daemon that ends waits for its disk.
 	memberStopLimit = 500 * time.Millisecond
 )
 
-// superseded says that a folder belongs to a generation of the group that another has followed.
+// superseded is the error that a data folder belongs to a generation of the group that another has followed.
 type superseded struct{ error }
 
-// memberIncarnation is this daemon's own part in the control group: its data folder, and what runs on it.
-// Trouble with the disk ends one such life and begins another, while the daemon goes on.
+// memberIncarnation is one incarnation of this daemon's member of the control group: its data folder and the replica
+// on it. A disk fault ends one and begins another, while the daemon goes on.
 type memberIncarnation struct {
 	store *store.Store
-	// failure ends the life and says why.
+	// failure gets the error that ends the incarnation.
 	failure chan error
 	cancel  context.CancelFunc
 }
 
-// fail ends the life; the first reason stays.
+// fail ends the incarnation; the first error counts.
 func (l *memberIncarnation) fail(why error) {
 	select {
 	case l.failure <- why:
@@ -48,7 +51,7 @@
 	l.cancel()
 }
 
-// dataFolder is the data folder in use; nil while there is none.
+// dataFolder returns the data folder in use; nil while there is none.
 func (d *Daemon) dataFolder() *store.Store {
 	if incarnation := d.memberIncarnation.Load(); incarnation != nil {
 		return incarnation.store
@@ -56,7 +59,7 @@
 	return nil
 }
 
-// openStore opens the data folder at the start, where a folder that can't be used is to end the daemon.
+// openStore opens the data folder at the start, if one that can't be used is to end the daemon.
 func (d *Daemon) openStore() (*store.Store, error) {
 	if !d.config.Serves(daemonconfig.Control) || d.config.Trouble == daemonconfig.WaitOnTrouble {
 		return nil, nil
@@ -64,8 +67,9 @@
 	return store.Open(d.config.Data, NewMember)
 }
 
-// runMember keeps this daemon in its group. Where the settings say to wait, trouble with the disk means that it
-// steps aside, tries again with growing pauses, and joins as a new member if its files are damaged.
+// runMember runs one incarnation of the member after another until ctx ends. Where the settings say to wait, a disk
+// fault takes the member out of the group; the folder is tried again with a growing backoff, and damaged files are
+// moved aside to join as a new member. Otherwise a fault ends the daemon.
 func (d *Daemon) runMember(ctx context.Context, opened *store.Store) {
 	backoff, damageCount := minMemberBackoff, 0
 	stateDiffers := differBackoff{}
@@ -82,7 +86,7 @@
 		}
 		d.counters.memberFaults.Add(1)
 		if d.clock.Elapsed().Since(began) > 2*maxMemberBackoff {
-			// What held for a while was whole.
+			// An incarnation that ran for a while had a sound folder.
 			backoff, damageCount = minMemberBackoff, 0
 		}
 		entry := d.log.WithError(err)
@@ -99,8 +103,8 @@
 				entry.Warn("the data folder looks damaged")
 				break
 			}
-			// What was acknowledged is on a majority; what this folder held can't be trusted, nor may the
-			// votes given under its identity be given again. A new identity has given none.
+			// What was acknowledged is on a majority; what this folder held can't be trusted, nor may the votes that
+			// were cast under its identity be cast again. A new identity has cast none.
 			damageCount = 0
 			if err := store.Quarantine(d.config.Data); err != nil {
 				d.log.WithError(err).Warn("the damaged files cannot be set aside yet")
@@ -121,7 +125,7 @@
 	}
 }
 
-// differBackoff are the pauses before joining anew with another state: none at first, then longer and longer.
+// differBackoff is the backoff before joining anew after the state has differed: none at first, then growing.
 type differBackoff struct{ delay time.Duration }
 
 func (p *differBackoff) next() time.Duration {
@@ -130,7 +134,7 @@
 	return current
 }
 
-// runMemberIncarnation opens the folder, finds the group and runs this member of it until trouble comes.
+// runMemberIncarnation opens the folder, finds the group and runs this member until a fault ends it.
 func (d *Daemon) runMemberIncarnation(ctx context.Context, opened *store.Store, probeDisk bool) error {
 	if opened == nil {
 		var err error
@@ -140,7 +144,7 @@
 	}
 	defer opened.Close()
 	if probeDisk {
-		// A disk that was full may still be.
+		// The disk may still be full.
 		if err := opened.CheckWritable(); err != nil {
 			return err
 		}
@@ -161,7 +165,7 @@
 	}
 }
 
-// runReplica brings this member into its group, or forms it, and then runs it.
+// runReplica finds or bootstraps the group, and then runs this member of it.
 func (d *Daemon) runReplica(ctx context.Context, incarnation *memberIncarnation) error {
 	group, restored, err := d.findGroup(ctx, incarnation.store)
 	if err != nil || ctx.Err() != nil {
@@ -172,7 +176,7 @@
 	}
 	self := raft.Member{ID: incarnation.store.MemberID, Name: d.config.Name, Address: d.config.ReachedAt()}
 	if !belongsToGroup(incarnation.store) {
-		// A fresh member belongs to whichever generation addresses it first.
+		// A new member belongs to whichever generation addresses it first.
 		group = ""
 	}
 	made, err := replica.New(self, group, restored, d.replicaConfig, d.clock, d.wrapDisk(incarnation.store), d.links,
--- a/daemon/membernotices.go
+++ b/daemon/membernotices.go
@@ -9,7 +9,7 @@
 	"github.com/cresspond/cresspond/process/consensus/replica"
 )
 
-// logMemberChange writes down what changed in this member's part in the group.
+// logMemberChange logs what changed in this member's part in the group.
 func (d *Daemon) logMemberChange(before, after replica.Status) {
 	entry := d.log.WithField("term", uint64(after.Term))
 	switch {
@@ -36,8 +36,8 @@
 	}
 }
 
-// noticeLogger writes down what members of the group noticed of each other. A snapshot that is refused again and
-// again is one line.
+// noticeLogger returns a function that logs what members of the group notice of each other. A snapshot that is
+// rejected over and over is logged once.
 func (d *Daemon) noticeLogger() func(raft.Notice) {
 	var refused raft.Notice
 	return func(notice raft.Notice) {
@@ -51,7 +51,7 @@
 			}
 			refused = notice
 		case raft.NoticeStateDiffers:
-			// A leader's view of its peers is written down where it changes.
+			// A leader's view of its peers is logged by logMemberChange.
 			if notice.Err != nil {
 				entry.WithError(notice.Err).Warn(notice.Kind.String())
 			}
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -16,7 +16,7 @@
 // metricsReadLimit is how long a request for metrics may take to be read.
 const metricsReadLimit = 5 * time.Second
 
-// Losses lists the requests of paths that were not served here, or late.
+// Losses lists the forwarded requests that were not served here, or too late.
 func (d *Daemon) Losses() []metrics.Loss {
 	if d.forwarding.actor == nil {
 		return nil
@@ -34,7 +34,7 @@
 }
 
 // startMetrics serves metrics where the settings name an address. Where they say to wait for an address, serving
-// requests does not wait for this one.
+// requests does not wait for this one. Its goroutine ends with ctx.
 func (d *Daemon) startMetrics(ctx context.Context) error {
 	if d.config.MetricsListen == "" {
 		return nil
--- a/daemon/metrics_test.go
+++ b/daemon/metrics_test.go
@@ -12,8 +12,8 @@
 	"github.com/cresspond/cresspond/process/daemonconfig"
 )
 
-// TestMetricsPortInUseIsReportedByItsSettingsKey: it ends the start where troubles end a daemon, and holds nothing up where they
-// are waited for.
+// TestMetricsPortInUseIsReportedByItsSettingsKey: it fails the start where faults end a daemon, and holds nothing up
+// where they are waited for.
 func TestMetricsPortInUseIsReportedByItsSettingsKey(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/daemon/nodedigests.go
+++ b/daemon/nodedigests.go
@@ -9,16 +9,16 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// tellNodesEvery is how often a daemon tells what it measured.
+// sendDigestsEvery is how often a daemon sends its measurements.
 const sendDigestsEvery = time.Second
 
 const (
-	// maxClasses and mostBuckets bound what one telling may hold of an engine.
+	// maxClasses and maxBuckets bound what one message may hold of an engine.
 	maxClasses = 500
 	maxBuckets = 300
 )
 
-// takeDigests gives what was measured since it was last told, for whoever plans.
+// takeDigests returns the measurements since the last call for the planner; nil if that was too recent.
 func (n *nodeRanking) takeDigests() []*peerapi.NodeDigest {
 	if n.recorder == nil {
 		return nil
@@ -35,16 +35,16 @@
 	return encodeDigests(digests)
 }
 
-// receiveDigests takes what an asker measured, where this daemon plans.
+// receiveDigests takes a peer's measurements, if this daemon is the planner.
 func (n *nodeRanking) receiveDigests(in *peerapi.PullRequest) {
 	if len(in.Nodes) == 0 || !n.on() || !n.plans() || !n.poolPlanning.condition().Held {
 		return
 	}
-	// What finds no room is lost: the next telling brings as much again.
+	// Measurements that find the mailbox full are dropped: the next message brings as many.
 	n.mailbox.Offer(receivedDigests{ident.ZoneID(in.Zone), decodeDigests(n.registry.View(), in.Nodes)})
 }
 
-// encodeDigests puts the digests of one engine together. Its pool is known to whoever plans.
+// encodeDigests groups digests by engine. The engine's pool is left out, since the planner knows it.
 func encodeDigests(digests []nodehealth.Digest) []*peerapi.NodeDigest {
 	var out []*peerapi.NodeDigest
 	for _, digest := range digests {
@@ -62,7 +62,7 @@
 	return out
 }
 
-// decodeDigests reads what another daemon measured; what makes no sense, or is of no engine that is known, is left out.
+// decodeDigests decodes a peer's measurements; malformed ones, and those of unknown engines, are dropped.
 func decodeDigests(view *registry.View, nodes []*peerapi.NodeDigest) []nodehealth.Digest {
 	var out []nodehealth.Digest
 	for _, node := range nodes {
--- a/daemon/nodedigests_test.go
+++ b/daemon/nodedigests_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// What another daemon tells may be anything; what makes no sense is left out.
+// A peer may send anything; malformed digests are dropped.
 func TestMalformedDigestsAreDropped(t *testing.T) {
 	many := make([]uint32, maxBuckets+1)
 	for name, class := range map[string]*peerapi.NodeClass{
@@ -49,7 +49,8 @@
 	}
 }
 
-// A daemon at the size to design for has some 39 requests a second on tens of engines; what it tells must stay small.
+// A daemon of the size that we design for has some 39 requests a second on tens of engines; its messages must stay
+// small.
 func TestDigestsAreSmall(t *testing.T) {
 	var digests []nodehealth.Digest
 	for n := range 39 {
--- a/daemon/noderanking.go
+++ b/daemon/noderanking.go
@@ -23,30 +23,31 @@
 	"github.com/cresspond/cresspond/process/workerid/snowflake"
 )
 
-// nodeRanking is a daemon's part in ranking engines: where it routes it measures and tells, where it plans it ranks
-// and decides, under the planner's claim.
+// nodeRanking is a daemon's part in ranking engines by the health of their nodes: where it routes it measures and
+// sends digests; where it is the planner it ranks and drains, under the fencing token of the planner's lease. The
+// state below mailbox belongs to the goroutine that runs the mailbox.
 type nodeRanking struct {
 	*Daemon
 	settings nodehealth.Settings
-	// recorder is there where requests are forwarded and ranking is not off.
+	// recorder is nil unless requests are forwarded and ranking is on.
 	recorder *nodehealth.Recorder
-	// sentMutex is when digests were last told.
+	// sentMutex guards sentAt, when digests were last sent.
 	sentMutex   sync.Mutex
 	sentAt      clock.Mark
 	digestsSent atomic.Uint64
 
 	mailbox *actor.Mailbox[any]
-	// ranker is there while the claim is held; claim is the one it was made for.
+	// ranker is set while the planner's lease is held; claim is the fencing token that it was made for.
 	ranker *nodehealth.Ranker
 	claim  ident.FencingToken
-	// actionPending says that an act is under way, stepNext when the next step is due.
+	// actionPending says that an action was submitted and not answered yet; stepNext is when the next step is due.
 	actionPending bool
 	stepNext      clock.Mark
-	// vanished is since when an engine that the ranking shut is not registered.
+	// vanished is since when an engine that the ranking drains is not registered.
 	vanished map[ident.EngineID]clock.Mark
-	// refusals is why slow engines were not drained at the newest step.
+	// refusals is why slow engines were not drained at the last step.
 	refusals map[ident.EngineID]nodehealth.Refusal
-	// recentDemand for lately: only that must not lose its last holder.
+	// recentDemand is when each model was last demanded: only a demanded model must not lose its last engine.
 	recentDemand  map[demandKey]clock.Mark
 	state         atomic.Pointer[rankingState]
 	decisionsMade actionCounts
@@ -57,7 +58,7 @@
 	target nodehealth.Target
 }
 
-// rankingState is what others may see of the ranker.
+// rankingState is what other goroutines see of the ranker. It is replaced, never changed.
 type rankingState struct {
 	claim    ident.FencingToken
 	rows     []nodehealth.Row
@@ -66,7 +67,7 @@
 	took     time.Duration
 }
 
-// actionCounts counts what became of what was decided.
+// actionCounts counts the outcomes of the actions that were decided.
 type actionCounts struct{ done, refused, unknown, unleased atomic.Uint64 }
 
 type (
@@ -83,15 +84,15 @@
 )
 
 const (
-	// rankEvery is how often engines are ranked, where a step takes less than a tenth of that.
+	// rankEvery is how often engines are ranked, provided that a step takes less than a tenth of that.
 	rankEvery = time.Second
-	// demandRetained is for how long something counts as asked for.
+	// demandRetained is for how long a model counts as demanded.
 	demandRetained = 30 * time.Second
-	// vanishedFor is after what time the mark of an engine that is gone is taken away.
+	// vanishedFor is after what time the closure of an engine that is gone is removed.
 	vanishedFor = 30 * time.Second
-	// actionLimit bounds how long an act is waited for.
+	// actionLimit bounds how long the outcome of an action is waited for.
 	actionLimit = 5 * time.Second
-	// rankingOperator is who shuts engines by rank.
+	// rankingOperator is the operator's name on the closures of the ranking.
 	rankingOperator = "ranking"
 )
 
@@ -108,12 +109,13 @@
 	return n.settings.Mode == nodehealth.ObserveOnly || n.settings.Mode == nodehealth.Drain
 }
 
-// plans says whether this daemon may ever rank. One that never was put together to plan pools can't.
+// plans says whether this daemon may rank at all: it must plan pools.
 func (n *nodeRanking) plans() bool {
 	return n.poolPlanning != nil && n.config.Serves(daemonconfig.Place)
 }
 
-// start starts the ranker. It runs where ranking is off too, to open what was shut before it was switched off.
+// start starts the ranker's goroutine, which ends with the daemon. It runs where ranking is off too, to reopen what
+// was drained before that.
 func (n *nodeRanking) start(run func(func(context.Context))) {
 	if n.plans() {
 		run(func(ctx context.Context) { n.mailbox.Run(ctx, rankEvery/4, n.take, func() { n.step(ctx) }) })
@@ -134,11 +136,12 @@
 	}
 }
 
-// step ranks, while this daemon holds the claim.
+// step ranks, while this daemon holds the planner's lease.
 func (n *nodeRanking) step(ctx context.Context) {
 	condition := n.poolPlanning.condition()
 	if !condition.Held {
-		// Whoever has the claim next begins with what the fleet shows. One that lapsed and goes on is no other.
+		// The next planner begins anew with what the fleet shows. A lease that lapsed and is resumed keeps the same
+		// ranker.
 		n.state.Store(&rankingState{})
 		return
 	}
@@ -160,7 +163,7 @@
 	fleet := n.fleet(now, view, table.Closures, table.OpenRegistered)
 	decision := n.ranker.Step(now, fleet)
 	took := n.clock.Elapsed().Since(now)
-	// A large fleet is ranked less often: it takes a tenth of this daemon's time at most.
+	// A large fleet is ranked less often: ranking takes a tenth of this daemon's time at most.
 	n.stepNext = now + clock.Mark(max(rankEvery, 10*took))
 	for _, change := range decision.Changes {
 		n.log.WithFields(log.Fields{"engine": string(change.Engine), "from": change.From.String(), "to": change.To.String(), "score": round(change.Assessment.Score),
@@ -201,7 +204,8 @@
 	return false
 }
 
-// reopenVanished lists the openings of engines that were shut by rank and are gone, so that their marks don't pile up.
+// reopenVanished returns actions that remove the closures of drained engines that are gone, so that closures don't
+// pile up.
 func (n *nodeRanking) reopenVanished(now clock.Mark, view *registry.View, closures closure.Set) []nodehealth.Action {
 	var out []nodehealth.Action
 	for id := range n.vanished {
@@ -225,11 +229,12 @@
 	return out
 }
 
-// submitAction has the group shut or open an engine, stamped and under the claim that was ranked under.
+// submitAction has the group drain or reopen an engine, stamped and fenced by the lease that was ranked under. Its
+// goroutine ends with the answer or after actionLimit.
 func (n *nodeRanking) submitAction(ctx context.Context, action nodehealth.Action) {
 	stamp, outcome := n.generator.Next()
 	if outcome != snowflake.Generated {
-		// Without a lease of a worker id nothing is decided.
+		// Nothing is decided without the lease of a worker id.
 		n.decisionsMade.unleased.Add(1)
 		return
 	}
@@ -272,7 +277,7 @@
 
 func round(score float64) float64 { return float64(int(100*score)) / 100 }
 
-// fleet is what the ranker may know of the registered engines. Of who asks for what, only whether anyone does.
+// fleet returns what the ranker knows of the registered engines, and of demand only whether there is any.
 func (n *nodeRanking) fleet(now clock.Mark, view *registry.View, closures closure.Set, open func(ident.EngineID, ident.ZoneID) bool) nodehealth.Fleet {
 	for _, demand := range n.collectDemand(now, n.forwardDemands()) {
 		n.recentDemand[demandKey{demand.Pool, nodehealth.Target{Model: demand.Model}}] = now
@@ -316,10 +321,10 @@
 
 func sortedIDs(fleet nodehealth.Fleet) []ident.EngineID { return slices.Sorted(maps.Keys(fleet)) }
 
-// emptying lists the engines whose models are to be loaded elsewhere before they are drained.
+// emptying returns the engines whose models are to be loaded elsewhere before they are drained.
 func (n *nodeRanking) emptying() map[ident.EngineID]bool { return n.state.Load().emptying }
 
-// mode is what ranking is used for here; settings put together without any are those of a daemon that ranks nothing.
+// mode is what ranking is used for here; without settings it is off.
 func (n *nodeRanking) mode() nodehealth.Mode {
 	if n.settings.Mode == "" {
 		return nodehealth.Off
@@ -327,7 +332,7 @@
 	return n.settings.Mode
 }
 
-// limits are the bounds that operators' drains are held to.
+// limits are the limits that operators' drains must keep to.
 func (n *nodeRanking) limits() nodehealth.Settings {
 	if n.settings == (nodehealth.Settings{}) {
 		return nodehealth.DefaultSettings()
--- a/daemon/noderankingpage.go
+++ b/daemon/noderankingpage.go
@@ -11,16 +11,16 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// nodesRead is what the ranks are read by; only whoever plans has them.
+// nodesRead is the kind of read that returns the ranking; only the planner can answer it.
 const nodesRead = "nodes"
 
-// rankingQuery is a question for the ranks.
+// rankingQuery is a request for the ranking page, and whether engine may be drained.
 type rankingQuery struct {
 	engine ident.EngineID
 	reply  chan operatorapi.Nodes
 }
 
-// Nodes gives the ranks by whoever plans.
+// Nodes returns the ranking page from the planner; false where no planner answers.
 func (d *Daemon) Nodes(ctx context.Context, engine ident.EngineID) (operatorapi.Nodes, bool) {
 	if page, plansHere := d.nodeRanking.page(ctx, engine); plansHere {
 		return page, true
@@ -39,7 +39,7 @@
 	return page, true
 }
 
-// readNodes answers another daemon that asks for the ranks.
+// readNodes answers a peer's read of the ranking page.
 func (d *Daemon) readNodes(ctx context.Context, engine string) *peerapi.ReadReply {
 	page, plansHere := d.nodeRanking.page(ctx, ident.EngineID(engine))
 	if !plansHere {
@@ -52,7 +52,7 @@
 	return &peerapi.ReadReply{Outcome: string(replica.Applied), Result: data}
 }
 
-// page asks this daemon's own ranker; false where it does not plan now.
+// page queries this daemon's own ranker; false where it is not the planner.
 func (n *nodeRanking) page(ctx context.Context, engine ident.EngineID) (operatorapi.Nodes, bool) {
 	if !n.plans() || !n.poolPlanning.condition().Held {
 		return operatorapi.Nodes{}, false
@@ -70,7 +70,7 @@
 	return operatorapi.Nodes{}, false
 }
 
-// answerQuery makes the page, in the ranker's own turn.
+// answerQuery builds the page. It runs on the ranker's goroutine.
 func (n *nodeRanking) answerQuery(query rankingQuery) {
 	page := operatorapi.Nodes{Mode: string(n.mode()), Token: n.claim, Nodes: []operatorapi.Node{}}
 	table := n.rollout.Table()
--- a/daemon/options.go
+++ b/daemon/options.go
@@ -9,15 +9,15 @@
 	"github.com/cresspond/cresspond/process/consensus/replica"
 )
 
-// Option sets one thing of a daemon.
+// Option changes a daemon before it runs.
 type Option func(*Daemon)
 
-// Handler serves some of the requests of a listener; it says false of one that it leaves to the next.
+// Handler serves some of the requests of a listener, and returns false for those that it leaves to the next handler.
 type Handler interface {
 	Handle(ctx *fasthttp.RequestCtx) bool
 }
 
-// WithStreamLimits replaces how long the next piece is waited for, and how long a stream may outlast its deadline.
+// WithStreamLimits replaces how long the next chunk is waited for, and how long a stream may outlast its deadline.
 func WithStreamLimits(stall, over time.Duration) Option {
 	return func(d *Daemon) { d.stallLimit, d.overrunLimit = stall, over }
 }
@@ -25,17 +25,17 @@
 // WithClock replaces the machine's clocks.
 func WithClock(c clock.Clock) Option { return func(d *Daemon) { d.clock = c } }
 
-// WithDisk puts something between the member and its data folder.
+// WithDisk wraps the data folder that the member writes to.
 func WithDisk(around func(replica.Disk) replica.Disk) Option {
 	return func(d *Daemon) { d.wrapDisk = around }
 }
 
-// WithControl puts a handler before the desk, for operators and engines.
+// WithControl puts a handler before the admin API, for operators and engines.
 func WithControl(make func(*Daemon) Handler) Option {
 	return func(d *Daemon) { d.controlMakers = append(d.controlMakers, make) }
 }
 
-// WithReadiness puts a handler before the page that says whether this daemon is ready.
+// WithReadiness puts a handler before the readiness page.
 func WithReadiness(make func(*Daemon) Handler) Option {
 	return func(d *Daemon) { d.readinessMakers = append(d.readinessMakers, make) }
 }
--- a/daemon/planner.go
+++ b/daemon/planner.go
@@ -5,12 +5,13 @@
 	"github.com/cresspond/cresspond/process/daemonconfig"
 )
 
-// IsPlanner says whether this daemon plans.
+// IsPlanner says whether this daemon holds the lease of a planner.
 func (d *Daemon) IsPlanner() bool {
 	return d.config.Serves(daemonconfig.Place) && (d.sessionPlacer.Condition().Held || d.poolPlanning.condition().Held)
 }
 
-// heardClaim is the highest claim number that this daemon has heard of, so that none is ever given out twice.
+// highestClaimSeen is the highest fencing token of planners that this daemon knows of, so that none is ever granted
+// twice.
 func (d *Daemon) highestClaimSeen() ident.FencingToken {
 	var highest ident.FencingToken
 	if d.poolPlanning == nil {
--- a/daemon/poolplanning.go
+++ b/daemon/poolplanning.go
@@ -12,14 +12,14 @@
 	"github.com/cresspond/cresspond/process/workerid/snowflake"
 )
 
-// poolPlanning is the planner of pools, where the daemon was put together with one. A nil one plans nothing.
+// poolPlanning is the planner of pools. A nil one plans nothing.
 type poolPlanning struct {
 	client   poolplacement.EngineClient
 	settings poolplacement.Settings
 	placer   *poolplacement.Actor
 }
 
-// PoolSettings are the planner's settings for a deployment with these bounds.
+// PoolSettings returns the planner's settings for a deployment.
 func PoolSettings(config daemonconfig.Config) poolplacement.Settings {
 	settings := poolplacement.DefaultSettings("", time.Duration(config.Bounds.LeaseMs)*time.Millisecond)
 	settings.Off = config.Experiments.Off()
@@ -27,8 +27,8 @@
 	return settings
 }
 
-// WithPoolPlanning has the daemon place models on engines that register themselves, where it serves that.
-// The claim's times are the deployment's, so all members of the group must be put together with the same.
+// WithPoolPlanning has the daemon place models on engines that register themselves, where it serves that. The times
+// of the lease are the deployment's, so all members of the group must be made with the same.
 func WithPoolPlanning(client poolplacement.EngineClient, settings poolplacement.Settings) Option {
 	return func(d *Daemon) {
 		d.poolPlanning = &poolPlanning{client: client, settings: settings}
@@ -36,7 +36,7 @@
 	}
 }
 
-// build makes the actor, before any other of the daemon's runs.
+// build makes the actor, before any actor of the daemon runs.
 func (p *poolPlanning) build(d *Daemon) {
 	if p == nil {
 		return
@@ -69,7 +69,7 @@
 // poolPlanner is the daemon as the planner of pools sees it.
 type poolPlanner struct{ *Daemon }
 
-// Input gathers what the plan looks at.
+// Input returns what the plan is made by.
 func (p poolPlanner) Input() poolplacement.Input {
 	now := p.clock.Elapsed()
 	in := poolplacement.Input{Now: now, View: p.registry.View()}
@@ -82,7 +82,7 @@
 	return in
 }
 
-// Claim asks the group for the claim.
+// Claim acquires or renews the planner's lease.
 func (p poolPlanner) Claim(ctx context.Context, announced *statemachine.Announcement, complete bool) poolplacement.ClaimAnswer {
 	answer, ok := p.submitOnce(ctx, statemachine.Command{Op: statemachine.OpAcquirePlanner, NodeID: p.nodeID, Announcement: announced, AnnouncesAll: true, WithAnnounced: complete, Resume: true, TokenAbove: p.highestClaimSeen()})
 	switch {
@@ -94,7 +94,7 @@
 	return poolplacement.ClaimAnswer{Wait: time.Duration(answer.PlannerLease.FreeAt(p.replicaConfig.PlannerLeaseGap)-answer.PlannerLease.Now) * time.Millisecond}
 }
 
-// Mint stamps an order, LeaseHeld says whether the lease it was minted under still holds.
+// Mint returns an id for an order.
 func (p poolPlanner) Mint() (ident.SnowflakeID, snowflake.Outcome) { return p.generator.Next() }
 
 // LeaseHeld says whether the lease of the worker id still holds.
@@ -106,9 +106,9 @@
 	return ready && !p.draining.Load() && p.generator.HasLease() && p.config.Serves(daemonconfig.Place)
 }
 
-// First says whether this daemon should have the claim before others. One that does not lead: a claim outlasts
-// an election, so the loss of either machine alone costs less than the loss of one that is both.
+// First says whether this daemon should get the lease before others: one that does not lead. A lease outlasts an
+// election, so the loss of either machine alone costs less than the loss of one that is both.
 func (p poolPlanner) First() bool { return !p.IsLeader() }
 
-// Tell spreads the plan.
+// Tell publishes the plan by way of the registry.
 func (p poolPlanner) Tell(plans map[ident.EngineID]registry.Plan) { p.registry.PublishPlans(plans) }
--- a/daemon/pull.go
+++ b/daemon/pull.go
@@ -15,7 +15,7 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// DescribeSelf is this daemon's own row, as told in each pull.
+// DescribeSelf returns this daemon's own row of the membership, as sent with each pull.
 func (d *Daemon) DescribeSelf() *peerapi.PullRequest {
 	request := &peerapi.PullRequest{
 		Group: string(d.Group()), NodeId: string(d.nodeID), Address: d.config.ReachedAt(), Zone: string(d.config.Zone), Roles: d.roleNames(),
@@ -30,9 +30,10 @@
 	return request
 }
 
-// Pull serves a peer's question; what is asked with every_ms may be held back until something is new.
+// Pull answers a peer with what is new here. The answer to a repeated pull may be held back until there is something.
+// It is part of the peer protocol.
 func (d *Daemon) Pull(ctx context.Context, in *peerapi.PullRequest) (*peerapi.PullReply, error) {
-	// One that still follows the lost generation of a recovered group is served, and so learns of this one.
+	// A peer that still follows the lost generation of a recovered group is answered, and so learns of this one.
 	if !d.Group().Succeeds(ident.GroupID(in.Group)) {
 		if err := d.checkGroup(in.Group); err != nil {
 			return nil, err
@@ -53,7 +54,7 @@
 		d.awaitUpdate(ctx, in)
 	}
 	leader, term := d.leaderAndTerm()
-	// The confirmation is read before what it vouches for, which can only be newer.
+	// The confirmation is read before what it confirms, which can only be newer.
 	confirmation := membership.EncodeConfirmation(d.confirmed(), arrived)
 	reply := &peerapi.PullReply{Confirmation: confirmation, Group: string(d.Group()), NodeId: string(d.nodeID), LeaderAddress: leader, LeaderTerm: term, IsLeader: d.IsLeader(), FirstRolloutMsAgo: d.FirstRolloutAge().Milliseconds(),
 		KnownAttributesVersion: rowKnown, DemandBaseUnknown: wantsLost, IsPlanner: d.IsPlanner(), PlannerAddress: d.members.View().PlannerAddress}
@@ -79,10 +80,10 @@
 	return reply, nil
 }
 
-// ApplyReply takes over what a reply brought.
+// ApplyReply applies what a reply brought.
 func (d *Daemon) ApplyReply(reply *peerapi.PullReply) {
 	if !d.learnGroup(ident.GroupID(reply.Group)) {
-		// What another group confirmed proves nothing here.
+		// The confirmation of another group proves nothing here.
 		reply.Confirmation = &peerapi.Confirmation{}
 		return
 	}
@@ -94,7 +95,7 @@
 	d.receiveShortages(reply)
 }
 
-// PullFrom asks another daemon, and takes over what it tells of engines.
+// PullFrom pulls from a peer, and applies what it knows of engines.
 func (d *Daemon) PullFrom(ctx context.Context, address string, request *peerapi.PullRequest) (*peerapi.PullReply, error) {
 	reply, err := d.pullFrom(ctx, address, request)
 	if request.DemandVersion > 0 && (err != nil || reply.DemandBaseUnknown) {
@@ -109,7 +110,7 @@
 	}
 	peer := address
 	if request.RegistryUrgentOnly = d.pullsUrgentOnly(address); request.RegistryUrgentOnly {
-		// What is heard in short is counted apart, so that all can be asked for when that is needed.
+		// Urgent changes have a cursor of their own, so that all can be pulled when that is needed.
 		peer += " urgent"
 	}
 	cursor, wanted := d.registry.NextRequest(peer)
@@ -132,8 +133,8 @@
 	return reply, nil
 }
 
-// pace is how often this daemon asks others again. Where attempts are known to the fleet, all must soon know
-// who came and went, so that each attempt's homes are agreed on; else there is time.
+// pace is how often this daemon pulls. Where attempts are known to the whole fleet, all daemons must soon know who
+// came and went, so that they agree on each attempt's owners; otherwise there is time.
 func (d *Daemon) pace() membership.Pace {
 	if d.config.Attempts == daemonconfig.LocalAttempts {
 		return membership.Pace{MinWait: 600 * time.Millisecond, MaxWait: 750 * time.Millisecond}
@@ -141,7 +142,7 @@
 	return membership.Pace{MinWait: 150 * time.Millisecond, MaxWait: 750 * time.Millisecond}
 }
 
-// memberAddresses are where the group's members are, by the log of this one.
+// memberAddresses returns the addresses of the group's members, by this member's log.
 func (d *Daemon) memberAddresses() (out []string) {
 	groupMember := d.replica.Load()
 	if groupMember == nil {
@@ -155,7 +156,7 @@
 	return out
 }
 
-// SourceFreshnessChanged writes down that a source of news came to be stale, or is so no more.
+// SourceFreshnessChanged logs that a daemon that updates are pulled from has become stale, or is confirmed again.
 func (d *Daemon) SourceFreshnessChanged(turned membership.FreshnessChange) {
 	entry := d.log.WithField("address", turned.Address)
 	if turned.Stale {
@@ -165,15 +166,16 @@
 	entry.Info("a source of news is confirmed by a majority of the control group")
 }
 
-// tellerFresh is how lately the teller must have told all for others to be asked for what is urgent only.
+// relayFresh is how recent the last complete pull from the relay must be for others to be pulled from for urgent
+// changes only.
 const relayFresh = 2500 * time.Millisecond
 
-// pullsUrgentOnly says whether an address is one of those of which only what is urgent is asked, because the teller tells the rest.
+// pullsUrgentOnly says whether only urgent changes are pulled from an address, because the relay brings the rest.
 func (d *Daemon) pullsUrgentOnly(address string) bool {
 	relayAddress := d.members.View().RelayAddress
 	return !d.config.Serves(daemonconfig.Control) && relayAddress != "" && relayAddress != address && d.clock.Elapsed().Since(d.registrySyncTimes.latest(relayAddress)) <= relayFresh
 }
 
-// followsRegistry says whether a question is one of those that go on, or of a daemon that has lost control. A
-// look at any daemon now and then must not bring the whole registry along.
+// followsRegistry says whether a pull is one of a series, or of a daemon that has lost control. An occasional pull
+// must not bring the whole registry along.
 func followsRegistry(in *peerapi.PullRequest) bool { return in.IntervalMs > 0 || in.AllMembers }
--- a/daemon/raftservice.go
+++ b/daemon/raftservice.go
@@ -11,7 +11,7 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// Raft takes raft messages.
+// Raft takes messages of raft from other members. It is part of the peer protocol.
 func (d *Daemon) Raft(_ context.Context, in *peerapi.RaftBatch) (*peerapi.Empty, error) {
 	messages, sound := raftcodec.Decode(in.Messages)
 	if !sound || in.Group == "" {
@@ -28,7 +28,7 @@
 	if groupMember == nil {
 		folder := d.dataFolder()
 		for _, message := range messages {
-			// Only a group that was told this folder's identity can name it.
+			// Only a group that knows this folder's identity can name it.
 			if folder != nil && message.To == folder.MemberID {
 				select {
 				case d.adoptedGroup <- ident.GroupID(in.Group):
--- a/daemon/readiness.go
+++ b/daemon/readiness.go
@@ -4,7 +4,7 @@
 	"github.com/cresspond/cresspond/process/daemonconfig"
 )
 
-// Ready says whether this daemon takes new work, and if not, why.
+// Ready says whether this daemon accepts new work, and if not, why.
 func (d *Daemon) Ready() (bool, string) {
 	if d.draining.Load() {
 		return false, "it is stopping"
@@ -18,7 +18,7 @@
 	return true, ""
 }
 
-// tableIsCurrent says whether what is in force here is known to be new enough.
+// tableIsCurrent says whether what is in force here is known to be recent enough.
 func (d *Daemon) tableIsCurrent() bool {
 	current, _ := d.members.Ready()
 	return current
--- a/daemon/reads.go
+++ b/daemon/reads.go
@@ -16,7 +16,7 @@
 // readLimit is how long a leader's answer to a read is waited for.
 const readLimit = 700 * time.Millisecond
 
-// Query reads part of the state through whoever leads.
+// Query reads part of the replicated state from the leader, over and over until it is answered or ctx ends.
 func (d *Daemon) Query(ctx context.Context, what, key string) ([]byte, bool) {
 	ticker := time.NewTicker(100 * time.Millisecond)
 	defer ticker.Stop()
@@ -41,7 +41,7 @@
 	}
 }
 
-// Read answers a linearizable read, if this daemon leads.
+// Read serves a linearizable read, if this daemon leads. It is part of the peer protocol.
 func (d *Daemon) Read(ctx context.Context, in *peerapi.ReadRequest) (*peerapi.ReadReply, error) {
 	if err := d.checkGroup(in.Group); err != nil {
 		return nil, err
@@ -53,7 +53,7 @@
 	return &peerapi.ReadReply{Outcome: string(outcome), Result: result, LeaderAddress: d.leaderAddress()}, nil
 }
 
-// readAsLeader reads part of the state at a linearizable point; a result of nothing means that it isn't there.
+// readAsLeader reads part of the state at a linearizable point; a nil result means that it doesn't exist.
 func (d *Daemon) readAsLeader(ctx context.Context, what, key string) ([]byte, replica.Outcome) {
 	groupMember := d.replica.Load()
 	if groupMember == nil || !groupMember.Status().IsLeader {
@@ -67,7 +67,7 @@
 	return result, outcome
 }
 
-// traceState is what a trace needs of the state.
+// traceState is what a trace needs of the state. Its JSON names are part of the peer protocol.
 type traceState struct {
 	Configuration uint64         `json:"spec"`
 	Closure       uint64         `json:"closure"`
@@ -97,7 +97,7 @@
 	case "history":
 		list := []statemachine.Proposal{}
 		for version := ident.Version(1); version <= state.Version(); version++ {
-			// Of bundles that were applied in one step only so many are known.
+			// Only some of the configurations that were applied in one step are retained.
 			if found, ok := state.ProposalAt(version); ok {
 				brief := *found
 				brief.Configuration = nil
--- a/daemon/registryexchange.go
+++ b/daemon/registryexchange.go
@@ -7,7 +7,7 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// tellRegistry puts into a reply what changed here since the asker's last question.
+// addRegistryChanges adds to a reply what has changed here since the peer's last pull.
 func (d *Daemon) addRegistryChanges(in *peerapi.PullRequest, reply *peerapi.PullReply) {
 	if !followsRegistry(in) {
 		return
@@ -18,14 +18,14 @@
 	}
 	question := registry.DeltaRequest{Cursor: cursorOf(in), FullRecordsOf: wanted}
 	if !in.EveryHeartbeat {
-		// How busy far engines are is told seldom; control daemons pass it on, and so are told all.
+		// The load of engines in other zones is sent seldom; control daemons pass it on, and so are sent all.
 		question.Zone = d.members.ZoneOf(ident.NodeID(in.NodeId))
 	}
 	switch {
 	case in.RegistryUrgentOnly:
 		question.Filter = registry.UrgentOnly
 	case in.EveryHeartbeat && d.config.Serves(daemonconfig.Control):
-		// Only those who may have to judge an engine's silence need to hear of each beat.
+		// Only daemons that may have to mark an engine unresponsive need each heartbeat.
 		question.Filter = registry.WithHeartbeats
 	}
 	difference := d.registry.DeltaSince(question)
@@ -34,7 +34,7 @@
 	reply.Engines = registry.Encode(d.clock.Elapsed(), difference.Records)
 }
 
-// cursorOf is how much of this daemon's changes an asker has.
+// cursorOf returns how much of this daemon's changes a peer has.
 func cursorOf(in *peerapi.PullRequest) registry.Cursor {
 	return registry.Cursor{Incarnation: in.RegistryIncarnation, Seen: in.RegistrySeen, Complete: in.RegistryComplete}
 }
--- a/daemon/rehoming.go
+++ b/daemon/rehoming.go
@@ -15,12 +15,14 @@
 )
 
 const (
-	// transferBatch is how many attempts are handed over in one message.
+	// transferBatch is how many attempts are transferred in one message, transferEvery how often ownership is
+	// compared.
 	transferBatch = 1000
 	transferEvery = 300 * time.Millisecond
 )
 
-// runOwnershipTransfer hands attempts to the homes they come to have as daemons come and go.
+// runOwnershipTransfer transfers attempts to their new owners as daemons come and go. It runs on a goroutine of its
+// own until ctx ends.
 func (d *Daemon) runOwnershipTransfer(ctx context.Context) {
 	ticker := time.NewTicker(transferEvery)
 	defer ticker.Stop()
@@ -37,7 +39,7 @@
 	}
 }
 
-// liveOwners lists the daemons in sight that can be homes, by address.
+// liveOwners returns the daemons in contact that can be owners, by address.
 func (d *Daemon) liveOwners() map[string]ident.NodeID {
 	out := map[string]ident.NodeID{}
 	for _, peer := range d.members.View().InContact(d.clock.Elapsed(), contactWindow) {
@@ -57,7 +59,7 @@
 	return out
 }
 
-// newOwners lists the homes that something has now, and did not have before in the same life.
+// newOwners lists the owners that a key has now and did not have before, in the same incarnation.
 func newOwners(key string, before, after map[string]ident.NodeID, oldAddresses, newAddresses []string) []string {
 	oldFirst, oldSecond := affinity.Owners(key, oldAddresses)
 	newFirst, newSecond := affinity.Owners(key, newAddresses)
@@ -70,7 +72,7 @@
 	return out
 }
 
-// handOverAttempts gives all that is remembered here to the homes it has without this daemon.
+// handOverAttempts transfers all that is remembered here to the owners that it has without this daemon.
 func (d *Daemon) handOverAttempts(ctx context.Context) {
 	after := d.liveOwners()
 	before := maps.Clone(after)
@@ -79,7 +81,8 @@
 	d.transferOwnership(ctx, before, after)
 }
 
-// transferOwnership tells each home that an attempt has now, and did not have before in the same life.
+// transferOwnership sends what is remembered here to the owners that it has in after, and did not have, in the same
+// incarnation, in before.
 func (d *Daemon) transferOwnership(ctx context.Context, before, after map[string]ident.NodeID) {
 	unchanged := len(before) == len(after)
 	for address, incarnation := range after {
@@ -103,7 +106,7 @@
 			}
 		})
 		for address, incarnation := range after {
-			// A life that follows another is told whether this is all that it shares with this daemon.
+			// A new incarnation is told whether it now has all that it shares with this daemon.
 			if before[address] != incarnation && address != self {
 				complete[address] = !startedRecently || memory.Whole(address)
 				batches[address] = append(batches[address], nil...)
@@ -114,7 +117,7 @@
 		delivered := true
 		for part := range slices.Chunk(batch, transferBatch) {
 			bounded, cancel := context.WithTimeout(ctx, time.Second)
-			// A home that misses this is not the only one that knows.
+			// An owner that misses this is not the only one that knows.
 			_, err := d.links.To(owner).Remember(bounded, &peerapi.RememberRequest{Attempts: part})
 			cancel()
 			delivered = delivered && err == nil
@@ -122,14 +125,14 @@
 		}
 		if delivered && complete[owner] {
 			bounded, cancel := context.WithTimeout(ctx, time.Second)
-			// One that misses this counts as young for some seconds more.
+			// An owner that misses this counts as recently started for some seconds more.
 			_, _ = d.links.To(owner).Remember(bounded, &peerapi.RememberRequest{From: self, Complete: true})
 			cancel()
 		}
 	}
 }
 
-// readyPeers lists, in order, the addresses of daemons heard within the window that fit and are not stopping.
+// readyPeers returns the sorted addresses of the daemons in contact within the window that fit and are not draining.
 func (d *Daemon) readyPeers(window time.Duration, fits func(membership.Member) bool) []string {
 	var addresses []string
 	for _, peer := range d.members.View().InContact(d.clock.Elapsed(), window) {
--- a/daemon/routingdaemons.go
+++ b/daemon/routingdaemons.go
@@ -10,11 +10,12 @@
 const (
 	// routingCountValidFor is how long a count of the daemons that route is used.
 	routingCountValidFor = time.Second
-	// routingContactWindow is how lately one must have been heard of to count; one that is only cut off still sends.
+	// routingContactWindow is how recent the last contact must be for a daemon to count; a partitioned one still
+	// sends requests.
 	routingContactWindow = time.Minute
 )
 
-// routingDaemonCount counts the daemons that route; another life of the same daemon is no other.
+// routingDaemonCount counts the daemons that route; two incarnations of one daemon count once.
 func (d *Daemon) routingDaemonCount(now clock.Mark) int {
 	side := &d.forwarding
 	if counted := side.routingDaemons.Load(); counted > 0 && now.Since(clock.Mark(side.routingDaemonsAt.Load())) < routingCountValidFor {
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -30,15 +30,15 @@
 
 const (
 	maxCallerBody = 4 << 20
-	// maxHeader bounds a request's head; what bundles allow is less.
+	// maxHeader bounds a request's header; configurations allow less.
 	maxHeader = 32 << 10
-	// maxConfigurationBody leaves room for a bundle's largest size and what is said around it.
+	// maxConfigurationBody leaves room for the largest configuration and what goes with it.
 	maxConfigurationBody = document.MaxBytes + 64<<10
 )
 
-// bodyLimit lets only what holds a bundle be as large as a bundle may be.
+// bodyLimit lets only requests that carry a configuration be as large as one may be.
 func bodyLimit(header *fasthttp.RequestHeader) fasthttp.RequestConfig {
-	// Bundles are put in force in one step by PUT and PATCH, whatever a deployment calls the path.
+	// Configurations are applied in one step by PUT and PATCH, whatever the deployment calls the path.
 	method := string(header.Method())
 	if string(header.RequestURI()) == operatorapi.PathPropose || method == http.MethodPut || method == http.MethodPatch {
 		return fasthttp.RequestConfig{MaxRequestBodySize: maxConfigurationBody}
@@ -46,13 +46,13 @@
 	return fasthttp.RequestConfig{}
 }
 
-// discardLogger drops the library's own lines: broken connections are counted, not told.
+// discardLogger drops the server library's own log lines: broken connections are counted instead.
 type discardLogger struct{}
 
 // Printf drops a line.
 func (discardLogger) Printf(string, ...any) {}
 
-// badRequest answers what could not even be read as HTTP.
+// badRequest answers a request that could not be parsed as HTTP.
 func badRequest(ctx *fasthttp.RequestCtx, err error) {
 	status := fasthttp.StatusBadRequest
 	var small *fasthttp.ErrSmallBuffer
@@ -66,8 +66,8 @@
 	ctx.SetConnectionClose()
 }
 
-// badCallerRequest is badRequest where callers come in: how large a body is read there follows from the table in force, and
-// that may be old.
+// badCallerRequest is badRequest for callers. The body limit there follows from the table in force, so the gateway
+// answers for bodies that are too large.
 func (d *Daemon) badCallerRequest(ctx *fasthttp.RequestCtx, err error) {
 	if err == fasthttp.ErrBodyTooLarge && d.isForwarded(ctx, string(ctx.Path())) {
 		d.forwarding.gateway.Unread(ctx, fasthttp.StatusRequestEntityTooLarge)
@@ -76,8 +76,8 @@
 	badRequest(ctx, err)
 }
 
-// maxConnections is how many connections a listener keeps open: what callers take must leave descriptors for
-// engines, peers and files.
+// maxConnections is how many connections a listener keeps open: callers must leave descriptors for engines, peers and
+// files.
 func maxConnections(descriptors int) int {
 	const (
 		most, least = 8192, 64
@@ -90,17 +90,17 @@
 	return max(least, min(most, (descriptors-forFiles)*share/100))
 }
 
-// server is one listener's server.
+// server returns the HTTP server of one listener.
 func (d *Daemon) server(handle fasthttp.RequestHandler, limits func(*fasthttp.RequestHeader) fasthttp.RequestConfig) *fasthttp.Server {
 	return &fasthttp.Server{
 		Handler: handle, Name: "cresspond", MaxRequestBodySize: maxCallerBody, HeaderReceived: limits, ReadTimeout: callerReadLimit, WriteTimeout: 5 * time.Minute,
 		IdleTimeout: keepAliveLimit, NoDefaultServerHeader: true, Concurrency: maxConnections(d.config.Machine.MostFds), CloseOnShutdown: true, Logger: discardLogger{}, ReadBufferSize: maxHeader,
-		// A form is some caller's body like any other, and goes on byte for byte.
+		// A form is a caller's body like any other, and is forwarded byte for byte.
 		ErrorHandler: badRequest, DisablePreParseMultipartForm: true,
 	}
 }
 
-// handle serves what comes to Listen.
+// handle serves the caller's address.
 func (d *Daemon) handle(ctx *fasthttp.RequestCtx) {
 	d.closeIfDraining(ctx)
 	path := string(ctx.Path())
@@ -108,7 +108,7 @@
 	case d.isForwarded(ctx, path):
 		d.forwarding.gateway.Handle(ctx)
 	case d.config.Serves(daemonconfig.Route) && d.config.OpaqueOnly:
-		// Nothing else is served there, not even by a daemon put together without forwarding.
+		// Nothing else is served there, also by a daemon that was made without forwarding.
 		sessionapi.Fail(ctx, fasthttp.StatusServiceUnavailable, callerapi.Error{Outcome: callerapi.Unknown, Reason: "no paths are in force here yet"})
 	case path == callerapi.PathGenerate && d.config.Serves(daemonconfig.Route):
 		d.sessionAPI.Handle(ctx)
@@ -117,14 +117,14 @@
 	}
 }
 
-// closeIfDraining lets whoever is answered by a stopping daemon connect elsewhere next time.
+// closeIfDraining closes the connection after the answer of a draining daemon, so that the caller connects elsewhere.
 func (d *Daemon) closeIfDraining(ctx *fasthttp.RequestCtx) {
 	if d.draining.Load() {
 		ctx.SetConnectionClose()
 	}
 }
 
-// handleOperator serves what comes to OperatorListen.
+// handleOperator serves the operators' address.
 func (d *Daemon) handleOperator(ctx *fasthttp.RequestCtx) {
 	d.closeIfDraining(ctx)
 	d.serveOperators(ctx)
@@ -140,10 +140,10 @@
 	d.adminAPI.Handle(ctx, string(ctx.Path()))
 }
 
-// readyPages are what ReadyListen serves: it is for looking only.
+// readyPages are the pages of the readiness address, which is read-only.
 var readyPages = []string{operatorapi.PathReady, operatorapi.PathLive, operatorapi.PathCounters, operatorapi.PathStatus}
 
-// handleReady serves what comes to ReadyListen.
+// handleReady serves the readiness address.
 func (d *Daemon) handleReady(ctx *fasthttp.RequestCtx) {
 	for _, handler := range d.readinessHandlers {
 		if handler.Handle(ctx) {
@@ -164,8 +164,8 @@
 	}
 }
 
-// isForwarded says whether a request is for the gateway: all that the product itself does not serve, and
-// what the bundle in force names outright.
+// isForwarded says whether the gateway serves a request: all that the daemon itself doesn't, and the paths that the
+// configuration in force names.
 func (d *Daemon) isForwarded(ctx *fasthttp.RequestCtx, path string) bool {
 	if !d.forwards() {
 		return false
@@ -181,7 +181,7 @@
 	return found
 }
 
-// callerLimits lets a request be as large as the bundle in force allows on paths of opaque requests.
+// callerLimits lets a forwarded request be as large as the configuration in force allows.
 func (d *Daemon) callerLimits(header *fasthttp.RequestHeader) fasthttp.RequestConfig {
 	index := d.forwardIndex()
 	if !d.forwards() || index == nil {
--- a/daemon/sessionaffinity.go
+++ b/daemon/sessionaffinity.go
@@ -13,17 +13,17 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// seatLimit bounds the question to a session's home; a daemon that gets no answer decides alone.
+// assignmentLimit bounds a query to a session's owner; a daemon that gets no answer decides alone.
 const assignmentLimit = 300 * time.Millisecond
 
-// assignmentOwners are the addresses of the two daemons that keep a session's seat.
-// Any daemon can be a home, whatever it serves, so that the restart of a lone routing daemon loses none.
+// assignmentOwners returns the addresses of the two daemons that own a session's assignment. Any daemon can be an
+// owner, whatever its roles, so that the restart of the only routing daemon loses none.
 func (d *Daemon) assignmentOwners(session string) (first, second string) {
-	// A daemon that is stopping hands its seats over, and takes no more.
+	// A draining daemon transfers its assignments, and takes no more.
 	return affinity.Owners(session, d.readyPeers(3*time.Second, func(membership.Member) bool { return true }))
 }
 
-// queryAssignment asks one home; nil means that it can't be reached.
+// queryAssignment queries one owner; nil means that it can't be reached.
 func (d *Daemon) queryAssignment(owner string, request *peerapi.SeatRequest) *peerapi.SeatReply {
 	if owner == "" {
 		return nil
@@ -41,7 +41,7 @@
 	return reply
 }
 
-// Assignment asks for a session's seat, and remembers it here too, so that it outlives its homes.
+// Assignment looks a session's assignment up, and remembers it here too, so that it outlives its owners.
 func (r requestPath) Assignment(query dispatch.AskAssignment) (ident.EngineID, bool) {
 	engine, found := r.findAssignment(query)
 	if found {
@@ -50,9 +50,9 @@
 	return engine, found
 }
 
-// findAssignment asks a session's homes. The first decides; the second keeps a copy, and knows better where the
-// first is gone or has just come back with nothing. Where neither knew of it, and daemons were lost
-// lately, all are asked.
+// findAssignment queries a session's owners. The first one decides. The second one has a replica, and knows better if
+// the first is gone or has just restarted without its memory. If neither knows the session, and daemons were lost
+// recently, all are queried.
 func (r requestPath) findAssignment(query dispatch.AskAssignment) (ident.EngineID, bool) {
 	if query.Engine != "" && query.Replaces == "" && r.peersLostRecently() {
 		if engine, known := r.queryAllForAssignment(query.Session); known {
@@ -68,18 +68,19 @@
 	copied := r.queryAssignment(second, request)
 	switch {
 	case copied == nil && decided == nil:
-		// Homes that can't be reached must not hold up the session: the wish stands.
+		// Owners that can't be reached must not hold up the session: the engine that was proposed stands.
 		return query.Engine, query.Engine != ""
 	case copied == nil:
 		return ident.EngineID(decided.Engine), true
 	case decided != nil && !copied.Fresh && copied.Found && copied.Engine != decided.Engine:
-		// The first home had forgotten, so it is told what the second one knows.
+		// The first owner has lost the assignment, so it is told what the second one knows.
 		r.queryAssignment(first, &peerapi.SeatRequest{Session: query.Session, Engine: copied.Engine, Replaces: decided.Engine})
 	}
 	return ident.EngineID(copied.Engine), copied.Found
 }
 
-// peersLostRecently says whether daemons were lost or have begun anew so lately that seats may have gone with them.
+// peersLostRecently says whether daemons became unreachable or restarted so recently that assignments may be lost
+// with them.
 func (d *Daemon) peersLostRecently() bool {
 	now := d.clock.Elapsed()
 	for _, peer := range d.members.View().Members {
@@ -91,7 +92,7 @@
 	return false
 }
 
-// queryAllForAssignment asks every daemon in sight for a session's seat; the one used last counts.
+// queryAllForAssignment queries every daemon in contact for a session's assignment; the one used last counts.
 func (d *Daemon) queryAllForAssignment(session string) (ident.EngineID, bool) {
 	addresses := addressesOf(d.liveOwners())
 	replies := make(chan *peerapi.SeatReply, len(addresses))
@@ -110,16 +111,16 @@
 	return ident.EngineID(newest.Engine), true
 }
 
-// EndAssignment tells a session's homes that it has ended.
+// EndAssignment tells a session's owners that it has ended.
 func (r requestPath) EndAssignment(session string) {
 	first, second := r.assignmentOwners(session)
-	// A home that misses this forgets the seat when it has been idle long enough.
+	// An owner that misses this forgets the assignment when it has been idle long enough.
 	for _, owner := range []string{first, second} {
 		r.queryAssignment(owner, &peerapi.SeatRequest{Session: session, Ended: true})
 	}
 }
 
-// Seat answers for the sessions whose home this daemon is.
+// Seat answers queries about the sessions that this daemon owns. It is part of the peer protocol.
 func (d *Daemon) Seat(_ context.Context, in *peerapi.SeatRequest) (*peerapi.SeatReply, error) {
 	if in.Session == "" {
 		return nil, twirp.NewError(twirp.InvalidArgument, "a seat belongs to a session")
@@ -129,7 +130,7 @@
 		return &peerapi.SeatReply{}, nil
 	}
 	if in.Engine == "" {
-		// Only asked for: nothing is claimed, nor does it count as used.
+		// A lookup only: nothing is claimed, and it does not count as use.
 		engine, used, found := d.affinityTable.Find(d.clock.Elapsed(), d.assignmentIdle(), in.Session)
 		return &peerapi.SeatReply{Engine: string(engine), Found: found, UsedMsAgo: used.Milliseconds()}, nil
 	}
@@ -144,7 +145,7 @@
 	return time.Minute
 }
 
-// transferAssignments gives the seats whose home this daemon was to the homes that have come to be.
+// transferAssignments sends the assignments that this daemon owned to their new owners.
 func (d *Daemon) transferAssignments(ctx context.Context, before, after map[string]ident.NodeID) {
 	self := d.config.ReachedAt()
 	oldAddresses, newAddresses := addressesOf(before), addressesOf(after)
--- a/daemon/sessionplanning.go
+++ b/daemon/sessionplanning.go
@@ -17,7 +17,7 @@
 // sessionPlanner is the daemon as the placement actor sees it.
 type sessionPlanner struct{ *Daemon }
 
-// Input gathers what the plan looks at.
+// Input returns what the plan is made by.
 func (p sessionPlanner) Input() sessionplacement.Input {
 	now := p.clock.Elapsed()
 	in := sessionplacement.Input{Now: now, Table: p.rollout.Table(), Engines: p.watcher.View()}
@@ -33,7 +33,7 @@
 	p.peerDemandMutex.Lock()
 	defer p.peerDemandMutex.Unlock()
 	for node, heard := range p.peerDemand {
-		// Demand goes stale soon; seats are believed for longer, so a daemon cut off keeps them.
+		// Demand is stale soon; assignments are believed for longer, so that a partitioned daemon keeps them.
 		if now.Since(heard.At) > peerDemandRetained {
 			delete(p.peerDemand, node)
 			continue
@@ -52,7 +52,7 @@
 	return in
 }
 
-// Claim asks the group for the claim.
+// Claim acquires or renews the planner's lease.
 func (p sessionPlanner) Claim(ctx context.Context, orders map[ident.EngineID]uint64, turn uint64) (*statemachine.PlannerLease, bool) {
 	answer, ok := p.submitOnce(ctx, statemachine.Command{Op: statemachine.OpAcquirePlanner, NodeID: p.nodeID, Orders: orders, OrdersSequence: turn, TokenAbove: p.highestClaimSeen()})
 	if !ok || answer.Outcome != statemachine.Done || answer.PlannerLease == nil {
@@ -61,10 +61,10 @@
 	return answer.PlannerLease, true
 }
 
-// Mint stamps an order.
+// Mint returns an id for an order.
 func (p sessionPlanner) Mint() (ident.SnowflakeID, snowflake.Outcome) { return p.generator.Next() }
 
-// Order sends an order.
+// Order sends an order to an engine, if the worker id lease still holds when the first byte leaves.
 func (p sessionPlanner) Order(ctx context.Context, address string, order engineapi.Order, limit time.Duration, mayLeave func() bool) (*engineapi.OrderAnswer, bool) {
 	return enginestream.Order(ctx, address, order, limit, func() bool { return mayLeave() && p.generator.HasLease() })
 }
@@ -72,7 +72,7 @@
 // MayStand says whether this daemon should try to plan.
 func (p sessionPlanner) MayStand() bool {
 	ready, _ := p.Ready()
-	// A bundle without engines of the platform's list leaves nothing to plan for sessions.
+	// A configuration without engines of the platform's list leaves nothing to plan for sessions.
 	table := p.rollout.Table()
 	return ready && p.generator.HasLease() && (p.poolPlanning == nil || table != nil && len(table.Configuration.Engines) > 0)
 }
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -11,7 +11,7 @@
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
-// Status is this daemon's own word.
+// Status returns this daemon's status page.
 func (d *Daemon) Status() operatorapi.Status {
 	now := d.clock.Elapsed()
 	ready, why := d.Ready()
@@ -62,7 +62,8 @@
 	return out
 }
 
-// digestText shows a digest of the state so that two members' can be compared by eye; empty before the first.
+// digestText formats a digest of the state so that those of two members can be compared by eye; empty before the
+// first.
 func digestText(digest raft.StateDigest) string {
 	if digest.Index == 0 {
 		return ""
--- a/daemon/unplaced.go
+++ b/daemon/unplaced.go
@@ -10,10 +10,10 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// lacksFresh is for how long the planner's word on what it will not load is believed.
+// shortagesValidFor is for how long the planner's last report is believed.
 const shortagesValidFor = 1500 * time.Millisecond
 
-// lackSlack is by how much a wait must have changed for others to be told.
+// shortageTolerance is by how much a wait must have changed for peers to be sent it.
 const shortageTolerance = 400 * time.Millisecond
 
 type receivedShortages struct {
@@ -29,13 +29,13 @@
 // PoolTarget names a model, or one adapter of it, of a pool.
 type PoolTarget struct{ Pool, Model, Adapter string }
 
-// shortageReport is what the planner here said last that it will not load soon, as told to others.
+// shortageReport is what the planners here last reported that they can't load soon, as sent to peers.
 type shortageReport struct {
 	sessions []sessionplacement.Lack
 	pools    []poolplacement.Lack
 }
 
-// similarTo says whether two words on what is lacking are so near each other that others need not be told.
+// similarTo says whether two reports are so close that peers needn't be sent the newer one.
 func (h *shortageReport) similarTo(other *shortageReport) bool {
 	if len(h.sessions) != len(other.sessions) || len(h.pools) != len(other.pools) {
 		return false
@@ -54,7 +54,7 @@
 	return true
 }
 
-// addShortages puts what will not be loaded soon into a reply, where this daemon plans and the asker has it not.
+// addShortages adds the shortages to a reply, if this daemon is the planner and the peer doesn't have them.
 func (d *Daemon) addShortages(in *peerapi.PullRequest, reply *peerapi.PullReply) {
 	report := d.shortageReport.Load()
 	if !reply.IsPlanner || report == nil {
@@ -72,14 +72,14 @@
 	}
 }
 
-// receiveShortages takes the planner's word on what will not be loaded soon.
+// receiveShortages takes the planner's report from a reply.
 func (d *Daemon) receiveShortages(reply *peerapi.PullReply) {
 	if !reply.IsPlanner || reply.ShortagesVersion == 0 {
 		return
 	}
 	now := d.clock.Elapsed()
 	if reply.ShortagesVersion == d.receivedVersions.shortages.Load() {
-		// The same as before, said again.
+		// The report is the same as before, and valid for longer.
 		if known := d.shortages.Load(); known != nil {
 			d.shortages.Store(&receivedShortages{now, known.waits})
 		}
@@ -99,7 +99,7 @@
 	d.receivedVersions.shortages.Store(reply.ShortagesVersion)
 }
 
-// receivePoolShortages takes the planner's word on what will not be loaded soon.
+// receivePoolShortages takes the pools' part of the planner's report.
 func (d *Daemon) receivePoolShortages(shortages []*peerapi.Shortage) {
 	waits := map[PoolTarget]time.Duration{}
 	for _, shortage := range shortages {
@@ -110,7 +110,7 @@
 	d.poolShortages.Store(&receivedPoolShortages{d.clock.Elapsed(), waits})
 }
 
-// shortagesNow is what will not be loaded soon, by the newest word of whoever plans.
+// shortagesNow returns the models that won't be loaded soon, and for how long, by the planner's last report.
 func (d *Daemon) shortagesNow() map[dispatch.Wanted]time.Duration {
 	if d.IsPlanner() {
 		out := map[dispatch.Wanted]time.Duration{}
@@ -125,8 +125,8 @@
 	return nil
 }
 
-// PoolLack is for how long something is not likely to be there, by the planner's newest word; the request
-// path asks it before it holds a request.
+// PoolShortage returns for how long a model or adapter is not likely to be loaded, by the planner's last report. The
+// request path checks it before it queues a request.
 func (d *Daemon) PoolShortage(pool, model, adapter string) (wait time.Duration, lacking bool) {
 	if condition := d.poolPlanning.condition(); condition.Held {
 		for _, shortage := range condition.Lacks {
--- a/daemon/workerlease.go
+++ b/daemon/workerlease.go
@@ -10,12 +10,13 @@
 	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
-// tenureMargin is taken off the end of each tenure for clock-rate error.
+// leaseMargin is taken off the end of each lease for clock-rate error.
 const leaseMargin = time.Second
 
-// runWorkerLease acquires a worker id and renews it.
+// runWorkerLease acquires the lease of a worker id and renews it. It runs on a goroutine of its own until ctx ends.
 func (d *Daemon) runWorkerLease(ctx context.Context) {
-	// Nothing can be held before a worker id is, so a fresh daemon looks often whether there is a leader to ask yet.
+	// No request can be queued without a worker id, so a daemon that has just started checks often whether there is a
+	// leader to ask.
 	const renewCheckEvery, firstCheckEvery = 250 * time.Millisecond, 50 * time.Millisecond
 	renewEvery := d.replicaConfig.WorkerLease / 3
 	ticker := time.NewTicker(firstCheckEvery)
@@ -47,7 +48,7 @@
 				renewed = requestedAt
 				d.counters.leasesRenewed.Add(1)
 			case ok && result.Outcome == statemachine.Mismatch:
-				// The group no longer knows this tenure: nothing may be minted under it from now on.
+				// The group no longer knows this lease: no id may be minted under it from now on.
 				d.generator.ReleaseLease()
 				d.counters.leasesLost.Add(1)
 				d.log.Warn("worker id lost")
@@ -61,7 +62,7 @@
 	}
 }
 
-// registerServing has the group write down that this life may be serving, so that no change counts as in force
+// registerServing has the group record that this incarnation may be serving, so that no change counts as in force
 // everywhere without it.
 func (d *Daemon) registerServing(ctx context.Context) {
 	answer, ok := d.submitOnce(ctx, statemachine.Command{Op: statemachine.OpRegister, NodeID: d.nodeID, Address: d.config.ReachedAt()})
@@ -73,5 +74,5 @@
 	}
 }
 
-// EnlistedAt is when the group wrote this life down; zero before.
+// EnlistedAt is when the group recorded this incarnation as one that may be serving; zero before.
 func (d *Daemon) EnlistedAt() clock.Mark { return clock.Mark(d.enlistedAt.Load()) }
