--- a/daemon/applybundle.go
+++ b/daemon/applybundle.go
@@ -53,7 +53,7 @@
 		if redirected = ""; address == "" {
 			address = d.leaderAddress()
 		}
-		if address != "" && address != d.config.ReachedAt() && bounded.Err() == nil {
+		if address != "" && address != d.config.AdvertisedPeerAddress() && bounded.Err() == nil {
 			if request == nil {
 				request = d.applyRequest(call)
 			}
@@ -90,7 +90,7 @@
 	defer cancel()
 	sent := &peerapi.ApplyRequest{Group: request.Group, BaseVersion: request.BaseVersion, Digest: request.Digest, Operator: request.Operator,
 		Bundle: request.Bundle, Patch: request.Patch, TimeoutMs: time.Until(until).Milliseconds()}
-	reply, err := d.links.To(address).Apply(bounded, sent)
+	reply, err := d.links.Client(address).Apply(bounded, sent)
 	if err != nil {
 		return answer, "", replica.Unknown
 	}
@@ -142,7 +142,7 @@
 	if groupMember == nil || !groupMember.Status().IsLeader {
 		return operatorapi.ApplyResponse{}, replica.NotLeader
 	}
-	if !d.config.OneStep {
+	if !d.config.DirectApply {
 		return operatorapi.ApplyResponse{Outcome: operatorapi.Forbidden, Reason: "this fleet's bundles are reviewed and signed off; propose it instead"}, replica.Applied
 	}
 	var standing directapply.View
--- a/daemon/attemptowners.go
+++ b/daemon/attemptowners.go
@@ -102,9 +102,9 @@
 
 // queryAttemptOwners queries all owners of an attempt at once, and decides by their answers.
 func (d *Daemon) queryAttemptOwners(query deduplication.Ask) deduplication.Decision {
-	self := d.config.ReachedAt()
+	self := d.config.AdvertisedPeerAddress()
 	// Where each attempt arrives only once, neither another daemon nor an earlier incarnation can know of it.
-	local := d.config.Attempts == daemonconfig.LocalAttempts
+	local := d.config.AttemptScope == daemonconfig.LocalAttempts
 	owners := attemptOwners{query: []string{self}, informed: map[string]string{self: ""}, onlyDaemon: true}
 	if !local {
 		owners = selectAttemptOwners(query.Attempt, d.members.View(), d.clock.Elapsed(), self)
@@ -119,7 +119,7 @@
 	for _, owner := range owners.query {
 		client := peerapi.Fellow(d)
 		if owner != self {
-			client = d.links.To(owner)
+			client = d.links.Client(owner)
 			d.counters.attemptQueries.Add(1)
 		}
 		request := &peerapi.AttemptRequest{Attempt: query.Attempt, Owner: query.Owner, Digest: query.Digest, AgeMs: query.Age.Milliseconds(), Action: string(query.Act), OtherOwnerAddress: owners.informed[owner]}
--- a/daemon/configurationhistory.go
+++ b/daemon/configurationhistory.go
@@ -72,7 +72,7 @@
 	if len(peers) == 0 {
 		return nil
 	}
-	recalled, err := d.links.To(peers[rand.IntN(len(peers))].Address).Recall(bounded, &peerapi.RecallRequest{Version: uint64(version)})
+	recalled, err := d.links.Client(peers[rand.IntN(len(peers))].Address).Recall(bounded, &peerapi.RecallRequest{Version: uint64(version)})
 	if err != nil {
 		return nil
 	}
--- a/daemon/counters.go
+++ b/daemon/counters.go
@@ -50,7 +50,7 @@
 	}
 	d.eachForwardingCounter(report)
 	d.nodeRanking.eachCounter(report)
-	if d.config.Serves(daemonconfig.Place) {
+	if d.config.Serves(daemonconfig.Placement) {
 		d.eachSessionPlanningCounter(report)
 		d.poolPlanning.eachCounter(report)
 	}
@@ -62,11 +62,11 @@
 	report("fellow_foreign_group", counts.foreignGroup.Load())
 	report("fellow_garbage", counts.malformedMessages.Load())
 	traffic := &d.links.Traffic
-	report("fellow_bytes_sent", traffic.Sent.Load())
-	report("fellow_bytes_received", traffic.Received.Load())
-	report("fellow_calls_made", traffic.Asked.Load())
-	report("fellow_calls_served", traffic.Answered.Load())
-	report("fellow_connections_opened", traffic.Opened.Load())
+	report("fellow_bytes_sent", traffic.SentBytes.Load())
+	report("fellow_bytes_received", traffic.ReceivedBytes.Load())
+	report("fellow_calls_made", traffic.Requests.Load())
+	report("fellow_calls_served", traffic.Served.Load())
+	report("fellow_connections_opened", traffic.Connections.Load())
 	report("member_troubles", counts.memberFaults.Load())
 	report("listener_troubles", counts.listenerFaults.Load())
 	report("orders_unproven", counts.appliesUnproven.Load())
@@ -87,9 +87,9 @@
 // eachGroupCounter lists the counters of the control group, as this daemon's member sees it.
 func (d *Daemon) eachGroupCounter(report reportCounter) {
 	group := &d.counters.group
-	report("raft_sent", d.links.Sent.Load())
-	report("raft_dropped", d.links.Dropped.Load())
-	report("raft_failed", d.links.Failed.Load())
+	report("raft_sent", d.links.SentMessages.Load())
+	report("raft_dropped", d.links.DroppedBatches.Load())
+	report("raft_failed", d.links.FailedBatches.Load())
 	if groupMember := d.replica.Load(); groupMember != nil {
 		report("raft_refused", groupMember.Rejected.Load())
 	}
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -45,7 +45,7 @@
 	clock   clock.Clock
 	log     log.Interface
 
-	links             *peerclient.Links
+	links             *peerclient.Pool
 	rollout           *rollout.Manager
 	members           *membership.Membership
 	registry          *registry.Registry
@@ -156,7 +156,7 @@
 	d.generator = snowflake.New(d.clock, leaseMargin)
 	d.current.Store(&config)
 	d.notifier, d.callerGate = longpoll.NewNotifier(), listener.NewGate()
-	d.listeners = listener.Opener{Retry: config.Trouble == daemonconfig.WaitOnTrouble, Log: d.log, Faults: &d.counters.listenerFaults}
+	d.listeners = listener.Opener{Retry: config.OnFault == daemonconfig.RetryOnFault, Log: d.log, Faults: &d.counters.listenerFaults}
 	d.sentVersions.randomize()
 	return d
 }
@@ -179,8 +179,8 @@
 }
 
 func (d *Daemon) roleNames() []string {
-	out := make([]string, 0, len(d.config.Serve))
-	for _, role := range d.config.Serve {
+	out := make([]string, 0, len(d.config.Roles))
+	for _, role := range d.config.Roles {
 		out = append(out, string(role))
 	}
 	return out
--- a/daemon/longpoll.go
+++ b/daemon/longpoll.go
@@ -34,7 +34,7 @@
 func (d *Daemon) updateUrgency(in *peerapi.PullRequest) longpoll.Urgency {
 	configuration, closure := d.InForce()
 	leader, term := d.leaderAndTerm()
-	planner, plans, self := d.members.View().PlannerAddress, d.IsPlanner(), d.config.ReachedAt()
+	planner, plans, self := d.members.View().PlannerAddress, d.IsPlanner(), d.config.AdvertisedPeerAddress()
 	switch {
 	case d.sendsConfiguration(configuration, in) || uint64(closure) > in.ClosureVersion,
 		// A peer that knows of a newer leader has no use for this one.
--- a/daemon/member.go
+++ b/daemon/member.go
@@ -61,10 +61,10 @@
 
 // openStore opens the data folder at the start, if one that can't be used is to end the daemon.
 func (d *Daemon) openStore() (*store.Store, error) {
-	if !d.config.Serves(daemonconfig.Control) || d.config.Trouble == daemonconfig.WaitOnTrouble {
+	if !d.config.Serves(daemonconfig.Control) || d.config.OnFault == daemonconfig.RetryOnFault {
 		return nil, nil
 	}
-	return store.Open(d.config.Data, NewMember)
+	return store.Open(d.config.DataDir, NewMember)
 }
 
 // runMember runs one incarnation of the member after another until ctx ends. Where the settings say to wait, a disk
@@ -80,7 +80,7 @@
 		if ctx.Err() != nil || d.memberRetired.Load() {
 			return
 		}
-		if d.config.Trouble != daemonconfig.WaitOnTrouble {
+		if d.config.OnFault != daemonconfig.RetryOnFault {
 			d.fatal <- err
 			return
 		}
@@ -92,7 +92,7 @@
 		entry := d.log.WithError(err)
 		switch {
 		case errors.As(err, new(*replica.StateDivergedError)):
-			if err := store.Quarantine(d.config.Data); err != nil {
+			if err := store.Quarantine(d.config.DataDir); err != nil {
 				d.log.WithError(err).Warn("the state that differs cannot be set aside yet")
 				break
 			}
@@ -106,7 +106,7 @@
 			// What was acknowledged is on a majority; what this folder held can't be trusted, nor may the votes that
 			// were cast under its identity be cast again. A new identity has cast none.
 			damageCount = 0
-			if err := store.Quarantine(d.config.Data); err != nil {
+			if err := store.Quarantine(d.config.DataDir); err != nil {
 				d.log.WithError(err).Warn("the damaged files cannot be set aside yet")
 				break
 			}
@@ -138,7 +138,7 @@
 func (d *Daemon) runMemberIncarnation(ctx context.Context, opened *store.Store, probeDisk bool) error {
 	if opened == nil {
 		var err error
-		if opened, err = store.Open(d.config.Data, NewMember); err != nil {
+		if opened, err = store.Open(d.config.DataDir, NewMember); err != nil {
 			return err
 		}
 	}
@@ -174,7 +174,7 @@
 	if !d.learnGroup(group) {
 		return eris.Errorf("the data folder belongs to group %s, and fellows belong to %s", group, d.Group())
 	}
-	self := raft.Member{ID: incarnation.store.MemberID, Name: d.config.Name, Address: d.config.ReachedAt()}
+	self := raft.Member{ID: incarnation.store.MemberID, Name: d.config.Name, Address: d.config.AdvertisedPeerAddress()}
 	if !belongsToGroup(incarnation.store) {
 		// A new member belongs to whichever generation addresses it first.
 		group = ""
--- a/daemon/noderanking.go
+++ b/daemon/noderanking.go
@@ -111,7 +111,7 @@
 
 // plans says whether this daemon may rank at all: it must plan pools.
 func (n *nodeRanking) plans() bool {
-	return n.poolPlanning != nil && n.config.Serves(daemonconfig.Place)
+	return n.poolPlanning != nil && n.config.Serves(daemonconfig.Placement)
 }
 
 // start starts the ranker's goroutine, which ends with the daemon. It runs where ranking is off too, to reopen what
--- a/daemon/rehoming.go
+++ b/daemon/rehoming.go
@@ -76,8 +76,8 @@
 func (d *Daemon) handOverAttempts(ctx context.Context) {
 	after := d.liveOwners()
 	before := maps.Clone(after)
-	before[d.config.ReachedAt()] = d.nodeID
-	delete(after, d.config.ReachedAt())
+	before[d.config.AdvertisedPeerAddress()] = d.nodeID
+	delete(after, d.config.AdvertisedPeerAddress())
 	d.transferOwnership(ctx, before, after)
 }
 
@@ -94,7 +94,7 @@
 	d.transferAssignments(ctx, before, after)
 	oldAddresses, newAddresses := addressesOf(before), addressesOf(after)
 	batches, complete := map[string][]*peerapi.AttemptRecord{}, map[string]bool{}
-	startedRecently, self := d.recentlyStarted(), d.config.ReachedAt()
+	startedRecently, self := d.recentlyStarted(), d.config.AdvertisedPeerAddress()
 	d.attempts.Do(func(now clock.Mark, memory *deduplication.Memory) {
 		memory.Each(func(attempt string, entry deduplication.Entry) {
 			for _, owner := range newOwners("attempt "+attempt, before, after, oldAddresses, newAddresses) {
@@ -118,7 +118,7 @@
 		for part := range slices.Chunk(batch, transferBatch) {
 			bounded, cancel := context.WithTimeout(ctx, time.Second)
 			// An owner that misses this is not the only one that knows.
-			_, err := d.links.To(owner).Remember(bounded, &peerapi.RememberRequest{Attempts: part})
+			_, err := d.links.Client(owner).Remember(bounded, &peerapi.RememberRequest{Attempts: part})
 			cancel()
 			delivered = delivered && err == nil
 			d.counters.attemptsTransferred.Add(uint64(len(part)))
@@ -126,7 +126,7 @@
 		if delivered && complete[owner] {
 			bounded, cancel := context.WithTimeout(ctx, time.Second)
 			// An owner that misses this counts as recently started for some seconds more.
-			_, _ = d.links.To(owner).Remember(bounded, &peerapi.RememberRequest{From: self, Complete: true})
+			_, _ = d.links.Client(owner).Remember(bounded, &peerapi.RememberRequest{From: self, Complete: true})
 			cancel()
 		}
 	}
