--- a/daemon/counters.go
+++ b/daemon/counters.go
@@ -115,7 +115,7 @@
 	d.eachForwardingCounter(say)
 	d.nodeRanking.eachCounter(say)
 	if d.config.Serves(daemonconfig.Place) {
-		planned := d.sessionPlacer.Condition().Counters
+		planned := d.sessionPlacer.Status().Counters
 		say("orders", planned.Orders)
 		say("orders_done", planned.Done)
 		say("orders_refused", planned.Refused)
--- a/daemon/demand.go
+++ b/daemon/demand.go
@@ -31,7 +31,7 @@
 	var seated []*peerapi.EngineSessions
 	snapshot := d.dispatch.Snapshot()
 	for _, demand := range snapshot.Demands {
-		all = append(all, &peerapi.Demand{Model: demand.Model, Adapter: demand.Adapter, Value: demand.Worth, Queued: int64(demand.Queued), Running: int64(demand.Running)})
+		all = append(all, &peerapi.Demand{Model: demand.Model, Adapter: demand.Adapter, Value: demand.Value, Queued: int64(demand.Queued), Running: int64(demand.Running)})
 	}
 	all = append(all, d.forwardDemands()...)
 	for _, seat := range snapshot.Seats {
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -84,7 +84,7 @@
 func (d *Daemon) handOverRoles(limit context.Context, remaining *unreleasedSet) {
 	if d.config.Serves(daemonconfig.Place) {
 		plans := d.IsPlanner()
-		d.sessionPlacer.StandDown()
+		d.sessionPlacer.Resign()
 		d.poolPlanning.standDown()
 		bounded, done := context.WithTimeout(limit, claimLimit)
 		if _, ok := d.submitOnce(bounded, statemachine.Command{Op: statemachine.OpReleasePlanner, NodeID: d.nodeID}); !ok && plans {
--- a/daemon/planner.go
+++ b/daemon/planner.go
@@ -7,7 +7,7 @@
 
 // IsPlanner says whether this daemon plans.
 func (d *Daemon) IsPlanner() bool {
-	return d.config.Serves(daemonconfig.Place) && (d.sessionPlacer.Condition().Held || d.poolPlanning.condition().Held)
+	return d.config.Serves(daemonconfig.Place) && (d.sessionPlacer.Status().HasLease || d.poolPlanning.condition().Held)
 }
 
 // heardClaim is the highest claim number that this daemon has heard of, so that none is ever given out twice.
--- a/daemon/sessionplanning.go
+++ b/daemon/sessionplanning.go
@@ -41,7 +41,7 @@
 		if now.Since(heard.At) < demandFresh {
 			heard.Each(now, func(demand *peerapi.Demand, _ time.Duration, _ float64) {
 				if demand.Pool == "" {
-					in.Demand = append(in.Demand, sessionplacement.Demand{Model: demand.Model, Adapter: demand.Adapter, Worth: demand.Value, Queued: int(demand.Queued), Running: int(demand.Running)})
+					in.Demand = append(in.Demand, sessionplacement.Demand{Model: demand.Model, Adapter: demand.Adapter, Value: demand.Value, Queued: int(demand.Queued), Running: int(demand.Running)})
 				}
 			})
 		}
@@ -69,8 +69,8 @@
 	return enginestream.Order(ctx, address, order, limit, func() bool { return mayLeave() && p.generator.HasLease() })
 }
 
-// MayStand says whether this daemon should try to plan.
-func (p sessionPlanner) MayStand() bool {
+// MayPlan says whether this daemon should try to plan.
+func (p sessionPlanner) MayPlan() bool {
 	ready, _ := p.Ready()
 	// A bundle without engines of the platform's list leaves nothing to plan for sessions.
 	table := p.rollout.Table()
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -43,8 +43,8 @@
 		}
 	}
 	if d.config.Serves(daemonconfig.Place) {
-		condition := d.sessionPlacer.Condition()
-		out.Planner = &operatorapi.PlannerStatus{HasLease: condition.Held, Token: condition.Claim, PendingOrders: condition.InFlight}
+		condition := d.sessionPlacer.Status()
+		out.Planner = &operatorapi.PlannerStatus{HasLease: condition.HasLease, Token: condition.Token, PendingOrders: condition.PendingOrders}
 	}
 	for _, peer := range d.members.View().InContact(now, 30*time.Second) {
 		out.Peers = append(out.Peers, operatorapi.Peer{NodeID: peer.NodeID, Address: peer.Address, Zone: peer.Zone, Serve: peer.Roles,
--- a/daemon/unplaced.go
+++ b/daemon/unplaced.go
@@ -31,7 +31,7 @@
 
 // shortageReport is what the planner here said last that it will not load soon, as told to others.
 type shortageReport struct {
-	sessions []sessionplacement.Lack
+	sessions []sessionplacement.Unplaced
 	pools    []poolplacement.Lack
 }
 
@@ -114,7 +114,7 @@
 func (d *Daemon) shortagesNow() map[dispatch.Wanted]time.Duration {
 	if d.IsPlanner() {
 		out := map[dispatch.Wanted]time.Duration{}
-		for _, shortage := range d.sessionPlacer.Condition().Lacks {
+		for _, shortage := range d.sessionPlacer.Status().Unplaced {
 			out[dispatch.Wanted{Model: shortage.Model, Adapter: shortage.Adapter}] = shortage.Wait
 		}
 		return out
--- a/process/placement/sessionplacement/actor.go
+++ b/process/placement/sessionplacement/actor.go
@@ -14,85 +14,86 @@
 	"github.com/cresspond/cresspond/wire/engineapi"
 )
 
-// Surroundings is what the actor needs of its daemon.
-type Surroundings interface {
+// Environment is what the actor needs of its daemon.
+type Environment interface {
 	// Input gives what the plan looks at.
 	Input() Input
-	// Claim asks the group for the claim, or for more time under it, and reports what was ordered.
+	// Claim acquires or renews the planner's lease, and tells the group what was ordered. It reports whether the
+	// group answered.
 	Claim(ctx context.Context, orders map[ident.EngineID]uint64, turn uint64) (*statemachine.PlannerLease, bool)
 	// Mint stamps an order.
 	Mint() (ident.SnowflakeID, snowflake.Outcome)
 	// Order sends an order; see enginelink.Order.
 	Order(ctx context.Context, address string, order engineapi.Order, limit time.Duration, mayLeave func() bool) (*engineapi.OrderAnswer, bool)
-	// MayStand says whether this daemon should try for the claim.
-	MayStand() bool
+	// MayPlan says whether this daemon should try to acquire the lease.
+	MayPlan() bool
 }
 
-// Condition is what others may see of the planner.
-type Condition struct {
-	Claim    ident.FencingToken
-	Held     bool
-	InFlight int
-	Lacks    []Lack
-	Counters Counters
+// Status is what the rest of the daemon sees of the planner.
+type Status struct {
+	Token         ident.FencingToken
+	HasLease      bool
+	PendingOrders int
+	Unplaced      []Unplaced
+	Counters      Counters
 }
 
-// Actor plans while it holds the claim.
+// Actor runs the [Planner] while this daemon holds the planner's lease, and sends its orders.
 type Actor struct {
-	around    Surroundings
-	clock     clock.Clock
-	mailbox   *actor.Mailbox[any]
-	planner   *Planner
-	claim     *plannerlease.Holder
-	asking    bool
-	askedAt   clock.Mark
-	condition atomic.Pointer[Condition]
-	stopped   bool
-	// turn numbers what the group has been sent of the orders.
-	turn uint64
+	environment      Environment
+	clock            clock.Clock
+	mailbox          *actor.Mailbox[any]
+	planner          *Planner
+	lease            *plannerlease.Holder
+	leaseRequested   bool
+	leaseRequestedAt clock.Mark
+	status           atomic.Pointer[Status]
+	stopped          bool
+	// announcements numbers what the group has been sent of the orders.
+	announcements uint64
 }
 
 type (
-	claimed struct {
+	leaseReply struct {
 		asked clock.Mark
-		claim *statemachine.PlannerLease
+		lease *statemachine.PlannerLease
 		ok    bool
 	}
-	answered struct {
+	orderReply struct {
 		engine ident.EngineID
 		order  engineapi.Order
 		answer *engineapi.OrderAnswer
 		sent   bool
 	}
-	standDown struct{ done chan struct{} }
+	resign struct{ done chan struct{} }
 )
 
 const (
-	planEvery  = 200 * time.Millisecond
-	renewEvery = time.Second
-	// claimMargin is taken off the end of a claim for clock-rate error.
-	claimMargin = 500 * time.Millisecond
+	planInterval  = 200 * time.Millisecond
+	renewInterval = time.Second
+	// leaseMargin is subtracted from the end of a lease, for the error of clock rates.
+	leaseMargin = 500 * time.Millisecond
 )
 
 // NewActor makes the actor.
-func NewActor(around Surroundings, c clock.Clock) *Actor {
-	a := &Actor{around: around, clock: c, mailbox: actor.NewMailbox[any](64), planner: NewPlanner(), claim: plannerlease.NewHolder(c, claimMargin)}
-	a.condition.Store(&Condition{})
+func NewActor(environment Environment, c clock.Clock) *Actor {
+	a := &Actor{environment: environment, clock: c, mailbox: actor.NewMailbox[any](64), planner: NewPlanner(), lease: plannerlease.NewHolder(c, leaseMargin)}
+	a.status.Store(&Status{})
 	return a
 }
 
-// Condition tells where the planner stands.
-func (a *Actor) Condition() Condition { return *a.condition.Load() }
+// Status gives what the planner published last. It may be called from any goroutine.
+func (a *Actor) Status() Status { return *a.status.Load() }
 
 // Run runs the actor until ctx ends.
 func (a *Actor) Run(ctx context.Context) {
-	a.mailbox.Run(ctx, planEvery, func(event any) { a.take(event) }, func() { a.tick(ctx) })
+	a.mailbox.Run(ctx, planInterval, func(event any) { a.handle(event) }, func() { a.tick(ctx) })
 }
 
-// StandDown gives up planning for good; it returns when no further order can leave.
-func (a *Actor) StandDown() {
+// Resign ends planning for good; when it returns no further order can be sent.
+func (a *Actor) Resign() {
 	done := make(chan struct{})
-	if a.mailbox.Send(standDown{done}) {
+	if a.mailbox.Send(resign{done}) {
 		select {
 		case <-done:
 		case <-a.mailbox.Done():
@@ -102,58 +103,58 @@
 
 func (a *Actor) tick(ctx context.Context) {
 	now := a.clock.Elapsed()
-	number, held := a.claim.Held()
-	if !a.stopped && !a.asking && now.Since(a.askedAt) >= renewEvery && a.around.MayStand() {
-		a.asking, a.askedAt = true, now
-		orders, turn := a.announce(held)
+	number, leased := a.lease.Held()
+	if !a.stopped && !a.leaseRequested && now.Since(a.leaseRequestedAt) >= renewInterval && a.environment.MayPlan() {
+		a.leaseRequested, a.leaseRequestedAt = true, now
+		orders, sequence := a.announce(leased)
 		go func() {
-			bounded, cancel := context.WithTimeout(ctx, renewEvery)
+			bounded, cancel := context.WithTimeout(ctx, renewInterval)
 			defer cancel()
-			claim, ok := a.around.Claim(bounded, orders, turn)
-			a.mailbox.Send(claimed{now, claim, ok})
+			lease, ok := a.environment.Claim(bounded, orders, sequence)
+			a.mailbox.Send(leaseReply{now, lease, ok})
 		}()
 	}
-	if held {
+	if leased {
 		a.plan(ctx, number)
 	}
-	number, held = a.claim.Held()
-	a.condition.Store(&Condition{Claim: number, Held: held, InFlight: len(a.planner.inFlight), Lacks: a.planner.Lacks, Counters: a.planner.Counters})
+	number, leased = a.lease.Held()
+	a.status.Store(&Status{Token: number, HasLease: leased, PendingOrders: len(a.planner.pending), Unplaced: a.planner.Unplaced, Counters: a.planner.Counters})
 }
 
 // announce is what the group has been sent of the orders given so far.
-func (a *Actor) announce(held bool) (orders map[ident.EngineID]uint64, turn uint64) {
-	if !held {
+func (a *Actor) announce(leased bool) (orders map[ident.EngineID]uint64, sequence uint64) {
+	if !leased {
 		return nil, 0
 	}
-	a.turn++
-	return a.planner.Ordered(), a.turn
+	a.announcements++
+	return a.planner.Ordered(), a.announcements
 }
 
 // announceLimit bounds the wait until the group has written down that orders are about to leave.
-const announceLimit = 1500 * time.Millisecond
+const announceTimeout = 1500 * time.Millisecond
 
 func (a *Actor) plan(ctx context.Context, number ident.FencingToken) {
-	given := a.planner.Step(a.around.Input())
-	if len(given) == 0 {
+	issued := a.planner.Step(a.environment.Input())
+	if len(issued) == 0 {
 		return
 	}
 	// The group knows of an order before it leaves: a successor whose reports lag behind must not order as if
 	// it had not been given, however this daemon ends.
-	orders, turn := a.announce(true)
-	announced := make(chan bool, len(given))
+	orders, sequence := a.announce(true)
+	announced := make(chan bool, len(issued))
 	go func() {
-		bounded, cancel := context.WithTimeout(ctx, announceLimit)
+		bounded, cancel := context.WithTimeout(ctx, announceTimeout)
 		defer cancel()
-		claim, ok := a.around.Claim(bounded, orders, turn)
-		ok = ok && claim.Token == number
-		for range given {
+		lease, ok := a.environment.Claim(bounded, orders, sequence)
+		ok = ok && lease.Token == number
+		for range issued {
 			announced <- ok
 		}
 	}()
-	for _, directed := range given {
-		stamp, outcome := a.around.Mint()
+	for _, directed := range issued {
+		stamp, outcome := a.environment.Mint()
 		if outcome != snowflake.Generated {
-			// Without a lease on a worker id nothing may be ordered.
+			// Without a worker-id lease nothing may be ordered.
 			a.planner.Withdraw(directed.Engine)
 			continue
 		}
@@ -163,22 +164,22 @@
 		}
 		go func() {
 			if !<-announced {
-				a.mailbox.Send(answered{directed.Engine, order, nil, false})
+				a.mailbox.Send(orderReply{directed.Engine, order, nil, false})
 				return
 			}
-			answer, sent := a.around.Order(ctx, directed.Address, order, orderLimit, func() bool { return a.claim.Commands(number) })
-			a.mailbox.Send(answered{directed.Engine, order, answer, sent})
+			answer, sent := a.environment.Order(ctx, directed.Address, order, orderTimeout, func() bool { return a.lease.Commands(number) })
+			a.mailbox.Send(orderReply{directed.Engine, order, answer, sent})
 		}()
 	}
 }
 
-func (a *Actor) take(event any) {
+func (a *Actor) handle(event any) {
 	switch e := event.(type) {
-	case claimed:
-		a.asking = false
-		a.takeClaim(e)
-	case answered:
-		if number, held := a.claim.Held(); !held || e.order.Claim != number {
+	case leaseReply:
+		a.leaseRequested = false
+		a.adoptLease(e)
+	case orderReply:
+		if number, leased := a.lease.Held(); !leased || e.order.Claim != number {
 			return
 		}
 		if !e.sent {
@@ -186,23 +187,23 @@
 			return
 		}
 		a.planner.Answered(a.clock.Elapsed(), e.engine, e.order, e.answer)
-	case standDown:
+	case resign:
 		a.stopped = true
-		a.claim.Drop()
+		a.lease.Drop()
 		close(e.done)
 	}
 }
 
-// takeClaim is the one place where the claim is taken up.
-func (a *Actor) takeClaim(e claimed) {
+// adoptLease is the one place where a lease is taken over.
+func (a *Actor) adoptLease(e leaseReply) {
 	if !e.ok || a.stopped {
 		return
 	}
-	if a.claim.Take(e.asked, e.claim) {
-		// A fresh claim starts from the reports alone, once they can tell of what was ordered before.
+	if a.lease.Take(e.asked, e.lease) {
+		// A fresh lease starts from the reports alone, once they reflect what was ordered before it.
 		counters := a.planner.Counters
 		a.planner = NewPlanner()
-		a.planner.Inherit(a.clock.Elapsed(), e.claim.Orders)
+		a.planner.Inherit(a.clock.Elapsed(), e.lease.Orders)
 		a.planner.Counters = counters
 	}
 }
--- a/process/placement/sessionplacement/adapter.go
+++ b/process/placement/sessionplacement/adapter.go
@@ -7,17 +7,18 @@
 	"github.com/cresspond/cresspond/wire/engineapi"
 )
 
-func (p *Planner) serveAdapter(in Input, w shortage) (Directed, bool) {
+// serveAdapter loads an adapter on an engine that has its model and a free slot, or evicts a less valuable one.
+func (p *Planner) serveAdapter(in Input, wanted shortage) (Directed, bool) {
 	var full *discovery.Engine
 	for _, id := range sortedIDs(in.Engines) {
 		engine := in.Engines.Engines[id]
-		held, present := find(engine, w.model)
-		if !p.free(in, engine, w) || !present || held.State != engineapi.Loaded || slices.Contains(held.Adapters, w.adapter) {
+		reported, present := reportedModel(engine, wanted.model)
+		if !p.acceptsOrder(in, engine, wanted) || !present || reported.State != engineapi.Loaded || slices.Contains(reported.Adapters, wanted.adapter) {
 			continue
 		}
 		allowed, _ := in.Table.Engine(id)
-		if adapters(engine) < allowed.AdapterSlots {
-			return p.issue(in, engine, engineapi.Order{Kind: engineapi.LoadAdapter, Model: w.model, Adapter: w.adapter}), true
+		if loadedAdapterCount(engine) < allowed.AdapterSlots {
+			return p.issue(in, engine, engineapi.Order{Kind: engineapi.LoadAdapter, Model: wanted.model, Adapter: wanted.adapter}), true
 		}
 		if full == nil {
 			full = engine
@@ -26,16 +27,16 @@
 	if full == nil {
 		return Directed{}, false
 	}
-	// All places are taken: the adapter that is worth least makes way, unless a session is assigned to it.
+	// All slots are used: evict the adapter of the lowest value that no session is assigned to.
 	var bestModel, bestAdapter string
 	var bestCost int64 = -1
-	for _, held := range full.Report.Models {
-		for _, adapter := range held.Adapters {
-			cost := p.cost(in, item{held.Model, adapter})
-			if p.assigned(in, full.ID, held.Model, adapter) || cost >= w.worth || bestCost >= 0 && cost >= bestCost {
+	for _, reported := range full.Report.Models {
+		for _, adapter := range reported.Adapters {
+			cost := p.cost(in, item{reported.Model, adapter})
+			if p.assigned(in, full.ID, reported.Model, adapter) || cost >= wanted.value || bestCost >= 0 && cost >= bestCost {
 				continue
 			}
-			bestModel, bestAdapter, bestCost = held.Model, adapter, cost
+			bestModel, bestAdapter, bestCost = reported.Model, adapter, cost
 		}
 	}
 	if bestCost < 0 {
@@ -44,10 +45,11 @@
 	return p.issue(in, full, engineapi.Order{Kind: engineapi.UnloadAdapter, Model: bestModel, Adapter: bestAdapter}), true
 }
 
-func adapters(engine *discovery.Engine) int {
+// loadedAdapterCount counts the adapters that an engine reports, of all its models.
+func loadedAdapterCount(engine *discovery.Engine) int {
 	count := 0
-	for _, held := range engine.Report.Models {
-		count += len(held.Adapters)
+	for _, reported := range engine.Report.Models {
+		count += len(reported.Adapters)
 	}
 	return count
 }
--- a/process/placement/sessionplacement/demand.go
+++ b/process/placement/sessionplacement/demand.go
@@ -8,25 +8,25 @@
 	"github.com/cresspond/cresspond/wire/engineapi"
 )
 
-// lastRequest is when an item was last asked for, and for what worth.
+// lastRequest is when an item was last requested, and at what value.
 type lastRequest struct {
 	at    clock.Mark
-	worth int64
+	value int64
 }
 
-// shortage is one model, or one adapter of it, that should stand on more engines than it does.
+// shortage is a model, or an adapter of it, that should be loaded on more engines than it is.
 type shortage struct {
 	item
-	worth  int64
+	value  int64
 	queued int
-	// idle says that nobody asks now: it may fill free room and push nothing out.
+	// idle says that there is no demand now: it may use free capacity and must not evict anything.
 	idle bool
 }
 
-// requests is what the whole fleet asks for of one item.
+// requests is the demand of the whole fleet for one item.
 type requests struct {
 	queued, running int
-	worth           int64
+	value           int64
 }
 
 // itemsOf lists the model of a demand and, where it names one, the adapter.
@@ -46,14 +46,14 @@
 			sum := sums[key]
 			sum.queued += demand.Queued
 			sum.running += demand.Running
-			sum.worth = max(sum.worth, demand.Worth)
+			sum.value = max(sum.value, demand.Value)
 			sums[key] = sum
 		}
 	}
 	return sums
 }
 
-// shortages lists what is lacking, the highest worth first.
+// shortages lists what is short of replicas, the highest value first.
 func (p *Planner) shortages(in Input) []shortage {
 	sums := addUp(in.Demand)
 	out := p.requestedShortages(in, sums)
@@ -62,7 +62,7 @@
 	return out
 }
 
-// requestedShortages lists what is asked for and stands on too few engines.
+// requestedShortages lists what is requested and loaded on too few engines.
 func (p *Planner) requestedShortages(in Input, sums map[item]requests) []shortage {
 	var out []shortage
 	for key, sum := range sums {
@@ -70,25 +70,25 @@
 			continue
 		}
 		standing, slots := p.standing(in, key)
-		p.noteLacking(in, key, sum.queued > 0 && standing == 0)
-		// Where more waits than all who hold it can run at once, one more replica is needed.
+		p.recordUnplacedSince(in, key, sum.queued > 0 && standing == 0)
+		// Where more is queued than the slots of all its replicas can run at once, one more replica is needed.
 		if sum.queued > 0 && (standing == 0 || sum.queued+sum.running > slots) {
-			out = append(out, shortage{item: key, worth: sum.worth, queued: sum.queued})
+			out = append(out, shortage{item: key, value: sum.value, queued: sum.queued})
 		}
 	}
 	return out
 }
 
-// noteLacking keeps since when an item has been asked for that stands nowhere.
-func (p *Planner) noteLacking(in Input, key item, lacking bool) {
+// recordUnplacedSince keeps since when an item has been requested without any replica.
+func (p *Planner) recordUnplacedSince(in Input, key item, lacking bool) {
 	if !lacking {
-		delete(p.lackingSince, key)
-	} else if _, known := p.lackingSince[key]; !known {
-		p.lackingSince[key] = in.Now
+		delete(p.unplacedSince, key)
+	} else if _, known := p.unplacedSince[key]; !known {
+		p.unplacedSince[key] = in.Now
 	}
 }
 
-// idleShortages lists the models of the spec's routes that nobody asks for and that stand nowhere.
+// idleShortages lists the models of the configuration's routes that have neither demand nor a replica.
 func (p *Planner) idleShortages(in Input, sums map[item]requests) []shortage {
 	best := map[string]int64{}
 	for _, route := range in.Table.Configuration.Routes {
@@ -97,18 +97,19 @@
 		}
 	}
 	var out []shortage
-	for model, worth := range best {
+	for model, value := range best {
 		key := item{model: model}
-		if standing, _ := p.standing(in, key); standing == 0 && sums[key].worth == 0 {
-			out = append(out, shortage{item: key, worth: worth, idle: true})
+		if standing, _ := p.standing(in, key); standing == 0 && sums[key].value == 0 {
+			out = append(out, shortage{item: key, value: value, idle: true})
 		}
 	}
 	return out
 }
 
-// compareShortages puts what is asked for before what is idle, then the higher worth, then the longer queue.
+// compareShortages orders by demand before idleness, then by the higher value, then by the longer queue. The names come
+// last, so that a plan does not depend on the order of a map.
 func compareShortages(a, b shortage) int {
-	return cmp.Or(cmp.Compare(idleRank(a), idleRank(b)), cmp.Compare(b.worth, a.worth), cmp.Compare(b.queued, a.queued),
+	return cmp.Or(cmp.Compare(idleRank(a), idleRank(b)), cmp.Compare(b.value, a.value), cmp.Compare(b.queued, a.queued),
 		cmp.Compare(a.model, b.model), cmp.Compare(a.adapter, b.adapter))
 }
 
@@ -119,22 +120,22 @@
 	return 0
 }
 
-// standing counts the engines that have, or are getting, what is wanted, and the slots they offer.
+// standing counts the engines that have loaded an item or are loading it, and the slots that they offer.
 func (p *Planner) standing(in Input, key item) (count, slots int) {
 	for id, engine := range in.Engines.Engines {
 		if !p.commandable(in, engine) {
 			continue
 		}
 		allowed, _ := in.Table.Engine(id)
-		inFlight := p.inFlight[id]
-		held, present := find(engine, key.model)
-		has := present && held.State != engineapi.Unloading
-		coming := inFlight != nil && inFlight.Model == key.model && inFlight.Kind == engineapi.Load
+		pending := p.pending[id]
+		reported, present := reportedModel(engine, key.model)
+		has := present && reported.State != engineapi.Unloading
+		coming := pending != nil && pending.Model == key.model && pending.Kind == engineapi.Load
 		if key.adapter != "" {
-			has = has && slices.Contains(held.Adapters, key.adapter)
-			coming = inFlight != nil && inFlight.Model == key.model && inFlight.Adapter == key.adapter && inFlight.Kind == engineapi.LoadAdapter
+			has = has && slices.Contains(reported.Adapters, key.adapter)
+			coming = pending != nil && pending.Model == key.model && pending.Adapter == key.adapter && pending.Kind == engineapi.LoadAdapter
 		}
-		if leaving := inFlight != nil && inFlight.Kind == engineapi.Unload && inFlight.Model == key.model; has && !leaving || coming {
+		if unloading := pending != nil && pending.Kind == engineapi.Unload && pending.Model == key.model; has && !unloading || coming {
 			count++
 			slots += allowed.Slots
 		}
--- a/process/placement/sessionplacement/doc.go
+++ b/process/placement/sessionplacement/doc.go
@@ -1,7 +1,18 @@
-// Package sessionplacement decides which engine of the spec holds which model and adapter, and orders it.
+// Package sessionplacement decides which engine loads which model and adapter for the requests of sessions, and orders it.
 //
-// [Planner] is a pure step over the spec, the demand, the sessions' assignments and the engines' reports. It settles the
-// orders that reports tell of, lists what is asked for and stands on too few engines, the highest worth first, and gives
-// at most one order for each: a load where there is room, else an unload of what is worth less. Loads keep to the pace
-// of the store. [Actor] holds the claim to order, stamps the orders and sends them.
+// [Planner] is a pure step over the configuration, the demand, the sessions' assignments and the engines' reports
+// ([Input]). A step, in this order:
+//
+//  1. resolves the pending orders that reports reflect (resolve.go);
+//  2. updates what it remembers of models, requests and assignments (history.go);
+//  3. lists what has too few replicas, the highest value first (demand.go);
+//  4. gives at most one order for each: a load where there is capacity (load.go, adapter.go), else an unload of what has
+//     less value (evict.go); for what gets none and has no replica, it estimates the wait (unplaced.go).
+//
+// Invariants: an engine has at most one pending order; its capacity is never exceeded, counting all that is loaded,
+// loading, or not surely gone; nothing is unloaded that a session is assigned to; loads keep to the store's rate limit
+// over the whole fleet; only a report whose call-seq can reflect an order resolves it.
+//
+// [Actor] owns the Planner. It holds the planner's lease, stamps the orders with minted ids and sends them. The group is told of an
+// order before it is sent, so that a successor does not repeat it.
 package sessionplacement
--- a/process/placement/sessionplacement/input.go
+++ b/process/placement/sessionplacement/input.go
@@ -10,7 +10,7 @@
 // Demand is what the whole fleet queues or runs for one model and adapter.
 type Demand struct {
 	Model, Adapter  string
-	Worth           int64
+	Value           int64
 	Queued, Running int
 }
 
--- a/process/placement/sessionplacement/load.go
+++ b/process/placement/sessionplacement/load.go
@@ -14,42 +14,42 @@
 	return engine.Usable() && in.Table.Open(engine.ID)
 }
 
-// serve finds the one order that brings what is wanted nearer.
-func (p *Planner) serve(in Input, w shortage) (Directed, bool) {
-	if w.adapter != "" {
-		return p.serveAdapter(in, w)
+// nextOrder finds the one order that brings what is wanted closer.
+func (p *Planner) nextOrder(in Input, wanted shortage) (Directed, bool) {
+	if wanted.adapter != "" {
+		return p.serveAdapter(in, wanted)
 	}
-	model, _ := in.Table.Model(w.model)
-	if target := p.loadTarget(in, w, model.Size); target != nil {
-		if !p.storeAllows(in, w.idle) {
+	model, _ := in.Table.Model(wanted.model)
+	if target := p.loadTarget(in, wanted, model.Size); target != nil {
+		if !p.storeAllows(in, wanted.idle) {
 			return Directed{}, false
 		}
 		p.lastLoad, p.loaded = in.Now, true
-		return p.issue(in, target, engineapi.Order{Kind: engineapi.Load, Model: w.model}), true
+		return p.issue(in, target, engineapi.Order{Kind: engineapi.Load, Model: wanted.model}), true
 	}
-	if w.idle || p.unloading(in) {
+	if wanted.idle || p.unloading(in) {
 		return Directed{}, false
 	}
-	return p.evict(in, w, model.Size)
+	return p.evict(in, wanted, model.Size)
 }
 
 // loadTarget picks the engine that is to load a model: one in a zone with the fewest replicas, then the one with the
-// most room. It gives nil where no engine has the room.
-func (p *Planner) loadTarget(in Input, w shortage, size int64) *discovery.Engine {
-	replicas := replicasByZone(in, w.model)
+// most free capacity. It gives nil where no engine has enough.
+func (p *Planner) loadTarget(in Input, wanted shortage, size int64) *discovery.Engine {
+	replicas := replicasByZone(in, wanted.model)
 	var best *discovery.Engine
 	var bestKey [2]int64
 	for _, id := range sortedIDs(in.Engines) {
 		engine := in.Engines.Engines[id]
-		if _, present := find(engine, w.model); present || !p.free(in, engine, w) {
+		if _, present := reportedModel(engine, wanted.model); present || !p.acceptsOrder(in, engine, wanted) {
 			continue
 		}
-		room := p.room(in, engine)
-		if room < size {
+		capacity := p.freeCapacity(in, engine)
+		if capacity < size {
 			continue
 		}
 		allowed, _ := in.Table.Engine(id)
-		key := [2]int64{int64(replicas[allowed.Zone]), -room}
+		key := [2]int64{int64(replicas[allowed.Zone]), -capacity}
 		if best == nil || slices.Compare(key[:], bestKey[:]) < 0 {
 			best, bestKey = engine, key
 		}
@@ -61,7 +61,7 @@
 func replicasByZone(in Input, model string) map[ident.ZoneID]int {
 	replicas := map[ident.ZoneID]int{}
 	for id, engine := range in.Engines.Engines {
-		if _, present := find(engine, model); present {
+		if _, present := reportedModel(engine, model); present {
 			allowed, _ := in.Table.Engine(id)
 			replicas[allowed.Zone]++
 		}
@@ -69,6 +69,7 @@
 	return replicas
 }
 
+// sortedIDs lists the engines in a fixed order, so that a plan does not depend on the order of a map.
 func sortedIDs(view *discovery.View) []ident.EngineID {
 	ids := make([]ident.EngineID, 0, len(view.Engines))
 	for id := range view.Engines {
@@ -78,48 +79,49 @@
 	return ids
 }
 
-// free says whether this engine could be given an order about what is wanted.
-func (p *Planner) free(in Input, engine *discovery.Engine, w shortage) bool {
-	_, resting := p.blockedUntil[placed{engine.ID, w.model, w.adapter}]
+// acceptsOrder says whether an engine could be given an order for what is wanted.
+func (p *Planner) acceptsOrder(in Input, engine *discovery.Engine, wanted shortage) bool {
+	_, resting := p.blockedUntil[placement{engine.ID, wanted.model, wanted.adapter}]
 	_, inherited := p.inherited[engine.ID]
-	return p.commandable(in, engine) && p.inFlight[engine.ID] == nil && !resting && !inherited
+	return p.commandable(in, engine) && p.pending[engine.ID] == nil && !resting && !inherited
 }
 
-// room is what is left on an engine, counting all that is loaded, coming, or not yet surely gone.
-func (p *Planner) room(in Input, engine *discovery.Engine) int64 {
+// freeCapacity is what is left on an engine, in the configuration's unit, counting all that is loaded, loading, or not
+// surely gone.
+func (p *Planner) freeCapacity(in Input, engine *discovery.Engine) int64 {
 	allowed, _ := in.Table.Engine(engine.ID)
 	left := allowed.Capacity
-	for _, held := range engine.Report.Models {
-		if model, known := in.Table.Model(held.Model); known {
+	for _, reported := range engine.Report.Models {
+		if model, known := in.Table.Model(reported.Model); known {
 			left -= model.Size
 		} else {
 			// The size of what the catalogue no longer names is unknown, so the engine counts as full.
 			return 0
 		}
 	}
-	if inFlight := p.inFlight[engine.ID]; inFlight != nil && inFlight.Kind == engineapi.Load {
-		if _, shown := find(engine, inFlight.Model); !shown {
-			model, _ := in.Table.Model(inFlight.Model)
+	if pending := p.pending[engine.ID]; pending != nil && pending.Kind == engineapi.Load {
+		if _, shown := reportedModel(engine, pending.Model); !shown {
+			model, _ := in.Table.Model(pending.Model)
 			left -= model.Size
 		}
 	}
 	return left
 }
 
-// storeAllows keeps loads to the store's pace over the whole fleet.
-// A load that nobody waits for leaves one place at the store for one that somebody will.
+// storeAllows keeps loads to the store's rate limit over the whole fleet. An idle load leaves one of the concurrent loads
+// for one with demand.
 func (p *Planner) storeAllows(in Input, idle bool) bool {
 	loading := 0
 	for id, engine := range in.Engines.Engines {
 		shown := ""
-		for _, held := range engine.Report.Models {
-			if held.State == engineapi.Loading {
+		for _, reported := range engine.Report.Models {
+			if reported.State == engineapi.Loading {
 				loading++
-				shown = held.Model
+				shown = reported.Model
 			}
 		}
 		_, inherited := p.inherited[id]
-		if inFlight := p.inFlight[id]; inFlight != nil && inFlight.Kind == engineapi.Load && inFlight.Model != shown || inherited && shown == "" {
+		if pending := p.pending[id]; pending != nil && pending.Kind == engineapi.Load && pending.Model != shown || inherited && shown == "" {
 			loading++
 		}
 	}
--- a/process/placement/sessionplacement/orders.go
+++ b/process/placement/sessionplacement/orders.go
@@ -13,36 +13,37 @@
 type OrderState uint8
 
 const (
-	// Sending: on its way, no answer yet.
+	// Sending: sent, no answer yet.
 	Sending OrderState = iota
-	// Taken: the engine said that it took it.
-	Taken
+	// Accepted: the engine answered that it accepted it.
+	Accepted
 	// Unknown: the answer was lost; only reports can tell.
 	Unknown
 )
 
-// OrderInFlight is one order that no report has settled yet.
-type OrderInFlight struct {
+// PendingOrder is an order that no report has resolved yet.
+type PendingOrder struct {
 	engineapi.Order
 	State OrderState
 	Sent  clock.Mark
 	// Expect is the call-seq that a report must show to say anything about this order.
 	Expect      uint64
 	Incarnation int
-	// address is where it was sent, answered when its answer came.
+	// address is where it was sent, answered when its answer arrived.
 	address  string
 	answered clock.Mark
-	// confirmed says that the incarnation it was noted under was still seen after the answer, so it took the order.
+	// confirmed says that the incarnation it was sent to was still seen after the answer, so that one accepted the order.
 	confirmed bool
 }
 
-// Inherit takes over what earlier claims ordered. An engine gets no order before its report can tell of that.
+// Inherit takes over what was ordered under earlier leases. An engine gets no order before its report reflects that.
 func (p *Planner) Inherit(now clock.Mark, orders map[ident.EngineID]uint64) {
 	p.began = now
 	maps.Copy(p.inherited, orders)
 }
 
-// Ordered is the call-seq each engine must show before its reports tell of all orders, this claim's and earlier ones'.
+// Ordered is the call-seq that each engine must report before its reports reflect all orders, of this lease and earlier
+// ones.
 func (p *Planner) Ordered() map[ident.EngineID]uint64 {
 	out := maps.Clone(p.inherited)
 	for id, seq := range p.ordered {
@@ -51,8 +52,8 @@
 	return out
 }
 
-// forgetInherited forgets what was inherited for engines whose reports tell of it by now, or were asked for so long
-// after the claim began that the engine must be another incarnation.
+// forgetInherited forgets what was inherited for engines whose reports reflect it by now, or were requested so long
+// after the lease began that the engine must be another incarnation.
 func (p *Planner) forgetInherited(in Input) {
 	for id, seq := range p.inherited {
 		engine := in.Engines.Engines[id]
@@ -62,57 +63,57 @@
 	}
 }
 
-// Directed is an order with the engine it is for.
+// Directed is an order with the engine that it is for.
 type Directed struct {
 	Engine  ident.EngineID
 	Address string
 	engineapi.Order
 }
 
-// Answered takes an engine's answer to an order, or the lack of one.
+// Answered records an engine's answer to an order; nil means that no answer came.
 func (p *Planner) Answered(now clock.Mark, engine ident.EngineID, order engineapi.Order, answer *engineapi.OrderAnswer) {
-	inFlight := p.inFlight[engine]
-	if inFlight == nil || inFlight.Order.Stamp != order.Stamp {
+	pending := p.pending[engine]
+	if pending == nil || pending.Order.Stamp != order.Stamp {
 		return
 	}
-	inFlight.answered = now
+	pending.answered = now
 	switch {
 	case answer == nil:
-		inFlight.State = Unknown
+		pending.State = Unknown
 	case answer.Taken:
-		inFlight.State = Taken
+		pending.State = Accepted
 	default:
 		p.Counters.Refused++
-		p.blockedUntil[placed{engine, order.Model, order.Adapter}] = now + clock.Mark(failedRest)
-		delete(p.inFlight, engine)
+		p.blockedUntil[placement{engine, order.Model, order.Adapter}] = now + clock.Mark(failedOrderBackoff)
+		delete(p.pending, engine)
 	}
 }
 
-// Stamp notes the id an order was sent under.
+// Stamp records the minted id and the fencing token that an order is sent with. It gives false where none is pending.
 func (p *Planner) Stamp(engine ident.EngineID, stamp ident.SnowflakeID, claim ident.FencingToken) (engineapi.Order, bool) {
-	inFlight := p.inFlight[engine]
-	if inFlight == nil {
+	pending := p.pending[engine]
+	if pending == nil {
 		return engineapi.Order{}, false
 	}
-	inFlight.Order.Stamp, inFlight.Order.Claim = stamp, claim
-	return inFlight.Order, true
+	pending.Order.Stamp, pending.Order.Claim = stamp, claim
+	return pending.Order, true
 }
 
-// Withdraw forgets an order that never left.
+// Withdraw forgets an order that was never sent.
 func (p *Planner) Withdraw(engine ident.EngineID) {
-	if inFlight := p.inFlight[engine]; inFlight != nil {
-		if inFlight.Kind == engineapi.Load {
+	if pending := p.pending[engine]; pending != nil {
+		if pending.Kind == engineapi.Load {
 			p.loaded = false
 		}
-		p.ordered[engine] = inFlight.Expect - 1
-		delete(p.inFlight, engine)
+		p.ordered[engine] = pending.Expect - 1
+		delete(p.pending, engine)
 	}
 }
 
-// issue notes an order as under way; from now on the engine gets no other until this one is settled.
+// issue makes an order pending; from now on the engine gets no other until this one is resolved.
 func (p *Planner) issue(in Input, engine *discovery.Engine, order engineapi.Order) Directed {
 	p.Counters.Orders++
 	p.ordered[engine.ID] = engine.Report.CallSeq + 1
-	p.inFlight[engine.ID] = &OrderInFlight{Order: order, State: Sending, Sent: in.Now, Expect: engine.Report.CallSeq + 1, Incarnation: engine.Incarnation, address: engine.Address}
+	p.pending[engine.ID] = &PendingOrder{Order: order, State: Sending, Sent: in.Now, Expect: engine.Report.CallSeq + 1, Incarnation: engine.Incarnation, address: engine.Address}
 	return Directed{Engine: engine.ID, Address: engine.Address, Order: order}
 }
--- a/process/placement/sessionplacement/plan.go
+++ b/process/placement/sessionplacement/plan.go
@@ -7,80 +7,81 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// Counters count the fates of orders under all claims of this daemon.
+// Counters count the outcomes of orders under all leases of this daemon.
 type Counters struct {
 	Orders, Done, Refused, Void, NeverArrived, Failed uint64
 }
 
-// Planner is the state of the plan under one claim.
+// Planner is the state of the plan under one lease.
 type Planner struct {
-	inFlight map[ident.EngineID]*OrderInFlight
+	pending  map[ident.EngineID]*PendingOrder
 	lastLoad clock.Mark
 	loaded   bool
-	// since is when each model was first seen on each engine; requestedAt when each was last asked for.
-	since        map[placed]clock.Mark
+	// loadedSince is when each model was first seen on each engine; requestedAt when each item was last requested.
+	loadedSince  map[placement]clock.Mark
 	requestedAt  map[item]lastRequest
-	blockedUntil map[placed]clock.Mark
-	// lackingSince is since when something has been asked for that stands nowhere.
-	lackingSince map[item]clock.Mark
-	// requestedSince is since when something has been asked for without a quiet spell, assignedSince since when
-	// a session has been assigned to it.
+	blockedUntil map[placement]clock.Mark
+	// unplacedSince is since when an item has been requested without any replica.
+	unplacedSince map[item]clock.Mark
+	// requestedSince is since when an item has been requested without a pause, assignedSince since when a session has been
+	// assigned to it.
 	requestedSince map[item]clock.Mark
-	assignedSince  map[placed]clock.Mark
-	// ordered is the call-seq each engine must show before its reports tell of all that this claim ordered,
-	// inherited the same of the claims before, began when this claim did.
+	assignedSince  map[placement]clock.Mark
+	// ordered is the call-seq that each engine must report before its reports reflect all orders of this lease, inherited
+	// the same for earlier leases; began is when this lease did.
 	ordered, inherited map[ident.EngineID]uint64
 	began              clock.Mark
-	// Lacks lists what is asked for and could not be served in the newest step.
-	Lacks    []Lack
+	// Unplaced lists what is requested and could not be loaded in the newest step.
+	Unplaced []Unplaced
 	Counters Counters
 }
 
-type placed struct {
+type placement struct {
 	engine         ident.EngineID
 	model, adapter string
 }
 
 type item struct{ model, adapter string }
 
-// NewPlanner makes the plan of a fresh claim: it knows of no order, and reads what is under way from reports.
+// NewPlanner makes the plan of a fresh lease: it has no pending order, and learns what is under way from reports.
 func NewPlanner() *Planner {
-	return &Planner{inFlight: map[ident.EngineID]*OrderInFlight{}, since: map[placed]clock.Mark{}, requestedAt: map[item]lastRequest{}, blockedUntil: map[placed]clock.Mark{}, lackingSince: map[item]clock.Mark{},
-		requestedSince: map[item]clock.Mark{}, assignedSince: map[placed]clock.Mark{},
+	return &Planner{pending: map[ident.EngineID]*PendingOrder{}, loadedSince: map[placement]clock.Mark{}, requestedAt: map[item]lastRequest{}, blockedUntil: map[placement]clock.Mark{}, unplacedSince: map[item]clock.Mark{},
+		requestedSince: map[item]clock.Mark{}, assignedSince: map[placement]clock.Mark{},
 		ordered: map[ident.EngineID]uint64{}, inherited: map[ident.EngineID]uint64{}}
 }
 
 const (
-	// orderLimit is how long an order's answer is waited for.
-	orderLimit = 1500 * time.Millisecond
-	// reportLagLimit is how far behind the truth a report may be; an engine whose order was lost gets no other for that long.
+	// orderTimeout is how long an answer to an order is waited for.
+	orderTimeout = 1500 * time.Millisecond
+	// reportLagLimit is how old the state in a report may be; an engine whose order was lost gets no other for that long.
 	reportLagLimit = 15 * time.Second
-	// minStay is how long a model stays at least once it was loaded, so that the fleet doesn't flap.
-	minStay = 8 * time.Second
-	// quietFor is how long nobody has asked for a model before it counts as not wanted.
-	quietFor = 5 * time.Second
-	// turnAfter is how long a bid waits before it may take the room of an equal one, which has then stayed turnStay at least.
-	turnAfter = 3 * time.Second
-	turnStay  = 2 * minStay
-	// failedRest is how long a failed or refused order is not tried again on that engine.
-	failedRest = 2 * time.Second
+	// minResidence is how long a model stays loaded at least, so that the fleet doesn't flap.
+	minResidence = 8 * time.Second
+	// demandIdleAfter is for how long a model was not requested before it counts as idle.
+	demandIdleAfter = 5 * time.Second
+	// rotateAfter is how long a request waits before a model of equal value may be evicted for it, which has then been
+	// loaded for rotateMinResidence at least.
+	rotateAfter        = 3 * time.Second
+	rotateMinResidence = 2 * minResidence
+	// failedOrderBackoff is how long a failed or refused order is not retried on that engine.
+	failedOrderBackoff = 2 * time.Second
 )
 
-// Step settles what the reports show, and gives the orders to send now.
+// Step resolves the orders that the reports reflect, and gives the orders to send now.
 func (p *Planner) Step(in Input) []Directed {
 	if in.Table == nil {
 		return nil
 	}
-	p.settle(in)
+	p.resolveOrders(in)
 	p.forgetInherited(in)
-	p.remember(in)
+	p.trackHistory(in)
 	var orders []Directed
-	p.Lacks = nil
+	p.Unplaced = nil
 	for _, short := range p.shortages(in) {
-		if order, ok := p.serve(in, short); ok {
+		if order, ok := p.nextOrder(in, short); ok {
 			orders = append(orders, order)
 		} else if standing, _ := p.standing(in, short.item); standing == 0 && !short.idle {
-			p.lack(in, short)
+			p.recordUnplaced(in, short)
 		}
 	}
 	return orders
--- a/request/dispatch/report.go
+++ b/request/dispatch/report.go
@@ -15,7 +15,7 @@
 // Demand is how many requests are queued and running for one model and adapter.
 type Demand struct {
 	Model, Adapter  string
-	Worth           int64
+	Value           int64
 	Queued, Running int
 }
 
@@ -29,7 +29,7 @@
 			demand = &Demand{Model: record.Model, Adapter: record.Adapter}
 			byKey[key] = demand
 		}
-		demand.Worth = max(demand.Worth, record.Worth)
+		demand.Value = max(demand.Value, record.Worth)
 		if record.stage == Queued || record.stage == Admitted {
 			demand.Queued++
 		} else {
