--- a/daemon/planner.go
+++ b/daemon/planner.go
@@ -10,7 +10,7 @@
 	return d.config.Serves(daemonconfig.Place) && (d.sessionPlacer.Status().HasLease || d.poolPlanning.condition().Held)
 }
 
-// heardClaim is the highest claim number that this daemon has heard of, so that none is ever given out twice.
+// highestClaimSeen is the highest claim number that this daemon has heard of, so that none is ever given out twice.
 func (d *Daemon) highestClaimSeen() ident.FencingToken {
 	var highest ident.FencingToken
 	if d.poolPlanning == nil {
