--- a/cmd/cresspond-platform/main.go
+++ b/cmd/cresspond-platform/main.go
@@ -51,7 +51,7 @@
 		os.Exit(application.ExitWrongUsage)
 	}
 	settings.Ranking.Mode = nodehealth.Mode(*ranks)
-	settings.Log, settings.Experiments.Without = *logLevel, *without
+	settings.Log, settings.Experiments.Disabled = *logLevel, *without
 	if *checkOnly {
 		fmt.Println("the settings are sound")
 		return
@@ -117,7 +117,7 @@
 	return daemon.New(settings, version, log.Log,
 		daemon.WithReadiness(func(*daemon.Daemon) daemon.Handler { return platform.Readiness{} }),
 		daemon.WithForwarding(platform.Dialect()),
-		daemon.WithPatience(platform.Patience()),
+		daemon.WithPatience(platform.ClientTimeout()),
 		daemon.WithControl(func(d *daemon.Daemon) daemon.Handler { return platform.NewEngines(d) }),
 		daemon.WithPoolPlanning(platform.NewEngineClient(), daemon.PoolSettings(settings)),
 		daemon.WithControl(func(d *daemon.Daemon) daemon.Handler { return platform.NewOperator(d) }),
--- a/daemon/counters.go
+++ b/daemon/counters.go
@@ -40,11 +40,11 @@
 	say("fellow_foreign_group", counts.foreignGroup.Load())
 	say("fellow_garbage", counts.malformedMessages.Load())
 	traffic := &d.links.Traffic
-	say("fellow_bytes_sent", traffic.Sent.Load())
-	say("fellow_bytes_received", traffic.Received.Load())
-	say("fellow_calls_made", traffic.Asked.Load())
-	say("fellow_calls_served", traffic.Answered.Load())
-	say("fellow_connections_opened", traffic.Opened.Load())
+	say("fellow_bytes_sent", traffic.SentBytes.Load())
+	say("fellow_bytes_received", traffic.ReceivedBytes.Load())
+	say("fellow_calls_made", traffic.Requests.Load())
+	say("fellow_calls_served", traffic.Served.Load())
+	say("fellow_connections_opened", traffic.Connections.Load())
 	say("member_troubles", counts.memberFaults.Load())
 	say("listener_troubles", counts.listenerFaults.Load())
 	say("orders_unproven", counts.appliesUnproven.Load())
@@ -60,9 +60,9 @@
 	if confirmed := d.confirmed(); confirmed > 0 {
 		say("confirmed_ms_ago", uint64(max(0, d.clock.Elapsed().Since(confirmed).Milliseconds())))
 	}
-	say("raft_sent", d.links.Sent.Load())
-	say("raft_dropped", d.links.Dropped.Load())
-	say("raft_failed", d.links.Failed.Load())
+	say("raft_sent", d.links.SentMessages.Load())
+	say("raft_dropped", d.links.DroppedBatches.Load())
+	say("raft_failed", d.links.FailedBatches.Load())
 	if groupMember := d.replica.Load(); groupMember != nil {
 		say("raft_refused", groupMember.Rejected.Load())
 	}
@@ -114,7 +114,7 @@
 	}
 	d.eachForwardingCounter(say)
 	d.nodeRanking.eachCounter(say)
-	if d.config.Serves(daemonconfig.Place) {
+	if d.config.Serves(daemonconfig.Placement) {
 		planned := d.sessionPlacer.Status().Counters
 		say("orders", planned.Orders)
 		say("orders_done", planned.Done)
--- a/daemon/run.go
+++ b/daemon/run.go
@@ -113,7 +113,7 @@
 		into             *net.Listener
 		wrap             func(net.Listener) net.Listener
 	}{
-		{setting: peerListenKey, address: d.config.FellowListen, into: &opened.peers},
+		{setting: peerListenKey, address: d.config.PeerListen, into: &opened.peers},
 		{setting: callerListenKey, address: d.config.Listen, into: &opened.callers, wrap: d.wrapCallerListener},
 		{setting: operatorListenKey, address: d.config.OperatorListen, optional: true, into: &opened.operators},
 		{setting: readinessListenKey, address: d.config.ReadyListen, optional: true, into: &opened.readiness},
@@ -149,10 +149,10 @@
 
 // buildActors makes all actors; none runs yet. Connections to peers end with ctx, streams to callers with streams.
 func (d *Daemon) buildActors(ctx, streams context.Context) {
-	d.links = peerclient.New(ctx, d.config.ReachedAt(), d.config.FellowListen)
+	d.links = peerclient.New(ctx, d.config.AdvertisedPeerAddress(), d.config.PeerListen)
 	d.rollout = rollout.New(d.clock.Wall, d.configurationChanged)
 	d.watcher = discovery.New(d.clock, d.config.Platform, d.wakeRequestPath)
-	d.members = membership.New(d.clock, d, d.seeds, d.config.ReachedAt(), d.pace())
+	d.members = membership.New(d.clock, d, d.seeds, d.config.AdvertisedPeerAddress(), d.pace())
 	d.registry = registry.New(d.clock, string(d.nodeID), d.config.Serves(daemonconfig.Control), d.heartbeatPeriod, d.controlContact)
 	d.registry.Subscribe(d.wakeRequestPath)
 	d.registry.Subscribe(d.registryChanged)
@@ -179,7 +179,7 @@
 	run(d.members.Run)
 	run(d.registry.Run)
 	run(d.attempts.Run)
-	if d.config.Attempts != daemonconfig.LocalAttempts {
+	if d.config.AttemptScope != daemonconfig.LocalAttempts {
 		run(d.runOwnershipTransfer)
 	}
 	run(d.runHistory)
@@ -188,10 +188,10 @@
 		run(d.dispatch.Run)
 		run(d.engineSlots.Run)
 	}
-	if d.config.Serves(daemonconfig.Route) || d.config.Serves(daemonconfig.Place) {
+	if d.config.Serves(daemonconfig.Route) || d.config.Serves(daemonconfig.Placement) {
 		run(d.watcher.Run)
 	}
-	if d.config.Serves(daemonconfig.Place) {
+	if d.config.Serves(daemonconfig.Placement) {
 		run(d.sessionPlacer.Run)
 		d.poolPlanning.start(run)
 		d.nodeRanking.start(run)
@@ -203,7 +203,7 @@
 func (d *Daemon) startPeerServer(ctx context.Context, peers net.Listener) *http.Server {
 	peerServer := &http.Server{Handler: d.links.Traffic.Serve(peerapi.NewFellowServer(d)), ReadHeaderTimeout: peerHeaderLimit}
 	serve := listener.ServerFunc(func(opened net.Listener) error { return peerServer.Serve(d.links.Traffic.Listen(opened)) })
-	go d.serveOn(ctx, serve, peers, peerListenKey, d.config.FellowListen)
+	go d.serveOn(ctx, serve, peers, peerListenKey, d.config.PeerListen)
 	return peerServer
 }
 
--- a/daemon/sessionaffinity.go
+++ b/daemon/sessionaffinity.go
@@ -30,8 +30,8 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), assignmentLimit)
 	defer cancel()
-	query := d.links.To(owner).Seat
-	if owner == d.config.ReachedAt() {
+	query := d.links.Client(owner).Seat
+	if owner == d.config.AdvertisedPeerAddress() {
 		query = d.Seat
 	}
 	reply, err := query(ctx, request)
@@ -146,7 +146,7 @@
 
 // transferAssignments gives the seats whose home this daemon was to the homes that have come to be.
 func (d *Daemon) transferAssignments(ctx context.Context, before, after map[string]ident.NodeID) {
-	self := d.config.ReachedAt()
+	self := d.config.AdvertisedPeerAddress()
 	oldAddresses, newAddresses := addressesOf(before), addressesOf(after)
 	unreached := map[string]bool{}
 	for session, engine := range d.affinityTable.All() {
--- a/process/placement/sessionplacement/actor.go
+++ b/process/placement/sessionplacement/actor.go
@@ -44,7 +44,7 @@
 	clock            clock.Clock
 	mailbox          *actor.Mailbox[any]
 	planner          *Planner
-	lease            *plannerlease.Holder
+	lease            *plannerlease.Lease
 	leaseRequested   bool
 	leaseRequestedAt clock.Mark
 	status           atomic.Pointer[Status]
@@ -77,7 +77,7 @@
 
 // NewActor makes the actor.
 func NewActor(environment Environment, c clock.Clock) *Actor {
-	a := &Actor{environment: environment, clock: c, mailbox: actor.NewMailbox[any](64), planner: NewPlanner(), lease: plannerlease.NewHolder(c, leaseMargin)}
+	a := &Actor{environment: environment, clock: c, mailbox: actor.NewMailbox[any](64), planner: NewPlanner(), lease: plannerlease.New(c, leaseMargin)}
 	a.status.Store(&Status{})
 	return a
 }
@@ -103,7 +103,7 @@
 
 func (a *Actor) tick(ctx context.Context) {
 	now := a.clock.Elapsed()
-	number, leased := a.lease.Held()
+	number, leased := a.lease.Token()
 	if !a.stopped && !a.leaseRequested && now.Since(a.leaseRequestedAt) >= renewInterval && a.environment.MayPlan() {
 		a.leaseRequested, a.leaseRequestedAt = true, now
 		orders, sequence := a.announce(leased)
@@ -117,7 +117,7 @@
 	if leased {
 		a.plan(ctx, number)
 	}
-	number, leased = a.lease.Held()
+	number, leased = a.lease.Token()
 	a.status.Store(&Status{Token: number, HasLease: leased, PendingOrders: len(a.planner.pending), Unplaced: a.planner.Unplaced, Counters: a.planner.Counters})
 }
 
@@ -167,7 +167,7 @@
 				a.mailbox.Send(orderReply{directed.Engine, order, nil, false})
 				return
 			}
-			answer, sent := a.environment.Order(ctx, directed.Address, order, orderTimeout, func() bool { return a.lease.Commands(number) })
+			answer, sent := a.environment.Order(ctx, directed.Address, order, orderTimeout, func() bool { return a.lease.Allows(number) })
 			a.mailbox.Send(orderReply{directed.Engine, order, answer, sent})
 		}()
 	}
@@ -179,7 +179,7 @@
 		a.leaseRequested = false
 		a.adoptLease(e)
 	case orderReply:
-		if number, leased := a.lease.Held(); !leased || e.order.Claim != number {
+		if number, leased := a.lease.Token(); !leased || e.order.Claim != number {
 			return
 		}
 		if !e.sent {
@@ -189,7 +189,7 @@
 		a.planner.Answered(a.clock.Elapsed(), e.engine, e.order, e.answer)
 	case resign:
 		a.stopped = true
-		a.lease.Drop()
+		a.lease.Release()
 		close(e.done)
 	}
 }
@@ -199,7 +199,7 @@
 	if !e.ok || a.stopped {
 		return
 	}
-	if a.lease.Take(e.asked, e.lease) {
+	if a.lease.Renew(e.asked, e.lease) {
 		// A fresh lease starts from the reports alone, once they reflect what was ordered before it.
 		counters := a.planner.Counters
 		a.planner = NewPlanner()
