--- a/process/consensus/statemachine/command.go
+++ b/process/consensus/statemachine/command.go
@@ -100,13 +100,3 @@
 	// Above is, with CLAIM, the highest claim number that the asker has heard of; a fresh claim is above it.
 	TokenAbove ident.FencingToken `json:"above,omitempty"`
 }
-
-// Told is what a planner of pools tells the group before its orders leave.
-type Announcement struct {
-	// Orders is, by engine, how many orders it must show to have taken before its reports tell of these.
-	Orders map[ident.EngineID]uint64 `json:"orders,omitempty"`
-	// Loads is how many of the orders may fetch weights from the store.
-	Loads int `json:"loads,omitempty"`
-	// KeepMs is for how long a load counts, and an order may be missing from reports.
-	KeepMs int64 `json:"keepMs,omitempty"`
-}
--- a/process/consensus/statemachine/digest.go
+++ b/process/consensus/statemachine/digest.go
@@ -3,7 +3,6 @@
 import (
 	"crypto/sha256"
 	"encoding/binary"
-	"errors"
 	"hash/fnv"
 	"reflect"
 )
@@ -12,9 +11,6 @@
 // members of builds that apply alike must hold equal states, and only theirs are compared.
 const semanticsVersion = 1
 
-// ErrIncomplete says that a snapshot lacks a part of the state that every state has.
-var ErrIncomplete = errors.New("the snapshot lacks a part of the state")
-
 // Digest is a sum over the whole state: equal for all members that applied the same entries, whether one by one or
 // by way of a snapshot. It takes as long as a snapshot does; Bytes is how long that is.
 type Digest struct {
@@ -63,19 +59,3 @@
 		}
 	}
 }
-
-// complete says whether a state that was read can be applied to: JSON's null takes a map or table away.
-func (s *State) complete() error {
-	if s.Workers == nil || s.Workers.Leases == nil || s.Workers.Nodes == nil || s.Workers.Floors == nil {
-		return ErrIncomplete
-	}
-	if s.Proposals == nil || s.Serving == nil || s.Closures.Zones == nil || s.Closures.Engines == nil {
-		return ErrIncomplete
-	}
-	for _, proposal := range s.Proposals {
-		if proposal == nil {
-			return ErrIncomplete
-		}
-	}
-	return nil
-}
--- a/process/consensus/statemachine/bundles.go
+++ b/process/consensus/statemachine/history.go
@@ -1,6 +1,8 @@
 package statemachine
 
-import "github.com/cresspond/cresspond/ident"
+import (
+	"github.com/cresspond/cresspond/ident"
+)
 
 const (
 	// keptBundles is how many of the newest applied bundles are kept whole, keptBytes how much of them: the
@@ -56,6 +58,11 @@
 	s.AppliesKnownFrom = s.Revision
 }
 
+// epochBefore is the epoch that lies so far back; zero where there is none.
+func versionBefore(epoch ident.Version, back uint64) ident.Version {
+	return epoch - min(epoch, ident.Version(back))
+}
+
 // forgetWhole bounds how many of the applied bundles are kept whole.
 func (s *State) dropOldBundles() {
 	room, newest := maxRetainedBytes, s.Version()
@@ -110,18 +117,3 @@
 	}
 	s.AppliesKnownFrom = s.Revision
 }
-
-// adoptHistory brings the state of an earlier build, which noted nowhere what it had forgotten, to today's form.
-func (s *State) upgradeHistory() {
-	for place := len(s.History) - 1; place >= 0 && s.AppliesKnownFrom == 0; place-- {
-		if s.Proposals[s.History[place]] == nil {
-			s.raiseAppliesKnownFrom(place + 1)
-		}
-	}
-	s.dropOldVersions()
-}
-
-// epochBefore is the epoch that lies so far back; zero where there is none.
-func versionBefore(epoch ident.Version, back uint64) ident.Version {
-	return epoch - min(epoch, ident.Version(back))
-}
--- a/process/consensus/statemachine/lives.go
+++ b/process/consensus/statemachine/incarnations.go
@@ -1,13 +1,21 @@
 package statemachine
 
 import (
+	"cmp"
 	"maps"
 	"slices"
 
+	"github.com/cresspond/cresspond/configuration/closure"
 	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/process/workerid"
 )
 
+// Serving is one life of a daemon that may be serving.
+type ServingDaemon struct {
+	Address string          `json:"address"`
+	Since   ident.GroupTime `json:"since"`
+}
+
 // EndedLife is one life of a daemon that served and is taken to be over.
 type EndedIncarnation struct {
 	Node    ident.NodeID `json:"node"`
@@ -19,6 +27,47 @@
 // mostEnded is how many ended lives are remembered, the newest: a copy of a call stays on its way for seconds.
 const maxEndedIncarnations = 1024
 
+// ServingNow lists the daemons that may be serving.
+func (s *State) ServingDaemons() []ident.NodeID { return slices.Sorted(maps.Keys(s.Serving)) }
+
+// enlist notes a life that is about to serve. An earlier one of its name is over, since a name runs once.
+func (s *State) registerDaemon(c Command) Result {
+	if _, lost := s.Closures.Lost[c.NodeID]; lost {
+		return Result{Outcome: Forbidden, Reason: "this daemon was declared lost"}
+	}
+	if ended, found := s.endedIncarnation(c.NodeID); found && ended.Stopped {
+		// A copy that comes late.
+		return Result{Outcome: Forbidden, Reason: "this life of the daemon has stopped"}
+	} else if found && s.superseded(c.NodeID) {
+		// Taken, it would put the life that followed out of sight.
+		return Result{Outcome: Done}
+	}
+	s.startServing(c.NodeID, c.Address)
+	return Result{Outcome: Done}
+}
+
+// lose takes an operator's word that a daemon will never serve again.
+func (s *State) declareLost(c Command) Result {
+	if _, already := s.Closures.Lost[c.LostDaemon]; already {
+		return s.closuresNow()
+	}
+	if _, serving := s.Serving[c.LostDaemon]; !serving {
+		return Result{Outcome: Missing, Reason: "no such daemon may be serving"}
+	}
+	delete(s.Serving, c.LostDaemon)
+	next := s.Closures.Clone()
+	next.Version++
+	next.Lost[c.LostDaemon] = closure.Record{Operator: c.Operator, At: s.Now, Version: next.Version}
+	for len(next.Lost) > maxLostDaemons {
+		oldest := slices.MinFunc(slices.Sorted(maps.Keys(next.Lost)), func(a, b ident.NodeID) int {
+			return cmp.Compare(next.Lost[a].Version, next.Lost[b].Version)
+		})
+		delete(next.Lost, oldest)
+	}
+	s.setClosures(next)
+	return s.closuresNow()
+}
+
 func (s *State) endedIncarnation(node ident.NodeID) (EndedIncarnation, bool) {
 	place := slices.IndexFunc(s.EndedIncarnations, func(ended EndedIncarnation) bool { return ended.Node == node })
 	if place < 0 {
--- a/process/consensus/statemachine/claims.go
+++ b/process/consensus/statemachine/plannerlease.go
@@ -6,26 +6,6 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// History is what the planners of pools have told: it goes on from claim to claim.
-type AnnouncedOrders struct {
-	// Since is when the first of it was told: of what was before nothing is known.
-	Since  ident.GroupTime                   `json:"since"`
-	Orders map[ident.EngineID]AnnouncedOrder `json:"orders,omitempty"`
-	Loads  []AnnouncedLoads                  `json:"loads,omitempty"`
-}
-
-// ToldOrder is the newest order told of for one engine.
-type AnnouncedOrder struct {
-	Taken uint64          `json:"taken"`
-	At    ident.GroupTime `json:"at"`
-}
-
-// ToldLoads is a number of loads told of at one moment.
-type AnnouncedLoads struct {
-	At    ident.GroupTime `json:"at"`
-	Count int             `json:"count"`
-}
-
 // Claim is the right to plan and to command engines.
 type PlannerLease struct {
 	Token  ident.FencingToken `json:"number"`
@@ -75,32 +55,6 @@
 	return Result{Outcome: Done, PlannerLease: s.currentPlannerLease(c.WithAnnounced)}
 }
 
-// add takes in what was told, and forgets what no longer counts. What comes twice only counts for more.
-func (h *AnnouncedOrders) add(now ident.GroupTime, told Announcement) *AnnouncedOrders {
-	next := &AnnouncedOrders{Since: now, Orders: map[ident.EngineID]AnnouncedOrder{}}
-	kept := now - ident.GroupTime(told.KeepMs)
-	if h != nil {
-		next.Since = h.Since
-		for engine, order := range h.Orders {
-			if order.At > kept {
-				next.Orders[engine] = order
-			}
-		}
-		for _, loads := range h.Loads {
-			if loads.At > kept {
-				next.Loads = append(next.Loads, loads)
-			}
-		}
-	}
-	for engine, taken := range told.Orders {
-		next.Orders[engine] = AnnouncedOrder{Taken: max(taken, next.Orders[engine].Taken), At: now}
-	}
-	if told.Loads > 0 {
-		next.Loads = append(next.Loads, AnnouncedLoads{At: now, Count: told.Loads})
-	}
-	return next
-}
-
 // claimNow copies the claim; the pools' history goes along only where it was asked for, since it may be long.
 func (s *State) currentPlannerLease(whole bool) *PlannerLease {
 	claim := s.PlannerLease
--- a/process/consensus/statemachine/proposals.go
+++ b/process/consensus/statemachine/proposals.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 
+	"github.com/cresspond/cresspond/configuration/compression"
 	"github.com/cresspond/cresspond/ident"
 )
 
@@ -70,15 +71,6 @@
 	return Result{Outcome: Done, Proposal: made.withoutConfiguration()}
 }
 
-// lostTo answers one whose base is no longer, or not yet, in force.
-func (s *State) baseConflict(base ident.Version) Result {
-	result := Result{Outcome: Conflict, Reason: "the base is not the epoch in force"}
-	if winner, ok := s.ProposalAt(base + 1); ok {
-		result.Winner = winner.ID
-	}
-	return result
-}
-
 func (s *State) approve(c Command) Result {
 	proposal := s.Proposals[c.ProposalID]
 	if proposal == nil {
@@ -139,6 +131,25 @@
 	return Result{Outcome: Done, Proposal: proposal.withoutConfiguration()}
 }
 
+// lostTo answers one whose base is no longer, or not yet, in force.
+func (s *State) baseConflict(base ident.Version) Result {
+	result := Result{Outcome: Conflict, Reason: "the base is not the epoch in force"}
+	if winner, ok := s.ProposalAt(base + 1); ok {
+		result.Winner = winner.ID
+	}
+	return result
+}
+
+// Bundle gives the bundle as it was handed in; nothing where it is no longer kept.
+func (p *Proposal) Decompress() ([]byte, error) {
+	return p.Bundle().Raw()
+}
+
+// Packing gives the bundle as it travels.
+func (p *Proposal) Bundle() compression.Bundle {
+	return compression.Bundle{Data: p.Configuration, Compressed: p.Compressed}
+}
+
 // brief is a copy without the bundle itself.
 func (p *Proposal) withoutConfiguration() *Proposal {
 	copied := *p
