--- a/process/consensus/statemachine/announcements.go
+++ b/process/consensus/statemachine/announcements.go
@@ -1,12 +1,11 @@
 package statemachine
 
-import (
-	"github.com/cresspond/cresspond/ident"
-)
+import "github.com/cresspond/cresspond/ident"
 
-// Told is what a planner of pools tells the group before its orders leave.
+// Announcement is what a planner of pools announces to the group before its orders leave, so that its successor knows of
+// orders which no engine has reported yet.
 type Announcement struct {
-	// Orders is, by engine, how many orders it must show to have taken before its reports tell of these.
+	// Orders is, by engine, how many orders its report must show as accepted before it reflects these.
 	Orders map[ident.EngineID]uint64 `json:"orders,omitempty"`
 	// Loads is how many of the orders may fetch weights from the store.
 	Loads int `json:"loads,omitempty"`
@@ -14,48 +13,50 @@
 	KeepMs int64 `json:"keepMs,omitempty"`
 }
 
-// History is what the planners of pools have told: it goes on from claim to claim.
+// AnnouncedOrders is what the planners of pools announced. It passes from one lease to the next.
 type AnnouncedOrders struct {
-	// Since is when the first of it was told: of what was before nothing is known.
+	// Since is when the first of it was announced; nothing is known of what was before.
 	Since  ident.GroupTime                   `json:"since"`
 	Orders map[ident.EngineID]AnnouncedOrder `json:"orders,omitempty"`
 	Loads  []AnnouncedLoads                  `json:"loads,omitempty"`
 }
 
-// ToldOrder is the newest order told of for one engine.
+// AnnouncedOrder is the newest announced order for one engine.
 type AnnouncedOrder struct {
-	Taken uint64          `json:"taken"`
-	At    ident.GroupTime `json:"at"`
+	// Accepted is how many orders the engine's report must show as accepted.
+	Accepted uint64          `json:"taken"`
+	At       ident.GroupTime `json:"at"`
 }
 
-// ToldLoads is a number of loads told of at one moment.
+// AnnouncedLoads is a number of loads announced at one moment.
 type AnnouncedLoads struct {
 	At    ident.GroupTime `json:"at"`
 	Count int             `json:"count"`
 }
 
-// add takes in what was told, and forgets what no longer counts. What comes twice only counts for more.
-func (h *AnnouncedOrders) add(now ident.GroupTime, told Announcement) *AnnouncedOrders {
+// add gives the orders with an announcement added, and without those that no longer count. The receiver, which may be
+// nil, stays as it is. A retried announcement makes the planner count more loads, never fewer.
+func (o *AnnouncedOrders) add(now ident.GroupTime, announcement Announcement) *AnnouncedOrders {
 	next := &AnnouncedOrders{Since: now, Orders: map[ident.EngineID]AnnouncedOrder{}}
-	kept := now - ident.GroupTime(told.KeepMs)
-	if h != nil {
-		next.Since = h.Since
-		for engine, order := range h.Orders {
-			if order.At > kept {
+	horizon := now - ident.GroupTime(announcement.KeepMs)
+	if o != nil {
+		next.Since = o.Since
+		for engine, order := range o.Orders {
+			if order.At > horizon {
 				next.Orders[engine] = order
 			}
 		}
-		for _, loads := range h.Loads {
-			if loads.At > kept {
+		for _, loads := range o.Loads {
+			if loads.At > horizon {
 				next.Loads = append(next.Loads, loads)
 			}
 		}
 	}
-	for engine, taken := range told.Orders {
-		next.Orders[engine] = AnnouncedOrder{Taken: max(taken, next.Orders[engine].Taken), At: now}
+	for engine, accepted := range announcement.Orders {
+		next.Orders[engine] = AnnouncedOrder{Accepted: max(accepted, next.Orders[engine].Accepted), At: now}
 	}
-	if told.Loads > 0 {
-		next.Loads = append(next.Loads, AnnouncedLoads{At: now, Count: told.Loads})
+	if announcement.Loads > 0 {
+		next.Loads = append(next.Loads, AnnouncedLoads{At: now, Count: announcement.Loads})
 	}
 	return next
 }
--- a/process/consensus/statemachine/apply.go
+++ b/process/consensus/statemachine/apply.go
@@ -1,13 +1,29 @@
 package statemachine
 
-import (
-	"encoding/json"
-	"time"
+import "encoding/json"
 
-	"github.com/cresspond/cresspond/process/workerid"
-)
+// handlers holds what each command does to the state.
+var handlers = map[Op]func(*State, Command) Result{
+	OpAcquire:        (*State).acquireWorkerID,
+	OpRenew:          (*State).renewWorkerID,
+	OpRelease:        (*State).releaseWorkerID,
+	OpReclaim:        (*State).reclaimWorkerIDs,
+	OpPropose:        (*State).propose,
+	OpReview:         (*State).approve,
+	OpSignOff:        (*State).approve,
+	OpRollOut:        (*State).rollOut,
+	OpApply:          (*State).applyBundle,
+	OpClosure:        (*State).changeClosure,
+	OpProtect:        (*State).protect,
+	OpRegister:       (*State).registerDaemon,
+	OpDeclareLost:    (*State).declareLost,
+	OpEngineDeparted: (*State).recordDeparture,
+	OpAcquirePlanner: (*State).acquirePlannerLease,
+	OpReleasePlanner: (*State).releasePlannerLease,
+}
 
-// Apply takes one committed command.
+// Apply applies one committed command, in its encoded form. A command that cannot be read, or has an unknown Op, is
+// Malformed and moves nothing but the time.
 func (s *State) Apply(data []byte) Result {
 	var command Command
 	if err := json.Unmarshal(data, &command); err != nil {
@@ -20,56 +36,10 @@
 	return result
 }
 
-func (s *State) dispatch(c Command) Result {
-	span := time.Duration(c.LeaseMs) * time.Millisecond
-	switch c.Op {
-	case OpAcquire:
-		grant, verdict := s.Workers.Acquire(c.NodeID, s.Now, span)
-		s.confirmServing(c.NodeID, verdict)
-		return grantResult(grant, verdict)
-	case OpRenew:
-		grant, verdict := s.Workers.Renew(c.NodeID, c.WorkerID, s.Now, span)
-		s.confirmServing(c.NodeID, verdict)
-		return grantResult(grant, verdict)
-	case OpRelease:
-		// Whoever lets go of its worker id has stopped serving.
-		s.endIncarnation(c.NodeID, true)
-		if s.Workers.Release(c.NodeID, c.WorkerID, c.LastTimestamp) == workerid.Mismatch {
-			return Result{Outcome: Mismatch}
-		}
-		return Result{Outcome: Done}
-	case OpReclaim:
-		s.Workers.Reclaim(s.Now)
-		return Result{Outcome: Done}
-	case OpPropose:
-		return s.propose(c)
-	case OpReview, OpSignOff:
-		return s.approve(c)
-	case OpRollOut:
-		return s.rollOut(c)
-	case OpApply:
-		return s.applyBundle(c)
-	case OpClosure:
-		return s.changeClosure(c)
-	case OpProtect:
-		return s.protect(c)
-	case OpRegister:
-		return s.registerDaemon(c)
-	case OpDeclareLost:
-		return s.declareLost(c)
-	case OpEngineDeparted:
-		return s.recordDeparture(c)
-	case OpAcquirePlanner:
-		return s.acquirePlannerLease(c)
-	case OpReleasePlanner:
-		if s.PlannerLease.NodeID == c.NodeID && s.PlannerLease.Expiry > s.Now {
-			s.PlannerLease.Expiry = s.Now
-		}
-		if s.PlannerLease.NodeID == c.NodeID {
-			// It let go for good, so a late word of it must not take the claim up again.
-			s.PlannerLease.NodeID = ""
-		}
-		return Result{Outcome: Done}
+func (s *State) dispatch(command Command) Result {
+	handle, known := handlers[command.Op]
+	if !known {
+		return Result{Outcome: Malformed, Reason: "unknown op " + string(command.Op)}
 	}
-	return Result{Outcome: Malformed, Reason: "unknown op " + string(c.Op)}
+	return handle(s, command)
 }
--- a/process/consensus/statemachine/applystatus.go
+++ b/process/consensus/statemachine/applystatus.go
@@ -6,36 +6,61 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// RefusedOrder is an order that must never win, though its base may yet come in force.
+const (
+	// maxVersions is how many of the newest versions are remembered one by one, each with the digest of its apply
+	// request. A request older than that is Unproven from then on.
+	maxVersions = 4096
+	// maxRejectedApplies is how many apply requests on bases that are not in force yet may be refused at once. A refusal
+	// can't be forgotten before its base has passed; while none can be added, such a request is Unproven.
+	maxRejectedApplies = 256
+	// MaxRevision is the highest revision: the highest integer that every reader of JSON takes exactly.
+	MaxRevision ident.Revision = 1 << 53
+	// maxDigestBytes bounds the digest of an apply request.
+	maxDigestBytes = 256
+)
+
+// Limits bounds what is remembered of apply requests. All members of a group must have the same.
+type Limits struct {
+	// Versions is how many of the newest versions are remembered, RejectedApplies how many refused requests on bases
+	// that are not in force yet.
+	Versions, RejectedApplies int
+}
+
+// DefaultLimits gives the bounds of the design.
+func DefaultLimits() Limits {
+	return Limits{Versions: maxVersions, RejectedApplies: maxRejectedApplies}
+}
+
+// RejectedApply is an apply request that must never take effect, though its base may yet come in force.
 type RejectedApply struct {
 	Digest string         `json:"digest"`
 	Base   ident.Revision `json:"base"`
 }
 
-// OrderStanding is what the state proves about an order to put a bundle in force in one step.
+// ApplyStatus is what the state proves about an apply request.
 type ApplyStatus string
 
 const (
-	// OrderOpen: its base is in force, and it may win.
+	// ApplyOpen: its base is in force, and it may take effect.
 	ApplyOpen ApplyStatus = "open"
-	// OrderTaken: it was put in force.
+	// ApplyCommitted: it was put in force.
 	ApplyCommitted ApplyStatus = "taken"
-	// OrderLost: it never was in force and never will be.
+	// ApplyConflicted: it was never in force and never will be.
 	ApplyConflicted ApplyStatus = "lost"
-	// OrderAhead: its base is not there yet, and another copy of it may win once it is.
+	// ApplyAhead: its base is not in force yet, and another copy of it may take effect once it is.
 	ApplyAhead ApplyStatus = "ahead"
-	// OrderUnproven: what would prove an answer is forgotten, or there is no room to write a refusal down.
+	// ApplyUnproven: what would prove an answer is forgotten, or no refusal can be remembered now.
 	ApplyUnproven ApplyStatus = "unproven"
-	// OrderMalformed: no order can be so.
+	// ApplyMalformed: no request can have such a digest or base.
 	ApplyMalformed ApplyStatus = "malformed"
 )
 
-// Standing is the one place that tells what is proved of an order with this digest on this base. The proof is in
-// docs/design/control.md.
+// ApplyStatus is the one function that decides what is proved of the apply request with this digest on this base. The
+// proof is in docs/design/control.md.
 func (s *State) ApplyStatus(digest string, base ident.Revision) ApplyStatus {
-	_, taken := s.Applied(digest)
+	_, committed := s.Applied(digest)
 	switch {
-	case taken:
+	case committed:
 		return ApplyCommitted
 	case digest == "" || len(digest) > maxDigestBytes || base > MaxRevision:
 		return ApplyMalformed
@@ -52,29 +77,31 @@
 }
 
 func (s *State) wasRejected(digest string) bool {
-	return slices.Contains(s.RejectedDigests, digest) || slices.ContainsFunc(s.RejectedAhead, func(o RejectedApply) bool { return o.Digest == digest })
+	return slices.Contains(s.RejectedDigests, digest) ||
+		slices.ContainsFunc(s.RejectedAhead, func(rejected RejectedApply) bool { return rejected.Digest == digest })
 }
 
 func (s *State) canRecordRejection() bool { return len(s.RejectedAhead) < s.limits.RejectedApplies }
 
-// dropPassedRejections drops the refusals whose base has passed: revisions only rise, so those can't win any more.
+// dropPassedRejections drops the refusals whose base has passed: revisions only rise, so those requests can't take
+// effect any more.
 func (s *State) dropPassedRejections() {
-	s.RejectedAhead = slices.DeleteFunc(s.RejectedAhead, func(o RejectedApply) bool { return o.Base < s.Revision })
+	s.RejectedAhead = slices.DeleteFunc(s.RejectedAhead, func(rejected RejectedApply) bool { return rejected.Base < s.Revision })
 }
 
-// rejectApply writes an order down as refused, so that no copy of it wins later.
-func (s *State) rejectApply(c Command) Result {
+// rejectApply remembers a request as refused, so that no copy of it takes effect later.
+func (s *State) rejectApply(command Command) Result {
 	if !s.canRecordRejection() {
-		return Result{Outcome: Unproven, Reason: "too many refused orders wait for their base"}
+		return Result{Outcome: Unproven, Reason: "too many refused apply requests wait for their base"}
 	}
-	// A new list, so that whoever holds the old one may go on reading it.
-	s.RejectedAhead = append(slices.Clone(s.RejectedAhead), RejectedApply{Digest: c.Digest, Base: c.BaseRevision})
+	// A new slice, so that readers may keep the old one.
+	s.RejectedAhead = append(slices.Clone(s.RejectedAhead), RejectedApply{Digest: command.Digest, Base: command.BaseRevision})
 	return s.applyConflict()
 }
 
 func (s *State) applyConflict() Result {
 	result := Result{Outcome: Conflict, Reason: "the base is not the revision in force, or the revision is not above it"}
-	if inForce, any := s.InForce(); any {
+	if inForce, known := s.InForce(); known {
 		result.Winner = inForce.ID
 	}
 	return result
--- a/process/consensus/statemachine/closureretry.go
+++ b/process/consensus/statemachine/closureretry.go
@@ -1,40 +1,39 @@
 package statemachine
 
-import (
-	"slices"
-)
+import "slices"
 
-// closureSettled answers a closure that can't be carried out: its base is not the closures in force, or it was
-// refused before. It may be one that was carried out already and lost its answer.
-func (s *State) closureRetry(c Command) (Result, bool) {
-	act := c.closureChange(c.Base + 1)
+// closureRetry decides a change of the closures that cannot take effect now: its base is not the version in force, or it
+// was refused before. It may be the retry of one that took effect and whose response was lost. It gives false for a
+// change that is to take effect.
+func (s *State) closureRetry(command Command) (Result, bool) {
+	change := command.closureChange(command.Base + 1)
 	switch {
-	case c.Base < s.Closures.Version:
-		return s.closureOnPassedBase(act), true
-	case slices.Contains(s.RejectedClosures, act):
+	case command.Base < s.Closures.Version:
+		return s.closureOnPassedBase(change), true
+	case slices.Contains(s.RejectedClosures, change):
 		return s.closureConflict(), true
-	case c.Base == s.Closures.Version:
+	case command.Base == s.Closures.Version:
 		return Result{}, false
 	case len(s.RejectedClosures) >= maxClosureChanges:
 		return s.closureUnproven(), true
 	}
-	// The base may yet come in force, and a copy of this closure with it: so the refusal is written down.
-	s.RejectedClosures = append(slices.Clone(s.RejectedClosures), act)
+	// The base may yet come in force, and another copy of this command arrive then: so the refusal is remembered.
+	s.RejectedClosures = append(slices.Clone(s.RejectedClosures), change)
 	return s.closureConflict(), true
 }
 
-// closurePassed answers a closure whose base has passed. Each change of the closures leaves one act or, where a
-// daemon is declared lost, none: so only the acts before the oldest one known were forgotten.
-func (s *State) closureOnPassedBase(act ClosureChange) Result {
-	if slices.Contains(s.ClosureChanges, act) {
-		return s.closuresNow()
+// closureOnPassedBase decides a change whose base has passed. Each version of the closures leaves one change or, where
+// a daemon is declared lost, none: so only changes before the oldest one remembered were forgotten.
+func (s *State) closureOnPassedBase(change ClosureChange) Result {
+	if slices.Contains(s.ClosureChanges, change) {
+		return s.currentClosures()
 	}
-	if len(s.ClosureChanges) == maxClosureChanges && act.Version < s.ClosureChanges[0].Version {
+	if len(s.ClosureChanges) == maxClosureChanges && change.Version < s.ClosureChanges[0].Version {
 		return s.closureUnproven()
 	}
 	result := s.closureConflict()
 	for _, other := range s.ClosureChanges {
-		if other.Version == act.Version {
+		if other.Version == change.Version {
 			result.Winner = other.Operator
 		}
 	}
@@ -42,13 +41,13 @@
 }
 
 func (s *State) closureConflict() Result {
-	result := s.closuresNow()
-	result.Outcome, result.Reason = Conflict, "the base is not the closure epoch in force"
+	result := s.currentClosures()
+	result.Outcome, result.Reason = Conflict, "the base is not the version of the closures in force"
 	return result
 }
 
 func (s *State) closureUnproven() Result {
-	result := s.closuresNow()
-	result.Outcome, result.Reason = Unproven, "what became of this closure is not known any more"
+	result := s.currentClosures()
+	result.Outcome, result.Reason = Unproven, "whether this closure took effect is no longer remembered"
 	return result
 }
--- a/process/consensus/statemachine/closures.go
+++ b/process/consensus/statemachine/closures.go
@@ -9,121 +9,130 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// ClosureAct is one closure or opening, so that one sent again finds itself.
+const (
+	// maxClosureChanges is how many changes of the closures are remembered, and how many refused ones.
+	maxClosureChanges = 64
+	// maxProtectedEngines is how many engines may be protected at once: an engine's id is new with each start, so the
+	// oldest entries are dropped first.
+	maxProtectedEngines = 1024
+)
+
+// ClosureChange is one change of the closures by an operator or by the ranking, remembered so that its retry finds it.
 type ClosureChange struct {
+	// Version is the version of the closures that the change made.
 	Version  ident.Version  `json:"epoch"`
 	Operator string         `json:"operator"`
 	Zone     ident.ZoneID   `json:"zone,omitempty"`
 	Engine   ident.EngineID `json:"engine,omitempty"`
 	Closed   bool           `json:"closed"`
-	// Keep says that it was no closure but a KEEP.
+	// Protect says that the change came of OpProtect and not of OpClosure.
 	Protect bool `json:"keep,omitempty"`
 }
 
-// mostActs is how many closures and openings are remembered, mostLost how many lost daemons.
-const (
-	maxClosureChanges = 64
-	maxLostDaemons    = 64
-)
+// closureChange is the change that an OpClosure or OpProtect leaves behind if it makes this version of the closures.
+func (c Command) closureChange(version ident.Version) ClosureChange {
+	return ClosureChange{Version: version, Operator: c.Operator, Zone: c.Zone, Engine: c.Engine, Closed: c.Closed, Protect: c.Op == OpProtect}
+}
 
-func (s *State) changeClosure(c Command) Result {
-	if c.HasBase {
-		if result, settled := s.closureRetry(c); settled {
+// changeClosure closes or opens a zone, or drains an engine or ends its draining.
+func (s *State) changeClosure(command Command) Result {
+	if command.HasBase {
+		if result, decided := s.closureRetry(command); decided {
 			return result
 		}
 	}
-	if c.Ranking != nil {
-		if order := c.rankingDecision(); order.ID != 0 && order == s.LastRanking {
-			// This very order was taken, and operators may have acted since.
-			return s.closuresNow()
+	if command.Ranking != nil {
+		if decision := command.rankingDecision(); decision.ID != 0 && decision == s.LastRanking {
+			// This very decision took effect before, and operators may have acted since.
+			return s.currentClosures()
 		}
-		if verdict, reason := s.checkRanking(c); verdict != Done {
-			return Result{Outcome: verdict, Reason: reason}
+		if outcome, reason := s.checkRanking(command); outcome != Done {
+			return Result{Outcome: outcome, Reason: reason}
 		}
-		s.LastRanking = c.rankingDecision()
+		s.LastRanking = command.rankingDecision()
 	}
-	mark := closure.Record{Operator: c.Operator, At: s.Now, Version: s.Closures.Version + 1, Ranking: c.Ranking}
+	record := closure.Record{Operator: command.Operator, At: s.Now, Version: s.Closures.Version + 1, Ranking: command.Ranking}
 	next := s.Closures.Clone()
 	changed := false
-	if before, shut := next.Engines[c.Engine]; shut && c.Closed && before.Ranking != nil && c.Ranking == nil {
-		// What the ranking shut an operator may shut too; then only an operator opens it.
-		delete(next.Engines, c.Engine)
+	if before, closed := next.Engines[command.Engine]; closed && command.Closed && before.Ranking != nil && command.Ranking == nil {
+		// An operator may drain what the ranking drains; from then on only an operator ends the draining.
+		delete(next.Engines, command.Engine)
 	}
-	if c.Zone != "" {
-		changed = setRecord(next.Zones, c.Zone, c.Closed, mark)
+	if command.Zone != "" {
+		changed = setRecord(next.Zones, command.Zone, command.Closed, record)
 	}
-	if c.Engine != "" {
-		changed = setRecord(next.Engines, c.Engine, c.Closed, mark) || changed
+	if command.Engine != "" {
+		changed = setRecord(next.Engines, command.Engine, command.Closed, record) || changed
 	}
-	// What is closed already stays as it was, so a repeated order changes nothing.
+	// What is closed already keeps its record, so a repeated command changes nothing.
 	if changed {
 		next.Version++
 		s.setClosures(next)
-		s.recordClosureChange(c)
+		s.recordClosureChange(command)
 	}
-	return s.closuresNow()
+	return s.currentClosures()
 }
 
-// mostKept is how many engines may be kept at once: an engine's id is new with each start, so old ones go first.
-const maxProtectedEngines = 1024
-
-// keep has an engine kept from the ranking, or no longer.
-func (s *State) protect(c Command) Result {
-	if c.Engine == "" {
+// protect protects an engine from the ranking, or ends that.
+func (s *State) protect(command Command) Result {
+	if command.Engine == "" {
 		return Result{Outcome: Malformed, Reason: "no engine is named"}
 	}
-	if c.HasBase {
-		if result, settled := s.closureRetry(c); settled {
+	if command.HasBase {
+		if result, decided := s.closureRetry(command); decided {
 			return result
 		}
 	}
 	next := s.Closures.Clone()
-	mark := closure.Record{Operator: c.Operator, At: s.Now, Version: next.Version + 1}
-	if setRecord(next.Protected, c.Engine, c.Closed, mark) {
+	record := closure.Record{Operator: command.Operator, At: s.Now, Version: next.Version + 1}
+	if setRecord(next.Protected, command.Engine, command.Closed, record) {
 		next.Version++
-		for len(next.Protected) > maxProtectedEngines {
-			oldest := slices.MinFunc(slices.Sorted(maps.Keys(next.Protected)), func(a, b ident.EngineID) int {
-				return cmp.Compare(next.Protected[a].Version, next.Protected[b].Version)
-			})
-			delete(next.Protected, oldest)
-		}
+		dropOldestRecords(next.Protected, maxProtectedEngines)
 		s.setClosures(next)
-		s.recordClosureChange(c)
+		s.recordClosureChange(command)
 	}
-	return s.closuresNow()
+	return s.currentClosures()
 }
 
-func (s *State) closuresNow() Result {
-	out := s.Closures.Clone()
-	return Result{Outcome: Done, Closures: &out}
+func (s *State) currentClosures() Result {
+	closures := s.Closures.Clone()
+	return Result{Outcome: Done, Closures: &closures}
 }
 
-// raiseClosures puts the next closures in force. Refusals on bases that have passed need not be known any more.
+// setClosures puts the next version of the closures in force. Refusals on bases that have passed need not be
+// remembered any more.
 func (s *State) setClosures(next closure.Set) {
 	s.Closures = next
-	s.RejectedClosures = slices.DeleteFunc(s.RejectedClosures, func(act ClosureChange) bool { return act.Version <= next.Version })
+	s.RejectedClosures = slices.DeleteFunc(s.RejectedClosures, func(change ClosureChange) bool { return change.Version <= next.Version })
+}
+
+// recordClosureChange remembers the change that made the newest version of the closures.
+func (s *State) recordClosureChange(command Command) {
+	s.ClosureChanges = append(s.ClosureChanges, command.closureChange(s.Closures.Version))
+	s.ClosureChanges = s.ClosureChanges[max(0, len(s.ClosureChanges)-maxClosureChanges):]
 }
 
-func setRecord[K comparable](marks map[K]closure.Record, key K, closed bool, mark closure.Record) bool {
-	_, already := marks[key]
+// setRecord adds or removes an entry, and says whether that changed anything.
+func setRecord[K comparable](records map[K]closure.Record, key K, closed bool, record closure.Record) bool {
+	_, already := records[key]
 	if already == closed {
 		return false
 	}
 	if closed {
-		marks[key] = mark
+		records[key] = record
 	} else {
-		delete(marks, key)
+		delete(records, key)
 	}
 	return true
 }
 
-// act is what a CLOSURE or KEEP leaves behind if it makes this closure epoch.
-func (c Command) closureChange(epoch ident.Version) ClosureChange {
-	return ClosureChange{Version: epoch, Operator: c.Operator, Zone: c.Zone, Engine: c.Engine, Closed: c.Closed, Protect: c.Op == OpProtect}
-}
-
-// noteAct writes down the closure, opening or keeping that made the newest closure epoch.
-func (s *State) recordClosureChange(c Command) {
-	s.ClosureChanges = append(s.ClosureChanges, c.closureChange(s.Closures.Version))
-	s.ClosureChanges = s.ClosureChanges[max(0, len(s.ClosureChanges)-maxClosureChanges):]
+// dropOldestRecords removes the entries of the lowest versions until at most limit are left.
+func dropOldestRecords[K cmp.Ordered](records map[K]closure.Record, limit int) {
+	for len(records) > limit {
+		// Sorted, so that every replica drops the same one of several entries with equal versions.
+		oldest := slices.MinFunc(slices.Sorted(maps.Keys(records)), func(a, b K) int {
+			return cmp.Compare(records[a].Version, records[b].Version)
+		})
+		delete(records, oldest)
+	}
 }
--- a/process/consensus/statemachine/digest.go
+++ b/process/consensus/statemachine/digest.go
@@ -7,12 +7,12 @@
 	"reflect"
 )
 
-// outcomes numbers what commands do to the state. Raise it where a command's outcome changes though no field does:
-// members of builds that apply alike must hold equal states, and only theirs are compared.
+// semanticsVersion numbers what commands do to the state. Raise it where a command's effect changes though no encoded
+// field does: members of builds that apply alike must hold equal states, and only theirs are compared.
 const semanticsVersion = 1
 
-// Digest is a sum over the whole state: equal for all members that applied the same entries, whether one by one or
-// by way of a snapshot. It takes as long as a snapshot does; Bytes is how long that is.
+// Digest is a checksum of the encoded state: equal for all members that applied the same entries, whether one by one or
+// by way of a snapshot. It costs as much as a snapshot; SnapshotBytes is how long that is.
 type Digest struct {
 	Sum           uint64
 	SnapshotBytes int
@@ -25,37 +25,48 @@
 	return Digest{Sum: binary.BigEndian.Uint64(sum[:8]), SnapshotBytes: len(data)}
 }
 
-// Form tells builds apart whose digests can't be compared, by the fields of the state and by outcomes. A build that
-// may differ in other ways says so by its name.
+// DigestSchema identifies builds whose digests can be compared: those with the same encoding of the state, the same
+// semanticsVersion and the same name, by which a build says that it may differ in other ways. Names in Go don't count.
 func DigestSchema(build string) uint64 {
 	sum := fnv.New64a()
 	_ = binary.Write(sum, binary.BigEndian, uint64(semanticsVersion))
 	_, _ = sum.Write([]byte(build))
-	describe(reflect.TypeFor[State](), map[reflect.Type]bool{}, func(word string) { _, _ = sum.Write([]byte(word + ";")) })
+	describeEncoding(reflect.TypeFor[State](), map[reflect.Type]bool{}, func(text string) { _, _ = sum.Write([]byte(text + ";")) })
 	return sum.Sum64()
 }
 
-// describe says of which fields a type is made.
-func describe(of reflect.Type, seen map[reflect.Type]bool, say func(string)) {
-	say(of.String())
-	if seen[of] {
+// describeEncoding writes how a type is encoded: kinds of values, and names and options of fields. open holds the types
+// that are being described, so that a type which contains itself is described once.
+func describeEncoding(of reflect.Type, open map[reflect.Type]bool, write func(string)) {
+	write(of.Kind().String())
+	if open[of] {
 		return
 	}
-	seen[of] = true
+	open[of] = true
+	defer delete(open, of)
 	switch of.Kind() {
 	case reflect.Pointer, reflect.Slice, reflect.Array:
-		describe(of.Elem(), seen, say)
+		describeEncoding(of.Elem(), open, write)
 	case reflect.Map:
-		describe(of.Key(), seen, say)
-		describe(of.Elem(), seen, say)
+		describeEncoding(of.Key(), open, write)
+		describeEncoding(of.Elem(), open, write)
 	case reflect.Struct:
-		for place := range of.NumField() {
-			field := of.Field(place)
+		for index := range of.NumField() {
+			field := of.Field(index)
 			if !field.IsExported() {
 				continue
 			}
-			say(field.Name + " " + string(field.Tag))
-			describe(field.Type, seen, say)
+			write(fieldEncoding(field))
+			describeEncoding(field.Type, open, write)
 		}
+		write("end")
 	}
 }
+
+// fieldEncoding gives a field's JSON name and options; the Go name counts only where there is no tag.
+func fieldEncoding(field reflect.StructField) string {
+	if tag, tagged := field.Tag.Lookup("json"); tagged {
+		return tag
+	}
+	return field.Name
+}
--- a/process/consensus/statemachine/digest_test.go
+++ b/process/consensus/statemachine/digest_test.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"math/rand/v2"
+	"reflect"
 	"strings"
 	"testing"
 
@@ -83,6 +84,80 @@
 	}
 }
 
+// TestDigestSchemaDependsOnTheEncodingAlone compares a type with others that are encoded alike or otherwise.
+func TestDigestSchemaDependsOnTheEncodingAlone(t *testing.T) {
+	describeType := func(of reflect.Type) string {
+		var text strings.Builder
+		describeEncoding(of, map[reflect.Type]bool{}, func(part string) { text.WriteString(part + ";") })
+		return text.String()
+	}
+	type inner struct {
+		Value int `json:"value"`
+	}
+	type renamedInner struct {
+		Number int `json:"value"`
+	}
+	type list struct {
+		Next *list `json:"next"`
+	}
+	type original struct {
+		Inner inner  `json:"inner"`
+		Left  uint64 `json:"left"`
+	}
+	want := describeType(reflect.TypeFor[original]())
+	for _, test := range []struct {
+		name  string
+		other reflect.Type
+		equal bool
+	}{
+		{"other Go names", reflect.TypeFor[struct {
+			Renamed renamedInner `json:"inner"`
+			Other   uint64       `json:"left"`
+		}](), true},
+		{"another JSON name", reflect.TypeFor[struct {
+			Inner inner  `json:"inner"`
+			Left  uint64 `json:"right"`
+		}](), false},
+		{"another option", reflect.TypeFor[struct {
+			Inner inner  `json:"inner"`
+			Left  uint64 `json:"left,omitempty"`
+		}](), false},
+		{"another kind", reflect.TypeFor[struct {
+			Inner inner `json:"inner"`
+			Left  int64 `json:"left"`
+		}](), false},
+		{"another order", reflect.TypeFor[struct {
+			Left  uint64 `json:"left"`
+			Inner inner  `json:"inner"`
+		}](), false},
+		{"a field less", reflect.TypeFor[struct {
+			Inner inner `json:"inner"`
+		}](), false},
+		{"a type that contains itself", reflect.TypeFor[list](), false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if got := describeType(test.other); (got == want) != test.equal {
+				t.Errorf("%s is described as %s", test.name, got)
+			}
+		})
+	}
+}
+
+// TestInconsistentSnapshotIsRefused: what contradicts itself is told apart from what is incomplete.
+func TestInconsistentSnapshotIsRefused(t *testing.T) {
+	for name, snapshot := range map[string]string{
+		"a proposal under another id":     `{"proposals":{"p":{"proposalId":"q"}}}`,
+		"a proposal rolled out as none":   `{"proposals":{"p":{"proposalId":"p","stage":"rolled"}}}`,
+		"a history of an open proposal":   `{"history":["p"],"proposals":{"p":{"proposalId":"p","stage":"signed"}}}`,
+		"a daemon without a lease":        `{"workers":{"tenures":{},"nodes":{"a#1":3},"floors":{}}}`,
+		"a lease of another worker's row": `{"workers":{"tenures":{"3":{"workerId":4,"nodeId":"a#1","leaseExpiry":5}},"nodes":{"a#1":3},"floors":{}}}`,
+	} {
+		if _, err := Restore([]byte(snapshot)); !errors.Is(err, ErrInconsistent) || errors.Is(err, ErrIncomplete) {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+}
+
 // A snapshot without a part of the state is refused: applying to it would end the process.
 func TestIncompleteSnapshotIsRefused(t *testing.T) {
 	whole := string(New().Snapshot())
--- a/process/consensus/statemachine/incarnations.go
+++ b/process/consensus/statemachine/incarnations.go
@@ -1,7 +1,6 @@
 package statemachine
 
 import (
-	"cmp"
 	"maps"
 	"slices"
 
@@ -10,73 +9,74 @@
 	"github.com/cresspond/cresspond/process/workerid"
 )
 
-// Serving is one life of a daemon that may be serving.
+const (
+	// maxEndedIncarnations is how many ended incarnations are remembered, the newest: a retried call arrives within
+	// seconds.
+	maxEndedIncarnations = 1024
+	// maxLostDaemons is how many daemons declared lost are remembered.
+	maxLostDaemons = 64
+)
+
+// ServingDaemon is one incarnation of a daemon that may be serving.
 type ServingDaemon struct {
 	Address string          `json:"address"`
 	Since   ident.GroupTime `json:"since"`
 }
 
-// EndedLife is one life of a daemon that served and is taken to be over.
+// EndedIncarnation is one incarnation of a daemon that served and is taken to have ended.
 type EndedIncarnation struct {
 	Node    ident.NodeID `json:"node"`
 	Address string       `json:"address"`
-	// Stopped says that it said so itself; else another life of its name followed it.
+	// Stopped says that the daemon itself reported its end; else another incarnation of its name followed it.
 	Stopped bool `json:"stopped,omitempty"`
 }
 
-// mostEnded is how many ended lives are remembered, the newest: a copy of a call stays on its way for seconds.
-const maxEndedIncarnations = 1024
-
-// ServingNow lists the daemons that may be serving.
+// ServingDaemons lists the daemons that may be serving, sorted.
 func (s *State) ServingDaemons() []ident.NodeID { return slices.Sorted(maps.Keys(s.Serving)) }
 
-// enlist notes a life that is about to serve. An earlier one of its name is over, since a name runs once.
-func (s *State) registerDaemon(c Command) Result {
-	if _, lost := s.Closures.Lost[c.NodeID]; lost {
+// registerDaemon records an incarnation that is about to serve. An earlier one of its name has ended, since a name runs
+// once.
+func (s *State) registerDaemon(command Command) Result {
+	if _, lost := s.Closures.Lost[command.NodeID]; lost {
 		return Result{Outcome: Forbidden, Reason: "this daemon was declared lost"}
 	}
-	if ended, found := s.endedIncarnation(c.NodeID); found && ended.Stopped {
-		// A copy that comes late.
-		return Result{Outcome: Forbidden, Reason: "this life of the daemon has stopped"}
-	} else if found && s.superseded(c.NodeID) {
-		// Taken, it would put the life that followed out of sight.
+	if ended, found := s.endedIncarnation(command.NodeID); found && ended.Stopped {
+		// A retry that arrives late.
+		return Result{Outcome: Forbidden, Reason: "this incarnation of the daemon has stopped"}
+	} else if found && s.superseded(command.NodeID) {
+		// Registered again, it would end the incarnation that followed it.
 		return Result{Outcome: Done}
 	}
-	s.startServing(c.NodeID, c.Address)
+	s.startServing(command.NodeID, command.Address)
 	return Result{Outcome: Done}
 }
 
-// lose takes an operator's word that a daemon will never serve again.
-func (s *State) declareLost(c Command) Result {
-	if _, already := s.Closures.Lost[c.LostDaemon]; already {
-		return s.closuresNow()
+// declareLost records an operator's statement that a daemon will never serve again.
+func (s *State) declareLost(command Command) Result {
+	if _, already := s.Closures.Lost[command.LostDaemon]; already {
+		return s.currentClosures()
 	}
-	if _, serving := s.Serving[c.LostDaemon]; !serving {
+	if _, serving := s.Serving[command.LostDaemon]; !serving {
 		return Result{Outcome: Missing, Reason: "no such daemon may be serving"}
 	}
-	delete(s.Serving, c.LostDaemon)
+	delete(s.Serving, command.LostDaemon)
 	next := s.Closures.Clone()
 	next.Version++
-	next.Lost[c.LostDaemon] = closure.Record{Operator: c.Operator, At: s.Now, Version: next.Version}
-	for len(next.Lost) > maxLostDaemons {
-		oldest := slices.MinFunc(slices.Sorted(maps.Keys(next.Lost)), func(a, b ident.NodeID) int {
-			return cmp.Compare(next.Lost[a].Version, next.Lost[b].Version)
-		})
-		delete(next.Lost, oldest)
-	}
+	next.Lost[command.LostDaemon] = closure.Record{Operator: command.Operator, At: s.Now, Version: next.Version}
+	dropOldestRecords(next.Lost, maxLostDaemons)
 	s.setClosures(next)
-	return s.closuresNow()
+	return s.currentClosures()
 }
 
 func (s *State) endedIncarnation(node ident.NodeID) (EndedIncarnation, bool) {
-	place := slices.IndexFunc(s.EndedIncarnations, func(ended EndedIncarnation) bool { return ended.Node == node })
-	if place < 0 {
+	index := slices.IndexFunc(s.EndedIncarnations, func(ended EndedIncarnation) bool { return ended.Node == node })
+	if index < 0 {
 		return EndedIncarnation{}, false
 	}
-	return s.EndedIncarnations[place], true
+	return s.EndedIncarnations[index], true
 }
 
-// serve is the one place where a life comes among those that may be serving; all others of its name are over.
+// startServing is the one function that adds an incarnation to those that may be serving; all others of its name end.
 func (s *State) startServing(node ident.NodeID, address string) {
 	for _, other := range slices.Sorted(maps.Keys(s.Serving)) {
 		if other != node && other.Name() == node.Name() {
@@ -91,18 +91,19 @@
 	}
 }
 
-// endLife takes a life off those that may be serving.
+// endIncarnation removes an incarnation from those that may be serving.
 func (s *State) endIncarnation(node ident.NodeID, stopped bool) {
 	serving, known := s.Serving[node]
 	if !known {
 		return
 	}
 	delete(s.Serving, node)
-	// A new list, so that whoever holds the old one may go on reading it.
-	s.EndedIncarnations = append(slices.Clone(s.EndedIncarnations[max(0, len(s.EndedIncarnations)-maxEndedIncarnations+1):]), EndedIncarnation{Node: node, Address: serving.Address, Stopped: stopped})
+	// A new slice, so that readers may keep the old one.
+	retained := s.EndedIncarnations[max(0, len(s.EndedIncarnations)-maxEndedIncarnations+1):]
+	s.EndedIncarnations = append(slices.Clone(retained), EndedIncarnation{Node: node, Address: serving.Address, Stopped: stopped})
 }
 
-// leaseEnd is when a life's lease of its worker id ends; zero is no lease.
+// leaseEnd is when an incarnation's lease of its worker id expires; zero where it has none.
 func (s *State) leaseEnd(node ident.NodeID) ident.GroupTime {
 	worker, known := s.Workers.Nodes[node]
 	if !known {
@@ -111,8 +112,8 @@
 	return s.Workers.Leases[worker].LeaseExpiry
 }
 
-// outlived says whether the life that serves under a life's name has the later lease. Names of lives have no order, and
-// of two calls to enlist either may come late; but a life that is over renews no lease.
+// superseded says whether a serving incarnation of the same name has a lease that expires later. The ids of incarnations
+// have no order, and of two calls to register either may arrive last; but an incarnation that has ended renews no lease.
 func (s *State) superseded(node ident.NodeID) bool {
 	for other := range s.Serving {
 		if other != node && other.Name() == node.Name() && s.leaseEnd(other) > 0 && s.leaseEnd(other) >= s.leaseEnd(node) {
@@ -122,10 +123,11 @@
 	return false
 }
 
-// confirmLife is called when a life was granted a lease: one that was taken to be followed, since its follower's call
-// came before its own or its forerunner's came late, serves all the same.
-func (s *State) confirmServing(node ident.NodeID, verdict workerid.LeaseOutcome) {
-	if ended, found := s.endedIncarnation(node); verdict == workerid.Granted && found && !ended.Stopped && !s.superseded(node) {
+// confirmServing is called with the outcome of each request for a lease. An incarnation that is granted one is running:
+// where it was taken to have ended, since its successor's registration arrived before its own or its predecessor's
+// arrived late, it serves all the same.
+func (s *State) confirmServing(node ident.NodeID, outcome workerid.LeaseOutcome) {
+	if ended, found := s.endedIncarnation(node); outcome == workerid.Granted && found && !ended.Stopped && !s.superseded(node) {
 		s.startServing(node, ended.Address)
 	}
 }
--- a/process/consensus/statemachine/proposals.go
+++ b/process/consensus/statemachine/proposals.go
@@ -11,148 +11,164 @@
 type Stage string
 
 const (
-	// Proposed: handed in, not reviewed yet.
+	// StageProposed: submitted, not reviewed yet.
 	StageProposed Stage = "proposed"
-	// Reviewed: reviewed, not signed off yet.
+	// StageReviewed: reviewed, not signed off yet.
 	StageReviewed Stage = "reviewed"
-	// Signed: signed off, not in force yet.
+	// StageSigned: signed off, not in force yet.
 	StageSigned Stage = "signed"
-	// Rolled: it came in force as an epoch.
+	// StageRolledOut: it was put in force, and got a version.
 	StageRolledOut Stage = "rolled"
-	// Lost: another proposal on the same base came in force first.
+	// StageSuperseded: another proposal on the same base was put in force first.
 	StageSuperseded Stage = "lost"
 )
 
-// Mark is one operator's act on a proposal.
+// final says whether a proposal in this stage takes no more approvals.
+func (s Stage) final() bool { return s == StageSuperseded || s == StageRolledOut }
+
+// OperatorAction is one operator's action on a proposal: who, when, and the operator's own note.
 type OperatorAction struct {
 	Operator string          `json:"operator"`
 	At       ident.GroupTime `json:"at"`
 	Note     string          `json:"note,omitempty"`
 }
 
-// Proposal is one bundle on its way to being in force.
+// Proposal is one configuration that was proposed, or applied in one step.
 type Proposal struct {
-	ID            string           `json:"proposalId"`
-	Base          ident.Version    `json:"base"`
-	Stage         Stage            `json:"stage"`
-	Proposed      OperatorAction   `json:"proposed"`
-	Reviews       []OperatorAction `json:"reviews,omitempty"`
-	SignOffs      []OperatorAction `json:"signs,omitempty"`
-	RolledOut     *OperatorAction  `json:"rolled,omitempty"`
-	Version       ident.Version    `json:"epoch,omitempty"`
-	Configuration []byte           `json:"spec,omitempty"`
-	// Packed says that Spec is compressed; Bundle gives it back.
-	Compressed bool           `json:"packed,omitempty"`
-	Revision   ident.Revision `json:"revision,omitempty"`
+	ID string `json:"proposalId"`
+	// Base is the version in force that it builds on, Version the one that it made, 0 before it was put in force.
+	Base      ident.Version    `json:"base"`
+	Stage     Stage            `json:"stage"`
+	Proposed  OperatorAction   `json:"proposed"`
+	Reviews   []OperatorAction `json:"reviews,omitempty"`
+	SignOffs  []OperatorAction `json:"signs,omitempty"`
+	RolledOut *OperatorAction  `json:"rolled,omitempty"`
+	Version   ident.Version    `json:"epoch,omitempty"`
+	// Configuration is the document's bytes, compressed where Compressed says so; empty where they were dropped.
+	Configuration []byte         `json:"spec,omitempty"`
+	Compressed    bool           `json:"packed,omitempty"`
+	Revision      ident.Revision `json:"revision,omitempty"`
 	// Applied says that it came in force in one step, by an operator alone.
 	Applied bool `json:"applied,omitempty"`
 }
 
-func (s *State) propose(c Command) Result {
-	if known := s.Proposals[c.ProposalID]; known != nil {
-		// The same proposal sent again finds itself, so a lost answer can be asked for anew.
-		if known.Base == c.Base && known.Proposed.Operator == c.Operator && slices.Equal(known.Configuration, c.Configuration) {
-			return Result{Outcome: Done, Proposal: known.withoutConfiguration()}
+// Decompress gives the configuration as it was submitted; nothing where it was dropped.
+func (p *Proposal) Decompress() ([]byte, error) { return p.Bundle().Raw() }
+
+// Bundle gives the configuration in the form in which it travels.
+func (p *Proposal) Bundle() compression.Bundle {
+	return compression.Bundle{Data: p.Configuration, Compressed: p.Compressed}
+}
+
+// withoutConfiguration is a copy without the configuration's bytes, for results.
+func (p *Proposal) withoutConfiguration() *Proposal {
+	copied := *p
+	copied.Configuration = nil
+	return &copied
+}
+
+// result is a result that shows the proposal.
+func (p *Proposal) result(outcome Outcome, reason string) Result {
+	return Result{Outcome: outcome, Reason: reason, Proposal: p.withoutConfiguration()}
+}
+
+// updateStage is the one function that moves an open proposal to its next stage.
+func (p *Proposal) updateStage() {
+	switch {
+	case len(p.SignOffs) > 0:
+		p.Stage = StageSigned
+	case len(p.Reviews) > 0:
+		p.Stage = StageReviewed
+	}
+}
+
+// operatorAction is what a command by an operator leaves in a proposal.
+func (s *State) operatorAction(command Command) OperatorAction {
+	return OperatorAction{Operator: command.Operator, At: s.Now, Note: command.Note}
+}
+
+// propose adds a proposal. The same one sent again finds itself, so a lost response can be asked for anew.
+func (s *State) propose(command Command) Result {
+	if known := s.Proposals[command.ProposalID]; known != nil {
+		if known.Base == command.Base && known.Proposed.Operator == command.Operator && slices.Equal(known.Configuration, command.Configuration) {
+			return known.result(Done, "")
 		}
-		return Result{Outcome: Conflict, Reason: "this proposal id stands for another bundle", Proposal: known.withoutConfiguration()}
+		return known.result(Conflict, "this proposal id belongs to another configuration")
 	}
-	if reserved(c.ProposalID) {
-		return Result{Outcome: Malformed, Reason: "ids that begin so are for bundles applied in one step"}
+	if isAppliedID(command.ProposalID) {
+		return Result{Outcome: Malformed, Reason: "ids that begin so are reserved for configurations applied in one step"}
 	}
-	if c.Base != s.Version() {
-		return s.baseConflict(c.Base)
+	if command.Base != s.Version() {
+		return s.baseConflict(command.Base)
 	}
-	if c.Revision > MaxRevision {
+	if command.Revision > MaxRevision {
 		return Result{Outcome: Malformed, Reason: "the revision is higher than any may be"}
 	}
-	made := &Proposal{ID: c.ProposalID, Base: c.Base, Stage: StageProposed, Configuration: c.Configuration, Revision: c.Revision,
-		Proposed: OperatorAction{Operator: c.Operator, At: s.Now, Note: c.Note}}
-	s.Proposals[c.ProposalID] = made
-	return Result{Outcome: Done, Proposal: made.withoutConfiguration()}
+	proposal := &Proposal{
+		ID:            command.ProposalID,
+		Base:          command.Base,
+		Stage:         StageProposed,
+		Proposed:      s.operatorAction(command),
+		Configuration: command.Configuration,
+		Revision:      command.Revision,
+	}
+	s.Proposals[proposal.ID] = proposal
+	return proposal.result(Done, "")
 }
 
-func (s *State) approve(c Command) Result {
-	proposal := s.Proposals[c.ProposalID]
+// approve adds a review or, for OpSignOff, a sign-off. One operator's approval counts once.
+func (s *State) approve(command Command) Result {
+	proposal := s.Proposals[command.ProposalID]
 	if proposal == nil {
 		return Result{Outcome: Missing, Reason: "no such proposal"}
 	}
-	mark := OperatorAction{Operator: c.Operator, At: s.Now, Note: c.Note}
-	done := &proposal.Reviews
-	if c.Op == OpSignOff {
-		done = &proposal.SignOffs
-	}
-	if slices.ContainsFunc(*done, func(m OperatorAction) bool { return m.Operator == c.Operator }) {
-		return Result{Outcome: Done, Proposal: proposal.withoutConfiguration()}
-	}
-	if proposal.Stage == StageSuperseded || proposal.Stage == StageRolledOut {
-		return Result{Outcome: Conflict, Reason: "the proposal is " + string(proposal.Stage), Proposal: proposal.withoutConfiguration()}
-	}
-	if c.Op == OpSignOff {
-		if c.Operator == proposal.Proposed.Operator {
-			return Result{Outcome: Forbidden, Reason: "an author may not sign off the own bundle", Proposal: proposal.withoutConfiguration()}
-		}
-		if len(proposal.Reviews) == 0 {
-			return Result{Outcome: Forbidden, Reason: "the bundle has not been reviewed", Proposal: proposal.withoutConfiguration()}
-		}
+	approvals := &proposal.Reviews
+	if command.Op == OpSignOff {
+		approvals = &proposal.SignOffs
 	}
-	*done = append(*done, mark)
-	proposal.advance()
-	return Result{Outcome: Done, Proposal: proposal.withoutConfiguration()}
-}
-
-// advance is the one place where an open proposal moves on.
-func (p *Proposal) advance() {
+	byOperator := func(action OperatorAction) bool { return action.Operator == command.Operator }
 	switch {
-	case len(p.SignOffs) > 0:
-		p.Stage = StageSigned
-	case len(p.Reviews) > 0:
-		p.Stage = StageReviewed
+	case slices.ContainsFunc(*approvals, byOperator):
+		return proposal.result(Done, "")
+	case proposal.Stage.final():
+		return proposal.result(Conflict, "the proposal is "+string(proposal.Stage))
+	case command.Op == OpSignOff && command.Operator == proposal.Proposed.Operator:
+		return proposal.result(Forbidden, "an author may not sign off the own configuration")
+	case command.Op == OpSignOff && len(proposal.Reviews) == 0:
+		return proposal.result(Forbidden, "the configuration has not been reviewed")
 	}
+	*approvals = append(*approvals, s.operatorAction(command))
+	proposal.updateStage()
+	return proposal.result(Done, "")
 }
 
-func (s *State) rollOut(c Command) Result {
-	proposal := s.Proposals[c.ProposalID]
+// rollOut puts a signed proposal in force.
+func (s *State) rollOut(command Command) Result {
+	proposal := s.Proposals[command.ProposalID]
 	if proposal == nil {
 		return Result{Outcome: Missing, Reason: "no such proposal"}
 	}
 	switch {
 	case proposal.Stage == StageRolledOut:
-		return Result{Outcome: Done, Proposal: proposal.withoutConfiguration()}
+		return proposal.result(Done, "")
 	case proposal.Base != s.Version():
 		result := s.baseConflict(proposal.Base)
 		result.Proposal = proposal.withoutConfiguration()
 		return result
 	case s.Revision >= MaxRevision:
-		return Result{Outcome: Exhausted, Reason: "no revision is left", Proposal: proposal.withoutConfiguration()}
+		return proposal.result(Exhausted, "no revision is left")
 	case proposal.Stage != StageSigned:
-		return Result{Outcome: Forbidden, Reason: "the bundle has not been signed off", Proposal: proposal.withoutConfiguration()}
+		return proposal.result(Forbidden, "the configuration has not been signed off")
 	}
-	s.putInForce(proposal, OperatorAction{Operator: c.Operator, At: s.Now, Note: c.Note})
-	return Result{Outcome: Done, Proposal: proposal.withoutConfiguration()}
+	s.putInForce(proposal, s.operatorAction(command))
+	return proposal.result(Done, "")
 }
 
-// lostTo answers one whose base is no longer, or not yet, in force.
+// baseConflict refuses what builds on a version that is no longer, or not yet, in force.
 func (s *State) baseConflict(base ident.Version) Result {
-	result := Result{Outcome: Conflict, Reason: "the base is not the epoch in force"}
-	if winner, ok := s.ProposalAt(base + 1); ok {
+	result := Result{Outcome: Conflict, Reason: "the base is not the version in force"}
+	if winner, known := s.ProposalAt(base + 1); known {
 		result.Winner = winner.ID
 	}
 	return result
 }
-
-// Bundle gives the bundle as it was handed in; nothing where it is no longer kept.
-func (p *Proposal) Decompress() ([]byte, error) {
-	return p.Bundle().Raw()
-}
-
-// Packing gives the bundle as it travels.
-func (p *Proposal) Bundle() compression.Bundle {
-	return compression.Bundle{Data: p.Configuration, Compressed: p.Compressed}
-}
-
-// brief is a copy without the bundle itself.
-func (p *Proposal) withoutConfiguration() *Proposal {
-	copied := *p
-	copied.Configuration = nil
-	return &copied
-}
--- a/process/consensus/statemachine/ranking.go
+++ b/process/consensus/statemachine/ranking.go
@@ -1,11 +1,9 @@
 package statemachine
 
-import (
-	"github.com/cresspond/cresspond/ident"
-)
+import "github.com/cresspond/cresspond/ident"
 
-// RankingOrder is the newest order of the ranking that was taken. Its stamp is minted, so that a copy of it, or of an
-// earlier one, is known.
+// RankingDecision identifies the newest decision of the ranking that took effect. Its id is a snowflake id, so a retry of
+// it, or an earlier decision of the same planner, is recognised.
 type RankingDecision struct {
 	Token  ident.FencingToken `json:"claim"`
 	ID     ident.SnowflakeID  `json:"stamp"`
@@ -13,26 +11,27 @@
 	Closed bool               `json:"closed,omitempty"`
 }
 
-// rankingOrder is what tells one order of the ranking from all others.
+// rankingDecision is what distinguishes one decision of the ranking from all others.
 func (c Command) rankingDecision() RankingDecision {
 	return RankingDecision{Token: c.Ranking.Token, ID: c.Ranking.ID, Engine: c.Engine, Closed: c.Closed}
 }
 
-// mayRank says whether whoever plans may shut or open an engine: it holds the claim, operators don't keep the engine,
-// and it opens only what the ranking shut.
-func (s *State) checkRanking(c Command) (Outcome, string) {
-	_, kept := s.Closures.Protected[c.Engine]
-	before, shut := s.Closures.Engines[c.Engine]
+// checkRanking says whether the planner may drain an engine or end its draining: it holds the lease, operators don't
+// protect the engine, and it ends only what the ranking began.
+func (s *State) checkRanking(command Command) (outcome Outcome, reason string) {
+	_, protected := s.Closures.Protected[command.Engine]
+	before, closed := s.Closures.Engines[command.Engine]
+	lease, ranking := s.PlannerLease, command.Ranking
 	switch {
-	case c.Engine == "" || c.Zone != "":
-		return Malformed, "the ranking shuts engines alone"
-	case s.PlannerLease.Token != c.Ranking.Token || s.PlannerLease.NodeID != c.NodeID || s.PlannerLease.Expiry <= s.Now:
-		return Forbidden, "the claim under which this was ranked is no longer held"
-	case s.LastRanking.Token == c.Ranking.Token && c.Ranking.ID < s.LastRanking.ID:
-		return Forbidden, "a later order of this claim's ranking was taken"
-	case c.Closed && kept:
-		return Forbidden, "an operator keeps this engine"
-	case !c.Closed && shut && before.Ranking == nil:
+	case command.Engine == "" || command.Zone != "":
+		return Malformed, "the ranking drains engines alone"
+	case lease.Token != ranking.Token || lease.NodeID != command.NodeID || lease.Expiry <= s.Now:
+		return Forbidden, "the planner's lease under which this was ranked has ended"
+	case s.LastRanking.Token == ranking.Token && ranking.ID < s.LastRanking.ID:
+		return Forbidden, "a later decision of this planner's ranking took effect"
+	case command.Closed && protected:
+		return Forbidden, "an operator protects this engine"
+	case !command.Closed && closed && before.Ranking == nil:
 		return Forbidden, "an operator drains this engine"
 	}
 	return Done, ""
--- a/process/consensus/statemachine/snapshot.go
+++ b/process/consensus/statemachine/snapshot.go
@@ -10,10 +10,14 @@
 	"github.com/cresspond/cresspond/process/workerid"
 )
 
-// ErrIncomplete says that a snapshot lacks a part of the state that every state has.
-var ErrIncomplete = errors.New("the snapshot lacks a part of the state")
+var (
+	// ErrIncomplete says that a snapshot lacks a part of the state that every state has.
+	ErrIncomplete = errors.New("the snapshot lacks a part of the state")
+	// ErrInconsistent says that parts of a snapshot contradict each other.
+	ErrInconsistent = errors.New("the snapshot contradicts itself")
+)
 
-// Snapshot gives the form that is kept on disk and sent to members who lag.
+// Snapshot encodes the state, for the disk and for members that lag.
 func (s *State) Snapshot() []byte {
 	data, err := json.Marshal(s)
 	if err != nil {
@@ -22,7 +26,8 @@
 	return data
 }
 
-// Restore reads a snapshot.
+// Restore decodes a snapshot of this build or an earlier one; no bytes are the state before the first entry. The error
+// is that of the JSON decoder, ErrIncomplete or ErrInconsistent.
 func Restore(data []byte, options ...Option) (*State, error) {
 	s := New(options...)
 	if len(data) == 0 {
@@ -31,23 +36,23 @@
 	if err := json.Unmarshal(data, s); err != nil {
 		return nil, err
 	}
-	if err := s.complete(); err != nil {
+	if err := s.checkComplete(); err != nil {
 		return nil, err
 	}
-	if err := s.validate(); err != nil {
-		return nil, eris.Wrap(err, "a snapshot is not sound")
+	if err := s.checkConsistent(); err != nil {
+		return nil, eris.Wrap(err, "a snapshot cannot be used")
 	}
 	s.Workers.RebuildExpiries()
 	if s.Revision == 0 {
-		// Earlier builds counted no revisions, and each bundle that they put in force would have made one.
+		// Earlier builds counted no revisions, and each configuration that they put in force would have made one.
 		s.Revision = ident.Revision(s.Version())
 	}
 	s.upgradeHistory()
 	return s, nil
 }
 
-// complete says whether a state that was read can be applied to: JSON's null takes a map or table away.
-func (s *State) complete() error {
+// checkComplete says whether commands can be applied to a state that was decoded: JSON's null removes a map or table.
+func (s *State) checkComplete() error {
 	if s.Workers == nil || s.Workers.Leases == nil || s.Workers.Nodes == nil || s.Workers.Floors == nil {
 		return ErrIncomplete
 	}
@@ -62,48 +67,49 @@
 	return nil
 }
 
-// sound says what is wrong with a state that was read; one that is wrong must not be served, nor may it end the
-// process later, when a command first touches what is wrong.
-func (s *State) validate() error {
-	if err := validateWorkers(s.Workers); err != nil {
+// checkConsistent says what contradicts itself in a state that was decoded. Such a state must not be served, nor may it
+// end the process later, when a command first touches the contradiction.
+func (s *State) checkConsistent() error {
+	if err := checkWorkers(s.Workers); err != nil {
 		return err
 	}
 	for id, proposal := range s.Proposals {
 		switch {
 		case proposal == nil || proposal.ID != id:
-			return eris.Errorf("proposal %q is another or none", id)
+			return eris.Wrapf(ErrInconsistent, "proposal %q is another or none", id)
 		case proposal.Stage == StageRolledOut && (proposal.RolledOut == nil || proposal.Version == 0 || proposal.Version > s.Version()):
-			return eris.Errorf("proposal %q is in force at no epoch", id)
+			return eris.Wrapf(ErrInconsistent, "proposal %q is rolled out as no version", id)
 		}
 	}
-	for place, id := range s.History {
-		// The oldest bundles are forgotten, but not their places.
-		if proposal := s.Proposals[id]; proposal != nil && (proposal.Stage != StageRolledOut || proposal.Version != s.Dropped+ident.Version(place)+1) {
-			return eris.Errorf("epoch %d is proposal %q, which was not put in force with it", s.Dropped+ident.Version(place)+1, id)
+	for index, id := range s.History {
+		version := s.Dropped + ident.Version(index) + 1
+		// The oldest proposals are forgotten, but not their versions.
+		if proposal := s.Proposals[id]; proposal != nil && (proposal.Stage != StageRolledOut || proposal.Version != version) {
+			return eris.Wrapf(ErrInconsistent, "version %d is proposal %q, which was not rolled out as it", version, id)
 		}
 	}
 	return nil
 }
 
-// soundWorkers checks that both ways of looking up a worker id lead to each other.
-func validateWorkers(table *workerid.Table) error {
+// checkWorkers checks that both ways of looking up a worker id lead to each other.
+func checkWorkers(table *workerid.Table) error {
 	if len(table.Leases) != len(table.Nodes) {
-		return eris.New("the table of worker ids has another number of daemons than of ids")
+		return eris.Wrap(ErrInconsistent, "the table of worker ids has another number of daemons than of ids")
 	}
 	for worker, lease := range table.Leases {
-		back, known := table.Nodes[lease.NodeID]
-		if worker < 0 || worker > workerid.MaxWorkerID || lease.WorkerID != worker || !known || back != worker {
-			return eris.Errorf("worker id %d is held by nobody", worker)
+		leased, known := table.Nodes[lease.NodeID]
+		if worker < 0 || worker > workerid.MaxWorkerID || lease.WorkerID != worker || !known || leased != worker {
+			return eris.Wrapf(ErrInconsistent, "the lease of worker id %d has no daemon that holds it", worker)
 		}
 	}
 	return nil
 }
 
-// adoptHistory brings the state of an earlier build, which noted nowhere what it had forgotten, to today's form.
+// upgradeHistory brings the state of an earlier build, which did not record what it had forgotten, to today's form.
 func (s *State) upgradeHistory() {
-	for place := len(s.History) - 1; place >= 0 && s.AppliesKnownFrom == 0; place-- {
-		if s.Proposals[s.History[place]] == nil {
-			s.raiseAppliesKnownFrom(place + 1)
+	for index := len(s.History) - 1; index >= 0 && s.AppliesKnownFrom == 0; index-- {
+		if s.Proposals[s.History[index]] == nil {
+			s.raiseAppliesKnownFrom(index + 1)
 		}
 	}
 	s.dropOldVersions()
--- a/process/consensus/statemachine/state.go
+++ b/process/consensus/statemachine/state.go
@@ -8,39 +8,49 @@
 	"github.com/cresspond/cresspond/process/workerid"
 )
 
-// State is the replicated state.
+// State is the replicated state. Its fields are exported for the encoding and for readers; only Apply changes them.
 type State struct {
-	Now       ident.GroupTime      `json:"now"`
-	Workers   *workerid.Table      `json:"workers"`
+	// Now is the group's time as of the last applied command.
+	Now ident.GroupTime `json:"now"`
+	// Workers holds the leases of worker ids.
+	Workers *workerid.Table `json:"workers"`
+	// Proposals holds, by id, the open proposals and those of the history.
 	Proposals map[string]*Proposal `json:"proposals"`
-	// History lists the proposals in force by epoch, the newest last; it begins after the Dropped oldest ones.
+	// History lists the ids of the proposals put in force, by version, the newest last. The oldest Dropped ones are
+	// left out.
 	History []string      `json:"history"`
 	Dropped ident.Version `json:"dropped,omitempty"`
-	// Lasting holds, of the dropped epochs, the proposals that stay known: the first, and all that were signed off.
+	// PermanentHistory holds, of the dropped versions, the proposals that stay known: the first, and all that were
+	// signed off.
 	PermanentHistory map[ident.Version]string `json:"lasting,omitempty"`
-	// Revision is the operators' own number of the bundle in force: it rises with each bundle.
+	// Revision is the operators' own number of the configuration in force: it rises with each one.
 	Revision ident.Revision `json:"revision,omitempty"`
-	// ProvenFrom is the lowest base on which an order that is not remembered is proved never to have been taken.
+	// AppliesKnownFrom is the lowest base on which an apply request that is not remembered is proved never to have
+	// taken effect.
 	AppliesKnownFrom ident.Revision `json:"provenFrom,omitempty"`
-	// RefusedAhead lists the orders that were refused while their base was above the revision in force, until
-	// the revision in force has passed that base. Refused holds those that an earlier build wrote down without it.
+	// RejectedAhead lists the apply requests that were refused while their base was above the revision in force, until
+	// the revision in force has passed that base. RejectedDigests holds those that an earlier build recorded without it.
 	RejectedAhead   []RejectedApply `json:"refusedAhead,omitempty"`
 	RejectedDigests []string        `json:"refused,omitempty"`
-	Closures        closure.Set     `json:"closures"`
-	// Acts lists the newest closures and openings.
+	// Closures holds the closed zones and draining engines.
+	Closures closure.Set `json:"closures"`
+	// ClosureChanges lists the newest changes of the closures, the newest last.
 	ClosureChanges []ClosureChange `json:"acts,omitempty"`
-	// RefusedActs lists the closures that were refused while their base was above the closures in force, until
+	// RejectedClosures lists the changes that were refused while their base was above the closures in force, until
 	// those have passed it.
 	RejectedClosures []ClosureChange `json:"refusedActs,omitempty"`
-	// Ranked is the newest order of the ranking.
-	LastRanking  RankingDecision `json:"ranked,omitzero"`
-	PlannerLease PlannerLease    `json:"claim"`
-	// Serving holds every daemon that may be serving: it has enlisted, and has neither stopped as planned,
-	// nor been followed by another life of its name, nor been declared lost.
+	// LastRanking is the newest decision of the ranking that took effect.
+	LastRanking RankingDecision `json:"ranked,omitzero"`
+	// PlannerLease is the newest lease of the planner, which may have expired.
+	PlannerLease PlannerLease `json:"claim"`
+	// Serving holds every daemon that may be serving: it has registered, and has neither stopped as planned,
+	// nor been followed by another incarnation of its name, nor been declared lost.
 	Serving map[ident.NodeID]ServingDaemon `json:"serving,omitempty"`
-	// Ended lists the newest lives that have stopped or were followed, so that no late ENLIST takes one up again.
+	// EndedIncarnations lists the newest incarnations that have stopped or were followed by another, so that no late
+	// OpRegister starts one again.
 	EndedIncarnations []EndedIncarnation `json:"ended,omitempty"`
-	// Left lists the engines that said they leave, the newest last; Leaves counts all there ever were.
+	// DepartedEngines lists the engines that announced their shutdown, the newest last; Departures counts all there
+	// ever were.
 	DepartedEngines []DepartedEngine `json:"left,omitempty"`
 	Departures      uint64           `json:"leaves,omitempty"`
 
@@ -50,8 +60,8 @@
 // Option changes how a state is made.
 type Option func(*State)
 
-// WithLimits replaces how much is remembered of orders; what is not given stays. All members of a group must have
-// the same limits.
+// WithLimits replaces how much is remembered of apply requests; a limit of zero stays as it is. All members of a group
+// must have the same limits.
 func WithLimits(limits Limits) Option {
 	return func(s *State) {
 		s.limits.Versions = cmp.Or(limits.Versions, s.limits.Versions)
@@ -73,14 +83,3 @@
 	}
 	return s
 }
-
-// Limits bounds what is remembered of orders.
-type Limits struct {
-	// Taken is how many of the newest epochs are remembered, Refused how many refused orders on bases to come.
-	Versions, RejectedApplies int
-}
-
-// DefaultLimits gives the bounds of the design.
-func DefaultLimits() Limits {
-	return Limits{Versions: maxVersions, RejectedApplies: maxRejectedApplies}
-}
--- a/process/placement/poolplacement/plan.go
+++ b/process/placement/poolplacement/plan.go
@@ -108,7 +108,7 @@
 		return now - clock.Mark(time.Duration(granted.Now-at)*time.Millisecond)
 	}
 	for engine, order := range told.Orders {
-		p.inherited[engine] = order.Taken
+		p.inherited[engine] = order.Accepted
 	}
 	p.pace.unknownUntil = max(now, ago(told.Since)+clock.Mark(p.settings.Window))
 	for _, loads := range told.Loads {
