--- a/process/consensus/statemachine/closures.go
+++ b/process/consensus/statemachine/closures.go
@@ -9,204 +9,130 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// ClosureAct is one closure or opening, so that one sent again finds itself.
+const (
+	// maxClosureChanges is how many changes of the closures are remembered, and how many refused ones.
+	maxClosureChanges = 64
+	// maxProtectedEngines is how many engines may be protected at once: an engine's id is new with each start, so the
+	// oldest entries are dropped first.
+	maxProtectedEngines = 1024
+)
+
+// ClosureChange is one change of the closures by an operator or by the ranking, remembered so that its retry finds it.
 type ClosureChange struct {
+	// Version is the version of the closures that the change made.
 	Version  ident.Version  `json:"epoch"`
 	Operator string         `json:"operator"`
 	Zone     ident.ZoneID   `json:"zone,omitempty"`
 	Engine   ident.EngineID `json:"engine,omitempty"`
 	Closed   bool           `json:"closed"`
-	// Keep says that it was no closure but a KEEP.
+	// Protect says that the change came of OpProtect and not of OpClosure.
 	Protect bool `json:"keep,omitempty"`
 }
 
-// mostActs is how many closures and openings are remembered, mostLost how many lost daemons.
-const (
-	maxClosureChanges = 64
-	maxLostDaemons    = 64
-)
-
-// RankingOrder is the newest order of the ranking that was taken. Its stamp is minted, so that a copy of it, or of an
-// earlier one, is known.
-type RankingDecision struct {
-	Token  ident.FencingToken `json:"claim"`
-	ID     ident.SnowflakeID  `json:"stamp"`
-	Engine ident.EngineID     `json:"engine,omitempty"`
-	Closed bool               `json:"closed,omitempty"`
-}
-
-// rankingOrder is what tells one order of the ranking from all others.
-func (c Command) rankingDecision() RankingDecision {
-	return RankingDecision{Token: c.Ranking.Token, ID: c.Ranking.ID, Engine: c.Engine, Closed: c.Closed}
+// closureChange is the change that an OpClosure or OpProtect leaves behind if it makes this version of the closures.
+func (c Command) closureChange(version ident.Version) ClosureChange {
+	return ClosureChange{Version: version, Operator: c.Operator, Zone: c.Zone, Engine: c.Engine, Closed: c.Closed, Protect: c.Op == OpProtect}
 }
 
-func (s *State) changeClosure(c Command) Result {
-	if c.HasBase {
-		if result, settled := s.closureRetry(c); settled {
+// changeClosure closes or opens a zone, or drains an engine or ends its draining.
+func (s *State) changeClosure(command Command) Result {
+	if command.HasBase {
+		if result, decided := s.closureRetry(command); decided {
 			return result
 		}
 	}
-	if c.Ranking != nil {
-		if order := c.rankingDecision(); order.ID != 0 && order == s.LastRanking {
-			// This very order was taken, and operators may have acted since.
-			return s.closuresNow()
+	if command.Ranking != nil {
+		if decision := command.rankingDecision(); decision.ID != 0 && decision == s.LastRanking {
+			// This very decision took effect before, and operators may have acted since.
+			return s.currentClosures()
 		}
-		if verdict, reason := s.checkRanking(c); verdict != Done {
-			return Result{Outcome: verdict, Reason: reason}
+		if outcome, reason := s.checkRanking(command); outcome != Done {
+			return Result{Outcome: outcome, Reason: reason}
 		}
-		s.LastRanking = c.rankingDecision()
+		s.LastRanking = command.rankingDecision()
 	}
-	mark := closure.Record{Operator: c.Operator, At: s.Now, Version: s.Closures.Version + 1, Ranking: c.Ranking}
+	record := closure.Record{Operator: command.Operator, At: s.Now, Version: s.Closures.Version + 1, Ranking: command.Ranking}
 	next := s.Closures.Clone()
 	changed := false
-	if before, shut := next.Engines[c.Engine]; shut && c.Closed && before.Ranking != nil && c.Ranking == nil {
-		// What the ranking shut an operator may shut too; then only an operator opens it.
-		delete(next.Engines, c.Engine)
+	if before, closed := next.Engines[command.Engine]; closed && command.Closed && before.Ranking != nil && command.Ranking == nil {
+		// An operator may drain what the ranking drains; from then on only an operator ends the draining.
+		delete(next.Engines, command.Engine)
 	}
-	if c.Zone != "" {
-		changed = setRecord(next.Zones, c.Zone, c.Closed, mark)
+	if command.Zone != "" {
+		changed = setRecord(next.Zones, command.Zone, command.Closed, record)
 	}
-	if c.Engine != "" {
-		changed = setRecord(next.Engines, c.Engine, c.Closed, mark) || changed
+	if command.Engine != "" {
+		changed = setRecord(next.Engines, command.Engine, command.Closed, record) || changed
 	}
-	// What is closed already stays as it was, so a repeated order changes nothing.
+	// What is closed already keeps its record, so a repeated command changes nothing.
 	if changed {
 		next.Version++
 		s.setClosures(next)
-		s.recordClosureChange(c)
+		s.recordClosureChange(command)
 	}
-	return s.closuresNow()
+	return s.currentClosures()
 }
 
-// noteAct writes down the closure, opening or keeping that made the newest closure epoch.
-func (s *State) recordClosureChange(c Command) {
-	s.ClosureChanges = append(s.ClosureChanges, c.closureChange(s.Closures.Version))
-	s.ClosureChanges = s.ClosureChanges[max(0, len(s.ClosureChanges)-maxClosureChanges):]
-}
-
-// mayRank says whether whoever plans may shut or open an engine: it holds the claim, operators don't keep the engine,
-// and it opens only what the ranking shut.
-func (s *State) checkRanking(c Command) (Outcome, string) {
-	_, kept := s.Closures.Protected[c.Engine]
-	before, shut := s.Closures.Engines[c.Engine]
-	switch {
-	case c.Engine == "" || c.Zone != "":
-		return Malformed, "the ranking shuts engines alone"
-	case s.PlannerLease.Token != c.Ranking.Token || s.PlannerLease.NodeID != c.NodeID || s.PlannerLease.Expiry <= s.Now:
-		return Forbidden, "the claim under which this was ranked is no longer held"
-	case s.LastRanking.Token == c.Ranking.Token && c.Ranking.ID < s.LastRanking.ID:
-		return Forbidden, "a later order of this claim's ranking was taken"
-	case c.Closed && kept:
-		return Forbidden, "an operator keeps this engine"
-	case !c.Closed && shut && before.Ranking == nil:
-		return Forbidden, "an operator drains this engine"
-	}
-	return Done, ""
-}
-
-// mostKept is how many engines may be kept at once: an engine's id is new with each start, so old ones go first.
-const maxProtectedEngines = 1024
-
-// keep has an engine kept from the ranking, or no longer.
-func (s *State) protect(c Command) Result {
-	if c.Engine == "" {
+// protect protects an engine from the ranking, or ends that.
+func (s *State) protect(command Command) Result {
+	if command.Engine == "" {
 		return Result{Outcome: Malformed, Reason: "no engine is named"}
 	}
-	if c.HasBase {
-		if result, settled := s.closureRetry(c); settled {
+	if command.HasBase {
+		if result, decided := s.closureRetry(command); decided {
 			return result
 		}
 	}
 	next := s.Closures.Clone()
-	mark := closure.Record{Operator: c.Operator, At: s.Now, Version: next.Version + 1}
-	if setRecord(next.Protected, c.Engine, c.Closed, mark) {
+	record := closure.Record{Operator: command.Operator, At: s.Now, Version: next.Version + 1}
+	if setRecord(next.Protected, command.Engine, command.Closed, record) {
 		next.Version++
-		for len(next.Protected) > maxProtectedEngines {
-			oldest := slices.MinFunc(slices.Sorted(maps.Keys(next.Protected)), func(a, b ident.EngineID) int {
-				return cmp.Compare(next.Protected[a].Version, next.Protected[b].Version)
-			})
-			delete(next.Protected, oldest)
-		}
+		dropOldestRecords(next.Protected, maxProtectedEngines)
 		s.setClosures(next)
-		s.recordClosureChange(c)
+		s.recordClosureChange(command)
 	}
-	return s.closuresNow()
-}
-
-func (s *State) closuresNow() Result {
-	out := s.Closures.Clone()
-	return Result{Outcome: Done, Closures: &out}
+	return s.currentClosures()
 }
 
-// act is what a CLOSURE or KEEP leaves behind if it makes this closure epoch.
-func (c Command) closureChange(epoch ident.Version) ClosureChange {
-	return ClosureChange{Version: epoch, Operator: c.Operator, Zone: c.Zone, Engine: c.Engine, Closed: c.Closed, Protect: c.Op == OpProtect}
+func (s *State) currentClosures() Result {
+	closures := s.Closures.Clone()
+	return Result{Outcome: Done, Closures: &closures}
 }
 
-// closureSettled answers a closure that can't be carried out: its base is not the closures in force, or it was
-// refused before. It may be one that was carried out already and lost its answer.
-func (s *State) closureRetry(c Command) (Result, bool) {
-	act := c.closureChange(c.Base + 1)
-	switch {
-	case c.Base < s.Closures.Version:
-		return s.closureOnPassedBase(act), true
-	case slices.Contains(s.RejectedClosures, act):
-		return s.closureConflict(), true
-	case c.Base == s.Closures.Version:
-		return Result{}, false
-	case len(s.RejectedClosures) >= maxClosureChanges:
-		return s.closureUnproven(), true
-	}
-	// The base may yet come in force, and a copy of this closure with it: so the refusal is written down.
-	s.RejectedClosures = append(slices.Clone(s.RejectedClosures), act)
-	return s.closureConflict(), true
-}
-
-// closurePassed answers a closure whose base has passed. Each change of the closures leaves one act or, where a
-// daemon is declared lost, none: so only the acts before the oldest one known were forgotten.
-func (s *State) closureOnPassedBase(act ClosureChange) Result {
-	if slices.Contains(s.ClosureChanges, act) {
-		return s.closuresNow()
-	}
-	if len(s.ClosureChanges) == maxClosureChanges && act.Version < s.ClosureChanges[0].Version {
-		return s.closureUnproven()
-	}
-	result := s.closureConflict()
-	for _, other := range s.ClosureChanges {
-		if other.Version == act.Version {
-			result.Winner = other.Operator
-		}
-	}
-	return result
-}
-
-func (s *State) closureConflict() Result {
-	result := s.closuresNow()
-	result.Outcome, result.Reason = Conflict, "the base is not the closure epoch in force"
-	return result
-}
-
-func (s *State) closureUnproven() Result {
-	result := s.closuresNow()
-	result.Outcome, result.Reason = Unproven, "what became of this closure is not known any more"
-	return result
-}
-
-// raiseClosures puts the next closures in force. Refusals on bases that have passed need not be known any more.
+// setClosures puts the next version of the closures in force. Refusals on bases that have passed need not be
+// remembered any more.
 func (s *State) setClosures(next closure.Set) {
 	s.Closures = next
-	s.RejectedClosures = slices.DeleteFunc(s.RejectedClosures, func(act ClosureChange) bool { return act.Version <= next.Version })
+	s.RejectedClosures = slices.DeleteFunc(s.RejectedClosures, func(change ClosureChange) bool { return change.Version <= next.Version })
 }
 
-func setRecord[K comparable](marks map[K]closure.Record, key K, closed bool, mark closure.Record) bool {
-	_, already := marks[key]
+// recordClosureChange remembers the change that made the newest version of the closures.
+func (s *State) recordClosureChange(command Command) {
+	s.ClosureChanges = append(s.ClosureChanges, command.closureChange(s.Closures.Version))
+	s.ClosureChanges = s.ClosureChanges[max(0, len(s.ClosureChanges)-maxClosureChanges):]
+}
+
+// setRecord adds or removes an entry, and says whether that changed anything.
+func setRecord[K comparable](records map[K]closure.Record, key K, closed bool, record closure.Record) bool {
+	_, already := records[key]
 	if already == closed {
 		return false
 	}
 	if closed {
-		marks[key] = mark
+		records[key] = record
 	} else {
-		delete(marks, key)
+		delete(records, key)
 	}
 	return true
 }
+
+// dropOldestRecords removes the entries of the lowest versions until at most limit are left.
+func dropOldestRecords[K cmp.Ordered](records map[K]closure.Record, limit int) {
+	for len(records) > limit {
+		// Sorted, so that every replica drops the same one of several entries with equal versions.
+		oldest := slices.MinFunc(slices.Sorted(maps.Keys(records)), func(a, b K) int {
+			return cmp.Compare(records[a].Version, records[b].Version)
+		})
+		delete(records, oldest)
+	}
+}
