--- a/process/consensus/raft/replication.go
+++ b/process/consensus/raft/replication.go
@@ -100,7 +100,7 @@
 	c.sendTimeoutNow()
 }
 
-// handleHeartbeatReply has the peer probed where its log is behind, and confirms pending reads.
+// handleHeartbeatReply has the peer probed where its log is behind, and counts for pending reads.
 func (c *Core) handleHeartbeatReply(message Message) {
 	peer := c.peers[message.From]
 	if c.role != Leader || peer == nil {
@@ -113,18 +113,7 @@
 		peer.next = peer.match + 1
 		peer.probing = true
 	}
-	unconfirmed := c.pendingReads[:0]
-	for _, read := range c.pendingReads {
-		if message.HeartbeatRound >= read.round {
-			read.acks[message.From] = true
-		}
-		if c.hasQuorum(func(id MemberID) bool { return id == c.id || read.acks[id] }) {
-			c.effects.ReadStates = append(c.effects.ReadStates, ReadState{RequestID: read.requestID, Index: read.index, OK: true})
-			continue
-		}
-		unconfirmed = append(unconfirmed, read)
-	}
-	c.pendingReads = unconfirmed
+	c.confirmReads(message.From, message.HeartbeatRound)
 }
 
 // handlePersisted advances the synced index; on a leader that counts for the quorum.
