--- a/process/consensus/compatibility/stored_test.go
+++ b/process/consensus/compatibility/stored_test.go
@@ -119,7 +119,7 @@
 }
 
 // storedFolders lists the data folders in testdata.
-var storedFolders = []string{"log-since-formation", "snapshot-and-log"}
+var storedFolders = []string{"log-since-formation", "snapshot-and-log", "applied-bundles"}
 
 func TestFolderOfEarlierBuildIsReadCompletely(t *testing.T) {
 	for _, name := range storedFolders {
@@ -136,9 +136,19 @@
 	}
 }
 
-// The folders have to hold what the comparison is about: bundles, a closed zone, worker ids and a claim.
-func TestStoredFoldersHoldRealState(t *testing.T) {
-	for _, name := range storedFolders {
+// storedContent is what a stored folder has to contain, so that the comparison above proves something.
+type storedContent struct {
+	epoch, closureEpoch uint64
+	closedZones         int
+	compacted           bool
+}
+
+func TestStoredFoldersContainRealState(t *testing.T) {
+	for name, want := range map[string]storedContent{
+		"log-since-formation": {epoch: 2, closureEpoch: 1, closedZones: 1},
+		"snapshot-and-log":    {epoch: 2, closureEpoch: 1, closedZones: 1, compacted: true},
+		"applied-bundles":     {epoch: 3},
+	} {
 		t.Run(name, func(t *testing.T) {
 			stored := expectedMember(t, filepath.Join("testdata", name))
 			var state struct {
@@ -148,7 +158,7 @@
 					Zones map[string]json.RawMessage `json:"zones"`
 				} `json:"closures"`
 				Workers struct {
-					Tenures map[string]json.RawMessage `json:"tenures"`
+					Leases map[string]json.RawMessage `json:"tenures"`
 				} `json:"workers"`
 				Claim struct {
 					Number uint64 `json:"number"`
@@ -157,11 +167,12 @@
 			if err := json.Unmarshal(stored.State, &state); err != nil {
 				t.Fatal(err)
 			}
-			if stored.Epoch != 2 || len(state.History) != 2 || state.Closures.Epoch != 1 || len(state.Closures.Zones) != 1 {
-				t.Errorf("epoch %d, history %v, closures %+v", stored.Epoch, state.History, state.Closures)
+			got := storedContent{epoch: stored.Epoch, closureEpoch: state.Closures.Epoch, closedZones: len(state.Closures.Zones), compacted: stored.SnapshotIndex > 1}
+			if got != want || len(state.History) != int(want.epoch) {
+				t.Errorf("%+v with history %v, want %+v", got, state.History, want)
 			}
-			if len(state.Workers.Tenures) < 4 || state.Claim.Number == 0 || len(stored.Entries) == 0 {
-				t.Errorf("%d worker ids, claim %d, %d log entries", len(state.Workers.Tenures), state.Claim.Number, len(stored.Entries))
+			if len(state.Workers.Leases) < 4 || state.Claim.Number == 0 || len(stored.Entries) == 0 {
+				t.Errorf("%d worker-id leases, claim %d, %d log entries", len(state.Workers.Leases), state.Claim.Number, len(stored.Entries))
 			}
 		})
 	}
