--- a/actor/actor.go
+++ b/actor/actor.go
@@ -42,29 +42,29 @@
 	}
 }
 
-// Waiting is how many events have not been taken yet.
-func (m *Mailbox[E]) Waiting() int { return len(m.events) }
+// Len is how many events have not been taken yet.
+func (m *Mailbox[E]) Len() int { return len(m.events) }
 
 // Done is closed when the actor has ended.
 func (m *Mailbox[E]) Done() <-chan struct{} { return m.done }
 
 // Run takes events one by one, and a beat every period if period is not zero, until ctx ends.
-func (m *Mailbox[E]) Run(ctx context.Context, period time.Duration, take func(E), beat func()) {
+func (m *Mailbox[E]) Run(ctx context.Context, period time.Duration, handle func(E), tick func()) {
 	defer close(m.done)
-	var beats <-chan time.Time
+	var ticks <-chan time.Time
 	if period > 0 {
 		ticker := time.NewTicker(period)
 		defer ticker.Stop()
-		beats = ticker.C
+		ticks = ticker.C
 	}
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case event := <-m.events:
-			take(event)
-		case <-beats:
-			beat()
+			handle(event)
+		case <-ticks:
+			tick()
 		}
 	}
 }
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -26,11 +26,11 @@
 
 // Elapsed reads CLOCK_BOOTTIME, because Go's monotonic clock stands still while a machine sleeps.
 func (System) Elapsed() Mark {
-	var spec unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &spec); err != nil {
+	var reading unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &reading); err != nil {
 		panic("broken invariant: CLOCK_BOOTTIME cannot be read: " + err.Error())
 	}
-	return Mark(spec.Nano())
+	return Mark(reading.Nano())
 }
 
 // Wall reads the time of day.
--- a/cmd/cresspondd/recover.go
+++ b/cmd/cresspondd/recover.go
@@ -30,21 +30,21 @@
 			return err
 		}
 		defer old.Close()
-		if group, state, err = recovery.Survivor(old); err != nil {
+		if group, state, err = recovery.ReadSurvivor(old); err != nil {
 			return err
 		}
 	}
-	var heard []recovery.Witness
+	var heard []recovery.DaemonReport
 	for _, address := range witnesses {
 		ctx, cancel := context.WithTimeout(context.Background(), askLimit)
-		witness, err := recovery.Ask(ctx, address)
+		witness, err := recovery.QueryDaemon(ctx, address)
 		cancel()
 		if err != nil {
 			return err
 		}
 		heard = append(heard, witness)
 	}
-	plan, err := recovery.Make(group, state, heard, time.Now())
+	plan, err := recovery.NewPlan(group, state, heard, time.Now())
 	if err != nil {
 		return err
 	}
@@ -56,11 +56,11 @@
 	if remembered, err := opened.Group(); err != nil || remembered != "" {
 		return eris.Errorf("the data folder %s belongs to group %s already; recover into an empty one", settings.DataDir, remembered)
 	}
-	if err := recovery.Write(opened, plan, settings.Name, settings.AdvertisedPeerAddress()); err != nil {
+	if err := recovery.WriteGroup(opened, plan, settings.Name, settings.AdvertisedPeerAddress()); err != nil {
 		return err
 	}
 	fmt.Printf("group %s: spec epoch %d, closure epoch %d\n", plan.Group, plan.State.Version(), plan.State.Closures.Version)
-	for _, epoch := range plan.Lost {
+	for _, epoch := range plan.LostVersions {
 		fmt.Printf("nobody holds the bundle of epoch %d any more\n", epoch)
 	}
 	fmt.Println("start this daemon now; the other control machines join with empty data folders")
--- a/daemon/attemptowners.go
+++ b/daemon/attemptowners.go
@@ -99,7 +99,7 @@
 }
 
 // queryAttemptOwners puts one question to all homes of an attempt at once, and weighs what they say.
-func (d *Daemon) queryAttemptOwners(query deduplication.Ask) deduplication.Decision {
+func (d *Daemon) queryAttemptOwners(query deduplication.Request) deduplication.Decision {
 	self := d.config.AdvertisedPeerAddress()
 	// Where each attempt arrives once, no other daemon and no earlier life can know of one.
 	local := d.config.AttemptScope == daemonconfig.LocalAttempts
@@ -120,7 +120,7 @@
 			client = d.links.Client(owner)
 			d.counters.attemptQueries.Add(1)
 		}
-		request := &peerapi.AttemptRequest{Attempt: query.Attempt, Owner: query.Owner, Digest: query.Digest, AgeMs: query.Age.Milliseconds(), Action: string(query.Act), OtherOwnerAddress: owners.informed[owner]}
+		request := &peerapi.AttemptRequest{Attempt: query.Attempt, Owner: query.Owner, Digest: query.Digest, AgeMs: query.Age.Milliseconds(), Action: string(query.Action), OtherOwnerAddress: owners.informed[owner]}
 		go func() {
 			reply, err := client.Attempt(ctx, request)
 			if err != nil {
@@ -129,30 +129,30 @@
 			answers <- ownerReply{owner, reply}
 		}()
 	}
-	var replies deduplication.Answers
+	var replies deduplication.Responses
 	for range owners.query {
 		answer := <-answers
 		if answer.reply == nil {
 			continue
 		}
-		replies.Given = append(replies.Given, deduplication.Answer(answer.reply.Outcome))
+		replies.Received = append(replies.Received, deduplication.Response(answer.reply.Outcome))
 		_, knows := owners.informed[answer.home]
-		replies.Knew = replies.Knew || knows && (local || !answer.reply.Fresh)
+		replies.Authoritative = replies.Authoritative || knows && (local || !answer.reply.Fresh)
 		// A daemon that may be cut off must not be the only one that knows.
-		replies.Written = replies.Written || answer.home != self || owners.onlyDaemon
+		replies.Replicated = replies.Replicated || answer.home != self || owners.onlyDaemon
 	}
-	replies.Knew = replies.Knew && !owners.minoritySide
+	replies.Authoritative = replies.Authoritative && !owners.minoritySide
 	decision := deduplication.Decide(replies)
-	if decision == deduplication.Doubt {
+	if decision == deduplication.Undetermined {
 		d.counters.attemptsUncertain.Add(1)
 	}
 	return decision
 }
 
 // attemptQuery makes the question about one record of this daemon.
-func (d *Daemon) attemptQuery(action deduplication.Act, id dispatch.RecordID, request dispatch.Request, arrived clock.Mark) deduplication.Ask {
-	return deduplication.Ask{Attempt: request.Attempt, Owner: string(d.nodeID) + "/" + strconv.FormatUint(uint64(id), 10),
-		Digest: request.Digest, Age: d.clock.Elapsed().Since(arrived), Act: action}
+func (d *Daemon) attemptQuery(action deduplication.Action, id dispatch.RecordID, request dispatch.Request, arrived clock.Mark) deduplication.Request {
+	return deduplication.Request{Attempt: request.Attempt, Owner: string(d.nodeID) + "/" + strconv.FormatUint(uint64(id), 10),
+		Digest: request.Digest, Age: d.clock.Elapsed().Since(arrived), Action: action}
 }
 
 // recentlyStarted says whether this life may lack attempts of the one before. Where it saw the group before any
@@ -164,16 +164,16 @@
 
 // Attempt answers for the attempts whose home this daemon is.
 func (d *Daemon) Attempt(_ context.Context, in *peerapi.AttemptRequest) (*peerapi.AttemptReply, error) {
-	action := deduplication.Act(in.Action)
-	if in.Attempt == "" || in.Owner == "" || action != deduplication.Claim && action != deduplication.Refuse && action != deduplication.Free {
+	action := deduplication.Action(in.Action)
+	if in.Attempt == "" || in.Owner == "" || action != deduplication.ActionClaim && action != deduplication.ActionReject && action != deduplication.ActionRelease {
 		d.counters.malformedMessages.Add(1)
 		return nil, twirp.NewError(twirp.InvalidArgument, "this asks nothing about an attempt")
 	}
 	reply, startedRecently := &peerapi.AttemptReply{}, d.recentlyStarted()
 	if !d.attempts.Do(func(now clock.Mark, memory *deduplication.Memory) {
-		reply.Outcome = string(memory.Take(now, deduplication.Ask{Attempt: in.Attempt, Owner: in.Owner, Digest: in.Digest,
-			Age: time.Duration(in.AgeMs) * time.Millisecond, Act: action}))
-		reply.Fresh = startedRecently && !memory.Whole(in.OtherOwnerAddress)
+		reply.Outcome = string(memory.Handle(now, deduplication.Request{Attempt: in.Attempt, Owner: in.Owner, Digest: in.Digest,
+			Age: time.Duration(in.AgeMs) * time.Millisecond, Action: action}))
+		reply.Fresh = startedRecently && !memory.SyncedFrom(in.OtherOwnerAddress)
 	}) {
 		return nil, twirp.NewError(twirp.Unavailable, "this daemon is stopping")
 	}
@@ -184,11 +184,11 @@
 func (d *Daemon) Remember(_ context.Context, in *peerapi.RememberRequest) (*peerapi.Empty, error) {
 	d.attempts.Do(func(now clock.Mark, memory *deduplication.Memory) {
 		for _, one := range in.Attempts {
-			memory.Learn(now, one.Attempt, deduplication.Entry{Owner: one.Owner, Digest: one.Digest, Refused: one.Refused,
+			memory.Merge(now, one.Attempt, deduplication.Entry{Owner: one.Owner, Digest: one.Digest, Rejected: one.Refused,
 				At: now - clock.Mark(time.Duration(one.AgeMs)*time.Millisecond)})
 		}
 		if in.From != "" && in.Complete {
-			memory.LearnWhole(in.From)
+			memory.MarkSynced(in.From)
 		}
 	})
 	return &peerapi.Empty{}, nil
--- a/daemon/dispatch.go
+++ b/daemon/dispatch.go
@@ -72,7 +72,7 @@
 	// The homes are asked while the engine is dialled; the first byte waits for both.
 	claimed := make(chan deduplication.Decision, 1)
 	go func() {
-		claimed <- d.queryAttemptOwners(d.attemptQuery(deduplication.Claim, call.ID, call.Request, call.Arrived))
+		claimed <- d.queryAttemptOwners(d.attemptQuery(deduplication.ActionClaim, call.ID, call.Request, call.Arrived))
 	}()
 	var claim deduplication.Decision
 	departed := false
@@ -140,7 +140,7 @@
 // mayStart says whether a go may leave on what the homes said. Where they can't be asked, only the caller's
 // own word that the work may run twice lets it go.
 func mayStart(claim deduplication.Decision, repeatable bool) bool {
-	return claim == deduplication.May || claim == deduplication.Doubt && repeatable
+	return claim == deduplication.Proceed || claim == deduplication.Undetermined && repeatable
 }
 
 // afterClaim frees the claim of a go that provably never ran, so that the same attempt may come again
@@ -153,17 +153,17 @@
 		// The engine could not even be dialled; the claim may be on its way still.
 		claim = <-claimed
 	}
-	if mayStart(claim, call.Request.Repeatable) || claim == deduplication.Doubt {
-		d.queryAttemptOwners(d.attemptQuery(deduplication.Free, call.ID, call.Request, call.Arrived))
+	if mayStart(claim, call.Request.Repeatable) || claim == deduplication.Undetermined {
+		d.queryAttemptOwners(d.attemptQuery(deduplication.ActionRelease, call.ID, call.Request, call.Arrived))
 	}
 	switch claim {
 	case deduplication.Replay:
 		return dispatch.KnownElsewhere, "this attempt id is known to another daemon and is not run again"
-	case deduplication.Other:
+	case deduplication.Mismatch:
 		return dispatch.KnownElsewhere, "this attempt id stands for another request"
-	case deduplication.Refused:
+	case deduplication.Rejected:
 		return dispatch.RefusedElsewhere, "another daemon refused this attempt meanwhile"
-	case deduplication.Doubt:
+	case deduplication.Undetermined:
 		if !call.Request.Repeatable {
 			return dispatch.Doubted, "whether this attempt has run through another daemon cannot be told now"
 		}
@@ -174,10 +174,10 @@
 // Refuse makes sure, before a caller is told that its work never runs, that no other daemon has sent it
 // or will: the word that may be given comes back.
 func (r requestPath) Refuse(call *dispatch.Call, wanted dispatch.Answer) dispatch.Answer {
-	switch r.queryAttemptOwners(r.attemptQuery(deduplication.Refuse, call.ID, call.Request, call.Arrived)) {
-	case deduplication.Replay, deduplication.Other:
+	switch r.queryAttemptOwners(r.attemptQuery(deduplication.ActionReject, call.ID, call.Request, call.Arrived)) {
+	case deduplication.Replay, deduplication.Mismatch:
 		return dispatch.Answer{Kind: dispatch.Replay, Status: 409, Reason: "this attempt id was taken by another daemon and is not run again"}
-	case deduplication.Doubt:
+	case deduplication.Undetermined:
 		return dispatch.Answer{Kind: dispatch.Unknown, Status: wanted.Status, Reason: wanted.Reason + "; whether another daemon has this attempt cannot be told now", RetryAfter: max(wanted.RetryAfter, time.Second)}
 	}
 	return wanted
--- a/daemon/rehoming.go
+++ b/daemon/rehoming.go
@@ -99,13 +99,13 @@
 					continue
 				}
 				batches[owner] = append(batches[owner], &peerapi.AttemptRecord{Attempt: attempt, Owner: entry.Owner, Digest: entry.Digest,
-					AgeMs: now.Since(entry.At).Milliseconds(), Refused: entry.Refused})
+					AgeMs: now.Since(entry.At).Milliseconds(), Refused: entry.Rejected})
 			}
 		})
 		for address, incarnation := range after {
 			// A life that follows another is told whether this is all that it shares with this daemon.
 			if before[address] != incarnation && address != self {
-				complete[address] = !startedRecently || memory.Whole(address)
+				complete[address] = !startedRecently || memory.SyncedFrom(address)
 				batches[address] = append(batches[address], nil...)
 			}
 		}
--- a/daemon/sessionaffinity.go
+++ b/daemon/sessionaffinity.go
@@ -45,7 +45,7 @@
 func (r requestPath) Assignment(query dispatch.AskAssignment) (ident.EngineID, bool) {
 	engine, found := r.findAssignment(query)
 	if found {
-		r.affinityTable.Note(r.clock.Elapsed(), query.Session, engine)
+		r.affinityTable.Record(r.clock.Elapsed(), query.Session, engine)
 	}
 	return engine, found
 }
@@ -125,15 +125,15 @@
 		return nil, twirp.NewError(twirp.InvalidArgument, "a seat belongs to a session")
 	}
 	if in.Ended {
-		d.affinityTable.End(in.Session)
+		d.affinityTable.Delete(in.Session)
 		return &peerapi.SeatReply{}, nil
 	}
 	if in.Engine == "" {
 		// Only asked for: nothing is claimed, nor does it count as used.
-		engine, used, found := d.affinityTable.Find(d.clock.Elapsed(), d.assignmentIdle(), in.Session)
+		engine, used, found := d.affinityTable.Lookup(d.clock.Elapsed(), d.assignmentIdle(), in.Session)
 		return &peerapi.SeatReply{Engine: string(engine), Found: found, UsedMsAgo: used.Milliseconds()}, nil
 	}
-	engine, found, fresh := d.affinityTable.Claim(d.clock.Elapsed(), d.assignmentIdle(), in.Session, ident.EngineID(in.Engine), ident.EngineID(in.Replaces))
+	engine, found, fresh := d.affinityTable.Assign(d.clock.Elapsed(), d.assignmentIdle(), in.Session, ident.EngineID(in.Engine), ident.EngineID(in.Replaces))
 	return &peerapi.SeatReply{Engine: string(engine), Found: found, Fresh: fresh}, nil
 }
 
@@ -149,7 +149,7 @@
 	self := d.config.AdvertisedPeerAddress()
 	oldAddresses, newAddresses := addressesOf(before), addressesOf(after)
 	unreached := map[string]bool{}
-	for session, engine := range d.affinityTable.All() {
+	for session, engine := range d.affinityTable.Assignments() {
 		oldFirst, oldSecond := affinity.Owners(session, oldAddresses)
 		if ctx.Err() != nil || oldFirst != self && oldSecond != self {
 			continue
--- a/process/cluster/affinity/affinity.go
+++ b/process/cluster/affinity/affinity.go
@@ -13,15 +13,15 @@
 )
 
 type assignment struct {
-	engine ident.EngineID
-	used   clock.Mark
+	engine   ident.EngineID
+	lastUsed clock.Mark
 }
 
 // Table holds the assignments that this daemon owns. It may be used by several goroutines.
 type Table struct {
 	mutex       sync.Mutex
 	assignments map[string]assignment
-	swept       clock.Mark
+	lastSweep   clock.Mark
 }
 
 // maxAssignments bounds how many assignments are remembered.
@@ -30,33 +30,33 @@
 // NewTable makes an empty table.
 func NewTable() *Table { return &Table{assignments: map[string]assignment{}} }
 
-// Claim gives the session's engine. A session without an assignment takes the wished engine, and one whose engine is
+// Assign gives the session's engine. A session without an assignment takes the wished engine, and one whose engine is
 // the one to be replaced takes the wished one instead; fresh says that it did.
-func (h *Table) Claim(now clock.Mark, idle time.Duration, session string, wished, replaces ident.EngineID) (engine ident.EngineID, found, fresh bool) {
+func (h *Table) Assign(now clock.Mark, idle time.Duration, session string, preferred, replaces ident.EngineID) (engine ident.EngineID, found, assigned bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	if now.Since(h.swept) > idle/2 {
-		h.swept = now
-		for name, held := range h.assignments {
-			if now.Since(held.used) > idle {
+	if now.Since(h.lastSweep) > idle/2 {
+		h.lastSweep = now
+		for name, current := range h.assignments {
+			if now.Since(current.lastUsed) > idle {
 				delete(h.assignments, name)
 			}
 		}
 	}
-	held, known := h.assignments[session]
-	if known && now.Since(held.used) <= idle && held.engine != replaces {
-		h.assignments[session] = assignment{held.engine, now}
-		return held.engine, true, false
+	current, known := h.assignments[session]
+	if known && now.Since(current.lastUsed) <= idle && current.engine != replaces {
+		h.assignments[session] = assignment{current.engine, now}
+		return current.engine, true, false
 	}
-	if wished == "" || !known && len(h.assignments) >= maxAssignments {
+	if preferred == "" || !known && len(h.assignments) >= maxAssignments {
 		return "", false, false
 	}
-	h.assignments[session] = assignment{wished, now}
-	return wished, true, true
+	h.assignments[session] = assignment{preferred, now}
+	return preferred, true, true
 }
 
-// Note remembers an assignment that its owners made, so that it outlives them.
-func (h *Table) Note(now clock.Mark, session string, engine ident.EngineID) {
+// Record remembers an assignment that its owners made, so that it outlives them.
+func (h *Table) Record(now clock.Mark, session string, engine ident.EngineID) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if _, known := h.assignments[session]; known || len(h.assignments) < maxAssignments {
@@ -64,35 +64,35 @@
 	}
 }
 
-// Find gives an assignment and how long ago it was last used, and changes nothing.
-func (h *Table) Find(now clock.Mark, idle time.Duration, session string) (engine ident.EngineID, used time.Duration, found bool) {
+// Lookup gives an assignment and how long ago it was last used, and changes nothing.
+func (h *Table) Lookup(now clock.Mark, idle time.Duration, session string) (engine ident.EngineID, used time.Duration, found bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	held, known := h.assignments[session]
-	used = now.Since(held.used)
-	return held.engine, used, known && used <= idle
+	current, known := h.assignments[session]
+	used = now.Since(current.lastUsed)
+	return current.engine, used, known && used <= idle
 }
 
-// All lists the assignments that are kept here.
-func (h *Table) All() map[string]ident.EngineID {
+// Assignments lists the assignments that are kept here.
+func (h *Table) Assignments() map[string]ident.EngineID {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	out := make(map[string]ident.EngineID, len(h.assignments))
-	for session, held := range h.assignments {
-		out[session] = held.engine
+	for session, current := range h.assignments {
+		out[session] = current.engine
 	}
 	return out
 }
 
-// End forgets a session.
-func (h *Table) End(session string) {
+// Delete forgets a session.
+func (h *Table) Delete(session string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	delete(h.assignments, session)
 }
 
 // mixer is 2^64 divided by the golden ratio, the multiplier of Fibonacci hashing.
-const mixer = 0x9E3779B97F4A7C15
+const fibonacciMultiplier = 0x9E3779B97F4A7C15
 
 // Owners picks the first and the second owner of a session among daemons: those with the highest weights,
 // so that a daemon that leaves moves only the sessions it owned, and to where they are known.
@@ -102,7 +102,7 @@
 		hash := fnv.New64a()
 		_, _ = hash.Write([]byte(session + "\x00" + address))
 		// A last mixing step, since FNV's high bits hardly depend on the last bytes.
-		weight := hash.Sum64() * mixer
+		weight := hash.Sum64() * fibonacciMultiplier
 		weight ^= weight >> 29
 		switch {
 		case first == "" || weight > firstWeight:
--- a/process/cluster/deduplication/attempts.go
+++ b/process/cluster/deduplication/attempts.go
@@ -11,38 +11,38 @@
 	"github.com/cresspond/cresspond/clock"
 )
 
-// Act is what is asked of an owner.
-type Act string
+// Action is what is asked of an owner.
+type Action string
 
 const (
-	// Claim: the asker is about to send the first byte.
-	Claim Act = "claim"
-	// Refuse: the asker is about to promise that the work never runs.
-	Refuse Act = "refuse"
-	// Free: the attempt provably never ran.
-	Free Act = "free"
+	// ActionClaim: the asker is about to send the first byte.
+	ActionClaim Action = "claim"
+	// ActionReject: the asker is about to promise that the work never runs.
+	ActionReject Action = "refuse"
+	// ActionRelease: the attempt provably never ran.
+	ActionRelease Action = "free"
 )
 
-// Answer is an owner's answer.
-type Answer string
+// Response is an owner's answer.
+type Response string
 
 const (
 	// Granted: the asker may go ahead.
-	Granted Answer = "granted"
-	// Taken: another record claimed it.
-	Taken Answer = "taken"
-	// RefusedSince: another daemon refused it after this record had arrived.
-	RefusedSince Answer = "refused-since"
-	// OtherBody: it stands for another request.
-	OtherBody Answer = "other-body"
+	Granted Response = "granted"
+	// ClaimedElsewhere: another record claimed it.
+	ClaimedElsewhere Response = "taken"
+	// RejectedSinceArrival: another daemon refused it after this record had arrived.
+	RejectedSinceArrival Response = "refused-since"
+	// DigestMismatch: it stands for another request.
+	DigestMismatch Response = "other-body"
 )
 
-// Ask is one question. Owner is one record of one incarnation of a daemon; Age is how long ago it arrived there.
-type Ask struct {
+// Request is one question. Owner is one record of one incarnation of a daemon; Age is how long ago it arrived there.
+type Request struct {
 	Attempt, Owner string
 	Digest         uint64
 	Age            time.Duration
-	Act            Act
+	Action         Action
 }
 
 // Entry is what is remembered of an attempt.
@@ -50,18 +50,18 @@
 	Owner  string
 	Digest uint64
 	// At is when it was claimed or refused, by this daemon's clock.
-	At      clock.Mark
-	Refused bool
+	At       clock.Mark
+	Rejected bool
 }
 
 const (
-	// Kept is how long an attempt is remembered; callers are told.
-	Kept = 10 * time.Minute
-	// maxRemembered bounds how many are remembered; the oldest are forgotten first.
-	maxRemembered = 200_000
+	// Retention is how long an attempt is remembered; callers are told.
+	Retention = 10 * time.Minute
+	// maxEntries bounds how many are remembered; the oldest are forgotten first.
+	maxEntries = 200_000
 )
 
-type past struct {
+type agedAttempt struct {
 	attempt string
 	at      clock.Mark
 }
@@ -69,66 +69,66 @@
 // Memory is the pure state of one owner.
 type Memory struct {
 	entries map[string]Entry
-	// order lists what was remembered from the oldest on.
-	order []past
+	// byAge lists what was remembered from the oldest on.
+	byAge []agedAttempt
 	limit int
-	// wholeFrom lists the daemons that have sent this incarnation all that they share with it.
-	wholeFrom map[string]bool
+	// syncedFrom lists the daemons that have sent this incarnation all that they share with it.
+	syncedFrom map[string]bool
 }
 
 // NewMemory makes an empty memory.
 func NewMemory() *Memory {
-	return &Memory{entries: map[string]Entry{}, limit: maxRemembered, wholeFrom: map[string]bool{}}
-}
-
-// Take answers one question.
-func (m *Memory) Take(now clock.Mark, ask Ask) Answer {
-	m.forget(now)
-	held, known := m.entries[ask.Attempt]
-	own := held.Owner == ask.Owner
-	switch ask.Act {
-	case Free:
-		if known && own && !held.Refused {
-			delete(m.entries, ask.Attempt)
+	return &Memory{entries: map[string]Entry{}, limit: maxEntries, syncedFrom: map[string]bool{}}
+}
+
+// Handle answers one question.
+func (m *Memory) Handle(now clock.Mark, request Request) Response {
+	m.expire(now)
+	existing, known := m.entries[request.Attempt]
+	own := existing.Owner == request.Owner
+	switch request.Action {
+	case ActionRelease:
+		if known && own && !existing.Rejected {
+			delete(m.entries, request.Attempt)
 		}
 		return Granted
-	case Refuse:
+	case ActionReject:
 		// A tombstone may be set on what nobody has claimed, and on the asker's own claim.
-		if known && !own && !held.Refused {
-			return takenBy(held, ask)
+		if known && !own && !existing.Rejected {
+			return conflictWith(existing, request)
 		}
-		m.put(ask.Attempt, Entry{Owner: ask.Owner, Digest: ask.Digest, At: now, Refused: true})
+		m.put(request.Attempt, Entry{Owner: request.Owner, Digest: request.Digest, At: now, Rejected: true})
 		return Granted
 	}
 	switch {
-	case known && held.Refused && now-clock.Mark(ask.Age) <= held.At:
+	case known && existing.Rejected && now-clock.Mark(request.Age) <= existing.At:
 		// This record was in hand somewhere when the caller was told that it never runs.
-		return RefusedSince
-	case known && !held.Refused && !own:
-		return takenBy(held, ask)
-	case !known || held.Refused:
-		m.put(ask.Attempt, Entry{Owner: ask.Owner, Digest: ask.Digest, At: now})
+		return RejectedSinceArrival
+	case known && !existing.Rejected && !own:
+		return conflictWith(existing, request)
+	case !known || existing.Rejected:
+		m.put(request.Attempt, Entry{Owner: request.Owner, Digest: request.Digest, At: now})
 	}
 	return Granted
 }
 
-func takenBy(held Entry, ask Ask) Answer {
-	if held.Digest != ask.Digest {
-		return OtherBody
+func conflictWith(existing Entry, request Request) Response {
+	if existing.Digest != request.Digest {
+		return DigestMismatch
 	}
-	return Taken
+	return ClaimedElsewhere
 }
 
 func (m *Memory) put(attempt string, entry Entry) {
 	m.entries[attempt] = entry
-	m.order = append(m.order, past{attempt, entry.At})
+	m.byAge = append(m.byAge, agedAttempt{attempt, entry.At})
 }
 
-// forget drops what is too old, and the oldest of what is too much.
-func (m *Memory) forget(now clock.Mark) {
-	for len(m.order) > 0 && (now.Since(m.order[0].at) > Kept || len(m.order) > m.limit) {
-		oldest := m.order[0]
-		m.order = m.order[1:]
+// expire drops what is too old, and the oldest of what is too much.
+func (m *Memory) expire(now clock.Mark) {
+	for len(m.byAge) > 0 && (now.Since(m.byAge[0].at) > Retention || len(m.byAge) > m.limit) {
+		oldest := m.byAge[0]
+		m.byAge = m.byAge[1:]
 		// One that came again since stands further back in the line.
 		if m.entries[oldest.attempt].At == oldest.at {
 			delete(m.entries, oldest.attempt)
@@ -136,21 +136,21 @@
 	}
 }
 
-// Learn takes over what another owner remembers, unless something is known here already. A claim
+// Merge takes over what another owner remembers, unless something is known here already. A claim
 // stands above a refusal, since only the claim may have run.
-func (m *Memory) Learn(now clock.Mark, attempt string, entry Entry) {
-	held, known := m.entries[attempt]
-	if !known || held.Refused && !entry.Refused && entry.At >= held.At {
+func (m *Memory) Merge(now clock.Mark, attempt string, entry Entry) {
+	existing, known := m.entries[attempt]
+	if !known || existing.Rejected && !entry.Rejected && entry.At >= existing.At {
 		m.put(attempt, entry)
 	}
-	m.forget(now)
+	m.expire(now)
 }
 
-// LearnWhole notes that a daemon has sent this incarnation all that they share.
-func (m *Memory) LearnWhole(from string) { m.wholeFrom[from] = true }
+// MarkSynced notes that a daemon has sent this incarnation all that they share.
+func (m *Memory) MarkSynced(from string) { m.syncedFrom[from] = true }
 
-// Whole says whether a daemon has sent this incarnation all that they share.
-func (m *Memory) Whole(from string) bool { return m.wholeFrom[from] }
+// SyncedFrom says whether a daemon has sent this incarnation all that they share.
+func (m *Memory) SyncedFrom(from string) bool { return m.syncedFrom[from] }
 
 // Each lists what is remembered.
 func (m *Memory) Each(yield func(attempt string, entry Entry)) {
@@ -191,43 +191,43 @@
 	}
 }
 
-// Answers is what several owners said of one question.
-type Answers struct {
-	// Knew says that an owner answered that would know of every earlier claim; Written, that another daemon wrote it down.
-	Knew, Written bool
-	Given         []Answer
+// Responses is what several owners said of one question.
+type Responses struct {
+	// Authoritative says that an owner answered that would know of every earlier claim; Written, that another daemon wrote it down.
+	Authoritative, Replicated bool
+	Received                  []Response
 }
 
 // Decision is what the asker may do, given all answers.
 type Decision string
 
 const (
-	// May: the asker may go ahead.
-	May Decision = "may"
+	// Proceed: the asker may go ahead.
+	Proceed Decision = "may"
 	// Replay: the attempt is claimed elsewhere.
 	Replay Decision = "replay"
-	// Other: the attempt's id stands for another request.
-	Other Decision = "other-body"
-	// Refused: the attempt was refused elsewhere.
-	Refused Decision = "refused"
-	// Doubt: nobody who would know could be asked.
-	Doubt Decision = "doubt"
+	// Mismatch: the attempt's id stands for another request.
+	Mismatch Decision = "other-body"
+	// Rejected: the attempt was refused elsewhere.
+	Rejected Decision = "refused"
+	// Undetermined: nobody who would know could be asked.
+	Undetermined Decision = "doubt"
 )
 
 // Decide makes one decision of the answers. Any owner that knows of a claim stands above all that do not.
-func Decide(answers Answers) Decision {
-	decision := May
-	if !answers.Knew || !answers.Written {
-		decision = Doubt
+func Decide(answers Responses) Decision {
+	decision := Proceed
+	if !answers.Authoritative || !answers.Replicated {
+		decision = Undetermined
 	}
-	for _, answer := range answers.Given {
+	for _, answer := range answers.Received {
 		switch answer {
-		case Taken:
+		case ClaimedElsewhere:
 			return Replay
-		case OtherBody:
-			return Other
-		case RefusedSince:
-			decision = Refused
+		case DigestMismatch:
+			return Mismatch
+		case RejectedSinceArrival:
+			decision = Rejected
 		}
 	}
 	return decision
--- a/process/consensus/compatibility/stored_test.go
+++ b/process/consensus/compatibility/stored_test.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	group, state, err := recovery.Survivor(opened)
+	group, state, err := recovery.ReadSurvivor(opened)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/process/consensus/recovery/recovery.go
+++ b/process/consensus/recovery/recovery.go
@@ -22,44 +22,44 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// Witness is what one living daemon told.
-type Witness struct {
-	Address     string
-	Group       ident.GroupID
-	LeaderMsAgo int64
-	SpecEpoch   ident.Version
-	Bundles     map[ident.Version][]byte
-	Closures    *closure.Set
-	TenureUntil ident.GroupTime
-	Claim       ident.FencingToken
+// DaemonReport is what one living daemon told.
+type DaemonReport struct {
+	Address              string
+	Group                ident.GroupID
+	LeaderContactMsAgo   int64
+	ConfigurationVersion ident.Version
+	Bundles              map[ident.Version][]byte
+	Closures             *closure.Set
+	LeaseUntil           ident.GroupTime
+	PlannerToken         ident.FencingToken
 }
 
 // aliveWithin is how lately a leader must have been heard for the group to count as alive.
-const aliveWithin = 10 * time.Second
+const leaderAliveTimeout = 10 * time.Second
 
 const (
 	// timeMargin is added to the latest time anyone knows of.
 	timeMargin = time.Minute
-	// claimMargin is added to the highest claim anyone knows of.
-	claimMargin = 1000
+	// tokenMargin is added to the highest claim anyone knows of.
+	tokenMargin = 1000
 )
 
-// Ask hears one daemon.
-func Ask(ctx context.Context, address string) (Witness, error) {
+// QueryDaemon hears one daemon.
+func QueryDaemon(ctx context.Context, address string) (DaemonReport, error) {
 	client := peerapi.NewFellowProtobufClient("http://"+address, http.DefaultClient)
 	identity, err := client.Identify(ctx, &peerapi.Empty{})
 	if err != nil {
-		return Witness{}, eris.Wrapf(err, "%s cannot be asked", address)
+		return DaemonReport{}, eris.Wrapf(err, "%s cannot be asked", address)
 	}
-	w := Witness{Address: address, Group: ident.GroupID(identity.Group), LeaderMsAgo: identity.LeaderMsAgo, SpecEpoch: ident.Version(identity.ConfigurationVersion),
-		TenureUntil: ident.GroupTime(identity.LeaseUntilMs), Claim: ident.FencingToken(identity.Claim), Bundles: map[ident.Version][]byte{}}
-	for epoch := ident.Version(1); epoch <= w.SpecEpoch; epoch++ {
-		recalled, err := client.Recall(ctx, &peerapi.RecallRequest{Version: uint64(epoch)})
+	w := DaemonReport{Address: address, Group: ident.GroupID(identity.Group), LeaderContactMsAgo: identity.LeaderMsAgo, ConfigurationVersion: ident.Version(identity.ConfigurationVersion),
+		LeaseUntil: ident.GroupTime(identity.LeaseUntilMs), PlannerToken: ident.FencingToken(identity.Claim), Bundles: map[ident.Version][]byte{}}
+	for version := ident.Version(1); version <= w.ConfigurationVersion; version++ {
+		recalled, err := client.Recall(ctx, &peerapi.RecallRequest{Version: uint64(version)})
 		if err != nil {
-			return Witness{}, eris.Wrapf(err, "%s cannot be asked for epoch %d", address, epoch)
+			return DaemonReport{}, eris.Wrapf(err, "%s cannot be asked for epoch %d", address, version)
 		}
 		if len(recalled.Configuration) > 0 {
-			w.Bundles[epoch] = recalled.Configuration
+			w.Bundles[version] = recalled.Configuration
 		}
 		w.Closures = rollout.DecodeClosures(recalled.Closures)
 	}
@@ -70,20 +70,20 @@
 type Plan struct {
 	Group ident.GroupID
 	State *statemachine.State
-	// Lost lists epochs that were in force once, and whose bundle nobody holds any more.
-	Lost []ident.Version
+	// LostVersions lists epochs that were in force once, and whose bundle nobody holds any more.
+	LostVersions []ident.Version
 }
 
-// Make weighs the folder's own state against the witnesses. It refuses while the group may be alive.
-func Make(group ident.GroupID, state *statemachine.State, witnesses []Witness, wall time.Time) (Plan, error) {
+// NewPlan weighs the folder's own state against the witnesses. It refuses while the group may be alive.
+func NewPlan(group ident.GroupID, state *statemachine.State, witnesses []DaemonReport, wall time.Time) (Plan, error) {
 	if len(witnesses) == 0 {
 		return Plan{}, eris.New("no living daemon was named: name all that live, since one may hold what the others lack")
 	}
 	now := max(state.Now, ident.GroupTime(wall.UnixMilli()))
 	claim := state.PlannerLease.Token
 	for _, w := range witnesses {
-		if w.LeaderMsAgo >= 0 && time.Duration(w.LeaderMsAgo)*time.Millisecond < aliveWithin {
-			return Plan{}, eris.Errorf("%s heard a leader %d ms ago: the group is alive, and must not be recovered", w.Address, w.LeaderMsAgo)
+		if w.LeaderContactMsAgo >= 0 && time.Duration(w.LeaderContactMsAgo)*time.Millisecond < leaderAliveTimeout {
+			return Plan{}, eris.Errorf("%s heard a leader %d ms ago: the group is alive, and must not be recovered", w.Address, w.LeaderContactMsAgo)
 		}
 		if w.Group == "" {
 			continue
@@ -94,11 +94,11 @@
 		case w.Group != group && !group.Succeeds(w.Group):
 			return Plan{}, eris.Errorf("%s belongs to group %s, and not to %s", w.Address, w.Group, group)
 		}
-		now = max(now, w.TenureUntil)
-		claim = max(claim, w.Claim)
-		for epoch, bundle := range w.Bundles {
+		now = max(now, w.LeaseUntil)
+		claim = max(claim, w.PlannerToken)
+		for version, bundle := range w.Bundles {
 			if _, faults := document.Parse(bundle); len(faults) > 0 {
-				return Plan{}, eris.Errorf("%s holds a faulty bundle as epoch %d: %v", w.Address, epoch, faults)
+				return Plan{}, eris.Errorf("%s holds a faulty bundle as epoch %d: %v", w.Address, version, faults)
 			}
 		}
 	}
@@ -107,7 +107,7 @@
 	}
 	plan := Plan{Group: group.Next(), State: state}
 	state.Now = now.Add(timeMargin)
-	plan.takeBundles(witnesses)
+	plan.recoverConfigurations(witnesses)
 	for _, w := range witnesses {
 		if w.Closures != nil && w.Closures.Version > state.Closures.Version {
 			state.Closures = w.Closures.Clone()
@@ -119,23 +119,23 @@
 		state.Workers.Floors[worker] = state.Now - 1
 	}
 	// The claim's end is now, so that a planner of the lost generation has lapsed before the next may begin.
-	state.PlannerLease = statemachine.PlannerLease{Token: claim + claimMargin, Expiry: state.Now}
+	state.PlannerLease = statemachine.PlannerLease{Token: claim + tokenMargin, Expiry: state.Now}
 	return plan, nil
 }
 
-// takeBundles fills the history up to the highest epoch anyone holds.
-func (p *Plan) takeBundles(witnesses []Witness) {
+// recoverConfigurations fills the history up to the highest epoch anyone holds.
+func (p *Plan) recoverConfigurations(witnesses []DaemonReport) {
 	var highest ident.Version
 	for _, w := range witnesses {
-		highest = max(highest, w.SpecEpoch)
+		highest = max(highest, w.ConfigurationVersion)
 	}
-	for epoch := p.State.Version() + 1; epoch <= highest; epoch++ {
-		id := fmt.Sprintf("recovered-epoch-%d", epoch)
-		proposal := &statemachine.Proposal{ID: id, Base: epoch - 1, Stage: statemachine.StageRolledOut, Version: epoch,
+	for version := p.State.Version() + 1; version <= highest; version++ {
+		id := fmt.Sprintf("recovered-epoch-%d", version)
+		proposal := &statemachine.Proposal{ID: id, Base: version - 1, Stage: statemachine.StageRolledOut, Version: version,
 			Proposed:  statemachine.OperatorAction{Operator: "recovery", At: p.State.Now, Note: "taken from a living daemon"},
 			RolledOut: &statemachine.OperatorAction{Operator: "recovery", At: p.State.Now}}
 		for _, w := range witnesses {
-			if bundle := w.Bundles[epoch]; len(bundle) > 0 {
+			if bundle := w.Bundles[version]; len(bundle) > 0 {
 				proposal.Configuration = bundle
 				break
 			}
@@ -144,7 +144,7 @@
 			proposal.Revision = ident.Revision(parsed.Forward.Revision)
 		}
 		if proposal.Configuration == nil {
-			p.Lost = append(p.Lost, epoch)
+			p.LostVersions = append(p.LostVersions, version)
 		}
 		p.State.AppendRecovered(proposal)
 	}
@@ -155,9 +155,9 @@
 	}
 }
 
-// Survivor reads a folder's state with its whole log applied: what a lone survivor holds may have been
+// ReadSurvivor reads a folder's state with its whole log applied: what a lone survivor holds may have been
 // acknowledged, committed as far as it knew or not.
-func Survivor(s *store.Store) (ident.GroupID, *statemachine.State, error) {
+func ReadSurvivor(s *store.Store) (ident.GroupID, *statemachine.State, error) {
 	group, err := s.Group()
 	if err != nil {
 		return "", nil, err
@@ -178,8 +178,8 @@
 	return group, state, nil
 }
 
-// Write puts the plan into an empty folder as a group of one; the other machines join it.
-func Write(s *store.Store, plan Plan, name, address string) error {
+// WriteGroup puts the plan into an empty folder as a group of one; the other machines join it.
+func WriteGroup(s *store.Store, plan Plan, name, address string) error {
 	self := raft.Member{ID: s.MemberID, Name: name, Address: address, Voter: true}
 	first := raft.Snapshot{Index: 1, Term: 1, Membership: raft.Membership{Members: []raft.Member{self}}, Data: plan.State.Snapshot()}
 	return s.Write(plan.Group, raft.Save{HardState: raft.HardState{Term: 1}, Snapshot: &first})
--- a/process/consensus/recovery/recovery_test.go
+++ b/process/consensus/recovery/recovery_test.go
@@ -50,24 +50,24 @@
 	return s
 }
 
-func witness(t *testing.T) Witness {
+func report(t *testing.T) DaemonReport {
 	closures := closure.Set{Version: 4, Zones: map[ident.ZoneID]closure.Record{"y": {Version: 4}}}
-	return Witness{Address: "w", Group: "g", LeaderMsAgo: 60000, SpecEpoch: 4, Closures: &closures, TenureUntil: ident.GroupTime(wall.UnixMilli()) + 90000, Claim: 7,
+	return DaemonReport{Address: "w", Group: "g", LeaderContactMsAgo: 60000, ConfigurationVersion: 4, Closures: &closures, LeaseUntil: ident.GroupTime(wall.UnixMilli()) + 90000, PlannerToken: 7,
 		Bundles: map[ident.Version][]byte{2: bundle(t, "two"), 4: bundle(t, "four")}}
 }
 
 func TestTheNextGenerationTakesTheHighestOfAll(t *testing.T) {
-	plan, err := Make("g", survivor(t), []Witness{{Address: "v", Group: "g", LeaderMsAgo: -1}, witness(t)}, wall)
+	plan, err := NewPlan("g", survivor(t), []DaemonReport{{Address: "v", Group: "g", LeaderContactMsAgo: -1}, report(t)}, wall)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := plan.State
-	if plan.Group != "g.1" || s.Version() != 4 || len(plan.Lost) != 1 || plan.Lost[0] != 3 {
-		t.Fatalf("%s, epoch %d, lost %v", plan.Group, s.Version(), plan.Lost)
+	if plan.Group != "g.1" || s.Version() != 4 || len(plan.LostVersions) != 1 || plan.LostVersions[0] != 3 {
+		t.Fatalf("%s, epoch %d, lost %v", plan.Group, s.Version(), plan.LostVersions)
 	}
-	for epoch, name := range map[ident.Version]string{1: "one", 2: "two", 4: "four"} {
-		if p, ok := s.ProposalAt(epoch); !ok || string(p.Configuration) != string(bundle(t, name)) {
-			t.Errorf("epoch %d is not whole", epoch)
+	for version, name := range map[ident.Version]string{1: "one", 2: "two", 4: "four"} {
+		if p, ok := s.ProposalAt(version); !ok || string(p.Configuration) != string(bundle(t, name)) {
+			t.Errorf("epoch %d is not whole", version)
 		}
 	}
 	if _, closed := s.Closures.Zones["y"]; !closed || s.Closures.Version != 4 {
@@ -77,13 +77,13 @@
 		t.Errorf("a proposal on an older base is %s", s.Proposals["open"].Stage)
 	}
 	// Nothing minted or claimed before can meet anything after.
-	until := witness(t).TenureUntil
+	until := report(t).LeaseUntil
 	if s.Now <= until || s.PlannerLease.Token <= 7 {
 		t.Errorf("now %d, claim %d", s.Now, s.PlannerLease.Token)
 	}
-	grant, verdict := s.Workers.Acquire("fresh", s.Now, 30*time.Second)
-	if verdict != workerid.Granted || grant.Floor < until {
-		t.Errorf("%+v %s", grant, verdict)
+	grant, outcome := s.Workers.Acquire("fresh", s.Now, 30*time.Second)
+	if outcome != workerid.Granted || grant.Floor < until {
+		t.Errorf("%+v %s", grant, outcome)
 	}
 	if restored, err := statemachine.Restore(s.Snapshot()); err != nil || restored.Version() != 4 {
 		t.Error(err)
@@ -91,27 +91,27 @@
 }
 
 func TestRecoveryIsRefused(t *testing.T) {
-	alive := witness(t)
-	alive.LeaderMsAgo = 900
-	foreign := witness(t)
+	alive := report(t)
+	alive.LeaderContactMsAgo = 900
+	foreign := report(t)
 	foreign.Group = "other"
-	faulty := witness(t)
+	faulty := report(t)
 	faulty.Bundles = map[ident.Version][]byte{4: []byte("{}")}
-	for name, witnesses := range map[string][]Witness{
-		"nobody is asked": nil, "the group is alive": {witness(t), alive}, "a daemon is of another group": {foreign}, "a daemon holds a faulty bundle": {faulty},
+	for name, witnesses := range map[string][]DaemonReport{
+		"nobody is asked": nil, "the group is alive": {report(t), alive}, "a daemon is of another group": {foreign}, "a daemon holds a faulty bundle": {faulty},
 	} {
-		if _, err := Make("g", survivor(t), witnesses, wall); err == nil {
+		if _, err := NewPlan("g", survivor(t), witnesses, wall); err == nil {
 			t.Errorf("%s, and the group was recovered", name)
 		}
 	}
-	if _, err := Make("", statemachine.New(), []Witness{{Address: "x", LeaderMsAgo: -1}}, wall); err == nil {
+	if _, err := NewPlan("", statemachine.New(), []DaemonReport{{Address: "x", LeaderContactMsAgo: -1}}, wall); err == nil {
 		t.Error("a group that nobody remembers was recovered")
 	}
 }
 
 // TestOrdersOfALostMajorityAreNotRefused: which orders brought the bundles that only daemons remember is not known.
 func TestOrdersOfALostMajorityAreNotRefused(t *testing.T) {
-	plan, err := Make("g", survivor(t), []Witness{witness(t)}, wall)
+	plan, err := NewPlan("g", survivor(t), []DaemonReport{report(t)}, wall)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/process/consensus/replica/actor_test.go
+++ b/process/consensus/replica/actor_test.go
@@ -54,7 +54,7 @@
 	links := &recordingTransport{}
 	r := follower(t, links, WithFatalHandler(func(err error) { fatal = err }), WithNoticeHandler(func(n raft.Notice) { noticed = append(noticed, n) }))
 	r.core.digests.record(10, 7, 0)
-	request := raft.Message{Kind: raft.MsgHeartbeat, Term: 2, Commit: 10, StateDigest: &raft.StateDigest{Index: 10, Format: r.core.digests.form, Sum: 8}}
+	request := raft.Message{Kind: raft.MsgHeartbeat, Term: 2, Commit: 10, StateDigest: &raft.StateDigest{Index: 10, Format: r.core.digests.format, Sum: 8}}
 	r.receiveFromLeader(request)
 	if len(links.all) != 1 || links.all[0].StateDigest == nil || links.all[0].StateDigest.Sum != 7 {
 		t.Fatalf("the request was answered by %+v", links.all)
--- a/process/consensus/replica/core.go
+++ b/process/consensus/replica/core.go
@@ -64,7 +64,7 @@
 		groupTimeAt: now, startedAt: now, lastRestored: member.LastIndex(), wallClock: wallClock,
 		proposals: map[raft.Index]proposal{}, reads: map[uint64]raft.Index{},
 		lastContact: map[raft.MemberID]clock.Mark{}, leaving: map[raft.MemberID]clock.Mark{},
-		digests: newDigests(statemachine.DigestSchema(config.Build)),
+		digests: newDigestTracker(statemachine.DigestSchema(config.Build)),
 	}
 	member.SetSnapshotCheck(c.validateSnapshot)
 	return c, nil
--- a/process/consensus/replica/digests.go
+++ b/process/consensus/replica/digests.go
@@ -40,15 +40,15 @@
 // right. One divergent member at a time is ordered to resign: it gives up its state and joins anew. A leader whose own
 // state diverged resigns by itself.
 type digestTracker struct {
-	// form identifies the build and encoding; digests of different forms can't be compared.
-	form uint64
+	// format identifies the build and encoding; digests of different formats can't be compared.
+	format uint64
 	// interval is the number of entries between two digests.
 	interval raft.Index
 	// recent are this member's last digests, the newest last.
 	recent []raft.StateDigest
 
 	// comparing is the leader's digest that peers are asked to compare since requestedAt. replies holds the digests of
-	// those that replied in the same form, replied all that replied.
+	// those that replied in the same format, replied all that replied.
 	comparing   raft.StateDigest
 	requestedAt clock.Mark
 	replies     map[raft.MemberID]uint64
@@ -59,8 +59,8 @@
 	resigning raft.MemberID
 }
 
-func newDigests(form uint64) digestTracker {
-	return digestTracker{form: form, interval: minDigestInterval}
+func newDigestTracker(format uint64) digestTracker {
+	return digestTracker{format: format, interval: minDigestInterval}
 }
 
 // due reports whether the state is to be digested at this index.
@@ -68,7 +68,7 @@
 
 // record keeps this member's digest at an index. stateBytes is the size of the state, which decides on the interval.
 func (d *digestTracker) record(index raft.Index, sum uint64, stateBytes int) {
-	d.recent = append(d.recent, raft.StateDigest{Index: index, Format: d.form, Sum: sum})
+	d.recent = append(d.recent, raft.StateDigest{Index: index, Format: d.format, Sum: sum})
 	d.recent = d.recent[max(0, len(d.recent)-retainedDigests):]
 	// Intervals are powers of two, so that members whose intervals differ still digest some of the same indexes.
 	for d.interval = minDigestInterval; int(d.interval)*stateBytesPerEntry < stateBytes; d.interval *= 2 {
@@ -76,11 +76,11 @@
 }
 
 // reset forgets all digests, since the state was replaced.
-func (d *digestTracker) reset() { *d = digestTracker{form: d.form, interval: d.interval} }
+func (d *digestTracker) reset() { *d = digestTracker{format: d.format, interval: d.interval} }
 
 // stopComparing ends the comparison, since this member began or ceased to lead.
 func (d *digestTracker) stopComparing() {
-	*d = digestTracker{form: d.form, interval: d.interval, recent: d.recent}
+	*d = digestTracker{format: d.format, interval: d.interval, recent: d.recent}
 }
 
 // newest returns the last digest; zero before the first.
@@ -163,13 +163,13 @@
 	selfDiverged error
 }
 
-// recordReply compares a peer's reply. Replies of another form prove nothing.
+// recordReply compares a peer's reply. Replies of another format prove nothing.
 func (d *digestTracker) recordReply(self, from raft.MemberID, reply raft.StateDigest, members raft.Membership) comparison {
 	if reply.Index != d.comparing.Index || d.replied[from] || d.comparing.Index == 0 {
 		return comparison{}
 	}
 	d.replied[from] = true
-	if reply.Format != d.form {
+	if reply.Format != d.format {
 		return comparison{}
 	}
 	d.replies[from] = reply.Sum
--- a/process/consensus/replica/digests_test.go
+++ b/process/consensus/replica/digests_test.go
@@ -113,7 +113,7 @@
 func TestDigestsOfDifferentBuildsAreNotCompared(t *testing.T) {
 	s := newFaultlessSimulation(t, 1, 3)
 	other := s.nodes[(s.leader().index+1)%3]
-	other.core.digests.form++
+	other.core.digests.format++
 	diverge(other, 1)
 	s.runFor(time.Minute)
 	if len(s.resigned) > 0 || s.notices[raft.NoticeStateDiffers] > 0 {
--- a/process/engines/registry/publish.go
+++ b/process/engines/registry/publish.go
@@ -31,7 +31,7 @@
 func (r *Registry) publish() {
 	now := r.clock.Elapsed()
 	state := &r.publication
-	if r.mailbox.Waiting() > 0 && (state.delayedSince == 0 || now.Since(state.delayedSince) < maxPublishDelay) {
+	if r.mailbox.Len() > 0 && (state.delayedSince == 0 || now.Since(state.delayedSince) < maxPublishDelay) {
 		if state.delayedSince == 0 {
 			state.delayedSince = now
 		}
--- a/testbed/interleaving/attempts_test.go
+++ b/testbed/interleaving/attempts_test.go
@@ -10,31 +10,31 @@
 
 // attemptCase: one attempt is in hand at two daemons at once; each asks the two homes, in its own order.
 // The first daemon wants to send, the second to send or to refuse. lax askers go by the first answer alone.
-func attemptCase(second deduplication.Act, lax bool) func() Case {
+func attemptCase(second deduplication.Action, lax bool) func() Case {
 	return func() Case {
 		homes := [2]*deduplication.Memory{deduplication.NewMemory(), deduplication.NewMemory()}
 		var ran, refused int
-		daemon := func(owner string, act deduplication.Act, arrived clock.Mark, order [2]int) func(func()) {
+		daemon := func(owner string, act deduplication.Action, arrived clock.Mark, order [2]int) func(func()) {
 			return func(yield func()) {
-				heard := deduplication.Answers{Knew: true, Written: true}
+				heard := deduplication.Responses{Authoritative: true, Replicated: true}
 				for _, home := range order {
 					yield()
-					heard.Given = append(heard.Given, homes[home].Take(10, deduplication.Ask{Attempt: "x", Owner: owner, Age: clock.Mark(10).Since(arrived), Act: act}))
+					heard.Received = append(heard.Received, homes[home].Handle(10, deduplication.Request{Attempt: "x", Owner: owner, Age: clock.Mark(10).Since(arrived), Action: act}))
 					if lax {
 						break
 					}
 				}
 				yield()
 				switch {
-				case deduplication.Decide(heard) != deduplication.May:
-				case act == deduplication.Claim:
+				case deduplication.Decide(heard) != deduplication.Proceed:
+				case act == deduplication.ActionClaim:
 					ran++
 				default:
 					refused++
 				}
 			}
 		}
-		return Case{Threads: []func(func()){daemon("a", deduplication.Claim, 1, [2]int{0, 1}), daemon("b", second, 5, [2]int{1, 0})}, Check: func() error {
+		return Case{Threads: []func(func()){daemon("a", deduplication.ActionClaim, 1, [2]int{0, 1}), daemon("b", second, 5, [2]int{1, 0})}, Check: func() error {
 			if ran > 1 {
 				return errors.New("it ran twice")
 			}
@@ -48,8 +48,8 @@
 
 func TestOneAttemptAtTwoDaemons(t *testing.T) {
 	t.Parallel()
-	holds(t, attemptCase(deduplication.Claim, false))
-	bites(t, attemptCase(deduplication.Claim, true))
-	holds(t, attemptCase(deduplication.Refuse, false))
-	bites(t, attemptCase(deduplication.Refuse, true))
+	holds(t, attemptCase(deduplication.ActionClaim, false))
+	bites(t, attemptCase(deduplication.ActionClaim, true))
+	holds(t, attemptCase(deduplication.ActionReject, false))
+	bites(t, attemptCase(deduplication.ActionReject, true))
 }
