--- a/process/consensus/replica/apply_operators_test.go
+++ b/process/consensus/replica/apply_operators_test.go
@@ -31,7 +31,7 @@
 	resends, unclear int
 	// calls are all calls as their senders saw them, requests their contents by digest, sent all requests in sequence.
 	calls    []*linearizability.Call
-	requests map[string]*linearizability.Order
+	requests map[string]*linearizability.Write
 	sent     []operatorapi.ApplyRequest
 	// extraLoss is the fraction of messages between operators and members that is lost, beside the network's own loss.
 	extraLoss float64
@@ -143,7 +143,7 @@
 		}
 		call.Configuration = encoded
 	}
-	o.requests[digest] = &linearizability.Order{Digest: digest, Base: uint64(base), Revision: revision, Content: statemachine.AppliedID(digest), Validity: linearizability.Sound}
+	o.requests[digest] = &linearizability.Write{Digest: digest, Base: uint64(base), Revision: revision, Content: statemachine.AppliedID(digest), Validity: linearizability.Valid}
 	o.baseRevisions[digest] = base
 	o.sent = append(o.sent, call)
 	return call
@@ -151,7 +151,7 @@
 
 // recordCall records a call's start, and returns the record that takes its definite answer.
 func (o *simulatedApplies) recordCall(call linearizability.Call) *linearizability.Call {
-	call.Start, call.Outcome = int64(o.now), linearizability.Unanswered
+	call.Start, call.Outcome = int64(o.now), linearizability.Unknown
 	o.calls = append(o.calls, &call)
 	return &call
 }
@@ -221,7 +221,7 @@
 // sendUntilAnswered sends a request, and retries it at other members as long as there is no definite answer; some go to
 // three members at once. A few operators give up.
 func (o *simulatedApplies) sendUntilAnswered(who int, order operatorapi.ApplyRequest, base ident.Revision, next func(ident.Revision)) {
-	noted := o.recordCall(linearizability.Call{Client: who, Order: o.requests[order.Digest]})
+	noted := o.recordCall(linearizability.Call{Client: who, Write: o.requests[order.Digest]})
 	done := false
 	finish := func(revision ident.Revision) {
 		done = true
@@ -234,7 +234,7 @@
 			o.recordAcknowledged(order, got)
 		case operatorapi.Conflicted, operatorapi.Invalid:
 			o.recordRejected(order, got)
-			outcome = linearizability.Refused
+			outcome = linearizability.Rejected
 		default:
 			o.unclear++
 			return
@@ -283,7 +283,7 @@
 		config.HistoryLimits = limits
 	}
 	o := &simulatedApplies{simulation: newAdjustedSimulation(t, seed, size, noDefect, adjust), acknowledgedVersions: map[string]ident.Version{}, rejected: map[string]bool{}, baseRevisions: map[string]ident.Revision{},
-		requests: map[string]*linearizability.Order{}}
+		requests: map[string]*linearizability.Write{}}
 	if seed%4 == 3 {
 		o.extraLoss = 0.2
 	}
