--- a/actor/actor.go
+++ b/actor/actor.go
@@ -1,4 +1,5 @@
-// Package actor is the one select loop that every actor of the daemon runs on.
+// Package actor holds the mailbox and the select loop that every actor of the daemon runs on. An actor is a goroutine
+// that owns its state; others reach it only by events, which it handles one at a time.
 package actor
 
 import (
@@ -6,18 +7,18 @@
 	"time"
 )
 
-// Mailbox is how others reach an actor.
+// Mailbox is the queue of an actor's events. Its methods except Run may be called from any goroutine.
 type Mailbox[E any] struct {
 	events chan E
 	done   chan struct{}
 }
 
-// NewMailbox makes a mailbox that holds size events before senders wait.
-func NewMailbox[E any](size int) *Mailbox[E] {
-	return &Mailbox[E]{events: make(chan E, size), done: make(chan struct{})}
+// NewMailbox makes a mailbox that queues up to capacity events.
+func NewMailbox[E any](capacity int) *Mailbox[E] {
+	return &Mailbox[E]{events: make(chan E, capacity), done: make(chan struct{})}
 }
 
-// Send hands an event over and waits for room; it says false when the actor has ended.
+// Send queues an event and blocks while the mailbox is full; it returns false if the actor has ended.
 func (m *Mailbox[E]) Send(event E) bool {
 	select {
 	case <-m.done:
@@ -32,7 +33,7 @@
 	}
 }
 
-// Offer hands an event over only if there is room.
+// Offer queues an event only if the mailbox is not full, and reports whether it did.
 func (m *Mailbox[E]) Offer(event E) bool {
 	select {
 	case m.events <- event:
@@ -42,13 +43,14 @@
 	}
 }
 
-// Len is how many events have not been taken yet.
+// Len returns the number of events that are queued.
 func (m *Mailbox[E]) Len() int { return len(m.events) }
 
 // Done is closed when the actor has ended.
 func (m *Mailbox[E]) Done() <-chan struct{} { return m.done }
 
-// Run takes events one by one, and a beat every period if period is not zero, until ctx ends.
+// Run handles events one by one, and calls tick every period if period is not zero, until ctx ends. It must be called
+// once, on the actor's goroutine. Events still queued when it returns are dropped.
 func (m *Mailbox[E]) Run(ctx context.Context, period time.Duration, handle func(E), tick func()) {
 	defer close(m.done)
 	var ticks <-chan time.Time
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock gives the two clocks the daemon uses: one for people, one that counts time spent suspended.
+// Package clock gives the daemon its two clocks: the time of day, and a monotonic clock that counts time spent suspended.
 package clock
 
 import (
@@ -7,24 +7,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// Mark is a moment on a clock that only goes forward and counts suspend.
+// Mark is a moment on a monotonic clock, as the time elapsed since the machine booted. Marks of different machines or
+// boots can't be compared.
 type Mark time.Duration
 
-// Since gives the time from earlier to m.
+// Since returns the time from earlier to m.
 func (m Mark) Since(earlier Mark) time.Duration { return time.Duration(m - earlier) }
 
-// Clock is what actors are given in place of the machine's clocks.
+// Clock is what actors use in place of the machine's clocks, so that tests can simulate time.
 type Clock interface {
-	// Elapsed is the boot-time clock: it counts time spent suspended, and no wall jump moves it.
+	// Elapsed reads the monotonic clock, which counts time spent suspended and isn't moved when the time of day is set.
 	Elapsed() Mark
-	// Wall is the time of day, used for people and for the first group time only.
+	// Wall reads the time of day. It serves people, and as the first time of a new Raft group only.
 	Wall() time.Time
 }
 
 // System is the machine's own clock.
 type System struct{}
 
-// Elapsed reads CLOCK_BOOTTIME, because Go's monotonic clock stands still while a machine sleeps.
+// Elapsed reads CLOCK_BOOTTIME, because Go's monotonic clock stops while a machine is suspended.
 func (System) Elapsed() Mark {
 	var reading unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &reading); err != nil {
--- a/process/cluster/affinity/affinity.go
+++ b/process/cluster/affinity/affinity.go
@@ -12,6 +12,7 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
+// assignment is the engine of one session.
 type assignment struct {
 	engine   ident.EngineID
 	lastUsed clock.Mark
@@ -24,84 +25,86 @@
 	lastSweep   clock.Mark
 }
 
-// maxAssignments bounds how many assignments are remembered.
+// maxAssignments bounds how many assignments are kept; sessions beyond it stay without one.
 const maxAssignments = 1 << 20
 
 // NewTable makes an empty table.
 func NewTable() *Table { return &Table{assignments: map[string]assignment{}} }
 
-// Assign gives the session's engine. A session without an assignment takes the wished engine, and one whose engine is
-// the one to be replaced takes the wished one instead; fresh says that it did.
-func (h *Table) Assign(now clock.Mark, idle time.Duration, session string, preferred, replaces ident.EngineID) (engine ident.EngineID, found, assigned bool) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	if now.Since(h.lastSweep) > idle/2 {
-		h.lastSweep = now
-		for name, current := range h.assignments {
+// Assign returns the session's engine and marks the assignment as used. A session without an assignment, or whose engine
+// is the one to be replaced, is assigned the preferred engine, which the result assigned reports. Assignments expire when
+// they were not used for idle. found is false where there is neither an assignment nor a preferred engine, or no capacity.
+func (t *Table) Assign(now clock.Mark, idle time.Duration, session string, preferred, replaces ident.EngineID) (engine ident.EngineID, found, assigned bool) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if now.Since(t.lastSweep) > idle/2 {
+		t.lastSweep = now
+		for name, current := range t.assignments {
 			if now.Since(current.lastUsed) > idle {
-				delete(h.assignments, name)
+				delete(t.assignments, name)
 			}
 		}
 	}
-	current, known := h.assignments[session]
+	current, known := t.assignments[session]
 	if known && now.Since(current.lastUsed) <= idle && current.engine != replaces {
-		h.assignments[session] = assignment{current.engine, now}
+		t.assignments[session] = assignment{current.engine, now}
 		return current.engine, true, false
 	}
-	if preferred == "" || !known && len(h.assignments) >= maxAssignments {
+	if preferred == "" || !known && len(t.assignments) >= maxAssignments {
 		return "", false, false
 	}
-	h.assignments[session] = assignment{preferred, now}
+	t.assignments[session] = assignment{preferred, now}
 	return preferred, true, true
 }
 
-// Record remembers an assignment that its owners made, so that it outlives them.
-func (h *Table) Record(now clock.Mark, session string, engine ident.EngineID) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	if _, known := h.assignments[session]; known || len(h.assignments) < maxAssignments {
-		h.assignments[session] = assignment{engine, now}
+// Record keeps an assignment that its owners made, so that it outlives them.
+func (t *Table) Record(now clock.Mark, session string, engine ident.EngineID) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if _, known := t.assignments[session]; known || len(t.assignments) < maxAssignments {
+		t.assignments[session] = assignment{engine, now}
 	}
 }
 
-// Lookup gives an assignment and how long ago it was last used, and changes nothing.
-func (h *Table) Lookup(now clock.Mark, idle time.Duration, session string) (engine ident.EngineID, used time.Duration, found bool) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	current, known := h.assignments[session]
+// Lookup returns an assignment and the time since its last use, without marking it as used.
+func (t *Table) Lookup(now clock.Mark, idle time.Duration, session string) (engine ident.EngineID, used time.Duration, found bool) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	current, known := t.assignments[session]
 	used = now.Since(current.lastUsed)
 	return current.engine, used, known && used <= idle
 }
 
-// Assignments lists the assignments that are kept here.
-func (h *Table) Assignments() map[string]ident.EngineID {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	out := make(map[string]ident.EngineID, len(h.assignments))
-	for session, current := range h.assignments {
-		out[session] = current.engine
+// Assignments returns a copy of all assignments that are kept here, by session.
+func (t *Table) Assignments() map[string]ident.EngineID {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	engines := make(map[string]ident.EngineID, len(t.assignments))
+	for session, current := range t.assignments {
+		engines[session] = current.engine
 	}
-	return out
+	return engines
 }
 
-// Delete forgets a session.
-func (h *Table) Delete(session string) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	delete(h.assignments, session)
+// Delete removes a session's assignment.
+func (t *Table) Delete(session string) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	delete(t.assignments, session)
 }
 
-// mixer is 2^64 divided by the golden ratio, the multiplier of Fibonacci hashing.
+// fibonacciMultiplier is 2^64 divided by the golden ratio, the multiplier of Fibonacci hashing.
 const fibonacciMultiplier = 0x9E3779B97F4A7C15
 
-// Owners picks the first and the second owner of a session among daemons: those with the highest weights,
-// so that a daemon that leaves moves only the sessions it owned, and to where they are known.
+// Owners picks the first and the second owner of a session among the daemons at these addresses by rendezvous hashing
+// (Thaler and Ravishankar, 1998): those with the highest weights. A daemon that leaves moves only the sessions that it
+// owned, and the first owner's to the second, which knows them already.
 func Owners(session string, addresses []string) (first, second string) {
 	var firstWeight, secondWeight uint64
 	for _, address := range addresses {
 		hash := fnv.New64a()
 		_, _ = hash.Write([]byte(session + "\x00" + address))
-		// A last mixing step, since FNV's high bits hardly depend on the last bytes.
+		// A final mixing step, since FNV's high bits hardly depend on the last bytes.
 		weight := hash.Sum64() * fibonacciMultiplier
 		weight ^= weight >> 29
 		switch {
