--- a/daemon/applybundle.go
+++ b/daemon/applybundle.go
@@ -111,7 +111,7 @@
 	}
 	garbage := func() error {
 		d.counters.malformedMessages.Add(1)
-		return twirp.NewError(twirp.InvalidArgument, "this is no call to apply a bundle")
+		return twirp.NewError(twirp.InvalidArgument, "malformed request to apply a configuration")
 	}
 	call := operatorapi.ApplyRequest{Base: ident.Revision(in.BaseVersion), Digest: in.Digest, Operator: in.Operator}
 	if len(in.Patch) > 0 {
--- a/daemon/attemptowners.go
+++ b/daemon/attemptowners.go
@@ -169,7 +169,7 @@
 	action := deduplication.Act(in.Action)
 	if in.Attempt == "" || in.Owner == "" || action != deduplication.Claim && action != deduplication.Refuse && action != deduplication.Free {
 		d.counters.malformedMessages.Add(1)
-		return nil, twirp.NewError(twirp.InvalidArgument, "this asks nothing about an attempt")
+		return nil, twirp.NewError(twirp.InvalidArgument, "malformed query about an attempt")
 	}
 	reply, startedRecently := &peerapi.AttemptReply{}, d.recentlyStarted()
 	if !d.attempts.Do(func(now clock.Mark, memory *deduplication.Memory) {
--- a/daemon/commands.go
+++ b/daemon/commands.go
@@ -102,7 +102,7 @@
 	var command statemachine.Command
 	if err := json.Unmarshal(in.Command, &command); err != nil || !forwardableOps[command.Op] {
 		d.counters.malformedMessages.Add(1)
-		return nil, twirp.NewError(twirp.InvalidArgument, "this is no command")
+		return nil, twirp.NewError(twirp.InvalidArgument, "malformed command")
 	}
 	answer, outcome := d.submitAsLeader(ctx, command)
 	return d.submitReply(answer, outcome)
--- a/daemon/configuration.go
+++ b/daemon/configuration.go
@@ -26,7 +26,7 @@
 func (d *Daemon) configurationChanged() {
 	if table := d.rollout.Table(); table != nil {
 		if closure, lost := table.Closures.Lost[d.nodeID]; lost {
-			d.abort(eris.Errorf("this daemon was declared lost by %s, and so must not serve; start it again", closure.Operator))
+			d.abort(eris.Errorf("this daemon was declared lost by operator %s and must not serve any more; start it again", closure.Operator))
 		}
 	}
 	d.notifier.Notify(longpoll.Urgent)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,4 +1,3 @@
-// Package daemon puts the actors of one cresspondd process together and runs them.
 package daemon
 
 import (
@@ -175,7 +174,7 @@
 	}
 	next.Seeds, next.Bounds, next.DrainMs = config.Seeds, config.Bounds, config.DrainMs
 	d.current.Store(&next)
-	d.log.WithField("seeds", next.Seeds).Info("settings read again")
+	d.log.WithField("seeds", next.Seeds).Info("settings reloaded")
 }
 
 func (d *Daemon) roleNames() []string {
--- a/daemon/dispatch.go
+++ b/daemon/dispatch.go
@@ -41,15 +41,15 @@
 	engine := d.watcher.View().Engines[send.Engine]
 	switch {
 	case table == nil || !table.Allows(call.Request.Route, call.Request.Model, call.Request.Adapter):
-		return "the spec in force no longer allows this"
+		return "the configuration in force no longer allows this request"
 	case !table.Open(send.Engine):
 		return "the engine's zone is closed, or it is being drained"
 	case engine == nil || engine.Address != send.Address || !engine.Usable():
-		return "the engine is leaving or not sound"
+		return "the engine is draining or unhealthy"
 	case d.clock.Elapsed() >= send.Deadline:
 		return "the deadline has passed"
 	case send.Stamped && !d.generator.HasLease():
-		return "the worker id has lapsed"
+		return "the lease of the worker id has expired"
 	case call.Context().Err() != nil:
 		return "the caller has left"
 	}
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -55,7 +55,7 @@
 		wait.Go(func() {
 			if err := server.ShutdownWithContext(limit); err != nil {
 				remaining.add(openResponses)
-				d.log.WithField("open", d.sessionAPI.Open()).Warn("stopped before all answers were written")
+				d.log.WithField("openSessionRequests", d.sessionAPI.Open()).Warn("drain ended before all responses were written")
 			}
 		})
 	}
@@ -77,7 +77,7 @@
 	d.retireMember(limit, &remaining)
 	if things := remaining.list(); len(things) > 0 {
 		d.counters.notHandedOver.Add(uint64(len(things)))
-		d.log.WithField("kept", things).Warn("stopped without handing all over")
+		d.log.WithField("unreleased", things).Warn("stopped without releasing everything")
 		return
 	}
 	d.log.Info("stopped")
--- a/daemon/engineslots.go
+++ b/daemon/engineslots.go
@@ -70,10 +70,10 @@
 // Permit serves requests for the slots that this daemon owns. It is part of the peer protocol.
 func (d *Daemon) Permit(ctx context.Context, in *peerapi.PermitRequest) (*peerapi.PermitReply, error) {
 	if in.Engine == "" || in.Id == "" {
-		return nil, twirp.NewError(twirp.InvalidArgument, "a permit is for an engine, and has an id")
+		return nil, twirp.NewError(twirp.InvalidArgument, "a slot request needs an engine and an id")
 	}
 	if !d.config.Serves(daemonconfig.Route) {
-		return nil, twirp.NewError(twirp.FailedPrecondition, "this daemon keeps no slots")
+		return nil, twirp.NewError(twirp.FailedPrecondition, "this daemon owns no slots, since it does not route")
 	}
 	if in.Release {
 		d.engineSlots.Release(ident.EngineID(in.Engine), in.Id, in.Refused)
--- a/daemon/forwarding.go
+++ b/daemon/forwarding.go
@@ -79,8 +79,8 @@
 
 // logLoss logs a request that was not served, or too late.
 func (d *Daemon) logLoss(loss forwarding.Loss) {
-	d.log.WithFields(log.Fields{"path": loss.Path, "model": loss.Model, "reason": loss.Reason.String(), "lack": loss.BlockedBy, "returned": loss.Resubmitted,
-		"waitedMs": loss.Waited.Milliseconds(), "heldMs": loss.Queued.Milliseconds(), "attempts": loss.Attempts}).Debug("request lost or late")
+	d.log.WithFields(log.Fields{"path": loss.Path, "model": loss.Model, "reason": loss.Reason.String(), "blockedBy": loss.BlockedBy, "returned": loss.Resubmitted,
+		"waitedMs": loss.Waited.Milliseconds(), "queuedMs": loss.Queued.Milliseconds(), "attempts": loss.Attempts}).Debug("request lost or late")
 }
 
 // sweepEvery is how often connections are closed that engines have closed on their side.
--- a/daemon/freshness.go
+++ b/daemon/freshness.go
@@ -49,8 +49,8 @@
 	}
 	entry := d.log.WithFields(log.Fields{"stale": stale})
 	if stale {
-		entry.Warn("no majority of the control group has confirmed lately what is in force here")
+		entry.Warn("configuration in force is stale: no majority of the control group has confirmed it recently")
 		return
 	}
-	entry.Info("what is in force here is confirmed by a majority of the control group")
+	entry.Info("configuration in force is confirmed by a majority of the control group again")
 }
--- a/daemon/groupidentity.go
+++ b/daemon/groupidentity.go
@@ -27,7 +27,7 @@
 		// Leases of the lost generation are void, and the next one may not know of this daemon.
 		d.generator.ReleaseLease()
 		d.enlistedAt.Store(0)
-		d.log.WithField("group", string(group)).Warn("the group was recovered; following its next generation")
+		d.log.WithField("group", string(group)).Warn("control group was recovered; following its next generation")
 		if incarnation := d.memberIncarnation.Load(); incarnation != nil && belongsToGroup(incarnation.store) {
 			incarnation.fail(superseded{eris.Errorf("this data folder belongs to group %s, which was recovered as %s; move the folder away, and the machine joins as a new member", *known, group)})
 		}
--- a/daemon/handover.go
+++ b/daemon/handover.go
@@ -19,14 +19,14 @@
 const (
 	// Leadership ends by an election instead; the planner's lease and the worker id by their expiry.
 	leadership    unreleased = "leadership"
-	plannersClaim unreleased = "planner's claim"
+	plannersClaim unreleased = "planner's lease"
 	workerID      unreleased = "worker id"
 	// openResponses are requests of callers and operators that were not answered.
-	openResponses unreleased = "open answers"
+	openResponses unreleased = "open responses"
 	// attemptMemory is the memory of the attempts that this daemon owns.
-	attemptMemory unreleased = "memory of attempts"
+	attemptMemory unreleased = "attempt memory"
 	// engineRegistrations are registrations that no other control daemon has seen.
-	engineRegistrations unreleased = "news of engines"
+	engineRegistrations unreleased = "engine registrations"
 	// logEntries are committed entries that too few other voters hold.
 	logEntries unreleased = "log entries"
 )
--- a/daemon/joingroup.go
+++ b/daemon/joingroup.go
@@ -95,7 +95,7 @@
 	if err := dataFolder.Write(group, raft.Save{HardState: raft.HardState{Term: 1}, Snapshot: &first}); err != nil {
 		return "", raft.PersistentState{}, err
 	}
-	d.log.WithField("members", len(members.Members)).Info("formed a new group")
+	d.log.WithField("members", len(members.Members)).Info("bootstrapped a new control group")
 	restored, err := dataFolder.Load()
 	return group, restored, err
 }
--- a/daemon/member.go
+++ b/daemon/member.go
@@ -93,26 +93,26 @@
 		switch {
 		case errors.As(err, new(*replica.StateDivergedError)):
 			if err := store.Quarantine(d.config.DataDir); err != nil {
-				d.log.WithError(err).Warn("the state that differs cannot be set aside yet")
+				d.log.WithError(err).Warn("files of the diverged state cannot be moved aside yet")
 				break
 			}
 			backoff = max(backoff, stateDiffers.next())
-			entry.WithField("pause", backoff.String()).Warn("gave up a state that differs from what a majority holds; joining as a new member")
+			entry.WithField("backoff", backoff.String()).Warn("discarded a state that diverged from a majority's; joining as a new member")
 		case errors.As(err, new(superseded)), store.IsDamaged(err):
 			if damageCount++; damageCount < damageConfirmations {
-				entry.Warn("the data folder looks damaged")
+				entry.Warn("data folder looks damaged")
 				break
 			}
 			// What was acknowledged is on a majority; what this folder held can't be trusted, nor may the votes that
 			// were cast under its identity be cast again. A new identity has cast none.
 			damageCount = 0
 			if err := store.Quarantine(d.config.DataDir); err != nil {
-				d.log.WithError(err).Warn("the damaged files cannot be set aside yet")
+				d.log.WithError(err).Warn("damaged files cannot be moved aside yet")
 				break
 			}
-			entry.Warn("set the damaged files aside; joining as a new member")
+			entry.Warn("moved damaged files aside; joining as a new member")
 		case backoff == minMemberBackoff:
-			entry.Warn("out of the group until the disk can be used")
+			entry.Warn("out of the control group until the disk can be used")
 		}
 		timer := time.NewTimer(backoff)
 		select {
@@ -172,7 +172,7 @@
 		return err
 	}
 	if !d.learnGroup(group) {
-		return eris.Errorf("the data folder belongs to group %s, and fellows belong to %s", group, d.Group())
+		return eris.Errorf("the data folder belongs to group %s, and its peers belong to group %s", group, d.Group())
 	}
 	self := raft.Member{ID: incarnation.store.MemberID, Name: d.config.Name, Address: d.config.AdvertisedPeerAddress()}
 	if !belongsToGroup(incarnation.store) {
@@ -186,7 +186,7 @@
 	}
 	d.replica.Store(made)
 	defer d.replica.Store(nil)
-	d.log.WithField("group", string(d.Group())).Info("member of the group")
+	d.log.WithField("group", string(d.Group())).Info("runs as a member of the control group")
 	go d.runJoin(ctx, made, self)
 	made.Run(ctx)
 	return nil
--- a/daemon/membernotices.go
+++ b/daemon/membernotices.go
@@ -14,14 +14,14 @@
 	entry := d.log.WithField("term", uint64(after.Term))
 	switch {
 	case after.IsLeader && !before.IsLeader:
-		entry.Info("leads the group")
+		entry.Info("became leader of the control group")
 	case before.IsLeader && !after.IsLeader:
-		entry.Info("leads the group no more")
+		entry.Info("lost the leadership of the control group")
 	case after.DiskStalled != before.DiskStalled:
-		entry.WithField("stalled", after.DiskStalled).Info("the disk holds this member up, or does no more")
+		entry.WithField("stalled", after.DiskStalled).Info("disk stall of this member began or ended")
 	}
 	if after.IsLeader && len(after.DivergentMembers) > 0 && !slices.Equal(before.DivergentMembers, after.DivergentMembers) {
-		entry.WithField("members", after.DivergentMembers).Warn("the states of these members differ from a majority's")
+		entry.WithField("members", after.DivergentMembers).Warn("state of members diverged from a majority's")
 	}
 	if after.IsLeader && !slices.Equal(before.Membership.Members, after.Membership.Members) {
 		var voters, learners []string
@@ -32,7 +32,7 @@
 				learners = append(learners, member.Name)
 			}
 		}
-		entry.WithFields(log.Fields{"voters": voters, "learners": learners}).Info("the group has other members")
+		entry.WithFields(log.Fields{"voters": voters, "learners": learners}).Info("membership of the control group changed")
 	}
 }
 
--- a/daemon/noderanking.go
+++ b/daemon/noderanking.go
@@ -167,7 +167,7 @@
 	n.stepNext = now + clock.Mark(max(rankEvery, 10*took))
 	for _, change := range decision.Changes {
 		n.log.WithFields(log.Fields{"engine": string(change.Engine), "from": change.From.String(), "to": change.To.String(), "score": round(change.Assessment.Score),
-			"kind": change.Assessment.Kind.String()}).Info("ranking: another stage")
+			"kind": change.Assessment.Kind.String()}).Info("node ranking: stage changed")
 	}
 	n.logRefusals()
 	state := &rankingState{claim: n.claim, rows: n.ranker.Rows(), counters: n.ranker.Counters, took: took, emptying: map[ident.EngineID]bool{}}
@@ -191,7 +191,7 @@
 			delete(n.refusals, row.Engine)
 			continue
 		}
-		n.log.WithFields(log.Fields{"engine": string(row.Engine), "score": round(row.Score), "reason": row.Refusal.Reason()}).Info("ranking: not drained")
+		n.log.WithFields(log.Fields{"engine": string(row.Engine), "score": round(row.Score), "reason": row.Refusal.Reason()}).Info("node ranking: engine not drained")
 	}
 }
 
@@ -254,13 +254,13 @@
 	switch {
 	case !result.known:
 		n.decisionsMade.unknown.Add(1)
-		logged.Warn("ranking: the group gave no answer")
+		logged.Warn("node ranking: no answer from the control group")
 	case result.outcome != statemachine.Done:
 		n.decisionsMade.refused.Add(1)
-		logged.WithField("reason", result.reason).Warn("ranking: the group refused")
+		logged.WithField("reason", result.reason).Warn("node ranking: action rejected by the control group")
 	default:
 		n.decisionsMade.done.Add(1)
-		logged.WithFields(log.Fields{"kind": result.action.Assessment.Kind.String(), "value": result.action.Assessment.Value, "others": result.action.Assessment.PeerValue}).Info("ranking: carried out")
+		logged.WithFields(log.Fields{"kind": result.action.Assessment.Kind.String(), "value": result.action.Assessment.Value, "peerValue": result.action.Assessment.PeerValue}).Info("node ranking: action committed")
 	}
 }
 
--- a/daemon/pull.go
+++ b/daemon/pull.go
@@ -41,7 +41,7 @@
 	}
 	if in.NodeId == "" || in.Address == "" {
 		d.counters.malformedMessages.Add(1)
-		return nil, twirp.NewError(twirp.InvalidArgument, "a pull says who asks")
+		return nil, twirp.NewError(twirp.InvalidArgument, "a pull needs the node id and the address of its sender")
 	}
 	arrived := d.clock.Elapsed()
 	rowKnown := d.members.RecordPull(in)
@@ -160,10 +160,10 @@
 func (d *Daemon) SourceFreshnessChanged(turned membership.FreshnessChange) {
 	entry := d.log.WithField("address", turned.Address)
 	if turned.Stale {
-		entry.Warn("a source of news is left: no majority of the control group has confirmed it lately")
+		entry.Warn("update source is stale and left: no majority of the control group has confirmed it recently")
 		return
 	}
-	entry.Info("a source of news is confirmed by a majority of the control group")
+	entry.Info("update source is confirmed by a majority of the control group again")
 }
 
 // relayFresh is how recent the last complete pull from the relay must be for others to be pulled from for urgent
--- a/daemon/raftservice.go
+++ b/daemon/raftservice.go
@@ -16,7 +16,7 @@
 	messages, sound := raftcodec.Decode(in.Messages)
 	if !sound || in.Group == "" {
 		d.counters.malformedMessages.Add(1)
-		return nil, twirp.NewError(twirp.InvalidArgument, "these are no raft messages")
+		return nil, twirp.NewError(twirp.InvalidArgument, "malformed raft messages")
 	}
 	if err := d.checkGroup(in.Group); err != nil {
 		return nil, err
--- a/daemon/sessionaffinity.go
+++ b/daemon/sessionaffinity.go
@@ -123,7 +123,7 @@
 // Seat answers queries about the sessions that this daemon owns. It is part of the peer protocol.
 func (d *Daemon) Seat(_ context.Context, in *peerapi.SeatRequest) (*peerapi.SeatReply, error) {
 	if in.Session == "" {
-		return nil, twirp.NewError(twirp.InvalidArgument, "a seat belongs to a session")
+		return nil, twirp.NewError(twirp.InvalidArgument, "an assignment request needs a session")
 	}
 	if in.Ended {
 		d.affinityTable.End(in.Session)
--- a/daemon/workerlease.go
+++ b/daemon/workerlease.go
@@ -37,7 +37,7 @@
 				renewed = requestedAt
 				ticker.Reset(renewCheckEvery)
 				d.counters.leasesAcquired.Add(1)
-				d.log.WithField("workerId", int64(result.Grant.WorkerID)).Info("worker id acquired")
+				d.log.WithField("workerId", int64(result.Grant.WorkerID)).Info("worker id lease acquired")
 				d.admitCallers()
 			}
 		case requestedAt.Since(renewed) >= renewEvery:
@@ -51,7 +51,7 @@
 				// The group no longer knows this lease: no id may be minted under it from now on.
 				d.generator.ReleaseLease()
 				d.counters.leasesLost.Add(1)
-				d.log.Warn("worker id lost")
+				d.log.Warn("worker id lease lost")
 			}
 		}
 		select {
