--- a/process/cluster/membership/freshness_test.go
+++ b/process/cluster/membership/freshness_test.go
@@ -11,10 +11,10 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// ms is a span of made-up time.
+// ms is a time or span of the synthetic clock, in milliseconds.
 func ms(n int) clock.Mark { return clock.Mark(time.Duration(n) * time.Millisecond) }
 
-// newTestTracker is a routing daemon that has been answered by three control daemons, of which l1 leads in term 3.
+// newTestTracker makes the tracker of a routing daemon that knows three control daemons, of which l1 leads in term 3.
 func newTestTracker() (*Tracker, clock.Mark) {
 	now := clock.Mark(time.Minute)
 	t := NewTracker(now-clock.Mark(time.Second), "edge#1", "edge", false)
@@ -25,7 +25,7 @@
 	return t, now
 }
 
-// resultFrom is a reply that took 10 ms each way, whose source was confirmed so long before the question arrived.
+// resultFrom is a reply that took 10 ms each way, from a source confirmed so long before the request arrived.
 func resultFrom(address string, now clock.Mark, before time.Duration, change func(*peerapi.PullReply)) PullResult {
 	reply := &peerapi.PullReply{Group: "g", NodeId: address + "#1", LeaderAddress: "l1", LeaderTerm: 3, IsLeader: address == "l1", ConfigurationVersion: 7,
 		Confirmation: EncodeConfirmation(ms(3600000)-clock.Mark(before), ms(3600000))}
@@ -37,16 +37,16 @@
 
 var testInForce = InForce{Configuration: 7}
 
-// Wherever the two clocks stand, and however long a reply was on its way, a confirmation never grows younger.
+// Whatever the offset of the two clocks and the latency of the reply, a confirmation never gets more recent.
 func TestConfirmationNeverGetsFresherInTransit(t *testing.T) {
 	for _, before := range []time.Duration{-700 * time.Millisecond, -time.Microsecond, 0, time.Microsecond, 300 * time.Millisecond, time.Hour} {
 		confirmed, arrived := clock.Mark(2*time.Hour)-clock.Mark(before), clock.Mark(2*time.Hour)
-		asked, way := clock.Mark(5*time.Minute), 40*time.Millisecond
+		sentAt, latency := clock.Mark(5*time.Minute), 40*time.Millisecond
 		reply := &peerapi.PullReply{Confirmation: EncodeConfirmation(confirmed, arrived)}
-		// In the asker's time the question arrived after its way there.
-		actual := asked + clock.Mark(way) - clock.Mark(before)
-		confirmation := confirmationIn(reply, asked, max(actual, asked)+clock.Mark(time.Minute))
-		if confirmation.confirmedAt > max(0, actual) || confirmation.confirmedAt < actual-clock.Mark(way)-ms(2) {
+		// In the caller's time the request arrived after its latency.
+		actual := sentAt + clock.Mark(latency) - clock.Mark(before)
+		confirmation := confirmationIn(reply, sentAt, max(actual, sentAt)+clock.Mark(time.Minute))
+		if confirmation.confirmedAt > max(0, actual) || confirmation.confirmedAt < actual-clock.Mark(latency)-ms(2) {
 			t.Errorf("%v before: taken for %v, and it lay at %v", before, confirmation.confirmedAt, actual)
 		}
 	}
@@ -55,30 +55,30 @@
 	}
 }
 
-// A daemon that two control daemons cut off from the others go on answering must not stay with them.
+// Two control daemons that are partitioned from the others go on replying; a daemon must not stay with them.
 func TestStaleLeaderIsDropped(t *testing.T) {
 	tracker, now := newTestTracker()
 	tracker.HandleResult(now, resultFrom("l1", now, 100*time.Millisecond, nil), testInForce)
 	if view := tracker.View(); view.LeaderAddress != "l1" || view.LastLeaderContact == 0 {
 		t.Fatalf("%+v", view)
 	}
-	heard := tracker.View().LastLeaderContact
+	contact := tracker.View().LastLeaderContact
 	now += ms(1500)
 	turned := tracker.HandleResult(now, resultFrom("l1", now, StaleAfter, nil), testInForce)
 	if turned == nil || !turned.Stale || turned.Address != "l1" {
 		t.Errorf("turned: %+v", turned)
 	}
-	if view := tracker.View(); view.LeaderAddress != "" || view.LastLeaderContact != heard {
-		t.Errorf("it is still taken for the leader: %+v", view)
+	if view := tracker.View(); view.LeaderAddress != "" || view.LastLeaderContact != contact {
+		t.Errorf("it is still the known leader: %+v", view)
 	}
 	links := tracker.Links(now)
 	if !slices.Contains(links, "c2") || !slices.Contains(links, "c3") {
-		t.Errorf("only %q are asked", links)
+		t.Errorf("linked only to %q", links)
 	}
-	// Hearsay of the leader that was left does not bring it back; its own confirmed word does.
+	// An indirect report of the dropped leader does not bring it back; its own confirmed reply does.
 	tracker.HandleResult(now, resultFrom("c2", now, 100*time.Millisecond, nil), testInForce)
 	if view := tracker.View(); view.LeaderAddress != "" {
-		t.Errorf("hearsay made %q the leader", view.LeaderAddress)
+		t.Errorf("an indirect report made %q the leader", view.LeaderAddress)
 	}
 	if turned = tracker.HandleResult(now, resultFrom("l1", now, 50*time.Millisecond, nil), testInForce); turned == nil || turned.Stale || tracker.View().LeaderAddress != "l1" {
 		t.Errorf("turned %+v, leader %q", turned, tracker.View().LeaderAddress)
@@ -96,29 +96,29 @@
 	}
 	tracker.HandleResult(now, resultFrom(relay, now, StaleAfter, nil), testInForce)
 	if next := tracker.memberList.secondLink(now, "l1", tracker.memberList.controlAddresses(now)); next != other {
-		t.Errorf("%q is stale, and %q is asked", relay, next)
+		t.Errorf("%q is stale, and %q is linked to", relay, next)
 	}
 }
 
-// A fresh daemon is ready neither by a source that was never confirmed, nor by one confirmed too long ago, nor before
-// the group wrote it down, nor by one that announces more than is in force here.
+// A starting daemon catches up neither by a source that was never confirmed, nor by one confirmed too long ago, nor before
+// the group enlisted it, nor by one that announces newer versions than are in force here.
 func TestNewDaemonCatchesUpOnlyFromAConfirmedSource(t *testing.T) {
 	for name, c := range map[string]struct {
 		before   time.Duration
 		enlisted time.Duration
 		force    InForce
 		change   func(*peerapi.PullReply)
-		settles  bool
+		caughtUp bool
 	}{
-		"confirmed":                {before: 100 * time.Millisecond, enlisted: time.Second, force: testInForce, settles: true},
-		"by a relay":               {before: 600 * time.Millisecond, enlisted: time.Second, force: testInForce, change: func(r *peerapi.PullReply) { r.IsLeader = false }, settles: true},
+		"confirmed":                {before: 100 * time.Millisecond, enlisted: time.Second, force: testInForce, caughtUp: true},
+		"by a relay":               {before: 600 * time.Millisecond, enlisted: time.Second, force: testInForce, change: func(r *peerapi.PullReply) { r.IsLeader = false }, caughtUp: true},
 		"too old":                  {before: StaleAfter, enlisted: 5 * time.Second, force: testInForce},
 		"before the enlisting":     {before: 500 * time.Millisecond, enlisted: 400 * time.Millisecond, force: testInForce},
 		"never confirmed":          {enlisted: time.Second, force: testInForce, change: func(r *peerapi.PullReply) { r.Confirmation = &peerapi.Confirmation{} }},
 		"announces more":           {before: 100 * time.Millisecond, enlisted: time.Second, force: InForce{Configuration: 6}},
-		"not written down":         {before: 100 * time.Millisecond, force: testInForce},
-		"leader of a build before": {enlisted: time.Second, force: testInForce, change: func(r *peerapi.PullReply) { r.Confirmation = nil }, settles: true},
-		"relay of a build before":  {enlisted: time.Second, force: testInForce, change: func(r *peerapi.PullReply) { r.Confirmation, r.IsLeader = nil, false }},
+		"not enlisted":             {before: 100 * time.Millisecond, force: testInForce},
+		"leader of an older build": {enlisted: time.Second, force: testInForce, change: func(r *peerapi.PullReply) { r.Confirmation = nil }, caughtUp: true},
+		"relay of an older build":  {enlisted: time.Second, force: testInForce, change: func(r *peerapi.PullReply) { r.Confirmation, r.IsLeader = nil, false }},
 	} {
 		tracker, now := newTestTracker()
 		tracker.HandleResult(now, resultFrom("l1", now, c.before, c.change), c.force)
@@ -126,13 +126,13 @@
 		if c.enlisted > 0 {
 			own.EnlistedAt = now - clock.Mark(c.enlisted)
 		}
-		if view := tracker.Refresh(now, own); view.CaughtUp != c.settles {
-			t.Errorf("%s: settled %t", name, view.CaughtUp)
+		if view := tracker.Refresh(now, own); view.CaughtUp != c.caughtUp {
+			t.Errorf("%s: caught up %t", name, view.CaughtUp)
 		}
 	}
 }
 
-// A control daemon that hears of the newest configuration only through one that routes is not in touch with the group.
+// A control daemon that learns the newest configuration only from a routing daemon is not in contact with the group.
 func TestControlDaemonIsConfirmedOnlyWithinTheGroup(t *testing.T) {
 	for _, control := range []bool{true, false} {
 		edge, now := newTestTracker()
@@ -150,12 +150,12 @@
 	}
 }
 
-// Where all sources are stale the members that one of them remembers are asked as well.
+// If all sources are stale, the members that one of them remembers are linked to as well.
 func TestStaleSourceNamesTheOtherMembers(t *testing.T) {
 	tracker, now := newTestTracker()
 	tracker.HandleResult(now, resultFrom("c2", now, 3*time.Second, func(r *peerapi.PullReply) { r.MemberAddresses = []string{"c7", "c8"} }), testInForce)
 	if links := tracker.Links(now); !slices.Contains(links, "c7") || !slices.Contains(links, "c8") {
-		t.Errorf("only %q are asked", links)
+		t.Errorf("linked only to %q", links)
 	}
 	tracker.HandleResult(now, resultFrom("l1", now, 0, nil), testInForce)
 	if links := tracker.Links(now); slices.Contains(links, "c7") {
@@ -163,7 +163,7 @@
 	}
 }
 
-// A leader that no longer leads must not send askers to itself for ever.
+// A former leader must not redirect callers to itself for ever.
 func TestFormerLeaderStopsNamingItself(t *testing.T) {
 	tracker, now := newTestTracker()
 	tracker.Refresh(now, LocalState{InForce: testInForce, IsLeader: true, ConfirmedAt: now})
@@ -180,7 +180,7 @@
 	}
 }
 
-// That no bundle was ever in force is believed only of a leader that was confirmed in this daemon's life.
+// That no bundle was ever in force is accepted only from a leader that was confirmed since this daemon started.
 func TestStaleLeaderCannotReportThatNothingWasRolledOut(t *testing.T) {
 	for before, wanted := range map[time.Duration]bool{100 * time.Millisecond: true, 1100 * time.Millisecond: false} {
 		tracker, now := newTestTracker()
--- a/process/cluster/membership/memberlist_test.go
+++ b/process/cluster/membership/memberlist_test.go
@@ -17,17 +17,17 @@
 	controls = 3
 )
 
-// simulatedDaemon is one machine of a simulated fleet, with the life that runs on it.
+// simulatedDaemon is one machine of a simulated fleet, with the incarnation that runs on it.
 type simulatedDaemon struct {
 	name, address string
 	control       bool
 	incarnation   int
 	memberList    *MemberList
 	record        MemberRecord
-	// startedAt is since when it runs; down says that it does not, cut that nothing reaches it.
+	// startedAt is when it started; down: it does not run; partitioned: only other partitioned daemons reach it.
 	startedAt         clock.Mark
 	down, partitioned bool
-	// nextPull is when it asks at an address next.
+	// nextPull is when it next pulls from an address.
 	nextPull map[string]clock.Mark
 }
 
@@ -40,8 +40,8 @@
 	maxWait time.Duration
 }
 
-func newFleet(t *testing.T, size int, hold time.Duration) *simulatedFleet {
-	f := &simulatedFleet{t: t, random: rand.New(rand.NewPCG(7, uint64(size))), maxWait: hold, now: clock.Mark(time.Minute)}
+func newFleet(t *testing.T, size int, maxWait time.Duration) *simulatedFleet {
+	f := &simulatedFleet{t: t, random: rand.New(rand.NewPCG(7, uint64(size))), maxWait: maxWait, now: clock.Mark(time.Minute)}
 	for i := range size {
 		d := &simulatedDaemon{name: fmt.Sprint("d", i), address: fmt.Sprint("a", i), control: i < controls}
 		f.daemons = append(f.daemons, d)
@@ -51,7 +51,7 @@
 	return f
 }
 
-// restart starts a daemon's next life.
+// restart starts a daemon's next incarnation.
 func (f *simulatedFleet) restart(d *simulatedDaemon) {
 	d.incarnation++
 	id := ident.NodeID(fmt.Sprintf("%s#%d", d.name, d.incarnation))
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// pull is one linked question, with its answer as it is at the end of its hold.
+// pull is one long poll, with its reply as of the end of its wait.
 func (f *simulatedFleet) pull(d *simulatedDaemon, address string) {
 	other := f.daemonAt(address)
 	d.nextPull[address] = f.now + clock.Mark(f.maxWait)
@@ -81,15 +81,15 @@
 		d.nextPull[address] = f.now + clock.Mark(f.maxWait+PullTimeout)
 		return
 	}
-	cursor, tellRow := d.memberList.PullCursor(address)
-	row := d.record
-	if !tellRow {
-		row.HasAttributes, row.Zone, row.Roles = false, "", nil
+	cursor, sendAttributes := d.memberList.PullCursor(address)
+	record := d.record
+	if !sendAttributes {
+		record.HasAttributes, record.Zone, record.Roles = false, "", nil
 	}
-	known := other.memberList.RecordPull(f.now, row, f.maxWait)
-	told, next, afresh := other.memberList.ChangesSince(f.now, cursor)
+	known := other.memberList.RecordPull(f.now, record, f.maxWait)
+	updates, next, fullResync := other.memberList.ChangesSince(f.now, cursor)
 	d.memberList.SetKnownAttributes(address, known)
-	d.memberList.Merge(f.now, address, next, afresh, told, f.now)
+	d.memberList.Merge(f.now, address, next, fullResync, updates, f.now)
 }
 
 func (f *simulatedFleet) step() {
@@ -122,13 +122,13 @@
 	}
 }
 
-// sees says whether a daemon takes another's present life as in contact.
+// sees reports whether a daemon counts another's current incarnation as in contact.
 func (f *simulatedFleet) sees(d, other *simulatedDaemon) bool {
-	fellow, known := d.memberList.Members()[other.record.NodeID]
-	return known && f.now.Since(fellow.LastContact) <= ContactWindow
+	member, known := d.memberList.Members()[other.record.NodeID]
+	return known && f.now.Since(member.LastContact) <= ContactWindow
 }
 
-// assertAllAgree checks that each that runs and is reached sees all such, and nobody else.
+// assertAllAgree checks that each daemon that runs and is reachable sees all such daemons, and no other.
 func (f *simulatedFleet) assertAllAgree(when string) {
 	f.t.Helper()
 	for _, d := range f.daemons {
@@ -136,8 +136,8 @@
 			continue
 		}
 		for _, other := range f.daemons {
-			if lives := !other.down && !other.partitioned; f.sees(d, other) != lives {
-				f.t.Fatalf("%s: %s sees %s: %t, and it lives: %t", when, d.name, other.name, !lives, lives)
+			if running := !other.down && !other.partitioned; f.sees(d, other) != running {
+				f.t.Fatalf("%s: %s sees %s: %t, and it runs: %t", when, d.name, other.name, !running, running)
 			}
 		}
 		for id := range d.memberList.Members() {
@@ -153,10 +153,10 @@
 const convergence = 3 * time.Second
 
 func TestLivenessIsStableWhileAllDaemonsRun(t *testing.T) {
-	for _, hold := range []time.Duration{150 * time.Millisecond, 750 * time.Millisecond} {
-		f := newFleet(t, 12, hold)
+	for _, maxWait := range []time.Duration{150 * time.Millisecond, 750 * time.Millisecond} {
+		f := newFleet(t, 12, maxWait)
 		f.run(convergence, nil)
-		f.run(20*time.Second, func() { f.assertAllAgree(fmt.Sprint("at rest with ", hold)) })
+		f.run(20*time.Second, func() { f.assertAllAgree(fmt.Sprint("at rest with ", maxWait)) })
 	}
 }
 
@@ -190,7 +190,7 @@
 				f.assertAllAgree(what + " down")
 				f.restart(d)
 			case 1:
-				// It ends and begins so quickly that nobody can miss it.
+				// It restarts too quickly to be missed.
 				f.restart(d)
 			case 2:
 				d.partitioned = true
@@ -198,7 +198,7 @@
 					f.leader = f.daemons[(int(d.address[1]-'0')+1)%controls].address
 				}
 				f.run(convergence, nil)
-				f.assertAllAgree(what + " cut off")
+				f.assertAllAgree(what + " partitioned")
 				d.partitioned = false
 			}
 			f.run(convergence, nil)
@@ -212,7 +212,7 @@
 	f.run(convergence, nil)
 	leader := f.daemons[0]
 	leader.down = true
-	// Until another is known, the second link is all there is.
+	// Until another leader is known, there is only the second link.
 	f.run(convergence, nil)
 	f.leader = "a1"
 	f.run(convergence, nil)
@@ -240,18 +240,18 @@
 	one, two := NewMemberList("one#1", "a1", false), NewMemberList("two#1", "a2", false)
 	two.RecordPull(now-clock.Mark(2*time.Second), MemberRecord{Member: Member{NodeID: "three#1", Address: "a3"}, Version: 1, HasAttributes: true}, 0)
 	one.MergeAll(now, two.AllWithin(now, 5*time.Second))
-	if fellow := one.Members()["three#1"]; now.Since(fellow.LastContact) != 2*time.Second {
-		t.Errorf("%+v", fellow)
+	if member := one.Members()["three#1"]; now.Since(member.LastContact) != 2*time.Second {
+		t.Errorf("%+v", member)
 	}
-	// What goes round grows no younger.
+	// Contacts get no more recent by being passed round.
 	later := now + clock.Mark(time.Second)
 	two.MergeAll(later, one.AllWithin(later, 5*time.Second))
-	if fellow := two.Members()["three#1"]; later.Since(fellow.LastContact) != 3*time.Second {
-		t.Errorf("%+v", fellow)
+	if member := two.Members()["three#1"]; later.Since(member.LastContact) != 3*time.Second {
+		t.Errorf("%+v", member)
 	}
 }
 
-// zonedRouter is what a routing daemon in zone b knows, which can be told of others and by them.
+// zonedRouter is the member list of a routing daemon in zone b, which can be sent reports of others and by them.
 type zonedRouter struct {
 	*MemberList
 	now clock.Mark
@@ -259,7 +259,7 @@
 
 func newZonedRouter() zonedRouter {
 	z := zonedRouter{MemberList: NewMemberList("edge#1", "edge", false), now: clock.Mark(time.Minute)}
-	// One that nobody has confirmed asks all control daemons; which of them it chooses is looked at in calm.
+	// Without a confirmation it links to all control daemons; the choice is tested with one.
 	z.Confirm(z.now)
 	z.SetSelf(z.now, MemberRecord{Member: Member{NodeID: "edge#1", Address: "edge", Zone: "b", Roles: []string{"route"}}, Version: 1})
 	return z
@@ -273,46 +273,46 @@
 	return MemberRecord{Member: Member{NodeID: ident.NodeID(address + "#1"), Address: address, Zone: zone, Roles: []string{serve}}, Version: 1, HasAttributes: true}
 }
 
-// report has a control daemon say of others of zone b that they ask it in time, or are late.
+// report has a control daemon report of others of zone b that they pull in time, or are overdue.
 func (z zonedRouter) report(from string, late bool, of ...string) {
-	var told []MemberUpdate
+	var updates []MemberUpdate
 	for _, address := range of {
-		told = append(told, MemberUpdate{MemberRecord: z.record(address, "b", controlRole), Overdue: late, FirstHand: true})
+		updates = append(updates, MemberUpdate{MemberRecord: z.record(address, "b", controlRole), Overdue: late, FirstHand: true})
 	}
-	z.Merge(z.now, from, Cursor{Incarnation: from + "#1", Seen: 1}, false, told, z.now)
+	z.Merge(z.now, from, Cursor{Incarnation: from + "#1", Seen: 1}, false, updates, z.now)
 }
 
-// What is gathered tells of the same lives as is known, at every moment, and of when they were heard as of lately;
-// at rest a daemon that only routes makes it seldom.
+// The cached members are the same incarnations as Members returns, at every moment, with contacts that were current a
+// moment ago; while nothing changes a routing daemon rebuilds the cache seldom.
 func TestCachedMembersAgreeWithMembers(t *testing.T) {
 	const size = 100
 	f := newFleet(t, size, 600*time.Millisecond)
-	// look are the moments at which others were heard, as each daemon knew them some looks ago.
+	// look holds the last contacts as a daemon knew them at one check.
 	type look map[ident.NodeID]clock.Mark
 	earlier := map[*MemberList][]look{}
 	check := func() {
 		for at, d := range f.daemons {
-			// Some of them are enough: two of three control daemons, and every ninth other.
+			// A sample is enough: two of three control daemons, and every ninth other.
 			if d.down || at%9 > 1 {
 				continue
 			}
 			gathered, known := d.memberList.CachedMembers(f.now), d.memberList.Members()
 			if len(gathered) != len(known) {
-				t.Fatalf("%s has gathered %d lives and knows %d", d.name, len(gathered), len(known))
+				t.Fatalf("%s has cached %d members and knows %d", d.name, len(gathered), len(known))
 			}
-			looks, heard := earlier[d.memberList], look{}
+			looks, contact := earlier[d.memberList], look{}
 			for id, now := range known {
 				was := gathered[id]
 				lately := slices.ContainsFunc(looks, func(l look) bool { return l[id] == was.LastContact })
 				if was.LastContact != now.LastContact && (d.control || !lately) {
-					t.Fatalf("%s gathered %s as heard %v ago, and knows of %v ago", d.name, id, f.now.Since(was.LastContact), f.now.Since(now.LastContact))
+					t.Fatalf("%s cached %s with a contact %v ago, and knows of one %v ago", d.name, id, f.now.Since(was.LastContact), f.now.Since(now.LastContact))
 				}
-				heard[id], was.LastContact = now.LastContact, now.LastContact
+				contact[id], was.LastContact = now.LastContact, now.LastContact
 				if !reflect.DeepEqual(was, now) {
-					t.Fatalf("%s gathered %+v and knows %+v", d.name, was, now)
+					t.Fatalf("%s cached %+v and knows %+v", d.name, was, now)
 				}
 			}
-			if looks = append(looks, heard); len(looks) > int(maxCacheAge/tick) {
+			if looks = append(looks, contact); len(looks) > int(maxCacheAge/tick) {
 				looks = looks[1:]
 			}
 			earlier[d.memberList] = looks
@@ -339,9 +339,9 @@
 			made, last = made+1, at
 		}
 	})
-	// Each 60 ms at a hundred daemons, looked at each 50.
+	// It is rebuilt each 60 ms with a hundred daemons, and checked each 50.
 	if made > 101 {
-		t.Errorf("made %d times in 200 looks at rest", made)
+		t.Errorf("rebuilt %d times in 200 checks without changes", made)
 	}
 }
 
@@ -349,70 +349,70 @@
 	now := clock.Mark(time.Hour)
 	one := NewMemberList("one#1", "a1", false)
 	for i := range 300 {
-		heard := now
+		contact := now
 		if i%2 == 0 {
-			heard -= clock.Mark(2 * forgetAfter)
+			contact -= clock.Mark(2 * forgetAfter)
 		}
-		one.RecordPull(heard, MemberRecord{Member: Member{NodeID: ident.NodeID(fmt.Sprintf("d%d#1", i)), Address: fmt.Sprint("d", i)}, Version: 1, HasAttributes: true}, 0)
+		one.RecordPull(contact, MemberRecord{Member: Member{NodeID: ident.NodeID(fmt.Sprintf("d%d#1", i)), Address: fmt.Sprint("d", i)}, Version: 1, HasAttributes: true}, 0)
 	}
 	if got := len(one.CachedMembers(now)); got != 300 {
-		t.Fatalf("%d lives", got)
+		t.Fatalf("%d members", got)
 	}
 	one.Sweep(now, now-clock.Mark(forgetAfter))
 	if got := len(one.CachedMembers(now)); got != 150 {
-		t.Errorf("%d lives, and half of 300 were forgotten", got)
+		t.Errorf("%d members, and half of 300 were swept", got)
 	}
 }
 
-// What goes from zone to zone is dear, and all control daemons know the same: all that is new is asked of one in
-// the own zone, while the leader and whoever plans are asked as well.
+// Traffic between zones is expensive and all control daemons know the same, so all updates are pulled from one in the own
+// zone, while links to the leader and the planner remain.
 func TestRelayIsAControlDaemonOfTheOwnZone(t *testing.T) {
 	z := newZonedRouter()
 	if relay := z.Relay(z.now, ""); relay != "" {
-		t.Errorf("nobody is known, yet %q tells all", relay)
+		t.Errorf("nobody is known, yet %q is the relay", relay)
 	}
 	z.pullFrom("a1", "a", controlRole)
 	z.pullFrom("c1", "c", controlRole)
 	z.pullFrom("b9", "b", "route")
 	if relay := z.Relay(z.now, "a1"); relay != "a1" {
-		t.Errorf("with none in the own zone the leader tells all, not %q", relay)
+		t.Errorf("with none in the own zone the leader is the relay, not %q", relay)
 	}
 	if links := z.Links(z.now, "a1", "c1"); len(links) != 2 {
-		t.Errorf("the leader, and another: %q", links)
+		t.Errorf("the leader and one more are linked to: %q", links)
 	}
 	z.pullFrom("b1", "b", controlRole)
 	if relay := z.Relay(z.now, "a1"); relay != "a1" {
-		t.Errorf("the leader has not said that it hears from it, and %q tells all", relay)
+		t.Errorf("the leader does not vouch for it, and %q is the relay", relay)
 	}
 	z.report("a1", false, "b1")
 	if relay, links := z.Relay(z.now, "a1"), z.Links(z.now, "a1", "c1"); relay != "b1" || len(links) != 3 {
-		t.Errorf("%q tells all, asked are %q", relay, links)
+		t.Errorf("%q is the relay, linked to %q", relay, links)
 	}
 	if relay, links := z.Relay(z.now, "b1"), z.Links(z.now, "b1", "b1"); relay != "b1" || len(links) != 2 {
-		t.Errorf("a near leader tells all, and another is asked: %q, %q", relay, links)
+		t.Errorf("a leader of the own zone is the relay, and another is linked to: %q, %q", relay, links)
 	}
 	z.report("a1", false, "b2")
 	z.report("b1", false, "b2")
 	if relay := z.Relay(z.now, "b1"); relay != "b1" {
-		t.Errorf("a near leader comes first, not %q", relay)
+		t.Errorf("a leader of the own zone comes first, not %q", relay)
 	}
 	nearby := z.Relay(z.now, "a1")
 	z.RecordFailure(z.now, nearby)
 	if next := z.Relay(z.now, "a1"); next == nearby || next != "b1" && next != "b2" {
-		t.Errorf("%q failed, and then %q tells all", nearby, next)
+		t.Errorf("%q failed, and then %q is the relay", nearby, next)
 	}
 	z.RecordFailure(z.now, "b1")
 	z.RecordFailure(z.now, "b2")
 	if relay := z.Relay(z.now, "a1"); relay != "a1" {
-		t.Errorf("both near ones failed, and %q tells all", relay)
+		t.Errorf("both of the own zone failed, and %q is the relay", relay)
 	}
 	if relay := z.Relay(z.now+clock.Mark(2*failedLinkBackoff), "a1"); relay != "b1" && relay != "b2" {
-		t.Errorf("after a while they are tried again, not %q", relay)
+		t.Errorf("after the backoff they are chosen again, not %q", relay)
 	}
 }
 
-// A control daemon that is cut off from the others goes on to answer the routing daemons of its zone: it hears of no
-// plan and of no engine elsewhere, so it must not be the one that tells them all.
+// A control daemon that is partitioned from the others goes on replying to the routing daemons of its zone. It learns of
+// no plan and of no engine elsewhere, so it must not be their relay.
 func TestRelayPartitionedFromTheLeaderIsReplaced(t *testing.T) {
 	z := newZonedRouter()
 	z.pullFrom("a1", "a", controlRole)
@@ -425,24 +425,24 @@
 	z.report(partitioned, false, partitioned)
 	next := z.Relay(z.now, "a1")
 	if next == partitioned || next == "a1" || next == "" {
-		t.Errorf("%q is cut off, and %q tells all", partitioned, next)
+		t.Errorf("%q is partitioned, and %q is the relay", partitioned, next)
 	}
 	z.report("a1", true, next)
 	if relay := z.Relay(z.now, "a1"); relay != "a1" {
-		t.Errorf("both near ones are cut off, and %q tells all", relay)
+		t.Errorf("both of the own zone are partitioned, and %q is the relay", relay)
 	}
-	// One that led before it was cut off is not in touch with who leads now.
+	// One that led before the partition is not in contact with the new leader.
 	z.report("b1", false, "b1", "b2")
 	if relay := z.Relay(z.now, "a1"); relay != "a1" {
-		t.Errorf("%q tells all", relay)
+		t.Errorf("%q is the relay", relay)
 	}
 	z.report("a1", false, partitioned)
 	if relay := z.Relay(z.now, "a1"); relay != partitioned {
-		t.Errorf("the cut has healed, and %q tells all", relay)
+		t.Errorf("the partition has healed, and %q is the relay", relay)
 	}
 }
 
-// With each bundle everyone's row changes; who is told of that by its teller must not be told by others as well.
+// With each rollout every member's versions change; who learns that from its relay must not be sent it by others too.
 func TestConfigurationVersionIsNoStatusChange(t *testing.T) {
 	now := clock.Mark(time.Minute)
 	list := NewMemberList("core#1", "core", true)
@@ -462,12 +462,12 @@
 	if len(updates) != 0 || next.Seen != list.ChangeIndex() {
 		t.Errorf("%+v, up to %+v", updates, next)
 	}
-	// Who comes to be late, or is ready no more, is told of by all, with all that is known of it.
+	// A member that becomes overdue is sent by all, with all that is known of it.
 	list.Sweep(now+clock.Mark(10*time.Second), 0)
 	if updates, _, _ := list.StatusChangesSince(now, next); len(updates) != 1 || !updates[0].Overdue || updates[0].ConfigurationVersion != 2 {
 		t.Errorf("%+v", updates)
 	}
 	if updates, _, fullResync := list.StatusChangesSince(now, Cursor{}); len(updates) != 1 || !fullResync {
-		t.Errorf("afresh: %+v", updates)
+		t.Errorf("full resync: %+v", updates)
 	}
 }
--- a/process/cluster/membership/membership.go
+++ b/process/cluster/membership/membership.go
@@ -62,7 +62,7 @@
 	view              atomic.Pointer[View]
 	changeIndex       atomic.Uint64
 	statusChangeIndex atomic.Uint64
-	inFlight          map[pullKey]bool
+	pendingPulls      map[pullKey]bool
 	// demandReported says that the last pull to the planner reported queued requests.
 	demandReported bool
 	waiters        []*rolloutWaiter
@@ -84,7 +84,7 @@
 func New(timer clock.Clock, host Host, seeds func() []string, address string, pace Pace) *Membership {
 	m := &Membership{
 		clock: timer, host: host, seeds: seeds, address: address, pace: pace,
-		mailbox: actor.NewMailbox[event](mailboxSize), inFlight: map[pullKey]bool{},
+		mailbox: actor.NewMailbox[event](mailboxSize), pendingPulls: map[pullKey]bool{},
 	}
 	m.view.Store(&View{Members: map[ident.NodeID]Member{}, Started: timer.Elapsed()})
 	return m
--- a/process/cluster/membership/pull.go
+++ b/process/cluster/membership/pull.go
@@ -101,10 +101,10 @@
 // startPull starts a pull in a goroutine of its own unless it is in flight. The goroutine applies the reply before it
 // sends pullCompleted, so that the tracker sees the reply's versions in force when it handles it.
 func (m *Membership) startPull(ctx context.Context, key pullKey) {
-	if key.address == m.address || key.address == "" || m.inFlight[key] {
+	if key.address == m.address || key.address == "" || m.pendingPulls[key] {
 		return
 	}
-	m.inFlight[key] = true
+	m.pendingPulls[key] = true
 	sentAt, fleetSize, planner := m.clock.Elapsed(), len(m.view.Load().Members), m.tracker.planner
 	request := m.host.DescribeSelf()
 	request.AttributesVersion, request.HasAttributes, request.AllMembers = m.self.Version, true, key.allMembers
@@ -153,7 +153,7 @@
 // handlePullCompleted takes a reply or its failure, and pulls again at once over a link that replied. A link that did
 // not, or replied immediately, is pulled with the next tick.
 func (m *Membership) handlePullCompleted(ctx context.Context, now clock.Mark, result pullCompleted) {
-	delete(m.inFlight, result.pullKey)
+	delete(m.pendingPulls, result.pullKey)
 	if result.skipped {
 		return
 	}
--- a/process/cluster/membership/pull_test.go
+++ b/process/cluster/membership/pull_test.go
@@ -13,20 +13,20 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// madeUp is a clock of made-up time, in which only waiting takes any.
+// syntheticClock is the clock of a synctest bubble, in which only waiting takes time.
 type syntheticClock struct{ began time.Time }
 
 func (c syntheticClock) Elapsed() clock.Mark { return clock.Mark(time.Hour + time.Since(c.began)) }
 func (c syntheticClock) Wall() time.Time     { return time.Now() }
 
-// asked is one question that was put, and until when its answer was held back.
+// recordedPull is one pull that was sent, and when it was answered.
 type recordedPull struct {
 	at, answered time.Time
 	request      *peerapi.PullRequest
 }
 
-// lone is a control daemon in a fleet where one other, which leads, has nothing new to tell and so holds each
-// answer back for as long as it may.
+// singlePeerHost is a control daemon whose only peer, the leader, has no updates and so delays each reply for as long as
+// it may.
 type singlePeerHost struct {
 	mutex sync.Mutex
 	pulls []recordedPull
@@ -35,17 +35,17 @@
 func (l *singlePeerHost) DescribeSelf() *peerapi.PullRequest {
 	return &peerapi.PullRequest{Group: "g", NodeId: "self#1", Address: "self", Roles: []string{controlRole}, Ready: true, ConfigurationVersion: 1}
 }
-func (l *singlePeerHost) AddDemand(*peerapi.PullRequest, bool) bool { return false }
-func (l *singlePeerHost) InForce() (spec, closure ident.Version)    { return 1, 0 }
-func (l *singlePeerHost) ApplyReply(*peerapi.PullReply)             {}
-func (l *singlePeerHost) IsLeader() bool                            { return false }
-func (l *singlePeerHost) FirstRolloutAge() time.Duration            { return 0 }
-func (l *singlePeerHost) EnlistedAt() clock.Mark                    { return 1 }
-func (l *singlePeerHost) IsPlanner() bool                           { return false }
-func (l *singlePeerHost) ConfirmedAsLeader() clock.Mark             { return 0 }
-func (l *singlePeerHost) SourceFreshnessChanged(FreshnessChange)    {}
-func (l *singlePeerHost) MembersChanged()                           {}
-func (l *singlePeerHost) Tick()                                     {}
+func (l *singlePeerHost) AddDemand(*peerapi.PullRequest, bool) bool       { return false }
+func (l *singlePeerHost) InForce() (configuration, closure ident.Version) { return 1, 0 }
+func (l *singlePeerHost) ApplyReply(*peerapi.PullReply)                   {}
+func (l *singlePeerHost) IsLeader() bool                                  { return false }
+func (l *singlePeerHost) FirstRolloutAge() time.Duration                  { return 0 }
+func (l *singlePeerHost) EnlistedAt() clock.Mark                          { return 1 }
+func (l *singlePeerHost) IsPlanner() bool                                 { return false }
+func (l *singlePeerHost) ConfirmedAsLeader() clock.Mark                   { return 0 }
+func (l *singlePeerHost) SourceFreshnessChanged(FreshnessChange)          {}
+func (l *singlePeerHost) MembersChanged()                                 {}
+func (l *singlePeerHost) Tick()                                           {}
 func (l *singlePeerHost) PullFrom(ctx context.Context, address string, request *peerapi.PullRequest) (*peerapi.PullReply, error) {
 	at := time.Now()
 	select {
@@ -63,9 +63,9 @@
 			{NodeId: "other#1", Address: "other", Roles: []string{controlRole}, AttributesVersion: 1, ConfigurationVersion: 1, Ready: true, Direct: true}}}, nil
 }
 
-// TestPullsRepeatWithinTheControlWait: a beat rings no bell, since it brings nothing new. That another control daemon
-// hears of it at all, and how soon, rests on its questions: each is held back for a quarter of a second at most, and
-// the next follows its answer at once, however long that goes on.
+// TestPullsRepeatWithinTheControlWait: the heartbeat of an engine wakes no long poll. That another control daemon learns
+// of it, and how soon, rests on its pulls: each waits for a quarter of a second at most, and the next one follows its
+// reply at once, however long that goes on.
 func TestPullsRepeatWithinTheControlWait(t *testing.T) {
 	const most = 250 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
@@ -74,23 +74,23 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		go m.Run(ctx)
 		<-time.After(2 * time.Second)
-		settled := time.Now()
+		caughtUp := time.Now()
 		<-time.After(time.Minute)
 		cancel()
 		synctest.Wait()
 		fleet.mutex.Lock()
 		defer fleet.mutex.Unlock()
-		questions := slices.DeleteFunc(fleet.pulls, func(a recordedPull) bool { return a.at.Before(settled) })
-		// The first of them may begin a whole hold after the minute does.
-		if len(questions) < int(time.Minute/most)-1 {
-			t.Fatalf("%d questions in a minute", len(questions))
+		pulls := slices.DeleteFunc(fleet.pulls, func(a recordedPull) bool { return a.at.Before(caughtUp) })
+		// The first of them may begin a full wait after the minute does.
+		if len(pulls) < int(time.Minute/most)-1 {
+			t.Fatalf("%d pulls in a minute", len(pulls))
 		}
-		for i, question := range questions {
-			if held := question.answered.Sub(question.at); held > most {
-				t.Errorf("an answer is held back for %v", held)
+		for i, pull := range pulls {
+			if waited := pull.answered.Sub(pull.at); waited > most {
+				t.Errorf("a reply is delayed for %v", waited)
 			}
-			if i > 0 && question.at.Sub(questions[i-1].answered) > 0 {
-				t.Errorf("between an answer and the next question %v pass", question.at.Sub(questions[i-1].answered))
+			if i > 0 && pull.at.Sub(pulls[i-1].answered) > 0 {
+				t.Errorf("between a reply and the next pull %v pass", pull.at.Sub(pulls[i-1].answered))
 			}
 		}
 	})
--- a/process/cluster/membership/seeds_test.go
+++ b/process/cluster/membership/seeds_test.go
@@ -10,7 +10,7 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// oneSeedHost is a fleet of which one address answers, and all others say nothing.
+// oneSeedHost is a daemon of whose seeds one replies, and all others time out.
 type oneSeedHost struct {
 	singlePeerHost
 	responding string
@@ -24,7 +24,7 @@
 	return s.singlePeerHost.PullFrom(ctx, address, request)
 }
 
-// TestOnlyRespondingSeedIsFound: however many were told, all others may be down, and it may stand anywhere.
+// TestOnlyRespondingSeedIsFound: of any number of seeds all but one may be down, at any position in the list.
 func TestOnlyRespondingSeedIsFound(t *testing.T) {
 	for count := 1; count <= 6; count++ {
 		for position := range count {
@@ -43,7 +43,7 @@
 				fleet.mutex.Lock()
 				defer fleet.mutex.Unlock()
 				if len(fleet.pulls) == 0 {
-					t.Errorf("of %d seeds the one in place %d answers, and is never asked", count, position)
+					t.Errorf("of %d seeds the one at position %d replies, and is never pulled from", count, position)
 				}
 			})
 		}
--- a/process/cluster/membership/size_test.go
+++ b/process/cluster/membership/size_test.go
@@ -12,17 +12,17 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// What the list of members costs by the daemons, for docs/CAPACITY.md: go test -run - -bench Size ./process/cluster/membership
+// What the member list costs by the number of daemons, for docs/CAPACITY.md: go test -run - -bench Size ./process/cluster/membership
 
 var daemonCounts = []int{12, 60, 370}
 
-// sizeRecord is what a routing daemon says of itself.
+// sizeRecord is a routing daemon's own record.
 func sizeRecord(number int, version uint64) MemberRecord {
 	return MemberRecord{Member: Member{NodeID: ident.NodeID(fmt.Sprintf("edge-%d#%016x", number, number*7919)), Address: fmt.Sprintf("10.%d.%d.9:21003", number/250, number%250),
 		Zone: "zone-7", Roles: []string{"route"}, ConfigurationVersion: 5, Ready: true}, Version: version, HasAttributes: true}
 }
 
-// fullList is a control daemon that has heard so many others.
+// fullList is the member list of a control daemon to which so many others pull.
 func fullList(daemons int) *MemberList {
 	c := NewMemberList("core-0#1", "10.9.9.9:21003", true)
 	for i := range daemons {
@@ -31,8 +31,8 @@
 	return c
 }
 
-// BenchmarkSizeMembers is what the list of members costs: one question heard that says nothing new; a look at who is
-// late; the view for others; all of it told to a new daemon, and learnt there; one change told.
+// BenchmarkSizeMembers is what the member list costs: one pull recorded that changes nothing; a sweep; the map of members;
+// all of them sent to a new daemon, and merged there; one change sent.
 func BenchmarkSizeMembers(b *testing.B) {
 	for _, daemons := range daemonCounts {
 		of := fmt.Sprint(" of ", daemons, " daemons")
@@ -66,16 +66,16 @@
 			b.ReportAllocs()
 			size := 0
 			for b.Loop() {
-				told, _, _ := c.ChangesSince(1, Cursor{})
-				size = encodedSize(b, told)
+				updates, _, _ := c.ChangesSince(1, Cursor{})
+				size = encodedSize(b, updates)
 			}
 			b.ReportMetric(float64(size)/float64(daemons), "bytes/daemon")
 		})
 		b.Run("learn all"+of, func(b *testing.B) {
-			told, next, afresh := fullList(daemons).ChangesSince(1, Cursor{})
+			updates, next, fullResync := fullList(daemons).ChangesSince(1, Cursor{})
 			b.ReportAllocs()
 			for b.Loop() {
-				NewMemberList("edge-new#1", "10.8.8.8:21003", false).Merge(2, "10.9.9.9:21003", next, afresh, told, 2)
+				NewMemberList("edge-new#1", "10.8.8.8:21003", false).Merge(2, "10.9.9.9:21003", next, fullResync, updates, 2)
 			}
 		})
 	}
@@ -85,16 +85,16 @@
 		c.RecordPull(1, sizeRecord(7, 2), time.Second)
 		size := 0
 		for b.Loop() {
-			told, _, _ := c.ChangesSince(1, seen)
-			size = encodedSize(b, told)
+			updates, _, _ := c.ChangesSince(1, seen)
+			size = encodedSize(b, updates)
 		}
 		b.ReportMetric(float64(size), "bytes")
 	})
 }
 
-func encodedSize(b *testing.B, told []MemberUpdate) int {
+func encodedSize(b *testing.B, updates []MemberUpdate) int {
 	b.Helper()
-	data, err := proto.Marshal(&peerapi.PullReply{Members: encodeUpdates(told)})
+	data, err := proto.Marshal(&peerapi.PullReply{Members: encodeUpdates(updates)})
 	if err != nil {
 		b.Fatal(err)
 	}
