--- a/process/cluster/peerclient/raftqueue.go
+++ b/process/cluster/peerclient/raftqueue.go
@@ -11,76 +11,95 @@
 )
 
 const (
+	// raftQueueLength is how many batches may wait for one member.
 	raftQueueLength = 64
-	// raftTimeout bounds one call with messages: one that a peer's silence holds up is better made anew. A whole
-	// state takes longer.
-	raftTimeout      = 600 * time.Millisecond
+	// raftTimeout bounds one call with messages: if a peer does not respond, newer messages are better sent instead.
+	raftTimeout = 600 * time.Millisecond
+	// raftStateTimeout is the same for a large call, such as one with a snapshot.
 	raftStateTimeout = 3 * time.Second
-	// maxBatchBytes bounds what piled up for one call: raft sends what was dropped again.
-	maxBatchBytes = 1 << 20
-	// largeBatchBytes is from where a call counts as large.
+	// largeBatchBytes is the size from which a call counts as large.
 	largeBatchBytes = 128 << 10
+	// maxBatchBytes and maxBatchMessages bound what is merged into one call.
+	maxBatchBytes    = 1 << 20
+	maxBatchMessages = 256
 )
 
+// raftBatch is the messages of one Send.
 type raftBatch struct {
 	group    ident.GroupID
 	messages []raft.Message
 }
 
-// Send puts raft messages on the line to a member and never waits.
-func (l *Pool) Send(group ident.GroupID, member raft.Member, messages []raft.Message) {
+// Send queues raft messages for a member and never blocks. Messages are dropped if the queue is full, which raft allows
+// for: it sends them again.
+func (p *Pool) Send(group ident.GroupID, member raft.Member, messages []raft.Message) {
 	if member.Address == "" {
 		return
 	}
-	l.mutex.Lock()
-	line, known := l.raftQueues[member.Address]
-	if !known {
-		line = make(chan raftBatch, raftQueueLength)
-		l.raftQueues[member.Address] = line
-		go l.drainRaftQueue(member.Address, line)
-	}
-	l.mutex.Unlock()
 	select {
-	case line <- raftBatch{group, messages}:
+	case p.raftQueue(member.Address) <- raftBatch{group, messages}:
 	default:
-		l.DroppedBatches.Add(1)
+		p.DroppedBatches.Add(1)
 	}
 }
 
-func (l *Pool) drainRaftQueue(address string, line chan raftBatch) {
-	client := l.Client(address)
+// raftQueue returns the queue of a member, and starts its goroutine if it is new.
+func (p *Pool) raftQueue(address string) chan<- raftBatch {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	queue, known := p.raftQueues[address]
+	if !known {
+		queue = make(chan raftBatch, raftQueueLength)
+		p.raftQueues[address] = queue
+		go p.sendQueued(address, queue)
+	}
+	return queue
+}
+
+// sendQueued sends the batches of a queue, one call after the other, until the pool's context ends.
+func (p *Pool) sendQueued(address string, queue <-chan raftBatch) {
+	client := p.Client(address)
 	for {
 		select {
-		case <-l.ctx.Done():
+		case <-p.ctx.Done():
 			return
-		case next := <-line:
-			messages := next.messages
-			size, limit := sizeAndTimeout(messages)
-			// What piled up meanwhile goes along in one call.
-			for more := len(line); more > 0 && len(messages) < 256; more-- {
-				following := <-line
-				weight, longer := sizeAndTimeout(following.messages)
-				if following.group != next.group || weight > 0 && size+weight > maxBatchBytes {
-					l.DroppedBatches.Add(1)
-					continue
-				}
-				messages, size, limit = append(messages, following.messages...), size+weight, max(limit, longer)
-			}
-			ctx, cancel := context.WithTimeout(l.ctx, limit)
-			_, err := client.Raft(ctx, &peerapi.RaftBatch{Group: string(next.group), Address: l.address, Messages: raftcodec.Encode(messages)})
-			cancel()
-			if err != nil {
-				l.FailedBatches.Add(1)
-			} else {
-				l.SentMessages.Add(uint64(len(messages)))
-			}
+		case batch := <-queue:
+			messages, timeout := p.mergeQueued(batch, queue)
+			p.sendBatch(client, batch.group, messages, timeout)
+		}
+	}
+}
+
+// mergeQueued appends the batches that were queued meanwhile to the first one. Those of another group, or for which
+// there is no room, are dropped.
+func (p *Pool) mergeQueued(first raftBatch, queue <-chan raftBatch) ([]raft.Message, time.Duration) {
+	messages := first.messages
+	size, timeout := sizeAndTimeout(messages)
+	for queued := len(queue); queued > 0 && len(messages) < maxBatchMessages; queued-- {
+		next := <-queue
+		nextSize, nextTimeout := sizeAndTimeout(next.messages)
+		if next.group != first.group || nextSize > 0 && size+nextSize > maxBatchBytes {
+			p.DroppedBatches.Add(1)
+			continue
 		}
+		messages, size, timeout = append(messages, next.messages...), size+nextSize, max(timeout, nextTimeout)
+	}
+	return messages, timeout
+}
+
+func (p *Pool) sendBatch(client peerapi.Fellow, group ident.GroupID, messages []raft.Message, timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(p.ctx, timeout)
+	defer cancel()
+	batch := &peerapi.RaftBatch{Group: string(group), Address: p.address, Messages: raftcodec.Encode(messages)}
+	if _, err := client.Raft(ctx, batch); err != nil {
+		p.FailedBatches.Add(1)
+		return
 	}
+	p.SentMessages.Add(uint64(len(messages)))
 }
 
-// sizeAndTimeout says how many bytes of entries and state messages carry, and how long their call may take.
-func sizeAndTimeout(messages []raft.Message) (int, time.Duration) {
-	size, limit := 0, raftTimeout
+// sizeAndTimeout returns the bytes of entries and snapshots in messages, and the timeout of a call with them.
+func sizeAndTimeout(messages []raft.Message) (size int, timeout time.Duration) {
 	for _, message := range messages {
 		for _, entry := range message.Entries {
 			size += len(entry.Data)
@@ -90,7 +109,7 @@
 		}
 	}
 	if size > largeBatchBytes {
-		limit = raftStateTimeout
+		return size, raftStateTimeout
 	}
-	return size, limit
+	return size, raftTimeout
 }
--- a/process/cluster/peerclient/socket.go
+++ b/process/cluster/peerclient/socket.go
@@ -9,13 +9,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// A cut or a machine without power says nothing, so what stays unacknowledged ends a connection soon, and an
-// idle one is looked at.
-const tcpUserTimeout = 1500 * time.Millisecond
+const (
+	dialTimeout = 500 * time.Millisecond
+	// tcpUserTimeout is how long sent bytes may stay unacknowledged before the kernel closes the connection: across a
+	// partition, or if the peer's machine lost power, nothing else reports the failure.
+	tcpUserTimeout = 1500 * time.Millisecond
+)
 
+// keepAlive detects the same failures on idle connections.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 2 * time.Second, Interval: time.Second, Count: 2}
 
-// setTCPUserTimeout is called on each socket before it connects.
+// setTCPUserTimeout is the net.Dialer.Control function that sets tcpUserTimeout on a socket before it connects.
 func setTCPUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
--- a/process/cluster/peerclient/traffic.go
+++ b/process/cluster/peerclient/traffic.go
@@ -7,28 +7,29 @@
 	"sync/atomic"
 )
 
-// Traffic is what this daemon spends on talking to its peers, both as the one who asks and as the one who is
-// asked. It is counted on the connections themselves, so that heads and failed calls are in it too.
+// Traffic counts what this daemon spends on talking to its peers, as client and as server. Bytes are counted on the
+// connections themselves, so headers and failed calls are included.
 type Traffic struct {
+	// SentBytes and ReceivedBytes are over all connections, made and accepted.
 	SentBytes, ReceivedBytes atomic.Uint64
-	// Requests counts the calls made, Answered those served, Opened the connections made.
+	// Requests counts the requests made, Served those served, Connections the connections made.
 	Requests, Served, Connections atomic.Uint64
 }
 
-// Listen counts all that comes in and goes out over a listener's connections.
+// Listen wraps a listener to count the bytes of its connections.
 func (t *Traffic) Listen(inner net.Listener) net.Listener { return countedListener{inner, t} }
 
-// Serve counts the calls that a handler serves.
+// Serve wraps a handler to count the requests it serves.
 func (t *Traffic) Serve(inner http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		t.Served.Add(1)
-		// Peers share no clock, and read no date.
+		// Peers share no clock and don't read the date.
 		w.Header()["Date"] = nil
 		inner.ServeHTTP(w, r)
 	})
 }
 
-// dial counts all that comes in and goes out over the connections it makes.
+// dial wraps a dial function to count connections and their bytes.
 func (t *Traffic) dial(inner dialFunc) dialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := inner(ctx, network, address)
@@ -67,7 +68,7 @@
 }
 
 func (c countedConn) Write(from []byte) (int, error) {
-	// Counted before it leaves: whoever has received it and looks here must find it counted.
+	// Counted before it is sent, so that it is counted once the peer has received it.
 	c.traffic.SentBytes.Add(uint64(len(from)))
 	n, err := c.Conn.Write(from)
 	if unsent := len(from) - n; unsent > 0 {
@@ -76,7 +77,7 @@
 	return n, err
 }
 
-// countedRequests counts the calls that a client makes.
+// countedRequests counts the requests that a client makes.
 type countedRequests struct {
 	http.RoundTripper
 	traffic *Traffic
