--- a/daemon/dispatch.go
+++ b/daemon/dispatch.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// stallLimit is how long the next piece of a stream is waited for.
+	// stallLimit is how long the next chunk of a stream is waited for.
 	stallLimit = 8 * time.Second
-	// overrunLimit is how long a stream that began in time may go on past its deadline.
+	// overrunLimit is how long a stream that began in time may go on after its deadline.
 	overrunLimit = 15 * time.Second
-	// fairAttemptTime is how much time a go must have had for its failure to count against the engine.
+	// fairAttemptTime is how much time an attempt must have had for its failure to count against the engine.
 	fairAttemptTime = 2 * time.Second
 )
 
-// requestPath is the daemon as the dispatch actor sees it.
+// requestPath is the daemon as the dispatch actor sees it. Its methods are called on the goroutines of requests.
 type requestPath struct{ *Daemon }
 
-// World is what the request path may look at now.
+// World returns what the dispatch actor decides by.
 func (d *Daemon) World() dispatch.World {
 	_, notReady := d.members.Ready()
 	return dispatch.World{
@@ -34,7 +34,8 @@
 	}
 }
 
-// finalCheck is the last check before the first byte: what it reads is what is in force at that moment.
+// finalCheck is the last check before the first byte is sent, by what is in force at that moment. It returns why the
+// attempt must not be sent, or "".
 func (d *Daemon) finalCheck(call *dispatch.Call, send dispatch.Send) string {
 	table := d.rollout.Table()
 	engine := d.watcher.View().Engines[send.Engine]
@@ -58,10 +59,11 @@
 	return ""
 }
 
-// errBroken makes the connection end without its last chunk.
+// errIncompleteAnswer makes the caller's connection end without the last chunk, so that the caller can tell.
 var errIncompleteAnswer = errors.New("the answer is not whole")
 
-// Carry runs one go to its end.
+// Carry runs one attempt at an engine to its end, and returns its outcome and the reason. firstPiece is called before
+// the first chunk is passed on.
 func (d *Daemon) Carry(call *dispatch.Call, send dispatch.Send, firstPiece func()) (dispatch.AttemptOutcome, string) {
 	giveBack, granted := d.requestSlot(call, send)
 	if !granted {
@@ -69,10 +71,10 @@
 	}
 	refused := false
 	defer func() { giveBack(refused) }()
-	// The homes are asked while the engine is dialled; the first byte waits for both.
+	// The owners of the attempt are queried while the engine is dialled; the first byte waits for both.
 	claimed := make(chan deduplication.Decision, 1)
 	go func() {
-		claimed <- d.queryAttemptOwners(d.attemptQuery(deduplication.Claim, call.ID, call.Request, call.Arrived))
+		claimed <- d.queryAttemptOwners(d.attemptQuery(deduplication.ActionClaim, call.ID, call.Request, call.Arrived))
 	}()
 	var claim deduplication.Decision
 	departed := false
@@ -105,18 +107,28 @@
 	if outcome, reason := d.afterClaim(call, result.Outcome, claim, claimed, departed); outcome != result.Outcome {
 		return outcome, reason
 	}
+	refused = result.Outcome == dispatch.EngineRefused || result.Outcome == dispatch.NeverSent
+	d.recordAttempt(send, left, result)
+	if began {
+		finishAnswer(call, result)
+	}
+	return result.Outcome, result.Reason
+}
+
+// recordAttempt counts the bytes of an attempt, and has discovery judge the engine by its outcome. left is the time
+// that the attempt had when it began.
+func (d *Daemon) recordAttempt(send dispatch.Send, left time.Duration, result enginestream.Result) {
 	bytes := uint64(result.Sent + result.Received)
 	if send.Zone == d.config.Zone {
 		d.counters.bytesOwnZone.Add(bytes)
 	} else {
 		d.counters.bytesOtherZone.Add(bytes)
 	}
-	refused = result.Outcome == dispatch.EngineRefused || result.Outcome == dispatch.NeverSent
 	switch result.Outcome {
 	case dispatch.Whole:
 		d.watcher.ReportAttempt(send.Engine, true)
 	case dispatch.Lost, dispatch.NeverSent, dispatch.Cut:
-		// One that began late and ran into its own deadline says nothing against the engine.
+		// An attempt that began late and ran into its own deadline says nothing about the engine.
 		if d.clock.Elapsed() < send.Deadline || left >= fairAttemptTime {
 			d.watcher.ReportAttempt(send.Engine, false)
 		}
@@ -125,45 +137,45 @@
 		d.counters.malformedStreams.Add(1)
 		d.watcher.Quarantine(send.Engine)
 	}
-	if began {
-		switch result.Outcome {
-		case dispatch.Whole:
-			call.Finish(nil, nil)
-		default:
-			last := relay.Line(callerapi.Piece{Attempt: call.Request.Attempt, N: result.Pieces, Outcome: callerapi.BrokenOff, Reason: result.Reason})
-			call.Finish(last, errIncompleteAnswer)
-		}
+}
+
+// finishAnswer ends an answer of which the caller has a part already.
+func finishAnswer(call *dispatch.Call, result enginestream.Result) {
+	if result.Outcome == dispatch.Whole {
+		call.Finish(nil, nil)
+		return
 	}
-	return result.Outcome, result.Reason
+	last := relay.Line(callerapi.Piece{Attempt: call.Request.Attempt, N: result.Pieces, Outcome: callerapi.BrokenOff, Reason: result.Reason})
+	call.Finish(last, errIncompleteAnswer)
 }
 
-// mayStart says whether a go may leave on what the homes said. Where they can't be asked, only the caller's
-// own word that the work may run twice lets it go.
+// mayStart says whether an attempt may be sent by what its owners answered. If they can't be reached, only an
+// idempotent request may.
 func mayStart(claim deduplication.Decision, repeatable bool) bool {
-	return claim == deduplication.May || claim == deduplication.Doubt && repeatable
+	return claim == deduplication.Proceed || claim == deduplication.Undetermined && repeatable
 }
 
-// afterClaim frees the claim of a go that provably never ran, so that the same attempt may come again
-// anywhere, and says what becomes of one that the homes held back.
+// afterClaim frees the claim of an attempt that provably never ran, so that it may come again at any daemon, and
+// returns the outcome of one that its owners rejected.
 func (d *Daemon) afterClaim(call *dispatch.Call, outcome dispatch.AttemptOutcome, claim deduplication.Decision, claimed <-chan deduplication.Decision, departed bool) (dispatch.AttemptOutcome, string) {
 	if departed && outcome != dispatch.EngineRefused {
 		return outcome, ""
 	}
 	if claim == "" {
-		// The engine could not even be dialled; the claim may be on its way still.
+		// The engine could not be dialled, and the claim may still be on its way.
 		claim = <-claimed
 	}
-	if mayStart(claim, call.Request.Repeatable) || claim == deduplication.Doubt {
-		d.queryAttemptOwners(d.attemptQuery(deduplication.Free, call.ID, call.Request, call.Arrived))
+	if mayStart(claim, call.Request.Repeatable) || claim == deduplication.Undetermined {
+		d.queryAttemptOwners(d.attemptQuery(deduplication.ActionRelease, call.ID, call.Request, call.Arrived))
 	}
 	switch claim {
 	case deduplication.Replay:
 		return dispatch.KnownElsewhere, "this attempt id is known to another daemon and is not run again"
-	case deduplication.Other:
+	case deduplication.Mismatch:
 		return dispatch.KnownElsewhere, "this attempt id stands for another request"
-	case deduplication.Refused:
+	case deduplication.Rejected:
 		return dispatch.RefusedElsewhere, "another daemon refused this attempt meanwhile"
-	case deduplication.Doubt:
+	case deduplication.Undetermined:
 		if !call.Request.Repeatable {
 			return dispatch.Doubted, "whether this attempt has run through another daemon cannot be told now"
 		}
@@ -171,13 +183,13 @@
 	return outcome, ""
 }
 
-// Refuse makes sure, before a caller is told that its work never runs, that no other daemon has sent it
-// or will: the word that may be given comes back.
+// Refuse makes sure, before a caller is told that its request never ran, that no other daemon has sent it or will. It
+// returns the answer that may be given.
 func (r requestPath) Refuse(call *dispatch.Call, wanted dispatch.Answer) dispatch.Answer {
-	switch r.queryAttemptOwners(r.attemptQuery(deduplication.Refuse, call.ID, call.Request, call.Arrived)) {
-	case deduplication.Replay, deduplication.Other:
+	switch r.queryAttemptOwners(r.attemptQuery(deduplication.ActionReject, call.ID, call.Request, call.Arrived)) {
+	case deduplication.Replay, deduplication.Mismatch:
 		return dispatch.Answer{Kind: dispatch.Replay, Status: 409, Reason: "this attempt id was taken by another daemon and is not run again"}
-	case deduplication.Doubt:
+	case deduplication.Undetermined:
 		return dispatch.Answer{Kind: dispatch.Unknown, Status: wanted.Status, Reason: wanted.Reason + "; whether another daemon has this attempt cannot be told now", RetryAfter: max(wanted.RetryAfter, time.Second)}
 	}
 	return wanted
