--- a/daemon/counters.go
+++ b/daemon/counters.go
@@ -151,7 +151,7 @@
 
 // eachSessionPlanningCounter lists the counters of the orders of the planner for sessions.
 func (d *Daemon) eachSessionPlanningCounter(report reportCounter) {
-	planned := d.sessionPlacer.Condition().Counters
+	planned := d.sessionPlacer.Status().Counters
 	report("orders", planned.Orders)
 	report("orders_done", planned.Done)
 	report("orders_refused", planned.Refused)
--- a/process/consensus/replica/applies_test.go
+++ b/process/consensus/replica/applies_test.go
@@ -33,8 +33,8 @@
 		for _, violation := range o.violations {
 			t.Errorf("seed %d, %d members: %s", seed, size, violation)
 		}
-		if got := o.linearizable(time.Minute); got.Verdict != linearizability.Linearizable {
-			t.Errorf("seed %d, %d members: %s: %s", seed, size, got.Verdict, got.Reason)
+		if got := o.linearizable(time.Minute); got.Status != linearizability.Linearizable {
+			t.Errorf("seed %d, %d members: %s: %s", seed, size, got.Status, got.Reason)
 		}
 		acked, refused, resends, crashes = acked+len(o.acknowledgedVersions), refused+len(o.rejected), resends+o.resends, crashes+o.crashes
 		calls, unclear = calls+len(o.calls), unclear+o.unclear
@@ -74,7 +74,7 @@
 				o.scheduleForgetting()
 				o.runHistory(60 * time.Second)
 				// A history that is not linearizable can take long to rule out; then the next seed is tried.
-				if got := o.linearizable(2 * time.Second); got.Verdict == linearizability.Broken {
+				if got := o.linearizable(2 * time.Second); got.Status == linearizability.Violated {
 					t.Logf("seed %d: %s", seed, got.Reason)
 					return
 				}
