--- a/daemon/membernotices.go
+++ b/daemon/membernotices.go
@@ -9,19 +9,19 @@
 	"github.com/cresspond/cresspond/process/consensus/replica"
 )
 
-// logMemberChange writes down what changed in this member's part in the group.
+// logMemberChange logs what changed in this member's part in the group.
 func (d *Daemon) logMemberChange(before, after replica.Status) {
 	entry := d.log.WithField("term", uint64(after.Term))
 	switch {
 	case after.IsLeader && !before.IsLeader:
-		entry.Info("leads the group")
+		entry.Info("became leader of the control group")
 	case before.IsLeader && !after.IsLeader:
-		entry.Info("leads the group no more")
+		entry.Info("lost the leadership of the control group")
 	case after.DiskStalled != before.DiskStalled:
-		entry.WithField("stalled", after.DiskStalled).Info("the disk holds this member up, or does no more")
+		entry.WithField("stalled", after.DiskStalled).Info("disk stall of this member began or ended")
 	}
 	if after.IsLeader && len(after.DivergentMembers) > 0 && !slices.Equal(before.DivergentMembers, after.DivergentMembers) {
-		entry.WithField("members", after.DivergentMembers).Warn("the states of these members differ from a majority's")
+		entry.WithField("members", after.DivergentMembers).Warn("state of members diverged from a majority's")
 	}
 	if after.IsLeader && !slices.Equal(before.Membership.Members, after.Membership.Members) {
 		var voters, learners []string
@@ -32,12 +32,12 @@
 				learners = append(learners, member.Name)
 			}
 		}
-		entry.WithFields(log.Fields{"voters": voters, "learners": learners}).Info("the group has other members")
+		entry.WithFields(log.Fields{"voters": voters, "learners": learners}).Info("membership of the control group changed")
 	}
 }
 
-// noticeLogger writes down what members of the group noticed of each other. A snapshot that is refused again and
-// again is one line.
+// noticeLogger returns a function that logs what members of the group notice of each other. A snapshot that is
+// rejected over and over is logged once.
 func (d *Daemon) noticeLogger() func(raft.Notice) {
 	var refused raft.Notice
 	return func(notice raft.Notice) {
@@ -51,7 +51,7 @@
 			}
 			refused = notice
 		case raft.NoticeStateDiffers:
-			// A leader's view of its peers is written down where it changes.
+			// A leader's view of its peers is logged by logMemberChange.
 			if notice.Err != nil {
 				entry.WithError(notice.Err).Warn(notice.Kind.String())
 			}
