--- a/process/daemonconfig/config.go
+++ b/process/daemonconfig/config.go
@@ -254,9 +254,9 @@
 	return c, nil
 }
 
-var check = newCheck()
+var validate = newValidator()
 
-func newCheck() *validator.Validate {
+func newValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(field reflect.StructField) string {
 		name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
@@ -277,8 +277,8 @@
 		return err == nil
 	}))
 	must(v.RegisterValidation("required_if_control", func(level validator.FieldLevel) bool {
-		c, ok := level.Parent().Interface().(Config)
-		return !ok || !c.Serves(Control) || c.DataDir != ""
+		config, ok := level.Parent().Interface().(Config)
+		return !ok || !config.Serves(Control) || config.DataDir != ""
 	}, true))
 	return v
 }
@@ -291,11 +291,11 @@
 	var faults []Fault
 	if c.Ranking != (nodehealth.Settings{}) {
 		// Settings put together without any are those of a daemon that ranks nothing.
-		for _, one := range c.Ranking.Check() {
-			faults = append(faults, Fault{file, "ranking." + one.Field, one.Reason})
+		for _, invalid := range c.Ranking.Check() {
+			faults = append(faults, Fault{file, "ranking." + invalid.Field, invalid.Reason})
 		}
 	}
-	err := check.Struct(c)
+	err := validate.Struct(c)
 	if err == nil {
 		return faults
 	}
@@ -303,17 +303,17 @@
 	if !ok {
 		return append(faults, Fault{file, "", err.Error()})
 	}
-	for _, one := range found {
+	for _, invalid := range found {
 		reason := map[string]string{
 			"required": "is missing", "ipport": "must be an IP number and a port", "unique": "holds something twice",
 			"required_if_control": "is needed to serve control",
 			"ltfield":             "must be below entries",
 			"mechanism":           "names no mechanism; known are " + strings.Join(featuregates.Names(), ", "),
-		}[one.Tag()]
+		}[invalid.Tag()]
 		if reason == "" {
-			reason = strings.TrimSuffix(fmt.Sprintf("must satisfy %s=%s", one.Tag(), one.Param()), "=")
+			reason = strings.TrimSuffix(fmt.Sprintf("must satisfy %s=%s", invalid.Tag(), invalid.Param()), "=")
 		}
-		faults = append(faults, Fault{file, strings.TrimPrefix(one.Namespace(), "Config."), reason})
+		faults = append(faults, Fault{file, strings.TrimPrefix(invalid.Namespace(), "Config."), reason})
 	}
 	return faults
 }
--- a/process/placement/demand/demand_test.go
+++ b/process/placement/demand/demand_test.go
@@ -13,8 +13,8 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-func demand(model string, held, running int64, oldest time.Duration) *peerapi.Demand {
-	return &peerapi.Demand{Pool: "p", Model: model, Queued: held, Running: running, OldestMs: oldest.Milliseconds(), Tokens: float64(running) * 10, Arrivals: 1}
+func demand(model string, queued, running int64, oldest time.Duration) *peerapi.Demand {
+	return &peerapi.Demand{Pool: "p", Model: model, Queued: queued, Running: running, OldestMs: oldest.Milliseconds(), Tokens: float64(running) * 10, Arrivals: 1}
 }
 
 func gather(h *Receiver, now clock.Mark) map[string]*peerapi.Demand {
@@ -37,22 +37,22 @@
 		var receiver Receiver
 		now := clock.Mark(time.Minute)
 		since := map[string]clock.Mark{}
-		asked := map[string]*peerapi.Demand{}
+		requested := map[string]*peerapi.Demand{}
 		var late []Report
 		for step := range 400 {
 			now += clock.Mark(time.Duration(random.IntN(300)) * time.Millisecond)
 			model := fmt.Sprint("m", random.IntN(8))
 			switch random.IntN(4) {
 			case 0:
-				delete(asked, model)
+				delete(requested, model)
 			case 1:
 				since[model] = now
-				asked[model] = demand(model, int64(1+random.IntN(3)), int64(random.IntN(30)), 0)
+				requested[model] = demand(model, int64(1+random.IntN(3)), int64(random.IntN(30)), 0)
 			case 2:
-				asked[model] = demand(model, 0, int64(1+random.IntN(30)), 0)
+				requested[model] = demand(model, 0, int64(1+random.IntN(30)), 0)
 			}
 			var all []*peerapi.Demand
-			for name, one := range asked {
+			for name, one := range requested {
 				one = proto.Clone(one).(*peerapi.Demand)
 				if one.Queued > 0 {
 					one.OldestMs = now.Since(since[name]).Milliseconds()
@@ -69,12 +69,12 @@
 				late = append(late, message)
 				continue
 			}
-			taken := receiver.Apply(now, message)
+			applied := receiver.Apply(now, message)
 			for _, old := range late {
 				receiver.Apply(now, old)
 			}
 			late = nil
-			if !taken {
+			if !applied {
 				sender.MarkLost()
 				continue
 			}
@@ -92,8 +92,8 @@
 }
 
 // fadedDemand is a demand whose rates have faded for a time since its last request.
-func fadedDemand(model string, held, running int64, oldest, since time.Duration) *peerapi.Demand {
-	out := demand(model, held, running, oldest)
+func fadedDemand(model string, queued, running int64, oldest, since time.Duration) *peerapi.Demand {
+	out := demand(model, queued, running, oldest)
 	out.Tokens, out.Arrivals = out.Tokens*remainingShare(since), out.Arrivals*remainingShare(since)
 	return out
 }
--- a/process/placement/plannerlease/claim.go
+++ b/process/placement/plannerlease/lease.go
@@ -44,10 +44,10 @@
 
 // Renew is the one place where a claim is taken up or prolonged; asked is read from the clock before the
 // group was asked. It says whether the claim is fresh, or had lapsed here.
-func (h *Lease) Renew(asked clock.Mark, granted *statemachine.PlannerLease) (fresh bool) {
+func (h *Lease) Renew(requestedAt clock.Mark, granted *statemachine.PlannerLease) (fresh bool) {
 	span := time.Duration(granted.Expiry-granted.Now)*time.Millisecond - h.margin
 	before, still := h.Token()
-	next := &grant{token: granted.Token, expiry: asked + clock.Mark(span)}
+	next := &grant{token: granted.Token, expiry: requestedAt + clock.Mark(span)}
 	if held := h.current.Load(); held != nil && held.token == next.token && held.expiry > next.expiry {
 		// Answers may come out of order; what was granted holds.
 		next.expiry = held.expiry
