--- a/process/placement/demand/demand_test.go
+++ b/process/placement/demand/demand_test.go
@@ -17,11 +17,12 @@
 	return &peerapi.Demand{Pool: "p", Model: model, Queued: queued, Running: running, OldestMs: oldest.Milliseconds(), Tokens: float64(running) * 10, Arrivals: 1}
 }
 
+// gather returns what a receiver knows by model, with decayed rates.
 func gather(h *Receiver, now clock.Mark) map[string]*peerapi.Demand {
 	out := map[string]*peerapi.Demand{}
-	h.Each(now, func(one *peerapi.Demand, ago time.Duration, share float64) {
+	h.Each(now, func(one *peerapi.Demand, ago time.Duration, fraction float64) {
 		copied := proto.Clone(one).(*peerapi.Demand)
-		copied.Tokens, copied.Arrivals = copied.Tokens*share, copied.Arrivals*share
+		copied.Tokens, copied.Arrivals = copied.Tokens*fraction, copied.Arrivals*fraction
 		if copied.Queued > 0 {
 			copied.OldestMs += ago.Milliseconds()
 		}
@@ -65,7 +66,7 @@
 				sender.MarkLost()
 				continue
 			case 1:
-				// It comes late, after the next.
+				// It arrives late, after the next.
 				late = append(late, message)
 				continue
 			}
@@ -80,7 +81,7 @@
 			}
 			got := gather(&receiver, now)
 			if len(got) != len(all) {
-				t.Fatalf("seed %d, step %d: %d are known, %d asked for", seed, step, len(got), len(all))
+				t.Fatalf("seed %d, step %d: %d are known, %d demanded", seed, step, len(got), len(all))
 			}
 			for _, one := range all {
 				if !unchanged(entry{got[one.Model], now}, one, now) {
@@ -91,10 +92,10 @@
 	}
 }
 
-// fadedDemand is a demand whose rates have faded for a time since its last request.
+// fadedDemand is a demand whose rates have decayed for a time since its last request.
 func fadedDemand(model string, queued, running int64, oldest, since time.Duration) *peerapi.Demand {
 	out := demand(model, queued, running, oldest)
-	out.Tokens, out.Arrivals = out.Tokens*remainingShare(since), out.Arrivals*remainingShare(since)
+	out.Tokens, out.Arrivals = out.Tokens*remainingFraction(since), out.Arrivals*remainingFraction(since)
 	return out
 }
 
@@ -109,15 +110,15 @@
 		t.Errorf("%+v", m)
 	}
 	if m := sender.Next(now, "b", []*peerapi.Demand{fadedDemand("m", 1, 4, time.Second, time.Second)}, nil); m.Base != 0 || len(m.Demand) != 1 {
-		t.Errorf("another planner gets all: %+v", m)
+		t.Errorf("another planner gets a full report: %+v", m)
 	}
 	if m := sender.Next(now+clock.Mark(fullReportEvery), "b", []*peerapi.Demand{demand("m", 1, 4, time.Second+fullReportEvery)}, nil); m.Base != 0 || len(m.Demand) != 1 {
-		t.Errorf("all is sent again in time: %+v", m)
+		t.Errorf("a full report is due: %+v", m)
 	}
 }
 
-// One request for each of many models: as its rates fade on both sides alike, it is announced when it begins to run,
-// and when it has ended.
+// One request for each of many models: as its rates decay on both sides alike, it is reported when it begins to run, and
+// when it has ended.
 func TestOneRequestIsAnnouncedTwice(t *testing.T) {
 	var sender Sender
 	var receiver Receiver
@@ -135,27 +136,27 @@
 		message := sender.Next(now, "a", all, nil)
 		rows += len(message.Demand)
 		if !receiver.Apply(now, message) {
-			t.Fatal("a message was not taken")
+			t.Fatal("a report was not applied")
 		}
 		got := gather(&receiver, now)["m"]
 		switch {
 		case len(all) == 0 && got != nil && got.Arrivals > minAnnouncedRate:
-			t.Fatalf("second %d: %v is known of what nobody asks for", step, got)
+			t.Fatalf("second %d: %v is known without demand", step, got)
 		case len(all) > 0 && (got == nil || got.Running != running && step != 1 || math.Abs(got.Arrivals-rate) > 0.001):
 			t.Fatalf("second %d: %v of %v", step, got, all[0])
 		}
 		now += clock.Mark(time.Second)
 	}
 	if rows != 3 {
-		// The third is the whole that is announced again in time.
-		t.Errorf("%d rows", rows)
+		// The third is in the full report that is due meanwhile.
+		t.Errorf("%d entries", rows)
 	}
 	if got := gather(&receiver, now); len(got) != 0 {
-		t.Errorf("%v is kept for ever", got)
+		t.Errorf("%v is never forgotten", got)
 	}
 }
 
-// What runs at few places each adds up: a daemon's last request to end must be heard of.
+// A few running requests at each of many daemons add up, so the end of a daemon's last one must be reported.
 func TestTheEndOfTheLastRequestIsAnnounced(t *testing.T) {
 	var sender Sender
 	now := clock.Mark(time.Minute)
@@ -163,14 +164,14 @@
 	ended := fadedDemand("m", 0, 1, 0, 100*time.Millisecond)
 	ended.Running = 0
 	if m := sender.Next(now+clock.Mark(100*time.Millisecond), "a", []*peerapi.Demand{ended}, nil); len(m.Demand) != 0 {
-		t.Errorf("it may be asked for again: %+v", m)
+		t.Errorf("another may follow: %+v", m)
 	}
 	ended = fadedDemand("m", 0, 1, 0, endSlack)
 	ended.Running = 0
 	if m := sender.Next(now+clock.Mark(endSlack), "a", []*peerapi.Demand{ended}, nil); len(m.Demand) != 1 || m.Demand[0].Running != 0 {
 		t.Errorf("%+v", m)
 	}
-	// What begins is announced at once.
+	// A beginning is reported at once.
 	begun := fadedDemand("m", 0, 1, 0, endSlack)
 	if m := sender.Next(now+clock.Mark(endSlack), "a", []*peerapi.Demand{begun}, nil); len(m.Demand) != 1 || m.Demand[0].Running != 1 {
 		t.Errorf("%+v", m)
--- a/process/placement/demand/receiver.go
+++ b/process/placement/demand/receiver.go
@@ -7,20 +7,22 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// Receiver is what one incarnation of a daemon has announced.
+// Receiver is the demand of one incarnation of a daemon, as reported. It is not safe for concurrent use.
 type Receiver struct {
-	// At is when it last announced anything.
-	At       clock.Mark
+	// At is when the last report was applied.
+	At clock.Mark
+	// Sessions are those of the last report.
 	Sessions []*peerapi.EngineSessions
-	seq      uint64
-	known    map[Key]entry
+	// seq is the number of the last report.
+	seq   uint64
+	known map[Key]entry
 }
 
-// Apply takes a message; it says false where one before it is lacking, so that all must be announced again.
+// Apply applies a report. It returns false if the report that it builds on is missing, so that a full one is needed.
 func (h *Receiver) Apply(now clock.Mark, report Report) bool {
 	switch {
 	case report.Seq <= h.seq:
-		// Overtaken by a newer one, which held it all or built on it.
+		// A newer report was applied, which was full or built on this one.
 		return true
 	case report.Base == 0:
 		h.known = make(map[Key]entry, len(report.Demand))
@@ -38,15 +40,16 @@
 	return true
 }
 
-// Each gives all that is asked for, with how long ago it was announced, and which share of its rates is left since.
-func (h *Receiver) Each(now clock.Mark, visit func(demand *peerapi.Demand, ago time.Duration, share float64)) {
+// Each calls visit with each demand, how long ago it was reported, and the fraction of its rates that remains since then.
+// It forgets what has decayed.
+func (h *Receiver) Each(now clock.Mark, visit func(demand *peerapi.Demand, ago time.Duration, fraction float64)) {
 	for key, reported := range h.known {
 		ago := now.Since(reported.reportedAt)
-		share := remainingShare(ago)
-		if reported.idle() && reported.demand.Arrivals*share < minRate {
+		fraction := remainingFraction(ago)
+		if reported.idle() && reported.demand.Arrivals*fraction < minRate {
 			delete(h.known, key)
 			continue
 		}
-		visit(reported.demand, ago, share)
+		visit(reported.demand, ago, fraction)
 	}
 }
--- a/process/placement/demand/sender.go
+++ b/process/placement/demand/sender.go
@@ -9,23 +9,28 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// Sender is the side of the daemon that announces its demand. It may be used by several at once.
+// Sender makes a daemon's reports. The zero value is ready to use, by several goroutines at once.
 type Sender struct {
-	mutex          sync.Mutex
-	receiver       string
-	seq            uint64
+	mutex sync.Mutex
+	// receiver is the address that the last report was made for.
+	receiver string
+	// seq is the number of the last report.
+	seq uint64
+	// known is what the receiver knows if it has received all reports.
 	known          map[Key]entry
 	lastFullReport clock.Mark
-	lost           bool
+	// lost says that a report may not have arrived, so that the next one must be full.
+	lost bool
 }
 
-// Next makes the next message to an address.
+// Next makes the next report to an address. all is the daemon's demand now, with decayed rates.
 func (s *Sender) Next(now clock.Mark, receiver string, all []*peerapi.Demand, sessions []*peerapi.EngineSessions) Report {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	report := Report{Seq: s.seq + 1, Base: s.seq, Sessions: sessions}
 	if receiver != s.receiver || s.lost || s.known == nil || now.Since(s.lastFullReport) >= fullReportEvery {
-		s.receiver, s.lost, s.lastFullReport, s.known, report.Base = receiver, false, now, map[Key]entry{}, 0
+		report.Base = 0
+		s.receiver, s.lost, s.lastFullReport, s.known = receiver, false, now, map[Key]entry{}
 	}
 	s.seq++
 	present := make(map[Key]bool, len(all))
@@ -38,44 +43,56 @@
 		s.known[key] = entry{demand, now}
 		report.Demand = append(report.Demand, demand)
 	}
+	report.Demand = append(report.Demand, s.ended(now, present)...)
+	return report
+}
+
+// ended removes what is not present any more from known, and returns the entries that report so.
+func (s *Sender) ended(now clock.Mark, present map[Key]bool) (ends []*peerapi.Demand) {
 	for key, previous := range s.known {
-		if !present[key] {
-			delete(s.known, key)
-			if previous.idle() && previous.demand.Arrivals*remainingShare(now.Since(previous.reportedAt)) < minAnnouncedRate {
-				// It is forgotten there by itself.
-				continue
-			}
-			// Nothing of it is asked for any more.
-			report.Demand = append(report.Demand, &peerapi.Demand{Pool: key.Pool, Model: key.Model, Adapter: key.Adapter})
+		if present[key] {
+			continue
+		}
+		delete(s.known, key)
+		if previous.idle() && previous.demand.Arrivals*remainingFraction(now.Since(previous.reportedAt)) < minAnnouncedRate {
+			// The receiver forgets it by itself.
+			continue
 		}
+		ends = append(ends, &peerapi.Demand{Pool: key.Pool, Model: key.Model, Adapter: key.Adapter})
 	}
-	return report
+	return ends
 }
 
-// MarkLost notes that a message may not have come.
-func (t *Sender) MarkLost() {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.lost = true
+// MarkLost records that a report may not have arrived.
+func (s *Sender) MarkLost() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.lost = true
 }
 
-// unchanged says whether a demand is so much like what was announced that it need not be announced anew.
+// unchanged reports whether a demand is so similar to the one last reported that it need not be reported again.
 func unchanged(previous entry, demand *peerapi.Demand, now clock.Mark) bool {
-	reported := previous.demand
-	// That nothing runs any more is announced too, or the sum over many daemons that each ask for little would be far off;
-	// but not at once, since what was asked for a moment ago is likely to be asked for again.
-	begins, ends := reported.Running == 0 && demand.Running > 0, reported.Running > 0 && demand.Running == 0
-	if reported.Queued > 0 != (demand.Queued > 0) || begins || ends && now.Since(previous.reportedAt) >= endSlack || reported.Value != demand.Value || reported.Queued > 0 && reported.Rank != demand.Rank {
+	reported, since := previous.demand, now.Since(previous.reportedAt)
+	// The end of the last request is reported too, or the planner's sum over many daemons with few requests each would be
+	// far off; but not at once, since another request is likely to follow.
+	begins := reported.Running == 0 && demand.Running > 0
+	ends := reported.Running > 0 && demand.Running == 0 && since >= endSlack
+	queues := reported.Queued > 0 != (demand.Queued > 0)
+	if queues || begins || ends || reported.Value != demand.Value || reported.Queued > 0 && reported.Rank != demand.Rank {
 		return false
 	}
 	if demand.Queued > 0 {
-		expectedAge := time.Duration(reported.OldestMs)*time.Millisecond + now.Since(previous.reportedAt)
+		expectedAge := time.Duration(reported.OldestMs)*time.Millisecond + since
 		if off := time.Duration(demand.OldestMs)*time.Millisecond - expectedAge; max(off, -off) > oldestSlack {
 			return false
 		}
 	}
-	share := remainingShare(now.Since(previous.reportedAt))
-	similar := func(a, b, least float64) bool { return math.Abs(a-b) <= max(least, a/4) }
-	return similar(float64(reported.Queued), float64(demand.Queued), 1) && similar(float64(reported.Running), float64(demand.Running), 2) &&
-		similar(reported.Tokens*share, demand.Tokens, 1) && similar(reported.Arrivals*share, demand.Arrivals, 0.1)
+	fraction := remainingFraction(since)
+	return similar(float64(reported.Queued), float64(demand.Queued), similarQueued) &&
+		similar(float64(reported.Running), float64(demand.Running), similarRunning) &&
+		similar(reported.Tokens*fraction, demand.Tokens, similarTokens) &&
+		similar(reported.Arrivals*fraction, demand.Arrivals, similarArrivals)
 }
+
+// similar reports whether b differs from a by no more than similarFraction of a, or than least.
+func similar(a, b, least float64) bool { return math.Abs(a-b) <= max(least, a*similarFraction) }
