--- a/cmd/cresspondd/recover.go
+++ b/cmd/cresspondd/recover.go
@@ -15,11 +15,12 @@
 	"github.com/cresspond/cresspond/process/daemonconfig"
 )
 
-// askLimit bounds the questions to one living daemon.
-const askLimit = 10 * time.Second
+// queryTimeout bounds the queries to one daemon.
+const queryTimeout = 10 * time.Second
 
-// recoverGroup makes the next generation of a lost group in this daemon's empty data folder.
-func recoverGroup(settings daemonconfig.Config, witnesses []string, survivor string) error {
+// recoverGroup bootstraps the next generation of a lost group in this daemon's empty data folder, from the daemons at
+// these peer addresses and the data folder of a survivor, if there is one.
+func recoverGroup(settings daemonconfig.Config, addresses []string, survivor string) error {
 	if !settings.Serves(daemonconfig.Control) {
 		return eris.New("only a daemon that serves control can hold a group")
 	}
@@ -34,17 +35,17 @@
 			return err
 		}
 	}
-	var heard []recovery.DaemonReport
-	for _, address := range witnesses {
-		ctx, cancel := context.WithTimeout(context.Background(), askLimit)
-		witness, err := recovery.QueryDaemon(ctx, address)
+	var reports []recovery.DaemonReport
+	for _, address := range addresses {
+		ctx, cancel := context.WithTimeout(context.Background(), queryTimeout)
+		report, err := recovery.QueryDaemon(ctx, address)
 		cancel()
 		if err != nil {
 			return err
 		}
-		heard = append(heard, witness)
+		reports = append(reports, report)
 	}
-	plan, err := recovery.NewPlan(group, state, heard, time.Now())
+	plan, err := recovery.NewPlan(group, state, reports, time.Now())
 	if err != nil {
 		return err
 	}
@@ -53,15 +54,15 @@
 		return err
 	}
 	defer opened.Close()
-	if remembered, err := opened.Group(); err != nil || remembered != "" {
-		return eris.Errorf("the data folder %s belongs to group %s already; recover into an empty one", settings.DataDir, remembered)
+	if existing, err := opened.Group(); err != nil || existing != "" {
+		return eris.Errorf("the data folder %s belongs to group %s already; recover into an empty one", settings.DataDir, existing)
 	}
 	if err := recovery.WriteGroup(opened, plan, settings.Name, settings.AdvertisedPeerAddress()); err != nil {
 		return err
 	}
-	fmt.Printf("group %s: spec epoch %d, closure epoch %d\n", plan.Group, plan.State.Version(), plan.State.Closures.Version)
-	for _, epoch := range plan.LostVersions {
-		fmt.Printf("nobody holds the bundle of epoch %d any more\n", epoch)
+	fmt.Printf("group %s: configuration version %d, closures version %d\n", plan.Group, plan.State.Version(), plan.State.Closures.Version)
+	for _, version := range plan.LostVersions {
+		fmt.Printf("no one holds the bundle of configuration version %d any more\n", version)
 	}
 	fmt.Println("start this daemon now; the other control machines join with empty data folders")
 	return nil
