--- a/daemon/counters.go
+++ b/daemon/counters.go
@@ -8,7 +8,6 @@
 	"github.com/cresspond/cresspond/process/consensus/replica"
 	"github.com/cresspond/cresspond/process/daemonconfig"
 	"github.com/cresspond/cresspond/process/engines/connectionpool"
-	"github.com/cresspond/cresspond/process/engines/nodehealth"
 	"github.com/cresspond/cresspond/process/placement/poolplacement"
 	"github.com/cresspond/cresspond/request/forwarding"
 )
@@ -49,7 +48,7 @@
 		d.eachSessionCounter(report)
 	}
 	d.eachForwardingCounter(report)
-	d.nodeRanking.eachCounter(report)
+	d.nodeRanking.EachCounter(report)
 	if d.config.Serves(daemonconfig.Placement) {
 		d.eachSessionPlanningCounter(report)
 		d.poolPlanning.eachCounter(report)
@@ -275,45 +274,3 @@
 	report("engines_returned", judged.Returns)
 	report("engines_spared", judged.Suppressed)
 }
-
-// eachCounter lists the counters of the ranking.
-func (n *nodeRanking) eachCounter(report reportCounter) {
-	if !n.on() {
-		return
-	}
-	if n.recorder != nil {
-		report("ranking_digests_told", n.digestsSent.Load())
-		report("ranking_measurements_dropped", n.recorder.Dropped())
-	}
-	if !n.plans() {
-		return
-	}
-	state := n.state.Load()
-	counts := state.counters
-	report("ranking_digests_heard", counts.Digests)
-	report("ranking_digests_dropped", counts.DigestsDropped)
-	report("ranking_steps", counts.Steps)
-	report("ranking_step_us", uint64(state.took.Microseconds()))
-	report("ranking_suspected", counts.Suspected)
-	report("ranking_cleared", counts.Cleared)
-	report("ranking_drains", counts.Drains)
-	report("ranking_releases", counts.Reopened)
-	report("ranking_relapses", counts.Relapses)
-	report("ranking_sounded", counts.Recovered)
-	for index, count := range counts.Refused {
-		if why := nodehealth.Refusal(index); why != nodehealth.Allowed {
-			report("ranking_refused_"+why.Name(), count)
-		}
-	}
-	report("ranking_acts_done", n.decisionsMade.done.Load())
-	report("ranking_acts_refused", n.decisionsMade.refused.Load())
-	report("ranking_acts_unknown", n.decisionsMade.unknown.Load())
-	report("ranking_acts_unleased", n.decisionsMade.unleased.Load())
-	drained := uint64(0)
-	for _, row := range state.rows {
-		if row.Stage == nodehealth.Drained {
-			drained++
-		}
-	}
-	report("ranking_drained_now", drained)
-}
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -15,6 +15,7 @@
 	"github.com/cresspond/cresspond/connection/sessionapi"
 	"github.com/cresspond/cresspond/daemon/listener"
 	"github.com/cresspond/cresspond/daemon/longpoll"
+	"github.com/cresspond/cresspond/daemon/noderanking"
 	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/process/cluster/affinity"
 	"github.com/cresspond/cresspond/process/cluster/deduplication"
@@ -123,7 +124,7 @@
 
 	forwarding forwardingPath
 	// nodeRanking ranks engines by the health of their nodes.
-	nodeRanking *nodeRanking
+	nodeRanking *noderanking.Ranking
 
 	counters counters
 }
--- a/daemon/demand.go
+++ b/daemon/demand.go
@@ -48,7 +48,7 @@
 			Refusals: int64(one.Refusals), Overdue: int64(one.Overdue)})
 	}
 	if !onlyWaiting {
-		request.Nodes = d.nodeRanking.takeDigests()
+		request.Nodes = d.nodeRanking.TakeDigests()
 	}
 	return waits
 }
--- a/daemon/doc.go
+++ b/daemon/doc.go
@@ -11,7 +11,7 @@
 //     sessionaffinity.go, engineslots.go) or forwarded byte for byte (forwarding.go).
 //   - placement: it tries to be the planner that decides which engine loads which model, for sessions
 //     (sessionplanning.go) and for pools of engines that register themselves (poolplanning.go), and that drains engines
-//     which are slower than their peers (noderanking.go).
+//     which are slower than their peers (noderanking.go, and package noderanking).
 //
 // Each daemon, whatever its roles, pulls updates from its peers (pull.go, longpoll.go, registryexchange.go), holds the
 // lease of a worker id (workerlease.go), and owns a part of the fleet's memory of attempts and of session assignments
--- a/daemon/forwarding.go
+++ b/daemon/forwarding.go
@@ -71,7 +71,7 @@
 	side.actor = forwarding.NewActor(side.settings, d.forwardWorld)
 	side.gateway = gateway.New(gateway.Surroundings{
 		Clock: d.clock, Dialect: side.dialect, Index: d.forwardIndex, View: side.view, Current: d.tableIsCurrent, Held: d.generator.HasLease, EngineOpen: d.engineOpen,
-		Draining: d.draining.Load, Settings: side.settings, Recorder: d.nodeRanking.recorder,
+		Draining: d.draining.Load, Settings: side.settings, Recorder: d.nodeRanking.Recorder(),
 	}, side.actor, side.pools)
 	go side.actor.Run(ctx)
 	go d.runSweeps(ctx)
--- a/daemon/nodedigests.go
+++ b/daemon/noderanking/digests.go
@@ -1,4 +1,4 @@
-package daemon
+package noderanking
 
 import (
 	"time"
@@ -18,30 +18,30 @@
 	maxBuckets = 300
 )
 
-// takeDigests returns the measurements since the last call for the planner; nil if that was too recent.
-func (n *nodeRanking) takeDigests() []*peerapi.NodeDigest {
-	if n.recorder == nil {
+// TakeDigests returns the measurements since the last call for the planner; nil if that was too recent.
+func (r *Ranking) TakeDigests() []*peerapi.NodeDigest {
+	if r.recorder == nil {
 		return nil
 	}
-	now := n.clock.Elapsed()
-	n.sentMutex.Lock()
-	defer n.sentMutex.Unlock()
-	if now.Since(n.sentAt) < sendDigestsEvery {
+	now := r.config.Clock.Elapsed()
+	r.sentMutex.Lock()
+	defer r.sentMutex.Unlock()
+	if now.Since(r.sentAt) < sendDigestsEvery {
 		return nil
 	}
-	n.sentAt = now
-	digests := n.recorder.TakeDigests()
-	n.digestsSent.Add(uint64(len(digests)))
+	r.sentAt = now
+	digests := r.recorder.TakeDigests()
+	r.digestsSent.Add(uint64(len(digests)))
 	return encodeDigests(digests)
 }
 
-// receiveDigests takes a peer's measurements, if this daemon is the planner.
-func (n *nodeRanking) receiveDigests(in *peerapi.PullRequest) {
-	if len(in.Nodes) == 0 || !n.on() || !n.plans() || !n.poolPlanning.condition().Held {
+// ReceiveDigests takes a peer's measurements, if this daemon is the planner.
+func (r *Ranking) ReceiveDigests(in *peerapi.PullRequest) {
+	if len(in.Nodes) == 0 || !r.enabled() || !r.config.Plans || !r.holdsLease() {
 		return
 	}
 	// Measurements that find the mailbox full are dropped: the next message brings as many.
-	n.mailbox.Offer(receivedDigests{ident.ZoneID(in.Zone), decodeDigests(n.registry.View(), in.Nodes)})
+	r.mailbox.Offer(receivedDigests{ident.ZoneID(in.Zone), decodeDigests(r.host.RegisteredEngines(), in.Nodes)})
 }
 
 // encodeDigests groups digests by engine. The engine's pool is left out, since the planner knows it.
--- a/daemon/nodedigests_test.go
+++ b/daemon/noderanking/digests_test.go
@@ -1,4 +1,4 @@
-package daemon
+package noderanking
 
 import (
 	"fmt"
--- a/daemon/poolplanning.go
+++ b/daemon/poolplanning.go
@@ -77,7 +77,7 @@
 		in.Section = table.Forward.Section
 	}
 	in.Demand = p.collectDemand(now, p.forwardDemands())
-	in.Shut, in.Emptying = func(engine *registry.Engine) bool { return !p.engineOpen(engine) }, p.nodeRanking.emptying()
+	in.Shut, in.Emptying = func(engine *registry.Engine) bool { return !p.engineOpen(engine) }, p.nodeRanking.Emptying()
 	in.Outcomes = p.takeOutcomes()
 	return in
 }
--- a/daemon/pull.go
+++ b/daemon/pull.go
@@ -46,7 +46,7 @@
 	arrived := d.clock.Elapsed()
 	rowKnown := d.members.RecordPull(in)
 	wantsLost := !d.receiveDemand(in)
-	d.nodeRanking.receiveDigests(in)
+	d.nodeRanking.ReceiveDigests(in)
 	d.receiveOutcomes(in)
 	d.registry.RecordAcknowledgement(ident.NodeID(in.NodeId), cursorOf(in))
 	d.receiveDraining(in.Draining)
--- a/daemon/run.go
+++ b/daemon/run.go
@@ -194,7 +194,7 @@
 	if d.config.Serves(daemonconfig.Placement) {
 		run(d.sessionPlacer.Run)
 		d.poolPlanning.start(run)
-		d.nodeRanking.start(run)
+		d.nodeRanking.Start(run)
 	}
 }
 
