--- a/testbed/platformtest/checker/judge_test.go
+++ b/testbed/platformtest/checker/checker_test.go
@@ -73,9 +73,9 @@
 
 // at gives the place of the first request on a path from a time on.
 func (d *day) at(uri string, from float64) int {
-	for place, attempt := range d.Attempts {
+	for i, attempt := range d.Attempts {
 		if attempt.URI == uri && attempt.Began >= at(from) {
-			return place
+			return i
 		}
 	}
 	panic("no such request")
@@ -133,8 +133,8 @@
 }
 
 // again sends one of the day's changes again, with the answer that it had.
-func (d *day) again(place int, seconds float64) *history.Change {
-	change := *d.Changes[place]
+func (d *day) again(i int, seconds float64) *history.Change {
+	change := *d.Changes[i]
 	change.Operator, change.Resent, change.Began, change.Answered = "b", true, at(seconds), at(seconds+0.1)
 	d.Changes = append(d.Changes, &change)
 	return &change
@@ -240,8 +240,8 @@
 	{"MIXED", "a failure under the stamp of a success", nil, func(d *day) { d.Attempts[1].Status = 502 }},
 	{"LOST on kept connections", "connections closed on requests that went on", nil, func(d *day) {
 		for n := range keepAliveLostFew + 1 {
-			place := d.at("/split/x", 40) + n
-			cutAfter(d.Attempts[place], d.Arrivals[place], 0.3)
+			i := d.at("/split/x", 40) + n
+			cutAfter(d.Attempts[i], d.Arrivals[i], 0.3)
 		}
 	}},
 	{"CONFIG shares", "all goes to one part", nil, func(d *day) {
@@ -306,8 +306,8 @@
 		}
 	}},
 	{"DRAIN readiness", "machines that stop count as ready", nil, func(d *day) {
-		for place := range d.ReadinessChecks {
-			d.ReadinessChecks[place].Ready = true
+		for i := range d.ReadinessChecks {
+			d.ReadinessChecks[i].Ready = true
 		}
 		d.Disruptions = append(d.Disruptions, &history.Disruption{From: at(40), Until: at(41), Kind: history.Stopped, Machine: "edge-0", Planned: true})
 	}},
@@ -382,10 +382,10 @@
 		}
 	}},
 	{"CONFIG later routes served", "later routes are refused", []string{"Starved kinds"}, func(d *day) {
-		for place, attempt := range d.Attempts {
+		for i, attempt := range d.Attempts {
 			if attempt.URI == "/new/x" {
 				refuse(attempt, 503)
-				unrun(d.Arrivals[place])
+				unrun(d.Arrivals[i])
 			}
 		}
 	}},
@@ -434,10 +434,10 @@
 	{"ORDER", "it ends early as complete", nil, func(d *day) { d.Attempts[0].Events = d.Attempts[0].Events[:2] }},
 	{"ORDER", "two runs are joined", nil, func(d *day) { d.Attempts[0].Events[2].Data = protocol.EventData("t1", "e2-9", 3, 3) }},
 	{"RECOVER", "little is served after the closing fault", nil, func(d *day) {
-		for place, attempt := range d.Attempts {
+		for i, attempt := range d.Attempts {
 			if attempt.Began > at(74) && attempt.Began < at(92) {
 				refuse(attempt, 503)
-				unrun(d.Arrivals[place])
+				unrun(d.Arrivals[i])
 			}
 		}
 	}},
@@ -451,45 +451,45 @@
 		}
 	}},
 	{"Floor", "most is refused", []string{"Starved kinds", "Starved sessions", "CONFIG later routes served"}, func(d *day) {
-		for place, attempt := range d.Attempts {
-			if place%3 != 0 {
+		for i, attempt := range d.Attempts {
+			if i%3 != 0 {
 				refuse(attempt, 503)
-				unrun(d.Arrivals[place])
+				unrun(d.Arrivals[i])
 			}
 		}
 	}},
 	{"Sizes", "the largest are refused", nil, func(d *day) {
-		for place, attempt := range d.Attempts {
-			if attempt.Prompt.Model != "" && place%9 == 0 {
+		for i, attempt := range d.Attempts {
+			if attempt.Prompt.Model != "" && i%9 == 0 {
 				attempt.Prompt.TokensIn = 900
 				refuse(attempt, 503)
-				unrun(d.Arrivals[place])
+				unrun(d.Arrivals[i])
 			}
 		}
 	}},
 	{"Starved sessions", "some sessions are never served", []string{"Starved kinds"}, func(d *day) {
-		for place, attempt := range d.Attempts {
-			if place%4 == 1 {
-				attempt.Session = fmt.Sprint("poor", place%24)
+		for i, attempt := range d.Attempts {
+			if i%4 == 1 {
+				attempt.Session = fmt.Sprint("poor", i%24)
 				refuse(attempt, 503)
-				unrun(d.Arrivals[place])
+				unrun(d.Arrivals[i])
 			}
 		}
 	}},
 	{"Starved models", "some models are never served", nil, func(d *day) {
-		for place, attempt := range d.Attempts {
-			if attempt.Prompt.Model != "" && place%5 == 0 {
-				attempt.Prompt.Model = fmt.Sprint("rare", place%3)
+		for i, attempt := range d.Attempts {
+			if attempt.Prompt.Model != "" && i%5 == 0 {
+				attempt.Prompt.Model = fmt.Sprint("rare", i%3)
 				refuse(attempt, 503)
-				unrun(d.Arrivals[place])
+				unrun(d.Arrivals[i])
 			}
 		}
 	}},
 	{"Starved kinds", "one kind is hardly served", []string{"Starved sessions"}, func(d *day) {
-		for place, attempt := range d.Attempts {
+		for i, attempt := range d.Attempts {
 			if attempt.Class == protocol.Mutating {
 				refuse(attempt, 503)
-				unrun(d.Arrivals[place])
+				unrun(d.Arrivals[i])
 			}
 		}
 	}},
@@ -499,8 +499,8 @@
 		d.Disruptions = append(d.Disruptions, &history.Disruption{From: at(50), Until: at(50.1), Kind: history.UnexpectedExit, Machine: "core-0", Core: true})
 	}},
 	{"Duty", "an edge is not ready", nil, func(d *day) {
-		for place := range d.ReadinessChecks {
-			d.ReadinessChecks[place].Ready = place%4 != 0
+		for i := range d.ReadinessChecks {
+			d.ReadinessChecks[i].Ready = i%4 != 0
 		}
 	}},
 }
--- a/testbed/platformtest/checker/deadlines.go
+++ b/testbed/platformtest/checker/deadlines.go
@@ -10,31 +10,32 @@
 )
 
 const (
-	// deadlineSlack is by how much a deadline may be missed, or told too long.
+	// deadlineSlack is by how much a deadline may be missed, or forwarded too long.
 	deadlineSlack = 500 * time.Millisecond
-	// deadlinesFew is how many deadlines may be told wrongly, triesFew how many tries may run on too many engines,
-	// finalFew how many requests may lack their final answer.
+	// deadlinesFew is how many deadlines may be forwarded wrongly, attemptsFew how many attempts may run on too many
+	// engines, finalFew how many requests may lack their final answer.
 	deadlinesFew, attemptsFew, finalFew = 20, 3, 8
 )
 
+// milliseconds converts a count of milliseconds.
 func milliseconds(count int64) time.Duration { return time.Duration(count) * time.Millisecond }
 
-// deadlines holds the time that engines are handed against what is left to the client.
+// deadlines checks the deadlines that engines get against the time that is left to the client.
 func (b *index) deadlines() Finding {
 	f := Finding{Rule: "BUDGET deadlines"}
 	var wrong []string
 	late := 0
 	for _, attempt := range b.Attempts {
 		arrivals := b.arrivals[attempt.AttemptID]
-		for place, arrival := range arrivals {
-			if !b.inTouch(attempt.Daemon, arrival.At) {
+		for i, arrival := range arrivals {
+			if !b.inContact(attempt.Daemon, arrival.At) {
 				continue
 			}
 			f.Checked++
 			given := milliseconds(arrival.DeadlineMs)
 			own := attempt.Began + clock.Mark(milliseconds(attempt.DeadlineMs))
 			first := arrivals[0].At + clock.Mark(milliseconds(arrivals[0].DeadlineMs))
-			again := place > 0 && arrival.At.Since(arrivals[0].At) > deadlineSlack
+			again := i > 0 && arrival.At.Since(arrivals[0].At) > deadlineSlack
 			switch {
 			case arrival.DeadlineMs <= 0:
 				wrong = append(wrong, fmt.Sprintf("%s reached %s with no deadline", attempt.AttemptID, arrival.Engine))
@@ -63,7 +64,7 @@
 	return most
 }
 
-// engineAttempts holds the engines that one try ran on against what its route allows.
+// engineAttempts checks the number of engines that one attempt ran on against its route's limit.
 func (b *index) engineAttempts() Finding {
 	f := Finding{Rule: "BUDGET tries"}
 	var over []string
@@ -104,7 +105,7 @@
 	return attempt.Began + clock.Mark(milliseconds(longest))
 }
 
-// finalAnswers holds requests to the deadline of their route: then they have their answer, or their last one.
+// finalAnswers checks that requests have an answer, or its end, by the deadline of their route.
 func (b *index) finalAnswers() Finding {
 	f := Finding{Rule: "CONFIG final answer"}
 	var unanswered, unended []string
@@ -112,7 +113,7 @@
 	for _, attempt := range b.Attempts {
 		due := b.dueBy(attempt)
 		limit := due + clock.Mark(deadlineSlack)
-		if due == 0 || attempt.Sent == 0 || limit > b.Ended || attempt.Ended != 0 && attempt.Ended <= due || attempt.ClosedAt != 0 && attempt.ClosedAt <= limit || !b.inTouch(attempt.Daemon, limit) {
+		if due == 0 || attempt.Sent == 0 || limit > b.Ended || attempt.Ended != 0 && attempt.Ended <= due || attempt.ClosedAt != 0 && attempt.ClosedAt <= limit || !b.inContact(attempt.Daemon, limit) {
 			continue
 		}
 		f.Checked++
--- a/testbed/platformtest/checker/kept.go
+++ b/testbed/platformtest/checker/keepalive.go
@@ -11,28 +11,28 @@
 )
 
 const (
-	// keepAliveLostFew is how many requests from kept connections may be lost without an answer.
+	// keepAliveLostFew is how many requests on reused connections may be lost without an answer.
 	keepAliveLostFew = 3
-	// sharesEnough is how many requests of a route show how it is shared out, sharesOff how far each part may be off.
+	// sharesEnough is the least number of requests that shows the shares of a route, sharesOff how far each may be off.
 	sharesEnough = 200
 	sharesOff    = 0.2
 )
 
-// lostOnKeepAlive holds that a request that came on a kept connection and went on to a sound engine is answered.
+// lostOnKeepAlive checks that a request on a reused connection that reached an engine that survived is answered.
 func (b *index) lostOnKeepAlive() Finding {
 	f := Finding{Rule: "LOST on kept connections"}
 	var lost []string
 	for _, attempt := range b.Attempts {
-		if attempt.FirstOnConnection || attempt.Sent == 0 || attempt.Ended == 0 || !b.inTouch(attempt.Daemon, attempt.Ended) || b.linksDisrupted(attempt.Began, attempt.Ended) {
+		if attempt.FirstOnConnection || attempt.Sent == 0 || attempt.Ended == 0 || !b.inContact(attempt.Daemon, attempt.Ended) || b.linksDisrupted(attempt.Began, attempt.Ended) {
 			continue
 		}
 		arrivals := b.arrivals[attempt.AttemptID]
-		if len(arrivals) == 0 || slices.ContainsFunc(arrivals, func(a *history.Arrival) bool { return a.Broken || !b.sound(a) }) {
+		if len(arrivals) == 0 || slices.ContainsFunc(arrivals, func(a *history.Arrival) bool { return a.Broken || !b.engineSurvived(a) }) {
 			continue
 		}
 		f.Checked++
-		if b.cut(attempt) {
-			lost = append(lost, fmt.Sprintf("%s came to %s on a kept connection, which was closed without an answer", attempt.AttemptID, attempt.Daemon))
+		if b.lost(attempt) {
+			lost = append(lost, fmt.Sprintf("%s reached %s on a reused connection, which was closed without an answer", attempt.AttemptID, attempt.Daemon))
 		}
 	}
 	if len(lost) > keepAliveLostFew {
@@ -41,14 +41,14 @@
 	return f
 }
 
-// sound says whether an engine lived on while it had a request.
-func (b *index) sound(arrival *history.Arrival) bool {
+// engineSurvived says whether an engine's incarnation outlasted its work on a request.
+func (b *index) engineSurvived(arrival *history.Arrival) bool {
 	incarnation := b.incarnations[arrival.Engine]
 	return incarnation != nil && (incarnation.Ended == 0 || arrival.Ended != 0 && incarnation.Ended > arrival.Ended)
 }
 
-// shares holds that the parts of a route that is shared out get about what their weights say, while nothing is wrong.
-func (b *index) shares() Finding {
+// routeShares checks that the services of a route get about the shares of their weights while nothing is disrupted.
+func (b *index) routeShares() Finding {
 	f := Finding{Rule: "CONFIG shares"}
 	type key struct {
 		generation uint64
@@ -58,7 +58,7 @@
 	routes := map[key]*protocol.Route{}
 	for _, attempt := range b.Attempts {
 		version := b.onlyVersion(attempt)
-		if version == nil || !b.calm(attempt.Began, attempt.Ended) {
+		if version == nil || !b.undisturbed(attempt.Began, attempt.Ended) {
 			continue
 		}
 		route := version.Config.Find(attempt.Host, pathOf(attempt.URI))
@@ -93,7 +93,7 @@
 	return f
 }
 
-// onlyVersion gives the version that all machines in touch went by through a try; nil where it may be one of several.
+// onlyVersion is the version that all machines used throughout an attempt; nil where it may be one of several.
 func (b *index) onlyVersion(attempt *history.Attempt) *history.Change {
 	var newest *history.Change
 	for _, version := range b.versions {
--- a/testbed/platformtest/checker/linearizable.go
+++ b/testbed/platformtest/checker/linearizable.go
@@ -10,27 +10,27 @@
 )
 
 // judgeWithin is how long an explanation of a day's answers is looked for.
-const judgeWithin = time.Minute
+const linearizabilityTimeout = time.Minute
 
-// configLinearizable looks for one order of effects that explains all that operators were answered and have read.
+// configLinearizable checks that all answers and reads of operators have a linearization.
 func (b *index) configLinearizable() Finding {
 	f := Finding{Rule: "CONFIG linearizable"}
 	calls := b.operatorCalls()
 	f.Checked = len(calls)
-	if got := linearizability.Check(calls, judgeWithin); got.Verdict != linearizability.Linearizable {
+	if got := linearizability.Check(calls, linearizabilityTimeout); got.Verdict != linearizability.Linearizable {
 		f.violation("%s: %s", got.Verdict, got.Reason)
 	}
 	return f
 }
 
-// operatorCalls gives the day's calls as the model takes them. Calls of one operator may overlap, so each is a
-// client of its own.
+// operatorCalls lists the operators' calls for the linearizability checker. Calls of one operator may overlap, so each
+// is a client of its own.
 func (b *index) operatorCalls() (calls []linearizability.Call) {
 	rivals := b.rivals()
 	for _, change := range b.Changes {
 		call := linearizability.Call{Client: len(calls), Start: int64(change.Began), End: int64(change.Answered), Order: orderOf(change), Outcome: outcomes[change.Outcome]}
 		if change.Patch && rivals[change.Base] > 1 {
-			// Which of them it changed is not known, so neither is what it makes.
+			// It is not known which of them the patch changed, and so what results.
 			call.Order.Content, call.Order.Validity = "", linearizability.Uncertain
 		}
 		calls = append(calls, call)
@@ -44,7 +44,7 @@
 	return calls
 }
 
-// rivals counts the orders by the version that each leads to, without those that were refused.
+// rivals counts the different changes by the generation that each leads to, without those that were refused.
 func (b *index) rivals() map[uint64]int {
 	digests := map[uint64]map[string]bool{}
 	for _, change := range b.Changes {
@@ -78,7 +78,7 @@
 	return order
 }
 
-// content is equal for configurations that mean the same.
+// content is equal for equivalent configurations.
 func content(config *protocol.Config) string {
 	data, err := json.Marshal(canonical(config))
 	if err != nil {
--- a/testbed/platformtest/checker/requests.go
+++ b/testbed/platformtest/checker/requests.go
@@ -3,20 +3,19 @@
 import (
 	"fmt"
 	"slices"
-	"strconv"
 	"strings"
-	"time"
 
-	"github.com/cresspond/cresspond/clock"
 	"github.com/cresspond/cresspond/testbed/platformtest/history"
 	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
+// broken says whether an engine broke its answer to an attempt itself.
 func (b *index) broken(attempt string) bool {
 	return slices.ContainsFunc(b.arrivals[attempt], func(a *history.Arrival) bool { return a.Broken })
 }
 
-func (b *index) mixed() Finding {
+// mixedAnswers checks that an answer is complete, belongs to its request and is the engine's own, byte for byte.
+func (b *index) mixedAnswers() Finding {
 	f := Finding{Rule: "MIXED"}
 	for _, attempt := range b.Attempts {
 		if attempt.Unsolicited != "" {
@@ -67,7 +66,8 @@
 	return f
 }
 
-func (b *index) unasked() Finding {
+// unrequested checks that engines execute only requests that a client sent, unchanged.
+func (b *index) unrequested() Finding {
 	f := Finding{Rule: "UNASKED"}
 	for _, arrival := range b.Arrivals {
 		if !arrival.Ran() {
@@ -89,7 +89,8 @@
 	return f
 }
 
-func ran(arrivals []*history.Arrival) (count int, where []string) {
+// executions counts the arrivals that were executed, and lists their engines.
+func executions(arrivals []*history.Arrival) (count int, where []string) {
 	for _, arrival := range arrivals {
 		if arrival.Ran() {
 			count++
@@ -99,10 +100,11 @@
 	return count, where
 }
 
-func (b *index) twice() Finding {
+// executedTwice checks that a non-idempotent request is executed at most once.
+func (b *index) executedTwice() Finding {
 	f := Finding{Rule: "TWICE"}
 	for _, attempt := range b.Attempts {
-		count, where := ran(b.arrivals[attempt.AttemptID])
+		count, where := executions(b.arrivals[attempt.AttemptID])
 		if b.idempotent(attempt) || count == 0 {
 			continue
 		}
@@ -114,36 +116,38 @@
 	return f
 }
 
-func (b *index) refused() Finding {
+// executedAfterRefusal checks that a request with an answer that promises no execution was not executed.
+func (b *index) executedAfterRefusal() Finding {
 	f := Finding{Rule: "REFUSED"}
 	for _, attempt := range b.Attempts {
 		if b.idempotent(attempt) || !attempt.PromisesNotRun() {
 			continue
 		}
 		f.Checked++
-		if count, where := ran(b.arrivals[attempt.AttemptID]); count > 0 {
+		if count, where := executions(b.arrivals[attempt.AttemptID]); count > 0 {
 			f.violation("%s was answered %d and ran at %v", attempt.AttemptID, attempt.Status, where)
 		}
 	}
 	return f
 }
 
-// unknownFew is how many answers that something is not known, or not allowed, machines out of touch may give.
+// unknownFew is how many answers 401, 403 or 404 machines without contact may give.
 const unknownFew = 10
 
-func (b *index) denied() Finding {
+// deniedRequests checks that daemons do not reject requests that the configuration in force allows.
+func (b *index) deniedRequests() Finding {
 	f := Finding{Rule: "DENIED"}
 	var denied, unknown []string
 	for _, attempt := range b.Attempts {
 		if !attempt.Probe && !attempt.Absent {
 			f.Checked++
 		}
-		if attempt.Probe || attempt.Absent || !own(attempt) || attempt.PromisesNotRun() || attempt.Status < 300 || attempt.Status > 499 {
+		if attempt.Probe || attempt.Absent || !answeredByDaemon(attempt) || attempt.PromisesNotRun() || attempt.Status < 300 || attempt.Status > 499 {
 			continue
 		}
-		if !b.inTouch(attempt.Daemon, attempt.Ended) {
+		if !b.inContact(attempt.Daemon, attempt.Ended) {
 			if slices.Contains([]int{401, 403, 404}, attempt.Status) && b.alwaysAllowed(attempt) {
-				unknown = append(unknown, fmt.Sprintf("%s was answered %d by %s, which was out of touch", attempt.AttemptID, attempt.Status, attempt.Daemon))
+				unknown = append(unknown, fmt.Sprintf("%s was answered %d by %s, which had no contact", attempt.AttemptID, attempt.Status, attempt.Daemon))
 			}
 			continue
 		}
@@ -166,22 +170,23 @@
 	return f
 }
 
-// alwaysAllowed says whether all configurations of the day have a route for a request.
+// alwaysAllowed says whether all configurations of the run have a route for a request.
 func (b *index) alwaysAllowed(attempt *history.Attempt) bool {
 	return !slices.ContainsFunc(b.versions, func(version *history.Change) bool {
 		return version.Config.Find(attempt.Host, pathOf(attempt.URI)) == nil
 	})
 }
 
-func (b *index) route() Finding {
+// routing checks that each request ran at a service that some configuration allowed.
+func (b *index) routing() Finding {
 	f := Finding{Rule: "ROUTE"}
 	for _, arrival := range b.Arrivals {
 		if !arrival.Ran() {
 			continue
 		}
 		f.Checked++
-		ever := func(list []*history.Change) bool {
-			return slices.ContainsFunc(list, func(c *history.Change) bool { return allows(c.Config, arrival.Host, arrival.URI, arrival.Service) })
+		ever := func(items []*history.Change) bool {
+			return slices.ContainsFunc(items, func(c *history.Change) bool { return allows(c.Config, arrival.Host, arrival.URI, arrival.Service) })
 		}
 		if !ever(b.versions) && !ever(b.rejected) {
 			f.violation("%s ran at %s of %s, which no configuration ever allowed", arrival.AttemptID, arrival.Engine, arrival.Service)
@@ -189,258 +194,3 @@
 	}
 	return f
 }
-
-func (b *index) drain() Finding {
-	f := Finding{Rule: "DRAIN"}
-	for _, incarnation := range b.Incarnations {
-		if incarnation.DrainAcked == 0 {
-			continue
-		}
-		f.Checked++
-		start := incarnation.DrainAcked
-		for _, disruption := range b.Disruptions {
-			// The time starts once the core is settled again.
-			if disruption.Core && disruption.From <= start && (disruption.Until == 0 || disruption.Until+clock.Mark(b.bounds.Contact) > start) {
-				if disruption.Until == 0 {
-					start = b.Ended
-				} else {
-					start = disruption.Until + clock.Mark(b.bounds.Contact)
-				}
-			}
-		}
-		for _, arrival := range b.Arrivals {
-			if arrival.Engine != incarnation.Engine || arrival.HealthCheck || arrival.Status == 421 || arrival.At <= start+clock.Mark(b.bounds.Drain) {
-				continue
-			}
-			if attempt := b.attempts[arrival.AttemptID]; attempt != nil && b.inTouch(attempt.Daemon, arrival.At) {
-				f.violation("%s reached %s from %s %v after its leaving was acknowledged", arrival.AttemptID, arrival.Engine, attempt.Daemon, arrival.At.Since(incarnation.DrainAcked).Round(time.Millisecond))
-			}
-		}
-	}
-	return f
-}
-
-// cut says that a request was read, and its connection closed with no complete answer, by the system's doing.
-func (b *index) cut(attempt *history.Attempt) bool {
-	if !attempt.Connected || attempt.Sent == 0 || attempt.Ended == 0 || attempt.ClientClosed || attempt.Status != 0 && attempt.Complete {
-		return false
-	}
-	arrivals := b.arrivals[attempt.AttemptID]
-	if len(arrivals) == 0 && attempt.Ended <= attempt.Sent+clock.Mark(b.bounds.LossSlack) {
-		return false
-	}
-	if b.broken(attempt.AttemptID) || attempt.Ended.Since(attempt.Began) >= time.Duration(attempt.DeadlineMs)*time.Millisecond {
-		return false
-	}
-	if b.timedOut(attempt) {
-		return false
-	}
-	for _, arrival := range arrivals {
-		if incarnation := b.incarnations[arrival.Engine]; incarnation != nil && incarnation.Ended != 0 && incarnation.Ended <= attempt.Ended {
-			return false
-		}
-	}
-	return true
-}
-
-// timedOut says that the route's own longest time was reached.
-func (b *index) timedOut(attempt *history.Attempt) bool {
-	for _, version := range b.versions {
-		if route := version.Config.Find(attempt.Host, pathOf(attempt.URI)); route != nil && attempt.Ended.Since(attempt.Began) >= time.Duration(route.DeadlineMs)*time.Millisecond {
-			return true
-		}
-	}
-	return false
-}
-
-// excusedFor is until how long after a stop began a request may be sent whose engine may outlast the machine.
-const excusedFor = 3 * time.Second
-
-func (b *index) lostPlanned() Finding {
-	f := Finding{Rule: "LOST around planned work"}
-	unplanned := func(attempt *history.Attempt) bool {
-		return b.disrupted(before(attempt.Began, b.bounds.Contact), attempt.Ended, func(t *history.Disruption) bool {
-			return !t.Planned && (t.Machine == attempt.Daemon || t.Core || t.Kind == history.Closing || t.Kind == history.Link)
-		})
-	}
-	for _, disruption := range b.Disruptions {
-		if !disruption.Planned || disruption.Kind != history.Stopped && disruption.Kind != history.Reload {
-			continue
-		}
-		until := disruption.From + clock.Mark(b.bounds.Grace+time.Second)
-		for _, attempt := range b.Attempts {
-			if attempt.Daemon != disruption.Machine || attempt.Ended < disruption.From || attempt.Ended > until || unplanned(attempt) {
-				continue
-			}
-			if disruption.Kind == history.Reload && attempt.Began > disruption.From+clock.Mark(b.bounds.Apply) {
-				continue
-			}
-			f.Checked++
-			if !b.cut(attempt) {
-				continue
-			}
-			if disruption.Kind == history.Stopped && attempt.Sent <= disruption.From+clock.Mark(excusedFor) && b.stillRunning(attempt, disruption.From+clock.Mark(b.bounds.Grace/2)) {
-				continue
-			}
-			f.violation("%s at %s was cut around its %s", attempt.AttemptID, attempt.Daemon, disruption.Kind)
-		}
-	}
-	b.lostOverChanges(&f, unplanned)
-	return f
-}
-
-// stillRunning says whether an engine was still at work on it then.
-func (b *index) stillRunning(attempt *history.Attempt, at clock.Mark) bool {
-	return slices.ContainsFunc(b.arrivals[attempt.AttemptID], func(a *history.Arrival) bool { return a.At <= at && (a.Ended == 0 || a.Ended > at) })
-}
-
-// lostOverChanges compares the time around changes of the configuration with the rest, machine by machine.
-func (b *index) lostOverChanges(f *Finding, unplanned func(*history.Attempt) bool) {
-	near := func(attempt *history.Attempt) bool {
-		for _, version := range b.versions {
-			end := version.Answered
-			if end == 0 {
-				end = version.Began
-			}
-			if attempt.Ended >= version.Began && attempt.Ended <= end+clock.Mark(b.bounds.Apply+time.Second) {
-				return true
-			}
-		}
-		return false
-	}
-	type tally struct{ cut, all int }
-	machines := map[string]*[2]tally{}
-	for _, attempt := range b.Attempts {
-		if attempt.Ended == 0 || attempt.Daemon == "" || unplanned(attempt) || float64(attempt.Ended.Since(attempt.Began)) > 0.7*float64(attempt.DeadlineMs)*float64(time.Millisecond) {
-			continue
-		}
-		count := machines[attempt.Daemon]
-		if count == nil {
-			count = &[2]tally{}
-			machines[attempt.Daemon] = count
-		}
-		place := 1
-		if near(attempt) {
-			place = 0
-		}
-		count[place].all++
-		if b.cut(attempt) {
-			count[place].cut++
-		}
-	}
-	for machine, count := range machines {
-		f.Checked += count[0].all
-		if count[0].cut == 0 {
-			continue
-		}
-		usual := 0.0
-		if count[1].all > 0 {
-			usual = float64(count[1].cut) / float64(count[1].all)
-		}
-		if float64(count[0].cut)/float64(count[0].all) > 3*usual {
-			f.violation("%s cut %d of %d requests around changes of the configuration, and %d of %d at other times", machine, count[0].cut, count[0].all, count[1].cut, count[1].all)
-		}
-	}
-	slices.Sort(f.Violations)
-}
-
-func (b *index) budget() Finding {
-	f := Finding{Rule: "BUDGET"}
-	window := clock.Mark(b.bounds.RetryWindow)
-	further := map[string][]clock.Mark{}
-	for _, arrivals := range b.arrivals {
-		seen := map[string]bool{}
-		for _, arrival := range arrivals {
-			if seen[arrival.Service] {
-				further[arrival.Service] = append(further[arrival.Service], arrival.At)
-			}
-			seen[arrival.Service] = true
-		}
-	}
-	asked := map[string][]clock.Mark{}
-	for _, attempt := range b.Attempts {
-		if attempt.Sent == 0 {
-			continue
-		}
-		services := map[string]bool{}
-		for _, version := range b.versions {
-			if route := version.Config.Find(attempt.Host, pathOf(attempt.URI)); route != nil {
-				for _, service := range route.Services() {
-					services[service] = true
-				}
-			}
-		}
-		for service := range services {
-			asked[service] = append(asked[service], attempt.Began)
-		}
-	}
-	count := func(marks []clock.Mark, from, to clock.Mark) int {
-		low, _ := slices.BinarySearch(marks, from+1)
-		high, _ := slices.BinarySearch(marks, to+1)
-		return high - low
-	}
-	for service, marks := range asked {
-		slices.Sort(marks)
-		again := further[service]
-		slices.Sort(again)
-		f.Checked += len(marks)
-		for _, end := range again {
-			// Every span counts; one that ends with a further arrival holds the most.
-			more := count(again, end-window, end)
-			requests := max(count(marks, end-window, end), count(marks, end-2*window, end-window), count(marks, end-window*3/2, end-window/2))
-			if allowed := b.bounds.RetryRatio*float64(requests) + float64(b.bounds.RetrySlack); float64(more) > allowed {
-				f.violation("%s got %d further arrivals within %v for %d requests", service, more, b.bounds.RetryWindow, requests)
-				break
-			}
-		}
-	}
-	slices.Sort(f.Violations)
-	return f
-}
-
-func (b *index) order() Finding {
-	f := Finding{Rule: "ORDER"}
-	for _, attempt := range b.Attempts {
-		if attempt.Class != protocol.Streaming || attempt.Status < 200 || attempt.Status > 299 {
-			continue
-		}
-		f.Checked++
-		if fault := b.streamFault(attempt); fault != "" {
-			f.violation("%s: %s", attempt.AttemptID, fault)
-		}
-	}
-	return f
-}
-
-func (b *index) streamFault(attempt *history.Attempt) string {
-	place := 0
-	if attempt.LastEvent != "" {
-		place, _ = strconv.Atoi(attempt.LastEvent)
-	}
-	run, of := "", 0
-	for _, event := range attempt.Events {
-		_, in, at, all, ok := protocol.ReadEventData(event.Data)
-		if !ok {
-			return "an event cannot be read: " + event.Data
-		}
-		if event.ID != strconv.Itoa(at) {
-			return fmt.Sprintf("event %d bears the id %s", at, event.ID)
-		}
-		if at != place+1 {
-			return fmt.Sprintf("event %d where %d was due", at, place+1)
-		}
-		if run != "" && in != run {
-			went := slices.ContainsFunc(b.arrivals[attempt.AttemptID], func(a *history.Arrival) bool { return a.Run == in && a.LastEvent == strconv.Itoa(place) })
-			if !b.idempotent(attempt) || !went {
-				return fmt.Sprintf("pieces of %s and %s are joined", run, in)
-			}
-		}
-		run, of, place = in, all, at
-	}
-	// One that is taken up behind the last event has nothing left to come.
-	nothingLeft := len(attempt.Events) == 0 && attempt.LastEvent != ""
-	if attempt.Complete && !nothingLeft && (place != of || len(attempt.Events) == 0) {
-		return fmt.Sprintf("it ends as complete after event %d of %d", place, of)
-	}
-	return ""
-}
--- a/testbed/platformtest/client/client.go
+++ b/testbed/platformtest/client/client.go
@@ -12,7 +12,7 @@
 	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
-// Request is what a client wants an answer to; it may take several tries.
+// Request is what a client wants an answer to; it may take several attempts.
 type Request struct {
 	ID, Kind, Session string
 	Zone              string
@@ -22,22 +22,22 @@
 	// Chunked sends the body in chunks.
 	Chunked bool
 	Prompt  protocol.Prompt
-	// Class and Resumable are as the route says; Deadline is how long the client waits.
+	// Class and Resumable are the route's; Deadline is how long the client waits, Target the latency target.
 	Class            string
 	Resumable        bool
 	Deadline, Target time.Duration
 	Gap              time.Duration
-	// MaxAttempts is how often it tries in all.
+	// MaxAttempts is the number of attempts in all.
 	MaxAttempts int
-	// CloseAfter is how long after it was sent the client closes its connection, whatever came; zero is never.
+	// CloseAfter is how long after sending the client closes the connection, whatever arrived; zero is never.
 	CloseAfter time.Duration
-	// Impatient clients try again at once, and do not wait as told.
+	// Impatient clients retry at once, without backoff and whatever Retry-After says.
 	Impatient bool
-	// ExceedsDeadline marks one whose work takes longer than its route's deadline.
+	// ExceedsDeadline marks a request whose work takes longer than its route's deadline.
 	ExceedsDeadline bool
-	// Probe marks one that shows the configuration in force; Absent: its route is not there.
+	// Probe marks a request that shows the configuration in force; Absent: its route must not exist.
 	Probe, Absent bool
-	// Only sends all tries to this daemon.
+	// Only sends all attempts to this daemon; nil lets the client pick.
 	Only *Daemon
 }
 
@@ -45,24 +45,24 @@
 	return r.Class == protocol.Idempotent || r.Class == protocol.Streaming && r.Resumable
 }
 
-// Daemon is where a connection is handed to.
+// Daemon is where a connection leads.
 type Daemon struct{ Name, Address string }
 
-// Client sends requests one after the other.
+// Client sends one request after the other.
 type Client struct {
 	Recorder *history.Recorder
 	// PickDaemon picks the daemon for a new connection from a zone; false if there is none.
 	PickDaemon func(zone string) (Daemon, bool)
-	// KeepAlive says that it keeps connections.
+	// KeepAlive reuses connections.
 	KeepAlive bool
-	// NextAttemptID gives ids that nobody else gives.
+	// NextAttemptID returns a unique id.
 	NextAttemptID func() string
 
 	mutex    sync.Mutex
 	idleConn *Conn
 }
 
-// NewAttemptIDs gives attempt ids from a seed.
+// NewAttemptIDs returns a generator of attempt ids from a seed, safe for concurrent use.
 func NewAttemptIDs(seed uint64) func() string {
 	var mutex sync.Mutex
 	random := rand.New(rand.NewPCG(seed, 77))
@@ -73,7 +73,7 @@
 	}
 }
 
-// Close closes what it keeps.
+// Close closes the idle connection.
 func (c *Client) Close() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -83,7 +83,7 @@
 	}
 }
 
-// Do tries until there is an answer or no further try is allowed, and gives the tries.
+// Do sends a request until there is an answer or no retry is allowed, and returns the attempts.
 func (c *Client) Do(ctx context.Context, r *Request) []*history.Attempt {
 	began := c.Recorder.Now()
 	until := began + clock.Mark(r.Deadline)
@@ -127,7 +127,7 @@
 	}
 }
 
-// shouldRetry says whether the page allows another try after this one.
+// shouldRetry says whether the platform's protocol allows a retry after this attempt.
 func shouldRetry(r *Request, attempt *history.Attempt) bool {
 	if attempt.Early || attempt.ClientClosed && !r.idempotent() {
 		return false
@@ -142,11 +142,11 @@
 	case r.idempotent():
 		return true
 	}
-	// Nothing was sent: nobody can have read it.
+	// Nothing was sent, so nobody can have read it.
 	return attempt.Sent == 0 && !attempt.Connected
 }
 
-// connect gives a connection, kept or new.
+// connect returns a connection, idle or new.
 func (c *Client) connect(ctx context.Context, r *Request, fresh bool) (*Conn, Daemon, error) {
 	c.mutex.Lock()
 	kept := c.idleConn
@@ -164,14 +164,14 @@
 	} else {
 		var ok bool
 		if daemon, ok = c.PickDaemon(r.Zone); !ok {
-			return nil, daemon, fmt.Errorf("no daemon takes connections")
+			return nil, daemon, fmt.Errorf("no daemon accepts connections")
 		}
 	}
 	conn, err := Dial(ctx, c.Recorder, daemon.Name, daemon.Address)
 	return conn, daemon, err
 }
 
-// attempt makes one try.
+// attempt makes one attempt.
 func (c *Client) attempt(ctx context.Context, r *Request, left time.Duration, lastEvent string, fresh bool) *history.Attempt {
 	attempt := &history.Attempt{Request: r.ID, Kind: r.Kind, Session: r.Session, Zone: r.Zone, AttemptID: c.NextAttemptID(), Host: r.Host, Method: r.Method, URI: r.URI,
 		BodyDigest: protocol.Digest(r.Body), BodyBytes: len(r.Body), Prompt: r.Prompt, LastEvent: lastEvent, DeadlineMs: left.Milliseconds(), TargetMs: r.Target.Milliseconds(),
@@ -195,13 +195,13 @@
 	return attempt
 }
 
-// Send sends a try over a connection and waits for its answer, as long as a client would.
+// Send sends an attempt over a connection and waits for its answer as long as a client would.
 func Send(ctx context.Context, conn *Conn, r *Request, attempt *history.Attempt, left time.Duration, lastEvent string) {
 	due := conn.expect(attempt)
 	data := Wire(r, attempt.AttemptID, left, lastEvent)
 	written := make(chan bool, 1)
 	go func() {
-		// A daemon that does not read holds the writer up; the answer may come all the same.
+		// A daemon that does not read blocks the writer; the answer may arrive all the same.
 		_, err := conn.conn.Write(data)
 		if err == nil {
 			conn.recorder.Record(func(*history.History) { attempt.Sent = conn.recorder.Now() })
--- a/testbed/platformtest/client/conn.go
+++ b/testbed/platformtest/client/conn.go
@@ -1,5 +1,5 @@
-// Package client is a stand-in for the platform's clients: it tries as the platform's page says clients
-// try, and writes down each try and each byte that came back.
+// Package client simulates the platform's clients: it sends and retries as the platform's protocol prescribes, over
+// sockets of its own, and records each attempt with every byte that came back.
 package client
 
 import (
@@ -28,32 +28,32 @@
 	recorder *history.Recorder
 	conn     *net.TCPConn
 	reader   *bufio.Reader
-	// Daemon names whom it leads to.
+	// Daemon names the machine that it leads to.
 	Daemon string
 
 	mutex sync.Mutex
-	// awaited is the try whose answer is due; last is the one before.
+	// awaited is the attempt whose answer is due; last is the one before.
 	awaited, last *pending
 	requestCount  int
-	// readClosed says that nothing more is read.
+	// readClosed is set where nothing more is read.
 	readClosed bool
 	ended      chan struct{}
-	// closeAnnounced says that the daemon wants it closed, until is how long it may be idle.
+	// closeAnnounced is set where the daemon wants it closed; idleDeadline is until when it may be idle.
 	closeAnnounced bool
 	idleDeadline   clock.Mark
 }
 
-// pending is a try under way.
+// pending is an attempt in progress.
 type pending struct {
 	attempt *history.Attempt
-	// method decides how an answer is framed.
+	// method decides on the framing of the answer.
 	method string
 	done   chan struct{}
-	// eventReceived tells of each event, so that silence can be noticed.
+	// eventReceived signals each event, to detect a stalled stream.
 	eventReceived chan struct{}
 }
 
-// Dial opens a connection; it gets as long as the page says.
+// Dial opens a connection, within the second that the platform's protocol gives.
 func Dial(ctx context.Context, recorder *history.Recorder, daemon, address string) (*Conn, error) {
 	dialer := net.Dialer{Timeout: time.Second}
 	raw, err := dialer.DialContext(ctx, "tcp", address)
@@ -80,7 +80,7 @@
 	return !c.readClosed && !c.closeAnnounced && c.awaited == nil && (c.idleDeadline == 0 || c.recorder.Now() < c.idleDeadline)
 }
 
-// read takes answers as they come, and bytes that nobody waits for.
+// read reads answers as they arrive, and bytes that no request waits for.
 func (c *Conn) read() {
 	defer close(c.ended)
 	defer c.conn.Close()
@@ -118,7 +118,7 @@
 	close(due.done)
 }
 
-// finishAndStop finishes a try after which nothing more is read; false.
+// finishAndStop finishes an attempt after which nothing more is read; it returns false.
 func (c *Conn) finishAndStop(due *pending) bool {
 	c.mutex.Lock()
 	c.readClosed = true
@@ -138,7 +138,7 @@
 	answers := strings.HasPrefix("HTTP/1.1 ", string(beginning[:min(9, len(beginning))]))
 	response, err := http.ReadResponse(c.reader, &http.Request{Method: due.method})
 	if err != nil {
-		// The beginning of an answer, and then the end of the connection, is an answer cut short and no junk.
+		// The beginning of an answer and then the end of the connection is a truncated answer, not a malformed one.
 		_, after := c.reader.Peek(1)
 		c.recorder.Record(func(*history.History) {
 			due.attempt.Err = err.Error()
@@ -192,7 +192,7 @@
 	return true
 }
 
-// malformed tells bytes that are no answer from an answer that was cut.
+// malformed tells bytes that are no HTTP answer from a truncated answer.
 func malformed(err error) bool {
 	var network net.Error
 	var protocol textproto.ProtocolError
@@ -205,7 +205,7 @@
 	return strings.Contains(err.Error(), "malformed") || strings.Contains(err.Error(), "invalid") || strings.Contains(err.Error(), "unsupported")
 }
 
-// events reads a series of events, each as it comes.
+// events reads a stream of events, each as it arrives.
 func (c *Conn) events(due *pending, body io.Reader) error {
 	reader := bufio.NewReader(body)
 	var event history.Event
@@ -214,7 +214,7 @@
 		line, err := reader.ReadString('\n')
 		if err != nil {
 			if err == io.EOF && (some || line != "") {
-				// A cut in the middle of an event, in an answer that ends as whole, is a piece of an event.
+				// An answer that is complete by its framing and ends inside an event is malformed.
 				c.recorder.Record(func(*history.History) { due.attempt.Malformed = "the answer ends inside an event" })
 			}
 			if err == io.EOF {
@@ -245,7 +245,7 @@
 	}
 }
 
-// Wire writes a request as bytes.
+// Wire encodes a request as it goes over the connection.
 func Wire(r *Request, attempt string, left time.Duration, lastEvent string) []byte {
 	header := http.Header{protocol.Attempt: {attempt}, protocol.Deadline: {strconv.FormatInt(left.Milliseconds(), 10)}}
 	if r.Prompt.Model != "" {
@@ -285,7 +285,7 @@
 	return buffer.Bytes()
 }
 
-// expect makes a try the one whose answer is due.
+// expect makes an attempt the one whose answer is due.
 func (c *Conn) expect(attempt *history.Attempt) *pending {
 	due := &pending{attempt: attempt, method: attempt.Method, done: make(chan struct{}), eventReceived: make(chan struct{}, 1)}
 	c.mutex.Lock()
--- a/testbed/platformtest/contract/answers_test.go
+++ b/testbed/platformtest/contract/answers_test.go
@@ -7,12 +7,12 @@
 )
 
 func TestEachClassIsServedCompletely(t *testing.T) {
-	b := newBench(t)
-	b.plain(nil)
-	b.model(nil)
+	f := newFixture(t)
+	f.plain(nil)
+	f.model(nil)
 	for _, class := range []string{"again", "once", "stream", "resume"} {
-		b.known(class, 1)
-		attempt := b.answered(b.request(class))
+		f.awaitEngines(class, 1)
+		attempt := f.askUntilExecuted(f.request(class))
 		if !attempt.Success() || attempt.AnsweredID != attempt.AttemptID {
 			t.Errorf("%s: %+v", class, attempt)
 		}
@@ -20,5 +20,5 @@
 			t.Errorf("%s: the stamp %q", class, attempt.Seal)
 		}
 	}
-	b.sound()
+	f.checkRules()
 }
--- a/testbed/platformtest/contract/contract.go
+++ b/testbed/platformtest/contract/contract.go
@@ -1,3 +1,3 @@
-// Package contract holds the tests of what is spoken on both sides of the platform: clients at a router's
-// front, engines behind it, over real sockets, against the program as it is deployed.
+// Package contract tests the protocol on both sides of the platform: clients at a router, and engines behind it, over real
+// sockets, against the program as it is deployed.
 package contract
--- a/testbed/platformtest/contract/fixture_test.go
+++ b/testbed/platformtest/contract/fixture_test.go
@@ -31,10 +31,10 @@
 // host is what clients ask for.
 const host = "front.example"
 
-// services is how many tests can have engines of their own.
+// services is the number of tests that can have engines of their own.
 const services = 40
 
-// shared is the one fleet that all tests of this package speak to; each test has a service of its own on it.
+// shared is the one fleet of all tests of this package; each test has a service of its own on it.
 var shared struct {
 	fleet *fleet.Fleet
 	book  *history.Recorder
@@ -68,7 +68,7 @@
 	o := operator.New("first", 1, shared.book, f.Controls)
 	if change := o.Put(ctx, 0, config(), ""); change.Outcome != history.Acknowledged {
 		f.KillAll()
-		panic(fmt.Sprintf("the first configuration was not taken: %+v; logs in %s", change, folder))
+		panic(fmt.Sprintf("the first configuration was not accepted: %+v; logs in %s", change, folder))
 	}
 	for !shared.entry.Ready(ctx, f.OfClass(fleet.Edge)[0]) {
 		if ctx.Err() != nil {
@@ -103,7 +103,7 @@
 	Recovery: 12 * time.Second, Ack: 4000 * ms, RetryWindow: 10 * time.Second, RetryRatio: 0.2, RetrySlack: 100000, Lease: 3000 * ms, Unfreeze: 300 * ms,
 	OriginWindow: 5 * time.Second, OriginExcess: 1.1}
 
-// config has for each service a plain pool and a model pool, and a path of each class.
+// config has a plain pool, a model pool and a route of each class for each service.
 func config() *protocol.Config {
 	c := &protocol.Config{Generation: 1, Limits: protocol.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 1 << 20, HeaderTimeoutMs: 3000, IdleTimeoutMs: 30000}}
 	for n := range services {
@@ -123,60 +123,60 @@
 	return c
 }
 
-// bench is one test's own service.
-type bench struct {
+// fixture is one test's own service on the shared fleet.
+type fixture struct {
 	t        *testing.T
 	number   int
 	engines  []*engine.Engine
 	recorder *history.Recorder
 }
 
-func newBench(t *testing.T) *bench {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	t.Parallel()
 	number := int(shared.taken.Add(1)) - 1
 	if number >= services {
 		t.Fatal("there are more tests than services")
 	}
-	return &bench{t: t, number: number, recorder: shared.book}
+	return &fixture{t: t, number: number, recorder: shared.book}
 }
 
-// plain starts a plain engine of the test's service, and model one that holds the model m.
-func (b *bench) plain(change func(*engine.Config)) *engine.Engine {
-	b.t.Helper()
-	return b.start(engine.Config{Service: fmt.Sprintf("plain-%d", b.number), Slots: 8, Waiting: 8, Work: 100 * time.Microsecond, AnswerBytes: 60}, change)
+// plain starts a plain engine of the test's service, model one that has loaded the model m.
+func (f *fixture) plain(change func(*engine.Config)) *engine.Engine {
+	f.t.Helper()
+	return f.start(engine.Config{Service: fmt.Sprintf("plain-%d", f.number), Slots: 8, Waiting: 8, Work: 100 * time.Microsecond, AnswerBytes: 60}, change)
 }
 
-func (b *bench) model(change func(*engine.Config)) *engine.Engine {
-	b.t.Helper()
-	c := config().Backend(fmt.Sprintf("model-%d", b.number))
-	return b.start(engine.Config{Service: c.Label, Model: true, Pace: engine.Pace{Slots: 8, Waiting: 8, Memory: 4000, StepTime: 300 * time.Microsecond, PrefillPerMs: 1000, PrefillAtOnce: 500, Stride: 2},
+func (f *fixture) model(change func(*engine.Config)) *engine.Engine {
+	f.t.Helper()
+	c := config().Backend(fmt.Sprintf("model-%d", f.number))
+	return f.start(engine.Config{Service: c.Label, Model: true, Pace: engine.Pace{Slots: 8, Waiting: 8, Memory: 4000, StepTime: 300 * time.Microsecond, PrefillPerMs: 1000, PrefillAtOnce: 500, Stride: 2},
 		Capacity: engine.Capacity{Catalogue: *c.Engine, DiskShare: 0.5, AdapterTime: ms}, Store: &engine.Store{}, InitialModels: []protocol.Holding{{Label: "m", Generation: 1}}}, change)
 }
 
-func (b *bench) start(c engine.Config, change func(*engine.Config)) *engine.Engine {
-	b.t.Helper()
-	c.Name, c.Zone, c.Software, c.HealthPath, c.MaxConns = fmt.Sprintf("%s-%d", c.Service, len(b.engines)), "a", "v1", "/health", 60
-	c.Address, c.IdleClose, c.ReportLag, c.Seed = loopback.Host()+":0", 20*time.Second, 50*ms, uint64(b.number)
+func (f *fixture) start(c engine.Config, change func(*engine.Config)) *engine.Engine {
+	f.t.Helper()
+	c.Name, c.Zone, c.Software, c.HealthPath, c.MaxConns = fmt.Sprintf("%s-%d", c.Service, len(f.engines)), "a", "v1", "/health", 60
+	c.Address, c.IdleClose, c.ReportLag, c.Seed = loopback.Host()+":0", 20*time.Second, 50*ms, uint64(f.number)
 	c.HeartbeatPeriod, c.Controls, c.DrainBound, c.DrainPatience = 200*ms, shared.fleet.Controls, bounds.Drain, 10*time.Second
 	if change != nil {
 		change(&c)
 	}
-	e := engine.New(c, b.recorder)
+	e := engine.New(c, f.recorder)
 	if err := e.Start(); err != nil {
-		b.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	b.t.Cleanup(e.Stop)
-	b.engines = append(b.engines, e)
+	f.t.Cleanup(e.Stop)
+	f.engines = append(f.engines, e)
 	return e
 }
 
-// path gives the path of the test's own route of a class.
-func (b *bench) path(class string) string { return fmt.Sprintf("/%s/%d/x", class, b.number) }
+// path is the path of the test's own route of a class.
+func (f *fixture) path(class string) string { return fmt.Sprintf("/%s/%d/x", class, f.number) }
 
-// request makes one of a class: again, once, stream or resume.
-func (b *bench) request(class string) *client.Request {
-	r := &client.Request{ID: fmt.Sprintf("%s-%d", class, b.number), Kind: class, Zone: "a", Host: host, Method: http.MethodPost, URI: b.path(class), Body: []byte("the body"),
+// request makes a request of a class: again (idempotent), once, stream or resume.
+func (f *fixture) request(class string) *client.Request {
+	r := &client.Request{ID: fmt.Sprintf("%s-%d", class, f.number), Kind: class, Zone: "a", Host: host, Method: http.MethodPost, URI: f.path(class), Body: []byte("the body"),
 		Deadline: 15 * time.Second, Target: 2 * time.Second, Gap: time.Second}
 	switch class {
 	case "again":
@@ -185,66 +185,66 @@
 		r.Class = protocol.Mutating
 	default:
 		r.Class, r.Resumable = protocol.Streaming, class == "resume"
-		r.Prompt = protocol.Prompt{Model: "m", TokensIn: 100, TokensOut: 12, Parts: []protocol.Part{{ID: "aa", Tokens: 60}, {ID: fmt.Sprintf("%x", b.number), Tokens: 40}}}
+		r.Prompt = protocol.Prompt{Model: "m", TokensIn: 100, TokensOut: 12, Parts: []protocol.Part{{ID: "aa", Tokens: 60}, {ID: fmt.Sprintf("%x", f.number), Tokens: 40}}}
 	}
 	return r
 }
 
-var attempts = client.NewAttemptIDs(uint64(os.Getpid()))
+var nextAttemptID = client.NewAttemptIDs(uint64(os.Getpid()))
 
-// newClient makes a client that enters at the one router.
-func (b *bench) newClient() *client.Client {
-	c := &client.Client{Recorder: b.recorder, NextAttemptID: attempts, PickDaemon: func(string) (client.Daemon, bool) {
-		return client.Daemon{Name: "edge-0", Address: b.front()}, true
+// newClient makes a client of the one router.
+func (f *fixture) newClient() *client.Client {
+	c := &client.Client{Recorder: f.recorder, NextAttemptID: nextAttemptID, PickDaemon: func(string) (client.Daemon, bool) {
+		return client.Daemon{Name: "edge-0", Address: f.front()}, true
 	}}
-	b.t.Cleanup(c.Close)
+	f.t.Cleanup(c.Close)
 	return c
 }
 
-func (b *bench) front() string { return shared.fleet.OfClass(fleet.Edge)[0].Front() }
+func (f *fixture) front() string { return shared.fleet.OfClass(fleet.Edge)[0].Front() }
 
-// ask sends a request once and gives its try.
-func (b *bench) ask(r *client.Request) *history.Attempt {
-	b.t.Helper()
-	attempts := b.newClient().Do(context.Background(), r)
+// ask sends a request once and returns the attempt.
+func (f *fixture) ask(r *client.Request) *history.Attempt {
+	f.t.Helper()
+	attempts := f.newClient().Do(context.Background(), r)
 	if len(attempts) == 0 {
-		b.t.Fatal("nothing was tried")
+		f.t.Fatal("no attempt was made")
 	}
 	return attempts[0]
 }
 
-// answered sends a request and, as long as it is promised not to have run, again, as the page lets clients do. It
-// gives the try that had another answer, which must be there in the end.
-func (b *bench) answered(r *client.Request) (attempt *history.Attempt) {
-	b.t.Helper()
-	b.await(r.ID+" is no longer put off", func() bool {
-		attempt = b.ask(r)
+// askUntilExecuted sends a request and resends it as long as it has not run, as the platform's protocol lets clients do.
+// It returns the attempt with another answer.
+func (f *fixture) askUntilExecuted(r *client.Request) (attempt *history.Attempt) {
+	f.t.Helper()
+	f.await(r.ID+" is no longer refused", func() bool {
+		attempt = f.ask(r)
 		return !attempt.PromisesNotRun()
 	})
 	return attempt
 }
 
-// atOnce is how many requests for each further engine known sends at once.
-const atOnce = 8
+// requestsPerEngine is how many concurrent requests awaitEngines sends for each engine but the first.
+const requestsPerEngine = 8
 
-// known waits until the router sends requests of a class to that many engines.
-func (b *bench) known(class string, count int) {
-	b.t.Helper()
+// awaitEngines waits until the router sends requests of a class to count engines.
+func (f *fixture) awaitEngines(class string, count int) {
+	f.t.Helper()
 	asked := 0
-	b.await(fmt.Sprintf("%d engines serve %s", count, class), func() bool {
-		// Several at once: one after the other they would keep to the engine that a connection is kept to.
+	f.await(fmt.Sprintf("%d engines serve %s", count, class), func() bool {
+		// Concurrent requests: sequential ones would stay on the engine with the idle connection.
 		var batch sync.WaitGroup
-		for range atOnce*(count-1) + 1 {
-			r := b.request(class)
+		for range requestsPerEngine*(count-1) + 1 {
+			r := f.request(class)
 			if asked++; count > 1 && len(r.Prompt.Parts) > 0 {
-				// What begins in the same way would go to the same engine.
-				r.Prompt.Parts[0].ID, r.Prompt.Parts[1].ID = fmt.Sprintf("a%x", asked), fmt.Sprintf("%x%x", b.number, asked)
+				// Prompts with the same prefix would go to the same engine.
+				r.Prompt.Parts[0].ID, r.Prompt.Parts[1].ID = fmt.Sprintf("a%x", asked), fmt.Sprintf("%x%x", f.number, asked)
 			}
-			batch.Go(func() { b.newClient().Do(context.Background(), r) })
+			batch.Go(func() { f.newClient().Do(context.Background(), r) })
 		}
 		batch.Wait()
 		served := map[string]bool{}
-		for _, arrival := range b.arrivals() {
+		for _, arrival := range f.arrivals() {
 			if arrival.Ran() {
 				served[arrival.Engine] = true
 			}
@@ -254,83 +254,83 @@
 }
 
 // arrivals are those at the test's own engines.
-func (b *bench) arrivals() []*history.Arrival { return b.of("") }
+func (f *fixture) arrivals() []*history.Arrival { return f.arrivalsOf("") }
 
-// of are the arrivals of one attempt at the test's own engines; empty takes all.
-func (b *bench) of(attempt string) []*history.Arrival {
-	plain, model := fmt.Sprintf("plain-%d", b.number), fmt.Sprintf("model-%d", b.number)
-	return b.recorder.Arrivals(func(a *history.Arrival) bool {
+// arrivalsOf are the arrivals of one attempt at the test's own engines; empty takes all.
+func (f *fixture) arrivalsOf(attempt string) []*history.Arrival {
+	plain, model := fmt.Sprintf("plain-%d", f.number), fmt.Sprintf("model-%d", f.number)
+	return f.recorder.Arrivals(func(a *history.Arrival) bool {
 		return !a.HealthCheck && (a.Service == plain || a.Service == model) && (attempt == "" || a.AttemptID == attempt)
 	})
 }
 
 // await waits for a condition; the guard only ends a hang.
-func (b *bench) await(what string, holds func() bool) {
-	b.t.Helper()
+func (f *fixture) await(what string, holds func() bool) {
+	f.t.Helper()
 	guard := time.After(60 * time.Second)
 	tick := time.NewTicker(5 * ms)
 	defer tick.Stop()
 	for !holds() {
 		select {
 		case <-guard:
-			b.t.Fatal("waited in vain until " + what)
+			f.t.Fatal("timed out waiting until " + what)
 		case <-tick.C:
 		}
 	}
 }
 
-// onAnswers are the rules that hold whatever an engine does.
-var onAnswers = []string{"MIXED", "UNASKED", "TWICE", "REFUSED", "ROUTE", "ORDER", "CONFIG refused or invalid in force"}
+// answerRules are the rules that hold whatever an engine does.
+var answerRules = []string{"MIXED", "UNASKED", "TWICE", "REFUSED", "ROUTE", "ORDER", "CONFIG refused or invalid in force"}
 
-// sound holds what this test's engines and clients saw against the rules on answers.
-func (b *bench) sound() {
-	b.t.Helper()
-	h := b.recorder.Snapshot()
-	mine := fmt.Sprintf("/%d/", b.number)
+// checkRules holds what this test's engines and clients saw against the rules on answers.
+func (f *fixture) checkRules() {
+	f.t.Helper()
+	h := f.recorder.Snapshot()
+	mine := fmt.Sprintf("/%d/", f.number)
 	h.Attempts = slices.DeleteFunc(h.Attempts, func(attempt *history.Attempt) bool { return !strings.Contains(attempt.URI, mine) })
 	h.Arrivals = slices.DeleteFunc(h.Arrivals, func(a *history.Arrival) bool { return !strings.Contains(a.URI, mine) })
 	checked := 0
 	for _, finding := range checker.CheckAll(h, bounds) {
-		if slices.Contains(onAnswers, finding.Rule) {
+		if slices.Contains(answerRules, finding.Rule) {
 			checked += finding.Checked
 			for _, violation := range finding.Violations {
-				b.t.Errorf("%s: %s", finding.Rule, violation)
+				f.t.Errorf("%s: %s", finding.Rule, violation)
 			}
 		}
 	}
 	if checked == 0 {
-		b.t.Error("nothing was checked")
+		f.t.Error("nothing was checked")
 	}
 }
 
 // dial opens a raw connection to the router.
-func (b *bench) dial() *net.TCPConn {
-	b.t.Helper()
-	conn, err := net.Dial("tcp", b.front())
+func (f *fixture) dial() *net.TCPConn {
+	f.t.Helper()
+	conn, err := net.Dial("tcp", f.front())
 	if err != nil {
-		b.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	b.t.Cleanup(func() { conn.Close() })
+	f.t.Cleanup(func() { conn.Close() })
 	_ = conn.SetDeadline(time.Now().Add(60 * time.Second))
 	return conn.(*net.TCPConn)
 }
 
 // response reads one answer off a raw connection.
-func (b *bench) response(reader *bufio.Reader) *http.Response {
-	b.t.Helper()
+func (f *fixture) response(reader *bufio.Reader) *http.Response {
+	f.t.Helper()
 	response, err := http.ReadResponse(reader, &http.Request{Method: http.MethodPost})
 	if err != nil {
-		b.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	return response
 }
 
-// wire gives a request's bytes, and notes that a client sent it.
-func (b *bench) wire(r *client.Request) (attempt string, data []byte) {
-	attempt = attempts()
-	b.recorder.Record(func(h *history.History) {
+// wire encodes a request, and records that a client sent it.
+func (f *fixture) wire(r *client.Request) (attempt string, data []byte) {
+	attempt = nextAttemptID()
+	f.recorder.Record(func(h *history.History) {
 		h.Attempts = append(h.Attempts, &history.Attempt{Request: r.ID, Kind: r.Kind, AttemptID: attempt, Host: r.Host, Method: r.Method, URI: r.URI, BodyDigest: protocol.Digest(r.Body), Prompt: r.Prompt, Class: r.Class, Resumable: r.Resumable,
-			Daemon: "edge-0", Began: b.recorder.Now()})
+			Daemon: "edge-0", Began: f.recorder.Now()})
 	})
 	return attempt, client.Wire(r, attempt, r.Deadline, "")
 }
--- a/testbed/platformtest/contract/operator_test.go
+++ b/testbed/platformtest/contract/operator_test.go
@@ -17,10 +17,10 @@
 
 // TestConfigurationChangesFollowTheOperatorProtocol goes through the page on the operator in one order, since all tests share one group.
 func TestConfigurationChangesFollowTheOperatorProtocol(t *testing.T) {
-	b := newBench(t)
+	f := newFixture(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
-	o := operator.New("contract", 7, b.recorder, shared.fleet.Controls)
+	o := operator.New("contract", 7, f.recorder, shared.fleet.Controls)
 	current := config()
 	read := func() *protocol.Config {
 		t.Helper()
@@ -34,7 +34,7 @@
 		t.Fatal("what is read back is not what was sent")
 	}
 	put := func(base uint64, body []byte) int {
-		status, _ := b.call(http.MethodPut, protocol.PathConfig, map[string]string{"If-Match": fmt.Sprint(base), "Content-Type": "application/json"}, body)
+		status, _ := f.call(http.MethodPut, protocol.PathConfig, map[string]string{"If-Match": fmt.Sprint(base), "Content-Type": "application/json"}, body)
 		return status
 	}
 	// The same again is acknowledged again.
@@ -100,7 +100,7 @@
 		done.Add(1)
 		go func() {
 			defer done.Done()
-			changes[n] = operator.New(fmt.Sprint("race", n), uint64(n), b.recorder, shared.fleet.Controls).Put(ctx, 4, racing, "")
+			changes[n] = operator.New(fmt.Sprint("race", n), uint64(n), f.recorder, shared.fleet.Controls).Put(ctx, 4, racing, "")
 		}()
 	}
 	done.Wait()
@@ -156,8 +156,8 @@
 
 // TestUnknownFieldsArePreserved: an operator reads back what it sent, also what the product does not read.
 func TestUnknownFieldsArePreserved(t *testing.T) {
-	b := newBench(t)
-	_, text := b.call(http.MethodGet, protocol.PathConfig, nil, nil)
+	f := newFixture(t)
+	_, text := f.call(http.MethodGet, protocol.PathConfig, nil, nil)
 	var complete map[string]any
 	if err := json.Unmarshal(text, &complete); err != nil {
 		t.Fatal(err)
--- a/testbed/platformtest/contract/registering_test.go
+++ b/testbed/platformtest/contract/registering_test.go
@@ -17,63 +17,63 @@
 
 // call makes a call at the control daemon as engines and operators do: an answer that promises nothing (a 5xx, 408 or
 // 429) is asked for again unchanged, until there is a clear one.
-func (b *bench) call(method, path string, header map[string]string, body []byte) (status int, data []byte) {
-	b.t.Helper()
-	b.await(method+" "+path+" has a clear answer", func() bool {
-		status, data = b.callOnce(method, path, header, body)
+func (f *fixture) call(method, path string, header map[string]string, body []byte) (status int, data []byte) {
+	f.t.Helper()
+	f.await(method+" "+path+" has a clear answer", func() bool {
+		status, data = f.callOnce(method, path, header, body)
 		return status < 500 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
 	})
 	return status, data
 }
 
 // callOnce makes one call.
-func (b *bench) callOnce(method, path string, header map[string]string, body []byte) (int, []byte) {
-	b.t.Helper()
+func (f *fixture) callOnce(method, path string, header map[string]string, body []byte) (int, []byte) {
+	f.t.Helper()
 	request, err := http.NewRequest(method, "http://"+shared.fleet.OfClass(fleet.Core)[0].Control()+path, bytes.NewReader(body))
 	if err != nil {
-		b.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	for name, value := range header {
 		request.Header.Set(name, value)
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		b.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	defer response.Body.Close()
 	data, err := io.ReadAll(response.Body)
 	if err != nil {
-		b.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	return response.StatusCode, data
 }
 
 // register sends a beat in an engine's name.
-func (b *bench) register(id string, heartbeat protocol.Registration) (int, []byte) {
+func (f *fixture) register(id string, heartbeat protocol.Registration) (int, []byte) {
 	data, _ := json.Marshal(heartbeat)
-	return b.call(http.MethodPut, protocol.PathEngines+id, map[string]string{"Content-Type": "application/json"}, data)
+	return f.call(http.MethodPut, protocol.PathEngines+id, map[string]string{"Content-Type": "application/json"}, data)
 }
 
 // TestARegistrationGetsAShortAcknowledgement: an acknowledgement is a 2xx of 4 KiB at most that can be read.
 func TestARegistrationGetsAShortAcknowledgement(t *testing.T) {
-	b := newBench(t)
-	heartbeat := protocol.Registration{Backend: fmt.Sprintf("plain-%d", b.number), Address: "127.0.0.1:9", Zone: "a", Generation: "v1", Slots: 1, State: protocol.StateReady, CallSeq: 1}
-	status, body := b.register("i-contract-a", heartbeat)
+	f := newFixture(t)
+	heartbeat := protocol.Registration{Backend: fmt.Sprintf("plain-%d", f.number), Address: "127.0.0.1:9", Zone: "a", Generation: "v1", Slots: 1, State: protocol.StateReady, CallSeq: 1}
+	status, body := f.register("i-contract-a", heartbeat)
 	var answer protocol.Registered
 	if status < 200 || status > 299 || len(body) > 4096 || len(body) > 0 && json.Unmarshal(body, &answer) != nil {
 		t.Errorf("%d %q", status, body)
 	}
 	for what, spoil := range map[string][]byte{"no JSON": []byte("{"), "another form": []byte("[]"), "nothing": nil} {
-		if status, _ := b.call(http.MethodPut, protocol.PathEngines+"i-contract-b", nil, spoil); status < 400 || status > 499 {
+		if status, _ := f.call(http.MethodPut, protocol.PathEngines+"i-contract-b", nil, spoil); status < 400 || status > 499 {
 			t.Errorf("%s: %d", what, status)
 		}
 	}
-	if status, _ := b.call(http.MethodDelete, protocol.PathEngines+"i-contract-a", nil, nil); status < 200 || status > 299 {
+	if status, _ := f.call(http.MethodDelete, protocol.PathEngines+"i-contract-a", nil, nil); status < 200 || status > 299 {
 		t.Errorf("leaving: %d", status)
 	}
 	// Leaving again, and of one that nobody knows, is no failure: the first answer may have been lost.
 	for _, id := range []string{"i-contract-a", "i-contract-never"} {
-		if status, _ := b.call(http.MethodDelete, protocol.PathEngines+id, nil, nil); status < 200 || status > 299 {
+		if status, _ := f.call(http.MethodDelete, protocol.PathEngines+id, nil, nil); status < 200 || status > 299 {
 			t.Errorf("leaving of %s: %d", id, status)
 		}
 	}
@@ -81,102 +81,102 @@
 
 // TestADelayedHeartbeatOfADrainingEngineChangesNothing: its call-seq is lower, or its id has left.
 func TestADelayedHeartbeatOfADrainingEngineChangesNothing(t *testing.T) {
-	b := newBench(t)
-	e := b.plain(func(c *engine.Config) { c.Controls = nil })
+	f := newFixture(t)
+	e := f.plain(func(c *engine.Config) { c.Controls = nil })
 	heartbeat := protocol.Registration{Backend: e.Config.Service, Address: e.Config.Address, Zone: "a", Generation: "v1", Slots: 8, State: protocol.StateReady, CallSeq: 5}
-	b.register(e.Current(), heartbeat)
-	b.known("once", 1)
+	f.register(e.Current(), heartbeat)
+	f.awaitEngines("once", 1)
 	draining := heartbeat
 	draining.State, draining.CallSeq = protocol.StateDraining, 6
-	if status, _ := b.register(e.Current(), draining); status != 200 {
+	if status, _ := f.register(e.Current(), draining); status != 200 {
 		t.Fatal(status)
 	}
-	b.await("it gets nothing new", func() bool { return !b.ask(b.request("once")).Success() })
+	f.await("it gets nothing new", func() bool { return !f.ask(f.request("once")).Success() })
 	// A beat that was sent before, and comes after.
-	b.register(e.Current(), heartbeat)
-	if status, _ := b.call(http.MethodDelete, protocol.PathEngines+e.Current(), nil, nil); status != 200 {
+	f.register(e.Current(), heartbeat)
+	if status, _ := f.call(http.MethodDelete, protocol.PathEngines+e.Current(), nil, nil); status != 200 {
 		t.Fatal(status)
 	}
 	late := heartbeat
 	late.CallSeq = 7
-	b.register(e.Current(), late)
-	before := len(b.arrivals())
+	f.register(e.Current(), late)
+	before := len(f.arrivals())
 	for range 20 {
-		r := b.request("once")
+		r := f.request("once")
 		r.Deadline = 300 * time.Millisecond
-		b.ask(r)
+		f.ask(r)
 	}
-	if after := len(b.arrivals()); after != before {
+	if after := len(f.arrivals()); after != before {
 		t.Errorf("%d requests reached an engine that has left", after-before)
 	}
-	b.sound()
+	f.checkRules()
 }
 
 // TestAnotherServiceAtAReusedAddressRunsNothing: an engine is gone without a word, and another has its address.
 func TestAnotherServiceAtAReusedAddressRunsNothing(t *testing.T) {
-	b := newBench(t)
-	e := b.plain(nil)
-	b.known("once", 1)
+	f := newFixture(t)
+	e := f.plain(nil)
+	f.awaitEngines("once", 1)
 	address := e.Config.Address
 	e.Crash()
-	other := b.start(engine.Config{Service: fmt.Sprintf("model-%d", b.number), Slots: 8, Waiting: 8, Work: time.Millisecond, AnswerBytes: 10}, func(c *engine.Config) { c.Address = address })
+	other := f.start(engine.Config{Service: fmt.Sprintf("model-%d", f.number), Slots: 8, Waiting: 8, Work: time.Millisecond, AnswerBytes: 10}, func(c *engine.Config) { c.Address = address })
 	for range 30 {
-		r := b.request("once")
+		r := f.request("once")
 		r.Deadline = 500 * time.Millisecond
-		if attempt := b.ask(r); attempt.Success() {
+		if attempt := f.ask(r); attempt.Success() {
 			t.Errorf("%s was served, and no engine of its service lives", attempt.AttemptID)
 		}
 	}
-	for _, arrival := range b.arrivals() {
+	for _, arrival := range f.arrivals() {
 		if arrival.Engine == other.Current() && arrival.Ran() {
 			t.Errorf("%s ran at another service", arrival.AttemptID)
 		}
 	}
-	b.sound()
+	f.checkRules()
 }
 
 // TestADrainingEngineGetsNoLateRequests: from its acknowledgement on it takes no longer than the bound.
 func TestADrainingEngineGetsNoLateRequests(t *testing.T) {
-	b := newBench(t)
-	b.plain(nil)
-	b.plain(nil)
-	b.known("again", 2)
-	leaving := b.engines[0]
+	f := newFixture(t)
+	f.plain(nil)
+	f.plain(nil)
+	f.awaitEngines("again", 2)
+	leaving := f.engines[0]
 	id := leaving.Current()
 	leaving.Drain(0)
 	for leaving.Current() == id {
-		if attempt := b.ask(b.request("again")); !attempt.Success() {
+		if attempt := f.ask(f.request("again")); !attempt.Success() {
 			t.Errorf("%d %s", attempt.Status, attempt.Err)
 		}
 	}
-	for _, incarnation := range b.recorder.Snapshot().Incarnations {
+	for _, incarnation := range f.recorder.Snapshot().Incarnations {
 		if incarnation.Engine != id {
 			continue
 		}
 		if incarnation.DrainAcked == 0 {
 			t.Fatal("its leaving was never acknowledged")
 		}
-		for _, arrival := range b.arrivals() {
+		for _, arrival := range f.arrivals() {
 			if arrival.Engine == id && arrival.At.Since(incarnation.DrainAcked) > bounds.Drain {
 				t.Errorf("%s came %v after the acknowledgement", arrival.AttemptID, arrival.At.Since(incarnation.DrainAcked))
 			}
 		}
 	}
-	b.sound()
+	f.checkRules()
 }
 
 // TestAChangeOfWeightsIsForwardedInItsEvent: the line that tells of it belongs to the event and goes along.
 func TestAChangeOfWeightsIsForwardedInItsEvent(t *testing.T) {
-	b := newBench(t)
-	e := b.model(func(c *engine.Config) { c.Pace.StepTime = 5 * time.Millisecond })
-	b.known("stream", 1)
-	r := b.request("stream")
+	f := newFixture(t)
+	e := f.model(func(c *engine.Config) { c.Pace.StepTime = 5 * time.Millisecond })
+	f.awaitEngines("stream", 1)
+	r := f.request("stream")
 	r.Prompt.TokensOut = 120
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		b.await("it is under way", func() bool {
-			for _, arrival := range b.arrivals() {
+		f.await("it is under way", func() bool {
+			for _, arrival := range f.arrivals() {
 				if arrival.Prompt.TokensOut == 120 && arrival.Events > 5 {
 					return true
 				}
@@ -185,7 +185,7 @@
 		})
 		e.Upgrade("m", 2)
 	}()
-	attempts := b.newClient().Do(context.Background(), r)
+	attempts := f.newClient().Do(context.Background(), r)
 	<-done
 	told := 0
 	for _, event := range attempts[0].Events {
@@ -196,5 +196,5 @@
 	if !attempts[0].Success() || told != 1 {
 		t.Errorf("%d %s, told %d times", attempts[0].Status, attempts[0].Err, told)
 	}
-	b.sound()
+	f.checkRules()
 }
--- a/testbed/platformtest/engine/batch.go
+++ b/testbed/platformtest/engine/batch.go
@@ -8,7 +8,7 @@
 	"github.com/cresspond/cresspond/clock"
 )
 
-// Batch decides what an engine works on. It knows no clock and no socket.
+// Batch is the scheduler of a model engine, with continuous batching and a prefix cache. It has no clock and no sockets.
 type Batch struct {
 	pace         Pace
 	queue        []*Job
@@ -18,16 +18,16 @@
 	cachedTokens int64
 }
 
-// NewBatch makes one.
+// NewBatch returns an empty batch.
 func NewBatch(pace Pace) *Batch { return &Batch{pace: pace, cache: map[string]*cachedPart{}} }
 
-// Queued and Active count.
+// Queued counts the requests that wait for a slot.
 func (b *Batch) Queued() int { return len(b.queue) }
 
-// Active counts the requests that hold a slot.
+// Active counts the requests that have a slot.
 func (b *Batch) Active() int { return len(b.running) }
 
-// Memory is what can't give way, and what is used in all.
+// Memory is the number of tokens that cannot be evicted, and that are used in all.
 func (b *Batch) Memory() (fixed, all int64) {
 	for _, job := range b.running {
 		fixed += job.ownMemory
@@ -44,7 +44,7 @@
 // Idle says that a step would do nothing.
 func (b *Batch) Idle() bool { return len(b.queue) == 0 && len(b.running) == 0 }
 
-// Submit takes a request in; false turns it away as full.
+// Submit queues a request; false rejects it as too large, or because the queue is full.
 func (b *Batch) Submit(job *Job) bool {
 	if b.pace.Memory > 0 && int64(job.Prompt.TokensIn+job.Prompt.TokensOut) > b.pace.Memory {
 		return false
@@ -59,13 +59,13 @@
 
 func (b *Batch) enqueue(job *Job) {
 	b.queue = append(b.queue, job)
-	// The more urgent go first, then those that came first.
+	// The more urgent go first, then those that arrived first.
 	slices.SortStableFunc(b.queue, func(x, y *Job) int {
 		return cmp.Or(cmp.Compare(x.Urgency, y.Urgency), cmp.Compare(x.Number, y.Number))
 	})
 }
 
-// Remove forgets a request whose caller has left.
+// Remove removes a request whose caller has disconnected.
 func (b *Batch) Remove(job *Job) {
 	b.queue = slices.DeleteFunc(b.queue, func(other *Job) bool { return other == job })
 	if job.running {
@@ -73,7 +73,7 @@
 	}
 }
 
-// CancelQueued takes the waiting requests that match out; those that have begun stay.
+// CancelQueued removes the queued requests that match; those that have begun stay.
 func (b *Batch) CancelQueued(match func(*Job) bool) (dropped []*Job) {
 	b.queue = slices.DeleteFunc(b.queue, func(job *Job) bool {
 		if job.began || !match(job) {
@@ -85,7 +85,7 @@
 	return dropped
 }
 
-// Running says whether any request that matches is running, or was put back after it began.
+// Running says whether any request that matches is running, or was preempted after it began.
 func (b *Batch) Running(match func(*Job) bool) bool {
 	return slices.ContainsFunc(b.running, match) || slices.ContainsFunc(b.queue, func(job *Job) bool { return job.began && match(job) })
 }
@@ -98,7 +98,7 @@
 	job.pinned, job.ownMemory, job.running = nil, 0, false
 }
 
-// admit gives waiting requests slots, in order; the first that finds no room stops the rest.
+// admit gives queued requests slots, in order; the first that finds no memory stops the rest.
 func (b *Batch) admit(now clock.Mark, progress []Progress) []Progress {
 	for len(b.queue) > 0 {
 		job := b.queue[0]
@@ -137,7 +137,7 @@
 		pinned = append(pinned, cached)
 		keptTokens += cached.tokens
 	}
-	// What was made before it was put back, or at another engine, is read like a prompt.
+	// Tokens generated before a preemption, or at another engine, are prefilled like a prompt.
 	complete := int64(job.Prompt.TokensIn) + int64(job.From*b.pace.Stride) + int64(job.generated)
 	need := max(0, complete-keptTokens)
 	if !b.makeRoom(need + 1) {
@@ -153,7 +153,7 @@
 	return true
 }
 
-// Begin starts a step: it says how long it takes, and what became of those that waited. Zero: nothing to do.
+// Begin starts a step: it returns how long the step takes and the progress of queued requests. Zero: nothing to do.
 func (b *Batch) Begin(now clock.Mark) (time.Duration, []Progress) {
 	progress := b.admit(now, nil)
 	if len(b.running) == 0 {
@@ -173,7 +173,7 @@
 	return took, progress
 }
 
-// End finishes the step: prompts are read on, and each request whose prompt is read has one token more.
+// End finishes the step: prompts are prefilled further, and each request with a complete prefill gets one token.
 func (b *Batch) End(now clock.Mark) (progress []Progress) {
 	b.clock++
 	reading := b.pace.PrefillAtOnce
@@ -214,7 +214,7 @@
 		all := job.tokens(b.pace.Stride)
 		sign := Progress{Job: job, Last: job.generated >= all}
 		stride := max(1, b.pace.Stride)
-		// Behind the last event nothing is left to write.
+		// After the last event nothing is left to generate.
 		over := job.From > 0 && job.From*stride >= job.Prompt.TokensOut
 		if !over && (job.generated%stride == 0 || sign.Last) {
 			sign.Event = job.From + (job.generated+stride-1)/stride
@@ -222,7 +222,7 @@
 		if sign.Last {
 			b.release(job)
 		}
-		// The first token is told too, even if its event is not full yet.
+		// The first token is reported too, even if its event is not full yet.
 		if sign.Event > 0 || sign.Last || job.generated == 1 {
 			progress = append(progress, sign)
 		}
--- a/testbed/platformtest/engine/batch_test.go
+++ b/testbed/platformtest/engine/batch_test.go
@@ -110,8 +110,8 @@
 		t.Fatal("the wrong one was put back", early.PrefilledTokens, urgent.PrefilledTokens)
 	}
 	for number, list := range events {
-		for place, id := range list {
-			if id != place+1 {
+		for i, id := range list {
+			if id != i+1 {
 				t.Fatal("events of", number, list)
 			}
 		}
--- a/testbed/platformtest/engine/cache.go
+++ b/testbed/platformtest/engine/cache.go
@@ -4,16 +4,16 @@
 	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
-// cachedPart is one part of a prompt that the engine keeps; it stands for all parts before it too.
+// cachedPart is one part of a prompt in the prefix cache; its key covers all parts before it too.
 type cachedPart struct {
 	key    string
 	tokens int64
-	// users are running requests, used is when it last was.
+	// users counts the running requests with this part, used is when it was last used, in steps.
 	users int
 	used  uint64
 }
 
-// partKeys gives the keys of a prompt's parts.
+// partKeys lists the cache keys of a prompt's parts.
 func partKeys(prompt protocol.Prompt) []string {
 	key := prompt.WriteModel() + "|"
 	keys := make([]string, 0, len(prompt.Parts))
@@ -33,7 +33,7 @@
 	return key
 }
 
-// DropCache drops all kept parts of a model, or of an adapter of it.
+// DropCache drops all cached parts of a model, or of an adapter of it.
 func (b *Batch) DropCache(owner string) {
 	for key, cached := range b.cache {
 		if cached.users == 0 && (keyOwner(key) == owner) {
@@ -43,7 +43,7 @@
 	}
 }
 
-// makeRoom makes room for more tokens by giving up kept parts, those unused longest first.
+// makeRoom evicts unused cached parts, least recently used first, until more tokens fit; false if they do not.
 func (b *Batch) makeRoom(more int64) bool {
 	if b.pace.Memory == 0 {
 		return true
@@ -55,7 +55,7 @@
 		}
 		var oldest *cachedPart
 		for _, cached := range b.cache {
-			// Of parts used at the same time the later in the prompt goes first; a key is longer the later it is.
+			// Of parts last used at the same time the later in the prompt is evicted first; its key is longer.
 			if cached.users == 0 && (oldest == nil || cached.used < oldest.used ||
 				cached.used == oldest.used && (len(cached.key) > len(oldest.key) || len(cached.key) == len(oldest.key) && cached.key < oldest.key)) {
 				oldest = cached
@@ -69,18 +69,18 @@
 	}
 }
 
-// cacheParts turns what a request has read into parts that others can use.
+// cacheParts adds the prefilled parts of a request to the cache.
 func (b *Batch) cacheParts(job *Job) {
 	keys := partKeys(job.Prompt)
-	for place := len(job.pinned); place < len(keys); place++ {
-		tokens := int64(job.Prompt.Parts[place].Tokens)
-		cached := b.cache[keys[place]]
+	for i := len(job.pinned); i < len(keys); i++ {
+		tokens := int64(job.Prompt.Parts[i].Tokens)
+		cached := b.cache[keys[i]]
 		if cached == nil {
-			cached = &cachedPart{key: keys[place], tokens: tokens}
+			cached = &cachedPart{key: keys[i], tokens: tokens}
 			b.cache[cached.key] = cached
 			b.cachedTokens += tokens
 		}
-		// Its own copy becomes the common one.
+		// The request's own memory becomes the cache's.
 		job.ownMemory = max(0, job.ownMemory-tokens)
 		cached.users++
 		cached.used = b.clock
--- a/testbed/platformtest/engine/config.go
+++ b/testbed/platformtest/engine/config.go
@@ -6,49 +6,49 @@
 	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
-// Config is what a stand-in is told. It stays over its lives.
+// Config configures an engine; it is the same for all its incarnations.
 type Config struct {
-	// Name is the machine's; each life adds a number to it and has its id so.
+	// Name is the machine's; an incarnation's id is the name and a number.
 	Name, Service, Zone, Address string
 	Software                     string
 	HealthPath                   string
 	MaxConns                     int
-	// IdleClose ends idle connections; it is told as Keep-Alive if TellIdle.
+	// IdleClose ends idle connections; with AdvertiseIdle it is announced as Keep-Alive.
 	IdleClose     time.Duration
 	AdvertiseIdle bool
-	// CloseEach puts Connection: close into each answer of that number; zero never does.
+	// CloseEach puts Connection: close into one answer of that many; zero never does.
 	CloseEach int
-	// ContinueOnClose: it works on when a caller's connection closes.
+	// ContinueOnClose goes on with a request whose caller has closed the connection.
 	ContinueOnClose bool
-	// Chunked answers to plain requests come in chunks, and not by length.
+	// Chunked answers plain requests in chunks instead of by length.
 	Chunked bool
 
-	// Pace and Room are of a model engine.
+	// Pace, Capacity and Store are for model engines.
 	Model    bool
 	Pace     Pace
 	Capacity Capacity
 	Store    *Store
-	// InitialModels is what its first life holds; later lives start empty.
+	// InitialModels are loaded in the first incarnation; later ones start empty.
 	InitialModels []protocol.Holding
 
-	// Slots, Waiting, Work, SlowFull and AnswerBytes are of a plain engine. When nearly full its work takes
+	// Slots, Waiting, Work, SlowFull and AnswerBytes are for plain engines. When nearly full a request takes
 	// SlowFull times as long.
 	Slots, Waiting int
 	Work           time.Duration
 	SlowFull       float64
 	AnswerBytes    int
 
-	// WarmUp is how long it is slow from its start.
+	// WarmUp is how long after its start everything takes twice as long.
 	WarmUp    time.Duration
 	ReportLag time.Duration
 
-	// HeartbeatPeriod, Controls and DrainBound are for its registration; no controls, no registration.
+	// HeartbeatPeriod, Controls and DrainBound are for its registration; without Controls it does not register.
 	HeartbeatPeriod time.Duration
 	Controls        func() []string
 	DrainBound      time.Duration
-	// DrainPatience is how long it serves on if nobody acknowledges that it leaves.
+	// DrainPatience is how long it serves while nobody acknowledges that it drains.
 	DrainPatience time.Duration
-	// LateEach has one beat of that number come LateBy late, and to any daemon; zero has none.
+	// LateEach delays one heartbeat in that many by LateBy; zero delays none.
 	LateEach uint64
 	LateBy   time.Duration
 	Seed     uint64
--- a/testbed/platformtest/engine/drain.go
+++ b/testbed/platformtest/engine/drain.go
@@ -6,19 +6,19 @@
 	"github.com/cresspond/cresspond/testbed/platformtest/history"
 )
 
-// Drain makes it say that it drains, serve on for its bound after the acknowledgement, and end. With notice
-// it is gone after that time, whatever it runs.
+// Drain announces that the engine drains, lets it serve for its bound after the acknowledgement, and ends it. With a
+// notice it ends after that time, whatever it runs.
 func (e *Engine) Drain(notice time.Duration) {
-	l := e.running()
-	if l == nil || !l.draining.CompareAndSwap(false, true) {
+	inc := e.running()
+	if inc == nil || !inc.draining.CompareAndSwap(false, true) {
 		return
 	}
-	e.Recorder.Record(func(*history.History) { l.record.DrainRequested = e.Recorder.Now() })
+	e.Recorder.Record(func(*history.History) { inc.record.DrainRequested = e.Recorder.Now() })
 	if notice > 0 {
-		l.remaining.Store(int64(e.Recorder.Now()) + int64(notice))
+		inc.remaining.Store(int64(e.Recorder.Now()) + int64(notice))
 	}
 	select {
-	case l.heartbeatNow <- struct{}{}:
+	case inc.heartbeatNow <- struct{}{}:
 	default:
 	}
 	go func() {
@@ -29,13 +29,13 @@
 		timer := time.NewTimer(patience)
 		defer timer.Stop()
 		select {
-		case <-l.ctx.Done():
+		case <-inc.ctx.Done():
 			return
 		case <-timer.C:
-		case <-l.drainAcked:
+		case <-inc.drainAcked:
 			if notice > 0 {
 				select {
-				case <-l.ctx.Done():
+				case <-inc.ctx.Done():
 				case <-timer.C:
 				}
 				break
@@ -43,43 +43,43 @@
 			serveOn := time.NewTimer(e.Config.DrainBound + e.Config.DrainBound/4)
 			defer serveOn.Stop()
 			select {
-			case <-l.ctx.Done():
+			case <-inc.ctx.Done():
 				return
 			case <-serveOn.C:
 			}
 		}
 		if notice == 0 {
-			l.deregister()
+			inc.deregister()
 		}
-		e.finishIncarnation(l, false)
+		e.finishIncarnation(inc, false)
 	}()
 }
 
-// Draining says whether it has begun to leave, or is down.
+// Draining says whether the engine drains, has deregistered, or is down.
 func (e *Engine) Draining() bool {
-	l := e.running()
-	return l == nil || l.draining.Load() || l.deregistered.Load()
+	inc := e.running()
+	return inc == nil || inc.draining.Load() || inc.deregistered.Load()
 }
 
-// Delete makes it say that it is gone, though it beats and serves on for its bound after the acknowledgement, and
-// ends then.
+// Delete deregisters the engine first; it sends heartbeats and serves for its bound after the acknowledgement, and ends
+// then.
 func (e *Engine) Delete() {
-	l := e.running()
-	if l == nil || l.draining.Load() || !l.deregistered.CompareAndSwap(false, true) {
+	inc := e.running()
+	if inc == nil || inc.draining.Load() || !inc.deregistered.CompareAndSwap(false, true) {
 		return
 	}
-	e.Recorder.Record(func(*history.History) { l.record.DrainRequested = e.Recorder.Now() })
+	e.Recorder.Record(func(*history.History) { inc.record.DrainRequested = e.Recorder.Now() })
 	go func() {
 		patience := time.NewTimer(e.Config.DrainPatience)
 		defer patience.Stop()
 		again := time.NewTicker(deregisterRetry)
 		defer again.Stop()
-		for acknowledged := l.deregister(); !acknowledged; acknowledged = l.deregister() {
+		for acknowledged := inc.deregister(); !acknowledged; acknowledged = inc.deregister() {
 			select {
-			case <-l.ctx.Done():
+			case <-inc.ctx.Done():
 				return
 			case <-patience.C:
-				e.finishIncarnation(l, false)
+				e.finishIncarnation(inc, false)
 				return
 			case <-again.C:
 			}
@@ -87,12 +87,12 @@
 		serveOn := time.NewTimer(e.Config.DrainBound + e.Config.DrainBound/4)
 		defer serveOn.Stop()
 		select {
-		case <-l.ctx.Done():
+		case <-inc.ctx.Done():
 		case <-serveOn.C:
-			e.finishIncarnation(l, false)
+			e.finishIncarnation(inc, false)
 		}
 	}()
 }
 
-// deregisterRetry is how long after all daemons were asked in vain they are asked again.
+// deregisterRetry is how long after all daemons failed to acknowledge they are called again.
 const deregisterRetry = 100 * time.Millisecond
--- a/testbed/platformtest/engine/engine_test.go
+++ b/testbed/platformtest/engine/engine_test.go
@@ -379,8 +379,8 @@
 	s := start(t, config)
 	await(t, "beats go to the target", func() bool { heartbeats, _ := second.heard(); return len(heartbeats) > 3 })
 	heartbeats, _ := second.heard()
-	for place, heartbeat := range heartbeats {
-		if heartbeat.Backend != "lm" || heartbeat.State != protocol.StateReady || len(heartbeat.Models) != 1 || heartbeat.Address != s.engine.Config.Address || place > 0 && heartbeat.CallSeq <= heartbeats[place-1].CallSeq {
+	for i, heartbeat := range heartbeats {
+		if heartbeat.Backend != "lm" || heartbeat.State != protocol.StateReady || len(heartbeat.Models) != 1 || heartbeat.Address != s.engine.Config.Address || i > 0 && heartbeat.CallSeq <= heartbeats[i-1].CallSeq {
 			t.Fatalf("%+v", heartbeats)
 		}
 	}
@@ -419,9 +419,9 @@
 	if _, gone := c.heard(); len(gone) != 1 || gone[0] != id {
 		t.Error(gone)
 	}
-	life := s.recorder.Snapshot().Incarnations[0]
-	if life.DrainAcked == 0 || life.Ended.Since(life.DrainAcked) < config.DrainBound || life.Crashed {
-		t.Errorf("%+v", life)
+	incarnation := s.recorder.Snapshot().Incarnations[0]
+	if incarnation.DrainAcked == 0 || incarnation.Ended.Since(incarnation.DrainAcked) < config.DrainBound || incarnation.Crashed {
+		t.Errorf("%+v", incarnation)
 	}
 	// At short notice it is gone when the time is over, acknowledged or not.
 	config.Controls = func() []string { return []string{"127.0.0.1:1"} }
@@ -500,12 +500,12 @@
 	t.Parallel()
 	streams, byLength, chunked := modelConfig(), plainConfig(), plainConfig()
 	byLength.AnswerBytes, chunked.AnswerBytes, chunked.Chunked = 40, 40, true
-	for place, config := range []engine.Config{streams, byLength, chunked} {
+	for i, config := range []engine.Config{streams, byLength, chunked} {
 		s := start(t, config)
 		complete := 0
 		for at := 0; complete == 0; at++ {
 			r := plain()
-			if place == 0 {
+			if i == 0 {
 				r = streamed(4)
 			}
 			s.engine.Inject(engine.Fault{Kind: engine.Break, At: at, Reset: at%2 == 0})
@@ -626,9 +626,9 @@
 	}
 	close(hold)
 	await(t, "it has ended", func() bool { return s.recorder.Snapshot().Incarnations[0].Ended != 0 })
-	life := s.recorder.Snapshot().Incarnations[0]
-	if life.DrainRequested == 0 || life.DrainAcked == 0 || life.Ended.Since(life.DrainAcked) < config.DrainBound || life.Crashed {
-		t.Errorf("%+v", life)
+	incarnation := s.recorder.Snapshot().Incarnations[0]
+	if incarnation.DrainRequested == 0 || incarnation.DrainAcked == 0 || incarnation.Ended.Since(incarnation.DrainAcked) < config.DrainBound || incarnation.Crashed {
+		t.Errorf("%+v", incarnation)
 	}
 	heartbeats, _ := c.heard()
 	for _, heartbeat := range heartbeats {
--- a/testbed/platformtest/engine/faults.go
+++ b/testbed/platformtest/engine/faults.go
@@ -5,66 +5,66 @@
 	"time"
 )
 
-// Fault is one way to go wrong with one request.
+// Fault is a fault injected into the answer to one request.
 type Fault struct {
 	Kind FaultKind
-	// At is the byte of the answer, head included, at which it happens.
+	// At is the byte of the answer, header included, at which it happens.
 	At int
-	// Reset closes with a reset and not with an end.
+	// Reset closes with a TCP reset instead of an end.
 	Reset bool
-	// Status is what an own failure answers with.
+	// Status is the status of an EngineError.
 	Status int
 }
 
-// FaultKind names a way to go wrong.
+// FaultKind is a kind of fault.
 type FaultKind string
 
 const (
 	// Break closes the connection after At bytes of the answer.
 	Break FaultKind = "break"
-	// ExtraAnswer writes a whole answer more behind a whole answer.
+	// ExtraAnswer writes a second complete answer after the first.
 	ExtraAnswer FaultKind = "surplus"
-	// LateExtraAnswer writes a whole answer more before the next answer.
+	// LateExtraAnswer writes a second complete answer before the next answer.
 	LateExtraAnswer FaultKind = "late-surplus"
-	// Malformed writes bytes that are no answer.
+	// Malformed writes bytes that are no HTTP answer.
 	Malformed FaultKind = "junk"
-	// WrongAttemptID answers with another's attempt id.
+	// WrongAttemptID answers with another request's attempt id.
 	WrongAttemptID FaultKind = "foreign"
 	// NoAttemptID answers without an attempt id.
 	NoAttemptID FaultKind = "no-id"
-	// Unresponsive runs the request and says nothing more after At bytes, until the caller closes.
+	// Unresponsive executes the request and sends nothing after At bytes, until the caller closes.
 	Unresponsive FaultKind = "silence"
-	// Hang runs a plain request for ever, in its slot, until the caller closes.
+	// Hang executes a plain request for ever, in its slot, until the caller closes.
 	Hang FaultKind = "hang"
-	// EngineError is the engine's own failure, after it has run.
+	// EngineError answers with an error of the engine's own, after it has executed the request.
 	EngineError FaultKind = "own"
-	// CloseUnread closes before it has read the request.
+	// CloseUnread closes the connection before the request is read.
 	CloseUnread FaultKind = "unread"
 )
 
-// faults hands out what is to go wrong next.
+// faults chooses the fault of the next request.
 type faults struct {
 	mutex sync.Mutex
 	next  []Fault
-	// each is asked where nothing is set for the next one.
+	// each chooses where next is empty; nil is no fault.
 	each func(attempt string) *Fault
 }
 
-// DropIdle has connections that were idle for so long dropped in silence: nothing shows before something is sent on
-// one, and that is reset unread. Zero ends it.
+// DropIdle drops connections that were idle for so long without notice: the next request on one is reset unread. Zero
+// ends it.
 func (e *Engine) DropIdle(after time.Duration) { e.dropIdle.Store(int64(after)) }
 
-// Inject makes the next requests go wrong, one each.
+// Inject injects faults into the next requests, one each.
 func (e *Engine) Inject(some ...Fault) {
 	e.faults.mutex.Lock()
 	defer e.faults.mutex.Unlock()
 	e.faults.next = append(e.faults.next, some...)
 }
 
-// Slow makes each step take so many times as long, however little there is to do; one is as usual.
+// Slow makes each step take so many times as long; one is as usual.
 func (e *Engine) Slow(times int64) { e.slowFactor.Store(times) }
 
-// LoseOrders takes the next orders without an answer.
+// LoseOrders executes the next orders without an answer.
 func (e *Engine) LoseOrders(count int) {
 	e.orderFaults.mutex.Lock()
 	defer e.orderFaults.mutex.Unlock()
@@ -73,7 +73,7 @@
 	}
 }
 
-// FaultEach asks for each request what is to go wrong; nil stops that.
+// FaultEach chooses a fault for each request; nil stops that.
 func (e *Engine) FaultEach(choose func(attempt string) *Fault) {
 	e.faults.mutex.Lock()
 	defer e.faults.mutex.Unlock()
--- a/testbed/platformtest/engine/freeze.go
+++ b/testbed/platformtest/engine/freeze.go
@@ -5,13 +5,13 @@
 	"sync"
 )
 
-// Freeze makes it stand still; Thaw lets it go on.
+// Freeze suspends the engine until Thaw.
 func (e *Engine) Freeze() { e.gate.close() }
 
 // Thaw ends a freeze.
 func (e *Engine) Thaw() { e.gate.open() }
 
-// gate lets everything pass, or nothing.
+// gate suspends everything that passes it while it is closed.
 type gate struct {
 	mutex  *sync.Mutex
 	closed *chan struct{}
@@ -36,7 +36,7 @@
 	}
 }
 
-// pass waits while the gate is shut; false if the life ended over it.
+// pass waits while the gate is closed; false if the incarnation ended meanwhile.
 func (g gate) pass(ctx context.Context) bool {
 	g.mutex.Lock()
 	closed := *g.closed
--- a/testbed/platformtest/engine/holdings.go
+++ b/testbed/platformtest/engine/holdings.go
@@ -9,29 +9,29 @@
 	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
-// Capacity is what an engine may hold, and how fast it gets it.
+// Capacity is what an engine can load, and how fast.
 type Capacity struct {
 	Catalogue protocol.EngineID
-	// DiskShare is the part of a load's time that it takes from the engine's own disk.
+	// DiskShare is the fraction of the usual time that a load from the engine's own disk takes.
 	DiskShare   float64
 	AdapterTime time.Duration
-	// LoadScale shortens all loads, for rehearsals that have no time.
+	// LoadScale scales the time of all loads; zero is one.
 	LoadScale    float64
 	FenceChecked bool
 }
 
-// Holdings is what an engine holds, and the one order that it may carry out.
+// Holdings is what an engine has loaded, and the one order that it may execute at a time.
 type Holdings struct {
 	capacity Capacity
 	models   []protocol.Holding
-	// onDisk are the models that its disk has.
+	// onDisk are the models on its disk.
 	onDisk  map[string]bool
 	callSeq uint64
 	fence   uint64
 	pending *protocol.Order
 }
 
-// NewHoldings begins a life.
+// NewHoldings returns the holdings of a new incarnation.
 func NewHoldings(room Capacity, initial []protocol.Holding, had map[string]bool) *Holdings {
 	h := &Holdings{capacity: room, onDisk: had}
 	for _, holding := range initial {
@@ -42,42 +42,42 @@
 	return h
 }
 
-// OrderResult is what an engine answers to an order, and what follows.
+// OrderResult is the answer to an order, and what follows.
 type OrderResult struct {
 	Status int
-	// OverCapacity: it cannot be held, and the engine falls.
+	// OverCapacity: it does not fit, and the engine crashes.
 	OverCapacity bool
-	// Duration is how long a load takes; Store: it comes from the store.
+	// Duration is how long a load takes; FromStore: it comes from the store of weights.
 	Duration  time.Duration
 	FromStore bool
 }
 
 func (h *Holdings) model(label string) *protocol.CatalogModel {
-	for place := range h.capacity.Catalogue.Models {
-		if h.capacity.Catalogue.Models[place].Label == label {
-			return &h.capacity.Catalogue.Models[place]
+	for i := range h.capacity.Catalogue.Models {
+		if h.capacity.Catalogue.Models[i].Label == label {
+			return &h.capacity.Catalogue.Models[i]
 		}
 	}
 	return nil
 }
 
-// Holding gives what is there of a model.
+// Holding is the loaded state of a model; nil if it is not loaded.
 func (h *Holdings) Holding(label string) *protocol.Holding {
-	for place := range h.models {
-		if h.models[place].Label == label {
-			return &h.models[place]
+	for i := range h.models {
+		if h.models[i].Label == label {
+			return &h.models[i]
 		}
 	}
 	return nil
 }
 
-// Holds says whether a model, and an adapter of it unless that is empty, is there.
+// Holds says whether a model, and an adapter of it unless that is empty, is loaded.
 func (h *Holdings) Holds(model, adapter string) bool {
 	holding := h.Holding(model)
 	return holding != nil && (adapter == "" || slices.Contains(holding.Adapters, adapter))
 }
 
-// InPendingOrder says whether the order under way is about this.
+// InPendingOrder says whether the pending order concerns a model or an adapter of it.
 func (h *Holdings) InPendingOrder(model, adapter string) bool {
 	return h.pending != nil && h.pending.Model == model && (h.pending.Adapter == "" || h.pending.Adapter == adapter)
 }
@@ -101,7 +101,7 @@
 	return false
 }
 
-// Take decides on an order.
+// Take decides on an order; an accepted one is pending until Finish.
 func (h *Holdings) Take(order protocol.Order) OrderResult {
 	if order.Owner == "" || order.Fence == nil || order.Operation != protocol.Load && order.Operation != protocol.Evict {
 		return OrderResult{Status: http.StatusBadRequest}
@@ -148,7 +148,7 @@
 	return result
 }
 
-// Finish carries the order under way out.
+// Finish completes the pending order.
 func (h *Holdings) Finish(newest uint64) protocol.Order {
 	order := *h.pending
 	h.pending = nil
@@ -167,7 +167,7 @@
 	return order
 }
 
-// List copies what is held.
+// List copies what is loaded.
 func (h *Holdings) List() []protocol.Holding {
 	out := []protocol.Holding{}
 	for _, holding := range h.models {
--- a/testbed/platformtest/engine/incarnation.go
+++ b/testbed/platformtest/engine/incarnation.go
@@ -29,20 +29,20 @@
 	conns     sync.WaitGroup
 	openConns atomic.Int64
 	answers   atomic.Int64
-	// upgrades counts changes of the weights of what is held.
+	// upgrades counts changes of the weights of loaded models.
 	upgrades atomic.Int64
 	queued   atomic.Int64
 	draining atomic.Bool
-	// deregistered says that it said first that it is gone, and serves on.
+	// deregistered is set where the engine deregistered first and still serves.
 	deregistered atomic.Bool
 	crashed      atomic.Bool
-	// remaining is the time left to one taken away at short notice; zero is none told.
+	// remaining is when an engine that got a short notice ends, in nanoseconds of the recorder's clock; zero is no notice.
 	remaining    atomic.Int64
 	heartbeatNow chan struct{}
 	drainAcked   chan struct{}
 	ackOnce      sync.Once
 
-	// The rest belongs to the actor.
+	// The fields below belong to the actor.
 	batch         *Batch
 	holdings      *Holdings
 	stepping      bool
@@ -61,40 +61,42 @@
 	report protocol.Report
 }
 
-// sink is where a job's signs go.
+// sink receives the progress of a job.
 type sink struct {
 	progress chan Progress
 	arrival  *history.Arrival
 }
 
-func (l *incarnation) slots() int {
-	if l.Config.Model {
-		return l.Config.Pace.Slots
+func (inc *incarnation) slots() int {
+	if inc.Config.Model {
+		return inc.Config.Pace.Slots
 	}
-	return l.Config.Slots
+	return inc.Config.Slots
 }
 
-func (l *incarnation) warmingUp() bool { return l.Recorder.Now().Since(l.began) < l.Config.WarmUp }
+func (inc *incarnation) warmingUp() bool {
+	return inc.Recorder.Now().Since(inc.began) < inc.Config.WarmUp
+}
 
-// do has the actor do something and waits for it; false if the life has ended.
-func (l *incarnation) do(action func()) bool {
+// do runs a function in the actor and waits for it; false if the incarnation has ended.
+func (inc *incarnation) do(action func()) bool {
 	done := make(chan struct{})
-	if !l.mailbox.Send(func() { action(); close(done) }) {
+	if !inc.mailbox.Send(func() { action(); close(done) }) {
 		return false
 	}
 	select {
 	case <-done:
 		return true
-	case <-l.mailbox.Done():
+	case <-inc.mailbox.Done():
 		return false
 	}
 }
 
-// later has the actor do something after a time.
-func (l *incarnation) later(after time.Duration, action func()) {
+// later runs a function in the actor after a time.
+func (inc *incarnation) later(after time.Duration, action func()) {
 	time.AfterFunc(after, func() {
-		if l.gate.pass(l.ctx) {
-			l.mailbox.Send(action)
+		if inc.gate.pass(inc.ctx) {
+			inc.mailbox.Send(action)
 		}
 	})
 }
--- a/testbed/platformtest/engine/registration.go
+++ b/testbed/platformtest/engine/registration.go
@@ -13,10 +13,10 @@
 	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
-// maxAcknowledgement is the longest acknowledgement that is taken for one.
+// maxAcknowledgement is the longest body, in bytes, that is accepted as an acknowledgement.
 const maxAcknowledgement = 4 << 10
 
-// controlClient is what engines call the control daemons with.
+// controlClient is the HTTP client for calls to control daemons.
 func controlClient(patience time.Duration) *http.Client {
 	return &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true, Proxy: nil},
 		CheckRedirect: func(_ *http.Request, via []*http.Request) error {
@@ -27,46 +27,46 @@
 		}}
 }
 
-// registrar is how one life calls the control daemons.
+// registrar keeps one incarnation registered.
 type registrar struct {
 	*incarnation
 	client *http.Client
-	// heartbeatTarget is where the last acknowledgement wants later beats, held until a beat fails there.
+	// heartbeatTarget is where the last acknowledgement directs later heartbeats, until one fails there.
 	heartbeatTarget string
 	next            int
 	seq             uint64
 }
 
-func (l *incarnation) sendHeartbeats() {
-	c := &registrar{incarnation: l, client: controlClient(time.Second)}
-	c.next = l.random.IntN(64)
+func (inc *incarnation) sendHeartbeats() {
+	c := &registrar{incarnation: inc, client: controlClient(time.Second)}
+	c.next = inc.random.IntN(64)
 	pause, failures := time.Duration(0), 0
 	for {
 		if pause > 0 {
 			timer := time.NewTimer(pause)
 			select {
-			case <-l.ctx.Done():
+			case <-inc.ctx.Done():
 				timer.Stop()
 				return
 			case <-timer.C:
-			case <-l.heartbeatNow:
+			case <-inc.heartbeatNow:
 				timer.Stop()
 			}
 		}
-		if !l.gate.pass(l.ctx) {
+		if !inc.gate.pass(inc.ctx) {
 			return
 		}
 		if c.sendHeartbeat() {
-			pause, failures = l.Config.HeartbeatPeriod, 0
+			pause, failures = inc.Config.HeartbeatPeriod, 0
 			continue
 		}
-		// The next daemon is called after a pause that grows, up to one beat.
+		// The next daemon is called after an exponential backoff, up to one period.
 		failures++
-		pause = min(l.Config.HeartbeatPeriod, 10*time.Millisecond<<min(failures, 10))
+		pause = min(inc.Config.HeartbeatPeriod, 10*time.Millisecond<<min(failures, 10))
 	}
 }
 
-// pick gives the daemon to call next.
+// pick is the daemon to call next.
 func (c *registrar) pick() string {
 	if c.heartbeatTarget != "" {
 		return c.heartbeatTarget
@@ -78,7 +78,7 @@
 	return list[c.next%len(list)]
 }
 
-// sendHeartbeat sends one beat and says whether it was acknowledged.
+// sendHeartbeat sends one heartbeat and says whether it was acknowledged.
 func (c *registrar) sendHeartbeat() bool {
 	daemon := c.pick()
 	if daemon == "" {
@@ -127,7 +127,7 @@
 	return true
 }
 
-// sendLate has a beat be under way for long, behind later ones, and past the engine's end.
+// sendLate delays a heartbeat, so that it arrives behind later ones, and even after the engine's end.
 func (c *registrar) sendLate(heartbeat []byte) {
 	list := c.Config.Controls()
 	if len(list) == 0 {
@@ -135,24 +135,24 @@
 	}
 	daemon := list[c.seq%uint64(len(list))]
 	time.AfterFunc(c.Config.LateBy, func() {
-		// Whatever the answer is, nobody waits for it any more.
+		// Nobody waits for the answer any more.
 		_, _, _ = call(context.Background(), c.client, http.MethodPut, daemon, protocol.PathEngines+c.id, heartbeat)
 	})
 }
 
-// deregister says that the life ends; it is tried at each daemon. It says whether one acknowledged it.
-func (l *incarnation) deregister() bool {
+// deregister announces the end of the incarnation to each daemon in turn, until one acknowledges it; false if none does.
+func (inc *incarnation) deregister() bool {
 	client := controlClient(time.Second)
-	list := l.Config.Controls
+	list := inc.Config.Controls
 	if list == nil {
 		return true
 	}
 	for _, daemon := range list() {
-		status, _, err := call(l.ctx, client, http.MethodDelete, daemon, protocol.PathEngines+l.id, nil)
+		status, _, err := call(inc.ctx, client, http.MethodDelete, daemon, protocol.PathEngines+inc.id, nil)
 		if err == nil && status >= 200 && status < 300 {
-			l.Recorder.Record(func(*history.History) {
-				if l.record.DrainAcked == 0 {
-					l.record.DrainAcked, l.record.DrainBy = l.Recorder.Now(), daemon
+			inc.Recorder.Record(func(*history.History) {
+				if inc.record.DrainAcked == 0 {
+					inc.record.DrainAcked, inc.record.DrainBy = inc.Recorder.Now(), daemon
 				}
 			})
 			return true
--- a/testbed/platformtest/engine/report.go
+++ b/testbed/platformtest/engine/report.go
@@ -6,31 +6,31 @@
 	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
-// recordReport keeps what a report will show once it is old enough.
-func (l *incarnation) recordReport() {
-	report := protocol.Report{Phase: "colocated", Models: l.holdings.List(), Saturated: l.holdings.pending != nil, CallSeq: l.holdings.callSeq, KVSize: l.Config.Pace.Memory, ServedModels: 0}
-	if l.Config.Model {
-		report.Queued, report.Active = l.batch.Queued(), l.batch.Active()
-		report.KVInUse, _ = l.batch.Memory()
+// recordReport stores the present state, which reports show once it is ReportLag old.
+func (inc *incarnation) recordReport() {
+	report := protocol.Report{Phase: "colocated", Models: inc.holdings.List(), Saturated: inc.holdings.pending != nil, CallSeq: inc.holdings.callSeq, KVSize: inc.Config.Pace.Memory, ServedModels: 0}
+	if inc.Config.Model {
+		report.Queued, report.Active = inc.batch.Queued(), inc.batch.Active()
+		report.KVInUse, _ = inc.batch.Memory()
 	} else {
-		report.Queued, report.Active = len(l.waiting), l.active
+		report.Queued, report.Active = len(inc.waiting), inc.active
 	}
-	l.queued.Store(int64(report.Queued))
-	now := l.Recorder.Now()
-	l.reports = append(l.reports, agedReport{now, report})
-	// All but the newest of those old enough are never shown again.
+	inc.queued.Store(int64(report.Queued))
+	now := inc.Recorder.Now()
+	inc.reports = append(inc.reports, agedReport{now, report})
+	// All but the newest of those that are old enough are never shown again.
 	old := 0
-	for old+1 < len(l.reports) && now.Since(l.reports[old+1].at) >= l.Config.ReportLag {
+	for old+1 < len(inc.reports) && now.Since(inc.reports[old+1].at) >= inc.Config.ReportLag {
 		old++
 	}
-	l.reports = slices.Delete(l.reports, 0, old)
+	inc.reports = slices.Delete(inc.reports, 0, old)
 }
 
-// report gives what a report shows now.
-func (l *incarnation) report() (report protocol.Report) {
-	l.do(func() {
-		l.recordReport()
-		report = l.reports[0].report
+// report is what a report shows now.
+func (inc *incarnation) report() (report protocol.Report) {
+	inc.do(func() {
+		inc.recordReport()
+		report = inc.reports[0].report
 	})
 	return report
 }
--- a/testbed/platformtest/engine/scheduler.go
+++ b/testbed/platformtest/engine/scheduler.go
@@ -8,133 +8,133 @@
 	"github.com/cresspond/cresspond/testbed/platformtest/history"
 )
 
-// submit hands a job to the batch; the signs of it come on the channel. The second is false if it was turned away.
-func (l *incarnation) submit(job *Job, arrival *history.Arrival) (<-chan Progress, bool) {
-	to := &sink{progress: make(chan Progress, 4+job.tokens(max(1, l.Config.Pace.Stride))), arrival: arrival}
+// submit hands a job to the scheduler; its progress comes on the channel. The second result is false if it was rejected.
+func (inc *incarnation) submit(job *Job, arrival *history.Arrival) (<-chan Progress, bool) {
+	to := &sink{progress: make(chan Progress, 4+job.tokens(max(1, inc.Config.Pace.Stride))), arrival: arrival}
 	taken := false
-	l.do(func() {
-		l.jobCount++
-		job.Number = l.jobCount
-		if l.Config.Model {
-			taken = l.batch.Submit(job)
+	inc.do(func() {
+		inc.jobCount++
+		job.Number = inc.jobCount
+		if inc.Config.Model {
+			taken = inc.batch.Submit(job)
 		} else {
-			taken = l.active < l.Config.Slots || len(l.waiting) < l.Config.Waiting
+			taken = inc.active < inc.Config.Slots || len(inc.waiting) < inc.Config.Waiting
 		}
 		if !taken {
 			return
 		}
-		l.sinks[job] = to
-		if l.Config.Model {
-			l.step()
+		inc.sinks[job] = to
+		if inc.Config.Model {
+			inc.step()
 		} else {
-			l.waiting = append(l.waiting, job)
-			l.startWaiting()
+			inc.waiting = append(inc.waiting, job)
+			inc.startWaiting()
 		}
-		l.recordReport()
+		inc.recordReport()
 	})
 	return to.progress, taken
 }
 
-// cancel forgets a job whose caller has gone.
-func (l *incarnation) cancel(job *Job) {
-	l.do(func() {
-		if l.sinks[job] == nil {
+// cancel removes a job whose caller has disconnected.
+func (inc *incarnation) cancel(job *Job) {
+	inc.do(func() {
+		if inc.sinks[job] == nil {
 			return
 		}
-		delete(l.sinks, job)
-		if l.Config.Model {
-			l.batch.Remove(job)
+		delete(inc.sinks, job)
+		if inc.Config.Model {
+			inc.batch.Remove(job)
 		} else if job.running {
 			job.running = false
-			l.active--
-			l.startWaiting()
+			inc.active--
+			inc.startWaiting()
 		} else {
-			l.waiting = slices.DeleteFunc(l.waiting, func(other *Job) bool { return other == job })
+			inc.waiting = slices.DeleteFunc(inc.waiting, func(other *Job) bool { return other == job })
 		}
-		l.finishPendingEviction()
-		l.recordReport()
+		inc.finishPendingEviction()
+		inc.recordReport()
 	})
 }
 
 // step starts a step of the batch unless one is under way.
-func (l *incarnation) step() {
-	if l.stepping {
+func (inc *incarnation) step() {
+	if inc.stepping {
 		return
 	}
-	took, progress := l.batch.Begin(l.Recorder.Now())
-	l.deliver(progress)
+	took, progress := inc.batch.Begin(inc.Recorder.Now())
+	inc.deliver(progress)
 	if took == 0 {
 		return
 	}
-	if l.warmingUp() {
+	if inc.warmingUp() {
 		took *= 2
 	}
-	if times := l.slowFactor.Load(); times > 1 {
+	if times := inc.slowFactor.Load(); times > 1 {
 		took *= time.Duration(times)
 	}
-	l.stepping = true
-	l.later(took, func() {
-		l.stepping = false
-		l.deliver(l.batch.End(l.Recorder.Now()))
-		l.finishPendingEviction()
-		l.recordReport()
-		l.step()
+	inc.stepping = true
+	inc.later(took, func() {
+		inc.stepping = false
+		inc.deliver(inc.batch.End(inc.Recorder.Now()))
+		inc.finishPendingEviction()
+		inc.recordReport()
+		inc.step()
 	})
 }
 
-// startWaiting gives waiting plain requests slots.
-func (l *incarnation) startWaiting() {
-	for l.active < l.Config.Slots && len(l.waiting) > 0 {
-		job := l.waiting[0]
-		l.waiting = l.waiting[1:]
-		if job.Deadline != 0 && l.Recorder.Now() >= job.Deadline {
-			l.deliver([]Progress{{Job: job, Expired: true}})
+// startWaiting starts queued plain requests while there are free slots.
+func (inc *incarnation) startWaiting() {
+	for inc.active < inc.Config.Slots && len(inc.waiting) > 0 {
+		job := inc.waiting[0]
+		inc.waiting = inc.waiting[1:]
+		if job.Deadline != 0 && inc.Recorder.Now() >= job.Deadline {
+			inc.deliver([]Progress{{Job: job, Expired: true}})
 			continue
 		}
 		if job.HealthCheck {
-			l.deliver([]Progress{{Job: job, Last: true}})
+			inc.deliver([]Progress{{Job: job, Last: true}})
 			continue
 		}
-		l.active++
+		inc.active++
 		job.running, job.began = true, true
-		l.deliver([]Progress{{Job: job}})
+		inc.deliver([]Progress{{Job: job}})
 		if job.Hang {
 			continue
 		}
-		took := l.Config.Work
-		if l.Config.SlowFull > 0 && l.active*10 >= l.Config.Slots*9 {
-			took = time.Duration(float64(took) * l.Config.SlowFull)
+		took := inc.Config.Work
+		if inc.Config.SlowFull > 0 && inc.active*10 >= inc.Config.Slots*9 {
+			took = time.Duration(float64(took) * inc.Config.SlowFull)
 		}
-		if l.warmingUp() {
+		if inc.warmingUp() {
 			took *= 2
 		}
-		late := job.Deadline != 0 && l.Recorder.Now()+clock.Mark(took) > job.Deadline
+		late := job.Deadline != 0 && inc.Recorder.Now()+clock.Mark(took) > job.Deadline
 		if late {
-			took = job.Deadline.Since(l.Recorder.Now())
+			took = job.Deadline.Since(inc.Recorder.Now())
 		}
-		l.later(took, func() {
+		inc.later(took, func() {
 			if !job.running {
 				return
 			}
 			job.running = false
-			l.active--
-			l.deliver([]Progress{{Job: job, Last: !late, Expired: late}})
-			l.startWaiting()
-			l.recordReport()
+			inc.active--
+			inc.deliver([]Progress{{Job: job, Last: !late, Expired: late}})
+			inc.startWaiting()
+			inc.recordReport()
 		})
 	}
 }
 
-func (l *incarnation) deliver(progress []Progress) {
+func (inc *incarnation) deliver(progress []Progress) {
 	for _, sign := range progress {
-		to := l.sinks[sign.Job]
+		to := inc.sinks[sign.Job]
 		if to == nil {
 			continue
 		}
 		if sign.Job.began && to.arrival != nil {
-			l.Recorder.Record(func(*history.History) {
+			inc.Recorder.Record(func(*history.History) {
 				if to.arrival.Began == 0 {
-					to.arrival.Began = l.Recorder.Now()
+					to.arrival.Began = inc.Recorder.Now()
 				}
 				to.arrival.PrefilledTokens, to.arrival.CachedTokens = sign.Job.PrefilledTokens, sign.Job.CachedTokens
 			})
@@ -145,7 +145,7 @@
 		to.progress <- sign
 		if sign.Last || sign.Expired {
 			close(to.progress)
-			delete(l.sinks, sign.Job)
+			delete(inc.sinks, sign.Job)
 		}
 	}
 }
--- a/testbed/platformtest/engine/server.go
+++ b/testbed/platformtest/engine/server.go
@@ -10,32 +10,32 @@
 	"github.com/cresspond/cresspond/clock"
 )
 
-// accept takes connections until the life ends.
-func (l *incarnation) accept() {
+// accept accepts connections until the incarnation ends.
+func (inc *incarnation) accept() {
 	for {
-		conn, err := l.listener.Accept()
+		conn, err := inc.listener.Accept()
 		if err != nil {
 			return
 		}
-		if !l.gate.pass(l.ctx) {
+		if !inc.gate.pass(inc.ctx) {
 			reset(conn)
 			continue
 		}
-		most := int64(l.Config.MaxConns)
-		if waiting := int64(l.Config.Waiting + l.Config.Pace.Waiting); most > 0 && l.queued.Load()*2 > waiting {
-			// With a long queue it takes fewer.
+		most := int64(inc.Config.MaxConns)
+		if waiting := int64(inc.Config.Waiting + inc.Config.Pace.Waiting); most > 0 && inc.queued.Load()*2 > waiting {
+			// With a long queue the limit is lower.
 			most = max(1, most*3/4)
 		}
-		if open := l.openConns.Add(1); most > 0 && open > most {
-			l.openConns.Add(-1)
+		if open := inc.openConns.Add(1); most > 0 && open > most {
+			inc.openConns.Add(-1)
 			reset(conn)
 			continue
 		}
-		l.conns.Add(1)
+		inc.conns.Add(1)
 		go func() {
-			defer l.conns.Done()
-			defer l.openConns.Add(-1)
-			l.serve(conn.(*net.TCPConn))
+			defer inc.conns.Done()
+			defer inc.openConns.Add(-1)
+			inc.serve(conn.(*net.TCPConn))
 		}()
 	}
 }
@@ -47,34 +47,34 @@
 	conn.Close()
 }
 
-// incoming is one request read whole.
+// incoming is one request, read completely.
 type incoming struct {
 	request *http.Request
 	body    []byte
 }
 
-// connection is one connection to the engine.
+// connection is a connection of a caller.
 type connection struct {
 	*incarnation
 	conn *net.TCPConn
-	// requests come as they are read; gone is closed when the caller's side has ended.
+	// requests come as they are read; callerClosed is closed when the caller's side has ended.
 	requests     chan incoming
 	callerClosed chan struct{}
-	// lateAnswer is what a fault left for the next answer's place.
+	// lateAnswer is an extra answer that a fault left to be sent before the next one.
 	lateAnswer []byte
-	// unusable says that the connection can't be used on.
+	// unusable is set where the connection must not be reused.
 	unusable bool
 }
 
-func (l *incarnation) serve(conn *net.TCPConn) {
-	k := &connection{incarnation: l, conn: conn, requests: make(chan incoming), callerClosed: make(chan struct{})}
+func (inc *incarnation) serve(conn *net.TCPConn) {
+	c := &connection{incarnation: inc, conn: conn, requests: make(chan incoming), callerClosed: make(chan struct{})}
 	done := make(chan struct{})
 	defer close(done)
 	ended := make(chan struct{})
 	go func() {
 		select {
-		case <-l.ctx.Done():
-			if l.crashed.Load() {
+		case <-inc.ctx.Done():
+			if inc.crashed.Load() {
 				reset(conn)
 			} else {
 				conn.Close()
@@ -84,45 +84,45 @@
 		close(ended)
 	}()
 	defer conn.Close()
-	go k.read(done)
+	go c.read(done)
 	idle := time.NewTimer(time.Hour)
 	defer idle.Stop()
 	answered := clock.Mark(0)
-	for !k.unusable {
-		if l.Config.IdleClose > 0 {
-			idle.Reset(l.Config.IdleClose)
+	for !c.unusable {
+		if inc.Config.IdleClose > 0 {
+			idle.Reset(inc.Config.IdleClose)
 		}
 		select {
-		case <-l.ctx.Done():
+		case <-inc.ctx.Done():
 			<-ended
 			return
 		case <-idle.C:
 			return
-		case in, ok := <-k.requests:
+		case in, ok := <-c.requests:
 			if !ok {
 				return
 			}
-			if !l.gate.pass(l.ctx) {
+			if !inc.gate.pass(inc.ctx) {
 				<-ended
 				return
 			}
-			if after := time.Duration(l.dropIdle.Load()); after > 0 && answered > 0 && l.Recorder.Now().Since(answered) >= after {
+			if after := time.Duration(inc.dropIdle.Load()); after > 0 && answered > 0 && inc.Recorder.Now().Since(answered) >= after {
 				reset(conn)
 				return
 			}
-			if !k.answer(in) {
+			if !c.answer(in) {
 				return
 			}
-			answered = l.Recorder.Now()
+			answered = inc.Recorder.Now()
 		}
 	}
 }
 
-// read reads requests one after the other, and notices the end of the caller's side.
-func (k *connection) read(done <-chan struct{}) {
-	defer close(k.callerClosed)
-	defer close(k.requests)
-	reader := bufio.NewReader(k.conn)
+// read reads one request after the other, and detects the end of the caller's side.
+func (c *connection) read(done <-chan struct{}) {
+	defer close(c.callerClosed)
+	defer close(c.requests)
+	reader := bufio.NewReader(c.conn)
 	for {
 		request, err := http.ReadRequest(reader)
 		if err != nil {
@@ -133,7 +133,7 @@
 			return
 		}
 		select {
-		case k.requests <- incoming{request, body}:
+		case c.requests <- incoming{request, body}:
 		case <-done:
 			return
 		}
--- a/testbed/platformtest/engine/store.go
+++ b/testbed/platformtest/engine/store.go
@@ -4,16 +4,16 @@
 	"sync"
 )
 
-// Store is the store of weights of a service; each load takes longer in proportion beyond some at once.
+// Store is the store of weights of a service. Beyond AtOnce concurrent loads each takes longer in proportion.
 type Store struct {
-	// AtOnce is how many loads go at full speed; zero is any number.
+	// AtOnce is how many concurrent loads go at full speed; zero is any number.
 	AtOnce int
 
 	mutex sync.Mutex
 	loads int
 }
 
-// begin counts a load in, and says how many times its usual time it takes.
+// begin counts a load in, and returns by what factor it is slower than usual.
 func (s *Store) begin() float64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/testbed/platformtest/engine/write.go
+++ b/testbed/platformtest/engine/write.go
@@ -13,7 +13,7 @@
 	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
-// faultWriter writes an answer's bytes, and does what its fault wants of them.
+// faultWriter writes an answer's bytes and injects the fault of the request.
 type faultWriter struct {
 	*connection
 	fault   *Fault
@@ -51,7 +51,7 @@
 	return count, err
 }
 
-// attemptHeader gives the attempt id that an answer bears.
+// attemptHeader is the attempt id in the answer's header.
 func (o *faultWriter) attemptHeader(attempt string) string {
 	switch {
 	case o.fault == nil:
@@ -65,33 +65,33 @@
 	return attempt
 }
 
-// stall says nothing until the caller closes or the life ends.
-func (k *connection) stall() {
-	k.unusable = true
+// stall sends nothing until the caller closes or the incarnation ends.
+func (c *connection) stall() {
+	c.unusable = true
 	select {
-	case <-k.callerClosed:
-	case <-k.ctx.Done():
+	case <-c.callerClosed:
+	case <-c.ctx.Done():
 	}
 }
 
-// writeHeader writes the head of an answer; length -1 is in chunks.
-func (k *connection) writeHeader(w io.Writer, status int, header http.Header, attempt string, length int) error {
+// writeHeader writes the status line and header of an answer; length -1 is chunked.
+func (c *connection) writeHeader(w io.Writer, status int, header http.Header, attempt string, length int) error {
 	response := http.Response{StatusCode: status, ProtoMajor: 1, ProtoMinor: 1, Header: header, ContentLength: int64(length)}
 	if attempt != "" {
 		header.Set(protocol.Attempt, attempt)
 	}
 	if length < 0 {
-		// The library writes chunked framing itself when it writes a body; here the body comes later.
+		// net/http would add the chunked framing with the body; here the body is written later.
 		header.Set("Transfer-Encoding", "chunked")
 	} else {
 		header.Set("Content-Length", strconv.Itoa(length))
 	}
-	number := k.answers.Add(1)
-	if k.draining.Load() || k.Config.CloseEach > 0 && number%int64(k.Config.CloseEach) == 0 {
+	number := c.answers.Add(1)
+	if c.draining.Load() || c.Config.CloseEach > 0 && number%int64(c.Config.CloseEach) == 0 {
 		header.Set("Connection", "close")
-		k.unusable = true
-	} else if k.Config.AdvertiseIdle && k.Config.IdleClose >= time.Second {
-		header.Set(protocol.KeepAlive, fmt.Sprintf("timeout=%d", int(k.Config.IdleClose/time.Second)))
+		c.unusable = true
+	} else if c.Config.AdvertiseIdle && c.Config.IdleClose >= time.Second {
+		header.Set(protocol.KeepAlive, fmt.Sprintf("timeout=%d", int(c.Config.IdleClose/time.Second)))
 	}
 	var buffer bytes.Buffer
 	fmt.Fprintf(&buffer, "HTTP/1.1 %03d %s\r\n", response.StatusCode, http.StatusText(status))
@@ -103,9 +103,9 @@
 	return err
 }
 
-// writeShort writes an answer without a run.
-func (k *connection) writeShort(w io.Writer, status int, header http.Header, attempt string, body []byte) bool {
-	if k.writeHeader(w, status, header, attempt, len(body)) != nil {
+// writeShort writes an answer to a request that was not executed.
+func (c *connection) writeShort(w io.Writer, status int, header http.Header, attempt string, body []byte) bool {
+	if c.writeHeader(w, status, header, attempt, len(body)) != nil {
 		return false
 	}
 	if len(body) == 0 {
--- a/testbed/platformtest/fleet/entry.go
+++ b/testbed/platformtest/fleet/entry.go
@@ -12,11 +12,11 @@
 	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
-// Entry hands new connections to edge machines: those that say they are ready, the client's zone first.
+// Entry assigns new connections to edge machines that report ready, the client's zone first.
 type Entry struct {
 	fleet  *Fleet
 	client *http.Client
-	// interval is how often each machine is asked.
+	// interval is the time between readiness checks of a machine.
 	interval time.Duration
 
 	mutex  sync.Mutex
@@ -24,15 +24,15 @@
 	done   sync.WaitGroup
 }
 
-// NewEntry makes one; Watch keeps it up to date.
+// NewEntry returns an entry without readiness checks; Watch starts them.
 func NewEntry(f *Fleet, every time.Duration) *Entry {
 	return &Entry{fleet: f, interval: every, missed: map[*Machine]int{}, client: &http.Client{Timeout: every, Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
-// Watch asks every machine until ctx ends.
+// Watch checks the readiness of every machine until ctx ends.
 func (e *Entry) Watch(ctx context.Context) {
 	for _, m := range e.fleet.OfClass(Edge) {
-		// Nobody is in before it has said so.
+		// No machine is eligible before its first positive check.
 		e.mutex.Lock()
 		e.missed[m] = 2
 		e.mutex.Unlock()
@@ -53,7 +53,7 @@
 	}
 }
 
-// Ready asks one machine.
+// Ready asks one machine for its readiness.
 func (e *Entry) Ready(ctx context.Context, m *Machine) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+m.Readiness()+protocol.PathReady, nil)
 	if err != nil {
@@ -92,7 +92,7 @@
 	return e.missed[m] < 2
 }
 
-// Pick picks a machine for a client's new connection; a further try of the client meets another.
+// Pick picks a machine for a client's new connection; the client's next attempt gets another one.
 func (e *Entry) Pick(name string, attempt int, zone string) (client.Daemon, bool) {
 	zones := append([]string{zone}, e.fleet.Plan.Zones...)
 	for _, near := range zones {
--- a/testbed/platformtest/fleet/fleet.go
+++ b/testbed/platformtest/fleet/fleet.go
@@ -1,5 +1,6 @@
-// Package fleet runs machines of the users' platform as processes on this one: it writes their settings
-// files, starts them, does to them what a day does, and hands connections over as the platform does.
+// Package fleet runs the machines of a users' platform as processes on this one: it writes their settings files, starts,
+// stops, kills and freezes them, and assigns connections as the platform does. Each disruption is recorded in the history,
+// so that package checker knows what it excuses.
 package fleet
 
 import (
@@ -35,20 +36,20 @@
 	Core = "core"
 )
 
-// Plan is the shape of a fleet.
+// Plan describes a fleet.
 type Plan struct {
-	// Program is what is run, Folder where its settings, logs and disks are.
+	// Program is the path of the daemon, Folder holds settings, logs and disks.
 	Program, Folder string
 	// OtherProgram is another build that every second machine starts with; empty is none.
 	OtherProgram string
 	Zones        []string
-	// Cores and Edges count; they stand in the zones in turn.
+	// Cores and Edges are the numbers of machines; they are spread over the zones in turn.
 	Cores, Edges    int
 	Bounds          checker.Bounds
 	CatchUp         time.Duration
 	HeartbeatPeriod time.Duration
 	Staleness       time.Duration
-	// Environment is added to each process's.
+	// Environment is added to the environment of each process.
 	Environment []string
 	Recorder    *history.Recorder
 }
@@ -63,13 +64,13 @@
 	cmd          *exec.Cmd
 	exited       chan struct{}
 	exitExpected bool
-	// endDowntime ends the trouble that it is down for; overFreeze that it is frozen for.
+	// endDowntime and endFreeze record the end of the present disruption.
 	endDowntime, endFreeze func()
 	started                bool
 	removed                bool
 }
 
-// Fleet is the machines.
+// Fleet is a set of machines.
 type Fleet struct {
 	Plan     Plan
 	Machines []*Machine
@@ -77,7 +78,7 @@
 	mutex sync.Mutex
 	// coreLists is the operator's list over time.
 	coreLists []coreList
-	// crashingAll is set while one trouble takes all machines.
+	// crashingAll is set while one disruption stops all machines.
 	crashingAll bool
 	stopped     bool
 	exits       sync.WaitGroup
@@ -133,7 +134,7 @@
 	return out
 }
 
-// recordCores notes which core machines the operator's list has from now on.
+// recordCores records which core machines exist from now on.
 func (f *Fleet) recordCores() {
 	cores := f.OfClass(Core)
 	f.mutex.Lock()
@@ -141,7 +142,7 @@
 	f.coreLists = append(f.coreLists, coreList{f.Plan.Recorder.Now(), cores})
 }
 
-// Controls is the operator's list, as late as it is.
+// Controls is the operator's list of core machines, which lags behind by Plan.Staleness.
 func (f *Fleet) Controls() []string {
 	now := f.Plan.Recorder.Now()
 	f.mutex.Lock()
@@ -162,18 +163,18 @@
 // Control is the machine's address for engines and operators.
 func (m *Machine) Control() string { return fmt.Sprintf("%s:%d", m.IP, controlPort) }
 
-// Front takes clients.
+// Front is the machine's address for clients.
 func (m *Machine) Front() string { return fmt.Sprintf("%s:%d", m.IP, frontPort) }
 
-// Readiness tells whether it wants new connections.
+// Readiness is the machine's address for readiness checks.
 func (m *Machine) Readiness() string { return fmt.Sprintf("%s:%d", m.IP, readinessPort) }
 
-// Log is where the process writes to.
+// Log is the path of the process's log.
 func (m *Machine) Log() string { return m.folder + ".log" }
 
 func (m *Machine) data() string { return m.folder + ".data" }
 
-// writeSettings writes the settings file as it is at this moment.
+// writeSettings writes the settings file for the present state of the fleet.
 func (f *Fleet) writeSettings(m *Machine, bootstrap bool) error {
 	seeds := []string{}
 	for _, core := range f.OfClass(Core) {
@@ -240,7 +241,7 @@
 	cmd := exec.Command(m.Program())
 	cmd.Env = append(append(os.Environ(), "CRESSPOND_CONFIG="+m.folder+".toml"), f.Plan.Environment...)
 	cmd.Stdout, cmd.Stderr = log, log
-	// A runner that dies takes its fleet with it.
+	// The process ends with the testbed, even if that is killed.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		return err
@@ -269,7 +270,7 @@
 	return nil
 }
 
-// onUnexpectedExit notes that a process ended by itself, and starts it again as the platform would.
+// onUnexpectedExit records that a process ended by itself, and starts it again as the platform would.
 func (f *Fleet) onUnexpectedExit(m *Machine) {
 	end := f.Plan.Recorder.BeginDisruption(history.Disruption{Kind: history.UnexpectedExit, Machine: m.Name, Core: m.Class == Core})
 	f.mutex.Lock()
@@ -284,7 +285,7 @@
 	}
 }
 
-// signal sends a signal to the process, and says whether it runs.
+// signal sends a signal to the process; the channel is closed once the process has ended.
 func (m *Machine) signal(signal syscall.Signal, expected bool) (ended <-chan struct{}) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -311,13 +312,13 @@
 	m.mutex.Unlock()
 }
 
-// Kill ends a machine's process at once.
+// Kill kills a machine's process and waits for its end.
 func (f *Fleet) Kill(m *Machine) {
 	f.beginDowntime(m, history.Killed, false)
 	<-m.signal(syscall.SIGKILL, true)
 }
 
-// Stop asks a machine's process to end, and kills it when its grace is over. It says whether that was needed.
+// Stop terminates a machine's process, and kills it after the grace period; killed says whether that was needed.
 func (f *Fleet) Stop(m *Machine) (killed bool) {
 	f.beginDowntime(m, history.Stopped, true)
 	ended := m.signal(syscall.SIGTERM, true)
@@ -332,7 +333,7 @@
 	}
 }
 
-// Restart starts a machine that is down, with the settings as they are by now.
+// Restart starts a machine that is down, with new settings.
 func (f *Fleet) Restart(m *Machine) error {
 	if err := f.writeSettings(m, false); err != nil {
 		return err
@@ -340,7 +341,7 @@
 	return f.startProcess(m)
 }
 
-// Wipe empties the disk of a machine that is down; it counts as in trouble until it has caught up.
+// Wipe empties the disk of a machine that is down; it counts as disrupted until it has caught up.
 func (f *Fleet) Wipe(m *Machine) error {
 	m.mutex.Lock()
 	end := m.endDowntime
@@ -353,7 +354,7 @@
 	return os.RemoveAll(m.data())
 }
 
-// Replace removes a machine for good, and puts an empty one in its place at another address.
+// Replace removes a machine for good and adds an empty one at another address.
 func (f *Fleet) Replace(m *Machine) (*Machine, error) {
 	f.Kill(m)
 	f.mutex.Lock()
@@ -380,7 +381,7 @@
 	return next, f.startProcess(next)
 }
 
-// Freeze stops a machine's process where it is; Thaw lets it go on.
+// Freeze suspends a machine's process until Thaw.
 func (f *Fleet) Freeze(m *Machine) {
 	end := f.Plan.Recorder.BeginDisruption(history.Disruption{Kind: history.Frozen, Machine: m.Name, Core: m.Class == Core})
 	m.mutex.Lock()
@@ -401,7 +402,7 @@
 	}
 }
 
-// Reload writes the settings anew and says so.
+// Reload writes new settings and signals the process.
 func (f *Fleet) Reload(m *Machine) error {
 	if err := f.writeSettings(m, false); err != nil {
 		return err
@@ -412,7 +413,7 @@
 	return nil
 }
 
-// CrashAll is a closing fault: every process is killed, the disks of some are lost, and all start again.
+// CrashAll is the closing fault: every process is killed, the disks of some are lost, and all start again.
 func (f *Fleet) CrashAll(wiped ...*Machine) error {
 	end := f.Plan.Recorder.BeginDisruption(history.Disruption{Kind: history.Closing, Core: true})
 	f.mutex.Lock()
@@ -442,7 +443,7 @@
 	return nil
 }
 
-// KillAll kills everything; nothing of it counts as anybody's own end.
+// KillAll ends the fleet; no exit counts as unexpected.
 func (f *Fleet) KillAll() {
 	f.mutex.Lock()
 	f.stopped = true
--- a/testbed/platformtest/history/history.go
+++ b/testbed/platformtest/history/history.go
@@ -1,4 +1,5 @@
-// Package history is what the stand-ins have seen on their own sockets, for the judge.
+// Package history records what the simulated engines, clients and operators have seen on their own sockets, and the
+// disruptions of the fleet. Package checker holds it against the rules.
 package history
 
 import (
@@ -11,10 +12,10 @@
 	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
-// Arrival is one request as it came to an engine, and what became of it there.
+// Arrival is one request as it arrived at an engine, and its outcome there.
 type Arrival struct {
 	At clock.Mark
-	// Engine is the life of the engine, Service the service it belongs to.
+	// Engine is the id of the engine's incarnation, Service the service it belongs to.
 	Engine, Service string
 	AttemptID       string
 	Method, URI     string
@@ -26,50 +27,50 @@
 	Prompt          protocol.Prompt
 	// HealthCheck is a request for the health page.
 	HealthCheck bool
-	// Status is what the engine answered with; zero is nothing. NotRun: turned away by its own word.
+	// Status is the engine's answer; zero is none. Rejected: the engine answered that it has not executed it.
 	Status   int
 	Rejected bool
-	// Began is when work on it began; zero is never. Run names that work.
+	// Began is when its execution began; zero is never. Run names the execution.
 	Began clock.Mark
 	Run   string
-	// Ended is when the engine had done with it; Whole: it wrote the answer whole.
+	// Ended is when the engine was done with it. Complete: it wrote the complete answer.
 	Ended    clock.Mark
 	Complete bool
-	// Broken says that the engine itself broke the answer off, or made junk of it. Left: the caller closed.
+	// Broken: the engine itself broke the answer off or made it malformed. CallerClosed: the caller disconnected.
 	Broken, CallerClosed bool
-	// Events are written up to this id; From is the last id of the run that it went on from.
+	// Events is the last id that was written; From is the last id of the execution that it resumed.
 	From, Events int
-	// PrefilledTokens were read anew, Kept were not read again.
+	// PrefilledTokens were computed, CachedTokens were in the prefix cache.
 	PrefilledTokens, CachedTokens int
 }
 
-// Ran says whether the engine has begun working on it.
+// Ran says whether the engine has begun to execute it.
 func (a *Arrival) Ran() bool { return a.Began != 0 }
 
-// Order is one order as it came to an engine.
+// Order is one order as it arrived at an engine.
 type Order struct {
 	At      clock.Mark
 	Engine  string
 	Service string
 	Order   protocol.Order
 	Status  int
-	// OverCapacity says that it would have gone beyond the engine's room.
+	// OverCapacity says that it would have exceeded the engine's capacity.
 	OverCapacity bool
 	// FromStore says that the load came from the store of weights.
 	FromStore bool
-	// Done is when it was carried out.
+	// Done is when it was completed.
 	Done clock.Mark
 }
 
-// Incarnation is one life of an engine.
+// Incarnation is one start of an engine, up to its end.
 type Incarnation struct {
 	Engine, Service, Zone, Address string
 	Began                          clock.Mark
 	Ended                          clock.Mark
-	// DrainRequested is when it first said that it leaves; DrainAcked, when that was acknowledged.
+	// DrainRequested is when it first announced that it drains; DrainAcked, when DrainBy acknowledged that.
 	DrainRequested, DrainAcked clock.Mark
 	DrainBy                    string
-	// InitialModels is what it held at its start.
+	// InitialModels were loaded at its start.
 	InitialModels []protocol.Holding
 	Slots         int
 	// Crashed says that the end was not planned.
@@ -81,13 +82,13 @@
 	At   clock.Mark
 	ID   string
 	Data string
-	// Version is there if the event told of another version of the weights.
+	// Version is the version of the weights, if the event announced another one.
 	Version string
 }
 
-// Attempt is one try of a client, as it saw it on its socket.
+// Attempt is one attempt of a client, as it saw it on its socket.
 type Attempt struct {
-	// Request is common to all tries for one answer; Kind names the sort of request, Session whose it is.
+	// Request is common to all attempts for one answer; Kind names the sort of request.
 	Request, Kind, Session string
 	Zone                   string
 	AttemptID              string
@@ -97,18 +98,18 @@
 	BodyBytes              int
 	Prompt                 protocol.Prompt
 	LastEvent              string
-	// DeadlineMs is what the try said; AimMs and Class what its route says, where the client knows.
+	// DeadlineMs is the attempt's; TargetMs and Class are the route's, where the client knows.
 	DeadlineMs int64
 	TargetMs   int64
 	Class      string
 	Resumable  bool
-	// Probe marks the few requests that show which configuration is in force. Absent: the route is not there.
+	// Probe marks the few requests that show which configuration is in force. Absent: the route must not exist.
 	Probe  bool
 	Absent bool
-	// Began is before the connection; Sent is when the last byte was handed over; zero is never.
+	// Began is before the connection was made, Sent after the last byte was written; zero is never.
 	Began, Sent, First, Ended clock.Mark
 	Connected                 bool
-	// FirstOnConnection: no other request went before it there.
+	// FirstOnConnection: no other request was sent on the connection before.
 	FirstOnConnection bool
 	Status            int
 	AnsweredID        string
@@ -118,22 +119,22 @@
 	Encoding          string
 	ResponseBody      []byte
 	Events            []Event
-	// Complete says that by its framing the answer came whole.
+	// Complete says that the answer was complete by its framing.
 	Complete bool
-	// ClientClosed: the client closed first, at LeftAt. Early: it did so by its own will, and is owed no answer.
+	// ClientClosed: the client closed first, at ClosedAt. Early: not because of a time-out; no answer is owed.
 	ClientClosed, Early bool
 	ClosedAt            clock.Mark
-	// ExceedsDeadline: its work takes longer than its route's deadline, so nobody can serve it whole.
+	// ExceedsDeadline: its work takes longer than its route's deadline, so it cannot be served completely.
 	ExceedsDeadline bool
-	// Malformed is what came that is no answer in the protocol, Surplus what came while no request waited.
+	// Malformed is the error of bytes that are no answer; Unsolicited are bytes that came while no request waited.
 	Malformed, Unsolicited string
 	Err                    string
 }
 
-// Success says that it counts as one: 2xx with the whole body.
+// Success says that it counts as one: 2xx with the complete body.
 func (t *Attempt) Success() bool { return t.Status >= 200 && t.Status < 300 && t.Complete }
 
-// PromisesNotRun says that the answer promises that the request has not run and never will.
+// PromisesNotRun says that the status promises that the request has not run and never will.
 func (t *Attempt) PromisesNotRun() bool {
 	switch t.Status {
 	case 429, 503, 408, 421:
@@ -142,7 +143,7 @@
 	return false
 }
 
-// Outcome is what an operator's call ended with.
+// Outcome is the outcome of an operator's change.
 type Outcome string
 
 const (
@@ -154,12 +155,12 @@
 	Unclear Outcome = "unclear"
 )
 
-// Change is one change of the configuration, with all its sendings.
+// Change is one change of the configuration, over all its sends.
 type Change struct {
 	Operator   string
 	Base       uint64
 	Generation uint64
-	// Config is the configuration that it makes; nil if it cannot be known.
+	// Config is the resulting configuration; nil if it cannot be known.
 	Config *protocol.Config
 	// Fault says why it is invalid; empty is valid.
 	Fault           string
@@ -169,20 +170,20 @@
 	Status          int
 	Sends           int
 	By              string
-	// Method and Body are what was sent; the same with the same base is the same order.
+	// Method and Body are what was sent; with the same base they are the same change.
 	Method string
 	Body   []byte
-	// Resent says that an order was sent again that had been answered before.
+	// Resent says that the change had been answered before.
 	Resent bool
 }
 
-// Digest names the order in a change: the same bytes on the same base are the same order, whoever sent them.
+// Digest identifies a change: the same bytes on the same base are the same change, whoever sent them.
 func (c *Change) Digest() string {
 	sum := sha256.Sum256(c.Body)
 	return fmt.Sprintf("%s %d %x", c.Method, c.Base, sum)
 }
 
-// ReadBack is the configuration as it was read. Began is when it was asked for, At when it came.
+// ReadBack is the configuration as it was read, between Began and At.
 type ReadBack struct {
 	Began  clock.Mark
 	At     clock.Mark
@@ -191,7 +192,7 @@
 	Err    string
 }
 
-// Disruption is one thing done to the fleet from outside, unplanned unless Planned says so.
+// Disruption is a fault or planned work that hits the fleet from outside.
 type Disruption struct {
 	From clock.Mark
 	// Until is zero while it goes on.
@@ -202,7 +203,7 @@
 	Planned bool
 }
 
-// Kinds of trouble.
+// Kinds of disruption.
 const (
 	Killed         = "killed"
 	Started        = "started"
@@ -211,20 +212,20 @@
 	Reload         = "reload"
 	Closing        = "closing"
 	UnexpectedExit = "own-end"
-	// Link is trouble of the links between engines and daemons, or of an engine itself.
+	// Link is a fault of the links between engines and daemons, or of an engine itself.
 	Link = "link"
-	// TestbedStall is trouble of the machine that the rehearsal itself runs on.
+	// TestbedStall is a stall of the machine that the testbed runs on.
 	TestbedStall = "machine"
 )
 
-// ReadinessCheck is one question for readiness.
+// ReadinessCheck is one readiness check of a machine.
 type ReadinessCheck struct {
 	At      clock.Mark
 	Machine string
 	Ready   bool
 }
 
-// History is all that is known of a day.
+// History is all that was recorded of a run.
 type History struct {
 	Began, Ended clock.Mark
 	Attempts     []*Attempt
@@ -232,7 +233,7 @@
 	Orders       []*Order
 	Incarnations []*Incarnation
 	Changes      []*Change
-	// Reads are all readings of the configuration, ReadBacks those at the end.
+	// Reads are all reads of the configuration, ReadBacks those at the end.
 	Reads           []ReadBack
 	ReadBacks       []ReadBack
 	Disruptions     []*Disruption
@@ -241,7 +242,7 @@
 	Cores, Edges []string
 }
 
-// Recorder gathers a history from many hands.
+// Recorder gathers a history; it is safe for concurrent use.
 type Recorder struct {
 	Clock clock.Clock
 
@@ -249,29 +250,29 @@
 	history History
 }
 
-// NewRecorder begins one.
+// NewRecorder begins a history.
 func NewRecorder(c clock.Clock) *Recorder {
 	return &Recorder{Clock: c, history: History{Began: c.Elapsed()}}
 }
 
-// Now is the time by the book's clock.
+// Now is the time by the recorder's clock.
 func (b *Recorder) Now() clock.Mark { return b.Clock.Elapsed() }
 
-// Record changes the history; what it is given must not be kept.
+// Record changes the history under the recorder's lock; change must not retain it.
 func (b *Recorder) Record(change func(*History)) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	change(&b.history)
 }
 
-// BeginDisruption notes the beginning of a trouble, and gives back what ends it.
+// BeginDisruption records the beginning of a disruption and returns a function that records its end.
 func (b *Recorder) BeginDisruption(t Disruption) (over func()) {
 	noted := &t
 	b.Record(func(h *History) { noted.From = b.Now(); h.Disruptions = append(h.Disruptions, noted) })
 	return func() { b.Record(func(*History) { noted.Until = b.Now() }) }
 }
 
-// Snapshot copies the history; all that goes on later is left out.
+// Snapshot copies the history as it is now.
 func (b *Recorder) Snapshot() *History {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -289,7 +290,7 @@
 	return &out
 }
 
-// Arrivals copies those that match.
+// Arrivals copies the arrivals that match.
 func (b *Recorder) Arrivals(match func(*Arrival) bool) (out []*Arrival) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/testbed/platformtest/operator/operator.go
+++ b/testbed/platformtest/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator is a stand-in for the platform's operators: they send configurations by the platform's
-// page, again and unchanged while the answer is unclear, and write down what each call ended with.
+// Package operator simulates the platform's operators: they send configurations by the platform's protocol, resend them
+// unchanged while the outcome is unclear, and record the outcome of each call.
 package operator
 
 import (
@@ -23,9 +23,9 @@
 type Operator struct {
 	Name     string
 	Recorder *history.Recorder
-	// Controls is the list of control daemons, as late as the operator's list is.
+	// Controls lists the control daemons that the operator knows.
 	Controls func() []string
-	// LoseAnswerShare drops that share of the answers on their way back.
+	// LoseAnswerShare is the fraction of answers that are lost on their way back.
 	LoseAnswerShare float64
 
 	mutex  sync.Mutex
@@ -33,7 +33,7 @@
 	client *http.Client
 }
 
-// New makes one.
+// New returns an operator whose choices follow from seed.
 func New(name string, seed uint64, recorder *history.Recorder, controls func() []string) *Operator {
 	return &Operator{Name: name, Recorder: recorder, Controls: controls, random: rand.New(rand.NewPCG(seed, 5)),
 		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, CheckRedirect: func(_ *http.Request, via []*http.Request) error {
@@ -50,7 +50,7 @@
 	return o.random.IntN(1 << 16), o.random.Float64() < o.LoseAnswerShare
 }
 
-// answer is what one sending brought; status 0 is nothing.
+// answer is the outcome of one call; status 0 is no answer.
 type answer struct {
 	daemon string
 	status int
@@ -60,7 +60,7 @@
 
 // send makes one call at one daemon.
 func (o *Operator) send(ctx context.Context, daemon, method string, base uint64, body []byte) answer {
-	// A second of silence, and more for large bodies.
+	// A second for the answer, and more for large bodies.
 	ctx, cancel := context.WithTimeout(ctx, time.Second+time.Duration(len(body)/1000)*time.Millisecond)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+daemon+protocol.PathConfig, bytes.NewReader(body))
@@ -86,7 +86,7 @@
 	return answer{daemon: daemon, status: response.StatusCode, body: data}
 }
 
-// call sends until there is a clear answer or ctx ends; it gives the last answer and the number of sendings.
+// call sends until there is a clear answer or ctx ends; it returns the last answer and the number of sends.
 func (o *Operator) call(ctx context.Context, method string, base uint64, body []byte) (answer, int) {
 	turn, _ := o.draw()
 	others := 0
@@ -117,7 +117,7 @@
 	}
 }
 
-// change sends a change and notes what became of it.
+// change sends a change and records its outcome.
 func (o *Operator) change(ctx context.Context, method string, change history.Change, body []byte) *history.Change {
 	change.Operator, change.Began, change.Outcome, change.Method, change.Body = o.Name, o.Recorder.Now(), history.Unclear, method, body
 	noted := &change
@@ -135,17 +135,17 @@
 	return noted
 }
 
-// Put sends a whole configuration. What makes it invalid is told by fault; empty is valid.
+// Put sends a complete configuration. fault says what makes it invalid; empty is valid.
 func (o *Operator) Put(ctx context.Context, base uint64, config *protocol.Config, fault string) *history.Change {
 	return o.change(ctx, http.MethodPut, history.Change{Base: base, Generation: config.Generation, Config: config, Fault: fault}, config.Encode())
 }
 
-// PutRaw sends bytes that are no configuration that can be read whole.
+// PutRaw sends bytes that are no readable configuration.
 func (o *Operator) PutRaw(ctx context.Context, base, generation uint64, body []byte) *history.Change {
-	return o.change(ctx, http.MethodPut, history.Change{Base: base, Generation: generation, Fault: "it cannot be read whole"}, body)
+	return o.change(ctx, http.MethodPut, history.Change{Base: base, Generation: generation, Fault: "it cannot be read completely"}, body)
 }
 
-// Patch changes named items of a configuration that the operator knows whole.
+// Patch changes named items of a configuration that the operator knows completely.
 func (o *Operator) Patch(ctx context.Context, on *protocol.Config, patch protocol.Patch, fault string) *history.Change {
 	body, err := json.Marshal(patch)
 	if err != nil {
@@ -154,8 +154,8 @@
 	return o.change(ctx, http.MethodPatch, history.Change{Base: on.Generation, Generation: patch.Generation, Config: on.Apply(patch), Fault: fault, Patch: true}, body)
 }
 
-// Resend sends an order that was answered before once more, byte for byte; the same goes to as many other daemons at
-// the same time, whose answers nobody waits for.
+// Resend sends a change that was answered before once more, byte for byte; the same goes to others daemons at the same
+// time, whose answers are ignored.
 func (o *Operator) Resend(ctx context.Context, before history.Change, others int) *history.Change {
 	controls := o.Controls()
 	for n := range min(others, len(controls)) {
@@ -164,7 +164,7 @@
 	return o.change(ctx, before.Method, history.Change{Base: before.Base, Generation: before.Generation, Config: before.Config, Fault: before.Fault, Patch: before.Patch, Resent: true}, before.Body)
 }
 
-// Get reads the newest configuration, and notes what came as read back if it is for the day's end.
+// Get reads the newest configuration; end marks the reading at the end of the run.
 func (o *Operator) Get(ctx context.Context, end bool) history.ReadBack {
 	began := o.Recorder.Now()
 	last, _ := o.call(ctx, http.MethodGet, 0, nil)
--- a/testbed/platformtest/protocol/form.go
+++ b/testbed/platformtest/protocol/form.go
@@ -1,5 +1,5 @@
-// Package protocol is the users' platform's own forms, as its stand-ins speak them: names in heads, bodies,
-// and what a configuration allows. It is written apart from the translation, so that no mistake is shared.
+// Package protocol is the protocol of the users' platform as the simulated engines, clients and operators speak it:
+// headers, bodies and the meaning of a configuration. It is independent of package platform, so that they share no mistake.
 package protocol
 
 import (
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Names in the heads of messages.
+// Names of headers.
 const (
 	Attempt        = "X-Attempt-Id"
 	Deadline       = "X-Deadline-Ms"
@@ -54,14 +54,14 @@
 	Streaming  = "streaming"
 )
 
-// Holding is one model that an engine holds.
+// Holding is one model that an engine has loaded.
 type Holding struct {
 	Label      string   `json:"label"`
 	Generation uint64   `json:"generation"`
 	Adapters   []string `json:"adapters"`
 }
 
-// Registration is one beat of an engine.
+// Registration is one heartbeat of an engine.
 type Registration struct {
 	Backend      string    `json:"backend"`
 	Address      string    `json:"address"`
@@ -76,12 +76,12 @@
 	RemainingMs  int64     `json:"remaining-ms,omitempty"`
 }
 
-// Registered is the answer to a beat.
+// Registered is the answer to a heartbeat.
 type Registered struct {
 	HeartbeatTarget string `json:"beat-target,omitempty"`
 }
 
-// Report is what an engine says of itself when asked.
+// Report is an engine's answer to a poll of its state.
 type Report struct {
 	Phase        string    `json:"phase"`
 	Models       []Holding `json:"models"`
@@ -104,7 +104,7 @@
 	Fence     *uint64 `json:"fence-token"`
 }
 
-// Config is a whole configuration.
+// Config is a complete configuration.
 type Config struct {
 	Generation uint64    `json:"generation"`
 	Routes     []Route   `json:"route-table"`
@@ -112,7 +112,7 @@
 	Limits     Limits    `json:"limits"`
 }
 
-// Route is one route of it.
+// Route is one route of a configuration.
 type Route struct {
 	Label       string  `json:"label"`
 	Authority   string  `json:"authority"`
@@ -129,7 +129,7 @@
 	GapTargetMs int64   `json:"gap-target-ms,omitempty"`
 }
 
-// Share is the part of a route that goes to one service.
+// Share is the weight of one service in a route.
 type Share struct {
 	Backend string `json:"backend"`
 	Share   int64  `json:"share"`
@@ -145,7 +145,7 @@
 	Engine     *EngineID `json:"engine-id,omitempty"`
 }
 
-// EngineID is what a service's engines are and may hold.
+// EngineID describes the engines of a service and their capacity.
 type EngineID struct {
 	Slots           int            `json:"slots"`
 	KVCapacity      int64          `json:"kv-capacity"`
@@ -167,7 +167,7 @@
 	AdapterSizeMb float64 `json:"adapter-size-mb"`
 }
 
-// Limits bound what a client may send.
+// Limits limit what a client may send.
 type Limits struct {
 	MaxHeaderBytes  int   `json:"max-header-bytes"`
 	MaxBodyBytes    int64 `json:"max-body-bytes"`
@@ -175,7 +175,7 @@
 	IdleTimeoutMs   int64 `json:"idle-timeout-ms"`
 }
 
-// Patch changes named items.
+// Patch changes named items of a configuration.
 type Patch struct {
 	Generation uint64 `json:"generation"`
 	Upsert     struct {
@@ -207,7 +207,7 @@
 	return out
 }
 
-// Find gives the route with the longest prefix that begins the path, among those of the host.
+// Find returns the host's route with the longest prefix of the path; nil if there is none.
 func (c *Config) Find(host, path string) *Route {
 	var found *Route
 	for place := range c.Routes {
@@ -219,7 +219,7 @@
 	return found
 }
 
-// Named gives the route of that label.
+// Named returns the route of a label; nil if there is none.
 func (c *Config) Named(label string) *Route {
 	for place := range c.Routes {
 		if c.Routes[place].Label == label {
@@ -229,7 +229,7 @@
 	return nil
 }
 
-// Backend gives the service of that label.
+// Backend returns the service of a label; nil if there is none.
 func (c *Config) Backend(label string) *Backend {
 	for place := range c.Backends {
 		if c.Backends[place].Label == label {
@@ -285,7 +285,7 @@
 	return out
 }
 
-// Encode writes it.
+// Encode encodes a configuration as JSON.
 func (c *Config) Encode() []byte {
 	data, err := json.Marshal(c)
 	if err != nil {
@@ -294,7 +294,7 @@
 	return data
 }
 
-// Apply gives the configuration that a patch makes of this one.
+// Apply returns the configuration that a patch makes of this one.
 func (c *Config) Apply(patch Patch) *Config {
 	out := c.Clone()
 	out.Generation = patch.Generation
--- a/testbed/platformtest/protocol/prompt.go
+++ b/testbed/platformtest/protocol/prompt.go
@@ -12,14 +12,14 @@
 	Tokens int
 }
 
-// Prompt is what the head of a request says of its work.
+// Prompt is the work of a request, as its headers describe it.
 type Prompt struct {
 	Model, Adapter      string
 	TokensIn, TokensOut int
 	Parts               []Part
 }
 
-// WriteModel gives the value that names model and adapter.
+// WriteModel encodes the header of model and adapter.
 func (p Prompt) WriteModel() string {
 	if p.Adapter == "" {
 		return p.Model
@@ -27,10 +27,10 @@
 	return p.Model + "/" + p.Adapter
 }
 
-// WriteCounts gives the value with both counts of tokens.
+// WriteCounts encodes the header of both token counts.
 func (p Prompt) WriteCounts() string { return fmt.Sprintf("%d,%d", p.TokensIn, p.TokensOut) }
 
-// WriteParts gives the value that lists the parts.
+// WriteParts encodes the header of the parts.
 func (p Prompt) WriteParts() string {
 	parts := make([]string, 0, len(p.Parts))
 	for _, part := range p.Parts {
@@ -39,7 +39,7 @@
 	return strings.Join(parts, ",")
 }
 
-// ReadPrompt reads all three values; empty ones are left out.
+// ReadPrompt decodes all three headers; empty ones are left out.
 func ReadPrompt(model, counts, parts string) (Prompt, error) {
 	var prompt Prompt
 	prompt.Model, prompt.Adapter, _ = strings.Cut(model, "/")
@@ -62,7 +62,7 @@
 	return prompt, nil
 }
 
-// Events is how many events a stream has.
+// Events is the number of events in a stream.
 func (p Prompt) Events(stride int) int {
 	return max(1, (p.TokensOut+max(1, stride)-1)/max(1, stride))
 }
--- a/testbed/platformtest/protocol/seal.go
+++ b/testbed/platformtest/protocol/seal.go
@@ -8,27 +8,27 @@
 	"strings"
 )
 
-// sealKey is the stand-ins' own; nobody else can make their stamp.
+// sealKey is known to the simulated engines alone, so that nothing else can forge their stamp.
 var sealKey = []byte("stand-in engines")
 
-// Stamp is what a seal says: who answered what, in which run, and how long the answer is.
+// Stamp is the content of a seal: who answered which attempt, in which execution, and how long the answer is.
 type Stamp struct {
 	Engine, Attempt, Run string
 	// Status is the engine's own status.
 	Status int
-	// Length is of the body; -1 for streams, whose events bear their own marks.
+	// Length is of the body; -1 for streams, whose events name their attempt themselves.
 	Length int
 	// Digest is of the body; empty for streams.
 	Digest string
 }
 
-// Digest sums a body.
+// Digest is the digest of a body.
 func Digest(body []byte) string {
 	sum := sha256.Sum256(body)
 	return hex.EncodeToString(sum[:8])
 }
 
-// Write gives the seal. The engine's id and run must hold no dot.
+// Write encodes the seal. The engine's id and run must not contain a dot.
 func (s Stamp) Write() string {
 	plain := fmt.Sprintf("%s.%s.%s.%d.%d.%s", s.Engine, s.Run, hex.EncodeToString([]byte(s.Attempt)), s.Status, s.Length, s.Digest)
 	return plain + "." + mac(plain)
@@ -40,7 +40,7 @@
 	return hex.EncodeToString(hash.Sum(nil)[:8])
 }
 
-// ReadStamp reads a seal and says whether it is genuine.
+// ReadStamp decodes a seal and says whether it is genuine.
 func ReadStamp(seal string) (Stamp, bool) {
 	cut := strings.LastIndexByte(seal, '.')
 	if cut < 0 || !hmac.Equal([]byte(mac(seal[:cut])), []byte(seal[cut+1:])) {
@@ -61,12 +61,12 @@
 	return stamp, true
 }
 
-// EventData is the data of one event of a stream; it names the attempt, the run and its place.
+// EventData is the data of one event of a stream; it names the attempt, the execution and the event's number.
 func EventData(attempt, run string, place, of int) string {
 	return fmt.Sprintf("%s/%s/%d/%d", attempt, run, place, of)
 }
 
-// ReadEventData reads it.
+// ReadEventData decodes the data of an event; ok is false if it is malformed.
 func ReadEventData(data string) (attempt, run string, place, of int, ok bool) {
 	fields := strings.Split(data, "/")
 	if len(fields) != 4 {
@@ -78,7 +78,7 @@
 	return fields[0], fields[1], place, of, true
 }
 
-// Body is the whole answer of a plain run; it follows from attempt and run.
+// Body is the complete answer to a plain request; it follows from attempt and execution.
 func Body(attempt, run string, length int) []byte {
 	unit := []byte(attempt + "/" + run + ";")
 	out := make([]byte, 0, length+len(unit))
