--- a/testbed/platformtest/contract/requests_test.go
+++ b/testbed/platformtest/contract/requests_test.go
@@ -60,7 +60,7 @@
 	f.checkRules()
 }
 
-// heads collects the heads of requests as an engine gets them.
+// TestHeadersAreForwardedExceptHopByHop collects the heads of requests as an engine gets them.
 func TestHeadersAreForwardedExceptHopByHop(t *testing.T) {
 	f := newFixture(t)
 	e := f.plain(nil)
