--- a/daemon/applybundle.go
+++ b/daemon/applybundle.go
@@ -18,77 +18,79 @@
 )
 
 const (
-	// applyLimit bounds a call to apply a bundle: operators' tools take a second of silence for a dead daemon.
+	// applyLimit bounds a call to apply a configuration: operators' tools take a daemon that is silent for a second
+	// to be down.
 	applyLimit = 850 * time.Millisecond
-	// applyReach is how long an answer waits for the daemons in contact. Being committed by a majority is what
-	// the answer rests on, since nothing takes that back; the wait only lets whoever watches the fleet from
-	// then on see the new bundle everywhere at once. It stays short, since one silent daemon must not make
-	// the operator call again.
+	// applyReach is how long an answer waits for the daemons in contact to put the configuration in force. The answer
+	// rests on the commit by a majority alone, which nothing undoes; the wait only lets an operator who looks at the
+	// fleet next see the same configuration everywhere. It is short, since one unresponsive daemon must not make the
+	// operator repeat the call.
 	applyReach = 600 * time.Millisecond
-	// applyMargin is left for the answer's way back.
+	// applyMargin is what is left of applyLimit for the answer to travel back.
 	applyMargin = 60 * time.Millisecond
-	// mostDigest bounds the digest of a call that another daemon passes on.
+	// maxDigestBytes bounds the digest of a call that another daemon forwards.
 	maxDigestBytes = 256
-	// applyAgain is how soon a leader is looked for again.
+	// applyRetryEvery is how often the leader is looked for again.
 	applyRetryEvery = 50 * time.Millisecond
 )
 
-// ApplyBundle brings an operator's call to the leader. The same call may be brought there many times, also to
-// several leaders: whichever copy is committed first counts, and all others find it by its digest.
-func (d *Daemon) ApplyBundle(ctx context.Context, call operatorapi.Apply) operatorapi.Applying {
+// ApplyBundle forwards an operator's configuration to the leader until it is answered or applyLimit has passed. The
+// call is idempotent, and may reach several leaders: the first one to be committed counts, and the others find it by
+// its digest.
+func (d *Daemon) ApplyBundle(ctx context.Context, call operatorapi.ApplyRequest) operatorapi.ApplyResponse {
 	bounded, cancel := context.WithTimeout(ctx, d.applyLimit)
 	defer cancel()
 	ticker := time.NewTicker(applyRetryEvery)
 	defer ticker.Stop()
 	var request *peerapi.ApplyRequest
-	told := ""
+	redirected := ""
 	for {
 		answer, outcome := d.applyAsLeader(bounded, call)
 		if outcome == replica.Applied {
 			return answer
 		}
-		address := told
-		if told = ""; address == "" {
+		address := redirected
+		if redirected = ""; address == "" {
 			address = d.leaderAddress()
 		}
-		if address != "" && address != d.config.ReachedAt() && bounded.Err() == nil {
+		if address != "" && address != d.config.AdvertisedPeerAddress() && bounded.Err() == nil {
 			if request == nil {
 				request = d.applyRequest(call)
 			}
-			if answer, told, outcome = d.sendApply(bounded, address, request); outcome == replica.Applied {
+			if answer, redirected, outcome = d.sendApply(bounded, address, request); outcome == replica.Applied {
 				return answer
 			}
 		}
 		select {
 		case <-bounded.Done():
-			return operatorapi.Applying{Outcome: operatorapi.Unknown, Reason: "the control group gave no answer in time; send the same call again"}
+			return operatorapi.ApplyResponse{Outcome: operatorapi.Unknown, Reason: "the control group gave no answer in time; send the same call again"}
 		case <-ticker.C:
 		}
 	}
 }
 
-func (d *Daemon) applyRequest(call operatorapi.Apply) *peerapi.ApplyRequest {
+func (d *Daemon) applyRequest(call operatorapi.ApplyRequest) *peerapi.ApplyRequest {
 	request := &peerapi.ApplyRequest{Group: string(d.Group()), BaseVersion: uint64(call.Base), Digest: call.Digest, Operator: call.Operator}
 	if call.Patch != nil {
 		data, err := json.Marshal(call.Patch)
 		if err != nil {
 			panic("broken invariant: a patch cannot be encoded: " + err.Error())
 		}
-		request.Patch = compression.Pack(data)
+		request.Patch = compression.Compress(data)
 	} else {
-		request.Bundle = compression.Pack(call.Whole)
+		request.Bundle = compression.Compress(call.Configuration)
 	}
 	return request
 }
 
-// sendApply asks another daemon that may lead; told is where it says that the leader is.
-func (d *Daemon) sendApply(ctx context.Context, address string, request *peerapi.ApplyRequest) (answer operatorapi.Applying, told string, outcome replica.Outcome) {
+// sendApply forwards the call to a daemon that may lead; redirected is where that one says that the leader is.
+func (d *Daemon) sendApply(ctx context.Context, address string, request *peerapi.ApplyRequest) (answer operatorapi.ApplyResponse, redirected string, outcome replica.Outcome) {
 	until, _ := ctx.Deadline()
 	bounded, cancel := d.whileLeader(ctx, address, time.Until(until))
 	defer cancel()
 	sent := &peerapi.ApplyRequest{Group: request.Group, BaseVersion: request.BaseVersion, Digest: request.Digest, Operator: request.Operator,
 		Bundle: request.Bundle, Patch: request.Patch, TimeoutMs: time.Until(until).Milliseconds()}
-	reply, err := d.links.To(address).Apply(bounded, sent)
+	reply, err := d.links.Client(address).Apply(bounded, sent)
 	if err != nil {
 		return answer, "", replica.Unknown
 	}
@@ -99,7 +101,7 @@
 	return answer, reply.LeaderAddress, outcome
 }
 
-// Apply takes an operator's call, if this daemon leads.
+// Apply serves a forwarded call, if this daemon leads. It is part of the peer protocol.
 func (d *Daemon) Apply(ctx context.Context, in *peerapi.ApplyRequest) (*peerapi.SubmitReply, error) {
 	if err := d.checkGroup(in.Group); err != nil {
 		return nil, err
@@ -109,18 +111,18 @@
 	}
 	garbage := func() error {
 		d.counters.malformedMessages.Add(1)
-		return twirp.NewError(twirp.InvalidArgument, "this is no call to apply a bundle")
+		return twirp.NewError(twirp.InvalidArgument, "malformed request to apply a configuration")
 	}
-	call := operatorapi.Apply{Base: ident.Revision(in.BaseVersion), Digest: in.Digest, Operator: in.Operator}
+	call := operatorapi.ApplyRequest{Base: ident.Revision(in.BaseVersion), Digest: in.Digest, Operator: in.Operator}
 	if len(in.Patch) > 0 {
-		data, err := compression.Unpack(in.Patch)
+		data, err := compression.Decompress(in.Patch)
 		call.Patch = &upstream.Patch{}
 		if err != nil || json.Unmarshal(data, call.Patch) != nil {
 			return nil, garbage()
 		}
 	} else {
 		var err error
-		if call.Whole, err = compression.Unpack(in.Bundle); err != nil {
+		if call.Configuration, err = compression.Decompress(in.Bundle); err != nil {
 			return nil, garbage()
 		}
 	}
@@ -133,31 +135,31 @@
 	return d.submitReply(answer, outcome)
 }
 
-// leadApply carries a call out as the leader. Whatever it answers but Unknown is proved by the state. An answer that
-// says Unknown is final all the same: no other leader could prove more.
-func (d *Daemon) applyAsLeader(ctx context.Context, call operatorapi.Apply) (operatorapi.Applying, replica.Outcome) {
-	held := d.replica.Load()
-	if held == nil || !held.Status().IsLeader {
-		return operatorapi.Applying{}, replica.NotLeader
+// applyAsLeader carries a call out as the leader. Each answer but Unknown is proved by the replicated state. An
+// Unknown that comes with the outcome Applied is final as well: no other leader could prove more.
+func (d *Daemon) applyAsLeader(ctx context.Context, call operatorapi.ApplyRequest) (operatorapi.ApplyResponse, replica.Outcome) {
+	groupMember := d.replica.Load()
+	if groupMember == nil || !groupMember.Status().IsLeader {
+		return operatorapi.ApplyResponse{}, replica.NotLeader
 	}
-	if !d.config.OneStep {
-		return operatorapi.Applying{Outcome: operatorapi.Forbidden, Reason: "this fleet's bundles are reviewed and signed off; propose it instead"}, replica.Applied
+	if !d.config.DirectApply {
+		return operatorapi.ApplyResponse{Outcome: operatorapi.Forbidden, Reason: "this fleet's bundles are reviewed and signed off; propose it instead"}, replica.Applied
 	}
-	var standing directapply.Standing
-	if outcome := held.Read(ctx, func(state *statemachine.State) { standing = directapply.Look(state, call) }); outcome != replica.Applied {
-		return operatorapi.Applying{}, outcome
+	var standing directapply.View
+	if outcome := groupMember.Read(ctx, func(state *statemachine.State) { standing = directapply.ViewOf(state, call) }); outcome != replica.Applied {
+		return operatorapi.ApplyResponse{}, outcome
 	}
 	decision, inTime := d.decideApply(ctx, call, standing)
 	if !inTime {
-		return operatorapi.Applying{}, replica.Unknown
+		return operatorapi.ApplyResponse{}, replica.Unknown
 	}
-	answer := decision.Answer
+	answer := decision.Response
 	if decision.Submit != nil {
-		got := held.Submit(ctx, *decision.Submit)
+		got := groupMember.Submit(ctx, *decision.Submit)
 		if got.Outcome != replica.Applied {
-			return operatorapi.Applying{}, got.Outcome
+			return operatorapi.ApplyResponse{}, got.Outcome
 		}
-		answer = directapply.After(got.Result)
+		answer = directapply.ResponseTo(got.Result)
 	}
 	switch answer.Outcome {
 	case operatorapi.Applied:
@@ -168,9 +170,9 @@
 	return answer, replica.Applied
 }
 
-// decide works a call out, one at a time: each may hold some megabytes for some tenths of a second. It says
-// false when the time ran out.
-func (d *Daemon) decideApply(ctx context.Context, call operatorapi.Apply, standing directapply.Standing) (directapply.Decision, bool) {
+// decideApply works out what a call asks for. One call is worked out at a time, since each may take some megabytes
+// for some tenths of a second. It returns false if ctx ended first.
+func (d *Daemon) decideApply(ctx context.Context, call operatorapi.ApplyRequest, standing directapply.View) (directapply.Decision, bool) {
 	select {
 	case d.applySlot <- struct{}{}:
 	case <-ctx.Done():
@@ -180,24 +182,24 @@
 	return standing.Decide(call), true
 }
 
-// awaitContacts waits a short time until a bundle that is committed is in force at the daemons in contact.
-func (d *Daemon) awaitContacts(ctx context.Context, answer *operatorapi.Applying) {
+// awaitContacts waits a short time until a committed configuration is in force at the daemons in contact.
+func (d *Daemon) awaitContacts(ctx context.Context, answer *operatorapi.ApplyResponse) {
 	limit := d.applyReach
 	if until, bounded := ctx.Deadline(); bounded {
 		limit = min(limit, time.Until(until)-applyMargin)
 	}
-	// Only those in contact are waited for: one that is gone must not hold up what is committed.
-	reach := d.members.AwaitRollout(ctx, answer.Epoch, 0, limit, func() []ident.NodeID { return nil })
+	// Daemons out of contact are not waited for: what is committed must not wait for a machine that is down.
+	reach := d.members.AwaitRollout(ctx, answer.Version, 0, limit, func() []ident.NodeID { return nil })
 	answer.Acknowledged, answer.InForceAt, answer.Missing = reach.Complete, reach.Applied, reach.Missing
 }
 
-// NewestBundle reads the newest committed bundle through whoever leads. What this daemon itself has in force
-// may be older, so without the group's word there is no answer.
+// NewestBundle reads the newest committed configuration from the leader. This daemon may have an older one in force,
+// so it returns false where the group doesn't answer in time.
 func (d *Daemon) NewestBundle(ctx context.Context) (operatorapi.Bundle, bool) {
 	bounded, cancel := context.WithTimeout(ctx, d.applyLimit-applyMargin)
 	defer cancel()
-	var newest directapply.Newest
-	data, known := d.Look(bounded, "bundle", "")
+	var newest directapply.Latest
+	data, known := d.Query(bounded, "bundle", "")
 	if !known || json.Unmarshal(data, &newest) != nil {
 		return operatorapi.Bundle{}, false
 	}
--- a/daemon/attemptowners.go
+++ b/daemon/attemptowners.go
@@ -18,177 +18,179 @@
 )
 
 const (
-	// sightWindow is how lately a daemon must have been heard to be in sight.
+	// contactWindow is how recent the last contact with a daemon must be for it to count as reachable.
 	contactWindow = 3 * time.Second
-	// doubtSpan is how long one that fell silent, or has just begun, leaves doubt about what it knew.
+	// uncertainWindow is for how long a daemon that became unreachable, or has just started, leaves it uncertain
+	// which attempts it knew of.
 	uncertainWindow = 8 * time.Second
-	// homeLimit bounds the wait for a home's answer.
+	// ownerLimit bounds the wait for an owner's answer.
 	ownerLimit = 200 * time.Millisecond
 )
 
-// homes are the daemons to ask about an attempt.
+// attemptOwners are the daemons to query about an attempt: those that remember it, chosen by consistent hashing.
 type attemptOwners struct {
-	// ask lists their addresses; knowers holds those that would know of an earlier claim, with each one's partner.
+	// query lists their addresses. informed holds those that would know of an earlier claim, each with the address of
+	// the other owner.
 	query    []string
 	informed map[string]string
-	// alone says that no other daemon is known.
+	// onlyDaemon says that no other daemon is known.
 	onlyDaemon bool
-	// fewInSight says that most routing daemons may be on the other side of a split.
+	// minoritySide says that most routing daemons may be on the other side of a network partition.
 	minoritySide bool
 }
 
-// homesOf finds the homes of an attempt: those it has among the daemons in sight, and those it had
-// among all that were heard before the latest of them fell silent.
+// selectAttemptOwners finds the owners of an attempt: those that it has among the daemons in contact, and those that
+// it had among all that were in contact before the last of them became unreachable.
 func selectAttemptOwners(attempt string, view *membership.View, now clock.Mark, self string) attemptOwners {
 	leaderSeen := view.LastLeaderContact > 0 && now.Since(view.LastLeaderContact) <= contactWindow
-	var current, before, stopping []string
+	var current, before, draining []string
 	routersSeen, routersKnown := 0, 0
-	for _, fellow := range view.Members {
-		silent := now.Since(fellow.LastContact)
-		if !fellow.Ready {
-			// One that stops hands its memory on, and is asked while it is there.
-			if silent <= contactWindow {
-				stopping = append(stopping, fellow.Address)
+	for _, peer := range view.Members {
+		sinceContact := now.Since(peer.LastContact)
+		if !peer.Ready {
+			// A draining daemon transfers its memory to others, and is queried for as long as it is there.
+			if sinceContact <= contactWindow {
+				draining = append(draining, peer.Address)
 			}
 			continue
 		}
-		if silent <= contactWindow {
-			current = append(current, fellow.Address)
+		if sinceContact <= contactWindow {
+			current = append(current, peer.Address)
 		}
-		if silent <= contactWindow+uncertainWindow {
-			before = append(before, fellow.Address)
+		if sinceContact <= contactWindow+uncertainWindow {
+			before = append(before, peer.Address)
 		}
-		if fellow.Serves(string(daemonconfig.Route)) && (silent <= contactWindow+uncertainWindow || !leaderSeen) {
+		if peer.Serves(string(daemonconfig.Route)) && (sinceContact <= contactWindow+uncertainWindow || !leaderSeen) {
 			routersKnown++
-			if silent <= contactWindow {
+			if sinceContact <= contactWindow {
 				routersSeen++
 			}
 		}
 	}
 	if len(before) == 0 {
-		// Where all stop together, they are each other's homes to the last.
-		before, stopping = stopping, nil
+		// Where all daemons drain together, they own each other's attempts to the last.
+		before, draining = draining, nil
 	}
-	h := attemptOwners{informed: map[string]string{}, onlyDaemon: len(before) <= 1 && len(stopping) == 0}
-	// Where the two halves of a split are equal, the one that sees the leader goes on.
-	h.minoritySide = 2*routersSeen < routersKnown || 2*routersSeen == routersKnown && !leaderSeen
+	owners := attemptOwners{informed: map[string]string{}, onlyDaemon: len(before) <= 1 && len(draining) == 0}
+	// Where both sides of a partition have equally many, the side that sees the leader goes on.
+	owners.minoritySide = 2*routersSeen < routersKnown || 2*routersSeen == routersKnown && !leaderSeen
 	key := "attempt " + attempt
 	add := func(from []string, knows bool) {
 		slices.Sort(from)
 		first, second := affinity.Owners(key, from)
-		for home, partner := range map[string]string{first: second, second: first} {
-			if home == "" {
+		for owner, partner := range map[string]string{first: second, second: first} {
+			if owner == "" {
 				continue
 			}
-			if !slices.Contains(h.query, home) {
-				h.query = append(h.query, home)
+			if !slices.Contains(owners.query, owner) {
+				owners.query = append(owners.query, owner)
 			}
 			if knows {
-				h.informed[home] = partner
+				owners.informed[owner] = partner
 			}
 		}
 	}
 	add(before, true)
 	add(current, false)
-	add(slices.Concat(before, stopping), false)
-	if !slices.Contains(h.query, self) {
-		// What this daemon remembers itself costs nothing to ask.
-		h.query = append(h.query, self)
+	add(slices.Concat(before, draining), false)
+	if !slices.Contains(owners.query, self) {
+		// A query of this daemon's own memory costs nothing.
+		owners.query = append(owners.query, self)
 	}
-	return h
+	return owners
 }
 
-// askHomes puts one question to all homes of an attempt at once, and weighs what they say.
-func (d *Daemon) queryAttemptOwners(ask deduplication.Ask) deduplication.Decision {
-	self := d.config.ReachedAt()
-	// Where each attempt arrives once, no other daemon and no earlier life can know of one.
-	local := d.config.Attempts == daemonconfig.LocalAttempts
-	h := attemptOwners{query: []string{self}, informed: map[string]string{self: ""}, onlyDaemon: true}
+// queryAttemptOwners queries all owners of an attempt at once, and decides by their answers.
+func (d *Daemon) queryAttemptOwners(query deduplication.Request) deduplication.Decision {
+	self := d.config.AdvertisedPeerAddress()
+	// Where each attempt arrives only once, neither another daemon nor an earlier incarnation can know of it.
+	local := d.config.AttemptScope == daemonconfig.LocalAttempts
+	owners := attemptOwners{query: []string{self}, informed: map[string]string{self: ""}, onlyDaemon: true}
 	if !local {
-		h = selectAttemptOwners(ask.Attempt, d.members.View(), d.clock.Elapsed(), self)
+		owners = selectAttemptOwners(query.Attempt, d.members.View(), d.clock.Elapsed(), self)
 	}
-	type said struct {
+	type ownerReply struct {
 		home  string
 		reply *peerapi.AttemptReply
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), ownerLimit)
 	defer cancel()
-	answers := make(chan said, len(h.query))
-	for _, home := range h.query {
+	answers := make(chan ownerReply, len(owners.query))
+	for _, owner := range owners.query {
 		client := peerapi.Fellow(d)
-		if home != self {
-			client = d.links.To(home)
+		if owner != self {
+			client = d.links.Client(owner)
 			d.counters.attemptQueries.Add(1)
 		}
-		request := &peerapi.AttemptRequest{Attempt: ask.Attempt, Owner: ask.Owner, Digest: ask.Digest, AgeMs: ask.Age.Milliseconds(), Action: string(ask.Act), OtherOwnerAddress: h.informed[home]}
+		request := &peerapi.AttemptRequest{Attempt: query.Attempt, Owner: query.Owner, Digest: query.Digest, AgeMs: query.Age.Milliseconds(), Action: string(query.Action), OtherOwnerAddress: owners.informed[owner]}
 		go func() {
 			reply, err := client.Attempt(ctx, request)
 			if err != nil {
 				reply = nil
 			}
-			answers <- said{home, reply}
+			answers <- ownerReply{owner, reply}
 		}()
 	}
-	var heard deduplication.Answers
-	for range h.query {
+	var replies deduplication.Responses
+	for range owners.query {
 		answer := <-answers
 		if answer.reply == nil {
 			continue
 		}
-		heard.Given = append(heard.Given, deduplication.Answer(answer.reply.Outcome))
-		_, knows := h.informed[answer.home]
-		heard.Knew = heard.Knew || knows && (local || !answer.reply.Fresh)
-		// A daemon that may be cut off must not be the only one that knows.
-		heard.Written = heard.Written || answer.home != self || h.onlyDaemon
+		replies.Received = append(replies.Received, deduplication.Response(answer.reply.Outcome))
+		_, knows := owners.informed[answer.home]
+		replies.Authoritative = replies.Authoritative || knows && (local || !answer.reply.Fresh)
+		// A daemon that may be partitioned must not be the only one to know.
+		replies.Replicated = replies.Replicated || answer.home != self || owners.onlyDaemon
 	}
-	heard.Knew = heard.Knew && !h.minoritySide
-	verdict := deduplication.Decide(heard)
-	if verdict == deduplication.Doubt {
+	replies.Authoritative = replies.Authoritative && !owners.minoritySide
+	decision := deduplication.Decide(replies)
+	if decision == deduplication.Undetermined {
 		d.counters.attemptsUncertain.Add(1)
 	}
-	return verdict
+	return decision
 }
 
-// askFor makes the question about one record of this daemon.
-func (d *Daemon) attemptQuery(act deduplication.Act, id dispatch.RecordID, request dispatch.Request, arrived clock.Mark) deduplication.Ask {
-	return deduplication.Ask{Attempt: request.Attempt, Owner: string(d.nodeID) + "/" + strconv.FormatUint(uint64(id), 10),
-		Digest: request.Digest, Age: d.clock.Elapsed().Since(arrived), Act: act}
+// attemptQuery returns the query about one request of this daemon.
+func (d *Daemon) attemptQuery(action deduplication.Action, id dispatch.RecordID, request dispatch.Request, arrived clock.Mark) deduplication.Request {
+	return deduplication.Request{Attempt: request.Attempt, Owner: string(d.nodeID) + "/" + strconv.FormatUint(uint64(id), 10),
+		Digest: request.Digest, Age: d.clock.Elapsed().Since(arrived), Action: action}
 }
 
-// young says whether this life may lack attempts of the one before. Where it saw the group before any
-// bundle was in force, nothing can have run that it does not know of.
+// recentlyStarted says whether this incarnation may not know of attempts that the one before knew of. If it saw the
+// group before the first configuration was in force, there can't have been any.
 func (d *Daemon) recentlyStarted() bool {
 	view := d.members.View()
 	return !view.PredatesFirstRollout && d.clock.Elapsed().Since(view.Started) < uncertainWindow
 }
 
-// Attempt answers for the attempts whose home this daemon is.
+// Attempt answers queries about the attempts that this daemon owns. It is part of the peer protocol.
 func (d *Daemon) Attempt(_ context.Context, in *peerapi.AttemptRequest) (*peerapi.AttemptReply, error) {
-	act := deduplication.Act(in.Action)
-	if in.Attempt == "" || in.Owner == "" || act != deduplication.Claim && act != deduplication.Refuse && act != deduplication.Free {
+	action := deduplication.Action(in.Action)
+	if in.Attempt == "" || in.Owner == "" || action != deduplication.ActionClaim && action != deduplication.ActionReject && action != deduplication.ActionRelease {
 		d.counters.malformedMessages.Add(1)
-		return nil, twirp.NewError(twirp.InvalidArgument, "this asks nothing about an attempt")
+		return nil, twirp.NewError(twirp.InvalidArgument, "malformed query about an attempt")
 	}
-	reply, young := &peerapi.AttemptReply{}, d.recentlyStarted()
+	reply, startedRecently := &peerapi.AttemptReply{}, d.recentlyStarted()
 	if !d.attempts.Do(func(now clock.Mark, memory *deduplication.Memory) {
-		reply.Outcome = string(memory.Take(now, deduplication.Ask{Attempt: in.Attempt, Owner: in.Owner, Digest: in.Digest,
-			Age: time.Duration(in.AgeMs) * time.Millisecond, Act: act}))
-		reply.Fresh = young && !memory.Whole(in.OtherOwnerAddress)
+		reply.Outcome = string(memory.Handle(now, deduplication.Request{Attempt: in.Attempt, Owner: in.Owner, Digest: in.Digest,
+			Age: time.Duration(in.AgeMs) * time.Millisecond, Action: action}))
+		reply.Fresh = startedRecently && !memory.SyncedFrom(in.OtherOwnerAddress)
 	}) {
 		return nil, twirp.NewError(twirp.Unavailable, "this daemon is stopping")
 	}
 	return reply, nil
 }
 
-// Remember takes attempts over from another home.
+// Remember takes over attempts that another owner transfers. It is part of the peer protocol.
 func (d *Daemon) Remember(_ context.Context, in *peerapi.RememberRequest) (*peerapi.Empty, error) {
 	d.attempts.Do(func(now clock.Mark, memory *deduplication.Memory) {
 		for _, one := range in.Attempts {
-			memory.Learn(now, one.Attempt, deduplication.Entry{Owner: one.Owner, Digest: one.Digest, Refused: one.Refused,
+			memory.Merge(now, one.Attempt, deduplication.Entry{Owner: one.Owner, Digest: one.Digest, Rejected: one.Refused,
 				At: now - clock.Mark(time.Duration(one.AgeMs)*time.Millisecond)})
 		}
 		if in.From != "" && in.Complete {
-			memory.LearnWhole(in.From)
+			memory.MarkSynced(in.From)
 		}
 	})
 	return &peerapi.Empty{}, nil
--- a/daemon/attemptowners_test.go
+++ b/daemon/attemptowners_test.go
@@ -14,7 +14,7 @@
 
 const minute = clock.Mark(time.Minute)
 
-// fleetOf is a view of routing daemons, all heard just now by one that sees the leader.
+// fleetOf is a view of routing daemons that were all just in contact, seen by one that sees the leader.
 func fleetOf(size int) *membership.View {
 	view := &membership.View{Members: map[ident.NodeID]membership.Member{}, LastLeaderContact: minute}
 	for i := range size {
@@ -24,11 +24,12 @@
 	return view
 }
 
-// TestWhoAsksLaterMeetsWhoWroteOrDoubts: one daemon writes an attempt down at its homes, then some daemons
-// die, stop or come, and another asks. It must ask a living home that was written to, or have none that counts as knowing.
-func TestWhoAsksLaterMeetsWhoWroteOrDoubts(t *testing.T) {
+// TestLaterAttemptQueryMeetsAnInformedOwnerOrIsUncertain: one daemon records an attempt at its owners, then daemons
+// fail, drain or join, and another daemon queries. It must query a live owner that has the record, or have no owner
+// that counts as informed.
+func TestLaterAttemptQueryMeetsAnInformedOwnerOrIsUncertain(t *testing.T) {
 	met, doubted := 0, 0
-	run := func(seed uint64, silentFor time.Duration) (unsafe bool) {
+	run := func(seed uint64, sinceContact time.Duration) (unsafe bool) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		view := fleetOf(2 + random.IntN(10))
 		attempt := fmt.Sprint("attempt-", seed)
@@ -39,20 +40,20 @@
 			ids = append(ids, id)
 		}
 		slices.Sort(ids)
-		now := minute + clock.Mark(silentFor)
+		now := minute + clock.Mark(sinceContact)
 		for _, id := range ids {
-			fellow := view.Members[id]
-			fellow.LastContact = now
+			peer := view.Members[id]
+			peer.LastContact = now
 			switch random.IntN(4) {
 			case 0:
 				if id != "d1#1" {
-					fellow.LastContact = minute
-					dead[fellow.Address] = true
+					peer.LastContact = minute
+					dead[peer.Address] = true
 				}
 			case 1:
-				fellow.Ready = random.IntN(3) > 0
+				peer.Ready = random.IntN(3) > 0
 			}
-			view.Members[id] = fellow
+			view.Members[id] = peer
 		}
 		for i := range random.IntN(3) {
 			id := ident.NodeID(fmt.Sprintf("new%d#1", i))
@@ -61,14 +62,14 @@
 		view.LastLeaderContact = now
 		later := selectAttemptOwners(attempt, view, now, "10.0.0.1:1")
 		knows, meets := false, false
-		for _, home := range later.query {
-			if dead[home] {
+		for _, owner := range later.query {
+			if dead[owner] {
 				continue
 			}
-			fresh := home[:6] == "10.0.1"
-			_, knower := later.informed[home]
+			fresh := owner[:6] == "10.0.1"
+			_, knower := later.informed[owner]
 			knows = knows || knower && !fresh
-			meets = meets || slices.Contains(written, home)
+			meets = meets || slices.Contains(written, owner)
 		}
 		if meets {
 			met++
@@ -85,7 +86,7 @@
 	if met == 0 || doubted == 0 {
 		t.Fatalf("met %d, doubted %d: the histories are too tame", met, doubted)
 	}
-	// The broken variant forgets those who fell silent at once: that must show.
+	// A variant that forgets unreachable daemons at once must be caught by the same check.
 	caught := false
 	for seed := range uint64(20_000) {
 		caught = caught || run(seed, contactWindow+uncertainWindow+time.Second)
@@ -95,11 +96,12 @@
 	}
 }
 
-func TestOnlyOneSideOfASplitTakesWhatMayNotRunTwice(t *testing.T) {
+func TestOnlyOneSideOfAPartitionRunsNonIdempotentAttempts(t *testing.T) {
 	for size := 2; size <= 11; size++ {
 		for there := 0; there <= size; there++ {
 			for _, leaderHere := range []bool{true, false} {
-				// Each side hears its own daemons now, and heard the others two seconds before the sight window's end.
+				// Each side is in contact with its own daemons now, and last was with the others two seconds before
+				// the contact window ended.
 				now := minute + clock.Mark(contactWindow+2*time.Second)
 				side := func(from, to int, seesLeader bool) bool {
 					if from == to {
@@ -108,9 +110,9 @@
 					view := fleetOf(size)
 					for i := from; i < to; i++ {
 						id := ident.NodeID(fmt.Sprintf("d%d#1", i))
-						fellow := view.Members[id]
-						fellow.LastContact = now
-						view.Members[id] = fellow
+						peer := view.Members[id]
+						peer.LastContact = now
+						view.Members[id] = peer
 					}
 					if seesLeader {
 						view.LastLeaderContact = now
--- a/daemon/configurationhistory.go
+++ b/daemon/configurationhistory.go
@@ -15,14 +15,15 @@
 )
 
 const (
-	// historyEvery is how often earlier bundles that are lacking are asked for, historyAtOnce how many.
+	// historyEvery is how often missing earlier configurations are fetched, historyBatch how many at a time, and
+	// historyLimit how long each may take.
 	historyEvery = 500 * time.Millisecond
 	historyBatch = 8
 	historyLimit = 2 * time.Second
 )
 
-// runHistory fetches the bundles that were in force before this life began, so that they outlive the
-// disks that hold them.
+// runHistory fetches the configurations that were in force before this incarnation, so that they outlive the disks
+// that hold them. It runs on a goroutine of its own until ctx ends.
 func (d *Daemon) runHistory(ctx context.Context) {
 	ticker := time.NewTicker(historyEvery)
 	defer ticker.Stop()
@@ -32,32 +33,33 @@
 			return
 		case <-ticker.C:
 		}
-		t := d.rollout.Table()
-		// Bundles that are applied in one step come often and are large, and the group itself keeps the newest.
-		if t == nil || t.Forward != nil {
+		table := d.rollout.Table()
+		// Configurations that are applied in one step come often and are large, and the group itself retains the
+		// newest.
+		if table == nil || table.Forward != nil {
 			continue
 		}
-		asked := 0
-		// The newest first, since the bound on their size drops the oldest.
-		for epoch := t.Epoch - 1; epoch >= 1 && asked < historyBatch && d.rollout.Lacks(epoch); epoch-- {
-			if _, known := d.rollout.Recall(epoch); known {
+		requested := 0
+		// The newest come first, since the bound on their total size drops the oldest.
+		for version := table.Version - 1; version >= 1 && requested < historyBatch && d.rollout.RetainsPast(version); version-- {
+			if _, known := d.rollout.Past(version); known {
 				continue
 			}
-			asked++
-			if raw := d.fetchConfiguration(ctx, epoch); len(raw) > 0 {
-				d.rollout.Remember(epoch, raw)
+			requested++
+			if raw := d.fetchConfiguration(ctx, version); len(raw) > 0 {
+				d.rollout.RememberPast(version, raw)
 			}
 		}
 	}
 }
 
-// fetchBundle asks the group for an earlier bundle, and a fellow where there is no group.
-func (d *Daemon) fetchConfiguration(ctx context.Context, epoch ident.Version) []byte {
+// fetchConfiguration queries the group for an earlier configuration, or any peer where no leader is known.
+func (d *Daemon) fetchConfiguration(ctx context.Context, version ident.Version) []byte {
 	bounded, cancel := context.WithTimeout(ctx, historyLimit)
 	defer cancel()
 	if d.leaderAddress() != "" {
 		var proposal statemachine.Proposal
-		if found, ok := d.Look(bounded, "spec", fmt.Sprint(epoch)); ok && json.Unmarshal(found, &proposal) == nil {
+		if found, ok := d.Query(bounded, "spec", fmt.Sprint(version)); ok && json.Unmarshal(found, &proposal) == nil {
 			raw, err := proposal.Decompress()
 			if err != nil {
 				return nil
@@ -66,11 +68,11 @@
 		}
 		return nil
 	}
-	fellows := d.members.View().InContact(d.clock.Elapsed(), contactWindow)
-	if len(fellows) == 0 {
+	peers := d.members.View().InContact(d.clock.Elapsed(), contactWindow)
+	if len(peers) == 0 {
 		return nil
 	}
-	recalled, err := d.links.To(fellows[rand.IntN(len(fellows))].Address).Recall(bounded, &peerapi.RecallRequest{Version: uint64(epoch)})
+	recalled, err := d.links.Client(peers[rand.IntN(len(peers))].Address).Recall(bounded, &peerapi.RecallRequest{Version: uint64(version)})
 	if err != nil {
 		return nil
 	}
@@ -80,12 +82,12 @@
 	return recalled.Configuration
 }
 
-// Recall gives back a bundle that was in force here.
+// Recall returns a configuration that was in force here. It is part of the peer protocol.
 func (d *Daemon) Recall(_ context.Context, in *peerapi.RecallRequest) (*peerapi.RecallReply, error) {
-	raw, _ := d.rollout.Recall(ident.Version(in.Version))
+	raw, _ := d.rollout.Past(ident.Version(in.Version))
 	out := &peerapi.RecallReply{Configuration: raw}
-	if t := d.rollout.Table(); t != nil {
-		out.Closures = rollout.EncodeClosures(t.Closures)
+	if table := d.rollout.Table(); table != nil {
+		out.Closures = rollout.EncodeClosures(table.Closures)
 	}
 	return out, nil
 }
--- a/daemon/counters.go
+++ b/daemon/counters.go
@@ -7,24 +7,30 @@
 
 	"github.com/cresspond/cresspond/process/consensus/replica"
 	"github.com/cresspond/cresspond/process/daemonconfig"
+	"github.com/cresspond/cresspond/process/engines/connectionpool"
 	"github.com/cresspond/cresspond/process/engines/nodehealth"
 	"github.com/cresspond/cresspond/process/placement/poolplacement"
 	"github.com/cresspond/cresspond/request/forwarding"
 )
 
+// reportCounter takes the name and the value of one counter or level. The names are those of the counters page, and
+// dashboards rest on them.
+type reportCounter = func(name string, value uint64)
+
+// counters are what this daemon itself counts; its actors count the rest.
 type counters struct {
 	foreignGroup, malformedMessages, leasesAcquired, leasesRenewed, leasesLost        atomic.Uint64
 	bytesOwnZone, bytesOtherZone, malformedStreams, finalCheckStops                   atomic.Uint64
 	slotRequestsFailed, attemptQueries, attemptsUncertain, attemptsTransferred        atomic.Uint64
 	engineHeartbeats, engineHeartbeatsLate, departuresAcknowledged, departuresUnknown atomic.Uint64
 	memberFaults, listenerFaults, notHandedOver, turnedStale                          atomic.Uint64
-	// appliesUnproven counts operators' calls whose fate the replicated state could not prove any more.
+	// appliesUnproven counts operators' calls whose outcome the replicated state could not prove any more.
 	appliesUnproven atomic.Uint64
-	// group counts what this daemon's members of the control group noticed, over all their lives.
+	// group counts what this daemon's members of the control group noticed, over all their incarnations.
 	group replica.Counters
 }
 
-// Counters lists this daemon's counters, a line each.
+// Counters returns this daemon's counters as text, one on each line.
 func (d *Daemon) Counters() string {
 	var out strings.Builder
 	d.EachCounter(func(name string, value uint64) { fmt.Fprintf(&out, "%s %d\n", name, value) })
@@ -34,235 +40,280 @@
 	return out.String()
 }
 
-// EachCounter gives this daemon's counters and levels by name.
-func (d *Daemon) EachCounter(say func(name string, value uint64)) {
-	c := &d.counters
-	say("fellow_foreign_group", c.foreignGroup.Load())
-	say("fellow_garbage", c.malformedMessages.Load())
-	t := &d.links.Traffic
-	say("fellow_bytes_sent", t.Sent.Load())
-	say("fellow_bytes_received", t.Received.Load())
-	say("fellow_calls_made", t.Asked.Load())
-	say("fellow_calls_served", t.Answered.Load())
-	say("fellow_connections_opened", t.Opened.Load())
-	say("member_troubles", c.memberFaults.Load())
-	say("listener_troubles", c.listenerFaults.Load())
-	say("orders_unproven", c.appliesUnproven.Load())
-	say("stop_not_handed_over", c.notHandedOver.Load())
-	say("tenure_acquired", c.leasesAcquired.Load())
-	say("tenure_renewed", c.leasesRenewed.Load())
-	say("tenure_lost", c.leasesLost.Load())
-	say("mint_refused", d.generator.Refusals())
-	say("pulls", d.members.Pulls.Load())
-	say("pulls_failed", d.members.FailedPulls.Load())
-	say("sources_left_as_stale", d.members.StaleSources.Load())
-	say("turned_stale", c.turnedStale.Load())
-	if confirmed := d.confirmed(); confirmed > 0 {
-		say("confirmed_ms_ago", uint64(max(0, d.clock.Elapsed().Since(confirmed).Milliseconds())))
+// EachCounter reports this daemon's counters and levels by name, in the order of the page.
+func (d *Daemon) EachCounter(report reportCounter) {
+	d.eachPeerCounter(report)
+	d.eachGroupCounter(report)
+	d.eachEngineCounter(report)
+	if d.config.Serves(daemonconfig.Route) {
+		d.eachSessionCounter(report)
 	}
-	say("raft_sent", d.links.Sent.Load())
-	say("raft_dropped", d.links.Dropped.Load())
-	say("raft_failed", d.links.Failed.Load())
-	if held := d.replica.Load(); held != nil {
-		say("raft_refused", held.Rejected.Load())
+	d.eachForwardingCounter(report)
+	d.nodeRanking.eachCounter(report)
+	if d.config.Serves(daemonconfig.Placement) {
+		d.eachSessionPlanningCounter(report)
+		d.poolPlanning.eachCounter(report)
 	}
-	say("raft_malformed", c.group.MessagesRejected.Load())
-	say("snapshots_sent", c.group.SnapshotsSent.Load())
-	say("snapshots_taken", c.group.SnapshotsInstalled.Load())
-	say("snapshots_refused", c.group.SnapshotsRejected.Load())
-	say("states_differ", c.group.StateDivergences.Load())
-	say("offers_refused", d.rollout.Refused.Load())
-	w := &d.watcher.Counters
-	say("engine_reports_failed", w.FailedReports.Load())
-	say("engine_reports_junk", w.InvalidReports.Load())
-	say("engine_lives", w.Restarts.Load())
-	say("engine_set_aside", w.Quarantines.Load())
-	say("engines_registered", uint64(len(d.registry.View().Engines)))
-	if d.config.Serves(daemonconfig.Control) {
-		say("engine_beats", c.engineHeartbeats.Load())
-		say("engine_beats_late", c.engineHeartbeatsLate.Load())
-		say("leaves_acknowledged", c.departuresAcknowledged.Load())
-		say("leaves_unknown", c.departuresUnknown.Load())
+}
+
+// eachPeerCounter lists the counters of the connections between daemons, and of this daemon's life cycle.
+func (d *Daemon) eachPeerCounter(report reportCounter) {
+	counts := &d.counters
+	report("fellow_foreign_group", counts.foreignGroup.Load())
+	report("fellow_garbage", counts.malformedMessages.Load())
+	traffic := &d.links.Traffic
+	report("fellow_bytes_sent", traffic.SentBytes.Load())
+	report("fellow_bytes_received", traffic.ReceivedBytes.Load())
+	report("fellow_calls_made", traffic.Requests.Load())
+	report("fellow_calls_served", traffic.Served.Load())
+	report("fellow_connections_opened", traffic.Connections.Load())
+	report("member_troubles", counts.memberFaults.Load())
+	report("listener_troubles", counts.listenerFaults.Load())
+	report("orders_unproven", counts.appliesUnproven.Load())
+	report("stop_not_handed_over", counts.notHandedOver.Load())
+	report("tenure_acquired", counts.leasesAcquired.Load())
+	report("tenure_renewed", counts.leasesRenewed.Load())
+	report("tenure_lost", counts.leasesLost.Load())
+	report("mint_refused", d.generator.Rejections())
+	report("pulls", d.members.Pulls.Load())
+	report("pulls_failed", d.members.FailedPulls.Load())
+	report("sources_left_as_stale", d.members.StaleSources.Load())
+	report("turned_stale", counts.turnedStale.Load())
+	if confirmed := d.confirmed(); confirmed > 0 {
+		report("confirmed_ms_ago", uint64(max(0, d.clock.Elapsed().Since(confirmed).Milliseconds())))
 	}
-	if d.config.Serves(daemonconfig.Route) {
-		s := d.dispatch.Snapshot()
-		say("requests_invalid", d.sessionAPI.Invalid.Load())
-		say("requests_let_in", s.Counters.Admitted)
-		say("requests_held", s.Counters.Queued)
-		say("requests_held_now", uint64(s.Queued))
-		say("requests_refused", s.Counters.RefusedHere)
-		say("requests_refused_as_hopeless", s.Counters.Hopeless)
-		say("requests_replayed", s.Counters.Replays)
-		say("requests_whole", s.Counters.Whole)
-		say("requests_broken_off", s.Counters.CutOff)
-		say("requests_lost", s.Counters.Lost)
-		say("callers_left", s.Counters.CallersLeft)
-		say("sessions_reseated", s.Counters.Reseated)
-		say("goes_first", s.FirstAttempts)
-		say("goes_again", s.Retries)
-		say("goes_again_denied", s.Denied)
-		say("goes_refused_by_engine", s.Counters.EngineRefusals)
-		say("goes_held_back", s.Counters.Withdrawn)
-		say("attempt_calls", c.attemptQueries.Load())
-		say("attempt_doubts", c.attemptsUncertain.Load())
-		say("attempts_moved", c.attemptsTransferred.Load())
-		say("permits_unasked", c.slotRequestsFailed.Load())
-		say("goes_stopped_at_last_look", c.finalCheckStops.Load())
-		say("bytes_own_zone", c.bytesOwnZone.Load())
-		say("bytes_other_zone", c.bytesOtherZone.Load())
-		say("engines_junk_streams", c.malformedStreams.Load())
+}
+
+// eachGroupCounter lists the counters of the control group, as this daemon's member sees it.
+func (d *Daemon) eachGroupCounter(report reportCounter) {
+	group := &d.counters.group
+	report("raft_sent", d.links.SentMessages.Load())
+	report("raft_dropped", d.links.DroppedBatches.Load())
+	report("raft_failed", d.links.FailedBatches.Load())
+	if groupMember := d.replica.Load(); groupMember != nil {
+		report("raft_refused", groupMember.Rejected.Load())
 	}
-	d.eachForwardingCounter(say)
-	d.nodeRanking.eachCounter(say)
-	if d.config.Serves(daemonconfig.Place) {
-		p := d.sessionPlacer.Condition().Counters
-		say("orders", p.Orders)
-		say("orders_done", p.Done)
-		say("orders_refused", p.Refused)
-		say("orders_void", p.Void)
-		say("orders_never_arrived", p.NeverArrived)
-		say("orders_failed", p.Failed)
-		d.poolPlanning.eachCounter(say)
+	report("raft_malformed", group.MessagesRejected.Load())
+	report("snapshots_sent", group.SnapshotsSent.Load())
+	report("snapshots_taken", group.SnapshotsInstalled.Load())
+	report("snapshots_refused", group.SnapshotsRejected.Load())
+	report("states_differ", group.StateDivergences.Load())
+	report("offers_refused", d.rollout.Rejected.Load())
+}
+
+// eachEngineCounter lists the counters of discovery and of registrations.
+func (d *Daemon) eachEngineCounter(report reportCounter) {
+	counts := &d.counters
+	watched := &d.watcher.Counters
+	report("engine_reports_failed", watched.FailedReports.Load())
+	report("engine_reports_junk", watched.InvalidReports.Load())
+	report("engine_lives", watched.Restarts.Load())
+	report("engine_set_aside", watched.Quarantines.Load())
+	report("engines_registered", uint64(len(d.registry.View().Engines)))
+	if d.config.Serves(daemonconfig.Control) {
+		report("engine_beats", counts.engineHeartbeats.Load())
+		report("engine_beats_late", counts.engineHeartbeatsLate.Load())
+		report("leaves_acknowledged", counts.departuresAcknowledged.Load())
+		report("leaves_unknown", counts.departuresUnknown.Load())
 	}
 }
 
-// eachForwardingCounter lists the counters of opaque requests.
-func (d *Daemon) eachForwardingCounter(say func(name string, value uint64)) {
+// eachSessionCounter lists the counters of session requests, from their arrival to their attempts at engines.
+func (d *Daemon) eachSessionCounter(report reportCounter) {
+	counts := &d.counters
+	snapshot := d.dispatch.Snapshot()
+	report("requests_invalid", d.sessionAPI.Invalid.Load())
+	report("requests_let_in", snapshot.Counters.Admitted)
+	report("requests_held", snapshot.Counters.Queued)
+	report("requests_held_now", uint64(snapshot.Queued))
+	report("requests_refused", snapshot.Counters.RefusedHere)
+	report("requests_refused_as_hopeless", snapshot.Counters.Hopeless)
+	report("requests_replayed", snapshot.Counters.Replays)
+	report("requests_whole", snapshot.Counters.Whole)
+	report("requests_broken_off", snapshot.Counters.CutOff)
+	report("requests_lost", snapshot.Counters.Lost)
+	report("callers_left", snapshot.Counters.CallersLeft)
+	report("sessions_reseated", snapshot.Counters.Reseated)
+	report("goes_first", snapshot.FirstAttempts)
+	report("goes_again", snapshot.Retries)
+	report("goes_again_denied", snapshot.Denied)
+	report("goes_refused_by_engine", snapshot.Counters.EngineRefusals)
+	report("goes_held_back", snapshot.Counters.Withdrawn)
+	report("attempt_calls", counts.attemptQueries.Load())
+	report("attempt_doubts", counts.attemptsUncertain.Load())
+	report("attempts_moved", counts.attemptsTransferred.Load())
+	report("permits_unasked", counts.slotRequestsFailed.Load())
+	report("goes_stopped_at_last_look", counts.finalCheckStops.Load())
+	report("bytes_own_zone", counts.bytesOwnZone.Load())
+	report("bytes_other_zone", counts.bytesOtherZone.Load())
+	report("engines_junk_streams", counts.malformedStreams.Load())
+}
+
+// eachSessionPlanningCounter lists the counters of the orders of the planner for sessions.
+func (d *Daemon) eachSessionPlanningCounter(report reportCounter) {
+	planned := d.sessionPlacer.Status().Counters
+	report("orders", planned.Orders)
+	report("orders_done", planned.Done)
+	report("orders_refused", planned.Refused)
+	report("orders_void", planned.Void)
+	report("orders_never_arrived", planned.NeverArrived)
+	report("orders_failed", planned.Failed)
+}
+
+// eachForwardingCounter lists the counters of forwarded requests.
+func (d *Daemon) eachForwardingCounter(report reportCounter) {
 	side := &d.forwarding
 	if side.gateway == nil {
 		return
 	}
-	var c forwarding.Counters
-	held := 0
-	side.actor.Do(func(core *forwarding.Core, _ forwarding.Environment) { c, held = core.Counters, core.QueueLength() })
-	say("opaque_read", side.gateway.Counters.Read.Load())
-	say("opaque_unreadable", side.gateway.Counters.Unreadable.Load())
-	say("opaque_too_large", side.gateway.Counters.TooLarge.Load())
-	say("opaque_open", uint64(max(0, side.gateway.Open())))
-	say("opaque_no_path", c.NoPath)
-	say("opaque_held", c.Queued)
-	say("opaque_held_now", uint64(held))
-	for place, count := range c.QueuedBy {
-		say("opaque_held_for_"+forwarding.BlockReasonNames[place], count)
+	var counts forwarding.Counters
+	queued := 0
+	side.actor.Do(func(core *forwarding.Core, _ forwarding.Environment) {
+		counts, queued = core.Counters, core.QueueLength()
+	})
+	eachForwardedRequestCounter(report, side, &counts, queued)
+	eachForwardedAttemptCounter(report, &counts)
+	eachEngineConnectionCounter(report, side.pools)
+}
+
+// eachForwardedRequestCounter lists the counters of requests on the paths of the configuration.
+func eachForwardedRequestCounter(report reportCounter, side *forwardingPath, counts *forwarding.Counters, queued int) {
+	report("opaque_read", side.gateway.Counters.Read.Load())
+	report("opaque_unreadable", side.gateway.Counters.Unreadable.Load())
+	report("opaque_too_large", side.gateway.Counters.TooLarge.Load())
+	report("opaque_open", uint64(max(0, side.gateway.Open())))
+	report("opaque_no_path", counts.NoPath)
+	report("opaque_held", counts.Queued)
+	report("opaque_held_now", uint64(queued))
+	for index, count := range counts.QueuedBy {
+		report("opaque_held_for_"+forwarding.BlockReasonNames[index], count)
 	}
-	for place, count := range c.EndedBy {
-		say("opaque_ended_"+strings.ReplaceAll(forwarding.CauseNames[place], "-", "_"), count)
+	for index, count := range counts.EndedBy {
+		report("opaque_ended_"+strings.ReplaceAll(forwarding.CauseNames[index], "-", "_"), count)
 	}
-	say("opaque_shed", c.Shed)
-	say("opaque_refused", c.Rejected)
-	say("opaque_lost", c.EndedAfterLoss)
-	say("opaque_broken_off", c.Truncated)
-	say("opaque_whole", c.Completed)
-	say("opaque_engine_failures", c.EngineErrors)
-	say("opaque_callers_left", c.CallersLeft)
-	say("opaque_streams", side.gateway.Counters.Streams.Load())
-	say("opaque_streams_resumed", c.Resumed)
-	say("attempts_moved_off", c.Migrated)
-	say("attempts_stayed_at_emptied", c.MigrationsDeclined)
-	say("opaque_events", side.gateway.Counters.Events.Load())
-	say("opaque_unsealed", side.gateway.Counters.Unsealed.Load())
-	say("attempts_first", c.Sent)
-	say("attempts_again", c.Retried)
-	say("attempts_again_denied", c.RetriesDenied)
-	say("attempts_speculative", c.Speculative)
-	say("attempts_speculative_refused", c.SpeculativeRejected)
-	say("attempts_held_back", c.Withheld)
-	say("attempts_never_sent", c.Unreachable)
-	say("attempts_refused_by_engine", c.RejectedByEngine)
-	say("attempts_misdirected", c.Misdirected)
-	say("attempts_lost", c.ResponsesLost)
-	say("attempts_junk", c.ProtocolErrors)
-	say("attempts_cut", c.StreamsBroken)
-	say("choices_of_last_resort", c.LastResort)
-	p := &side.pools.Counters
-	busy, idle := side.pools.Open()
-	say("engine_connections_busy", uint64(max(0, busy)))
-	say("engine_connections_idle", uint64(idle))
-	say("engine_connections_dialled", p.Dialled.Load())
-	say("engine_connections_failed", p.DialsFailed.Load())
-	say("engine_connections_reused", p.Reused.Load())
-	say("engine_connections_found_stale", p.FoundStale.Load())
-	say("engine_connections_dropped_idle", p.DroppedIdle.Load())
-	say("engine_answers_surplus", p.Surplus.Load())
-	say("engine_answers_foreign", p.Foreign.Load())
-	say("engine_answers_junk", p.Junk.Load())
-	say("engine_bytes_sent", p.BytesSent.Load())
-	say("engine_bytes_received", p.BytesReceived.Load())
+	report("opaque_shed", counts.Shed)
+	report("opaque_refused", counts.Rejected)
+	report("opaque_lost", counts.EndedAfterLoss)
+	report("opaque_broken_off", counts.Truncated)
+	report("opaque_whole", counts.Completed)
+	report("opaque_engine_failures", counts.EngineErrors)
+	report("opaque_callers_left", counts.CallersLeft)
+	report("opaque_streams", side.gateway.Counters.Streams.Load())
+	report("opaque_streams_resumed", counts.Resumed)
+	report("attempts_moved_off", counts.Migrated)
+	report("attempts_stayed_at_emptied", counts.MigrationsDeclined)
+	report("opaque_events", side.gateway.Counters.Events.Load())
+	report("opaque_unsealed", side.gateway.Counters.Unsealed.Load())
+}
+
+// eachForwardedAttemptCounter lists the counters of their attempts at engines.
+func eachForwardedAttemptCounter(report reportCounter, counts *forwarding.Counters) {
+	report("attempts_first", counts.Sent)
+	report("attempts_again", counts.Retried)
+	report("attempts_again_denied", counts.RetriesDenied)
+	report("attempts_speculative", counts.Speculative)
+	report("attempts_speculative_refused", counts.SpeculativeRejected)
+	report("attempts_held_back", counts.Withheld)
+	report("attempts_never_sent", counts.Unreachable)
+	report("attempts_refused_by_engine", counts.RejectedByEngine)
+	report("attempts_misdirected", counts.Misdirected)
+	report("attempts_lost", counts.ResponsesLost)
+	report("attempts_junk", counts.ProtocolErrors)
+	report("attempts_cut", counts.StreamsBroken)
+	report("choices_of_last_resort", counts.LastResort)
+}
+
+// eachEngineConnectionCounter lists the counters of the connections to engines.
+func eachEngineConnectionCounter(report reportCounter, pools *connectionpool.Pools) {
+	connections := &pools.Counters
+	busy, idle := pools.Open()
+	report("engine_connections_busy", uint64(max(0, busy)))
+	report("engine_connections_idle", uint64(idle))
+	report("engine_connections_dialled", connections.Dialled.Load())
+	report("engine_connections_failed", connections.DialsFailed.Load())
+	report("engine_connections_reused", connections.Reused.Load())
+	report("engine_connections_found_stale", connections.FoundStale.Load())
+	report("engine_connections_dropped_idle", connections.DroppedIdle.Load())
+	report("engine_answers_surplus", connections.Surplus.Load())
+	report("engine_answers_foreign", connections.Foreign.Load())
+	report("engine_answers_junk", connections.Junk.Load())
+	report("engine_bytes_sent", connections.BytesSent.Load())
+	report("engine_bytes_received", connections.BytesReceived.Load())
 }
 
-func (p *poolPlanning) eachCounter(say func(name string, value uint64)) {
+func (p *poolPlanning) eachCounter(report reportCounter) {
 	if p == nil || p.placer == nil {
 		return
 	}
-	c := p.condition().Counters
-	say("pool_orders", c.Orders)
-	say("pool_loads", c.Loads)
-	say("pool_unloads", c.Evicts)
-	say("pool_adapter_loads", c.AdapterLoads)
-	say("pool_adapter_unloads", c.AdapterEvicts)
-	say("pool_orders_done", c.Done)
-	say("pool_orders_held_already", c.Already)
-	say("pool_orders_refused", c.Refused)
-	say("pool_orders_never_arrived", c.NeverArrived)
-	say("pool_orders_failed", c.Failed)
-	say("pool_orders_unsent", c.Unsent)
-	say("pool_orders_void", c.Void)
-	say("pool_plans_cancelled", c.Cancelled)
-	say("pool_reports", c.Reports)
-	say("pool_reports_failed", c.FailedReports)
-	say("pool_reports_stale", c.StaleReports)
-	for obstacle, count := range c.Unplaced {
-		say("pool_unplaced_for_"+poolplacement.ObstacleNames[obstacle], count)
+	counts := p.condition().Counters
+	report("pool_orders", counts.Orders)
+	report("pool_loads", counts.Loads)
+	report("pool_unloads", counts.Evicts)
+	report("pool_adapter_loads", counts.AdapterLoads)
+	report("pool_adapter_unloads", counts.AdapterEvicts)
+	report("pool_orders_done", counts.Done)
+	report("pool_orders_held_already", counts.Already)
+	report("pool_orders_refused", counts.Refused)
+	report("pool_orders_never_arrived", counts.NeverArrived)
+	report("pool_orders_failed", counts.Failed)
+	report("pool_orders_unsent", counts.Unsent)
+	report("pool_orders_void", counts.Void)
+	report("pool_plans_cancelled", counts.Cancelled)
+	report("pool_reports", counts.Reports)
+	report("pool_reports_failed", counts.FailedReports)
+	report("pool_reports_stale", counts.StaleReports)
+	for obstacle, count := range counts.Unplaced {
+		report("pool_unplaced_for_"+poolplacement.ObstacleNames[obstacle], count)
 	}
 	judged := p.condition().Judged
-	say("engine_outcomes_heard", judged.Attempts)
-	say("engine_outcomes_wrong", judged.Failures)
-	say("engine_outcomes_dropped", judged.DigestsDropped)
-	say("engines_ejected", judged.Ejections)
-	say("engines_ejected_again", judged.Relapses)
-	say("engines_slowed", judged.Throttled)
-	say("engines_returned", judged.Returns)
-	say("engines_spared", judged.Suppressed)
+	report("engine_outcomes_heard", judged.Attempts)
+	report("engine_outcomes_wrong", judged.Failures)
+	report("engine_outcomes_dropped", judged.DigestsDropped)
+	report("engines_ejected", judged.Ejections)
+	report("engines_ejected_again", judged.Relapses)
+	report("engines_slowed", judged.Throttled)
+	report("engines_returned", judged.Returns)
+	report("engines_spared", judged.Suppressed)
 }
 
 // eachCounter lists the counters of the ranking.
-func (n *nodeRanking) eachCounter(say func(name string, value uint64)) {
+func (n *nodeRanking) eachCounter(report reportCounter) {
 	if !n.on() {
 		return
 	}
 	if n.recorder != nil {
-		say("ranking_digests_told", n.digestsSent.Load())
-		say("ranking_measurements_dropped", n.recorder.Dropped())
+		report("ranking_digests_told", n.digestsSent.Load())
+		report("ranking_measurements_dropped", n.recorder.Dropped())
 	}
 	if !n.plans() {
 		return
 	}
 	state := n.state.Load()
-	c := state.counters
-	say("ranking_digests_heard", c.Digests)
-	say("ranking_digests_dropped", c.DigestsDropped)
-	say("ranking_steps", c.Steps)
-	say("ranking_step_us", uint64(state.took.Microseconds()))
-	say("ranking_suspected", c.Suspected)
-	say("ranking_cleared", c.Cleared)
-	say("ranking_drains", c.Drains)
-	say("ranking_releases", c.Reopened)
-	say("ranking_relapses", c.Relapses)
-	say("ranking_sounded", c.Recovered)
-	for place, count := range c.Refused {
-		if why := nodehealth.Refusal(place); why != nodehealth.Allowed {
-			say("ranking_refused_"+why.Name(), count)
+	counts := state.counters
+	report("ranking_digests_heard", counts.Digests)
+	report("ranking_digests_dropped", counts.DigestsDropped)
+	report("ranking_steps", counts.Steps)
+	report("ranking_step_us", uint64(state.took.Microseconds()))
+	report("ranking_suspected", counts.Suspected)
+	report("ranking_cleared", counts.Cleared)
+	report("ranking_drains", counts.Drains)
+	report("ranking_releases", counts.Reopened)
+	report("ranking_relapses", counts.Relapses)
+	report("ranking_sounded", counts.Recovered)
+	for index, count := range counts.Refused {
+		if why := nodehealth.Refusal(index); why != nodehealth.Allowed {
+			report("ranking_refused_"+why.Name(), count)
 		}
 	}
-	say("ranking_acts_done", n.decisionsMade.done.Load())
-	say("ranking_acts_refused", n.decisionsMade.refused.Load())
-	say("ranking_acts_unknown", n.decisionsMade.unknown.Load())
-	say("ranking_acts_unleased", n.decisionsMade.unleased.Load())
+	report("ranking_acts_done", n.decisionsMade.done.Load())
+	report("ranking_acts_refused", n.decisionsMade.refused.Load())
+	report("ranking_acts_unknown", n.decisionsMade.unknown.Load())
+	report("ranking_acts_unleased", n.decisionsMade.unleased.Load())
 	drained := uint64(0)
 	for _, row := range state.rows {
 		if row.Stage == nodehealth.Drained {
 			drained++
 		}
 	}
-	say("ranking_drained_now", drained)
+	report("ranking_drained_now", drained)
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,4 +1,3 @@
-// Package daemon puts the actors of one cresspondd process together and runs them.
 package daemon
 
 import (
@@ -14,6 +13,8 @@
 	"github.com/cresspond/cresspond/clock"
 	"github.com/cresspond/cresspond/connection/adminapi"
 	"github.com/cresspond/cresspond/connection/sessionapi"
+	"github.com/cresspond/cresspond/daemon/listener"
+	"github.com/cresspond/cresspond/daemon/longpoll"
 	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/process/cluster/affinity"
 	"github.com/cresspond/cresspond/process/cluster/deduplication"
@@ -32,28 +33,30 @@
 	"github.com/cresspond/cresspond/request/dispatch"
 )
 
-// Daemon is one process.
+// Daemon is one process. Its fields are set by New and by buildActors, and not written after that but for atomics and
+// what a mutex guards; each actor owns its own state, and is called from any goroutine.
 type Daemon struct {
 	config daemonconfig.Config
-	// current is config with what a later reading of the settings changed.
+	// current is config with what Reload changed.
 	current atomic.Pointer[daemonconfig.Config]
 	version string
 	nodeID  ident.NodeID
 	clock   clock.Clock
 	log     log.Interface
 
-	links             *peerclient.Links
-	rollout           *rollout.Keeper
+	links             *peerclient.Pool
+	rollout           *rollout.Manager
 	members           *membership.Membership
 	registry          *registry.Registry
 	registrySyncTimes syncTimes
-	// leavesNoted is how many leaves of the replicated state the registry was told of; only the replica's actor uses it.
+	// departuresApplied is how many departures of the replicated state the registry has been told of. Only the
+	// replica's goroutine uses it.
 	departuresApplied uint64
 	watcher           *discovery.Watcher
 	generator         *snowflake.Generator
 	dispatch          *dispatch.Actor
 	sessionAPI        *sessionapi.Door
-	adminAPI          *adminapi.Desk
+	adminAPI          *adminapi.Server
 	sessionPlacer     *sessionplacement.Actor
 	affinityTable     *affinity.Table
 	engineSlots       *admission.Controller
@@ -66,77 +69,82 @@
 	group             atomic.Pointer[ident.GroupID]
 	adoptedGroup      chan ident.GroupID
 	draining          atomic.Bool
-	// memberEnds says that this daemon's member of the group ends before the daemon does, and no other life follows.
+	// memberRetired says that this daemon's member of the group ends before the daemon does, and no other incarnation
+	// follows.
 	memberRetired atomic.Bool
-	// enlistedAt is when the group wrote this life down as one that may be serving; zero before.
+	// enlistedAt is when the group recorded this incarnation as one that may be serving; zero before.
 	enlistedAt atomic.Int64
 	fatal      chan error
-	// callers is shut until callers are accepted.
-	callerGate *gate
+	// callerGate is closed until callers are accepted.
+	callerGate *listener.Gate
+	// listeners opens the listeners of this daemon, and says what a fault of one means.
+	listeners listener.Opener
 
-	// pools plans for engines that register themselves, where the daemon was put together so.
+	// poolPlanning plans for engines that register themselves; nil where the daemon was made without it.
 	poolPlanning *poolPlanning
 
-	// lacks is what the planner last said that it will not load soon.
-	unplaced atomic.Pointer[receivedUnplaced]
-	// poolLacks is the same of the pools.
-	poolUnplaced atomic.Pointer[receivedPoolUnplaced]
+	// shortages is what the planner of sessions last said that it can't load soon.
+	shortages atomic.Pointer[receivedShortages]
+	// poolShortages is the same from the planner of pools.
+	poolShortages atomic.Pointer[receivedPoolShortages]
 
-	// bell wakes those whose answers are held back. toldNews are the versions told from here, heardNews those
-	// heard; beatNews, urgentTold, drainingNow, heldLacks and bundleSeen are what was last found new.
-	bell                           *bell
+	// notifier wakes the peers whose answers are held back. sentVersions number what was sent from here and
+	// receivedVersions what was received; the fields after them are what was last found to be new.
+	notifier                       *longpoll.Notifier
 	sentVersions, receivedVersions versions
 	lastPolled                     polledState
 	urgentNotified                 atomic.Uint64
 	enginesDraining                atomic.Bool
-	unplacedReport                 atomic.Pointer[unplacedReport]
+	shortageReport                 atomic.Pointer[shortageReport]
 	configurationSeen              atomic.Pointer[configurationSeen]
 
 	peerDemandMutex sync.Mutex
 	peerDemand      map[ident.NodeID]*demand.Receiver
-	// fleetOutcomes is what others saw of engines, until the planner takes it.
+	// peerOutcomes are the outcomes of peers' attempts at engines, until the planner takes them.
 	peerOutcomes []outlier.Observation
-	// wants tells whoever plans what is asked for here.
+	// demandSender encodes what is demanded here for the planner.
 	demandSender demand.Sender
 
-	// stallLimit is how long the next piece of a stream is waited for, runOver how long one may outlast its deadline.
+	// stallLimit is how long the next chunk of a stream is waited for, overrunLimit how long a stream may outlast its
+	// deadline.
 	stallLimit, overrunLimit time.Duration
-	// applying bounds how many orders to apply a bundle are worked out at once.
+	// applySlot lets one call to apply a configuration be worked out at a time.
 	applySlot              chan struct{}
 	applyLimit, applyReach time.Duration
-	// aroundDisk stands between the member and its data folder.
+	// wrapDisk wraps the data folder that the member writes to; tests inject faults by it.
 	wrapDisk func(replica.Disk) replica.Disk
 
-	// controlMakers and readyMakers make what stands before the desk, at the operators' and the readiness address.
+	// controlMakers and readinessMakers make the handlers that come before the admin API, at the operators' and the
+	// readiness address.
 	controlMakers, readinessMakers     []func(*Daemon) Handler
 	controlHandlers, readinessHandlers []Handler
-	// unreadyTold says that the platform was told while this daemon stops that it takes nothing new.
+	// unreadyAnswered gets an element for each readiness check that was answered with "not ready" while draining.
 	unreadyAnswered chan struct{}
 
 	forwarding forwardingPath
-	// nodes ranks engines by how their nodes behave.
+	// nodeRanking ranks engines by the health of their nodes.
 	nodeRanking *nodeRanking
 
 	counters counters
 }
 
-// New makes a daemon from checked settings.
-func New(c daemonconfig.Config, version string, logger log.Interface, options ...Option) *Daemon {
-	var life [4]byte
-	if _, err := rand.Read(life[:]); err != nil {
+// New makes a daemon from validated settings. It opens nothing and starts no goroutine; Run does.
+func New(config daemonconfig.Config, version string, logger log.Interface, options ...Option) *Daemon {
+	var incarnation [4]byte
+	if _, err := rand.Read(incarnation[:]); err != nil {
 		panic("broken invariant: no randomness: " + err.Error())
 	}
 	d := &Daemon{
-		config: c, version: version, clock: clock.System{},
-		// Each life of a daemon is a holder of its own, so an earlier life's ids can't be minted again.
-		nodeID:        ident.NodeID(c.Name + "#" + hex.EncodeToString(life[:])),
+		config: config, version: version, clock: clock.System{},
+		// Each incarnation has a node id of its own, so the lease and the ids of an earlier one can't be used again.
+		nodeID:        ident.NodeID(config.Name + "#" + hex.EncodeToString(incarnation[:])),
 		replicaConfig: replica.DefaultConfig(), adoptedGroup: make(chan ident.GroupID, 1), fatal: make(chan error, 4), unreadyAnswered: make(chan struct{}, 8),
 		applySlot: make(chan struct{}, 1), applyLimit: applyLimit, applyReach: applyReach,
 		peerDemand: map[ident.NodeID]*demand.Receiver{}, affinityTable: affinity.NewTable(), wrapDisk: func(disk replica.Disk) replica.Disk { return disk }, stallLimit: stallLimit, overrunLimit: overrunLimit,
 	}
-	d.replicaConfig.Voters, d.replicaConfig.Build = c.Voters, version
-	if c.Compaction.Entries > 0 {
-		d.replicaConfig.CompactEntries, d.replicaConfig.RetainEntries = c.Compaction.Entries, c.Compaction.Keep
+	d.replicaConfig.Voters, d.replicaConfig.Build = config.Voters, version
+	if config.Compaction.Entries > 0 {
+		d.replicaConfig.CompactEntries, d.replicaConfig.RetainEntries = config.Compaction.Entries, config.Compaction.Keep
 	}
 	d.log = logger.WithField("node", string(d.nodeID))
 	for _, option := range options {
@@ -145,32 +153,33 @@
 	none := ident.GroupID("")
 	d.group.Store(&none)
 	d.generator = snowflake.New(d.clock, leaseMargin)
-	d.current.Store(&c)
-	d.bell, d.callerGate = newBell(), newGate()
+	d.current.Store(&config)
+	d.notifier, d.callerGate = longpoll.NewNotifier(), listener.NewGate()
+	d.listeners = listener.Opener{Retry: config.OnFault == daemonconfig.RetryOnFault, Log: d.log, Faults: &d.counters.listenerFaults}
 	d.sentVersions.randomize()
 	return d
 }
 
-// Config is the settings as last read. Only seeds and bounds change in a daemon's life.
+// Config returns the settings as last read. Only seeds, bounds and the drain time change while a daemon runs.
 func (d *Daemon) Config() daemonconfig.Config { return *d.current.Load() }
 
-// Bounds are what the deployment holds its daemons to, as last read.
+// Bounds returns the limits that the deployment sets its daemons, as last read.
 func (d *Daemon) Bounds() daemonconfig.Bounds { return d.current.Load().Bounds }
 
-// Reload takes over what may change in a daemon's life from settings that were read again.
-func (d *Daemon) Reload(c daemonconfig.Config) {
+// Reload takes over what may change while a daemon runs from settings that were read again, and ignores the rest.
+func (d *Daemon) Reload(config daemonconfig.Config) {
 	next := d.Config()
-	if slices.Equal(next.Seeds, c.Seeds) && next.Bounds == c.Bounds && next.DrainMs == c.DrainMs {
+	if slices.Equal(next.Seeds, config.Seeds) && next.Bounds == config.Bounds && next.DrainMs == config.DrainMs {
 		return
 	}
-	next.Seeds, next.Bounds, next.DrainMs = c.Seeds, c.Bounds, c.DrainMs
+	next.Seeds, next.Bounds, next.DrainMs = config.Seeds, config.Bounds, config.DrainMs
 	d.current.Store(&next)
-	d.log.WithField("seeds", next.Seeds).Info("settings read again")
+	d.log.WithField("seeds", next.Seeds).Info("settings reloaded")
 }
 
 func (d *Daemon) roleNames() []string {
-	out := make([]string, 0, len(d.config.Serve))
-	for _, role := range d.config.Serve {
+	out := make([]string, 0, len(d.config.Roles))
+	for _, role := range d.config.Roles {
 		out = append(out, string(role))
 	}
 	return out
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -12,24 +12,28 @@
 )
 
 const (
-	// noticeLag is how long a stopping daemon whose readiness nobody asks for at an address of its own goes on
-	// taking connections that are still handed to it.
+	// defaultDrainNotice is how long a draining daemon goes on accepting connections where its readiness is not
+	// checked at an address of its own.
 	defaultDrainNotice = 1500 * time.Millisecond
-	// mostNotice bounds that time where readiness is asked for: it is asked once a second, and counts twice. What
-	// is sent within three seconds of the signal may outlast the daemon; what comes later would have to be finished.
+	// maxDrainNotice bounds that time where readiness is checked: the platform checks once a second, and acts on the
+	// second failure. What is sent within three seconds of the signal may outlast the daemon; what comes later would
+	// have to be completed.
 	maxDrainNotice = 2700 * time.Millisecond
-	// missesSeen is how many answers of not being ready keep new connections away, and lastHandedOver how long
-	// a connection that was handed over before may be on its way.
+	// unreadyAnswersNeeded is how many failed readiness checks keep new connections away, and connectionInTransit how
+	// long a connection that was assigned before may still be on its way.
 	unreadyAnswersNeeded = 2
 	connectionInTransit  = 300 * time.Millisecond
-	// handOverEvery is how often a stopping leader offers its office.
+	// leadershipTransferEvery is how often a draining leader tries to transfer its leadership.
 	leadershipTransferEvery = 300 * time.Millisecond
-	// claimLimit bounds the word that the planner's claim is free, releaseLimit the release of the worker id.
+	// claimLimit bounds the release of the planner's lease, and releaseLimit that of the worker id.
 	claimLimit   = time.Second
 	releaseLimit = 400 * time.Millisecond
 )
 
-// drain stops taking new work, finishes what was read, hands over and lets go.
+// drain completes the requests that were read, transfers what this daemon alone holds and releases its leases, in
+// this order: leadership and planning, connections, memory of attempts, registrations, the worker id, the member of
+// the group. The member is last, since the steps before it need the group. Closing hurry, or the drain time of the
+// settings, cuts each step short.
 func (d *Daemon) drain(servers []*fasthttp.Server, hurry <-chan struct{}) {
 	limit, cancel := context.WithTimeout(context.Background(), time.Duration(d.Config().DrainMs)*time.Millisecond)
 	defer cancel()
@@ -43,90 +47,90 @@
 	d.draining.Store(true)
 	d.log.Info("draining")
 	defer d.stopForwarding(limit)()
-	var kept unreleasedSet
+	var remaining unreleasedSet
 	var wait sync.WaitGroup
-	wait.Go(func() { d.handOverRoles(limit, &kept) })
+	wait.Go(func() { d.handOverRoles(limit, &remaining) })
 	d.awaitNoNewConnections(limit)
 	for _, server := range servers {
 		wait.Go(func() {
 			if err := server.ShutdownWithContext(limit); err != nil {
-				kept.add(openResponses)
-				d.log.WithField("open", d.sessionAPI.Open()).Warn("stopped before all answers were written")
+				remaining.add(openResponses)
+				d.log.WithField("openSessionRequests", d.sessionAPI.Open()).Warn("drain ended before all responses were written")
 			}
 		})
 	}
 	wait.Wait()
-	if d.config.Attempts != daemonconfig.LocalAttempts {
+	if d.config.AttemptScope != daemonconfig.LocalAttempts {
 		d.handOverAttempts(limit)
 		if limit.Err() != nil {
-			kept.add(attemptMemory)
+			remaining.add(attemptMemory)
 		}
 	}
-	d.awaitRegistrationsSeen(&kept)
+	d.awaitRegistrationsSeen(&remaining)
 	bounded, done := context.WithTimeout(context.Background(), releaseLimit)
 	defer done()
-	// Without a tenure too, the group hears that this life serves no more.
-	worker, last, _ := d.generator.Drop()
+	// The group is told that this incarnation no longer serves, also where it has no lease.
+	worker, last, _ := d.generator.ReleaseLease()
 	if _, ok := d.submit(bounded, statemachine.Command{Op: statemachine.OpRelease, NodeID: d.nodeID, WorkerID: worker, LastTimestamp: last}); !ok {
-		kept.add(workerID)
+		remaining.add(workerID)
 	}
-	d.retireMember(limit, &kept)
-	if things := kept.list(); len(things) > 0 {
+	d.retireMember(limit, &remaining)
+	if things := remaining.list(); len(things) > 0 {
 		d.counters.notHandedOver.Add(uint64(len(things)))
-		d.log.WithField("kept", things).Warn("stopped without handing all over")
+		d.log.WithField("unreleased", things).Warn("stopped without releasing everything")
 		return
 	}
 	d.log.Info("stopped")
 }
 
-// handOffice gives up what this daemon does for the others: planning, then leading. The group keeps its
-// size: a machine that stops may come back.
-func (d *Daemon) handOverRoles(limit context.Context, kept *unreleasedSet) {
-	if d.config.Serves(daemonconfig.Place) {
+// handOverRoles gives up planning, and then leadership. The group keeps its size: a machine that stops may come back.
+func (d *Daemon) handOverRoles(limit context.Context, remaining *unreleasedSet) {
+	if d.config.Serves(daemonconfig.Placement) {
 		plans := d.IsPlanner()
-		d.sessionPlacer.StandDown()
+		d.sessionPlacer.Resign()
 		d.poolPlanning.standDown()
 		bounded, done := context.WithTimeout(limit, claimLimit)
 		if _, ok := d.submitOnce(bounded, statemachine.Command{Op: statemachine.OpReleasePlanner, NodeID: d.nodeID}); !ok && plans {
-			kept.add(plannersClaim)
+			remaining.add(plannersClaim)
 		}
 		done()
 	}
 	ticker := time.NewTicker(leadershipTransferEvery)
 	defer ticker.Stop()
 	for {
-		held := d.replica.Load()
-		if held == nil || !held.Status().IsLeader {
+		groupMember := d.replica.Load()
+		if groupMember == nil || !groupMember.Status().IsLeader {
 			return
 		}
-		// An heir that does not take the office is asked again, or another is.
-		held.TransferLeadership()
+		// A successor that does not take over is tried again, or another one is.
+		groupMember.TransferLeadership()
 		select {
 		case <-limit.Done():
-			kept.add(leadership)
+			remaining.add(leadership)
 			return
 		case <-ticker.C:
 		}
 	}
 }
 
-// awaitMoved goes on taking new connections until the platform hands over no more of them.
+// awaitNoNewConnections returns once the platform has had the time to stop assigning connections to this daemon; they
+// are accepted until then.
 func (d *Daemon) awaitNoNewConnections(limit context.Context) {
-	most := defaultDrainNotice
+	limitForNotice := defaultDrainNotice
 	if d.config.ReadyListen != "" {
-		// Half of the time that there is stays for what was taken last.
-		most = min(maxDrainNotice, time.Duration(d.Config().DrainMs)*time.Millisecond/2)
+		// The other half of the drain time is left for the requests that were accepted last.
+		limitForNotice = min(maxDrainNotice, time.Duration(d.Config().DrainMs)*time.Millisecond/2)
 	}
-	longest := time.NewTimer(most)
+	longest := time.NewTimer(limitForNotice)
 	defer longest.Stop()
-	var moved <-chan time.Time
-	for told := 0; ; {
+	var transferred <-chan time.Time
+	for answered := 0; ; {
 		select {
 		case <-d.unreadyAnswered:
-			if told++; told == unreadyAnswersNeeded {
-				moved = time.After(connectionInTransit)
+			if answered++; answered == unreadyAnswersNeeded {
+				transferred = time.After(connectionInTransit)
 			}
-		case <-moved:
+		case <-transferred:
 			return
 		case <-longest.C:
 			return
--- a/daemon/joingroup.go
+++ b/daemon/joingroup.go
@@ -19,10 +19,10 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// joinEvery is how often a member that does not vote yet asks to be taken in.
+// joinEvery is how often a member that does not vote yet asks the leader to join.
 const joinEvery = 250 * time.Millisecond
 
-// NewMember makes the identity of a new data folder.
+// NewMember returns a random identity for a new data folder.
 func NewMember() raft.MemberID {
 	var raw [8]byte
 	if _, err := rand.Read(raw[:]); err != nil {
@@ -31,16 +31,16 @@
 	return raft.MemberID(binary.BigEndian.Uint64(raw[:])>>1 | 1)
 }
 
-// seeds are the addresses at which the fleet may be found: those that were told, and the members of the group
-// as this machine's disk remembers them, since the told ones may be gone.
+// seeds returns the addresses at which the fleet may be found: those of the settings, and the members of the group by
+// this machine's disk, since the machines of the settings may be gone.
 func (d *Daemon) seeds() []string {
 	out := d.current.Load().Seeds
-	held := d.replica.Load()
-	if held == nil {
+	groupMember := d.replica.Load()
+	if groupMember == nil {
 		return out
 	}
 	out = slices.Clip(out)
-	for _, member := range held.Status().Membership.Members {
+	for _, member := range groupMember.Status().Membership.Members {
 		if member.Address != "" && !slices.Contains(out, member.Address) {
 			out = append(out, member.Address)
 		}
@@ -48,31 +48,31 @@
 	return out
 }
 
-// remembers says whether a data folder belongs to a group already.
-func belongsToGroup(held *store.Store) bool {
-	group, err := held.Group()
+// belongsToGroup says whether a data folder belongs to a group already, or can't be read.
+func belongsToGroup(dataFolder *store.Store) bool {
+	group, err := dataFolder.Group()
 	return err != nil || group != ""
 }
 
-func (d *Daemon) findGroup(ctx context.Context, held *store.Store) (ident.GroupID, raft.PersistentState, error) {
+func (d *Daemon) findGroup(ctx context.Context, dataFolder *store.Store) (ident.GroupID, raft.PersistentState, error) {
 	var none raft.PersistentState
-	remembered, err := held.Group()
+	remembered, err := dataFolder.Group()
 	if err != nil {
 		return "", none, err
 	}
 	if remembered != "" {
-		restored, err := held.Load()
+		restored, err := dataFolder.Load()
 		return remembered, restored, err
 	}
 	ticker := time.NewTicker(200 * time.Millisecond)
 	defer ticker.Stop()
 	for {
-		decision, group, members := bootstrap.Decide(held.Member, d.identifySeeds(ctx))
-		switch decision {
+		decision := bootstrap.Decide(dataFolder.MemberID, d.identifySeeds(ctx))
+		switch decision.Action {
 		case bootstrap.Join:
-			return group, none, nil
-		case bootstrap.Form:
-			return d.bootstrapGroup(held, members)
+			return decision.Group, none, nil
+		case bootstrap.Bootstrap:
+			return d.bootstrapGroup(dataFolder, decision.Membership)
 		}
 		select {
 		case <-ctx.Done():
@@ -84,47 +84,47 @@
 	}
 }
 
-// form writes the first state of a new group; it counts once it is synced.
-func (d *Daemon) bootstrapGroup(held *store.Store, members raft.Membership) (ident.GroupID, raft.PersistentState, error) {
+// bootstrapGroup writes the first state of a new group, which exists once that is synced.
+func (d *Daemon) bootstrapGroup(dataFolder *store.Store, members raft.Membership) (ident.GroupID, raft.PersistentState, error) {
 	var raw [8]byte
 	if _, err := rand.Read(raw[:]); err != nil {
 		panic("broken invariant: no randomness: " + err.Error())
 	}
 	group := ident.GroupID(hex.EncodeToString(raw[:]))
 	first := raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: statemachine.New().Snapshot()}
-	if err := held.Write(group, raft.Save{HardState: raft.HardState{Term: 1}, Snapshot: &first}); err != nil {
+	if err := dataFolder.Write(group, raft.Save{HardState: raft.HardState{Term: 1}, Snapshot: &first}); err != nil {
 		return "", raft.PersistentState{}, err
 	}
-	d.log.WithField("members", len(members.Members)).Info("formed a new group")
-	restored, err := held.Load()
+	d.log.WithField("members", len(members.Members)).Info("bootstrapped a new control group")
+	restored, err := dataFolder.Load()
 	return group, restored, err
 }
 
-// askSeeds asks all seeds who they are. Once one of them tells of a group nobody else is waited for: a seed
-// that is gone for good must not hold up a machine that comes in its place.
-func (d *Daemon) identifySeeds(ctx context.Context) []bootstrap.Seed {
+// identifySeeds asks all seeds at once who they are. Once one of them knows a group the others are not waited for: a
+// seed that is gone for good must not hold up the machine that replaces it.
+func (d *Daemon) identifySeeds(ctx context.Context) []bootstrap.SeedStatus {
 	seeds := d.Config().Seeds
-	out := make([]bootstrap.Seed, len(seeds))
-	type said struct {
-		place    int
+	out := make([]bootstrap.SeedStatus, len(seeds))
+	type seedReply struct {
+		index    int
 		identity *peerapi.Identity
 	}
-	answers := make(chan said, len(seeds))
+	answers := make(chan seedReply, len(seeds))
 	bounded, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	for place, address := range seeds {
-		out[place].Address = address
+	for index, address := range seeds {
+		out[index].Address = address
 		go func() {
-			if address == d.config.ReachedAt() {
-				answers <- said{place, d.identity()}
+			if address == d.config.AdvertisedPeerAddress() {
+				answers <- seedReply{index, d.identity()}
 				return
 			}
-			// A seed that does not answer is told by its lack of an identity.
-			identity, err := d.links.To(address).Identify(bounded, &peerapi.Empty{})
+			// A seed that does not answer has no identity.
+			identity, err := d.links.Client(address).Identify(bounded, &peerapi.Empty{})
 			if err != nil {
 				identity = nil
 			}
-			answers <- said{place, identity}
+			answers <- seedReply{index, identity}
 		}()
 	}
 	for range seeds {
@@ -132,7 +132,7 @@
 		if answer.identity == nil {
 			continue
 		}
-		out[answer.place] = seedOf(out[answer.place].Address, answer.identity)
+		out[answer.index] = seedOf(out[answer.index].Address, answer.identity)
 		if answer.identity.Group != "" {
 			break
 		}
@@ -140,12 +140,13 @@
 	return out
 }
 
-func seedOf(address string, identity *peerapi.Identity) bootstrap.Seed {
-	return bootstrap.Seed{Address: address, Answered: true, Member: raft.MemberID(identity.MemberId), Name: ident.NodeID(identity.NodeId).Name(),
+func seedOf(address string, identity *peerapi.Identity) bootstrap.SeedStatus {
+	return bootstrap.SeedStatus{Address: address, Reachable: true, Member: raft.MemberID(identity.MemberId), Name: ident.NodeID(identity.NodeId).Name(),
 		Group: ident.GroupID(identity.Group), ServesControl: identity.ServesControl, JoinOnly: identity.JoinOnly}
 }
 
-// runJoin asks to be taken in until this member votes.
+// runJoin asks the leader to join until this member votes, and while draining to leave. It runs on a goroutine of its
+// own until ctx, that of the member's incarnation, ends.
 func (d *Daemon) runJoin(ctx context.Context, made *replica.Replica, self raft.Member) {
 	ticker := time.NewTicker(joinEvery)
 	defer ticker.Stop()
@@ -154,13 +155,13 @@
 		member, known := condition.Membership.Find(self.ID)
 		leader := d.members.View().LeaderAddress
 		if d.draining.Load() {
-			// While it goes on, another that stands ready may take its place.
+			// While this member goes on, a learner may be promoted in its stead.
 			if known && member.Voter && leader != "" && leader != self.Address {
 				d.requestJoin(ctx, leader, self, true)
 			}
 			leader = ""
 		}
-		// One that hears no leader, while others do, may have been let go without its knowing.
+		// A member without a leader may have been removed without its knowing, if others do have one.
 		outside := !known || !member.Voter || condition.Leader.ID == 0
 		if outside && leader != "" && leader != self.Address {
 			d.requestJoin(ctx, leader, self, false)
@@ -173,34 +174,35 @@
 	}
 }
 
-// askToJoin tells the leader that this member wants to be taken in, or that it stops. It says whether the leader
-// agreed: to one that stops, that nothing rests on its copy of the log. A lost call is made again on the next beat.
+// requestJoin tells the leader that this member wants to join, or with leaving that it stops. It returns whether the
+// leader agreed: for a member that stops, that nothing depends on its copy of the log. A call that is lost is made
+// again at the next tick.
 func (d *Daemon) requestJoin(ctx context.Context, leader string, self raft.Member, leaving bool) bool {
 	bounded, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	reply, err := d.links.To(leader).Join(bounded, &peerapi.JoinRequest{Group: string(d.Group()), MemberId: uint64(self.ID), Name: self.Name, Address: self.Address, Leaving: leaving})
+	reply, err := d.links.Client(leader).Join(bounded, &peerapi.JoinRequest{Group: string(d.Group()), MemberId: uint64(self.ID), Name: self.Name, Address: self.Address, Leaving: leaving})
 	return err == nil && reply.Outcome == string(replica.Applied)
 }
 
-// Join takes a new data folder into the group, if this daemon leads.
+// Join adds a member to the group or lets one leave, if this daemon leads. It is part of the peer protocol.
 func (d *Daemon) Join(ctx context.Context, in *peerapi.JoinRequest) (*peerapi.SubmitReply, error) {
 	if err := d.checkGroup(in.Group); err != nil {
 		return nil, err
 	}
-	held := d.replica.Load()
-	if held == nil || !held.Status().IsLeader {
+	groupMember := d.replica.Load()
+	if groupMember == nil || !groupMember.Status().IsLeader {
 		return d.notLeaderReply(), nil
 	}
 	if in.MemberId == 0 || in.Name == "" || in.Address == "" || in.Group == "" {
 		return nil, twirp.NewError(twirp.InvalidArgument, "a member needs an identity, a name and an address")
 	}
 	if in.Leaving {
-		if held.AnnounceLeaving(ctx, raft.MemberID(in.MemberId)) {
+		if groupMember.AnnounceLeaving(ctx, raft.MemberID(in.MemberId)) {
 			return &peerapi.SubmitReply{Outcome: string(replica.Applied)}, nil
 		}
-		// It was heard, and is not to end yet.
+		// The member must not end yet.
 		return &peerapi.SubmitReply{Outcome: string(replica.Unknown)}, nil
 	}
-	held.Join(raft.Member{ID: raft.MemberID(in.MemberId), Name: in.Name, Address: in.Address})
+	groupMember.Join(raft.Member{ID: raft.MemberID(in.MemberId), Name: in.Name, Address: in.Address})
 	return &peerapi.SubmitReply{Outcome: string(replica.Applied)}, nil
 }
--- a/daemon/poolplanning.go
+++ b/daemon/poolplanning.go
@@ -12,23 +12,23 @@
 	"github.com/cresspond/cresspond/process/workerid/snowflake"
 )
 
-// poolPlanning is the planner of pools, where the daemon was put together with one. A nil one plans nothing.
+// poolPlanning is the planner of pools. A nil one plans nothing.
 type poolPlanning struct {
 	client   poolplacement.EngineClient
 	settings poolplacement.Settings
 	placer   *poolplacement.Actor
 }
 
-// PoolSettings are the planner's settings for a deployment with these bounds.
-func PoolSettings(c daemonconfig.Config) poolplacement.Settings {
-	settings := poolplacement.DefaultSettings("", time.Duration(c.Bounds.LeaseMs)*time.Millisecond)
-	settings.Off = c.Experiments.Off()
-	settings.Window = time.Duration(c.Bounds.OriginWindowMs) * time.Millisecond
+// PoolSettings returns the planner's settings for a deployment.
+func PoolSettings(config daemonconfig.Config) poolplacement.Settings {
+	settings := poolplacement.DefaultSettings("", time.Duration(config.Bounds.LeaseMs)*time.Millisecond)
+	settings.Off = config.Experiments.DisabledMechanisms()
+	settings.Window = time.Duration(config.Bounds.OriginWindowMs) * time.Millisecond
 	return settings
 }
 
-// WithPoolPlanning has the daemon place models on engines that register themselves, where it serves that.
-// The claim's times are the deployment's, so all members of the group must be put together with the same.
+// WithPoolPlanning has the daemon place models on engines that register themselves, where it serves that. The times
+// of the lease are the deployment's, so all members of the group must be made with the same.
 func WithPoolPlanning(client poolplacement.EngineClient, settings poolplacement.Settings) Option {
 	return func(d *Daemon) {
 		d.poolPlanning = &poolPlanning{client: client, settings: settings}
@@ -36,7 +36,7 @@
 	}
 }
 
-// make makes the actor, before any other of the daemon's runs.
+// build makes the actor, before any actor of the daemon runs.
 func (p *poolPlanning) build(d *Daemon) {
 	if p == nil {
 		return
@@ -69,12 +69,12 @@
 // poolPlanner is the daemon as the planner of pools sees it.
 type poolPlanner struct{ *Daemon }
 
-// Input gathers what the plan looks at.
+// Input returns what the plan is made by.
 func (p poolPlanner) Input() poolplacement.Input {
 	now := p.clock.Elapsed()
 	in := poolplacement.Input{Now: now, View: p.registry.View()}
-	if t := p.rollout.Table(); t != nil && t.Forward != nil {
-		in.Section = t.Forward.Section
+	if table := p.rollout.Table(); table != nil && table.Forward != nil {
+		in.Section = table.Forward.Section
 	}
 	in.Demand = p.collectDemand(now, p.forwardDemands())
 	in.Shut, in.Emptying = func(engine *registry.Engine) bool { return !p.engineOpen(engine) }, p.nodeRanking.emptying()
@@ -82,9 +82,9 @@
 	return in
 }
 
-// Claim asks the group for the claim.
-func (p poolPlanner) Claim(ctx context.Context, told *statemachine.Announcement, whole bool) poolplacement.ClaimAnswer {
-	answer, ok := p.submitOnce(ctx, statemachine.Command{Op: statemachine.OpAcquirePlanner, NodeID: p.nodeID, Announcement: told, AnnouncesAll: true, WithAnnounced: whole, Resume: true, TokenAbove: p.highestClaimSeen()})
+// Claim acquires or renews the planner's lease.
+func (p poolPlanner) Claim(ctx context.Context, announced *statemachine.Announcement, complete bool) poolplacement.ClaimAnswer {
+	answer, ok := p.submitOnce(ctx, statemachine.Command{Op: statemachine.OpAcquirePlanner, NodeID: p.nodeID, Announcement: announced, AnnouncesAll: true, WithAnnounced: complete, Resume: true, TokenAbove: p.highestClaimSeen()})
 	switch {
 	case !ok || answer.PlannerLease == nil:
 		return poolplacement.ClaimAnswer{}
@@ -94,21 +94,21 @@
 	return poolplacement.ClaimAnswer{Wait: time.Duration(answer.PlannerLease.FreeAt(p.replicaConfig.PlannerLeaseGap)-answer.PlannerLease.Now) * time.Millisecond}
 }
 
-// Mint stamps an order, LeaseHeld says whether the lease it was minted under still holds.
-func (p poolPlanner) Mint() (ident.SnowflakeID, snowflake.Outcome) { return p.generator.Mint() }
+// Mint returns an id for an order.
+func (p poolPlanner) Mint() (ident.SnowflakeID, snowflake.Outcome) { return p.generator.Next() }
 
 // LeaseHeld says whether the lease of the worker id still holds.
-func (p poolPlanner) LeaseHeld() bool { return p.generator.Held() }
+func (p poolPlanner) LeaseHeld() bool { return p.generator.HasLease() }
 
 // MayStand says whether this daemon should try to plan.
 func (p poolPlanner) MayStand() bool {
 	ready, _ := p.members.Ready()
-	return ready && !p.draining.Load() && p.generator.Held() && p.config.Serves(daemonconfig.Place)
+	return ready && !p.draining.Load() && p.generator.HasLease() && p.config.Serves(daemonconfig.Placement)
 }
 
-// First says whether this daemon should have the claim before others. One that does not lead: a claim outlasts
-// an election, so the loss of either machine alone costs less than the loss of one that is both.
+// First says whether this daemon should get the lease before others: one that does not lead. A lease outlasts an
+// election, so the loss of either machine alone costs less than the loss of one that is both.
 func (p poolPlanner) First() bool { return !p.IsLeader() }
 
-// Tell spreads the plan.
+// Tell publishes the plan by way of the registry.
 func (p poolPlanner) Tell(plans map[ident.EngineID]registry.Plan) { p.registry.PublishPlans(plans) }
--- a/daemon/reads.go
+++ b/daemon/reads.go
@@ -16,8 +16,8 @@
 // readLimit is how long a leader's answer to a read is waited for.
 const readLimit = 700 * time.Millisecond
 
-// Look reads part of the state through whoever leads.
-func (d *Daemon) Look(ctx context.Context, what, key string) ([]byte, bool) {
+// Query reads part of the replicated state from the leader, over and over until it is answered or ctx ends.
+func (d *Daemon) Query(ctx context.Context, what, key string) ([]byte, bool) {
 	ticker := time.NewTicker(100 * time.Millisecond)
 	defer ticker.Stop()
 	for {
@@ -25,9 +25,9 @@
 		if outcome == replica.Applied {
 			return result, true
 		}
-		if address := d.leaderAddress(); address != "" && address != d.config.ReachedAt() {
+		if address := d.leaderAddress(); address != "" && address != d.config.AdvertisedPeerAddress() {
 			bounded, cancel := d.whileLeader(ctx, address, readLimit)
-			reply, err := d.links.To(address).Read(bounded, &peerapi.ReadRequest{Group: string(d.Group()), What: what, Key: key})
+			reply, err := d.links.Client(address).Read(bounded, &peerapi.ReadRequest{Group: string(d.Group()), What: what, Key: key})
 			cancel()
 			if err == nil && reply.Outcome == string(replica.Applied) {
 				return reply.Result, true
@@ -41,7 +41,7 @@
 	}
 }
 
-// Read answers a linearizable read, if this daemon leads.
+// Read serves a linearizable read, if this daemon leads. It is part of the peer protocol.
 func (d *Daemon) Read(ctx context.Context, in *peerapi.ReadRequest) (*peerapi.ReadReply, error) {
 	if err := d.checkGroup(in.Group); err != nil {
 		return nil, err
@@ -53,25 +53,25 @@
 	return &peerapi.ReadReply{Outcome: string(outcome), Result: result, LeaderAddress: d.leaderAddress()}, nil
 }
 
-// look reads part of the state at a linearizable point; a result of nothing means that it isn't there.
+// readAsLeader reads part of the state at a linearizable point; a nil result means that it doesn't exist.
 func (d *Daemon) readAsLeader(ctx context.Context, what, key string) ([]byte, replica.Outcome) {
-	held := d.replica.Load()
-	if held == nil || !held.Status().IsLeader {
+	groupMember := d.replica.Load()
+	if groupMember == nil || !groupMember.Status().IsLeader {
 		return nil, replica.NotLeader
 	}
 	var result []byte
-	outcome := held.Read(ctx, func(state *statemachine.State) { result = encodeRead(state, what, key) })
+	outcome := groupMember.Read(ctx, func(state *statemachine.State) { result = encodeRead(state, what, key) })
 	if what == "trace" && outcome == replica.Applied {
 		result = d.changeTrace(key, result)
 	}
 	return result, outcome
 }
 
-// newest is what a trace needs of the state.
+// traceState is what a trace needs of the state. Its JSON names are part of the peer protocol.
 type traceState struct {
-	Spec    uint64         `json:"spec"`
-	Closure uint64         `json:"closure"`
-	Serving []ident.NodeID `json:"serving"`
+	Configuration uint64         `json:"spec"`
+	Closure       uint64         `json:"closure"`
+	Serving       []ident.NodeID `json:"serving"`
 }
 
 func encodeRead(state *statemachine.State, what, key string) []byte {
@@ -84,21 +84,21 @@
 	}
 	switch what {
 	case "spec":
-		epoch, err := strconv.ParseUint(key, 10, 64)
+		version, err := strconv.ParseUint(key, 10, 64)
 		if err != nil {
 			return nil
 		}
-		if epoch == 0 {
-			epoch = uint64(state.Version())
+		if version == 0 {
+			version = uint64(state.Version())
 		}
-		if found, ok := state.ProposalAt(ident.Version(epoch)); ok {
+		if found, ok := state.ProposalAt(ident.Version(version)); ok {
 			return encode(found)
 		}
 	case "history":
 		list := []statemachine.Proposal{}
-		for epoch := ident.Version(1); epoch <= state.Version(); epoch++ {
-			// Of bundles that were applied in one step only so many are known.
-			if found, ok := state.ProposalAt(epoch); ok {
+		for version := ident.Version(1); version <= state.Version(); version++ {
+			// Only some of the configurations that were applied in one step are retained.
+			if found, ok := state.ProposalAt(version); ok {
 				brief := *found
 				brief.Configuration = nil
 				list = append(list, brief)
@@ -110,11 +110,11 @@
 			return encode(found)
 		}
 	case "bundle":
-		return encode(directapply.NewestOf(state))
+		return encode(directapply.LatestOf(state))
 	case "closures":
 		return encode(state.Closures)
 	case "trace":
-		return encode(traceState{Spec: uint64(state.Version()), Closure: uint64(state.Closures.Version), Serving: state.ServingDaemons()})
+		return encode(traceState{Configuration: uint64(state.Version()), Closure: uint64(state.Closures.Version), Serving: state.ServingDaemons()})
 	}
 	return nil
 }
--- a/daemon/sessionplanning.go
+++ b/daemon/sessionplanning.go
@@ -14,10 +14,10 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// planning is the daemon as the placement actor sees it.
+// sessionPlanner is the daemon as the placement actor sees it.
 type sessionPlanner struct{ *Daemon }
 
-// Input gathers what the plan looks at.
+// Input returns what the plan is made by.
 func (p sessionPlanner) Input() sessionplacement.Input {
 	now := p.clock.Elapsed()
 	in := sessionplacement.Input{Now: now, Table: p.rollout.Table(), Engines: p.watcher.View()}
@@ -33,7 +33,7 @@
 	p.peerDemandMutex.Lock()
 	defer p.peerDemandMutex.Unlock()
 	for node, heard := range p.peerDemand {
-		// Demand goes stale soon; seats are believed for longer, so a daemon cut off keeps them.
+		// Demand is stale soon; assignments are believed for longer, so that a partitioned daemon keeps them.
 		if now.Since(heard.At) > peerDemandRetained {
 			delete(p.peerDemand, node)
 			continue
@@ -41,18 +41,18 @@
 		if now.Since(heard.At) < demandFresh {
 			heard.Each(now, func(demand *peerapi.Demand, _ time.Duration, _ float64) {
 				if demand.Pool == "" {
-					in.Demand = append(in.Demand, sessionplacement.Demand{Model: demand.Model, Adapter: demand.Adapter, Worth: demand.Value, Queued: int(demand.Queued), Running: int(demand.Running)})
+					in.Demand = append(in.Demand, sessionplacement.Demand{Model: demand.Model, Adapter: demand.Adapter, Value: demand.Value, Queued: int(demand.Queued), Running: int(demand.Running)})
 				}
 			})
 		}
-		for _, seat := range heard.Seats {
+		for _, seat := range heard.Sessions {
 			in.Assignments = append(in.Assignments, sessionplacement.Assignments{Engine: ident.EngineID(seat.Engine), Model: seat.Model, Adapter: seat.Adapter, Sessions: int(seat.Sessions)})
 		}
 	}
 	return in
 }
 
-// Claim asks the group for the claim.
+// Claim acquires or renews the planner's lease.
 func (p sessionPlanner) Claim(ctx context.Context, orders map[ident.EngineID]uint64, turn uint64) (*statemachine.PlannerLease, bool) {
 	answer, ok := p.submitOnce(ctx, statemachine.Command{Op: statemachine.OpAcquirePlanner, NodeID: p.nodeID, Orders: orders, OrdersSequence: turn, TokenAbove: p.highestClaimSeen()})
 	if !ok || answer.Outcome != statemachine.Done || answer.PlannerLease == nil {
@@ -61,18 +61,18 @@
 	return answer.PlannerLease, true
 }
 
-// Mint stamps an order.
-func (p sessionPlanner) Mint() (ident.SnowflakeID, snowflake.Outcome) { return p.generator.Mint() }
+// Mint returns an id for an order.
+func (p sessionPlanner) Mint() (ident.SnowflakeID, snowflake.Outcome) { return p.generator.Next() }
 
-// Order sends an order.
+// Order sends an order to an engine, if the worker id lease still holds when the first byte leaves.
 func (p sessionPlanner) Order(ctx context.Context, address string, order engineapi.Order, limit time.Duration, mayLeave func() bool) (*engineapi.OrderAnswer, bool) {
-	return enginestream.Order(ctx, address, order, limit, func() bool { return mayLeave() && p.generator.Held() })
+	return enginestream.Order(ctx, address, order, limit, func() bool { return mayLeave() && p.generator.HasLease() })
 }
 
-// MayStand says whether this daemon should try to plan.
-func (p sessionPlanner) MayStand() bool {
+// MayPlan says whether this daemon should try to plan.
+func (p sessionPlanner) MayPlan() bool {
 	ready, _ := p.Ready()
-	// A bundle without engines of the platform's list leaves nothing to plan for sessions.
-	t := p.rollout.Table()
-	return ready && p.generator.Held() && (p.poolPlanning == nil || t != nil && len(t.Spec.Engines) > 0)
+	// A configuration without engines of the platform's list leaves nothing to plan for sessions.
+	table := p.rollout.Table()
+	return ready && p.generator.HasLease() && (p.poolPlanning == nil || table != nil && len(table.Configuration.Engines) > 0)
 }
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -11,21 +11,21 @@
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
-// Status is this daemon's own word.
+// Status returns this daemon's status page.
 func (d *Daemon) Status() operatorapi.Status {
 	now := d.clock.Elapsed()
 	ready, why := d.Ready()
 	out := operatorapi.Status{NodeID: d.nodeID, Version: d.version, Zone: d.config.Zone, Serve: d.roleNames(), Ready: ready, NotReady: why,
-		Group: d.Group(), Leader: d.leaderAddress(), Fellows: []operatorapi.Fellow{}, Engines: []operatorapi.Engine{}}
-	t := d.rollout.Table()
-	if t != nil {
-		out.SpecEpoch, out.ClosureEpoch = t.Epoch, t.Closures.Version
+		Group: d.Group(), Leader: d.leaderAddress(), Peers: []operatorapi.Peer{}, Engines: []operatorapi.Engine{}}
+	table := d.rollout.Table()
+	if table != nil {
+		out.ConfigurationVersion, out.ClosureVersion = table.Version, table.Closures.Version
 	}
 	if confirmed := d.confirmed(); confirmed > 0 {
 		ago := max(0, now.Since(confirmed).Milliseconds())
 		out.ConfirmedMsAgo = &ago
 	}
-	if worker, held := d.generator.Worker(); held {
+	if worker, held := d.generator.WorkerID(); held {
 		number := int64(worker)
 		out.WorkerID = &number
 	}
@@ -34,7 +34,7 @@
 		out.Raft = &operatorapi.RaftStatus{Role: condition.Role.String(), Term: uint64(condition.Term), Commit: uint64(condition.CommitIndex), Stalled: condition.DiskStalled,
 			Applied: uint64(condition.AppliedIndex), StateDigest: digestText(condition.Digest)}
 		if folder := d.dataFolder(); folder != nil {
-			self, _ := condition.Membership.Find(folder.Member)
+			self, _ := condition.Membership.Find(folder.MemberID)
 			out.Raft.Voter = self.Voter
 		}
 		for _, member := range condition.Membership.Members {
@@ -42,17 +42,17 @@
 				Differs: slices.Contains(condition.DivergentMembers, member.ID)})
 		}
 	}
-	if d.config.Serves(daemonconfig.Place) {
-		condition := d.sessionPlacer.Condition()
-		out.Planner = &operatorapi.PlannerStatus{Held: condition.Held, Claim: condition.Claim, InFlight: condition.InFlight}
+	if d.config.Serves(daemonconfig.Placement) {
+		condition := d.sessionPlacer.Status()
+		out.Planner = &operatorapi.PlannerStatus{HasLease: condition.HasLease, Token: condition.Token, PendingOrders: condition.PendingOrders}
 	}
-	for _, fellow := range d.members.View().InContact(now, 30*time.Second) {
-		out.Fellows = append(out.Fellows, operatorapi.Fellow{NodeID: fellow.NodeID, Address: fellow.Address, Zone: fellow.Zone, Serve: fellow.Roles,
-			HeardMsAgo: now.Since(fellow.LastContact).Milliseconds(), SpecEpoch: fellow.ConfigurationVersion, ClosureEpoch: fellow.ClosureVersion, Ready: fellow.Ready})
+	for _, peer := range d.members.View().InContact(now, 30*time.Second) {
+		out.Peers = append(out.Peers, operatorapi.Peer{NodeID: peer.NodeID, Address: peer.Address, Zone: peer.Zone, Serve: peer.Roles,
+			LastContactMsAgo: now.Since(peer.LastContact).Milliseconds(), ConfigurationVersion: peer.ConfigurationVersion, ClosureVersion: peer.ClosureVersion, Ready: peer.Ready})
 	}
 	for _, engine := range d.watcher.View().Engines {
 		row := operatorapi.Engine{ID: engine.ID, Address: engine.Address, Zone: engine.Zone, Condition: string(engine.Condition), Draining: engine.Draining,
-			Open: t != nil && t.Open(engine.ID), CallSeq: engine.Report.CallSeq, Models: []string{}}
+			Open: table != nil && table.Open(engine.ID), CallSeq: engine.Report.CallSeq, Models: []string{}}
 		for _, held := range engine.Report.Models {
 			row.Models = append(row.Models, held.Model+":"+string(held.State))
 		}
@@ -62,7 +62,8 @@
 	return out
 }
 
-// digestText shows a digest of the state so that two members' can be compared by eye; empty before the first.
+// digestText formats a digest of the state so that those of two members can be compared by eye; empty before the
+// first.
 func digestText(digest raft.StateDigest) string {
 	if digest.Index == 0 {
 		return ""
--- a/daemon/workerlease.go
+++ b/daemon/workerlease.go
@@ -10,47 +10,48 @@
 	"github.com/cresspond/cresspond/process/consensus/statemachine"
 )
 
-// tenureMargin is taken off the end of each tenure for clock-rate error.
+// leaseMargin is taken off the end of each lease for clock-rate error.
 const leaseMargin = time.Second
 
-// runTenancy acquires a worker id and renews it.
+// runWorkerLease acquires the lease of a worker id and renews it. It runs on a goroutine of its own until ctx ends.
 func (d *Daemon) runWorkerLease(ctx context.Context) {
-	// Nothing can be held before a worker id is, so a fresh daemon looks often whether there is a leader to ask yet.
-	const beat, freshBeat = 250 * time.Millisecond, 50 * time.Millisecond
+	// No request can be queued without a worker id, so a daemon that has just started checks often whether there is a
+	// leader to ask.
+	const renewCheckEvery, firstCheckEvery = 250 * time.Millisecond, 50 * time.Millisecond
 	renewEvery := d.replicaConfig.WorkerLease / 3
-	ticker := time.NewTicker(freshBeat)
+	ticker := time.NewTicker(firstCheckEvery)
 	defer ticker.Stop()
 	var renewed clock.Mark
 	for {
-		asked := d.clock.Elapsed()
-		worker, held := d.generator.Worker()
+		requestedAt := d.clock.Elapsed()
+		worker, leased := d.generator.WorkerID()
 		if !d.draining.Load() && d.enlistedAt.Load() == 0 {
 			d.registerServing(ctx)
 		}
 		switch {
 		case d.draining.Load():
-		case !held:
+		case !leased:
 			result, ok := d.submitOnce(ctx, statemachine.Command{Op: statemachine.OpAcquire, NodeID: d.nodeID})
 			if ok && result.Grant != nil {
-				d.generator.Take(*result.Grant, asked)
-				renewed = asked
-				ticker.Reset(beat)
+				d.generator.SetLease(*result.Grant, requestedAt)
+				renewed = requestedAt
+				ticker.Reset(renewCheckEvery)
 				d.counters.leasesAcquired.Add(1)
-				d.log.WithField("workerId", int64(result.Grant.WorkerID)).Info("worker id acquired")
+				d.log.WithField("workerId", int64(result.Grant.WorkerID)).Info("worker id lease acquired")
 				d.admitCallers()
 			}
-		case asked.Since(renewed) >= renewEvery:
+		case requestedAt.Since(renewed) >= renewEvery:
 			result, ok := d.submitOnce(ctx, statemachine.Command{Op: statemachine.OpRenew, NodeID: d.nodeID, WorkerID: worker})
 			switch {
 			case ok && result.Grant != nil:
-				d.generator.Take(*result.Grant, asked)
-				renewed = asked
+				d.generator.SetLease(*result.Grant, requestedAt)
+				renewed = requestedAt
 				d.counters.leasesRenewed.Add(1)
 			case ok && result.Outcome == statemachine.Mismatch:
-				// The group no longer knows this tenure: nothing may be minted under it from now on.
-				d.generator.Drop()
+				// The group no longer knows this lease: no id may be minted under it from now on.
+				d.generator.ReleaseLease()
 				d.counters.leasesLost.Add(1)
-				d.log.Warn("worker id lost")
+				d.log.Warn("worker id lease lost")
 			}
 		}
 		select {
@@ -61,10 +62,10 @@
 	}
 }
 
-// enlist has the group write down that this life may be serving, so that no change counts as in force
+// registerServing has the group record that this incarnation may be serving, so that no change counts as in force
 // everywhere without it.
 func (d *Daemon) registerServing(ctx context.Context) {
-	answer, ok := d.submitOnce(ctx, statemachine.Command{Op: statemachine.OpRegister, NodeID: d.nodeID, Address: d.config.ReachedAt()})
+	answer, ok := d.submitOnce(ctx, statemachine.Command{Op: statemachine.OpRegister, NodeID: d.nodeID, Address: d.config.AdvertisedPeerAddress()})
 	switch {
 	case ok && answer.Outcome == statemachine.Done:
 		d.enlistedAt.Store(int64(d.clock.Elapsed()))
@@ -73,5 +74,5 @@
 	}
 }
 
-// EnlistedAt is when the group wrote this life down; zero before.
+// EnlistedAt is when the group recorded this incarnation as one that may be serving; zero before.
 func (d *Daemon) EnlistedAt() clock.Mark { return clock.Mark(d.enlistedAt.Load()) }
--- a/request/forwarding/core_test.go
+++ b/request/forwarding/core_test.go
@@ -19,12 +19,12 @@
 	"github.com/cresspond/cresspond/wire/dialect"
 )
 
-// bench is a core with a world that a test sets.
+// coreFixture is a core with a world that a test sets.
 type coreFixture struct {
 	t    testing.TB
 	core *Core
 	now  clock.Mark
-	// lease says whether a worker id is held.
+	// hasWorkerID says whether a worker id is held.
 	hasWorkerID, current bool
 	index                *upstream.Index
 	view                 *registry.View
@@ -45,7 +45,7 @@
 }
 
 func routingTable(paths ...upstream.Path) *upstream.Index {
-	catalogue := &upstream.Catalogue{Slots: 64, MemoryTokens: 100_000, RoomMb: 100, AdapterPlaces: 4, LoadsPerSecond: 1,
+	catalogue := &upstream.Catalogue{Slots: 64, MemoryTokens: 100_000, CapacityMb: 100, AdapterSlots: 4, LoadsPerSecond: 1,
 		Models: []upstream.Model{{Name: "m", SizeMb: 10, LoadMs: 1500, Adapters: 3, AdapterSizeMb: 1}}}
 	return upstream.NewIndex(&upstream.Section{Revision: 1, Paths: paths, Pools: []upstream.Pool{{Name: "plain"}, {Name: "other"}, {Name: "batch", Catalogue: catalogue}}})
 }
@@ -95,8 +95,8 @@
 	fixture.made++
 	found, _ := fixture.index.Lookup("h", "/"+path+"/")
 	request := Request{Attributes: dialect.Ask{Attempt: fmt.Sprintf("a%d", fixture.made)}, Path: found, Host: "h", URLPath: "/" + path + "/", ArrivedAt: fixture.now, Deadline: fixture.now + ms(4000)}
-	for _, one := range change {
-		one(&request)
+	for _, option := range change {
+		option(&request)
 	}
 	return NewRequest(request)
 }
@@ -107,7 +107,7 @@
 	return request
 }
 
-// taken gives a record's next step, if there is one.
+// pendingStep gives a record's next step, if there is one.
 func pendingStep(request *Request) (Step, bool) {
 	select {
 	case step := <-request.steps:
@@ -159,36 +159,36 @@
 
 // What operators have closed gets nothing new, and what waits goes there as soon as it is open again.
 func TestClosedEngineReceivesNoNewRequests(t *testing.T) {
-	fixture := newCoreFixture(t, pathOf("p", upstream.Repeatable, "plain"))
+	fixture := newCoreFixture(t, pathOf("p", upstream.Idempotent, "plain"))
 	fixture.register(enginesOf("plain", 2, 6)...)
 	closed := map[ident.EngineID]bool{"plain-0": true}
-	world := func() Environment {
+	environment := func() Environment {
 		env := fixture.world()
 		env.EngineOpen = func(engine *registry.Engine) bool { return !closed[engine.ID] }
 		return env
 	}
 	for range 6 {
 		request := fixture.record("p")
-		fixture.core.Admit(request, world())
+		fixture.core.Admit(request, environment())
 		if send := fixture.sent(request); send.Engine != "plain-1" {
 			t.Fatalf("sent to %s, which is closed", send.Engine)
 		}
 	}
 	closed["plain-1"] = true
 	request := fixture.record("p")
-	fixture.core.Admit(request, world())
+	fixture.core.Admit(request, environment())
 	if step, there := pendingStep(request); there {
 		t.Fatalf("all engines are closed: %+v", step)
 	}
 	closed["plain-0"] = false
-	fixture.core.DispatchQueued(world())
+	fixture.core.DispatchQueued(environment())
 	if send := fixture.sent(request); send.Engine != "plain-0" {
 		t.Fatalf("sent to %s, which is closed", send.Engine)
 	}
 }
 
 func TestWithoutWorkerIDNothingIsQueuedOrRetried(t *testing.T) {
-	fixture := newCoreFixture(t, pathOf("p", upstream.Repeatable, "plain"))
+	fixture := newCoreFixture(t, pathOf("p", upstream.Idempotent, "plain"))
 	fixture.hasWorkerID = false
 	fixture.ended(fixture.admit("p"), fasthttp.StatusServiceUnavailable, CauseNoWorkerID)
 	fixture.register(enginesOf("plain", 2, 6)...)
@@ -288,12 +288,12 @@
 	for step := 0; request.stage == StageQueued; step++ {
 		next, due := fixture.core.NextWake(fixture.now)
 		if !due || next <= fixture.now {
-			t.Fatal("nobody looks again", next, due)
+			t.Fatal("no wake is due", next, due)
 		}
 		fixture.now = next
 		fixture.core.DispatchQueued(fixture.world())
 		if fixture.now.Since(request.ArrivedAt) > 2100*time.Millisecond {
-			t.Fatal("held on")
+			t.Fatal("still queued")
 		}
 	}
 	fixture.ended(request, fasthttp.StatusServiceUnavailable, CauseNoCapacity)
@@ -323,7 +323,7 @@
 }
 
 func TestEngineErrorIsPassedOnUnlessRequestCanBeRetried(t *testing.T) {
-	fixture := newCoreFixture(t, pathOf("again", upstream.Repeatable, "plain"), pathOf("once", upstream.Once, "plain"))
+	fixture := newCoreFixture(t, pathOf("again", upstream.Idempotent, "plain"), pathOf("once", upstream.Once, "plain"))
 	fixture.register(enginesOf("plain", 2, 6)...)
 	request := fixture.admit("once")
 	fixture.sent(request)
@@ -368,7 +368,7 @@
 	fixture.ended(request, 0, CauseResponseLost)
 }
 
-// run is what a simulated engine side knows of one record.
+// simulatedRequest is what a simulated engine side knows of one record.
 type simulatedRequest struct {
 	record   *Request
 	path     *upstream.Path
@@ -397,7 +397,7 @@
 		random := rand.New(rand.NewPCG(seed, 7))
 		resumable := pathOf("resume", upstream.Stream, "plain")
 		resumable.Resumable = true
-		paths := []upstream.Path{pathOf("once", upstream.Once, "plain"), pathOf("again", upstream.Repeatable, "plain", "other"), pathOf("stream", upstream.Stream, "batch"), resumable}
+		paths := []upstream.Path{pathOf("once", upstream.Once, "plain"), pathOf("again", upstream.Idempotent, "plain", "other"), pathOf("stream", upstream.Stream, "batch"), resumable}
 		for index := range paths {
 			paths[index].Attempts = 1 + random.IntN(3)
 			paths[index].Rank = random.IntN(3)
@@ -435,7 +435,7 @@
 						fail(request, "two attempts at a time")
 					}
 					if request.promised {
-						fail(request, "sent after a promise")
+						fail(request, "sent after a rejection")
 					}
 					request.send = step.Attempt
 				case step.Answer != nil:
@@ -533,20 +533,20 @@
 			}
 			for _, request := range runs {
 				read(request)
-				if request.class != upstream.Repeatable && !(request.class == upstream.Stream && request.path.Resumable) && request.ran > 1 {
+				if request.class != upstream.Idempotent && !(request.class == upstream.Stream && request.path.Resumable) && request.ran > 1 {
 					fail(request, "ran twice")
 				}
 				if request.record.stage == StageQueued && fixture.now > request.deadline {
 					fixture.core.DispatchQueued(fixture.world())
 					if read(request); !request.ended {
-						fail(request, "held past its deadline")
+						fail(request, "queued past its deadline")
 					}
 				}
 				if request.arrivals > request.path.Attempts || len(request.engines) > request.path.Attempts {
 					fail(request, "went to more engines than the path allows")
 				}
 				if request.record.stage == StageQueued && len(request.record.mintedIDs) == 0 {
-					fail(request, "held without a stamp")
+					fail(request, "queued without a minted id")
 				}
 			}
 		}
@@ -581,7 +581,7 @@
 			}
 		}
 		if fixture.core.QueueLength() != 0 {
-			t.Fatalf("seed %d: %d held", seed, fixture.core.QueueLength())
+			t.Fatalf("seed %d: %d queued", seed, fixture.core.QueueLength())
 		}
 	}
 }
@@ -590,11 +590,11 @@
 // within the share of first ones, counted in the window, the one before or the one half a window before.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParameters())
-	properties.Property("budget", prop.ForAll(func(seed uint64, edges int, burst int) bool {
+	properties.Property("budget", prop.ForAll(func(seed uint64, routers int, burst int) bool {
 		random := rand.New(rand.NewPCG(seed, 3))
 		settings := DefaultSettings()
 		settings.RetryRatio, settings.RetrySlack, settings.RetryWindow = 0.2, 58, 10*time.Second
-		daemons := make([]retryBudget, edges)
+		daemons := make([]retryBudget, routers)
 		var firsts, further []clock.Mark
 		now := clock.Mark(time.Hour)
 		for range 3000 {
@@ -602,12 +602,12 @@
 			if random.IntN(400) == 0 {
 				now += clock.Mark(time.Duration(random.IntN(20)) * time.Second)
 			}
-			daemon := &daemons[random.IntN(edges)]
+			daemon := &daemons[random.IntN(routers)]
 			// Storms send nothing but further ones for a while.
 			if storm := now/clock.Mark(7*time.Second)%2 == 0; !storm && random.IntN(2) == 0 {
 				daemon.recordFirstSend(now, now, settings.RetryWindow)
 				firsts = append(firsts, now)
-			} else if daemon.allowsRetry(now, settings, edges) {
+			} else if daemon.allowsRetry(now, settings, routers) {
 				daemon.recordRetry(now)
 				further = append(further, now)
 			}
@@ -655,7 +655,7 @@
 	path := pathOf("p", upstream.Once, "narrow")
 	fixture := newCoreFixture(t, path)
 	section := *fixture.index.Section
-	section.Pools = append(section.Pools, upstream.Pool{Name: "narrow", MostConnections: 10, Catalogue: &upstream.Catalogue{}})
+	section.Pools = append(section.Pools, upstream.Pool{Name: "narrow", MaxConnections: 10, Catalogue: &upstream.Catalogue{}})
 	fixture.index = upstream.NewIndex(&section)
 	fixture.routers = 3
 	fixture.register(engineOf("narrow", 0, 64))
@@ -674,7 +674,7 @@
 // it is there is told when, and nothing is held for half of its time.
 func TestQueueTimeForModelLoad(t *testing.T) {
 	for name, c := range map[string]struct {
-		// ready is when the planner says it is there, or when it says that it is not; left the client's time.
+		// readyInMs is when the planner says it is there, or when it says that it is not; left the client's time.
 		readyInMs, notLoadedForMs, timeLeftMs int
 		queued                                bool
 		low, high                             time.Duration
@@ -722,7 +722,7 @@
 				fixture.core.AttemptEnded(request, OutcomeRejected, fixture.world())
 			}
 			if fixture.now.Since(request.ArrivedAt) >= time.Duration(c.timeLeftMs)*time.Millisecond/2 {
-				t.Fatalf("%s: held for half of its time", name)
+				t.Fatalf("%s: queued for half of its time", name)
 			}
 		}
 		fixture.ended(request, 503, CauseNoCapacity)
@@ -815,7 +815,7 @@
 // TestRequestOfDisconnectedCallerIsNeitherQueuedNorRetried: that the caller left may be heard while an attempt is
 // under way whose sender has just reported how it ended.
 func TestRequestOfDisconnectedCallerIsNeitherQueuedNorRetried(t *testing.T) {
-	for _, class := range []upstream.Class{upstream.Once, upstream.Repeatable, upstream.Stream} {
+	for _, class := range []upstream.Class{upstream.Once, upstream.Idempotent, upstream.Stream} {
 		for outcome := OutcomeWithheld; outcome <= OutcomeEngineError; outcome++ {
 			fixture := newCoreFixture(t, pathOf("p", class, "plain"))
 			fixture.register(enginesOf("plain", 3, 4)...)
--- a/request/forwarding/move_test.go
+++ b/request/forwarding/migrate_test.go
@@ -8,7 +8,7 @@
 	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
-// emptied is a world in which one engine was shut by rank.
+// evacuating is a world in which one engine was shut by rank.
 func (fixture *coreFixture) evacuating(id string) Environment {
 	env := fixture.world()
 	env.EngineEvacuated = func(engine *registry.Engine) bool { return string(engine.ID) == id }
@@ -19,9 +19,9 @@
 func newMigrationFixture(t *testing.T) *coreFixture {
 	resumable := pathOf("resume", upstream.Stream, "plain")
 	resumable.Resumable = true
-	single := pathOf("single", upstream.Repeatable, "plain")
+	single := pathOf("single", upstream.Idempotent, "plain")
 	single.Attempts = 1
-	fixture := newCoreFixture(t, resumable, pathOf("stream", upstream.Stream, "plain"), pathOf("again", upstream.Repeatable, "plain"), pathOf("once", upstream.Once, "plain"), single)
+	fixture := newCoreFixture(t, resumable, pathOf("stream", upstream.Stream, "plain"), pathOf("again", upstream.Idempotent, "plain"), pathOf("once", upstream.Once, "plain"), single)
 	fixture.register(enginesOf("plain", 2, 64)...)
 	return fixture
 }
@@ -119,9 +119,9 @@
 	engine := engineOf("batch", 0, 64, "m")
 	engine.Plan = &registry.Plan{Active: 7, Queued: 2, Received: fixture.now, Models: []registry.LoadedModel{{Model: "m"}}}
 	fixture.register(engine)
-	one := fixture.sent(fixture.admit("resume", prompt("m", 1000, "a", "b")))
-	if one.EngineRunning != 10 || one.PrefillTokens != 1000 || one.GapTargetMs != 400 {
-		t.Fatalf("nine by the report, and this one: %+v", one)
+	option := fixture.sent(fixture.admit("resume", prompt("m", 1000, "a", "b")))
+	if option.EngineRunning != 10 || option.PrefillTokens != 1000 || option.GapTargetMs != 400 {
+		t.Fatalf("nine by the report, and this one: %+v", option)
 	}
 	fixture.now += clock.Mark(fixture.core.settings.ReportMaxAge)
 	two := fixture.sent(fixture.admit("resume", prompt("m", 500, "c", "d")))
--- a/request/forwarding/routes_test.go
+++ b/request/forwarding/routes_test.go
@@ -10,23 +10,23 @@
 
 // TestPoolSelectionFollowsWeightsAndIsDeterministic: each pool of a path gets about what its weight says, and the same try always the same.
 func TestPoolSelectionFollowsWeightsAndIsDeterministic(t *testing.T) {
-	path := pathOf("p", upstream.Repeatable, "plain", "other", "batch")
+	path := pathOf("p", upstream.Idempotent, "plain", "other", "batch")
 	weights := map[string]int64{"plain": 90, "other": 10, "batch": 0}
 	for index := range path.Shares {
 		path.Shares[index].Weight = weights[path.Shares[index].Pool]
 	}
 	const tries = 20_000
-	drawn := map[string]int{}
+	draw := map[string]int{}
 	for n := range tries {
 		attempt := fmt.Sprintf("%016x", n*7919)
 		pool := selectPool(&path, attempt)
 		if again := selectPool(&path, attempt); again != pool {
 			t.Fatalf("%s is drawn to %s and %s", attempt, pool, again)
 		}
-		drawn[pool]++
+		draw[pool]++
 	}
 	for pool, weight := range weights {
-		if got, want := float64(drawn[pool])/tries, float64(weight)/100; math.Abs(got-want) > 0.02 {
+		if got, want := float64(draw[pool])/tries, float64(weight)/100; math.Abs(got-want) > 0.02 {
 			t.Errorf("%s got %.3f of the tries and not %.2f", pool, got, want)
 		}
 	}
--- a/testbed/endtoend/leaving_test.go
+++ b/testbed/endtoend/leaving_test.go
@@ -47,7 +47,7 @@
 		b.logs = memory.New()
 		b.name, b.reached = fmt.Sprint("core", i), listener.Addr().String()
 		if i < 3 {
-			b.serve, seeds = []daemonconfig.Role{daemonconfig.Control, daemonconfig.Place}, append(seeds, b.reached)
+			b.serve, seeds = []daemonconfig.Role{daemonconfig.Control, daemonconfig.Placement}, append(seeds, b.reached)
 			p.core = append(p.core, b)
 		} else {
 			b.name, b.serve = fmt.Sprint("edge", i-3), []daemonconfig.Role{daemonconfig.Route}
@@ -97,7 +97,7 @@
 
 func leaves(i int) operatorapi.Registration {
 	r := registration(i, 100)
-	r.Leaving = true
+	r.Draining = true
 	return r
 }
 
@@ -105,7 +105,7 @@
 func (p *parted) knowBy(acknowledged span, id string, some []*bench) {
 	p.t.Helper()
 	for _, b := range some {
-		b.await("it knows that "+id+" leaves", func() bool { return b.condition(id) == operatorapi.EngineLeaving })
+		b.await("it knows that "+id+" leaves", func() bool { return b.condition(id) == operatorapi.EngineDraining })
 		if after, _ := acknowledged.took(); after > knownWithin {
 			p.t.Errorf("%s knew of %s only %v after the acknowledgement", b.name, id, after)
 		}
@@ -114,7 +114,7 @@
 
 func TestALeaverIsKnownEverywhereThoughItsLeaderWasCutOff(t *testing.T) {
 	// Engines here beat once, so that none is taken for silent where its leaving is looked for.
-	p := part(t, 3, func(c *daemonconfig.Config) { c.Bounds.BeatMs = 600000 })
+	p := part(t, 3, func(c *daemonconfig.Config) { c.Bounds.HeartbeatMs = 600000 })
 	p.register("r0", "r1", "r2")
 	leader := leaderOf(p.core)
 	var followers []*bench
@@ -151,6 +151,6 @@
 	p.knowBy(begin(), "r2", append(append([]*bench{}, followers...), p.edges...))
 	p.links.Heal()
 	for _, id := range []string{"r0", "r1", "r2"} {
-		leader.await("it knows of "+id+" once it is back", func() bool { return leader.condition(id) == operatorapi.EngineLeaving })
+		leader.await("it knows of "+id+" once it is back", func() bool { return leader.condition(id) == operatorapi.EngineDraining })
 	}
 }
