--- a/Makefile
+++ b/Makefile
@@ -37,7 +37,7 @@
 
 scenarios: build
 	bin/testbed run small --seed $(SEED)
-	bin/testbed run platform --seed $(SEED) --acts 7
+	bin/testbed run platform --seed $(SEED) --faults 7
 
 test: vet lint scenarios unit
 
--- a/testbed/cmd/testbed/all.go
+++ b/testbed/cmd/testbed/all.go
@@ -6,17 +6,20 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"runtime"
 	"slices"
 	"strings"
 	"sync"
 	"time"
 
+	"github.com/alecthomas/kingpin/v2"
+
 	"github.com/cresspond/cresspond/testbed/checker"
 	"github.com/cresspond/cresspond/testbed/scenario"
 	"github.com/cresspond/cresspond/wire/callerapi"
 )
 
-// summary is the outcome of one rehearsal.
+// summary is the outcome of one run.
 type summary struct {
 	Checks     int                `json:"checks"`
 	Violations map[string]int     `json:"violations"`
@@ -64,7 +67,7 @@
 	return os.WriteFile(path, data, 0o600)
 }
 
-// job is one rehearsal to run.
+// job is one run of a deployment.
 type job struct {
 	deployment, scenario string
 	seed                 uint64
@@ -72,8 +75,19 @@
 	failure              string
 }
 
-// rehearseAll runs every job as a rehearsal of its own, some at once, and goes on where one fails.
-func rehearseAll(seeds []uint64, scale float64, program string, parallel int, only []string) error {
+// addAll adds the command that runs every scenario.
+func addAll(app *kingpin.Application) command {
+	clause := app.Command("all", "Run every scenario of both deployments, for each seed, and print one table over all seeds.")
+	seeds := clause.Flag("seed", "A seed; give it once for each.").Default("1").Uint64List()
+	scale := clause.Flag("scale", "Share of the deployments' load.").Default("0.5").Float64()
+	parallel := clause.Flag("parallel", "How many fleets run at once; by default one for each three processors.").Default(fmt.Sprint(max(1, runtime.NumCPU()/3))).Int()
+	only := clause.Flag("scenario", "Only this scenario; give it once for each.").Enums(scenario.Names()...)
+	program := clause.Flag("cresspondd", "The daemon to run; by default the one beside this program.").String()
+	return command{clause, func() error { return runAll(*seeds, *scale, *program, *parallel, *only) }}
+}
+
+// runAll runs every job in a process of its own, some at once, and goes on where one fails.
+func runAll(seeds []uint64, scale float64, program string, parallel int, only []string) error {
 	if parallel < 1 {
 		return fmt.Errorf("at least one fleet must run at a time")
 	}
@@ -81,7 +95,7 @@
 	if err != nil {
 		return err
 	}
-	folder, err := os.MkdirTemp("", "rehearse-all-")
+	folder, err := os.MkdirTemp("", "testbed-all-")
 	if err != nil {
 		return err
 	}
@@ -125,7 +139,7 @@
 	if err != nil {
 		lines := strings.Split(strings.TrimSpace(string(output)), "\n")
 		j.failure = lines[len(lines)-1]
-		// What it said is kept, so that it can be looked at.
+		// The output is kept for the operator.
 		_ = os.WriteFile(name+".log", output, 0o600)
 	}
 	var outcome summary
@@ -187,7 +201,7 @@
 		}
 	}
 	if failed > 0 {
-		return fmt.Errorf("%d of %d rehearsals failed; what they said is in %s", failed, len(jobs), folder)
+		return fmt.Errorf("%d of %d runs failed; their output is in %s", failed, len(jobs), folder)
 	}
 	return os.RemoveAll(folder)
 }
--- a/testbed/cmd/testbed/compare.go
+++ b/testbed/cmd/testbed/compare.go
@@ -14,7 +14,7 @@
 	"github.com/cresspond/cresspond/testbed/compare"
 )
 
-// comparison is what `rehearse compare` is asked for.
+// comparison is what the command compare is asked for.
 type comparison struct {
 	journal, before, after, picture *string
 	each                            *bool
@@ -33,14 +33,14 @@
 
 var (
 	errNothingPairs = errors.New("no day was played on both sides with the same seed")
-	errPassedOver   = errors.New("entries were passed over")
+	errSkipped      = errors.New("entries were skipped")
 )
 
-// run prints the comparison. An entry that can't be read is named and passed over, and makes an error in the end.
+// run prints the comparison. An entry that can't be read is named and skipped, and fails the command in the end.
 func (c comparison) run(out, complaints io.Writer) error {
 	entries, faults := compare.ReadFolder(os.DirFS(*c.journal))
 	for _, fault := range faults {
-		fmt.Fprintln(complaints, "rehearse: passed over "+fault.Error())
+		fmt.Fprintln(complaints, "testbed: skipped "+fault.Error())
 	}
 	pairs := compare.PairUp(compare.Select(entries, *c.before), compare.Select(entries, *c.after))
 	if len(pairs) == 0 {
@@ -59,7 +59,7 @@
 		}
 	}
 	if len(faults) > 0 {
-		return errPassedOver
+		return errSkipped
 	}
 	return nil
 }
--- a/testbed/cmd/testbed/compare_test.go
+++ b/testbed/cmd/testbed/compare_test.go
@@ -26,7 +26,7 @@
 	}
 	put("3.json", "{")
 	out.Reset()
-	if err := asked.run(&out, &complaints); !errors.Is(err, errPassedOver) || !strings.Contains(out.String(), "+0.200") || !strings.Contains(complaints.String(), "3.json") {
+	if err := asked.run(&out, &complaints); !errors.Is(err, errSkipped) || !strings.Contains(out.String(), "+0.200") || !strings.Contains(complaints.String(), "3.json") {
 		t.Errorf("%v\n%s\n%s", err, out.String(), complaints.String())
 	}
 	before = "nothing"
--- a/testbed/cmd/testbed/platform.go
+++ b/testbed/cmd/testbed/platform.go
@@ -14,8 +14,8 @@
 	platformscenario "github.com/cresspond/cresspond/testbed/platformtest/scenario"
 )
 
-// rehearsePlatform plays a short day on the users' platform, and judges it by their rules.
-func rehearsePlatform(options platformscenario.Options, keep bool) error {
+// runPlatform runs a fleet on the users' platform, and checks its history by their rules.
+func runPlatform(options platformscenario.Options, keep bool) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
@@ -32,7 +32,7 @@
 		}
 	}
 	if options.Folder == "" {
-		if options.Folder, err = os.MkdirTemp("", "rehearse-"); err != nil {
+		if options.Folder, err = os.MkdirTemp("", "testbed-"); err != nil {
 			return err
 		}
 	}
@@ -42,7 +42,7 @@
 	if err != nil {
 		return err
 	}
-	bad := judged(h)
+	bad := printFindings(h)
 	for _, log := range platformscenario.Logs(options.Folder) {
 		bad++
 		fmt.Println("  a process says in its log that something broke:", log)
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// judged prints the judge's table and says how many rules were broken.
-func judged(h *history.History) int {
+// printFindings prints the table of findings and returns how many rules were broken.
+func printFindings(h *history.History) int {
 	findings := platformchecker.CheckAll(h, platformscenario.Bounds)
 	bad := 0
 	out := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
@@ -69,7 +69,7 @@
 	for _, finding := range findings {
 		note := ""
 		if finding.Checked == 0 {
-			note = "  not part of this day"
+			note = "  not part of this run"
 		}
 		if len(finding.Violations) > 0 {
 			bad++
@@ -89,7 +89,7 @@
 	return bad
 }
 
-// platformFigures prints what is not judged.
+// platformFigures prints figures that no rule is about.
 func platformFigures(h *history.History) {
 	type tally struct {
 		tries, served, promised, failed, cut, gaveUp int
--- a/testbed/platformtest/checker/linearizable.go
+++ b/testbed/platformtest/checker/linearizable.go
@@ -9,7 +9,7 @@
 	"github.com/cresspond/cresspond/testbed/platformtest/protocol"
 )
 
-// judgeWithin is how long an explanation of a day's answers is looked for.
+// linearizabilityTimeout limits the search for a linearization.
 const linearizabilityTimeout = time.Minute
 
 // configLinearizable checks that all answers and reads of operators have a linearization.
