--- a/process/consensus/raft/progress.go
+++ b/process/consensus/raft/progress.go
@@ -1,6 +1,6 @@
 package raft
 
-// progress is what a leader knows of one peer (nextIndex and matchIndex of section 3.5, and the state of transfers).
+// progress is what a leader knows of one peer (the next and the match index of section 3.5, and the state of transfers).
 type progress struct {
 	// match is the last index known to be replicated and synced; next is the first index to send.
 	match, next Index
