--- a/process/engines/outlier/eject.go
+++ b/process/engines/outlier/eject.go
@@ -10,7 +10,7 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// candidate is an engine that stands out for the daemons of a zone.
+// candidate is an engine whose score is above a threshold for the daemons of a zone.
 type candidate struct {
 	engine *engineState
 	id     ident.EngineID
@@ -18,158 +18,161 @@
 	score  float64
 }
 
-func (j *Detector) stepPool(now clock.Mark, ids []ident.EngineID) {
-	out := 0
+func (d *Detector) stepPool(now clock.Mark, ids []ident.EngineID) {
+	ejected := 0
 	var alarmed []candidate
 	for _, id := range ids {
-		e := j.engines[id]
-		if e == nil {
+		engine := d.engines[id]
+		if engine == nil {
 			continue
 		}
-		for _, zone := range slices.Sorted(maps.Keys(e.zones)) {
-			if one := e.zones[zone]; j.advance(now, one) {
-				alarmed = append(alarmed, candidate{e, id, zone, one.score})
+		for _, zone := range slices.Sorted(maps.Keys(engine.zones)) {
+			if one := engine.zones[zone]; d.advance(now, one) {
+				alarmed = append(alarmed, candidate{engine, id, zone, one.score})
 			}
 		}
-		if e.ejected() {
-			out++
+		if engine.ejected() {
+			ejected++
 		}
 	}
-	// The worst first, since not all may go.
+	// The worst go first, since the limit may not allow all.
 	slices.SortFunc(alarmed, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.id, b.id), cmp.Compare(a.zone, b.zone))
 	})
-	most := j.mostEjected(len(ids))
+	limit := d.mostEjected(len(ids))
 	for _, one := range alarmed {
-		if !one.engine.ejected() && out >= most {
-			j.Counters.Suppressed++
+		if !one.engine.ejected() && ejected >= limit {
+			d.Counters.Suppressed++
 			continue
 		}
 		if !one.engine.ejected() {
-			out++
+			ejected++
 		}
-		if s := one.engine.zones[one.zone]; s.score < j.settings.AlarmThreshold && s.lateScore >= j.settings.LateAlarmThreshold && s.stage != Trial {
-			j.throttle(now, one)
+		if state := one.engine.zones[one.zone]; state.score < d.settings.AlarmThreshold && state.lateScore >= d.settings.LateAlarmThreshold && state.stage != Trial {
+			d.throttle(now, one)
 		} else {
-			j.eject(now, one)
+			d.eject(now, one)
 		}
 	}
 }
 
-// mostEjected is how many of a pool may be ejected or on trial at once: never all.
-func (j *Detector) mostEjected(engines int) int {
-	return min(engines-1, max(1, int(j.settings.MaxEjectedFraction*float64(engines))))
+// mostEjected is how many engines of a pool may be ejected or on trial at once: never all.
+func (d *Detector) mostEjected(engines int) int {
+	return min(engines-1, max(1, int(d.settings.MaxEjectedFraction*float64(engines))))
 }
 
-// advance moves a standing that time or its trial moves; it says whether it is to be ejected.
-func (j *Detector) advance(now clock.Mark, s *stageState) (alarmed bool) {
-	switch s.stage {
+// advance makes the transitions that are due by time or by a trial; alarmed says that the engine is to be ejected or
+// throttled.
+func (d *Detector) advance(now clock.Mark, state *stageState) (alarmed bool) {
+	switch state.stage {
 	case Ejected:
-		if now.Since(s.since) >= s.ejectionTime {
-			s.moveTo(Trial, now)
+		if now.Since(state.since) >= state.ejectionTime {
+			state.moveTo(Trial, now)
 		}
 	case Trial:
 		switch {
-		case s.passes < 0:
+		case state.passes < 0:
 			return true
-		case s.passes >= j.settings.TrialPasses, now.Since(s.since) >= j.settings.MaxTrialTime:
-			s.moveTo(SlowStart, now)
-			// Half of the way to the alarm: one that is only well at times needs less to fall out again.
-			s.score, s.lateScore = j.settings.AlarmThreshold/2, 0
+		case state.passes >= d.settings.TrialPasses, now.Since(state.since) >= d.settings.MaxTrialTime:
+			state.moveTo(SlowStart, now)
+			// It starts half-way to the threshold: an engine that is healthy only at times is ejected again sooner.
+			state.score, state.lateScore = d.settings.AlarmThreshold/2, 0
 		}
 	case SlowStart:
-		if s.score >= j.settings.AlarmThreshold || s.lateScore >= j.settings.LateAlarmThreshold {
+		if state.score >= d.settings.AlarmThreshold || state.lateScore >= d.settings.LateAlarmThreshold {
 			return true
 		}
-		if share := j.fraction(now, s); share >= 1 {
-			s.moveTo(Healthy, now)
-			j.Counters.Returns++
+		if share := d.fraction(now, state); share >= 1 {
+			state.moveTo(Healthy, now)
+			d.Counters.Returns++
 		}
 	case Throttled:
-		if s.score >= j.settings.AlarmThreshold || s.lateScore >= j.settings.LateAlarmThreshold {
+		if state.score >= d.settings.AlarmThreshold || state.lateScore >= d.settings.LateAlarmThreshold {
 			return true
 		}
-		if now.Since(s.since) >= throttleStep {
-			s.since = now
-			if s.throttledFraction *= 2; s.throttledFraction >= 1 {
-				s.moveTo(Healthy, now)
-				j.Counters.Returns++
+		if now.Since(state.since) >= throttleStep {
+			state.since = now
+			if state.throttledFraction *= 2; state.throttledFraction >= 1 {
+				state.moveTo(Healthy, now)
+				d.Counters.Returns++
 			}
 		}
 	case Healthy:
-		return s.score >= j.settings.AlarmThreshold || s.lateScore >= j.settings.LateAlarmThreshold
+		return state.score >= d.settings.AlarmThreshold || state.lateScore >= d.settings.LateAlarmThreshold
 	}
 	return false
 }
 
 const (
-	// slowedStep is how long a slowed engine must be in time for its share to double, leastCut its least share.
+	// throttleStep is how long a throttled engine must be in time for its fraction to double, minThrottledFraction the least
+	// fraction.
 	throttleStep         = 2 * time.Second
 	minThrottledFraction = 0.125
 )
 
-// slow halves an engine's share.
-func (j *Detector) throttle(now clock.Mark, one candidate) {
-	s := one.engine.in(one.zone)
-	if s.stage != Throttled {
-		s.throttledFraction = j.fraction(now, s)
+// throttle halves an engine's fraction of requests.
+func (d *Detector) throttle(now clock.Mark, one candidate) {
+	state := one.engine.in(one.zone)
+	if state.stage != Throttled {
+		state.throttledFraction = d.fraction(now, state)
 	}
-	s.throttledFraction = max(minThrottledFraction, s.throttledFraction/2)
-	s.moveTo(Throttled, now)
+	state.throttledFraction = max(minThrottledFraction, state.throttledFraction/2)
+	state.moveTo(Throttled, now)
 	for _, other := range one.engine.zones {
 		other.lateScore = 0
 	}
-	j.Counters.Throttled++
+	d.Counters.Throttled++
 }
 
-// eject puts an engine out for those that see it fail: for the daemons of some zones where others get on with it.
-func (j *Detector) eject(now clock.Mark, one candidate) {
+// eject ejects an engine for the daemons that see it fail: for those of some zones only, where it serves the others.
+func (d *Detector) eject(now clock.Mark, one candidate) {
 	zones := []ident.ZoneID{one.zone}
 	if one.zone == "" && one.engine.zones[""].stage == Healthy {
-		zones = j.affectedZones(now, one.engine)
+		zones = d.affectedZones(now, one.engine)
 	}
 	for _, zone := range zones {
-		s := one.engine.in(zone)
-		if s.stage == Ejected {
+		state := one.engine.in(zone)
+		if state.stage == Ejected {
 			continue
 		}
-		if s.stage == Healthy && now.Since(s.since) >= j.settings.BackoffDecayPeriod {
-			s.ejectionTime /= 2
+		if state.stage == Healthy && now.Since(state.since) >= d.settings.BackoffDecayPeriod {
+			state.ejectionTime /= 2
 		}
-		if s.ejectionTime >= j.settings.BaseEjectionTime {
-			j.Counters.Relapses++
-			s.ejectionTime = min(2*s.ejectionTime, j.settings.MaxEjectionTime)
+		if state.ejectionTime >= d.settings.BaseEjectionTime {
+			d.Counters.Relapses++
+			state.ejectionTime = min(2*state.ejectionTime, d.settings.MaxEjectionTime)
 		} else {
-			s.ejectionTime = j.settings.BaseEjectionTime
+			state.ejectionTime = d.settings.BaseEjectionTime
 		}
-		j.Counters.Ejections++
-		s.moveTo(Ejected, now)
-		s.score, s.lateScore = 0, 0
+		d.Counters.Ejections++
+		state.moveTo(Ejected, now)
+		state.score, state.lateScore = 0, 0
 	}
-	// What was seen is in the score of its zone and in that of all, and must not be held against it twice.
-	for _, s := range one.engine.zones {
-		s.score, s.lateScore = 0, 0
+	// What was observed is in the score of its zone and in that of all zones, and must not count twice.
+	for _, state := range one.engine.zones {
+		state.score, state.lateScore = 0, 0
 	}
 }
 
-// affectedZones lists the zones whose daemons see an engine fail, if those of another get on with it; else all.
-func (j *Detector) affectedZones(now clock.Mark, e *engineState) []ident.ZoneID {
+// affectedZones lists the zones whose daemons see an engine fail, if it serves those of another zone; else the empty zone,
+// which is all.
+func (d *Detector) affectedZones(now clock.Mark, engine *engineState) []ident.ZoneID {
 	const enough = 3
 	var affected []ident.ZoneID
-	well := false
-	for _, zone := range slices.Sorted(maps.Keys(e.zones)) {
+	healthyElsewhere := false
+	for _, zone := range slices.Sorted(maps.Keys(engine.zones)) {
 		if zone == "" {
 			continue
 		}
-		all, wrong := e.zones[zone].attempts.value(now, j.settings.HalfLife), e.zones[zone].failed.value(now, j.settings.HalfLife)
+		all, wrong := engine.zones[zone].attempts.value(now, d.settings.HalfLife), engine.zones[zone].failed.value(now, d.settings.HalfLife)
 		switch {
-		case wrong > 0 && wrong/all > j.settings.FailingRate/2:
+		case wrong > 0 && wrong/all > d.settings.FailingRate/2:
 			affected = append(affected, zone)
 		case all >= enough:
-			well = true
+			healthyElsewhere = true
 		}
 	}
-	if !well || len(affected) == 0 {
+	if !healthyElsewhere || len(affected) == 0 {
 		return []ident.ZoneID{""}
 	}
 	return affected
--- a/process/engines/outlier/outlier_test.go
+++ b/process/engines/outlier/outlier_test.go
@@ -14,23 +14,23 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// fleet is daemons of four zones that tell a judge what they see, each fifth of a second some of them.
+// fleet is daemons of four zones that report to a detector what they observe, some of them each fifth of a second.
 type fleet struct {
 	detector *Detector
 	now      clock.Mark
 	engines  []ident.EngineID
 	random   *rand.Rand
-	// rate is the attempts that each engine gets a second at its full share.
+	// rate is the attempts a second that each engine gets at weight 1.
 	rate float64
-	// wrong says how an attempt at an engine from a zone ends.
-	wrong func(engine int, zone ident.ZoneID) Outcome
-	busy  func(ident.EngineID) bool
-	count []int
+	// outcome says how an attempt at an engine from a zone ends.
+	outcome func(engine int, zone ident.ZoneID) Outcome
+	busy    func(ident.EngineID) bool
+	count   []int
 }
 
 func newFleet(engines int, rate float64) *fleet {
 	f := &fleet{detector: NewDetector(DefaultSettings()), now: clock.Mark(time.Hour), random: rand.New(rand.NewPCG(7, uint64(engines))), rate: rate,
-		wrong: func(int, ident.ZoneID) Outcome { return Success }, busy: func(ident.EngineID) bool { return false }, count: make([]int, engines)}
+		outcome: func(int, ident.ZoneID) Outcome { return Success }, busy: func(ident.EngineID) bool { return false }, count: make([]int, engines)}
 	for n := range engines {
 		f.engines = append(f.engines, ident.EngineID(fmt.Sprintf("e%02d", n)))
 	}
@@ -40,29 +40,29 @@
 
 func zone(n int) ident.ZoneID { return ident.ZoneID(fmt.Sprint("z", n%4)) }
 
-// run lets time pass; look is called after each step.
-func (f *fleet) run(span time.Duration, look func()) {
+// run lets time pass; inspect is called after each step.
+func (f *fleet) run(span time.Duration, inspect func()) {
 	for end := f.now + clock.Mark(span); f.now < end; f.now += clock.Mark(100 * time.Millisecond) {
 		for z := range 4 {
-			ledger := NewRecorder()
+			recorder := NewRecorder()
 			for n, id := range f.engines {
-				share := WeightFor(f.detector.Weights(f.now, id), zone(z))
-				if f.random.Float64() < f.rate*share/40 {
+				fraction := WeightFor(f.detector.Weights(f.now, id), zone(z))
+				if f.random.Float64() < f.rate*fraction/40 {
 					f.count[n]++
-					ledger.Record(id, f.wrong(n, zone(z)))
+					recorder.Record(id, f.outcome(n, zone(z)))
 				}
 			}
-			f.detector.Observe(f.now, Observation{Zone: zone(z), Digests: ledger.TakeDigests()}, f.busy)
+			f.detector.Observe(f.now, Observation{Zone: zone(z), Digests: recorder.TakeDigests()}, f.busy)
 		}
 		f.detector.Step(f.now)
-		if look != nil {
-			look()
+		if inspect != nil {
+			inspect()
 		}
 	}
 }
 
-// out counts the engines that get less than their share from some zone, other than those on the ramp.
-func (f *fleet) out() (out int) {
+// reduced counts the engines that get less than their usual requests from some zone, other than those in slow start.
+func (f *fleet) reduced() (out int) {
 	for _, id := range f.engines {
 		if f.detector.engines[id].ejected() {
 			out++
@@ -71,19 +71,19 @@
 	return out
 }
 
-func (f *fleet) often(share float64, outcome Outcome) Outcome {
-	if f.random.Float64() < share {
+func (f *fleet) withProbability(probability float64, outcome Outcome) Outcome {
+	if f.random.Float64() < probability {
 		return outcome
 	}
 	return Success
 }
 
-func TestAnEngineThatFailsSomeIsEjectedInSecondsAndReturnsByTrialAndRamp(t *testing.T) {
+func TestPartlyFailingEngineIsEjectedAndReturnsThroughTrialAndSlowStart(t *testing.T) {
 	for _, outcome := range []Outcome{Failure, Refusal, Overdue} {
 		f := newFleet(20, 3)
-		f.wrong = func(engine int, _ ident.ZoneID) Outcome {
+		f.outcome = func(engine int, _ ident.ZoneID) Outcome {
 			if engine == 4 {
-				return f.often(0.45, outcome)
+				return f.withProbability(0.45, outcome)
 			}
 			return Success
 		}
@@ -97,15 +97,15 @@
 		if ejectedAt == 0 || ejectedAt.Since(began) > 6*time.Second {
 			t.Errorf("%d: ejected after %v", outcome, ejectedAt.Since(began))
 		}
-		// Well again: it comes back, in steps none of which more than doubles its share.
-		f.wrong = func(int, ident.ZoneID) Outcome { return Success }
+		// Once it is healthy it comes back, in steps none of which more than doubles its fraction.
+		f.outcome = func(int, ident.ZoneID) Outcome { return Success }
 		last := 0.0
 		f.run(40*time.Second, func() {
-			share := WeightFor(f.detector.Weights(f.now, "e04"), "z0")
-			if last > 0 && share > 2*last+1e-9 || last == 0 && share > DefaultSettings().TrialWeight {
-				t.Errorf("%d: from %.2f to %.2f at once", outcome, last, share)
+			fraction := WeightFor(f.detector.Weights(f.now, "e04"), "z0")
+			if last > 0 && fraction > 2*last+1e-9 || last == 0 && fraction > DefaultSettings().TrialWeight {
+				t.Errorf("%d: from %.2f to %.2f at once", outcome, last, fraction)
 			}
-			last = share
+			last = fraction
 		})
 		if last != 1 {
 			t.Errorf("%d: still at %.2f", outcome, last)
@@ -116,47 +116,47 @@
 	}
 }
 
-// What goes wrong everywhere, now and then, or at a full engine, ejects nobody.
-func TestChanceLoadAndCommonTroubleEjectNobody(t *testing.T) {
+// Failures everywhere, by chance, or at a saturated engine eject no engine.
+func TestChanceLoadAndCommonFaultsEjectNoEngine(t *testing.T) {
 	for name, c := range map[string]struct {
 		wrong func(f *fleet) func(int, ident.ZoneID) Outcome
 		busy  bool
 	}{
 		"one in a hundred": {func(f *fleet) func(int, ident.ZoneID) Outcome {
-			return func(int, ident.ZoneID) Outcome { return f.often(0.01, Failure) }
+			return func(int, ident.ZoneID) Outcome { return f.withProbability(0.01, Failure) }
 		}, false},
 		"three in a hundred of half": {func(f *fleet) func(int, ident.ZoneID) Outcome {
 			return func(engine int, _ ident.ZoneID) Outcome {
 				if engine%2 == 0 {
-					return f.often(0.03, Failure)
+					return f.withProbability(0.03, Failure)
 				}
 				return Success
 			}
 		}, false},
 		"all full": {func(f *fleet) func(int, ident.ZoneID) Outcome {
-			return func(int, ident.ZoneID) Outcome { return f.often(0.6, Refusal) }
+			return func(int, ident.ZoneID) Outcome { return f.withProbability(0.6, Refusal) }
 		}, true},
 	} {
 		f := newFleet(30, 5)
-		f.wrong = c.wrong(f)
+		f.outcome = c.wrong(f)
 		f.busy = func(ident.EngineID) bool { return c.busy }
 		out := 0
-		f.run(60*time.Second, func() { out = max(out, f.out()) })
-		// Thirty engines for a minute, 9,000 attempts, of which some 130 go wrong in the second case: a few are bad luck.
+		f.run(60*time.Second, func() { out = max(out, f.reduced()) })
+		// Thirty engines for a minute, 9,000 attempts, of which some 130 fail in the second case: a few ejections are chance.
 		if out > 1 || f.detector.Counters.Ejections > 4 {
 			t.Errorf("%s: %d out at once, %+v", name, out, f.detector.Counters)
 		}
 	}
 }
 
-// A full engine that is late gets half, and half of that, and never nothing; one that is late alone, since it is slow,
-// ends with what it can do.
-func TestALateEngineWithMuchToDoIsSlowedAndNotEjected(t *testing.T) {
+// A saturated engine that is late gets half, and half of that, and never nothing; one that is late because it is slow ends
+// with what it can do.
+func TestLateSaturatedEngineIsThrottledAndNotEjected(t *testing.T) {
 	f := newFleet(20, 5)
 	f.busy = func(id ident.EngineID) bool { return id == "e03" }
-	f.wrong = func(engine int, _ ident.ZoneID) Outcome {
+	f.outcome = func(engine int, _ ident.ZoneID) Outcome {
 		if engine == 3 {
-			return f.often(0.9, Overdue)
+			return f.withProbability(0.9, Overdue)
 		}
 		return Success
 	}
@@ -165,18 +165,18 @@
 	if c := f.detector.Counters; c.Ejections > 0 || c.Throttled < 2 || least > 0.5 || least < minThrottledFraction {
 		t.Errorf("down to %.3f, %+v", least, c)
 	}
-	f.wrong = func(int, ident.ZoneID) Outcome { return Success }
+	f.outcome = func(int, ident.ZoneID) Outcome { return Success }
 	f.run(10*time.Second, nil)
-	if share := WeightFor(f.detector.Weights(f.now, "e03"), "z0"); share != 1 {
-		t.Errorf("still at %.2f", share)
+	if fraction := WeightFor(f.detector.Weights(f.now, "e03"), "z0"); fraction != 1 {
+		t.Errorf("still at %.2f", fraction)
 	}
 }
 
-func TestAnEngineIllForOneZoneIsEjectedForThatZoneAlone(t *testing.T) {
+func TestEngineFailingForOneZoneIsEjectedForThatZoneOnly(t *testing.T) {
 	f := newFleet(20, 12)
-	f.wrong = func(engine int, z ident.ZoneID) Outcome {
+	f.outcome = func(engine int, z ident.ZoneID) Outcome {
 		if engine == 2 && z == "z1" {
-			return f.often(0.6, Failure)
+			return f.withProbability(0.6, Failure)
 		}
 		return Success
 	}
@@ -194,27 +194,27 @@
 	}
 }
 
-// A daemon that is cut off sees all engines fail, and is not believed; each that flaps rests longer.
-func TestObservationsOfADaemonInTroubleAreDropped(t *testing.T) {
+// A partitioned daemon sees all engines fail, and its observations are dropped; an engine that flaps is ejected for longer.
+func TestObservationsOfPartitionedDaemonAreDropped(t *testing.T) {
 	f := newFleet(20, 1)
 	for range 50 {
-		ledger := NewRecorder()
+		recorder := NewRecorder()
 		for _, id := range f.engines[:6] {
-			ledger.Record(id, Failure)
+			recorder.Record(id, Failure)
 		}
-		f.detector.Observe(f.now, Observation{Zone: "z0", Digests: ledger.TakeDigests()}, f.busy)
+		f.detector.Observe(f.now, Observation{Zone: "z0", Digests: recorder.TakeDigests()}, f.busy)
 		f.detector.Step(f.now)
 		f.now += clock.Mark(100 * time.Millisecond)
 	}
-	if f.out() > 0 || f.detector.Counters.DigestsDropped != 50 {
-		t.Errorf("%d out, %+v", f.out(), f.detector.Counters)
+	if f.reduced() > 0 || f.detector.Counters.DigestsDropped != 50 {
+		t.Errorf("%d out, %+v", f.reduced(), f.detector.Counters)
 	}
 }
 
-func TestEjectionBacksOffForFlappingEnginesAndRecoversWithTime(t *testing.T) {
+func TestEjectionTimeGrowsForFlappingEngineAndDecays(t *testing.T) {
 	f := newFleet(20, 5)
 	affected := true
-	f.wrong = func(engine int, _ ident.ZoneID) Outcome {
+	f.outcome = func(engine int, _ ident.ZoneID) Outcome {
 		if engine == 1 && affected {
 			return Failure
 		}
@@ -243,39 +243,39 @@
 	}
 }
 
-// Whatever daemons tell, no more than the bound are out, never all, and shares are shares; once nothing goes wrong any
-// more all come back.
-func TestEjectedShareIsBoundedAndAllReturn(t *testing.T) {
+// Whatever daemons report, no more engines than the limit are ejected, never all, and fractions are between 0 and 1; once
+// nothing fails any more all come back.
+func TestEjectedFractionIsBoundedAndAllEnginesReturn(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(11)
 	parameters.MinSuccessfulTests = 40
 	properties := gopter.NewProperties(parameters)
-	properties.Property("bound and return", prop.ForAll(func(engines int, seed int64, shares []int) string {
+	properties.Property("bound and return", prop.ForAll(func(engines int, seed int64, rates []int) string {
 		f := newFleet(engines, 8)
 		f.random = rand.New(rand.NewPCG(uint64(seed), 3))
 		f.busy = func(id ident.EngineID) bool { return f.random.IntN(3) == 0 }
-		f.wrong = func(engine int, _ ident.ZoneID) Outcome {
+		f.outcome = func(engine int, _ ident.ZoneID) Outcome {
 			outcome := Outcome(1 + (engine+int(seed))%3)
-			if len(shares) == 0 {
+			if len(rates) == 0 {
 				return Success
 			}
-			return f.often(float64(shares[engine%len(shares)])/100, outcome)
+			return f.withProbability(float64(rates[engine%len(rates)])/100, outcome)
 		}
 		failed := ""
-		look := func() {
-			if out, most := f.out(), f.detector.mostEjected(engines); out > most || out >= engines && engines > 0 {
+		inspect := func() {
+			if out, most := f.reduced(), f.detector.mostEjected(engines); out > most || out >= engines && engines > 0 {
 				failed = fmt.Sprintf("%d of %d out, %d may be", out, engines, most)
 			}
 			for _, id := range f.engines {
 				for _, one := range f.detector.Weights(f.now, id) {
 					if one.Fraction < 0 || one.Fraction >= 1 {
-						failed = fmt.Sprintf("a share of %f", one.Fraction)
+						failed = fmt.Sprintf("a fraction of %f", one.Fraction)
 					}
 				}
 			}
 		}
-		f.run(15*time.Second, look)
-		f.wrong = func(int, ident.ZoneID) Outcome { return Success }
-		f.run(90*time.Second, look)
+		f.run(15*time.Second, inspect)
+		f.outcome = func(int, ident.ZoneID) Outcome { return Success }
+		f.run(90*time.Second, inspect)
 		for _, id := range f.engines {
 			if weights := f.detector.Weights(f.now, id); len(weights) > 0 {
 				failed += fmt.Sprintf("; %s has not come back: %v", id, weights)
@@ -286,7 +286,7 @@
 	properties.TestingRun(t)
 }
 
-func TestLedgerReportsEachAttemptOnceAndKeepsReadings(t *testing.T) {
+func TestRecorderReportsEachAttemptOnceAndKeepsReadings(t *testing.T) {
 	l := NewRecorder()
 	l.Record("a", Success)
 	l.Record("a", Failure)
@@ -297,9 +297,9 @@
 		t.Errorf("%+v", observation)
 	}
 	if l.TakeDigests() != nil {
-		t.Error("told twice")
+		t.Error("reported twice")
 	}
-	// One that was told as well and then broke off is an attempt told anew, since no more is left to correct.
+	// An attempt that was reported as a success and then broke off is reported again, since the first report is gone.
 	l.RecordTruncated("b")
 	if observation := l.TakeDigests(); len(observation) != 1 || observation[0] != (Digest{Engine: "b", Attempts: 1, Failures: 1}) {
 		t.Errorf("%+v", observation)
--- a/process/engines/outlier/recorder.go
+++ b/process/engines/outlier/recorder.go
@@ -8,54 +8,54 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// Digest is what one daemon saw of one engine since its last report.
+// Digest is what one daemon observed of one engine since its last report.
 type Digest struct {
 	Engine ident.EngineID
-	// Attempts are those that have ended, or whose first byte has come or is overdue; each counts once, and so does
-	// each of the next three, which are no part of each other.
+	// Attempts are those that have ended, or whose first byte has come or is overdue. Each is counted once here, and at most
+	// once below.
 	Attempts int
-	// Failures gave no whole answer though the engine had the time, or an answer of its own that it failed.
+	// Failures gave no complete answer though the engine had the time, or an answer that states its own failure.
 	Failures int
-	// Refusals were turned away with the engine's word that it did not run them.
+	// Refusals were rejected, and the engine stated that it did not run them.
 	Refusals int
-	// Overdue are those whose first byte came far later than like ones elsewhere, or has not come yet.
+	// Overdue attempts have their first byte far later than similar ones at other engines, or not yet.
 	Overdue int
 }
 
-// Reading is what one daemon has seen of one engine lately, smoothed: what ranks engines may read it.
+// Reading is what one daemon has observed of one engine. Counts are over its lifetime, times are smoothed.
 type Reading struct {
 	Attempts, Failures, Refusals, Overdue, Truncated uint64
-	// FirstExcess is by how much first bytes came later than expected for their size, GapExcess by how much the
-	// longest pause of a stream was above what its path allows, Connect how long a fresh connection took.
+	// FirstByteExcess is by how much first bytes came later than expected for their size, GapExcess by how much the longest
+	// gap of a stream was above its path's target, Connect how long a new connection took.
 	FirstByteExcess, GapExcess, Connect time.Duration
 }
 
-// Ledger is one daemon's own account. It belongs to one actor.
+// Recorder counts what one daemon observes. It belongs to one goroutine.
 type Recorder struct {
 	readings map[ident.EngineID]*Reading
 	pending  map[ident.EngineID]*Digest
 }
 
-// NewLedger makes an empty one.
+// NewRecorder makes an empty recorder.
 func NewRecorder() *Recorder {
 	return &Recorder{readings: map[ident.EngineID]*Reading{}, pending: map[ident.EngineID]*Digest{}}
 }
 
-// Outcome is what became of one attempt.
+// Outcome is how one attempt ended, or how it stands when it is recorded.
 type Outcome uint8
 
 const (
-	// Well: an answer came, or began to come, in time.
+	// Success is an answer that came, or began to come, in time.
 	Success Outcome = iota
-	// Failure: no whole answer came though the engine had the time, or it failed by its own account.
+	// Failure is no complete answer though the engine had the time, or one that states the engine's own failure.
 	Failure
-	// Refusal: the engine stated that it did not run the attempt.
+	// Refusal is the engine's statement that it did not run the attempt.
 	Refusal
-	// Overdue: the first byte came far later than for like requests, or has not come yet.
+	// Overdue is a first byte that came far later than for similar requests, or has not come yet.
 	Overdue
 )
 
-// Note counts an attempt. One is noted once, by the worst that is known of it at that time.
+// Record counts an attempt. It is recorded once, by the worst that is known of it at that time.
 func (l *Recorder) Record(engine ident.EngineID, outcome Outcome) {
 	reading, digest := l.readingOf(engine), l.pending[engine]
 	if digest == nil {
@@ -77,7 +77,7 @@
 	}
 }
 
-// Worse counts an attempt as a failure that was noted as something better: an answer that began, and broke off.
+// RecordTruncated counts an attempt as a failure that was recorded as something better: an answer that began and broke off.
 func (l *Recorder) RecordTruncated(engine ident.EngineID) {
 	l.readingOf(engine).Failures++
 	l.readingOf(engine).Truncated++
@@ -89,22 +89,22 @@
 	digest.Failures = min(digest.Failures+1, digest.Attempts)
 }
 
-// First notes how much later than expected a first byte came; before time counts as none.
+// RecordFirstByteExcess records how much later than expected a first byte came; early counts as zero.
 func (l *Recorder) RecordFirstByteExcess(engine ident.EngineID, excess time.Duration) {
 	smooth(&l.readingOf(engine).FirstByteExcess, max(0, excess))
 }
 
-// Gap notes by how much the longest pause of a stream was above what its path allows.
+// RecordGapExcess records by how much the longest gap of a stream was above its path's target; below counts as zero.
 func (l *Recorder) RecordGapExcess(engine ident.EngineID, excess time.Duration) {
 	smooth(&l.readingOf(engine).GapExcess, max(0, excess))
 }
 
-// Connected notes how long a fresh connection took.
+// RecordConnect records how long a new connection took.
 func (l *Recorder) RecordConnect(engine ident.EngineID, took time.Duration) {
 	smooth(&l.readingOf(engine).Connect, took)
 }
 
-// Of gives what was seen of an engine.
+// Reading gives what was observed of an engine.
 func (l *Recorder) Reading(engine ident.EngineID) Reading {
 	if reading := l.readings[engine]; reading != nil {
 		return *reading
@@ -112,8 +112,8 @@
 	return Reading{}
 }
 
-// Take gives what was not reported yet, by engine, and counts it as reported: what gets lost on its way stays lost, since
-// more comes.
+// TakeDigests gives what was not reported yet, ordered by engine, and counts it as reported. A report that is lost on its
+// way is not repeated, since more will come.
 func (l *Recorder) TakeDigests() []Digest {
 	if len(l.pending) == 0 {
 		return nil
@@ -127,7 +127,7 @@
 	return out
 }
 
-// Forget drops what is known of engines that are not to be kept.
+// Prune drops the engines for which keep returns false.
 func (l *Recorder) Prune(keep func(ident.EngineID) bool) {
 	for engine := range l.readings {
 		if !keep(engine) {
@@ -146,5 +146,5 @@
 	return reading
 }
 
-// smooth moves a smoothed time towards the newest.
+// smooth moves an exponentially smoothed time towards the newest, by an eighth.
 func smooth(into *time.Duration, newest time.Duration) { *into += (newest - *into) / 8 }
--- a/process/engines/outlier/settings.go
+++ b/process/engines/outlier/settings.go
@@ -4,27 +4,29 @@
 	"time"
 )
 
-// Settings are what the detector goes by.
+// Settings are the detector's parameters.
 type Settings struct {
-	// Sick is the share of attempts that go wrong at an engine worth ejecting, Noise what may go wrong at any.
+	// FailingRate is the rate of failed attempts at an engine that must be ejected, NoiseRate what is usual at any.
 	FailingRate, NoiseRate float64
-	// Alarm is how much likelier it must be, as a logarithm, that an engine is failing than that it is like the others.
+	// AlarmThreshold is the logarithm of how much likelier it must be that an engine is failing than that it is like the
+	// others.
 	AlarmThreshold float64
-	// LateAlarm is the same of being late with much to do, which load brings about as well.
+	// LateAlarmThreshold is the same for being late while saturated, which load causes as well.
 	LateAlarmThreshold float64
-	// MostEjected is the share of a pool that may be ejected, or on trial, at once. One engine of two or more may be.
+	// MaxEjectedFraction is the fraction of a pool that may be ejected, or on trial, at once. One engine of two or more always
+	// may.
 	MaxEjectedFraction float64
-	// RestFirst and RestMost bound how long an ejected engine gets nothing that another can take; it doubles with
-	// each relapse, and halves with each Forgiven spent healthy.
+	// An engine is ejected for BaseEjectionTime first. The time doubles with each relapse up to MaxEjectionTime, and halves
+	// after it was healthy for BackoffDecayPeriod.
 	BaseEjectionTime, MaxEjectionTime, BackoffDecayPeriod time.Duration
-	// TrialWeight is the share of its usual requests that one on trial gets, TrialPasses how many must go well.
+	// TrialWeight is the fraction of its usual requests that an engine on trial gets, TrialPasses how many must succeed.
 	TrialWeight float64
 	TrialPasses int
-	// TrialMost is how long a trial takes at most, where hardly anything comes and nothing goes wrong.
+	// MaxTrialTime ends a trial that gets few requests and no failure.
 	MaxTrialTime time.Duration
-	// RampStep is how long each doubling of the weight takes after a trial.
+	// SlowStartStep is how long each doubling of the weight takes after a trial.
 	SlowStartStep time.Duration
-	// Half is the time after which an outcome counts half towards what is usual in the pool.
+	// HalfLife is the time after which an outcome counts half in what is usual in the pool.
 	HalfLife time.Duration
 }
 
--- a/process/engines/outlier/stage.go
+++ b/process/engines/outlier/stage.go
@@ -8,20 +8,20 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// Stage is where an engine stands with the daemons of a zone, or with all.
+// Stage is how an engine is treated by the daemons of a zone, or by all.
 type Stage uint8
 
 const (
-	// Healthy: it gets what is its due.
+	// Healthy engines get their usual requests.
 	Healthy Stage = iota
-	// Ejected: it gets only what no other can take.
+	// Ejected engines get only what no other engine can take.
 	Ejected
-	// Trial: it gets a small share, until enough has gone well.
+	// Trial engines get a small fraction, until enough attempts have succeeded.
 	Trial
-	// Ramp: its share doubles with each step, so that no burst meets cold caches and an engine barely well.
+	// SlowStart engines get a fraction that doubles with each step, so that no burst meets cold caches.
 	SlowStart
-	// Slowed: it is late and no more than that. Its share is halved with each alarm and doubles again while there is
-	// none: where it is slow it gets what it can do, and where it only had too much no harm is done.
+	// Throttled engines are late and no more than that. Their fraction is halved with each alarm and doubles again while there
+	// is none: a slow engine gets what it can do, and one that was only overloaded recovers soon.
 	Throttled
 )
 
@@ -29,28 +29,28 @@
 	return [...]string{"sound", "ejected", "trial", "ramp", "slowed"}[s]
 }
 
-// transitions lists the transitions from each stage to the next.
+// transitions lists the stages that may follow each.
 var transitions = map[Stage][]Stage{Healthy: {Ejected, Throttled}, Ejected: {Trial}, Trial: {Ejected, SlowStart}, SlowStart: {Ejected, Throttled, Healthy}, Throttled: {Ejected, Throttled, Healthy}}
 
-// standing is an engine seen from one zone, or from all.
+// stageState is an engine as one zone's daemons observe it, or those of all.
 type stageState struct {
 	stage Stage
 	since clock.Mark
-	// score is Page's cumulative sum: the logarithm of how much likelier what was seen since it was last zero is
-	// with a failing engine than with a healthy one.
+	// score is Page's cumulative sum: the logarithm of how much likelier what was observed since it was last zero is with a
+	// failing engine than with a healthy one.
 	score float64
-	// late is the same of what came too late at an engine that has much to do.
+	// lateScore is the same for what came too late at a saturated engine.
 	lateScore    float64
 	ejectionTime time.Duration
-	// cut is the share of a slowed one.
+	// throttledFraction is the fraction of requests of a throttled engine.
 	throttledFraction float64
-	// passes counts what went well on trial.
+	// passes counts what succeeded on trial; -1 is a trial that failed.
 	passes int
-	// wrong, lates and all are what was seen lately.
+	// What was observed lately.
 	failed, lateCount, attempts decaying
 }
 
-// move is the one function that changes a stage.
+// moveTo changes a stage; nothing else does.
 func (s *stageState) moveTo(to Stage, now clock.Mark) {
 	if !slices.Contains(transitions[s.stage], to) {
 		panic("broken invariant: an engine may not go from " + s.stage.String() + " to " + to.String())
@@ -58,7 +58,7 @@
 	s.stage, s.since, s.passes = to, now, 0
 }
 
-// observed is one engine; the standing of the empty zone is with all.
+// engineState is one engine; the empty zone stands for the daemons of all zones together.
 type engineState struct {
 	pool  string
 	zones map[ident.ZoneID]*stageState
--- a/process/engines/outlier/weight.go
+++ b/process/engines/outlier/weight.go
@@ -8,74 +8,75 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// Weight is the share of its usual requests that an engine is to get from callers' daemons in a zone; of several
-// that fit the least counts. An empty zone is all.
+// Weight is the fraction of its usual requests that an engine is to get from daemons in a zone; of several that match the
+// lowest counts. An empty zone matches all.
 type Weight struct {
 	Zone     ident.ZoneID
 	Fraction float64
 }
 
-// WeightFor is the share for daemons of a zone.
+// WeightFor is the fraction for daemons of a zone; 1 if no weight matches.
 func WeightFor(weights []Weight, zone ident.ZoneID) float64 {
-	share := 1.0
+	fraction := 1.0
 	for _, one := range weights {
 		if one.Zone == "" || one.Zone == zone {
-			share = min(share, one.Fraction)
+			fraction = min(fraction, one.Fraction)
 		}
 	}
-	return share
+	return fraction
 }
 
-// share is the share of its usual requests that an engine gets.
-func (j *Detector) fraction(now clock.Mark, s *stageState) float64 {
-	switch s.stage {
+// fraction is the fraction of its usual requests that an engine gets in its stage.
+func (d *Detector) fraction(now clock.Mark, state *stageState) float64 {
+	switch state.stage {
 	case Ejected:
 		return 0
 	case Throttled:
-		return s.throttledFraction
+		return state.throttledFraction
 	case Trial:
-		return j.settings.TrialWeight
+		return d.settings.TrialWeight
 	case SlowStart:
-		steps := int(now.Since(s.since)/j.settings.SlowStartStep) + 1
-		return min(1, j.settings.TrialWeight*float64(int(1)<<min(steps, 30)))
+		steps := int(now.Since(state.since)/d.settings.SlowStartStep) + 1
+		return min(1, d.settings.TrialWeight*float64(int(1)<<min(steps, 30)))
 	}
 	return 1
 }
 
-// Weights gives an engine's weights below one, by zone; none means healthy everywhere.
-func (j *Detector) Weights(now clock.Mark, id ident.EngineID) []Weight {
-	e := j.engines[id]
-	if e == nil {
+// Weights gives an engine's weights below 1, ordered by zone; none means healthy everywhere.
+func (d *Detector) Weights(now clock.Mark, id ident.EngineID) []Weight {
+	engine := d.engines[id]
+	if engine == nil {
 		return nil
 	}
 	var out []Weight
-	for _, zone := range slices.Sorted(maps.Keys(e.zones)) {
-		if share := j.fraction(now, e.zones[zone]); share < 1 {
-			out = append(out, Weight{zone, share})
+	for _, zone := range slices.Sorted(maps.Keys(engine.zones)) {
+		if fraction := d.fraction(now, engine.zones[zone]); fraction < 1 {
+			out = append(out, Weight{zone, fraction})
 		}
 	}
 	return out
 }
 
-// Lost says whether what an engine holds had better stand elsewhere too: nearly all goes wrong there, or it was ejected
-// again soon after it came back. For less a load, and what makes way for it, costs more than it saves.
-func (j *Detector) NeedsReplacement(now clock.Mark, id ident.EngineID) bool {
+// NeedsReplacement reports whether the models of an engine should be loaded elsewhere too: nearly all attempts fail there, or
+// it was ejected again soon after it came back. For less, a load and the unload that makes way for it cost more than they
+// save.
+func (d *Detector) NeedsReplacement(now clock.Mark, id ident.EngineID) bool {
 	const nearlyAll = 0.7
-	e := j.engines[id]
-	if e == nil || e.zones[""] == nil {
+	engine := d.engines[id]
+	if engine == nil || engine.zones[""] == nil {
 		return false
 	}
-	s := e.zones[""]
-	if s.stage != Ejected && s.stage != Trial {
+	state := engine.zones[""]
+	if state.stage != Ejected && state.stage != Trial {
 		return false
 	}
-	return s.ejectionTime > j.settings.BaseEjectionTime || s.failed.value(now, j.settings.HalfLife) >= nearlyAll*s.attempts.value(now, j.settings.HalfLife)
+	return state.ejectionTime > d.settings.BaseEjectionTime || state.failed.value(now, d.settings.HalfLife) >= nearlyAll*state.attempts.value(now, d.settings.HalfLife)
 }
 
-// Stage is where an engine stands with the daemons of a zone.
-func (j *Detector) Stage(id ident.EngineID, zone ident.ZoneID) Stage {
-	if e := j.engines[id]; e != nil && e.zones[zone] != nil {
-		return e.zones[zone].stage
+// Stage is an engine's stage for the daemons of a zone; the empty zone stands for all.
+func (d *Detector) Stage(id ident.EngineID, zone ident.ZoneID) Stage {
+	if engine := d.engines[id]; engine != nil && engine.zones[zone] != nil {
+		return engine.zones[zone].stage
 	}
 	return Healthy
 }
