--- a/request/forwarding/core_test.go
+++ b/request/forwarding/core_test.go
@@ -19,12 +19,12 @@
 	"github.com/cresspond/cresspond/wire/dialect"
 )
 
-// coreFixture is a core with a world that a test sets.
+// coreFixture is a core in an environment that a test controls.
 type coreFixture struct {
 	t    testing.TB
 	core *Core
 	now  clock.Mark
-	// hasWorkerID says whether a worker id is held.
+	// hasWorkerID and current are those of the environment.
 	hasWorkerID, current bool
 	index                *upstream.Index
 	view                 *registry.View
@@ -107,7 +107,7 @@
 	return request
 }
 
-// pendingStep gives a record's next step, if there is one.
+// pendingStep gives a request's next step, if there is one.
 func pendingStep(request *Request) (Step, bool) {
 	select {
 	case step := <-request.steps:
@@ -157,7 +157,7 @@
 	fixture.ended(request, fasthttp.StatusServiceUnavailable, CauseNoTable)
 }
 
-// What operators have closed gets nothing new, and what waits goes there as soon as it is open again.
+// TestClosedEngineReceivesNoNewRequests: a queued request is sent there as soon as operators open the engine again.
 func TestClosedEngineReceivesNoNewRequests(t *testing.T) {
 	fixture := newCoreFixture(t, pathOf("p", upstream.Idempotent, "plain"))
 	fixture.register(enginesOf("plain", 2, 6)...)
@@ -218,7 +218,7 @@
 	if old.stage != StageQueued {
 		t.Fatal(old.stage)
 	}
-	// One that came early in its time gives way, one that has waited long does not.
+	// A request that arrived early in its time gives way, one that has waited long does not.
 	third := fixture.admit("urgent", func(request *Request) { request.Deadline = fixture.now + ms(20_000) })
 	fixture.now += ms(1_400)
 	fixture.core.AttemptEnded(first, OutcomeCompleted, fixture.world())
@@ -240,7 +240,7 @@
 	}
 	// A model that no catalogue has can't be loaded by anybody.
 	fixture.ended(fixture.admit("p", prompt("unknown", 100)), fasthttp.StatusServiceUnavailable, CauseNoCapacity)
-	// One that comes in time is waited for, and goes when it is there.
+	// One that will be loaded in time is waited for, and the request is sent when it is.
 	delete(fixture.notLoadedFor, "m/")
 	coming := engineOf("batch", 0, 64)
 	coming.Plan = &registry.Plan{PendingLoads: []registry.PendingLoad{{Target: registry.Target{Model: "m"}, Ready: fixture.now + ms(300)}}, Received: fixture.now}
@@ -258,8 +258,8 @@
 	}
 }
 
-// TestRequestForSlowLoadIsRejectedWithRetryAfter: where something is there only after the target, and a client may
-// come back by then, it is told so, and whoever plans still hears of it.
+// TestRequestForSlowLoadIsRejectedWithRetryAfter: a model that is loaded only after the target, while the client can
+// retry by then, rejects with a time to retry, and still counts as demand.
 func TestRequestForSlowLoadIsRejectedWithRetryAfter(t *testing.T) {
 	fixture := newCoreFixture(t, pathOf("p", upstream.Stream, "batch"))
 	coming := engineOf("batch", 0, 64)
@@ -311,7 +311,7 @@
 	if send := fixture.sent(request); send.Pool != "other" {
 		t.Error(send)
 	}
-	// What was held back at the last look goes by the newest too, or not at all.
+	// A withheld request follows the newest table too, or ends.
 	fixture.index = routingTable()
 	fixture.core.AttemptEnded(request, OutcomeWithheld, fixture.world())
 	fixture.ended(request, fasthttp.StatusNotFound, CauseNoPath)
@@ -368,7 +368,7 @@
 	fixture.ended(request, 0, CauseResponseLost)
 }
 
-// simulatedRequest is what a simulated engine side knows of one record.
+// simulatedRequest is what the simulated engines know of one request.
 type simulatedRequest struct {
 	record   *Request
 	path     *upstream.Path
@@ -385,7 +385,7 @@
 }
 
 // TestInvariantsHoldUnderRandomInterleavings drives the core through random orders of arrivals, outcomes, tables,
-// engines, leases and times, and checks what must hold in each.
+// engines, worker ids and times, and checks the invariants in each.
 func TestInvariantsHoldUnderRandomInterleavings(t *testing.T) {
 	tooSoon := 0
 	defer func() {
@@ -411,7 +411,7 @@
 		moved.Attempts = paths[0].Attempts
 		elsewhere := routingTable(append([]upstream.Path{moved}, paths[1:]...)...)
 		all := append(append(enginesOf("plain", 3, 2), enginesOf("other", 2, 2)...), enginesOf("batch", 2, 3, "m")...)
-		// One more is to hold the model at some time, and no report says so.
+		// One more engine is to load the model at some time, and no report shows it.
 		loading := engineOf("batch", 2, 3)
 		loading.Plan = &registry.Plan{PendingLoads: []registry.PendingLoad{{Target: registry.Target{Model: "m"}, Ready: fixture.now + ms(random.IntN(3000))}}}
 		all = append(all, loading)
@@ -586,8 +586,8 @@
 	}
 }
 
-// TestRetriesStayWithinBudget: whatever comes when, in every window the fleet's further sends stay
-// within the share of first ones, counted in the window, the one before or the one half a window before.
+// TestRetriesStayWithinBudget: in every window the fleet's retries stay within the share of first sends, counted in that
+// window, the one before or the one half a window before.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParameters())
 	properties.Property("budget", prop.ForAll(func(seed uint64, routers int, burst int) bool {
@@ -629,7 +629,7 @@
 	properties.TestingRun(t)
 }
 
-// TestRequestWithheldAtEveryCheckEnds: a sender and a core that disagree for good do not go round.
+// TestRequestWithheldAtEveryCheckEnds: a sender and a core that disagree for good don't loop.
 func TestRequestWithheldAtEveryCheckEnds(t *testing.T) {
 	fixture := newCoreFixture(t, pathOf("p", upstream.Once, "plain"))
 	fixture.register(enginesOf("plain", 3, 6)...)
@@ -650,7 +650,7 @@
 	}
 }
 
-// TestAttemptsStayWithinConnectionShare: what an engine takes from all daemons is divided over them.
+// TestAttemptsStayWithinConnectionShare: the connections that an engine accepts are divided among the routers.
 func TestAttemptsStayWithinConnectionShare(t *testing.T) {
 	path := pathOf("p", upstream.Once, "narrow")
 	fixture := newCoreFixture(t, path)
@@ -670,16 +670,17 @@
 	}
 }
 
-// TestQueueTimeForModelLoad: what will be there in time or soon after is waited for, what comes back when
-// it is there is told when, and nothing is held for half of its time.
+// TestQueueTimeForModelLoad: a request is queued for a load that is done in time or soon after, rejected with a time to
+// retry where that serves it better, and never queued for half of its time.
 func TestQueueTimeForModelLoad(t *testing.T) {
 	for name, c := range map[string]struct {
-		// readyInMs is when the planner says it is there, or when it says that it is not; left the client's time.
+		// readyInMs is when the planner announces the load, notLoadedForMs how long it announces none; timeLeftMs is the
+		// client's time.
 		readyInMs, notLoadedForMs, timeLeftMs int
 		queued                                bool
 		low, high                             time.Duration
 	}{
-		// What is told to be ready is known of spreadTime later.
+		// What is told to be ready is known of defaultPropagationTime later.
 		"in time":              {readyInMs: 300, timeLeftMs: 4000, queued: true},
 		"soon after, told":     {readyInMs: 1000, timeLeftMs: 4000, low: 1300 * time.Millisecond, high: 1300 * time.Millisecond},
 		"later, told":          {readyInMs: 1350, timeLeftMs: 4000, low: 1333 * time.Millisecond, high: 1334 * time.Millisecond},
@@ -729,7 +730,8 @@
 	}
 }
 
-// TestRequestIsRejectedBeforeItsClientTimesOut: a stream's client leaves in silence long before its deadline.
+// TestRequestIsRejectedBeforeItsClientTimesOut: a client that waits for a stream's first byte leaves long before its
+// deadline.
 func TestRequestIsRejectedBeforeItsClientTimesOut(t *testing.T) {
 	path := pathOf("p", upstream.Stream, "batch")
 	path.DeadlineMs, path.TargetMs, path.GapTargetMs = 20_000, 800, 500
@@ -759,7 +761,7 @@
 	}
 }
 
-// TestEngineThatReportsMissingModelIsNotAskedAgain: its report may lag behind.
+// TestEngineThatReportsMissingModelIsNotAskedAgain: the engine's periodic report may lag behind.
 func TestEngineThatReportsMissingModelIsNotAskedAgain(t *testing.T) {
 	fixture := newCoreFixture(t, pathOf("p", upstream.Stream, "batch"))
 	fixture.register(enginesOf("batch", 1, 64, "m")...)
@@ -777,7 +779,7 @@
 	fixture.sent(later)
 }
 
-// TestPlanningTimeIsLearned: where it is quicker or slower than usual, holding goes by that.
+// TestPlanningTimeIsLearned: queue times follow the measured planning time, shorter or longer than the default.
 func TestPlanningTimeIsLearned(t *testing.T) {
 	for _, c := range []struct {
 		took   int
@@ -812,8 +814,8 @@
 	}
 }
 
-// TestRequestOfDisconnectedCallerIsNeitherQueuedNorRetried: that the caller left may be heard while an attempt is
-// under way whose sender has just reported how it ended.
+// TestRequestOfDisconnectedCallerIsNeitherQueuedNorRetried: the disconnect may be reported while an attempt is under way
+// whose sender has just reported its outcome.
 func TestRequestOfDisconnectedCallerIsNeitherQueuedNorRetried(t *testing.T) {
 	for _, class := range []upstream.Class{upstream.Once, upstream.Idempotent, upstream.Stream} {
 		for outcome := OutcomeWithheld; outcome <= OutcomeEngineError; outcome++ {
--- a/request/forwarding/enginehealth_test.go
+++ b/request/forwarding/enginehealth_test.go
@@ -9,8 +9,8 @@
 	"github.com/cresspond/cresspond/configuration/upstream"
 )
 
-// TestModelOnUnreachableEngineCountsAsMissing: a client is told when the model is likely to be
-// loaded elsewhere, not to ask the same engine again a moment later, and it is wanted of the planner meanwhile.
+// TestModelOnUnreachableEngineCountsAsMissing: the client is told when the model is likely to be loaded elsewhere, and
+// the request counts as demand until then.
 func TestModelOnUnreachableEngineCountsAsMissing(t *testing.T) {
 	path := pathOf("p", upstream.Stream, "batch")
 	path.DeadlineMs = 10_000
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestStreamResumesOnceAnotherEngineLoadsItsModel: where none but the engine that failed holds it, a stream
-// that may be taken up waits for the load instead of ending.
+// TestStreamResumesOnceAnotherEngineLoadsItsModel: where only the failed engine has the model, a resumable stream is
+// queued for the load instead of ending.
 func TestStreamResumesOnceAnotherEngineLoadsItsModel(t *testing.T) {
 	for _, begun := range []bool{true, false} {
 		path := pathOf("p", upstream.Stream, "batch")
@@ -63,7 +63,7 @@
 	}
 }
 
-// TestStreamWithoutSuccessorEngineEndsInTime: it isn't held for half of its time.
+// TestStreamWithoutSuccessorEngineEndsInTime: it is not queued for half of its time.
 func TestStreamWithoutSuccessorEngineEndsInTime(t *testing.T) {
 	path := pathOf("p", upstream.Stream, "batch")
 	path.Resumable = true
@@ -80,7 +80,7 @@
 	}
 }
 
-// TestUnreachableEngineCountsInPoolWithoutModels: on a plain pool a moment's rest is waited for.
+// TestUnreachableEngineCountsInPoolWithoutModels: in a pool that does not batch a request waits for the backoff to end.
 func TestUnreachableEngineCountsInPoolWithoutModels(t *testing.T) {
 	fixture := newCoreFixture(t, pathOf("p", upstream.Idempotent, "plain"))
 	fixture.register(engineOf("plain", 0, 4))
--- a/request/forwarding/warm_test.go
+++ b/request/forwarding/idleconnection_test.go
@@ -8,7 +8,7 @@
 	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
-// TestEngineWithIdleConnectionIsPreferred: to one that is no better otherwise, and not to one with far less to do.
+// TestEngineWithIdleConnectionIsPreferred: over an engine that is no better otherwise, not over one with far less load.
 func TestEngineWithIdleConnectionIsPreferred(t *testing.T) {
 	for _, option := range []struct {
 		pool  string
--- a/request/forwarding/migrate_test.go
+++ b/request/forwarding/migrate_test.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// What a request costs at an engine is told by how much work it is, and by nothing of whose it is.
+// TestAttemptCarriesEngineLoad: an attempt says how much work is at the engine, and nothing about whose it is.
 func TestAttemptCarriesEngineLoad(t *testing.T) {
 	path := pathOf("resume", upstream.Stream, "batch")
 	path.GapTargetMs = 400
--- a/request/forwarding/outlierreport_test.go
+++ b/request/forwarding/outlierreport_test.go
@@ -9,8 +9,8 @@
 	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
-// TestEachAttemptIsReportedOnceByWhatTheEngineDid: what its own deadline, the caller or this daemon ended says nothing of
-// the engine, and a first byte that does not come is told while it does not.
+// TestEachAttemptIsReportedOnceByWhatTheEngineDid: an attempt ended by its own deadline, its caller or this daemon says
+// nothing about the engine, and an overdue first byte is reported while it is awaited.
 func TestEachAttemptIsReportedOnceByWhatTheEngineDid(t *testing.T) {
 	const engine = ident.EngineID("batch-0")
 	for name, c := range map[string]struct {
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestEjectedEngineReceivesItsShareAndServesAsLastResort: with half of its share an engine gets about half of what it got, with none it
-// gets what no other can take, and without the setting it gets all.
+// TestEjectedEngineReceivesItsShareAndServesAsLastResort: with a weight of a half an engine gets about half of its
+// requests, with zero those that no other can take, and without the setting all.
 func TestEjectedEngineReceivesItsShareAndServesAsLastResort(t *testing.T) {
 	for _, c := range []struct {
 		share       float64
--- a/request/forwarding/outliers_test.go
+++ b/request/forwarding/outliers_test.go
@@ -11,13 +11,13 @@
 	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
-// faultKind is what becomes of an attempt at an engine.
+// faultKind is what happens to an attempt at a simulated engine.
 type faultKind uint8
 
 const (
 	noFault faultKind = iota
-	// engineErrors answers with a failure of its own, resets breaks the connection, hangs never says anything, slows takes
-	// eight times as long, refuses turns away what it had room for, unreached can't be reached.
+	// engineErrors answers with an error, connectionResets breaks the connection, unresponsive never answers, slowEngine
+	// takes eight times as long, rejectsAll rejects despite capacity, unreachableEngine refuses connections.
 	engineErrors
 	connectionResets
 	unresponsive
@@ -26,7 +26,7 @@
 	unreachableEngine
 )
 
-// failsAt says whether an attempt falls to an engine's illness, and has that come about.
+// failsAt reports whether an attempt meets an engine's fault, and schedules its outcome.
 func (s *simulation) failsAt(d *simulatedRouter, request *Request, engine *simulatedEngine) bool {
 	if engine.fault == nil {
 		return false
@@ -51,7 +51,7 @@
 	return true
 }
 
-// shareOutcomes has daemons tell a judge what they see, as they do whoever plans: with a question about each 750 ms.
+// shareOutcomes has routers report what they see to a detector, each once in 750 ms as they do to the planner.
 func (s *simulation) shareOutcomes() {
 	for _, d := range s.daemons {
 		d.core.settings.EjectOutliers = true
@@ -103,7 +103,7 @@
 	step()
 }
 
-// makeUnhealthy has a share of the engines fall ill for a while.
+// makeUnhealthy gives a share of the engines a fault for a while.
 func (s *simulation) makeUnhealthy(engines int, from, duration time.Duration, fault func(d *simulatedRouter) faultKind) (unhealthy map[ident.EngineID]bool) {
 	unhealthy = map[ident.EngineID]bool{}
 	begins := s.now + clock.Mark(from)
@@ -120,7 +120,7 @@
 	return unhealthy
 }
 
-// withProbability gives an illness to a share of attempts.
+// withProbability gives a share of attempts a fault.
 func (s *simulation) withProbability(share float64, fault faultKind) func(*simulatedRouter) faultKind {
 	return func(*simulatedRouter) faultKind {
 		if s.random.Float64() < share {
@@ -130,7 +130,7 @@
 	}
 }
 
-// largeDeployment is a grown deployment: many daemons, each of which sends an engine a request in twenty seconds.
+// largeDeployment has many routers, each of which sends an engine one request in twenty seconds.
 func largeDeployment(seed uint64) *simulation {
 	s := newSimulation(seed, 58, 60)
 	for n, d := range s.daemons {
@@ -144,7 +144,7 @@
 	wronglyEjected, ejections          uint64
 }
 
-// simulateFaults runs a grown deployment in which a fifth of the engines fall ill from the fifth second on.
+// simulateFaults runs a large deployment in which a fifth of the engines have a fault from the fifth second on.
 func simulateFaults(seed uint64, shared bool, fault func(s *simulation) func(*simulatedRouter) faultKind) (out simulationResult) {
 	s := largeDeployment(seed)
 	if shared {
@@ -173,7 +173,7 @@
 	return out
 }
 
-// inZone gives an illness to a share of the attempts from one zone.
+// inZone gives a fault to a share of the attempts from one zone.
 func (s *simulation) inZone(zone ident.ZoneID, share float64, fault faultKind) func(*simulatedRouter) faultKind {
 	return func(d *simulatedRouter) faultKind {
 		if d.zone == zone && s.random.Float64() < share {
@@ -183,15 +183,15 @@
 	}
 }
 
-// TestSharedOutcomesFindUnhealthyEnginesThatNoRouterFindsAlone: 58 daemons, 60 engines, each daemon sends an engine a request
-// in twenty seconds, and a fifth of the engines is ill for 12 of 25 seconds. What each daemon sees alone came to the
-// shares in brackets; shared it must come to at most those after them. The rest is what it takes to find out, three
-// failures at each, and trials.
+// TestSharedOutcomesFindUnhealthyEnginesThatNoRouterFindsAlone: 58 routers and 60 engines, each router sends an engine
+// one request in twenty seconds, and a fifth of the engines has a fault for 12 of 25 seconds. In brackets are the shares
+// of broken and timely requests if no outcomes are shared; the limits behind them hold with sharing. The rest is what
+// detection itself costs: three failures at each engine, and trials.
 func TestSharedOutcomesFindUnhealthyEnginesThatNoRouterFindsAlone(t *testing.T) {
 	for name, c := range map[string]struct {
 		fault func(s *simulation) func(*simulatedRouter) faultKind
-		// broken is the most of what broke without sharing, inTime the least in time, falsely the most that may be
-		// held back of 60 sound engines over the whole time, in each of two runs.
+		// broken bounds what broke relative to no sharing, inTime is the least share in time, wronglyEjected bounds how
+		// many of 60 healthy engines are ejected over all the time, in each of two runs.
 		broken, inTime float64
 		falsely        uint64
 	}{
@@ -230,8 +230,8 @@
 	return fmt.Sprintf("%.4f in time, %.4f broken, %.4f refused", float64(v.inTime)/float64(v.requests), float64(v.broken)/float64(v.requests), float64(v.rejected)/float64(v.requests))
 }
 
-// TestOverloadIsNotMistakenForOutliers: up to and beyond the engines' limit, with and without one popular prefix, sharing what
-// daemons see costs little, though some engine is always later than others.
+// TestOverloadIsNotMistakenForOutliers: up to and beyond the engines' limit, with and without one popular prefix,
+// sharing outcomes costs little, although some engine is always slower than others.
 func TestOverloadIsNotMistakenForOutliers(t *testing.T) {
 	for _, load := range []float64{0.5, 0.8, 1.0, 1.3} {
 		for _, popular := range []bool{false, true} {
--- a/request/forwarding/reason_test.go
+++ b/request/forwarding/reason_test.go
@@ -8,7 +8,7 @@
 	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
-// onlyLoss gives the one loss that a core has counted, and fails if there is another number of them.
+// onlyLoss gives the one loss that a core has counted, and fails if there is another number.
 func onlyLoss(t *testing.T, c *Core) LossKey {
 	t.Helper()
 	losses := c.Losses()
@@ -124,7 +124,7 @@
 	}
 }
 
-// TestAnswerInTimeIsNoLoss: neither one that begins within its target, nor one whose engine's answer came whole.
+// TestAnswerInTimeIsNoLoss: neither a response that begins within its target, nor one that then takes long to complete.
 func TestAnswerInTimeIsNoLoss(t *testing.T) {
 	fixture := newCoreFixture(t, pathOf("p", upstream.Stream, "batch"))
 	fixture.register(engineOf("batch", 0, 64, "m"))
@@ -139,7 +139,7 @@
 	}
 }
 
-// TestLossesOfManyModelsAreBounded: models beyond the bound are counted together, and none is forgotten.
+// TestLossesOfManyModelsAreBounded: models beyond the bound are counted together, and no loss is forgotten.
 func TestLossesOfManyModelsAreBounded(t *testing.T) {
 	fixture := newCoreFixture(t, pathOf("p", upstream.Stream, "batch"))
 	const models = maxLossKeys + 50
@@ -155,7 +155,6 @@
 	}
 }
 
-// TestReasonNamesAreUnique: no two share one.
 func TestReasonNamesAreUnique(t *testing.T) {
 	seen := map[string]bool{}
 	for request := range reasonCount {
--- a/request/forwarding/retrybudget_test.go
+++ b/request/forwarding/retrybudget_test.go
@@ -9,7 +9,8 @@
 	"github.com/cresspond/cresspond/configuration/upstream"
 )
 
-// Streams that were sent long ago and break off together must not be taken for first sends of now.
+// TestFirstSendsCountFromWhenTheyWereSent: streams that were sent long ago and break off together don't count as first
+// sends of now.
 func TestFirstSendsCountFromWhenTheyWereSent(t *testing.T) {
 	resumable := pathOf("resume", upstream.Stream, "batch")
 	resumable.Resumable, resumable.Attempts, resumable.DeadlineMs = true, 3, 120_000
--- a/request/forwarding/routes_test.go
+++ b/request/forwarding/routes_test.go
@@ -8,7 +8,8 @@
 	"github.com/cresspond/cresspond/configuration/upstream"
 )
 
-// TestPoolSelectionFollowsWeightsAndIsDeterministic: each pool of a path gets about what its weight says, and the same try always the same.
+// TestPoolSelectionFollowsWeightsAndIsDeterministic: each pool gets about its weight's share, and the same attempt id
+// always the same pool.
 func TestPoolSelectionFollowsWeightsAndIsDeterministic(t *testing.T) {
 	path := pathOf("p", upstream.Idempotent, "plain", "other", "batch")
 	weights := map[string]int64{"plain": 90, "other": 10, "batch": 0}
--- a/request/forwarding/simulate_test.go
+++ b/request/forwarding/simulate_test.go
@@ -16,7 +16,7 @@
 	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
-// timeline runs what is due in order of time.
+// timeline runs scheduled events in order of time.
 type timeline struct {
 	now   clock.Mark
 	queue dues
@@ -57,7 +57,7 @@
 	t.now = until
 }
 
-// simulatedEngine is an engine that reads prompts one after the other, and keeps the parts it has read.
+// simulatedEngine reads prompts one after the other, and caches the parts it has read.
 type simulatedEngine struct {
 	registered *registry.Engine
 	queue      []*job
@@ -65,7 +65,7 @@
 	active     int
 	kept       map[string]bool
 	dead       bool
-	// fault says what becomes of an attempt from a daemon, nil that the engine is well.
+	// fault gives what happens to an attempt from a router; nil is a healthy engine.
 	fault    func(d *simulatedRouter) faultKind
 	read     int
 	arrivals int
@@ -78,14 +78,14 @@
 	events int
 }
 
-// simulatedRouter is one daemon.
+// simulatedRouter is one routing daemon.
 type simulatedRouter struct {
 	core  *Core
 	world func() Environment
 	zone  ident.ZoneID
 }
 
-// simulation is daemons before engines.
+// simulation is routers in front of engines.
 type simulation struct {
 	timeline
 	random  *rand.Rand
@@ -100,12 +100,12 @@
 	late         int
 	failed       int
 	first        []time.Duration
-	// utility sums what requests are worth: one in time, lateWorth late, something between after a refusal.
+	// utility sums the values of requests: 1 in time, lateUtility late, between both after a resubmission.
 	utility, lateUtility float64
 	clientsRetry         bool
 	drainTime            time.Duration
 	resubmitted          map[*Request]bool
-	// detector weighs what daemons tell, where they do; broken counts requests that an engine's trouble cost.
+	// detector evaluates shared outcomes, where they are shared; brokenRequests counts requests lost to faults.
 	detector       *outlier.Detector
 	brokenRequests int
 }
@@ -164,7 +164,7 @@
 	s.view = view
 }
 
-// takeStep does what a record's sender would.
+// takeStep does what a request's sender would.
 func (s *simulation) takeStep(d *simulatedRouter, request *Request) {
 	step, there := pendingStep(request)
 	if !there {
@@ -265,7 +265,7 @@
 	})
 }
 
-// traffic sends requests in clumps; subject draws the shared part.
+// traffic sends requests in bursts; subject draws the shared prompt part.
 func (s *simulation) traffic(perSecond float64, duration time.Duration, subject func() int) {
 	end := s.now + clock.Mark(duration)
 	n := 0
@@ -322,9 +322,9 @@
 
 func (s *simulation) anySubject() int { return s.random.IntN(60) }
 
-// TestManyRoutersSpreadPromptsOverBatchingEngines: nine daemons that know little of each other keep most first
-// bytes in time near the engines' limit, and beyond it what they let in. The figures of a build that went by
-// reported queues, and shed nothing, were 0.98, 0.80, 0.52 and 0.11.
+// TestManyRoutersSpreadPromptsOverBatchingEngines: nine routers that know little of each other keep most first bytes in
+// time near the engines' limit, and beyond it those that they admit. Choosing by reported queues without load shedding
+// gave 0.98, 0.80, 0.52 and 0.11.
 func TestManyRoutersSpreadPromptsOverBatchingEngines(t *testing.T) {
 	for _, c := range []struct{ load, least float64 }{{0.5, 0.985}, {0.8, 0.9}, {1.0, 0.79}, {1.3, 0.6}} {
 		all, inTime, refused := 0, 0, 0
@@ -344,8 +344,8 @@
 	}
 }
 
-// TestAwaitedFirstBytesRevealEngineQueue: beyond the engines' limit, with clients that come back once and half a worth
-// for what is late. Going by the first bytes that came alone, 0.57 was earned.
+// TestAwaitedFirstBytesRevealEngineQueue: beyond the engines' limit, with clients that retry once and half the value for
+// late responses. Going by measured first bytes alone gave 0.57.
 func TestAwaitedFirstBytesRevealEngineQueue(t *testing.T) {
 	all, utility := 0, 0.0
 	for seed := range uint64(4) {
@@ -362,8 +362,8 @@
 	}
 }
 
-// TestPopularPrefixDoesNotOverloadItsReplicas: most ask about one thing, and the engines share it nevertheless.
-// With its two homes alone 0.82 were in time.
+// TestPopularPrefixDoesNotOverloadItsReplicas: most prompts share one prefix, and the engines share the load
+// nevertheless. With its two rendezvous engines alone 0.82 were in time.
 func TestPopularPrefixDoesNotOverloadItsReplicas(t *testing.T) {
 	s := newSimulation(3, 9, 5)
 	s.traffic(0.5*s.capacity(), 30*time.Second, func() int {
@@ -384,7 +384,8 @@
 	}
 }
 
-// TestDeadEngineReceivesFewRequests: until it is known to be gone, few run into it, and no subject is left unserved.
+// TestDeadEngineReceivesFewRequests: until it is known to be gone few requests are sent to it, and no subject is left
+// unserved.
 func TestDeadEngineReceivesFewRequests(t *testing.T) {
 	s := newSimulation(4, 9, 5)
 	s.engines[2].dead = true
@@ -404,8 +405,8 @@
 	}
 }
 
-// TestRoutersAgreeOnPrefixPlacement: without a word between them, most of what is about one thing meets at
-// one engine, and things are spread over all.
+// TestRoutersAgreeOnPrefixPlacement: without communication most requests with one prefix meet at one engine, and
+// prefixes are spread over all engines.
 func TestRoutersAgreeOnPrefixPlacement(t *testing.T) {
 	enginesByTopic := map[string]map[ident.EngineID]int{}
 	count := map[ident.EngineID]int{}
@@ -445,7 +446,7 @@
 	}
 }
 
-// TestFailingEngineBacksOffAndRecovers: with one request at a time until one goes well.
+// TestFailingEngineBacksOffAndRecovers: after the backoff it gets one request at a time until one succeeds.
 func TestFailingEngineBacksOffAndRecovers(t *testing.T) {
 	fixture := newCoreFixture(t, pathOf("p", upstream.Once, "plain"))
 	fixture.register(enginesOf("plain", 2, 600)...)
@@ -475,8 +476,8 @@
 	}
 }
 
-// TestSlotsAreDividedAmongRoutersAndOwnZoneIsPreferred: what a daemon may have at a small engine is its share, and
-// its own zone has the first word while nothing is taken there.
+// TestSlotsAreDividedAmongRoutersAndOwnZoneIsPreferred: a router uses its share of an engine's slots, and prefers its
+// own zone while slots are free there.
 func TestSlotsAreDividedAmongRoutersAndOwnZoneIsPreferred(t *testing.T) {
 	fixture := newCoreFixture(t, pathOf("p", upstream.Once, "plain"))
 	engines := enginesOf("plain", 3, 6)
--- a/request/forwarding/size_test.go
+++ b/request/forwarding/size_test.go
@@ -13,8 +13,8 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// BenchmarkSizeDemands is what one daemon tells of the models and adapters asked of it, and how many bytes that
-// is, for docs/CAPACITY.md: go test -run - -bench Size ./request/forwarding
+// BenchmarkSizeDemands measures reporting the demand for so many adapters, and the size of the message, for
+// docs/CAPACITY.md: go test -run - -bench Size ./request/forwarding
 func BenchmarkSizeDemands(b *testing.B) {
 	for _, active := range []int{10, 100, 1000, 10000, 87000} {
 		b.Run(fmt.Sprint(active, " adapters"), func(b *testing.B) {
@@ -42,8 +42,8 @@
 	}
 }
 
-// BenchmarkSizeChoose is one request let in, given an engine among so many, and ended; a tenth of the engines
-// hold the model that it asks for, each among three others.
+// BenchmarkSizeChoose measures admitting a request, choosing among so many engines, and ending it; a tenth of the
+// engines have loaded its model, each among three others.
 func BenchmarkSizeChoose(b *testing.B) {
 	for _, engines := range []int{12, 100, 350, 1400} {
 		b.Run(fmt.Sprint(engines, " engines"), func(b *testing.B) {
--- a/request/forwarding/speculate_test.go
+++ b/request/forwarding/speculate_test.go
@@ -24,8 +24,8 @@
 	fixture.core.DispatchQueued(fixture.world())
 }
 
-// TestDueLoadIsTriedBeforeItIsReported: reports are late, and while nobody plans none come; what was
-// to be loaded by now is asked for, by one request first.
+// TestDueLoadIsTriedBeforeItIsReported: reports are late, and none come while there is no planner; one request tries
+// first whether the load is done.
 func TestDueLoadIsTriedBeforeItIsReported(t *testing.T) {
 	fixture := newCoreFixture(t, pathOf("p", upstream.Stream, "batch"))
 	ready := fixture.now + ms(300)
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestSpeculationBacksOffWhileLoadIsOverdue: each refusal doubles the pause, the request stays with the one
-// engine where its path allows no second, and goes when the engine takes it.
+// TestSpeculationBacksOffWhileLoadIsOverdue: each rejection doubles the backoff; where the path allows one engine the
+// request stays with it, and is sent when the engine accepts.
 func TestSpeculationBacksOffWhileLoadIsOverdue(t *testing.T) {
 	path := pathOf("p", upstream.Stream, "batch")
 	path.Attempts, path.TargetMs = 1, 4000
@@ -91,7 +91,7 @@
 	}
 }
 
-// TestSpeculationDoesNotExhaustRetryBudget: where the budget is used up, a request waits for the news.
+// TestSpeculationDoesNotExhaustRetryBudget: once the budget is used up a request waits for the report.
 func TestSpeculationDoesNotExhaustRetryBudget(t *testing.T) {
 	path := pathOf("p", upstream.Stream, "batch")
 	path.TargetMs = 4000
@@ -116,7 +116,8 @@
 	}
 }
 
-// TestNoSpeculationWhileAnotherModelIsRetiring: while something must make way, when a load ends is a guess.
+// TestNoSpeculationWhileAnotherModelIsRetiring: while another model is to be unloaded first, the announced time is a
+// guess.
 func TestNoSpeculationWhileAnotherModelIsRetiring(t *testing.T) {
 	fixture := newCoreFixture(t, pathOf("p", upstream.Stream, "batch"))
 	engine := fixture.loading(0, fixture.now-ms(200))
@@ -127,7 +128,7 @@
 	}
 }
 
-// TestUnsentSpeculationDoesNotCountAsAccepted: the others wait for one that was sent.
+// TestUnsentSpeculationDoesNotCountAsAccepted: other requests wait for a speculative attempt that was sent.
 func TestUnsentSpeculationDoesNotCountAsAccepted(t *testing.T) {
 	for _, outcome := range []Outcome{OutcomeWithheld, OutcomeUnreachable, OutcomeCallerLeft} {
 		fixture := newCoreFixture(t, pathOf("p", upstream.Stream, "batch"))
