--- a/connection/gateway/answers_test.go
+++ b/connection/gateway/answers_test.go
@@ -18,16 +18,16 @@
 	"github.com/cresspond/cresspond/request/forwarding"
 )
 
-// notRun is an engine's word that it has not run a request.
-func notRun(a arrival, status string) {
-	say(a, fmt.Sprintf("HTTP/1.1 %s\r\nX-Attempt-Id: %s\r\nCresspond-Not-Run: full\r\nContent-Length: 2\r\n\r\nno", status, idOf(a)))
+// rejectNotRun is an engine's word that it has not run a request.
+func rejectNotRun(a arrival, status string) {
+	writeText(a, fmt.Sprintf("HTTP/1.1 %s\r\nX-Attempt-Id: %s\r\nCresspond-Not-Run: full\r\nContent-Length: 2\r\n\r\nno", status, idOf(a)))
 }
 
 // chunks is a stream's head, and then each event as a chunk of its own.
 func chunks(a arrival, seal string, events ...string) {
-	say(a, "HTTP/1.1 200 OK\r\nX-Attempt-Id: "+idOf(a)+"\r\nCresspond-Seal: "+seal+"\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
+	writeText(a, "HTTP/1.1 200 OK\r\nX-Attempt-Id: "+idOf(a)+"\r\nCresspond-Seal: "+seal+"\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
 	for _, event := range events {
-		say(a, fmt.Sprintf("%x\r\n%s\r\n", len(event), event))
+		writeText(a, fmt.Sprintf("%x\r\n%s\r\n", len(event), event))
 	}
 }
 
@@ -43,10 +43,10 @@
 
 const lastChunk = "0\r\n\r\n"
 
-// TestWhatAnEngineDoesBecomesOneHonestAnswer: for each way in which an engine may end an attempt, the answer
+// TestEngineBehaviourDeterminesResponse: for each way in which an engine may end an attempt, the answer
 // promises no more than is known, and what may not run twice arrives once.
-func TestWhatAnEngineDoesBecomesOneHonestAnswer(t *testing.T) {
-	well := func(a arrival) bool { say(a, wholeOf(a, "pong")); return true }
+func TestEngineBehaviourDeterminesResponse(t *testing.T) {
+	well := func(a arrival) bool { writeText(a, completeResponse(a, "pong")); return true }
 	for name, c := range map[string]struct {
 		path     string
 		first    func(a arrival) bool
@@ -54,32 +54,40 @@
 		body     string
 		arrivals int
 	}{
-		"refused":       {"once", func(a arrival) bool { notRun(a, "503 Service Unavailable"); return true }, 200, "pong", 2},
-		"misdirected":   {"once", func(a arrival) bool { notRun(a, "421 Misdirected Request"); return true }, 200, "pong", 2},
-		"too many":      {"once", func(a arrival) bool { notRun(a, "429 Too Many Requests"); return true }, 200, "pong", 2},
+		"refused":       {"once", func(a arrival) bool { rejectNotRun(a, "503 Service Unavailable"); return true }, 200, "pong", 2},
+		"misdirected":   {"once", func(a arrival) bool { rejectNotRun(a, "421 Misdirected Request"); return true }, 200, "pong", 2},
+		"too many":      {"once", func(a arrival) bool { rejectNotRun(a, "429 Too Many Requests"); return true }, 200, "pong", 2},
 		"reset":         {"once", func(a arrival) bool { _ = a.conn.(*net.TCPConn).SetLinger(0); return false }, 502, "", 1},
 		"closed":        {"once", func(a arrival) bool { return false }, 502, "", 1},
 		"closed, again": {"again", func(a arrival) bool { return false }, 200, "pong", 2},
-		"junk":          {"once", func(a arrival) bool { say(a, "SSH-2.0-x\r\n\r\n"); return false }, 502, "", 1},
-		"foreign":       {"once", func(a arrival) bool { say(a, whole("other", "x")); return true }, 502, "", 1},
+		"junk":          {"once", func(a arrival) bool { writeText(a, "SSH-2.0-x\r\n\r\n"); return false }, 502, "", 1},
+		"foreign":       {"once", func(a arrival) bool { writeText(a, completeText("other", "x")); return true }, 502, "", 1},
 		"unsealed": {"once", func(a arrival) bool {
-			say(a, strings.Replace(wholeOf(a, "x"), "Cresspond-Seal", "Other", 1))
+			writeText(a, strings.Replace(completeResponse(a, "x"), "Cresspond-Seal", "Other", 1))
 			return true
 		}, 502, "", 1},
 		"unsealed, again": {"again", func(a arrival) bool {
-			say(a, strings.Replace(wholeOf(a, "x"), "Cresspond-Seal", "Other", 1))
+			writeText(a, strings.Replace(completeResponse(a, "x"), "Cresspond-Seal", "Other", 1))
 			return true
 		}, 200, "pong", 2},
-		"cut body":             {"once", func(a arrival) bool { text := wholeOf(a, "ping"); say(a, text[:len(text)-1]); return false }, 502, "", 1},
-		"cut body, again":      {"again", func(a arrival) bool { text := wholeOf(a, "ping"); say(a, text[:len(text)-1]); return false }, 200, "pong", 2},
-		"own failure":          {"once", func(a arrival) bool { say(a, failed(a, "500 Internal Server Error")); return true }, 500, "oh", 1},
-		"own failure, again":   {"again", func(a arrival) bool { say(a, failed(a, "500 Internal Server Error")); return true }, 200, "pong", 2},
-		"own timeout":          {"stream", func(a arrival) bool { say(a, failed(a, "504 Gateway Timeout")); return true }, 504, "oh", 1},
-		"own 503":              {"once", func(a arrival) bool { say(a, failed(a, "503 Service Unavailable")); return true }, 502, "", 1},
-		"own 404":              {"once", func(a arrival) bool { say(a, failed(a, "404 Not Found")); return true }, 404, "oh", 1},
+		"cut body": {"once", func(a arrival) bool {
+			text := completeResponse(a, "ping")
+			writeText(a, text[:len(text)-1])
+			return false
+		}, 502, "", 1},
+		"cut body, again": {"again", func(a arrival) bool {
+			text := completeResponse(a, "ping")
+			writeText(a, text[:len(text)-1])
+			return false
+		}, 200, "pong", 2},
+		"own failure":          {"once", func(a arrival) bool { writeText(a, failed(a, "500 Internal Server Error")); return true }, 500, "oh", 1},
+		"own failure, again":   {"again", func(a arrival) bool { writeText(a, failed(a, "500 Internal Server Error")); return true }, 200, "pong", 2},
+		"own timeout":          {"stream", func(a arrival) bool { writeText(a, failed(a, "504 Gateway Timeout")); return true }, 504, "oh", 1},
+		"own 503":              {"once", func(a arrival) bool { writeText(a, failed(a, "503 Service Unavailable")); return true }, 502, "", 1},
+		"own 404":              {"once", func(a arrival) bool { writeText(a, failed(a, "404 Not Found")); return true }, 404, "oh", 1},
 		"cut before any event": {"stream", func(a arrival) bool { chunks(a, "s"); return false }, 502, "", 1},
 		"cut in first event":   {"stream", func(a arrival) bool { chunks(a, "s", "id: 1\nda"); return false }, 502, "", 1},
-		"empty stream":         {"stream", func(a arrival) bool { chunks(a, "s"); say(a, lastChunk); return true }, 200, "", 1},
+		"empty stream":         {"stream", func(a arrival) bool { chunks(a, "s"); writeText(a, lastChunk); return true }, 200, "", 1},
 	} {
 		var came atomic.Int64
 		answer := func(a arrival) bool {
@@ -88,7 +96,7 @@
 			}
 			return well(a)
 		}
-		f := newFixture(t, newStandIn(t, "e1", answer), newStandIn(t, "e2", answer))
+		f := newFixture(t, newFakeEngine(t, "e1", answer), newFakeEngine(t, "e2", answer))
 		got := f.call(ask(c.path, "a1", "ping"))
 		if got.status != c.status || got.err != nil || c.body != "" && got.body != c.body || came.Load() != int64(c.arrivals) {
 			t.Errorf("%s: %d arrivals, %+v", name, came.Load(), got)
@@ -102,19 +110,19 @@
 	}
 }
 
-func wholeOf(a arrival, body string) string { return whole(idOf(a), body) }
+func completeResponse(a arrival, body string) string { return completeText(idOf(a), body) }
 
 func failed(a arrival, status string) string {
 	return fmt.Sprintf("HTTP/1.1 %s\r\nX-Attempt-Id: %s\r\nContent-Length: 2\r\n\r\noh", status, idOf(a))
 }
 
-func TestWhatRanNowhereIsRefusedWithATimeToComeBack(t *testing.T) {
-	full := func(a arrival) bool { notRun(a, "503 Service Unavailable"); return true }
-	f := newFixture(t, newStandIn(t, "e1", full), newStandIn(t, "e2", full))
+func TestRequestThatDidNotRunIsRejectedWithRetryAfter(t *testing.T) {
+	full := func(a arrival) bool { rejectNotRun(a, "503 Service Unavailable"); return true }
+	f := newFixture(t, newFakeEngine(t, "e1", full), newFakeEngine(t, "e2", full))
 	if got := f.call(ask("once", "a1", "ping")); got.status != 503 || got.head.Get("Retry-After") == "" || got.head.Get("Cresspond-Not-Run") != "" {
 		t.Errorf("%+v", got)
 	}
-	dead := newStandIn(t, "e3", full)
+	dead := newFakeEngine(t, "e3", full)
 	dead.listener.Close()
 	f.engines(dead)
 	if got := f.call(ask("once", "a2", "ping")); got.status != 503 {
@@ -128,9 +136,9 @@
 	}
 }
 
-// TestAStreamGoesOnAtAnotherEngine: cut at any point, a resumable stream reaches its client without a gap, a
+// TestStreamResumesAtAnotherEngine: cut at any point, a resumable stream reaches its client without a gap, a
 // repeat or a splice, under the head of its first engine.
-func TestAStreamGoesOnAtAnotherEngine(t *testing.T) {
+func TestStreamResumesAtAnotherEngine(t *testing.T) {
 	const last = 5
 	body := events(1, last)
 	for at := len(event(1)); at < len(body); at += 3 {
@@ -147,11 +155,11 @@
 					t.Error("taken up from the start")
 				}
 				chunks(a, seal, events(from+1, last))
-				say(a, lastChunk)
+				writeText(a, lastChunk)
 				return true
 			}
 		}
-		f := newFixture(t, newStandIn(t, "e1", serve("one")), newStandIn(t, "e2", serve("two")))
+		f := newFixture(t, newFakeEngine(t, "e1", serve("one")), newFakeEngine(t, "e2", serve("two")))
 		got := f.call(ask("resume", "a1", "ping"))
 		if got.body != body || got.err != nil || came.Load() != 2 {
 			t.Fatalf("cut at %d: %q %v after %d", at, got.body, got.err, came.Load())
@@ -162,24 +170,24 @@
 	}
 }
 
-// TestABrokenStreamNeverLooksWhole: gaps are the engine's to make, but what comes twice, out of order, cut or
+// TestBrokenStreamNeverLooksComplete: gaps are the engine's to make, but what comes twice, out of order, cut or
 // from nobody ends the answer where it was last right.
-func TestABrokenStreamNeverLooksWhole(t *testing.T) {
+func TestBrokenStreamNeverLooksComplete(t *testing.T) {
 	for name, rest := range map[string]string{
 		"cut": "", "cut within an event": "id: 2\nda", "repeat": event(1), "older": event(0), "again": event(2) + event(2),
 	} {
-		engine := newStandIn(t, "e1", func(a arrival) bool {
+		engine := newFakeEngine(t, "e1", func(a arrival) bool {
 			chunks(a, "s", event(1))
 			if rest != "" {
-				say(a, fmt.Sprintf("%x\r\n%s\r\n", len(rest), rest))
+				writeText(a, fmt.Sprintf("%x\r\n%s\r\n", len(rest), rest))
 			}
 			if name != "cut" && name != "cut within an event" {
-				say(a, lastChunk)
+				writeText(a, lastChunk)
 				return true
 			}
 			return false
 		})
-		f := newFixture(t, engine, newStandIn(t, "e2", func(a arrival) bool { t.Error("sent again"); return false }))
+		f := newFixture(t, engine, newFakeEngine(t, "e2", func(a arrival) bool { t.Error("sent again"); return false }))
 		got := f.call(ask("stream", "a1", "ping"))
 		if got.err == nil || !strings.HasPrefix(event(1)+event(2), got.body) {
 			t.Errorf("%s: %q %v", name, got.body, got.err)
@@ -187,16 +195,16 @@
 	}
 }
 
-func TestALargeAnswerThatIsCutDoesNotLookWhole(t *testing.T) {
-	large := strings.Repeat("x", 3*mostWhole)
+func TestTruncatedLargeResponseDoesNotLookComplete(t *testing.T) {
+	large := strings.Repeat("x", 3*maxBuffered)
 	for _, chunked := range []bool{false, true} {
 		for _, cut := range []int{0, 1} {
-			engine := newStandIn(t, "e1", func(a arrival) bool {
-				text := wholeOf(a, large)
+			engine := newFakeEngine(t, "e1", func(a arrival) bool {
+				text := completeResponse(a, large)
 				if chunked {
 					text = fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nCresspond-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", idOf(a), len(large), large)
 				}
-				say(a, text[:len(text)-cut])
+				writeText(a, text[:len(text)-cut])
 				return cut == 0
 			})
 			f := newFixture(t, engine)
@@ -208,8 +216,8 @@
 	}
 }
 
-func TestASilentEngineGives504AtTheDeadline(t *testing.T) {
-	engine := newStandIn(t, "e1", func(a arrival) bool { _, _ = a.conn.Read(make([]byte, 1)); return false })
+func TestUnresponsiveEngineGives504AtDeadline(t *testing.T) {
+	engine := newFakeEngine(t, "e1", func(a arrival) bool { _, _ = a.conn.Read(make([]byte, 1)); return false })
 	f := newFixture(t, engine)
 	if got := f.call(ask("once", "a1", "ping", "Cresspond-Deadline-Ms: 150")); got.status != 504 {
 		t.Errorf("%+v", got)
@@ -218,8 +226,8 @@
 	<-engine.closed
 }
 
-func TestPipelinedRequestsEachGetTheirOwnAnswer(t *testing.T) {
-	engine := newStandIn(t, "e1", func(a arrival) bool { say(a, wholeOf(a, "to "+idOf(a)+" "+a.body)); return true })
+func TestPipelinedRequestsGetTheirOwnResponses(t *testing.T) {
+	engine := newFakeEngine(t, "e1", func(a arrival) bool { writeText(a, completeResponse(a, "to "+idOf(a)+" "+a.body)); return true })
 	f := newFixture(t, engine)
 	conn := f.dial()
 	const count = 20
@@ -239,14 +247,14 @@
 	}
 }
 
-// TestAnAnswerDoesNotWaitForTheRequestBehindIt: the first of two pipelined answers goes out at once.
-func TestAnAnswerDoesNotWaitForTheRequestBehindIt(t *testing.T) {
+// TestResponseDoesNotWaitForPipelinedRequest: the first of two pipelined answers goes out at once.
+func TestResponseDoesNotWaitForPipelinedRequest(t *testing.T) {
 	let := make(chan struct{})
-	engine := newStandIn(t, "e1", func(a arrival) bool {
+	engine := newFakeEngine(t, "e1", func(a arrival) bool {
 		if idOf(a) == "a1" {
 			<-let
 		}
-		say(a, wholeOf(a, "pong"))
+		writeText(a, completeResponse(a, "pong"))
 		return true
 	})
 	f := newFixture(t, engine)
@@ -262,8 +270,8 @@
 	}
 }
 
-func TestBodiesInChunksAndAfterAnInterimAnswer(t *testing.T) {
-	engine := newStandIn(t, "e1", func(a arrival) bool { say(a, wholeOf(a, a.body)); return true })
+func TestChunkedBodyAndInterimResponse(t *testing.T) {
+	engine := newFakeEngine(t, "e1", func(a arrival) bool { writeText(a, completeResponse(a, a.body)); return true })
 	f := newFixture(t, engine)
 	got := f.call("POST /once/x HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: a1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n4\r\ndefg\r\n0\r\n\r\n")
 	if got.status != 200 || got.body != "abcdefg" {
@@ -304,23 +312,23 @@
 	}
 }
 
-func TestACallerThatOnlySaidAllItHadToSayIsAnswered(t *testing.T) {
+func TestHalfClosedCallerIsAnswered(t *testing.T) {
 	let := make(chan struct{})
-	engine := newStandIn(t, "e1", func(a arrival) bool { <-let; say(a, wholeOf(a, "pong")); return true })
+	engine := newFakeEngine(t, "e1", func(a arrival) bool { <-let; writeText(a, completeResponse(a, "pong")); return true })
 	f := newFixture(t, engine)
 	conn := f.dial()
 	_, _ = io.WriteString(conn, ask("once", "a1", "ping"))
 	_ = conn.(*net.TCPConn).CloseWrite()
-	time.AfterFunc(3*lookEvery, func() { close(let) })
+	time.AfterFunc(3*pollInterval, func() { close(let) })
 	if got := read(bufio.NewReader(conn)); got.status != 200 || got.body != "pong" {
 		t.Errorf("%+v", got)
 	}
 }
 
-// TestACallerThatLeavesEndsWhatRunsForIt: also one that is held, so that its place goes to another.
-func TestACallerThatLeavesEndsWhatRunsForIt(t *testing.T) {
+// TestDisconnectEndsAttempt: also one that is held, so that its place goes to another.
+func TestDisconnectEndsAttempt(t *testing.T) {
 	come := make(chan struct{}, 1)
-	engine := newStandIn(t, "e1", func(a arrival) bool {
+	engine := newFakeEngine(t, "e1", func(a arrival) bool {
 		come <- struct{}{}
 		_, _ = a.conn.Read(make([]byte, 1))
 		return false
@@ -329,7 +337,7 @@
 	conn := f.dial()
 	_, _ = io.WriteString(conn, ask("once", "a1", "ping"))
 	<-come
-	time.AfterFunc(2*lookEvery, func() { conn.Close() })
+	time.AfterFunc(2*pollInterval, func() { conn.Close() })
 	<-engine.closed
 	f.engines()
 	second := f.dial()
@@ -341,14 +349,14 @@
 	for held() == 0 {
 		runtime.Gosched()
 	}
-	time.AfterFunc(2*lookEvery, func() { second.Close() })
+	time.AfterFunc(2*pollInterval, func() { second.Close() })
 	for held() > 0 {
 		runtime.Gosched()
 	}
 }
 
-func TestASlowReaderHoldsOnlyItself(t *testing.T) {
-	engine := newStandIn(t, "e1", func(a arrival) bool {
+func TestSlowReaderDelaysOnlyItself(t *testing.T) {
+	engine := newFakeEngine(t, "e1", func(a arrival) bool {
 		if strings.HasPrefix(a.request.RequestURI, "/stream/") {
 			chunks(a, "s")
 			for n := 1; ; n++ {
@@ -358,7 +366,7 @@
 				}
 			}
 		}
-		say(a, wholeOf(a, "pong"))
+		writeText(a, completeResponse(a, "pong"))
 		return true
 	})
 	f := newFixture(t, engine)
@@ -377,9 +385,9 @@
 	<-engine.closed
 }
 
-func TestTheLastLookReadsTheTableInForce(t *testing.T) {
+func TestCheckBeforeSendUsesCurrentTable(t *testing.T) {
 	let, dialled := make(chan struct{}), make(chan struct{})
-	engine := newStandIn(t, "e1", func(a arrival) bool { say(a, wholeOf(a, "pong")); return true })
+	engine := newFakeEngine(t, "e1", func(a arrival) bool { writeText(a, completeResponse(a, "pong")); return true })
 	f := newFixture(t, engine)
 	f.beforeLook = func() { close(dialled); <-let }
 	got := make(chan result)
@@ -400,8 +408,8 @@
 	}
 }
 
-func TestTooLargeABodyIsRefusedAndADrainingDaemonLetsGo(t *testing.T) {
-	engine := newStandIn(t, "e1", func(a arrival) bool { say(a, wholeOf(a, "pong")); return true })
+func TestTooLargeBodyIsRejectedAndDrainingDaemonClosesConnections(t *testing.T) {
+	engine := newFakeEngine(t, "e1", func(a arrival) bool { writeText(a, completeResponse(a, "pong")); return true })
 	f := newFixture(t, engine)
 	f.draining.Store(true)
 	if got := f.call(ask("once", "a1", "ping")); got.status != 200 || !got.closes {
@@ -416,9 +424,9 @@
 	}
 }
 
-// TestOnlyACurrentTableSaysThatSomethingIsTooLarge: while a newer table may allow it, it is put off and not denied.
-func TestOnlyACurrentTableSaysThatSomethingIsTooLarge(t *testing.T) {
-	engine := newStandIn(t, "e1", func(a arrival) bool { say(a, wholeOf(a, "pong")); return true })
+// TestTooLargeIsFinalOnlyWhenTableIsCurrent: while a newer table may allow it, it is put off and not denied.
+func TestTooLargeIsFinalOnlyWhenTableIsCurrent(t *testing.T) {
+	engine := newFakeEngine(t, "e1", func(a arrival) bool { writeText(a, completeResponse(a, "pong")); return true })
 	f := newFixture(t, engine)
 	limited := func(limits upstream.Limits) {
 		section := *f.index.Load().Section
@@ -450,24 +458,24 @@
 	}
 }
 
-// TestWhatWasNotReadWholeIsAnsweredByTheSameWord: also where the reader itself gave up at the limit in force.
-func TestWhatWasNotReadWholeIsAnsweredByTheSameWord(t *testing.T) {
+// TestUnreadRequestIsAnsweredAsTooLarge: also where the reader itself gave up at the limit in force.
+func TestUnreadRequestIsAnsweredAsTooLarge(t *testing.T) {
 	f := newFixture(t)
 	for old, status := range map[bool]int{true: 503, false: 413} {
 		f.old.Store(old)
 		var ctx fasthttp.RequestCtx
-		f.gateway.Unread(&ctx, 413)
+		f.gateway.HandleUnread(&ctx, 413)
 		if got := ctx.Response.StatusCode(); got != status || !ctx.Response.ConnectionClose() {
 			t.Errorf("old %v: %d", old, got)
 		}
 	}
 }
 
-// TestAStoppingDaemonAnswersAllItHas: what is held is refused, what may have run is not, and neither is left
+// TestShutdownAnswersAllRequests: what is held is refused, what may have run is not, and neither is left
 // without an answer.
-func TestAStoppingDaemonAnswersAllItHas(t *testing.T) {
+func TestShutdownAnswersAllRequests(t *testing.T) {
 	come := make(chan struct{}, 10)
-	engine := newStandIn(t, "e1", func(a arrival) bool {
+	engine := newFakeEngine(t, "e1", func(a arrival) bool {
 		if strings.HasPrefix(a.request.RequestURI, "/stream/") {
 			chunks(a, "s", event(1))
 		}
@@ -505,8 +513,8 @@
 			t.Errorf("%s: %+v", id, answer)
 		}
 	}
-	if f.gateway.Open() != 1 {
-		t.Errorf("%d open", f.gateway.Open())
+	if f.gateway.OpenRequests() != 1 {
+		t.Errorf("%d open", f.gateway.OpenRequests())
 	}
 	send("once", "late")
 	if answer := <-got["late"]; answer.status != 503 {
--- a/connection/gateway/chaos_test.go
+++ b/connection/gateway/chaos_test.go
@@ -16,15 +16,15 @@
 	"github.com/cresspond/cresspond/request/forwarding"
 )
 
-// ledger is what the engines of a test saw.
-type ledger struct {
+// executionLog is what the engines of a test saw.
+type executionLog struct {
 	mutex sync.Mutex
 	// ran counts the runs of each id, refused those that an engine gave its word on.
 	ran, refused map[string]int
 	bodies       map[string]string
 }
 
-func (l *ledger) note(id, body string, ran bool) {
+func (l *executionLog) note(id, body string, ran bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if ran {
@@ -36,7 +36,7 @@
 }
 
 // chaotic is an engine that does anything that engines do, drawn for each request.
-func (l *ledger) chaotic(seal string, random func(int) int) func(a arrival) bool {
+func (l *executionLog) chaotic(seal string, random func(int) int) func(a arrival) bool {
 	return func(a arrival) bool {
 		id := idOf(a)
 		stream := strings.HasPrefix(a.request.RequestURI, "/stream/") || strings.HasPrefix(a.request.RequestURI, "/resume/")
@@ -47,11 +47,11 @@
 		body := "to " + id
 		switch kind {
 		case 0:
-			notRun(a, "503 Service Unavailable")
+			rejectNotRun(a, "503 Service Unavailable")
 		case 1:
-			notRun(a, "421 Misdirected Request")
+			rejectNotRun(a, "421 Misdirected Request")
 		case 2:
-			notRun(a, "429 Too Many Requests")
+			rejectNotRun(a, "429 Too Many Requests")
 			return false
 		case 3:
 			return false
@@ -59,41 +59,41 @@
 			_ = a.conn.(*net.TCPConn).SetLinger(0)
 			return false
 		case 5:
-			say(a, whole("other", "x"))
+			writeText(a, completeText("other", "x"))
 			return false
 		case 6:
-			say(a, failed(a, "500 Internal Server Error"))
+			writeText(a, failed(a, "500 Internal Server Error"))
 		case 7:
-			text := wholeOf(a, body)
-			say(a, text[:random(len(text))])
+			text := completeResponse(a, body)
+			writeText(a, text[:random(len(text))])
 			return false
 		case 8:
-			say(a, wholeOf(a, body)+wholeOf(a, body))
+			writeText(a, completeResponse(a, body)+completeResponse(a, body))
 		case 9:
 			if stream {
 				chunks(a, seal, events(from+1, from+1+random(3)))
 				return false
 			}
-			say(a, wholeOf(a, body))
+			writeText(a, completeResponse(a, body))
 			return false
 		default:
 			if stream {
 				chunks(a, seal)
 				for n := from + 1; n <= 6; n++ {
-					say(a, fmt.Sprintf("%x\r\n%s\r\n", len(event(n)), event(n)))
+					writeText(a, fmt.Sprintf("%x\r\n%s\r\n", len(event(n)), event(n)))
 				}
-				say(a, lastChunk)
+				writeText(a, lastChunk)
 				return true
 			}
-			say(a, wholeOf(a, body))
+			writeText(a, completeResponse(a, body))
 		}
 		return true
 	}
 }
 
-// TestNothingRunsTwiceAndNoAnswerLies: many callers at once, some of whom leave, before engines that refuse,
+// TestNoRequestRunsTwiceAndResponsesAreTruthfulUnderFaults: many callers at once, some of whom leave, before engines that refuse,
 // break, mix up, repeat and cut, while the table and the engines change.
-func TestNothingRunsTwiceAndNoAnswerLies(t *testing.T) {
+func TestNoRequestRunsTwiceAndResponsesAreTruthfulUnderFaults(t *testing.T) {
 	var drawing sync.Mutex
 	source := rand.New(rand.NewPCG(11, 5))
 	random := func(n int) int {
@@ -101,17 +101,17 @@
 		defer drawing.Unlock()
 		return source.IntN(n)
 	}
-	l := &ledger{ran: map[string]int{}, refused: map[string]int{}, bodies: map[string]string{}}
-	var engines []*standIn
+	l := &executionLog{ran: map[string]int{}, refused: map[string]int{}, bodies: map[string]string{}}
+	var engines []*fakeEngine
 	for n := range 4 {
-		engines = append(engines, newStandIn(t, ident.EngineID(fmt.Sprint("e", n)), l.chaotic(fmt.Sprint("seal", n), random)))
+		engines = append(engines, newFakeEngine(t, ident.EngineID(fmt.Sprint("e", n)), l.chaotic(fmt.Sprint("seal", n), random)))
 	}
 	f := newFixture(t, engines...)
-	whole := f.index.Load()
+	complete := f.index.Load()
 	moved := path("once", upstream.Once)
 	moved.Shares[0].Pool = "q"
 	moved.TargetMs = 40
-	elsewhere := upstream.NewIndex(&upstream.Section{Revision: 2, Paths: append([]upstream.Path{moved}, whole.Section.Paths[1:]...), Pools: []upstream.Pool{{Name: "p"}, {Name: "q"}}})
+	elsewhere := upstream.NewIndex(&upstream.Section{Revision: 2, Paths: append([]upstream.Path{moved}, complete.Section.Paths[1:]...), Pools: []upstream.Pool{{Name: "p"}, {Name: "q"}}})
 
 	type told struct {
 		path, id string
@@ -153,7 +153,7 @@
 				return
 			case <-ticker.C:
 			}
-			f.index.Store([]*upstream.Index{whole, whole, elsewhere}[random(3)])
+			f.index.Store([]*upstream.Index{complete, complete, elsewhere}[random(3)])
 			f.engines(engines[random(2):]...)
 			f.actor.Wake()
 		}
@@ -162,7 +162,7 @@
 	close(stop)
 	<-stopped
 	close(answers)
-	for f.gateway.Counters.Read.Load() < callers*each || f.gateway.Open() > 0 {
+	for f.gateway.Counters.Read.Load() < callers*each || f.gateway.OpenRequests() > 0 {
 		// Those whose callers left are read late, and end at the next look.
 		f.actor.Wake()
 	}
--- a/connection/gateway/cost_test.go
+++ b/connection/gateway/cost_test.go
@@ -67,7 +67,7 @@
 // BenchmarkWhole is one request and its whole answer over kept connections.
 func BenchmarkWhole(b *testing.B) {
 	body := strings.Repeat("x", 800)
-	listener := plainEngine(b, '!', whole("a1", body))
+	listener := plainEngine(b, '!', completeText("a1", body))
 	f := newFixture(b)
 	registerAt(f, listener)
 	conn := f.dial()
--- a/connection/gateway/deadline_test.go
+++ b/connection/gateway/deadline_test.go
@@ -18,9 +18,9 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// TestEveryAttemptBearsWhatIsLeft: by the client's own time or its path's, whichever is shorter, and also where the
+// TestAttemptCarriesTimeLeft: by the client's own time or its path's, whichever is shorter, and also where the
 // client said none; an attempt that is made later bears less by what went by.
-func TestEveryAttemptBearsWhatIsLeft(t *testing.T) {
+func TestAttemptCarriesTimeLeft(t *testing.T) {
 	const work = 150 * time.Millisecond
 	for _, c := range []struct {
 		field string
@@ -39,15 +39,15 @@
 				defer mutex.Unlock()
 				if left = append(left, milliseconds); len(left) == 1 {
 					<-time.After(work)
-					notRun(a, "503 Service Unavailable")
+					rejectNotRun(a, "503 Service Unavailable")
 				} else {
-					say(a, wholeOf(a, "pong"))
+					writeText(a, completeResponse(a, "pong"))
 				}
 				return true
 			}
-			var engines []*standIn
+			var engines []*fakeEngine
 			for _, id := range []ident.EngineID{"e1", "e2"} {
-				engines = append(engines, newStandIn(t, id, answer))
+				engines = append(engines, newFakeEngine(t, id, answer))
 			}
 			fields := []string{"X-Own: 1"}
 			if c.field != "" {
@@ -63,10 +63,10 @@
 	}
 }
 
-// TestAStreamThatOutlastsItsPathsDeadlineIsBrokenOff: it must not look whole, and its engine's work ends.
-func TestAStreamThatOutlastsItsPathsDeadlineIsBrokenOff(t *testing.T) {
+// TestStreamPastDeadlineIsBrokenOff: it must not look whole, and its engine's work ends.
+func TestStreamPastDeadlineIsBrokenOff(t *testing.T) {
 	for _, class := range []string{"stream", "resume"} {
-		engine := newStandIn(t, "e1", func(a arrival) bool {
+		engine := newFakeEngine(t, "e1", func(a arrival) bool {
 			chunks(a, "s")
 			ticker := time.NewTicker(20 * time.Millisecond)
 			defer ticker.Stop()
@@ -93,9 +93,9 @@
 	}
 }
 
-// TestAnEngineThatAnswersEarlyGetsTheRestOfTheBody: it reads on behind its answer, and finds there what is due, and
+// TestEarlyRespondingEngineStillReceivesBody: it reads on behind its answer, and finds there what is due, and
 // then the next request from its beginning.
-func TestAnEngineThatAnswersEarlyGetsTheRestOfTheBody(t *testing.T) {
+func TestEarlyRespondingEngineStillReceivesBody(t *testing.T) {
 	const size = 1 << 20
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -120,7 +120,7 @@
 					}
 					_, _ = io.CopyN(io.Discard, request.Body, size/8)
 					id := request.Header.Get("X-Attempt-Id")
-					_, _ = io.WriteString(conn, whole(id, "early"))
+					_, _ = io.WriteString(conn, completeText(id, "early"))
 					// It reads on later, when the answer is long with the caller.
 					<-time.After(20 * time.Millisecond)
 					rest, err := io.ReadAll(request.Body)
@@ -131,7 +131,7 @@
 			}()
 		}
 	}()
-	engine := &standIn{id: "e1", listener: listener}
+	engine := &fakeEngine{id: "e1", listener: listener}
 	f := newFixture(t, engine)
 	for n := range 8 {
 		id := string(rune('a'+n)) + "1"
@@ -156,15 +156,15 @@
 	}
 }
 
-// TestWhatClientsSayOfTheirWorkGoesUnchanged: the fields that say how much work a request is are read, and left.
-func TestWhatClientsSayOfTheirWorkGoesUnchanged(t *testing.T) {
+// TestClientWorkHeadersAreForwardedUnchanged: the fields that say how much work a request is are read, and left.
+func TestClientWorkHeadersAreForwardedUnchanged(t *testing.T) {
 	for _, fields := range [][3]string{
 		{"m/a1", "1460,80", "5c1e07a2:800,91bd3f06:410,e4402b7d:250"},
 		{"m", "1460 , 80", "5c:800, 91:410"},
 		{"M/", "x", "5c"},
 		{"m/a/b", "1e3,5", ","},
 	} {
-		engine := newStandIn(t, "e1", func(a arrival) bool { say(a, wholeOf(a, "pong")); return true })
+		engine := newFakeEngine(t, "e1", func(a arrival) bool { writeText(a, completeResponse(a, "pong")); return true })
 		f := newFixture(t, engine)
 		names := [3]string{"Cresspond-Model", "Cresspond-Tokens", "Cresspond-Parts"}
 		var said []string
--- a/connection/gateway/fuzz_test.go
+++ b/connection/gateway/fuzz_test.go
@@ -17,12 +17,12 @@
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		s := &stream{flight: &flight{Gateway: &Gateway{}}, events: bufio.NewReaderSize(bytes.NewReader(data), eventBuffer)}
+		s := &stream{exchange: &exchange{Gateway: &Gateway{}}, events: bufio.NewReaderSize(bytes.NewReader(data), eventBufferSize)}
 		var passed []byte
 		var last uint64
 		numbered := false
 		for {
-			err := s.nextEvent()
+			err := s.readEvents()
 			if err != nil {
 				if err == io.EOF && len(passed) != len(data) {
 					t.Fatalf("the end was called clean after %d of %d bytes", len(passed), len(data))
--- a/connection/gateway/gateway_test.go
+++ b/connection/gateway/gateway_test.go
@@ -33,8 +33,8 @@
 	number int
 }
 
-// standIn is an engine that answers over raw sockets, with whatever bytes a test wants.
-type standIn struct {
+// fakeEngine is an engine that answers over raw sockets, with whatever bytes a test wants.
+type fakeEngine struct {
 	id       ident.EngineID
 	listener net.Listener
 	// answer writes the answer; it says whether the connection is kept.
@@ -45,13 +45,13 @@
 	closed chan struct{}
 }
 
-func newStandIn(t testing.TB, id ident.EngineID, answer func(a arrival) bool) *standIn {
+func newFakeEngine(t testing.TB, id ident.EngineID, answer func(a arrival) bool) *fakeEngine {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &standIn{id: id, listener: listener, answer: answer, closed: make(chan struct{}, 64)}
+	s := &fakeEngine{id: id, listener: listener, answer: answer, closed: make(chan struct{}, 64)}
 	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
@@ -66,7 +66,7 @@
 	return s
 }
 
-func (s *standIn) serve(conn net.Conn) {
+func (s *fakeEngine) serve(conn net.Conn) {
 	defer func() { conn.Close(); s.closed <- struct{}{} }()
 	reader := bufio.NewReader(conn)
 	for number := 0; ; number++ {
@@ -88,24 +88,24 @@
 	}
 }
 
-func (s *standIn) arrivals() []arrival {
+func (s *fakeEngine) arrivals() []arrival {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return append([]arrival(nil), s.came...)
 }
 
-func (s *standIn) registered(pool string) *registry.Engine {
+func (s *fakeEngine) registered(pool string) *registry.Engine {
 	return &registry.Engine{Registration: registry.Registration{ID: s.id, Pool: pool, Address: s.listener.Addr().String(), Slots: 64}}
 }
 
-// whole is a sealed answer of a length.
-func whole(id, body string) string {
+// completeText is a sealed answer of a length.
+func completeText(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nCresspond-Seal: s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
 func idOf(a arrival) string { return a.request.Header.Get("X-Attempt-Id") }
 
-func say(a arrival, text string) { _, _ = io.WriteString(a.conn, text) }
+func writeText(a arrival, text string) { _, _ = io.WriteString(a.conn, text) }
 
 // fixture is a gateway before stand-in engines.
 type fixture struct {
@@ -130,7 +130,7 @@
 	return upstream.Path{Name: name, Host: "h.example", Prefix: "/" + name + "/", Class: class, DeadlineMs: 5000, TargetMs: 1000, Attempts: 3, Shares: []upstream.Share{{Pool: "p", Weight: 1}}}
 }
 
-func newFixture(t testing.TB, engines ...*standIn) *fixture {
+func newFixture(t testing.TB, engines ...*fakeEngine) *fixture {
 	t.Helper()
 	f := &fixture{t: t, beforeLook: func() {}}
 	f.held.Store(true)
@@ -154,36 +154,36 @@
 	t.Cleanup(cancel)
 	go f.actor.Run(ctx)
 	f.pools = connectionpool.New(clock.System{}, dialect.Own())
-	f.gateway = New(Surroundings{Clock: clock.System{}, Dialect: dressing{dialect.Own(), f}, Index: f.index.Load, View: f.view.Load, Current: func() bool { return !f.old.Load() },
-		Held: func() bool { return f.held.Load() }, Draining: f.draining.Load, Settings: settings}, f.actor, f.pools)
+	f.gateway = New(Dependencies{Clock: clock.System{}, Dialect: headerDialect{dialect.Own(), f}, Index: f.index.Load, View: f.view.Load, IndexCurrent: func() bool { return !f.old.Load() },
+		HasWorkerID: func() bool { return f.held.Load() }, Draining: f.draining.Load, Settings: settings}, f.actor, f.pools)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &fasthttp.Server{Handler: f.gateway.Handle, DisablePreParseMultipartForm: true, Logger: quiet{}, CloseOnShutdown: true}
+	server := &fasthttp.Server{Handler: f.gateway.Handle, DisablePreParseMultipartForm: true, Logger: discardLogger{}, CloseOnShutdown: true}
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() { listener.Close() })
 	f.address = listener.Addr().String()
 	return f
 }
 
-// dressing lets a test in between reaching an engine and the last look.
-type dressing struct {
+// headerDialect lets a test in between reaching an engine and the last look.
+type headerDialect struct {
 	dialect.Dialect
 	*fixture
 }
 
-func (d dressing) Dress(head *fasthttp.RequestHeader, dress dialect.Dress) {
+func (d headerDialect) Dress(head *fasthttp.RequestHeader, dress dialect.Dress) {
 	d.Dialect.Dress(head, dress)
 	d.beforeLook()
 }
 
-type quiet struct{}
+type discardLogger struct{}
 
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 // engines replaces the registered engines.
-func (f *fixture) engines(engines ...*standIn) {
+func (f *fixture) engines(engines ...*fakeEngine) {
 	view := &registry.View{Engines: map[ident.EngineID]*registry.Engine{}, Pools: map[string][]*registry.Engine{}}
 	for _, one := range engines {
 		engine := one.registered("p")
@@ -241,8 +241,8 @@
 	return read(bufio.NewReader(conn))
 }
 
-func TestARequestGoesThroughUnchanged(t *testing.T) {
-	engine := newStandIn(t, "e1", func(a arrival) bool { say(a, whole(idOf(a), "pong")); return true })
+func TestRequestIsForwardedUnchanged(t *testing.T) {
+	engine := newFakeEngine(t, "e1", func(a arrival) bool { writeText(a, completeText(idOf(a), "pong")); return true })
 	f := newFixture(t, engine)
 	for range 3 {
 		got := f.call(ask("once", "a1", "ping", "X-Own: 1", "Connection: X-Hop", "X-Hop: 2", "TE: trailers", "Upgrade: x", "Cresspond-Deadline-Ms: 900"))
@@ -268,16 +268,16 @@
 	}
 }
 
-func TestEventsGoOnAsTheyCome(t *testing.T) {
+func TestEventsAreForwardedImmediately(t *testing.T) {
 	next := make(chan string)
-	engine := newStandIn(t, "e1", func(a arrival) bool {
-		say(a, "HTTP/1.1 200 OK\r\nX-Attempt-Id: "+idOf(a)+"\r\nCresspond-Seal: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
+	engine := newFakeEngine(t, "e1", func(a arrival) bool {
+		writeText(a, "HTTP/1.1 200 OK\r\nX-Attempt-Id: "+idOf(a)+"\r\nCresspond-Seal: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for event := range next {
 			if event == "" {
-				say(a, "0\r\n\r\n")
+				writeText(a, "0\r\n\r\n")
 				return true
 			}
-			say(a, fmt.Sprintf("%x\r\n%s\r\n", len(event), event))
+			writeText(a, fmt.Sprintf("%x\r\n%s\r\n", len(event), event))
 		}
 		return false
 	})
--- a/connection/gateway/leave_test.go
+++ b/connection/gateway/leave_test.go
@@ -18,7 +18,7 @@
 )
 
 // soon is when the callers of these tests leave: well after the request, but sooner than they are all looked at.
-const soon = lookEvery / 2
+const soon = pollInterval / 2
 
 // halfCloser is a connection of which one side can be closed.
 type halfCloser interface {
@@ -26,8 +26,8 @@
 	CloseWrite() error
 }
 
-// leaves closes a connection soon, or only the sending side of it.
-func leaves(conn halfCloser, half bool) {
+// disconnect closes a connection soon, or only the sending side of it.
+func disconnect(conn halfCloser, half bool) {
 	time.AfterFunc(soon, func() {
 		if half {
 			_ = conn.CloseWrite()
@@ -52,7 +52,7 @@
 		f.t.Fatal(err)
 	}
 	f.t.Cleanup(func() { listener.Close() })
-	server := &fasthttp.Server{Handler: f.gateway.Handle, Logger: quiet{}}
+	server := &fasthttp.Server{Handler: f.gateway.Handle, Logger: discardLogger{}}
 	go func() { _ = server.Serve(late{listener, let}) }()
 	conn, err := net.Dial(network, listener.Addr().String())
 	if err != nil {
@@ -81,28 +81,28 @@
 	return l.Listener.Accept()
 }
 
-// silent is an engine that says when it has read a request, and answers nothing until its connection ends.
-func silent(t *testing.T) (engine *standIn, came chan string) {
+// newUnresponsiveEngine is an engine that says when it has read a request, and answers nothing until its connection ends.
+func newUnresponsiveEngine(t *testing.T) (engine *fakeEngine, came chan string) {
 	came = make(chan string, 16)
-	return newStandIn(t, "e1", func(a arrival) bool {
+	return newFakeEngine(t, "e1", func(a arrival) bool {
 		came <- idOf(a)
 		_, _ = a.conn.Read(make([]byte, 1))
 		return false
 	}), came
 }
 
-// TestACallerThatLeavesSoonEndsWhatRunsForIt: a connection that ends a while after the request is no request of a
+// TestEarlyDisconnectEndsAttempt: a connection that ends a while after the request is no request of a
 // caller that had no more to say, also where nobody has looked at it before. No other engine gets it either.
-func TestACallerThatLeavesSoonEndsWhatRunsForIt(t *testing.T) {
+func TestEarlyDisconnectEndsAttempt(t *testing.T) {
 	for _, class := range []string{"once", "again", "stream", "resume"} {
 		for way := range 2 * len(networks) {
-			engine, came := silent(t)
-			other := newStandIn(t, "e2", engine.answer)
+			engine, came := newUnresponsiveEngine(t)
+			other := newFakeEngine(t, "e2", engine.answer)
 			f := newFixture(t, engine, other)
 			conn, half := f.over(networks[way/2], opened()), way%2 == 0
 			_, _ = io.WriteString(conn, ask(class, "a1", "ping"))
 			<-came
-			leaves(conn, half)
+			disconnect(conn, half)
 			ended := make(chan struct{})
 			go func() {
 				select {
@@ -116,7 +116,7 @@
 			case <-time.After(3 * time.Second):
 				t.Errorf("%s over %s, half closed %t: its engine still works on it", class, networks[way/2], half)
 			}
-			for f.gateway.Open() > 0 {
+			for f.gateway.OpenRequests() > 0 {
 				runtime.Gosched()
 			}
 			if all := len(engine.arrivals()) + len(other.arrivals()); all != 1 {
@@ -126,11 +126,11 @@
 	}
 }
 
-// TestACallerThatLeavesAStreamEndsItThoughNothingComes: an engine that says nothing gives no occasion to write to
+// TestDisconnectEndsSilentStream: an engine that says nothing gives no occasion to write to
 // a caller that has left, so that alone must not be waited for.
-func TestACallerThatLeavesAStreamEndsItThoughNothingComes(t *testing.T) {
+func TestDisconnectEndsSilentStream(t *testing.T) {
 	for _, class := range []string{"stream", "resume"} {
-		engine := newStandIn(t, "e1", func(a arrival) bool {
+		engine := newFakeEngine(t, "e1", func(a arrival) bool {
 			chunks(a, "s", event(1))
 			_, _ = a.conn.Read(make([]byte, 1))
 			return false
@@ -139,13 +139,13 @@
 		conn := f.dial()
 		_, _ = io.WriteString(conn, ask(class, "a1", "ping"))
 		readUntil(t, bufio.NewReader(conn), "piece 1")
-		time.AfterFunc(2*lookEvery, func() { conn.Close() })
+		time.AfterFunc(2*pollInterval, func() { conn.Close() })
 		select {
 		case <-engine.closed:
 		case <-time.After(3 * time.Second):
 			t.Errorf("%s: its engine still works on it", class)
 		}
-		for f.gateway.Open() > 0 {
+		for f.gateway.OpenRequests() > 0 {
 			runtime.Gosched()
 		}
 		if len(engine.arrivals()) != 1 {
@@ -154,16 +154,16 @@
 	}
 }
 
-// TestNothingIsSentForACallerThatLeftUnread: a request that was read only after its caller had given up reaches no
+// TestRequestOfDisconnectedCallerIsNotSent: a request that was read only after its caller had given up reaches no
 // engine.
-func TestNothingIsSentForACallerThatLeftUnread(t *testing.T) {
-	engine := newStandIn(t, "e1", func(a arrival) bool { say(a, wholeOf(a, "pong")); return true })
+func TestRequestOfDisconnectedCallerIsNotSent(t *testing.T) {
+	engine := newFakeEngine(t, "e1", func(a arrival) bool { writeText(a, completeResponse(a, "pong")); return true })
 	f := newFixture(t, engine)
 	let := make(chan struct{})
 	conn := f.over("tcp", let)
 	_, _ = io.WriteString(conn, ask("again", "a1", "ping"))
 	time.AfterFunc(soon, func() { conn.Close(); close(let) })
-	for f.gateway.Counters.Read.Load() == 0 || f.gateway.Open() > 0 {
+	for f.gateway.Counters.Read.Load() == 0 || f.gateway.OpenRequests() > 0 {
 		runtime.Gosched()
 	}
 	if all := len(engine.arrivals()); all != 0 {
@@ -171,23 +171,23 @@
 	}
 }
 
-// TestCallersThatHaveNoMoreToSayGetAllTheirAnswers: their side ends right behind several requests, the first of
+// TestHalfClosedCallersGetAllResponses: their side ends right behind several requests, the first of
 // which is answered slowly.
-func TestCallersThatHaveNoMoreToSayGetAllTheirAnswers(t *testing.T) {
+func TestHalfClosedCallersGetAllResponses(t *testing.T) {
 	for _, network := range networks {
-		engine := newStandIn(t, "e1", func(a arrival) bool {
+		engine := newFakeEngine(t, "e1", func(a arrival) bool {
 			if strings.HasPrefix(a.request.RequestURI, "/once/") {
-				say(a, wholeOf(a, "pong"))
+				writeText(a, completeResponse(a, "pong"))
 				return true
 			}
 			chunks(a, "s")
-			ticker := time.NewTicker(lookEvery / 4)
+			ticker := time.NewTicker(pollInterval / 4)
 			defer ticker.Stop()
 			for n := 1; n <= 12; n++ {
 				<-ticker.C
 				fmt.Fprintf(a.conn, "%x\r\n%s\r\n", len(event(n)), event(n))
 			}
-			say(a, "0\r\n\r\n")
+			writeText(a, "0\r\n\r\n")
 			return true
 		})
 		f := newFixture(t, engine)
@@ -207,12 +207,12 @@
 	}
 }
 
-// TestCallersAreLookedAtWellWithinHalfASecond: a deployment may allow work for a caller that has left for no longer.
-func TestCallersAreLookedAtWellWithinHalfASecond(t *testing.T) {
-	if lookEvery > 250*time.Millisecond {
-		t.Error(lookEvery)
+// TestCallersArePolledWithinHalfASecond: a deployment may allow work for a caller that has left for no longer.
+func TestCallersArePolledWithinHalfASecond(t *testing.T) {
+	if pollInterval > 250*time.Millisecond {
+		t.Error(pollInterval)
 	}
-	if forwarding.DefaultSettings().DeadlineSlack+lookEvery > 300*time.Millisecond {
+	if forwarding.DefaultSettings().DeadlineSlack+pollInterval > 300*time.Millisecond {
 		t.Error("a deadline and a look together take too long")
 	}
 }
--- a/connection/gateway/node_test.go
+++ b/connection/gateway/node_test.go
@@ -18,20 +18,20 @@
 	"github.com/cresspond/cresspond/wire/dialect"
 )
 
-// tester is a clock that goes on only when told to.
-type tester struct{ now clock.Mark }
+// fakeClock is a clock that goes on only when told to.
+type fakeClock struct{ now clock.Mark }
 
-func (c *tester) Elapsed() clock.Mark { return c.now }
-func (c *tester) Wall() time.Time     { return time.Time{} }
+func (c *fakeClock) Elapsed() clock.Mark { return c.now }
+func (c *fakeClock) Wall() time.Time     { return time.Time{} }
 
-// paused gives one event a read, each after a pause of its own.
-type paused struct {
-	clock  *tester
+// pausedReader gives one event a read, each after a pause of its own.
+type pausedReader struct {
+	clock  *fakeClock
 	pauses []time.Duration
 	next   int
 }
 
-func (p *paused) Read(into []byte) (int, error) {
+func (p *pausedReader) Read(into []byte) (int, error) {
 	if p.next == len(p.pauses) {
 		return 0, io.EOF
 	}
@@ -42,20 +42,20 @@
 
 // measured is a stream whose engine pauses so; slow is how long its caller takes before each read.
 func measured(pauses []time.Duration, slow time.Duration, change func(*forwarding.Request, *forwarding.Attempt)) []nodehealth.Digest {
-	watch := &tester{now: clock.Mark(time.Hour)}
+	watch := &fakeClock{now: clock.Mark(time.Hour)}
 	recorder := nodehealth.NewRecorder()
 	record := forwarding.Request{Attributes: dialect.Ask{Model: "m", Attempt: "a"}, Path: &upstream.Path{Name: "one", Host: "h", Rank: 1}}
 	send := forwarding.Attempt{Engine: "e", Pool: "p", EngineRunning: 9, PrefillTokens: 1000, GapTargetMs: 100}
 	if change != nil {
 		change(&record, &send)
 	}
-	f := &flight{Gateway: &Gateway{Surroundings: Surroundings{Clock: watch, Recorder: recorder}}, record: &record, send: &send}
-	s := &stream{flight: f, events: bufio.NewReaderSize(&paused{clock: watch, pauses: pauses}, eventBuffer)}
-	f.leaves()
-	if err := s.nextEvent(); err != nil {
+	f := &exchange{Gateway: &Gateway{Dependencies: Dependencies{Clock: watch, Recorder: recorder}}, record: &record, attempt: &send}
+	s := &stream{exchange: f, events: bufio.NewReaderSize(&pausedReader{clock: watch, pauses: pauses}, eventBufferSize)}
+	f.recordSend()
+	if err := s.readEvents(); err != nil {
 		panic(err)
 	}
-	f.firstByte(200)
+	f.recordFirstByte(200)
 	for {
 		if len(s.pending) == 0 {
 			watch.now += clock.Mark(slow)
@@ -84,15 +84,15 @@
 	return slices.EqualFunc(got, want, func(a, b uint32) bool { return a >= b-b/8 && a <= b+b/8 })
 }
 
-func TestPausesAreMeasured(t *testing.T) {
-	told := measured([]time.Duration{300 * time.Millisecond, 20 * time.Millisecond, 20 * time.Millisecond, time.Second}, 0, nil)
-	if got := values(told, nodehealth.Transfer); !about(got, 300) {
+func TestEventGapsAreMeasured(t *testing.T) {
+	reports := measured([]time.Duration{300 * time.Millisecond, 20 * time.Millisecond, 20 * time.Millisecond, time.Second}, 0, nil)
+	if got := values(reports, nodehealth.Transfer); !about(got, 300) {
 		t.Fatalf("the first event came after 300 ms: %v", got)
 	}
-	if got := values(told, nodehealth.Stall); !about(got, 200, 200, 10_000) {
+	if got := values(reports, nodehealth.Stall); !about(got, 200, 200, 10_000) {
 		t.Fatalf("two pauses of a fifth of the longest aimed at, one of ten times: %v", got)
 	}
-	for _, digest := range told {
+	for _, digest := range reports {
 		if digest.Engine != "e" || digest.Class.Pool != "p" || digest.Class.Model != "m" || digest.Class.Load != nodehealth.LoadBand(9) {
 			t.Fatalf("%+v", digest)
 		}
@@ -100,7 +100,7 @@
 }
 
 // A caller that takes its time makes the engine wait, so that what it then shows is the caller's pause.
-func TestSlowCallersPausesAreNotTheEngines(t *testing.T) {
+func TestSlowCallerGapsAreNotAttributedToEngine(t *testing.T) {
 	if got := values(measured([]time.Duration{1e6, 1e6, 1e6, 1e6}, 2*time.Second, nil), nodehealth.Stall); len(got) > 0 {
 		t.Fatalf("the caller was slow: %v", got)
 	}
@@ -110,7 +110,7 @@
 }
 
 // Nothing of a request's house or route changes what is recorded.
-func TestNothingOfTheRouteIsRecorded(t *testing.T) {
+func TestMeasurementsOmitRoute(t *testing.T) {
 	pauses := []time.Duration{3e8, 2e7, 1e9}
 	usual := fmt.Sprint(measured(pauses, 0, nil))
 	for name, change := range map[string]func(*forwarding.Request, *forwarding.Attempt){
@@ -146,21 +146,21 @@
 	return string(got)
 }
 
-func TestWholeAnswersAndConnectionsAreMeasured(t *testing.T) {
-	engine := newStandIn(t, "e1", func(a arrival) bool { say(a, whole(idOf(a), "fine")); return true })
+func TestCompleteResponsesAndConnectsAreMeasured(t *testing.T) {
+	engine := newFakeEngine(t, "e1", func(a arrival) bool { writeText(a, completeText(idOf(a), "fine")); return true })
 	f := newFixture(t, engine)
 	f.gateway.Recorder = nodehealth.NewRecorder()
 	f.call(ask("once", "a1", "x"))
 	f.call(ask("once", "a2", "x"))
-	told := f.gateway.Recorder.TakeDigests()
-	if len(values(told, nodehealth.Transfer)) != 2 || len(values(told, nodehealth.Connect)) == 0 || len(values(told, nodehealth.Stall)) != 0 {
-		t.Fatalf("two answers: %v", told)
+	reports := f.gateway.Recorder.TakeDigests()
+	if len(values(reports, nodehealth.Transfer)) != 2 || len(values(reports, nodehealth.Connect)) == 0 || len(values(reports, nodehealth.Stall)) != 0 {
+		t.Fatalf("two answers: %v", reports)
 	}
 }
 
 // A resumable stream under way at an engine that is emptied goes on at another one, each event once; one that may not
 // run twice stays to its end.
-func TestStreamsMoveOffAnEmptiedEngine(t *testing.T) {
+func TestStreamsMigrateFromEvacuatedEngine(t *testing.T) {
 	release := make(chan struct{})
 	head := func(a arrival) string {
 		return "HTTP/1.1 200 OK\r\nX-Attempt-Id: " + idOf(a) + "\r\nCresspond-Seal: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -177,7 +177,7 @@
 				_, _ = fmt.Sscan(after, &from)
 				from++
 			}
-			say(a, head(a)+piece(from))
+			writeText(a, head(a)+piece(from))
 			if from == 1 {
 				// It stalls here, until it is let go on.
 				select {
@@ -186,13 +186,13 @@
 				}
 			}
 			for n := from + 1; n <= 4; n++ {
-				say(a, piece(n))
+				writeText(a, piece(n))
 			}
-			say(a, lastChunk)
+			writeText(a, lastChunk)
 			return true
 		}
 	}
-	one, two := newStandIn(t, "e1", serve()), newStandIn(t, "e2", serve())
+	one, two := newFakeEngine(t, "e1", serve()), newFakeEngine(t, "e2", serve())
 	f := newFixture(t, one, two)
 	emptied := func(engine *registry.Engine) bool { return string(engine.ID) == first }
 	f.emptied.Store(&emptied)
@@ -205,14 +205,14 @@
 		_, _ = io.WriteString(conn, ask(c.path, "id-"+c.path, "x"))
 		reader := bufio.NewReader(conn)
 		response := readUntil(t, reader, "id: 1")
-		for _, s := range []*standIn{one, two} {
+		for _, s := range []*fakeEngine{one, two} {
 			for _, a := range s.arrivals() {
 				if idOf(a) == "id-"+c.path {
 					first = string(s.id)
 				}
 			}
 		}
-		f.gateway.MoveOff()
+		f.gateway.MigrateEvacuated()
 		if !c.moves {
 			close(release)
 		}
@@ -223,7 +223,7 @@
 			}
 		}
 		arrived := 0
-		for _, s := range []*standIn{one, two} {
+		for _, s := range []*fakeEngine{one, two} {
 			for _, a := range s.arrivals() {
 				if idOf(a) == "id-"+c.path {
 					arrived++
--- a/connection/gateway/seal_test.go
+++ b/connection/gateway/seal_test.go
@@ -11,9 +11,9 @@
 	"github.com/cresspond/cresspond/request/forwarding"
 )
 
-// TestASealStandsForWhatItsEngineSaid: whatever engines do one after the other, an answer that bears the seal of
+// TestSealMatchesEngineResponse: whatever engines do one after the other, an answer that bears the seal of
 // one has the status that this one gave, and no other.
-func TestASealStandsForWhatItsEngineSaid(t *testing.T) {
+func TestSealMatchesEngineResponse(t *testing.T) {
 	statuses := []string{"200 OK", "404 Not Found", "429 Too Many Requests", "500 Internal Server Error", "503 Service Unavailable", "504 Gateway Timeout"}
 	ways := append(slices.Clone(statuses), "not run", "cut", "closed")
 	for _, path := range []string{"once", "again", "stream", "resume"} {
@@ -32,21 +32,21 @@
 						head := fmt.Sprintf("X-Attempt-Id: %s\r\nCresspond-Seal: %s\r\n", idOf(a), id)
 						switch way {
 						case "not run":
-							say(a, "HTTP/1.1 503 Service Unavailable\r\n"+head+"Cresspond-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
+							writeText(a, "HTTP/1.1 503 Service Unavailable\r\n"+head+"Cresspond-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 							return true
 						case "cut":
-							say(a, "HTTP/1.1 500 Internal Server Error\r\n"+head+"Content-Length: 9\r\n\r\noh")
+							writeText(a, "HTTP/1.1 500 Internal Server Error\r\n"+head+"Content-Length: 9\r\n\r\noh")
 							return false
 						case "closed":
 							return false
 						}
-						say(a, "HTTP/1.1 "+way+"\r\n"+head+"Content-Length: 2\r\n\r\noh")
+						writeText(a, "HTTP/1.1 "+way+"\r\n"+head+"Content-Length: 2\r\n\r\noh")
 						return true
 					}
 				}
-				var engines []*standIn
+				var engines []*fakeEngine
 				for _, id := range []string{"e1", "e2", "e3"} {
-					engines = append(engines, newStandIn(t, ident.EngineID(id), answer(id)))
+					engines = append(engines, newFakeEngine(t, ident.EngineID(id), answer(id)))
 				}
 				got := newFixture(t, engines...).call(ask(path, "a1", "ping"))
 				seal := got.head.Get("Cresspond-Seal")
@@ -68,9 +68,9 @@
 	}
 }
 
-// TestNoAnswerIsWaitedForLongPastItsDeadline: what is given past the deadline, for an engine's own last word, is
+// TestResponseIsNotAwaitedLongPastDeadline: what is given past the deadline, for an engine's own last word, is
 // well under the quarter of a second that a deployment may allow.
-func TestNoAnswerIsWaitedForLongPastItsDeadline(t *testing.T) {
+func TestResponseIsNotAwaitedLongPastDeadline(t *testing.T) {
 	if slack := forwarding.DefaultSettings().DeadlineSlack; slack > 100*time.Millisecond {
 		t.Error(slack)
 	}
--- a/connection/gateway/size_test.go
+++ b/connection/gateway/size_test.go
@@ -20,13 +20,13 @@
 // the difference of both, for docs/CAPACITY.md: go test -run - -bench Size ./connection/gateway
 func BenchmarkSizeStream(b *testing.B) {
 	for _, events := range []int{1, 10, 100} {
-		engine := newStandIn(b, "e1", func(a arrival) bool {
-			say(a, "HTTP/1.1 200 OK\r\nX-Attempt-Id: "+idOf(a)+"\r\nCresspond-Seal: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
+		engine := newFakeEngine(b, "e1", func(a arrival) bool {
+			writeText(a, "HTTP/1.1 200 OK\r\nX-Attempt-Id: "+idOf(a)+"\r\nCresspond-Seal: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
 			for n := range events {
 				event := fmt.Sprintf("id: %d\ndata: %040d\n\n", n, n)
-				say(a, fmt.Sprintf("%x\r\n%s\r\n", len(event), event))
+				writeText(a, fmt.Sprintf("%x\r\n%s\r\n", len(event), event))
 			}
-			say(a, "0\r\n\r\n")
+			writeText(a, "0\r\n\r\n")
 			return true
 		})
 		f := newFixture(b, engine)
@@ -83,8 +83,8 @@
 // openStreams opens streams before an engine of their own and reports what each keeps.
 func openStreams(b *testing.B, through bool, streams int) {
 	begun, end := make(chan struct{}, streams), make(chan struct{})
-	engine := newStandIn(b, "e1", func(a arrival) bool {
-		say(a, "HTTP/1.1 200 OK\r\nX-Attempt-Id: "+idOf(a)+"\r\nCresspond-Seal: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n12\r\nid: 1\ndata: xxxx\n\n\r\n")
+	engine := newFakeEngine(b, "e1", func(a arrival) bool {
+		writeText(a, "HTTP/1.1 200 OK\r\nX-Attempt-Id: "+idOf(a)+"\r\nCresspond-Seal: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n12\r\nid: 1\ndata: xxxx\n\n\r\n")
 		begun <- struct{}{}
 		<-end
 		return false
--- a/connection/gateway/stream.go
+++ b/connection/gateway/stream.go
@@ -2,71 +2,60 @@
 
 import (
 	"bufio"
-	"bytes"
 	"errors"
 	"io"
-	"strconv"
-	"sync"
 
 	"github.com/cresspond/cresspond/process/engines/connectionpool"
 	"github.com/cresspond/cresspond/request/forwarding"
 )
 
 // errBroken makes the connection end without its last chunk, or short of the length that was said.
-var errBroken = errors.New("the answer is not whole")
+var errIncomplete = errors.New("the answer is not whole")
 
 // stream is an answer that is passed on as it comes.
 // A reader, not a writer: fasthttp ends a writer's stream with a clean last chunk whatever became of it.
 type stream struct {
-	*flight
-	answer *connectionpool.Answer
+	*exchange
+	answer *connectionpool.Result
 	length int
 	// pending is what goes on next.
-	pending []byte
-	events  *bufio.Reader
-	buffer  []byte
-	ended   bool
-	failed  bool
+	pending  []byte
+	events   *bufio.Reader
+	buffer   []byte
+	complete bool
+	failed   bool
 }
 
-// takeLong passes on an answer that is too large to be gathered first.
-func (f *flight) takeLong(answer *connectionpool.Answer, begun []byte) *stream {
-	f.begin()
+// streamBody passes on an answer that is too large to be gathered first.
+func (f *exchange) streamBody(answer *connectionpool.Result, begun []byte) *stream {
+	f.responseBegun()
 	f.Counters.Streams.Add(1)
-	return &stream{flight: f, answer: answer, length: answer.Response().Header.ContentLength(), pending: begun}
+	return &stream{exchange: f, answer: answer, length: answer.Response().Header.ContentLength(), pending: begun}
 }
 
-// begin notes that bytes of an answer go on from now.
-func (f *flight) begin() {
-	if f.begun.CompareAndSwap(false, true) {
+// responseBegun notes that bytes of an answer go on from now.
+func (f *exchange) responseBegun() {
+	if f.hasBegun.CompareAndSwap(false, true) {
 		f.actor.ResponseBegun(f.record)
 	}
 }
 
-const (
-	eventBuffer = 4 << 10
-	// mostEvent bounds one event, so that one without end is cut off.
-	mostEvent = 256 << 10
-)
-
-var eventReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, eventBuffer) }}
-
-// takeEvents waits for the first event, since until then nothing is promised to the caller.
-func (f *flight) takeEvents(answer *connectionpool.Answer) (*stream, forwarding.Outcome) {
-	s := &stream{flight: f, answer: answer, length: -1, events: eventReaders.Get().(*bufio.Reader)}
+// streamEvents waits for the first event, since until then nothing is promised to the caller.
+func (f *exchange) streamEvents(answer *connectionpool.Result) (*stream, forwarding.Outcome) {
+	s := &stream{exchange: f, answer: answer, length: -1, events: eventReaders.Get().(*bufio.Reader)}
 	s.events.Reset(answer)
-	err := s.nextEvent()
+	err := s.readEvents()
 	if err == nil {
-		f.firstByte(answer.Response().StatusCode())
+		f.recordFirstByte(answer.Response().StatusCode())
 	}
-	if err != nil && !(err == io.EOF && len(s.pending) == 0 && answer.Whole()) {
+	if err != nil && !(err == io.EOF && len(s.pending) == 0 && answer.Complete()) {
 		s.release()
 		answer.Close()
 		return nil, forwarding.OutcomeResponseLost
 	}
-	f.copyHead(answer)
-	s.ended = err == io.EOF
-	f.begin()
+	f.copyHeader(answer)
+	s.complete = err == io.EOF
+	f.responseBegun()
 	f.Counters.Streams.Add(1)
 	return s, forwarding.OutcomeCompleted
 }
@@ -83,9 +72,9 @@
 func (s *stream) Read(p []byte) (int, error) {
 	for len(s.pending) == 0 {
 		if s.failed {
-			return 0, errBroken
+			return 0, errIncomplete
 		}
-		if s.ended {
+		if s.complete {
 			return 0, io.EOF
 		}
 		var err error
@@ -98,14 +87,14 @@
 			}
 		} else {
 			asked := s.Clock.Elapsed()
-			err = s.nextEvent()
+			err = s.readEvents()
 			now := s.Clock.Elapsed()
 			s.record.Observed.LongestEventGap = max(s.record.Observed.LongestEventGap, now.Since(asked))
-			s.came(asked, now, err)
+			s.recordEventGap(asked, now, err)
 		}
 		switch {
 		case err == io.EOF:
-			s.ended = true
+			s.complete = true
 		case err != nil && !s.resume():
 			s.failed = true
 		}
@@ -122,9 +111,9 @@
 	case s.failed:
 		// The end was reported when it was found.
 		s.Counters.StreamsBroken.Add(1)
-	case s.ended:
+	case s.complete:
 		s.answer.Close()
-		s.Counters.StreamsWhole.Add(1)
+		s.Counters.StreamsCompleted.Add(1)
 		s.actor.AttemptEnded(s.record, forwarding.OutcomeCompleted, s.lastEvent)
 	default:
 		// The caller could not be written to, so nobody needs the rest.
@@ -132,106 +121,29 @@
 		s.answer.Close()
 		s.actor.AttemptEnded(s.record, forwarding.OutcomeCallerLeft, s.lastEvent)
 	}
-	s.done()
+	s.finish()
 	return nil
 }
 
-var (
-	errOrder   = errors.New("the engine's events are not in order")
-	errEndless = errors.New("the engine sent an event without end")
-	errPart    = errors.New("the engine's stream ended within an event")
-)
-
-// nextEvent reads events until one is whole, and those that came with it.
-func (s *stream) nextEvent() error {
-	s.buffer = s.buffer[:0]
-	whole := 0
-	last := s.lastEvent
-	for {
-		line, err := s.events.ReadSlice('\n')
-		s.buffer = append(s.buffer, line...)
-		switch {
-		case err == bufio.ErrBufferFull && len(s.buffer) <= mostEvent:
-			continue
-		case len(s.buffer)-whole > mostEvent:
-			return errEndless
-		case err == io.EOF && len(s.buffer) == whole:
-			return io.EOF
-		case err == io.EOF:
-			return errPart
-		case err != nil:
-			return err
-		}
-		if len(bytes.TrimRight(line, "\r\n")) > 0 {
-			continue
-		}
-		id, found := eventID(s.buffer[whole:])
-		if found && !follows(id, last) {
-			return errOrder
-		}
-		if found {
-			last = id
-		}
-		whole = len(s.buffer)
-		s.Counters.Events.Add(1)
-		// Another one goes along only if it is here whole already.
-		if buffered := s.events.Buffered(); buffered > 0 && whole < eventBuffer {
-			ahead, _ := s.events.Peek(buffered)
-			if bytes.Contains(ahead, []byte("\n\n")) || bytes.Contains(ahead, []byte("\n\r\n")) {
-				continue
-			}
-		}
-		s.pending, s.lastEvent = s.buffer, last
-		if last != "" && !s.named.Load() {
-			s.named.Store(true)
-		}
-		return nil
-	}
-}
-
-// eventID is the id that an event bears.
-func eventID(event []byte) (string, bool) {
-	for line := range bytes.Lines(event) {
-		if rest, found := bytes.CutPrefix(line, []byte("id:")); found {
-			return string(bytes.TrimSpace(rest)), true
-		}
-	}
-	return "", false
-}
-
-// follows says whether an event's id may come after the last one.
-func follows(id, last string) bool {
-	if last == "" {
-		return true
-	}
-	was, err := strconv.ParseUint(last, 10, 64)
-	is, wrong := strconv.ParseUint(id, 10, 64)
-	if err != nil || wrong != nil {
-		// Ids that are no numbers are known to differ, and no more.
-		return id != last
-	}
-	return is > was
-}
-
 // resume takes a stream that broke off up at another engine, within the same answer.
 func (s *stream) resume() bool {
 	s.answer.Close()
 	if s.events == nil {
-		s.report(forwarding.OutcomeStreamBroken)
+		s.reportOutcome(forwarding.OutcomeStreamBroken)
 		return false
 	}
 	outcome := forwarding.OutcomeStreamBroken
 	for {
-		step := s.report(outcome)
+		step := s.reportOutcome(outcome)
 		if step.Attempt == nil {
 			return false
 		}
-		answer := s.attempt(step.Attempt)
+		answer := s.sendAttempt(step.Attempt)
 		outcome = outcomeOf(answer.Outcome)
-		if answer.Outcome != connectionpool.Answered {
+		if answer.Outcome != connectionpool.OutcomeAnswered {
 			continue
 		}
-		if status := answer.Response().StatusCode(); status != 200 || !answer.Head.Sealed || !answer.Head.Events {
+		if status := answer.Response().StatusCode(); status != 200 || !answer.Header.Sealed || !answer.Header.Events {
 			// The answer that has begun can't become another one.
 			answer.Close()
 			outcome = forwarding.OutcomeResponseLost
--- a/daemon/engineclosures.go
+++ b/daemon/engineclosures.go
@@ -24,7 +24,7 @@
 	}
 	for _, closure := range table.Closures.Engines {
 		if closure.Ranking != nil {
-			go d.forwarding.gateway.MoveOff()
+			go d.forwarding.gateway.MigrateEvacuated()
 			return
 		}
 	}
--- a/daemon/forwarding.go
+++ b/daemon/forwarding.go
@@ -69,8 +69,8 @@
 	}
 	side.pools = connectionpool.New(d.clock, side.dialect)
 	side.actor = forwarding.NewActor(side.settings, d.forwardWorld)
-	side.gateway = gateway.New(gateway.Surroundings{
-		Clock: d.clock, Dialect: side.dialect, Index: d.forwardIndex, View: side.view, Current: d.tableIsCurrent, Held: d.generator.HasLease, EngineOpen: d.engineOpen,
+	side.gateway = gateway.New(gateway.Dependencies{
+		Clock: d.clock, Dialect: side.dialect, Index: d.forwardIndex, View: side.view, IndexCurrent: d.tableIsCurrent, HasWorkerID: d.generator.HasLease, EngineOpen: d.engineOpen,
 		Draining: d.draining.Load, Settings: side.settings, Recorder: d.nodeRanking.recorder,
 	}, side.actor, side.pools)
 	go side.actor.Run(ctx)
@@ -134,7 +134,7 @@
 	return forwarding.Environment{
 		Now: now, Index: d.forwardIndex(), IndexCurrent: d.tableIsCurrent(), View: d.forwarding.view(), Zone: d.config.Zone,
 		HasIdleConnection: func(engine *registry.Engine, pool string, careful bool) bool {
-			return d.forwarding.pools.Warm(engine.ID, engine.Address, pool, careful)
+			return d.forwarding.pools.HasIdle(engine.ID, engine.Address, pool, careful)
 		},
 		Routers: d.routingDaemonCount(now), NotLoadedFor: d.PoolShortage, EngineOpen: d.engineOpen, EngineEvacuated: d.engineDrainedByRanking, HasWorkerID: d.generator.HasLease(),
 		MintID: func() (ident.SnowflakeID, bool) {
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -70,7 +70,7 @@
 // that may be old.
 func (d *Daemon) badCallerRequest(ctx *fasthttp.RequestCtx, err error) {
 	if err == fasthttp.ErrBodyTooLarge && d.isForwarded(ctx, string(ctx.Path())) {
-		d.forwarding.gateway.Unread(ctx, fasthttp.StatusRequestEntityTooLarge)
+		d.forwarding.gateway.HandleUnread(ctx, fasthttp.StatusRequestEntityTooLarge)
 		return
 	}
 	badRequest(ctx, err)
--- a/process/engines/connectionpool/engineconn_test.go
+++ b/process/engines/connectionpool/connectionpool_test.go
@@ -19,18 +19,22 @@
 	"github.com/cresspond/cresspond/wire/dialect"
 )
 
-// hands is a clock that a test moves.
-type hands struct{ at atomic.Int64 }
+// fakeClock is a clock that a test moves.
+type fakeClock struct{ at atomic.Int64 }
 
-func (h *hands) Elapsed() clock.Mark     { return clock.Mark(h.at.Load()) }
-func (h *hands) Wall() time.Time         { return time.Now() }
-func (h *hands) advance(d time.Duration) { h.at.Add(int64(d)) }
-func newHands() *hands                   { h := &hands{}; h.advance(time.Hour); return h }
-func until(h *hands) clock.Mark          { return h.Elapsed() + clock.Mark(20*time.Second) }
-func say(conn net.Conn, text string)     { _, _ = io.WriteString(conn, text) }
-func sealed(id, body string) string      { return answerOf("200 OK", id, "Cresspond-Seal: s\r\n", body) }
-func refusal(status, id string) string   { return answerOf(status, id, "Cresspond-Not-Run: 1\r\n", "no") }
-func answerOf(status, id, fields, body string) string {
+func (h *fakeClock) Elapsed() clock.Mark     { return clock.Mark(h.at.Load()) }
+func (h *fakeClock) Wall() time.Time         { return time.Now() }
+func (h *fakeClock) advance(d time.Duration) { h.at.Add(int64(d)) }
+func newFakeClock() *fakeClock               { h := &fakeClock{}; h.advance(time.Hour); return h }
+func until(h *fakeClock) clock.Mark          { return h.Elapsed() + clock.Mark(20*time.Second) }
+func writeText(conn net.Conn, text string)   { _, _ = io.WriteString(conn, text) }
+func sealedResponse(id, body string) string {
+	return responseText("200 OK", id, "Cresspond-Seal: s\r\n", body)
+}
+func rejectionResponse(status, id string) string {
+	return responseText(status, id, "Cresspond-Not-Run: 1\r\n", "no")
+}
+func responseText(status, id, fields, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %s\r\nX-Attempt-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s", status, id, fields, len(body), body)
 }
 
@@ -95,20 +99,20 @@
 }
 
 // attempt is a plain attempt.
-func attempt(h *hands, address, id string) Attempt {
+func attempt(h *fakeClock, address, id string) Attempt {
 	head := &fasthttp.RequestHeader{}
 	head.SetMethod("POST")
 	head.SetRequestURI("/x")
 	head.SetHost("h.example")
 	head.Set("X-Attempt-Id", id)
-	return Attempt{Engine: "e", Address: address, ID: id, Head: head, Dress: func() {}, Body: []byte("body"), Until: until(h),
-		LastLook: func() string { return "" }, Cancel: &Cancel{}}
+	return Attempt{Engine: "e", Address: address, ID: id, Header: head, PrepareHeader: func() {}, Body: []byte("body"), Deadline: until(h),
+		CheckBeforeSend: func() string { return "" }, Cancel: &Canceller{}}
 }
 
-// carry makes an attempt and reads its answer.
-func carry(p *Pools, a Attempt) (Outcome, string, error) {
+// sendAndRead makes an attempt and reads its answer.
+func sendAndRead(p *Pools, a Attempt) (Outcome, string, error) {
 	answer := p.Send(a)
-	if answer.Outcome != Answered {
+	if answer.Outcome != OutcomeAnswered {
 		return answer.Outcome, "", nil
 	}
 	defer answer.Close()
@@ -116,22 +120,22 @@
 	return answer.Outcome, string(body), err
 }
 
-// TestAnAnswerCutAtAnyByteIsNeverWhole: in each form that an answer may have, nothing but all of its bytes is
+// TestTruncatedResponseIsNeverComplete: in each form that an answer may have, nothing but all of its bytes is
 // whole, and nothing but a whole head is an engine's word that it did not run.
-func TestAnAnswerCutAtAnyByteIsNeverWhole(t *testing.T) {
+func TestTruncatedResponseIsNeverComplete(t *testing.T) {
 	chunked := "HTTP/1.1 200 OK\r\nX-Attempt-Id: a\r\nCresspond-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n3\r\npon\r\n1\r\ng\r\n0\r\n\r\n"
 	for form, whole := range map[string]string{
-		"measured": sealed("a", "pong"), "chunked": chunked, "interim": "HTTP/1.1 100 Continue\r\n\r\n" + sealed("a", "pong"),
-		"refusal": refusal("503 Service Unavailable", "a"), "misdirected": refusal("421 Misdirected Request", "a"), "foreign": sealed("b", "pong"),
+		"measured": sealedResponse("a", "pong"), "chunked": chunked, "interim": "HTTP/1.1 100 Continue\r\n\r\n" + sealedResponse("a", "pong"),
+		"refusal": rejectionResponse("503 Service Unavailable", "a"), "misdirected": rejectionResponse("421 Misdirected Request", "a"), "foreign": sealedResponse("b", "pong"),
 		"nameless": "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\npong", "unmeasured": "HTTP/1.1 200 OK\r\nX-Attempt-Id: a\r\nCresspond-Seal: s\r\n\r\npong",
-		"after-foreign": sealed("b", "ping") + sealed("a", "pong"),
+		"after-foreign": sealedResponse("b", "ping") + sealedResponse("a", "pong"),
 	} {
-		h := newHands()
+		h := newFakeClock()
 		pools := New(h, dialect.Own())
 		var cut atomic.Int64
 		e := listen(t, func(conn net.Conn, _ string, _, _ int) bool {
 			at := int(cut.Load())
-			say(conn, whole[:at])
+			writeText(conn, whole[:at])
 			if at%2 == 0 {
 				_ = conn.(*net.TCPConn).SetLinger(0)
 			}
@@ -143,19 +147,19 @@
 		}
 		for at := range len(whole) + 1 {
 			cut.Store(int64(at))
-			outcome, body, err := carry(pools, attempt(h, e.address, "a"))
+			outcome, body, err := sendAndRead(pools, attempt(h, e.address, "a"))
 			name := fmt.Sprintf("%s cut at %d of %d: %s %q %v", form, at, len(whole), outcome, body, err)
 			all := at == len(whole)
 			switch {
-			case outcome == NeverSent || outcome == HeldBack:
+			case outcome == OutcomeUnreachable || outcome == OutcomeWithheld:
 				t.Errorf("%s: what was sent was called never sent", name)
-			case outcome == Refused && (form != "refusal" || at < head), outcome == Misdirected && (form != "misdirected" || at < head):
+			case outcome == OutcomeRejected && (form != "refusal" || at < head), outcome == OutcomeMisdirected && (form != "misdirected" || at < head):
 				t.Errorf("%s: taken for the engine's word", name)
-			case outcome == Answered && err == nil && (!all || body != "pong" || form == "unmeasured"):
+			case outcome == OutcomeAnswered && err == nil && (!all || body != "pong" || form == "unmeasured"):
 				t.Errorf("%s: looks whole", name)
-			case outcome == Answered && (form == "foreign" || form == "nameless"):
+			case outcome == OutcomeAnswered && (form == "foreign" || form == "nameless"):
 				t.Errorf("%s: another's answer", name)
-			case all && at%2 != 0 && (form == "measured" || form == "chunked" || form == "interim" || form == "after-foreign") && (outcome != Answered || err != nil):
+			case all && at%2 != 0 && (form == "measured" || form == "chunked" || form == "interim" || form == "after-foreign") && (outcome != OutcomeAnswered || err != nil):
 				t.Errorf("%s: not whole", name)
 			case !strings.HasPrefix("pong", body):
 				t.Errorf("%s: not its body", name)
@@ -169,15 +173,15 @@
 	}
 }
 
-func TestNothingIsSentWhereNobodyListens(t *testing.T) {
+func TestUnreachableEngineReceivesNothing(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	listener.Close()
-	h := newHands()
+	h := newFakeClock()
 	pools := New(h, dialect.Own())
-	if outcome, _, _ := carry(pools, attempt(h, listener.Addr().String(), "a")); outcome != NeverSent {
+	if outcome, _, _ := sendAndRead(pools, attempt(h, listener.Addr().String(), "a")); outcome != OutcomeUnreachable {
 		t.Error(outcome)
 	}
 	if busy, idle := pools.Open(); busy+idle != 0 {
@@ -185,22 +189,22 @@
 	}
 }
 
-func TestAResetAfterTheRequestIsNoProof(t *testing.T) {
-	h := newHands()
+func TestResetAfterRequestCountsAsResponseLost(t *testing.T) {
+	h := newFakeClock()
 	pools := New(h, dialect.Own())
 	e := listen(t, func(conn net.Conn, _ string, _, _ int) bool { _ = conn.(*net.TCPConn).SetLinger(0); return false })
-	if outcome, _, _ := carry(pools, attempt(h, e.address, "a")); outcome != Lost {
+	if outcome, _, _ := sendAndRead(pools, attempt(h, e.address, "a")); outcome != OutcomeResponseLost {
 		t.Error(outcome)
 	}
 }
 
-// untilStirs waits until something has come on the idle connections.
-func untilStirs(p *Pools) {
+// waitUntilReadable waits until something has come on the idle connections.
+func waitUntilReadable(p *Pools) {
 	for {
 		p.mutex.Lock()
 		for _, connections := range p.engines {
-			for _, one := range connections.idle {
-				if one.stirs() {
+			for _, conn := range connections.idle {
+				if conn.isReadable() {
 					p.mutex.Unlock()
 					return
 				}
@@ -211,24 +215,24 @@
 	}
 }
 
-func TestAKeptConnectionIsUsedAgainAndNotOneThatStirs(t *testing.T) {
+func TestIdleConnectionIsReusedUnlessReadable(t *testing.T) {
 	for name, trouble := range map[string]func(conn net.Conn){
 		"ended":   func(conn net.Conn) { conn.Close() },
 		"reset":   func(conn net.Conn) { _ = conn.(*net.TCPConn).SetLinger(0); conn.Close() },
-		"surplus": func(conn net.Conn) { say(conn, sealed("a1", "late")) },
+		"surplus": func(conn net.Conn) { writeText(conn, sealedResponse("a1", "late")) },
 	} {
-		h := newHands()
+		h := newFakeClock()
 		pools := New(h, dialect.Own())
 		var first net.Conn
 		e := listen(t, func(conn net.Conn, id string, connection, _ int) bool {
 			if connection == 0 {
 				first = conn
 			}
-			say(conn, sealed(id, "to "+id))
+			writeText(conn, sealedResponse(id, "to "+id))
 			return true
 		})
 		for _, id := range []string{"a0", "a1"} {
-			if _, body, err := carry(pools, attempt(h, e.address, id)); body != "to "+id || err != nil {
+			if _, body, err := sendAndRead(pools, attempt(h, e.address, id)); body != "to "+id || err != nil {
 				t.Fatal(name, body, err)
 			}
 		}
@@ -236,8 +240,8 @@
 			t.Fatal(name, ids, conns)
 		}
 		trouble(first)
-		untilStirs(pools)
-		if outcome, body, err := carry(pools, attempt(h, e.address, "a2")); body != "to a2" || err != nil {
+		waitUntilReadable(pools)
+		if outcome, body, err := sendAndRead(pools, attempt(h, e.address, "a2")); body != "to a2" || err != nil {
 			t.Error(name, outcome, body, err)
 		}
 		if ids, conns := e.seen(); len(ids) != 3 || conns != 2 || pools.Counters.FoundStale.Load() != 1 {
@@ -246,51 +250,51 @@
 	}
 }
 
-func TestSurplusBytesBehindAnAnswerEndTheConnection(t *testing.T) {
-	h := newHands()
+func TestSurplusBytesAfterResponseCloseConnection(t *testing.T) {
+	h := newFakeClock()
 	pools := New(h, dialect.Own())
 	e := listen(t, func(conn net.Conn, id string, connection, _ int) bool {
 		more := ""
 		if connection == 0 {
-			more = sealed(id, "again")
+			more = sealedResponse(id, "again")
 		}
-		say(conn, sealed(id, "to "+id)+more)
+		writeText(conn, sealedResponse(id, "to "+id)+more)
 		return true
 	})
 	for _, id := range []string{"a0", "a1"} {
-		if _, body, err := carry(pools, attempt(h, e.address, id)); body != "to "+id || err != nil {
+		if _, body, err := sendAndRead(pools, attempt(h, e.address, id)); body != "to "+id || err != nil {
 			t.Fatal(body, err)
 		}
 	}
-	if _, conns := e.seen(); conns != 2 || pools.Counters.Surplus.Load() != 1 {
-		t.Error(conns, pools.Counters.Surplus.Load())
+	if _, conns := e.seen(); conns != 2 || pools.Counters.SurplusBytes.Load() != 1 {
+		t.Error(conns, pools.Counters.SurplusBytes.Load())
 	}
 }
 
-func TestALateAnswerInTheNextOnesPlaceDoesNotGoOn(t *testing.T) {
+func TestLateResponseIsNotPassedToNextRequest(t *testing.T) {
 	for _, behind := range []bool{true, false} {
-		h := newHands()
+		h := newFakeClock()
 		pools := New(h, dialect.Own())
 		e := listen(t, func(conn net.Conn, id string, connection, number int) bool {
 			switch {
 			case connection == 0 && number == 1 && behind:
-				say(conn, sealed("a0", "late")+sealed(id, "to "+id))
+				writeText(conn, sealedResponse("a0", "late")+sealedResponse(id, "to "+id))
 			case connection == 0 && number == 1:
-				say(conn, sealed("a0", "late"))
+				writeText(conn, sealedResponse("a0", "late"))
 				return false
 			default:
-				say(conn, sealed(id, "to "+id))
+				writeText(conn, sealedResponse(id, "to "+id))
 			}
 			return true
 		})
-		if _, body, err := carry(pools, attempt(h, e.address, "a0")); body != "to a0" || err != nil {
+		if _, body, err := sendAndRead(pools, attempt(h, e.address, "a0")); body != "to a0" || err != nil {
 			t.Fatal(body, err)
 		}
-		outcome, body, err := carry(pools, attempt(h, e.address, "a1"))
-		if behind && (outcome != Answered || body != "to a1" || err != nil) || !behind && (outcome != Lost && outcome != Junk) {
+		outcome, body, err := sendAndRead(pools, attempt(h, e.address, "a1"))
+		if behind && (outcome != OutcomeAnswered || body != "to a1" || err != nil) || !behind && (outcome != OutcomeResponseLost && outcome != OutcomeProtocolError) {
 			t.Errorf("%t: %s %q %v", behind, outcome, body, err)
 		}
-		if _, body, err := carry(pools, attempt(h, e.address, "a2")); body != "to a2" || err != nil {
+		if _, body, err := sendAndRead(pools, attempt(h, e.address, "a2")); body != "to a2" || err != nil {
 			t.Error(body, err)
 		}
 		if ids, conns := e.seen(); len(ids) != 3 || conns != 2 {
@@ -299,7 +303,7 @@
 	}
 }
 
-func TestACarefulAttemptTakesAKeptConnectionOnlyWellInsideItsTime(t *testing.T) {
+func TestNotRepeatableAttemptReusesOnlyRecentConnections(t *testing.T) {
 	for _, c := range []struct {
 		says      string
 		idle      time.Duration
@@ -311,16 +315,16 @@
 		{"Keep-Alive: timeout=4\r\n", 3 * time.Second, false, 1}, {"Keep-Alive: timeout=4\r\n", 3900 * time.Millisecond, false, 2},
 		{"Connection: close\r\n", 0, false, 2},
 	} {
-		h := newHands()
+		h := newFakeClock()
 		pools := New(h, dialect.Own())
 		e := listen(t, func(conn net.Conn, id string, _, _ int) bool {
-			say(conn, answerOf("200 OK", id, "Cresspond-Seal: s\r\n"+c.says, "pong"))
+			writeText(conn, responseText("200 OK", id, "Cresspond-Seal: s\r\n"+c.says, "pong"))
 			return true
 		})
 		for _, id := range []string{"a0", "a1"} {
 			a := attempt(h, e.address, id)
-			a.Careful = c.careful
-			if _, body, err := carry(pools, a); body != "pong" || err != nil {
+			a.NotRepeatable = c.careful
+			if _, body, err := sendAndRead(pools, a); body != "pong" || err != nil {
 				t.Fatal(body, err)
 			}
 			h.advance(c.idle)
@@ -331,29 +335,33 @@
 	}
 }
 
-func TestConnectionsToAnEngineAreBounded(t *testing.T) {
-	h := newHands()
+func TestConnectionsPerEngineAreBounded(t *testing.T) {
+	h := newFakeClock()
 	pools := New(h, dialect.Own())
 	let := make(chan struct{})
-	e := listen(t, func(conn net.Conn, id string, _, _ int) bool { <-let; say(conn, sealed(id, "pong")); return true })
+	e := listen(t, func(conn net.Conn, id string, _, _ int) bool {
+		<-let
+		writeText(conn, sealedResponse(id, "pong"))
+		return true
+	})
 	const most = 3
 	outcomes := make(chan Outcome, 20)
 	for n := range 20 {
 		go func() {
 			a := attempt(h, e.address, fmt.Sprint(n))
-			a.MostConnections = most
-			outcome, _, _ := carry(pools, a)
+			a.MaxConnections = most
+			outcome, _, _ := sendAndRead(pools, a)
 			outcomes <- outcome
 		}()
 	}
 	for range 20 - most {
-		if outcome := <-outcomes; outcome != HeldBack {
+		if outcome := <-outcomes; outcome != OutcomeWithheld {
 			t.Error(outcome)
 		}
 	}
 	close(let)
 	for range most {
-		if outcome := <-outcomes; outcome != Answered {
+		if outcome := <-outcomes; outcome != OutcomeAnswered {
 			t.Error(outcome)
 		}
 	}
@@ -371,8 +379,8 @@
 	}
 }
 
-func TestCancellingEndsTheConnection(t *testing.T) {
-	h := newHands()
+func TestCancellingClosesConnection(t *testing.T) {
+	h := newFakeClock()
 	pools := New(h, dialect.Own())
 	come := make(chan struct{})
 	e := listen(t, func(conn net.Conn, _ string, _, _ int) bool {
@@ -381,13 +389,13 @@
 		return false
 	})
 	a := attempt(h, e.address, "a")
-	go func() { <-come; a.Cancel.Now() }()
-	if outcome, _, _ := carry(pools, a); outcome != Lost {
+	go func() { <-come; a.Cancel.Cancel() }()
+	if outcome, _, _ := sendAndRead(pools, a); outcome != OutcomeResponseLost {
 		t.Error(outcome)
 	}
 	<-e.ended
 	// What begins after it was ended does not leave.
-	if outcome, _, _ := carry(pools, a); outcome != NeverSent {
+	if outcome, _, _ := sendAndRead(pools, a); outcome != OutcomeUnreachable {
 		t.Error(outcome)
 	}
 	if ids, _ := e.seen(); len(ids) != 1 {
@@ -395,16 +403,19 @@
 	}
 }
 
-func TestTheLastLookHoldsBackAndKeepsTheConnection(t *testing.T) {
-	h := newHands()
+func TestCheckBeforeSendWithholdsAndKeepsConnection(t *testing.T) {
+	h := newFakeClock()
 	pools := New(h, dialect.Own())
-	e := listen(t, func(conn net.Conn, id string, _, _ int) bool { say(conn, sealed(id, "pong")); return true })
+	e := listen(t, func(conn net.Conn, id string, _, _ int) bool {
+		writeText(conn, sealedResponse(id, "pong"))
+		return true
+	})
 	a := attempt(h, e.address, "a")
-	a.LastLook = func() string { return "no" }
-	if outcome, _, _ := carry(pools, a); outcome != HeldBack {
+	a.CheckBeforeSend = func() string { return "no" }
+	if outcome, _, _ := sendAndRead(pools, a); outcome != OutcomeWithheld {
 		t.Error(outcome)
 	}
-	if outcome, _, _ := carry(pools, attempt(h, e.address, "b")); outcome != Answered {
+	if outcome, _, _ := sendAndRead(pools, attempt(h, e.address, "b")); outcome != OutcomeAnswered {
 		t.Error(outcome)
 	}
 	if ids, conns := e.seen(); len(ids) != 1 || ids[0] != "b" || conns != 1 {
@@ -412,8 +423,8 @@
 	}
 }
 
-// TestNothingIsSmuggled: however a client framed its request, an engine gets one request with one framing.
-func TestNothingIsSmuggled(t *testing.T) {
+// TestRequestSmugglingIsPrevented: however a client framed its request, an engine gets one request with one framing.
+func TestRequestSmugglingIsPrevented(t *testing.T) {
 	for name, raw := range map[string]string{
 		"chunked":      "POST /x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a\r\nTransfer-Encoding: chunked\r\nTrailer: X-Late\r\n\r\n4\r\nbody\r\n0\r\nX-Late: 1\r\n\r\n",
 		"connection":   "POST /x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a\r\nConnection: Content-Length, Host, X-Hop\r\nX-Hop: 1\r\nContent-Length: 4\r\n\r\nbody",
@@ -437,9 +448,9 @@
 		}
 		var head fasthttp.RequestHeader
 		request.Header.CopyTo(&head)
-		HopByHop(&head)
+		RemoveHopByHop(&head)
 		body := request.Body()
-		sent := string(append(appendHead(nil, &head, len(body)), body...))
+		sent := string(append(appendHeader(nil, &head, len(body)), body...))
 		reader := bufio.NewReader(strings.NewReader(sent))
 		got, err := http.ReadRequest(reader)
 		if err != nil {
@@ -461,11 +472,11 @@
 }
 
 // An interruption ends what is under way and nothing after it, and never a connection that was given back.
-func TestInterruptEndsOneThing(t *testing.T) {
-	var c Cancel
+func TestInterruptStopsOnlyCurrentAttempt(t *testing.T) {
+	var c Canceller
 	c.Interrupt()
 	stopped := 0
-	if !c.set(func() { stopped++ }) {
+	if !c.arm(func() { stopped++ }) {
 		t.Fatal("what begins after an interruption goes on")
 	}
 	c.Interrupt()
@@ -473,27 +484,27 @@
 	if stopped != 1 {
 		t.Fatalf("stopped %d times", stopped)
 	}
-	if c.set(nil) {
+	if c.arm(nil) {
 		t.Fatal("what was stopped is not given back as if it were sound")
 	}
-	if !c.set(func() { stopped++ }) || !c.set(nil) {
+	if !c.arm(func() { stopped++ }) || !c.arm(nil) {
 		t.Fatal("the next one goes on, and is given back")
 	}
 	c.Interrupt()
-	if stopped != 1 || c.Done() {
+	if stopped != 1 || c.Cancelled() {
 		t.Fatal("nothing was under way")
 	}
-	c.Now()
-	if c.set(func() {}) || !c.Done() {
+	c.Cancel()
+	if c.arm(func() {}) || !c.Cancelled() {
 		t.Fatal("after the end nothing begins")
 	}
 }
 
-// TestAConnectionDroppedInSilenceIsLearnedFrom: the engine says four seconds and drops after one, and shows nothing
+// TestIdleLifetimeIsLearnedFromDroppedConnections: the engine says four seconds and drops after one, and shows nothing
 // before the next request is reset. One request is lost to find out, and none after; what is learned fades.
-func TestAConnectionDroppedInSilenceIsLearnedFrom(t *testing.T) {
-	for _, careful := range []bool{true, false} {
-		h := newHands()
+func TestIdleLifetimeIsLearnedFromDroppedConnections(t *testing.T) {
+	for _, notRepeatable := range []bool{true, false} {
+		h := newFakeClock()
 		pools := New(h, dialect.Own())
 		var mutex sync.Mutex
 		last := map[int]clock.Mark{}
@@ -505,122 +516,124 @@
 				return false
 			}
 			last[connection] = h.Elapsed()
-			say(conn, answerOf("200 OK", id, "Cresspond-Seal: s\r\nKeep-Alive: timeout=4\r\n", "pong"))
+			writeText(conn, responseText("200 OK", id, "Cresspond-Seal: s\r\nKeep-Alive: timeout=4\r\n", "pong"))
 			return true
 		})
-		lost, made := 0, 0
+		lost, sent := 0, 0
 		send := func(pause time.Duration) {
 			h.advance(pause)
-			a := attempt(h, e.address, fmt.Sprint("a", made))
-			a.Careful, a.Pool, made = careful, "p", made+1
-			if outcome, _, _ := carry(pools, a); outcome == Lost {
+			a := attempt(h, e.address, fmt.Sprint("a", sent))
+			a.NotRepeatable, a.Pool, sent = notRepeatable, "p", sent+1
+			if outcome, _, _ := sendAndRead(pools, a); outcome == OutcomeResponseLost {
 				lost++
-			} else if outcome != Answered {
+			} else if outcome != OutcomeAnswered {
 				t.Fatal(outcome)
 			}
 		}
 		for range 10 {
 			send(1100 * time.Millisecond)
 		}
-		if lost != 1 || pools.Counters.DroppedIdle.Load() != 1 {
-			t.Errorf("careful %t: %d lost, %d learned", careful, lost, pools.Counters.DroppedIdle.Load())
+		if lost != 1 || pools.Counters.DroppedWhileIdle.Load() != 1 {
+			t.Errorf("careful %t: %d lost, %d learned", notRepeatable, lost, pools.Counters.DroppedWhileIdle.Load())
 		}
 		// Well inside of what was learned a connection is used again; one of another pool is not held to it.
 		_, before := e.seen()
 		send(0)
 		send(200 * time.Millisecond)
 		if _, conns := e.seen(); conns > before+1 {
-			t.Errorf("careful %t: %d connections, %d before", careful, conns, before)
+			t.Errorf("careful %t: %d connections, %d before", notRepeatable, conns, before)
 		}
-		if bound := pools.idle.bound("other", careful, h.Elapsed()); bound < 10*time.Second {
-			t.Errorf("careful %t: %v elsewhere", careful, bound)
+		if bound := pools.learned.limit("other", notRepeatable, h.Elapsed()); bound < 10*time.Second {
+			t.Errorf("careful %t: %v elsewhere", notRepeatable, bound)
 		}
 		h.advance(2 * time.Minute)
-		if bound := pools.idle.bound("p", careful, h.Elapsed()); bound < 10*time.Second {
-			t.Errorf("careful %t: still %v after two minutes", careful, bound)
+		if bound := pools.learned.limit("p", notRepeatable, h.Elapsed()); bound < 10*time.Second {
+			t.Errorf("careful %t: still %v after two minutes", notRepeatable, bound)
 		}
 	}
 }
 
-func TestADeadlineThatPassesTeachesNothing(t *testing.T) {
-	h := newHands()
+func TestPassedDeadlineDoesNotShortenIdleLifetime(t *testing.T) {
+	h := newFakeClock()
 	pools := New(h, dialect.Own())
 	e := listen(t, func(conn net.Conn, id string, _, number int) bool {
 		if number == 0 {
-			say(conn, sealed(id, "pong"))
+			writeText(conn, sealedResponse(id, "pong"))
 		}
 		return true
 	})
 	// On a busy machine the deadline may pass before the first byte is written, which is another case: then anew.
-	outcome, rounds := NeverSent, uint64(0)
-	for ; outcome == NeverSent; rounds++ {
-		if outcome, _, _ := carry(pools, attempt(h, e.address, "a0")); outcome != Answered {
+	outcome, rounds := OutcomeUnreachable, uint64(0)
+	for ; outcome == OutcomeUnreachable; rounds++ {
+		if outcome, _, _ := sendAndRead(pools, attempt(h, e.address, "a0")); outcome != OutcomeAnswered {
 			t.Fatal(outcome)
 		}
 		a := attempt(h, e.address, "a1")
-		a.Until = h.Elapsed() + clock.Mark(30*time.Millisecond)
-		outcome, _, _ = carry(pools, a)
+		a.Deadline = h.Elapsed() + clock.Mark(30*time.Millisecond)
+		outcome, _, _ = sendAndRead(pools, a)
 	}
-	if outcome != Lost && outcome != Junk || pools.Counters.Reused.Load() != rounds || pools.Counters.DroppedIdle.Load() != 0 {
-		t.Error(outcome, rounds, pools.Counters.Reused.Load(), pools.Counters.DroppedIdle.Load())
+	if outcome != OutcomeResponseLost && outcome != OutcomeProtocolError || pools.Counters.Reused.Load() != rounds || pools.Counters.DroppedWhileIdle.Load() != 0 {
+		t.Error(outcome, rounds, pools.Counters.Reused.Load(), pools.Counters.DroppedWhileIdle.Load())
 	}
 }
 
-// TestAConnectionThatWasGivenBackIsLeftAlone: several callers share few connections, and how long each took to make is
+// TestReleasedConnectionIsNotInterrupted: several callers share few connections, and how long each took to make is
 // told once, to who had it made. Under the race detector nothing of a connection is touched by who gave it back.
-func TestAConnectionThatWasGivenBackIsLeftAlone(t *testing.T) {
+func TestReleasedConnectionIsNotInterrupted(t *testing.T) {
 	const callers, each = 8, 100
 	pools := New(clock.System{}, dialect.Own())
 	e := listen(t, func(conn net.Conn, id string, _, _ int) bool {
-		say(conn, refusal("503 Busy", id))
+		writeText(conn, rejectionResponse("503 Busy", id))
 		return true
 	})
-	var told atomic.Int64
+	var announced atomic.Int64
 	var wait sync.WaitGroup
 	for caller := range callers {
 		wait.Go(func() {
 			for number := range each {
-				a := attempt(newHands(), e.address, fmt.Sprintf("c%dn%d", caller, number))
-				a.Until = clock.System{}.Elapsed() + clock.Mark(20*time.Second)
+				a := attempt(newFakeClock(), e.address, fmt.Sprintf("c%dn%d", caller, number))
+				a.Deadline = clock.System{}.Elapsed() + clock.Mark(20*time.Second)
 				answer := pools.Send(a)
-				if answer.Outcome != Refused {
+				if answer.Outcome != OutcomeRejected {
 					t.Errorf("%v %s", answer.Outcome, answer.Reason)
 				}
-				if answer.Connect > 0 {
-					told.Add(1)
+				if answer.ConnectTime > 0 {
+					announced.Add(1)
 				}
 			}
 		})
 	}
 	wait.Wait()
-	if made := pools.Counters.Dialled.Load(); uint64(told.Load()) != made || made >= callers*each {
-		t.Errorf("%d connections were made, and %d times one was told of", made, told.Load())
+	if dialed := pools.Counters.Dialed.Load(); uint64(announced.Load()) != dialed || dialed >= callers*each {
+		t.Errorf("%d connections were made, and %d times one was told of", dialed, announced.Load())
 	}
 }
 
-// TestWarmSaysWhatTheNextAttemptWouldFind: an idle connection, as long as an attempt of its kind may take it.
-func TestWarmSaysWhatTheNextAttemptWouldFind(t *testing.T) {
-	h := newHands()
+// TestHasIdleMatchesNextAttempt: an idle connection, as long as an attempt of its kind may take it.
+func TestHasIdleMatchesNextAttempt(t *testing.T) {
+	h := newFakeClock()
 	pools := New(h, dialect.Own())
 	e := listen(t, func(conn net.Conn, id string, _, _ int) bool {
-		say(conn, answerOf("200 OK", id, "Cresspond-Seal: s\r\nKeep-Alive: timeout=4\r\n", "pong"))
+		writeText(conn, responseText("200 OK", id, "Cresspond-Seal: s\r\nKeep-Alive: timeout=4\r\n", "pong"))
 		return true
 	})
 	first := attempt(h, e.address, "a0")
-	warm := func(careful bool) bool { return pools.Warm(first.Engine, first.Address, first.Pool, careful) }
+	warm := func(notRepeatable bool) bool {
+		return pools.HasIdle(first.Engine, first.Address, first.Pool, notRepeatable)
+	}
 	if warm(false) || warm(true) {
 		t.Error("warm before any connection")
 	}
-	if _, body, err := carry(pools, first); body != "pong" || err != nil {
+	if _, body, err := sendAndRead(pools, first); body != "pong" || err != nil {
 		t.Fatal(body, err)
 	}
-	for _, one := range []struct {
+	for _, test := range []struct {
 		after         time.Duration
 		warm, careful bool
 	}{{2700 * time.Millisecond, true, true}, {200 * time.Millisecond, true, false}, {900 * time.Millisecond, false, false}} {
-		h.advance(one.after)
-		if warm(false) != one.warm || warm(true) != one.careful {
-			t.Errorf("%v later: %t, careful %t", one.after, warm(false), warm(true))
+		h.advance(test.after)
+		if warm(false) != test.warm || warm(true) != test.careful {
+			t.Errorf("%v later: %t, careful %t", test.after, warm(false), warm(true))
 		}
 	}
 }
--- a/process/engines/connectionpool/fuzz_test.go
+++ b/process/engines/connectionpool/fuzz_test.go
@@ -17,13 +17,13 @@
 	"github.com/cresspond/cresspond/wire/dialect"
 )
 
-// script is a connection whose far end says what a test wants, and then ends.
-type script struct {
+// scriptedConn is a connection whose far end says what a test wants, and then ends.
+type scriptedConn struct {
 	io.Reader
 	reset bool
 }
 
-func (s *script) Read(p []byte) (int, error) {
+func (s *scriptedConn) Read(p []byte) (int, error) {
 	n, err := s.Reader.Read(p)
 	if err == io.EOF && s.reset {
 		err = &net.OpError{Op: "read", Err: syscall.ECONNRESET}
@@ -31,13 +31,13 @@
 	return n, err
 }
 
-func (s *script) Write(p []byte) (int, error)      { return len(p), nil }
-func (s *script) Close() error                     { return nil }
-func (s *script) LocalAddr() net.Addr              { return &net.TCPAddr{} }
-func (s *script) RemoteAddr() net.Addr             { return &net.TCPAddr{} }
-func (s *script) SetDeadline(time.Time) error      { return nil }
-func (s *script) SetReadDeadline(time.Time) error  { return nil }
-func (s *script) SetWriteDeadline(time.Time) error { return nil }
+func (s *scriptedConn) Write(p []byte) (int, error)      { return len(p), nil }
+func (s *scriptedConn) Close() error                     { return nil }
+func (s *scriptedConn) LocalAddr() net.Addr              { return &net.TCPAddr{} }
+func (s *scriptedConn) RemoteAddr() net.Addr             { return &net.TCPAddr{} }
+func (s *scriptedConn) SetDeadline(time.Time) error      { return nil }
+func (s *scriptedConn) SetReadDeadline(time.Time) error  { return nil }
+func (s *scriptedConn) SetWriteDeadline(time.Time) error { return nil }
 
 // answerBody reads the first answer with the standard library, which must agree on what is whole.
 func answerBody(data []byte) (body []byte, err error) {
@@ -58,42 +58,42 @@
 // whole, the standard library reads the same body, and nothing that was sent counts as never sent.
 func FuzzEngineAnswer(f *testing.F) {
 	for _, text := range []string{
-		sealed("a", "pong"), refusal("503 Service Unavailable", "a"), refusal("421 Misdirected Request", "a"), sealed("b", "x") + sealed("a", "pong"),
+		sealedResponse("a", "pong"), rejectionResponse("503 Service Unavailable", "a"), rejectionResponse("421 Misdirected Request", "a"), sealedResponse("b", "x") + sealedResponse("a", "pong"),
 		"HTTP/1.1 200 OK\r\nX-Attempt-Id: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\npon\r\n1\r\ng\r\n0\r\n\r\n",
-		"HTTP/1.1 200 OK\r\nX-Attempt-Id: a\r\n\r\npong", "HTTP/1.1 102 Processing\r\n\r\n" + sealed("a", "pong"),
+		"HTTP/1.1 200 OK\r\nX-Attempt-Id: a\r\n\r\npong", "HTTP/1.1 102 Processing\r\n\r\n" + sealedResponse("a", "pong"),
 		"HTTP/1.1 200 OK\r\nX-Attempt-Id: a\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nX-Attempt-Id: a\r\nContent-Length: 4\r\nContent-Length: 2\r\n\r\npong",
 		"HTTP/1.1 204 No Content\r\nX-Attempt-Id: a\r\n\r\n", "HTTP/1.0 200 OK\r\nX-Attempt-Id: a\r\nKeep-Alive: timeout=9, max=1\r\nContent-Length: 1\r\n\r\np",
-		sealed("a", "pong") + sealed("a", "again"),
+		sealedResponse("a", "pong") + sealedResponse("a", "again"),
 	} {
 		f.Add([]byte(text), false)
 		f.Add([]byte(text), true)
 	}
 	f.Fuzz(func(t *testing.T, data []byte, reset bool) {
-		h := newHands()
+		h := newFakeClock()
 		pools := New(h, dialect.Own(), WithDial(func(context.Context, string) (net.Conn, error) {
-			return &script{bytes.NewReader(data), reset}, nil
+			return &scriptedConn{bytes.NewReader(data), reset}, nil
 		}))
 		answer := pools.Send(attempt(h, "engine:1", "a"))
 		switch answer.Outcome {
-		case Answered:
-		case HeldBack, NeverSent:
+		case OutcomeAnswered:
+		case OutcomeWithheld, OutcomeUnreachable:
 			t.Fatalf("%s, though the request was sent", answer.Outcome)
-		case Refused, Misdirected:
-			if !answer.Head.NotRun {
+		case OutcomeRejected, OutcomeMisdirected:
+			if !answer.Header.NotRun {
 				t.Fatal("a promise that the engine did not give")
 			}
 			return
 		default:
 			return
 		}
-		if answer.Head.Attempt != "a" || answer.Response().StatusCode() < 200 {
-			t.Fatalf("another's answer: %+v", answer.Head)
+		if answer.Header.Attempt != "a" || answer.Response().StatusCode() < 200 {
+			t.Fatalf("another's answer: %+v", answer.Header)
 		}
 		hasLength := answer.Response().Header.ContentLength() >= -1
 		body, err := io.ReadAll(answer)
-		if err == nil != answer.Whole() {
-			t.Fatalf("whole %t, %v", answer.Whole(), err)
+		if err == nil != answer.Complete() {
+			t.Fatalf("whole %t, %v", answer.Complete(), err)
 		}
 		answer.Close()
 		if _, idle := pools.Open(); err != nil && idle > 0 {
@@ -103,7 +103,7 @@
 			return
 		}
 		// Only where the first answer is the one is the library's reading the same.
-		if pools.Counters.Foreign.Load() > 0 {
+		if pools.Counters.ForeignResponses.Load() > 0 {
 			return
 		}
 		if want, wrong := answerBody(data); wrong == nil && !bytes.Equal(body, want) {
@@ -137,10 +137,10 @@
 		}
 		var head fasthttp.RequestHeader
 		request.Header.CopyTo(&head)
-		HopByHop(&head)
+		RemoveHopByHop(&head)
 		own.Dress(&head, dialect.Dress{Engine: "e-1", Left: time.Second, Urgency: 3})
 		body := request.Body()
-		sent := append(appendHead(nil, &head, len(body)), body...)
+		sent := append(appendHeader(nil, &head, len(body)), body...)
 		reader := bufio.NewReader(bytes.NewReader(sent))
 		got, err := http.ReadRequest(reader)
 		if err != nil {
--- a/process/engines/discovery/fetch.go
+++ b/process/engines/discovery/fetch.go
@@ -35,9 +35,9 @@
 	head.SetRequestURI(path)
 	head.SetHost(address)
 	head.Set(engineapi.HeaderAttempt, requestID)
-	response := w.connections.Send(connectionpool.Attempt{Engine: id, Address: address, ID: requestID, Head: head, Dress: func() {}, LastLook: func() string { return "" },
-		Until: w.clock.Elapsed() + clock.Mark(requestTimeout), Cancel: &connectionpool.Cancel{}, Unnamed: connectionpool.UnnamedOnClean})
-	if response.Outcome != connectionpool.Answered {
+	response := w.connections.Send(connectionpool.Attempt{Engine: id, Address: address, ID: requestID, Header: head, PrepareHeader: func() {}, CheckBeforeSend: func() string { return "" },
+		Deadline: w.clock.Elapsed() + clock.Mark(requestTimeout), Cancel: &connectionpool.Canceller{}, MissingID: connectionpool.AllowMissingIDOnIdle})
+	if response.Outcome != connectionpool.OutcomeAnswered {
 		return eris.Errorf("no answer: %s: %s", response.Outcome, response.Reason)
 	}
 	defer response.Close()
