--- a/daemon/status.go
+++ b/daemon/status.go
@@ -11,7 +11,7 @@
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
-// Status is this daemon's own word.
+// Status returns this daemon's status page.
 func (d *Daemon) Status() operatorapi.Status {
 	now := d.clock.Elapsed()
 	ready, why := d.Ready()
@@ -43,8 +43,8 @@
 		}
 	}
 	if d.config.Serves(daemonconfig.Placement) {
-		condition := d.sessionPlacer.Condition()
-		out.Planner = &operatorapi.PlannerStatus{HasLease: condition.Held, Token: condition.Claim, PendingOrders: condition.InFlight}
+		condition := d.sessionPlacer.Status()
+		out.Planner = &operatorapi.PlannerStatus{HasLease: condition.HasLease, Token: condition.Token, PendingOrders: condition.PendingOrders}
 	}
 	for _, peer := range d.members.View().InContact(now, 30*time.Second) {
 		out.Peers = append(out.Peers, operatorapi.Peer{NodeID: peer.NodeID, Address: peer.Address, Zone: peer.Zone, Serve: peer.Roles,
@@ -62,7 +62,8 @@
 	return out
 }
 
-// digestText shows a digest of the state so that two members' can be compared by eye; empty before the first.
+// digestText formats a digest of the state so that those of two members can be compared by eye; empty before the
+// first.
 func digestText(digest raft.StateDigest) string {
 	if digest.Index == 0 {
 		return ""
