--- a/cmd/cresspond/main_test.go
+++ b/cmd/cresspond/main_test.go
@@ -38,9 +38,9 @@
 	return listener.Addr().String(), arrivals
 }
 
-// TestEachDaemonIsAskedOnceAndOnlyAWholeAnswerIsTaken: an unclear answer leads to the next daemon, a clear one does not,
+// TestEachDaemonIsQueriedOnceAndOnlyACompleteResponseCounts: an unclear answer leads to the next daemon, a clear one does not,
 // and what leads elsewhere is not followed.
-func TestEachDaemonIsAskedOnceAndOnlyAWholeAnswerIsTaken(t *testing.T) {
+func TestEachDaemonIsQueriedOnceAndOnlyACompleteResponseCounts(t *testing.T) {
 	const good = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 	elsewhere, followed := daemonEnd(t, good)
 	for name, c := range map[string]struct {
--- a/configuration/closure/closure.go
+++ b/configuration/closure/closure.go
@@ -31,7 +31,7 @@
 	Ranking *RankingDecision `json:"ranking,omitempty"`
 }
 
-// Ranking identifies the decision of the ranking that drained an engine: the planner's claim it was made under, the
+// RankingDecision identifies the decision of the ranking that drained an engine: the planner's claim it was made under, the
 // minted id of its record, and the reason.
 type RankingDecision struct {
 	Token  ident.FencingToken `json:"claim"`
--- a/configuration/compression/fuzz_test.go
+++ b/configuration/compression/fuzz_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzUnpack: any bytes are refused, or come to no more than is allowed and come back when they are packed again.
-func FuzzUnpack(f *testing.F) {
+// FuzzDecompress: any bytes are refused, or come to no more than is allowed and come back when they are packed again.
+func FuzzDecompress(f *testing.F) {
 	f.Add([]byte(nil))
 	f.Add(Compress([]byte(`{"name":"n"}`)))
 	f.Add(Compress(bytes.Repeat([]byte("path"), 10_000)))
--- a/configuration/compression/packed_test.go
+++ b/configuration/compression/packed_test.go
@@ -9,7 +9,7 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-func TestWhatIsPackedComesBack(t *testing.T) {
+func TestCompressedBytesRoundTrip(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(7))
 	properties.Property("any bytes come back, and no bytes make it panic", prop.ForAll(func(raw []byte) bool {
 		back, err := Decompress(Compress(raw))
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestABundleIsItsBytesPackedOrNot(t *testing.T) {
+func TestBundleRawDecompressesOnlyCompressedData(t *testing.T) {
 	for _, b := range []Bundle{{}, {Data: []byte("x")}, {Data: Compress([]byte("x")), Compressed: true}, {Compressed: true}} {
 		raw, err := b.Raw()
 		if err != nil || len(b.Data) > 0 && string(raw) != "x" || len(b.Data) == 0 && len(raw) > 0 {
--- a/configuration/document/forward_test.go
+++ b/configuration/document/forward_test.go
@@ -21,7 +21,7 @@
 	}}
 }
 
-func TestABundleOnOpaqueRequestsNeedSayNothingOfSessions(t *testing.T) {
+func TestSessionFieldsAreOptionalWithForwardSection(t *testing.T) {
 	alone := Configuration{Name: "alone", Forward: opaque()}
 	if back, faults := parse(t, alone); len(faults) > 0 || !reflect.DeepEqual(*back, alone) {
 		t.Error(faults)
@@ -40,9 +40,9 @@
 	}
 }
 
-// TestWhatIsSaidOfSessionsIsSaidWhole holds that a bundle is as strict on sessions as without opaque requests,
+// TestSessionFieldsMustBeComplete holds that a bundle is as strict on sessions as without opaque requests,
 // as soon as it says anything of them, and that empty lists are no lists.
-func TestWhatIsSaidOfSessionsIsSaidWhole(t *testing.T) {
+func TestSessionFieldsMustBeComplete(t *testing.T) {
 	empties := []string{"zones", "engines", "models", "routes"}
 	for _, with := range []bool{false, true} {
 		for _, part := range append(empties, "store", "limits") {
@@ -107,7 +107,7 @@
 	{"forward.limits.mostBodyBytes", func(s *upstream.Section) { s.Limits.MaxBodyBytes = -1 }},
 }
 
-func TestFaultsOfOpaqueRequestsAreToldWithTheirPlaces(t *testing.T) {
+func TestForwardFaultsNameTheirPaths(t *testing.T) {
 	for _, one := range opaqueBreaks {
 		s := Configuration{Name: "x", Forward: opaque()}
 		one.spoil(s.Forward)
@@ -117,8 +117,8 @@
 	}
 }
 
-// TestQuickLooksForKeysThatStandTwiceMissNone holds the quick look against the slow walk.
-func TestQuickLooksForKeysThatStandTwiceMissNone(t *testing.T) {
+// TestMayDuplicateKeysMissesNoDuplicate holds the quick look against the slow walk.
+func TestMayDuplicateKeysMissesNoDuplicate(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(17)
 	parameters.MinSuccessfulTests = 2000
 	properties := gopter.NewProperties(parameters)
@@ -173,8 +173,8 @@
 	return "{" + strings.Join(parts, " ,") + "}", rest
 }
 
-// TestReadingWhatWasCommitted holds the quick reading against the strict one.
-func TestReadingWhatWasCommitted(t *testing.T) {
+// TestParseCommittedReadsWhatParseAccepts holds the quick reading against the strict one.
+func TestParseCommittedReadsWhatParseAccepts(t *testing.T) {
 	s := made(3, 4, 5, 6)
 	s.Forward = opaque()
 	s.Forward.Note, s.Forward.Paths[0].Note = json.RawMessage(`{"x":[1.50,"é"]}`), json.RawMessage(`"n"`)
--- a/configuration/document/spec.go
+++ b/configuration/document/spec.go
@@ -95,7 +95,7 @@
 
 func (f Fault) String() string { return f.Path + ": " + f.Reason }
 
-// MostBytes is how large a bundle may be.
+// MaxBytes is how large a bundle may be.
 const MaxBytes = 16 << 20
 
 var fieldValidator = newFieldValidator()
--- a/configuration/document/spec_test.go
+++ b/configuration/document/spec_test.go
@@ -63,7 +63,7 @@
 	{"routes[1].name", func(s *Configuration) { s.Routes = append(s.Routes[:1:1], s.Routes[0]) }},
 }
 
-func TestSoundBundlesPassAndAnySetOfFaultsIsToldWhole(t *testing.T) {
+func TestParseAcceptsValidAndReportsAllFaults(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(5)
 	parameters.MinSuccessfulTests = 150
 	properties := gopter.NewProperties(parameters)
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestKeysThatStandTwiceAreRefused(t *testing.T) {
+func TestDuplicateKeysAreRefused(t *testing.T) {
 	for _, text := range []string{`{"name":"a","name":"b"}`, `{"limits":{"mostHeld":1,"MostHeld":2}}`, `{"zones":[{"name":"a","name":"b"}]}`} {
 		if _, faults := Parse([]byte(text)); len(faults) == 0 || faults[0].Reason != "stands twice" {
 			t.Errorf("%s: %v", text, faults)
--- a/configuration/routingtable/registered_test.go
+++ b/configuration/routingtable/registered_test.go
@@ -9,7 +9,7 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-func TestRegisteredEnginesAreOpenUnlessShutOrDrained(t *testing.T) {
+func TestRegisteredEnginesAreOpenUnlessClosedOrDraining(t *testing.T) {
 	closures := closure.Set{Zones: map[ident.ZoneID]closure.Record{"shut": {}}, Engines: map[ident.EngineID]closure.Record{"drained": {}}}
 	built := Build(1, nil, &document.Configuration{Name: "opaque", Forward: &upstream.Section{Revision: 1}}, closures)
 	for _, c := range []struct {
--- a/configuration/upstream/forward_test.go
+++ b/configuration/upstream/forward_test.go
@@ -21,7 +21,7 @@
 	return out
 }
 
-func TestWhatASectionMayNotSay(t *testing.T) {
+func TestInvalidSectionsAreRefused(t *testing.T) {
 	sound := func() Section {
 		return Section{Revision: 1, Pools: []Pool{{Name: "p", Catalogue: &Catalogue{Models: []Model{{Name: "m"}, {Name: "n"}}}}, {Name: "q"}},
 			Paths: []Path{named("a", "h", "/a/"), named("b", "h", "/b/"), named("c", "g", "/a/")}}
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestTheLongestPrefixOfTheHostWins(t *testing.T) {
+func TestLongestPrefixOfTheHostWins(t *testing.T) {
 	index := NewIndex(&Section{Paths: []Path{named("root", "A.example", "/"), named("deep", "a.example", "/x/y/"), named("mid", "a.example", "/x/"), named("port", "b.example:99", "/")}})
 	for _, c := range []struct{ host, path, want string }{
 		{"a.example", "/", "root"}, {"A.EXAMPLE", "/x", "root"}, {"a.example.", "/x/", "mid"}, {"a.example:80", "/x/y", "mid"}, {"a.example", "/x/y/z?q=/", "deep"},
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestMerging holds a merge against a plain model of what it means.
-func TestMerging(t *testing.T) {
+// TestMergeAppliesUpsertsAndRemovals holds a merge against a plain model of what it means.
+func TestMergeAppliesUpsertsAndRemovals(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(3)
 	parameters.MinSuccessfulTests = 400
 	properties := gopter.NewProperties(parameters)
@@ -125,7 +125,7 @@
 	properties.TestingRun(t)
 }
 
-func TestMergingLimitsAndNotes(t *testing.T) {
+func TestMergeReplacesLimitsAndMergesNotes(t *testing.T) {
 	section := Section{Limits: Limits{MaxBodyBytes: 7, MaxHeaderBytes: 8}, Note: json.RawMessage(`{"a":1,"b":2}`)}
 	merged := section.Merge(&Patch{Limits: &Limits{MaxBodyBytes: 9}, Note: json.RawMessage(`{"b":3,"c":4}`)})
 	if !reflect.DeepEqual(merged.Limits, Limits{MaxBodyBytes: 9}) || string(merged.Note) != `{"a":1,"b":3,"c":4}` {
--- a/connection/adminapi/based_test.go
+++ b/connection/adminapi/based_test.go
@@ -8,8 +8,8 @@
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
-// TestEachActOnANodeNamesTheClosuresItWasLookedUpIn: so that a copy of it which comes late finds itself or is refused.
-func TestEachActOnANodeNamesTheClosuresItWasLookedUpIn(t *testing.T) {
+// TestNodeActionsNameTheClosuresTheyBuildOn: so that a copy of it which comes late finds itself or is refused.
+func TestNodeActionsNameTheClosuresTheyBuildOn(t *testing.T) {
 	for act, page := range map[string]operatorapi.Nodes{
 		"drain": ranks(nodehealth.Allowed, operatorapi.Node{}), "keep": ranks(nodehealth.Allowed, operatorapi.Node{}),
 		"release": ranks(nodehealth.AlreadyClosed, operatorapi.Node{Closed: true, ClosedBy: "ana", ProtectedBy: "ana"}),
--- a/connection/adminapi/nodes_test.go
+++ b/connection/adminapi/nodes_test.go
@@ -47,7 +47,7 @@
 	return operatorapi.Nodes{ClosureVersion: 9, DrainCheck: asked.String(), Nodes: []operatorapi.Node{node}}
 }
 
-func TestOperatorsActOnNodes(t *testing.T) {
+func TestNodeActions(t *testing.T) {
 	byOperator, byRank := operatorapi.Node{Closed: true, ClosedBy: "ana"}, operatorapi.Node{Closed: true, ClosedBy: "ranking", ClosedReason: "stall"}
 	for name, c := range map[string]struct {
 		act    string
@@ -98,14 +98,14 @@
 	}
 }
 
-func TestBothAreReleased(t *testing.T) {
+func TestReleaseEndsDrainingAndProtection(t *testing.T) {
 	p := &planning{page: ranks(nodehealth.AlreadyClosed, operatorapi.Node{Closed: true, ClosedBy: "ana", ProtectedBy: "ana"})}
 	if status, word := post(p, `{"engine":"e","act":"release","operator":"ana"}`); status != 200 || len(p.commands) != 2 || p.commands[0].Op != statemachine.OpProtect || p.commands[1].Op != statemachine.OpClosure {
 		t.Fatalf("%d %+v %+v", status, word, p.commands)
 	}
 }
 
-func TestNodesNeedAPlannerAndAWholeBody(t *testing.T) {
+func TestNodeActionNeedsAPlannerAndACompleteBody(t *testing.T) {
 	if status, _ := post(&planning{silent: true}, `{"engine":"e","act":"drain","operator":"ana"}`); status != 503 {
 		t.Fatal(status)
 	}
--- a/process/consensus/statemachine/closures_test.go
+++ b/process/consensus/statemachine/closures_test.go
@@ -12,12 +12,12 @@
 	return Command{Op: OpClosure, Operator: "ana", Zone: ident.ZoneID(fmt.Sprint("z", i/2)), Closed: i%2 == 0, Base: ident.Version(i), HasBase: true}
 }
 
-// TestAnOldClosureSentAgainIsNeverRefused sends every closure of a long chain again at its end.
-func TestAnOldClosureSentAgainIsNeverRefused(t *testing.T) {
+// TestRetryOfAnOldClosureIsNeverRefused retries every closure of a long chain at its end.
+func TestRetryOfAnOldClosureIsNeverRefused(t *testing.T) {
 	const closures = 3 * maxClosureChanges
 	state := New()
 	for i := range closures {
-		if r := state.do(t, closureCommand(i)); r.Outcome != Done {
+		if r := state.applyCommand(t, closureCommand(i)); r.Outcome != Done {
 			t.Fatal(i, r)
 		}
 	}
@@ -26,26 +26,26 @@
 		if i < closures-maxClosureChanges {
 			want = Unproven
 		}
-		if r := state.do(t, closureCommand(i)); r.Outcome != want || state.Closures.Version != closures {
+		if r := state.applyCommand(t, closureCommand(i)); r.Outcome != want || state.Closures.Version != closures {
 			t.Errorf("closure %d was taken, and sent again: %s %s", i, r.Outcome, r.Reason)
 		}
 	}
 	rival := closureCommand(closures - 1)
 	rival.Operator = "berta"
-	if r := state.do(t, rival); r.Outcome != Conflict || r.Winner != "ana" {
+	if r := state.applyCommand(t, rival); r.Outcome != Conflict || r.Winner != "ana" {
 		t.Errorf("the newest closure's rival: %+v", r)
 	}
 }
 
-// TestARefusedClosureNeverTakesEffect refuses closures on a base to come, and sends them again once it has come.
-func TestARefusedClosureNeverTakesEffect(t *testing.T) {
+// TestRefusedClosureNeverTakesEffect refuses closures on a base not in force yet, and sends them again once it has come.
+func TestRefusedClosureNeverTakesEffect(t *testing.T) {
 	state := New()
 	ahead := func(i int) Command {
 		return Command{Op: OpClosure, Operator: fmt.Sprint("operator-", i), Zone: "z9", Closed: true, Base: 1, HasBase: true}
 	}
 	refused := map[int]bool{}
 	for i := range 2 * maxClosureChanges {
-		switch r := state.do(t, ahead(i)); r.Outcome {
+		switch r := state.applyCommand(t, ahead(i)); r.Outcome {
 		case Conflict:
 			refused[i] = true
 		case Unproven:
@@ -54,16 +54,16 @@
 		}
 	}
 	if len(refused) != maxClosureChanges || state.Closures.Version != 0 {
-		t.Errorf("%d were refused, epoch %d", len(refused), state.Closures.Version)
+		t.Errorf("%d were refused, version %d", len(refused), state.Closures.Version)
 	}
-	state.do(t, closureCommand(0))
+	state.applyCommand(t, closureCommand(0))
 	for i := range 2 * maxClosureChanges {
 		restored, err := Restore(state.Snapshot())
 		if err != nil {
 			t.Fatal(err)
 		}
 		state = restored
-		if r := state.do(t, ahead(i)); refused[i] && r.Outcome != Conflict {
+		if r := state.applyCommand(t, ahead(i)); refused[i] && r.Outcome != Conflict {
 			t.Fatalf("closure %d was refused, and sent again: %s", i, r.Outcome)
 		}
 	}
--- a/process/consensus/statemachine/digest_test.go
+++ b/process/consensus/statemachine/digest_test.go
@@ -61,7 +61,7 @@
 }
 
 // The broken variant: any part of the state that is another makes another digest.
-func TestDigestTellsEachPartOfTheState(t *testing.T) {
+func TestDigestDependsOnEachFieldOfTheState(t *testing.T) {
 	for name, change := range map[string]func(*State){
 		"time":     func(s *State) { s.Now++ },
 		"workers":  func(s *State) { s.Workers.Floors[3] = 4 },
@@ -80,7 +80,7 @@
 	}
 	first, again := DigestSchema("a"), DigestSchema("a")
 	if first == DigestSchema("b") || first != again {
-		t.Error("the form does not tell builds apart")
+		t.Error("the schema does not distinguish builds")
 	}
 }
 
@@ -160,18 +160,18 @@
 
 // A snapshot without a part of the state is refused: applying to it would end the process.
 func TestIncompleteSnapshotIsRefused(t *testing.T) {
-	whole := string(New().Snapshot())
-	if _, err := Restore([]byte(whole)); err != nil {
+	complete := string(New().Snapshot())
+	if _, err := Restore([]byte(complete)); err != nil {
 		t.Fatal(err)
 	}
 	for _, part := range []string{`"workers":{`, `"proposals":{}`, `"zones":{}`, `"engines":{}`, `"tenures":{}`, `"floors":{}`} {
 		key := part[:strings.Index(part, ":")]
 		var broken map[string]any
-		if err := json.Unmarshal([]byte(whole), &broken); err != nil {
+		if err := json.Unmarshal([]byte(complete), &broken); err != nil {
 			t.Fatal(err)
 		}
-		if !removePart(broken, strings.Trim(key, `"`)) {
-			t.Fatalf("no %s in %s", key, whole)
+		if !removeField(broken, strings.Trim(key, `"`)) {
+			t.Fatalf("no %s in %s", key, complete)
 		}
 		data, err := json.Marshal(broken)
 		if err != nil {
@@ -188,14 +188,14 @@
 	}
 }
 
-// removePart sets a part of a state to null, wherever it stands.
-func removePart(in map[string]any, key string) bool {
+// removeField sets a part of a state to null, wherever it stands.
+func removeField(in map[string]any, key string) bool {
 	if _, found := in[key]; found {
 		in[key] = nil
 		return true
 	}
 	for _, inner := range in {
-		if deeper, isMap := inner.(map[string]any); isMap && removePart(deeper, key) {
+		if deeper, isMap := inner.(map[string]any); isMap && removeField(deeper, key) {
 			return true
 		}
 	}
@@ -206,7 +206,7 @@
 func BenchmarkSizeDigest(b *testing.B) {
 	for _, size := range stateSizes {
 		b.Run(size.name, func(b *testing.B) {
-			s := grown(b, size.daemons, size.engines, size.left, size.bundles, size.packedBundles)
+			s := stateOfSize(b, size.daemons, size.engines, size.left, size.bundles, size.packedBundles)
 			b.ReportAllocs()
 			bytes := 0
 			for b.Loop() {
--- a/process/consensus/statemachine/fuzz_test.go
+++ b/process/consensus/statemachine/fuzz_test.go
@@ -12,7 +12,7 @@
 func fuzzedState(f *testing.F) *State {
 	f.Helper()
 	state := New()
-	for _, r := range repeats() {
+	for _, r := range retryCases() {
 		for _, c := range append(append([]Command{}, r.before...), r.command) {
 			c.At = 1000
 			data, err := json.Marshal(c)
@@ -40,7 +40,7 @@
 	}
 	f.Add([]byte(`{"closures":{"epoch":3,"zones":{},"engines":{"e":{"operator":"ana","at":1,"epoch":3}}}}`))
 	var commands [][]byte
-	for _, r := range repeats() {
+	for _, r := range retryCases() {
 		for _, c := range append(append([]Command{}, r.before...), r.command) {
 			data, err := json.Marshal(c)
 			if err != nil {
@@ -62,8 +62,8 @@
 		if !bytes.Equal(first, again.Snapshot()) {
 			t.Fatal("it is another state once it was written and read")
 		}
-		for epoch := ident.Version(0); epoch <= state.Version(); epoch++ {
-			state.ProposalAt(epoch)
+		for version := ident.Version(0); version <= state.Version(); version++ {
+			state.ProposalAt(version)
 		}
 		state.DepartedSince(0)
 		state.ServingDaemons()
@@ -76,7 +76,7 @@
 
 // FuzzCommand: an entry of any content is refused, or leaves a state that can be written and read.
 func FuzzCommand(f *testing.F) {
-	for _, r := range repeats() {
+	for _, r := range retryCases() {
 		data, err := json.Marshal(r.command)
 		if err != nil {
 			f.Fatal(err)
@@ -90,9 +90,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			now, epoch, claim := state.Now, state.Version(), state.PlannerLease.Token
+			now, version, acquirePlanner := state.Now, state.Version(), state.PlannerLease.Token
 			state.Apply(data)
-			if state.Now < now || state.Version() < epoch || state.Version() > epoch+1 || state.PlannerLease.Token < claim {
+			if state.Now < now || state.Version() < version || state.Version() > version+1 || state.PlannerLease.Token < acquirePlanner {
 				t.Fatalf("the state went back: %q", data)
 			}
 			snapshot := state.Snapshot()
--- a/process/consensus/statemachine/statemachine_test.go
+++ b/process/consensus/statemachine/invariants_test.go
@@ -12,8 +12,8 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// command makes one command of a made-up history out of a few bytes.
-func command(raw []uint8) Command {
+// randomHistoryCommand makes one command of a random history out of a few bytes.
+func randomHistoryCommand(raw []uint8) Command {
 	ops := []Op{OpAcquire, OpRenew, OpRelease, OpReclaim, OpPropose, OpReview, OpSignOff, OpRollOut, OpClosure, OpAcquirePlanner, OpReleasePlanner}
 	names := []string{"ana", "berta", "chen"}
 	return Command{
@@ -23,18 +23,18 @@
 	}
 }
 
-// TestHistories runs made-up histories and holds what must be true after every command, whether or
+// TestInvariantsHoldOverRandomHistories runs random histories and holds what must be true after every command, whether or
 // not the state went through a snapshot on the way.
-func TestHistories(t *testing.T) {
+func TestInvariantsHoldOverRandomHistories(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(23)
 	parameters.MinSuccessfulTests = 60
 	properties := gopter.NewProperties(parameters)
 	properties.Property("invariants hold and snapshots change nothing", prop.ForAll(func(history [][]uint8) string {
 		straight, snapped := New(), New()
 		var now ident.GroupTime
-		var claims ident.FencingToken
+		var token ident.FencingToken
 		for i, raw := range history {
-			data, err := json.Marshal(command(raw))
+			data, err := json.Marshal(randomHistoryCommand(raw))
 			if err != nil {
 				return err.Error()
 			}
@@ -53,19 +53,19 @@
 			case straight.Now < now:
 				return "the group's time went back"
 			case straight.Version() < before || straight.Version() > before+1:
-				return "the epoch jumped"
-			case straight.PlannerLease.Token < claims:
-				return "the claim's number fell"
+				return "the version jumped"
+			case straight.PlannerLease.Token < token:
+				return "the lease's number fell"
 			}
-			now, claims = straight.Now, straight.PlannerLease.Token
-			for epoch, id := range straight.History {
+			now, token = straight.Now, straight.PlannerLease.Token
+			for version, id := range straight.History {
 				p := straight.Proposals[id]
-				if p.Stage != StageRolledOut || p.Version != ident.Version(epoch+1) || p.Base != ident.Version(epoch) {
-					return fmt.Sprintf("%s stands at epoch %d as %s on base %d", id, epoch+1, p.Stage, p.Base)
+				if p.Stage != StageRolledOut || p.Version != ident.Version(version+1) || p.Base != ident.Version(version) {
+					return fmt.Sprintf("%s stands at version %d as %s on base %d", id, version+1, p.Stage, p.Base)
 				}
 				signedByOther := false
-				for _, mark := range p.SignOffs {
-					if mark.Operator == p.Proposed.Operator {
+				for _, record := range p.SignOffs {
+					if record.Operator == p.Proposed.Operator {
 						return id + " was signed by its author"
 					}
 					signedByOther = true
@@ -83,7 +83,7 @@
 	properties.TestingRun(t)
 }
 
-func TestAClaimWaitsOutTheOldOneAndTheGap(t *testing.T) {
+func TestPlannerLeaseWaitsForExpiryAndQuietPeriod(t *testing.T) {
 	s := New()
 	apply := func(op Op, node string, at ident.GroupTime) Result {
 		data, err := json.Marshal(Command{Op: op, NodeID: ident.NodeID(node), At: at, LeaseMs: 4000, HandoverGapMs: 3000})
@@ -103,7 +103,7 @@
 			t.Fatal(at, r)
 		}
 	}
-	// The old holder too gets a new number once its claim has lapsed, and waits like any other.
+	// The old holder too gets a new token once its lease has expired, and waits like any other.
 	if r := apply(OpAcquirePlanner, "a", 8999); r.Outcome != Waiting {
 		t.Fatal(r)
 	}
@@ -119,12 +119,12 @@
 	}
 }
 
-// Where a holder tells of every order, its successor waits for the claim to lapse and for the quiet time after
-// the last order told of, whichever is later.
-func TestAClaimThatTellsIsFreeSooner(t *testing.T) {
+// Where a holder announces every order, its successor waits for the lease to expire and for the quiet time after
+// the last announced order, whichever is later.
+func TestPlannerLeaseOfAnAnnouncingHolderIsFreeSooner(t *testing.T) {
 	state := New()
-	apply := func(node ident.NodeID, at ident.GroupTime, told *Announcement) Result {
-		data, err := json.Marshal(Command{Op: OpAcquirePlanner, NodeID: node, At: at, LeaseMs: 3000, HandoverGapMs: 3800, AnnouncesAll: true, Announcement: told})
+	apply := func(node ident.NodeID, at ident.GroupTime, announcement *Announcement) Result {
+		data, err := json.Marshal(Command{Op: OpAcquirePlanner, NodeID: node, At: at, LeaseMs: 3000, HandoverGapMs: 3800, AnnouncesAll: true, Announcement: announcement})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -132,14 +132,14 @@
 	}
 	apply("a", 10_000, nil)
 	if r := apply("b", 12_999, nil); r.Outcome != Waiting {
-		t.Fatalf("got the claim while it was held: %+v", r)
+		t.Fatalf("got the lease while it was held: %+v", r)
 	}
 	if r := apply("b", 13_000, nil); r.Outcome != Done || r.PlannerLease.Token != 2 {
 		t.Fatalf("nothing was ordered, so nothing has to be waited for: %+v", r)
 	}
 	apply("b", 14_000, &Announcement{})
 	if r := apply("c", 17_799, nil); r.Outcome != Waiting {
-		t.Fatalf("got the claim too soon after the last order: %+v", r)
+		t.Fatalf("got the lease too soon after the last order: %+v", r)
 	}
 	if r := apply("c", 17_800, nil); r.Outcome != Done || r.PlannerLease.Token != 3 {
 		t.Fatalf("the quiet time has passed: %+v", r)
--- a/process/consensus/statemachine/memory_test.go
+++ b/process/consensus/statemachine/memory_test.go
@@ -10,60 +10,60 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// win applies order number i of a chain in which each builds on the one before: order i leads from revision i to i+1.
-func (s *State) win(t testing.TB, i int) Result {
+// applyChained applies apply request number i of a chain in which each builds on the one before: apply request i leads from revision i to i+1.
+func (s *State) applyChained(t testing.TB, i int) Result {
 	t.Helper()
-	return s.do(t, Command{Op: OpApply, Digest: fmt.Sprint("d", i), BaseRevision: ident.Revision(i), Revision: ident.Revision(i + 1), Configuration: []byte("x")})
+	return s.applyCommand(t, Command{Op: OpApply, Digest: fmt.Sprint("d", i), BaseRevision: ident.Revision(i), Revision: ident.Revision(i + 1), Configuration: []byte("x")})
 }
 
-// TestAnOldWinnerSentAgainIsNeverRefused sends every order of a long chain again at its end.
-func TestAnOldWinnerSentAgainIsNeverRefused(t *testing.T) {
+// TestRetryOfAnOldApplyIsNeverRefused retries every apply request of a long chain at its end.
+func TestRetryOfAnOldApplyIsNeverRefused(t *testing.T) {
 	const orders = 4096 + 300
 	state := New()
 	for i := range orders {
-		if r := state.win(t, i); r.Outcome != Done {
+		if r := state.applyChained(t, i); r.Outcome != Done {
 			t.Fatal(i, r)
 		}
 	}
 	for i := range orders {
-		if r := state.win(t, i); r.Outcome == Conflict || r.Outcome == Malformed || r.Revision != orders {
-			t.Fatalf("order %d was taken, and sent again: %+v", i, r)
+		if r := state.applyChained(t, i); r.Outcome == Conflict || r.Outcome == Malformed || r.Revision != orders {
+			t.Fatalf("apply request %d took effect, and was retried: %+v", i, r)
 		}
 	}
 }
 
-// TestARefusedOrderNeverWins refuses many orders on one base to come, and sends them all again once it has come.
-func TestARefusedOrderNeverWins(t *testing.T) {
+// TestRefusedApplyNeverTakesEffect refuses many apply requests on one base not in force yet, and sends them all again once it has come.
+func TestRefusedApplyNeverTakesEffect(t *testing.T) {
 	state := New()
 	refused := map[string]bool{}
 	ahead := func(i int) Command {
 		return Command{Op: OpApply, Digest: fmt.Sprint("ahead", i), BaseRevision: 1, Revision: 2, Configuration: []byte("x")}
 	}
 	for i := range 600 {
-		if r := state.do(t, ahead(i)); r.Outcome == Conflict {
+		if r := state.applyCommand(t, ahead(i)); r.Outcome == Conflict {
 			refused[ahead(i).Digest] = true
 		}
 	}
 	if len(refused) == 0 {
 		t.Error("nothing was refused")
 	}
-	state.win(t, 0)
+	state.applyChained(t, 0)
 	for i := range 600 {
-		if r := state.do(t, ahead(i)); r.Outcome == Done && refused[ahead(i).Digest] {
+		if r := state.applyCommand(t, ahead(i)); r.Outcome == Done && refused[ahead(i).Digest] {
 			t.Fatalf("%s was refused and won", ahead(i).Digest)
 		}
 	}
 }
 
-// memoryModel is what an operator may rest on: what it was told of each order, for ever.
+// memoryModel is what an operator may rely on: the outcomes that it was given for each apply request.
 type memoryModel struct {
-	taken, refused map[string]bool
+	committed, refused map[string]bool
 	// wonOn is who won each base.
 	wonOn map[ident.Revision]string
 }
 
-// judge notes one answer, and says what is wrong with it.
-func (m *memoryModel) judge(c Command, before ident.Revision, r Result) string {
+// check records one outcome, and says what is wrong with it.
+func (m *memoryModel) check(c Command, before ident.Revision, r Result) string {
 	switch r.Outcome {
 	case Done:
 		if m.refused[c.Digest] {
@@ -72,13 +72,13 @@
 		if other, won := m.wonOn[c.BaseRevision]; won && other != c.Digest {
 			return "is taken on the base that " + other + " won"
 		}
-		if !m.taken[c.Digest] && c.BaseRevision != before {
+		if !m.committed[c.Digest] && c.BaseRevision != before {
 			return "is taken for the first time on a base that is not in force"
 		}
-		m.taken[c.Digest], m.wonOn[c.BaseRevision] = true, c.Digest
+		m.committed[c.Digest], m.wonOn[c.BaseRevision] = true, c.Digest
 	case Conflict:
-		if m.taken[c.Digest] {
-			return "was taken and is refused"
+		if m.committed[c.Digest] {
+			return "took effect and is refused"
 		}
 		m.refused[c.Digest] = true
 	case Unproven:
@@ -91,41 +91,41 @@
 	return ""
 }
 
-// rememberingBreak names a way to break what is remembered of orders.
+// rememberingBreak names a way to break what is remembered of apply requests.
 type rememberingBreak string
 
 const (
-	rememberingSound rememberingBreak = ""
-	takenForgotten   rememberingBreak = "an order that is forgotten is refused"
-	refusedForgotten rememberingBreak = "a refusal is forgotten to make room"
-	refusedTooSoon   rememberingBreak = "a refusal is forgotten when its base comes in force"
+	rememberingSound   rememberingBreak = ""
+	committedForgotten rememberingBreak = "an order that is forgotten is refused"
+	refusedForgotten   rememberingBreak = "a refusal is forgotten to make room"
+	refusedTooSoon     rememberingBreak = "a refusal is forgotten when its base comes in force"
 )
 
 // breakState does to a state what a broken rule would have done.
 func (b rememberingBreak) breakState(s *State) {
 	switch b {
-	case takenForgotten:
+	case committedForgotten:
 		s.AppliesKnownFrom = 0
 	case refusedForgotten:
 		s.RejectedAhead = s.RejectedAhead[max(0, len(s.RejectedAhead)-1):]
 	case refusedTooSoon:
-		kept := s.RejectedAhead[:0:0]
+		retained := s.RejectedAhead[:0:0]
 		for _, o := range s.RejectedAhead {
 			if o.Base > s.Revision {
-				kept = append(kept, o)
+				retained = append(retained, o)
 			}
 		}
-		s.RejectedAhead = kept
+		s.RejectedAhead = retained
 	}
 }
 
-// playMemory sends orders of two operators, new ones and old ones again, to a state that remembers little, with
+// playMemory sends apply requests of two operators, new ones and old ones again, to a state that remembers little, with
 // bundles that are signed off between them, and through snapshots.
 func playMemory(t *testing.T, seed uint64, broken rememberingBreak) (fault string, clear, unproven int) {
 	random := rand.New(rand.NewPCG(seed, 18))
 	tiny := Limits{Versions: 4, RejectedApplies: 3}
 	state := New(WithLimits(tiny))
-	model := memoryModel{taken: map[string]bool{}, refused: map[string]bool{}, wonOn: map[ident.Revision]string{}}
+	model := memoryModel{committed: map[string]bool{}, refused: map[string]bool{}, wonOn: map[ident.Revision]string{}}
 	var sent []Command
 	for step := range 400 {
 		var c Command
@@ -147,8 +147,8 @@
 		if c.BaseRevision > before && random.IntN(2) == 0 {
 			sending.Configuration, sending.Revision = nil, 0
 		}
-		r := state.do(t, sending)
-		if fault := model.judge(c, before, r); fault != "" {
+		r := state.applyCommand(t, sending)
+		if fault := model.check(c, before, r); fault != "" {
 			return fmt.Sprintf("step %d: %s on base %d, at revision %d, %s", step, c.Digest, c.BaseRevision, before, fault), clear, unproven
 		}
 		if r.Outcome == Unproven {
@@ -157,10 +157,10 @@
 			clear++
 		}
 		if random.IntN(20) == 0 {
-			rollSigned(t, state, fmt.Sprint("signed", step))
+			rollOutSigned(t, state, fmt.Sprint("signed", step))
 		}
 		if len(state.History) > tiny.Versions || len(state.RejectedAhead) > tiny.RejectedApplies {
-			return fmt.Sprintf("%d epochs and %d refusals are remembered", len(state.History), len(state.RejectedAhead)), clear, unproven
+			return fmt.Sprintf("%d versions and %d refusals are remembered", len(state.History), len(state.RejectedAhead)), clear, unproven
 		}
 		if random.IntN(8) == 0 {
 			restored, err := Restore(state.Snapshot(), WithLimits(tiny))
@@ -174,20 +174,20 @@
 	return "", clear, unproven
 }
 
-// rollSigned puts a bundle in force by the four steps.
-func rollSigned(t *testing.T, state *State, id string) {
+// rollOutSigned puts a bundle in force by the four steps.
+func rollOutSigned(t *testing.T, state *State, id string) {
 	for _, c := range []Command{
 		{Op: OpPropose, ProposalID: id, Base: state.Version(), Operator: "ana", Configuration: []byte{1}}, {Op: OpReview, ProposalID: id, Operator: "berta"},
 		{Op: OpSignOff, ProposalID: id, Operator: "chen"}, {Op: OpRollOut, ProposalID: id, Operator: "ana"},
 	} {
-		if r := state.do(t, c); r.Outcome != Done {
+		if r := state.applyCommand(t, c); r.Outcome != Done {
 			t.Fatal(r)
 		}
 	}
 }
 
-// TestWhatIsForgottenHasNoClearAnswer holds the rule with bounds so small that forgetting is met all the time.
-func TestWhatIsForgottenHasNoClearAnswer(t *testing.T) {
+// TestForgottenApplyIsUnproven checks the rule with limits so small that requests are forgotten all the time.
+func TestForgottenApplyIsUnproven(t *testing.T) {
 	clear, unproven := 0, 0
 	for seed := range uint64(100) {
 		fault, c, u := playMemory(t, seed, rememberingSound)
@@ -202,9 +202,9 @@
 	}
 }
 
-// TestTheMemoryCheckerBites breaks the rule on purpose.
-func TestTheMemoryCheckerBites(t *testing.T) {
-	for _, broken := range []rememberingBreak{takenForgotten, refusedForgotten, refusedTooSoon} {
+// TestMemoryCheckerDetectsBrokenVariants breaks the rule on purpose.
+func TestMemoryCheckerDetectsBrokenVariants(t *testing.T) {
+	for _, broken := range []rememberingBreak{committedForgotten, refusedForgotten, refusedTooSoon} {
 		t.Run(string(broken), func(t *testing.T) {
 			for seed := range uint64(300) {
 				if fault, _, _ := playMemory(t, seed, broken); fault != "" {
@@ -217,29 +217,29 @@
 	}
 }
 
-// TestTheFirstAndTheSignedStayKnown looks at what is left of epochs that were dropped.
-func TestTheFirstAndTheSignedStayKnown(t *testing.T) {
+// TestFirstAndSignedVersionsAreNeverDropped looks at what is left of versions that were dropped.
+func TestFirstAndSignedVersionsAreNeverDropped(t *testing.T) {
 	state := New(WithLimits(Limits{Versions: 4, RejectedApplies: 3}))
-	state.win(t, 0)
-	rollSigned(t, state, "signed")
+	state.applyChained(t, 0)
+	rollOutSigned(t, state, "signed")
 	for i := 2; i < 20; i++ {
-		state.win(t, i)
+		state.applyChained(t, i)
 	}
-	for epoch, want := range map[ident.Version]string{1: AppliedID("d0"), 2: "signed", 20: AppliedID("d19"), 17: AppliedID("d16")} {
-		if found, ok := state.ProposalAt(epoch); !ok || found.ID != want || found.Version != epoch {
-			t.Errorf("epoch %d is %+v, want %s", epoch, found, want)
+	for version, want := range map[ident.Version]string{1: AppliedID("d0"), 2: "signed", 20: AppliedID("d19"), 17: AppliedID("d16")} {
+		if found, ok := state.ProposalAt(version); !ok || found.ID != want || found.Version != version {
+			t.Errorf("version %d is %+v, want %s", version, found, want)
 		}
 	}
 	if _, ok := state.ProposalAt(10); ok {
-		t.Error("epoch 10 is still known")
+		t.Error("version 10 is still known")
 	}
 	if state.Version() != 20 || len(state.History) != 4 || len(state.Proposals) != 6 {
-		t.Errorf("epoch %d, %d listed, %d known", state.Version(), len(state.History), len(state.Proposals))
+		t.Errorf("version %d, %d listed, %d known", state.Version(), len(state.History), len(state.Proposals))
 	}
 }
 
-// TestTheSnapshotStopsGrowing measures the snapshot after many orders and after many more.
-func TestTheSnapshotStopsGrowing(t *testing.T) {
+// TestSnapshotSizeIsBounded measures the snapshot after many apply requests and after many more.
+func TestSnapshotSizeIsBounded(t *testing.T) {
 	state := New(WithLimits(Limits{Versions: 50, RejectedApplies: 3}))
 	size := map[int]int{}
 	for i := range 2001 {
@@ -248,20 +248,20 @@
 		if i == 0 {
 			base = 0
 		}
-		state.do(t, Command{Op: OpApply, Digest: fmt.Sprint("d", 1000+i), BaseRevision: base, Revision: ident.Revision(1001 + i), Configuration: []byte("x")})
+		state.applyCommand(t, Command{Op: OpApply, Digest: fmt.Sprint("d", 1000+i), BaseRevision: base, Revision: ident.Revision(1001 + i), Configuration: []byte("x")})
 		size[i] = len(state.Snapshot())
 	}
 	if state.Revision != 3001 || size[2000] > size[200]+200 {
-		t.Errorf("revision %d: %d bytes after 200 orders, %d after 2,000", state.Revision, size[200], size[2000])
+		t.Errorf("revision %d: %d bytes after 200 apply requests, %d after 2,000", state.Revision, size[200], size[2000])
 	}
 }
 
-// TestAStateOfAnEarlierBuildProvesNoMoreThanItKnows reads a snapshot whose oldest orders an earlier build forgot
+// TestSnapshotOfAnEarlierBuildProvesNoMoreThanItRemembers reads a snapshot whose oldest apply requests an earlier build forgot
 // without a note, and which lists refusals without their base.
-func TestAStateOfAnEarlierBuildProvesNoMoreThanItKnows(t *testing.T) {
+func TestSnapshotOfAnEarlierBuildProvesNoMoreThanItRemembers(t *testing.T) {
 	state := New()
 	for i := range 30 {
-		state.win(t, i)
+		state.applyChained(t, i)
 	}
 	for i := 1; i < 10; i++ {
 		delete(state.Proposals, AppliedID(fmt.Sprint("d", i)))
@@ -281,29 +281,29 @@
 	for _, limits := range []Limits{DefaultLimits(), {Versions: 20, RejectedApplies: 3}, {Versions: 8, RejectedApplies: 3}} {
 		restored, err := Restore(data, WithLimits(limits))
 		if err != nil || restored.Version() != 30 || restored.Revision != 30 {
-			t.Fatalf("epoch %d, revision %d: %v", restored.Version(), restored.Revision, err)
+			t.Fatalf("version %d, revision %d: %v", restored.Version(), restored.Revision, err)
 		}
 		for i := range 30 {
-			if r := restored.win(t, i); r.Outcome == Conflict {
-				t.Errorf("%+v: order %d was taken and is refused", limits, i)
+			if r := restored.applyChained(t, i); r.Outcome == Conflict {
+				t.Errorf("%+v: apply request %d took effect and is refused", limits, i)
 			}
 		}
-		if r := restored.win(t, 29); r.Outcome != Done {
-			t.Errorf("%+v: the newest order again: %+v", limits, r)
+		if r := restored.applyChained(t, 29); r.Outcome != Done {
+			t.Errorf("%+v: the newest apply request again: %+v", limits, r)
 		}
-		if r := restored.do(t, Command{Op: OpApply, Digest: "rival", BaseRevision: 29, Revision: 31, Configuration: []byte("x")}); r.Outcome != Conflict {
-			t.Errorf("%+v: the newest order's rival: %+v", limits, r)
+		if r := restored.applyCommand(t, Command{Op: OpApply, Digest: "rival", BaseRevision: 29, Revision: 31, Configuration: []byte("x")}); r.Outcome != Conflict {
+			t.Errorf("%+v: the newest apply request's rival: %+v", limits, r)
 		}
-		if r := restored.do(t, Command{Op: OpApply, Digest: "ahead", BaseRevision: 30, Revision: 31, Configuration: []byte("x")}); r.Outcome != Conflict {
-			t.Errorf("%+v: an order that an earlier build refused: %+v", limits, r)
+		if r := restored.applyCommand(t, Command{Op: OpApply, Digest: "ahead", BaseRevision: 30, Revision: 31, Configuration: []byte("x")}); r.Outcome != Conflict {
+			t.Errorf("%+v: an apply request that an earlier build refused: %+v", limits, r)
 		}
 	}
 }
 
-// TestAbsurdOrdersChangeNothing sends what no operator's call can be.
-func TestAbsurdOrdersChangeNothing(t *testing.T) {
+// TestOutOfRangeAppliesChangeNothing sends requests that no operator can make.
+func TestOutOfRangeAppliesChangeNothing(t *testing.T) {
 	state := New()
-	state.win(t, 0)
+	state.applyChained(t, 0)
 	before := string(state.Snapshot())
 	for name, c := range map[string]Command{
 		"no digest":           {BaseRevision: 1, Revision: 2, Configuration: []byte("x")},
@@ -313,28 +313,28 @@
 		"an absurd revision":  {Digest: "b", BaseRevision: 1, Revision: 1<<64 - 1, Configuration: []byte("x")},
 	} {
 		c.Op = OpApply
-		if r := state.do(t, c); r.Outcome != Malformed || string(state.Snapshot()) != before {
+		if r := state.applyCommand(t, c); r.Outcome != Malformed || string(state.Snapshot()) != before {
 			t.Errorf("%s: %+v", name, r)
 		}
 	}
-	if r := state.do(t, Command{Op: OpPropose, ProposalID: "p", Base: 1, Operator: "ana", Revision: MaxRevision + 1, Configuration: []byte("x")}); r.Outcome != Malformed {
-		t.Errorf("a proposal with an absurd revision: %+v", r)
+	if r := state.applyCommand(t, Command{Op: OpPropose, ProposalID: "p", Base: 1, Operator: "ana", Revision: MaxRevision + 1, Configuration: []byte("x")}); r.Outcome != Malformed {
+		t.Errorf("a proposal with an revision out of range: %+v", r)
 	}
 	// At the highest revision nothing can follow, by neither way.
-	if r := state.do(t, Command{Op: OpApply, Digest: "last", BaseRevision: 1, Revision: MaxRevision, Configuration: []byte("x")}); r.Outcome != Done {
+	if r := state.applyCommand(t, Command{Op: OpApply, Digest: "last", BaseRevision: 1, Revision: MaxRevision, Configuration: []byte("x")}); r.Outcome != Done {
 		t.Fatal(r)
 	}
 	for _, c := range []Command{{Op: OpPropose, ProposalID: "q", Base: 2, Operator: "ana", Configuration: []byte("x")}, {Op: OpReview, ProposalID: "q", Operator: "berta"}, {Op: OpSignOff, ProposalID: "q", Operator: "chen"}} {
-		state.do(t, c)
+		state.applyCommand(t, c)
 	}
-	if r := state.do(t, Command{Op: OpRollOut, ProposalID: "q", Operator: "ana"}); r.Outcome != Exhausted || state.Revision != MaxRevision {
+	if r := state.applyCommand(t, Command{Op: OpRollOut, ProposalID: "q", Operator: "ana"}); r.Outcome != Exhausted || state.Revision != MaxRevision {
 		t.Errorf("a bundle after the last revision: %+v", r)
 	}
 }
 
-// TestASnapshotOfTheBuildBeforeIsRestored reads what the build before this rule wrote: six orders, each two
-// revisions on, one bundle that was signed off, and one order that was refused on revision 14.
-func TestASnapshotOfTheBuildBeforeIsRestored(t *testing.T) {
+// TestSnapshotOfAnEarlierBuildIsRestored reads what the build before this rule wrote: six apply requests, each two
+// revisions on, one bundle that was signed off, and one apply request that was refused on revision 14.
+func TestSnapshotOfAnEarlierBuildIsRestored(t *testing.T) {
 	data, err := os.ReadFile("testdata/snapshot-before-proven-from.json")
 	if err != nil {
 		t.Fatal(err)
@@ -344,21 +344,21 @@
 		t.Fatalf("%+v, %v", state, err)
 	}
 	order := func(digest string, base ident.Revision) Outcome {
-		return state.do(t, Command{Op: OpApply, Digest: digest, BaseRevision: base, Revision: base + 1, Configuration: []byte("x")}).Outcome
+		return state.applyCommand(t, Command{Op: OpApply, Digest: digest, BaseRevision: base, Revision: base + 1, Configuration: []byte("x")}).Outcome
 	}
 	for i := range 6 {
 		if got := order(fmt.Sprint("d", i), ident.Revision(2*i)); got != Done {
-			t.Errorf("order %d again: %s", i, got)
+			t.Errorf("apply request %d again: %s", i, got)
 		}
 		if got := order("rival", ident.Revision(2*i)); got != Conflict {
-			t.Errorf("a rival of order %d: %s", i, got)
+			t.Errorf("a rival of apply request %d: %s", i, got)
 		}
 	}
 	if got := order("next", 13); got != Done || state.Revision != 14 {
-		t.Errorf("the next order: %s, revision %d", got, state.Revision)
+		t.Errorf("the next apply request: %s, revision %d", got, state.Revision)
 	}
 	if got := order("ahead", 14); got != Conflict {
-		t.Errorf("an order that the build before refused: %s", got)
+		t.Errorf("an apply request that the build before refused: %s", got)
 	}
 	if got := order("other", 14); got != Done {
 		t.Errorf("another on the same base: %s", got)
--- a/process/consensus/statemachine/size_test.go
+++ b/process/consensus/statemachine/size_test.go
@@ -10,8 +10,8 @@
 
 // The sizes of the replicated state, for docs/CAPACITY.md: go test -run - -bench Size ./process/consensus/statemachine
 
-// apply takes a command, and fails the benchmark if it is not taken.
-func apply(b *testing.B, s *State, c Command) {
+// mustApply takes a command, and fails the benchmark if it is not taken.
+func mustApply(b *testing.B, s *State, c Command) {
 	b.Helper()
 	data, err := json.Marshal(c)
 	if err != nil {
@@ -22,32 +22,32 @@
 	}
 }
 
-// grown makes a state of a size: daemons hold leases, engines have left and been ordered, bundles were applied.
-func grown(b *testing.B, daemons, engines, left, bundles, bundleBytes int) *State {
+// stateOfSize makes a state of a given size: daemons hold leases, engines have departed and been given orders, bundles were applied.
+func stateOfSize(b *testing.B, daemons, engines, left, bundles, bundleBytes int) *State {
 	b.Helper()
 	s := New()
 	for i := range daemons {
 		node := ident.NodeID(fmt.Sprintf("edge-somewhere-%d#0123abcd", i))
-		apply(b, s, Command{Op: OpRegister, At: 1, NodeID: node, Address: fmt.Sprintf("10.1.%d.%d:7660", i/250, i%250)})
-		apply(b, s, Command{Op: OpAcquire, At: 1, NodeID: node, LeaseMs: 30000})
+		mustApply(b, s, Command{Op: OpRegister, At: 1, NodeID: node, Address: fmt.Sprintf("10.1.%d.%d:7660", i/250, i%250)})
+		mustApply(b, s, Command{Op: OpAcquire, At: 1, NodeID: node, LeaseMs: 30000})
 	}
 	for i := range left {
 		s.DepartedEngines = append(s.DepartedEngines, DepartedEngine{Engine: ident.EngineID(fmt.Sprintf("i-%08x", i)), At: 1})
 		s.Departures++
 	}
-	told := &Announcement{Orders: map[ident.EngineID]uint64{}, Loads: 1, KeepMs: 20000}
+	announcement := &Announcement{Orders: map[ident.EngineID]uint64{}, Loads: 1, KeepMs: 20000}
 	for i := range engines {
-		told.Orders[ident.EngineID(fmt.Sprintf("i-%08x", i))] = uint64(i)
+		announcement.Orders[ident.EngineID(fmt.Sprintf("i-%08x", i))] = uint64(i)
 	}
 	if engines > 0 {
-		apply(b, s, Command{Op: OpAcquirePlanner, At: 2, NodeID: "core-0#0123abcd", LeaseMs: 2000, HandoverGapMs: 3000, Announcement: told})
+		mustApply(b, s, Command{Op: OpAcquirePlanner, At: 2, NodeID: "core-0#0123abcd", LeaseMs: 2000, HandoverGapMs: 3000, Announcement: announcement})
 	}
 	packed := make([]byte, bundleBytes)
 	for i := range packed {
 		packed[i] = byte(i * 31 >> 3)
 	}
 	for i := range bundles {
-		apply(b, s, Command{Op: OpApply, At: 3, Operator: "operator", Digest: fmt.Sprintf("%064x", i), BaseRevision: ident.Revision(i), Revision: ident.Revision(i + 1), Configuration: packed, Compressed: true})
+		mustApply(b, s, Command{Op: OpApply, At: 3, Operator: "operator", Digest: fmt.Sprintf("%064x", i), BaseRevision: ident.Revision(i), Revision: ident.Revision(i + 1), Configuration: packed, Compressed: true})
 	}
 	return s
 }
@@ -67,7 +67,7 @@
 func BenchmarkSizeSnapshot(b *testing.B) {
 	for _, size := range stateSizes {
 		b.Run(size.name, func(b *testing.B) {
-			s := grown(b, size.daemons, size.engines, size.left, size.bundles, size.packedBundles)
+			s := stateOfSize(b, size.daemons, size.engines, size.left, size.bundles, size.packedBundles)
 			b.ReportAllocs()
 			var data []byte
 			for b.Loop() {
@@ -81,7 +81,7 @@
 func BenchmarkSizeRestore(b *testing.B) {
 	for _, size := range stateSizes {
 		b.Run(size.name, func(b *testing.B) {
-			data := grown(b, size.daemons, size.engines, size.left, size.bundles, size.packedBundles).Snapshot()
+			data := stateOfSize(b, size.daemons, size.engines, size.left, size.bundles, size.packedBundles).Snapshot()
 			b.ReportAllocs()
 			for b.Loop() {
 				if _, err := Restore(data); err != nil {
@@ -96,24 +96,24 @@
 	last := stateSizes[2]
 	for _, kind := range []struct {
 		name string
-		make func(turn int) Command
+		make func(index int) Command
 	}{
 		{"renew", func(int) Command {
 			return Command{Op: OpRenew, At: 10, NodeID: "edge-somewhere-7#0123abcd", WorkerID: 7, LeaseMs: 30000}
 		}},
-		{"leave", func(turn int) Command {
-			return Command{Op: OpEngineDeparted, At: 10, Engine: ident.EngineID(fmt.Sprintf("j-%08x", turn))}
+		{"leave", func(index int) Command {
+			return Command{Op: OpEngineDeparted, At: 10, Engine: ident.EngineID(fmt.Sprintf("j-%08x", index))}
 		}},
-		{"claim of one order", func(turn int) Command {
-			return Command{Op: OpAcquirePlanner, At: 3, NodeID: "core-0#0123abcd", LeaseMs: 2000, HandoverGapMs: 3000, Resume: true, Announcement: &Announcement{Orders: map[ident.EngineID]uint64{ident.EngineID(fmt.Sprintf("i-%08x", turn%1400)): uint64(turn)}, Loads: 1, KeepMs: 20000}}
+		{"claim of one order", func(index int) Command {
+			return Command{Op: OpAcquirePlanner, At: 3, NodeID: "core-0#0123abcd", LeaseMs: 2000, HandoverGapMs: 3000, Resume: true, Announcement: &Announcement{Orders: map[ident.EngineID]uint64{ident.EngineID(fmt.Sprintf("i-%08x", index%1400)): uint64(index)}, Loads: 1, KeepMs: 20000}}
 		}},
 	} {
 		b.Run(kind.name+" at "+last.name, func(b *testing.B) {
-			s := grown(b, last.daemons, last.engines, last.left, last.bundles, last.packedBundles)
+			s := stateOfSize(b, last.daemons, last.engines, last.left, last.bundles, last.packedBundles)
 			b.ReportAllocs()
-			turn, size := 0, 0
+			index, size := 0, 0
 			for b.Loop() {
-				data, err := json.Marshal(kind.make(turn))
+				data, err := json.Marshal(kind.make(index))
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -121,7 +121,7 @@
 				if got := s.Apply(data); got.Outcome != Done {
 					b.Fatalf("%+v", got)
 				}
-				turn++
+				index++
 			}
 			b.ReportMetric(float64(size), "entry-bytes")
 		})
--- a/process/rollout/rollout_test.go
+++ b/process/rollout/rollout_test.go
@@ -55,9 +55,9 @@
 	return keeper, func() { cancel(); <-ended }
 }
 
-// TestNothingOlderIsEverInForceAgain: whatever is offered by how many at once, and in whatever order, what is in
+// TestOlderVersionNeverReplacesANewerOne: whatever is offered by how many at once, and in whatever order, what is in
 // force only ever rises, ends at the newest of all, and keeps the bytes that came first under a number.
-func TestNothingOlderIsEverInForceAgain(t *testing.T) {
+func TestOlderVersionNeverReplacesANewerOne(t *testing.T) {
 	parameters := gopter.DefaultTestParameters()
 	parameters.MinSuccessfulTests = 60
 	properties := gopter.NewProperties(parameters)
@@ -112,8 +112,8 @@
 	properties.TestingRun(t)
 }
 
-// TestWhatDiffersUnderOneNumberIsRefused: the first bytes under a number stay, packed or not, and what differs counts.
-func TestWhatDiffersUnderOneNumberIsRefused(t *testing.T) {
+// TestDifferentConfigurationUnderOneVersionIsRejected: the first bytes under a number stay, packed or not, and what differs counts.
+func TestDifferentConfigurationUnderOneVersionIsRejected(t *testing.T) {
 	keeper, end := run(&seen{})
 	defer end()
 	first := bundleOf(t, 5, "first")
@@ -129,8 +129,8 @@
 	}
 }
 
-// TestWhatIsRememberedIsNotInForce: a bundle of an earlier life can be recalled, and changes nothing.
-func TestWhatIsRememberedIsNotInForce(t *testing.T) {
+// TestRememberedPastConfigurationIsNotInForce: a bundle of an earlier life can be recalled, and changes nothing.
+func TestRememberedPastConfigurationIsNotInForce(t *testing.T) {
 	keeper, end := run(&seen{})
 	defer end()
 	keeper.RememberPast(9, bundleOf(t, 9, "earlier"))
--- a/process/workerid/workerid.go
+++ b/process/workerid/workerid.go
@@ -26,7 +26,7 @@
 	Floor ident.GroupTime `json:"floor"`
 }
 
-// Outcome is the outcome of a command on the table.
+// LeaseOutcome is the outcome of a request for a lease.
 type LeaseOutcome string
 
 const (
--- a/process/workerid/workerid_test.go
+++ b/process/workerid/workerid_test.go
@@ -15,7 +15,7 @@
 
 const span = 30 * time.Second
 
-func TestAcquireGivesTheLowestFreeIDAndTheSameOneAgain(t *testing.T) {
+func TestAcquireGrantsTheLowestFreeIDAndRepeatsIt(t *testing.T) {
 	table := New()
 	for want := range ident.WorkerID(5) {
 		grant, outcome := table.Acquire(ident.NodeID(fmt.Sprint("node", want)), 1000, span)
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestRenewAndReleaseAreRefusedToOthers(t *testing.T) {
+func TestRenewAndReleaseOfAnotherHolderMismatch(t *testing.T) {
 	table := New()
 	table.Acquire("a", 1000, span)
 	table.Acquire("b", 1000, span)
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestAnExhaustedPoolIsAnError(t *testing.T) {
+func TestAcquireWithoutFreeIDIsExhausted(t *testing.T) {
 	table := New()
 	for i := range MaxWorkerID + 1 {
 		if _, outcome := table.Acquire(ident.NodeID(fmt.Sprint(i)), 1000, span); outcome != Granted {
