--- a/daemon/attemptowners.go
+++ b/daemon/attemptowners.go
@@ -2,127 +2,45 @@
 
 import (
 	"context"
-	"slices"
 	"strconv"
 	"time"
 
 	"github.com/twitchtv/twirp"
 
 	"github.com/cresspond/cresspond/clock"
-	"github.com/cresspond/cresspond/process/cluster/affinity"
+	"github.com/cresspond/cresspond/daemon/ownership"
 	"github.com/cresspond/cresspond/process/cluster/deduplication"
-	"github.com/cresspond/cresspond/process/cluster/membership"
 	"github.com/cresspond/cresspond/process/daemonconfig"
 	"github.com/cresspond/cresspond/request/dispatch"
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-const (
-	// contactWindow is how recent the last contact with a daemon must be for it to count as reachable.
-	contactWindow = 3 * time.Second
-	// uncertainWindow is for how long a daemon that became unreachable, or has just started, leaves it uncertain
-	// which attempts it knew of.
-	uncertainWindow = 8 * time.Second
-	// ownerLimit bounds the wait for an owner's answer.
-	ownerLimit = 200 * time.Millisecond
-)
-
-// attemptOwners are the daemons to query about an attempt: those that remember it, chosen by consistent hashing.
-type attemptOwners struct {
-	// query lists their addresses. informed holds those that would know of an earlier claim, each with the address of
-	// the other owner.
-	query    []string
-	informed map[string]string
-	// onlyDaemon says that no other daemon is known.
-	onlyDaemon bool
-	// minoritySide says that most routing daemons may be on the other side of a network partition.
-	minoritySide bool
-}
-
-// selectAttemptOwners finds the owners of an attempt: those that it has among the daemons in contact, and those that
-// it had among all that were in contact before the last of them became unreachable.
-func selectAttemptOwners(attempt string, view *membership.View, now clock.Mark, self string) attemptOwners {
-	leaderSeen := view.LastLeaderContact > 0 && now.Since(view.LastLeaderContact) <= contactWindow
-	var current, before, draining []string
-	routersSeen, routersKnown := 0, 0
-	for _, peer := range view.Members {
-		sinceContact := now.Since(peer.LastContact)
-		if !peer.Ready {
-			// A draining daemon transfers its memory to others, and is queried for as long as it is there.
-			if sinceContact <= contactWindow {
-				draining = append(draining, peer.Address)
-			}
-			continue
-		}
-		if sinceContact <= contactWindow {
-			current = append(current, peer.Address)
-		}
-		if sinceContact <= contactWindow+uncertainWindow {
-			before = append(before, peer.Address)
-		}
-		if peer.Serves(string(daemonconfig.Route)) && (sinceContact <= contactWindow+uncertainWindow || !leaderSeen) {
-			routersKnown++
-			if sinceContact <= contactWindow {
-				routersSeen++
-			}
-		}
-	}
-	if len(before) == 0 {
-		// Where all daemons drain together, they own each other's attempts to the last.
-		before, draining = draining, nil
-	}
-	owners := attemptOwners{informed: map[string]string{}, onlyDaemon: len(before) <= 1 && len(draining) == 0}
-	// Where both sides of a partition have equally many, the side that sees the leader goes on.
-	owners.minoritySide = 2*routersSeen < routersKnown || 2*routersSeen == routersKnown && !leaderSeen
-	key := "attempt " + attempt
-	add := func(from []string, knows bool) {
-		slices.Sort(from)
-		first, second := affinity.Owners(key, from)
-		for owner, partner := range map[string]string{first: second, second: first} {
-			if owner == "" {
-				continue
-			}
-			if !slices.Contains(owners.query, owner) {
-				owners.query = append(owners.query, owner)
-			}
-			if knows {
-				owners.informed[owner] = partner
-			}
-		}
-	}
-	add(before, true)
-	add(current, false)
-	add(slices.Concat(before, draining), false)
-	if !slices.Contains(owners.query, self) {
-		// A query of this daemon's own memory costs nothing.
-		owners.query = append(owners.query, self)
-	}
-	return owners
-}
+// ownerLimit bounds the wait for an owner's answer.
+const ownerLimit = 200 * time.Millisecond
 
 // queryAttemptOwners queries all owners of an attempt at once, and decides by their answers.
 func (d *Daemon) queryAttemptOwners(query deduplication.Request) deduplication.Decision {
 	self := d.config.AdvertisedPeerAddress()
 	// Where each attempt arrives only once, neither another daemon nor an earlier incarnation can know of it.
 	local := d.config.AttemptScope == daemonconfig.LocalAttempts
-	owners := attemptOwners{query: []string{self}, informed: map[string]string{self: ""}, onlyDaemon: true}
+	owners := ownership.OnlyLocal(self)
 	if !local {
-		owners = selectAttemptOwners(query.Attempt, d.members.View(), d.clock.Elapsed(), self)
+		owners = ownership.OfAttempt(query.Attempt, d.members.View(), d.clock.Elapsed(), self)
 	}
 	type ownerReply struct {
-		home  string
+		owner string
 		reply *peerapi.AttemptReply
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), ownerLimit)
 	defer cancel()
-	answers := make(chan ownerReply, len(owners.query))
-	for _, owner := range owners.query {
+	answers := make(chan ownerReply, len(owners.Query))
+	for _, owner := range owners.Query {
 		client := peerapi.Fellow(d)
 		if owner != self {
 			client = d.links.Client(owner)
 			d.counters.attemptQueries.Add(1)
 		}
-		request := &peerapi.AttemptRequest{Attempt: query.Attempt, Owner: query.Owner, Digest: query.Digest, AgeMs: query.Age.Milliseconds(), Action: string(query.Action), OtherOwnerAddress: owners.informed[owner]}
+		request := &peerapi.AttemptRequest{Attempt: query.Attempt, Owner: query.Owner, Digest: query.Digest, AgeMs: query.Age.Milliseconds(), Action: string(query.Action), OtherOwnerAddress: owners.Informed[owner]}
 		go func() {
 			reply, err := client.Attempt(ctx, request)
 			if err != nil {
@@ -132,18 +50,18 @@
 		}()
 	}
 	var replies deduplication.Responses
-	for range owners.query {
+	for range owners.Query {
 		answer := <-answers
 		if answer.reply == nil {
 			continue
 		}
 		replies.Received = append(replies.Received, deduplication.Response(answer.reply.Outcome))
-		_, knows := owners.informed[answer.home]
+		_, knows := owners.Informed[answer.owner]
 		replies.Authoritative = replies.Authoritative || knows && (local || !answer.reply.Fresh)
 		// A daemon that may be partitioned must not be the only one to know.
-		replies.Replicated = replies.Replicated || answer.home != self || owners.onlyDaemon
+		replies.Replicated = replies.Replicated || answer.owner != self || owners.OnlyDaemon
 	}
-	replies.Authoritative = replies.Authoritative && !owners.minoritySide
+	replies.Authoritative = replies.Authoritative && !owners.MinoritySide
 	decision := deduplication.Decide(replies)
 	if decision == deduplication.Undetermined {
 		d.counters.attemptsUncertain.Add(1)
@@ -161,7 +79,7 @@
 // group before the first configuration was in force, there can't have been any.
 func (d *Daemon) recentlyStarted() bool {
 	view := d.members.View()
-	return !view.PredatesFirstRollout && d.clock.Elapsed().Since(view.Started) < uncertainWindow
+	return !view.PredatesFirstRollout && d.clock.Elapsed().Since(view.Started) < ownership.UncertainWindow
 }
 
 // Attempt answers queries about the attempts that this daemon owns. It is part of the peer protocol.
--- a/daemon/configurationhistory.go
+++ b/daemon/configurationhistory.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/cresspond/cresspond/configuration/document"
+	"github.com/cresspond/cresspond/daemon/ownership"
 	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/process/consensus/statemachine"
 	"github.com/cresspond/cresspond/process/rollout"
@@ -68,7 +69,7 @@
 		}
 		return nil
 	}
-	peers := d.members.View().InContact(d.clock.Elapsed(), contactWindow)
+	peers := d.members.View().InContact(d.clock.Elapsed(), ownership.ContactWindow)
 	if len(peers) == 0 {
 		return nil
 	}
--- a/daemon/doc.go
+++ b/daemon/doc.go
@@ -15,7 +15,7 @@
 //
 // Each daemon, whatever its roles, pulls updates from its peers (pull.go, longpoll.go, registryexchange.go), holds the
 // lease of a worker id (workerlease.go), and owns a part of the fleet's memory of attempts and of session assignments
-// (attemptowners.go, sessionaffinity.go), which it transfers as daemons come and go (rehoming.go).
+// (attemptowners.go, sessionaffinity.go), which it transfers as daemons come and go (ownershiptransfer.go).
 //
 // # Who owns which state
 //
@@ -30,7 +30,7 @@
 //   - dispatch, forwarding, admission, sessionplacement, poolplacement: requests, slots and plans.
 //
 // The rest is in atomics of the Daemon, each with one writer, and in what peers reported last: their demand
-// (demand.go), the planner's shortages (unplaced.go), and the times of the last registry pulls (controlcontact.go).
+// (demand.go), the planner's shortages (shortages.go), and the times of the last registry pulls (controlcontact.go).
 //
 // # Start and shutdown
 //
--- a/daemon/longpoll_test.go
+++ b/daemon/longpoll_test.go
@@ -9,6 +9,8 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
+const minute = clock.Mark(time.Minute)
+
 // manualClock is a clock that the test moves.
 type manualClock struct{ now clock.Mark }
 
--- a/daemon/attemptowners_test.go
+++ b/daemon/ownership/attempt_test.go
@@ -1,4 +1,4 @@
-package daemon
+package ownership
 
 import (
 	"fmt"
@@ -33,7 +33,7 @@
 		random := rand.New(rand.NewPCG(seed, 1))
 		view := fleetOf(2 + random.IntN(10))
 		attempt := fmt.Sprint("attempt-", seed)
-		written := selectAttemptOwners(attempt, view, minute, "10.0.0.0:1").query
+		written := OfAttempt(attempt, view, minute, "10.0.0.0:1").Query
 		dead := map[string]bool{}
 		ids := make([]ident.NodeID, 0, len(view.Members))
 		for id := range view.Members {
@@ -60,14 +60,14 @@
 			view.Members[id] = membership.Member{NodeID: id, Address: fmt.Sprintf("10.0.1.%d:1", i), Roles: []string{"route"}, LastContact: now, Ready: true}
 		}
 		view.LastLeaderContact = now
-		later := selectAttemptOwners(attempt, view, now, "10.0.0.1:1")
+		later := OfAttempt(attempt, view, now, "10.0.0.1:1")
 		knows, meets := false, false
-		for _, owner := range later.query {
+		for _, owner := range later.Query {
 			if dead[owner] {
 				continue
 			}
 			fresh := owner[:6] == "10.0.1"
-			_, knower := later.informed[owner]
+			_, knower := later.Informed[owner]
 			knows = knows || knower && !fresh
 			meets = meets || slices.Contains(written, owner)
 		}
@@ -80,7 +80,7 @@
 	}
 	for seed := range uint64(20_000) {
 		if run(seed, time.Second) || run(seed, 5*time.Second) {
-			t.Fatalf("seed %d: a home that was never told counts as knowing", seed)
+			t.Fatalf("seed %d: an owner that was never informed counts as informed", seed)
 		}
 	}
 	if met == 0 || doubted == 0 {
@@ -89,10 +89,10 @@
 	// A variant that forgets unreachable daemons at once must be caught by the same check.
 	caught := false
 	for seed := range uint64(20_000) {
-		caught = caught || run(seed, contactWindow+uncertainWindow+time.Second)
+		caught = caught || run(seed, ContactWindow+UncertainWindow+time.Second)
 	}
 	if !caught {
-		t.Error("forgetting the silent at once was not caught")
+		t.Error("forgetting unreachable daemons at once was not caught")
 	}
 }
 
@@ -102,7 +102,7 @@
 			for _, leaderHere := range []bool{true, false} {
 				// Each side is in contact with its own daemons now, and last was with the others two seconds before
 				// the contact window ended.
-				now := minute + clock.Mark(contactWindow+2*time.Second)
+				now := minute + clock.Mark(ContactWindow+2*time.Second)
 				side := func(from, to int, seesLeader bool) bool {
 					if from == to {
 						return false
@@ -117,7 +117,7 @@
 					if seesLeader {
 						view.LastLeaderContact = now
 					}
-					return !selectAttemptOwners("x", view, now, fmt.Sprintf("10.0.0.%d:1", from)).minoritySide
+					return !OfAttempt("x", view, now, fmt.Sprintf("10.0.0.%d:1", from)).MinoritySide
 				}
 				here, other := side(0, there, leaderHere), side(there, size, !leaderHere)
 				if here && other {
--- a/daemon/sessionaffinity.go
+++ b/daemon/sessionaffinity.go
@@ -6,6 +6,7 @@
 
 	"github.com/twitchtv/twirp"
 
+	"github.com/cresspond/cresspond/daemon/ownership"
 	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/process/cluster/affinity"
 	"github.com/cresspond/cresspond/process/cluster/membership"
@@ -85,7 +86,7 @@
 	now := d.clock.Elapsed()
 	for _, peer := range d.members.View().Members {
 		sinceContact := now.Since(peer.LastContact)
-		if peer.Ready && (sinceContact > slotOwnerWindow && sinceContact <= contactWindow+uncertainWindow || now.Since(peer.FirstContact) < uncertainWindow) {
+		if peer.Ready && (sinceContact > slotOwnerWindow && sinceContact <= ownership.ContactWindow+ownership.UncertainWindow || now.Since(peer.FirstContact) < ownership.UncertainWindow) {
 			return true
 		}
 	}
@@ -94,7 +95,7 @@
 
 // queryAllForAssignment queries every daemon in contact for a session's assignment; the one used last counts.
 func (d *Daemon) queryAllForAssignment(session string) (ident.EngineID, bool) {
-	addresses := addressesOf(d.liveOwners())
+	addresses := d.liveOwners().Addresses()
 	replies := make(chan *peerapi.SeatReply, len(addresses))
 	for _, address := range addresses {
 		go func() { replies <- d.queryAssignment(address, &peerapi.SeatRequest{Session: session}) }()
@@ -146,16 +147,14 @@
 }
 
 // transferAssignments sends the assignments that this daemon owned to their new owners.
-func (d *Daemon) transferAssignments(ctx context.Context, before, after map[string]ident.NodeID) {
+func (d *Daemon) transferAssignments(ctx context.Context, change *ownership.Change) {
 	self := d.config.AdvertisedPeerAddress()
-	oldAddresses, newAddresses := addressesOf(before), addressesOf(after)
 	unreached := map[string]bool{}
 	for session, engine := range d.affinityTable.Assignments() {
-		oldFirst, oldSecond := affinity.Owners(session, oldAddresses)
-		if ctx.Err() != nil || oldFirst != self && oldSecond != self {
+		if ctx.Err() != nil || !change.OwnedBefore(session, self) {
 			continue
 		}
-		for _, owner := range newOwners(session, before, after, oldAddresses, newAddresses) {
+		for _, owner := range change.NewOwners(session) {
 			if owner != self && !unreached[owner] {
 				unreached[owner] = d.queryAssignment(owner, &peerapi.SeatRequest{Session: session, Engine: string(engine)}) == nil
 			}
