--- a/connection/enginestream/enginelink_test.go
+++ b/connection/enginestream/attempt_test.go
@@ -57,22 +57,22 @@
 		}
 	}()
 	var got strings.Builder
-	result := Carry(context.Background(), Go{Address: listener.Addr().String(), Attempt: "x", Work: engineapi.Generate{Model: "m", Prompt: "p"},
-		MayLeave: func() string { return "" }, Piece: func(line []byte) bool { got.Write(line); return true },
-		FirstLimit: 20 * time.Second, StallLimit: 20 * time.Second, Limit: 30 * time.Second})
+	result := Run(context.Background(), Attempt{Address: listener.Addr().String(), Attempt: "x", Work: engineapi.Generate{Model: "m", Prompt: "p"},
+		LastCheck: func() string { return "" }, Chunk: func(line []byte) bool { got.Write(line); return true },
+		FirstByteTimeout: 20 * time.Second, StallTimeout: 20 * time.Second, Timeout: 30 * time.Second})
 	return result, got.String()
 }
 
-// TestAnAnswerCutAtAnyByteNeverLooksWhole: the final line goes on only if the answer ended as it should, and
+// TestTruncatedAnswerNeverLooksComplete: the final line goes on only if the answer ended as it should, and
 // only an engine's whole word is proof that it refused.
-func TestAnAnswerCutAtAnyByteNeverLooksWhole(t *testing.T) {
+func TestTruncatedAnswerNeverLooksComplete(t *testing.T) {
 	for form, whole := range answers() {
 		for cut := range len(whole) + 1 {
 			result, got := carry(t, whole[:cut], cut%3 == 0)
 			name := fmt.Sprintf("%s cut at %d of %d", form, cut, len(whole))
 			final := strings.Contains(got, `"final":true`)
 			switch {
-			case final != (result.Outcome == dispatch.Whole):
+			case final != (result.Outcome == dispatch.Completed):
 				t.Errorf("%s: outcome %d, final line %t", name, result.Outcome, final)
 			case final && (cut < len(whole) || form == "padded"):
 				t.Errorf("%s looks whole", name)
--- a/connection/sessionapi/fuzz_test.go
+++ b/connection/sessionapi/fuzz_test.go
@@ -17,15 +17,15 @@
 // FuzzGenerate: a caller's request is refused with a status of its own fault, or is one that the table allows, under the
 // attempt id that came.
 func FuzzGenerate(f *testing.F) {
-	bundle := &document.Configuration{Name: "s", Models: []document.Model{{Name: "m"}}, Routes: []document.Route{{Name: "r", Tenant: "h", Models: []string{"m"}}},
+	configuration := &document.Configuration{Name: "s", Models: []document.Model{{Name: "m"}}, Routes: []document.Route{{Name: "r", Tenant: "h", Models: []string{"m"}}},
 		Limits: document.Limits{MaxBodyBytes: 1 << 16, MaxDeadlineMs: 60000}}
-	tables := routingtable.Build(1, nil, bundle, closure.Set{})
-	door := New(context.Background(), clock.System{}, func() *routingtable.Table { return tables }, nil)
-	whole, err := json.Marshal(callerapi.Generate{Route: "r", House: "h", Model: "m", Prompt: "p", DeadlineMs: 1000})
+	tables := routingtable.Build(1, nil, configuration, closure.Set{})
+	server := New(context.Background(), clock.System{}, func() *routingtable.Table { return tables }, nil)
+	valid, err := json.Marshal(callerapi.Generate{Route: "r", House: "h", Model: "m", Prompt: "p", DeadlineMs: 1000})
 	if err != nil {
 		f.Fatal(err)
 	}
-	for _, body := range []string{string(whole), string(whole) + "{}", `null`, `{"route":"r","house":"x","model":"m","prompt":"p","deadlineMs":1}`, `{"deadlineMs":-1}`, `{"unknown":1}`} {
+	for _, body := range []string{string(valid), string(valid) + "{}", `null`, `{"route":"r","house":"x","model":"m","prompt":"p","deadlineMs":1}`, `{"deadlineMs":-1}`, `{"unknown":1}`} {
 		f.Add("a1", []byte(body))
 		f.Add("", []byte(body))
 	}
@@ -34,10 +34,10 @@
 		ctx.Request.Header.SetMethod(fasthttp.MethodPost)
 		ctx.Request.Header.Set(callerapi.HeaderAttempt, attempt)
 		ctx.Request.SetBody(body)
-		request, prompt, wrong := door.read(&ctx)
-		if wrong != nil {
-			if wrong.status < 400 || wrong.status > 413 || wrong.reason == "" {
-				t.Fatalf("%+v", wrong)
+		request, prompt, fault := server.readRequest(&ctx)
+		if fault != nil {
+			if fault.status < 400 || fault.status > 413 || fault.reason == "" {
+				t.Fatalf("%+v", fault)
 			}
 			return
 		}
--- a/daemon/configuration.go
+++ b/daemon/configuration.go
@@ -36,7 +36,7 @@
 }
 
 func (d *Daemon) wakeRequestPath() {
-	d.dispatch.Poke()
+	d.dispatch.NotifyChanged()
 	if d.forwarding.actor != nil {
 		d.forwarding.actor.Wake()
 	}
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -56,7 +56,7 @@
 	watcher           *discovery.Watcher
 	generator         *snowflake.Generator
 	dispatch          *dispatch.Actor
-	sessionAPI        *sessionapi.Door
+	sessionAPI        *sessionapi.Server
 	adminAPI          *adminapi.Server
 	sessionPlacer     *sessionplacement.Actor
 	affinityTable     *affinity.Table
--- a/daemon/demand.go
+++ b/daemon/demand.go
@@ -34,7 +34,7 @@
 		all = append(all, &peerapi.Demand{Model: demand.Model, Adapter: demand.Adapter, Value: demand.Value, Queued: int64(demand.Queued), Running: int64(demand.Running)})
 	}
 	all = append(all, d.forwardDemands()...)
-	for _, seat := range snapshot.Seats {
+	for _, seat := range snapshot.Assignments {
 		seated = append(seated, &peerapi.EngineSessions{Engine: string(seat.Engine), Model: seat.Model, Adapter: seat.Adapter, Sessions: int64(seat.Sessions)})
 	}
 	waits = slices.ContainsFunc(all, func(demand *peerapi.Demand) bool { return demand.Queued > 0 })
--- a/daemon/dispatch.go
+++ b/daemon/dispatch.go
@@ -28,8 +28,8 @@
 func (d *Daemon) World() dispatch.World {
 	_, notReady := d.members.Ready()
 	return dispatch.World{
-		Lacks: d.shortagesNow(),
-		Now:   d.clock.Elapsed(), Table: d.rollout.Table(), Engines: d.watcher.View(), NotReady: notReady, Mint: d.generator.Next,
+		UnplacedWaits: d.shortagesNow(),
+		Now:           d.clock.Elapsed(), Table: d.rollout.Table(), Engines: d.watcher.View(), NotReady: notReady, Mint: d.generator.Next,
 		Zone: d.config.Zone, ShareAssignments: true, Admission: true,
 	}
 }
@@ -80,14 +80,14 @@
 	departed := false
 	left := send.Deadline.Since(d.clock.Elapsed())
 	began := false
-	result := enginestream.Carry(call.Context(), enginestream.Go{
+	result := enginestream.Run(call.Context(), enginestream.Attempt{
 		Address: send.Address, Attempt: call.Request.Attempt,
 		Work: engineapi.Generate{Model: call.Request.Model, Adapter: call.Request.Adapter, Prefix: call.Request.Prefix,
 			Prompt: call.Prompt, Session: call.Request.Session, DeadlineMs: max(1, left.Milliseconds())},
-		MayLeave: func() string {
+		LastCheck: func() string {
 			claim = <-claimed
 			reason := ""
-			if !mayStart(claim, call.Request.Repeatable) {
+			if !mayStart(claim, call.Request.Idempotent) {
 				reason = "this attempt may be another daemon's"
 			} else if reason = d.finalCheck(call, send); reason != "" {
 				d.counters.finalCheckStops.Add(1)
@@ -95,14 +95,14 @@
 			departed = reason == ""
 			return reason
 		},
-		Piece: func(chunk []byte) bool {
+		Chunk: func(chunk []byte) bool {
 			if !began {
 				began = true
 				firstPiece()
 			}
-			return call.Piece(chunk)
+			return call.SendChunk(chunk)
 		},
-		FirstLimit: max(left, time.Millisecond), StallLimit: d.stallLimit, Limit: left + d.overrunLimit,
+		FirstByteTimeout: max(left, time.Millisecond), StallTimeout: d.stallLimit, Timeout: left + d.overrunLimit,
 	})
 	if outcome, reason := d.afterClaim(call, result.Outcome, claim, claimed, departed); outcome != result.Outcome {
 		return outcome, reason
@@ -125,15 +125,15 @@
 		d.counters.bytesOtherZone.Add(bytes)
 	}
 	switch result.Outcome {
-	case dispatch.Whole:
+	case dispatch.Completed:
 		d.watcher.ReportAttempt(send.Engine, true)
-	case dispatch.Lost, dispatch.NeverSent, dispatch.Cut:
+	case dispatch.Lost, dispatch.NeverSent, dispatch.BrokenOff:
 		// An attempt that began late and ran into its own deadline says nothing about the engine.
 		if d.clock.Elapsed() < send.Deadline || left >= fairAttemptTime {
 			d.watcher.ReportAttempt(send.Engine, false)
 		}
 	}
-	if result.Junk {
+	if result.Malformed {
 		d.counters.malformedStreams.Add(1)
 		d.watcher.Quarantine(send.Engine)
 	}
@@ -141,11 +141,11 @@
 
 // finishAnswer ends an answer of which the caller has a part already.
 func finishAnswer(call *dispatch.Call, result enginestream.Result) {
-	if result.Outcome == dispatch.Whole {
+	if result.Outcome == dispatch.Completed {
 		call.Finish(nil, nil)
 		return
 	}
-	last := relay.Line(callerapi.Piece{Attempt: call.Request.Attempt, N: result.Pieces, Outcome: callerapi.BrokenOff, Reason: result.Reason})
+	last := relay.EncodeLine(callerapi.Piece{Attempt: call.Request.Attempt, N: result.Chunks, Outcome: callerapi.BrokenOff, Reason: result.Reason})
 	call.Finish(last, errIncompleteAnswer)
 }
 
@@ -165,7 +165,7 @@
 		// The engine could not be dialled, and the claim may still be on its way.
 		claim = <-claimed
 	}
-	if mayStart(claim, call.Request.Repeatable) || claim == deduplication.Undetermined {
+	if mayStart(claim, call.Request.Idempotent) || claim == deduplication.Undetermined {
 		d.queryAttemptOwners(d.attemptQuery(deduplication.ActionRelease, call.ID, call.Request, call.Arrived))
 	}
 	switch claim {
@@ -176,8 +176,8 @@
 	case deduplication.Rejected:
 		return dispatch.RefusedElsewhere, "another daemon refused this attempt meanwhile"
 	case deduplication.Undetermined:
-		if !call.Request.Repeatable {
-			return dispatch.Doubted, "whether this attempt has run through another daemon cannot be told now"
+		if !call.Request.Idempotent {
+			return dispatch.Uncertain, "whether this attempt has run through another daemon cannot be told now"
 		}
 	}
 	return outcome, ""
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -55,7 +55,7 @@
 		wait.Go(func() {
 			if err := server.ShutdownWithContext(limit); err != nil {
 				remaining.add(openResponses)
-				d.log.WithField("open", d.sessionAPI.Open()).Warn("stopped before all answers were written")
+				d.log.WithField("open", d.sessionAPI.InProgress()).Warn("stopped before all answers were written")
 			}
 		})
 	}
--- a/daemon/engineslots.go
+++ b/daemon/engineslots.go
@@ -40,7 +40,7 @@
 func (d *Daemon) requestSlot(call *dispatch.Call, send dispatch.Send) (giveBack func(refused bool), granted bool) {
 	owner := d.slotOwner(send.Engine)
 	request := &peerapi.PermitRequest{Engine: string(send.Engine), Id: string(d.nodeID) + "/" + strconv.FormatUint(d.slotRequestIDs.Add(1), 10),
-		NodeId: string(d.nodeID), HasAssignment: send.Assigned, Value: send.Worth, Rank: int64(send.Rank), Tenant: send.Tenant}
+		NodeId: string(d.nodeID), HasAssignment: send.Assigned, Value: send.Value, Rank: int64(send.Rank), Tenant: send.Tenant}
 	client := peerapi.Fellow(d)
 	if owner != "" && owner != d.config.AdvertisedPeerAddress() {
 		client = d.links.Client(owner)
--- a/daemon/sessionaffinity.go
+++ b/daemon/sessionaffinity.go
@@ -42,7 +42,7 @@
 }
 
 // Assignment looks a session's assignment up, and remembers it here too, so that it outlives its owners.
-func (r requestPath) Assignment(query dispatch.AskAssignment) (ident.EngineID, bool) {
+func (r requestPath) Assignment(query dispatch.AssignmentQuery) (ident.EngineID, bool) {
 	engine, found := r.findAssignment(query)
 	if found {
 		r.affinityTable.Record(r.clock.Elapsed(), query.Session, engine)
@@ -53,7 +53,7 @@
 // findAssignment queries a session's owners. The first one decides. The second one has a replica, and knows better if
 // the first is gone or has just restarted without its memory. If neither knows the session, and daemons were lost
 // recently, all are queried.
-func (r requestPath) findAssignment(query dispatch.AskAssignment) (ident.EngineID, bool) {
+func (r requestPath) findAssignment(query dispatch.AssignmentQuery) (ident.EngineID, bool) {
 	if query.Engine != "" && query.Replaces == "" && r.peersLostRecently() {
 		if engine, known := r.queryAllForAssignment(query.Session); known {
 			query.Engine = engine
--- a/daemon/sessionplanning.go
+++ b/daemon/sessionplanning.go
@@ -26,7 +26,7 @@
 		for _, demand := range snapshot.Demands {
 			in.Demand = append(in.Demand, sessionplacement.Demand(demand))
 		}
-		for _, seat := range snapshot.Seats {
+		for _, seat := range snapshot.Assignments {
 			in.Assignments = append(in.Assignments, sessionplacement.Assignments(seat))
 		}
 	}
@@ -66,7 +66,7 @@
 
 // Order sends an order to an engine, if the worker id lease still holds when the first byte leaves.
 func (p sessionPlanner) Order(ctx context.Context, address string, order engineapi.Order, limit time.Duration, mayLeave func() bool) (*engineapi.OrderAnswer, bool) {
-	return enginestream.Order(ctx, address, order, limit, func() bool { return mayLeave() && p.generator.HasLease() })
+	return enginestream.SendOrder(ctx, address, order, limit, func() bool { return mayLeave() && p.generator.HasLease() })
 }
 
 // MayPlan says whether this daemon should try to plan.
--- a/request/dispatch/actor.go
+++ b/request/dispatch/actor.go
@@ -12,7 +12,7 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// Call is a request on its way through this daemon, as the caller's side sees it.
+// Call is a request in progress, as the client's connection sees it.
 type Call struct {
 	ID      RecordID
 	Request Request
@@ -23,52 +23,53 @@
 
 	ctx      context.Context
 	cancel   context.CancelFunc
-	settled  sync.Once
+	answered sync.Once
 	Answered chan Answer
 	Started  chan *Stream
 	stream   *Stream
 }
 
-// NewCall makes a call; cancel it when the caller is gone.
+// NewCall makes a call; cancel it when the client has disconnected.
 func NewCall(parent context.Context, request Request, prompt string) *Call {
-	f := &Call{Request: request, Prompt: prompt, Answered: make(chan Answer, 1), Started: make(chan *Stream, 1)}
-	f.ctx, f.cancel = context.WithCancel(parent)
-	f.stream = newStream(f.ctx, f.cancel)
-	return f
+	call := &Call{Request: request, Prompt: prompt, Answered: make(chan Answer, 1), Started: make(chan *Stream, 1)}
+	call.ctx, call.cancel = context.WithCancel(parent)
+	call.stream = newStream(call.ctx, call.cancel)
+	return call
 }
 
-// Context ends when the caller is gone.
-func (f *Call) Context() context.Context { return f.ctx }
+// Context ends when the client has disconnected.
+func (call *Call) Context() context.Context { return call.ctx }
 
-// Cancel says that the caller is gone.
-func (f *Call) Cancel() { f.cancel() }
+// Cancel says that the client has disconnected.
+func (call *Call) Cancel() { call.cancel() }
 
-// Piece hands a checked line to the caller; the first one starts the stream.
-func (f *Call) Piece(line []byte) bool {
-	f.settled.Do(func() { f.Started <- f.stream })
-	return f.stream.put(line)
+// SendChunk hands a checked line to the client; the first one starts the stream. It returns false when the client has
+// disconnected.
+func (call *Call) SendChunk(line []byte) bool {
+	call.answered.Do(func() { call.Started <- call.stream })
+	return call.stream.put(line)
 }
 
-// Finish ends the stream; a broken one ends with its final answers and an error.
-func (f *Call) Finish(lastWords []byte, broken error) { f.stream.finish(lastWords, broken) }
+// Finish ends the stream; one that was broken off ends with a trailer and an error.
+func (call *Call) Finish(trailer []byte, err error) { call.stream.finish(trailer, err) }
 
-func (f *Call) answer(v Answer) {
-	f.settled.Do(func() { f.Answered <- v })
+func (call *Call) answer(answer Answer) {
+	call.answered.Do(func() { call.Answered <- answer })
 }
 
-// Stream is what the caller's connection reads. It gives an error, and never a clean end, where the
-// answer is not whole.
+// Stream is what the client's connection reads. It gives an error, and never a clean end, where the answer is not
+// complete.
 type Stream struct {
 	ctx    context.Context
 	cancel context.CancelFunc
 	lines  chan []byte
-	rest   []byte
-	// last and broken are set before lines is closed.
-	last   []byte
-	broken error
+	unread []byte
+	// trailer and broken are set before lines is closed.
+	trailer []byte
+	err     error
 }
 
-// maxAhead is how many lines an engine may be ahead of a slow caller.
+// maxAhead is how many lines an engine may be ahead of a slow client.
 const maxAhead = 32
 
 func newStream(ctx context.Context, cancel context.CancelFunc) *Stream {
@@ -84,68 +85,68 @@
 	}
 }
 
-func (s *Stream) finish(last []byte, broken error) {
-	s.last, s.broken = last, broken
+func (s *Stream) finish(trailer []byte, err error) {
+	s.trailer, s.err = trailer, err
 	close(s.lines)
 }
 
 // Read serves the connection's writer.
 func (s *Stream) Read(p []byte) (int, error) {
-	for len(s.rest) == 0 {
+	for len(s.unread) == 0 {
 		line, more := <-s.lines
 		switch {
 		case more:
-			s.rest = line
-		case len(s.last) > 0:
-			s.rest, s.last = s.last, nil
-		case s.broken != nil:
-			return 0, s.broken
+			s.unread = line
+		case len(s.trailer) > 0:
+			s.unread, s.trailer = s.trailer, nil
+		case s.err != nil:
+			return 0, s.err
 		default:
 			return 0, io.EOF
 		}
 	}
-	n := copy(p, s.rest)
-	s.rest = s.rest[n:]
+	n := copy(p, s.unread)
+	s.unread = s.unread[n:]
 	return n, nil
 }
 
-// Close is called when the connection is done with the stream, whole or not.
+// Close is called when the connection is done with the stream, complete or not.
 func (s *Stream) Close() error {
 	s.cancel()
 	return nil
 }
 
-// Surroundings is what the actor needs of its daemon.
-type Surroundings interface {
-	// World gives what may be looked at now.
+// Environment is what the actor needs of its daemon.
+type Environment interface {
+	// World gives what the core may read in this step.
 	World() World
-	// Carry runs an attempt to its end, and reports its outcome; it is called on a goroutine of its own.
+	// Carry runs an attempt to its end, and returns its outcome with a reason; it is called on a goroutine of its own.
 	Carry(call *Call, send Send, firstPiece func()) (AttemptOutcome, string)
 	// Assignment asks the owner of a session for its assignment.
-	Assignment(ask AskAssignment) (ident.EngineID, bool)
+	Assignment(query AssignmentQuery) (ident.EngineID, bool)
 	// Refuse makes sure that a refusal will be true, and gives the answer that may be sent.
 	Refuse(call *Call, wanted Answer) Answer
-	// EndAssignment tells the owner of a session that it has ended.
+	// EndAssignment notifies the owner of a session that it has ended.
 	EndAssignment(session string)
 }
 
 // Actor runs the core.
 type Actor struct {
-	around  Surroundings
-	core    *Core
-	mailbox *actor.Mailbox[any]
-	calls   map[RecordID]*Call
-	next    RecordID
-	// Snapshot is the newest count of things, for pages and planners.
-	snapshot atomic.Pointer[Snapshot]
-	pokes    atomic.Bool
+	environment Environment
+	core        *Core
+	mailbox     *actor.Mailbox[any]
+	calls       map[RecordID]*Call
+	next        RecordID
+	// Snapshot is the newest counts, for status pages and planners.
+	snapshot       atomic.Pointer[Snapshot]
+	changeNotified atomic.Bool
 }
 
-// Snapshot is what others may see of the actor.
+// Snapshot is what the rest of the daemon sees of the actor.
 type Snapshot struct {
 	Counters      Counters
 	Demands       []Demand
-	Seats         []AssignmentCount
+	Assignments   []AssignmentCount
 	Live          int
 	Queued        int
 	FirstAttempts uint64
@@ -158,15 +159,15 @@
 const tickPeriod = 50 * time.Millisecond
 
 // NewActor makes the actor.
-func NewActor(around Surroundings) *Actor {
-	a := &Actor{around: around, core: NewCore(), mailbox: actor.NewMailbox[any](4096), calls: map[RecordID]*Call{}}
+func NewActor(environment Environment) *Actor {
+	a := &Actor{environment: environment, core: NewCore(), mailbox: actor.NewMailbox[any](4096), calls: map[RecordID]*Call{}}
 	a.snapshot.Store(&Snapshot{})
 	return a
 }
 
 // Run runs the actor until ctx ends.
 func (a *Actor) Run(ctx context.Context) {
-	a.mailbox.Run(ctx, tickPeriod, a.take, func() {
+	a.mailbox.Run(ctx, tickPeriod, a.handle, func() {
 		a.step(Tick{})
 		a.publish()
 	})
@@ -175,28 +176,28 @@
 // Snapshot gives the newest counts.
 func (a *Actor) Snapshot() *Snapshot { return a.snapshot.Load() }
 
-// Poke says that engines or the spec changed.
-func (a *Actor) Poke() {
+// NotifyChanged says that engines or the configuration changed.
+func (a *Actor) NotifyChanged() {
 	// One poke in the mailbox is enough, however many changes there were.
-	if a.pokes.CompareAndSwap(false, true) && !a.mailbox.Offer(Tick{}) {
-		a.pokes.Store(false)
+	if a.changeNotified.CompareAndSwap(false, true) && !a.mailbox.Offer(Tick{}) {
+		a.changeNotified.Store(false)
 	}
 }
 
-// Admit hands a call in; false means that this daemon can't take any.
+// Admit submits a call; false means that this daemon accepts no more.
 func (a *Actor) Admit(call *Call) bool { return a.mailbox.Send(arrival{call}) }
 
-func (a *Actor) take(event any) {
+func (a *Actor) handle(event any) {
 	switch e := event.(type) {
 	case arrival:
 		a.next++
 		e.call.ID = a.next
 		a.calls[a.next] = e.call
 		id := a.next
-		context.AfterFunc(e.call.ctx, func() { a.mailbox.Send(CallerGone{id}) })
+		context.AfterFunc(e.call.ctx, func() { a.mailbox.Send(ClientGone{id}) })
 		a.step(Arrive{ID: id, Request: e.call.Request})
 	case Tick:
-		a.pokes.Store(false)
+		a.changeNotified.Store(false)
 		a.step(e)
 	case Event:
 		a.step(e)
@@ -205,35 +206,35 @@
 
 func (a *Actor) publish() {
 	a.snapshot.Store(&Snapshot{
-		Counters: a.core.Counters, Demands: a.core.Demands(), Seats: a.core.AssignmentCounts(), Live: a.core.Live(), Queued: a.core.QueueLength(),
+		Counters: a.core.Counters, Demands: a.core.Demands(), Assignments: a.core.AssignmentCounts(), Live: a.core.Live(), Queued: a.core.QueueLength(),
 		FirstAttempts: a.core.Budget.FirstAttempts, Retries: a.core.Budget.Retries, Denied: a.core.Budget.Denied,
 	})
 }
 
 // step runs the core on one event and carries out the effects.
 func (a *Actor) step(event Event) {
-	effects := a.core.Step(a.around.World(), event)
+	effects := a.core.Step(a.environment.World(), event)
 	for _, reply := range effects.Replies {
 		a.reply(reply)
 	}
 	for _, send := range effects.Sends {
 		a.send(send)
 	}
-	for _, ask := range effects.AskAssignments {
-		a.askAssignment(ask)
+	for _, query := range effects.AssignmentQueries {
+		a.queryAssignment(query)
 	}
 	for _, session := range effects.EndAssignments {
-		go a.around.EndAssignment(session)
+		go a.environment.EndAssignment(session)
 	}
-	// A call whose record is gone has had its final answer.
+	// A call whose record has ended has had its final answer.
 	switch e := event.(type) {
 	case AttemptEnded:
-		a.drop(e.ID)
-	case CallerGone:
-		a.drop(e.ID)
+		a.forgetEnded(e.ID)
+	case ClientGone:
+		a.forgetEnded(e.ID)
 	}
 	for _, reply := range effects.Replies {
-		a.drop(reply.ID)
+		a.forgetEnded(reply.ID)
 	}
 }
 
@@ -243,7 +244,7 @@
 	case call == nil:
 	case reply.Answer.Kind == Refused:
 		// A refusal is a promise for the whole fleet, so the attempt's owners are asked first.
-		go func() { call.answer(a.around.Refuse(call, reply.Answer)) }()
+		go func() { call.answer(a.environment.Refuse(call, reply.Answer)) }()
 	default:
 		call.answer(reply.Answer)
 	}
@@ -252,22 +253,22 @@
 func (a *Actor) send(send Send) {
 	call := a.calls[send.ID]
 	go func() {
-		outcome, reason := a.around.Carry(call, send, func() { a.mailbox.Send(FirstPiece{send.ID}) })
+		outcome, reason := a.environment.Carry(call, send, func() { a.mailbox.Send(FirstChunk{send.ID}) })
 		a.mailbox.Send(AttemptEnded{ID: send.ID, Outcome: outcome, Reason: reason})
 	}()
 }
 
-func (a *Actor) askAssignment(ask AskAssignment) {
+func (a *Actor) queryAssignment(query AssignmentQuery) {
 	go func() {
-		engine, found := a.around.Assignment(ask)
+		engine, found := a.environment.Assignment(query)
 		if !found {
 			engine = ""
 		}
-		a.mailbox.Send(AssignmentFound{ID: ask.ID, Session: ask.Session, Engine: engine})
+		a.mailbox.Send(AssignmentFound{ID: query.ID, Session: query.Session, Engine: engine})
 	}()
 }
 
-func (a *Actor) drop(id RecordID) {
+func (a *Actor) forgetEnded(id RecordID) {
 	if _, alive := a.core.records[id]; !alive {
 		delete(a.calls, id)
 	}
--- a/request/dispatch/core_test.go
+++ b/request/dispatch/core_test.go
@@ -58,7 +58,7 @@
 	for _, repeatable := range []bool{false, true} {
 		c := NewCore()
 		event := arrive(1, start+clock.Mark(2*time.Second))
-		event.Request.Repeatable = repeatable
+		event.Request.Idempotent = repeatable
 		c.Step(world(start, true), event)
 		effects := c.Step(world(start, true), AttemptEnded{ID: 1, Outcome: Lost, Reason: "gone"})
 		for later := start; len(effects.Replies) == 0 && later < start+clock.Mark(5*time.Second); later += clock.Mark(100 * time.Millisecond) {
@@ -75,13 +75,13 @@
 func TestPastAttemptsAreKnownAndTheOldestForgottenFirst(t *testing.T) {
 	c := NewCore()
 	now := start
-	for i := range RecordID(maxPast + 10) {
+	for i := range RecordID(maxPastAttempts + 10) {
 		now++
 		c.Step(world(now, true), arrive(i, now+clock.Mark(time.Minute)))
-		c.Step(world(now, true), AttemptEnded{ID: i, Outcome: Whole})
+		c.Step(world(now, true), AttemptEnded{ID: i, Outcome: Completed})
 		if i > 100 {
 			// Filling the rest one by one through the passes takes long; the book-keeping is the same.
-			for j := i + 1; j < maxPast+10; j++ {
+			for j := i + 1; j < maxPastAttempts+10; j++ {
 				now++
 				c.end(&Record{ID: j, Request: Request{Attempt: fmt.Sprint("a", j)}, stage: Attempting})
 			}
@@ -92,11 +92,11 @@
 		effects := c.Step(world(now, true), arrive(id, now+clock.Mark(time.Minute)))
 		return len(effects.Replies) == 1 && effects.Replies[0].Answer.Kind == Replay
 	}
-	if !replayed(maxPast+9) || !replayed(50) || replayed(3) {
+	if !replayed(maxPastAttempts+9) || !replayed(50) || replayed(3) {
 		t.Error("the newest must be known, and the oldest forgotten")
 	}
-	if len(c.past) > maxPast+1 || len(c.pastOrder) > maxPast+1 {
-		t.Errorf("%d attempts are kept", len(c.past))
+	if len(c.pastAttempts) > maxPastAttempts+1 || len(c.pastOrder) > maxPastAttempts+1 {
+		t.Errorf("%d attempts are kept", len(c.pastAttempts))
 	}
 }
 
@@ -104,7 +104,7 @@
 	lacking := func(wait time.Duration, adapter string) World {
 		w := world(start, true)
 		w.Engines.Engines["e"].Report.Models = nil
-		w.Lacks = map[Wanted]time.Duration{{Model: "m", Adapter: adapter}: wait}
+		w.UnplacedWaits = map[Wanted]time.Duration{{Model: "m", Adapter: adapter}: wait}
 		return w
 	}
 	deadline := start + clock.Mark(10*time.Second)
@@ -112,11 +112,15 @@
 		world   World
 		refused bool
 	}{
-		"not before the deadline":              {lacking(11*time.Second, ""), true},
-		"in time":                              {lacking(9*time.Second, ""), false},
-		"of an adapter that is not asked for":  {lacking(time.Minute, "a"), false},
-		"nobody plans, so nothing is known":    {func() World { w := lacking(0, ""); w.Lacks = nil; return w }(), false},
-		"it stands, whatever the planner says": {func() World { w := world(start, true); w.Lacks = lacking(time.Minute, "").Lacks; return w }(), false},
+		"not before the deadline":             {lacking(11*time.Second, ""), true},
+		"in time":                             {lacking(9*time.Second, ""), false},
+		"of an adapter that is not asked for": {lacking(time.Minute, "a"), false},
+		"nobody plans, so nothing is known":   {func() World { w := lacking(0, ""); w.UnplacedWaits = nil; return w }(), false},
+		"it stands, whatever the planner says": {func() World {
+			w := world(start, true)
+			w.UnplacedWaits = lacking(time.Minute, "").UnplacedWaits
+			return w
+		}(), false},
 	} {
 		c := NewCore()
 		out := c.Step(one.world, arrive(1, deadline))
@@ -161,7 +165,7 @@
 	event := arrive(1, start+clock.Mark(10*time.Second))
 	event.Request.Session = "s"
 	out := c.Step(w, event)
-	if len(out.Sends) != 0 || len(out.AskAssignments) != 1 || out.AskAssignments[0].Replaces != "gone" || out.AskAssignments[0].Engine != "e" {
+	if len(out.Sends) != 0 || len(out.AssignmentQueries) != 1 || out.AssignmentQueries[0].Replaces != "gone" || out.AssignmentQueries[0].Engine != "e" {
 		t.Fatalf("the owner was not asked first: %+v", out)
 	}
 	out = c.Step(w, AssignmentFound{ID: 1, Session: "s", Engine: "f"})
--- a/request/dispatch/effects.go
+++ b/request/dispatch/effects.go
@@ -11,24 +11,24 @@
 	Engine  ident.EngineID
 	Address string
 	Zone    ident.ZoneID
-	// Stamped says that the record was queued or retried, so the lease on the worker id must still be held as it leaves.
+	// Stamped says that the record was queued or retried, so the worker-id lease must still be valid when it is sent.
 	Stamped  bool
 	Deadline clock.Mark
-	// The bid, for the engine's keeper.
+	// Assigned, Tenant, Value and Rank are the priority, for the owner of the engine's slots.
 	Assigned bool
 	Tenant   string
-	Worth    int64
+	Value    int64
 	Rank     int
 }
 
-// AskAssignment tells the actor to ask the session's owner for its assignment; Engine is the one wished for.
-type AskAssignment struct {
+// AssignmentQuery tells the actor to ask the session's owner for its assignment; Engine is the one proposed.
+type AssignmentQuery struct {
 	ID                      RecordID
 	Session, Model, Adapter string
 	Engine, Replaces        ident.EngineID
 }
 
-// Reply gives the caller the final answer.
+// Reply gives the client the final answer.
 type Reply struct {
 	ID     RecordID
 	Answer Answer
@@ -36,9 +36,9 @@
 
 // Effects is what the actor has to do after a step.
 type Effects struct {
-	Sends          []Send
-	Replies        []Reply
-	AskAssignments []AskAssignment
+	Sends             []Send
+	Replies           []Reply
+	AssignmentQueries []AssignmentQuery
 	// EndAssignments lists sessions whose owners should forget them.
 	EndAssignments []string
 }
--- a/request/dispatch/events.go
+++ b/request/dispatch/events.go
@@ -10,7 +10,7 @@
 	"github.com/cresspond/cresspond/process/workerid/snowflake"
 )
 
-// World is what the core may look at during one step.
+// World is what the core may read during one step.
 type World struct {
 	Now     clock.Mark
 	Table   *routingtable.Table
@@ -21,9 +21,9 @@
 	Zone     ident.ZoneID
 	// ShareAssignments says whether assignments are shared with other routing daemons.
 	ShareAssignments bool
-	// Lacks is for how long what is asked for is not likely to be loaded anywhere.
-	Lacks map[Wanted]time.Duration
-	// Admission says that a keeper is asked before each attempt is sent.
+	// UnplacedWaits is for how long what is asked for is not likely to be loaded anywhere.
+	UnplacedWaits map[Wanted]time.Duration
+	// Admission says that the owner of the engine's slots is asked before each attempt is sent.
 	Admission bool
 }
 
@@ -47,11 +47,11 @@
 	Reason string
 }
 
-// FirstPiece says that a piece is about to go to the caller.
-type FirstPiece struct{ ID RecordID }
+// FirstChunk says that the first chunk is about to be sent to the client.
+type FirstChunk struct{ ID RecordID }
 
-// CallerGone says that the caller closed its side while the record was waiting.
-type CallerGone struct{ ID RecordID }
+// ClientGone says that the client closed its connection while the record was queued.
+type ClientGone struct{ ID RecordID }
 
 // AssignmentFound brings the answer of the session's owner.
 type AssignmentFound struct {
@@ -60,13 +60,13 @@
 	Engine  ident.EngineID
 }
 
-// Tick lets time pass, or says that engines or the spec changed.
+// Tick lets time pass, or says that engines or the configuration changed.
 type Tick struct{}
 
 func (Arrive) dispatchEvent()          {}
 func (AttemptEnded) dispatchEvent()    {}
-func (FirstPiece) dispatchEvent()      {}
-func (CallerGone) dispatchEvent()      {}
+func (FirstChunk) dispatchEvent()      {}
+func (ClientGone) dispatchEvent()      {}
 func (AssignmentFound) dispatchEvent() {}
 func (Tick) dispatchEvent()            {}
 
--- a/request/dispatch/record.go
+++ b/request/dispatch/record.go
@@ -10,17 +10,17 @@
 // RecordID numbers the records of one incarnation of a daemon.
 type RecordID uint64
 
-// Stage is where a record stands.
+// Stage is the state of a record.
 type Stage uint8
 
 const (
 	// Admitted: checked, and not yet looked at by the passes.
 	Admitted Stage = iota
-	// Queued: waiting for room, stamped with a minted id.
+	// Queued: waiting for a free slot, stamped with a minted id.
 	Queued
-	// Attempting: handed to a sender; the bytes may be on their way.
+	// Attempting: handed to a sender; bytes may have been sent.
 	Attempting
-	// Streaming: at least one piece went to the caller.
+	// Streaming: at least one chunk was sent to the client.
 	Streaming
 	// Ended: nothing more will happen.
 	Ended
@@ -30,28 +30,28 @@
 	return [...]string{"admitted", "queued", "attempting", "streaming", "ended"}[s]
 }
 
-// Request is what a caller asked for, already checked against the spec.
+// Request is a client's request, already checked against the configuration.
 type Request struct {
 	Attempt string
 	Route   string
 	Tenant  string
-	Worth   int64
+	Value   int64
 	Rank    int
 	Model   string
 	Adapter string
 	Prefix  string
 	Session string
 	Bytes   int
-	// Digest tells it from another request under the same attempt id.
+	// Digest distinguishes it from another request under the same attempt id.
 	Digest     uint64
 	Deadline   clock.Mark
-	Repeatable bool
+	Idempotent bool
 	EndSession bool
 	// MaxQueued bounds how many requests of this route may be queued here; zero leaves it to the bound for all.
 	MaxQueued int
 }
 
-// Record is one row of the table.
+// Record is the state of one request.
 type Record struct {
 	ID RecordID
 	Request
@@ -63,24 +63,24 @@
 	// Stamps are the minted ids of its queueing and of each retry.
 	Stamps []ident.SnowflakeID
 	// assigned is the engine that must be used, found at this daemon or by the session's owner.
-	assigned        ident.EngineID
-	assignmentAsked bool
-	assignmentKnown bool
-	notBefore       clock.Mark
+	assigned          ident.EngineID
+	assignmentQueried bool
+	assignmentKnown   bool
+	notBefore         clock.Mark
 	// mayHaveRun says that an earlier attempt was lost, so no refusal may be promised.
 	mayHaveRun bool
 	// needsToken says that the retry budget was empty: it waits for its next attempt until there is a token.
-	needsToken bool
-	counted    bool
+	needsToken     bool
+	countedAsFirst bool
 	// failed lists engines at which attempts of this record failed; they are skipped while another fits.
 	failed     []ident.EngineID
 	lastReason string
 }
 
-// Stage tells where the record stands.
+// Stage gives the state of the record.
 func (r *Record) Stage() Stage { return r.stage }
 
-// transitions lists the ways from each stage to the next.
+// transitions lists the stages that may follow each stage.
 var transitions = map[Stage][]Stage{
 	Admitted:   {Queued, Attempting, Ended},
 	Queued:     {Attempting, Ended},
@@ -90,8 +90,8 @@
 
 // move is the one function by which a record changes its stage.
 func (r *Record) move(to Stage) {
-	for _, way := range transitions[r.stage] {
-		if way == to {
+	for _, next := range transitions[r.stage] {
+		if next == to {
 			r.stage = to
 			return
 		}
@@ -117,23 +117,23 @@
 	NeverSent
 	// EngineRefused: the engine stated that it did not and will not run.
 	EngineRefused
-	// Whole: the final piece came.
-	Whole
-	// Cut: pieces came, and then no more.
-	Cut
-	// Lost: the request went out, and no piece came.
+	// Completed: the final chunk came.
+	Completed
+	// BrokenOff: chunks came, but not the final one.
+	BrokenOff
+	// Lost: the request was sent, and no chunk came.
 	Lost
-	// CallerLeft: the caller went away, and the attempt was cancelled.
-	CallerLeft
+	// ClientDisconnected: the client disconnected, and the attempt was cancelled.
+	ClientDisconnected
 	// KnownElsewhere: another daemon has this attempt, so nothing was sent.
 	KnownElsewhere
 	// RefusedElsewhere: another daemon refused this attempt while it was queued here, so nothing was sent.
 	RefusedElsewhere
-	// Doubted: nobody could tell whether another daemon has this attempt, so nothing was sent.
-	Doubted
+	// Uncertain: no owner could tell whether another daemon has this attempt, so nothing was sent.
+	Uncertain
 )
 
-// AnswerKind is what a caller gets when no stream is handed over.
+// AnswerKind is the kind of an answer that is no stream.
 type AnswerKind string
 
 const (
@@ -150,6 +150,6 @@
 	Kind   AnswerKind
 	Status int
 	Reason string
-	// RetryAfter is when asking again makes sense.
+	// RetryAfter is when the client should retry.
 	RetryAfter time.Duration
 }
--- a/request/dispatch/schedule.go
+++ b/request/dispatch/schedule.go
@@ -8,8 +8,9 @@
 	"github.com/cresspond/cresspond/process/engines/priority"
 )
 
-// passBids lets waiting records bid, the highest first, and sends those for whom there is room.
-func (c *Core) passBids() {
+// sendByPriority sends the waiting records that an engine has a free slot for, the highest priority first, and queues
+// the rest.
+func (c *Core) sendByPriority() {
 	if c.world.Table == nil {
 		return
 	}
@@ -19,18 +20,19 @@
 			waiting = append(waiting, record)
 		}
 	}
-	// Among equal bids the tenant that was served least goes first; its turn is counted as each is sent.
+	// At equal priority the tenant that was served least goes first; that is counted as each is sent, so the order is worked
+	// out anew.
 	for len(waiting) > 0 {
-		slices.SortFunc(waiting, c.compareBids)
-		sentHouse := false
-		for place, record := range waiting {
-			if c.tryToSend(record) {
-				waiting = slices.Delete(waiting, place, place+1)
-				sentHouse = true
+		slices.SortFunc(waiting, c.compareByPriority)
+		sent := false
+		for position, record := range waiting {
+			if c.trySend(record) {
+				waiting = slices.Delete(waiting, position, position+1)
+				sent = true
 				break
 			}
 		}
-		if !sentHouse {
+		if !sent {
 			break
 		}
 	}
@@ -41,67 +43,67 @@
 	}
 }
 
-// compareBids puts the record that goes first in front.
-func (c *Core) compareBids(a, b *Record) int {
-	return cmp.Or(c.turns.Compare(c.bidOf(a), c.bidOf(b)), cmp.Compare(a.ID, b.ID))
+// compareByPriority puts the higher priority in front, then the earlier arrival.
+func (c *Core) compareByPriority(a, b *Record) int {
+	return cmp.Or(c.servedCounts.Compare(c.priorityOf(a), c.priorityOf(b)), cmp.Compare(a.ID, b.ID))
 }
 
-func (c *Core) bidOf(r *Record) priority.Key {
+func (c *Core) priorityOf(r *Record) priority.Key {
 	assigned := r.Session != "" && (c.assignments[r.Session] != nil || r.assigned != "")
-	return priority.Key{Assigned: assigned, Value: r.Worth, Rank: r.Rank, Tenant: r.Tenant}
+	return priority.Key{Assigned: assigned, Value: r.Value, Rank: r.Rank, Tenant: r.Tenant}
 }
 
-// tryToSend sends a record if there is room for it now.
-func (c *Core) tryToSend(record *Record) bool {
+// trySend sends a record if an engine has a free slot for it now. It returns true where the record has left the queue.
+func (c *Core) trySend(record *Record) bool {
 	if c.world.Now < record.notBefore {
 		return false
 	}
 	if !c.world.Table.Allows(record.Route, record.Model, record.Adapter) {
-		// A newer spec took the route away while the record waited.
-		c.refuse(record, 403, "the spec in force no longer allows this", 0)
+		// A newer configuration removed the route while the record waited.
+		c.refuse(record, 403, "the configuration in force no longer allows this", 0)
 		return true
 	}
 	if !c.findAssignment(record) {
 		return false
 	}
-	picked, ok := c.pick(record)
+	chosen, ok := c.chooseEngine(record)
 	if !ok {
 		return false
 	}
 	if record.needsToken {
 		if !c.Budget.Retry(c.world.Now) {
-			record.notBefore = c.world.Now + clock.Mark(refusalRest)
+			record.notBefore = c.world.Now + clock.Mark(refusalBackoff)
 			return false
 		}
 		record.needsToken = false
 	}
 	c.dequeue(record)
 	record.move(Attempting)
-	record.Engine = picked.ID
+	record.Engine = chosen.ID
 	record.Attempts++
-	if record.Attempts == 1 && !record.counted {
+	if record.Attempts == 1 && !record.countedAsFirst {
 		// An attempt that was withdrawn and is made again is still the first one.
-		record.counted = true
+		record.countedAsFirst = true
 		c.Budget.First()
 	}
 	c.Counters.Sent++
-	c.run(picked.ID, 1)
-	c.countTurn(record.Tenant)
+	c.countRunning(chosen.ID, 1)
+	c.countServed(record.Tenant)
 	if record.Session != "" {
-		c.assign(record, picked.ID)
+		c.assign(record, chosen.ID)
 	}
 	if record.Prefix != "" && len(c.prefixes) < maxPrefixes {
-		c.prefixes[record.Model+"\x00"+record.Prefix] = picked.ID
+		c.prefixes[record.Model+"\x00"+record.Prefix] = chosen.ID
 	}
-	c.out.Sends = append(c.out.Sends, Send{ID: record.ID, Engine: picked.ID, Address: picked.Address, Zone: picked.Zone,
-		Stamped: len(record.Stamps) > 0, Deadline: record.Deadline, Assigned: record.assigned == picked.ID,
-		Tenant: record.Tenant, Worth: record.Worth, Rank: record.Rank})
+	c.effects.Sends = append(c.effects.Sends, Send{ID: record.ID, Engine: chosen.ID, Address: chosen.Address, Zone: chosen.Zone,
+		Stamped: len(record.Stamps) > 0, Deadline: record.Deadline, Assigned: record.assigned == chosen.ID,
+		Tenant: record.Tenant, Value: record.Value, Rank: record.Rank})
 	return true
 }
 
-// countTurn counts a tenant's turn among those whose records wait.
-func (c *Core) countTurn(tenant string) {
-	c.turns.Serve(tenant, func(yield func(string) bool) {
+// countServed counts that a tenant was served, among those whose records wait.
+func (c *Core) countServed(tenant string) {
+	c.servedCounts.Serve(tenant, func(yield func(string) bool) {
 		for _, record := range c.records {
 			if (record.stage == Queued || record.stage == Admitted) && !yield(record.Tenant) {
 				return
--- a/request/dispatch/room.go
+++ b/request/dispatch/slots.go
@@ -6,8 +6,8 @@
 	"github.com/cresspond/cresspond/process/engines/discovery"
 )
 
-// room is how many more attempts an engine may get from here now.
-func (c *Core) room(engine *discovery.Engine) int {
+// freeSlots is how many more attempts an engine may be sent from here now.
+func (c *Core) freeSlots(engine *discovery.Engine) int {
 	allowedEngine, ok := c.world.Table.Engine(engine.ID)
 	if !ok {
 		return 0
@@ -21,37 +21,37 @@
 	slots := engine.Capacity(c.world.Now, allowedEngine.Slots)
 	own := c.running[engine.ID]
 	if c.world.Admission {
-		// The engine's keeper counts for all daemons; here only the asking is bounded.
+		// The owner of the engine's slots counts for all daemons; here only the number of requests to it is bounded.
 		return slots - own
 	}
-	// What the report shows beyond what this daemon had running when it was asked is others' work.
-	others := max(0, engine.Report.Busy-c.ranAt(engine.ID, engine.ReportRequested))
+	// What the report shows beyond what this daemon had running when it was requested is the work of others.
+	others := max(0, engine.Report.Busy-c.runningAt(engine.ID, engine.ReportRequested))
 	return slots - own - others
 }
 
-// ranSince is how many ran on an engine from a moment on.
-type ranSince struct {
+// runningCount is how many ran on an engine from a moment on.
+type runningCount struct {
 	from  clock.Mark
 	count int
 }
 
-// run counts an attempt in or out.
-func (c *Core) run(engine ident.EngineID, by int) {
+// countRunning counts an attempt in or out.
+func (c *Core) countRunning(engine ident.EngineID, by int) {
 	c.running[engine] += by
-	history := append(c.history[engine], ranSince{c.world.Now, c.running[engine]})
+	history := append(c.runningHistory[engine], runningCount{c.world.Now, c.running[engine]})
 	if known := c.world.Engines.Engines[engine]; known != nil {
-		// What lies before the last change ahead of the report is never asked for again.
+		// Only the last change before the report, and those after it, are ever needed again.
 		for len(history) > 1 && history[1].from <= known.ReportRequested {
 			history = history[1:]
 		}
 	}
-	c.history[engine] = history
+	c.runningHistory[engine] = history
 }
 
-// ranAt is how many ran on an engine from here at a moment.
-func (c *Core) ranAt(engine ident.EngineID, at clock.Mark) int {
+// runningAt is how many ran on an engine from here at a moment.
+func (c *Core) runningAt(engine ident.EngineID, at clock.Mark) int {
 	count := 0
-	for _, since := range c.history[engine] {
+	for _, since := range c.runningHistory[engine] {
 		if since.from > at {
 			break
 		}
--- a/request/dispatch/report.go
+++ b/request/dispatch/snapshot.go
@@ -9,7 +9,7 @@
 
 // Counters count events since the start of the actor.
 type Counters struct {
-	Admitted, Queued, Sent, Whole, CutOff, Lost, RefusedHere, EngineRefusals, Replays, Reseated, CallersLeft, Withdrawn, Hopeless uint64
+	Admitted, Queued, Sent, Completed, BrokenOff, Lost, RefusedHere, EngineRefusals, Replays, Reassigned, ClientsDisconnected, Withdrawn, Unplaceable uint64
 }
 
 // Demand is how many requests are queued and running for one model and adapter.
@@ -19,7 +19,7 @@
 	Queued, Running int
 }
 
-// Demands lists what the planner should know.
+// Demands lists the demand for the planner, in a fixed order.
 func (c *Core) Demands() []Demand {
 	byKey := map[routeKey]*Demand{}
 	for _, record := range c.records {
@@ -29,7 +29,7 @@
 			demand = &Demand{Model: record.Model, Adapter: record.Adapter}
 			byKey[key] = demand
 		}
-		demand.Value = max(demand.Value, record.Worth)
+		demand.Value = max(demand.Value, record.Value)
 		if record.stage == Queued || record.stage == Admitted {
 			demand.Queued++
 		} else {
--- a/request/relay/fuzz_test.go
+++ b/request/relay/fuzz_test.go
@@ -22,19 +22,19 @@
 		checker := NewChecker("x")
 		next, done := 0, false
 		for line := range bytes.Lines(data) {
-			out, reason := checker.Take(line)
+			out, reason := checker.Check(line)
 			if reason != "" {
 				return
 			}
-			var piece callerapi.Piece
-			if err := json.Unmarshal(out, &piece); err != nil || piece.Attempt != "x" || done || piece.N != next {
+			var chunk callerapi.Piece
+			if err := json.Unmarshal(out, &chunk); err != nil || chunk.Attempt != "x" || done || chunk.N != next {
 				t.Fatalf("%q went on as %q after %d pieces, %v", line, out, next, err)
 			}
-			if done = piece.Final; !done {
+			if done = chunk.Final; !done {
 				next++
 			}
-			if checker.Whole() != done || checker.Pieces() != next {
-				t.Fatalf("whole %t after %d pieces", checker.Whole(), checker.Pieces())
+			if checker.Complete() != done || checker.Chunks() != next {
+				t.Fatalf("whole %t after %d pieces", checker.Complete(), checker.Chunks())
 			}
 		}
 	})
--- a/testbed/interleaving/interleave_test.go
+++ b/testbed/interleaving/interleave_test.go
@@ -274,7 +274,7 @@
 		yield()
 		r.written[send.ID] = true
 		yield()
-		r.step(dispatch.AttemptEnded{ID: send.ID, Outcome: dispatch.Whole})
+		r.step(dispatch.AttemptEnded{ID: send.ID, Outcome: dispatch.Completed})
 	}
 }
 
@@ -305,7 +305,7 @@
 				}
 			}
 		}
-		leaver := func(yield func()) { yield(); r.step(dispatch.CallerGone{ID: 2}) }
+		leaver := func(yield func()) { yield(); r.step(dispatch.ClientGone{ID: 2}) }
 		return Case{Threads: []func(func()){sender, ticker, leaver}, Check: func() error {
 			for id := range r.refused {
 				if r.refused[id] && r.written[id] {
