--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,4 +1,3 @@
-// Package daemon puts the actors of one cresspondd process together and runs them.
 package daemon
 
 import (
@@ -16,6 +15,7 @@
 	"github.com/cresspond/cresspond/connection/sessionapi"
 	"github.com/cresspond/cresspond/daemon/listener"
 	"github.com/cresspond/cresspond/daemon/longpoll"
+	"github.com/cresspond/cresspond/daemon/noderanking"
 	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/process/cluster/affinity"
 	"github.com/cresspond/cresspond/process/cluster/deduplication"
@@ -124,7 +124,7 @@
 
 	forwarding forwardingPath
 	// nodeRanking ranks engines by the health of their nodes.
-	nodeRanking *nodeRanking
+	nodeRanking *noderanking.Ranking
 
 	counters counters
 }
@@ -175,7 +175,7 @@
 	}
 	next.Seeds, next.Bounds, next.DrainMs = config.Seeds, config.Bounds, config.DrainMs
 	d.current.Store(&next)
-	d.log.WithField("seeds", next.Seeds).Info("settings read again")
+	d.log.WithField("seeds", next.Seeds).Info("settings reloaded")
 }
 
 func (d *Daemon) roleNames() []string {
