--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -55,7 +55,7 @@
 		wait.Go(func() {
 			if err := server.ShutdownWithContext(limit); err != nil {
 				remaining.add(openResponses)
-				d.log.WithField("openSessionRequests", d.sessionAPI.Open()).Warn("drain ended before all responses were written")
+				d.log.WithField("openSessionRequests", d.sessionAPI.InProgress()).Warn("drain ended before all responses were written")
 			}
 		})
 	}
