--- /dev/null
+++ b/cmd/cresspond-platform/run.go
@@ -0,0 +1,77 @@
+package main
+
+import (
+	"os"
+	"os/signal"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"github.com/apex/log"
+
+	"github.com/cresspond/cresspond/daemon"
+	"github.com/cresspond/cresspond/platform"
+	"github.com/cresspond/cresspond/process/daemonconfig"
+)
+
+// run runs the daemon until a signal asks it to stop. An incarnation that may not continue, since its group declared it
+// lost, is succeeded by another with a new identity.
+func run(settings daemonconfig.Config, file string) {
+	// A client, an engine or a log's reader that disconnects must not end the daemon.
+	signal.Ignore(syscall.SIGPIPE)
+	stop := stopSignal()
+	var current atomic.Pointer[daemon.Daemon]
+	reload := func(next daemonconfig.Config) {
+		if running := current.Load(); running != nil {
+			running.Reload(next)
+		}
+	}
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	polls := time.NewTicker(settingsPollInterval)
+	defer polls.Stop()
+	go watchSettings(file, hangups, polls.C, reload)
+	for {
+		instance := build(settings)
+		current.Store(instance)
+		err := instance.Run(stop, nil)
+		if err == nil {
+			return
+		}
+		log.WithError(err).Error("restarting the daemon")
+		settings = instance.Config()
+		select {
+		case <-stop:
+			return
+		case <-time.After(restartDelay):
+		}
+	}
+}
+
+// restartDelay is the pause between one incarnation of the daemon and the next within this process.
+const restartDelay = 500 * time.Millisecond
+
+// stopSignal returns a channel that is closed at the first SIGTERM or interrupt. A second one changes nothing: requests
+// that were read are completed within the grace period.
+func stopSignal() <-chan struct{} {
+	stop := make(chan struct{})
+	signals := make(chan os.Signal, 2)
+	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
+	go func() {
+		<-signals
+		close(stop)
+	}()
+	return stop
+}
+
+// build makes a daemon with the platform's protocols.
+func build(settings daemonconfig.Config) *daemon.Daemon {
+	return daemon.New(settings, version, log.Log,
+		daemon.WithReadiness(func(*daemon.Daemon) daemon.Handler { return platform.Readiness{} }),
+		daemon.WithForwarding(platform.Dialect()),
+		daemon.WithPatience(platform.ClientTimeout()),
+		daemon.WithControl(func(d *daemon.Daemon) daemon.Handler { return platform.NewEngines(d) }),
+		daemon.WithPoolPlanning(platform.NewEngineClient(), daemon.PoolSettings(settings)),
+		daemon.WithControl(func(d *daemon.Daemon) daemon.Handler { return platform.NewOperator(d) }),
+	)
+}
--- a/cmd/cresspondd/main.go
+++ b/cmd/cresspondd/main.go
@@ -1,4 +1,7 @@
-// Command cresspondd is the daemon: it routes, keeps the control group, or plans, as its settings say.
+// Command cresspondd is the daemon. It serves the roles that its settings list: it routes callers, is a member of the
+// control group, or plans placements.
+//
+// It exits with 0 after a graceful shutdown, with 1 if it or a recovery failed, and with 2 on wrong flags or settings.
 package main
 
 import (
@@ -19,6 +22,7 @@
 // version is set by the build.
 var version = "0.1.0-dev"
 
+// exitFailed is the exit code where the daemon or a recovery failed.
 const exitFailed = 1
 
 func main() {
@@ -39,7 +43,7 @@
 	}
 	switch {
 	case *flags.checkOnly:
-		fmt.Println("the settings are sound")
+		fmt.Println("the settings are valid")
 	case len(*flags.recoverFrom) > 0:
 		if err := recoverGroup(settings, *flags.recoverFrom, *flags.survivor); err != nil {
 			fail("nothing was changed: " + err.Error())
@@ -47,28 +51,30 @@
 	default:
 		log.SetHandler(jsonlog.New(os.Stderr))
 		log.SetLevel(log.MustParseLevel(strings.ToLower(settings.Log)))
-		stop, hurry := stopSignals()
-		if err := daemon.New(settings, version, log.Log, daemon.WithForwarding(dialect.Own())).Run(stop, hurry); err != nil {
+		stop, stopNow := stopSignals()
+		if err := daemon.New(settings, version, log.Log, daemon.WithForwarding(dialect.Own())).Run(stop, stopNow); err != nil {
 			fail(err.Error())
 		}
 	}
 }
 
+// fail reports why the command failed, and exits.
 func fail(reason string) {
 	fmt.Fprintln(os.Stderr, "cresspondd: "+reason)
 	os.Exit(exitFailed)
 }
 
-// stopSignals gives a channel that closes at the first signal to stop, and one that closes at the second.
-func stopSignals() (stop, hurry chan struct{}) {
-	stop, hurry = make(chan struct{}), make(chan struct{})
+// stopSignals returns a channel that is closed at the first SIGTERM or interrupt, for a graceful shutdown, and one that
+// is closed at the second, for an immediate one.
+func stopSignals() (stop, stopNow chan struct{}) {
+	stop, stopNow = make(chan struct{}), make(chan struct{})
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
 	go func() {
 		<-signals
 		close(stop)
 		<-signals
-		close(hurry)
+		close(stopNow)
 	}()
-	return stop, hurry
+	return stop, stopNow
 }
--- a/cmd/internal/application/application.go
+++ b/cmd/internal/application/application.go
@@ -1,4 +1,4 @@
-// Package application holds what the command lines of all programs share.
+// Package application holds what the command lines of all programs have in common.
 package application
 
 import (
@@ -10,7 +10,7 @@
 // ExitWrongUsage is the exit code for wrong flags, and for wrong settings of any kind.
 const ExitWrongUsage = 2
 
-// New makes the command line of a program. kingpin ends with 1 on wrong flags; here they end with ExitWrongUsage.
+// New makes the command line of a program. On wrong flags kingpin exits with 1; programs made here with ExitWrongUsage.
 func New(name, help, version string) *kingpin.Application {
 	app := kingpin.New(name, help)
 	app.Version(version)
