--- a/process/consensus/raft/doc.go
+++ b/process/consensus/raft/doc.go
@@ -21,7 +21,7 @@
 //
 //   - Leader election with randomized time-outs (section 3.4), with a pre-vote round (9.6), and with check-quorum: a
 //     leader that a majority no longer answers steps down, and a member that hears a leader ignores candidates (6.2, 4.2.3).
-//   - Log replication with a probing phase and pipelined appends (3.5, 10.2.1). A leader writes to its disk while it
+//   - Log replication with a probing phase and pipelined appends (3.5, 10.2.2). A leader writes to its disk while it
 //     replicates (10.2.1): its own entry counts for the quorum once it is synced.
 //   - Single-server membership changes (4.1 to 4.3): a membership is in force from the moment it stands in the log. A
 //     leader proposes one change at a time, and only after it has committed an entry of its own term. Members that are
--- a/process/consensus/raft/membershipchange.go
+++ b/process/consensus/raft/membershipchange.go
@@ -89,7 +89,7 @@
 
 // proposeMembership appends a membership. Two rules keep quorums of successive memberships overlapping: only one voter
 // changes, in one uncommitted change at a time (section 4.1), and the leader has committed an entry of its own term before
-// (the published correction of section 4.1).
+// (the correction to section 4.1 in "bug in single-server membership changes", raft-dev mailing list, July 2015).
 func (c *Core) proposeMembership(proposed Membership) {
 	if c.role != Leader || c.transferTarget != 0 || !c.CommittedInTerm() || !c.membershipCommitted() {
 		return
