--- a/process/daemonconfig/config.go
+++ b/process/daemonconfig/config.go
@@ -2,17 +2,7 @@
 package daemonconfig
 
 import (
-	"bytes"
-	"encoding/json"
-	"fmt"
-	"io"
-	"net"
-	"os"
-	"reflect"
 	"slices"
-	"strings"
-
-	"github.com/go-playground/validator/v10"
 
 	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/process/engines/nodehealth"
@@ -83,6 +73,17 @@
 	Experiments Experiments `json:"experiments,omitzero"`
 }
 
+// Serves says whether the daemon has a role.
+func (c Config) Serves(role Role) bool { return slices.Contains(c.Roles, role) }
+
+// AdvertisedPeerAddress is the address other daemons use.
+func (c Config) AdvertisedPeerAddress() string {
+	if c.PeerAddress != "" {
+		return c.PeerAddress
+	}
+	return c.PeerListen
+}
+
 // Experiments changes how daemons decide, for measurements only. It should be the same on all daemons.
 type Experiments struct {
 	// Disabled names the mechanisms that are switched off; package mechanism lists them.
@@ -139,181 +140,9 @@
 	CPU float64 `json:"cpu,omitempty" validate:"gte=0"`
 }
 
-// Bounds are the times and amounts that a deployment holds its daemons to.
-type Bounds struct {
-	// HeartbeatMs is how often an engine says that it lives.
-	HeartbeatMs int64 `json:"beatMs" validate:"gt=0"`
-	// ContactMs is how long daemons must have been whole and joined before bounds hold for them.
-	ContactMs int64 `json:"contactMs" validate:"gt=0"`
-	// AcknowledgeMs is how long an operator waits at most for an acknowledgement.
-	AcknowledgeMs int64 `json:"acknowledgeMs" validate:"gt=0"`
-	// CatchUpMs is how soon after its start a new member must vote.
-	CatchUpMs int64 `json:"catchUpMs" validate:"gt=0"`
-	// EngineDrainMs is how long after its leaving was acknowledged an engine may still be sent requests.
-	EngineDrainMs int64 `json:"leaveMs" validate:"gt=0"`
-	// AddressReuseMs is when the address of an engine that ended may be another's.
-	AddressReuseMs int64 `json:"addressReuseMs" validate:"gte=0"`
-	// ApplyMs is when an acknowledged bundle must be in force everywhere, RevertMs how soon after one was
-	// seen in force a daemon may no longer go by an older one.
-	ApplyMs  int64 `json:"applyMs" validate:"gt=0"`
-	RevertMs int64 `json:"revertMs" validate:"gte=0"`
-	// RetryRatio and RetrySlack bound, within RetryWindowMs and over all daemons, how many attempts go to a
-	// pool beyond the first of each request.
-	RetryRatio    float64 `json:"retryRatio" validate:"gte=0"`
-	RetryWindowMs int64   `json:"retryWindowMs" validate:"gt=0"`
-	RetrySlack    float64 `json:"retrySlack" validate:"gte=0"`
-	// RetryAfterMs is when a refused client comes back if it was not told; zero is not known.
-	RetryAfterMs int64 `json:"retryAfterMs,omitempty" validate:"gte=0"`
-	// RecoverMs is when requests must be served again after all machines were down.
-	RecoverMs int64 `json:"recoverMs" validate:"gt=0"`
-	// PassMs is how long an event may take through a daemon, LossSlackMs how long a request that was read may
-	// lie unanswered in one that stops.
-	PassMs      int64 `json:"passMs" validate:"gt=0"`
-	LossSlackMs int64 `json:"lossSlackMs" validate:"gte=0"`
-	// FencingChecked says that engines refuse orders under a lower fence than they have seen. LeaseMs is the
-	// least time between orders of two planners, ThawSlackMs how long after a thaw an order may still come.
-	FencingChecked bool  `json:"fenceChecked,omitempty"`
-	LeaseMs        int64 `json:"leaseMs" validate:"gt=0"`
-	ThawSlackMs    int64 `json:"thawSlackMs" validate:"gte=0"`
-	// OriginWindowMs is the window over which loads from the store are counted, OriginExcess how far they may
-	// pass its pace within it.
-	OriginWindowMs int64   `json:"originWindowMs" validate:"gt=0"`
-	OriginExcess   float64 `json:"originExcess" validate:"gte=0"`
-}
-
-// DefaultBounds are the bounds of a deployment that says nothing.
-func DefaultBounds() Bounds {
-	return Bounds{HeartbeatMs: 1000, ContactMs: 3000, AcknowledgeMs: 4000, CatchUpMs: 4000, EngineDrainMs: 2000, AddressReuseMs: 2000, ApplyMs: 2000,
-		RevertMs: 250, RetryRatio: 0.2, RetryWindowMs: 10000, RetrySlack: 10, RecoverMs: 12000, PassMs: 120, LossSlackMs: 200, LeaseMs: 3000,
-		ThawSlackMs: 300, OriginWindowMs: 5000, OriginExcess: 1}
-}
-
 const defaultMetricsPath = "/metrics"
 
-// CheckAddresses says which addresses of the settings cannot be used now, by trying them.
-func (c Config) CheckAddresses(file string) []Fault {
-	if c.MetricsListen == "" {
-		return nil
-	}
-	listener, err := net.Listen("tcp", c.MetricsListen)
-	if err != nil {
-		return []Fault{{file, MetricsKey, err.Error()}}
-	}
-	listener.Close()
-	return nil
-}
-
 // Default gives the settings that need not be said.
 func Default() Config {
 	return Config{Voters: 3, Compaction: DefaultCompaction(), DrainMs: 30000, Log: "info", AttemptScope: FleetAttempts, OnFault: ExitOnFault, Bounds: DefaultBounds(), Ranking: nodehealth.DefaultSettings(), MetricsPath: defaultMetricsPath}
 }
-
-// Serves says whether the daemon has a role.
-func (c Config) Serves(role Role) bool { return slices.Contains(c.Roles, role) }
-
-// AdvertisedPeerAddress is the address other daemons use.
-func (c Config) AdvertisedPeerAddress() string {
-	if c.PeerAddress != "" {
-		return c.PeerAddress
-	}
-	return c.PeerListen
-}
-
-// Fault is one thing wrong with the settings.
-type Fault struct{ File, Field, Reason string }
-
-func (f Fault) String() string {
-	where := f.File
-	if f.Field != "" {
-		where += ": " + f.Field
-	}
-	return where + ": " + f.Reason
-}
-
-// Read reads the file over the defaults; it is not yet checked, since flags may still fill it.
-func Read(path string) (Config, []Fault) {
-	c := Default()
-	if path == "" {
-		return c, nil
-	}
-	data, err := os.ReadFile(path)
-	if err != nil {
-		return c, []Fault{{path, "", err.Error()}}
-	}
-	decoder := json.NewDecoder(bytes.NewReader(data))
-	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(&c); err != nil {
-		if typed, ok := err.(*json.UnmarshalTypeError); ok {
-			return c, []Fault{{path, typed.Field, "a " + typed.Value + " does not fit here"}}
-		}
-		return c, []Fault{{path, "", strings.TrimPrefix(err.Error(), "json: ")}}
-	}
-	if _, err := decoder.Token(); err != io.EOF {
-		return c, []Fault{{path, "", "something follows the settings"}}
-	}
-	return c, nil
-}
-
-var validate = newValidator()
-
-func newValidator() *validator.Validate {
-	v := validator.New(validator.WithRequiredStructEnabled())
-	v.RegisterTagNameFunc(func(field reflect.StructField) string {
-		name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
-		return name
-	})
-	must := func(err error) {
-		if err != nil {
-			panic("broken invariant: a check cannot be registered: " + err.Error())
-		}
-	}
-	must(v.RegisterValidation("ipport", func(level validator.FieldLevel) bool {
-		host, port, err := net.SplitHostPort(level.Field().String())
-		// Processes find each other by IP number alone; names would bring in an outside service.
-		return err == nil && net.ParseIP(host) != nil && port != ""
-	}))
-	must(v.RegisterValidation("mechanism", func(level validator.FieldLevel) bool {
-		_, err := featuregates.Parse([]string{level.Field().String()})
-		return err == nil
-	}))
-	must(v.RegisterValidation("required_if_control", func(level validator.FieldLevel) bool {
-		config, ok := level.Parent().Interface().(Config)
-		return !ok || !config.Serves(Control) || config.DataDir != ""
-	}, true))
-	return v
-}
-
-// Check gives every fault of the settings at once.
-func (c Config) Check(file string) []Fault {
-	if file == "" {
-		file = "flags"
-	}
-	var faults []Fault
-	if c.Ranking != (nodehealth.Settings{}) {
-		// Settings put together without any are those of a daemon that ranks nothing.
-		for _, invalid := range c.Ranking.Check() {
-			faults = append(faults, Fault{file, "ranking." + invalid.Field, invalid.Reason})
-		}
-	}
-	err := validate.Struct(c)
-	if err == nil {
-		return faults
-	}
-	found, ok := err.(validator.ValidationErrors)
-	if !ok {
-		return append(faults, Fault{file, "", err.Error()})
-	}
-	for _, invalid := range found {
-		reason := map[string]string{
-			"required": "is missing", "ipport": "must be an IP number and a port", "unique": "holds something twice",
-			"required_if_control": "is needed to serve control",
-			"ltfield":             "must be below entries",
-			"mechanism":           "names no mechanism; known are " + strings.Join(featuregates.Names(), ", "),
-		}[invalid.Tag()]
-		if reason == "" {
-			reason = strings.TrimSuffix(fmt.Sprintf("must satisfy %s=%s", invalid.Tag(), invalid.Param()), "=")
-		}
-		faults = append(faults, Fault{file, strings.TrimPrefix(invalid.Namespace(), "Config."), reason})
-	}
-	return faults
-}
--- a/process/placement/demand/demand.go
+++ b/process/placement/demand/demand.go
@@ -20,9 +20,9 @@
 const (
 	// fullReportEvery is the interval of full reports. Lost reports are detected, so this only limits unforeseen errors.
 	fullReportEvery = 30 * time.Second
-	// HalvingTime is that of rates without new requests. Both sides let them decay, so that only new requests need be
+	// HalfLife is that of rates without new requests. Both sides let them decay, so that only new requests need be
 	// reported.
-	HalvingTime = 5 * time.Second
+	HalfLife = 5 * time.Second
 	// minRate is the rate below which the receiver forgets demand that is neither queued nor running; minAnnouncedRate is
 	// the same at the sender, and higher, so that the receiver forgets it last.
 	minRate, minAnnouncedRate = 0.001, 0.01
@@ -62,5 +62,5 @@
 
 // remainingFraction is the fraction of a rate that remains after a time without new requests.
 func remainingFraction(since time.Duration) float64 {
-	return math.Exp2(-float64(since) / float64(HalvingTime))
+	return math.Exp2(-float64(since) / float64(HalfLife))
 }
--- a/process/placement/poolplacement/demand.go
+++ b/process/placement/poolplacement/demand.go
@@ -174,7 +174,7 @@
 // growth is by how many times more will be asked for once a load that begins now has ended. Arrivals are smoothed and
 // so lag by the smoothing's time constant, which is made up for too.
 func (a *ask) growth() float64 {
-	lag := demand.HalvingTime.Seconds() / math.Ln2
+	lag := demand.HalfLife.Seconds() / math.Ln2
 	change := a.slope * (lag + a.load.Seconds())
 	noise := trendNoise * math.Sqrt(a.arrivals)
 	switch {
--- a/request/forwarding/demand.go
+++ b/request/forwarding/demand.go
@@ -57,7 +57,7 @@
 }
 
 // demandHalfLife is the half-life of rates; the planner lets them decay alike.
-const demandHalfLife = demand.HalvingTime
+const demandHalfLife = demand.HalfLife
 
 // demandState gives the state for a request's pool, model and adapter.
 func (c *Core) demandState(request *Request) *demandState {
