--- a/process/daemonconfig/check.go
+++ b/process/daemonconfig/check.go
@@ -12,14 +12,14 @@
 	"github.com/cresspond/cresspond/process/featuregates"
 )
 
-// Check gives every fault of the settings at once.
+// Check returns all faults of the settings. file names their source in the faults; empty: the flags.
 func (c Config) Check(file string) []Fault {
 	if file == "" {
 		file = "flags"
 	}
 	var faults []Fault
 	if c.Ranking != (nodehealth.Settings{}) {
-		// Settings put together without any are those of a daemon that ranks nothing.
+		// Settings that were not read, but built without a ranking, rank nothing.
 		for _, invalid := range c.Ranking.Check() {
 			faults = append(faults, Fault{file, "ranking." + invalid.Field, invalid.Reason})
 		}
@@ -33,22 +33,34 @@
 		return append(faults, Fault{file, "", err.Error()})
 	}
 	for _, invalid := range found {
-		reason := map[string]string{
-			"required": "is missing", "ipport": "must be an IP number and a port", "unique": "holds something twice",
-			"required_if_control": "is needed to serve control",
-			"ltfield":             "must be below entries",
-			"mechanism":           "names no mechanism; known are " + strings.Join(featuregates.Names(), ", "),
-		}[invalid.Tag()]
-		if reason == "" {
-			reason = strings.TrimSuffix(fmt.Sprintf("must satisfy %s=%s", invalid.Tag(), invalid.Param()), "=")
-		}
-		faults = append(faults, Fault{file, strings.TrimPrefix(invalid.Namespace(), "Config."), reason})
+		faults = append(faults, Fault{file, strings.TrimPrefix(invalid.Namespace(), "Config."), reasonOf(invalid)})
 	}
 	return faults
 }
 
+// reasonOf says what is wrong with a field that the validator rejected.
+func reasonOf(invalid validator.FieldError) string {
+	switch invalid.Tag() {
+	case "required":
+		return "is missing"
+	case "ipport":
+		return "must be an IP number and a port"
+	case "unique":
+		return "holds something twice"
+	case "required_if_control":
+		return "is needed to serve control"
+	case "ltfield":
+		return "must be below entries"
+	case "mechanism":
+		return "names no mechanism; known are " + strings.Join(featuregates.Names(), ", ")
+	}
+	return strings.TrimSuffix(fmt.Sprintf("must satisfy %s=%s", invalid.Tag(), invalid.Param()), "=")
+}
+
+// validate checks the tags of Config, with the rules of this package.
 var validate = newValidator()
 
+// newValidator makes a validator that names fields by their JSON names.
 func newValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(field reflect.StructField) string {
@@ -62,7 +74,7 @@
 	}
 	must(v.RegisterValidation("ipport", func(level validator.FieldLevel) bool {
 		host, port, err := net.SplitHostPort(level.Field().String())
-		// Processes find each other by IP number alone; names would bring in an outside service.
+		// IP numbers only: names would depend on an outside service.
 		return err == nil && net.ParseIP(host) != nil && port != ""
 	}))
 	must(v.RegisterValidation("mechanism", func(level validator.FieldLevel) bool {
@@ -76,7 +88,7 @@
 	return v
 }
 
-// CheckAddresses says which addresses of the settings cannot be used now, by trying them.
+// CheckAddresses tries to listen at the addresses that can be tried, and returns those that fail.
 func (c Config) CheckAddresses(file string) []Fault {
 	if c.MetricsListen == "" {
 		return nil
--- a/process/daemonconfig/config_test.go
+++ b/process/daemonconfig/config_test.go
@@ -8,6 +8,7 @@
 	"testing"
 )
 
+// write writes a settings file and returns its path.
 func write(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "settings.json")
@@ -19,14 +20,14 @@
 
 const validSettings = `{"name":"edge-1","zone":"a","listen":"127.0.0.1:7000","fellowListen":"127.0.0.1:7001","seeds":["127.0.0.1:7001"],"serve":["route"]}`
 
-func TestSoundSettingsPassAndDefaultsHold(t *testing.T) {
+func TestValidSettingsPassWithDefaults(t *testing.T) {
 	c, faults := Read(write(t, validSettings))
 	if len(faults) > 0 || len(c.Check("f")) > 0 || c.DrainMs != 30000 || c.AdvertisedPeerAddress() != "127.0.0.1:7001" || !c.Serves(Route) || c.Serves(Control) {
 		t.Errorf("%+v %v %v", c, faults, c.Check("f"))
 	}
 }
 
-func TestAllFaultsAreToldAtOnceWithFileAndField(t *testing.T) {
+func TestCheckReturnsAllFaultsWithFileAndField(t *testing.T) {
 	path := write(t, `{"name":"a b","listen":"host:7000","fellowListen":"127.0.0.1","seeds":["127.0.0.1:1","127.0.0.1:1"],"serve":["control","dance"],"drainMs":-4,"log":"loud"}`)
 	c, faults := Read(path)
 	if len(faults) > 0 {
@@ -41,7 +42,7 @@
 	}
 	for _, field := range []string{"name|", "zone|is missing", "listen|must be an IP number", "fellowListen|", "seeds|holds something twice", "serve[1]|", "data|is needed to serve control", "drainMs|", "log|"} {
 		if !strings.Contains(reasons, field) {
-			t.Errorf("%q is not told in\n%s", field, reasons)
+			t.Errorf("%q is not among\n%s", field, reasons)
 		}
 	}
 }
@@ -56,12 +57,12 @@
 	}
 	for _, wrong := range []string{`{"entries":9}`, `{"entries":1000000}`, `{"entries":25,"keep":25}`, `{"entries":-1}`, `{"keep":-1}`, `{"entrys":25}`} {
 		if _, faults := with(wrong); len(faults) == 0 {
-			t.Errorf("%s was taken", wrong)
+			t.Errorf("%s was accepted", wrong)
 		}
 	}
 }
 
-func TestFilesThatCannotBeReadAreToldPlainly(t *testing.T) {
+func TestUnreadableFileIsOneFault(t *testing.T) {
 	for name, text := range map[string]string{
 		"unknown field": strings.Replace(validSettings, "zone", "zoen", 1), "wrong type": strings.Replace(validSettings, `"a"`, `5`, 1),
 		"not JSON": "name = edge", "something after": validSettings + "{}", "empty": "",
@@ -75,7 +76,7 @@
 	}
 }
 
-func TestLimitsOfRankingThatMakeNoSenseAreTold(t *testing.T) {
+func TestInvalidRankingLimitsAreFaults(t *testing.T) {
 	path := write(t, strings.Replace(validSettings, `"zone"`, `"ranking":{"mode":"drain","drainAt":2,"clearAt":3,"mostOfPool":0.9,"spanMs":10},"zone"`, 1))
 	c, faults := Read(path)
 	if len(faults) > 0 {
@@ -87,19 +88,19 @@
 	}
 	for _, want := range []string{path + ": ranking.clearAt: must be at least 1 and below drainAt", path + ": ranking.mostOfPool: must be 0 to 0.5", path + ": ranking.spanMs: must be 2000"} {
 		if !strings.Contains(reasons, want) {
-			t.Errorf("%q is not told in\n%s", want, reasons)
+			t.Errorf("%q is not among\n%s", want, reasons)
 		}
 	}
 	if c, _ = Read(write(t, strings.Replace(validSettings, `"zone"`, `"ranking":{"mode":"drain"},"zone"`, 1))); len(c.Check("f")) > 0 || c.Ranking.DrainAt == 0 {
 		t.Errorf("the mode alone is enough: %v", c.Check("f"))
 	}
 	if c, _ = Read(write(t, validSettings)); c.Ranking.Mode != "off" {
-		t.Errorf("nothing said is off: %v", c.Ranking)
+		t.Errorf("the default is off: %v", c.Ranking)
 	}
 }
 
-// TestExperimentsNameMechanisms: an unknown one is refused by the key, and what is known is listed.
-func TestExperimentsNameMechanisms(t *testing.T) {
+// TestUnknownMechanismIsAFaultThatListsTheKnown: the fault names the key and lists the known ones.
+func TestUnknownMechanismIsAFaultThatListsTheKnown(t *testing.T) {
 	c, _ := Read(write(t, strings.Replace(validSettings, `"zone"`, `"experiments":{"without":["homes","magic"]},"zone"`, 1)))
 	faults := c.Check("f")
 	if len(faults) != 1 || faults[0].Field != "experiments.without[1]" || !strings.Contains(faults[0].Reason, "shedding") {
@@ -111,8 +112,8 @@
 	}
 }
 
-// TestCheckAddressesNamesAPortInUse: by the key that holds it.
-func TestCheckAddressesNamesAPortInUse(t *testing.T) {
+// TestCheckAddressesNamesAnAddressInUse, by its key.
+func TestCheckAddressesNamesAnAddressInUse(t *testing.T) {
 	occupied, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/process/daemonconfig/read.go
+++ b/process/daemonconfig/read.go
@@ -8,9 +8,10 @@
 	"strings"
 )
 
-// Fault is one thing wrong with the settings.
+// Fault is one error in the settings. Field is the JSON path of the field; empty if the fault is not of one field.
 type Fault struct{ File, Field, Reason string }
 
+// String is the fault as it is printed: file, field and reason.
 func (f Fault) String() string {
 	where := f.File
 	if f.Field != "" {
@@ -19,7 +20,8 @@
 	return where + ": " + f.Reason
 }
 
-// Read reads the file over the defaults; it is not yet checked, since flags may still fill it.
+// Read reads a settings file over the defaults; without a path it returns the defaults. The result is to be checked by
+// Config.Check once flags have been applied.
 func Read(path string) (Config, []Fault) {
 	c := Default()
 	if path == "" {
