--- a/testbed/caller/caller.go
+++ b/testbed/caller/caller.go
@@ -18,7 +18,7 @@
 	"github.com/cresspond/cresspond/wire/callerapi"
 )
 
-// Record is what a caller saw of one request.
+// Record is what a caller saw of one request. The names in JSON are those of calls.jsonl.
 type Record struct {
 	Attempt    string
 	Daemon     string
@@ -32,8 +32,8 @@
 	Outcome    callerapi.Outcome
 	Reason     string
 	RetryAfter bool
-	Pieces     int
-	FirstPiece time.Duration
+	Chunks     int           `json:"Pieces"`
+	FirstChunk time.Duration `json:"FirstPiece"`
 	// Final: the final line came. CleanEnd: the HTTP message ended as it should.
 	Final, CleanEnd bool
 	// Faults lists what was wrong with the pieces: foreign, gap, splice.
@@ -41,15 +41,15 @@
 	Run    string
 }
 
-// Whole says that the caller has a whole answer.
-func (r Record) Whole() bool {
+// Complete says that the caller has a whole answer.
+func (r Record) Complete() bool {
 	return r.Status == http.StatusOK && r.Final && r.CleanEnd && len(r.Faults) == 0
 }
 
 // Send sends one request over a connection of its own.
 func Send(ctx context.Context, daemon, attempt string, request callerapi.Generate) (record Record) {
 	record = Record{Attempt: attempt, Daemon: daemon, Request: request, Began: journal.Now()}
-	defer func() { record.End, record.GaveUp = journal.Now(), ctx.Err() != nil && !record.Whole() }()
+	defer func() { record.End, record.GaveUp = journal.Now(), ctx.Err() != nil && !record.Complete() }()
 	dialer := net.Dialer{Timeout: 2 * time.Second}
 	conn, err := dialer.DialContext(ctx, "tcp", daemon)
 	if err != nil {
@@ -97,44 +97,44 @@
 			r.CleanEnd = err == io.EOF && len(line) == 0
 			return
 		}
-		var piece callerapi.Piece
-		if json.Unmarshal(bytes.TrimSpace(line), &piece) != nil {
+		var chunk callerapi.Piece
+		if json.Unmarshal(bytes.TrimSpace(line), &chunk) != nil {
 			r.Faults = append(r.Faults, "unreadable line")
 			continue
 		}
-		if piece.Outcome != "" {
-			r.Outcome, r.Reason = piece.Outcome, piece.Reason
+		if chunk.Outcome != "" {
+			r.Outcome, r.Reason = chunk.Outcome, chunk.Reason
 			continue
 		}
-		if piece.Attempt != r.Attempt {
+		if chunk.Attempt != r.Attempt {
 			r.Faults = append(r.Faults, "foreign piece")
 		}
 		if r.Final {
 			r.Faults = append(r.Faults, "piece after the final line")
 		}
-		if piece.Final {
+		if chunk.Final {
 			r.Final = true
-			if piece.Pieces != r.Pieces {
+			if chunk.Pieces != r.Chunks {
 				r.Faults = append(r.Faults, "count")
 			}
 			continue
 		}
-		if r.Pieces == 0 {
-			r.FirstPiece = journal.Now()
+		if r.Chunks == 0 {
+			r.FirstChunk = journal.Now()
 		}
-		if piece.N != r.Pieces {
-			r.Faults = append(r.Faults, fmt.Sprintf("piece %d where %d was due", piece.N, r.Pieces))
+		if chunk.N != r.Chunks {
+			r.Faults = append(r.Faults, fmt.Sprintf("piece %d where %d was due", chunk.N, r.Chunks))
 		}
 		// The engine writes attempt, run and number into each piece, so a splice shows even where the numbers fit.
-		parts := strings.Split(strings.TrimSpace(piece.Text), "/")
+		parts := strings.Split(strings.TrimSpace(chunk.Text), "/")
 		switch {
-		case len(parts) != 3 || parts[0] != r.Attempt || parts[2] != fmt.Sprint(r.Pieces):
+		case len(parts) != 3 || parts[0] != r.Attempt || parts[2] != fmt.Sprint(r.Chunks):
 			r.Faults = append(r.Faults, "foreign text")
 		case r.Run != "" && parts[1] != r.Run:
 			r.Faults = append(r.Faults, "splice")
 		default:
 			r.Run = parts[1]
 		}
-		r.Pieces++
+		r.Chunks++
 	}
 }
--- a/testbed/checker/checker.go
+++ b/testbed/checker/checker.go
@@ -33,11 +33,11 @@
 // Check runs all rules.
 func Check(h *History) []Finding {
 	slices.SortStableFunc(h.Journals, func(a, b journal.Line) int { return cmp.Compare(a.At, b.At) })
-	slices.SortStableFunc(h.Acts, func(a, b Act) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(h.Actions, func(a, b Action) int { return cmp.Compare(a.At, b.At) })
 	begins := map[string][]journal.Line{}
-	for _, line := range h.Journals {
-		if line.Kind == journal.Begin {
-			begins[line.Attempt] = append(begins[line.Attempt], line)
+	for _, entry := range h.Journals {
+		if entry.Kind == journal.Begin {
+			begins[entry.Attempt] = append(begins[entry.Attempt], entry)
 		}
 	}
 	return []Finding{
--- a/testbed/checker/checker_test.go
+++ b/testbed/checker/checker_test.go
@@ -16,39 +16,39 @@
 // validHistory is a short run in which every rule is checked and holds.
 func validHistory() *History {
 	d, _ := deployment.Named("small")
-	first, second := d.Spec("first", nil), d.Spec("second", map[string]bool{"other": true})
+	first, second := d.Configuration("first", nil), d.Configuration("second", map[string]bool{"other": true})
 	at := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-	line := func(s float64, engine string, kind journal.Kind, attempt string) journal.Line {
-		return journal.Line{At: at(s), Engine: engine, Kind: kind, Attempt: attempt, Route: "main", Model: "model-00", Run: "run-" + attempt, Session: "s", Pieces: 3}
+	entry := func(s float64, engine string, kind journal.Kind, attempt string) journal.Line {
+		return journal.Line{At: at(s), Engine: engine, Kind: kind, Attempt: attempt, Route: "main", Model: "model-00", Run: "run-" + attempt, Session: "s", Chunks: 3}
 	}
 	order := func(s float64, stamp string, claim uint64) journal.Line {
 		return journal.Line{At: at(s), Engine: "engine-0", Kind: journal.Order, Order: "load", Model: "model-00", Stamp: stamp, Claim: claim}
 	}
-	whole := func(attempt string, began, end float64) caller.Record {
-		return caller.Record{Attempt: attempt, Daemon: "d", Began: at(began), End: at(end), Connected: true, Sent: true, Status: 200, Pieces: 3, Final: true, CleanEnd: true, Run: "run-" + attempt}
+	complete := func(attempt string, began, end float64) caller.Record {
+		return caller.Record{Attempt: attempt, Daemon: "d", Began: at(began), End: at(end), Connected: true, Sent: true, Status: 200, Chunks: 3, Final: true, CleanEnd: true, Run: "run-" + attempt}
 	}
 	return &History{
 		Journals: []journal.Line{
 			{At: at(1), Engine: "engine-0", Kind: journal.Start},
 			order(2, "4096", 1), {At: at(2), Engine: "engine-0", Kind: journal.LoadBegin, Model: "model-00"}, {At: at(3), Engine: "engine-0", Kind: journal.LoadEnd, Model: "model-00"},
 			order(9, "8192", 2), {At: at(9), Engine: "engine-0", Kind: journal.LoadBegin, Model: "model-01"},
-			line(4, "engine-0", journal.Arrive, "one"), line(4, "engine-0", journal.Begin, "one"), line(5, "engine-0", journal.End, "one"),
-			line(11, "engine-0", journal.Arrive, "two"), line(11, "engine-0", journal.Begin, "two"), line(12, "engine-0", journal.End, "two"), line(5, "engine-0", journal.End, "four"), line(5, "engine-0", journal.End, "five"),
+			entry(4, "engine-0", journal.Arrive, "one"), entry(4, "engine-0", journal.Begin, "one"), entry(5, "engine-0", journal.End, "one"),
+			entry(11, "engine-0", journal.Arrive, "two"), entry(11, "engine-0", journal.Begin, "two"), entry(12, "engine-0", journal.End, "two"), entry(5, "engine-0", journal.End, "four"), entry(5, "engine-0", journal.End, "five"),
 		},
 		Calls: []caller.Record{
-			whole("one", 4, 5), whole("two", 11, 12), whole("four", 4, 5), whole("five", 4, 5),
+			complete("one", 4, 5), complete("two", 11, 12), complete("four", 4, 5), complete("five", 4, 5),
 			{Attempt: "three", Daemon: "d", Began: at(4), End: at(5), Sent: true, Status: 503, Outcome: callerapi.Refused, CleanEnd: true},
 		},
-		Acts: []Act{
-			{At: at(0), Kind: Rolled, Epoch: 1, Body: first}, {At: at(6), Kind: Rolled, Epoch: 2, Body: second},
+		Actions: []Action{
+			{At: at(0), Kind: Rolled, Version: 1, Body: first}, {At: at(6), Kind: Rolled, Version: 2, Body: second},
 			{At: at(5), Kind: Crashed, Subject: "core-0"}, {At: at(7), Kind: Refused, Body: []byte("lost")},
-			{At: at(7), Kind: EngineLeaving, Subject: "engine-1"}, {At: at(7), Kind: ZoneClosed, Subject: "c"},
-			{At: at(11), Kind: StopAsked, Subject: "d"}, {At: at(13), Kind: Stopped, Subject: "d"},
+			{At: at(7), Kind: EngineDraining, Subject: "engine-1"}, {At: at(7), Kind: ZoneClosed, Subject: "c"},
+			{At: at(11), Kind: StopRequested, Subject: "d"}, {At: at(13), Kind: Stopped, Subject: "d"},
 		},
-		Observations: []Observation{{At: at(1), Daemon: "d", Incarnation: "d#1", SpecEpoch: 1, Ready: true}, {At: at(9), Daemon: "d", Incarnation: "d#1", SpecEpoch: 2, ClosureEpoch: 1, Ready: true}},
-		ReadBacks:    []ReadBack{{Epoch: 1, Body: first}, {Epoch: 2, Body: second}},
+		Observations: []Observation{{At: at(1), Daemon: "d", Incarnation: "d#1", ConfigurationVersion: 1, Ready: true}, {At: at(9), Daemon: "d", Incarnation: "d#1", ConfigurationVersion: 2, ClosureVersion: 1, Ready: true}},
+		ReadBacks:    []ReadBack{{Version: 1, Body: first}, {Version: 2, Body: second}},
 		Exits:        []Exit{{Daemon: "d"}}, ClosureWanted: []string{"c"}, ClosureSeen: []string{"c"},
-		Contest:     []Class{{Name: "high", Tenant: "x", Worth: 9, Prefix: "four"}, {Name: "calm", Tenant: "y", Worth: 5, Prefix: "five"}, {Name: "burst", Tenant: "x", Worth: 5, Burst: true, Prefix: "three"}},
+		Contest:     []Class{{Name: "high", Tenant: "x", Priority: 9, Prefix: "four"}, {Name: "calm", Tenant: "y", Priority: 5, Prefix: "five"}, {Name: "burst", Tenant: "x", Priority: 5, Burst: true, Prefix: "three"}},
 		ZoneOf:      map[string]string{"engine-0": "a", "engine-1": "b", "engine-2": "c"},
 		LoadsAtOnce: 1, LoadGap: 150 * ms, Slots: 4, RetryShare: 0.1,
 	}
@@ -73,9 +73,9 @@
 // TestEachRuleDetectsItsViolation breaks the history in one way at a time; the rule named, and only it, must say so.
 func TestEachRuleDetectsItsViolation(t *testing.T) {
 	arrive := func(h *History, s float64, change func(*journal.Line)) {
-		line := journal.Line{At: time.Duration(s * float64(time.Second)), Engine: "engine-0", Kind: journal.Arrive, Attempt: "extra", Route: "main", Model: "model-00"}
-		change(&line)
-		h.Journals = append(h.Journals, line)
+		entry := journal.Line{At: time.Duration(s * float64(time.Second)), Engine: "engine-0", Kind: journal.Arrive, Attempt: "extra", Route: "main", Model: "model-00"}
+		change(&entry)
+		h.Journals = append(h.Journals, entry)
 	}
 	breaks := map[string]func(*History){
 		"an unrepeatable request never runs twice": func(h *History) {
@@ -92,7 +92,7 @@
 			arrive(h, 9.5, func(l *journal.Line) { l.Route, l.Model = "other", "model-01" })
 		},
 		"no daemon falls back to an older bundle": func(h *History) {
-			h.Observations = append(h.Observations, Observation{At: 9500 * ms, Daemon: "d", Incarnation: "d#1", SpecEpoch: 2})
+			h.Observations = append(h.Observations, Observation{At: 9500 * ms, Daemon: "d", Incarnation: "d#1", ConfigurationVersion: 2})
 		},
 		"acknowledged bundles and closures read back whole": func(h *History) { h.ReadBacks[1].Body = []byte("{}") },
 		"nothing to a draining engine after 3 s":            func(h *History) { arrive(h, 10.1, func(l *journal.Line) { l.Engine = "engine-1" }) },
@@ -117,7 +117,7 @@
 			}
 		},
 		"service is back within 12 s of a crash": func(h *History) {
-			h.Acts = append(h.Acts, Act{At: 30 * time.Second, Kind: Crashed, Subject: "edge-1"})
+			h.Actions = append(h.Actions, Action{At: 30 * time.Second, Kind: Crashed, Subject: "edge-1"})
 		},
 		"a seated session keeps its engine while it may": func(h *History) { h.Journals[10].Engine, h.Journals[10].Session = "engine-2", "s" },
 		"no model is unloaded within 8 s of its loading": func(h *History) {
--- a/testbed/checker/configuration.go
+++ b/testbed/checker/configuration.go
@@ -38,20 +38,20 @@
 func allowedOnly(h *History) Finding {
 	f := Finding{Rule: "no request reaches a service no bundle allowed"}
 	ever := map[service]bool{}
-	for _, act := range h.Acts {
-		if act.Kind == Rolled || act.Kind == Committed {
-			for one := range services(act.Body) {
+	for _, action := range h.Actions {
+		if action.Kind == Rolled || action.Kind == Committed {
+			for one := range services(action.Body) {
 				ever[one] = true
 			}
 		}
 	}
-	for _, line := range h.Journals {
-		if line.Kind != journal.Arrive {
+	for _, entry := range h.Journals {
+		if entry.Kind != journal.Arrive {
 			continue
 		}
 		f.Checked++
-		if !ever[service{line.Engine, line.Route, line.Model, line.Adapter}] {
-			f.fault("%s reached %s with route %s, model %s, adapter %s", line.Attempt, line.Engine, line.Route, line.Model, line.Adapter)
+		if !ever[service{entry.Engine, entry.Route, entry.Model, entry.Adapter}] {
+			f.fault("%s reached %s with route %s, model %s, adapter %s", entry.Attempt, entry.Engine, entry.Route, entry.Model, entry.Adapter)
 		}
 	}
 	return f
@@ -64,14 +64,14 @@
 	for i, roll := range rolls {
 		allowed[i] = services(roll.Body)
 	}
-	for _, line := range h.Journals {
-		if line.Kind != journal.Arrive {
+	for _, entry := range h.Journals {
+		if entry.Kind != journal.Arrive {
 			continue
 		}
 		// What arrives must be allowed by some bundle in force within the last two seconds.
 		newest := -1
 		for i, roll := range rolls {
-			if roll.At+specLimit <= line.At {
+			if roll.At+specLimit <= entry.At {
 				newest = i
 			}
 		}
@@ -80,18 +80,18 @@
 		}
 		f.Checked++
 		if !slices.ContainsFunc(allowed[newest:], func(set map[service]bool) bool {
-			return set[service{line.Engine, line.Route, line.Model, line.Adapter}]
+			return set[service{entry.Engine, entry.Route, entry.Model, entry.Adapter}]
 		}) {
-			f.fault("%s reached %s on route %s %v after epoch %d was acknowledged", line.Attempt, line.Engine, line.Route,
-				(line.At - rolls[newest].At).Round(time.Millisecond), rolls[newest].Epoch)
+			f.fault("%s reached %s on route %s %v after epoch %d was acknowledged", entry.Attempt, entry.Engine, entry.Route,
+				(entry.At - rolls[newest].At).Round(time.Millisecond), rolls[newest].Version)
 		}
 	}
 	for _, observation := range h.Observations {
 		for _, roll := range rolls {
 			if observation.At >= roll.At+specLimit && observation.Ready {
 				f.Checked++
-				if observation.SpecEpoch < roll.Epoch {
-					f.fault("%s had epoch %d in force %v after epoch %d was acknowledged", observation.Daemon, observation.SpecEpoch, (observation.At - roll.At).Round(time.Millisecond), roll.Epoch)
+				if observation.ConfigurationVersion < roll.Version {
+					f.fault("%s had epoch %d in force %v after epoch %d was acknowledged", observation.Daemon, observation.ConfigurationVersion, (observation.At - roll.At).Round(time.Millisecond), roll.Version)
 				}
 			}
 		}
@@ -106,8 +106,8 @@
 		before, known := newest[observation.Incarnation]
 		if known {
 			f.Checked++
-			if observation.SpecEpoch < before.SpecEpoch || observation.ClosureEpoch < before.ClosureEpoch {
-				f.fault("%s went from epoch %d/%d to %d/%d", observation.Daemon, before.SpecEpoch, before.ClosureEpoch, observation.SpecEpoch, observation.ClosureEpoch)
+			if observation.ConfigurationVersion < before.ConfigurationVersion || observation.ClosureVersion < before.ClosureVersion {
+				f.fault("%s went from epoch %d/%d to %d/%d", observation.Daemon, before.ConfigurationVersion, before.ClosureVersion, observation.ConfigurationVersion, observation.ClosureVersion)
 			}
 		}
 		newest[observation.Incarnation] = observation
@@ -119,25 +119,25 @@
 	f := Finding{Rule: "acknowledged bundles and closures read back whole"}
 	wanted := map[uint64][]byte{}
 	refused := map[string]bool{}
-	for _, act := range h.Acts {
-		switch act.Kind {
+	for _, action := range h.Actions {
+		switch action.Kind {
 		case Rolled, Committed:
-			wanted[act.Epoch] = act.Body
+			wanted[action.Version] = action.Body
 		case Refused:
-			refused[string(act.Body)] = true
+			refused[string(action.Body)] = true
 		}
 	}
 	seen := map[uint64]bool{}
 	for _, back := range h.ReadBacks {
 		f.Checked++
-		seen[back.Epoch] = true
-		switch want, acknowledged := wanted[back.Epoch]; {
+		seen[back.Version] = true
+		switch want, acknowledged := wanted[back.Version]; {
 		case back.Err != "":
-			f.fault("epoch %d could not be read back: %s", back.Epoch, back.Err)
+			f.fault("epoch %d could not be read back: %s", back.Version, back.Err)
 		case acknowledged && !bytes.Equal(want, back.Body):
-			f.fault("epoch %d read back other than it was acknowledged", back.Epoch)
+			f.fault("epoch %d read back other than it was acknowledged", back.Version)
 		case refused[string(back.Body)]:
-			f.fault("epoch %d is a bundle that was refused or lost its race", back.Epoch)
+			f.fault("epoch %d is a bundle that was refused or lost its race", back.Version)
 		}
 	}
 	for epoch := range wanted {
--- a/testbed/checker/contest.go
+++ b/testbed/checker/contest.go
@@ -7,14 +7,14 @@
 	f := Finding{Rule: "in a contest the higher worth is served first"}
 	for _, a := range h.Contest {
 		for _, b := range h.Contest {
-			if a.Worth <= b.Worth {
+			if a.Priority <= b.Priority {
 				continue
 			}
-			high, n := h.Share(a)
-			low, m := h.Share(b)
+			high, n := h.ServedShare(a)
+			low, m := h.ServedShare(b)
 			f.Checked += n + m
 			if high < low-shareSlack {
-				f.fault("%s (worth %d) was served %.3f of %d, %s (worth %d) %.3f of %d", a.Name, a.Worth, high, n, b.Name, b.Worth, low, m)
+				f.fault("%s (worth %d) was served %.3f of %d, %s (worth %d) %.3f of %d", a.Name, a.Priority, high, n, b.Name, b.Priority, low, m)
 			}
 		}
 	}
@@ -25,11 +25,11 @@
 	f := Finding{Rule: "in a contest no house's burst takes a rival's room"}
 	for _, calm := range h.Contest {
 		for _, burst := range h.Contest {
-			if calm.Burst || !burst.Burst || calm.Worth != burst.Worth || calm.Tenant == burst.Tenant {
+			if calm.Burst || !burst.Burst || calm.Priority != burst.Priority || calm.Tenant == burst.Tenant {
 				continue
 			}
-			share, n := h.Share(calm)
-			other, m := h.Share(burst)
+			share, n := h.ServedShare(calm)
+			other, m := h.ServedShare(burst)
 			f.Checked += n + m
 			// With turns, the rival that asks for its usual is served at least as well as the one that floods.
 			if share < other-shareSlack || share < 0.9 {
--- a/testbed/checker/draining.go
+++ b/testbed/checker/draining.go
@@ -8,21 +8,21 @@
 
 func drained(h *History) Finding {
 	f := Finding{Rule: "nothing to a draining engine after 3 s"}
-	for _, act := range h.Acts {
-		if act.Kind != EngineLeaving {
+	for _, action := range h.Actions {
+		if action.Kind != EngineDraining {
 			continue
 		}
 		f.Checked++
 		// Another engine in its place is not leaving.
 		replaced := never
-		for _, later := range h.Acts {
-			if later.Kind == EngineStarted && later.Subject == act.Subject && later.At > act.At {
+		for _, later := range h.Actions {
+			if later.Kind == EngineStarted && later.Subject == action.Subject && later.At > action.At {
 				replaced = min(replaced, later.At)
 			}
 		}
-		for _, line := range h.Journals {
-			if line.Kind == journal.Arrive && line.Engine == act.Subject && line.At > act.At+drainLimit && line.At < replaced {
-				f.fault("%s reached %s %v after it was leaving", line.Attempt, line.Engine, (line.At - act.At).Round(time.Millisecond))
+		for _, entry := range h.Journals {
+			if entry.Kind == journal.Arrive && entry.Engine == action.Subject && entry.At > action.At+drainLimit && entry.At < replaced {
+				f.fault("%s reached %s %v after it was leaving", entry.Attempt, entry.Engine, (entry.At - action.At).Round(time.Millisecond))
 			}
 		}
 	}
@@ -31,15 +31,15 @@
 
 func zoneClosed(h *History) Finding {
 	f := Finding{Rule: "nothing to a closed zone after 5 s"}
-	for i, act := range h.Acts {
-		if act.Kind != ZoneClosed {
+	for i, action := range h.Actions {
+		if action.Kind != ZoneClosed {
 			continue
 		}
-		opened := h.next(i, ZoneOpened, act.Subject)
+		opened := h.next(i, ZoneOpened, action.Subject)
 		f.Checked++
-		for _, line := range h.Journals {
-			if line.Kind == journal.Arrive && h.ZoneOf[line.Engine] == act.Subject && line.At > act.At+closureLimit && line.At < opened {
-				f.fault("%s reached %s %v after its zone %s was closed", line.Attempt, line.Engine, (line.At - act.At).Round(time.Millisecond), act.Subject)
+		for _, entry := range h.Journals {
+			if entry.Kind == journal.Arrive && h.ZoneOf[entry.Engine] == action.Subject && entry.At > action.At+closureLimit && entry.At < opened {
+				f.fault("%s reached %s %v after its zone %s was closed", entry.Attempt, entry.Engine, (entry.At - action.At).Round(time.Millisecond), action.Subject)
 			}
 		}
 	}
--- a/testbed/checker/history.go
+++ b/testbed/checker/history.go
@@ -10,16 +10,16 @@
 	"github.com/cresspond/cresspond/testbed/journal"
 )
 
-// Act is one thing done to the fleet.
-type Act struct {
+// Action is one thing done to the fleet.
+type Action struct {
 	At      time.Duration
 	Kind    string
 	Subject string
-	// Asked is when it was begun, where that differs: its effects may show from then on.
-	Asked time.Duration
-	// Epoch and Body belong to a roll or a closure that was acknowledged.
-	Epoch uint64
-	Body  []byte
+	// RequestedAt is when it was begun, where that differs: its effects may show from then on.
+	RequestedAt time.Duration
+	// Version and Body belong to a roll or a closure that was acknowledged.
+	Version uint64
+	Body    []byte
 }
 
 // The kinds of acts.
@@ -36,16 +36,16 @@
 	ZoneClosed = "zone-closed"
 	// ZoneOpened: an opening was asked for.
 	ZoneOpened = "zone-opened"
-	// EngineLeaving: an engine was asked to leave, or drained.
-	EngineLeaving = "engine-leaving"
+	// EngineDraining: an engine was asked to leave, or drained.
+	EngineDraining = "engine-leaving"
 	// EngineKilled: an engine's process was killed.
 	EngineKilled = "engine-killed"
 	// EngineStarted: an engine's process was started.
 	EngineStarted = "engine-started"
 	// Crashed: a daemon was killed.
 	Crashed = "crashed"
-	// StopAsked: a daemon was asked to stop.
-	StopAsked = "stop-asked"
+	// StopRequested: a daemon was asked to stop.
+	StopRequested = "stop-asked"
 	// Stopped: a daemon that was asked to stop has ended.
 	Stopped = "stopped"
 	// Split: links between daemons were cut.
@@ -56,20 +56,20 @@
 
 // Observation is one look at what a daemon has in force.
 type Observation struct {
-	At           time.Duration
-	Daemon       string
-	Incarnation  string
-	SpecEpoch    uint64
-	ClosureEpoch uint64
+	At                   time.Duration
+	Daemon               string
+	Incarnation          string
+	ConfigurationVersion uint64
+	ClosureVersion       uint64
 	// Ready says that it took new work: what it has is in force only then.
 	Ready bool
 }
 
 // ReadBack is what reading an acknowledged change back gave.
 type ReadBack struct {
-	Epoch uint64
-	Body  []byte
-	Err   string
+	Version uint64
+	Body    []byte
+	Err     string
 }
 
 // Exit is how a daemon that was asked to stop ended.
@@ -82,7 +82,7 @@
 type History struct {
 	Journals     []journal.Line
 	Calls        []caller.Record
-	Acts         []Act
+	Actions      []Action
 	Observations []Observation
 	ReadBacks    []ReadBack
 	Exits        []Exit
@@ -101,52 +101,52 @@
 
 // Class is one kind of request in a contest.
 type Class struct {
-	Name   string
-	Tenant string
-	Worth  int64
+	Name     string
+	Tenant   string
+	Priority int64
 	// Burst says that this class asks for far more than its usual.
 	Burst bool
 	// Prefix begins the attempt ids of the class.
 	Prefix string
 }
 
-// Share is the part of a class that was served whole.
-func (h *History) Share(c Class) (share float64, count int) {
-	whole := 0
+// ServedShare is the part of a class that was served whole.
+func (h *History) ServedShare(c Class) (share float64, count int) {
+	complete := 0
 	for _, call := range h.Calls {
 		if strings.HasPrefix(call.Attempt, c.Prefix) {
 			count++
-			if call.Whole() {
-				whole++
+			if call.Complete() {
+				complete++
 			}
 		}
 	}
 	if count == 0 {
 		return 0, 0
 	}
-	return float64(whole) / float64(count), count
+	return float64(complete) / float64(count), count
 }
 
 // never is the time of what did not happen.
 const never = time.Duration(1<<62 - 1)
 
 // rolls lists the bundles that came in force, by epoch, each with the moment it was acknowledged, if it was.
-func (h *History) rolls() []Act {
-	var out []Act
-	for _, act := range h.Acts {
-		if act.Kind != Rolled && act.Kind != Committed {
+func (h *History) rolls() []Action {
+	var out []Action
+	for _, action := range h.Actions {
+		if action.Kind != Rolled && action.Kind != Committed {
 			continue
 		}
-		if act.Kind == Committed {
-			act.At = never
+		if action.Kind == Committed {
+			action.At = never
 		}
-		if at := slices.IndexFunc(out, func(other Act) bool { return other.Epoch == act.Epoch }); at < 0 {
-			out = append(out, act)
-		} else if act.At < out[at].At {
-			out[at] = act
+		if at := slices.IndexFunc(out, func(other Action) bool { return other.Version == action.Version }); at < 0 {
+			out = append(out, action)
+		} else if action.At < out[at].At {
+			out[at] = action
 		}
 	}
-	slices.SortStableFunc(out, func(a, b Act) int { return cmp.Compare(a.Epoch, b.Epoch) })
+	slices.SortStableFunc(out, func(a, b Action) int { return cmp.Compare(a.Version, b.Version) })
 	return out
 }
 
@@ -157,14 +157,14 @@
 // in on both sides then has an assignment on each.
 func (h *History) split(from, to time.Duration) bool {
 	began, apart := time.Duration(0), false
-	for _, act := range h.Acts {
-		switch act.Kind {
+	for _, action := range h.Actions {
+		switch action.Kind {
 		case Split:
 			if !apart {
-				began, apart = act.At, true
+				began, apart = action.At, true
 			}
 		case Healed:
-			if apart && began <= to && from <= act.At+splitAftermath {
+			if apart && began <= to && from <= action.At+splitAftermath {
 				return true
 			}
 			apart = false
@@ -175,9 +175,9 @@
 
 // next is when the first act of a kind on a subject was done at or after the act of this index; never if there was none.
 func (h *History) next(from int, kind, subject string) time.Duration {
-	for _, act := range h.Acts[from:] {
-		if act.Kind == kind && act.Subject == subject {
-			return act.At
+	for _, action := range h.Actions[from:] {
+		if action.Kind == kind && action.Subject == subject {
+			return action.At
 		}
 	}
 	return never
--- a/testbed/checker/load.go
+++ b/testbed/checker/load.go
@@ -11,9 +11,9 @@
 // Retries counts arrivals at engines beyond the first of each attempt.
 func Retries(h *History) (first, again int) {
 	arrivals := map[string]int{}
-	for _, line := range h.Journals {
-		if line.Kind == journal.Arrive {
-			arrivals[line.Attempt]++
+	for _, entry := range h.Journals {
+		if entry.Kind == journal.Arrive {
+			arrivals[entry.Attempt]++
 		}
 	}
 	for _, n := range arrivals {
@@ -48,8 +48,8 @@
 	return f
 }
 
-// ColdPeak is the most requests that any engine got in the first second of an incarnation.
-func ColdPeak(h *History) int {
+// WarmingPeak is the most requests that any engine got in the first second of an incarnation.
+func WarmingPeak(h *History) int {
 	most := 0
 	for _, counts := range coldFirsts(h) {
 		most = max(most, slices.Max(counts))
@@ -67,14 +67,14 @@
 		// The first second after an engine's first arrival in this incarnation.
 		var first time.Duration
 		count := 0
-		for _, line := range h.Journals {
-			if line.Kind != journal.Arrive || line.Engine != start.Engine || line.At < start.At {
+		for _, entry := range h.Journals {
+			if entry.Kind != journal.Arrive || entry.Engine != start.Engine || entry.At < start.At {
 				continue
 			}
 			if first == 0 {
-				first = line.At
+				first = entry.At
 			}
-			if line.At-first > time.Second {
+			if entry.At-first > time.Second {
 				break
 			}
 			count++
--- a/testbed/checker/recovery.go
+++ b/testbed/checker/recovery.go
@@ -9,14 +9,14 @@
 // Recovery gives, for each crash, how long it took until a request that began after it got a whole answer.
 func Recovery(h *History) []time.Duration {
 	var out []time.Duration
-	for _, act := range h.Acts {
-		if act.Kind != Crashed && act.Kind != EngineKilled {
+	for _, action := range h.Actions {
+		if action.Kind != Crashed && action.Kind != EngineKilled {
 			continue
 		}
 		best := time.Duration(-1)
 		for _, call := range h.Calls {
-			if call.Began >= act.At && call.Whole() && (best < 0 || call.End-act.At < best) {
-				best = call.End - act.At
+			if call.Began >= action.At && call.Complete() && (best < 0 || call.End-action.At < best) {
+				best = call.End - action.At
 			}
 		}
 		out = append(out, best)
@@ -33,15 +33,15 @@
 		}
 	}
 	// The control group too must act again: a change asked for right after its leader died is acknowledged in time.
-	for i, act := range h.Acts {
-		if act.Kind != Crashed || !strings.HasPrefix(act.Subject, "core") {
+	for i, action := range h.Actions {
+		if action.Kind != Crashed || !strings.HasPrefix(action.Subject, "core") {
 			continue
 		}
-		for _, later := range h.Acts[i:] {
+		for _, later := range h.Actions[i:] {
 			if slices.Contains([]string{Rolled, Committed, ZoneClosing, ZoneClosed, ZoneOpened}, later.Kind) {
 				f.Checked++
-				if later.At-act.At > recoverLimit {
-					f.fault("the group acknowledged nothing for %v after %s died", (later.At - act.At).Round(time.Millisecond), act.Subject)
+				if later.At-action.At > recoverLimit {
+					f.fault("the group acknowledged nothing for %v after %s died", (later.At - action.At).Round(time.Millisecond), action.Subject)
 				}
 				break
 			}
--- a/testbed/checker/refusals.go
+++ b/testbed/checker/refusals.go
@@ -21,16 +21,16 @@
 			delete(open, engine+"/"+model)
 		}
 	}
-	for _, line := range h.Journals {
+	for _, entry := range h.Journals {
 		switch {
-		case line.Kind == journal.LoadEnd:
-			open[line.Engine+"/"+line.Model] = line.At
-		case line.Kind == journal.Order && line.Order == "unload":
-			shut(line.Engine, line.Model, line.At)
-		case line.Kind == journal.Start:
+		case entry.Kind == journal.LoadEnd:
+			open[entry.Engine+"/"+entry.Model] = entry.At
+		case entry.Kind == journal.Order && entry.Order == "unload":
+			shut(entry.Engine, entry.Model, entry.At)
+		case entry.Kind == journal.Start:
 			for key := range open {
-				if engine, model, _ := strings.Cut(key, "/"); engine == line.Engine {
-					shut(engine, model, line.At)
+				if engine, model, _ := strings.Cut(key, "/"); engine == entry.Engine {
+					shut(engine, model, entry.At)
 				}
 			}
 		}
--- a/testbed/checker/requests.go
+++ b/testbed/checker/requests.go
@@ -45,7 +45,7 @@
 func pieceFaults(h *History, rule string, counts func(fault string) bool) Finding {
 	f := Finding{Rule: rule}
 	for _, call := range h.Calls {
-		f.Checked += call.Pieces
+		f.Checked += call.Chunks
 		for _, fault := range call.Faults {
 			if counts(fault) {
 				f.fault("%s: %s", call.Attempt, fault)
@@ -61,9 +61,9 @@
 func wholeOnly(h *History) Finding {
 	f := Finding{Rule: "no cut-off answer looks whole"}
 	ends := map[string]int{}
-	for _, line := range h.Journals {
-		if line.Kind == journal.End {
-			ends[line.Run] = line.Pieces
+	for _, entry := range h.Journals {
+		if entry.Kind == journal.End {
+			ends[entry.Run] = entry.Chunks
 		}
 	}
 	for _, call := range h.Calls {
@@ -74,8 +74,8 @@
 		switch {
 		case call.Final != call.CleanEnd:
 			f.fault("%s: final line %t, clean end %t", call.Attempt, call.Final, call.CleanEnd)
-		case call.Final && ends[call.Run] != call.Pieces:
-			f.fault("%s: %d pieces came, and the engine made %d", call.Attempt, call.Pieces, ends[call.Run])
+		case call.Final && ends[call.Run] != call.Chunks:
+			f.fault("%s: %d pieces came, and the engine made %d", call.Attempt, call.Chunks, ends[call.Run])
 		}
 	}
 	return f
@@ -87,18 +87,18 @@
 
 func plannedStops(h *History, begins map[string][]journal.Line) Finding {
 	f := Finding{Rule: "no read request is dropped in a planned stop"}
-	for i, act := range h.Acts {
-		if act.Kind != StopAsked {
+	for i, action := range h.Actions {
+		if action.Kind != StopRequested {
 			continue
 		}
-		stopped := h.next(i, Stopped, act.Subject)
+		stopped := h.next(i, Stopped, action.Subject)
 		for _, call := range h.Calls {
 			// Those that were in hand at some time between the signal to stop and the end.
-			if call.Daemon != act.Subject || call.End < act.At || call.Began > stopped || !call.Sent || call.GaveUp {
+			if call.Daemon != action.Subject || call.End < action.At || call.Began > stopped || !call.Sent || call.GaveUp {
 				continue
 			}
 			f.Checked++
-			answered := call.Status != 0 && (call.Whole() || call.Outcome == callerapi.Refused || call.Outcome == callerapi.Invalid || call.Outcome == callerapi.Replay)
+			answered := call.Status != 0 && (call.Complete() || call.Outcome == callerapi.Refused || call.Outcome == callerapi.Invalid || call.Outcome == callerapi.Replay)
 			// One that was never read shows no answer and no run; one whose engine failed is answered accordingly.
 			unread := call.Status == 0 && len(begins[call.Attempt]) == 0
 			engineFailed := call.Outcome == callerapi.Unknown || call.Outcome == callerapi.BrokenOff
@@ -119,18 +119,18 @@
 func assignmentsKept(h *History) Finding {
 	f := Finding{Rule: "a seated session keeps its engine while it may"}
 	last := map[string]journal.Line{}
-	for _, line := range h.Journals {
-		if line.Kind != journal.Begin || line.Session == "" {
+	for _, entry := range h.Journals {
+		if entry.Kind != journal.Begin || entry.Session == "" {
 			continue
 		}
-		before, known := last[line.Session]
-		last[line.Session] = line
+		before, known := last[entry.Session]
+		last[entry.Session] = entry
 		if !known {
 			continue
 		}
 		f.Checked++
-		if before.Engine != line.Engine && !h.assignmentLost(before, line) {
-			f.fault("session %s moved from %s to %s without need", line.Session, before.Engine, line.Engine)
+		if before.Engine != entry.Engine && !h.assignmentLost(before, entry) {
+			f.fault("session %s moved from %s to %s without need", entry.Session, before.Engine, entry.Engine)
 		}
 	}
 	return f
@@ -141,21 +141,21 @@
 	if h.split(before.At, now.At) {
 		return true
 	}
-	for _, act := range h.Acts {
-		began := act.At
-		if act.Asked > 0 {
-			began = act.Asked
+	for _, action := range h.Actions {
+		began := action.At
+		if action.RequestedAt > 0 {
+			began = action.RequestedAt
 		}
 		if began > now.At {
 			continue
 		}
-		switch act.Kind {
-		case EngineKilled, EngineLeaving:
-			if act.Subject == before.Engine && (act.At >= before.At || act.Kind == EngineLeaving) {
+		switch action.Kind {
+		case EngineKilled, EngineDraining:
+			if action.Subject == before.Engine && (action.At >= before.At || action.Kind == EngineDraining) {
 				return true
 			}
 		case ZoneClosing, ZoneClosed:
-			if act.Subject == h.ZoneOf[before.Engine] {
+			if action.Subject == h.ZoneOf[before.Engine] {
 				return true
 			}
 		}
--- a/testbed/cmd/testbed/all.go
+++ b/testbed/cmd/testbed/all.go
@@ -40,7 +40,7 @@
 	total := float64(max(1, len(history.Calls)))
 	for _, call := range history.Calls {
 		switch {
-		case call.Whole():
+		case call.Complete():
 			out.Figures["served %"] += 100 / total
 		case call.Outcome == callerapi.Refused || call.Outcome == callerapi.Unknown || call.Outcome == callerapi.Replay:
 			out.Figures[string(call.Outcome)+" %"] += 100 / total
@@ -55,7 +55,7 @@
 	if back := checker.Recovery(history); len(back) > 0 {
 		out.Figures["back after s"] = slices.Max(back).Seconds()
 	}
-	out.Figures["cold peak"] = float64(checker.ColdPeak(history))
+	out.Figures["cold peak"] = float64(checker.WarmingPeak(history))
 	return out
 }
 
--- a/testbed/cmd/testbed/engine.go
+++ b/testbed/cmd/testbed/engine.go
@@ -39,6 +39,6 @@
 	for i := range d.Models {
 		sizes[deployment.ModelName(i)] = deployment.Size(i)
 	}
-	return engine.New(engine.Config{ID: id, Room: d.Room, Sizes: sizes, Slots: d.Slots, AdapterPlaces: d.AdapterPlaces,
-		LoadTime: 600 * time.Millisecond, AdapterTime: 150 * time.Millisecond, PieceTime: 12 * time.Millisecond, ReportLag: 150 * time.Millisecond}, writer).Serve(listener)
+	return engine.New(engine.Config{ID: id, Capacity: d.Capacity, Sizes: sizes, Slots: d.Slots, AdapterSlots: d.AdapterSlots,
+		LoadTime: 600 * time.Millisecond, AdapterTime: 150 * time.Millisecond, ChunkTime: 12 * time.Millisecond, ReportLag: 150 * time.Millisecond}, writer).Serve(listener)
 }
--- a/testbed/cmd/testbed/report.go
+++ b/testbed/cmd/testbed/report.go
@@ -49,9 +49,9 @@
 	var waits []time.Duration
 	for _, call := range history.Calls {
 		switch {
-		case call.Whole():
+		case call.Complete():
 			outcomes["served"]++
-			waits = append(waits, call.FirstPiece-call.Began)
+			waits = append(waits, call.FirstChunk-call.Began)
 		case call.Outcome != "":
 			outcomes[string(call.Outcome)]++
 		default:
--- a/testbed/cmd/testbed/up.go
+++ b/testbed/cmd/testbed/up.go
@@ -42,8 +42,8 @@
 	}
 	kind := f.Deployment.Kinds[0]
 	if err := r.Await("an edge is handed connections", func() bool {
-		record := r.Call(fmt.Sprintf("first-request-%d", time.Now().UnixNano()), callerapi.Generate{Route: kind.Route, House: kind.House, Model: deployment.ModelName(0), DeadlineMs: kind.DeadlineMs})
-		return record.Whole()
+		record := r.Call(fmt.Sprintf("first-request-%d", time.Now().UnixNano()), callerapi.Generate{Route: kind.Route, House: kind.Tenant, Model: deployment.ModelName(0), DeadlineMs: kind.DeadlineMs})
+		return record.Complete()
 	}); err != nil {
 		return err
 	}
@@ -60,7 +60,7 @@
 	if err := os.WriteFile(filepath.Join(f.Folder, "env"), []byte(hints), 0o600); err != nil {
 		return err
 	}
-	if err := os.WriteFile(filepath.Join(f.Folder, "bundle.json"), f.Deployment.Spec("second", nil), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(f.Folder, "bundle.json"), f.Deployment.Configuration("second", nil), 0o600); err != nil {
 		return err
 	}
 	if once {
--- a/testbed/deployment/deployment.go
+++ b/testbed/deployment/deployment.go
@@ -13,8 +13,8 @@
 // Kind is one kind of request.
 type Kind struct {
 	Route      string
-	House      string
-	Worth      int64
+	Tenant     string
+	Priority   int64
 	Rank       int
 	PerSecond  float64
 	DeadlineMs int64
@@ -25,17 +25,17 @@
 
 // Deployment is one fleet.
 type Deployment struct {
-	Name          string
-	Zones         []ident.ZoneID
-	EdgeZones     []int
-	Cores         int
-	Engines       int
-	Room          int64
-	Slots         int
-	AdapterPlaces int
-	Models        int
-	Adapters      int
-	Kinds         []Kind
+	Name         string
+	Zones        []ident.ZoneID
+	EdgeZones    []int
+	Cores        int
+	Engines      int
+	Capacity     int64
+	Slots        int
+	AdapterSlots int
+	Models       int
+	Adapters     int
+	Kinds        []Kind
 }
 
 // Named gives a deployment by name.
@@ -44,32 +44,32 @@
 	case "consortium":
 		return Deployment{
 			Name: name, Zones: []ident.ZoneID{"hsinchu", "taipei", "taoyuan"}, EdgeZones: []int{0, 0, 0, 1, 1, 2, 2}, Cores: 3,
-			Engines: 9, Room: 100, Slots: 6, AdapterPlaces: 8, Models: 27, Adapters: 28,
+			Engines: 9, Capacity: 100, Slots: 6, AdapterSlots: 8, Models: 27, Adapters: 28,
 			Kinds: []Kind{
-				{Route: "triage-north", House: "north-engineering", Worth: 60, Rank: 1, PerSecond: 14, DeadlineMs: 15000, Repeatable: true, SessionOf: 4},
-				{Route: "triage-harbour", House: "harbour-engineering", Worth: 60, Rank: 1, PerSecond: 14, DeadlineMs: 15000, SessionOf: 4},
-				{Route: "overnight", House: "north-engineering", Worth: 10, Rank: 5, PerSecond: 3, DeadlineMs: 30000},
-				{Route: "review-north", House: "north-engineering", Worth: 90, Rank: 0, PerSecond: 6, DeadlineMs: 8000, SessionOf: 2},
-				{Route: "review-harbour", House: "harbour-engineering", Worth: 90, Rank: 0, PerSecond: 6, DeadlineMs: 8000, SessionOf: 2},
+				{Route: "triage-north", Tenant: "north-engineering", Priority: 60, Rank: 1, PerSecond: 14, DeadlineMs: 15000, Repeatable: true, SessionOf: 4},
+				{Route: "triage-harbour", Tenant: "harbour-engineering", Priority: 60, Rank: 1, PerSecond: 14, DeadlineMs: 15000, SessionOf: 4},
+				{Route: "overnight", Tenant: "north-engineering", Priority: 10, Rank: 5, PerSecond: 3, DeadlineMs: 30000},
+				{Route: "review-north", Tenant: "north-engineering", Priority: 90, Rank: 0, PerSecond: 6, DeadlineMs: 8000, SessionOf: 2},
+				{Route: "review-harbour", Tenant: "harbour-engineering", Priority: 90, Rank: 0, PerSecond: 6, DeadlineMs: 8000, SessionOf: 2},
 			},
 		}, true
 	case "cooperativa":
 		return Deployment{
 			Name: name, Zones: []ident.ZoneID{"centro", "coyoacan", "polanco"}, EdgeZones: []int{0, 0, 0, 1, 1, 1, 2, 2}, Cores: 3,
-			Engines: 9, Room: 100, Slots: 6, AdapterPlaces: 4, Models: 28, Adapters: 34,
+			Engines: 9, Capacity: 100, Slots: 6, AdapterSlots: 4, Models: 28, Adapters: 34,
 			Kinds: []Kind{
-				{Route: "studio-plans", House: "escritorio", Worth: 50, Rank: 1, PerSecond: 22, DeadlineMs: 20000, SessionOf: 5},
-				{Route: "reconcile", House: "escritorio", Worth: 20, Rank: 4, PerSecond: 2, DeadlineMs: 30000, Repeatable: true},
-				{Route: "counter", House: "escritorio", Worth: 95, Rank: 0, PerSecond: 9, DeadlineMs: 8000, SessionOf: 2},
+				{Route: "studio-plans", Tenant: "escritorio", Priority: 50, Rank: 1, PerSecond: 22, DeadlineMs: 20000, SessionOf: 5},
+				{Route: "reconcile", Tenant: "escritorio", Priority: 20, Rank: 4, PerSecond: 2, DeadlineMs: 30000, Repeatable: true},
+				{Route: "counter", Tenant: "escritorio", Priority: 95, Rank: 0, PerSecond: 9, DeadlineMs: 8000, SessionOf: 2},
 			},
 		}, true
 	case "small":
 		return Deployment{
 			Name: name, Zones: []ident.ZoneID{"a", "b", "c"}, EdgeZones: []int{0}, Cores: 3,
-			Engines: 3, Room: 100, Slots: 4, AdapterPlaces: 4, Models: 4, Adapters: 3,
+			Engines: 3, Capacity: 100, Slots: 4, AdapterSlots: 4, Models: 4, Adapters: 3,
 			Kinds: []Kind{
-				{Route: "main", House: "one", Worth: 50, Rank: 1, PerSecond: 8, DeadlineMs: 10000, SessionOf: 3},
-				{Route: "other", House: "two", Worth: 50, Rank: 1, PerSecond: 8, DeadlineMs: 10000, Repeatable: true},
+				{Route: "main", Tenant: "one", Priority: 50, Rank: 1, PerSecond: 8, DeadlineMs: 10000, SessionOf: 3},
+				{Route: "other", Tenant: "two", Priority: 50, Rank: 1, PerSecond: 8, DeadlineMs: 10000, Repeatable: true},
 			},
 		}, true
 	}
@@ -108,8 +108,8 @@
 	LoadGap     = 150 * time.Millisecond
 )
 
-// Spec makes the deployment's bundle. Routes in without are left out.
-func (d Deployment) Spec(note string, without map[string]bool) []byte {
+// Configuration makes the deployment's bundle. Routes in without are left out.
+func (d Deployment) Configuration(note string, without map[string]bool) []byte {
 	return d.Grown(note, without, 0)
 }
 
@@ -124,7 +124,7 @@
 		s.Zones = append(s.Zones, document.Zone{Name: zone})
 	}
 	for i := range d.Engines {
-		s.Engines = append(s.Engines, document.Engine{ID: EngineID(i), Zone: d.EngineZone(i), Capacity: d.Room, AdapterSlots: d.AdapterPlaces, Slots: d.Slots})
+		s.Engines = append(s.Engines, document.Engine{ID: EngineID(i), Zone: d.EngineZone(i), Capacity: d.Capacity, AdapterSlots: d.AdapterSlots, Slots: d.Slots})
 	}
 	for i := range d.Models {
 		s.Models = append(s.Models, document.Model{Name: ModelName(i), Size: Size(i)})
@@ -136,7 +136,7 @@
 		if without[kind.Route] {
 			continue
 		}
-		route := document.Route{Name: kind.Route, Tenant: kind.House, Priority: kind.Worth, Rank: kind.Rank}
+		route := document.Route{Name: kind.Route, Tenant: kind.Tenant, Priority: kind.Priority, Rank: kind.Rank}
 		allowed := map[int]bool{}
 		for _, model := range d.ModelsFor(k) {
 			route.Models = append(route.Models, ModelName(model))
@@ -150,7 +150,7 @@
 		s.Routes = append(s.Routes, route)
 	}
 	for i := range extra {
-		s.Routes = append(s.Routes, document.Route{Name: fmt.Sprintf("grown-%06d", i), Tenant: d.Kinds[0].House, Priority: int64(i % 100), Rank: i % 7, Models: []string{ModelName(i % d.Models)}})
+		s.Routes = append(s.Routes, document.Route{Name: fmt.Sprintf("grown-%06d", i), Tenant: d.Kinds[0].Tenant, Priority: int64(i % 100), Rank: i % 7, Models: []string{ModelName(i % d.Models)}})
 	}
 	data, err := json.MarshalIndent(s, "", " ")
 	if err != nil {
--- a/testbed/endtoend/caller_test.go
+++ b/testbed/endtoend/caller_test.go
@@ -80,7 +80,7 @@
 	if n := len(b.lines(journal.Arrive, "")); n != 0 {
 		t.Errorf("%d requests reached the engine", n)
 	}
-	if record := b.call("sound", work()); !record.Whole() {
+	if record := b.call("sound", work()); !record.Complete() {
 		t.Errorf("after all that, a sound request got %+v", record)
 	}
 }
@@ -132,7 +132,7 @@
 }
 
 func TestARepeatableRequestGoesAgainWithinTheBudget(t *testing.T) {
-	b := start(t, nil, engine.Config{Slots: 1, PieceTime: 10 * time.Millisecond}, engine.Config{Slots: 1, PieceTime: 10 * time.Millisecond})
+	b := start(t, nil, engine.Config{Slots: 1, ChunkTime: 10 * time.Millisecond}, engine.Config{Slots: 1, ChunkTime: 10 * time.Millisecond})
 	for round := 0; strings.Count(fmt.Sprint(b.status().Engines), "m:loaded") < 2; round++ {
 		b.crowd(fmt.Sprint("warm-", round))
 	}
@@ -144,7 +144,7 @@
 	const requests = 30
 	for i := range requests {
 		switch record := b.call(fmt.Sprint("again-", i), request); {
-		case record.Whole():
+		case record.Complete():
 			whole++
 		case record.Outcome == callerapi.Unknown:
 			unknown++
@@ -186,7 +186,7 @@
 
 func TestAReplayDoesNotRunAgain(t *testing.T) {
 	b := start(t, nil, engine.Config{})
-	if record := b.call("same", work()); !record.Whole() {
+	if record := b.call("same", work()); !record.Complete() {
 		t.Fatalf("%+v", record)
 	}
 	if record := b.call("same", work()); record.Status != 409 || record.Outcome != callerapi.Replay {
@@ -199,7 +199,7 @@
 
 func TestAnotherBodyUnderAKnownAttemptIsNotRun(t *testing.T) {
 	b := start(t, nil, engine.Config{})
-	if record := b.call("same", work()); !record.Whole() {
+	if record := b.call("same", work()); !record.Complete() {
 		t.Fatalf("%+v", record)
 	}
 	other := work()
@@ -225,13 +225,13 @@
 	if n := len(b.lines(journal.Arrive, "late")); n != 0 {
 		t.Fatalf("it reached an engine %d times", n)
 	}
-	if record := b.call("late", work()); !record.Whole() {
+	if record := b.call("late", work()); !record.Complete() {
 		t.Fatalf("the same id, never run, was not let in again: %+v", record)
 	}
 }
 
 func TestTheHighestWorthGoesFirstAndHousesTakeTurns(t *testing.T) {
-	b := start(t, nil, engine.Config{Slots: 4, PieceTime: 25 * time.Millisecond})
+	b := start(t, nil, engine.Config{Slots: 4, ChunkTime: 25 * time.Millisecond})
 	var wait sync.WaitGroup
 	send := func(route, house string, n int) {
 		request := work()
@@ -239,7 +239,7 @@
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			if record := b.call(fmt.Sprintf("%s-%d", route, n), request); !record.Whole() {
+			if record := b.call(fmt.Sprintf("%s-%d", route, n), request); !record.Complete() {
 				t.Errorf("%s-%d: %+v", route, n, record)
 			}
 		}()
@@ -282,7 +282,7 @@
 }
 
 func TestACallerThatLeavesCancelsTheGo(t *testing.T) {
-	b := start(t, nil, engine.Config{PieceTime: 30 * time.Millisecond})
+	b := start(t, nil, engine.Config{ChunkTime: 30 * time.Millisecond})
 	conn := b.dial()
 	fmt.Fprint(conn, wire("leaver", encode(t, work())))
 	reader := bufio.NewReader(conn)
@@ -348,7 +348,7 @@
 		fmt.Fprint(conn, wire(fmt.Sprint("slow-", i), encode(t, work())))
 	}
 	for i := range 5 {
-		if record := b.call(fmt.Sprint("quick-", i), work()); !record.Whole() {
+		if record := b.call(fmt.Sprint("quick-", i), work()); !record.Complete() {
 			t.Errorf("%+v", record)
 		}
 	}
@@ -365,7 +365,7 @@
 }
 
 func TestPipelinedAndReusedConnectionsKeepAnswersApart(t *testing.T) {
-	b := start(t, nil, engine.Config{PieceTime: time.Millisecond, Slots: 8})
+	b := start(t, nil, engine.Config{ChunkTime: time.Millisecond, Slots: 8})
 	var wait sync.WaitGroup
 	for c := range 4 {
 		wait.Add(1)
@@ -394,7 +394,7 @@
 					count++
 					final = strings.Contains(lines.Text(), `"final":true`)
 				}
-				if !final || count != engine.PiecesFor(attempt)+1 || lines.Err() != nil {
+				if !final || count != engine.ChunksFor(attempt)+1 || lines.Err() != nil {
 					t.Errorf("%s got %d lines, final %t, %v", attempt, count, final, lines.Err())
 				}
 			}
@@ -404,7 +404,7 @@
 }
 
 func TestHoldingIsBounded(t *testing.T) {
-	b := start(t, func(s *document.Configuration) { s.Limits.MaxPending = 5 }, engine.Config{Slots: 1, PieceTime: 20 * time.Millisecond})
+	b := start(t, func(s *document.Configuration) { s.Limits.MaxPending = 5 }, engine.Config{Slots: 1, ChunkTime: 20 * time.Millisecond})
 	var wait sync.WaitGroup
 	outcomes := make(chan string, 40)
 	for i := range 40 {
@@ -438,13 +438,13 @@
 	// A stand-in that gets no processor frees a slot later than its last byte tells, and must refuse what comes for
 	// it. So the count is made again with a fresh one, three times in all: who floods does so each time.
 	for count := 1; ; count++ {
-		b := startAgain(t, func(s *document.Configuration) { s.Engines[0].Slots = 4 }, engine.Config{Slots: 2, PieceTime: 5 * time.Millisecond})
+		b := startAgain(t, func(s *document.Configuration) { s.Engines[0].Slots = 4 }, engine.Config{Slots: 2, ChunkTime: 5 * time.Millisecond})
 		var wait sync.WaitGroup
 		for i := range 12 {
 			wait.Add(1)
 			go func() {
 				defer wait.Done()
-				if record := b.call(fmt.Sprint("small-", i), request); !record.Whole() {
+				if record := b.call(fmt.Sprint("small-", i), request); !record.Complete() {
 					t.Errorf("%+v", record)
 				}
 			}()
@@ -462,13 +462,13 @@
 }
 
 func TestAPlannedStopFinishesWhatWasRead(t *testing.T) {
-	b := start(t, nil, engine.Config{PieceTime: 40 * time.Millisecond, Slots: 2})
+	b := start(t, nil, engine.Config{ChunkTime: 40 * time.Millisecond, Slots: 2})
 	var wait sync.WaitGroup
 	for i := range 6 {
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			if record := b.call(fmt.Sprint("stopping-", i), work()); !record.Whole() {
+			if record := b.call(fmt.Sprint("stopping-", i), work()); !record.Complete() {
 				t.Errorf("%+v", record)
 			}
 		}()
@@ -488,7 +488,7 @@
 	if record := b.call("stopping-0", work()); record.Outcome != callerapi.Unknown || !record.RetryAfter {
 		t.Errorf("%+v", record)
 	}
-	b.await("the next life takes all work", func() bool { return b.call("after", work()).Whole() })
+	b.await("the next life takes all work", func() bool { return b.call("after", work()).Complete() })
 	if n := len(b.lines(journal.Begin, "after")); n != 1 {
 		t.Errorf("it ran %d times", n)
 	}
--- a/testbed/endtoend/disk_test.go
+++ b/testbed/endtoend/disk_test.go
@@ -102,7 +102,7 @@
 	if raft := lone.status().Raft; raft != nil {
 		t.Errorf("it takes part in the group without a folder: %+v", raft)
 	}
-	if record := lone.call("without-a-folder", work()); !record.Whole() {
+	if record := lone.call("without-a-folder", work()); !record.Complete() {
 		t.Errorf("%+v", record)
 	}
 	if err := os.Remove(lone.data); err != nil {
--- a/testbed/endtoend/harness_test.go
+++ b/testbed/endtoend/harness_test.go
@@ -223,13 +223,13 @@
 	b.platform = platform.New(listener)
 	for i, c := range configs {
 		c.ID = fmt.Sprintf("e%d", i)
-		c.Room, c.Sizes, c.AdapterPlaces = 25, map[string]int64{"m": 10, "other": 10}, 4
+		c.Capacity, c.Sizes, c.AdapterSlots = 25, map[string]int64{"m": 10, "other": 10}, 4
 		if c.Slots == 0 {
 			c.Slots = 4
 		}
 		c.LoadTime, c.AdapterTime, c.ReportLag = 20*time.Millisecond, 20*time.Millisecond, 20*time.Millisecond
-		if c.PieceTime == 0 {
-			c.PieceTime = 3 * time.Millisecond
+		if c.ChunkTime == 0 {
+			c.ChunkTime = 3 * time.Millisecond
 		}
 		path := filepath.Join(t.TempDir(), c.ID)
 		writer, err := journal.NewWriter(path, c.ID)
--- a/testbed/endtoend/leaving_test.go
+++ b/testbed/endtoend/leaving_test.go
@@ -74,8 +74,8 @@
 func (p *parted) cut(b *bench, others []*bench) {
 	for _, other := range others {
 		if other != b {
-			p.links.Cut(b.name, other.name)
-			p.links.Cut(other.name, b.name)
+			p.links.Partition(b.name, other.name)
+			p.links.Partition(other.name, b.name)
 		}
 	}
 }
--- a/testbed/endtoend/life_test.go
+++ b/testbed/endtoend/life_test.go
@@ -16,7 +16,7 @@
 // TestAStoppingDaemonServesUntilThePlatformHasMovedOn: it is not ready at once, serves what still comes until
 // the platform was told twice, and finishes what it has read.
 func TestAStoppingDaemonServesUntilThePlatformHasMovedOn(t *testing.T) {
-	b := prepare(t, engine.Config{Slots: 4, PieceTime: 300 * time.Millisecond})
+	b := prepare(t, engine.Config{Slots: 4, ChunkTime: 300 * time.Millisecond})
 	readiness := free(t)
 	b.settle = func(c *daemonconfig.Config) {
 		c.ReadyListen, c.AttemptScope, c.DrainMs = readiness, daemonconfig.LocalAttempts, 60000
--- a/testbed/endtoend/machine_test.go
+++ b/testbed/endtoend/machine_test.go
@@ -106,7 +106,7 @@
 		runs[line.Attempt]++
 	}
 	for _, record := range records {
-		if !record.Whole() || runs[record.Attempt] != 1 {
+		if !record.Complete() || runs[record.Attempt] != 1 {
 			first.t.Errorf("%s ran %d times: %d %s %s", record.Attempt, runs[record.Attempt], record.Status, record.Outcome, record.Reason)
 		}
 	}
@@ -210,7 +210,7 @@
 	sleeper.await("it is ready again, under a tenure of its own", func() bool {
 		return sleeper.status().Ready && sleeper.status().WorkerID != nil && sleeper.counter("tenure_acquired")+sleeper.counter("tenure_renewed") > renewed
 	})
-	if record := sleeper.call("after-sleep", work()); !record.Whole() && record.Outcome != "unknown" {
+	if record := sleeper.call("after-sleep", work()); !record.Complete() && record.Outcome != "unknown" {
 		t.Errorf("%+v", record)
 	}
 	last := uint64(0)
--- a/testbed/endtoend/operator_test.go
+++ b/testbed/endtoend/operator_test.go
@@ -241,14 +241,14 @@
 	if n := b.counter("fellow_foreign_group"); n != before+3 {
 		t.Errorf("%d foreign messages were counted", n-before)
 	}
-	if record := b.call("after", work()); !record.Whole() {
+	if record := b.call("after", work()); !record.Complete() {
 		t.Errorf("%+v", record)
 	}
 }
 
 func TestAJunkReportSetsAnEngineAside(t *testing.T) {
 	b := start(t, nil, engine.Config{Fault: "junk-report", FaultFrom: 1})
-	if record := b.call("one", work()); !record.Whole() {
+	if record := b.call("one", work()); !record.Complete() {
 		t.Fatalf("%+v", record)
 	}
 	b.await("the engine is set aside", func() bool { return b.status().Engines[0].Condition == "set-aside" })
--- a/testbed/engine/engine.go
+++ b/testbed/engine/engine.go
@@ -21,15 +21,15 @@
 
 // Config is how a stand-in behaves.
 type Config struct {
-	ID            string
-	Room          int64
-	Sizes         map[string]int64
-	Slots         int
-	AdapterPlaces int
-	LoadTime      time.Duration
-	AdapterTime   time.Duration
-	PieceTime     time.Duration
-	ReportLag     time.Duration
+	ID           string
+	Capacity     int64
+	Sizes        map[string]int64
+	Slots        int
+	AdapterSlots int
+	LoadTime     time.Duration
+	AdapterTime  time.Duration
+	ChunkTime    time.Duration
+	ReportLag    time.Duration
 	// Fault makes it break the rules: "gap", "repeat", "foreign", "early", "endless", "stall", "junk-report", "stale-report", "hang", "drop".
 	Fault string
 	// FaultFrom is how many requests go well before the fault begins.
@@ -98,8 +98,8 @@
 
 func (e *Engine) makeReport() engineapi.Report {
 	report := engineapi.Report{CallSeq: e.callSeq, Saturated: e.busy >= e.config.Slots, Busy: e.busy, Draining: e.leaving, Models: []engineapi.ModelReport{}}
-	for name, held := range e.models {
-		report.Models = append(report.Models, engineapi.ModelReport{Model: name, State: held.state, Adapters: slices.Clone(held.adapters)})
+	for name, loaded := range e.models {
+		report.Models = append(report.Models, engineapi.ModelReport{Model: name, State: loaded.state, Adapters: slices.Clone(loaded.adapters)})
 	}
 	slices.SortFunc(report.Models, func(a, b engineapi.ModelReport) int { return strings.Compare(a.Model, b.Model) })
 	return report
@@ -144,8 +144,8 @@
 	answer(w, http.StatusAccepted, engineapi.OrderAnswer{Taken: true})
 }
 
-// PiecesFor is how many pieces an attempt's answer has; it follows from its id, so that the checker knows it too.
-func PiecesFor(attempt string) int {
+// ChunksFor is how many pieces an attempt's answer has; it follows from its id, so that the checker knows it too.
+func ChunksFor(attempt string) int {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(attempt))
 	return 4 + int(hash.Sum32()%24)
@@ -176,7 +176,7 @@
 	line.Kind, line.Run = journal.Begin, run
 	e.journal.Write(line)
 	if e.stream(w, r, attempt, run, fault) {
-		line.Kind, line.Pieces = journal.End, PiecesFor(attempt)
+		line.Kind, line.Chunks = journal.End, ChunksFor(attempt)
 	} else {
 		line.Kind = journal.Cancel
 	}
@@ -191,11 +191,11 @@
 	if e.arrived > e.config.FaultFrom {
 		fault = e.config.Fault
 	}
-	held := e.models[work.Model]
+	loaded := e.models[work.Model]
 	switch {
-	case held == nil || held.state != engineapi.Loaded:
+	case loaded == nil || loaded.state != engineapi.Loaded:
 		return "", fault, "the model is not loaded"
-	case work.Adapter != "" && !slices.Contains(held.adapters, work.Adapter):
+	case work.Adapter != "" && !slices.Contains(loaded.adapters, work.Adapter):
 		return "", fault, "the adapter is not loaded"
 	case e.busy >= e.config.Slots:
 		return "", fault, "all slots are taken"
@@ -215,25 +215,25 @@
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/x-ndjson")
-	pieces := PiecesFor(attempt)
+	chunks := ChunksFor(attempt)
 	encoder := json.NewEncoder(w)
-	beat := time.NewTicker(e.config.PieceTime)
+	beat := time.NewTicker(e.config.ChunkTime)
 	defer beat.Stop()
-	for n := 0; n < pieces; n++ {
+	for n := 0; n < chunks; n++ {
 		select {
 		case <-r.Context().Done():
 			return false
 		case <-beat.C:
 		}
-		piece := engineapi.Piece{Attempt: attempt, N: n, Text: fmt.Sprintf("%s/%s/%d ", attempt, run, n)}
+		chunk := engineapi.Piece{Attempt: attempt, N: n, Text: fmt.Sprintf("%s/%s/%d ", attempt, run, n)}
 		if n == 2 {
 			switch fault {
 			case "gap":
-				piece.N++
+				chunk.N++
 			case "repeat":
-				piece.N--
+				chunk.N--
 			case "foreign":
-				piece.Attempt = "someone-else"
+				chunk.Attempt = "someone-else"
 			case "early":
 				return false
 			case "stall":
@@ -245,15 +245,15 @@
 				_, _ = io.WriteString(w, "{not json\n")
 			}
 		}
-		if encoder.Encode(piece) != nil {
+		if encoder.Encode(chunk) != nil {
 			return false
 		}
 		if flusher, ok := w.(http.Flusher); ok {
 			flusher.Flush()
 		}
-		if fault == "endless" && n == pieces-1 {
-			pieces++
+		if fault == "endless" && n == chunks-1 {
+			chunks++
 		}
 	}
-	return encoder.Encode(engineapi.Piece{Attempt: attempt, N: pieces, Final: true, Pieces: pieces}) == nil
+	return encoder.Encode(engineapi.Piece{Attempt: attempt, N: chunks, Final: true, Pieces: chunks}) == nil
 }
--- a/testbed/engine/orders.go
+++ b/testbed/engine/orders.go
@@ -10,29 +10,29 @@
 
 // take starts an order, or says why not. The mutex is held.
 func (e *Engine) take(order engineapi.Order) (refusal string) {
-	held := e.models[order.Model]
+	loaded := e.models[order.Model]
 	switch order.Kind {
 	case engineapi.Load:
-		return e.load(held, order.Model)
+		return e.load(loaded, order.Model)
 	case engineapi.Unload:
-		return e.unload(held, order.Model)
+		return e.unload(loaded, order.Model)
 	case engineapi.LoadAdapter:
-		return e.loadAdapter(held, order.Adapter)
+		return e.loadAdapter(loaded, order.Adapter)
 	case engineapi.UnloadAdapter:
-		return unloadAdapter(held, order.Adapter)
+		return unloadAdapter(loaded, order.Adapter)
 	}
 	return "no such kind of order"
 }
 
-func (e *Engine) load(held *model, name string) (refusal string) {
-	if held != nil {
+func (e *Engine) load(loaded *model, name string) (refusal string) {
+	if loaded != nil {
 		return "held already"
 	}
 	used := int64(0)
 	for other := range e.models {
 		used += e.config.Sizes[other]
 	}
-	if used+e.config.Sizes[name] > e.config.Room {
+	if used+e.config.Sizes[name] > e.config.Capacity {
 		return "no room"
 	}
 	loading := &model{state: engineapi.Loading}
@@ -47,11 +47,11 @@
 	return ""
 }
 
-func (e *Engine) unload(held *model, name string) (refusal string) {
-	if held == nil || held.state != engineapi.Loaded {
+func (e *Engine) unload(loaded *model, name string) (refusal string) {
+	if loaded == nil || loaded.state != engineapi.Loaded {
 		return "not loaded"
 	}
-	held.state = engineapi.Unloading
+	loaded.state = engineapi.Unloading
 	time.AfterFunc(e.config.LoadTime/4, func() {
 		e.mutex.Lock()
 		delete(e.models, name)
@@ -60,33 +60,33 @@
 	return ""
 }
 
-func (e *Engine) loadAdapter(held *model, name string) (refusal string) {
+func (e *Engine) loadAdapter(loaded *model, name string) (refusal string) {
 	places := 0
 	for _, other := range e.models {
 		places += len(other.adapters) + len(other.pending)
 	}
 	switch {
-	case held == nil || held.state != engineapi.Loaded:
+	case loaded == nil || loaded.state != engineapi.Loaded:
 		return "its model is not loaded"
-	case slices.Contains(held.adapters, name) || slices.Contains(held.pending, name):
+	case slices.Contains(loaded.adapters, name) || slices.Contains(loaded.pending, name):
 		return "held already"
-	case places >= e.config.AdapterPlaces:
+	case places >= e.config.AdapterSlots:
 		return "no adapter place"
 	}
-	held.pending = append(held.pending, name)
+	loaded.pending = append(loaded.pending, name)
 	time.AfterFunc(e.config.AdapterTime, func() {
 		e.mutex.Lock()
 		defer e.mutex.Unlock()
-		held.pending = slices.DeleteFunc(held.pending, func(other string) bool { return other == name })
-		held.adapters = append(held.adapters, name)
+		loaded.pending = slices.DeleteFunc(loaded.pending, func(other string) bool { return other == name })
+		loaded.adapters = append(loaded.adapters, name)
 	})
 	return ""
 }
 
-func unloadAdapter(held *model, name string) (refusal string) {
-	if held == nil || !slices.Contains(held.adapters, name) {
+func unloadAdapter(loaded *model, name string) (refusal string) {
+	if loaded == nil || !slices.Contains(loaded.adapters, name) {
 		return "not held"
 	}
-	held.adapters = slices.DeleteFunc(slices.Clone(held.adapters), func(other string) bool { return other == name })
+	loaded.adapters = slices.DeleteFunc(slices.Clone(loaded.adapters), func(other string) bool { return other == name })
 	return ""
 }
--- a/testbed/fleet/fleet.go
+++ b/testbed/fleet/fleet.go
@@ -25,14 +25,14 @@
 
 // Process is one process of the fleet.
 type Process struct {
-	Name    string
-	Zone    ident.ZoneID
-	Address string
-	Fellow  string
-	// Reached is where other daemons reach it: the runner's own link.
-	Reached string
-	Journal string
-	Core    bool
+	Name       string
+	Zone       ident.ZoneID
+	Address    string
+	PeerListen string
+	// PeerAddress is where other daemons reach it: the runner's own link.
+	PeerAddress string
+	Journal     string
+	Core        bool
 	// build is the index of the build that a daemon runs from its next start on.
 	build int
 	args  []string
@@ -56,8 +56,8 @@
 	seeds      []string
 	moved      int
 	self       string
-	leaving    map[string]bool
-	gone       map[string]bool
+	draining   map[string]bool
+	removed    map[string]bool
 	mutex      sync.Mutex
 	client     *http.Client
 }
@@ -65,7 +65,7 @@
 // New lays a fleet out in a folder. Its daemons run the two builds of cresspondd in turn, which may be the same; self
 // is this program.
 func New(d deployment.Deployment, folder string, builds [2]string, self string) (*Fleet, error) {
-	f := &Fleet{Links: NewLinks(), Deployment: d, Folder: folder, builds: builds, self: self, leaving: map[string]bool{}, gone: map[string]bool{},
+	f := &Fleet{Links: NewLinks(), Deployment: d, Folder: folder, builds: builds, self: self, draining: map[string]bool{}, removed: map[string]bool{},
 		client: &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, err
@@ -83,16 +83,16 @@
 		if err != nil {
 			return err
 		}
-		fellow, err := freeAddress(number)
+		peer, err := freeAddress(number)
 		if err != nil {
 			return err
 		}
-		p := &Process{Name: name, Zone: zone, Address: listen, Fellow: fellow, Core: core, build: len(f.Daemons) % len(f.builds), log: filepath.Join(folder, name+".log")}
-		if p.Reached, err = f.link(p, number); err != nil {
+		p := &Process{Name: name, Zone: zone, Address: listen, PeerListen: peer, Core: core, build: len(f.Daemons) % len(f.builds), log: filepath.Join(folder, name+".log")}
+		if p.PeerAddress, err = f.link(p, number); err != nil {
 			return err
 		}
 		if core {
-			seeds = append(seeds, p.Reached)
+			seeds = append(seeds, p.PeerAddress)
 		}
 		f.Daemons = append(f.Daemons, p)
 		return nil
@@ -109,7 +109,7 @@
 	}
 	f.seeds = seeds
 	for _, p := range f.Daemons {
-		if err := f.settle(p); err != nil {
+		if err := f.writeSettings(p); err != nil {
 			return nil, err
 		}
 	}
@@ -127,11 +127,11 @@
 	return f, nil
 }
 
-// settle writes a daemon's settings.
-func (f *Fleet) settle(p *Process) error {
+// writeSettings writes a daemon's settings.
+func (f *Fleet) writeSettings(p *Process) error {
 	settings := daemonconfig.Default()
-	settings.Name, settings.Zone, settings.Listen, settings.PeerListen = p.Name, p.Zone, p.Address, p.Fellow
-	settings.PeerAddress = p.Reached
+	settings.Name, settings.Zone, settings.Listen, settings.PeerListen = p.Name, p.Zone, p.Address, p.PeerListen
+	settings.PeerAddress = p.PeerAddress
 	settings.Seeds, settings.Platform = f.seeds, f.Platform.Address()
 	settings.Roles = []daemonconfig.Role{daemonconfig.Route}
 	if p.Core {
@@ -166,13 +166,13 @@
 	if p.Address, err = freeAddress(200 + f.moved); err != nil {
 		return err
 	}
-	if p.Fellow, err = freeAddress(200 + f.moved); err != nil {
+	if p.PeerListen, err = freeAddress(200 + f.moved); err != nil {
 		return err
 	}
-	if p.Reached, err = f.link(p, 200+f.moved); err != nil {
+	if p.PeerAddress, err = f.link(p, 200+f.moved); err != nil {
 		return err
 	}
-	return f.settle(p)
+	return f.writeSettings(p)
 }
 
 // link sits between a daemon and all that others say to it.
@@ -185,7 +185,7 @@
 	if err != nil {
 		return "", err
 	}
-	go f.Links.Carry(listener, p.Name, p.Fellow)
+	go f.Links.Carry(listener, p.Name, p.PeerListen)
 	return reached, nil
 }
 
@@ -194,7 +194,7 @@
 	args := append([]string{}, p.args[1:]...)
 	for _, edge := range f.Edges() {
 		if edge.Running() {
-			args = append(args, "--recover-from", edge.Reached)
+			args = append(args, "--recover-from", edge.PeerAddress)
 		}
 	}
 	if survivor != "" {
@@ -305,27 +305,27 @@
 func (f *Fleet) Publish() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	list := []platformapi.Engine{}
+	engines := []platformapi.Engine{}
 	for _, p := range f.Engines {
-		if !f.gone[p.Name] {
-			list = append(list, platformapi.Engine{ID: ident.EngineID(p.Name), Address: p.Address, Zone: p.Zone, Draining: f.leaving[p.Name]})
+		if !f.removed[p.Name] {
+			engines = append(engines, platformapi.Engine{ID: ident.EngineID(p.Name), Address: p.Address, Zone: p.Zone, Draining: f.draining[p.Name]})
 		}
 	}
-	f.Platform.Set(list)
+	f.Platform.Set(engines)
 }
 
-// Leave marks an engine as leaving in the platform's list.
-func (f *Fleet) Leave(p *Process) {
+// MarkDraining marks an engine as leaving in the platform's list.
+func (f *Fleet) MarkDraining(p *Process) {
 	f.mutex.Lock()
-	f.leaving[p.Name] = true
+	f.draining[p.Name] = true
 	f.mutex.Unlock()
 	f.Publish()
 }
 
-// Stay takes an engine out of the list's leaving ones.
-func (f *Fleet) Stay(p *Process) {
+// ClearDraining takes an engine out of the list's leaving ones.
+func (f *Fleet) ClearDraining(p *Process) {
 	f.mutex.Lock()
-	delete(f.leaving, p.Name)
+	delete(f.draining, p.Name)
 	f.mutex.Unlock()
 	f.Publish()
 }
@@ -415,8 +415,8 @@
 	return response.StatusCode, json.Unmarshal(answer, into)
 }
 
-// Tell has a stand-in engine do something of its own accord.
-func (f *Fleet) Tell(p *Process, what string) error {
+// TellEngine has a stand-in engine do something of its own accord.
+func (f *Fleet) TellEngine(p *Process, what string) error {
 	response, err := f.client.Get("http://" + p.Address + "/stand-in/" + what)
 	if err != nil {
 		return err
--- a/testbed/fleet/links.go
+++ b/testbed/fleet/links.go
@@ -7,9 +7,9 @@
 
 // Links carries all that daemons say to each other, and can be cut from one to another, one way or both.
 type Links struct {
-	mutex sync.Mutex
-	heal  *sync.Cond
-	cut   map[[2]string]bool
+	mutex       sync.Mutex
+	heal        *sync.Cond
+	partitioned map[[2]string]bool
 	// names tells which daemon speaks from an IP number.
 	names map[string]string
 	// Stopped counts the chunks that met a cut.
@@ -18,23 +18,23 @@
 
 // NewLinks makes links that are whole.
 func NewLinks() *Links {
-	l := &Links{cut: map[[2]string]bool{}, names: map[string]string{}}
+	l := &Links{partitioned: map[[2]string]bool{}, names: map[string]string{}}
 	l.heal = sync.NewCond(&l.mutex)
 	return l
 }
 
-// Cut stops all that from says to to.
-func (l *Links) Cut(from, to string) {
+// Partition stops all that from says to to.
+func (l *Links) Partition(from, to string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.cut[[2]string{from, to}] = true
+	l.partitioned[[2]string{from, to}] = true
 }
 
 // Heal ends all cuts.
 func (l *Links) Heal() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	clear(l.cut)
+	clear(l.partitioned)
 	l.heal.Broadcast()
 }
 
@@ -42,7 +42,7 @@
 func (l *Links) pass(from, to string) (wasCut bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	for l.cut[[2]string{from, to}] {
+	for l.partitioned[[2]string{from, to}] {
 		if !wasCut {
 			l.Stopped++
 		}
--- a/testbed/journal/journal.go
+++ b/testbed/journal/journal.go
@@ -50,7 +50,7 @@
 	Model   string        `json:"model,omitempty"`
 	Adapter string        `json:"adapter,omitempty"`
 	Session string        `json:"session,omitempty"`
-	Pieces  int           `json:"pieces,omitempty"`
+	Chunks  int           `json:"pieces,omitempty"`
 	Reason  string        `json:"reason,omitempty"`
 	Stamp   string        `json:"stamp,omitempty"`
 	Claim   uint64        `json:"claim,omitempty"`
@@ -74,11 +74,11 @@
 }
 
 // Write appends one line.
-func (w *Writer) Write(line Line) {
+func (w *Writer) Write(entry Line) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	line.At, line.Engine = Now(), w.engine
-	data, err := json.Marshal(line)
+	entry.At, entry.Engine = Now(), w.engine
+	data, err := json.Marshal(entry)
 	if err != nil {
 		panic("broken invariant: a journal line cannot be encoded: " + err.Error())
 	}
@@ -98,11 +98,11 @@
 	scanner := bufio.NewScanner(file)
 	scanner.Buffer(nil, 1<<20)
 	for scanner.Scan() {
-		var line Line
-		if err := json.Unmarshal(scanner.Bytes(), &line); err != nil {
+		var entry Line
+		if err := json.Unmarshal(scanner.Bytes(), &entry); err != nil {
 			return nil, err
 		}
-		lines = append(lines, line)
+		lines = append(lines, entry)
 	}
 	return lines, scanner.Err()
 }
--- a/testbed/platform/platform.go
+++ b/testbed/platform/platform.go
@@ -16,8 +16,8 @@
 	mutex   sync.Mutex
 	list    platformapi.List
 	address string
-	// trouble is what is wrong with the list: "" nothing, "gone", "empty", "junk" or "strangers".
-	trouble string
+	// fault is what is wrong with the list: "" nothing, "gone", "empty", "junk" or "strangers".
+	fault string
 	// asked and set number the lists, so that of two set in one breath the later one stays.
 	asked, set uint64
 }
@@ -30,7 +30,7 @@
 		p.mutex.Lock()
 		defer p.mutex.Unlock()
 		list := p.list
-		switch p.trouble {
+		switch p.fault {
 		case "gone":
 			w.WriteHeader(http.StatusBadGateway)
 			return
@@ -53,11 +53,11 @@
 // Address is where the list is read.
 func (p *Platform) Address() string { return p.address }
 
-// Trouble makes the list go wrong in one way, or right again.
-func (p *Platform) Trouble(kind string) {
+// SetFault makes the list go wrong in one way, or right again.
+func (p *Platform) SetFault(kind string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.trouble = kind
+	p.fault = kind
 }
 
 // Lag is how long the list lags behind.
--- a/testbed/scenario/behind.go
+++ b/testbed/scenario/behind.go
@@ -17,15 +17,15 @@
 	return r.underLoad(ctx, scale, func() error {
 		edges, zones := r.Fleet.Edges(), r.Fleet.Deployment.Zones
 		last := r.Fleet.Deployment.Kinds[len(r.Fleet.Deployment.Kinds)-1].Route
-		epoch := uint64(0)
+		version := uint64(0)
 		// roll takes the last route away, or brings it back, so that an old bundle shows in what arrives.
 		roll := func(note string, without bool) error {
-			epoch++
-			delete(r.without, last)
+			version++
+			delete(r.removedRoutes, last)
 			if without {
-				r.without[last] = true
+				r.removedRoutes[last] = true
 			}
-			return r.Roll(note, epoch)
+			return r.Roll(note, version)
 		}
 		heal := func() error {
 			r.heal()
@@ -35,7 +35,7 @@
 
 		together := edges[:len(edges)/2+1]
 		r.Say("%d routers are cut off together from all others, and go on", len(together))
-		r.cutOff(together, true, true)
+		r.partition(together, true, true)
 		r.Pause(time.Second)
 		if err := roll("behind-their-back", true); err != nil {
 			return err
@@ -86,7 +86,7 @@
 			if err := leader.Start(); err != nil {
 				return err
 			}
-			if err := r.awaitWhole(); err != nil {
+			if err := r.awaitAllMembers(); err != nil {
 				return err
 			}
 		}
@@ -116,7 +116,7 @@
 		return fmt.Errorf("an unknown daemon was declared lost, with status %d", code)
 	}
 	r.Say("%s is cut off for good, as it seems, and is declared lost", p.Name)
-	r.cutOff([]*fleet.Process{p}, true, true)
+	r.partition([]*fleet.Process{p}, true, true)
 	if err := r.Await("it may be declared lost", func() bool {
 		code, _ := r.Ask(operatorapi.PathDeclareLost, word, nil)
 		return code == http.StatusOK
--- a/testbed/scenario/bundles.go
+++ b/testbed/scenario/bundles.go
@@ -13,7 +13,7 @@
 
 // Roll takes a bundle all the way, and notes it as acknowledged.
 func (r *Run) Roll(note string, base uint64) error {
-	return r.rollBody(note, base, r.Fleet.Deployment.Spec(note, r.without))
+	return r.rollBody(note, base, r.Fleet.Deployment.Configuration(note, r.removedRoutes))
 }
 
 func (r *Run) rollBody(note string, base uint64, body []byte) error {
@@ -40,16 +40,16 @@
 
 // rolled notes what a roll was answered with, and follows one that is not acknowledged until it is.
 func (r *Run) rolled(id string, status int, answer rollout.Response, body []byte) {
-	act := checker.Act{Kind: checker.Rolled, Subject: fmt.Sprintf("epoch %d (%s), in force at %d daemons", answer.Proposal.Version, id, len(answer.InForceAt)),
-		Epoch: uint64(answer.Proposal.Version), Body: body}
+	action := checker.Action{Kind: checker.Rolled, Subject: fmt.Sprintf("epoch %d (%s), in force at %d daemons", answer.Proposal.Version, id, len(answer.InForceAt)),
+		Version: uint64(answer.Proposal.Version), Body: body}
 	if status == http.StatusOK {
-		r.Act(act)
+		r.Record(action)
 		return
 	}
-	committed := act
-	committed.Kind, committed.Subject = checker.Committed, fmt.Sprintf("epoch %d (%s), lacking at %v", act.Epoch, id, answer.Missing)
-	r.Act(committed)
-	r.follow(operatorapi.PathRoll, operatorapi.ProposalAction{ProposalID: id, Operator: "ana"}, func() { act.At = 0; r.Act(act) })
+	committed := action
+	committed.Kind, committed.Subject = checker.Committed, fmt.Sprintf("epoch %d (%s), lacking at %v", action.Version, id, answer.Missing)
+	r.Record(committed)
+	r.follow(operatorapi.PathRoll, operatorapi.ProposalAction{ProposalID: id, Operator: "ana"}, func() { action.At = 0; r.Record(action) })
 }
 
 // Race lets two operators take different bundles to the same base: one must lose.
@@ -57,7 +57,7 @@
 	bodies := map[string][]byte{}
 	for _, name := range []string{"race-a", "race-b"} {
 		id := fmt.Sprintf("%s-%d", name, r.Seed)
-		bodies[id] = r.Fleet.Deployment.Spec(name, r.without)
+		bodies[id] = r.Fleet.Deployment.Configuration(name, r.removedRoutes)
 		if _, err := r.Ask(operatorapi.PathPropose, operatorapi.Propose{ProposalID: id, Base: ident.Version(base), Operator: "ana", Configuration: bodies[id]}, nil); err != nil {
 			return err
 		}
@@ -86,7 +86,7 @@
 		case http.StatusOK, http.StatusAccepted:
 			r.rolled(o.id, o.status, o.answer, bodies[o.id])
 		case http.StatusConflict:
-			r.Act(checker.Act{Kind: checker.Refused, Subject: "the loser of a race", Body: bodies[o.id]})
+			r.Record(checker.Action{Kind: checker.Refused, Subject: "the loser of a race", Body: bodies[o.id]})
 		default:
 			return fmt.Errorf("a racing roll ended with status %d", o.status)
 		}
@@ -94,15 +94,15 @@
 	return nil
 }
 
-// RefuseOnes hands in bundles that must never be in force: one with faults, one signed by its author.
-func (r *Run) RefuseOnes(base uint64) error {
-	bad := []byte(strings.Replace(string(r.Fleet.Deployment.Spec("bad", nil)), `"zones"`, `"zonen"`, 1))
+// RejectInvalid hands in bundles that must never be in force: one with faults, one signed by its author.
+func (r *Run) RejectInvalid(base uint64) error {
+	bad := []byte(strings.Replace(string(r.Fleet.Deployment.Configuration("bad", nil)), `"zones"`, `"zonen"`, 1))
 	status, err := r.Ask(operatorapi.PathPropose, operatorapi.Propose{ProposalID: "bad", Base: ident.Version(base), Operator: "ana", Configuration: bad}, nil)
 	if status != http.StatusBadRequest {
 		return fmt.Errorf("a bundle with faults was answered with %d: %w", status, err)
 	}
-	r.Act(checker.Act{Kind: checker.Refused, Subject: "a bundle with faults", Body: bad})
-	own := r.Fleet.Deployment.Spec("own", r.without)
+	r.Record(checker.Action{Kind: checker.Refused, Subject: "a bundle with faults", Body: bad})
+	own := r.Fleet.Deployment.Configuration("own", r.removedRoutes)
 	if _, err := r.Ask(operatorapi.PathPropose, operatorapi.Propose{ProposalID: "own", Base: ident.Version(base), Operator: "ana", Configuration: own}, nil); err != nil {
 		return err
 	}
@@ -115,6 +115,6 @@
 	if status, err := r.Ask(operatorapi.PathRoll, operatorapi.ProposalAction{ProposalID: "own", Operator: "ana"}, nil); status != http.StatusForbidden {
 		return fmt.Errorf("an unsigned roll was answered with %d: %w", status, err)
 	}
-	r.Act(checker.Act{Kind: checker.Refused, Subject: "an unsigned bundle", Body: own})
+	r.Record(checker.Action{Kind: checker.Refused, Subject: "an unsigned bundle", Body: own})
 	return nil
 }
--- a/testbed/scenario/day.go
+++ b/testbed/scenario/day.go
@@ -20,7 +20,7 @@
 		return err
 	}
 	r.Say("the group has formed")
-	r.Look(ctx)
+	r.Observe(ctx)
 	if err := r.Roll("first", 0); err != nil {
 		return err
 	}
@@ -51,11 +51,11 @@
 }
 
 func (r *Run) killEngine(engine *fleet.Process) error {
-	asked := journal.Now()
+	requestedAt := journal.Now()
 	engine.Kill()
-	r.Act(checker.Act{Kind: checker.EngineKilled, Subject: engine.Name, Asked: asked})
+	r.Record(checker.Action{Kind: checker.EngineKilled, Subject: engine.Name, RequestedAt: requestedAt})
 	r.Pause(2 * time.Second)
-	r.Act(checker.Act{Kind: checker.EngineStarted, Subject: engine.Name})
+	r.Record(checker.Action{Kind: checker.EngineStarted, Subject: engine.Name})
 	if err := engine.Start(); err != nil {
 		return err
 	}
@@ -72,7 +72,7 @@
 	}
 	r.Crash(leader)
 	last := r.Fleet.Deployment.Kinds[len(r.Fleet.Deployment.Kinds)-1].Route
-	r.without[last] = true
+	r.removedRoutes[last] = true
 	if err := r.Roll("second", 1); err != nil {
 		return err
 	}
@@ -80,12 +80,12 @@
 	if err := leader.Start(); err != nil {
 		return err
 	}
-	delete(r.without, last)
+	delete(r.removedRoutes, last)
 	return nil
 }
 
 func (r *Run) refuseAndRace() error {
-	if err := r.RefuseOnes(2); err != nil {
+	if err := r.RejectInvalid(2); err != nil {
 		return err
 	}
 	if err := r.Race(2); err != nil {
@@ -120,9 +120,9 @@
 		return err
 	}
 	r.Pause(2 * time.Second)
-	leaving := r.pickOther(r.Fleet.Engines, killed)
-	r.Act(checker.Act{Kind: checker.EngineLeaving, Subject: leaving.Name})
-	r.Fleet.Leave(leaving)
+	leaving := r.otherThan(r.Fleet.Engines, killed)
+	r.Record(checker.Action{Kind: checker.EngineDraining, Subject: leaving.Name})
+	r.Fleet.MarkDraining(leaving)
 	r.Pause(5 * time.Second)
 	leaving.Kill()
 	return r.Zone(shut, true)
@@ -182,7 +182,7 @@
 	}
 	counters := r.Counters()
 	stopLooking()
-	r.looks.Wait()
+	r.observers.Wait()
 	for _, group := range [][]*fleet.Process{r.Fleet.Edges(), r.cores()} {
 		var stops sync.WaitGroup
 		for _, p := range group {
@@ -207,7 +207,7 @@
 	return out
 }
 
-func (r *Run) pickOther(from []*fleet.Process, not *fleet.Process) *fleet.Process {
+func (r *Run) otherThan(from []*fleet.Process, not *fleet.Process) *fleet.Process {
 	for {
 		if one := from[r.random.IntN(len(from))]; one != not {
 			return one
--- a/testbed/scenario/growth.go
+++ b/testbed/scenario/growth.go
@@ -13,7 +13,7 @@
 func (r *Run) Growth(ctx context.Context, scale float64) (map[string]uint64, error) {
 	return r.underLoad(ctx, scale, func() error {
 		for i, extra := range []int{100, 1000, 5000, 20000} {
-			body := r.Fleet.Deployment.Grown(fmt.Sprint("grown-", extra), r.without, extra)
+			body := r.Fleet.Deployment.Grown(fmt.Sprint("grown-", extra), r.removedRoutes, extra)
 			r.Pause(2 * time.Second)
 			began := journal.Now()
 			if err := r.rollBody(fmt.Sprint("grown-", extra), uint64(i+1), body); err != nil {
@@ -29,7 +29,7 @@
 			if p != leader {
 				p.Signal(syscall.SIGSTOP)
 				defer p.Signal(syscall.SIGCONT)
-				body := r.Fleet.Deployment.Grown("one-frozen", r.without, 20001)
+				body := r.Fleet.Deployment.Grown("one-frozen", r.removedRoutes, 20001)
 				began := journal.Now()
 				if err := r.rollBody("one-frozen", 5, body); err != nil {
 					return err
@@ -47,7 +47,7 @@
 		if err := leader.Start(); err != nil {
 			return err
 		}
-		if err := r.awaitWhole(); err != nil {
+		if err := r.awaitAllMembers(); err != nil {
 			return err
 		}
 		r.Pause(3 * time.Second)
--- a/testbed/scenario/leaving.go
+++ b/testbed/scenario/leaving.go
@@ -21,8 +21,8 @@
 		for i, notice := range []time.Duration{0, 100 * time.Millisecond, time.Second, 2500 * time.Millisecond, 4 * time.Second} {
 			p := engines[(i+int(r.Seed))%len(engines)]
 			r.Say("%s leaves by the platform's list with a notice of %v", p.Name, notice)
-			r.Act(checker.Act{Kind: checker.EngineLeaving, Subject: p.Name})
-			r.Fleet.Leave(p)
+			r.Record(checker.Action{Kind: checker.EngineDraining, Subject: p.Name})
+			r.Fleet.MarkDraining(p)
 			r.Pause(notice)
 			if err := r.replace(p); err != nil {
 				return err
@@ -30,18 +30,18 @@
 			r.Pause(time.Second)
 		}
 
-		byReport := r.pickOther(engines, nil)
+		byReport := r.otherThan(engines, nil)
 		r.Say("%s says in its reports that it leaves", byReport.Name)
-		if err := r.Fleet.Tell(byReport, "leave"); err != nil {
+		if err := r.Fleet.TellEngine(byReport, "leave"); err != nil {
 			return err
 		}
-		r.Act(checker.Act{Kind: checker.EngineLeaving, Subject: byReport.Name})
+		r.Record(checker.Action{Kind: checker.EngineDraining, Subject: byReport.Name})
 		r.Pause(5 * time.Second)
 		if err := r.replace(byReport); err != nil {
 			return err
 		}
 
-		byOperator := r.pickOther(engines, byReport)
+		byOperator := r.otherThan(engines, byReport)
 		r.Say("an operator drains %s, and takes it up again", byOperator.Name)
 		if err := r.drainEngine(byOperator, true); err != nil {
 			return err
@@ -53,10 +53,10 @@
 
 		for _, trouble := range []string{"gone", "empty", "junk", "strangers"} {
 			r.Say("the platform's list is %s", trouble)
-			r.Fleet.Platform.Trouble(trouble)
-			r.Act(checker.Act{Kind: checker.Crashed, Subject: "the platform's list: " + trouble})
+			r.Fleet.Platform.SetFault(trouble)
+			r.Record(checker.Action{Kind: checker.Crashed, Subject: "the platform's list: " + trouble})
 			r.Pause(4 * time.Second)
-			r.Fleet.Platform.Trouble("")
+			r.Fleet.Platform.SetFault("")
 			r.Pause(time.Second)
 		}
 
@@ -71,7 +71,7 @@
 			if err := p.Start(); err != nil {
 				return err
 			}
-			if err := r.awaitWhole(); err != nil {
+			if err := r.awaitAllMembers(); err != nil {
 				return err
 			}
 			if err := r.Await("all edges are ready", r.AllReady); err != nil {
@@ -88,18 +88,18 @@
 
 // drainEngine has an operator drain an engine, or end that.
 func (r *Run) drainEngine(p *fleet.Process, draining bool) error {
-	base, err := r.closureEpoch()
+	base, err := r.closureVersion()
 	if err != nil {
 		return err
 	}
-	asked := journal.Now()
+	requestedAt := journal.Now()
 	if _, err := r.Ask(operatorapi.PathDrain, operatorapi.EngineDrain{Engine: ident.EngineID(p.Name), Draining: &draining, Base: &base, Operator: "ana"}, nil); err != nil {
 		return fmt.Errorf("%s: %w", p.Name, err)
 	}
 	if draining {
-		r.Act(checker.Act{Kind: checker.EngineLeaving, Subject: p.Name, Asked: asked})
+		r.Record(checker.Action{Kind: checker.EngineDraining, Subject: p.Name, RequestedAt: requestedAt})
 	} else {
-		r.Act(checker.Act{Kind: checker.EngineStarted, Subject: p.Name, At: asked})
+		r.Record(checker.Action{Kind: checker.EngineStarted, Subject: p.Name, At: requestedAt})
 	}
 	return nil
 }
--- a/testbed/scenario/load.go
+++ b/testbed/scenario/load.go
@@ -41,7 +41,7 @@
 		}
 		// Few models are asked for often, many seldom.
 		model := models[int(float64(len(models))*random.Float64()*random.Float64())]
-		request := callerapi.Generate{Route: kind.Route, House: kind.House, Model: deployment.ModelName(model), DeadlineMs: kind.DeadlineMs,
+		request := callerapi.Generate{Route: kind.Route, House: kind.Tenant, Model: deployment.ModelName(model), DeadlineMs: kind.DeadlineMs,
 			Repeatable: kind.Repeatable, Prefix: fmt.Sprintf("prefix-%d", random.IntN(5))}
 		if model < d.Adapters && random.IntN(3) == 0 {
 			request.Adapter = deployment.AdapterName(model)
@@ -75,11 +75,11 @@
 		r.mutex.Unlock()
 		return caller.Record{}
 	}
-	daemon := r.ready[r.next%len(r.ready)]
+	daemon := r.ready[r.nextDaemon%len(r.ready)]
 	if daemon.Address == not {
-		daemon = r.ready[(r.next+1)%len(r.ready)]
+		daemon = r.ready[(r.nextDaemon+1)%len(r.ready)]
 	}
-	r.next++
+	r.nextDaemon++
 	r.mutex.Unlock()
 	record := caller.Send(ctx, daemon.Address, attempt, request)
 	r.mutex.Lock()
--- a/testbed/scenario/loss.go
+++ b/testbed/scenario/loss.go
@@ -29,7 +29,7 @@
 	return true
 }
 
-func (r *Run) awaitWhole() error { return r.Await("the group has all its voters", r.whole) }
+func (r *Run) awaitAllMembers() error { return r.Await("the group has all its voters", r.whole) }
 
 // lose ends a core daemon and its disk.
 func (r *Run) lose(p *fleet.Process) error {
@@ -76,7 +76,7 @@
 		func() error { return l.lose(l.cores[0]) },
 		l.cores[0].Start,
 		func() error { return l.roll("after-wipe") },
-		l.awaitWhole,
+		l.awaitAllMembers,
 	)
 }
 
@@ -87,14 +87,14 @@
 		func() error { return l.Fleet.Move(l.cores[1]) },
 		l.cores[1].Start,
 		func() error { return l.roll("after-move") },
-		l.awaitWhole,
+		l.awaitAllMembers,
 	)
 }
 
 func (l *losses) wipeOthersInTurn() error {
 	l.Say("the other two are wiped in turn, so that no disk is left that formed the group")
 	for _, p := range []*fleet.Process{l.cores[2], l.cores[0]} {
-		if err := inTurn(func() error { return l.lose(p) }, p.Start, l.awaitWhole); err != nil {
+		if err := inTurn(func() error { return l.lose(p) }, p.Start, l.awaitAllMembers); err != nil {
 			return err
 		}
 	}
@@ -109,11 +109,11 @@
 	for _, p := range l.Fleet.Daemons {
 		p.Kill()
 	}
-	l.Act(checker.Act{Kind: checker.Crashed, Subject: "core, all at once"})
+	l.Record(checker.Action{Kind: checker.Crashed, Subject: "core, all at once"})
 	if err := startAll(l.Fleet.Daemons); err != nil {
 		return err
 	}
-	if err := inTurn(func() error { return l.roll("after-all") }, l.awaitAllReady, l.awaitWhole); err != nil {
+	if err := inTurn(func() error { return l.roll("after-all") }, l.awaitAllReady, l.awaitAllMembers); err != nil {
 		return err
 	}
 	l.Pause(2 * time.Second)
@@ -146,7 +146,7 @@
 	if err := startAll(l.cores); err != nil {
 		return err
 	}
-	if err := inTurn(func() error { return l.roll("after-recovery") }, l.awaitWhole, l.awaitAllReady); err != nil {
+	if err := inTurn(func() error { return l.roll("after-recovery") }, l.awaitAllMembers, l.awaitAllReady); err != nil {
 		return err
 	}
 	l.Pause(4 * time.Second)
--- a/testbed/scenario/market.go
+++ b/testbed/scenario/market.go
@@ -26,7 +26,7 @@
 		r.calls.Add(1)
 		go func() {
 			defer r.calls.Done()
-			r.Call(fmt.Sprintf("%s%d", class.Prefix, n), callerapi.Generate{Route: kind.Route, House: kind.House, Model: deployment.ModelName(model), DeadlineMs: deadline.Milliseconds()})
+			r.Call(fmt.Sprintf("%s%d", class.Prefix, n), callerapi.Generate{Route: kind.Route, House: kind.Tenant, Model: deployment.ModelName(model), DeadlineMs: deadline.Milliseconds()})
 		}()
 	}
 }
@@ -42,7 +42,7 @@
 
 		highest, burst := 0, 0
 		for k, kind := range d.Kinds {
-			if kind.Worth > d.Kinds[highest].Worth {
+			if kind.Priority > d.Kinds[highest].Priority {
 				highest = k
 			}
 			if kind.PerSecond > d.Kinds[burst].PerSecond {
@@ -50,14 +50,14 @@
 			}
 		}
 		classes = []checker.Class{
-			{Name: "the highest bid", Tenant: d.Kinds[highest].House, Worth: d.Kinds[highest].Worth, Prefix: "contest-high-"},
-			{Name: "the burst", Tenant: d.Kinds[burst].House, Worth: d.Kinds[burst].Worth, Burst: true, Prefix: "contest-burst-"},
+			{Name: "the highest bid", Tenant: d.Kinds[highest].Tenant, Priority: d.Kinds[highest].Priority, Prefix: "contest-high-"},
+			{Name: "the burst", Tenant: d.Kinds[burst].Tenant, Priority: d.Kinds[burst].Priority, Burst: true, Prefix: "contest-burst-"},
 		}
 		rival := -1
 		for k, kind := range d.Kinds {
-			if kind.Worth == d.Kinds[burst].Worth && kind.House != d.Kinds[burst].House {
+			if kind.Priority == d.Kinds[burst].Priority && kind.Tenant != d.Kinds[burst].Tenant {
 				rival = k
-				classes = append(classes, checker.Class{Name: "the rival", Tenant: kind.House, Worth: kind.Worth, Prefix: "contest-rival-"})
+				classes = append(classes, checker.Class{Name: "the rival", Tenant: kind.Tenant, Priority: kind.Priority, Prefix: "contest-rival-"})
 			}
 		}
 		r.history.Contest = classes
@@ -77,7 +77,7 @@
 		asking, stopAsking := context.WithCancel(ctx)
 		go r.contest(asking, rare, d.Kinds[highest], models[len(models)-1], 10, 8*time.Second)
 		r.Pause(4 * time.Second)
-		dying := r.pickOther(r.Fleet.Engines, nil)
+		dying := r.otherThan(r.Fleet.Engines, nil)
 		r.Say("%s dies in the thick of it", dying.Name)
 		if err := r.replace(dying); err != nil {
 			stopAsking()
@@ -100,7 +100,7 @@
 		return nil
 	})
 	for _, class := range append(classes, rare) {
-		share, count := r.history.Share(class)
+		share, count := r.history.ServedShare(class)
 		r.Say("%s: %.3f of %d served", class.Name, share, count)
 	}
 	return counters, err
--- a/testbed/scenario/operators.go
+++ b/testbed/scenario/operators.go
@@ -26,14 +26,14 @@
 	defer r.mutex.Unlock()
 	r.random.Shuffle(len(running), func(i, j int) { running[i], running[j] = running[j], running[i] })
 	// As an operator would, one that gave no answer a moment ago is tried last.
-	slices.SortStableFunc(running, func(a, b *fleet.Process) int { return r.silent[a].Compare(r.silent[b]) })
+	slices.SortStableFunc(running, func(a, b *fleet.Process) int { return r.unresponsiveSince[a].Compare(r.unresponsiveSince[b]) })
 	return running
 }
 
 // Ask posts an act until some daemon gives a known outcome, as an operator would.
 func (r *Run) Ask(path string, body, into any) (int, error) {
 	var last error
-	guard := time.Now().Add(hangGuard)
+	guard := time.Now().Add(waitTimeout)
 	for time.Now().Before(guard) {
 		for _, p := range r.anyDaemon() {
 			status, err := r.Fleet.Post(p, path, body, into)
@@ -42,7 +42,7 @@
 			}
 			last = err
 			r.mutex.Lock()
-			r.silent[p] = time.Now()
+			r.unresponsiveSince[p] = time.Now()
 			r.mutex.Unlock()
 		}
 	}
@@ -64,8 +64,8 @@
 	}()
 }
 
-// closureEpoch reads the epoch that a closure would build on.
-func (r *Run) closureEpoch() (base ident.Version, err error) {
+// closureVersion reads the epoch that a closure would build on.
+func (r *Run) closureVersion() (base ident.Version, err error) {
 	err = r.Await("the closures can be read", func() bool {
 		for _, p := range r.anyDaemon() {
 			var closures closure.Set
@@ -81,37 +81,37 @@
 
 // Zone closes or opens a zone and notes it.
 func (r *Run) Zone(zone ident.ZoneID, closed bool) error {
-	base, err := r.closureEpoch()
+	base, err := r.closureVersion()
 	if err != nil {
 		return err
 	}
-	asked := journal.Now()
+	requestedAt := journal.Now()
 	body := operatorapi.ZoneClosure{Zone: zone, Closed: &closed, Base: &base, Operator: "ana"}
 	status, err := r.Ask(operatorapi.PathZone, body, nil)
 	if err != nil {
 		return err
 	}
 	r.mutex.Lock()
-	r.shut[string(zone)] = closed
+	r.closed[string(zone)] = closed
 	r.mutex.Unlock()
-	act := checker.Act{Kind: checker.ZoneClosed, Subject: string(zone), Asked: asked}
+	action := checker.Action{Kind: checker.ZoneClosed, Subject: string(zone), RequestedAt: requestedAt}
 	switch {
 	case !closed:
 		// An opening may be in force before its word comes back, so it counts from when it was asked for.
-		act.Kind, act.At = checker.ZoneOpened, asked
-		r.Act(act)
+		action.Kind, action.At = checker.ZoneOpened, requestedAt
+		r.Record(action)
 	case status == http.StatusOK:
-		r.Act(act)
+		r.Record(action)
 	default:
-		closing := act
+		closing := action
 		closing.Kind = checker.ZoneClosing
-		r.Act(closing)
+		r.Record(closing)
 		r.follow(operatorapi.PathZone, body, func() {
 			r.mutex.Lock()
-			still := r.shut[string(zone)]
+			still := r.closed[string(zone)]
 			r.mutex.Unlock()
 			if still {
-				r.Act(act)
+				r.Record(action)
 			}
 		})
 	}
--- a/testbed/scenario/overhead.go
+++ b/testbed/scenario/overhead.go
@@ -42,11 +42,11 @@
 			if err != nil {
 				return err
 			}
-			record := r.Call(attempt, callerapi.Generate{Route: kind.Route, House: kind.House, Model: model, DeadlineMs: kind.DeadlineMs})
-			if !record.Whole() {
+			record := r.Call(attempt, callerapi.Generate{Route: kind.Route, House: kind.Tenant, Model: model, DeadlineMs: kind.DeadlineMs})
+			if !record.Complete() {
 				return fmt.Errorf("%s was not served whole: %+v", attempt, record)
 			}
-			straight, through = append(straight, took), append(through, record.FirstPiece-record.Began)
+			straight, through = append(straight, took), append(through, record.FirstChunk-record.Began)
 		}
 		slices.Sort(straight)
 		slices.Sort(through)
@@ -92,11 +92,11 @@
 		return 0, err
 	}
 	defer response.Body.Close()
-	lines := bufio.NewReader(response.Body)
-	if _, err := lines.ReadBytes('\n'); err != nil {
+	entries := bufio.NewReader(response.Body)
+	if _, err := entries.ReadBytes('\n'); err != nil {
 		return 0, err
 	}
 	took := journal.Now() - began
-	_, err = lines.WriteTo(io.Discard)
+	_, err = entries.WriteTo(io.Discard)
 	return took, err
 }
--- a/testbed/scenario/readback.go
+++ b/testbed/scenario/readback.go
@@ -25,7 +25,7 @@
 		return err
 	}
 	for _, proposal := range list {
-		back := checker.ReadBack{Epoch: uint64(proposal.Version)}
+		back := checker.ReadBack{Version: uint64(proposal.Version)}
 		for _, p := range r.anyDaemon() {
 			body, err := r.Fleet.Get(p, fmt.Sprintf("%s?epoch=%d", operatorapi.PathConfiguration, proposal.Version), nil)
 			back.Body, back.Err = body, ""
@@ -45,7 +45,7 @@
 	for zone := range closures.Zones {
 		r.history.ClosureSeen = append(r.history.ClosureSeen, string(zone))
 	}
-	for zone, closed := range r.shut {
+	for zone, closed := range r.closed {
 		if closed {
 			r.history.ClosureWanted = append(r.history.ClosureWanted, zone)
 		}
--- a/testbed/scenario/resend.go
+++ b/testbed/scenario/resend.go
@@ -19,7 +19,7 @@
 
 // settled says that a caller knows what became of its attempt.
 func settled(record caller.Record) bool {
-	return record.Whole() || record.Outcome == callerapi.Refused || record.Outcome == callerapi.Invalid || record.Outcome == callerapi.Replay
+	return record.Complete() || record.Outcome == callerapi.Refused || record.Outcome == callerapi.Invalid || record.Outcome == callerapi.Replay
 }
 
 // callAgain sends an attempt and, where its outcome stays open, sends it again at once elsewhere. One in
@@ -55,7 +55,7 @@
 				return err
 			}
 		}
-		return inTurn(r.killRouters, r.awaitWhole, r.flood)
+		return inTurn(r.killRouters, r.awaitAllMembers, r.flood)
 	})
 }
 
@@ -97,7 +97,7 @@
 
 func (r *Run) cutOffRouter() error {
 	r.Say("a router is cut off from all peers, and not from callers and engines")
-	r.cutOff(r.pickEdges(1), true, true)
+	r.partition(r.pickEdges(1), true, true)
 	r.Pause(4 * time.Second)
 	r.heal()
 	if err := r.awaitAllReady(); err != nil {
@@ -136,7 +136,7 @@
 		p.Kill()
 	}
 	for _, p := range killed {
-		r.Act(checker.Act{Kind: checker.Crashed, Subject: p.Name})
+		r.Record(checker.Action{Kind: checker.Crashed, Subject: p.Name})
 	}
 	return r.restart(killed)
 }
@@ -149,7 +149,7 @@
 		r.calls.Add(1)
 		go func() {
 			defer r.calls.Done()
-			r.callAgain(fmt.Sprintf("flood-%d-%d", r.Seed, i), callerapi.Generate{Route: kind.Route, House: kind.House, Model: "model-00", DeadlineMs: 3000})
+			r.callAgain(fmt.Sprintf("flood-%d-%d", r.Seed, i), callerapi.Generate{Route: kind.Route, House: kind.Tenant, Model: "model-00", DeadlineMs: 3000})
 		}()
 		if i%10 == 9 {
 			r.Pause(30 * time.Millisecond)
--- a/testbed/scenario/rolling.go
+++ b/testbed/scenario/rolling.go
@@ -28,13 +28,13 @@
 			if err := p.Start(); err != nil {
 				return err
 			}
-			if err := r.awaitWhole(); err != nil {
+			if err := r.awaitAllMembers(); err != nil {
 				return err
 			}
 		}
 		for i, p := range r.Fleet.Engines[:3] {
-			r.Act(checker.Act{Kind: checker.EngineLeaving, Subject: p.Name})
-			r.Fleet.Leave(p)
+			r.Record(checker.Action{Kind: checker.EngineDraining, Subject: p.Name})
+			r.Fleet.MarkDraining(p)
 			if i < 2 {
 				r.Pause(4 * time.Second)
 			} else {
@@ -54,10 +54,10 @@
 
 // replace ends an engine and puts a fresh one in its place.
 func (r *Run) replace(p *fleet.Process) error {
-	asked := journal.Now()
+	requestedAt := journal.Now()
 	p.Kill()
-	r.Act(checker.Act{Kind: checker.EngineKilled, Subject: p.Name, Asked: asked})
-	r.Fleet.Stay(p)
-	r.Act(checker.Act{Kind: checker.EngineStarted, Subject: p.Name})
+	r.Record(checker.Action{Kind: checker.EngineKilled, Subject: p.Name, RequestedAt: requestedAt})
+	r.Fleet.ClearDraining(p)
+	r.Record(checker.Action{Kind: checker.EngineStarted, Subject: p.Name})
 	return p.Start()
 }
--- a/testbed/scenario/splits.go
+++ b/testbed/scenario/splits.go
@@ -12,22 +12,22 @@
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
-// cutOff cuts a set of daemons from all others: out, in, or both ways.
-func (r *Run) cutOff(some []*fleet.Process, out, in bool) {
+// partition cuts a set of daemons from all others: out, in, or both ways.
+func (r *Run) partition(some []*fleet.Process, out, in bool) {
 	inside, names := map[string]bool{}, ""
 	for _, p := range some {
 		inside[p.Name] = true
 		names += " " + p.Name
 	}
-	r.Act(checker.Act{Kind: checker.Split, Subject: names})
+	r.Record(checker.Action{Kind: checker.Split, Subject: names})
 	for _, a := range r.Fleet.Daemons {
 		for _, b := range r.Fleet.Daemons {
 			if inside[a.Name] && !inside[b.Name] {
 				if out {
-					r.Fleet.Links.Cut(a.Name, b.Name)
+					r.Fleet.Links.Partition(a.Name, b.Name)
 				}
 				if in {
-					r.Fleet.Links.Cut(b.Name, a.Name)
+					r.Fleet.Links.Partition(b.Name, a.Name)
 				}
 			}
 		}
@@ -37,13 +37,13 @@
 // heal ends all cuts.
 func (r *Run) heal() {
 	r.Fleet.Links.Heal()
-	r.Act(checker.Act{Kind: checker.Healed})
+	r.Record(checker.Action{Kind: checker.Healed})
 }
 
 // Splits cuts links in every way that the brief names, and heals them again.
 func (r *Run) Splits(ctx context.Context, scale float64) (map[string]uint64, error) {
 	return r.underLoad(ctx, scale, func() error {
-		epoch := uint64(1)
+		version := uint64(1)
 		ways := []struct {
 			what    string
 			out, in bool
@@ -54,33 +54,33 @@
 				return err
 			}
 			r.Say("%s: %s", way.what, leader.Name)
-			r.cutOff([]*fleet.Process{leader}, way.out, way.in)
-			r.Act(checker.Act{Kind: checker.Crashed, Subject: leader.Name + ", cut off"})
-			settle, err := r.raceAtTwoLeaders(leader)
+			r.partition([]*fleet.Process{leader}, way.out, way.in)
+			r.Record(checker.Action{Kind: checker.Crashed, Subject: leader.Name + ", cut off"})
+			resolve, err := r.raceAtTwoLeaders(leader)
 			if err != nil {
 				return err
 			}
-			if err := r.Roll(fmt.Sprint("split-", epoch), epoch); err != nil {
+			if err := r.Roll(fmt.Sprint("split-", version), version); err != nil {
 				return err
 			}
-			epoch++
+			version++
 			r.Pause(2 * time.Second)
 			r.heal()
 			r.Pause(2 * time.Second)
-			if err := settle(); err != nil {
+			if err := resolve(); err != nil {
 				return err
 			}
 		}
 
 		edge := r.Fleet.Edges()[0]
 		r.Say("one daemon alone: %s", edge.Name)
-		r.cutOff([]*fleet.Process{edge}, true, true)
+		r.partition([]*fleet.Process{edge}, true, true)
 		last := r.Fleet.Deployment.Kinds[len(r.Fleet.Deployment.Kinds)-1].Route
-		r.without[last] = true
-		if err := r.Roll("alone", epoch); err != nil {
+		r.removedRoutes[last] = true
+		if err := r.Roll("alone", version); err != nil {
 			return err
 		}
-		epoch++
+		version++
 		if err := r.Await("the lone daemon says that it is not ready", func() bool { return !r.Fleet.Ready(edge) }); err != nil {
 			return err
 		}
@@ -91,8 +91,8 @@
 		}
 
 		r.Say("the whole core is cut off from the edges, which go on")
-		r.cutOff(r.cores(), true, true)
-		r.Act(checker.Act{Kind: checker.Crashed, Subject: "the core is cut off"})
+		r.partition(r.cores(), true, true)
+		r.Record(checker.Action{Kind: checker.Crashed, Subject: "the core is cut off"})
 		r.Pause(8 * time.Second)
 		r.heal()
 		if err := r.Await("all edges are ready", r.AllReady); err != nil {
@@ -107,10 +107,10 @@
 				away = append(away, p)
 			}
 		}
-		r.cutOff(away, true, true)
+		r.partition(away, true, true)
 		r.Pause(6 * time.Second)
 		r.heal()
-		if err := r.awaitWhole(); err != nil {
+		if err := r.awaitAllMembers(); err != nil {
 			return err
 		}
 		if r.Fleet.Links.Stopped == 0 {
@@ -119,7 +119,7 @@
 		if err := r.Zone(zone, true); err != nil {
 			return err
 		}
-		if err := r.Roll("healed", epoch); err != nil {
+		if err := r.Roll("healed", version); err != nil {
 			return err
 		}
 		r.Pause(6 * time.Second)
@@ -130,8 +130,8 @@
 // raceAtTwoLeaders has one operator close a zone through a leader that is cut off, and may not know it
 // yet, and another close another zone through the rest, both on the same closures. What settle does is for
 // after the split: who got no answer asks again, and is told that the other won; then all is opened.
-func (r *Run) raceAtTwoLeaders(old *fleet.Process) (settle func() error, err error) {
-	base, err := r.closureEpoch()
+func (r *Run) raceAtTwoLeaders(old *fleet.Process) (resolve func() error, err error) {
+	base, err := r.closureVersion()
 	if err != nil {
 		return nil, err
 	}
@@ -144,7 +144,7 @@
 		there <- status
 	}()
 	status, _ := r.Ask(operatorapi.PathZone, mine, nil)
-	r.Act(checker.Act{Kind: checker.ZoneClosing, Subject: string(mine.Zone)})
+	r.Record(checker.Action{Kind: checker.ZoneClosing, Subject: string(mine.Zone)})
 	thereStatus := <-there
 	won := func(status int) bool { return status == http.StatusOK || status == http.StatusAccepted }
 	r.Say("two operators at two leaders: %d, and %d at the one that is cut off", status, thereStatus)
@@ -152,13 +152,13 @@
 		return nil, fmt.Errorf("two operators at two leaders were answered with %d and %d", status, thereStatus)
 	}
 	return func() error {
-		for _, act := range []struct {
+		for _, action := range []struct {
 			body operatorapi.ZoneClosure
 			won  bool
 		}{{mine, won(status)}, {theirs, !won(status)}} {
-			again, err := r.Ask(operatorapi.PathZone, act.body, nil)
-			if won(again) != act.won || !act.won && again != http.StatusConflict {
-				return fmt.Errorf("%s, asked for again, was answered with %d: %w", act.body.Zone, again, err)
+			again, err := r.Ask(operatorapi.PathZone, action.body, nil)
+			if won(again) != action.won || !action.won && again != http.StatusConflict {
+				return fmt.Errorf("%s, asked for again, was answered with %d: %w", action.body.Zone, again, err)
 			}
 		}
 		for _, zone := range zones[:2] {
@@ -191,10 +191,10 @@
 		}
 		r.Say("%s, who leads, freezes", leader.Name)
 		leader.Signal(syscall.SIGSTOP)
-		r.Act(checker.Act{Kind: checker.Crashed, Subject: leader.Name + ", frozen"})
+		r.Record(checker.Action{Kind: checker.Crashed, Subject: leader.Name + ", frozen"})
 		// While a routing daemon is frozen a route goes away: it must not send for it when it wakes.
 		last := r.Fleet.Deployment.Kinds[len(r.Fleet.Deployment.Kinds)-1].Route
-		r.without[last] = true
+		r.removedRoutes[last] = true
 		if err := r.Roll("frozen", 1); err != nil {
 			return err
 		}
--- a/testbed/scenario/storms.go
+++ b/testbed/scenario/storms.go
@@ -15,19 +15,19 @@
 
 // killEngines ends some engines at once; the caller starts them again.
 func (r *Run) killEngines(some []*fleet.Process) {
-	asked := journal.Now()
+	requestedAt := journal.Now()
 	for _, p := range some {
 		p.Signal(syscall.SIGKILL)
 	}
 	for _, p := range some {
 		p.Wait()
-		r.Act(checker.Act{Kind: checker.EngineKilled, Subject: p.Name, Asked: asked})
+		r.Record(checker.Action{Kind: checker.EngineKilled, Subject: p.Name, RequestedAt: requestedAt})
 	}
 }
 
 func (r *Run) startEngines(some []*fleet.Process) error {
 	for _, p := range some {
-		r.Act(checker.Act{Kind: checker.EngineStarted, Subject: p.Name})
+		r.Record(checker.Action{Kind: checker.EngineStarted, Subject: p.Name})
 		if err := p.Start(); err != nil {
 			return err
 		}
@@ -52,7 +52,7 @@
 	r.killEngines(engines)
 	for _, p := range daemons {
 		p.Wait()
-		r.Act(checker.Act{Kind: checker.Crashed, Subject: p.Name})
+		r.Record(checker.Action{Kind: checker.Crashed, Subject: p.Name})
 	}
 	return func() error {
 		if err := r.startEngines(engines); err != nil {
@@ -63,7 +63,7 @@
 				return err
 			}
 		}
-		if err := r.awaitWhole(); err != nil {
+		if err := r.awaitAllMembers(); err != nil {
 			return err
 		}
 		return r.Await("all edges are ready", r.AllReady)
@@ -134,12 +134,12 @@
 				return err
 			}
 			// Orders are under way as it happens: an engine has just come, empty, and another's reports stand still.
-			dying, stale := r.pickOther(r.Fleet.Engines, nil), r.Fleet.Engines[round%len(r.Fleet.Engines)]
+			dying, stale := r.otherThan(r.Fleet.Engines, nil), r.Fleet.Engines[round%len(r.Fleet.Engines)]
 			if err := r.replace(dying); err != nil {
 				return err
 			}
 			if stale != dying {
-				if err := r.Fleet.Tell(stale, "fault?kind=stale-report"); err != nil {
+				if err := r.Fleet.TellEngine(stale, "fault?kind=stale-report"); err != nil {
 					return err
 				}
 			}
@@ -151,7 +151,7 @@
 				planner.Signal(syscall.SIGSTOP)
 				restore = func() error { planner.Signal(syscall.SIGCONT); return nil }
 			case "is cut off":
-				r.cutOff([]*fleet.Process{planner}, true, true)
+				r.partition([]*fleet.Process{planner}, true, true)
 				restore = func() error { r.heal(); return nil }
 			case "is killed":
 				r.Crash(planner)
@@ -163,17 +163,17 @@
 			if err := r.Await("another plans", func() bool { other := r.planner(); return other != nil && other != planner }); err != nil {
 				return err
 			}
-			if err := r.replace(r.pickOther(r.Fleet.Engines, dying)); err != nil {
+			if err := r.replace(r.otherThan(r.Fleet.Engines, dying)); err != nil {
 				return err
 			}
 			r.Pause(time.Duration(500+r.random.IntN(1000)) * time.Millisecond)
 			if err := restore(); err != nil {
 				return err
 			}
-			if err := r.Fleet.Tell(stale, "fault?kind="); err != nil {
+			if err := r.Fleet.TellEngine(stale, "fault?kind="); err != nil {
 				return err
 			}
-			if err := r.awaitWhole(); err != nil {
+			if err := r.awaitAllMembers(); err != nil {
 				return err
 			}
 			r.Pause(2 * time.Second)
--- a/testbed/scenario/watch.go
+++ b/testbed/scenario/watch.go
@@ -13,12 +13,12 @@
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
-// Look watches readiness and epochs until ctx ends.
-func (r *Run) Look(ctx context.Context) {
+// Observe watches readiness and epochs until ctx ends.
+func (r *Run) Observe(ctx context.Context) {
 	for _, p := range r.Fleet.Daemons {
-		r.looks.Add(1)
+		r.observers.Add(1)
 		go func() {
-			defer r.looks.Done()
+			defer r.observers.Done()
 			tick := time.NewTicker(200 * time.Millisecond)
 			defer tick.Stop()
 			for {
@@ -37,7 +37,7 @@
 				if err == nil {
 					r.mutex.Lock()
 					r.history.Observations = append(r.history.Observations, checker.Observation{At: at, Daemon: p.Name, Incarnation: string(status.NodeID),
-						SpecEpoch: uint64(status.ConfigurationVersion), ClosureEpoch: uint64(status.ClosureVersion), Ready: status.Ready})
+						ConfigurationVersion: uint64(status.ConfigurationVersion), ClosureVersion: uint64(status.ClosureVersion), Ready: status.Ready})
 					r.mutex.Unlock()
 				}
 			}
