--- a/process/engines/nodehealth/score.go
+++ b/process/engines/nodehealth/assessment.go
@@ -8,37 +8,38 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// Standing is how one engine stands against others with like work.
+// Assessment is how one engine compares with others at comparable work.
 type Assessment struct {
 	Engine ident.EngineID
-	// Score is how many times slower it is than others: 1 is as they are, 0 not enough is known.
+	// Score is how many times slower it is than others: 1 is equal, 0 is too little known.
 	Score float64
-	// Kind is what it is slow in, Value and Peers what was measured of it and of the others there.
+	// Kind is what it is slowest in, Value and PeerValue what was measured there of it and of the others.
 	Kind             Kind
 	Value, PeerValue float64
 	Samples          int
-	// Worked says that it was measured at work, and not only connected to.
+	// UnderLoad says that it was measured at work, and not only connected to.
 	UnderLoad bool
-	// Observers is from how many zones it is seen, Paths from which ones alone it is slow.
+	// Observers is from how many zones it is measured. SlowZones are the zones from which it is slow while it is not slow
+	// overall: then the network path is.
 	Observers int
 	SlowZones []ident.ZoneID
 }
 
-// rules are the ways of judging. Each is a function, so that a test can show what a broken one would do.
+// rules are the parts of the assessment. Each is a function, so that a test can show what a broken variant would do.
 type rules struct {
-	// baseline is what an engine is held against, from the values of all others, sorted.
+	// baseline is what an engine is compared with, from the values of all others, sorted.
 	baseline func(values []float64) float64
-	// workFactor is by how many times more work can slow an engine down, by so many powers of two.
+	// workFactor is how many times slower more work can make an engine, by so many powers of two.
 	workFactor func(kind Kind, powers int) float64
-	// combineZones makes one score of those seen from several zones, sorted.
+	// combineZones makes one score of those from several zones, sorted.
 	combineZones func(scores []float64) float64
-	// isOutlier says whether a value is beyond how much the others differ among themselves.
+	// isOutlier reports whether a value is beyond the spread of the others.
 	isOutlier func(value, others, spread float64) bool
-	// minIncidents is in how many turns something slow must have come.
+	// minIncidents is in how many intervals an engine must have had slow values.
 	minIncidents int
 	// compare orders the engines that are to be drained.
 	compare func(a, b Assessment) int
-	// refusals say why an engine may not be drained now, the gravest first.
+	// refusals are the rules against draining, the most important first.
 	refusals []refusal
 }
 
@@ -47,9 +48,9 @@
 }
 
 const (
-	// minPeers is how many others an engine is held against at least: of two nobody can say which one is slow.
+	// minPeers is how many others an engine is compared with at least: of two it can't be told which one is slow.
 	minPeers = 2
-	// maxBandDistance is how many powers of two of work may lie between what is compared.
+	// maxBandDistance is how many powers of two of work may lie between measurements that are compared.
 	maxBandDistance = 3
 )
 
@@ -59,8 +60,8 @@
 	return (values[(n-1)/2] + values[n/2]) / 2
 }
 
-// expectedFactor: a batch of twice as many, or a prompt twice as long, has its first byte twice as late at most. Steps of
-// twice as many take less than twice as long, since most of a step is the same for all that are in it.
+// expectedFactor: with a batch or a prompt twice as large the first byte comes twice as late at most. A decode step of a
+// batch twice as large takes less than twice as long, since most of a step is shared by the batch.
 func expectedFactor(kind Kind, powers int) float64 {
 	if kind == Stall {
 		return math.Pow(1.5, float64(powers))
@@ -68,20 +69,20 @@
 	return float64(uint64(1) << powers)
 }
 
-// majorityScore: an engine is as slow as more than half of the zones see it, or it is the path that is slow.
+// majorityScore: an engine is as slow as more than half of the zones measure, or else a network path is slow.
 func majorityScore(scores []float64) float64 { return scores[(len(scores)-1)/2] }
 
-// beyondSpread by three deviations, and never within a quarter of the others' value, however alike they are.
+// beyondSpread is more than three deviations away, and never within a quarter of the baseline, however alike the others are.
 func beyondSpread(value, others, spread float64) bool {
 	return value > others+max(3*1.4826*spread, others/4)
 }
 
-// compareAssessments puts the slowest first; equals go by id, so that all planners agree.
+// compareAssessments puts the slowest first; equals are ordered by id, so that all planners agree.
 func compareAssessments(a, b Assessment) int {
 	return cmp.Or(cmp.Compare(b.Score, a.Score), cmp.Compare(a.Engine, b.Engine))
 }
 
-// comparisonGroup is what is the same of all that is compared with each other, but for how much work it was.
+// comparisonGroup is what measurements that are compared have in common, apart from the amount of work.
 type comparisonGroup struct {
 	observer    ident.ZoneID
 	kind        Kind
@@ -91,8 +92,8 @@
 
 type band struct{ load, size uint8 }
 
-// distanceTo is by how many powers of two the work at b was more than at other; false where they are too far apart. Where
-// the other had more work it is taken as it is: with less it could only have been quicker.
+// distanceTo returns by how many powers of two the work at b was more than at other, and their distance; near is false where
+// they are not comparable. More work at the other is not corrected for: with less it could only have been faster.
 func (b band) distanceTo(other band) (more, distance int, near bool) {
 	load, size := int(b.load)-int(other.load), int(b.size)-int(other.size)
 	more, distance = max(0, load)+max(0, size), max(load, -load)+max(size, -size)
@@ -104,7 +105,7 @@
 	samples                int
 }
 
-// compareGroup holds each engine against the others of its base.
+// compareGroup compares each engine with the others of its group.
 func (r rules) compareGroup(s Settings, kind Kind, members map[ident.EngineID]map[band]measure) map[ident.EngineID][]comparison {
 	out := map[ident.EngineID][]comparison{}
 	if len(members) <= minPeers {
@@ -124,7 +125,7 @@
 		value float64
 	}
 	for b := range bands {
-		// What each engine would show at this much work, by what it showed at the nearest.
+		// What each engine would show at this amount of work, by what it showed at the nearest one.
 		var peers []peer
 		for _, id := range ids {
 			best, bestValue := maxBandDistance+1, 0.0
@@ -156,13 +157,13 @@
 			if len(others) <= 64 {
 				rest = append(append(rest, others[:place]...), others[place+1:]...)
 			} else {
-				// Among so many one more or less does not move the middle.
+				// Among so many one value more or less does not move the median.
 				rest = others
 			}
 			against := r.baseline(rest)
 			v := comparison{score: 1, value: m.value, baseline: against, samples: m.samples}
 			if m.value >= s.floor(kind) && r.isOutlier(m.value, against, spread) {
-				// What lies below the floor is as good as the floor's half: from 1 ms to 20 is nobody's pain.
+				// Baselines far below the floor are raised: a change from 1 ms to 20 ms hurts no client.
 				v.score = m.value / max(against, s.floor(kind)/4, 1)
 			}
 			out[p.id] = append(out[p.id], v)
@@ -171,7 +172,7 @@
 	return out
 }
 
-// floor is the value below which nothing counts as slow.
+// floor is the value of a kind below which nothing counts as slow.
 func (s Settings) floor(kind Kind) float64 {
 	if kind == Stall {
 		return 1000 * s.StallFloor
@@ -179,7 +180,7 @@
 	return float64(s.DelayFloorMs)
 }
 
-// medianDeviation is the median of how far values lie from their own median.
+// medianDeviation is the median absolute deviation of sorted values.
 func medianDeviation(sorted []float64) float64 {
 	middle := median(sorted)
 	off := make([]float64, 0, len(sorted))
@@ -190,7 +191,7 @@
 	return median(off)
 }
 
-// weightedMedian is the middle of several views, each counted by its measurements.
+// weightedMedian is the median of several comparisons, weighted by their samples.
 func weightedMedian(views []comparison) comparison {
 	slices.SortFunc(views, func(a, b comparison) int {
 		return cmp.Or(cmp.Compare(a.score, b.score), cmp.Compare(a.value, b.value), cmp.Compare(a.samples, b.samples))
@@ -209,14 +210,14 @@
 	return comparison{}
 }
 
-// observationKey is one engine from one zone, in one kind of measurement.
+// observationKey is one engine, measured from one zone in one kind.
 type observationKey struct {
 	engine   ident.EngineID
 	observer ident.ZoneID
 	kind     Kind
 }
 
-// comparisons compares all that was measured; overall puts all models of a pool together.
+// comparisons compares all measures, group by group.
 func (r rules) comparisons(s Settings, measures []measure) map[observationKey][]comparison {
 	bases := map[comparisonGroup]map[ident.EngineID]map[band]measure{}
 	for _, m := range measures {
@@ -248,14 +249,14 @@
 	return total
 }
 
-// zoneScore is one engine as one zone sees it, or all together.
+// zoneScore is one engine as measured from one zone, or from all together.
 type zoneScore struct {
 	comparison
 	kind      Kind
 	underLoad bool
 }
 
-// with adds another kind of measurement: the one in which an engine is slowest says how slow it is.
+// with adds another kind of measurement: the kind in which an engine is slowest counts.
 func (z zoneScore) with(one comparison, kind Kind) zoneScore {
 	worked := z.underLoad || kind != Connect
 	if z.samples == 0 || one.score > z.score || one.score == z.score && kind < z.kind {
@@ -265,9 +266,9 @@
 	return z
 }
 
-// rank gives how each engine stands, the worst first.
+// rank assesses each engine, the worst first.
 func (r rules) rank(s Settings, e *evidence) []Assessment {
-	// Engines with the same model are compared first. Where too few have it, all models count together.
+	// Engines are compared at the same model first. Where too few have it, all models count together.
 	alike, overall := r.comparisons(s, e.measures(false)), r.comparisons(s, e.measures(true))
 	byZone := map[ident.EngineID]map[ident.ZoneID]zoneScore{}
 	for key, views := range overall {
@@ -307,7 +308,7 @@
 		}
 		slices.Sort(scores)
 		if len(list) > 0 && len(list) >= min(2, len(zones)) {
-			// One zone alone can't tell an engine from the path to it, where there are more to ask.
+			// Measurements from one zone alone can't tell a slow engine from a slow path, where other zones measure too.
 			standing.Score = r.combineZones(scores)
 		} else if one, any := jointly[engine]; any {
 			standing.Score, standing.Kind, standing.Value, standing.PeerValue, standing.Samples = one.score, one.kind, one.value, one.baseline, one.samples
--- a/process/engines/nodehealth/bounds.go
+++ b/process/engines/nodehealth/drainlimits.go
@@ -11,12 +11,13 @@
 // Target names a model, or one adapter of it.
 type Target struct{ Model, Adapter string }
 
-// Engine is one engine as far as draining goes. There is nothing in it of who asks for what.
+// Engine is one engine as far as draining goes. It says nothing of whose requests the engine serves.
 type Engine struct {
 	ID   ident.EngineID
 	Pool string
 	Zone ident.ZoneID
-	// Open says that new requests may go to it. Ranked says that the ranking shut it, Kept that an operator forbids it to.
+	// Open says that new requests may go to it. DrainedByRanking says that the ranking closed it, KeptOpen that an operator
+	// forbids the ranking to.
 	Open, DrainedByRanking, KeptOpen bool
 	Loaded                           []Target
 }
@@ -24,25 +25,25 @@
 // Fleet is all registered engines, by id.
 type Fleet map[ident.EngineID]Engine
 
-// Refusal is why an engine may not be drained now.
+// Refusal is why an engine may not be drained now. Its strings are on pages and in counters. Its strings are on pages and in counters.
 type Refusal uint8
 
 const (
-	// Allowed: nothing speaks against it.
+	// Allowed is no refusal.
 	Allowed Refusal = iota
-	// Unknown: no such engine is registered.
+	// Unknown is an engine that is not registered.
 	Unknown
-	// ShutAlready: nothing new goes to it anyhow.
+	// AlreadyClosed is an engine that gets nothing new already.
 	AlreadyClosed
-	// KeptOpen: an operator keeps it.
+	// OperatorKeepsOpen is an engine that an operator keeps open.
 	OperatorKeepsOpen
-	// PastPool: too many of its pool are shut.
+	// PoolLimit says that too many engines of its pool are closed.
 	PoolLimit
-	// PastZone: too many of its zone are shut.
+	// ZoneLimit says that too many engines of its zone are closed.
 	ZoneLimit
-	// PastHolders: too many of the holders of something that it holds are shut.
+	// ReplicaLimit says that too many replicas of something that it has loaded are closed.
 	ReplicaLimit
-	// LastHolder: something stands there alone, and must be loaded elsewhere first.
+	// LastReplica says that it has the only replica of something, which must be loaded elsewhere first.
 	LastReplica
 	refusalCount
 )
@@ -51,17 +52,17 @@
 	return [...]string{"allowed", "unknown", "shut-already", "kept", "past-pool", "past-zone", "past-holders", "last-holder"}[r]
 }
 
-// Name is the refusal as counters name it.
+// Name is the refusal as it is in the names of counters.
 func (r Refusal) Name() string { return strings.ReplaceAll(r.String(), "-", "_") }
 
-// Reason puts a refusal into words.
+// Reason is a refusal in words for operators.
 func (r Refusal) Reason() string {
 	return [...]string{"nothing speaks against it", "no such engine is registered", "nothing new goes to this engine already",
 		"an operator keeps this engine", "too many engines of its pool are shut", "too many engines of its zone are shut",
 		"too many holders of a model or adapter that it holds are shut", "it alone holds a model or adapter, which must be loaded elsewhere first"}[r]
 }
 
-// refusal is one rule; it gives Allowed where it has nothing to say.
+// refusal is one rule; it returns Allowed where it does not apply.
 type refusal func(s Settings, fleet Fleet, engine Engine) Refusal
 
 func defaultRefusals() []refusal {
@@ -95,7 +96,7 @@
 	return Allowed
 }
 
-// countClosed counts, of the engines that are meant, all and those that nothing new goes to, whoever shut them.
+// countClosed counts the engines that match, and those among them that get nothing new, whatever closed them.
 func (f Fleet) countClosed(meant func(Engine) bool) (shut, all int) {
 	for _, engine := range f {
 		if meant(engine) {
@@ -120,7 +121,7 @@
 	shut, all := fleet.countClosed(func(e Engine) bool { return e.Pool == engine.Pool && e.Zone == engine.Zone })
 	most := int(s.MostOfZone * float64(all))
 	if most == 0 && s.MostOfZone > 0 {
-		// A lone engine of a zone may go where other zones have some; how many go at all the pool's bound says.
+		// The only engine of a zone may be drained where other zones have some; the pool's limit bounds how many.
 		if _, pool := fleet.countClosed(func(e Engine) bool { return e.Pool == engine.Pool }); pool > all {
 			most = 1
 		}
@@ -131,7 +132,7 @@
 	return Allowed
 }
 
-// replicas counts the engines of a pool that hold something.
+// replicas counts the engines of a pool that have something loaded.
 func (f Fleet) replicas(pool string, target Target) (shut, all int) {
 	return f.countClosed(func(e Engine) bool { return e.Pool == pool && slices.Contains(e.Loaded, target) })
 }
@@ -139,7 +140,7 @@
 func refuseReplicas(s Settings, fleet Fleet, engine Engine) Refusal {
 	for _, target := range engine.Loaded {
 		shut, all := fleet.replicas(engine.Pool, target)
-		// Of two or three one may go; a lone one is a case of its own.
+		// Of two or three replicas one may be closed; a single one is refused by refuseLastReplica.
 		if all > 1 && shut > 0 && shut+1 > int(s.MostOfHolders*float64(all)) {
 			return ReplicaLimit
 		}
@@ -154,7 +155,7 @@
 	return Allowed
 }
 
-// soleReplicas lists what no other open engine of the pool holds.
+// soleReplicas lists what no other open engine of the pool has loaded.
 func (f Fleet) soleReplicas(engine Engine) []Target {
 	var out []Target
 	for _, target := range engine.Loaded {
@@ -166,7 +167,7 @@
 	return out
 }
 
-// withClosed gives a fleet in which one more engine is shut.
+// withClosed gives a fleet in which one more engine is closed.
 func (f Fleet) withClosed(id ident.EngineID) Fleet {
 	out := make(Fleet, len(f))
 	for other, engine := range f {
--- a/process/engines/nodehealth/evidence.go
+++ b/process/engines/nodehealth/evidence.go
@@ -11,16 +11,16 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// evidence is what daemons told within the span, by the zone they stand in.
+// evidence is what daemons reported within the span, by the zones of the daemons.
 type evidence struct {
 	series   map[seriesKey]*series
 	span     time.Duration
 	interval int64
-	// scratch is where quantiles are taken.
+	// scratch is reused for computing quantiles.
 	scratch *hdrhistogram.Histogram
-	// slowIntervals lists, by engine, the turns in which anything came that is above its floor.
+	// slowIntervals lists, by engine, the intervals in which any value came that is above its floor.
 	slowIntervals map[ident.EngineID][]int64
-	// dropped counts digests for which there was no more room.
+	// dropped counts digests dropped at the limit of series.
 	dropped uint64
 }
 
@@ -30,23 +30,23 @@
 	class    Class
 }
 
-// turns is in how many parts the span moves on.
+// intervalsPerSpan is in how many intervals the span moves on.
 const intervalsPerSpan = 4
 
-// series holds one part for each turn of the span.
+// series holds the buckets of each interval of the span.
 type series struct {
 	intervals [intervalsPerSpan][]Bucket
 	samples   [intervalsPerSpan]int
 }
 
-// mostSeries bounds what is kept: some 0.6 kB each.
+// maxSeries bounds the memory: some 0.6 kB each.
 const maxSeries = 30_000
 
 func newEvidence(span time.Duration) *evidence {
 	return &evidence{series: map[seriesKey]*series{}, slowIntervals: map[ident.EngineID][]int64{}, span: span, scratch: newHistogram()}
 }
 
-// advance lets go of what is older than the span.
+// advance drops what is older than the span.
 func (e *evidence) advance(now clock.Mark) {
 	turn := int64(now) / max(1, int64(e.span)/intervalsPerSpan)
 	for ; e.interval < turn; e.interval++ {
@@ -71,7 +71,7 @@
 	return total
 }
 
-// add notes what a daemon in a zone measured.
+// add adds what a daemon in a zone measured.
 func (e *evidence) add(observer ident.ZoneID, digests []Digest, floor func(Kind) float64) {
 	place := e.interval % intervalsPerSpan
 	for _, digest := range digests {
@@ -95,18 +95,18 @@
 	}
 }
 
-// recordSlow notes that something slow came of an engine in this turn.
+// recordSlow records that an engine had a slow value in this interval.
 func (e *evidence) recordSlow(engine ident.EngineID) {
 	list := e.slowIntervals[engine]
 	if len(list) > 0 && list[len(list)-1] == e.interval {
 		return
 	}
-	// Older than two spans counts for nothing.
+	// What is older than two spans does not count.
 	list = slices.DeleteFunc(list, func(turn int64) bool { return turn <= e.interval-2*intervalsPerSpan })
 	e.slowIntervals[engine] = append(list, e.interval)
 }
 
-// countSlowIntervals counts the turns, within two spans, in which something slow came of an engine.
+// countSlowIntervals counts the intervals, within two spans, in which an engine had a slow value.
 func (e *evidence) countSlowIntervals(engine ident.EngineID) (count int) {
 	for _, turn := range e.slowIntervals[engine] {
 		if turn > e.interval-2*intervalsPerSpan {
@@ -116,7 +116,7 @@
 	return count
 }
 
-// addBucket counts a bucket in a sorted list, so that it grows with the values and not with how often is told.
+// addBucket adds a bucket to a sorted list, so that the list grows with the distinct values and not with the reports.
 func addBucket(list []Bucket, bucket Bucket) []Bucket {
 	place, found := slices.BinarySearchFunc(list, bucket, func(a, b Bucket) int { return cmp.Compare(a.Value, b.Value) })
 	if found {
@@ -126,7 +126,7 @@
 	return slices.Insert(list, place, bucket)
 }
 
-// forget drops what is known of one engine.
+// forget drops the measurements of one engine.
 func (e *evidence) forget(engine ident.EngineID) {
 	delete(e.slowIntervals, engine)
 	for key := range e.series {
@@ -143,8 +143,8 @@
 	samples int
 }
 
-// sufficient says whether so many measurements say something. Of an engine that stalls there are few events, so of
-// pauses their time counts too, in multiples of the longest one aimed at.
+// sufficient reports whether so many measurements are significant. An engine that stalls has few events, so the total time
+// of its pauses counts too, in thousandths of the gap target.
 func sufficient(kind Kind, samples int, time int64) bool {
 	return samples >= minSamples[kind] || kind == Stall && samples >= minStallSamples && time >= minStallTime
 }
@@ -154,14 +154,14 @@
 	minStallTime    = 5000
 )
 
-// leastSamples is how many measurements say something.
+// minSamples is how many measurements are significant.
 var minSamples = [kinds]int{Stall: 20, Transfer: 5, Connect: 3}
 
-// valueAt is the share of the measurements, for pauses of the time spent in them, up to which a value is taken. Of
-// pauses time counts, not number: in a stream of fifty quick events one long pause is all that its caller sees.
+// quantileOf is the quantile, in percent, that stands for a series. Pauses are weighted by their time, not by their number:
+// in a stream of fifty fast events one long pause is all that its caller notices.
 var quantileOf = [kinds]float64{Stall: 80, Transfer: 75, Connect: 75}
 
-// measures takes one value of each series that says enough; overall puts all models of a pool together.
+// measures takes one value of each significant series; overall merges all models of a pool.
 func (e *evidence) measures(overall bool) []measure {
 	joined := make(map[seriesKey][]*series, len(e.series))
 	for key, s := range e.series {
@@ -180,14 +180,14 @@
 	return out
 }
 
-// value takes one value of several series, with how many measurements it stands on and what time they sum up to.
+// value takes one value of several series, and returns how many measurements it is based on and their sum.
 func (e *evidence) value(kind Kind, list []*series) (value float64, samples int, time int64) {
 	e.scratch.Reset()
 	for _, s := range list {
 		samples += s.total()
 		for _, part := range s.intervals {
 			for _, bucket := range part {
-				// What was told comes from elsewhere, so it is clamped anew.
+				// The report comes from another daemon, so it is clamped again.
 				one, weight := clamp(int64(bucket.Value)), int64(bucket.Count)
 				time += one * weight
 				if kind == Stall {
@@ -200,8 +200,8 @@
 	return float64(e.scratch.ValueAtQuantile(quantileOf[kind])), samples, time
 }
 
-// acrossZones takes one value of each engine and class of work over all zones, for engines of which no zone alone sees
-// enough. It is the value that more than half of the zones see, each by the little it has.
+// acrossZones takes one value of each engine and class of work over all zones, for engines of which no single zone has
+// sufficient measurements. It is the value that more than half of the zones measure, each by the little it has.
 func (e *evidence) acrossZones(across func([]float64) float64) (out []measure, zones map[ident.EngineID]int) {
 	joined := map[seriesKey]map[ident.ZoneID][]*series{}
 	for key, s := range e.series {
--- a/process/engines/nodehealth/ranker.go
+++ b/process/engines/nodehealth/ranker.go
@@ -10,49 +10,49 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// Stage is where an engine stands.
+// Stage is an engine's stage. Its strings are on pages and in logs.
 type Stage uint8
 
 const (
-	// Sound: as quick as others with like work, or not enough is known.
+	// Healthy engines are as fast as others with comparable work, or too little is known of them.
 	Healthy Stage = iota
-	// Suspect: slow, and not for long enough, or it may not be drained yet.
+	// Suspect engines are slow, but not for long enough, or they may not be drained yet.
 	Suspect
-	// Drained: nothing new goes to it, since the ranking shut it.
+	// Drained engines get nothing new, because the ranking closed them.
 	Drained
-	// Trial: taken up again, and watched more closely.
+	// Trial engines are open again, and drained again sooner.
 	Trial
 )
 
 func (s Stage) String() string { return [...]string{"sound", "suspect", "drained", "trial"}[s] }
 
-// ways lists from which stage an engine may come to which.
+// transitions lists the stages that may follow each.
 var transitions = map[Stage][]Stage{
 	Healthy: {Suspect, Drained},
 	Suspect: {Healthy, Drained},
-	// A drained engine that was opened is on trial, whoever opened it.
+	// A drained engine that was opened is on trial, whatever opened it.
 	Drained: {Trial},
 	Trial:   {Healthy, Drained},
 }
 
-// engineState is what the ranker keeps of one engine.
+// engineState is what the ranker knows of one engine.
 type engineState struct {
 	stage Stage
-	// since is when it came to its stage, slowSince since when it has been slow without a break.
+	// since is when its stage began, slowSince since when it has been slow without a break; zero is not slow.
 	since, slowSince clock.Mark
-	// relapses is how often it was drained without having been sound for long.
+	// relapses counts how often it was drained without having been healthy for long.
 	relapses int
-	// requested is when its draining or opening was last asked for.
+	// requested is when its draining or opening was last requested.
 	requested clock.Mark
-	// assessment is the newest that says something, measured when.
+	// assessment is the newest significant one, measured when it was made.
 	assessment Assessment
 	measured   clock.Mark
 	refusal    Refusal
-	// awaitingRelocation says that it was to be drained and is a last holder; it stays so for as long as it is suspected.
+	// awaitingRelocation says that it is to be drained and has a last replica; it lasts while the engine is suspect.
 	awaitingRelocation bool
 }
 
-// moveTo is the one function by which an engine changes its stage.
+// moveTo changes an engine's stage; nothing else does.
 func (s *engineState) moveTo(to Stage, now clock.Mark) {
 	if !slices.Contains(transitions[s.stage], to) {
 		panic("broken invariant: an engine may not go from " + s.stage.String() + " to " + to.String())
@@ -60,15 +60,15 @@
 	s.stage, s.since, s.slowSince = to, now, 0
 }
 
-// Act is one thing that is to be done: an engine drained, or opened again.
+// Action is one thing to be done: an engine drained, or opened again.
 type Action struct {
 	Engine ident.EngineID
 	Drain  bool
-	// Standing is why.
+	// Assessment is the reason.
 	Assessment Assessment
 }
 
-// Move is what must be loaded elsewhere before an engine can be drained.
+// Relocation is what must be loaded elsewhere before an engine can be drained.
 type Relocation struct {
 	Engine ident.EngineID
 	Pool   string
@@ -82,14 +82,14 @@
 	Assessment Assessment
 }
 
-// Decision is what one step comes to.
+// Decision is the result of one step.
 type Decision struct {
 	Actions     []Action
 	Relocations []Relocation
 	Changes     []Change
 }
 
-// Row is one engine as operators see it, the worst first.
+// Row is one engine as operators see it.
 type Row struct {
 	Assessment
 	Pool     string
@@ -97,18 +97,18 @@
 	Stage    Stage
 	Since    time.Duration
 	KeptOpen bool
-	// Refusal is why a slow one is not drained.
+	// Refusal is why a slow engine is not drained.
 	Refusal Refusal
 }
 
-// Counters are counted over one claim.
+// Counters are counted over one ranker's lifetime.
 type Counters struct {
 	Digests, DigestsDropped, Steps, Suspected, Cleared, Drains, Reopened, Relapses, Recovered uint64
 	// Refused counts by refusal.
 	Refused [refusalCount]uint64
 }
 
-// Ranker ranks engines and decides which are drained. It belongs to one actor.
+// Ranker ranks engines and decides which are drained. It is pure and belongs to one goroutine.
 type Ranker struct {
 	settings Settings
 	rules    rules
@@ -118,12 +118,12 @@
 	rows     []Row
 }
 
-// NewRanker makes a ranker that knows nothing yet; settings must have passed their check.
+// NewRanker makes a ranker without measurements; settings must have passed Check.
 func NewRanker(settings Settings) *Ranker {
 	return &Ranker{settings: settings, rules: defaultRules(), evidence: newEvidence(milliseconds(settings.SpanMs)), engines: map[ident.EngineID]*engineState{}}
 }
 
-// Take takes up what a daemon in a zone measured.
+// AddDigests adds what a daemon in a zone measured.
 func (r *Ranker) AddDigests(now clock.Mark, observer ident.ZoneID, digests []Digest) {
 	r.evidence.advance(now)
 	r.Counters.Digests += uint64(len(digests))
@@ -131,10 +131,10 @@
 	r.Counters.DigestsDropped = r.evidence.dropped
 }
 
-// againAfter is when something is asked for anew that did not come about.
+// retryAfter is when a request is repeated that did not take effect.
 const retryAfter = 2 * time.Second
 
-// Step ranks all engines and says what is to be done.
+// Step ranks all engines and decides what is to be done.
 func (r *Ranker) Step(now clock.Mark, fleet Fleet) Decision {
 	r.Counters.Steps++
 	r.evidence.advance(now)
@@ -142,7 +142,7 @@
 	r.reconcile(now, fleet, &out)
 	standings := r.rules.rank(r.settings, r.evidence)
 	for _, standing := range standings {
-		// Who is quick to connect to and was not seen at work has shown nothing: one that nobody sends to any more.
+		// A fast connection without any work proves nothing: the engine gets no requests any more.
 		says := standing.Score > 0 && (standing.UnderLoad || standing.Score >= r.settings.DrainAt)
 		if s := r.engines[standing.Engine]; s != nil && says {
 			s.assessment, s.measured = standing, now
@@ -162,8 +162,8 @@
 	return out
 }
 
-// reconcile takes up what the fleet shows: who is there, and what was shut and opened meanwhile. Who has just begun to
-// plan learns of drains from there.
+// reconcile takes over what the fleet shows: which engines are there, and which were closed and opened meanwhile. A new
+// planner learns of its predecessor's drains from it.
 func (r *Ranker) reconcile(now clock.Mark, fleet Fleet, out *Decision) {
 	for id := range r.engines {
 		if _, known := fleet[id]; !known {
@@ -182,7 +182,7 @@
 			r.changeStage(now, id, Drained, out)
 			s.relapses++
 		case !engine.DrainedByRanking && s.stage == Drained:
-			// What it showed before says nothing of how it is now.
+			// Its measurements from before the drain say nothing of how it is now.
 			r.evidence.forget(id)
 			r.changeStage(now, id, Trial, out)
 		}
@@ -199,10 +199,10 @@
 	}
 }
 
-// trialsMost is how many times its span a trial lasts for one that gets no requests.
+// maxTrialFactor is how many times TrialMs a trial lasts for an engine that gets no requests.
 const maxTrialFactor = 4
 
-// evaluate moves one engine by how it stands.
+// evaluate moves one engine to the stage that its assessment asks for.
 func (r *Ranker) evaluate(now clock.Mark, id ident.EngineID, out *Decision) {
 	s := r.engines[id]
 	score := s.assessment.Score
@@ -210,7 +210,7 @@
 	case score >= r.settings.DrainAt && s.slowSince == 0:
 		s.slowSince = now
 	case score > 0 && score < r.settings.ClearAt:
-		// Only what is clearly sound ends the count; what lies between, or shows nothing, keeps it.
+		// Only a clearly healthy score ends the slow time; one in between, or none, leaves it.
 		s.slowSince = 0
 	}
 	switch s.stage {
@@ -224,7 +224,7 @@
 			s.relapses = 0
 		}
 	case Suspect:
-		// One that shows nothing for long is no longer suspected either.
+		// An engine without measurements for long is no longer suspect either.
 		if s.slowSince == 0 || score == 0 && now.Since(s.measured) > maxTrialFactor*milliseconds(r.settings.SpanMs) {
 			r.Counters.Cleared++
 			r.changeStage(now, id, Healthy, out)
@@ -239,11 +239,11 @@
 	}
 }
 
-// incidents is in how many turns something slow must have come: one long pause shows for a whole span, in all streams
-// of its engine, and is one incident all the same. Told late it may fall into two turns.
+// minIncidents is in how many intervals an engine must have had slow values: one long pause shows for a whole span, in all
+// streams of the engine, and is one incident all the same. Reported late it may fall into two intervals.
 const minIncidents = 3
 
-// confirmed says whether an engine has been slow for long enough, and again and again. One on trial has half as long.
+// confirmed reports whether an engine has been slow for long enough and repeatedly. On trial half as long is enough.
 func (r *Ranker) confirmed(now clock.Mark, id ident.EngineID) bool {
 	s := r.engines[id]
 	wait, again := milliseconds(r.settings.ConfirmMs), r.rules.minIncidents
@@ -253,7 +253,7 @@
 	return r.evidence.countSlowIntervals(id) >= again && (s.stage == Suspect || s.stage == Trial) && s.slowSince > 0 && now.Since(s.slowSince) >= wait && s.assessment.Score >= r.settings.DrainAt
 }
 
-// chooseDrain chooses, the worst first, who is drained. One goes at a time: the next when this one is seen to be shut.
+// chooseDrain chooses the worst engine that may be drained. One is drained at a time: the next when this one is closed.
 func (r *Ranker) chooseDrain(now clock.Mark, fleet Fleet, out *Decision) {
 	if r.settings.Mode != Drain {
 		return
@@ -273,7 +273,7 @@
 			r.Counters.Refused[s.refusal]++
 			if s.refusal == LastReplica {
 				s.awaitingRelocation = true
-				// It goes as soon as it can, so a better one must not take its place meanwhile.
+				// It is drained as soon as it may be, so a better engine must not take its place meanwhile.
 				fleet = fleet.withClosed(standing.Engine)
 			}
 			continue
@@ -291,7 +291,7 @@
 	}
 }
 
-// listRelocations lists what is to be loaded elsewhere, of all that are to be drained as soon as they can.
+// listRelocations lists what must be loaded elsewhere so that engines can be drained.
 func (r *Ranker) listRelocations(fleet Fleet, out *Decision) {
 	for _, id := range slices.Sorted(maps.Keys(r.engines)) {
 		if !r.engines[id].awaitingRelocation {
@@ -304,13 +304,13 @@
 	}
 }
 
-// restDuration is how long a drained engine stays away: twice as long each time it comes back slow.
+// restDuration is how long an engine stays drained: twice as long each time that it comes back slow.
 func (r *Ranker) restDuration(relapses int) time.Duration {
 	rest := float64(r.settings.RestMs) * math.Exp2(float64(min(max(relapses-1, 0), 30)))
 	return milliseconds(int64(min(rest, float64(r.settings.RestMostMs))))
 }
 
-// chooseReopened chooses who is tried again: one of a pool at a time, and all if nothing is to be drained any more.
+// chooseReopened chooses the engines that get a trial: one of a pool at a time.
 func (r *Ranker) chooseReopened(now clock.Mark, fleet Fleet, out *Decision) {
 	trying := map[string]bool{}
 	var rested []ident.EngineID
@@ -326,7 +326,7 @@
 			rested = append(rested, id)
 		}
 	}
-	// Who has rested longest is tried first.
+	// The engine drained longest ago gets its trial first.
 	slices.SortFunc(rested, func(a, b ident.EngineID) int {
 		if x, y := r.engines[a].since, r.engines[b].since; x != y {
 			return int(max(-1, min(1, x-y)))
@@ -348,7 +348,7 @@
 	}
 }
 
-// updateRows notes what operators see.
+// updateRows makes the rows that operators see.
 func (r *Ranker) updateRows(now clock.Mark, fleet Fleet) {
 	r.rows = make([]Row, 0, len(r.engines))
 	for id, s := range r.engines {
@@ -360,8 +360,8 @@
 	slices.SortFunc(r.rows, func(a, b Row) int { return r.rules.compare(a.Assessment, b.Assessment) })
 }
 
-// Emptying lists the engines of which nothing counts as held any more, since they are to be drained: also when all of it
-// stands elsewhere by now, or it would seem to be needed here again.
+// AwaitingRelocation lists the engines that are to be drained once their last replicas are loaded elsewhere. Their replicas
+// must not count any more, also once all are loaded elsewhere: else they would seem to be needed here again.
 func (r *Ranker) AwaitingRelocation() (out []ident.EngineID) {
 	for id, s := range r.engines {
 		if s.awaitingRelocation {
@@ -371,10 +371,10 @@
 	return out
 }
 
-// Rows lists the engines as the newest step saw them, the worst first; the list is never changed.
+// Rows lists the engines as of the newest step, the worst first; the list is never changed.
 func (r *Ranker) Rows() []Row { return r.rows }
 
-// Refuse says why an engine may not be drained, for operators who ask for it.
+// CheckDrain returns why an engine may not be drained, for operators who request it.
 func CheckDrain(settings Settings, fleet Fleet, id ident.EngineID) Refusal {
 	return defaultRules().checkDrain(settings, fleet, id)
 }
--- a/process/engines/nodehealth/recorder.go
+++ b/process/engines/nodehealth/recorder.go
@@ -11,12 +11,12 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// Recorder keeps what a daemon measures of engines until it is told. It may be used by several at once.
+// Recorder holds what a daemon measures of engines until it is reported. It may be used by several goroutines at once.
 type Recorder struct {
 	mutex    sync.Mutex
 	cells    map[cellKey]*Cell
 	maxCells int
-	// Dropped counts measurements for which there was no more room.
+	// dropped counts measurements dropped at the limit of cells.
 	dropped uint64
 }
 
@@ -25,26 +25,26 @@
 	class  Class
 }
 
-// Cell records one engine at one class of work. A nil one records nothing.
+// Cell records one engine at one class of work. A nil cell records nothing.
 type Cell struct {
 	mutex     sync.Mutex
 	histogram *hdrhistogram.Histogram
 	targetMs  int64
-	// idle counts the tellings since it last had anything to tell, held who may still record into it.
+	// idle counts the reports since it last had a measurement.
 	idle int
 }
 
 const (
 	// maxCells bounds a recorder's memory: 1.5 kB each.
 	maxCells = 2000
-	// maxIdleTakes is for how many tellings a cell is kept that has nothing to tell.
+	// maxIdleTakes is for how many reports a cell without measurements is kept.
 	maxIdleTakes = 10
 )
 
 // NewRecorder makes an empty recorder.
 func NewRecorder() *Recorder { return &Recorder{cells: map[cellKey]*Cell{}, maxCells: maxCells} }
 
-// Cell gives where an engine's measurements at a class of work go; nil if there is no more room.
+// Cell gives the cell of an engine at a class of work; nil at the limit of cells.
 func (r *Recorder) Cell(engine ident.EngineID, class Class) *Cell {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -63,14 +63,14 @@
 	return cell
 }
 
-// Pause records the time between two events of a stream.
+// RecordPause records the time between two events of a stream.
 func (c *Cell) RecordPause(pause time.Duration) {
 	if c != nil {
 		c.record(stallValue(pause, c.targetMs))
 	}
 }
 
-// Delay records the time that a first byte or a connection took.
+// RecordDelay records the time that a first byte or a connection took.
 func (c *Cell) RecordDelay(delay time.Duration) {
 	if c != nil {
 		c.record(clamp(delay.Milliseconds()))
@@ -79,7 +79,7 @@
 
 func (c *Cell) record(value int64) {
 	c.mutex.Lock()
-	// A value within the bounds is always taken.
+	// A value within the bounds is always accepted.
 	_ = c.histogram.RecordValue(value)
 	c.mutex.Unlock()
 }
@@ -101,7 +101,7 @@
 	return out
 }
 
-// Take gives what was measured since it was last asked for, and forgets it.
+// TakeDigests gives what was measured since the last call, and clears it.
 func (r *Recorder) TakeDigests() []Digest {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -110,7 +110,7 @@
 		buckets := cell.take()
 		if buckets == nil {
 			if cell.idle++; cell.idle > maxIdleTakes {
-				// Whoever still holds it records for nobody; a stream that long at rest says nothing either.
+				// What a stream still records into it is lost; a stream idle for so long has nothing to record.
 				delete(r.cells, key)
 			}
 			continue
@@ -124,7 +124,7 @@
 	return out
 }
 
-// Dropped counts the measurements that found no room.
+// Dropped counts the measurements dropped at the limit of cells.
 func (r *Recorder) Dropped() uint64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/process/engines/nodehealth/settings.go
+++ b/process/engines/nodehealth/settings.go
@@ -5,54 +5,55 @@
 	"time"
 )
 
-// Mode is what ranking is used for.
+// Mode is what the ranking is used for.
 type Mode string
 
 const (
 	// Off measures nothing.
 	Off Mode = "off"
-	// Watch ranks engines, and does no more.
+	// ObserveOnly ranks engines and drains none.
 	ObserveOnly Mode = "watch"
-	// Drain ranks engines, and has the worst drained.
+	// Drain ranks engines and drains the worst.
 	Drain Mode = "drain"
 )
 
-// Settings say when an engine counts as sick, and how many may be drained for it.
+// Settings say when an engine counts as unhealthy, and how many may be drained for it. Their names are those of the settings
+// and of the wire.
 type Settings struct {
 	Mode Mode `json:"mode"`
-	// DrainAt is how many times slower than like work elsewhere an engine is drained, ClearAt below what it counts as
-	// sound again.
+	// DrainAt is how many times slower than comparable work elsewhere an engine is drained; below ClearAt it counts as healthy
+	// again.
 	DrainAt float64 `json:"drainAt"`
 	ClearAt float64 `json:"clearAt"`
-	// ConfirmMs is for how long it must have been that slow, SpanMs the time over which it is measured.
+	// ConfirmMs is how long it must have been that slow, SpanMs the time over which it is measured.
 	ConfirmMs int64 `json:"confirmMs"`
 	SpanMs    int64 `json:"spanMs"`
-	// RestMs is how long a drained engine rests before it is tried, doubled each time up to RestMostMs; TrialMs is
-	// for how long it must then be sound.
+	// RestMs is how long an engine stays drained before its trial, doubled each time up to RestMostMs; TrialMs is how long it
+	// must then be healthy.
 	RestMs     int64 `json:"restMs"`
 	RestMostMs int64 `json:"restMostMs"`
 	TrialMs    int64 `json:"trialMs"`
-	// StallFloor is the pause, as a share of the longest one aimed at, below which nothing counts as slow;
-	// DelayFloorMs the same of first bytes and connections.
+	// StallFloor is the pause, as a fraction of the path's gap target, below which nothing counts as slow; DelayFloorMs the
+	// same for first bytes and connections, in milliseconds.
 	StallFloor   float64 `json:"stallFloor"`
 	DelayFloorMs int64   `json:"delayFloorMs"`
-	// MostOfPool, MostOfZone and MostOfHolders are the shares of a pool, of a zone's engines in it, and of the holders
-	// of a model that may be shut at once, whatever shut them.
+	// MostOfPool, MostOfZone and MostOfHolders are the fractions of a pool, of a zone's engines in it, and of the replicas of
+	// a model that may be closed at once, whatever closed them.
 	MostOfPool    float64 `json:"mostOfPool"`
 	MostOfZone    float64 `json:"mostOfZone"`
 	MostOfHolders float64 `json:"mostOfHolders"`
 }
 
-// DefaultSettings rank and drain nothing.
+// DefaultSettings rank nothing and drain nothing.
 func DefaultSettings() Settings {
 	return Settings{Mode: Off, DrainAt: 3, ClearAt: 1.6, ConfirmMs: 3000, SpanMs: 8000, RestMs: 15000, RestMostMs: 240000, TrialMs: 8000,
 		StallFloor: 1, DelayFloorMs: 400, MostOfPool: 0.25, MostOfZone: 0.5, MostOfHolders: 0.5}
 }
 
-// Fault is one limit that makes no sense.
+// Fault is one invalid setting.
 type Fault struct{ Field, Reason string }
 
-// Check gives every fault at once.
+// Check returns every fault.
 func (s Settings) Check() []Fault {
 	var faults []Fault
 	say := func(wrong bool, field, reason string, values ...any) {
