--- a/process/engines/nodehealth/assessment.go
+++ b/process/engines/nodehealth/assessment.go
@@ -148,14 +148,14 @@
 			others = append(others, p.value)
 		}
 		spread := medianDeviation(others)
-		for place, p := range peers {
+		for index, p := range peers {
 			m, own := members[p.id][b]
 			if !own {
 				continue
 			}
 			rest := make([]float64, 0, len(others)-1)
 			if len(others) <= 64 {
-				rest = append(append(rest, others[:place]...), others[place+1:]...)
+				rest = append(append(rest, others[:index]...), others[index+1:]...)
 			} else {
 				// Among so many one value more or less does not move the median.
 				rest = others
@@ -299,35 +299,35 @@
 	}
 	out := make([]Assessment, 0, len(byZone))
 	for engine, list := range byZone {
-		standing := Assessment{Engine: engine, Observers: len(list)}
+		assessment := Assessment{Engine: engine, Observers: len(list)}
 		scores := make([]float64, 0, len(list))
 		for _, one := range list {
 			scores = append(scores, one.score)
-			standing.Samples += one.samples
-			standing.UnderLoad = standing.UnderLoad || one.underLoad
+			assessment.Samples += one.samples
+			assessment.UnderLoad = assessment.UnderLoad || one.underLoad
 		}
 		slices.Sort(scores)
 		if len(list) > 0 && len(list) >= min(2, len(zones)) {
 			// Measurements from one zone alone can't tell a slow engine from a slow path, where other zones measure too.
-			standing.Score = r.combineZones(scores)
+			assessment.Score = r.combineZones(scores)
 		} else if one, any := jointly[engine]; any {
-			standing.Score, standing.Kind, standing.Value, standing.PeerValue, standing.Samples = one.score, one.kind, one.value, one.baseline, one.samples
-			standing.Observers, standing.UnderLoad = together[engine], one.underLoad
-			out = append(out, standing)
+			assessment.Score, assessment.Kind, assessment.Value, assessment.PeerValue, assessment.Samples = one.score, one.kind, one.value, one.baseline, one.samples
+			assessment.Observers, assessment.UnderLoad = together[engine], one.underLoad
+			out = append(out, assessment)
 			continue
 		}
 		nearest := math.Inf(1)
 		for _, zone := range sortedZones(list) {
 			one := list[zone]
-			if off := math.Abs(one.score - standing.Score); off < nearest {
+			if off := math.Abs(one.score - assessment.Score); off < nearest {
 				nearest = off
-				standing.Kind, standing.Value, standing.PeerValue = one.kind, one.value, one.baseline
+				assessment.Kind, assessment.Value, assessment.PeerValue = one.kind, one.value, one.baseline
 			}
-			if one.score >= s.DrainAt && standing.Score < s.DrainAt {
-				standing.SlowZones = append(standing.SlowZones, zone)
+			if one.score >= s.DrainAt && assessment.Score < s.DrainAt {
+				assessment.SlowZones = append(assessment.SlowZones, zone)
 			}
 		}
-		out = append(out, standing)
+		out = append(out, assessment)
 	}
 	slices.SortFunc(out, r.compare)
 	return out
--- a/process/engines/nodehealth/evidence.go
+++ b/process/engines/nodehealth/evidence.go
@@ -48,14 +48,14 @@
 
 // advance drops what is older than the span.
 func (e *evidence) advance(now clock.Mark) {
-	turn := int64(now) / max(1, int64(e.span)/intervalsPerSpan)
-	for ; e.interval < turn; e.interval++ {
-		if turn-e.interval > intervalsPerSpan {
-			e.interval = turn - intervalsPerSpan
+	interval := int64(now) / max(1, int64(e.span)/intervalsPerSpan)
+	for ; e.interval < interval; e.interval++ {
+		if interval-e.interval > intervalsPerSpan {
+			e.interval = interval - intervalsPerSpan
 		}
-		place := (e.interval + 1) % intervalsPerSpan
+		index := (e.interval + 1) % intervalsPerSpan
 		for key, s := range e.series {
-			s.intervals[place], s.samples[place] = nil, 0
+			s.intervals[index], s.samples[index] = nil, 0
 			if s.total() == 0 {
 				delete(e.series, key)
 			}
@@ -73,7 +73,7 @@
 
 // add adds what a daemon in a zone measured.
 func (e *evidence) add(observer ident.ZoneID, digests []Digest, floor func(Kind) float64) {
-	place := e.interval % intervalsPerSpan
+	index := e.interval % intervalsPerSpan
 	for _, digest := range digests {
 		if last := digest.Buckets; len(last) > 0 && float64(last[len(last)-1].Value) >= floor(digest.Class.Kind) {
 			e.recordSlow(digest.Engine)
@@ -89,9 +89,9 @@
 			e.series[key] = s
 		}
 		for _, bucket := range digest.Buckets {
-			s.intervals[place] = addBucket(s.intervals[place], bucket)
+			s.intervals[index] = addBucket(s.intervals[index], bucket)
 		}
-		s.samples[place] += digest.Samples()
+		s.samples[index] += digest.Samples()
 	}
 }
 
@@ -102,14 +102,14 @@
 		return
 	}
 	// What is older than two spans does not count.
-	list = slices.DeleteFunc(list, func(turn int64) bool { return turn <= e.interval-2*intervalsPerSpan })
+	list = slices.DeleteFunc(list, func(interval int64) bool { return interval <= e.interval-2*intervalsPerSpan })
 	e.slowIntervals[engine] = append(list, e.interval)
 }
 
 // countSlowIntervals counts the intervals, within two spans, in which an engine had a slow value.
 func (e *evidence) countSlowIntervals(engine ident.EngineID) (count int) {
-	for _, turn := range e.slowIntervals[engine] {
-		if turn > e.interval-2*intervalsPerSpan {
+	for _, interval := range e.slowIntervals[engine] {
+		if interval > e.interval-2*intervalsPerSpan {
 			count++
 		}
 	}
@@ -118,12 +118,12 @@
 
 // addBucket adds a bucket to a sorted list, so that the list grows with the distinct values and not with the reports.
 func addBucket(list []Bucket, bucket Bucket) []Bucket {
-	place, found := slices.BinarySearchFunc(list, bucket, func(a, b Bucket) int { return cmp.Compare(a.Value, b.Value) })
+	index, found := slices.BinarySearchFunc(list, bucket, func(a, b Bucket) int { return cmp.Compare(a.Value, b.Value) })
 	if found {
-		list[place].Count += bucket.Count
+		list[index].Count += bucket.Count
 		return list
 	}
-	return slices.Insert(list, place, bucket)
+	return slices.Insert(list, index, bucket)
 }
 
 // forget drops the measurements of one engine.
--- a/process/engines/nodehealth/ranker.go
+++ b/process/engines/nodehealth/ranker.go
@@ -140,12 +140,12 @@
 	r.evidence.advance(now)
 	var out Decision
 	r.reconcile(now, fleet, &out)
-	standings := r.rules.rank(r.settings, r.evidence)
-	for _, standing := range standings {
+	assessments := r.rules.rank(r.settings, r.evidence)
+	for _, assessment := range assessments {
 		// A fast connection without any work proves nothing: the engine gets no requests any more.
-		says := standing.Score > 0 && (standing.UnderLoad || standing.Score >= r.settings.DrainAt)
-		if s := r.engines[standing.Engine]; s != nil && says {
-			s.assessment, s.measured = standing, now
+		significant := assessment.Score > 0 && (assessment.UnderLoad || assessment.Score >= r.settings.DrainAt)
+		if s := r.engines[assessment.Engine]; s != nil && significant {
+			s.assessment, s.measured = assessment, now
 		}
 	}
 	for _, s := range r.engines {
@@ -267,14 +267,14 @@
 	}
 	slices.SortFunc(slow, r.rules.compare)
 	defer r.listRelocations(fleet, out)
-	for _, standing := range slow {
-		s := r.engines[standing.Engine]
-		if s.refusal = r.rules.checkDrain(r.settings, fleet, standing.Engine); s.refusal != Allowed {
+	for _, assessment := range slow {
+		s := r.engines[assessment.Engine]
+		if s.refusal = r.rules.checkDrain(r.settings, fleet, assessment.Engine); s.refusal != Allowed {
 			r.Counters.Refused[s.refusal]++
 			if s.refusal == LastReplica {
 				s.awaitingRelocation = true
 				// It is drained as soon as it may be, so a better engine must not take its place meanwhile.
-				fleet = fleet.withClosed(standing.Engine)
+				fleet = fleet.withClosed(assessment.Engine)
 			}
 			continue
 		}
@@ -286,7 +286,7 @@
 		if s.relapses > 0 {
 			r.Counters.Relapses++
 		}
-		out.Actions = append(out.Actions, Action{Engine: standing.Engine, Drain: true, Assessment: standing})
+		out.Actions = append(out.Actions, Action{Engine: assessment.Engine, Drain: true, Assessment: assessment})
 		return
 	}
 }
--- a/process/engines/nodehealth/ranker_test.go
+++ b/process/engines/nodehealth/ranker_test.go
@@ -22,24 +22,24 @@
 	id    ident.EngineID
 	zone  ident.ZoneID
 	model string
-	// load is how many requests it has, prompt how many tokens are read before a first byte.
+	// load is how many requests it has, prompt how many prompt tokens are processed before a first byte.
 	load, prompt int
 	// slow makes its pauses longer, late its first bytes, lateFrom those on the path from one zone only.
 	slow     float64
 	late     time.Duration
 	lateFrom map[ident.ZoneID]time.Duration
-	held     []Target
+	loaded   []Target
 	shut     bool
-	kept     bool
+	keptOpen bool
 	ranked   bool
 }
 
-// site is a fleet of nodes and the daemons' zones.
+// site is a fleet of nodes, and the zones of the daemons.
 type site struct {
 	nodes []*node
 	zones []ident.ZoneID
 	now   clock.Mark
-	// noise spreads what is measured.
+	// noise is the relative spread of the measurements.
 	noise  float64
 	random *rand.Rand
 	ranker *Ranker
@@ -55,9 +55,9 @@
 		change(&settings)
 	}
 	s := &site{zones: []ident.ZoneID{"a", "b", "c"}, now: clock.Mark(time.Hour), noise: 0.1, random: rand.New(rand.NewPCG(1, 2)), ranker: NewRanker(settings)}
-	for place := range engines {
-		s.nodes = append(s.nodes, &node{id: ident.EngineID(fmt.Sprintf("engine-%02d", place)), zone: s.zones[place%3], model: "model", load: 8, prompt: 2000, slow: 1,
-			held: []Target{{Model: "model"}}})
+	for index := range engines {
+		s.nodes = append(s.nodes, &node{id: ident.EngineID(fmt.Sprintf("engine-%02d", index)), zone: s.zones[index%3], model: "model", load: 8, prompt: 2000, slow: 1,
+			loaded: []Target{{Model: "model"}}})
 	}
 	return s
 }
@@ -100,7 +100,7 @@
 func (s *site) fleet() Fleet {
 	out := Fleet{}
 	for _, n := range s.nodes {
-		out[n.id] = Engine{ID: n.id, Pool: "pool", Zone: n.zone, Open: !n.shut, DrainedByRanking: n.ranked, KeptOpen: n.kept, Loaded: n.held}
+		out[n.id] = Engine{ID: n.id, Pool: "pool", Zone: n.zone, Open: !n.shut, DrainedByRanking: n.ranked, KeptOpen: n.keptOpen, Loaded: n.loaded}
 	}
 	return out
 }
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// run lets seconds go by, and carries out what is decided.
+// run lets seconds pass, and carries out the decisions.
 func (s *site) run(seconds int) {
 	for range seconds {
 		s.second()
@@ -136,42 +136,42 @@
 	}
 }
 
-// seenDraining runs for a while and gives who was drained, in order.
+// seenDraining runs for some seconds and returns the engines that were drained, in order.
 func (s *site) seenDraining(seconds int) []ident.EngineID {
 	s.run(seconds)
 	return s.drains
 }
 
-func TestSoundEnginesAreLeftAlone(t *testing.T) {
+func TestHealthyEnginesAreNotDrained(t *testing.T) {
 	for _, noise := range []float64{0, 0.1, 0.9} {
 		s := newSite(9, nil)
 		s.noise = noise
 		if got := s.seenDraining(60); len(got) > 0 {
-			t.Fatalf("with noise %v nobody is sick, and %v was drained", noise, got)
+			t.Fatalf("with noise %v no engine is unhealthy, and %v was drained", noise, got)
 		}
 	}
 }
 
-func TestWorstGoesFirst(t *testing.T) {
-	sick := func() *site {
+func TestSlowestEngineIsDrainedFirst(t *testing.T) {
+	oneUnhealthy := func() *site {
 		s := newSite(9, nil)
 		s.nodes[2].slow, s.nodes[4].slow, s.nodes[6].slow = 20, 60, 25
 		return s
 	}
-	s := sick()
+	s := oneUnhealthy()
 	if got := s.seenDraining(12); len(got) != 2 || got[0] != "engine-04" || got[1] != "engine-06" {
-		t.Fatalf("a quarter of nine may go, the slowest first: %v", got)
+		t.Fatalf("not the slowest quarter of nine was drained, the slowest first: %v", got)
 	}
-	// Broken: by name.
-	s = sick()
+	// The broken variant orders by id.
+	s = oneUnhealthy()
 	s.ranker.rules.compare = func(a, b Assessment) int { return cmp.Compare(a.Engine, b.Engine) }
 	if got := s.seenDraining(12); got[0] == "engine-04" {
-		t.Fatal("an order that does not go by the score must show")
+		t.Fatal("an order that ignores the score was not detected")
 	}
 }
 
-// An engine that shows all its pauses but a few as they should be, and a long one now and then, stalls.
-func TestSeldomButLongPausesAreSeen(t *testing.T) {
+// An engine stalls whose pauses are normal but for a long one now and then.
+func TestRareLongPausesAreDetected(t *testing.T) {
 	s := newSite(5, nil)
 	stutter := func() {
 		recorder := NewRecorder()
@@ -189,11 +189,11 @@
 		s.second()
 	}
 	if len(s.drains) != 1 || s.drains[0] != "engine-03" {
-		t.Fatalf("one pause of two seconds in sixty events is most of the time: %v", s.drains)
+		t.Fatalf("one pause of two seconds in sixty events was not detected: %v", s.drains)
 	}
 }
 
-func TestFullBatchIsNoSickness(t *testing.T) {
+func TestFullBatchIsNotUnhealthy(t *testing.T) {
 	busy := func() *site {
 		s := newSite(9, func(s *Settings) { s.StallFloor, s.DrainAt, s.ClearAt = 0.1, 2, 1.5 })
 		// With 64 at once it takes more than three times as long as with 8.
@@ -202,22 +202,22 @@
 	}
 	s := busy()
 	if got := s.seenDraining(30); len(got) > 0 {
-		t.Fatalf("a full batch explains it: %v", got)
+		t.Fatalf("drained, though a full batch explains the pauses: %v", got)
 	}
 	s = busy()
 	s.ranker.rules.workFactor = func(Kind, int) float64 { return 1 }
 	if got := s.seenDraining(30); len(got) == 0 {
-		t.Fatal("a rule that explains nothing by the batch must show")
+		t.Fatal("a rule that ignores the batch was not detected")
 	}
-	// A sick one can't hide behind the batch that its slowness makes.
+	// An unhealthy engine can't hide behind the batch that its slowness causes.
 	s = busy()
 	s.nodes[3].slow = 20
 	if got := s.seenDraining(12); len(got) != 1 || got[0] != "engine-03" {
-		t.Fatalf("twenty times slower is more than eight times the batch explains: %v", got)
+		t.Fatalf("twenty times slower is more than eight times the batch explains, and not drained: %v", got)
 	}
 }
 
-func TestBigPromptIsNoSickness(t *testing.T) {
+func TestLongPromptIsNotUnhealthy(t *testing.T) {
 	big := func() *site {
 		s := newSite(9, nil)
 		s.nodes[5].prompt = 15_000
@@ -225,21 +225,21 @@
 	}
 	s := big()
 	if got := s.seenDraining(30); len(got) > 0 {
-		t.Fatalf("a big prompt explains it: %v", got)
+		t.Fatalf("drained, though a long prompt explains the delay: %v", got)
 	}
 	s = big()
 	s.ranker.rules.workFactor = func(Kind, int) float64 { return 1 }
 	if got := s.seenDraining(30); len(got) == 0 {
-		t.Fatal("a rule that explains nothing by the prompt must show")
+		t.Fatal("a rule that ignores the prompt was not detected")
 	}
 	s = big()
 	s.nodes[5].late = 4 * time.Second
 	if got := s.seenDraining(12); len(got) != 1 || got[0] != "engine-05" {
-		t.Fatalf("four seconds more than its prompt takes is late: %v", got)
+		t.Fatalf("not drained, though four seconds later than its prompt explains: %v", got)
 	}
 }
 
-func TestOnePathIsNotItsEngine(t *testing.T) {
+func TestSlowPathIsNotAttributedToEngine(t *testing.T) {
 	one := func() *site {
 		s := newSite(9, nil)
 		s.nodes[5].lateFrom = map[ident.ZoneID]time.Duration{"b": 2 * time.Second}
@@ -247,7 +247,7 @@
 	}
 	s := one()
 	if got := s.seenDraining(30); len(got) > 0 {
-		t.Fatalf("two of three zones reach it well: %v", got)
+		t.Fatalf("drained, though two of three zones reach it in time: %v", got)
 	}
 	paths := []ident.ZoneID(nil)
 	for _, row := range s.ranker.Rows() {
@@ -256,22 +256,22 @@
 		}
 	}
 	if !slices.Equal(paths, []ident.ZoneID{"b"}) {
-		t.Fatalf("the path is named: %v", paths)
+		t.Fatalf("the slow path is not named: %v", paths)
 	}
 	s = one()
 	s.ranker.rules.combineZones = func(scores []float64) float64 { return scores[len(scores)-1] }
 	if got := s.seenDraining(30); len(got) == 0 {
-		t.Fatal("a rule that believes one zone alone must show")
+		t.Fatal("a rule that believes a single zone was not detected")
 	}
-	// Most paths: then it is the engine, or all of its paths.
+	// Most paths are slow: then it is the engine, or all of its paths.
 	s = one()
 	s.nodes[5].lateFrom["c"] = 2 * time.Second
 	if got := s.seenDraining(12); len(got) != 1 || got[0] != "engine-05" {
-		t.Fatalf("two of three zones see it late: %v", got)
+		t.Fatalf("not drained, though two of three zones measure it late: %v", got)
 	}
 }
 
-func TestOneMadEngineDoesNotHideAnother(t *testing.T) {
+func TestExtremeOutlierDoesNotHideAnother(t *testing.T) {
 	two := func() *site {
 		s := newSite(9, nil)
 		s.nodes[1].slow, s.nodes[6].slow = 20, 500
@@ -287,7 +287,7 @@
 		return 0
 	}
 	if got := score(two()); got < 3 {
-		t.Fatalf("the middle of the others is sound: %v", got)
+		t.Fatalf("the median of the others is not the healthy one: %v", got)
 	}
 	s := two()
 	s.ranker.rules.baseline = func(values []float64) float64 {
@@ -298,69 +298,69 @@
 		return sum / float64(len(values))
 	}
 	if got := score(s); got >= 3 {
-		t.Fatalf("a mean is dragged along, and that must show: %v", got)
+		t.Fatalf("a mean, which the extreme value moves, was not detected: %v", got)
 	}
 }
 
-// Where all differ widely, one that differs no more than they do is one of them.
-func TestWideFleetsAreComparedWidely(t *testing.T) {
+// Where all engines differ widely, one that differs no more than they do is no outlier.
+func TestSpreadOfWideFleetIsTolerated(t *testing.T) {
 	wide := func() *site {
 		s := newSite(9, func(s *Settings) { s.MostOfPool = 0.5 })
-		for place, n := range s.nodes {
-			n.slow = 4 + 4*float64(place)
+		for index, n := range s.nodes {
+			n.slow = 4 + 4*float64(index)
 		}
 		return s
 	}
 	s := wide()
 	if got := s.seenDraining(20); len(got) > 0 {
-		t.Fatalf("they are spread evenly: %v", got)
+		t.Fatalf("drained, though they are spread evenly: %v", got)
 	}
 	s = wide()
 	s.ranker.rules.isOutlier = func(value, others, _ float64) bool { return value > others }
 	s.ranker.settings.DrainAt = 1.7
 	if got := s.seenDraining(20); len(got) == 0 {
-		t.Fatal("a rule without the spread must show")
+		t.Fatal("a rule that ignores the spread was not detected")
 	}
 }
 
-func TestFlappingIsNotFollowed(t *testing.T) {
+func TestFlappingEngineIsNotDrained(t *testing.T) {
 	flap := func(confirm int64, incidents int) []ident.EngineID {
 		s := newSite(9, func(s *Settings) { s.ConfirmMs = confirm })
 		s.ranker.rules.minIncidents = incidents
-		for turn := range 60 {
-			// One second slow, ten sound.
+		for interval := range 60 {
+			// One second slow, ten healthy.
 			s.nodes[3].slow = 1
-			if turn%11 < 1 {
+			if interval%11 < 1 {
 				s.nodes[3].slow = 30
 			}
 			s.second()
 		}
 		return s.drains
 	}
-	// Either rule alone is enough here: it is sound again before it is confirmed, and it is slow too seldom.
+	// Either rule alone is enough here: the engine is healthy again before it is confirmed, and it is slow too rarely.
 	if got := flap(10_000, 1); len(got) > 0 {
-		t.Fatalf("it is sound again before it is confirmed: %v", got)
+		t.Fatalf("drained, though healthy again before it is confirmed: %v", got)
 	}
 	if got := flap(0, minIncidents); len(got) > 0 {
-		t.Fatalf("it is slow too seldom: %v", got)
+		t.Fatalf("drained, though slow too rarely: %v", got)
 	}
 	if got := flap(0, 1); len(got) == 0 {
-		t.Fatal("a way that confirms nothing must show")
+		t.Fatal("a rule that confirms nothing was not detected")
 	}
 }
 
-// What lies between the two limits neither confirms anew nor clears.
-func TestBetweenTheLimitsTheCountGoesOn(t *testing.T) {
+// A score between the two thresholds neither starts the slow time nor ends it.
+func TestScoreBetweenThresholdsKeepsSlowTime(t *testing.T) {
 	r := NewRanker(DefaultSettings())
 	fleet := Fleet{"x": {ID: "x", Open: true}}
 	var out Decision
 	r.reconcile(1, fleet, &out)
 	s := r.engines["x"]
-	for place, score := range []float64{5, 2, 2, 5, 1.2} {
+	for index, score := range []float64{5, 2, 2, 5, 1.2} {
 		s.assessment.Score = score
-		r.evaluate(clock.Mark(place+1)*clock.Mark(time.Second), "x", &out)
+		r.evaluate(clock.Mark(index+1)*clock.Mark(time.Second), "x", &out)
 		want := Suspect
-		if place == 4 {
+		if index == 4 {
 			want = Healthy
 		}
 		if s.stage != want {
@@ -371,16 +371,16 @@
 
 // without takes one rule away.
 func without(s *site, name string) {
-	kept := []refusal{}
-	for place, rule := range defaultRefusals() {
-		if []string{"shut", "kept", "pool", "zone", "holders", "last"}[place] != name {
-			kept = append(kept, rule)
+	remaining := []refusal{}
+	for index, rule := range defaultRefusals() {
+		if []string{"shut", "kept", "pool", "zone", "holders", "last"}[index] != name {
+			remaining = append(remaining, rule)
 		}
 	}
-	s.ranker.rules.refusals = kept
+	s.ranker.rules.refusals = remaining
 }
 
-func TestBoundsHold(t *testing.T) {
+func TestDrainLimitsHold(t *testing.T) {
 	cases := []struct {
 		rule    string
 		refusal Refusal
@@ -399,8 +399,8 @@
 		}, 1},
 		{"holders", ReplicaLimit, func() *site {
 			s := newSite(9, func(s *Settings) { s.MostOfPool = 0.5 })
-			for _, place := range []int{0, 1, 2} {
-				s.nodes[place].held = append(s.nodes[place].held, Target{"rare", "adapter"})
+			for _, index := range []int{0, 1, 2} {
+				s.nodes[index].loaded = append(s.nodes[index].loaded, Target{"rare", "adapter"})
 			}
 			s.nodes[0].slow, s.nodes[1].slow = 30, 40
 			return s
@@ -408,12 +408,12 @@
 		{"last", LastReplica, func() *site {
 			s := newSite(9, nil)
 			s.nodes[4].slow = 30
-			s.nodes[4].held = append(s.nodes[4].held, Target{Model: "lone"})
+			s.nodes[4].loaded = append(s.nodes[4].loaded, Target{Model: "lone"})
 			return s
 		}, 0},
 		{"kept", OperatorKeepsOpen, func() *site {
 			s := newSite(9, nil)
-			s.nodes[4].slow, s.nodes[4].kept = 30, true
+			s.nodes[4].slow, s.nodes[4].keptOpen = 30, true
 			return s
 		}, 0},
 	}
@@ -421,71 +421,71 @@
 		t.Run(c.rule, func(t *testing.T) {
 			s := c.site()
 			if got := s.seenDraining(12); len(got) != c.most {
-				t.Fatalf("%d may go: %v", c.most, got)
+				t.Fatalf("%d may be drained: %v", c.most, got)
 			}
 			if s.ranker.Counters.Refused[c.refusal] == 0 {
-				t.Fatalf("the refusal is counted: %v", s.ranker.Counters.Refused)
+				t.Fatalf("the refusal is not counted: %v", s.ranker.Counters.Refused)
 			}
 			s = c.site()
 			without(s, c.rule)
 			if got := s.seenDraining(12); len(got) <= c.most {
-				t.Fatal("without the rule more go, and that must show")
+				t.Fatal("without the rule no more engines were drained")
 			}
 		})
 	}
 }
 
-func TestOperatorsClosuresCountForTheBound(t *testing.T) {
+func TestOperatorClosuresCountTowardsLimits(t *testing.T) {
 	s := newSite(9, nil)
 	s.nodes[0].shut, s.nodes[1].shut = true, true
 	s.nodes[2].slow = 30
 	if got := s.seenDraining(12); len(got) > 0 {
-		t.Fatalf("two of nine are shut already: %v", got)
+		t.Fatalf("drained, though two of nine are closed already: %v", got)
 	}
 }
 
-func TestLastHolderGoesWhenAnotherHasIt(t *testing.T) {
+func TestLastReplicaIsDrainedOnceLoadedElsewhere(t *testing.T) {
 	s := newSite(9, nil)
 	lone := Target{"lone", "adapter"}
-	s.nodes[4].held = append(s.nodes[4].held, lone)
+	s.nodes[4].loaded = append(s.nodes[4].loaded, lone)
 	s.nodes[4].slow, s.nodes[5].slow, s.nodes[8].slow = 40, 30, 25
 	s.run(12)
 	if len(s.last.Relocations) != 1 || s.last.Relocations[0] != (Relocation{"engine-04", "pool", lone}) {
-		t.Fatalf("what it holds alone is to be loaded elsewhere: %v", s.last.Relocations)
+		t.Fatalf("its only replica is not to be loaded elsewhere: %v", s.last.Relocations)
 	}
 	if !slices.Equal(s.drains, []ident.EngineID{"engine-05"}) {
-		t.Fatalf("the place of the worst is not given to the third: %v", s.drains)
+		t.Fatalf("the third engine was drained in place of the worst: %v", s.drains)
 	}
-	s.nodes[0].held = append(s.nodes[0].held, lone)
+	s.nodes[0].loaded = append(s.nodes[0].loaded, lone)
 	s.run(3)
 	if !slices.Equal(s.drains, []ident.EngineID{"engine-05", "engine-04"}) || len(s.last.Relocations) > 0 {
-		t.Fatalf("now it goes: %v, %v", s.drains, s.last.Relocations)
+		t.Fatalf("it is not drained now: %v, %v", s.drains, s.last.Relocations)
 	}
 }
 
-func TestReturnIsByTrial(t *testing.T) {
+func TestDrainedEngineReturnsThroughTrial(t *testing.T) {
 	s := newSite(9, nil)
 	s.nodes[3].slow = 30
 	s.run(30)
 	first := len(s.drains)
 	if first != 2 || len(s.opened) != 1 {
-		t.Fatalf("it rests, is tried, and is drained again since it is as slow as ever: %v, %v", s.drains, s.opened)
+		t.Fatalf("it is not drained, on trial, and drained again: %v, %v", s.drains, s.opened)
 	}
 	s.run(20)
 	if len(s.opened) != 1 {
-		t.Fatalf("the second rest is twice as long: %v", s.opened)
+		t.Fatalf("the second drain is not twice as long: %v", s.opened)
 	}
 	s.nodes[3].slow = 1
 	s.run(30)
 	if len(s.opened) != 2 || len(s.drains) != 2 {
-		t.Fatalf("it is well now: %v, %v", s.drains, s.opened)
+		t.Fatalf("it is healthy, and drained or not opened: %v, %v", s.drains, s.opened)
 	}
 	if stage := s.ranker.engines["engine-03"].stage; stage != Healthy {
-		t.Fatalf("it passed its trial: %v", stage)
+		t.Fatalf("it did not pass its trial: %v", stage)
 	}
 }
 
-func TestOneOfAPoolIsTriedAtATime(t *testing.T) {
+func TestOneEngineOfAPoolIsOnTrialAtATime(t *testing.T) {
 	s := newSite(12, nil)
 	s.nodes[0].slow, s.nodes[4].slow, s.nodes[8].slow = 30, 30, 30
 	for range 120 {
@@ -497,35 +497,35 @@
 			}
 		}
 		if trying > 1 {
-			t.Fatal("two are tried at once")
+			t.Fatal("two engines are on trial at once")
 		}
 	}
 	if len(s.opened) < 3 {
-		t.Fatalf("each has its turn: %v", s.opened)
+		t.Fatalf("not each engine got its trial: %v", s.opened)
 	}
 }
 
-func TestSuccessorTakesUpDrains(t *testing.T) {
+func TestNewPlannerTakesOverDrains(t *testing.T) {
 	s := newSite(9, nil)
 	s.nodes[3].slow = 30
 	s.run(8)
 	if len(s.drains) != 1 {
-		t.Fatalf("drained by the first: %v", s.drains)
+		t.Fatalf("not drained by the first planner: %v", s.drains)
 	}
-	// The planner is lost; another begins with what the fleet shows.
+	// The planner fails; another begins with what the fleet shows.
 	s.ranker = NewRanker(s.ranker.settings)
 	s.nodes[3].slow = 1
 	s.run(10)
 	if s.ranker.engines["engine-03"].stage != Drained || len(s.drains) != 1 || len(s.opened) != 0 {
-		t.Fatalf("it rests on: %v, %v", s.drains, s.opened)
+		t.Fatalf("it does not stay drained: %v, %v", s.drains, s.opened)
 	}
 	s.run(30)
 	if len(s.opened) != 1 || s.ranker.engines["engine-03"].stage != Healthy {
-		t.Fatalf("and is tried by the second: %v", s.opened)
+		t.Fatalf("the second planner does not open it: %v", s.opened)
 	}
 }
 
-func TestSwitchedOffNothingIsDrainedAndAllIsOpened(t *testing.T) {
+func TestDisabledRankingDrainsNothingAndOpensAll(t *testing.T) {
 	s := newSite(9, func(s *Settings) { s.Mode = ObserveOnly })
 	s.nodes[3].slow = 30
 	s.nodes[5].shut, s.nodes[5].ranked = true, true
@@ -534,44 +534,44 @@
 		t.Fatalf("%v, %v", s.drains, s.opened)
 	}
 	if rows := s.ranker.Rows(); rows[0].Engine != "engine-03" || rows[0].Score < 3 {
-		t.Fatalf("it is ranked all the same: %+v", rows[0])
+		t.Fatalf("it is not ranked: %+v", rows[0])
 	}
 }
 
-func TestADrainThatDoesNotComeAboutIsAskedForAnew(t *testing.T) {
+func TestDrainWithoutEffectIsRequestedAgain(t *testing.T) {
 	s := newSite(9, nil)
 	s.nodes[3].slow = 30
-	asked := 0
+	requests := 0
 	for range 12 {
 		s.measure()
 		s.now += clock.Mark(time.Second)
-		asked += len(s.ranker.Step(s.now, s.fleet()).Actions)
+		requests += len(s.ranker.Step(s.now, s.fleet()).Actions)
 	}
-	if asked < 3 || asked > 5 {
-		t.Fatalf("asked for %d times", asked)
+	if requests < 3 || requests > 5 {
+		t.Fatalf("requested %d times", requests)
 	}
 }
 
-func TestTwoEnginesCantBeTold(t *testing.T) {
+func TestTwoEnginesAreNotCompared(t *testing.T) {
 	s := newSite(2, func(s *Settings) { s.MostOfPool = 0.5 })
 	s.nodes[1].slow = 100
 	if got := s.seenDraining(20); len(got) > 0 {
-		t.Fatalf("of two nobody can say which one is slow: %v", got)
+		t.Fatalf("drained, though of two engines it can't be told which one is slow: %v", got)
 	}
 }
 
-func TestFewWithAModelAreComparedWithThePool(t *testing.T) {
+func TestRareModelIsComparedAcrossPool(t *testing.T) {
 	s := newSite(9, nil)
-	for place, n := range s.nodes {
-		n.model = fmt.Sprintf("model-%d", place)
+	for index, n := range s.nodes {
+		n.model = fmt.Sprintf("model-%d", index)
 	}
 	s.nodes[3].slow = 30
 	if got := s.seenDraining(10); len(got) != 1 || got[0] != "engine-03" {
-		t.Fatalf("each has a model of its own: %v", got)
+		t.Fatalf("engines with a model of their own are not compared across the pool: %v", got)
 	}
 }
 
-func TestWholeZoneSlow(t *testing.T) {
+func TestSlowZoneIsDrainedWithinItsLimit(t *testing.T) {
 	s := newSite(12, nil)
 	for _, n := range s.nodes {
 		if n.zone == "a" {
@@ -580,12 +580,12 @@
 	}
 	s.run(14)
 	if len(s.drains) > 2 {
-		t.Fatalf("half of a zone's engines stay: %v", s.drains)
+		t.Fatalf("more than half of a zone's engines were drained: %v", s.drains)
 	}
 }
 
-// Random fleets with random sicknesses: bounds hold at all times, and who goes is the worst of those that may.
-func TestBoundsHoldInRandomFleets(t *testing.T) {
+// Random fleets with random faults: the limits hold at all times, and the engine drained is the worst of those that may be.
+func TestDrainLimitsHoldInRandomFleets(t *testing.T) {
 	parameters := gopter.DefaultTestParameters()
 	parameters.MinSuccessfulTests = 40
 	properties := gopter.NewProperties(parameters)
@@ -596,7 +596,7 @@
 		for _, n := range s.nodes {
 			for _, model := range []string{"m1", "m2", "m3"} {
 				if random.IntN(3) == 0 {
-					n.held = append(n.held, Target{Model: model})
+					n.loaded = append(n.loaded, Target{Model: model})
 				}
 			}
 		}
@@ -629,17 +629,17 @@
 	properties.TestingRun(t)
 }
 
-// request is one request as its caller and its route see it. Only what its node does is recorded.
+// request is one request as its client and its route see it. Only what its node does is recorded.
 type request struct {
-	house, route string
-	worth        float64
-	engine       int
-	pauses       []time.Duration
-	first        time.Duration
-	load, prompt int
+	tenant, route string
+	value         float64
+	engine        int
+	pauses        []time.Duration
+	first         time.Duration
+	load, prompt  int
 }
 
-// record is how a daemon records a request: of whose it is there is nothing to go by.
+// record is how a daemon records a request: nothing says whose it is.
 func record(recorder *Recorder, r request) {
 	id := ident.EngineID(fmt.Sprintf("engine-%02d", r.engine))
 	stalls := recorder.Cell(id, Class{Kind: Stall, Pool: "pool", Model: "model", TargetMs: targetMs, Load: LoadBand(r.load)})
@@ -649,14 +649,14 @@
 	recorder.Cell(id, Class{Kind: Transfer, Pool: "pool", Model: "model", Load: LoadBand(r.load), Size: SizeBand(r.prompt)}).RecordDelay(r.first)
 }
 
-// partial is a broken way: it takes the first house's word only.
+// partial is a broken variant: it records the first tenant only.
 func partial(recorder *Recorder, r request) {
-	if r.house == "house-0" {
+	if r.tenant == "tenant-0" {
 		record(recorder, r)
 	}
 }
 
-// order gives the ranks after so many requests.
+// order gives the ranks after a number of requests.
 func order(requests []request, record func(*Recorder, request)) string {
 	settings := DefaultSettings()
 	settings.StallFloor, settings.DelayFloorMs = 0, 1
@@ -678,8 +678,8 @@
 	return out.String()
 }
 
-// Houses and routes may be changed about at will: the order stays the same.
-func TestOrderFollowsNodesAlone(t *testing.T) {
+// Tenants and routes may be exchanged: the order stays the same.
+func TestOrderDependsOnNodesOnly(t *testing.T) {
 	differed := false
 	parameters := gopter.DefaultTestParameters()
 	parameters.MinSuccessfulTests = 60
@@ -687,12 +687,12 @@
 	properties.Property("the order is the same", prop.ForAll(func(seed uint64) bool {
 		random := rand.New(rand.NewPCG(seed, 3))
 		slow := make([]float64, 8)
-		for place := range slow {
-			slow[place] = 1 + 20*random.Float64()*float64(random.IntN(2))
+		for index := range slow {
+			slow[index] = 1 + 20*random.Float64()*float64(random.IntN(2))
 		}
 		var requests []request
 		for range 400 {
-			r := request{house: fmt.Sprintf("house-%d", random.IntN(4)), route: fmt.Sprintf("route-%d", random.IntN(4)), worth: random.Float64(), engine: random.IntN(8),
+			r := request{tenant: fmt.Sprintf("tenant-%d", random.IntN(4)), route: fmt.Sprintf("route-%d", random.IntN(4)), value: random.Float64(), engine: random.IntN(8),
 				load: 1 + random.IntN(60), prompt: random.IntN(9000)}
 			r.first = time.Duration(float64(r.prompt)*slow[r.engine]) * 40 * time.Microsecond
 			for range 1 + random.IntN(8) {
@@ -700,14 +700,14 @@
 			}
 			requests = append(requests, r)
 		}
-		houses, routes := random.Perm(4), random.Perm(4)
+		tenants, routes := random.Perm(4), random.Perm(4)
 		changed := slices.Clone(requests)
-		for place, r := range changed {
-			var house, route int
-			fmt.Sscanf(r.house, "house-%d", &house)
+		for index, r := range changed {
+			var tenant, route int
+			fmt.Sscanf(r.tenant, "tenant-%d", &tenant)
 			fmt.Sscanf(r.route, "route-%d", &route)
-			changed[place].house, changed[place].route = fmt.Sprintf("house-%d", houses[house]), fmt.Sprintf("route-%d", routes[route])
-			changed[place].worth = 1 - r.worth
+			changed[index].tenant, changed[index].route = fmt.Sprintf("tenant-%d", tenants[tenant]), fmt.Sprintf("route-%d", routes[route])
+			changed[index].value = 1 - r.value
 		}
 		random.Shuffle(len(changed), func(i, j int) { changed[i], changed[j] = changed[j], changed[i] })
 		differed = differed || order(requests, partial) != order(changed, partial)
@@ -715,16 +715,16 @@
 	}, gen.UInt64()))
 	properties.TestingRun(t)
 	if !differed {
-		t.Fatal("a way that hears one house only must show")
+		t.Fatal("a recorder of one tenant only was not detected")
 	}
 }
 
-func TestSettingsAreChecked(t *testing.T) {
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	if faults := DefaultSettings().Check(); len(faults) > 0 {
-		t.Fatalf("the usual ones are good: %v", faults)
+		t.Fatalf("the default settings are invalid: %v", faults)
 	}
 	if DefaultSettings().Mode != Off {
-		t.Fatal("draining is off unless it is asked for")
+		t.Fatal("draining is on by default")
 	}
 	for field, change := range map[string]func(*Settings){
 		"mode":          func(s *Settings) { s.Mode = "on" },
@@ -749,7 +749,7 @@
 	}
 }
 
-func TestRefusalsHaveWords(t *testing.T) {
+func TestEachRefusalHasNameAndReason(t *testing.T) {
 	fleet := newSite(9, nil).fleet()
 	if why := CheckDrain(DefaultSettings(), fleet, "nobody"); why != Unknown {
 		t.Fatal(why)
@@ -764,15 +764,15 @@
 	}
 }
 
-// Who is avoided since it is slow shows little, and connections to it are quick: that clears nobody.
-func TestSilenceClearsNobody(t *testing.T) {
+// An engine that is avoided because it is slow has few measurements, and fast connections: this does not clear it.
+func TestMissingMeasurementsClearNoEngine(t *testing.T) {
 	s := newSite(9, nil)
-	sick := s.nodes[3]
-	sick.shut = true
+	oneUnhealthy := s.nodes[3]
+	oneUnhealthy.shut = true
 	stalls := func() {
 		for _, zone := range s.zones {
 			recorder := NewRecorder()
-			cell := recorder.Cell(sick.id, Class{Kind: Stall, Pool: "pool", Model: "model", TargetMs: targetMs, Load: LoadBand(2)})
+			cell := recorder.Cell(oneUnhealthy.id, Class{Kind: Stall, Pool: "pool", Model: "model", TargetMs: targetMs, Load: LoadBand(2)})
 			for range 2 {
 				cell.RecordPause(700 * time.Millisecond)
 			}
@@ -787,9 +787,9 @@
 	}
 	fleet := func() Fleet {
 		out := s.fleet()
-		one := out[sick.id]
+		one := out[oneUnhealthy.id]
 		one.Open = true
-		out[sick.id] = one
+		out[oneUnhealthy.id] = one
 		return out
 	}
 	var drained []ident.EngineID
@@ -803,32 +803,32 @@
 			drained = append(drained, act.Engine)
 		}
 	}
-	if len(drained) == 0 || drained[0] != sick.id {
-		t.Fatalf("twelve pauses of seven times the longest aimed at, and then nothing: %v", drained)
+	if len(drained) == 0 || drained[0] != oneUnhealthy.id {
+		t.Fatalf("twelve pauses of seven times the gap target, and then nothing: %v", drained)
 	}
-	// After long silence it is suspected no more.
+	// After a long time without measurements it is no longer suspect.
 	for range 50 {
 		s.measure()
 		s.now += clock.Mark(time.Second)
 		s.ranker.Step(s.now, fleet())
 	}
-	if stage := s.ranker.engines[sick.id].stage; stage != Healthy {
+	if stage := s.ranker.engines[oneUnhealthy.id].stage; stage != Healthy {
 		t.Fatal(stage)
 	}
 }
 
-// Where no zone alone sees enough, they see together; still it takes more than half of them.
-func TestZonesThatSeeLittleSeeTogether(t *testing.T) {
+// Where no single zone has sufficient measurements they are combined; still it takes more than half of the zones.
+func TestZonesWithFewSamplesAreCombined(t *testing.T) {
 	sparse := func(slowFrom int) *site {
 		s := newSite(5, func(s *Settings) { s.MostOfPool = 0.5 })
 		s.zones = []ident.ZoneID{"a", "b", "c"}
 		for range 10 {
-			for place, zone := range s.zones {
+			for index, zone := range s.zones {
 				recorder := NewRecorder()
 				for at, n := range s.nodes {
 					cell := recorder.Cell(n.id, Class{Kind: Transfer, Pool: "pool", Model: n.model, Load: LoadBand(8), Size: SizeBand(2000)})
 					delay := 80 * time.Millisecond
-					if at == 2 && place < slowFrom {
+					if at == 2 && index < slowFrom {
 						delay = 3 * time.Second
 					}
 					if int(s.now/clock.Mark(time.Second))%4 == 0 {
@@ -846,15 +846,15 @@
 		return s
 	}
 	if s := sparse(3); len(s.drains) == 0 || s.drains[0] != "engine-02" {
-		t.Fatalf("two of each zone within the span: %v", s.drains)
+		t.Fatalf("two measurements of each zone within the span were not combined: %v", s.drains)
 	}
 	if s := sparse(1); len(s.drains) > 0 {
-		t.Fatalf("one zone of three alone: %v", s.drains)
+		t.Fatalf("drained for one zone of three: %v", s.drains)
 	}
 }
 
 // One long pause, in all streams of an engine at once, is one incident.
-func TestOneLongPauseIsNoSickness(t *testing.T) {
+func TestSingleLongPauseIsNotUnhealthy(t *testing.T) {
 	once := func(change func(*Ranker)) []ident.EngineID {
 		s := newSite(9, nil)
 		change(s.ranker)
@@ -870,9 +870,9 @@
 		return s.seenDraining(20)
 	}
 	if got := once(func(*Ranker) {}); len(got) > 0 {
-		t.Fatalf("it was still once: %v", got)
+		t.Fatalf("drained, though it paused once: %v", got)
 	}
 	if got := once(func(r *Ranker) { r.rules.minIncidents = 1 }); len(got) == 0 {
-		t.Fatal("a rule that takes one incident for a sickness must show")
+		t.Fatal("a rule that needs one incident only was not detected")
 	}
 }
--- a/process/engines/nodehealth/recorder_test.go
+++ b/process/engines/nodehealth/recorder_test.go
@@ -10,7 +10,7 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-func TestRecorderTellsOnce(t *testing.T) {
+func TestRecorderReportsEachMeasurementOnce(t *testing.T) {
 	r := NewRecorder()
 	class := Class{Kind: Stall, Pool: "p", TargetMs: 400, Load: 3}
 	var group sync.WaitGroup
@@ -23,23 +23,23 @@
 		})
 	}
 	group.Wait()
-	told := r.TakeDigests()
-	if len(told) != 1 || told[0].Samples() != 8000 || len(told[0].Buckets) != 1 {
-		t.Fatalf("all of it, in one bucket: %v", told)
+	digests := r.TakeDigests()
+	if len(digests) != 1 || digests[0].Samples() != 8000 || len(digests[0].Buckets) != 1 {
+		t.Fatalf("not everything is in one bucket: %v", digests)
 	}
-	if value := told[0].Buckets[0].Value; value < 94 || value > 107 {
-		t.Fatalf("a tenth of the longest pause aimed at, within a sixteenth: %d", value)
+	if value := digests[0].Buckets[0].Value; value < 94 || value > 107 {
+		t.Fatalf("not a tenth of the gap target within a sixteenth: %d", value)
 	}
 	if again := r.TakeDigests(); len(again) != 0 {
-		t.Fatalf("told once: %v", again)
+		t.Fatalf("reported twice: %v", again)
 	}
 }
 
-func TestRecorderIsBounded(t *testing.T) {
+func TestRecorderMemoryIsBounded(t *testing.T) {
 	r := NewRecorder()
 	r.maxCells = 3
-	for place := range 5 {
-		r.Cell(ident.EngineID(fmt.Sprint(place)), Class{}).RecordDelay(time.Second)
+	for index := range 5 {
+		r.Cell(ident.EngineID(fmt.Sprint(index)), Class{}).RecordDelay(time.Second)
 	}
 	if len(r.TakeDigests()) != 3 || r.Dropped() != 2 {
 		t.Fatal(r.Dropped())
@@ -48,7 +48,7 @@
 		r.TakeDigests()
 	}
 	if r.Cell("new", Class{}) == nil {
-		t.Fatal("what is not used any more gives way")
+		t.Fatal("an unused cell does not make room")
 	}
 }
 
@@ -66,15 +66,15 @@
 	}
 }
 
-// Values beyond any bound are taken as the bound.
-func TestOddValuesAreClamped(t *testing.T) {
+// Values out of range are recorded as the nearest bound.
+func TestValuesOutOfRangeAreClamped(t *testing.T) {
 	r := NewRecorder()
 	cell := r.Cell("e", Class{Kind: Transfer})
 	for _, delay := range []time.Duration{-time.Hour, 0, 1000 * time.Hour} {
 		cell.RecordDelay(delay)
 	}
-	if told := r.TakeDigests(); told[0].Samples() != 3 {
-		t.Fatal(told)
+	if digests := r.TakeDigests(); digests[0].Samples() != 3 {
+		t.Fatal(digests)
 	}
 	e := newEvidence(8 * time.Second)
 	e.add("a", []Digest{{"e", Class{Kind: Connect}, []Bucket{{Value: 4_000_000_000, Count: 9}}}}, DefaultSettings().floor)
@@ -93,8 +93,8 @@
 
 func BenchmarkCell(b *testing.B) {
 	r := NewRecorder()
-	for place := range 1000 {
-		r.Cell(ident.EngineID(fmt.Sprint("engine-", place)), Class{Kind: Stall, TargetMs: 400, Pool: "pool", Model: "model"})
+	for index := range 1000 {
+		r.Cell(ident.EngineID(fmt.Sprint("engine-", index)), Class{Kind: Stall, TargetMs: 400, Pool: "pool", Model: "model"})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -102,7 +102,7 @@
 	}
 }
 
-// A step of the size to design for: 1,400 engines in seven pools seen from 16 zones.
+// BenchmarkStep is a step of the size to design for: 1,400 engines in seven pools measured from 16 zones.
 func BenchmarkStep(b *testing.B) {
 	for _, engines := range []int{9, 200, 1400} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
@@ -110,17 +110,17 @@
 			ranker := NewRanker(settings)
 			fleet := Fleet{}
 			now := clock.Mark(time.Hour)
-			for place := range engines {
-				id := ident.EngineID(fmt.Sprintf("engine-%04d", place))
-				pool := fmt.Sprint("pool-", place*7/max(engines, 8))
-				fleet[id] = Engine{ID: id, Pool: pool, Zone: ident.ZoneID(fmt.Sprint(place % 16)), Open: true, Loaded: []Target{{Model: "a"}, {Model: "b"}}}
+			for index := range engines {
+				id := ident.EngineID(fmt.Sprintf("engine-%04d", index))
+				pool := fmt.Sprint("pool-", index*7/max(engines, 8))
+				fleet[id] = Engine{ID: id, Pool: pool, Zone: ident.ZoneID(fmt.Sprint(index % 16)), Open: true, Loaded: []Target{{Model: "a"}, {Model: "b"}}}
 				for zone := range 4 {
 					var digests []Digest
 					for load := range 2 {
 						digests = append(digests, Digest{id, Class{Kind: Stall, Pool: pool, Model: "a", TargetMs: 400, Load: uint8(4 + load)}, []Bucket{{20, 40}, {25, 30}, {30, 4}, {60, 1}}})
 						digests = append(digests, Digest{id, Class{Kind: Transfer, Pool: pool, Model: "a", Load: uint8(4 + load), Size: 4}, []Bucket{{60, 4}, {90, 3}, {120, 1}}})
 					}
-					ranker.AddDigests(now, ident.ZoneID(fmt.Sprint((place+zone)%16)), digests)
+					ranker.AddDigests(now, ident.ZoneID(fmt.Sprint((index+zone)%16)), digests)
 				}
 			}
 			b.ReportAllocs()
--- a/process/engines/nodehealth/settings.go
+++ b/process/engines/nodehealth/settings.go
@@ -56,26 +56,26 @@
 // Check returns every fault.
 func (s Settings) Check() []Fault {
 	var faults []Fault
-	say := func(wrong bool, field, reason string, values ...any) {
+	addFault := func(wrong bool, field, reason string, values ...any) {
 		if wrong {
 			faults = append(faults, Fault{field, fmt.Sprintf(reason, values...)})
 		}
 	}
-	say(s.Mode != Off && s.Mode != ObserveOnly && s.Mode != Drain, "mode", "must be off, watch or drain")
-	say(!(s.DrainAt >= 1.5 && s.DrainAt <= 1000), "drainAt", "must be 1.5 to 1000: engines with like work differ by less than that when all are sound")
-	say(!(s.ClearAt >= 1 && s.ClearAt < s.DrainAt), "clearAt", "must be at least 1 and below drainAt, or an engine would go and come by turns")
-	say(s.SpanMs < 2000 || s.SpanMs > 600_000, "spanMs", "must be 2000 to 600000")
-	say(s.ConfirmMs < 500 || s.ConfirmMs > 600_000, "confirmMs", "must be 500 to 600000")
-	say(s.RestMs < 1000 || s.RestMs > 3_600_000, "restMs", "must be 1000 to 3600000")
-	say(s.RestMostMs < s.RestMs, "restMostMs", "must be at least restMs (%d)", s.RestMs)
-	say(s.TrialMs < 500 || s.TrialMs > 600_000, "trialMs", "must be 500 to 600000")
-	say(!(s.StallFloor >= 0 && s.StallFloor <= 100), "stallFloor", "must be 0 to 100")
-	say(s.DelayFloorMs < 1 || s.DelayFloorMs > maxValue, "delayFloorMs", "must be 1 to %d", maxValue)
+	addFault(s.Mode != Off && s.Mode != ObserveOnly && s.Mode != Drain, "mode", "must be off, watch or drain")
+	addFault(!(s.DrainAt >= 1.5 && s.DrainAt <= 1000), "drainAt", "must be 1.5 to 1000: engines with like work differ by less than that when all are sound")
+	addFault(!(s.ClearAt >= 1 && s.ClearAt < s.DrainAt), "clearAt", "must be at least 1 and below drainAt, or an engine would go and come by turns")
+	addFault(s.SpanMs < 2000 || s.SpanMs > 600_000, "spanMs", "must be 2000 to 600000")
+	addFault(s.ConfirmMs < 500 || s.ConfirmMs > 600_000, "confirmMs", "must be 500 to 600000")
+	addFault(s.RestMs < 1000 || s.RestMs > 3_600_000, "restMs", "must be 1000 to 3600000")
+	addFault(s.RestMostMs < s.RestMs, "restMostMs", "must be at least restMs (%d)", s.RestMs)
+	addFault(s.TrialMs < 500 || s.TrialMs > 600_000, "trialMs", "must be 500 to 600000")
+	addFault(!(s.StallFloor >= 0 && s.StallFloor <= 100), "stallFloor", "must be 0 to 100")
+	addFault(s.DelayFloorMs < 1 || s.DelayFloorMs > maxValue, "delayFloorMs", "must be 1 to %d", maxValue)
 	for _, share := range []struct {
 		field string
 		value float64
 	}{{"mostOfPool", s.MostOfPool}, {"mostOfZone", s.MostOfZone}, {"mostOfHolders", s.MostOfHolders}} {
-		say(!(share.value >= 0 && share.value <= 0.5), share.field, "must be 0 to 0.5: more than half can't be the exception")
+		addFault(!(share.value >= 0 && share.value <= 0.5), share.field, "must be 0 to 0.5: more than half can't be the exception")
 	}
 	return faults
 }
