--- a/process/workerid/workerid.go
+++ b/process/workerid/workerid.go
@@ -1,5 +1,10 @@
-// Package workerid is the replicated table of worker-id leases: which daemon may mint ids
-// under which worker id, until when, and above which floor.
+// Package workerid is the replicated table of worker-id leases: which daemon may generate snowflake ids under which
+// worker id, until when, and above which floor. DESIGN.md names the commands ACQUIRE, RENEW and RELEASE.
+//
+// The table is a part of the replicated state (process/consensus/statemachine), which is its only writer; the time is the
+// group's, given with each call. A daemon has at most one lease, and a worker id at most one holder. A floor never falls:
+// every timestamp that a former holder may have used lies at or below it, and the next holder generates above it. So no
+// two ids are equal, even where the holders' clocks differ.
 package workerid
 
 import (
@@ -12,14 +17,15 @@
 // MaxWorkerID is the largest number that ten bits hold.
 const MaxWorkerID ident.WorkerID = 1<<10 - 1
 
-// Lease is one row of the table.
+// Lease is one row of the table: a daemon may use a worker id until the group's time reaches LeaseExpiry.
 type Lease struct {
 	WorkerID    ident.WorkerID  `json:"workerId"`
 	NodeID      ident.NodeID    `json:"nodeId"`
 	LeaseExpiry ident.GroupTime `json:"leaseExpiry"`
 }
 
-// Grant is what a holder receives: its lease, the group's time, and the floor it must mint above.
+// Grant is what a lease holder receives: its lease, the group's time when it was granted, and the floor; it generates
+// ids with timestamps above the floor alone.
 type Grant struct {
 	Lease
 	Now   ident.GroupTime `json:"now"`
@@ -34,17 +40,18 @@
 	Granted LeaseOutcome = "granted"
 	// Mismatch: the daemon does not hold a lease on that worker id.
 	Mismatch LeaseOutcome = "mismatch"
-	// Exhausted: all worker ids are taken.
+	// Exhausted: every worker id is leased, or has a floor that is not below the time yet.
 	Exhausted LeaseOutcome = "exhausted"
 	// Released: the lease has ended before its expiry.
 	Released LeaseOutcome = "released"
 )
 
-// Table is the replicated state. Its zero value is not usable; make it with New.
+// Table is the replicated table. Its zero value is not usable; make it with New, and after decoding one call
+// RebuildExpiries.
 type Table struct {
 	Leases map[ident.WorkerID]Lease        `json:"tenures"`
 	Nodes  map[ident.NodeID]ident.WorkerID `json:"nodes"`
-	// Floors outlive release and reclaim: no id at or below them may be minted again.
+	// Floors outlive release and reclaim: no id with a timestamp at or below its worker id's may be generated again.
 	Floors map[ident.WorkerID]ident.GroupTime `json:"floors"`
 
 	expiries expiryHeap
@@ -69,21 +76,21 @@
 }
 
 // Acquire gives the daemon its unexpired lease, or the lowest free worker id.
-func (t *Table) Acquire(node ident.NodeID, now ident.GroupTime, span time.Duration) (Grant, LeaseOutcome) {
+func (t *Table) Acquire(node ident.NodeID, now ident.GroupTime, duration time.Duration) (Grant, LeaseOutcome) {
 	if worker, known := t.Nodes[node]; known {
 		lease := t.Leases[worker]
 		if lease.LeaseExpiry > now {
 			return Grant{Lease: lease, Now: now, Floor: t.Floors[worker]}, Granted
 		}
-		// Its lease lapsed before the scan found it: it counts as reclaimed, so the floor holds for its next holder.
+		// Its lease expired before Reclaim found it: it counts as reclaimed, so the floor binds its next holder.
 		t.end(lease, lease.LeaseExpiry)
 	}
 	for worker := ident.WorkerID(0); worker <= MaxWorkerID; worker++ {
-		// A floor ahead of the group's time would leave the holder unable to mint, so such an id is passed by.
-		if _, taken := t.Leases[worker]; taken || t.Floors[worker] >= now {
+		// A floor ahead of the group's time would leave the holder unable to generate, so such an id is skipped.
+		if _, leased := t.Leases[worker]; leased || t.Floors[worker] >= now {
 			continue
 		}
-		lease := Lease{WorkerID: worker, NodeID: node, LeaseExpiry: now.Add(span)}
+		lease := Lease{WorkerID: worker, NodeID: node, LeaseExpiry: now.Add(duration)}
 		t.put(lease)
 		return Grant{Lease: lease, Now: now, Floor: t.Floors[worker]}, Granted
 	}
@@ -91,34 +98,34 @@
 }
 
 // Renew moves the expiry of a lease that this daemon holds.
-func (t *Table) Renew(node ident.NodeID, worker ident.WorkerID, now ident.GroupTime, span time.Duration) (Grant, LeaseOutcome) {
-	lease, held := t.leaseOf(node, worker)
-	if !held || lease.LeaseExpiry <= now {
+func (t *Table) Renew(node ident.NodeID, worker ident.WorkerID, now ident.GroupTime, duration time.Duration) (Grant, LeaseOutcome) {
+	lease, isHolder := t.leaseOf(node, worker)
+	if !isHolder || lease.LeaseExpiry <= now {
 		return Grant{}, Mismatch
 	}
-	lease.LeaseExpiry = max(lease.LeaseExpiry, now.Add(span))
+	lease.LeaseExpiry = max(lease.LeaseExpiry, now.Add(duration))
 	t.put(lease)
 	return Grant{Lease: lease, Now: now, Floor: t.Floors[worker]}, Granted
 }
 
-// Release ends a lease early; last is the last timestamp that was minted under it.
-func (t *Table) Release(node ident.NodeID, worker ident.WorkerID, last ident.GroupTime) LeaseOutcome {
-	lease, held := t.leaseOf(node, worker)
-	if !held {
+// Release ends a lease early; lastTimestamp is that of the last id that was generated under it.
+func (t *Table) Release(node ident.NodeID, worker ident.WorkerID, lastTimestamp ident.GroupTime) LeaseOutcome {
+	lease, isHolder := t.leaseOf(node, worker)
+	if !isHolder {
 		return Mismatch
 	}
-	t.end(lease, min(last, lease.LeaseExpiry))
+	t.end(lease, min(lastTimestamp, lease.LeaseExpiry))
 	return Released
 }
 
-// Reclaim ends all leases that lapsed by now, and says how many.
+// Reclaim ends all leases that expired by now, and says how many.
 func (t *Table) Reclaim(now ident.GroupTime) int {
 	count := 0
 	for len(t.expiries) > 0 && t.expiries[0].at <= now {
 		due := heap.Pop(&t.expiries).(expiry)
-		lease, held := t.Leases[due.worker]
-		// A renewed or released lease leaves its old expiry in the heap; only the row decides.
-		if held && lease.LeaseExpiry <= now {
+		lease, leased := t.Leases[due.worker]
+		// A renewed or released lease leaves its old expiry in the heap; only the table decides.
+		if leased && lease.LeaseExpiry <= now {
 			t.end(lease, lease.LeaseExpiry)
 			count++
 		}
@@ -126,11 +133,12 @@
 	return count
 }
 
-// HasExpired says whether Reclaim would find anything.
+// HasExpired says whether Reclaim may find an expired lease.
 func (t *Table) HasExpired(now ident.GroupTime) bool {
 	return len(t.expiries) > 0 && t.expiries[0].at <= now
 }
 
+// leaseOf gives the lease that this daemon has on this worker id.
 func (t *Table) leaseOf(node ident.NodeID, worker ident.WorkerID) (Lease, bool) {
 	known, ok := t.Nodes[node]
 	if !ok || known != worker {
@@ -139,23 +147,27 @@
 	return t.Leases[worker], true
 }
 
+// put writes a row, and remembers its expiry for Reclaim.
 func (t *Table) put(lease Lease) {
 	t.Leases[lease.WorkerID] = lease
 	t.Nodes[lease.NodeID] = lease.WorkerID
 	heap.Push(&t.expiries, expiry{lease.LeaseExpiry, lease.WorkerID})
 }
 
+// end removes a row and raises its worker id's floor.
 func (t *Table) end(lease Lease, floor ident.GroupTime) {
 	delete(t.Leases, lease.WorkerID)
 	delete(t.Nodes, lease.NodeID)
 	t.Floors[lease.WorkerID] = max(t.Floors[lease.WorkerID], floor)
 }
 
+// expiry is one entry of the heap: a lease's expiry as it was when the entry was made.
 type expiry struct {
 	at     ident.GroupTime
 	worker ident.WorkerID
 }
 
+// expiryHeap is a heap.Interface with the earliest expiry first.
 type expiryHeap []expiry
 
 func (h expiryHeap) Len() int { return len(h) }
