--- a/process/rollout/rollout.go
+++ b/process/rollout/rollout.go
@@ -1,13 +1,16 @@
-// Package rollout keeps the spec and the closures that are in force on this daemon. It takes only
-// what is newer, builds the table off the request path, and swaps one pointer.
+// Package rollout owns the configuration and the closures that are in force on this daemon.
+//
+// Manager is an actor: daemons and the group offer it what they know, in any order and any number of times. It takes only
+// what is newer than what is in force, builds the routing table off the request path, and swaps one pointer, which
+// requests read. So versions never fall on a daemon, and a request sees one table from beginning to end. What has the
+// version in force but other bytes is counted in Rejected: the group never commits two configurations as one version.
+//
+// Response is how the leader responds to a submitted command once the change is, or is not, in force at all daemons.
 package rollout
 
 import (
 	"bytes"
 	"context"
-	"encoding/json"
-	"fmt"
-	"sync"
 	"sync/atomic"
 	"time"
 
@@ -21,207 +24,151 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// Step is one thing this daemon did with one change; the tracer shows them.
-type Step struct {
-	Change string    `json:"change"`
-	Step   string    `json:"step"`
-	At     time.Time `json:"at"`
-}
-
-// The steps of a change.
-const (
-	Learned = "learned"
-	Built   = "built"
-	InForce = "in-force"
-)
-
-// ConfigurationChange and ClosureChange name changes for the tracer.
-func ConfigurationChange(epoch ident.Version) string { return fmt.Sprintf("spec:%d", epoch) }
-
-// ClosureChange names one epoch of the closures.
-func ClosureChange(epoch ident.Version) string { return fmt.Sprintf("closure:%d", epoch) }
-
-// mostPastBytes bounds the bundles kept for recall, mostPackedBytes those among them that came packed: they
-// are put in force in one step, come often, and the group itself keeps the newest.
-const (
-	maxPastBytes           = 64 << 20
-	maxCompressedPastBytes = 4 << 20
-)
-
-// mostSteps is how many steps are remembered.
-const maxSteps = 48
+// mailboxSize is how many offers may wait for the actor.
+const mailboxSize = 64
 
-// Manager is the actor that holds what is in force.
+// Manager is the actor that owns what is in force.
 type Manager struct {
 	mailbox *actor.Mailbox[offer]
-	wall    func() time.Time
-	table   atomic.Pointer[routingtable.Table]
-	steps   atomic.Pointer[[]Step]
-	// closuresBeforeTable holds closures learned before any spec.
-	closuresBeforeTable closure.Set
-	// past holds the bundles that were in force here, so that a lost group's can be recalled.
-	past                       sync.Map
-	pastBytes, compressedBytes int
-	// droppedVersion is the newest epoch that was dropped for want of room: it and all before are not kept.
-	droppedVersion atomic.Uint64
-	// Rejected counts offers that were garbage or that differ from what has the same epoch.
+	// wall reads the wall clock, for the steps alone.
+	wall  func() time.Time
+	table atomic.Pointer[routingtable.Table]
+	steps atomic.Pointer[[]Step]
+	// newestClosures is the newest set of closures, also where it came before any configuration.
+	newestClosures closure.Set
+	past           pastBundles
+	// Rejected counts offers that could not be read, or differ from what has the same version.
 	Rejected atomic.Uint64
 	onSwap   func()
 }
 
+// offer is a message to the actor.
 type offer struct {
 	version  ident.Version
 	bundle   compression.Bundle
 	closures *closure.Set
-	// past says that it was in force before, and is only to be remembered.
+	// past says that the bundle was in force before, and is only to be retained.
 	past bool
+	// done is closed when the offer was handled.
 	done chan struct{}
 }
 
-// New makes a keeper; onSwap is called after each change that is in force.
+// New makes a manager; onSwap is called by its goroutine after each change that is in force.
 func New(wall func() time.Time, onSwap func()) *Manager {
-	k := &Manager{mailbox: actor.NewMailbox[offer](64), wall: wall, onSwap: onSwap}
-	k.steps.Store(&[]Step{})
-	return k
+	m := &Manager{mailbox: actor.NewMailbox[offer](mailboxSize), wall: wall, onSwap: onSwap}
+	m.steps.Store(&[]Step{})
+	return m
 }
 
-// Run runs the actor.
-func (k *Manager) Run(ctx context.Context) { k.mailbox.Run(ctx, 0, k.handle, nil) }
+// Run runs the actor until the context ends.
+func (m *Manager) Run(ctx context.Context) { m.mailbox.Run(ctx, 0, m.handle, nil) }
+
+// Table is what is in force, or nil before the first configuration.
+func (m *Manager) Table() *routingtable.Table { return m.table.Load() }
 
-// Table is what is in force, or nil.
-func (k *Manager) Table() *routingtable.Table { return k.table.Load() }
+// Offer offers what was learned; either part may be empty. It returns when the offer is in force or was passed over.
+func (m *Manager) Offer(version ident.Version, bundle compression.Bundle, closures *closure.Set) {
+	m.send(offer{version: version, bundle: bundle, closures: closures})
+}
 
-// Past gives a bundle that was in force here in this life.
-func (k *Manager) Past(epoch ident.Version) ([]byte, bool) {
-	found, known := k.past.Load(epoch)
+// Past gives a configuration that was in force here; false where it is not retained.
+func (m *Manager) Past(version ident.Version) ([]byte, bool) {
+	found, known := m.past.load(version)
 	if !known {
 		return nil, false
 	}
-	raw, err := found.(compression.Bundle).Raw()
+	raw, err := found.Raw()
 	return raw, err == nil
 }
 
-// Steps lists what was done lately.
-func (k *Manager) Steps() []Step { return *k.steps.Load() }
-
-// Offer hands in what was learned; either part may be empty. It returns when the offer is in force or passed by.
-func (k *Manager) Offer(epoch ident.Version, bundle compression.Bundle, closures *closure.Set) {
-	k.send(offer{version: epoch, bundle: bundle, closures: closures})
-}
-
-// RememberPast hands in a bundle that was in force before this life began.
-func (k *Manager) RememberPast(epoch ident.Version, raw []byte) {
-	k.send(offer{version: epoch, bundle: compression.Bundle{Data: raw}, past: true})
+// RememberPast retains a configuration that was in force before this daemon started.
+func (m *Manager) RememberPast(version ident.Version, raw []byte) {
+	m.send(offer{version: version, bundle: compression.Bundle{Data: raw}, past: true})
 }
 
-// RetainsPast says whether an earlier bundle would be kept if it were handed in.
-func (k *Manager) RetainsPast(epoch ident.Version) bool {
-	return uint64(epoch) > k.droppedVersion.Load()
-}
+// RetainsPast says whether an earlier configuration would be retained if it were passed to RememberPast.
+func (m *Manager) RetainsPast(version ident.Version) bool { return m.past.retains(version) }
 
-func (k *Manager) send(o offer) {
-	o.done = make(chan struct{})
-	if !k.mailbox.Send(o) {
+// send hands an offer to the actor and waits until it was handled or the actor has ended.
+func (m *Manager) send(offered offer) {
+	offered.done = make(chan struct{})
+	if !m.mailbox.Send(offered) {
 		return
 	}
 	select {
-	case <-o.done:
-	case <-k.mailbox.Done():
+	case <-offered.done:
+	case <-m.mailbox.Done():
 	}
 }
 
-// retain remembers a bundle, and drops the oldest ones where they grow too many.
-func (k *Manager) retain(epoch ident.Version, bundle compression.Bundle) {
-	if _, known := k.past.LoadOrStore(epoch, bundle); known {
+// handle is the one function that changes what is in force.
+func (m *Manager) handle(offered offer) {
+	defer close(offered.done)
+	if offered.past {
+		m.past.add(offered.version, offered.bundle)
 		return
 	}
-	k.count(bundle, 1)
-	for k.pastBytes > maxPastBytes || k.compressedBytes > maxCompressedPastBytes && epoch > k.oldest(epoch) {
-		oldest := k.oldest(epoch)
-		dropped, _ := k.past.LoadAndDelete(oldest)
-		k.count(dropped.(compression.Bundle), -1)
-		k.droppedVersion.Store(max(k.droppedVersion.Load(), uint64(oldest)))
-	}
-}
-
-func (k *Manager) count(bundle compression.Bundle, sign int) {
-	k.pastBytes += sign * len(bundle.Data)
-	if bundle.Compressed {
-		k.compressedBytes += sign * len(bundle.Data)
-	}
-}
-
-func (k *Manager) oldest(epoch ident.Version) ident.Version {
-	k.past.Range(func(key, _ any) bool { epoch = min(epoch, key.(ident.Version)); return true })
-	return epoch
-}
-
-func (k *Manager) recordStep(change, step string) {
-	old := *k.steps.Load()
-	if len(old) >= maxSteps {
-		old = old[len(old)-maxSteps+1:]
-	}
-	next := append(append(make([]Step, 0, len(old)+1), old...), Step{change, step, k.wall()})
-	k.steps.Store(&next)
-}
-
-func (k *Manager) handle(o offer) {
-	defer close(o.done)
-	if o.past {
-		k.retain(o.version, o.bundle)
-		return
-	}
-	held := k.table.Load()
-	next := held
+	current := m.table.Load()
+	next := current
 	var changes []string
-	if o.version > 0 && len(o.bundle.Data) > 0 {
+	if offered.version > 0 && len(offered.bundle.Data) > 0 {
 		switch {
-		case held != nil && o.version < held.Version:
-			// An older spec is never taken, whoever offers it.
-		case held != nil && o.version == held.Version:
-			k.checkDuplicate(held, o.bundle)
+		case current != nil && offered.version < current.Version:
+			// An older configuration is never put in force, whoever offers it.
+		case current != nil && offered.version == current.Version:
+			m.checkDuplicate(current, offered.bundle)
 		default:
-			change := ConfigurationChange(o.version)
-			raw, parsed, err := parse(o.bundle)
+			built, err := m.build(offered.version, offered.bundle)
 			if err != nil {
-				k.Rejected.Add(1)
+				m.Rejected.Add(1)
 				return
 			}
-			k.recordStep(change, Learned)
-			closures := k.closuresBeforeTable
-			if held != nil {
-				closures = held.Closures
-			}
-			next = routingtable.Build(o.version, raw, parsed, closures)
-			next.Bundle = o.bundle
-			k.recordStep(change, Built)
-			changes = append(changes, change)
+			next = built
+			changes = append(changes, ConfigurationChange(offered.version))
 		}
 	}
-	if o.closures != nil && o.closures.Version > k.closureVersion() {
-		change := ClosureChange(o.closures.Version)
-		k.recordStep(change, Learned)
+	if offered.closures != nil && offered.closures.Version > m.newestClosures.Version {
+		change := ClosureChange(offered.closures.Version)
+		m.recordStep(change, Learned)
+		m.newestClosures = *offered.closures
 		if next != nil {
-			next = next.WithClosures(*o.closures)
+			next = next.WithClosures(m.newestClosures)
 			changes = append(changes, change)
 		}
-		k.closuresBeforeTable = *o.closures
 	}
-	if next == held {
-		return
+	if next != current {
+		m.swap(current, next, changes)
 	}
-	k.table.Store(next)
-	if next.Raw != nil && (held == nil || held.Version != next.Version) {
-		k.retain(next.Version, next.Bundle)
+}
+
+// swap puts a table in force.
+func (m *Manager) swap(current, next *routingtable.Table, changes []string) {
+	m.table.Store(next)
+	if next.Raw != nil && (current == nil || current.Version != next.Version) {
+		m.past.add(next.Version, next.Bundle)
 	}
 	for _, change := range changes {
-		k.recordStep(change, InForce)
+		m.recordStep(change, InForce)
 	}
-	k.onSwap()
+	m.onSwap()
 }
 
-// parse makes a bundle of what was offered. One that is packed has been checked before it was committed; others
-// may be anything.
+// build makes the table of an offered configuration, under the newest closures.
+func (m *Manager) build(version ident.Version, bundle compression.Bundle) (*routingtable.Table, error) {
+	raw, parsed, err := parse(bundle)
+	if err != nil {
+		return nil, err
+	}
+	change := ConfigurationChange(version)
+	m.recordStep(change, Learned)
+	table := routingtable.Build(version, raw, parsed, m.newestClosures)
+	table.Bundle = bundle
+	m.recordStep(change, Built)
+	return table, nil
+}
+
+// parse decodes what was offered. A bundle that is compressed was validated before it was committed; others may be
+// anything.
 func parse(bundle compression.Bundle) ([]byte, *document.Configuration, error) {
 	raw, err := bundle.Raw()
 	if err != nil {
@@ -233,42 +180,17 @@
 	}
 	parsed, faults := document.Parse(raw)
 	if len(faults) > 0 {
-		return nil, nil, eris.Errorf("the bundle has faults: %v", faults)
+		return nil, nil, eris.Errorf("the configuration has faults: %v", faults)
 	}
 	return raw, parsed, nil
 }
 
-// checkDuplicate counts an offer that differs from what has the same epoch.
-func (k *Manager) checkDuplicate(held *routingtable.Table, offered compression.Bundle) {
-	if held.Bundle.Compressed == offered.Compressed && bytes.Equal(held.Bundle.Data, offered.Data) {
+// checkDuplicate counts an offer that differs from what has the same version.
+func (m *Manager) checkDuplicate(current *routingtable.Table, offered compression.Bundle) {
+	if current.Bundle.Compressed == offered.Compressed && bytes.Equal(current.Bundle.Data, offered.Data) {
 		return
 	}
-	if raw, err := offered.Raw(); err != nil || !bytes.Equal(raw, held.Raw) {
-		k.Rejected.Add(1)
-	}
-}
-
-func (k *Manager) closureVersion() ident.Version {
-	if held := k.table.Load(); held != nil {
-		return held.Closures.Version
-	}
-	return k.closuresBeforeTable.Version
-}
-
-// EncodeClosures and DecodeClosures are the form in which closures travel between daemons.
-func EncodeClosures(closures closure.Set) []byte {
-	data, err := json.Marshal(closures)
-	if err != nil {
-		panic("broken invariant: closures cannot be encoded: " + err.Error())
-	}
-	return data
-}
-
-// DecodeClosures reads them; it gives nil for garbage.
-func DecodeClosures(data []byte) *closure.Set {
-	var closures closure.Set
-	if len(data) == 0 || json.Unmarshal(data, &closures) != nil {
-		return nil
+	if raw, err := offered.Raw(); err != nil || !bytes.Equal(raw, current.Raw) {
+		m.Rejected.Add(1)
 	}
-	return &closures
 }
--- a/process/rollout/rollout_test.go
+++ b/process/rollout/rollout_test.go
@@ -18,80 +18,80 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// bundleOf is the bundle of an epoch; another variant is other bytes under the same number.
-func bundleOf(t testing.TB, epoch ident.Version, variant string) []byte {
-	raw, err := json.Marshal(document.Configuration{Name: variant, Forward: &upstream.Section{Revision: uint64(epoch), Pools: []upstream.Pool{{Name: "p"}}}})
+// bundleOf is the configuration of a version; another variant is other bytes as the same version.
+func bundleOf(t testing.TB, version ident.Version, variant string) []byte {
+	raw, err := json.Marshal(document.Configuration{Name: variant, Forward: &upstream.Section{Revision: uint64(version), Pools: []upstream.Pool{{Name: "p"}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return raw
 }
 
-// seen is what one observer saw in force, one after the other.
-type seen struct{ bundles, closures []ident.Version }
+// observer records the versions that it saw in force, one after the other.
+type observer struct{ bundles, closures []ident.Version }
 
-func (s *seen) look(k *Manager) {
-	if held := k.Table(); held != nil {
-		s.bundles, s.closures = append(s.bundles, held.Version), append(s.closures, held.Closures.Version)
+func (s *observer) look(manager *Manager) {
+	if current := manager.Table(); current != nil {
+		s.bundles, s.closures = append(s.bundles, current.Version), append(s.closures, current.Closures.Version)
 	}
 }
 
-func rises(epochs []ident.Version) bool {
-	for place := 1; place < len(epochs); place++ {
-		if epochs[place] < epochs[place-1] {
+func rises(versions []ident.Version) bool {
+	for index := 1; index < len(versions); index++ {
+		if versions[index] < versions[index-1] {
 			return false
 		}
 	}
 	return true
 }
 
-// run starts a keeper that tells the observer of each change, and gives back how to end it.
-func run(observer *seen) (*Manager, func()) {
+// run starts a manager that notifies the observer of each change; the function ends it.
+func run(observer *observer) (*Manager, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	var keeper *Manager
-	keeper = New(func() time.Time { return time.Time{} }, func() { observer.look(keeper) })
-	go func() { defer close(ended); keeper.Run(ctx) }()
-	return keeper, func() { cancel(); <-ended }
+	var manager *Manager
+	manager = New(func() time.Time { return time.Time{} }, func() { observer.look(manager) })
+	go func() { defer close(ended); manager.Run(ctx) }()
+	return manager, func() { cancel(); <-ended }
 }
 
 // TestOlderVersionNeverReplacesANewerOne: whatever is offered by how many at once, and in whatever order, what is in
-// force only ever rises, ends at the newest of all, and keeps the bytes that came first under a number.
+// force only ever rises, ends at the newest of all, and keeps the bytes that came first as a version.
 func TestOlderVersionNeverReplacesANewerOne(t *testing.T) {
 	parameters := gopter.DefaultTestParameters()
 	parameters.MinSuccessfulTests = 60
 	properties := gopter.NewProperties(parameters)
-	properties.Property("epochs never fall", prop.ForAll(func(offers []uint8) bool {
+	properties.Property("versions never fall", prop.ForAll(func(offers []uint8) bool {
 		const offerers = 4
-		inForce := &seen{}
-		keeper, end := run(inForce)
+		inForce := &observer{}
+		manager, end := run(inForce)
 		var newest, newestClosure ident.Version
 		var offered sync.WaitGroup
-		readers := make([]seen, offerers)
+		readers := make([]observer, offerers)
 		for offerer := range offerers {
-			for place := offerer; place < len(offers); place += offerers {
-				epoch, closureEpoch := ident.Version(offers[place]%13), ident.Version(offers[place]/13)
-				if offers[place]%7 != 0 {
-					newest, newestClosure = max(newest, epoch), max(newestClosure, closureEpoch)
+			for index := offerer; index < len(offers); index += offerers {
+				version, closureVersion := ident.Version(offers[index]%13), ident.Version(offers[index]/13)
+				if offers[index]%7 != 0 {
+					newest, newestClosure = max(newest, version), max(newestClosure, closureVersion)
 				}
 			}
 			offered.Add(1)
 			go func() {
 				defer offered.Done()
-				for place := offerer; place < len(offers); place += offerers {
-					epoch, closureEpoch := ident.Version(offers[place]%13), ident.Version(offers[place]/13)
-					raw := bundleOf(t, epoch, "same")
-					bundle, closures := compression.Bundle{Data: raw}, &closure.Set{Version: closureEpoch}
+				for index := offerer; index < len(offers); index += offerers {
+					version, closureVersion := ident.Version(offers[index]%13), ident.Version(offers[index]/13)
+					raw := bundleOf(t, version, "same")
+					bundle, closures := compression.Bundle{Data: raw}, &closure.Set{Version: closureVersion}
 					switch {
-					case offers[place]%7 == 0:
+					case offers[index]%7 == 0:
 						bundle.Data, closures = []byte("garbage"), nil
-					case offers[place]%2 == 0:
+					case offers[index]%2 == 0:
 						bundle = compression.Bundle{Data: compression.Compress(raw), Compressed: true}
 					}
-					keeper.Offer(epoch, bundle, closures)
-					readers[offerer].look(keeper)
-					if held := keeper.Table(); offers[place]%7 != 0 && epoch > 0 && (held == nil || held.Version < epoch) {
-						t.Errorf("epoch %d was offered, and an older one is in force", epoch)
+					manager.Offer(version, bundle, closures)
+					readers[offerer].look(manager)
+					if current := manager.Table(); offers[index]%7 != 0 && version > 0 && (current == nil || current.Version < version) {
+						t.Errorf("version %d was offered, and an older one is in force", version)
 					}
 				}
 			}()
@@ -103,46 +103,48 @@
 				return false
 			}
 		}
-		held := keeper.Table()
+		current := manager.Table()
 		if newest == 0 {
-			return held == nil
+			return current == nil
 		}
-		return held != nil && held.Version == newest && held.Closures.Version == newestClosure
+		return current != nil && current.Version == newest && current.Closures.Version == newestClosure
 	}, gen.SliceOfN(40, gen.UInt8())))
 	properties.TestingRun(t)
 }
 
-// TestDifferentConfigurationUnderOneVersionIsRejected: the first bytes under a number stay, packed or not, and what differs counts.
+// TestDifferentConfigurationUnderOneVersionIsRejected: the first bytes of a version stay, compressed or not, and what
+// differs counts.
 func TestDifferentConfigurationUnderOneVersionIsRejected(t *testing.T) {
-	keeper, end := run(&seen{})
+	manager, end := run(&observer{})
 	defer end()
 	first := bundleOf(t, 5, "first")
-	keeper.Offer(5, compression.Bundle{Data: first}, nil)
-	keeper.Offer(5, compression.Bundle{Data: compression.Compress(first), Compressed: true}, nil)
-	if refused := keeper.Rejected.Load(); refused != 0 {
-		t.Errorf("%d refused of the same bytes", refused)
+	manager.Offer(5, compression.Bundle{Data: first}, nil)
+	manager.Offer(5, compression.Bundle{Data: compression.Compress(first), Compressed: true}, nil)
+	if refused := manager.Rejected.Load(); refused != 0 {
+		t.Errorf("%d rejected of the same bytes", refused)
 	}
-	keeper.Offer(5, compression.Bundle{Data: bundleOf(t, 5, "second")}, nil)
-	keeper.Offer(4, compression.Bundle{Data: bundleOf(t, 4, "older")}, nil)
-	if held := keeper.Table(); string(held.Raw) != string(first) || held.Version != 5 || keeper.Rejected.Load() != 1 {
-		t.Errorf("epoch %d, %s, %d refused", held.Version, held.Raw, keeper.Rejected.Load())
+	manager.Offer(5, compression.Bundle{Data: bundleOf(t, 5, "second")}, nil)
+	manager.Offer(4, compression.Bundle{Data: bundleOf(t, 4, "older")}, nil)
+	if current := manager.Table(); string(current.Raw) != string(first) || current.Version != 5 || manager.Rejected.Load() != 1 {
+		t.Errorf("version %d, %s, %d rejected", current.Version, current.Raw, manager.Rejected.Load())
 	}
 }
 
-// TestRememberedPastConfigurationIsNotInForce: a bundle of an earlier life can be recalled, and changes nothing.
+// TestRememberedPastConfigurationIsNotInForce: a configuration of an earlier incarnation can be read back,
+// and changes nothing.
 func TestRememberedPastConfigurationIsNotInForce(t *testing.T) {
-	keeper, end := run(&seen{})
+	manager, end := run(&observer{})
 	defer end()
-	keeper.RememberPast(9, bundleOf(t, 9, "earlier"))
-	if keeper.Table() != nil {
+	manager.RememberPast(9, bundleOf(t, 9, "earlier"))
+	if manager.Table() != nil {
 		t.Error("what was only remembered is in force")
 	}
-	keeper.Offer(3, compression.Bundle{Data: bundleOf(t, 3, "now")}, nil)
-	keeper.RememberPast(10, bundleOf(t, 10, "earlier"))
-	if held := keeper.Table(); held == nil || held.Version != 3 {
-		t.Errorf("%+v", held)
+	manager.Offer(3, compression.Bundle{Data: bundleOf(t, 3, "now")}, nil)
+	manager.RememberPast(10, bundleOf(t, 10, "earlier"))
+	if current := manager.Table(); current == nil || current.Version != 3 {
+		t.Errorf("%+v", current)
 	}
-	if raw, known := keeper.Past(10); !known || string(raw) != string(bundleOf(t, 10, "earlier")) {
-		t.Error("it can't be recalled")
+	if raw, known := manager.Past(10); !known || string(raw) != string(bundleOf(t, 10, "earlier")) {
+		t.Error("it can't be read back")
 	}
 }
