--- a/daemon/applybundle.go
+++ b/daemon/applybundle.go
@@ -63,14 +63,22 @@
 		}
 		select {
 		case <-bounded.Done():
-			return operatorapi.ApplyResponse{Outcome: operatorapi.Unknown, Reason: "the control group gave no answer in time; send the same call again"}
+			return operatorapi.ApplyResponse{
+				Outcome: operatorapi.Unknown,
+				Reason:  "the control group gave no answer in time; send the same call again",
+			}
 		case <-ticker.C:
 		}
 	}
 }
 
 func (d *Daemon) applyRequest(call operatorapi.ApplyRequest) *peerapi.ApplyRequest {
-	request := &peerapi.ApplyRequest{Group: string(d.Group()), BaseVersion: uint64(call.Base), Digest: call.Digest, Operator: call.Operator}
+	request := &peerapi.ApplyRequest{
+		Group:       string(d.Group()),
+		BaseVersion: uint64(call.Base),
+		Digest:      call.Digest,
+		Operator:    call.Operator,
+	}
 	if call.Patch != nil {
 		data, err := json.Marshal(call.Patch)
 		if err != nil {
@@ -84,12 +92,21 @@
 }
 
 // sendApply forwards the call to a daemon that may lead; redirected is where that one says that the leader is.
-func (d *Daemon) sendApply(ctx context.Context, address string, request *peerapi.ApplyRequest) (answer operatorapi.ApplyResponse, redirected string, outcome replica.Outcome) {
+func (d *Daemon) sendApply(ctx context.Context, address string, request *peerapi.ApplyRequest) (
+	answer operatorapi.ApplyResponse, redirected string, outcome replica.Outcome,
+) {
 	until, _ := ctx.Deadline()
 	bounded, cancel := d.whileLeader(ctx, address, time.Until(until))
 	defer cancel()
-	sent := &peerapi.ApplyRequest{Group: request.Group, BaseVersion: request.BaseVersion, Digest: request.Digest, Operator: request.Operator,
-		Bundle: request.Bundle, Patch: request.Patch, TimeoutMs: time.Until(until).Milliseconds()}
+	sent := &peerapi.ApplyRequest{
+		Group:       request.Group,
+		BaseVersion: request.BaseVersion,
+		Digest:      request.Digest,
+		Operator:    request.Operator,
+		Bundle:      request.Bundle,
+		Patch:       request.Patch,
+		TimeoutMs:   time.Until(until).Milliseconds(),
+	}
 	reply, err := d.links.Client(address).Apply(bounded, sent)
 	if err != nil {
 		return answer, "", replica.Unknown
@@ -143,7 +160,10 @@
 		return operatorapi.ApplyResponse{}, replica.NotLeader
 	}
 	if !d.config.DirectApply {
-		return operatorapi.ApplyResponse{Outcome: operatorapi.Forbidden, Reason: "this fleet's bundles are reviewed and signed off; propose it instead"}, replica.Applied
+		return operatorapi.ApplyResponse{
+			Outcome: operatorapi.Forbidden,
+			Reason:  "this fleet's bundles are reviewed and signed off; propose it instead",
+		}, replica.Applied
 	}
 	var standing directapply.View
 	if outcome := groupMember.Read(ctx, func(state *statemachine.State) { standing = directapply.ViewOf(state, call) }); outcome != replica.Applied {
--- a/daemon/attemptowners.go
+++ b/daemon/attemptowners.go
@@ -40,7 +40,14 @@
 			client = d.links.Client(owner)
 			d.counters.attemptQueries.Add(1)
 		}
-		request := &peerapi.AttemptRequest{Attempt: query.Attempt, Owner: query.Owner, Digest: query.Digest, AgeMs: query.Age.Milliseconds(), Action: string(query.Action), OtherOwnerAddress: owners.Informed[owner]}
+		request := &peerapi.AttemptRequest{
+			Attempt:           query.Attempt,
+			Owner:             query.Owner,
+			Digest:            query.Digest,
+			AgeMs:             query.Age.Milliseconds(),
+			Action:            string(query.Action),
+			OtherOwnerAddress: owners.Informed[owner],
+		}
 		go func() {
 			reply, err := client.Attempt(ctx, request)
 			if err != nil {
@@ -71,8 +78,13 @@
 
 // attemptQuery returns the query about one request of this daemon.
 func (d *Daemon) attemptQuery(action deduplication.Action, id dispatch.RecordID, request dispatch.Request, arrived clock.Mark) deduplication.Request {
-	return deduplication.Request{Attempt: request.Attempt, Owner: string(d.nodeID) + "/" + strconv.FormatUint(uint64(id), 10),
-		Digest: request.Digest, Age: d.clock.Elapsed().Since(arrived), Action: action}
+	return deduplication.Request{
+		Attempt: request.Attempt,
+		Owner:   string(d.nodeID) + "/" + strconv.FormatUint(uint64(id), 10),
+		Digest:  request.Digest,
+		Age:     d.clock.Elapsed().Since(arrived),
+		Action:  action,
+	}
 }
 
 // recentlyStarted says whether this incarnation may not know of attempts that the one before knew of. If it saw the
@@ -91,8 +103,13 @@
 	}
 	reply, startedRecently := &peerapi.AttemptReply{}, d.recentlyStarted()
 	if !d.attempts.Do(func(now clock.Mark, memory *deduplication.Memory) {
-		reply.Outcome = string(memory.Handle(now, deduplication.Request{Attempt: in.Attempt, Owner: in.Owner, Digest: in.Digest,
-			Age: time.Duration(in.AgeMs) * time.Millisecond, Action: action}))
+		reply.Outcome = string(memory.Handle(now, deduplication.Request{
+			Attempt: in.Attempt,
+			Owner:   in.Owner,
+			Digest:  in.Digest,
+			Age:     time.Duration(in.AgeMs) * time.Millisecond,
+			Action:  action,
+		}))
 		reply.Fresh = startedRecently && !memory.SyncedFrom(in.OtherOwnerAddress)
 	}) {
 		return nil, twirp.NewError(twirp.Unavailable, "this daemon is stopping")
@@ -104,8 +121,12 @@
 func (d *Daemon) Remember(_ context.Context, in *peerapi.RememberRequest) (*peerapi.Empty, error) {
 	d.attempts.Do(func(now clock.Mark, memory *deduplication.Memory) {
 		for _, one := range in.Attempts {
-			memory.Merge(now, one.Attempt, deduplication.Entry{Owner: one.Owner, Digest: one.Digest, Rejected: one.Refused,
-				At: now - clock.Mark(time.Duration(one.AgeMs)*time.Millisecond)})
+			memory.Merge(now, one.Attempt, deduplication.Entry{
+				Owner:    one.Owner,
+				Digest:   one.Digest,
+				Rejected: one.Refused,
+				At:       now - clock.Mark(time.Duration(one.AgeMs)*time.Millisecond),
+			})
 		}
 		if in.From != "" && in.Complete {
 			memory.MarkSynced(in.From)
--- a/daemon/calllimits_test.go
+++ b/daemon/calllimits_test.go
@@ -69,9 +69,17 @@
 		const group = ident.GroupID("aa")
 		var members raft.Membership
 		for id := range raft.MemberID(3) {
-			members.Members = append(members.Members, raft.Member{ID: id + 1, Name: fmt.Sprint("core-", id+1), Address: fmt.Sprint("core-", id+1), Voter: true})
+			members.Members = append(members.Members, raft.Member{
+				ID:      id + 1,
+				Name:    fmt.Sprint("core-", id+1),
+				Address: fmt.Sprint("core-", id+1),
+				Voter:   true,
+			})
+		}
+		first := raft.PersistentState{
+			HardState: raft.HardState{Term: 1},
+			Snapshot:  raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: statemachine.New().Snapshot()},
 		}
-		first := raft.PersistentState{HardState: raft.HardState{Term: 1}, Snapshot: raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: statemachine.New().Snapshot()}}
 		all, partitioned := map[raft.MemberID]*replica.Replica{}, map[raft.MemberID]*atomic.Bool{}
 		for _, member := range members.Members {
 			partitioned[member.ID] = &atomic.Bool{}
--- a/daemon/changetrace.go
+++ b/daemon/changetrace.go
@@ -26,11 +26,20 @@
 	if kind == "closure" {
 		version = newest.Closure
 	}
-	out := operatorapi.Trace{Change: change, Rows: []operatorapi.TraceRow{}, Version: ident.Version(version), Known: number > 0 && number <= version}
+	out := operatorapi.Trace{
+		Change:  change,
+		Rows:    []operatorapi.TraceRow{},
+		Version: ident.Version(version),
+		Known:   number > 0 && number <= version,
+	}
 	now := d.clock.Elapsed()
 	unseen := newest.Serving
 	for _, peer := range d.members.View().InContact(now, time.Minute) {
-		row := operatorapi.TraceRow{NodeID: peer.NodeID, Zone: peer.Zone, LastContactMsAgo: now.Since(peer.LastContact).Milliseconds()}
+		row := operatorapi.TraceRow{
+			NodeID:           peer.NodeID,
+			Zone:             peer.Zone,
+			LastContactMsAgo: now.Since(peer.LastContact).Milliseconds(),
+		}
 		if at := slices.Index(unseen, peer.NodeID); at >= 0 {
 			row.Serving, unseen = true, slices.Delete(unseen, at, at+1)
 		}
@@ -57,7 +66,12 @@
 	for _, node := range unseen {
 		// The daemon may be serving and has been out of contact for long, so the change can't count as in force
 		// there.
-		out.Rows = append(out.Rows, operatorapi.TraceRow{NodeID: node, LastContactMsAgo: -1, Missing: true, Serving: true})
+		out.Rows = append(out.Rows, operatorapi.TraceRow{
+			NodeID:           node,
+			LastContactMsAgo: -1,
+			Missing:          true,
+			Serving:          true,
+		})
 	}
 	out.Acknowledged = out.Known && !slices.ContainsFunc(out.Rows, func(row operatorapi.TraceRow) bool { return row.Serving && row.Missing })
 	data, err := json.Marshal(out)
--- a/daemon/commands.go
+++ b/daemon/commands.go
@@ -28,9 +28,19 @@
 
 // forwardableOps lists the commands that another daemon may forward to the leader.
 var forwardableOps = map[statemachine.Op]bool{
-	statemachine.OpAcquire: true, statemachine.OpRenew: true, statemachine.OpRelease: true,
-	statemachine.OpPropose: true, statemachine.OpReview: true, statemachine.OpSignOff: true, statemachine.OpRollOut: true,
-	statemachine.OpClosure: true, statemachine.OpProtect: true, statemachine.OpRegister: true, statemachine.OpDeclareLost: true, statemachine.OpAcquirePlanner: true, statemachine.OpReleasePlanner: true,
+	statemachine.OpAcquire:        true,
+	statemachine.OpRenew:          true,
+	statemachine.OpRelease:        true,
+	statemachine.OpPropose:        true,
+	statemachine.OpReview:         true,
+	statemachine.OpSignOff:        true,
+	statemachine.OpRollOut:        true,
+	statemachine.OpClosure:        true,
+	statemachine.OpProtect:        true,
+	statemachine.OpRegister:       true,
+	statemachine.OpDeclareLost:    true,
+	statemachine.OpAcquirePlanner: true,
+	statemachine.OpReleasePlanner: true,
 	statemachine.OpEngineDeparted: true,
 }
 
@@ -76,7 +86,10 @@
 			limit += reachLimit
 		}
 		bounded, cancel := d.whileLeader(ctx, address, limit)
-		reply, err := d.links.Client(address).Submit(bounded, &peerapi.SubmitRequest{Group: string(d.Group()), Command: data})
+		reply, err := d.links.Client(address).Submit(bounded, &peerapi.SubmitRequest{
+			Group:   string(d.Group()),
+			Command: data,
+		})
 		cancel()
 		if err != nil {
 			return rollout.Response{}, false
@@ -131,7 +144,10 @@
 		// A configuration with faults never gets into the log.
 		parsed, faults := document.Parse(command.Configuration)
 		if len(faults) > 0 {
-			return rollout.Response{Result: statemachine.Result{Outcome: statemachine.Malformed, Reason: "the bundle has faults"}, Faults: faults}, replica.Applied
+			return rollout.Response{
+				Result: statemachine.Result{Outcome: statemachine.Malformed, Reason: "the bundle has faults"},
+				Faults: faults,
+			}, replica.Applied
 		}
 		if parsed.Forward != nil {
 			command.Revision = ident.Revision(parsed.Forward.Revision)
--- a/daemon/controlcontact.go
+++ b/daemon/controlcontact.go
@@ -46,7 +46,9 @@
 
 // contactOf is controlContact for a view; syncedAt is up to when the registry of the control daemon at an address was
 // pulled.
-func contactOf(view *membership.View, self ident.NodeID, now clock.Mark, syncedAt func(address string) clock.Mark, period time.Duration, alone func() bool) registry.Connectivity {
+func contactOf(view *membership.View, self ident.NodeID, now clock.Mark, syncedAt func(address string) clock.Mark,
+	period time.Duration, alone func() bool,
+) registry.Connectivity {
 	out, others := registry.Connectivity{Horizon: now}, 0
 	for _, peer := range view.Members {
 		if peer.NodeID == self || !peer.Serves(string(daemonconfig.Control)) || now.Since(peer.LastContact) > membership.ContactWindow {
--- a/daemon/controlcontact_test.go
+++ b/daemon/controlcontact_test.go
@@ -37,14 +37,26 @@
 		heardLeader, heardPeer time.Duration
 		alone, may             bool
 	}{
-		"in touch":                       {heardLeader: 300 * time.Millisecond, heardPeer: 200 * time.Millisecond, may: true},
+		"in touch": {
+			heardLeader: 300 * time.Millisecond,
+			heardPeer:   200 * time.Millisecond,
+			may:         true,
+		},
 		"cut off together":               {heardLeader: 2 * time.Second, heardPeer: 200 * time.Millisecond},
 		"the peer told long ago":         {heardLeader: 300 * time.Millisecond, heardPeer: 1200 * time.Millisecond},
 		"nobody else, and not the group": {heardLeader: 0, heardPeer: time.Minute},
 		"the whole group":                {heardLeader: 0, heardPeer: time.Minute, alone: true, may: true},
 	} {
-		peer := membership.Member{NodeID: "peer#1", Address: "peer", Roles: []string{string(daemonconfig.Control)}, LastContact: ago(c.heardPeer)}
-		view := &membership.View{Members: map[ident.NodeID]membership.Member{"peer#1": peer}, LastLeaderContact: ago(c.heardLeader)}
+		peer := membership.Member{
+			NodeID:      "peer#1",
+			Address:     "peer",
+			Roles:       []string{string(daemonconfig.Control)},
+			LastContact: ago(c.heardPeer),
+		}
+		view := &membership.View{
+			Members:           map[ident.NodeID]membership.Member{"peer#1": peer},
+			LastLeaderContact: ago(c.heardLeader),
+		}
 		got := contactOf(view, "self#1", now, func(string) clock.Mark { return ago(c.heardPeer) }, period, func() bool { return c.alone })
 		if got.CanDetectTimeouts != c.may {
 			t.Errorf("%s: may judge %t", name, got.CanDetectTimeouts)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -129,6 +129,13 @@
 	counters counters
 }
 
+const (
+	// fatalCapacity is how many errors that end the daemon are held until Run takes the first.
+	fatalCapacity = 4
+	// unreadyCapacity is how many failed readiness checks are held until drain takes them.
+	unreadyCapacity = 8
+)
+
 // New makes a daemon from validated settings. It opens nothing and starts no goroutine; Run does.
 func New(config daemonconfig.Config, version string, logger log.Interface, options ...Option) *Daemon {
 	var incarnation [4]byte
@@ -136,12 +143,23 @@
 		panic("broken invariant: no randomness: " + err.Error())
 	}
 	d := &Daemon{
-		config: config, version: version, clock: clock.System{},
+		config:  config,
+		version: version,
+		clock:   clock.System{},
 		// Each incarnation has a node id of its own, so the lease and the ids of an earlier one can't be used again.
-		nodeID:        ident.NodeID(config.Name + "#" + hex.EncodeToString(incarnation[:])),
-		replicaConfig: replica.DefaultConfig(), adoptedGroup: make(chan ident.GroupID, 1), fatal: make(chan error, 4), unreadyAnswered: make(chan struct{}, 8),
-		applySlot: make(chan struct{}, 1), applyLimit: applyLimit, applyReach: applyReach,
-		peerDemand: map[ident.NodeID]*demand.Receiver{}, affinityTable: affinity.NewTable(), wrapDisk: func(disk replica.Disk) replica.Disk { return disk }, stallLimit: stallLimit, overrunLimit: overrunLimit,
+		nodeID:          ident.NodeID(config.Name + "#" + hex.EncodeToString(incarnation[:])),
+		replicaConfig:   replica.DefaultConfig(),
+		adoptedGroup:    make(chan ident.GroupID, 1),
+		fatal:           make(chan error, fatalCapacity),
+		unreadyAnswered: make(chan struct{}, unreadyCapacity),
+		applySlot:       make(chan struct{}, 1),
+		applyLimit:      applyLimit,
+		applyReach:      applyReach,
+		peerDemand:      map[ident.NodeID]*demand.Receiver{},
+		affinityTable:   affinity.NewTable(),
+		wrapDisk:        func(disk replica.Disk) replica.Disk { return disk },
+		stallLimit:      stallLimit,
+		overrunLimit:    overrunLimit,
 	}
 	d.replicaConfig.Voters, d.replicaConfig.Build = config.Voters, version
 	if config.Compaction.Entries > 0 {
@@ -156,7 +174,11 @@
 	d.generator = snowflake.New(d.clock, leaseMargin)
 	d.current.Store(&config)
 	d.notifier, d.callerGate = longpoll.NewNotifier(), listener.NewGate()
-	d.listeners = listener.Opener{Retry: config.OnFault == daemonconfig.RetryOnFault, Log: d.log, Faults: &d.counters.listenerFaults}
+	d.listeners = listener.Opener{
+		Retry:  config.OnFault == daemonconfig.RetryOnFault,
+		Log:    d.log,
+		Faults: &d.counters.listenerFaults,
+	}
 	d.sentVersions.randomize()
 	return d
 }
--- a/daemon/demand.go
+++ b/daemon/demand.go
@@ -27,25 +27,41 @@
 	if !d.config.Serves(daemonconfig.Route) {
 		return false
 	}
-	var all []*peerapi.Demand
-	var seated []*peerapi.EngineSessions
+	var demands []*peerapi.Demand
+	var assigned []*peerapi.EngineSessions
 	snapshot := d.dispatch.Snapshot()
 	for _, demand := range snapshot.Demands {
-		all = append(all, &peerapi.Demand{Model: demand.Model, Adapter: demand.Adapter, Value: demand.Value, Queued: int64(demand.Queued), Running: int64(demand.Running)})
-	}
-	all = append(all, d.forwardDemands()...)
-	for _, seat := range snapshot.Assignments {
-		seated = append(seated, &peerapi.EngineSessions{Engine: string(seat.Engine), Model: seat.Model, Adapter: seat.Adapter, Sessions: int64(seat.Sessions)})
-	}
-	waits = slices.ContainsFunc(all, func(demand *peerapi.Demand) bool { return demand.Queued > 0 })
+		demands = append(demands, &peerapi.Demand{
+			Model:   demand.Model,
+			Adapter: demand.Adapter,
+			Value:   demand.Value,
+			Queued:  int64(demand.Queued),
+			Running: int64(demand.Running),
+		})
+	}
+	demands = append(demands, d.forwardDemands()...)
+	for _, sessions := range snapshot.Assignments {
+		assigned = append(assigned, &peerapi.EngineSessions{
+			Engine:   string(sessions.Engine),
+			Model:    sessions.Model,
+			Adapter:  sessions.Adapter,
+			Sessions: int64(sessions.Sessions),
+		})
+	}
+	waits = slices.ContainsFunc(demands, func(demand *peerapi.Demand) bool { return demand.Queued > 0 })
 	if onlyWaiting && !waits {
 		return false
 	}
-	message := d.demandSender.Next(d.clock.Elapsed(), request.PlannerAddress, all, seated)
+	message := d.demandSender.Next(d.clock.Elapsed(), request.PlannerAddress, demands, assigned)
 	request.DemandVersion, request.DemandBaseVersion, request.Demand, request.Sessions = message.Seq, message.Base, message.Demand, message.Sessions
-	for _, one := range d.forwardOutcomes() {
-		request.Outcomes = append(request.Outcomes, &peerapi.EngineOutcomes{Engine: string(one.Engine), Attempts: int64(one.Attempts), Failures: int64(one.Failures),
-			Refusals: int64(one.Refusals), Overdue: int64(one.Overdue)})
+	for _, outcome := range d.forwardOutcomes() {
+		request.Outcomes = append(request.Outcomes, &peerapi.EngineOutcomes{
+			Engine:   string(outcome.Engine),
+			Attempts: int64(outcome.Attempts),
+			Failures: int64(outcome.Failures),
+			Refusals: int64(outcome.Refusals),
+			Overdue:  int64(outcome.Overdue),
+		})
 	}
 	if !onlyWaiting {
 		request.Nodes = d.nodeRanking.TakeDigests()
@@ -61,8 +77,17 @@
 	demands := d.forwarding.actor.Demands()
 	out := make([]*peerapi.Demand, 0, len(demands))
 	for _, one := range demands {
-		out = append(out, &peerapi.Demand{Pool: one.Pool, Model: one.Model, Adapter: one.Adapter, Queued: int64(one.Queued), Running: int64(one.Running),
-			Tokens: one.TokensPerSecond, Arrivals: one.ArrivalsPerSecond, OldestMs: one.OldestQueuedFor.Milliseconds(), Rank: int64(one.Rank)})
+		out = append(out, &peerapi.Demand{
+			Pool:     one.Pool,
+			Model:    one.Model,
+			Adapter:  one.Adapter,
+			Queued:   int64(one.Queued),
+			Running:  int64(one.Running),
+			Tokens:   one.TokensPerSecond,
+			Arrivals: one.ArrivalsPerSecond,
+			OldestMs: one.OldestQueuedFor.Milliseconds(),
+			Rank:     int64(one.Rank),
+		})
 	}
 	return out
 }
@@ -75,39 +100,52 @@
 	}
 	d.peerDemandMutex.Lock()
 	defer d.peerDemandMutex.Unlock()
-	heard := d.peerDemand[ident.NodeID(in.NodeId)]
-	if heard == nil {
-		heard = &demand.Receiver{}
-		d.peerDemand[ident.NodeID(in.NodeId)] = heard
-	}
-	return heard.Apply(d.clock.Elapsed(), demand.Report{Seq: in.DemandVersion, Base: in.DemandBaseVersion, Demand: in.Demand, Sessions: in.Sessions})
+	receiver := d.peerDemand[ident.NodeID(in.NodeId)]
+	if receiver == nil {
+		receiver = &demand.Receiver{}
+		d.peerDemand[ident.NodeID(in.NodeId)] = receiver
+	}
+	return receiver.Apply(d.clock.Elapsed(), demand.Report{
+		Seq:      in.DemandVersion,
+		Base:     in.DemandBaseVersion,
+		Demand:   in.Demand,
+		Sessions: in.Sessions,
+	})
 }
 
 // collectDemand gathers the recent demand of this daemon, as own, and of all others.
 func (d *Daemon) collectDemand(now clock.Mark, own []*peerapi.Demand) []poolplacement.Demand {
 	var out []poolplacement.Demand
-	take := func(demand *peerapi.Demand, ago time.Duration, share float64) {
+	add := func(demand *peerapi.Demand, age time.Duration, fraction float64) {
 		if demand.Pool == "" {
 			return
 		}
-		one := poolplacement.Demand{Pool: demand.Pool, Model: demand.Model, Adapter: demand.Adapter, Held: int(demand.Queued), Running: int(demand.Running),
-			Tokens: demand.Tokens * share, Arrivals: demand.Arrivals * share, Rank: int(demand.Rank)}
+		one := poolplacement.Demand{
+			Pool:     demand.Pool,
+			Model:    demand.Model,
+			Adapter:  demand.Adapter,
+			Held:     int(demand.Queued),
+			Running:  int(demand.Running),
+			Tokens:   demand.Tokens * fraction,
+			Arrivals: demand.Arrivals * fraction,
+			Rank:     int(demand.Rank),
+		}
 		if demand.Queued > 0 {
-			one.Oldest = time.Duration(demand.OldestMs)*time.Millisecond + ago
+			one.Oldest = time.Duration(demand.OldestMs)*time.Millisecond + age
 		}
 		out = append(out, one)
 	}
 	for _, demand := range own {
-		take(demand, 0, 1)
+		add(demand, 0, 1)
 	}
 	d.peerDemandMutex.Lock()
 	defer d.peerDemandMutex.Unlock()
-	for node, heard := range d.peerDemand {
-		ago := now.Since(heard.At)
-		if ago < demandFresh {
-			heard.Each(now, take)
+	for node, receiver := range d.peerDemand {
+		age := now.Since(receiver.At)
+		if age < demandFresh {
+			receiver.Each(now, add)
 		}
-		if ago > peerDemandRetained {
+		if age > peerDemandRetained {
 			delete(d.peerDemand, node)
 		}
 	}
@@ -128,9 +166,14 @@
 		return
 	}
 	observation := outlier.Observation{Zone: ident.ZoneID(in.Zone)}
-	for _, one := range in.Outcomes {
-		observation.Digests = append(observation.Digests, outlier.Digest{Engine: ident.EngineID(one.Engine), Attempts: int(one.Attempts), Failures: int(one.Failures),
-			Refusals: int(one.Refusals), Overdue: int(one.Overdue)})
+	for _, outcome := range in.Outcomes {
+		observation.Digests = append(observation.Digests, outlier.Digest{
+			Engine:   ident.EngineID(outcome.Engine),
+			Attempts: int(outcome.Attempts),
+			Failures: int(outcome.Failures),
+			Refusals: int(outcome.Refusals),
+			Overdue:  int(outcome.Overdue),
+		})
 	}
 	d.peerDemandMutex.Lock()
 	defer d.peerDemandMutex.Unlock()
--- a/daemon/dispatch.go
+++ b/daemon/dispatch.go
@@ -28,9 +28,15 @@
 func (d *Daemon) World() dispatch.World {
 	_, notReady := d.members.Ready()
 	return dispatch.World{
-		UnplacedWaits: d.shortagesNow(),
-		Now:           d.clock.Elapsed(), Table: d.rollout.Table(), Engines: d.watcher.View(), NotReady: notReady, Mint: d.generator.Next,
-		Zone: d.config.Zone, ShareAssignments: true, Admission: true,
+		UnplacedWaits:    d.shortagesNow(),
+		Now:              d.clock.Elapsed(),
+		Table:            d.rollout.Table(),
+		Engines:          d.watcher.View(),
+		NotReady:         notReady,
+		Mint:             d.generator.Next,
+		Zone:             d.config.Zone,
+		ShareAssignments: true,
+		Admission:        true,
 	}
 }
 
@@ -64,26 +70,33 @@
 
 // Carry runs one attempt at an engine to its end, and returns its outcome and the reason. firstPiece is called before
 // the first chunk is passed on.
-func (d *Daemon) Carry(call *dispatch.Call, send dispatch.Send, firstPiece func()) (dispatch.AttemptOutcome, string) {
-	giveBack, granted := d.requestSlot(call, send)
+func (d *Daemon) Carry(call *dispatch.Call, send dispatch.Send, onFirstChunk func()) (dispatch.AttemptOutcome, string) {
+	releaseSlot, granted := d.requestSlot(call, send)
 	if !granted {
 		return dispatch.Withdrawn, "no slot of the engine is free"
 	}
 	refused := false
-	defer func() { giveBack(refused) }()
+	defer func() { releaseSlot(refused) }()
 	// The owners of the attempt are queried while the engine is dialled; the first byte waits for both.
 	claimed := make(chan deduplication.Decision, 1)
 	go func() {
 		claimed <- d.queryAttemptOwners(d.attemptQuery(deduplication.ActionClaim, call.ID, call.Request, call.Arrived))
 	}()
 	var claim deduplication.Decision
-	departed := false
-	left := send.Deadline.Since(d.clock.Elapsed())
+	mayHaveSent := false
+	remaining := send.Deadline.Since(d.clock.Elapsed())
 	began := false
 	result := enginestream.Run(call.Context(), enginestream.Attempt{
-		Address: send.Address, Attempt: call.Request.Attempt,
-		Work: engineapi.Generate{Model: call.Request.Model, Adapter: call.Request.Adapter, Prefix: call.Request.Prefix,
-			Prompt: call.Prompt, Session: call.Request.Session, DeadlineMs: max(1, left.Milliseconds())},
+		Address: send.Address,
+		Attempt: call.Request.Attempt,
+		Work: engineapi.Generate{
+			Model:      call.Request.Model,
+			Adapter:    call.Request.Adapter,
+			Prefix:     call.Request.Prefix,
+			Prompt:     call.Prompt,
+			Session:    call.Request.Session,
+			DeadlineMs: max(1, remaining.Milliseconds()),
+		},
 		LastCheck: func() string {
 			claim = <-claimed
 			reason := ""
@@ -92,23 +105,25 @@
 			} else if reason = d.finalCheck(call, send); reason != "" {
 				d.counters.finalCheckStops.Add(1)
 			}
-			departed = reason == ""
+			mayHaveSent = reason == ""
 			return reason
 		},
 		Chunk: func(chunk []byte) bool {
 			if !began {
 				began = true
-				firstPiece()
+				onFirstChunk()
 			}
 			return call.SendChunk(chunk)
 		},
-		FirstByteTimeout: max(left, time.Millisecond), StallTimeout: d.stallLimit, Timeout: left + d.overrunLimit,
+		FirstByteTimeout: max(remaining, time.Millisecond),
+		StallTimeout:     d.stallLimit,
+		Timeout:          remaining + d.overrunLimit,
 	})
-	if outcome, reason := d.afterClaim(call, result.Outcome, claim, claimed, departed); outcome != result.Outcome {
+	if outcome, reason := d.afterClaim(call, result.Outcome, claim, claimed, mayHaveSent); outcome != result.Outcome {
 		return outcome, reason
 	}
 	refused = result.Outcome == dispatch.EngineRefused || result.Outcome == dispatch.NeverSent
-	d.recordAttempt(send, left, result)
+	d.recordAttempt(send, remaining, result)
 	if began {
 		finishAnswer(call, result)
 	}
@@ -117,7 +132,7 @@
 
 // recordAttempt counts the bytes of an attempt, and has discovery judge the engine by its outcome. left is the time
 // that the attempt had when it began.
-func (d *Daemon) recordAttempt(send dispatch.Send, left time.Duration, result enginestream.Result) {
+func (d *Daemon) recordAttempt(send dispatch.Send, remaining time.Duration, result enginestream.Result) {
 	bytes := uint64(result.Sent + result.Received)
 	if send.Zone == d.config.Zone {
 		d.counters.bytesOwnZone.Add(bytes)
@@ -129,7 +144,7 @@
 		d.watcher.ReportAttempt(send.Engine, true)
 	case dispatch.Lost, dispatch.NeverSent, dispatch.BrokenOff:
 		// An attempt that began late and ran into its own deadline says nothing about the engine.
-		if d.clock.Elapsed() < send.Deadline || left >= fairAttemptTime {
+		if d.clock.Elapsed() < send.Deadline || remaining >= fairAttemptTime {
 			d.watcher.ReportAttempt(send.Engine, false)
 		}
 	}
@@ -145,7 +160,12 @@
 		call.Finish(nil, nil)
 		return
 	}
-	last := relay.EncodeLine(callerapi.Piece{Attempt: call.Request.Attempt, N: result.Chunks, Outcome: callerapi.BrokenOff, Reason: result.Reason})
+	last := relay.EncodeLine(callerapi.Piece{
+		Attempt: call.Request.Attempt,
+		N:       result.Chunks,
+		Outcome: callerapi.BrokenOff,
+		Reason:  result.Reason,
+	})
 	call.Finish(last, errIncompleteAnswer)
 }
 
@@ -157,8 +177,10 @@
 
 // afterClaim frees the claim of an attempt that provably never ran, so that it may come again at any daemon, and
 // returns the outcome of one that its owners rejected.
-func (d *Daemon) afterClaim(call *dispatch.Call, outcome dispatch.AttemptOutcome, claim deduplication.Decision, claimed <-chan deduplication.Decision, departed bool) (dispatch.AttemptOutcome, string) {
-	if departed && outcome != dispatch.EngineRefused {
+func (d *Daemon) afterClaim(call *dispatch.Call, outcome dispatch.AttemptOutcome, claim deduplication.Decision,
+	claimed <-chan deduplication.Decision, mayHaveSent bool,
+) (dispatch.AttemptOutcome, string) {
+	if mayHaveSent && outcome != dispatch.EngineRefused {
 		return outcome, ""
 	}
 	if claim == "" {
@@ -188,9 +210,18 @@
 func (r requestPath) Refuse(call *dispatch.Call, wanted dispatch.Answer) dispatch.Answer {
 	switch r.queryAttemptOwners(r.attemptQuery(deduplication.ActionReject, call.ID, call.Request, call.Arrived)) {
 	case deduplication.Replay, deduplication.Mismatch:
-		return dispatch.Answer{Kind: dispatch.Replay, Status: 409, Reason: "this attempt id was taken by another daemon and is not run again"}
+		return dispatch.Answer{
+			Kind:   dispatch.Replay,
+			Status: 409,
+			Reason: "this attempt id was taken by another daemon and is not run again",
+		}
 	case deduplication.Undetermined:
-		return dispatch.Answer{Kind: dispatch.Unknown, Status: wanted.Status, Reason: wanted.Reason + "; whether another daemon has this attempt cannot be told now", RetryAfter: max(wanted.RetryAfter, time.Second)}
+		return dispatch.Answer{
+			Kind:       dispatch.Unknown,
+			Status:     wanted.Status,
+			Reason:     wanted.Reason + "; whether another daemon has this attempt cannot be told now",
+			RetryAfter: max(wanted.RetryAfter, time.Second),
+		}
 	}
 	return wanted
 }
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -71,13 +71,18 @@
 	defer done()
 	// The group is told that this incarnation no longer serves, also where it has no lease.
 	worker, last, _ := d.generator.ReleaseLease()
-	if _, ok := d.submit(bounded, statemachine.Command{Op: statemachine.OpRelease, NodeID: d.nodeID, WorkerID: worker, LastTimestamp: last}); !ok {
+	if _, ok := d.submit(bounded, statemachine.Command{
+		Op:            statemachine.OpRelease,
+		NodeID:        d.nodeID,
+		WorkerID:      worker,
+		LastTimestamp: last,
+	}); !ok {
 		remaining.add(workerID)
 	}
 	d.retireMember(limit, &remaining)
-	if things := remaining.list(); len(things) > 0 {
-		d.counters.notHandedOver.Add(uint64(len(things)))
-		d.log.WithField("unreleased", things).Warn("stopped without releasing everything")
+	if unreleasedResources := remaining.all(); len(unreleasedResources) > 0 {
+		d.counters.notHandedOver.Add(uint64(len(unreleasedResources)))
+		d.log.WithField("unreleased", unreleasedResources).Warn("stopped without releasing everything")
 		return
 	}
 	d.log.Info("stopped")
@@ -86,11 +91,14 @@
 // handOverRoles gives up planning, and then leadership. The group keeps its size: a machine that stops may come back.
 func (d *Daemon) handOverRoles(limit context.Context, remaining *unreleasedSet) {
 	if d.config.Serves(daemonconfig.Placement) {
-		plans := d.IsPlanner()
+		wasPlanner := d.IsPlanner()
 		d.sessionPlacer.Resign()
 		d.poolPlanning.standDown()
 		bounded, done := context.WithTimeout(limit, claimLimit)
-		if _, ok := d.submitOnce(bounded, statemachine.Command{Op: statemachine.OpReleasePlanner, NodeID: d.nodeID}); !ok && plans {
+		if _, ok := d.submitOnce(bounded, statemachine.Command{
+			Op:     statemachine.OpReleasePlanner,
+			NodeID: d.nodeID,
+		}); !ok && wasPlanner {
 			remaining.add(plannersClaim)
 		}
 		done()
--- a/daemon/drainingengines.go
+++ b/daemon/drainingengines.go
@@ -12,7 +12,11 @@
 	now := d.clock.Elapsed()
 	for id, engine := range d.watcher.View().Engines {
 		if engine.Draining {
-			out = append(out, &peerapi.DrainingEngine{Engine: string(id), Address: engine.Address, KnownMsAgo: now.Since(engine.DrainingSince).Milliseconds()})
+			out = append(out, &peerapi.DrainingEngine{
+				Engine:     string(id),
+				Address:    engine.Address,
+				KnownMsAgo: now.Since(engine.DrainingSince).Milliseconds(),
+			})
 		}
 	}
 	return out
--- a/daemon/engineslots.go
+++ b/daemon/engineslots.go
@@ -37,10 +37,17 @@
 
 // requestSlot asks the owner of an engine's slots for one. An owner that can't be reached must not hold up the
 // attempt: the engine's own admission then bounds it.
-func (d *Daemon) requestSlot(call *dispatch.Call, send dispatch.Send) (giveBack func(refused bool), granted bool) {
+func (d *Daemon) requestSlot(call *dispatch.Call, send dispatch.Send) (releaseSlot func(refused bool), granted bool) {
 	owner := d.slotOwner(send.Engine)
-	request := &peerapi.PermitRequest{Engine: string(send.Engine), Id: string(d.nodeID) + "/" + strconv.FormatUint(d.slotRequestIDs.Add(1), 10),
-		NodeId: string(d.nodeID), HasAssignment: send.Assigned, Value: send.Value, Rank: int64(send.Rank), Tenant: send.Tenant}
+	request := &peerapi.PermitRequest{
+		Engine:        string(send.Engine),
+		Id:            string(d.nodeID) + "/" + strconv.FormatUint(d.slotRequestIDs.Add(1), 10),
+		NodeId:        string(d.nodeID),
+		HasAssignment: send.Assigned,
+		Value:         send.Value,
+		Rank:          int64(send.Rank),
+		Tenant:        send.Tenant,
+	}
 	client := peerapi.Fellow(d)
 	if owner != "" && owner != d.config.AdvertisedPeerAddress() {
 		client = d.links.Client(owner)
@@ -62,7 +69,12 @@
 			defer cancel()
 			// An owner that misses this takes the slot back when the daemon is out of contact, or when its time is
 			// over.
-			_, _ = client.Permit(ctx, &peerapi.PermitRequest{Engine: request.Engine, Id: request.Id, Release: true, Refused: refused})
+			_, _ = client.Permit(ctx, &peerapi.PermitRequest{
+				Engine:  request.Engine,
+				Id:      request.Id,
+				Release: true,
+				Refused: refused,
+			})
 		})
 	}, true
 }
@@ -79,8 +91,13 @@
 		d.engineSlots.Release(ident.EngineID(in.Engine), in.Id, in.Refused)
 		return &peerapi.PermitReply{}, nil
 	}
-	granted := d.engineSlots.Acquire(ctx, admission.Request{ID: in.Id, Node: ident.NodeID(in.NodeId), Engine: ident.EngineID(in.Engine),
-		Key: priority.Key{Assigned: in.HasAssignment, Value: in.Value, Rank: int(in.Rank), Tenant: in.Tenant}, Deadline: d.clock.Elapsed() + clock.Mark(slotWait)})
+	granted := d.engineSlots.Acquire(ctx, admission.Request{
+		ID:       in.Id,
+		Node:     ident.NodeID(in.NodeId),
+		Engine:   ident.EngineID(in.Engine),
+		Key:      priority.Key{Assigned: in.HasAssignment, Value: in.Value, Rank: int(in.Rank), Tenant: in.Tenant},
+		Deadline: d.clock.Elapsed() + clock.Mark(slotWait),
+	})
 	return &peerapi.PermitReply{Granted: granted}, nil
 }
 
--- a/daemon/forwarding.go
+++ b/daemon/forwarding.go
@@ -41,7 +41,9 @@
 // forwardSettings returns the settings of forwarding that are from the daemon's own.
 func forwardSettings(config daemonconfig.Config) forwarding.Settings {
 	settings := forwarding.DefaultSettings()
-	settings.RetryRatio, settings.RetrySlack, settings.RetryWindow = config.Bounds.RetryRatio, config.Bounds.RetrySlack, time.Duration(config.Bounds.RetryWindowMs)*time.Millisecond
+	settings.RetryRatio = config.Bounds.RetryRatio
+	settings.RetrySlack = config.Bounds.RetrySlack
+	settings.RetryWindow = time.Duration(config.Bounds.RetryWindowMs) * time.Millisecond
 	settings.Disabled = config.Experiments.DisabledMechanisms()
 	return settings
 }
@@ -70,8 +72,16 @@
 	side.pools = connectionpool.New(d.clock, side.dialect)
 	side.actor = forwarding.NewActor(side.settings, d.forwardWorld)
 	side.gateway = gateway.New(gateway.Surroundings{
-		Clock: d.clock, Dialect: side.dialect, Index: d.forwardIndex, View: side.view, Current: d.tableIsCurrent, Held: d.generator.HasLease, EngineOpen: d.engineOpen,
-		Draining: d.draining.Load, Settings: side.settings, Recorder: d.nodeRanking.Recorder(),
+		Clock:      d.clock,
+		Dialect:    side.dialect,
+		Index:      d.forwardIndex,
+		View:       side.view,
+		Current:    d.tableIsCurrent,
+		Held:       d.generator.HasLease,
+		EngineOpen: d.engineOpen,
+		Draining:   d.draining.Load,
+		Settings:   side.settings,
+		Recorder:   d.nodeRanking.Recorder(),
 	}, side.actor, side.pools)
 	go side.actor.Run(ctx)
 	go d.runSweeps(ctx)
@@ -79,8 +89,16 @@
 
 // logLoss logs a request that was not served, or too late.
 func (d *Daemon) logLoss(loss forwarding.Loss) {
-	d.log.WithFields(log.Fields{"path": loss.Path, "model": loss.Model, "reason": loss.Reason.String(), "blockedBy": loss.BlockedBy, "returned": loss.Resubmitted,
-		"waitedMs": loss.Waited.Milliseconds(), "queuedMs": loss.Queued.Milliseconds(), "attempts": loss.Attempts}).Debug("request lost or late")
+	d.log.WithFields(log.Fields{
+		"path":      loss.Path,
+		"model":     loss.Model,
+		"reason":    loss.Reason.String(),
+		"blockedBy": loss.BlockedBy,
+		"returned":  loss.Resubmitted,
+		"waitedMs":  loss.Waited.Milliseconds(),
+		"queuedMs":  loss.Queued.Milliseconds(),
+		"attempts":  loss.Attempts,
+	}).Debug("request lost or late")
 }
 
 // sweepEvery is how often connections are closed that engines have closed on their side.
@@ -133,14 +151,22 @@
 func (d *Daemon) forwardWorld() forwarding.Environment {
 	now := d.clock.Elapsed()
 	return forwarding.Environment{
-		Now: now, Index: d.forwardIndex(), IndexCurrent: d.tableIsCurrent(), View: d.forwarding.view(), Zone: d.config.Zone,
+		Now:          now,
+		Index:        d.forwardIndex(),
+		IndexCurrent: d.tableIsCurrent(),
+		View:         d.forwarding.view(),
+		Zone:         d.config.Zone,
 		HasIdleConnection: func(engine *registry.Engine, pool string, careful bool) bool {
 			return d.forwarding.pools.Warm(engine.ID, engine.Address, pool, careful)
 		},
-		Routers: d.routingDaemonCount(now), NotLoadedFor: d.PoolShortage, EngineOpen: d.engineOpen, EngineEvacuated: d.engineDrainedByRanking, HasWorkerID: d.generator.HasLease(),
+		Routers:         d.routingDaemonCount(now),
+		NotLoadedFor:    d.PoolShortage,
+		EngineOpen:      d.engineOpen,
+		EngineEvacuated: d.engineDrainedByRanking,
+		HasWorkerID:     d.generator.HasLease(),
 		MintID: func() (ident.SnowflakeID, bool) {
-			id, outcome := d.generator.Next()
-			return id, outcome == snowflake.Generated
+			fresh, outcome := d.generator.Next()
+			return fresh, outcome == snowflake.Generated
 		},
 	}
 }
--- a/daemon/groupidentity.go
+++ b/daemon/groupidentity.go
@@ -29,7 +29,8 @@
 		d.enlistedAt.Store(0)
 		d.log.WithField("group", string(group)).Warn("control group was recovered; following its next generation")
 		if incarnation := d.memberIncarnation.Load(); incarnation != nil && belongsToGroup(incarnation.store) {
-			incarnation.fail(superseded{eris.Errorf("this data folder belongs to group %s, which was recovered as %s; move the folder away, and the machine joins as a new member", *known, group)})
+			incarnation.fail(superseded{eris.Errorf("this data folder belongs to group %s, which was recovered as %s; "+
+				"move the folder away, and the machine joins as a new member", *known, group)})
 		}
 		return true
 	}
@@ -63,7 +64,12 @@
 }
 
 func (d *Daemon) identity() *peerapi.Identity {
-	out := &peerapi.Identity{NodeId: string(d.nodeID), Group: string(d.Group()), ServesControl: d.config.Serves(daemonconfig.Control), JoinOnly: d.config.JoinOnly}
+	out := &peerapi.Identity{
+		NodeId:        string(d.nodeID),
+		Group:         string(d.Group()),
+		ServesControl: d.config.Serves(daemonconfig.Control),
+		JoinOnly:      d.config.JoinOnly,
+	}
 	if folder := d.dataFolder(); folder != nil {
 		out.MemberId = uint64(folder.MemberID)
 		if remembered, err := folder.Group(); err == nil && remembered != "" {
@@ -74,8 +80,8 @@
 		out.ConfigurationVersion, out.ClosureVersion = uint64(table.Version), uint64(table.Closures.Version)
 	}
 	out.LeaderMsAgo = -1
-	if heard := d.members.View().LastLeaderContact; heard > 0 {
-		out.LeaderMsAgo = d.clock.Elapsed().Since(heard).Milliseconds()
+	if lastContact := d.members.View().LastLeaderContact; lastContact > 0 {
+		out.LeaderMsAgo = d.clock.Elapsed().Since(lastContact).Milliseconds()
 	}
 	out.LeaseUntilMs = int64(d.generator.LatestTimestamp())
 	if d.config.Serves(daemonconfig.Placement) {
--- a/daemon/handover.go
+++ b/daemon/handover.go
@@ -38,15 +38,15 @@
 	resources []unreleased
 }
 
-func (k *unreleasedSet) add(thing unreleased) {
+func (k *unreleasedSet) add(resource unreleased) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if !slices.Contains(k.resources, thing) {
-		k.resources = append(k.resources, thing)
+	if !slices.Contains(k.resources, resource) {
+		k.resources = append(k.resources, resource)
 	}
 }
 
-func (k *unreleasedSet) list() []unreleased {
+func (k *unreleasedSet) all() []unreleased {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return slices.Clone(k.resources)
@@ -81,15 +81,15 @@
 	}
 	bounded, cancel := context.WithTimeout(context.Background(), registrationsSeenLimit)
 	defer cancel()
-	seen := make(chan bool, len(peers))
+	reached := make(chan bool, len(peers))
 	change := d.registry.LatestNonLoadChange()
 	for _, peer := range peers {
 		go func() {
-			seen <- d.registry.AwaitPropagation(bounded, change, registrationsSeenLimit, func() []ident.NodeID { return []ident.NodeID{peer} })
+			reached <- d.registry.AwaitPropagation(bounded, change, registrationsSeenLimit, func() []ident.NodeID { return []ident.NodeID{peer} })
 		}()
 	}
 	for range peers {
-		if <-seen {
+		if <-reached {
 			return
 		}
 	}
--- a/daemon/joingroup.go
+++ b/daemon/joingroup.go
@@ -141,8 +141,15 @@
 }
 
 func seedOf(address string, identity *peerapi.Identity) bootstrap.SeedStatus {
-	return bootstrap.SeedStatus{Address: address, Reachable: true, Member: raft.MemberID(identity.MemberId), Name: ident.NodeID(identity.NodeId).Name(),
-		Group: ident.GroupID(identity.Group), ServesControl: identity.ServesControl, JoinOnly: identity.JoinOnly}
+	return bootstrap.SeedStatus{
+		Address:       address,
+		Reachable:     true,
+		Member:        raft.MemberID(identity.MemberId),
+		Name:          ident.NodeID(identity.NodeId).Name(),
+		Group:         ident.GroupID(identity.Group),
+		ServesControl: identity.ServesControl,
+		JoinOnly:      identity.JoinOnly,
+	}
 }
 
 // runJoin asks the leader to join until this member votes, and while draining to leave. It runs on a goroutine of its
@@ -177,10 +184,16 @@
 // requestJoin tells the leader that this member wants to join, or with leaving that it stops. It returns whether the
 // leader agreed: for a member that stops, that nothing depends on its copy of the log. A call that is lost is made
 // again at the next tick.
-func (d *Daemon) requestJoin(ctx context.Context, leader string, self raft.Member, leaving bool) bool {
+func (d *Daemon) requestJoin(ctx context.Context, leader string, self raft.Member, draining bool) bool {
 	bounded, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	reply, err := d.links.Client(leader).Join(bounded, &peerapi.JoinRequest{Group: string(d.Group()), MemberId: uint64(self.ID), Name: self.Name, Address: self.Address, Leaving: leaving})
+	reply, err := d.links.Client(leader).Join(bounded, &peerapi.JoinRequest{
+		Group:    string(d.Group()),
+		MemberId: uint64(self.ID),
+		Name:     self.Name,
+		Address:  self.Address,
+		Leaving:  draining,
+	})
 	return err == nil && reply.Outcome == string(replica.Applied)
 }
 
--- a/daemon/leader.go
+++ b/daemon/leader.go
@@ -10,8 +10,8 @@
 
 // IsLeader says whether this daemon leads the control group.
 func (d *Daemon) IsLeader() bool {
-	held := d.replica.Load()
-	return held != nil && held.Status().IsLeader
+	groupMember := d.replica.Load()
+	return groupMember != nil && groupMember.Status().IsLeader
 }
 
 // leaderAddress returns the address of the leader as far as this daemon knows; empty is unknown.
@@ -59,11 +59,11 @@
 // FirstRolloutAge returns, if this daemon leads, how long any configuration has been in force: negative while none
 // has been, and zero where this daemon can't tell.
 func (d *Daemon) FirstRolloutAge() time.Duration {
-	held := d.replica.Load()
-	if held == nil {
+	groupMember := d.replica.Load()
+	if groupMember == nil {
 		return 0
 	}
-	condition := held.Status()
+	condition := groupMember.Status()
 	// A recovered group may have lost its first configurations, so it can't tell when the first came.
 	if !condition.IsLeader || condition.Group.Recovered() {
 		return 0
--- a/daemon/listener/keepalive_test.go
+++ b/daemon/listener/keepalive_test.go
@@ -26,13 +26,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	listener := &KeepAliveListener{Listener: under, ReadLimit: read, IdleLimit: usual, KeepAlive: func() time.Duration { return time.Duration(rest.Load()) }}
-	server := &fasthttp.Server{Handler: func(*fasthttp.RequestCtx) {}, ReadTimeout: read, IdleTimeout: usual, Logger: discardLogger{}}
+	listener := &KeepAliveListener{
+		Listener:  under,
+		ReadLimit: read,
+		IdleLimit: usual,
+		KeepAlive: func() time.Duration { return time.Duration(rest.Load()) },
+	}
+	server := &fasthttp.Server{
+		Handler:     func(*fasthttp.RequestCtx) {},
+		ReadTimeout: read,
+		IdleTimeout: usual,
+		Logger:      discardLogger{},
+	}
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() { under.Close() })
 	const request = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 	// after says whether a connection still answers after it has rested for a time, or how a request in two parts ends.
-	after := func(pause time.Duration, first, second string) bool {
+	after := func(idle time.Duration, first, second string) bool {
 		conn, err := net.Dial("tcp", under.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -44,18 +54,18 @@
 			t.Fatal(err)
 		}
 		_, _ = io.WriteString(conn, first)
-		<-time.After(pause)
+		<-time.After(idle)
 		_, _ = io.WriteString(conn, second)
 		response, err := http.ReadResponse(reader, nil)
 		return err == nil && response.StatusCode == http.StatusOK
 	}
 	for _, c := range []struct {
-		rest, pause time.Duration
-		kept        bool
+		rest, idle time.Duration
+		stillOpen  bool
 	}{{0, 3 * usual, false}, {usual / 2, usual / 4, true}, {10 * usual, 3 * usual, true}, {time.Minute, 3 * usual, true}, {0, 3 * usual, false}} {
 		rest.Store(int64(c.rest))
-		if kept := after(c.pause, "", request); kept != c.kept {
-			t.Errorf("a rest of %v where %v is allowed: kept %t", c.pause, c.rest, kept)
+		if stillOpen := after(c.idle, "", request); stillOpen != c.stillOpen {
+			t.Errorf("idle for %v where %v is allowed: still open %t", c.idle, c.rest, stillOpen)
 		}
 	}
 	rest.Store(int64(time.Minute))
--- a/daemon/listener/listener.go
+++ b/daemon/listener/listener.go
@@ -50,7 +50,10 @@
 			return nil, err
 		}
 		if !logged {
-			o.Log.WithError(err).WithFields(log.Fields{"setting": setting, "address": address}).Warn("listen address cannot be used; retrying until it can")
+			o.Log.WithError(err).WithFields(log.Fields{
+				"setting": setting,
+				"address": address,
+			}).Warn("listen address cannot be used; retrying until it can")
 		}
 		select {
 		case <-stop:
@@ -83,7 +86,10 @@
 		if !o.Retry {
 			return err
 		}
-		o.Log.WithError(err).WithFields(log.Fields{"setting": setting, "address": address}).Warn("listener failed; listening again")
+		o.Log.WithError(err).WithFields(log.Fields{
+			"setting": setting,
+			"address": address,
+		}).Warn("listener failed; listening again")
 		listener.Close()
 		if listener, err = o.Open(ctx.Done(), setting, address); err != nil {
 			return nil
--- a/daemon/longpoll.go
+++ b/daemon/longpoll.go
@@ -50,7 +50,8 @@
 		return longpoll.Urgent
 	// The load of engines changes all the time; control daemons, who exchange it across zones, let it wait until the
 	// hold is over.
-	case !in.RegistryUrgentOnly && (d.registry.LatestNonLoadChange() > in.RegistryComplete || !in.EveryHeartbeat && d.registry.LatestChange() > in.RegistryComplete),
+	case !in.RegistryUrgentOnly && (d.registry.LatestNonLoadChange() > in.RegistryComplete ||
+		!in.EveryHeartbeat && d.registry.LatestChange() > in.RegistryComplete),
 		d.members.StatusChangeIndex() > in.MembersSeen || !in.RegistryUrgentOnly && d.members.ChangeIndex() > in.MembersSeen,
 		plans != (in.PlannerAddress == self) || in.PlannerAddress == "" && planner != "",
 		plans && d.sentVersions.shortages.Load() != in.ShortagesVersion:
@@ -78,7 +79,11 @@
 		seen = &configurationSeen{version, d.clock.Elapsed()}
 		d.configurationSeen.Store(seen)
 	}
-	return uint64(version) > in.ConfigurationVersion && (!in.RegistryUrgentOnly && !in.EveryHeartbeat || d.clock.Elapsed().Since(seen.at) >= configurationDelay)
+	if uint64(version) <= in.ConfigurationVersion {
+		return false
+	}
+	getsItElsewhere := in.RegistryUrgentOnly || in.EveryHeartbeat
+	return !getsItElsewhere || d.clock.Elapsed().Since(seen.at) >= configurationDelay
 }
 
 // MembersChanged wakes the peers whose answers are held back, since the membership has changed.
@@ -129,9 +134,9 @@
 	if !d.IsPlanner() {
 		return
 	}
-	held := &shortageReport{sessions: d.sessionPlacer.Status().Unplaced, pools: d.poolPlanning.condition().Lacks}
-	if known := d.shortageReport.Load(); known == nil || !held.similarTo(known) {
-		d.shortageReport.Store(held)
+	report := &shortageReport{sessions: d.sessionPlacer.Status().Unplaced, pools: d.poolPlanning.condition().Lacks}
+	if known := d.shortageReport.Load(); known == nil || !report.similarTo(known) {
+		d.shortageReport.Store(report)
 		d.sentVersions.shortages.Add(1)
 		d.notifier.Notify(longpoll.Ordinary)
 	}
--- a/daemon/member.go
+++ b/daemon/member.go
@@ -180,7 +180,11 @@
 		group = ""
 	}
 	made, err := replica.New(self, group, restored, d.replicaConfig, d.clock, d.wrapDisk(incarnation.store), d.links,
-		replica.WithConfigurationChangeHandler(d.stateChanged), replica.WithStatusChangeHandler(d.logMemberChange), replica.WithCounters(&d.counters.group), replica.WithNoticeHandler(d.noticeLogger()), replica.WithFatalHandler(incarnation.fail))
+		replica.WithConfigurationChangeHandler(d.stateChanged),
+		replica.WithStatusChangeHandler(d.logMemberChange),
+		replica.WithCounters(&d.counters.group),
+		replica.WithNoticeHandler(d.noticeLogger()),
+		replica.WithFatalHandler(incarnation.fail))
 	if err != nil {
 		return eris.Wrap(err, "the data folder cannot be read")
 	}
--- a/daemon/membernotices.go
+++ b/daemon/membernotices.go
@@ -32,7 +32,10 @@
 				learners = append(learners, member.Name)
 			}
 		}
-		entry.WithFields(log.Fields{"voters": voters, "learners": learners}).Info("membership of the control group changed")
+		entry.WithFields(log.Fields{
+			"voters":   voters,
+			"learners": learners,
+		}).Info("membership of the control group changed")
 	}
 }
 
@@ -41,7 +44,11 @@
 func (d *Daemon) noticeLogger() func(raft.Notice) {
 	var refused raft.Notice
 	return func(notice raft.Notice) {
-		entry := d.log.WithFields(log.Fields{"peer": uint64(notice.Peer), "index": uint64(notice.Index), "bytes": notice.Bytes})
+		entry := d.log.WithFields(log.Fields{
+			"peer":  uint64(notice.Peer),
+			"index": uint64(notice.Index),
+			"bytes": notice.Bytes,
+		})
 		switch notice.Kind {
 		case raft.NoticeSnapshotSent, raft.NoticeSnapshotInstalled:
 			entry.Info(notice.Kind.String())
--- a/daemon/metrics_test.go
+++ b/daemon/metrics_test.go
@@ -21,17 +21,17 @@
 	}
 	defer taken.Close()
 	for _, one := range []struct {
-		trouble daemonconfig.FaultPolicy
+		policy  daemonconfig.FaultPolicy
 		refused bool
 	}{{daemonconfig.ExitOnFault, true}, {daemonconfig.RetryOnFault, false}} {
 		settings := daemonconfig.Default()
-		settings.Name, settings.OnFault, settings.MetricsListen = "edge-1", one.trouble, taken.Addr().String()
+		settings.Name, settings.OnFault, settings.MetricsListen = "edge-1", one.policy, taken.Addr().String()
 		d := New(settings, "test", &log.Logger{Handler: discard.Default})
 		ctx, cancel := context.WithCancel(context.Background())
 		err := d.startMetrics(ctx)
 		cancel()
 		if refused := err != nil && strings.Contains(err.Error(), daemonconfig.MetricsKey); refused != one.refused {
-			t.Errorf("%s: %v", one.trouble, err)
+			t.Errorf("%s: %v", one.policy, err)
 		}
 	}
 }
--- a/daemon/noderanking.go
+++ b/daemon/noderanking.go
@@ -24,8 +24,15 @@
 
 // newNodeRanking returns the ranking of engines by the health of their nodes. Only who plans pools can rank.
 func newNodeRanking(d *Daemon) *noderanking.Ranking {
-	return noderanking.New(noderanking.Config{Settings: d.config.Ranking, Clock: d.clock, Log: d.log, NodeID: d.nodeID, Zone: d.config.Zone,
-		Measures: d.forwards(), Plans: d.poolPlanning != nil && d.config.Serves(daemonconfig.Placement)}, rankingHost{d})
+	return noderanking.New(noderanking.Config{
+		Settings: d.config.Ranking,
+		Clock:    d.clock,
+		Log:      d.log,
+		NodeID:   d.nodeID,
+		Zone:     d.config.Zone,
+		Measures: d.forwards(),
+		Plans:    d.poolPlanning != nil && d.config.Serves(daemonconfig.Placement),
+	}, rankingHost{d})
 }
 
 // rankingHost is the daemon as the ranking sees it.
@@ -69,7 +76,11 @@
 	}
 	bounded, cancel := context.WithTimeout(ctx, readLimit)
 	defer cancel()
-	reply, err := d.links.Client(address).Read(bounded, &peerapi.ReadRequest{Group: string(d.Group()), What: nodesRead, Key: string(engine)})
+	reply, err := d.links.Client(address).Read(bounded, &peerapi.ReadRequest{
+		Group: string(d.Group()),
+		What:  nodesRead,
+		Key:   string(engine),
+	})
 	var page operatorapi.Nodes
 	if err != nil || reply.Outcome != string(replica.Applied) || json.Unmarshal(reply.Result, &page) != nil {
 		return operatorapi.Nodes{}, false
--- a/daemon/noderanking/digests.go
+++ b/daemon/noderanking/digests.go
@@ -16,6 +16,8 @@
 	// maxClasses and maxBuckets bound what one message may hold of an engine.
 	maxClasses = 500
 	maxBuckets = 300
+	// maxLevel is the highest class of load and of size: both are logarithms.
+	maxLevel = 64
 )
 
 // TakeDigests returns the measurements since the last call for the planner; nil if that was too recent.
@@ -51,8 +53,13 @@
 		if len(out) == 0 || out[len(out)-1].Engine != string(digest.Engine) {
 			out = append(out, &peerapi.NodeDigest{Engine: string(digest.Engine)})
 		}
-		class := &peerapi.NodeClass{Kind: uint32(digest.Class.Kind), Model: digest.Class.Model, TargetMs: digest.Class.TargetMs,
-			Load: uint32(digest.Class.Load), Size: uint32(digest.Class.Size)}
+		class := &peerapi.NodeClass{
+			Kind:     uint32(digest.Class.Kind),
+			Model:    digest.Class.Model,
+			TargetMs: digest.Class.TargetMs,
+			Load:     uint32(digest.Class.Load),
+			Size:     uint32(digest.Class.Size),
+		}
 		for _, bucket := range digest.Buckets {
 			class.Values, class.Counts = append(class.Values, bucket.Value), append(class.Counts, bucket.Count)
 		}
@@ -71,11 +78,20 @@
 			continue
 		}
 		for _, class := range node.Classes {
-			if class.Kind > uint32(nodehealth.Connect) || class.Load > 64 || class.Size > 64 || len(class.Values) != len(class.Counts) || len(class.Values) > maxBuckets {
+			if !wellFormed(class) {
 				continue
 			}
-			digest := nodehealth.Digest{Engine: engine.ID, Class: nodehealth.Class{Kind: nodehealth.Kind(class.Kind), Pool: engine.Pool, Model: class.Model,
-				TargetMs: class.TargetMs, Load: uint8(class.Load), Size: uint8(class.Size)}}
+			digest := nodehealth.Digest{
+				Engine: engine.ID,
+				Class: nodehealth.Class{
+					Kind:     nodehealth.Kind(class.Kind),
+					Pool:     engine.Pool,
+					Model:    class.Model,
+					TargetMs: class.TargetMs,
+					Load:     uint8(class.Load),
+					Size:     uint8(class.Size),
+				},
+			}
 			for place, value := range class.Values {
 				digest.Buckets = append(digest.Buckets, nodehealth.Bucket{Value: value, Count: class.Counts[place]})
 			}
@@ -84,3 +100,9 @@
 	}
 	return out
 }
+
+// wellFormed says whether a class that a peer sent can be decoded.
+func wellFormed(class *peerapi.NodeClass) bool {
+	return class.Kind <= uint32(nodehealth.Connect) && class.Load <= maxLevel && class.Size <= maxLevel &&
+		len(class.Values) == len(class.Counts) && len(class.Values) <= maxBuckets
+}
--- a/daemon/noderanking/digests_test.go
+++ b/daemon/noderanking/digests_test.go
@@ -23,10 +23,26 @@
 
 func TestDigestsRoundTrip(t *testing.T) {
 	sent := []nodehealth.Digest{
-		{Engine: "a", Class: nodehealth.Class{Kind: nodehealth.Stall, Pool: "p", Model: "m", TargetMs: 400, Load: 5}, Buckets: []nodehealth.Bucket{{Value: 20, Count: 30}, {Value: 900, Count: 1}}},
-		{Engine: "a", Class: nodehealth.Class{Kind: nodehealth.Transfer, Pool: "p", Model: "m", Load: 5, Size: 4}, Buckets: []nodehealth.Bucket{{Value: 80, Count: 7}}},
-		{Engine: "b", Class: nodehealth.Class{Kind: nodehealth.Connect, Pool: "p"}, Buckets: []nodehealth.Bucket{{Value: 1, Count: 2}}},
-		{Engine: "gone", Class: nodehealth.Class{Kind: nodehealth.Connect, Pool: "p"}, Buckets: []nodehealth.Bucket{{Value: 1, Count: 2}}},
+		{
+			Engine:  "a",
+			Class:   nodehealth.Class{Kind: nodehealth.Stall, Pool: "p", Model: "m", TargetMs: 400, Load: 5},
+			Buckets: []nodehealth.Bucket{{Value: 20, Count: 30}, {Value: 900, Count: 1}},
+		},
+		{
+			Engine:  "a",
+			Class:   nodehealth.Class{Kind: nodehealth.Transfer, Pool: "p", Model: "m", Load: 5, Size: 4},
+			Buckets: []nodehealth.Bucket{{Value: 80, Count: 7}},
+		},
+		{
+			Engine:  "b",
+			Class:   nodehealth.Class{Kind: nodehealth.Connect, Pool: "p"},
+			Buckets: []nodehealth.Bucket{{Value: 1, Count: 2}},
+		},
+		{
+			Engine:  "gone",
+			Class:   nodehealth.Class{Kind: nodehealth.Connect, Pool: "p"},
+			Buckets: []nodehealth.Bucket{{Value: 1, Count: 2}},
+		},
 	}
 	if got := decodeDigests(viewOf("a", "b"), encodeDigests(sent)); !reflect.DeepEqual(got, sent[:3]) {
 		t.Fatalf("%+v", got)
@@ -43,7 +59,10 @@
 		"uneven":   {Values: []uint32{1, 2}, Counts: []uint32{1}},
 		"too many": {Values: many, Counts: many},
 	} {
-		if got := decodeDigests(viewOf("a"), []*peerapi.NodeDigest{{Engine: "a", Classes: []*peerapi.NodeClass{class}}}); len(got) != 0 {
+		if got := decodeDigests(viewOf("a"), []*peerapi.NodeDigest{{
+			Engine:  "a",
+			Classes: []*peerapi.NodeClass{class},
+		}}); len(got) != 0 {
 			t.Errorf("%s: %+v", name, got)
 		}
 	}
@@ -55,10 +74,31 @@
 	var digests []nodehealth.Digest
 	for n := range 39 {
 		id := ident.EngineID(fmt.Sprintf("i-%010x", 0xabcdef00+n))
-		stalls, firsts := nodehealth.Digest{Engine: id, Class: nodehealth.Class{Kind: nodehealth.Stall, Pool: "p", Model: "model-0123456789", TargetMs: 400, Load: 6}},
-			nodehealth.Digest{Engine: id, Class: nodehealth.Class{Kind: nodehealth.Transfer, Pool: "p", Model: "model-0123456789", Load: 6, Size: 4}}
+		stalls, firsts := nodehealth.Digest{
+			Engine: id,
+			Class: nodehealth.Class{
+				Kind:     nodehealth.Stall,
+				Pool:     "p",
+				Model:    "model-0123456789",
+				TargetMs: 400,
+				Load:     6,
+			},
+		},
+			nodehealth.Digest{
+				Engine: id,
+				Class: nodehealth.Class{
+					Kind:  nodehealth.Transfer,
+					Pool:  "p",
+					Model: "model-0123456789",
+					Load:  6,
+					Size:  4,
+				},
+			}
 		for bucket := range 12 {
-			stalls.Buckets = append(stalls.Buckets, nodehealth.Bucket{Value: uint32(16 + 4*bucket), Count: uint32(1 + 10*bucket%17)})
+			stalls.Buckets = append(stalls.Buckets, nodehealth.Bucket{
+				Value: uint32(16 + 4*bucket),
+				Count: uint32(1 + 10*bucket%17),
+			})
 		}
 		for bucket := range 3 {
 			firsts.Buckets = append(firsts.Buckets, nodehealth.Bucket{Value: uint32(100 + 50*bucket), Count: 1})
--- a/daemon/noderanking/page.go
+++ b/daemon/noderanking/page.go
@@ -53,21 +53,33 @@
 			return
 		}
 		row := rows[id]
-		node := operatorapi.Node{Engine: id, Pool: engine.Pool, Zone: engine.Zone, Stage: row.Stage.String(), SinceMs: row.Since.Milliseconds(), Score: round(row.Score),
-			Value: row.Value, Others: row.PeerValue, Samples: row.Samples, Observers: row.Observers, SlowPaths: row.SlowZones, Closed: !engine.Open}
+		node := operatorapi.Node{
+			Engine:    id,
+			Pool:      engine.Pool,
+			Zone:      engine.Zone,
+			Stage:     row.Stage.String(),
+			SinceMs:   row.Since.Milliseconds(),
+			Score:     round(row.Score),
+			Value:     row.Value,
+			Others:    row.PeerValue,
+			Samples:   row.Samples,
+			Observers: row.Observers,
+			SlowPaths: row.SlowZones,
+			Closed:    !engine.Open,
+		}
 		if row.Samples > 0 {
 			node.Kind = row.Kind.String()
 		}
 		if row.Refusal != nodehealth.Allowed {
 			node.Refusal = row.Refusal.String()
 		}
-		if closure, shut := table.Closures.Engines[id]; shut {
+		if closure, closed := table.Closures.Engines[id]; closed {
 			node.ClosedBy = closure.Operator
 			if closure.Ranking != nil {
 				node.ClosedReason = closure.Ranking.Reason
 			}
 		}
-		if closure, kept := table.Closures.Protected[id]; kept {
+		if closure, protected := table.Closures.Protected[id]; protected {
 			node.ProtectedBy = closure.Operator
 		}
 		page.Nodes = append(page.Nodes, node)
@@ -89,6 +101,6 @@
 
 // holdsLease says whether this daemon is the planner now.
 func (r *Ranking) holdsLease() bool {
-	_, held := r.host.PlannerLease()
-	return held
+	_, leased := r.host.PlannerLease()
+	return leased
 }
--- a/daemon/noderanking/ranking.go
+++ b/daemon/noderanking/ranking.go
@@ -28,7 +28,7 @@
 // Host is the daemon as the ranking sees it. Its methods are called from any goroutine.
 type Host interface {
 	// PlannerLease returns the fencing token of the planner's lease, and whether this daemon holds it.
-	PlannerLease() (token ident.FencingToken, held bool)
+	PlannerLease() (token ident.FencingToken, leased bool)
 	// RegisteredEngines returns the engines that register themselves.
 	RegisteredEngines() *registry.View
 	// RoutingTable returns the table in force; nil is none.
@@ -129,8 +129,14 @@
 
 // New returns a ranking, which does not run yet.
 func New(config Config, host Host) *Ranking {
-	r := &Ranking{config: config, host: host, mailbox: actor.NewMailbox[any](mailboxCapacity), vanished: map[ident.EngineID]clock.Mark{},
-		refusals: map[ident.EngineID]nodehealth.Refusal{}, recentDemand: map[demandKey]clock.Mark{}}
+	r := &Ranking{
+		config:       config,
+		host:         host,
+		mailbox:      actor.NewMailbox[any](mailboxCapacity),
+		vanished:     map[ident.EngineID]clock.Mark{},
+		refusals:     map[ident.EngineID]nodehealth.Refusal{},
+		recentDemand: map[demandKey]clock.Mark{},
+	}
 	if r.enabled() && config.Measures {
 		r.recorder = nodehealth.NewRecorder()
 	}
@@ -169,8 +175,8 @@
 
 // step ranks, while this daemon holds the planner's lease.
 func (r *Ranking) step(ctx context.Context) {
-	token, held := r.host.PlannerLease()
-	if !held {
+	token, leased := r.host.PlannerLease()
+	if !leased {
 		// The next planner begins anew with what the fleet shows. A lease that lapsed and is resumed keeps the same
 		// ranker.
 		r.published.Store(&publishedState{})
@@ -197,11 +203,21 @@
 	// A large fleet is ranked less often: ranking takes a tenth of this daemon's time at most.
 	r.stepNext = now + clock.Mark(max(rankEvery, 10*took))
 	for _, change := range decision.Changes {
-		r.config.Log.WithFields(log.Fields{"engine": string(change.Engine), "from": change.From.String(), "to": change.To.String(), "score": round(change.Assessment.Score),
-			"kind": change.Assessment.Kind.String()}).Info("node ranking: stage changed")
+		r.config.Log.WithFields(log.Fields{
+			"engine": string(change.Engine),
+			"from":   change.From.String(),
+			"to":     change.To.String(),
+			"score":  round(change.Assessment.Score),
+			"kind":   change.Assessment.Kind.String(),
+		}).Info("node ranking: stage changed")
 	}
 	r.logRefusals()
-	state := &publishedState{rows: r.ranker.Rows(), counters: r.ranker.Counters, took: took, emptying: map[ident.EngineID]bool{}}
+	state := &publishedState{
+		rows:     r.ranker.Rows(),
+		counters: r.ranker.Counters,
+		took:     took,
+		emptying: map[ident.EngineID]bool{},
+	}
 	for _, id := range r.ranker.AwaitingRelocation() {
 		state.emptying[id] = true
 	}
@@ -222,7 +238,11 @@
 			delete(r.refusals, row.Engine)
 			continue
 		}
-		r.config.Log.WithFields(log.Fields{"engine": string(row.Engine), "score": round(row.Score), "reason": row.Refusal.Reason()}).Info("node ranking: engine not drained")
+		r.config.Log.WithFields(log.Fields{
+			"engine": string(row.Engine),
+			"score":  round(row.Score),
+			"reason": row.Refusal.Reason(),
+		}).Info("node ranking: engine not drained")
 	}
 }
 
@@ -240,7 +260,7 @@
 func (r *Ranking) reopenVanished(now clock.Mark, view *registry.View, closures closure.Set) []nodehealth.Action {
 	var out []nodehealth.Action
 	for id := range r.vanished {
-		if _, shut := closures.Engines[id]; !shut {
+		if _, closed := closures.Engines[id]; !closed {
 			delete(r.vanished, id)
 		}
 	}
@@ -269,8 +289,14 @@
 		r.actions.unleased.Add(1)
 		return
 	}
-	command := statemachine.Command{Op: statemachine.OpClosure, NodeID: r.config.NodeID, Operator: operatorName, Engine: action.Engine, Closed: action.Drain,
-		Ranking: &closure.RankingDecision{Token: r.token, ID: stamp, Reason: reasonOf(action)}}
+	command := statemachine.Command{
+		Op:       statemachine.OpClosure,
+		NodeID:   r.config.NodeID,
+		Operator: operatorName,
+		Engine:   action.Engine,
+		Closed:   action.Drain,
+		Ranking:  &closure.RankingDecision{Token: r.token, ID: stamp, Reason: reasonOf(action)},
+	}
 	r.actionPending = true
 	go func() {
 		bounded, cancel := context.WithTimeout(ctx, actionLimit)
@@ -281,7 +307,11 @@
 }
 
 func (r *Ranking) logActionResult(result actionResult) {
-	logged := r.config.Log.WithFields(log.Fields{"engine": string(result.action.Engine), "drain": result.action.Drain, "score": round(result.action.Assessment.Score)})
+	logged := r.config.Log.WithFields(log.Fields{
+		"engine": string(result.action.Engine),
+		"drain":  result.action.Drain,
+		"score":  round(result.action.Assessment.Score),
+	})
 	switch {
 	case !result.known:
 		r.actions.unknown.Add(1)
@@ -291,7 +321,11 @@
 		logged.WithField("reason", result.reason).Warn("node ranking: action rejected by the control group")
 	default:
 		r.actions.done.Add(1)
-		logged.WithFields(log.Fields{"kind": result.action.Assessment.Kind.String(), "value": result.action.Assessment.Value, "peerValue": result.action.Assessment.PeerValue}).Info("node ranking: action committed")
+		logged.WithFields(log.Fields{
+			"kind":      result.action.Assessment.Kind.String(),
+			"value":     result.action.Assessment.Value,
+			"peerValue": result.action.Assessment.PeerValue,
+		}).Info("node ranking: action committed")
 	}
 }
 
@@ -313,7 +347,10 @@
 	for _, demand := range r.host.FleetDemand(now) {
 		r.recentDemand[demandKey{demand.Pool, nodehealth.Target{Model: demand.Model}}] = now
 		if demand.Adapter != "" {
-			r.recentDemand[demandKey{demand.Pool, nodehealth.Target{Model: demand.Model, Adapter: demand.Adapter}}] = now
+			r.recentDemand[demandKey{demand.Pool, nodehealth.Target{
+				Model:   demand.Model,
+				Adapter: demand.Adapter,
+			}}] = now
 		}
 	}
 	for key, at := range r.recentDemand {
@@ -326,18 +363,23 @@
 		if engine.Deregistered {
 			continue
 		}
-		one := nodehealth.Engine{ID: id, Pool: engine.Pool, Zone: engine.Zone, Open: engine.Usable() && open(id, engine.Zone)}
-		closure, shut := closures.Engines[id]
-		one.DrainedByRanking = shut && closure.Ranking != nil
-		_, one.KeptOpen = closures.Protected[id]
+		candidate := nodehealth.Engine{
+			ID:   id,
+			Pool: engine.Pool,
+			Zone: engine.Zone,
+			Open: engine.Usable() && open(id, engine.Zone),
+		}
+		closure, closed := closures.Engines[id]
+		candidate.DrainedByRanking = closed && closure.Ranking != nil
+		_, candidate.KeptOpen = closures.Protected[id]
 		for _, loaded := range engine.Models() {
 			for _, target := range append([]nodehealth.Target{{Model: loaded.Model}}, adaptersOf(loaded)...) {
 				if _, demanded := r.recentDemand[demandKey{engine.Pool, target}]; demanded && engine.Holds(target.Model, target.Adapter) {
-					one.Loaded = append(one.Loaded, target)
+					candidate.Loaded = append(candidate.Loaded, target)
 				}
 			}
 		}
-		out[id] = one
+		out[id] = candidate
 	}
 	return out
 }
--- a/daemon/ownership/attempt.go
+++ b/daemon/ownership/attempt.go
@@ -46,7 +46,11 @@
 		// Where all daemons drain together, they own each other's attempts to the last.
 		peers.before, peers.draining = peers.draining, nil
 	}
-	owners := AttemptOwners{Informed: map[string]string{}, OnlyDaemon: len(peers.before) <= 1 && len(peers.draining) == 0, MinoritySide: peers.minority()}
+	owners := AttemptOwners{
+		Informed:     map[string]string{},
+		OnlyDaemon:   len(peers.before) <= 1 && len(peers.draining) == 0,
+		MinoritySide: peers.minority(),
+	}
 	key := AttemptKey(attempt)
 	owners.add(key, peers.before, true)
 	owners.add(key, peers.current, false)
--- a/daemon/ownership/attempt_test.go
+++ b/daemon/ownership/attempt_test.go
@@ -19,7 +19,13 @@
 	view := &membership.View{Members: map[ident.NodeID]membership.Member{}, LastLeaderContact: minute}
 	for i := range size {
 		id := ident.NodeID(fmt.Sprintf("d%d#1", i))
-		view.Members[id] = membership.Member{NodeID: id, Address: fmt.Sprintf("10.0.0.%d:1", i), Roles: []string{"route"}, LastContact: minute, Ready: true}
+		view.Members[id] = membership.Member{
+			NodeID:      id,
+			Address:     fmt.Sprintf("10.0.0.%d:1", i),
+			Roles:       []string{"route"},
+			LastContact: minute,
+			Ready:       true,
+		}
 	}
 	return view
 }
@@ -57,7 +63,13 @@
 		}
 		for i := range random.IntN(3) {
 			id := ident.NodeID(fmt.Sprintf("new%d#1", i))
-			view.Members[id] = membership.Member{NodeID: id, Address: fmt.Sprintf("10.0.1.%d:1", i), Roles: []string{"route"}, LastContact: now, Ready: true}
+			view.Members[id] = membership.Member{
+				NodeID:      id,
+				Address:     fmt.Sprintf("10.0.1.%d:1", i),
+				Roles:       []string{"route"},
+				LastContact: now,
+				Ready:       true,
+			}
 		}
 		view.LastLeaderContact = now
 		later := OfAttempt(attempt, view, now, "10.0.0.1:1")
--- a/daemon/ownership/change_test.go
+++ b/daemon/ownership/change_test.go
@@ -7,7 +7,7 @@
 	"github.com/cresspond/cresspond/process/cluster/affinity"
 )
 
-func TestNewOwnersAreThoseThatLackTheKey(t *testing.T) {
+func TestNewOwnersAreThoseThatMissTheKey(t *testing.T) {
 	three := Daemons{"a": "a#1", "b": "b#1", "c": "c#1"}
 	first, second := affinity.Owners("key", three.Addresses())
 	restarted := Daemons{"a": "a#1", "b": "b#1", "c": "c#1"}
--- a/daemon/ownershiptransfer.go
+++ b/daemon/ownershiptransfer.go
@@ -91,8 +91,13 @@
 					continue
 				}
 				transfer := transfers[owner]
-				transfer.records = append(transfer.records, &peerapi.AttemptRecord{Attempt: attempt, Owner: entry.Owner, Digest: entry.Digest,
-					AgeMs: now.Since(entry.At).Milliseconds(), Refused: entry.Rejected})
+				transfer.records = append(transfer.records, &peerapi.AttemptRecord{
+					Attempt: attempt,
+					Owner:   entry.Owner,
+					Digest:  entry.Digest,
+					AgeMs:   now.Since(entry.At).Milliseconds(),
+					Refused: entry.Rejected,
+				})
 				transfers[owner] = transfer
 			}
 		})
--- a/daemon/poolplanning.go
+++ b/daemon/poolplanning.go
@@ -84,14 +84,23 @@
 
 // Claim acquires or renews the planner's lease.
 func (p poolPlanner) Claim(ctx context.Context, announced *statemachine.Announcement, complete bool) poolplacement.ClaimAnswer {
-	answer, ok := p.submitOnce(ctx, statemachine.Command{Op: statemachine.OpAcquirePlanner, NodeID: p.nodeID, Announcement: announced, AnnouncesAll: true, WithAnnounced: complete, Resume: true, TokenAbove: p.highestClaimSeen()})
+	answer, ok := p.submitOnce(ctx, statemachine.Command{
+		Op:            statemachine.OpAcquirePlanner,
+		NodeID:        p.nodeID,
+		Announcement:  announced,
+		AnnouncesAll:  true,
+		WithAnnounced: complete,
+		Resume:        true,
+		TokenAbove:    p.highestClaimSeen(),
+	})
 	switch {
 	case !ok || answer.PlannerLease == nil:
 		return poolplacement.ClaimAnswer{}
 	case answer.Outcome == statemachine.Done:
 		return poolplacement.ClaimAnswer{Granted: answer.PlannerLease}
 	}
-	return poolplacement.ClaimAnswer{Wait: time.Duration(answer.PlannerLease.FreeAt(p.replicaConfig.PlannerLeaseGap)-answer.PlannerLease.Now) * time.Millisecond}
+	free := answer.PlannerLease.FreeAt(p.replicaConfig.PlannerLeaseGap)
+	return poolplacement.ClaimAnswer{Wait: time.Duration(free-answer.PlannerLease.Now) * time.Millisecond}
 }
 
 // Mint returns an id for an order.
--- a/daemon/pull.go
+++ b/daemon/pull.go
@@ -18,13 +18,22 @@
 // DescribeSelf returns this daemon's own row of the membership, as sent with each pull.
 func (d *Daemon) DescribeSelf() *peerapi.PullRequest {
 	request := &peerapi.PullRequest{
-		Group: string(d.Group()), NodeId: string(d.nodeID), Address: d.config.AdvertisedPeerAddress(), Zone: string(d.config.Zone), Roles: d.roleNames(),
-		Ready: !d.draining.Load(), AcceptsCompressed: true,
+		Group:             string(d.Group()),
+		NodeId:            string(d.nodeID),
+		Address:           d.config.AdvertisedPeerAddress(),
+		Zone:              string(d.config.Zone),
+		Roles:             d.roleNames(),
+		Ready:             !d.draining.Load(),
+		AcceptsCompressed: true,
 	}
 	configuration, closure := d.InForce()
 	request.ConfigurationVersion, request.ClosureVersion = uint64(configuration), uint64(closure)
 	for _, step := range d.rollout.Steps() {
-		request.Steps = append(request.Steps, &peerapi.RolloutStep{Change: step.Change, Step: step.Step, UnixMs: step.At.UnixMilli()})
+		request.Steps = append(request.Steps, &peerapi.RolloutStep{
+			Change: step.Change,
+			Step:   step.Step,
+			UnixMs: step.At.UnixMilli(),
+		})
 	}
 	request.Draining = d.drainingEngines()
 	return request
@@ -45,19 +54,30 @@
 	}
 	arrived := d.clock.Elapsed()
 	rowKnown := d.members.RecordPull(in)
-	wantsLost := !d.receiveDemand(in)
+	demandBaseUnknown := !d.receiveDemand(in)
 	d.nodeRanking.ReceiveDigests(in)
 	d.receiveOutcomes(in)
 	d.registry.RecordAcknowledgement(ident.NodeID(in.NodeId), cursorOf(in))
 	d.receiveDraining(in.Draining)
-	if !wantsLost {
+	if !demandBaseUnknown {
 		d.awaitUpdate(ctx, in)
 	}
 	leader, term := d.leaderAndTerm()
 	// The confirmation is read before what it confirms, which can only be newer.
 	confirmation := membership.EncodeConfirmation(d.confirmed(), arrived)
-	reply := &peerapi.PullReply{Confirmation: confirmation, Group: string(d.Group()), NodeId: string(d.nodeID), LeaderAddress: leader, LeaderTerm: term, IsLeader: d.IsLeader(), FirstRolloutMsAgo: d.FirstRolloutAge().Milliseconds(),
-		KnownAttributesVersion: rowKnown, DemandBaseUnknown: wantsLost, IsPlanner: d.IsPlanner(), PlannerAddress: d.members.View().PlannerAddress}
+	reply := &peerapi.PullReply{
+		Confirmation:           confirmation,
+		Group:                  string(d.Group()),
+		NodeId:                 string(d.nodeID),
+		LeaderAddress:          leader,
+		LeaderTerm:             term,
+		IsLeader:               d.IsLeader(),
+		FirstRolloutMsAgo:      d.FirstRolloutAge().Milliseconds(),
+		KnownAttributesVersion: rowKnown,
+		DemandBaseUnknown:      demandBaseUnknown,
+		IsPlanner:              d.IsPlanner(),
+		PlannerAddress:         d.members.View().PlannerAddress,
+	}
 	if table := d.rollout.Table(); table != nil {
 		reply.ConfigurationVersion, reply.ClosureVersion = uint64(table.Version), uint64(table.Closures.Version)
 		if d.sendsConfiguration(table.Version, in) {
@@ -88,7 +108,10 @@
 		return
 	}
 	if len(reply.Configuration) > 0 || len(reply.Closures) > 0 {
-		d.rollout.Offer(ident.Version(reply.ConfigurationVersion), compression.Bundle{Data: reply.Configuration, Compressed: reply.ConfigurationCompressed}, rollout.DecodeClosures(reply.Closures))
+		d.rollout.Offer(ident.Version(reply.ConfigurationVersion), compression.Bundle{
+			Data:       reply.Configuration,
+			Compressed: reply.ConfigurationCompressed,
+		}, rollout.DecodeClosures(reply.Closures))
 	}
 	d.receiveDraining(reply.Draining)
 	d.receivedVersions.draining.Store(reply.DrainingVersion)
@@ -125,8 +148,16 @@
 	if err != nil || !d.sameGroup(reply) {
 		return reply, err
 	}
-	d.registry.ApplyDelta(peer, registry.Delta{Cursor: registry.Cursor{Incarnation: reply.RegistryIncarnation, Seen: reply.RegistrySeen, Complete: reply.RegistryComplete},
-		FullResync: reply.RegistryFullResync, More: reply.RegistryMore, Records: registry.Decode(d.clock.Elapsed(), reply.Engines)}, wanted)
+	d.registry.ApplyDelta(peer, registry.Delta{
+		Cursor: registry.Cursor{
+			Incarnation: reply.RegistryIncarnation,
+			Seen:        reply.RegistrySeen,
+			Complete:    reply.RegistryComplete,
+		},
+		FullResync: reply.RegistryFullResync,
+		More:       reply.RegistryMore,
+		Records:    registry.Decode(d.clock.Elapsed(), reply.Engines),
+	}, wanted)
 	if !reply.RegistryMore && !request.RegistryUrgentOnly {
 		d.registrySyncTimes.record(address, requestedAt)
 	}
@@ -173,7 +204,10 @@
 // pullsUrgentOnly says whether only urgent changes are pulled from an address, because the relay brings the rest.
 func (d *Daemon) pullsUrgentOnly(address string) bool {
 	relayAddress := d.members.View().RelayAddress
-	return !d.config.Serves(daemonconfig.Control) && relayAddress != "" && relayAddress != address && d.clock.Elapsed().Since(d.registrySyncTimes.latest(relayAddress)) <= relayFresh
+	if d.config.Serves(daemonconfig.Control) || relayAddress == "" || relayAddress == address {
+		return false
+	}
+	return d.clock.Elapsed().Since(d.registrySyncTimes.latest(relayAddress)) <= relayFresh
 }
 
 // followsRegistry says whether a pull is one of a series, or of a daemon that has lost control. An occasional pull
--- a/daemon/reads.go
+++ b/daemon/reads.go
@@ -27,7 +27,11 @@
 		}
 		if address := d.leaderAddress(); address != "" && address != d.config.AdvertisedPeerAddress() {
 			bounded, cancel := d.whileLeader(ctx, address, readLimit)
-			reply, err := d.links.Client(address).Read(bounded, &peerapi.ReadRequest{Group: string(d.Group()), What: what, Key: key})
+			reply, err := d.links.Client(address).Read(bounded, &peerapi.ReadRequest{
+				Group: string(d.Group()),
+				What:  what,
+				Key:   key,
+			})
 			cancel()
 			if err == nil && reply.Outcome == string(replica.Applied) {
 				return reply.Result, true
@@ -95,16 +99,16 @@
 			return encode(found)
 		}
 	case "history":
-		list := []statemachine.Proposal{}
+		history := []statemachine.Proposal{}
 		for version := ident.Version(1); version <= state.Version(); version++ {
 			// Only some of the configurations that were applied in one step are retained.
 			if found, ok := state.ProposalAt(version); ok {
 				brief := *found
 				brief.Configuration = nil
-				list = append(list, brief)
+				history = append(history, brief)
 			}
 		}
-		return encode(list)
+		return encode(history)
 	case "proposal":
 		if found := state.Proposals[key]; found != nil {
 			return encode(found)
@@ -114,7 +118,11 @@
 	case "closures":
 		return encode(state.Closures)
 	case "trace":
-		return encode(traceState{Configuration: uint64(state.Version()), Closure: uint64(state.Closures.Version), Serving: state.ServingDaemons()})
+		return encode(traceState{
+			Configuration: uint64(state.Version()),
+			Closure:       uint64(state.Closures.Version),
+			Serving:       state.ServingDaemons(),
+		})
 	}
 	return nil
 }
--- a/daemon/run.go
+++ b/daemon/run.go
@@ -60,8 +60,8 @@
 		return err
 	}
 	defer listeners.close()
-	streams, cutStreams := context.WithCancel(context.Background())
-	defer cutStreams()
+	streams, cancelStreams := context.WithCancel(context.Background())
+	defer cancelStreams()
 	d.buildActors(ctx, streams)
 	if d.forwards() {
 		d.startForwarding(ctx)
@@ -77,8 +77,13 @@
 		stopMember := d.startMember(ctx, cancel, dataFolder)
 		defer stopMember()
 	}
-	d.log.WithFields(log.Fields{"listen": listeners.callers.Addr().String(), "peerListen": listeners.peers.Addr().String(),
-		"roles": d.roleNames(), "zone": string(d.config.Zone), "version": d.version}).Info("daemon started")
+	d.log.WithFields(log.Fields{
+		"listen":     listeners.callers.Addr().String(),
+		"peerListen": listeners.peers.Addr().String(),
+		"roles":      d.roleNames(),
+		"zone":       string(d.config.Zone),
+		"version":    d.version,
+	}).Info("daemon started")
 
 	select {
 	case <-stop:
@@ -121,15 +126,15 @@
 		if each.optional && each.address == "" {
 			continue
 		}
-		taken, err := d.listeners.Open(stop, each.setting, each.address)
+		listening, err := d.listeners.Open(stop, each.setting, each.address)
 		if err != nil {
 			opened.close()
 			return nil, err
 		}
 		if each.wrap != nil {
-			taken = each.wrap(taken)
+			listening = each.wrap(listening)
 		}
-		*each.into = taken
+		*each.into = listening
 	}
 	return opened, nil
 }
@@ -144,7 +149,12 @@
 		callers = &listener.GatedListener{Listener: callers, Gate: d.callerGate}
 		time.AfterFunc(callerGateLimit, d.callerGate.Open)
 	}
-	return &listener.KeepAliveListener{Listener: callers, ReadLimit: callerReadLimit, IdleLimit: keepAliveLimit, KeepAlive: d.callerKeepAlive}
+	return &listener.KeepAliveListener{
+		Listener:  callers,
+		ReadLimit: callerReadLimit,
+		IdleLimit: keepAliveLimit,
+		KeepAlive: d.callerKeepAlive,
+	}
 }
 
 // buildActors makes all actors; none runs yet. Connections to peers end with ctx, streams to callers with streams.
@@ -201,7 +211,10 @@
 // startPeerServer serves the other daemons until the server that it returns is closed. It is not drained: peers are
 // answered until the daemon ends.
 func (d *Daemon) startPeerServer(ctx context.Context, peers net.Listener) *http.Server {
-	peerServer := &http.Server{Handler: d.links.Traffic.Serve(peerapi.NewFellowServer(d)), ReadHeaderTimeout: peerHeaderLimit}
+	peerServer := &http.Server{
+		Handler:           d.links.Traffic.Serve(peerapi.NewFellowServer(d)),
+		ReadHeaderTimeout: peerHeaderLimit,
+	}
 	serve := listener.ServerFunc(func(opened net.Listener) error { return peerServer.Serve(d.links.Traffic.Listen(opened)) })
 	go d.serveOn(ctx, serve, peers, peerListenKey, d.config.PeerListen)
 	return peerServer
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -23,6 +23,8 @@
 const (
 	// callerReadLimit is how long a request may take to be read.
 	callerReadLimit = 20 * time.Second
+	// callerWriteLimit is how long a response may take to be written.
+	callerWriteLimit = 5 * time.Minute
 	// keepAliveLimit is how long connections may idle where the configuration in force allows no more. A server waits
 	// for longer than callerReadLimit only while a connection idles, by which listener.KeepAliveListener knows one.
 	keepAliveLimit = time.Minute
@@ -62,7 +64,10 @@
 	case errors.As(err, &small):
 		status = fasthttp.StatusRequestHeaderFieldsTooLarge
 	}
-	sessionapi.Fail(ctx, status, callerapi.Error{Outcome: callerapi.Invalid, Reason: "the request cannot be read: " + err.Error()})
+	sessionapi.Fail(ctx, status, callerapi.Error{
+		Outcome: callerapi.Invalid,
+		Reason:  "the request cannot be read: " + err.Error(),
+	})
 	ctx.SetConnectionClose()
 }
 
@@ -93,10 +98,21 @@
 // server returns the HTTP server of one listener.
 func (d *Daemon) server(handle fasthttp.RequestHandler, limits func(*fasthttp.RequestHeader) fasthttp.RequestConfig) *fasthttp.Server {
 	return &fasthttp.Server{
-		Handler: handle, Name: "cresspond", MaxRequestBodySize: maxCallerBody, HeaderReceived: limits, ReadTimeout: callerReadLimit, WriteTimeout: 5 * time.Minute,
-		IdleTimeout: keepAliveLimit, NoDefaultServerHeader: true, Concurrency: maxConnections(d.config.Machine.MaxFileDescriptors), CloseOnShutdown: true, Logger: discardLogger{}, ReadBufferSize: maxHeader,
+		Handler:               handle,
+		Name:                  "cresspond",
+		HeaderReceived:        limits,
+		MaxRequestBodySize:    maxCallerBody,
+		ReadBufferSize:        maxHeader,
+		ReadTimeout:           callerReadLimit,
+		WriteTimeout:          callerWriteLimit,
+		IdleTimeout:           keepAliveLimit,
+		Concurrency:           maxConnections(d.config.Machine.MaxFileDescriptors),
+		CloseOnShutdown:       true,
+		NoDefaultServerHeader: true,
+		Logger:                discardLogger{},
+		ErrorHandler:          badRequest,
 		// A form is a caller's body like any other, and is forwarded byte for byte.
-		ErrorHandler: badRequest, DisablePreParseMultipartForm: true,
+		DisablePreParseMultipartForm: true,
 	}
 }
 
@@ -109,7 +125,10 @@
 		d.forwarding.gateway.Handle(ctx)
 	case d.config.Serves(daemonconfig.Route) && d.config.OpaqueOnly:
 		// Nothing else is served there, also by a daemon that was made without forwarding.
-		sessionapi.Fail(ctx, fasthttp.StatusServiceUnavailable, callerapi.Error{Outcome: callerapi.Unknown, Reason: "no paths are in force here yet"})
+		sessionapi.Fail(ctx, fasthttp.StatusServiceUnavailable, callerapi.Error{
+			Outcome: callerapi.Unknown,
+			Reason:  "no paths are in force here yet",
+		})
 	case path == callerapi.PathGenerate && d.config.Serves(daemonconfig.Route):
 		d.sessionAPI.Handle(ctx)
 	default:
--- a/daemon/sessionaffinity.go
+++ b/daemon/sessionaffinity.go
@@ -61,7 +61,13 @@
 		}
 	}
 	first, second := r.assignmentOwners(query.Session)
-	request := &peerapi.SeatRequest{Session: query.Session, Model: query.Model, Adapter: query.Adapter, Engine: string(query.Engine), Replaces: string(query.Replaces)}
+	request := &peerapi.SeatRequest{
+		Session:  query.Session,
+		Model:    query.Model,
+		Adapter:  query.Adapter,
+		Engine:   string(query.Engine),
+		Replaces: string(query.Replaces),
+	}
 	decided := r.queryAssignment(first, request)
 	if decided != nil && (!decided.Found || !decided.Fresh) {
 		return ident.EngineID(decided.Engine), decided.Found
@@ -75,7 +81,11 @@
 		return ident.EngineID(decided.Engine), true
 	case decided != nil && !copied.Fresh && copied.Found && copied.Engine != decided.Engine:
 		// The first owner has lost the assignment, so it is told what the second one knows.
-		r.queryAssignment(first, &peerapi.SeatRequest{Session: query.Session, Engine: copied.Engine, Replaces: decided.Engine})
+		r.queryAssignment(first, &peerapi.SeatRequest{
+			Session:  query.Session,
+			Engine:   copied.Engine,
+			Replaces: decided.Engine,
+		})
 	}
 	return ident.EngineID(copied.Engine), copied.Found
 }
@@ -86,7 +96,9 @@
 	now := d.clock.Elapsed()
 	for _, peer := range d.members.View().Members {
 		sinceContact := now.Since(peer.LastContact)
-		if peer.Ready && (sinceContact > slotOwnerWindow && sinceContact <= ownership.ContactWindow+ownership.UncertainWindow || now.Since(peer.FirstContact) < ownership.UncertainWindow) {
+		lost := sinceContact > slotOwnerWindow && sinceContact <= ownership.ContactWindow+ownership.UncertainWindow
+		restarted := now.Since(peer.FirstContact) < ownership.UncertainWindow
+		if peer.Ready && (lost || restarted) {
 			return true
 		}
 	}
@@ -156,7 +168,10 @@
 		}
 		for _, owner := range change.NewOwners(session) {
 			if owner != self && !unreached[owner] {
-				unreached[owner] = d.queryAssignment(owner, &peerapi.SeatRequest{Session: session, Engine: string(engine)}) == nil
+				unreached[owner] = d.queryAssignment(owner, &peerapi.SeatRequest{
+					Session: session,
+					Engine:  string(engine),
+				}) == nil
 			}
 		}
 	}
--- a/daemon/sessionplanning.go
+++ b/daemon/sessionplanning.go
@@ -26,35 +26,52 @@
 		for _, demand := range snapshot.Demands {
 			in.Demand = append(in.Demand, sessionplacement.Demand(demand))
 		}
-		for _, seat := range snapshot.Assignments {
-			in.Assignments = append(in.Assignments, sessionplacement.Assignments(seat))
+		for _, sessions := range snapshot.Assignments {
+			in.Assignments = append(in.Assignments, sessionplacement.Assignments(sessions))
 		}
 	}
 	p.peerDemandMutex.Lock()
 	defer p.peerDemandMutex.Unlock()
-	for node, heard := range p.peerDemand {
+	for node, receiver := range p.peerDemand {
 		// Demand is stale soon; assignments are believed for longer, so that a partitioned daemon keeps them.
-		if now.Since(heard.At) > peerDemandRetained {
+		if now.Since(receiver.At) > peerDemandRetained {
 			delete(p.peerDemand, node)
 			continue
 		}
-		if now.Since(heard.At) < demandFresh {
-			heard.Each(now, func(demand *peerapi.Demand, _ time.Duration, _ float64) {
+		if now.Since(receiver.At) < demandFresh {
+			receiver.Each(now, func(demand *peerapi.Demand, _ time.Duration, _ float64) {
 				if demand.Pool == "" {
-					in.Demand = append(in.Demand, sessionplacement.Demand{Model: demand.Model, Adapter: demand.Adapter, Value: demand.Value, Queued: int(demand.Queued), Running: int(demand.Running)})
+					in.Demand = append(in.Demand, sessionplacement.Demand{
+						Model:   demand.Model,
+						Adapter: demand.Adapter,
+						Value:   demand.Value,
+						Queued:  int(demand.Queued),
+						Running: int(demand.Running),
+					})
 				}
 			})
 		}
-		for _, seat := range heard.Sessions {
-			in.Assignments = append(in.Assignments, sessionplacement.Assignments{Engine: ident.EngineID(seat.Engine), Model: seat.Model, Adapter: seat.Adapter, Sessions: int(seat.Sessions)})
+		for _, sessions := range receiver.Sessions {
+			in.Assignments = append(in.Assignments, sessionplacement.Assignments{
+				Engine:   ident.EngineID(sessions.Engine),
+				Model:    sessions.Model,
+				Adapter:  sessions.Adapter,
+				Sessions: int(sessions.Sessions),
+			})
 		}
 	}
 	return in
 }
 
 // Claim acquires or renews the planner's lease.
-func (p sessionPlanner) Claim(ctx context.Context, orders map[ident.EngineID]uint64, turn uint64) (*statemachine.PlannerLease, bool) {
-	answer, ok := p.submitOnce(ctx, statemachine.Command{Op: statemachine.OpAcquirePlanner, NodeID: p.nodeID, Orders: orders, OrdersSequence: turn, TokenAbove: p.highestClaimSeen()})
+func (p sessionPlanner) Claim(ctx context.Context, orders map[ident.EngineID]uint64, sequence uint64) (*statemachine.PlannerLease, bool) {
+	answer, ok := p.submitOnce(ctx, statemachine.Command{
+		Op:             statemachine.OpAcquirePlanner,
+		NodeID:         p.nodeID,
+		Orders:         orders,
+		OrdersSequence: sequence,
+		TokenAbove:     p.highestClaimSeen(),
+	})
 	if !ok || answer.Outcome != statemachine.Done || answer.PlannerLease == nil {
 		return nil, false
 	}
@@ -65,8 +82,10 @@
 func (p sessionPlanner) Mint() (ident.SnowflakeID, snowflake.Outcome) { return p.generator.Next() }
 
 // Order sends an order to an engine, if the worker id lease still holds when the first byte leaves.
-func (p sessionPlanner) Order(ctx context.Context, address string, order engineapi.Order, limit time.Duration, mayLeave func() bool) (*engineapi.OrderAnswer, bool) {
-	return enginestream.SendOrder(ctx, address, order, limit, func() bool { return mayLeave() && p.generator.HasLease() })
+func (p sessionPlanner) Order(ctx context.Context, address string, order engineapi.Order, limit time.Duration,
+	maySend func() bool,
+) (*engineapi.OrderAnswer, bool) {
+	return enginestream.SendOrder(ctx, address, order, limit, func() bool { return maySend() && p.generator.HasLease() })
 }
 
 // MayPlan says whether this daemon should try to plan.
--- a/daemon/shortages.go
+++ b/daemon/shortages.go
@@ -65,10 +65,19 @@
 		return
 	}
 	for _, shortage := range report.sessions {
-		reply.Shortages = append(reply.Shortages, &peerapi.Shortage{Model: shortage.Model, Adapter: shortage.Adapter, WaitMs: shortage.Wait.Milliseconds()})
+		reply.Shortages = append(reply.Shortages, &peerapi.Shortage{
+			Model:   shortage.Model,
+			Adapter: shortage.Adapter,
+			WaitMs:  shortage.Wait.Milliseconds(),
+		})
 	}
 	for _, shortage := range report.pools {
-		reply.Shortages = append(reply.Shortages, &peerapi.Shortage{Pool: shortage.Pool, Model: shortage.Model, Adapter: shortage.Adapter, WaitMs: shortage.Wait.Milliseconds()})
+		reply.Shortages = append(reply.Shortages, &peerapi.Shortage{
+			Pool:    shortage.Pool,
+			Model:   shortage.Model,
+			Adapter: shortage.Adapter,
+			WaitMs:  shortage.Wait.Milliseconds(),
+		})
 	}
 }
 
@@ -91,7 +100,10 @@
 	shortages := make(map[dispatch.Wanted]time.Duration, len(reply.Shortages))
 	for _, shortage := range reply.Shortages {
 		if shortage.Pool == "" {
-			shortages[dispatch.Wanted{Model: shortage.Model, Adapter: shortage.Adapter}] = time.Duration(shortage.WaitMs) * time.Millisecond
+			shortages[dispatch.Wanted{
+				Model:   shortage.Model,
+				Adapter: shortage.Adapter,
+			}] = time.Duration(shortage.WaitMs) * time.Millisecond
 		}
 	}
 	d.receivePoolShortages(reply.Shortages)
@@ -119,15 +131,15 @@
 		}
 		return out
 	}
-	if heard := d.shortages.Load(); heard != nil && d.clock.Elapsed().Since(heard.receivedAt) < shortagesValidFor {
-		return heard.waits
+	if received := d.shortages.Load(); received != nil && d.clock.Elapsed().Since(received.receivedAt) < shortagesValidFor {
+		return received.waits
 	}
 	return nil
 }
 
 // PoolShortage returns for how long a model or adapter is not likely to be loaded, by the planner's last report. The
 // request path checks it before it queues a request.
-func (d *Daemon) PoolShortage(pool, model, adapter string) (wait time.Duration, lacking bool) {
+func (d *Daemon) PoolShortage(pool, model, adapter string) (wait time.Duration, short bool) {
 	if condition := d.poolPlanning.condition(); condition.Held {
 		for _, shortage := range condition.Lacks {
 			if shortage.Pool == pool && shortage.Model == model && (shortage.Adapter == "" || shortage.Adapter == adapter) {
@@ -136,13 +148,13 @@
 		}
 		return 0, false
 	}
-	heard := d.poolShortages.Load()
-	if heard == nil || d.clock.Elapsed().Since(heard.receivedAt) >= shortagesValidFor {
+	received := d.poolShortages.Load()
+	if received == nil || d.clock.Elapsed().Since(received.receivedAt) >= shortagesValidFor {
 		return 0, false
 	}
-	if wait, lacking = heard.waits[PoolTarget{pool, model, ""}]; lacking {
+	if wait, short = received.waits[PoolTarget{pool, model, ""}]; short {
 		return wait, true
 	}
-	wait, lacking = heard.waits[PoolTarget{pool, model, adapter}]
-	return wait, lacking
+	wait, short = received.waits[PoolTarget{pool, model, adapter}]
+	return wait, short
 }
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -15,8 +15,18 @@
 func (d *Daemon) Status() operatorapi.Status {
 	now := d.clock.Elapsed()
 	ready, why := d.Ready()
-	out := operatorapi.Status{NodeID: d.nodeID, Version: d.version, Zone: d.config.Zone, Serve: d.roleNames(), Ready: ready, NotReady: why,
-		Group: d.Group(), Leader: d.leaderAddress(), Peers: []operatorapi.Peer{}, Engines: []operatorapi.Engine{}}
+	out := operatorapi.Status{
+		NodeID:   d.nodeID,
+		Version:  d.version,
+		Zone:     d.config.Zone,
+		Serve:    d.roleNames(),
+		Ready:    ready,
+		NotReady: why,
+		Group:    d.Group(),
+		Leader:   d.leaderAddress(),
+		Peers:    []operatorapi.Peer{},
+		Engines:  []operatorapi.Engine{},
+	}
 	table := d.rollout.Table()
 	if table != nil {
 		out.ConfigurationVersion, out.ClosureVersion = table.Version, table.Closures.Version
@@ -25,36 +35,66 @@
 		ago := max(0, now.Since(confirmed).Milliseconds())
 		out.ConfirmedMsAgo = &ago
 	}
-	if worker, held := d.generator.WorkerID(); held {
+	if worker, leased := d.generator.WorkerID(); leased {
 		number := int64(worker)
 		out.WorkerID = &number
 	}
-	if held := d.replica.Load(); held != nil {
-		condition := held.Status()
-		out.Raft = &operatorapi.RaftStatus{Role: condition.Role.String(), Term: uint64(condition.Term), Commit: uint64(condition.CommitIndex), Stalled: condition.DiskStalled,
-			Applied: uint64(condition.AppliedIndex), StateDigest: digestText(condition.Digest)}
+	if groupMember := d.replica.Load(); groupMember != nil {
+		condition := groupMember.Status()
+		out.Raft = &operatorapi.RaftStatus{
+			Role:        condition.Role.String(),
+			Term:        uint64(condition.Term),
+			Commit:      uint64(condition.CommitIndex),
+			Stalled:     condition.DiskStalled,
+			Applied:     uint64(condition.AppliedIndex),
+			StateDigest: digestText(condition.Digest),
+		}
 		if folder := d.dataFolder(); folder != nil {
 			self, _ := condition.Membership.Find(folder.MemberID)
 			out.Raft.Voter = self.Voter
 		}
 		for _, member := range condition.Membership.Members {
-			out.Raft.Members = append(out.Raft.Members, operatorapi.RaftMember{Name: member.Name, Address: member.Address, Voter: member.Voter,
-				Differs: slices.Contains(condition.DivergentMembers, member.ID)})
+			out.Raft.Members = append(out.Raft.Members, operatorapi.RaftMember{
+				Name:    member.Name,
+				Address: member.Address,
+				Voter:   member.Voter,
+				Differs: slices.Contains(condition.DivergentMembers, member.ID),
+			})
 		}
 	}
 	if d.config.Serves(daemonconfig.Placement) {
 		condition := d.sessionPlacer.Status()
-		out.Planner = &operatorapi.PlannerStatus{HasLease: condition.HasLease, Token: condition.Token, PendingOrders: condition.PendingOrders}
+		out.Planner = &operatorapi.PlannerStatus{
+			HasLease:      condition.HasLease,
+			Token:         condition.Token,
+			PendingOrders: condition.PendingOrders,
+		}
 	}
 	for _, peer := range d.members.View().InContact(now, 30*time.Second) {
-		out.Peers = append(out.Peers, operatorapi.Peer{NodeID: peer.NodeID, Address: peer.Address, Zone: peer.Zone, Serve: peer.Roles,
-			LastContactMsAgo: now.Since(peer.LastContact).Milliseconds(), ConfigurationVersion: peer.ConfigurationVersion, ClosureVersion: peer.ClosureVersion, Ready: peer.Ready})
+		out.Peers = append(out.Peers, operatorapi.Peer{
+			NodeID:               peer.NodeID,
+			Address:              peer.Address,
+			Zone:                 peer.Zone,
+			Serve:                peer.Roles,
+			LastContactMsAgo:     now.Since(peer.LastContact).Milliseconds(),
+			ConfigurationVersion: peer.ConfigurationVersion,
+			ClosureVersion:       peer.ClosureVersion,
+			Ready:                peer.Ready,
+		})
 	}
 	for _, engine := range d.watcher.View().Engines {
-		row := operatorapi.Engine{ID: engine.ID, Address: engine.Address, Zone: engine.Zone, Condition: string(engine.Condition), Draining: engine.Draining,
-			Open: table != nil && table.Open(engine.ID), CallSeq: engine.Report.CallSeq, Models: []string{}}
-		for _, held := range engine.Report.Models {
-			row.Models = append(row.Models, held.Model+":"+string(held.State))
+		row := operatorapi.Engine{
+			ID:        engine.ID,
+			Address:   engine.Address,
+			Zone:      engine.Zone,
+			Condition: string(engine.Condition),
+			Draining:  engine.Draining,
+			Open:      table != nil && table.Open(engine.ID),
+			CallSeq:   engine.Report.CallSeq,
+			Models:    []string{},
+		}
+		for _, loaded := range engine.Report.Models {
+			row.Models = append(row.Models, loaded.Model+":"+string(loaded.State))
 		}
 		out.Engines = append(out.Engines, row)
 	}
--- a/daemon/workerlease.go
+++ b/daemon/workerlease.go
@@ -41,7 +41,11 @@
 				d.admitCallers()
 			}
 		case requestedAt.Since(renewed) >= renewEvery:
-			result, ok := d.submitOnce(ctx, statemachine.Command{Op: statemachine.OpRenew, NodeID: d.nodeID, WorkerID: worker})
+			result, ok := d.submitOnce(ctx, statemachine.Command{
+				Op:       statemachine.OpRenew,
+				NodeID:   d.nodeID,
+				WorkerID: worker,
+			})
 			switch {
 			case ok && result.Grant != nil:
 				d.generator.SetLease(*result.Grant, requestedAt)
@@ -65,7 +69,11 @@
 // registerServing has the group record that this incarnation may be serving, so that no change counts as in force
 // everywhere without it.
 func (d *Daemon) registerServing(ctx context.Context) {
-	answer, ok := d.submitOnce(ctx, statemachine.Command{Op: statemachine.OpRegister, NodeID: d.nodeID, Address: d.config.AdvertisedPeerAddress()})
+	answer, ok := d.submitOnce(ctx, statemachine.Command{
+		Op:      statemachine.OpRegister,
+		NodeID:  d.nodeID,
+		Address: d.config.AdvertisedPeerAddress(),
+	})
 	switch {
 	case ok && answer.Outcome == statemachine.Done:
 		d.enlistedAt.Store(int64(d.clock.Elapsed()))
