--- a/daemon/forwarding.go
+++ b/daemon/forwarding.go
@@ -71,17 +71,17 @@
 	}
 	side.pools = connectionpool.New(d.clock, side.dialect)
 	side.actor = forwarding.NewActor(side.settings, d.forwardWorld)
-	side.gateway = gateway.New(gateway.Surroundings{
-		Clock:      d.clock,
-		Dialect:    side.dialect,
-		Index:      d.forwardIndex,
-		View:       side.view,
-		Current:    d.tableIsCurrent,
-		Held:       d.generator.HasLease,
-		EngineOpen: d.engineOpen,
-		Draining:   d.draining.Load,
-		Settings:   side.settings,
-		Recorder:   d.nodeRanking.Recorder(),
+	side.gateway = gateway.New(gateway.Dependencies{
+		Clock:        d.clock,
+		Dialect:      side.dialect,
+		Index:        d.forwardIndex,
+		View:         side.view,
+		IndexCurrent: d.tableIsCurrent,
+		HasWorkerID:  d.generator.HasLease,
+		EngineOpen:   d.engineOpen,
+		Draining:     d.draining.Load,
+		Settings:     side.settings,
+		Recorder:     d.nodeRanking.Recorder(),
 	}, side.actor, side.pools)
 	go side.actor.Run(ctx)
 	go d.runSweeps(ctx)
@@ -157,7 +157,7 @@
 		View:         d.forwarding.view(),
 		Zone:         d.config.Zone,
 		HasIdleConnection: func(engine *registry.Engine, pool string, careful bool) bool {
-			return d.forwarding.pools.Warm(engine.ID, engine.Address, pool, careful)
+			return d.forwarding.pools.HasIdle(engine.ID, engine.Address, pool, careful)
 		},
 		Routers:         d.routingDaemonCount(now),
 		NotLoadedFor:    d.PoolShortage,
@@ -165,8 +165,8 @@
 		EngineEvacuated: d.engineDrainedByRanking,
 		HasWorkerID:     d.generator.HasLease(),
 		MintID: func() (ident.SnowflakeID, bool) {
-			fresh, outcome := d.generator.Next()
-			return fresh, outcome == snowflake.Generated
+			id, outcome := d.generator.Next()
+			return id, outcome == snowflake.Generated
 		},
 	}
 }
--- a/daemon/noderanking/digests.go
+++ b/daemon/noderanking/digests.go
@@ -16,7 +16,7 @@
 	// maxClasses and maxBuckets bound what one message may hold of an engine.
 	maxClasses = 500
 	maxBuckets = 300
-	// maxLevel is the highest class of load and of size: both are logarithms.
+	// maxLevel is the highest class of load and of size: both are exponents of two.
 	maxLevel = 64
 )
 
