--- a/process/featuregates/featuregates.go
+++ b/process/featuregates/featuregates.go
@@ -1,5 +1,6 @@
-// Package featuregates names the mechanisms of routing and placement that can be switched off one by one, so that an
-// experiment can measure what each is worth. All are on by default.
+// Package featuregates names the mechanisms of routing and placement that can be disabled one by one, so that an experiment
+// can measure what each contributes. All are enabled by default. The settings (daemonconfig.Experiments) name the disabled
+// ones; request/forwarding and process/placement look them up where the mechanism acts.
 package featuregates
 
 import (
@@ -9,90 +10,97 @@
 	"strings"
 )
 
-// ErrUnknown says that no mechanism has a name.
+// ErrUnknown is wrapped by the error of Parse for a name that no mechanism has.
 var ErrUnknown = errors.New("unknown mechanism")
 
-// Mechanism is one mechanism of routing or placement.
+// Mechanism is one mechanism of routing or placement that can be disabled.
 type Mechanism uint8
 
 const (
-	// PrefixCacheAffinity weighs which parts of a prompt an engine is known to have kept.
+	// PrefixCacheAffinity scores engines by which prefixes of the prompt their prefix caches are known to hold.
 	PrefixCacheAffinity Mechanism = iota
-	// PrefixOwners sends prompts with the same shared parts to few engines, by rendezvous.
+	// PrefixOwners sends prompts with the same prefixes to few engines, by rendezvous hashing.
 	PrefixOwners
-	// ZoneCost makes an engine in another zone dearer.
+	// ZoneCost adds a penalty to engines in other zones.
 	ZoneCost
-	// WarmConnections prefers engines that a connection is kept to.
+	// WarmConnections prefers engines with an idle connection.
 	WarmConnections
-	// FirstByteWait weighs for how long an engine's oldest first byte has been awaited.
+	// FirstByteWait scores engines by how long their oldest outstanding first byte has been awaited.
 	FirstByteWait
-	// SpeculativeDispatch sends one request ahead of the news that a load is done.
+	// SpeculativeDispatch sends one request before the completion of a load is reported.
 	SpeculativeDispatch
-	// Shedding refuses by a draw what is expected to be answered long after its target.
+	// Shedding rejects, at random, requests whose response is expected long after their latency target.
 	Shedding
-	// LoadEstimates refuses at once what a load will come too late for.
+	// LoadEstimates rejects requests at once for which a load will complete too late.
 	LoadEstimates
-	// ErrorPenalty makes engines dearer whose attempts failed lately.
+	// ErrorPenalty adds a penalty to engines with recent failures.
 	ErrorPenalty
-	// SlowStart makes engines dearer that are slow from their start.
+	// SlowStart adds a penalty to engines that started recently.
 	SlowStart
-	// Resumption takes broken streams up at another engine.
+	// Resumption resumes broken streams at another engine.
 	Resumption
-	// Retries sends a request again that provably did not run.
+	// Retries retries requests that provably did not run.
 	Retries
-	// UnloadNotice tells all daemons of an unload before it is ordered.
+	// UnloadNotice notifies all daemons of an unload before it is commanded.
 	UnloadNotice
 	// RankWeight places models of urgent paths before others.
 	RankWeight
-	// ReplicasByDemand places further copies of models whose copies have too much to do.
+	// ReplicasByDemand adds replicas of models whose replicas are overloaded.
 	ReplicasByDemand
-	// DemandTrend foresees from how demand grows what will be asked for once a load has ended.
+	// DemandTrend extrapolates demand to the time at which a load would complete.
 	DemandTrend
-	// SecondReplicas places a second copy of what stands on one engine only.
+	// SecondReplicas adds a second replica of models on one engine only.
 	SecondReplicas
-	// UnmetDemand lets requests that came in vain count for the model they asked for.
+	// UnmetDemand counts rejected requests as demand for their model.
 	UnmetDemand
-	// AdapterDwell keeps adapters in use on an engine for a while before one is exchanged.
+	// AdapterDwell keeps adapters in use on an engine for a minimum time before one is exchanged.
 	AdapterDwell
-	// Hysteresis asks a load to be worth clearly more than what makes way for it.
+	// Hysteresis requires a load to be worth clearly more than what it evicts.
 	Hysteresis
 	count
 )
 
-// Description is a mechanism's name in settings and what it does.
-type Description struct{ Name, Purpose string }
+// Description describes a mechanism.
+type Description struct {
+	// Name is its name in settings and flags, which stays when the constant's name changes.
+	Name string
+	// Purpose says what it does, for the command's help.
+	Purpose string
+}
+
+// descriptions are by Mechanism.
 
 var descriptions = [count]Description{
-	PrefixCacheAffinity: {"kept-prefixes", "weigh which parts of a prompt an engine has kept"},
-	PrefixOwners:        {"homes", "send prompts with the same shared parts to few engines"},
-	ZoneCost:            {"zone-cost", "prefer engines of the own zone"},
-	WarmConnections:     {"warm-connections", "prefer engines that a connection is kept to"},
-	FirstByteWait:       {"awaiting", "weigh for how long an engine's oldest first byte has been awaited"},
-	SpeculativeDispatch: {"speculation", "send one request ahead of the news that a load is done"},
-	Shedding:            {"shedding", "refuse by a draw what is expected long after its target"},
-	LoadEstimates:       {"load-estimates", "refuse at once what a load will come too late for"},
-	ErrorPenalty:        {"badness", "prefer engines that did not fail lately"},
-	SlowStart:           {"slow-start", "send less to engines that are slow from their start"},
-	Resumption:          {"resumption", "take broken streams up at another engine"},
-	Retries:             {"retries", "send again what provably did not run"},
-	UnloadNotice:        {"notice", "tell all daemons of an unload before it is ordered"},
+	PrefixCacheAffinity: {"kept-prefixes", "score engines by which prefixes of the prompt their prefix caches are known to hold"},
+	PrefixOwners:        {"homes", "send prompts with the same prefixes to few engines, by rendezvous hashing"},
+	ZoneCost:            {"zone-cost", "add a penalty to engines in other zones"},
+	WarmConnections:     {"warm-connections", "prefer engines with an idle connection"},
+	FirstByteWait:       {"awaiting", "score engines by how long their oldest outstanding first byte has been awaited"},
+	SpeculativeDispatch: {"speculation", "send one request before the completion of a load is reported"},
+	Shedding:            {"shedding", "reject, at random, requests whose response is expected long after their latency target"},
+	LoadEstimates:       {"load-estimates", "reject requests at once for which a load will complete too late"},
+	ErrorPenalty:        {"badness", "add a penalty to engines with recent failures"},
+	SlowStart:           {"slow-start", "add a penalty to engines that started recently"},
+	Resumption:          {"resumption", "resume broken streams at another engine"},
+	Retries:             {"retries", "retry requests that provably did not run"},
+	UnloadNotice:        {"notice", "notify all daemons of an unload before it is commanded"},
 	RankWeight:          {"rank-weight", "place models of urgent paths before others"},
-	ReplicasByDemand:    {"copies-by-demand", "place further copies of models that have too much to do"},
-	DemandTrend:         {"trend", "foresee what will be asked for once a load has ended"},
-	SecondReplicas:      {"second-copies", "place a second copy of what stands on one engine"},
-	UnmetDemand:         {"debt", "count requests that came in vain for the model they asked for"},
-	AdapterDwell:        {"adapter-turns", "keep adapters in use for a while before one is exchanged"},
-	Hysteresis:          {"hysteresis", "load only what is worth clearly more than what makes way"},
+	ReplicasByDemand:    {"copies-by-demand", "add replicas of models whose replicas are overloaded"},
+	DemandTrend:         {"trend", "extrapolate demand to the time at which a load would complete"},
+	SecondReplicas:      {"second-copies", "add a second replica of models on one engine only"},
+	UnmetDemand:         {"debt", "count rejected requests as demand for their model"},
+	AdapterDwell:        {"adapter-turns", "keep adapters in use on an engine for a minimum time before one is exchanged"},
+	Hysteresis:          {"hysteresis", "require a load to be worth clearly more than what it evicts"},
 }
 
-// Descriptions lists all mechanisms.
+// Descriptions returns the descriptions of all mechanisms, in their order.
 func Descriptions() []Description { return slices.Clone(descriptions[:]) }
 
-// Names lists the names of all mechanisms.
+// Names returns the names of all mechanisms.
 func Names() []string {
 	names := make([]string, 0, count)
-	for _, one := range descriptions {
-		names = append(names, one.Name)
+	for _, description := range descriptions {
+		names = append(names, description.Name)
 	}
 	return names
 }
@@ -100,32 +108,32 @@
 // Set is a set of mechanisms. The zero set is empty.
 type Set uint32
 
-// Has says whether a mechanism is in the set.
-func (s Set) Has(m Mechanism) bool { return s&(1<<m) != 0 }
+// Has reports whether a mechanism is in the set.
+func (s Set) Has(mechanism Mechanism) bool { return s&(1<<mechanism) != 0 }
 
-// With gives the set with one more mechanism.
-func (s Set) With(m Mechanism) Set { return s | 1<<m }
+// With returns the set with one more mechanism.
+func (s Set) With(mechanism Mechanism) Set { return s | 1<<mechanism }
 
-// String lists the names in the set, in the order of Descriptions.
+// String returns the names in the set, separated by commas, in the order of Descriptions.
 func (s Set) String() string {
 	var names []string
-	for m, one := range descriptions {
-		if s.Has(Mechanism(m)) {
-			names = append(names, one.Name)
+	for index, description := range descriptions {
+		if s.Has(Mechanism(index)) {
+			names = append(names, description.Name)
 		}
 	}
 	return strings.Join(names, ",")
 }
 
-// Parse gives the set of the mechanisms named. The error wraps ErrUnknown and bears the first name that is none.
+// Parse returns the set of the mechanisms named. Its error wraps ErrUnknown and holds the first unknown name.
 func Parse(names []string) (Set, error) {
 	var set Set
 	for _, name := range names {
-		m := slices.IndexFunc(descriptions[:], func(one Description) bool { return one.Name == name })
-		if m < 0 {
+		index := slices.IndexFunc(descriptions[:], func(description Description) bool { return description.Name == name })
+		if index < 0 {
 			return 0, fmt.Errorf("%w: %q", ErrUnknown, name)
 		}
-		set = set.With(Mechanism(m))
+		set = set.With(Mechanism(index))
 	}
 	return set, nil
 }
--- a/process/featuregates/featuregates_test.go
+++ b/process/featuregates/featuregates_test.go
@@ -5,23 +5,23 @@
 	"testing"
 )
 
-// TestParseNamesEachMechanism: a set is read back as it was written, and no two mechanisms share a name.
-func TestParseNamesEachMechanism(t *testing.T) {
+// TestParseRoundTripsEachMechanism: a set is parsed as it was printed, and no two mechanisms share a name.
+func TestParseRoundTripsEachMechanism(t *testing.T) {
 	seen := map[string]bool{}
-	for m, one := range Descriptions() {
-		if one.Name == "" || one.Purpose == "" || seen[one.Name] {
-			t.Errorf("mechanism %d is described as %+v", m, one)
+	for index, description := range Descriptions() {
+		if description.Name == "" || description.Purpose == "" || seen[description.Name] {
+			t.Errorf("mechanism %d is described as %+v", index, description)
 		}
-		seen[one.Name] = true
-		set, err := Parse([]string{one.Name})
-		if err != nil || !set.Has(Mechanism(m)) || set.String() != one.Name {
-			t.Errorf("%s is read as %q, %v", one.Name, set, err)
+		seen[description.Name] = true
+		set, err := Parse([]string{description.Name})
+		if err != nil || !set.Has(Mechanism(index)) || set.String() != description.Name {
+			t.Errorf("%s is parsed as %q, %v", description.Name, set, err)
 		}
 	}
 }
 
-// TestParseRefusesAnUnknownName: the error names what is unknown.
-func TestParseRefusesAnUnknownName(t *testing.T) {
+// TestParseRejectsAnUnknownName: the error holds the name.
+func TestParseRejectsAnUnknownName(t *testing.T) {
 	_, err := Parse([]string{"homes", "magic"})
 	if !errors.Is(err, ErrUnknown) || err.Error() != `unknown mechanism: "magic"` {
 		t.Error(err)
