--- a/daemon/raftservice.go
+++ b/daemon/raftservice.go
@@ -13,8 +13,8 @@
 
 // Raft takes messages of raft from other members. It is part of the peer protocol.
 func (d *Daemon) Raft(_ context.Context, in *peerapi.RaftBatch) (*peerapi.Empty, error) {
-	messages, sound := raftcodec.Decode(in.Messages)
-	if !sound || in.Group == "" {
+	messages, err := raftcodec.Decode(in.Messages)
+	if err != nil || in.Group == "" {
 		d.counters.malformedMessages.Add(1)
 		return nil, twirp.NewError(twirp.InvalidArgument, "malformed raft messages")
 	}
--- a/process/cluster/raftcodec/fuzz_test.go
+++ b/process/cluster/raftcodec/fuzz_test.go
@@ -10,7 +10,7 @@
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// FuzzDecodedMessagesRoundTrip: what is read as raft messages is sound, and reads the same again when it is sent on.
+// FuzzDecodedMessagesRoundTrip: decoded messages are valid, and the same when encoded and decoded again.
 func FuzzDecodedMessagesRoundTrip(f *testing.F) {
 	membership := raft.Membership{Members: []raft.Member{{ID: 1, Name: "a", Address: "x:1", Voter: true}}}
 	for _, messages := range [][]raft.Message{
@@ -29,29 +29,29 @@
 		if proto.Unmarshal(data, &batch) != nil {
 			return
 		}
-		messages, sound := Decode(batch.Messages)
-		if !sound {
+		messages, err := Decode(batch.Messages)
+		if err != nil {
 			return
 		}
 		for _, m := range messages {
 			if m.From == 0 || m.To == 0 || m.Term == 0 || (m.Kind == raft.MsgSnapshot) != (m.Snapshot != nil) {
-				t.Fatalf("%+v is no message", m)
+				t.Fatalf("%+v is invalid", m)
 			}
-			for place, entry := range m.Entries {
-				if entry.Index != m.LogIndex+raft.Index(place)+1 || entry.Index == 0 || entry.Term == 0 || entry.Term > m.Term {
-					t.Fatalf("entry %d of %+v", place, m)
+			for offset, entry := range m.Entries {
+				if entry.Index != m.LogIndex+raft.Index(offset)+1 || entry.Index == 0 || entry.Term == 0 || entry.Term > m.Term {
+					t.Fatalf("entry %d of %+v", offset, m)
 				}
 			}
 		}
-		again, sound := Decode(Encode(messages))
-		if !sound || !reflect.DeepEqual(normal(messages), normal(again)) {
+		again, err := Decode(Encode(messages))
+		if err != nil || !reflect.DeepEqual(normalized(messages), normalized(again)) {
 			t.Fatalf("%+v became %+v", messages, again)
 		}
 	})
 }
 
-// normal has one form for what is empty.
-func normal(messages []raft.Message) []raft.Message {
+// normalized returns the messages with empty slices in place of nil.
+func normalized(messages []raft.Message) []raft.Message {
 	out := append([]raft.Message(nil), messages...)
 	for i := range out {
 		entries := append([]raft.Entry(nil), out[i].Entries...)
--- a/process/cluster/raftcodec/raftcodec.go
+++ b/process/cluster/raftcodec/raftcodec.go
@@ -4,76 +4,126 @@
 package raftcodec
 
 import (
+	"errors"
+	"fmt"
+
 	"github.com/cresspond/cresspond/process/consensus/raft"
 	"github.com/cresspond/cresspond/wire/peerapi"
 )
 
-// Encode gives the wire form of raft messages.
+// ErrInvalidMessage is wrapped by Decode's errors: the message can't be from a correct member.
+var ErrInvalidMessage = errors.New("invalid raft message")
+
+// Encode returns the protobuf form of raft messages.
 func Encode(messages []raft.Message) []*peerapi.RaftMessage {
-	out := make([]*peerapi.RaftMessage, 0, len(messages))
-	for _, m := range messages {
-		wire := &peerapi.RaftMessage{
-			Kind: uint32(m.Kind), From: uint64(m.From), To: uint64(m.To), Term: uint64(m.Term),
-			LogIndex: uint64(m.LogIndex), LogTerm: uint64(m.LogTerm), Commit: uint64(m.Commit),
-			Reject: m.Reject, Hint: uint64(m.Hint), ReadContext: m.HeartbeatRound,
-			SnapshotOffset: m.SnapshotOffset, SnapshotSize: m.SnapshotSize, AcceptsChunks: m.AcceptsChunks,
-		}
-		if digest := m.StateDigest; digest != nil {
-			wire.StateDigest = &peerapi.RaftStateDigest{Index: uint64(digest.Index), Format: digest.Format, Sum: digest.Sum, Differs: digest.Differs}
-		}
-		for _, entry := range m.Entries {
-			wire.Entries = append(wire.Entries, &peerapi.RaftEntry{Term: uint64(entry.Term), Index: uint64(entry.Index), Kind: uint32(entry.Kind), Data: entry.Data})
-		}
-		if m.Snapshot != nil {
-			wire.Snapshot = &peerapi.RaftSnapshot{Index: uint64(m.Snapshot.Index), Term: uint64(m.Snapshot.Term),
-				Membership: m.Snapshot.Membership.Encode(), Data: m.Snapshot.Data, Checksum: m.Snapshot.Checksum}
+	encoded := make([]*peerapi.RaftMessage, 0, len(messages))
+	for _, message := range messages {
+		encoded = append(encoded, encodeMessage(message))
+	}
+	return encoded
+}
+
+func encodeMessage(message raft.Message) *peerapi.RaftMessage {
+	encoded := &peerapi.RaftMessage{
+		Kind:           uint32(message.Kind),
+		From:           uint64(message.From),
+		To:             uint64(message.To),
+		Term:           uint64(message.Term),
+		LogIndex:       uint64(message.LogIndex),
+		LogTerm:        uint64(message.LogTerm),
+		Commit:         uint64(message.Commit),
+		Reject:         message.Reject,
+		Hint:           uint64(message.Hint),
+		HeartbeatRound: message.HeartbeatRound,
+		SnapshotOffset: message.SnapshotOffset,
+		SnapshotSize:   message.SnapshotSize,
+		AcceptsChunks:  message.AcceptsChunks,
+	}
+	if digest := message.StateDigest; digest != nil {
+		encoded.StateDigest = &peerapi.RaftStateDigest{Index: uint64(digest.Index), Format: digest.Format, Sum: digest.Sum, Differs: digest.Differs}
+	}
+	for _, entry := range message.Entries {
+		encoded.Entries = append(encoded.Entries, &peerapi.RaftEntry{
+			Term: uint64(entry.Term), Index: uint64(entry.Index), Kind: uint32(entry.Kind), Data: entry.Data,
+		})
+	}
+	if snapshot := message.Snapshot; snapshot != nil {
+		encoded.Snapshot = &peerapi.RaftSnapshot{
+			Index: uint64(snapshot.Index), Term: uint64(snapshot.Term),
+			Membership: snapshot.Membership.Encode(), Data: snapshot.Data, Checksum: snapshot.Checksum,
 		}
-		out = append(out, wire)
 	}
-	return out
+	return encoded
 }
 
-// Decode reads the wire form; it says false where a message can't be of a sound member.
-func Decode(wires []*peerapi.RaftMessage) ([]raft.Message, bool) {
-	out := make([]raft.Message, 0, len(wires))
-	for _, w := range wires {
-		m, readable := decodeMessage(w)
-		// A member speaks to itself without the wire.
-		if !readable || m.From == m.To || m.Validate() != nil {
-			return nil, false
+// Decode reads the protobuf form of raft messages. If one of them is invalid all are rejected, with an error that wraps
+// ErrInvalidMessage.
+func Decode(encoded []*peerapi.RaftMessage) ([]raft.Message, error) {
+	messages := make([]raft.Message, 0, len(encoded))
+	for _, one := range encoded {
+		message, err := decodeMessage(one)
+		if err != nil {
+			return nil, err
+		}
+		// A member's messages to itself are not sent over the wire.
+		if message.From == message.To {
+			return nil, fmt.Errorf("%w: member %d is sender and receiver", ErrInvalidMessage, message.From)
 		}
-		out = append(out, m)
+		if err := message.Validate(); err != nil {
+			return nil, fmt.Errorf("%w: %w", ErrInvalidMessage, err)
+		}
+		messages = append(messages, message)
 	}
-	return out, true
+	return messages, nil
 }
 
-func decodeMessage(w *peerapi.RaftMessage) (raft.Message, bool) {
-	if w == nil || w.Kind > uint32(raft.MsgSnapshotReply) {
-		return raft.Message{}, false
+// decodeMessage converts a message whose kinds are known. Kinds are checked before they are narrowed, or a larger number
+// would wrap to a known one.
+func decodeMessage(encoded *peerapi.RaftMessage) (raft.Message, error) {
+	if encoded == nil || encoded.Kind > uint32(raft.MsgSnapshotReply) {
+		return raft.Message{}, fmt.Errorf("%w: no message or an unknown kind", ErrInvalidMessage)
 	}
-	m := raft.Message{
-		Kind: raft.MessageKind(w.Kind), From: raft.MemberID(w.From), To: raft.MemberID(w.To), Term: raft.Term(w.Term),
-		LogIndex: raft.Index(w.LogIndex), LogTerm: raft.Term(w.LogTerm), Commit: raft.Index(w.Commit),
-		Reject: w.Reject, Hint: raft.Index(w.Hint), HeartbeatRound: w.ReadContext,
-		SnapshotOffset: w.SnapshotOffset, SnapshotSize: w.SnapshotSize, AcceptsChunks: w.AcceptsChunks,
+	message := raft.Message{
+		Kind:           raft.MessageKind(encoded.Kind),
+		From:           raft.MemberID(encoded.From),
+		To:             raft.MemberID(encoded.To),
+		Term:           raft.Term(encoded.Term),
+		LogIndex:       raft.Index(encoded.LogIndex),
+		LogTerm:        raft.Term(encoded.LogTerm),
+		Commit:         raft.Index(encoded.Commit),
+		Reject:         encoded.Reject,
+		Hint:           raft.Index(encoded.Hint),
+		HeartbeatRound: encoded.HeartbeatRound,
+		SnapshotOffset: encoded.SnapshotOffset,
+		SnapshotSize:   encoded.SnapshotSize,
+		AcceptsChunks:  encoded.AcceptsChunks,
 	}
-	if digest := w.StateDigest; digest != nil {
-		m.StateDigest = &raft.StateDigest{Index: raft.Index(digest.Index), Format: digest.Format, Sum: digest.Sum, Differs: digest.Differs}
+	if digest := encoded.StateDigest; digest != nil {
+		message.StateDigest = &raft.StateDigest{Index: raft.Index(digest.Index), Format: digest.Format, Sum: digest.Sum, Differs: digest.Differs}
 	}
-	for _, entry := range w.Entries {
+	for _, entry := range encoded.Entries {
 		if entry == nil || entry.Kind > uint32(raft.EntryMembership) {
-			return raft.Message{}, false
+			return raft.Message{}, fmt.Errorf("%w: no entry or an unknown kind of entry", ErrInvalidMessage)
 		}
-		m.Entries = append(m.Entries, raft.Entry{Term: raft.Term(entry.Term), Index: raft.Index(entry.Index), Kind: raft.EntryKind(entry.Kind), Data: entry.Data})
+		message.Entries = append(message.Entries, raft.Entry{
+			Term: raft.Term(entry.Term), Index: raft.Index(entry.Index), Kind: raft.EntryKind(entry.Kind), Data: entry.Data,
+		})
 	}
-	if w.Snapshot == nil {
-		return m, true
+	if encoded.Snapshot == nil {
+		return message, nil
 	}
-	membership, err := raft.DecodeMembership(w.Snapshot.Membership)
+	snapshot, err := decodeSnapshot(encoded.Snapshot)
+	message.Snapshot = snapshot
+	return message, err
+}
+
+func decodeSnapshot(encoded *peerapi.RaftSnapshot) (*raft.Snapshot, error) {
+	membership, err := raft.DecodeMembership(encoded.Membership)
 	if err != nil {
-		return raft.Message{}, false
+		return nil, fmt.Errorf("%w: its snapshot's membership: %w", ErrInvalidMessage, err)
 	}
-	m.Snapshot = &raft.Snapshot{Index: raft.Index(w.Snapshot.Index), Term: raft.Term(w.Snapshot.Term), Membership: membership,
-		Data: w.Snapshot.Data, Checksum: w.Snapshot.Checksum}
-	return m, true
+	return &raft.Snapshot{
+		Index: raft.Index(encoded.Index), Term: raft.Term(encoded.Term),
+		Membership: membership, Data: encoded.Data, Checksum: encoded.Checksum,
+	}, nil
 }
--- a/process/cluster/raftcodec/raftcodec_test.go
+++ b/process/cluster/raftcodec/raftcodec_test.go
@@ -1,6 +1,7 @@
 package raftcodec
 
 import (
+	"errors"
 	"math"
 	"math/rand/v2"
 	"reflect"
@@ -16,8 +17,8 @@
 	return raft.Membership{Members: []raft.Member{{ID: 1, Name: "a", Address: "x", Voter: true}, {ID: 2, Name: "b", Address: "y", Voter: true}}}
 }
 
-// overTheWire is what the receiver reads of messages.
-func overTheWire(t *testing.T, messages []raft.Message) ([]raft.Message, bool) {
+// overTheWire returns what the receiver decodes of messages.
+func overTheWire(t *testing.T, messages []raft.Message) ([]raft.Message, error) {
 	t.Helper()
 	data, err := proto.Marshal(&peerapi.RaftBatch{Group: "g", Messages: Encode(messages)})
 	if err != nil {
@@ -30,24 +31,24 @@
 	return Decode(batch.Messages)
 }
 
-func TestMessagesArriveAsTheyWereSent(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	sent := []raft.Message{
 		{Kind: raft.MsgSnapshot, From: 1, To: 2, Term: 4, SnapshotOffset: 5, SnapshotSize: 9, Snapshot: &raft.Snapshot{Index: 7, Term: 3, Membership: members(), Data: []byte("part"), Checksum: make([]byte, 32)}},
 		{Kind: raft.MsgSnapshotReply, From: 2, To: 1, Term: 4, LogIndex: 7, LogTerm: 3, SnapshotOffset: 9, Reject: true, AcceptsChunks: true},
 		{Kind: raft.MsgHeartbeat, From: 1, To: 2, Term: 4, Commit: 9, HeartbeatRound: 3, StateDigest: &raft.StateDigest{Index: 8, Format: 1 << 63, Sum: 5, Differs: true}},
 		{Kind: raft.MsgAppend, From: 1, To: 2, Term: 4, LogIndex: 7, LogTerm: 3, Entries: []raft.Entry{{Term: 4, Index: 8, Kind: raft.EntryMembership, Data: members().Encode()}, {Term: 4, Index: 9, Data: []byte("x")}}},
 	}
-	got, readable := overTheWire(t, sent)
-	if !readable || !reflect.DeepEqual(got, sent) {
-		t.Errorf("%t\n%+v\n%+v", readable, got, sent)
+	got, err := overTheWire(t, sent)
+	if err != nil || !reflect.DeepEqual(got, sent) {
+		t.Errorf("%v\n%+v\n%+v", err, got, sent)
 	}
 }
 
-// What can't be of a sound member is refused with all that came beside it.
-func TestMessagesThatCannotBeSoundAreRefused(t *testing.T) {
-	sound := raft.Message{Kind: raft.MsgHeartbeat, From: 1, To: 2, Term: 4}
-	if _, readable := overTheWire(t, []raft.Message{sound}); !readable {
-		t.Fatal("a sound one is refused")
+// A message that can't be from a correct member is rejected with its whole batch.
+func TestInvalidMessagesAreRejected(t *testing.T) {
+	valid := raft.Message{Kind: raft.MsgHeartbeat, From: 1, To: 2, Term: 4}
+	if _, err := overTheWire(t, []raft.Message{valid}); err != nil {
+		t.Fatal(err)
 	}
 	for name, change := range map[string]func(*peerapi.RaftMessage){
 		"unknown kind":      func(m *peerapi.RaftMessage) { m.Kind = 12 },
@@ -71,28 +72,28 @@
 		"snapshot's checksum": func(m *peerapi.RaftMessage) {
 			m.Kind, m.Snapshot = uint32(raft.MsgSnapshot), &peerapi.RaftSnapshot{Index: 1, Term: 1, Membership: members().Encode(), Data: []byte("x"), Checksum: []byte("short")}
 		},
-		"a part beyond the whole": func(m *peerapi.RaftMessage) {
+		"a chunk beyond the snapshot": func(m *peerapi.RaftMessage) {
 			m.Kind, m.SnapshotOffset, m.SnapshotSize = uint32(raft.MsgSnapshot), 9, 9
 			m.Snapshot = &peerapi.RaftSnapshot{Index: 1, Term: 1, Membership: members().Encode(), Data: []byte("x")}
 		},
 	} {
-		messages := Encode([]raft.Message{sound, sound})
+		messages := Encode([]raft.Message{valid, valid})
 		change(messages[1])
-		if _, readable := Decode(messages); readable {
-			t.Errorf("%s: taken", name)
+		if _, err := Decode(messages); !errors.Is(err, ErrInvalidMessage) {
+			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, readable := Decode([]*peerapi.RaftMessage{nil}); readable {
-		t.Error("nothing was taken for a message")
+	if _, err := Decode([]*peerapi.RaftMessage{nil}); !errors.Is(err, ErrInvalidMessage) {
+		t.Errorf("no message: %v", err)
 	}
 }
 
-// FuzzDecodedMessagesAreSafeToStep: whatever comes over the wire is refused or can be taken by a member without ending it.
+// FuzzDecodedMessagesAreSafeToStep: whatever arrives is rejected, or a member can step it without a panic.
 func FuzzDecodedMessagesAreSafeToStep(f *testing.F) {
-	whole := raft.Snapshot{Index: 7, Term: 3, Membership: members(), Data: []byte("{}")}
+	complete := raft.Snapshot{Index: 7, Term: 3, Membership: members(), Data: []byte("{}")}
 	for _, message := range []raft.Message{
 		{Kind: raft.MsgAppend, From: 1, To: 2, Term: 4, LogIndex: 7, LogTerm: 3, Entries: []raft.Entry{{Term: 4, Index: 8}}},
-		{Kind: raft.MsgSnapshot, From: 1, To: 2, Term: 4, Snapshot: &whole, SnapshotSize: 2},
+		{Kind: raft.MsgSnapshot, From: 1, To: 2, Term: 4, Snapshot: &complete, SnapshotSize: 2},
 		{Kind: raft.MsgHeartbeat, From: 1, To: 2, Term: 4, Commit: 9, StateDigest: &raft.StateDigest{Index: 8, Format: 1, Sum: 5}},
 		{Kind: raft.MsgVote, From: 1, To: 2, Term: 4, LogIndex: 9, LogTerm: 3},
 	} {
@@ -107,8 +108,8 @@
 		if proto.Unmarshal(data, &batch) != nil {
 			return
 		}
-		messages, readable := Decode(batch.Messages)
-		if !readable {
+		messages, err := Decode(batch.Messages)
+		if err != nil {
 			return
 		}
 		core := raft.New(2, raft.Timing{HeartbeatTicks: 2, ElectionTicks: 16}, raft.PersistentState{HardState: raft.HardState{Term: 3},
