--- a/testbed/caller/caller.go
+++ b/testbed/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller is a stand-in for callers: it sends one request over a connection and writes down
-// all that came back, as the wire showed it.
+// Package caller simulates callers: it sends one request over a connection of its own and records what came back on the
+// wire.
 package caller
 
 import (
@@ -24,9 +24,9 @@
 	Daemon     string
 	Request    callerapi.Generate
 	Began, End time.Duration
-	// Connected says that the connection was made, Sent that the whole request was handed to the system.
+	// Connected says that the connection was made, Sent that the complete request was written.
 	Connected, Sent bool
-	// GaveUp says that the caller itself closed the connection before it had its answer.
+	// GaveUp says that the caller closed the connection before it had its answer.
 	GaveUp     bool
 	Status     int
 	Outcome    callerapi.Outcome
@@ -34,14 +34,14 @@
 	RetryAfter bool
 	Chunks     int           `json:"Pieces"`
 	FirstChunk time.Duration `json:"FirstPiece"`
-	// Final: the final line came. CleanEnd: the HTTP message ended as it should.
+	// Final: the final line arrived. CleanEnd: the HTTP message was complete.
 	Final, CleanEnd bool
-	// Faults lists what was wrong with the pieces: foreign, gap, splice.
+	// Faults lists what was wrong with the chunks: foreign, gap, splice.
 	Faults []string
 	Run    string
 }
 
-// Complete says that the caller has a whole answer.
+// Complete says that the caller has a complete answer.
 func (r Record) Complete() bool {
 	return r.Status == http.StatusOK && r.Final && r.CleanEnd && len(r.Faults) == 0
 }
@@ -125,7 +125,7 @@
 		if chunk.N != r.Chunks {
 			r.Faults = append(r.Faults, fmt.Sprintf("piece %d where %d was due", chunk.N, r.Chunks))
 		}
-		// The engine writes attempt, run and number into each piece, so a splice shows even where the numbers fit.
+		// The engine writes attempt, run and number into each chunk, so a splice shows even where the numbers fit.
 		parts := strings.Split(strings.TrimSpace(chunk.Text), "/")
 		switch {
 		case len(parts) != 3 || parts[0] != r.Attempt || parts[2] != fmt.Sprint(r.Chunks):
--- a/testbed/checker/checker.go
+++ b/testbed/checker/checker.go
@@ -18,7 +18,7 @@
 	Violations []string
 }
 
-// OK says whether the rule held and was checked at all.
+// OK says whether the rule was checked and not violated.
 func (f Finding) OK() bool { return f.Checked > 0 && len(f.Violations) == 0 }
 
 const (
--- a/testbed/checker/configuration.go
+++ b/testbed/checker/configuration.go
@@ -11,7 +11,7 @@
 
 type service struct{ engine, route, model, adapter string }
 
-// services lists what one bundle allows.
+// services lists the services that one bundle allows.
 func services(body []byte) map[service]bool {
 	parsed, faults := document.Parse(body)
 	out := map[service]bool{}
@@ -68,7 +68,7 @@
 		if entry.Kind != journal.Arrive {
 			continue
 		}
-		// What arrives must be allowed by some bundle in force within the last two seconds.
+		// An arrival must be allowed by a bundle that was in force within the last two seconds.
 		newest := -1
 		for i, roll := range rolls {
 			if roll.At+specLimit <= entry.At {
--- a/testbed/checker/draining.go
+++ b/testbed/checker/draining.go
@@ -13,7 +13,7 @@
 			continue
 		}
 		f.Checked++
-		// Another engine in its place is not leaving.
+		// Another engine in its place is not draining.
 		replaced := never
 		for _, later := range h.Actions {
 			if later.Kind == EngineStarted && later.Subject == action.Subject && later.At > action.At {
--- a/testbed/checker/history.go
+++ b/testbed/checker/history.go
@@ -10,7 +10,7 @@
 	"github.com/cresspond/cresspond/testbed/journal"
 )
 
-// Action is one thing done to the fleet.
+// Action is one fault, change or planned work in a run.
 type Action struct {
 	At      time.Duration
 	Kind    string
@@ -22,21 +22,21 @@
 	Body    []byte
 }
 
-// The kinds of acts.
+// Kinds of actions.
 const (
-	// Rolled: a bundle was acknowledged as in force everywhere.
+	// Rolled: a bundle was acknowledged to be in force everywhere.
 	Rolled = "rolled"
-	// Committed: a bundle is in force where it got to, and not acknowledged.
+	// Committed: a bundle may be in force, and was not acknowledged.
 	Committed = "committed"
-	// Refused: a bundle was refused, or lost its race.
+	// Refused: a bundle was rejected, or lost a race.
 	Refused = "refused-bundle"
 	// ZoneClosing: a closure is committed, and not yet acknowledged.
 	ZoneClosing = "zone-closing"
 	// ZoneClosed: a closure was acknowledged.
 	ZoneClosed = "zone-closed"
-	// ZoneOpened: an opening was asked for.
+	// ZoneOpened: the opening of a zone was requested.
 	ZoneOpened = "zone-opened"
-	// EngineDraining: an engine was asked to leave, or drained.
+	// EngineDraining: an engine began to drain, on the platform's or an operator's request.
 	EngineDraining = "engine-leaving"
 	// EngineKilled: an engine's process was killed.
 	EngineKilled = "engine-killed"
@@ -44,41 +44,41 @@
 	EngineStarted = "engine-started"
 	// Crashed: a daemon was killed.
 	Crashed = "crashed"
-	// StopRequested: a daemon was asked to stop.
+	// StopRequested: a daemon was sent SIGTERM.
 	StopRequested = "stop-asked"
-	// Stopped: a daemon that was asked to stop has ended.
+	// Stopped: a daemon that was sent SIGTERM has ended.
 	Stopped = "stopped"
-	// Split: links between daemons were cut.
+	// Split: daemons were partitioned.
 	Split = "split"
-	// Healed: cut links work again.
+	// Healed: all partitions were healed.
 	Healed = "healed"
 )
 
-// Observation is one look at what a daemon has in force.
+// Observation is the state of a daemon at one time.
 type Observation struct {
 	At                   time.Duration
 	Daemon               string
 	Incarnation          string
 	ConfigurationVersion uint64
 	ClosureVersion       uint64
-	// Ready says that it took new work: what it has is in force only then.
+	// Ready says that it accepted new requests: its configuration is in force only then.
 	Ready bool
 }
 
-// ReadBack is what reading an acknowledged change back gave.
+// ReadBack is an acknowledged change as it was read back.
 type ReadBack struct {
 	Version uint64
 	Body    []byte
 	Err     string
 }
 
-// Exit is how a daemon that was asked to stop ended.
+// Exit is the exit code of a daemon that was stopped.
 type Exit struct {
 	Daemon string
 	Code   int
 }
 
-// History is all that is known of a run.
+// History is all that was recorded of a run.
 type History struct {
 	Journals     []journal.Line
 	Calls        []caller.Record
@@ -88,14 +88,14 @@
 	Exits        []Exit
 	// ClosureWanted and ClosureSeen are the closures acknowledged and read back at the end.
 	ClosureWanted, ClosureSeen []string
-	// ZoneOf tells where engines stand; EndOf, to which address a stopped daemon belonged.
+	// ZoneOf is the zone of each engine.
 	ZoneOf map[string]string
-	// LoadsAtOnce, LoadGap, Slots and RetryShare are what the bundle set.
+	// LoadsAtOnce, LoadGap, Slots and RetryShare are the limits in the bundle.
 	LoadsAtOnce int
 	LoadGap     time.Duration
 	Slots       int
 	RetryShare  float64
-	// Contest lists the classes that bid for the same room at the same time, where the scenario makes one.
+	// Contest lists the classes that compete for the same capacity, in scenarios with a contest.
 	Contest []Class
 }
 
@@ -104,13 +104,13 @@
 	Name     string
 	Tenant   string
 	Priority int64
-	// Burst says that this class asks for far more than its usual.
+	// Burst says that this class sends far more than its usual load.
 	Burst bool
 	// Prefix begins the attempt ids of the class.
 	Prefix string
 }
 
-// ServedShare is the part of a class that was served whole.
+// ServedShare is the fraction of a class that was served completely, and its number of requests.
 func (h *History) ServedShare(c Class) (share float64, count int) {
 	complete := 0
 	for _, call := range h.Calls {
@@ -127,10 +127,10 @@
 	return float64(complete) / float64(count), count
 }
 
-// never is the time of what did not happen.
+// never is the time of an action that did not happen.
 const never = time.Duration(1<<62 - 1)
 
-// rolls lists the bundles that came in force, by epoch, each with the moment it was acknowledged, if it was.
+// rolls lists the bundles that came in force, by version, each with the time of its acknowledgement or never.
 func (h *History) rolls() []Action {
 	var out []Action
 	for _, action := range h.Actions {
@@ -150,10 +150,10 @@
 	return out
 }
 
-// splitAftermath is how long after a split has healed the two sides may still differ on assignments.
+// splitAftermath is how long after a partition has healed the two sides may still differ on assignments.
 const splitAftermath = 3 * time.Second
 
-// split says whether daemons were split at some time between two moments. A session whose requests come
+// split says whether daemons were partitioned at some time between two times. A session whose requests come
 // in on both sides then has an assignment on each.
 func (h *History) split(from, to time.Duration) bool {
 	began, apart := time.Duration(0), false
@@ -173,7 +173,7 @@
 	return apart && began <= to
 }
 
-// next is when the first act of a kind on a subject was done at or after the act of this index; never if there was none.
+// next is the time of the first action of a kind on a subject from an index on; never if there is none.
 func (h *History) next(from int, kind, subject string) time.Duration {
 	for _, action := range h.Actions[from:] {
 		if action.Kind == kind && action.Subject == subject {
--- a/testbed/checker/load.go
+++ b/testbed/checker/load.go
@@ -57,7 +57,7 @@
 	return most
 }
 
-// coldFirsts counts, for each incarnation of each engine that was sent anything, what came in its first second.
+// coldFirsts counts the requests in the first second of each incarnation of each engine that got any.
 func coldFirsts(h *History) map[string][]int {
 	out := map[string][]int{}
 	for _, start := range h.Journals {
--- a/testbed/checker/orders.go
+++ b/testbed/checker/orders.go
@@ -79,7 +79,7 @@
 			if len(loading) > h.LoadsAtOnce {
 				f.fault("%d loads at once when %s loaded %s", len(loading), entry.Engine, entry.Model)
 			}
-			// Half the gap allows for the way an order takes; the plan itself keeps the whole.
+			// Half the gap allows for the latency of orders; the plan itself keeps the full gap.
 			if lastBegin > 0 && entry.At-lastBegin < h.LoadGap/2 {
 				f.fault("%s loaded %s %v after the load before", entry.Engine, entry.Model, (entry.At - lastBegin).Round(time.Millisecond))
 			}
--- a/testbed/checker/recovery.go
+++ b/testbed/checker/recovery.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Recovery gives, for each crash, how long it took until a request that began after it got a whole answer.
+// Recovery is, for each crash, the time until a request that began after it got a complete answer.
 func Recovery(h *History) []time.Duration {
 	var out []time.Duration
 	for _, action := range h.Actions {
@@ -32,7 +32,7 @@
 			f.fault("crash %d: back after %v", i+1, took.Round(time.Millisecond))
 		}
 	}
-	// The control group too must act again: a change asked for right after its leader died is acknowledged in time.
+	// The control group must recover too: a change requested right after its leader died is acknowledged in time.
 	for i, action := range h.Actions {
 		if action.Kind != Crashed || !strings.HasPrefix(action.Subject, "core") {
 			continue
--- a/testbed/checker/requests.go
+++ b/testbed/checker/requests.go
@@ -41,7 +41,7 @@
 	return pieceFaults(h, "no caller gets another's answer", isForeign)
 }
 
-// pieceFaults counts the pieces that callers got, and finds the faults in them that count.
+// pieceFaults counts the chunks that callers got, and finds the faults in them that count.
 func pieceFaults(h *History, rule string, counts func(fault string) bool) Finding {
 	f := Finding{Rule: rule}
 	for _, call := range h.Calls {
@@ -55,7 +55,7 @@
 	return f
 }
 
-// isForeign says whether a fault of a piece is that it belongs to another's answer.
+// isForeign says whether a faulty chunk belongs to another caller's answer.
 func isForeign(fault string) bool { return strings.HasPrefix(fault, "foreign") }
 
 func wholeOnly(h *History) Finding {
@@ -136,7 +136,7 @@
 	return f
 }
 
-// assignmentLost says whether the engine that a session left was dead, leaving or closed, or doubted after a crash, since it was last used.
+// assignmentLost says whether the engine that a session left was down, draining or closed, or suspect after a crash, since it was last used.
 func (h *History) assignmentLost(before, now journal.Line) bool {
 	if h.split(before.At, now.At) {
 		return true
--- a/testbed/deployment/deployment.go
+++ b/testbed/deployment/deployment.go
@@ -1,4 +1,4 @@
-// Package deployment describes the deployments that are rehearsed: their machines, catalogue and mix of requests.
+// Package deployment describes the deployments that scenarios run: their machines, catalogue and mix of requests.
 package deployment
 
 import (
@@ -108,12 +108,12 @@
 	LoadGap     = 150 * time.Millisecond
 )
 
-// Configuration makes the deployment's bundle. Routes in without are left out.
+// Configuration is the deployment's bundle. Routes in without are left out.
 func (d Deployment) Configuration(note string, without map[string]bool) []byte {
 	return d.Grown(note, without, 0)
 }
 
-// Grown makes a bundle with so many more routes, which nobody asks for.
+// Grown is a bundle with so many more routes, which no request uses.
 func (d Deployment) Grown(note string, without map[string]bool, extra int) []byte {
 	s := document.Configuration{
 		Name:   d.Name + " " + note,
--- a/testbed/endtoend/harness_test.go
+++ b/testbed/endtoend/harness_test.go
@@ -316,7 +316,7 @@
 	defer tick.Stop()
 	for !holds() {
 		if machine.Elapsed().Since(began) > 60*time.Second {
-			b.t.Fatalf("waited in vain until %s; status %+v", what, b.status())
+			b.t.Fatalf("timed out waiting until %s; status %+v", what, b.status())
 		}
 		<-tick.C
 	}
--- a/testbed/engine/engine.go
+++ b/testbed/engine/engine.go
@@ -1,5 +1,5 @@
-// Package engine is a stand-in for an engine: it loads models at its own pace, runs work in slots,
-// reports with a lag, and writes down all it does.
+// Package engine simulates an engine: it loads models at a configured speed, runs requests in slots, reports its state with
+// a lag, and writes a journal of all it does.
 package engine
 
 import (
@@ -19,7 +19,7 @@
 	"github.com/cresspond/cresspond/wire/engineapi"
 )
 
-// Config is how a stand-in behaves.
+// Config configures a simulated engine.
 type Config struct {
 	ID           string
 	Capacity     int64
@@ -30,13 +30,13 @@
 	AdapterTime  time.Duration
 	ChunkTime    time.Duration
 	ReportLag    time.Duration
-	// Fault makes it break the rules: "gap", "repeat", "foreign", "early", "endless", "stall", "junk-report", "stale-report", "hang", "drop".
+	// Fault makes it break the protocol: "gap", "repeat", "foreign", "early", "endless", "stall", "junk-report", "stale-report", "hang", "drop".
 	Fault string
-	// FaultFrom is how many requests go well before the fault begins.
+	// FaultFrom is how many requests are served before the fault begins.
 	FaultFrom int
 }
 
-// Engine is one stand-in.
+// Engine is one simulated engine.
 type Engine struct {
 	config  Config
 	journal *journal.Writer
@@ -57,14 +57,14 @@
 	pending  []string
 }
 
-// New makes a stand-in.
+// New returns an engine; its journal begins.
 func New(config Config, writer *journal.Writer) *Engine {
 	e := &Engine{config: config, journal: writer, models: map[string]*model{}, report: engineapi.Report{Models: []engineapi.ModelReport{}}}
 	writer.Write(journal.Line{Kind: journal.Start})
 	return e
 }
 
-// SetFault makes the stand-in break the rules from now on, or stop doing so.
+// SetFault sets the fault from now on; empty is none.
 func (e *Engine) SetFault(fault string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -144,7 +144,7 @@
 	answer(w, http.StatusAccepted, engineapi.OrderAnswer{Taken: true})
 }
 
-// ChunksFor is how many pieces an attempt's answer has; it follows from its id, so that the checker knows it too.
+// ChunksFor is how many chunks an attempt's answer has; it follows from its id, so that the checker knows it too.
 func ChunksFor(attempt string) int {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(attempt))
@@ -183,7 +183,7 @@
 	e.journal.Write(line)
 }
 
-// begin takes a slot and names the run, with the fault that it is to show, or says why the work is refused.
+// begin takes a slot and names the execution, with the fault that it is to show, or says why the request is rejected.
 func (e *Engine) begin(work engineapi.Generate) (run, fault, refusal string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -205,7 +205,7 @@
 	return fmt.Sprintf("%s-%d-%d", e.config.ID, journal.Now(), e.runs), fault, ""
 }
 
-// stream writes the pieces; it says false when the stream did not reach its end.
+// stream writes the chunks; false when the stream did not reach its end.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, attempt, run, fault string) bool {
 	switch fault {
 	case "hang":
--- a/testbed/engine/orders.go
+++ b/testbed/engine/orders.go
@@ -8,7 +8,7 @@
 	"github.com/cresspond/cresspond/wire/engineapi"
 )
 
-// take starts an order, or says why not. The mutex is held.
+// take starts an order, or says why not. The caller holds the mutex.
 func (e *Engine) take(order engineapi.Order) (refusal string) {
 	loaded := e.models[order.Model]
 	switch order.Kind {
--- a/testbed/fleet/fleet.go
+++ b/testbed/fleet/fleet.go
@@ -1,4 +1,5 @@
-// Package fleet runs a whole deployment as processes on one machine.
+// Package fleet runs a deployment of the product as processes on one machine: daemons, simulated engines, and links
+// between daemons that can be partitioned.
 package fleet
 
 import (
@@ -29,7 +30,7 @@
 	Zone       ident.ZoneID
 	Address    string
 	PeerListen string
-	// PeerAddress is where other daemons reach it: the runner's own link.
+	// PeerAddress is where other daemons reach it: the testbed's proxy.
 	PeerAddress string
 	Journal     string
 	Core        bool
@@ -301,7 +302,7 @@
 	return nil
 }
 
-// Publish tells the platform's list what there is.
+// Publish writes the present engines to the platform's list.
 func (f *Fleet) Publish() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -314,7 +315,7 @@
 	f.Platform.Set(engines)
 }
 
-// MarkDraining marks an engine as leaving in the platform's list.
+// MarkDraining marks an engine as draining in the platform's list.
 func (f *Fleet) MarkDraining(p *Process) {
 	f.mutex.Lock()
 	f.draining[p.Name] = true
@@ -322,7 +323,7 @@
 	f.Publish()
 }
 
-// ClearDraining takes an engine out of the list's leaving ones.
+// ClearDraining ends that mark.
 func (f *Fleet) ClearDraining(p *Process) {
 	f.mutex.Lock()
 	delete(f.draining, p.Name)
@@ -361,7 +362,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// Status asks a daemon for its own word.
+// Status reads a daemon's status page.
 func (f *Fleet) Status(p *Process) (operatorapi.Status, error) {
 	var status operatorapi.Status
 	_, err := f.Get(p, operatorapi.PathStatus, &status)
@@ -388,7 +389,7 @@
 	return data, json.Unmarshal(data, into)
 }
 
-// Post sends an act to a daemon.
+// Post posts an operator's request to a daemon.
 func (f *Fleet) Post(p *Process, path string, body, into any) (int, error) {
 	data, err := json.Marshal(body)
 	if propose, ok := body.(operatorapi.Propose); ok {
@@ -415,7 +416,7 @@
 	return response.StatusCode, json.Unmarshal(answer, into)
 }
 
-// TellEngine has a stand-in engine do something of its own accord.
+// TellEngine triggers an action of a simulated engine.
 func (f *Fleet) TellEngine(p *Process, what string) error {
 	response, err := f.client.Get("http://" + p.Address + "/stand-in/" + what)
 	if err != nil {
--- a/testbed/fleet/links.go
+++ b/testbed/fleet/links.go
@@ -5,32 +5,32 @@
 	"sync"
 )
 
-// Links carries all that daemons say to each other, and can be cut from one to another, one way or both.
+// Links proxies all traffic between daemons, and can partition them, one way or both.
 type Links struct {
 	mutex       sync.Mutex
 	heal        *sync.Cond
 	partitioned map[[2]string]bool
-	// names tells which daemon speaks from an IP number.
+	// names maps an IP address to the daemon that sends from it.
 	names map[string]string
-	// Stopped counts the chunks that met a cut.
+	// Stopped counts the transfers that a partition stopped.
 	Stopped int
 }
 
-// NewLinks makes links that are whole.
+// NewLinks returns links without partitions.
 func NewLinks() *Links {
 	l := &Links{partitioned: map[[2]string]bool{}, names: map[string]string{}}
 	l.heal = sync.NewCond(&l.mutex)
 	return l
 }
 
-// Partition stops all that from says to to.
+// Partition stops all traffic from one daemon to another.
 func (l *Links) Partition(from, to string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.partitioned[[2]string{from, to}] = true
 }
 
-// Heal ends all cuts.
+// Heal ends all partitions.
 func (l *Links) Heal() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -38,7 +38,7 @@
 	l.heal.Broadcast()
 }
 
-// pass waits while the way is cut; it says whether it was, since the connection is then too late to go on.
+// pass waits while the direction is partitioned; it says whether it was, as the connection must then be closed.
 func (l *Links) pass(from, to string) (wasCut bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/testbed/journal/journal.go
+++ b/testbed/journal/journal.go
@@ -1,4 +1,4 @@
-// Package journal is what the stand-in engines write down, so that the checker can judge a run by its history.
+// Package journal is the log of events that simulated engines write, from which the checker checks a run.
 package journal
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/cresspond/cresspond/clock"
 )
 
-// Kind names a line.
+// Kind is the kind of a line.
 type Kind string
 
 const (
@@ -35,7 +35,7 @@
 	LoadBegin Kind = "load-begin"
 	// LoadEnd: a model is loaded.
 	LoadEnd Kind = "load-end"
-	// Leaving: the engine was asked to empty itself.
+	// Leaving: the engine was asked to drain.
 	Leaving Kind = "leaving"
 )
 
@@ -87,7 +87,7 @@
 	}
 }
 
-// Read reads a whole journal.
+// Read reads a complete journal.
 func Read(path string) ([]Line, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/testbed/platform/platform.go
+++ b/testbed/platform/platform.go
@@ -1,4 +1,4 @@
-// Package platform is a stand-in for the platform: it keeps a list of engines that lags behind the truth.
+// Package platform simulates the platform: it serves a list of engines that lags behind the truth.
 package platform
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/cresspond/cresspond/wire/platformapi"
 )
 
-// Platform is the stand-in.
+// Platform is a simulated platform.
 type Platform struct {
 	mutex   sync.Mutex
 	list    platformapi.List
@@ -40,7 +40,7 @@
 		case "empty":
 			list = platformapi.List{Engines: []platformapi.Engine{}}
 		case "strangers":
-			// Rows without a name or an address, and an engine that no bundle names.
+			// Rows without an id or an address, and an engine that no bundle names.
 			list.Engines = append([]platformapi.Engine{{ID: "", Address: "127.0.0.1:1"}, {ID: "engine-0"}, {ID: "stranger", Address: "127.0.0.1:1", Zone: "nowhere"}}, list.Engines...)
 		}
 		w.Header().Set("Content-Type", "application/json")
@@ -53,7 +53,7 @@
 // Address is where the list is read.
 func (p *Platform) Address() string { return p.address }
 
-// SetFault makes the list go wrong in one way, or right again.
+// SetFault sets the fault of the list; empty is none.
 func (p *Platform) SetFault(kind string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/testbed/platformtest/engine/engine_test.go
+++ b/testbed/platformtest/engine/engine_test.go
@@ -92,7 +92,7 @@
 	for !holds() {
 		select {
 		case <-guard:
-			t.Fatal("waited in vain until " + what)
+			t.Fatal("timed out waiting until " + what)
 		case <-tick.C:
 		}
 	}
--- a/testbed/scenario/behind.go
+++ b/testbed/scenario/behind.go
@@ -11,14 +11,14 @@
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
-// Behind rolls bundles and closes zones while some daemons cannot hear of it and go on: nothing may be
+// Behind rolls bundles out and closes zones while some daemons get no updates and go on: nothing may be
 // called acknowledged that is not in force there too.
 func (r *Run) Behind(ctx context.Context, scale float64) (map[string]uint64, error) {
 	return r.underLoad(ctx, scale, func() error {
 		edges, zones := r.Fleet.Edges(), r.Fleet.Deployment.Zones
 		last := r.Fleet.Deployment.Kinds[len(r.Fleet.Deployment.Kinds)-1].Route
 		version := uint64(0)
-		// roll takes the last route away, or brings it back, so that an old bundle shows in what arrives.
+		// roll removes the last route, or adds it again, so that an old bundle shows in the arrivals.
 		roll := func(note string, without bool) error {
 			version++
 			delete(r.removedRoutes, last)
@@ -102,7 +102,7 @@
 	})
 }
 
-// declareLost has an operator give up a router that is cut off and lives: it must stop once it hears of it.
+// declareLost has an operator declare a partitioned router lost while it runs: it must stop once it learns of that.
 func (r *Run) declareLost(p *fleet.Process) error {
 	status, err := r.Fleet.Status(p)
 	if err != nil {
--- a/testbed/scenario/bundles.go
+++ b/testbed/scenario/bundles.go
@@ -11,7 +11,7 @@
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
-// Roll takes a bundle all the way, and notes it as acknowledged.
+// Roll takes a bundle through all stages, and records its acknowledgement.
 func (r *Run) Roll(note string, base uint64) error {
 	return r.rollBody(note, base, r.Fleet.Deployment.Configuration(note, r.removedRoutes))
 }
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// rolled notes what a roll was answered with, and follows one that is not acknowledged until it is.
+// rolled records the outcome of a roll-out, and follows one that is not acknowledged until it is.
 func (r *Run) rolled(id string, status int, answer rollout.Response, body []byte) {
 	action := checker.Action{Kind: checker.Rolled, Subject: fmt.Sprintf("epoch %d (%s), in force at %d daemons", answer.Proposal.Version, id, len(answer.InForceAt)),
 		Version: uint64(answer.Proposal.Version), Body: body}
@@ -52,7 +52,7 @@
 	r.follow(operatorapi.PathRoll, operatorapi.ProposalAction{ProposalID: id, Operator: "ana"}, func() { action.At = 0; r.Record(action) })
 }
 
-// Race lets two operators take different bundles to the same base: one must lose.
+// Race has two operators roll different bundles out on the same base: one must lose.
 func (r *Run) Race(base uint64) error {
 	bodies := map[string][]byte{}
 	for _, name := range []string{"race-a", "race-b"} {
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// RejectInvalid hands in bundles that must never be in force: one with faults, one signed by its author.
+// RejectInvalid submits bundles that must never be in force: one with faults, one signed by its author.
 func (r *Run) RejectInvalid(base uint64) error {
 	bad := []byte(strings.Replace(string(r.Fleet.Deployment.Configuration("bad", nil)), `"zones"`, `"zonen"`, 1))
 	status, err := r.Ask(operatorapi.PathPropose, operatorapi.Propose{ProposalID: "bad", Base: ident.Version(base), Operator: "ana", Configuration: bad}, nil)
--- a/testbed/scenario/day.go
+++ b/testbed/scenario/day.go
@@ -11,7 +11,7 @@
 	"github.com/cresspond/cresspond/testbed/journal"
 )
 
-// Begin brings the fleet up, rolls the first bundle and waits until it serves.
+// Begin starts the fleet, rolls the first bundle out and waits until models are loaded.
 func (r *Run) Begin(ctx context.Context) error {
 	if err := r.Fleet.Start(); err != nil {
 		return err
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// Day is the main rehearsal: a whole day in short, with a failure of each kind.
+// Day is the main scenario, with a fault of each kind.
 func (r *Run) Day(ctx context.Context, scale float64) (map[string]uint64, error) {
 	return r.underLoad(ctx, scale, func() error {
 		r.Pause(3 * time.Second)
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// killLeaderAndRoll takes the last route away while the leader is down: from two seconds after the acknowledgement on,
-// nothing of it may reach an engine.
+// killLeaderAndRoll removes the last route while the leader is down: from two seconds after the acknowledgement on, no
+// request of it may reach an engine.
 func (r *Run) killLeaderAndRoll() error {
 	leader := r.Fleet.Leader()
 	if leader == nil {
@@ -107,8 +107,8 @@
 	return crashed.Start()
 }
 
-// closeZoneAndEmptyEngine closes a zone, opens it, has an engine other than the one killed before leave, and closes
-// the zone again.
+// closeZoneAndEmptyEngine closes a zone, opens it, drains an engine other than the one killed before, and closes the
+// zone again.
 func (r *Run) closeZoneAndEmptyEngine(killed *fleet.Process) error {
 	zones := r.Fleet.Deployment.Zones
 	shut := zones[r.random.IntN(len(zones))]
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// underLoad brings the fleet up, sends the deployment's mix while body makes things happen, and winds the day up.
+// underLoad starts the fleet, sends the deployment's mix of requests while body injects faults, and finishes the run.
 func (r *Run) underLoad(ctx context.Context, scale float64, body func() error) (map[string]uint64, error) {
 	looking, stopLooking := context.WithCancel(ctx)
 	defer stopLooking()
@@ -160,11 +160,11 @@
 	return r.finishDay(stopLoading, stopLooking)
 }
 
-// finishDay ends the load, reads everything back, and stops all daemons as planned: the edges together, then the cores.
+// finishDay ends the load, reads everything back, and stops all daemons gracefully: the edges together, then the cores.
 func (r *Run) finishDay(stopLoading, stopLooking func()) (map[string]uint64, error) {
 	stopLoading()
 	r.calls.Wait()
-	// Nothing is broken any more, so whatever was committed comes in force everywhere.
+	// No fault is left, so all that was committed comes in force everywhere.
 	acknowledged := make(chan struct{})
 	go func() { r.acks.Wait(); close(acknowledged) }()
 	if err := r.Await("all changes are acknowledged", func() bool {
--- a/testbed/scenario/growth.go
+++ b/testbed/scenario/growth.go
@@ -9,7 +9,7 @@
 	"github.com/cresspond/cresspond/testbed/journal"
 )
 
-// Growth rolls bundles that grow by many routes, under load, one of them while a control daemon is frozen.
+// Growth rolls out bundles with more and more routes under load, one of them while a control daemon is frozen.
 func (r *Run) Growth(ctx context.Context, scale float64) (map[string]uint64, error) {
 	return r.underLoad(ctx, scale, func() error {
 		for i, extra := range []int{100, 1000, 5000, 20000} {
--- a/testbed/scenario/leaving.go
+++ b/testbed/scenario/leaving.go
@@ -12,8 +12,8 @@
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
-// Leaving has engines go with every notice, made known by list, report and operator; has the platform's
-// list go wrong; and stops daemons as planned that lead, plan and keep.
+// Leaving drains engines with every notice, announced by list, report and operator; has the platform's
+// list fail; and gracefully stops daemons that lead, plan and own slots.
 func (r *Run) Leaving(ctx context.Context, scale float64) (map[string]uint64, error) {
 	return r.underLoad(ctx, scale, func() error {
 		r.Pause(2 * time.Second)
@@ -60,7 +60,7 @@
 			r.Pause(time.Second)
 		}
 
-		// Each in turn: whoever leads, whoever plans, and the router that keeps the slots of most engines is among the edges.
+		// In turn: the leader, the planner, and the edges, one of which owns the slots of most engines.
 		for _, find := range []func() *fleet.Process{r.Fleet.Leader, r.planner, func() *fleet.Process { return r.Fleet.Edges()[0] }} {
 			var p *fleet.Process
 			if err := r.Await("there is one to stop", func() bool { p = find(); return p != nil }); err != nil {
@@ -86,7 +86,7 @@
 	})
 }
 
-// drainEngine has an operator drain an engine, or end that.
+// drainEngine has an operator drain an engine, or end its draining.
 func (r *Run) drainEngine(p *fleet.Process, draining bool) error {
 	base, err := r.closureVersion()
 	if err != nil {
--- a/testbed/scenario/loss.go
+++ b/testbed/scenario/loss.go
@@ -37,7 +37,7 @@
 	return r.Fleet.Wipe(p)
 }
 
-// Loss loses disks and machines in every way that the brief names.
+// Loss loses disks and machines in every way that the fault model names.
 func (r *Run) Loss(ctx context.Context, scale float64) (map[string]uint64, error) {
 	l := &losses{Run: r, cores: r.cores(), epoch: 1}
 	return r.underLoad(ctx, scale, func() error {
@@ -59,7 +59,7 @@
 type losses struct {
 	*Run
 	cores []*fleet.Process
-	// epoch is the one that the next bundle builds on.
+	// version is the one that the next bundle is based on.
 	epoch uint64
 }
 
@@ -121,7 +121,7 @@
 }
 
 // loseMajority loses two disks for good and recovers the group. With every other seed no disk is left at all: the
-// living daemons, none older than the last epochs, hold all that was.
+// running daemons, none older than the last versions, have all that was acknowledged.
 func (l *losses) loseMajority() error {
 	noneLeft := l.Seed%2 == 1
 	l.Say("two disks are lost for good, and the third too: %t; the group is recovered from what is left and the living daemons", noneLeft)
--- a/testbed/scenario/market.go
+++ b/testbed/scenario/market.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// Market overloads the fleet: one house bursts on a model that all use, rivals and higher bids go on as
-// usual, a rare model is suddenly asked for, and at the end an engine dies in the thick of it.
+// Market overloads the fleet: one tenant bursts on a model that all use, rivals and higher priorities go on as
+// usual, a rare model is suddenly requested, and at the end an engine crashes under the overload.
 func (r *Run) Market(ctx context.Context, scale float64) (map[string]uint64, error) {
 	d := r.Fleet.Deployment
 	var classes []checker.Class
@@ -86,7 +86,7 @@
 		r.Pause(4 * time.Second)
 		stopAsking()
 		stopBurst()
-		// The highest bid goes on, so that there is something to recover.
+		// The highest priority goes on, so that there is service to recover.
 		after, stopAfter := context.WithCancel(ctx)
 		defer stopAfter()
 		go r.contest(after, checker.Class{Prefix: "after-"}, d.Kinds[highest], model, 10, deadline)
--- a/testbed/scenario/names.go
+++ b/testbed/scenario/names.go
@@ -27,7 +27,7 @@
 	"rolling": {run: (*Run).Rolling, unchecked: []string{noClosure, noPriorities, noTenants}},
 	"splits":  {run: (*Run).Splits, unchecked: []string{noDrain, noPriorities, noTenants}},
 	"growth":  {run: (*Run).Growth, unchecked: []string{noDrain, noClosure, noPriorities, noTenants}},
-	// The Cooperativa is one house, so its market has no rival.
+	// The Cooperativa is one tenant, so its market has no rival.
 	"market":   {run: (*Run).Market, unchecked: []string{noDrain, noClosure, noTenants}},
 	"leaving":  {run: (*Run).Leaving, unchecked: []string{noClosure, noPriorities, noTenants}},
 	"storms":   {run: (*Run).Storms, unchecked: []string{noDrain, noClosure, noPriorities, noTenants}},
--- a/testbed/scenario/operators.go
+++ b/testbed/scenario/operators.go
@@ -30,7 +30,7 @@
 	return running
 }
 
-// Ask posts an act until some daemon gives a known outcome, as an operator would.
+// Ask posts an operator's request until some daemon answers with a known outcome.
 func (r *Run) Ask(path string, body, into any) (int, error) {
 	var last error
 	guard := time.Now().Add(waitTimeout)
@@ -64,7 +64,7 @@
 	}()
 }
 
-// closureVersion reads the epoch that a closure would build on.
+// closureVersion reads the version that a closure would be based on.
 func (r *Run) closureVersion() (base ident.Version, err error) {
 	err = r.Await("the closures can be read", func() bool {
 		for _, p := range r.anyDaemon() {
@@ -97,7 +97,7 @@
 	action := checker.Action{Kind: checker.ZoneClosed, Subject: string(zone), RequestedAt: requestedAt}
 	switch {
 	case !closed:
-		// An opening may be in force before its word comes back, so it counts from when it was asked for.
+		// An opening may be in force before its answer arrives, so it counts from when it was requested.
 		action.Kind, action.At = checker.ZoneOpened, requestedAt
 		r.Record(action)
 	case status == http.StatusOK:
--- a/testbed/scenario/overhead.go
+++ b/testbed/scenario/overhead.go
@@ -18,8 +18,8 @@
 	"github.com/cresspond/cresspond/wire/engineapi"
 )
 
-// Overhead compares the time to the first piece through a routing daemon with that of the engine asked
-// straight, turn by turn in one run, and says the medians of several rounds.
+// Overhead compares the time to the first chunk through a routing daemon with that of a direct request to the engine,
+// alternating in one run, and reports the medians of several rounds.
 func (r *Run) Overhead(ctx context.Context, rounds, each int) error {
 	if err := r.Begin(ctx); err != nil {
 		return err
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// askStraight asks an engine itself, and gives the time to its first piece.
+// askStraight sends a request directly to an engine, and returns the time to its first chunk.
 func askStraight(address, attempt, model string) (time.Duration, error) {
 	body, err := json.Marshal(engineapi.Generate{Model: model, Prompt: "route=straight;", DeadlineMs: 10000})
 	if err != nil {
--- a/testbed/scenario/readback.go
+++ b/testbed/scenario/readback.go
@@ -11,7 +11,7 @@
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
-// ReadBack reads every epoch and the closures back through any daemon.
+// ReadBack reads every version and the closures back through any daemon.
 func (r *Run) ReadBack() error {
 	var list []statemachine.Proposal
 	if err := r.Await("the history can be read", func() bool {
--- a/testbed/scenario/resend.go
+++ b/testbed/scenario/resend.go
@@ -17,7 +17,7 @@
 // mostTries is how often a caller sends one attempt, to another daemon each time.
 const mostTries = 4
 
-// settled says that a caller knows what became of its attempt.
+// settled says that a caller knows the outcome of its attempt.
 func settled(record caller.Record) bool {
 	return record.Complete() || record.Outcome == callerapi.Refused || record.Outcome == callerapi.Invalid || record.Outcome == callerapi.Replay
 }
--- a/testbed/scenario/scenario.go
+++ b/testbed/scenario/scenario.go
@@ -1,4 +1,5 @@
-// Package scenario drives a fleet through a day with failures, and gathers its history.
+// Package scenario drives a fleet of the product's own deployments through named scenarios with faults, and gathers the
+// history that package checker checks. cmd/testbed calls it.
 package scenario
 
 import (
@@ -15,7 +16,7 @@
 	"github.com/cresspond/cresspond/testbed/journal"
 )
 
-// Run is one rehearsal in hand.
+// Run is one run in progress.
 type Run struct {
 	Fleet  *fleet.Fleet
 	Seed   uint64
@@ -29,17 +30,17 @@
 	nextDaemon    int
 	calls         sync.WaitGroup
 	observers     sync.WaitGroup
-	// acks are the changes that are followed until they are acknowledged, or the run's end.
+	// acks waits for changes that are followed until their acknowledgement, or the run's end.
 	acks      sync.WaitGroup
 	following context.Context
 	closed    map[string]bool
-	// resending says that callers send an attempt again elsewhere where its outcome stays open.
+	// resending has callers resend an attempt to another daemon where its outcome is unknown.
 	resending bool
-	// unresponsiveSince is when a daemon last gave an operator no answer.
+	// unresponsiveSince is when a daemon last did not answer an operator.
 	unresponsiveSince map[*fleet.Process]time.Time
 }
 
-// New prepares a run.
+// New prepares a run; nothing is started.
 func New(f *fleet.Fleet, seed uint64, say func(string, ...any)) *Run {
 	r := &Run{Fleet: f, Seed: seed, Say: say, random: rand.New(rand.NewPCG(seed, 1)), removedRoutes: map[string]bool{}, closed: map[string]bool{}, unresponsiveSince: map[*fleet.Process]time.Time{}}
 	r.following = context.Background()
@@ -52,10 +53,10 @@
 	return r
 }
 
-// waitTimeout ends a wait that will never end; no finding rests on shorter times.
+// waitTimeout fails a run that does not get on; no finding depends on shorter times.
 const waitTimeout = 60 * time.Second
 
-// Await waits until something holds.
+// Await polls a condition until it holds; what names it in the error.
 func (r *Run) Await(what string, holds func() bool) error {
 	guard := time.After(waitTimeout)
 	tick := time.NewTicker(50 * time.Millisecond)
@@ -63,21 +64,21 @@
 	for !holds() {
 		select {
 		case <-guard:
-			return fmt.Errorf("waited %v in vain until %s", waitTimeout, what)
+			return fmt.Errorf("timed out after %v waiting until %s", waitTimeout, what)
 		case <-tick.C:
 		}
 	}
 	return nil
 }
 
-// Pause lets the load go on for a while.
+// Pause waits while the load continues.
 func (r *Run) Pause(span time.Duration) {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
 	<-timer.C
 }
 
-// Record notes what was done.
+// Record records an action in the history, at the present time unless it has one.
 func (r *Run) Record(action checker.Action) {
 	if action.At == 0 {
 		action.At = journal.Now()
@@ -88,7 +89,7 @@
 	r.Say("%s %s", action.Kind, action.Subject)
 }
 
-// StopGracefully asks a daemon to stop and waits until it has. Where the fleet has two builds its next start is with
+// StopGracefully stops a daemon by SIGTERM and waits for its end. Where the fleet has two builds its next start is with
 // the other one, as an upgrade would do it.
 func (r *Run) StopGracefully(p *fleet.Process) {
 	r.Record(checker.Action{Kind: checker.StopRequested, Subject: p.Address})
@@ -107,7 +108,7 @@
 	r.Record(checker.Action{Kind: checker.Crashed, Subject: p.Name})
 }
 
-// Finish waits for the calls in hand, gathers the journals and gives the whole history.
+// Finish waits for the requests in flight, gathers the engines' journals and returns the history.
 func (r *Run) Finish() (*checker.History, error) {
 	r.calls.Wait()
 	for _, engine := range r.Fleet.Engines {
--- a/testbed/scenario/splits.go
+++ b/testbed/scenario/splits.go
@@ -12,7 +12,7 @@
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
-// partition cuts a set of daemons from all others: out, in, or both ways.
+// partition cuts the links from a set of daemons to all others (out), the links to them (in), or both.
 func (r *Run) partition(some []*fleet.Process, out, in bool) {
 	inside, names := map[string]bool{}, ""
 	for _, p := range some {
@@ -34,13 +34,13 @@
 	}
 }
 
-// heal ends all cuts.
+// heal ends all partitions.
 func (r *Run) heal() {
 	r.Fleet.Links.Heal()
 	r.Record(checker.Action{Kind: checker.Healed})
 }
 
-// Splits cuts links in every way that the brief names, and heals them again.
+// Splits partitions the fleet in every way that the fault model names, and heals it again.
 func (r *Run) Splits(ctx context.Context, scale float64) (map[string]uint64, error) {
 	return r.underLoad(ctx, scale, func() error {
 		version := uint64(1)
@@ -127,7 +127,7 @@
 	})
 }
 
-// raceAtTwoLeaders has one operator close a zone through a leader that is cut off, and may not know it
+// raceAtTwoLeaders has one operator close a zone through a leader that is partitioned, and may not know it
 // yet, and another close another zone through the rest, both on the same closures. What settle does is for
 // after the split: who got no answer asks again, and is told that the other won; then all is opened.
 func (r *Run) raceAtTwoLeaders(old *fleet.Process) (resolve func() error, err error) {
@@ -175,13 +175,13 @@
 	return leader, err
 }
 
-// Freezes stops processes for a while and lets them go on: they must not act on what they believed before.
+// Freezes suspends processes for a while: when they go on they must not act on outdated state.
 func (r *Run) Freezes(ctx context.Context, scale float64) (map[string]uint64, error) {
 	return r.underLoad(ctx, scale, func() error {
 		r.Pause(2 * time.Second)
 		edges := r.Fleet.Edges()
 
-		r.Say("%s freezes for longer than its tenure", edges[0].Name)
+		r.Say("%s freezes for longer than its lease", edges[0].Name)
 		edges[0].Signal(syscall.SIGSTOP)
 		frozen := time.Now()
 
@@ -189,10 +189,10 @@
 		if err != nil {
 			return err
 		}
-		r.Say("%s, who leads, freezes", leader.Name)
+		r.Say("the leader %s freezes", leader.Name)
 		leader.Signal(syscall.SIGSTOP)
 		r.Record(checker.Action{Kind: checker.Crashed, Subject: leader.Name + ", frozen"})
-		// While a routing daemon is frozen a route goes away: it must not send for it when it wakes.
+		// While a routing daemon is frozen a route is removed: it must not forward requests of it when it goes on.
 		last := r.Fleet.Deployment.Kinds[len(r.Fleet.Deployment.Kinds)-1].Route
 		r.removedRoutes[last] = true
 		if err := r.Roll("frozen", 1); err != nil {
@@ -203,11 +203,11 @@
 
 		planner := r.planner()
 		if planner == nil {
-			return fmt.Errorf("nobody plans")
+			return fmt.Errorf("there is no planner")
 		}
-		r.Say("%s, who plans, freezes past its claim", planner.Name)
+		r.Say("the planner %s freezes for longer than its lease", planner.Name)
 		planner.Signal(syscall.SIGSTOP)
-		if err := r.Await("another plans", func() bool { other := r.planner(); return other != nil && other != planner }); err != nil {
+		if err := r.Await("there is another planner", func() bool { other := r.planner(); return other != nil && other != planner }); err != nil {
 			return err
 		}
 		r.Pause(2 * time.Second)
@@ -233,7 +233,7 @@
 	})
 }
 
-// planner finds the daemon that holds the claim; a frozen one does not answer.
+// planner finds the daemon with the planner's lease; a frozen one does not answer.
 func (r *Run) planner() *fleet.Process {
 	for _, p := range r.cores() {
 		if status, err := r.Fleet.Status(p); err == nil && status.Planner != nil && status.Planner.HasLease {
--- a/testbed/scenario/storms.go
+++ b/testbed/scenario/storms.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// Storms loses half of the engines at once, and a whole zone; has a rare model wanted by all in bursts; and
-// ends the day with a fault.
+// Storms loses half of the engines at once, and a complete zone; has a rare model requested by all in bursts; and ends
+// with a fault.
 func (r *Run) Storms(ctx context.Context, scale float64) (map[string]uint64, error) {
 	return r.underLoad(ctx, scale, func() error {
 		r.Pause(2 * time.Second)
@@ -124,7 +124,7 @@
 	})
 }
 
-// Planners freezes, cuts off, kills and stops whoever plans, with orders under way, and restarts engines
+// Planners freezes, partitions, kills and stops the planner, with orders in flight, and restarts engines
 // under their orders; reports go stale meanwhile.
 func (r *Run) Planners(ctx context.Context, scale float64) (map[string]uint64, error) {
 	return r.underLoad(ctx, scale, func() error {
@@ -133,7 +133,7 @@
 			if err := r.Await("someone plans", func() bool { planner = r.planner(); return planner != nil }); err != nil {
 				return err
 			}
-			// Orders are under way as it happens: an engine has just come, empty, and another's reports stand still.
+			// Orders are in flight meanwhile: an engine has just started, empty, and another one's reports do not change.
 			dying, stale := r.otherThan(r.Fleet.Engines, nil), r.Fleet.Engines[round%len(r.Fleet.Engines)]
 			if err := r.replace(dying); err != nil {
 				return err
@@ -160,7 +160,7 @@
 				r.StopGracefully(planner)
 				restore = planner.Start
 			}
-			if err := r.Await("another plans", func() bool { other := r.planner(); return other != nil && other != planner }); err != nil {
+			if err := r.Await("there is another planner", func() bool { other := r.planner(); return other != nil && other != planner }); err != nil {
 				return err
 			}
 			if err := r.replace(r.otherThan(r.Fleet.Engines, dying)); err != nil {
--- a/testbed/scenario/watch.go
+++ b/testbed/scenario/watch.go
@@ -13,7 +13,7 @@
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
-// Observe watches readiness and epochs until ctx ends.
+// Observe records the readiness and versions of all daemons until ctx ends.
 func (r *Run) Observe(ctx context.Context) {
 	for _, p := range r.Fleet.Daemons {
 		r.observers.Add(1)
