--- a/testbed/scenario/loss.go
+++ b/testbed/scenario/loss.go
@@ -59,7 +59,7 @@
 type losses struct {
 	*Run
 	cores []*fleet.Process
-	// version is the one that the next bundle is based on.
+	// epoch is the one that the next bundle is based on.
 	epoch uint64
 }
 
