--- a/testbed/caller/caller.go
+++ b/testbed/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller is a stand-in for callers: it sends one request over a connection and writes down
-// all that came back, as the wire showed it.
+// Package caller simulates callers: it sends one request over a connection of its own and records what came back on the
+// wire.
 package caller
 
 import (
@@ -18,38 +18,38 @@
 	"github.com/cresspond/cresspond/wire/callerapi"
 )
 
-// Record is what a caller saw of one request.
+// Record is what a caller saw of one request. The names in JSON are those of calls.jsonl.
 type Record struct {
 	Attempt    string
 	Daemon     string
 	Request    callerapi.Generate
 	Began, End time.Duration
-	// Connected says that the connection was made, Sent that the whole request was handed to the system.
+	// Connected says that the connection was made, Sent that the complete request was written.
 	Connected, Sent bool
-	// GaveUp says that the caller itself closed the connection before it had its answer.
+	// GaveUp says that the caller closed the connection before it had its answer.
 	GaveUp     bool
 	Status     int
 	Outcome    callerapi.Outcome
 	Reason     string
 	RetryAfter bool
-	Pieces     int
-	FirstPiece time.Duration
-	// Final: the final line came. CleanEnd: the HTTP message ended as it should.
+	Chunks     int           `json:"Pieces"`
+	FirstChunk time.Duration `json:"FirstPiece"`
+	// Final: the final line arrived. CleanEnd: the HTTP message was complete.
 	Final, CleanEnd bool
-	// Faults lists what was wrong with the pieces: foreign, gap, splice.
+	// Faults lists what was wrong with the chunks: foreign, gap, splice.
 	Faults []string
 	Run    string
 }
 
-// Whole says that the caller has a whole answer.
-func (r Record) Whole() bool {
+// Complete says that the caller has a complete answer.
+func (r Record) Complete() bool {
 	return r.Status == http.StatusOK && r.Final && r.CleanEnd && len(r.Faults) == 0
 }
 
 // Send sends one request over a connection of its own.
 func Send(ctx context.Context, daemon, attempt string, request callerapi.Generate) (record Record) {
 	record = Record{Attempt: attempt, Daemon: daemon, Request: request, Began: journal.Now()}
-	defer func() { record.End, record.GaveUp = journal.Now(), ctx.Err() != nil && !record.Whole() }()
+	defer func() { record.End, record.GaveUp = journal.Now(), ctx.Err() != nil && !record.Complete() }()
 	dialer := net.Dialer{Timeout: 2 * time.Second}
 	conn, err := dialer.DialContext(ctx, "tcp", daemon)
 	if err != nil {
@@ -97,44 +97,44 @@
 			r.CleanEnd = err == io.EOF && len(line) == 0
 			return
 		}
-		var piece callerapi.Piece
-		if json.Unmarshal(bytes.TrimSpace(line), &piece) != nil {
+		var chunk callerapi.Piece
+		if json.Unmarshal(bytes.TrimSpace(line), &chunk) != nil {
 			r.Faults = append(r.Faults, "unreadable line")
 			continue
 		}
-		if piece.Outcome != "" {
-			r.Outcome, r.Reason = piece.Outcome, piece.Reason
+		if chunk.Outcome != "" {
+			r.Outcome, r.Reason = chunk.Outcome, chunk.Reason
 			continue
 		}
-		if piece.Attempt != r.Attempt {
+		if chunk.Attempt != r.Attempt {
 			r.Faults = append(r.Faults, "foreign piece")
 		}
 		if r.Final {
 			r.Faults = append(r.Faults, "piece after the final line")
 		}
-		if piece.Final {
+		if chunk.Final {
 			r.Final = true
-			if piece.Pieces != r.Pieces {
+			if chunk.Pieces != r.Chunks {
 				r.Faults = append(r.Faults, "count")
 			}
 			continue
 		}
-		if r.Pieces == 0 {
-			r.FirstPiece = journal.Now()
+		if r.Chunks == 0 {
+			r.FirstChunk = journal.Now()
 		}
-		if piece.N != r.Pieces {
-			r.Faults = append(r.Faults, fmt.Sprintf("piece %d where %d was due", piece.N, r.Pieces))
+		if chunk.N != r.Chunks {
+			r.Faults = append(r.Faults, fmt.Sprintf("piece %d where %d was due", chunk.N, r.Chunks))
 		}
-		// The engine writes attempt, run and number into each piece, so a splice shows even where the numbers fit.
-		parts := strings.Split(strings.TrimSpace(piece.Text), "/")
+		// The engine writes attempt, run and number into each chunk, so a splice shows even where the numbers fit.
+		parts := strings.Split(strings.TrimSpace(chunk.Text), "/")
 		switch {
-		case len(parts) != 3 || parts[0] != r.Attempt || parts[2] != fmt.Sprint(r.Pieces):
+		case len(parts) != 3 || parts[0] != r.Attempt || parts[2] != fmt.Sprint(r.Chunks):
 			r.Faults = append(r.Faults, "foreign text")
 		case r.Run != "" && parts[1] != r.Run:
 			r.Faults = append(r.Faults, "splice")
 		default:
 			r.Run = parts[1]
 		}
-		r.Pieces++
+		r.Chunks++
 	}
 }
--- a/testbed/engine/engine.go
+++ b/testbed/engine/engine.go
@@ -1,5 +1,5 @@
-// Package engine is a stand-in for an engine: it loads models at its own pace, runs work in slots,
-// reports with a lag, and writes down all it does.
+// Package engine simulates an engine: it loads models at a configured speed, runs requests in slots, reports its state with
+// a lag, and writes a journal of all it does.
 package engine
 
 import (
@@ -19,24 +19,24 @@
 	"github.com/cresspond/cresspond/wire/engineapi"
 )
 
-// Config is how a stand-in behaves.
+// Config configures a simulated engine.
 type Config struct {
-	ID            string
-	Room          int64
-	Sizes         map[string]int64
-	Slots         int
-	AdapterPlaces int
-	LoadTime      time.Duration
-	AdapterTime   time.Duration
-	PieceTime     time.Duration
-	ReportLag     time.Duration
-	// Fault makes it break the rules: "gap", "repeat", "foreign", "early", "endless", "stall", "junk-report", "stale-report", "hang", "drop".
+	ID           string
+	Capacity     int64
+	Sizes        map[string]int64
+	Slots        int
+	AdapterSlots int
+	LoadTime     time.Duration
+	AdapterTime  time.Duration
+	ChunkTime    time.Duration
+	ReportLag    time.Duration
+	// Fault makes it break the protocol: "gap", "repeat", "foreign", "early", "endless", "stall", "junk-report", "stale-report", "hang", "drop".
 	Fault string
-	// FaultFrom is how many requests go well before the fault begins.
+	// FaultFrom is how many requests are served before the fault begins.
 	FaultFrom int
 }
 
-// Engine is one stand-in.
+// Engine is one simulated engine.
 type Engine struct {
 	config  Config
 	journal *journal.Writer
@@ -57,14 +57,14 @@
 	pending  []string
 }
 
-// New makes a stand-in.
+// New returns an engine; its journal begins.
 func New(config Config, writer *journal.Writer) *Engine {
 	e := &Engine{config: config, journal: writer, models: map[string]*model{}, report: engineapi.Report{Models: []engineapi.ModelReport{}}}
 	writer.Write(journal.Line{Kind: journal.Start})
 	return e
 }
 
-// SetFault makes the stand-in break the rules from now on, or stop doing so.
+// SetFault sets the fault from now on; empty is none.
 func (e *Engine) SetFault(fault string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -98,8 +98,8 @@
 
 func (e *Engine) makeReport() engineapi.Report {
 	report := engineapi.Report{CallSeq: e.callSeq, Saturated: e.busy >= e.config.Slots, Busy: e.busy, Draining: e.leaving, Models: []engineapi.ModelReport{}}
-	for name, held := range e.models {
-		report.Models = append(report.Models, engineapi.ModelReport{Model: name, State: held.state, Adapters: slices.Clone(held.adapters)})
+	for name, loaded := range e.models {
+		report.Models = append(report.Models, engineapi.ModelReport{Model: name, State: loaded.state, Adapters: slices.Clone(loaded.adapters)})
 	}
 	slices.SortFunc(report.Models, func(a, b engineapi.ModelReport) int { return strings.Compare(a.Model, b.Model) })
 	return report
@@ -144,8 +144,8 @@
 	answer(w, http.StatusAccepted, engineapi.OrderAnswer{Taken: true})
 }
 
-// PiecesFor is how many pieces an attempt's answer has; it follows from its id, so that the checker knows it too.
-func PiecesFor(attempt string) int {
+// ChunksFor is how many chunks an attempt's answer has; it follows from its id, so that the checker knows it too.
+func ChunksFor(attempt string) int {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(attempt))
 	return 4 + int(hash.Sum32()%24)
@@ -176,14 +176,14 @@
 	line.Kind, line.Run = journal.Begin, run
 	e.journal.Write(line)
 	if e.stream(w, r, attempt, run, fault) {
-		line.Kind, line.Pieces = journal.End, PiecesFor(attempt)
+		line.Kind, line.Chunks = journal.End, ChunksFor(attempt)
 	} else {
 		line.Kind = journal.Cancel
 	}
 	e.journal.Write(line)
 }
 
-// begin takes a slot and names the run, with the fault that it is to show, or says why the work is refused.
+// begin takes a slot and names the execution, with the fault that it is to show, or says why the request is rejected.
 func (e *Engine) begin(work engineapi.Generate) (run, fault, refusal string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -191,11 +191,11 @@
 	if e.arrived > e.config.FaultFrom {
 		fault = e.config.Fault
 	}
-	held := e.models[work.Model]
+	loaded := e.models[work.Model]
 	switch {
-	case held == nil || held.state != engineapi.Loaded:
+	case loaded == nil || loaded.state != engineapi.Loaded:
 		return "", fault, "the model is not loaded"
-	case work.Adapter != "" && !slices.Contains(held.adapters, work.Adapter):
+	case work.Adapter != "" && !slices.Contains(loaded.adapters, work.Adapter):
 		return "", fault, "the adapter is not loaded"
 	case e.busy >= e.config.Slots:
 		return "", fault, "all slots are taken"
@@ -205,7 +205,7 @@
 	return fmt.Sprintf("%s-%d-%d", e.config.ID, journal.Now(), e.runs), fault, ""
 }
 
-// stream writes the pieces; it says false when the stream did not reach its end.
+// stream writes the chunks; false when the stream did not reach its end.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, attempt, run, fault string) bool {
 	switch fault {
 	case "hang":
@@ -215,25 +215,25 @@
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/x-ndjson")
-	pieces := PiecesFor(attempt)
+	chunks := ChunksFor(attempt)
 	encoder := json.NewEncoder(w)
-	beat := time.NewTicker(e.config.PieceTime)
+	beat := time.NewTicker(e.config.ChunkTime)
 	defer beat.Stop()
-	for n := 0; n < pieces; n++ {
+	for n := 0; n < chunks; n++ {
 		select {
 		case <-r.Context().Done():
 			return false
 		case <-beat.C:
 		}
-		piece := engineapi.Piece{Attempt: attempt, N: n, Text: fmt.Sprintf("%s/%s/%d ", attempt, run, n)}
+		chunk := engineapi.Piece{Attempt: attempt, N: n, Text: fmt.Sprintf("%s/%s/%d ", attempt, run, n)}
 		if n == 2 {
 			switch fault {
 			case "gap":
-				piece.N++
+				chunk.N++
 			case "repeat":
-				piece.N--
+				chunk.N--
 			case "foreign":
-				piece.Attempt = "someone-else"
+				chunk.Attempt = "someone-else"
 			case "early":
 				return false
 			case "stall":
@@ -245,15 +245,15 @@
 				_, _ = io.WriteString(w, "{not json\n")
 			}
 		}
-		if encoder.Encode(piece) != nil {
+		if encoder.Encode(chunk) != nil {
 			return false
 		}
 		if flusher, ok := w.(http.Flusher); ok {
 			flusher.Flush()
 		}
-		if fault == "endless" && n == pieces-1 {
-			pieces++
+		if fault == "endless" && n == chunks-1 {
+			chunks++
 		}
 	}
-	return encoder.Encode(engineapi.Piece{Attempt: attempt, N: pieces, Final: true, Pieces: pieces}) == nil
+	return encoder.Encode(engineapi.Piece{Attempt: attempt, N: chunks, Final: true, Pieces: chunks}) == nil
 }
--- a/testbed/scenario/behind.go
+++ b/testbed/scenario/behind.go
@@ -11,21 +11,21 @@
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
-// Behind rolls bundles and closes zones while some daemons cannot hear of it and go on: nothing may be
+// Behind rolls bundles out and closes zones while some daemons get no updates and go on: nothing may be
 // called acknowledged that is not in force there too.
 func (r *Run) Behind(ctx context.Context, scale float64) (map[string]uint64, error) {
 	return r.underLoad(ctx, scale, func() error {
 		edges, zones := r.Fleet.Edges(), r.Fleet.Deployment.Zones
 		last := r.Fleet.Deployment.Kinds[len(r.Fleet.Deployment.Kinds)-1].Route
-		epoch := uint64(0)
-		// roll takes the last route away, or brings it back, so that an old bundle shows in what arrives.
+		version := uint64(0)
+		// roll removes the last route, or adds it again, so that an old bundle shows in the arrivals.
 		roll := func(note string, without bool) error {
-			epoch++
-			delete(r.without, last)
+			version++
+			delete(r.removedRoutes, last)
 			if without {
-				r.without[last] = true
+				r.removedRoutes[last] = true
 			}
-			return r.Roll(note, epoch)
+			return r.Roll(note, version)
 		}
 		heal := func() error {
 			r.heal()
@@ -35,7 +35,7 @@
 
 		together := edges[:len(edges)/2+1]
 		r.Say("%d routers are cut off together from all others, and go on", len(together))
-		r.cutOff(together, true, true)
+		r.partition(together, true, true)
 		r.Pause(time.Second)
 		if err := roll("behind-their-back", true); err != nil {
 			return err
@@ -86,7 +86,7 @@
 			if err := leader.Start(); err != nil {
 				return err
 			}
-			if err := r.awaitWhole(); err != nil {
+			if err := r.awaitAllMembers(); err != nil {
 				return err
 			}
 		}
@@ -102,7 +102,7 @@
 	})
 }
 
-// declareLost has an operator give up a router that is cut off and lives: it must stop once it hears of it.
+// declareLost has an operator declare a partitioned router lost while it runs: it must stop once it learns of that.
 func (r *Run) declareLost(p *fleet.Process) error {
 	status, err := r.Fleet.Status(p)
 	if err != nil {
@@ -116,7 +116,7 @@
 		return fmt.Errorf("an unknown daemon was declared lost, with status %d", code)
 	}
 	r.Say("%s is cut off for good, as it seems, and is declared lost", p.Name)
-	r.cutOff([]*fleet.Process{p}, true, true)
+	r.partition([]*fleet.Process{p}, true, true)
 	if err := r.Await("it may be declared lost", func() bool {
 		code, _ := r.Ask(operatorapi.PathDeclareLost, word, nil)
 		return code == http.StatusOK
