--- a/configuration/compression/packed_test.go
+++ b/configuration/compression/compression_test.go
@@ -17,10 +17,10 @@
 		return err == nil && bytes.Equal(back, raw)
 	}, gen.SliceOf(gen.UInt8())))
 	properties.TestingRun(t)
-	whole := Compress(bytes.Repeat([]byte("path"), 10_000))
-	for cut := range whole {
-		if _, err := Decompress(whole[:cut]); err == nil && cut > 0 {
-			t.Errorf("cut at %d of %d it looks whole", cut, len(whole))
+	complete := Compress(bytes.Repeat([]byte("path"), 10_000))
+	for cut := range complete {
+		if _, err := Decompress(complete[:cut]); err == nil && cut > 0 {
+			t.Errorf("cut at %d of %d it looks whole", cut, len(complete))
 		}
 	}
 	if _, err := Decompress(Compress(make([]byte, maxDecompressedBytes+1))); err == nil {
--- a/configuration/document/duplicates.go
+++ b/configuration/document/duplicates.go
@@ -9,11 +9,11 @@
 	fastjson "github.com/segmentio/encoding/json"
 )
 
-// manyKeys is how many keys of one object are compared one by one.
+// maxKeysComparedPairwise is how many keys of one object are compared one by one; with more, a map is faster.
 const maxKeysComparedPairwise = 24
 
-// mayDuplicateKeys says quickly whether any object may have a key twice: bundles of thousands of paths are
-// valid as a rule, and where they aren't, duplicateKeys lists the places.
+// mayDuplicateKeys says quickly whether any object may have a key twice: documents of thousands of paths are
+// valid as a rule, and where they aren't, duplicateKeys lists the paths.
 func mayDuplicateKeys(data []byte) bool {
 	type level struct {
 		object bool
@@ -27,7 +27,7 @@
 		switch t.Delim {
 		case '{', '[':
 			if len(open) < cap(open) {
-				// The room of a level that was closed is used again.
+				// The memory of a level that was closed is used again.
 				open = open[:len(open)+1]
 			} else {
 				open = append(open, level{})
@@ -84,8 +84,8 @@
 			return nil
 		}
 		seen := map[string]bool{}
-		for place := 0; decoder.More(); place++ {
-			below := fmt.Sprintf("%s[%d]", path, place)
+		for index := 0; decoder.More(); index++ {
+			below := fmt.Sprintf("%s[%d]", path, index)
 			if delim == '{' {
 				key, err := decoder.Token()
 				if err != nil {
--- a/configuration/document/forward_test.go
+++ b/configuration/document/forward_test.go
@@ -14,27 +14,27 @@
 	"github.com/cresspond/cresspond/configuration/upstream"
 )
 
-// opaque builds a sound section on opaque requests.
-func opaque() *upstream.Section {
+// validSection builds a valid section on opaque requests.
+func validSection() *upstream.Section {
 	return &upstream.Section{Revision: 3, Pools: []upstream.Pool{{Name: "p"}}, Paths: []upstream.Path{
 		{Name: "a", Host: "h", Prefix: "/", Class: upstream.Once, DeadlineMs: 5, Attempts: 1, Shares: []upstream.Share{{Pool: "p", Weight: 1}}},
 	}}
 }
 
 func TestSessionFieldsAreOptionalWithForwardSection(t *testing.T) {
-	alone := Configuration{Name: "alone", Forward: opaque()}
+	alone := Configuration{Name: "alone", Forward: validSection()}
 	if back, faults := parse(t, alone); len(faults) > 0 || !reflect.DeepEqual(*back, alone) {
 		t.Error(faults)
 	}
 	if _, faults := Parse([]byte(`{"name":"x","forward":{"revision":1,"paths":[],"pools":[],"limits":{}}}`)); len(faults) > 0 {
 		t.Error("parts left out of the text:", faults)
 	}
-	withZones := Configuration{Name: "zones", Zones: []Zone{{Name: "z"}}, Forward: opaque()}
+	withZones := Configuration{Name: "zones", Zones: []Zone{{Name: "z"}}, Forward: validSection()}
 	if _, faults := parse(t, withZones); len(faults) > 0 {
 		t.Error("zones to close:", faults)
 	}
-	both := made(2, 2, 2, 2)
-	both.Forward = opaque()
+	both := validConfiguration(2, 2, 2, 2)
+	both.Forward = validSection()
 	if _, faults := parse(t, both); len(faults) > 0 {
 		t.Error("both parts:", faults)
 	}
@@ -47,9 +47,9 @@
 	for _, with := range []bool{false, true} {
 		for _, part := range append(empties, "store", "limits") {
 			for _, empty := range []string{"[]", "null", ""} {
-				s := made(2, 2, 2, 2)
+				s := validConfiguration(2, 2, 2, 2)
 				if with {
-					s.Forward = opaque()
+					s.Forward = validSection()
 				}
 				var text map[string]json.RawMessage
 				data, err := json.Marshal(s)
@@ -79,10 +79,10 @@
 	}
 }
 
-// opaqueBreaks are ways to spoil a sound section, with where the fault must be told.
-var opaqueBreaks = []struct {
+// opaqueBreaks are ways to spoil a valid section, with where the fault must be told.
+var faultySectionChanges = []struct {
 	path  string
-	spoil func(*upstream.Section)
+	change func(*upstream.Section)
 }{
 	{"forward.revision", func(s *upstream.Section) { s.Revision = 0 }},
 	{"forward.paths[0].name", func(s *upstream.Section) { s.Paths[0].Name = "" }},
@@ -108,11 +108,11 @@
 }
 
 func TestForwardFaultsNameTheirPaths(t *testing.T) {
-	for _, one := range opaqueBreaks {
-		s := Configuration{Name: "x", Forward: opaque()}
-		one.spoil(s.Forward)
+	for _, one := range faultySectionChanges {
+		s := Configuration{Name: "x", Forward: validSection()}
+		one.change(s.Forward)
 		if _, faults := parse(t, s); !strings.Contains(fmt.Sprint(faults), one.path+": ") {
-			t.Errorf("%s is not told in %v", one.path, faults)
+			t.Errorf("%s is not reported in %v", one.path, faults)
 		}
 	}
 }
@@ -122,7 +122,7 @@
 	parameters := gopter.DefaultTestParametersWithSeed(17)
 	parameters.MinSuccessfulTests = 2000
 	properties := gopter.NewProperties(parameters)
-	properties.Property("what the walk finds, the quick look suspects, and a sound bundle is not suspected", prop.ForAll(func(shape []uint8) string {
+	properties.Property("what the walk finds, the quick look suspects, and a valid document is not suspected", prop.ForAll(func(shape []uint8) string {
 		text, _ := jsonOf(shape, 0)
 		twice := len(duplicateKeys([]byte(text))) > 0
 		if mayDuplicateKeys([]byte(text)) != twice {
@@ -175,8 +175,8 @@
 
 // TestParseCommittedReadsWhatParseAccepts holds the quick reading against the strict one.
 func TestParseCommittedReadsWhatParseAccepts(t *testing.T) {
-	s := made(3, 4, 5, 6)
-	s.Forward = opaque()
+	s := validConfiguration(3, 4, 5, 6)
+	s.Forward = validSection()
 	s.Forward.Note, s.Forward.Paths[0].Note = json.RawMessage(`{"x":[1.50,"é"]}`), json.RawMessage(`"n"`)
 	data, err := json.Marshal(s)
 	if err != nil {
--- a/configuration/document/spec_test.go
+++ b/configuration/document/parse_test.go
@@ -14,8 +14,8 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// made builds a sound bundle of the given sizes.
-func made(zones, engines, models, routes int) Configuration {
+// validConfiguration builds a valid document of the given sizes.
+func validConfiguration(zones, engines, models, routes int) Configuration {
 	s := Configuration{Name: "made", Store: Store{MaxConcurrentLoads: 1},
 		Limits: Limits{MaxBodyBytes: 1, MaxPending: 1, MaxPendingBytes: 1, MaxDeadlineMs: 1, AssignmentIdleMs: 1, MaxRetryRatio: 0.1}}
 	for i := range zones {
@@ -43,10 +43,10 @@
 	return Parse(data)
 }
 
-// breaks are ways to spoil a sound bundle, with where the fault must be told.
-var breaks = []struct {
+// breaks are ways to spoil a valid document, with where the fault must be told.
+var faultyChanges = []struct {
 	path  string
-	spoil func(*Configuration)
+	change func(*Configuration)
 }{
 	{"zones", func(s *Configuration) { s.Zones = nil }},
 	{"zones[0].name", func(s *Configuration) { s.Zones[0].Name = "" }},
@@ -68,33 +68,33 @@
 	parameters.MinSuccessfulTests = 150
 	properties := gopter.NewProperties(parameters)
 	size := gen.IntRange(1, 6)
-	properties.Property("every fault put in is told, and none else where there is none", prop.ForAll(func(zones, engines, models, routes int, chosen []bool) string {
-		s := made(zones, engines, models, routes)
+	properties.Property("every fault is reported, and none where there is none", prop.ForAll(func(zones, engines, models, routes int, chosen []bool) string {
+		s := validConfiguration(zones, engines, models, routes)
 		if back, faults := parse(t, s); len(faults) > 0 || !reflect.DeepEqual(*back, s) {
-			return fmt.Sprint("a sound bundle: ", faults)
+			return fmt.Sprint("a valid document: ", faults)
 		}
 		var wanted []string
 		for i, put := range chosen {
 			// Some spoils undo others' places; those that remove lists stand alone.
-			if put && breaks[i].path != "zones" && breaks[i].path != "routes[0].models" {
-				breaks[i].spoil(&s)
-				wanted = append(wanted, breaks[i].path)
+			if put && faultyChanges[i].path != "zones" && faultyChanges[i].path != "routes[0].models" {
+				faultyChanges[i].change(&s)
+				wanted = append(wanted, faultyChanges[i].path)
 			}
 		}
 		_, faults := parse(t, s)
-		told := fmt.Sprint(faults)
+		reported := fmt.Sprint(faults)
 		for _, path := range wanted {
-			if !strings.Contains(told, path+": ") {
-				return path + " is not told in " + told
+			if !strings.Contains(reported, path+": ") {
+				return path + " is not reported in " + reported
 			}
 		}
 		if len(wanted) == 0 && len(faults) > 0 {
-			return told
+			return reported
 		}
 		return ""
-	}, size, size, size, size, gen.SliceOfN(len(breaks), gen.Bool())))
-	properties.Property("no bytes make it panic, and only a whole bundle passes", prop.ForAll(func(at int, with uint8) bool {
-		data, err := json.Marshal(made(2, 2, 2, 2))
+	}, size, size, size, size, gen.SliceOfN(len(faultyChanges), gen.Bool())))
+	properties.Property("no bytes make it panic, and only a complete document passes", prop.ForAll(func(at int, with uint8) bool {
+		data, err := json.Marshal(validConfiguration(2, 2, 2, 2))
 		if err != nil {
 			return false
 		}
@@ -107,11 +107,11 @@
 		return true
 	}, gen.IntRange(0, 1<<16), gen.UInt8()))
 	properties.TestingRun(t)
-	for _, one := range breaks {
-		s := made(2, 2, 2, 2)
-		one.spoil(&s)
+	for _, one := range faultyChanges {
+		s := validConfiguration(2, 2, 2, 2)
+		one.change(&s)
 		if _, faults := parse(t, s); !strings.Contains(fmt.Sprint(faults), one.path+": ") {
-			t.Errorf("%s is not told in %v", one.path, faults)
+			t.Errorf("%s is not reported in %v", one.path, faults)
 		}
 	}
 }
--- a/configuration/document/references.go
+++ b/configuration/document/references.go
@@ -6,7 +6,7 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// referenceFaults finds names that stand twice or that nothing bears.
+// referenceFaults reports names that repeat, and references to names that nothing has.
 func (s *Configuration) referenceFaults() []Fault {
 	c := &referenceCheck{
 		zones: map[ident.ZoneID]bool{}, engines: map[ident.EngineID]bool{},
@@ -23,7 +23,7 @@
 	return c.faults
 }
 
-// referenceCheck gathers the names of a bundle and the faults between them.
+// referenceCheck collects the names of a document and the faults between them.
 type referenceCheck struct {
 	zones           map[ident.ZoneID]bool
 	engines         map[ident.EngineID]bool
--- a/configuration/routingtable/size_test.go
+++ b/configuration/routingtable/size_test.go
@@ -13,7 +13,7 @@
 
 // What a bundle costs by its paths, for docs/CAPACITY.md: go test -run - -bench Size ./configuration/routingtable
 
-func ofPaths(b *testing.B, paths int) []byte {
+func bundleOfPaths(b *testing.B, paths int) []byte {
 	b.Helper()
 	section := &upstream.Section{Revision: 7}
 	for i := range paths {
@@ -42,7 +42,7 @@
 func BenchmarkSizePack(b *testing.B) {
 	for _, paths := range pathCounts {
 		b.Run(fmt.Sprint(paths, " paths"), func(b *testing.B) {
-			raw := ofPaths(b, paths)
+			raw := bundleOfPaths(b, paths)
 			b.ReportAllocs()
 			size := 0
 			for b.Loop() {
@@ -56,7 +56,7 @@
 
 func BenchmarkSizeBuild(b *testing.B) {
 	for _, paths := range pathCounts {
-		raw := ofPaths(b, paths)
+		raw := bundleOfPaths(b, paths)
 		sent := compression.Compress(raw)
 		b.Run(fmt.Sprint("unpack ", paths, " paths"), func(b *testing.B) {
 			b.ReportAllocs()
--- a/configuration/routingtable/table.go
+++ b/configuration/routingtable/table.go
@@ -1,5 +1,5 @@
-// Package routingtable is what a spec looks like to the request path: built whole off the path, then
-// swapped in by one pointer and never changed after.
+// Package routingtable is the configuration in the form that the request path reads: maps by name. A table is built off
+// the request path, swapped in by one pointer (process/rollout), and never changed after.
 package routingtable
 
 import (
@@ -20,16 +20,16 @@
 	adapters map[string]bool
 }
 
-// Table is one epoch of the spec together with one epoch of the closures.
+// Table is one version of the configuration together with one version of the closures.
 type Table struct {
 	Version       ident.Version
 	Closures      closure.Set
 	Configuration *document.Configuration
-	// Raw is the bundle as it was proposed, byte for byte.
+	// Raw is the configuration as it was submitted, byte for byte.
 	Raw []byte
 	// Bundle is the same in the form in which it travels.
 	Bundle compression.Bundle
-	// Forward is what the bundle says of opaque requests; nil where it says nothing.
+	// Forward is the section on opaque requests; nil where there is none.
 	Forward *upstream.Index
 
 	routes   map[string]*Route
@@ -38,10 +38,10 @@
 	adapters map[string]document.Adapter
 }
 
-// Build makes the table for a bundle.
-func Build(epoch ident.Version, raw []byte, parsed *document.Configuration, closures closure.Set) *Table {
+// Build makes the table of a configuration under a set of closures.
+func Build(version ident.Version, raw []byte, parsed *document.Configuration, closures closure.Set) *Table {
 	t := &Table{
-		Version: epoch, Closures: closures, Configuration: parsed, Raw: raw,
+		Version: version, Closures: closures, Configuration: parsed, Raw: raw,
 		routes: make(map[string]*Route, len(parsed.Routes)), engines: map[ident.EngineID]document.Engine{},
 		models: map[string]document.Model{}, adapters: map[string]document.Adapter{},
 	}
@@ -70,7 +70,7 @@
 	return t
 }
 
-// WithClosures gives the same bundle under other closures.
+// WithClosures gives the same configuration under other closures.
 func (t *Table) WithClosures(closures closure.Set) *Table {
 	copied := *t
 	copied.Closures = closures
@@ -83,7 +83,7 @@
 	return route, ok
 }
 
-// Model and Adapter give entries of the catalogue.
+// Model gives a model of the catalogue by name.
 func (t *Table) Model(name string) (document.Model, bool) {
 	model, ok := t.models[name]
 	return model, ok
@@ -95,18 +95,18 @@
 	return adapter, ok
 }
 
-// Engine gives an engine the bundle allows.
+// Engine gives an engine that the configuration allows.
 func (t *Table) Engine(id ident.EngineID) (document.Engine, bool) {
 	engine, ok := t.engines[id]
 	return engine, ok
 }
 
-// HasZone says whether the bundle names a zone.
+// HasZone says whether the configuration names a zone.
 func (t *Table) HasZone(name ident.ZoneID) bool {
 	return slices.ContainsFunc(t.Configuration.Zones, func(zone document.Zone) bool { return zone.Name == name })
 }
 
-// Allows says whether the bundle lets this route use this model and adapter.
+// Allows says whether the configuration lets this route use this model and adapter.
 func (t *Table) Allows(route, model, adapter string) bool {
 	found, ok := t.routes[route]
 	return ok && found.models[model] && (adapter == "" || found.adapters[adapter] && t.adapters[adapter].Model == model)
@@ -118,20 +118,20 @@
 	if !ok {
 		return false
 	}
-	_, zoneShut := t.Closures.Zones[engine.Zone]
+	_, zoneClosed := t.Closures.Zones[engine.Zone]
 	_, draining := t.Closures.Engines[id]
-	return !zoneShut && !draining
+	return !zoneClosed && !draining
 }
 
 // OpenRegistered says whether an engine that registered itself may be sent anything new: in an open zone, and
-// not being drained by an operator. Such engines stand in no bundle.
+// not being drained by an operator. The configuration does not list such engines.
 func (t *Table) OpenRegistered(id ident.EngineID, zone ident.ZoneID) bool {
-	_, zoneShut := t.Closures.Zones[zone]
+	_, zoneClosed := t.Closures.Zones[zone]
 	_, draining := t.Closures.Engines[id]
-	return !zoneShut && !draining
+	return !zoneClosed && !draining
 }
 
-// AssignmentIdle is how long a seat outlasts its session's last request.
+// AssignmentIdle is how long a session stays assigned to its engine after its last request.
 func (t *Table) AssignmentIdle() time.Duration {
 	return time.Duration(t.Configuration.Limits.AssignmentIdleMs) * time.Millisecond
 }
--- a/configuration/upstream/index.go
+++ b/configuration/upstream/index.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Index is a section ready for look-up; it is built whole and never changed.
+// Index is a section ready for look-up. It is never changed once it is built.
 type Index struct {
 	Section *Section
 	// hosts holds the paths of each host by prefix.
@@ -17,16 +17,16 @@
 // NewIndex builds it.
 func NewIndex(section *Section) *Index {
 	index := &Index{Section: section, hosts: map[string]map[string]*Path{}, pools: map[string]*Pool{}, models: map[string]map[string]*Model{}}
-	for place := range section.Paths {
-		path := &section.Paths[place]
+	for position := range section.Paths {
+		path := &section.Paths[position]
 		host := HostKey(path.Host)
 		if index.hosts[host] == nil {
 			index.hosts[host] = map[string]*Path{}
 		}
 		index.hosts[host][path.Prefix] = path
 	}
-	for place := range section.Pools {
-		pool := &section.Pools[place]
+	for position := range section.Pools {
+		pool := &section.Pools[position]
 		index.pools[pool.Name] = pool
 		if pool.Catalogue == nil {
 			continue
--- a/configuration/upstream/patch.go
+++ b/configuration/upstream/patch.go
@@ -12,7 +12,7 @@
 	// Upsert adds items, or puts them in the place of those of the same name.
 	Upsert Items `json:"upsert"`
 	Remove Names `json:"remove"`
-	// Limits replaces all limits, where it is there.
+	// Limits replaces all limits, where it is set.
 	Limits *Limits `json:"limits,omitempty"`
 	// Note is an object whose members replace those of the section's note.
 	Note json.RawMessage `json:"note,omitempty"`
@@ -30,17 +30,17 @@
 	Pools []string `json:"pools,omitempty"`
 }
 
-// Validate tells what is wrong with the patch by itself; what it makes is checked as a section.
-func (p *Patch) Validate(say func(path, reason string)) {
-	checkDuplicates(p.Upsert.Paths, pathName, "upsert.paths", say)
-	checkDuplicates(p.Upsert.Pools, poolName, "upsert.pools", say)
+// Validate reports what is wrong with the patch by itself; its result is validated as a section.
+func (p *Patch) Validate(report func(path, reason string)) {
+	checkDuplicates(p.Upsert.Paths, pathName, "upsert.paths", report)
+	checkDuplicates(p.Upsert.Pools, poolName, "upsert.pools", report)
 }
 
-func checkDuplicates[T any](items []T, name func(T) string, where string, say func(path, reason string)) {
+func checkDuplicates[T any](items []T, name func(T) string, where string, report func(path, reason string)) {
 	seen := make(map[string]bool, len(items))
 	for i, item := range items {
 		if seen[name(item)] {
-			say(fmt.Sprintf("%s[%d].name", where, i), "stands twice")
+			report(fmt.Sprintf("%s[%d].name", where, i), "stands twice")
 		}
 		seen[name(item)] = true
 	}
@@ -49,8 +49,8 @@
 func pathName(p Path) string { return p.Name }
 func poolName(p Pool) string { return p.Name }
 
-// Merge gives the section that the patch makes of this one, which stays as it is. What is named both to be
-// removed and to be put there is there afterwards, in its old place.
+// Merge gives the section that the patch makes of this one, which stays as it is. An item that is named both
+// in Remove and in Upsert is there afterwards, in its old position.
 func (s *Section) Merge(p *Patch) Section {
 	out := *s
 	out.Revision = p.Revision
@@ -64,19 +64,19 @@
 }
 
 func merge[T any](old, upsert []T, remove []string, name func(T) string) []T {
-	put, gone := make(map[string]T, len(upsert)), make(map[string]bool, len(remove))
+	put, removed := make(map[string]T, len(upsert)), make(map[string]bool, len(remove))
 	for _, item := range upsert {
 		put[name(item)] = item
 	}
 	for _, one := range remove {
-		gone[one] = true
+		removed[one] = true
 	}
 	out := make([]T, 0, len(old)+len(upsert))
 	for _, item := range old {
 		if replacing, ok := put[name(item)]; ok {
 			out = append(out, replacing)
 			delete(put, name(item))
-		} else if !gone[name(item)] {
+		} else if !removed[name(item)] {
 			out = append(out, item)
 		}
 	}
--- a/configuration/upstream/forward.go
+++ b/configuration/upstream/section.go
@@ -1,10 +1,11 @@
-// Package upstream is the bundle's section on opaque requests: paths by host and prefix, the pools of
-// engines that serve them, and what a pool's engines may hold.
+// Package upstream is the configuration's section on opaque requests: paths by host and prefix, the pools of
+// engines that serve them, and the catalogue of what a pool's engines may load. Index is its form for look-ups by the
+// request path, Patch a change of named items.
 package upstream
 
 import "encoding/json"
 
-// Class says what may be done again.
+// Class says whether a request may be retried.
 type Class string
 
 const (
@@ -16,14 +17,14 @@
 	Stream Class = "stream"
 )
 
-// Section is all that a bundle says of opaque requests.
+// Section is the part of a configuration on opaque requests.
 type Section struct {
-	// Revision is the operator's own number of this bundle; it rises from bundle to bundle.
+	// Revision is the operator's own number of this configuration; it rises from one to the next.
 	Revision uint64 `json:"revision" validate:"gt=0"`
 	Paths    []Path `json:"paths" validate:"dive"`
 	Pools    []Pool `json:"pools" validate:"dive"`
 	Limits   Limits `json:"limits"`
-	// Note is kept and given back, and not read here.
+	// Note is retained and given back, and not interpreted.
 	Note json.RawMessage `json:"note,omitempty"`
 }
 
@@ -34,12 +35,12 @@
 	// Prefix begins and ends with a slash; the longest that begins a request's path wins.
 	Prefix string `json:"prefix" validate:"required,startswith=/,endswith=/,max=1024"`
 	Class  Class  `json:"class" validate:"oneof=repeatable once stream"`
-	// Resumable streams may be taken up at another engine after their last event.
+	// Resumable streams may be continued at another engine after their last event.
 	Resumable bool `json:"resumable,omitempty"`
-	// Affine requests name a model, and share parts of prompts that engines keep.
+	// Affine requests name a model, and share prefixes of prompts that engines cache.
 	Affine bool `json:"affine,omitempty"`
-	// DeadlineMs is the longest time a request is held and run, TargetMs the time within which it is worth
-	// most, GapTargetMs the longest pause between events that keeps a stream in time.
+	// DeadlineMs is the longest time a request is queued and run, TargetMs the latency target (SLO) of its first byte,
+	// GapTargetMs the target for the longest pause between events of a stream.
 	DeadlineMs  int64 `json:"deadlineMs" validate:"gt=0,lte=86400000"`
 	TargetMs    int64 `json:"targetMs" validate:"gte=0"`
 	GapTargetMs int64 `json:"gapTargetMs,omitempty" validate:"gte=0"`
@@ -48,11 +49,11 @@
 	// Attempts is the greatest number of engines that one request may be sent to.
 	Attempts int     `json:"attempts" validate:"gte=1,lte=100"`
 	Shares   []Share `json:"shares" validate:"required,min=1,dive"`
-	// Note is kept and given back, and not read here.
+	// Note is retained and given back, and not interpreted.
 	Note json.RawMessage `json:"note,omitempty"`
 }
 
-// Share is the part of a path's requests that goes to one pool.
+// Share is the weight of one pool among those that serve a path.
 type Share struct {
 	Pool   string `json:"pool" validate:"required"`
 	Weight int64  `json:"weight" validate:"gte=0"`
@@ -62,22 +63,22 @@
 type Pool struct {
 	Name       string `json:"name" validate:"required,max=200"`
 	HealthPath string `json:"healthPath,omitempty"`
-	// MaxConnections is how many connections one engine takes from all daemons together; zero is unknown.
+	// MaxConnections is how many connections one engine accepts from all daemons together; zero is unknown.
 	MaxConnections int `json:"mostConnections,omitempty" validate:"gte=0"`
-	// Catalogue is there for pools whose engines hold models.
+	// Catalogue is set for pools whose engines load models.
 	Catalogue *Catalogue `json:"catalogue,omitempty"`
-	// Note is kept and given back, and not read here.
+	// Note is retained and given back, and not interpreted.
 	Note json.RawMessage `json:"note,omitempty"`
 }
 
-// Catalogue is what a pool's engines may hold, and how much of it.
+// Catalogue is what a pool's engines may load, and how much of it.
 type Catalogue struct {
 	Slots        int   `json:"slots" validate:"gte=0"`
 	MemoryTokens int64 `json:"memoryTokens" validate:"gte=0"`
-	// CapacityMb is for models and adapters together.
+	// CapacityMb is the memory for models and adapters together.
 	CapacityMb   float64 `json:"roomMb" validate:"gte=0"`
 	AdapterSlots int     `json:"adapterPlaces" validate:"gte=0"`
-	// LoadsPerSecond is the pace of the store of weights, over all engines.
+	// LoadsPerSecond is the rate limit of the store of weights, over all engines.
 	LoadsPerSecond float64 `json:"loadsPerSecond" validate:"gte=0"`
 	Models         []Model `json:"models" validate:"dive"`
 }
@@ -97,6 +98,6 @@
 	MaxBodyBytes    int64 `json:"mostBodyBytes,omitempty" validate:"gte=0"`
 	HeaderTimeoutMs int64 `json:"headerTimeoutMs,omitempty" validate:"gte=0"`
 	IdleTimeoutMs   int64 `json:"idleTimeoutMs,omitempty" validate:"gte=0"`
-	// Note is kept and given back, and not read here.
+	// Note is retained and given back, and not interpreted.
 	Note json.RawMessage `json:"note,omitempty"`
 }
--- a/configuration/upstream/forward_test.go
+++ b/configuration/upstream/section_test.go
@@ -16,7 +16,7 @@
 	return Path{Name: name, Host: host, Prefix: prefix, Class: Once, DeadlineMs: 1, Attempts: 1, Shares: []Share{{Pool: "p", Weight: 1}}}
 }
 
-func faults(check func(say func(path, reason string))) (out []string) {
+func faults(check func(report func(path, reason string))) (out []string) {
 	check(func(path, reason string) { out = append(out, path+": "+reason) })
 	return out
 }
