--- a/connection/gateway/answers_test.go
+++ b/connection/gateway/answers_test.go
@@ -342,15 +342,15 @@
 	f.engines()
 	second := f.dial()
 	_, _ = io.WriteString(second, ask("once", "a2", "ping"))
-	held := func() (now int) {
+	queued := func() (now int) {
 		f.actor.Do(func(c *forwarding.Core, _ forwarding.Environment) { now = c.QueueLength() })
 		return now
 	}
-	for held() == 0 {
+	for queued() == 0 {
 		runtime.Gosched()
 	}
 	time.AfterFunc(2*pollInterval, func() { second.Close() })
-	for held() > 0 {
+	for queued() > 0 {
 		runtime.Gosched()
 	}
 }
@@ -503,9 +503,9 @@
 	}
 	f.engines()
 	send("once", "held")
-	held := 0
-	for held == 0 {
-		f.actor.Do(func(c *forwarding.Core, _ forwarding.Environment) { held = c.QueueLength() })
+	queued := 0
+	for queued == 0 {
+		f.actor.Do(func(c *forwarding.Core, _ forwarding.Environment) { queued = c.QueueLength() })
 	}
 	f.gateway.Stop()
 	for id, status := range map[string]int{"sent": 502, "repeatable": 502, "held": 503} {
--- a/connection/gateway/callerconn.go
+++ b/connection/gateway/callerconn.go
@@ -9,15 +9,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// callerConn is the caller of one open request.
+// callerConn is the caller's connection of one open request.
 type callerConn struct {
 	raw syscall.RawConn
-	// readAt is when the request was read, due when the caller is looked at next; due is the watcher's.
+	// readAt is when the request was read, due when the connection is polled next; due belongs to the monitor.
 	readAt, due time.Time
 
 	mutex sync.Mutex
-	// lastOpen is when the caller's side was last seen open; half says that it was closed right behind the request,
-	// by a caller that waits for its answer.
+	// lastOpen is when the caller's side was last seen open; halfClosed reports that it was closed right after the
+	// request, by a caller that waits for its response.
 	lastOpen   time.Time
 	halfClosed bool
 }
@@ -39,8 +39,8 @@
 	return raw
 }
 
-// isGone says whether the caller has left. One whose side was closed right behind its request still waits for the
-// answer; one that closes it only after waiting has given up.
+// isGone reports whether the caller has disconnected. One that closed its side right after its request still waits for
+// the response; one that closes it later has given up.
 func (c *callerConn) isGone() bool {
 	if c.raw == nil {
 		return false
@@ -61,7 +61,7 @@
 	return !c.halfClosed
 }
 
-// pollEvents gives what the system knows of the connection without waiting.
+// pollEvents gives the connection's events without waiting.
 func (c *callerConn) pollEvents() (events int16, err error) {
 	err = c.raw.Control(func(fd uintptr) {
 		poll := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
@@ -72,8 +72,8 @@
 	return events, err
 }
 
-// closedBehindRequest says whether the caller's side, which is seen closed for the first time, was closed right
-// behind its request. Where the system can't date that, the looks before have to tell.
+// closedBehindRequest reports whether the caller's side, seen closed for the first time, was closed right after its
+// request. Where the system can't date that, earlier polls have to tell.
 func (c *callerConn) closedBehindRequest() bool {
 	if behind, dated := c.closeDelay(); dated {
 		return behind < halfCloseWindow
@@ -81,8 +81,9 @@
 	return c.lastOpen.Sub(c.readAt) < halfCloseWindow
 }
 
-// closeDelay gives how long after the caller's last data its side was closed. The system dates the last data and the
-// last packet of any kind, which is the end as long as the caller has had nothing to acknowledge since.
+// closeDelay gives how long after the caller's last data its side was closed; false if unknown. The system dates the
+// last data and the last packet of any kind, which is the FIN as long as the caller has had nothing to acknowledge
+// since.
 func (c *callerConn) closeDelay() (behind time.Duration, dated bool) {
 	var info *unix.TCPInfo
 	err := c.raw.Control(func(fd uintptr) {
--- a/connection/gateway/callermonitor.go
+++ b/connection/gateway/callermonitor.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// pollInterval is how often the callers of open requests are looked at.
+	// pollInterval is how often the connections of open requests are polled.
 	pollInterval = 200 * time.Millisecond
-	// halfCloseWindow is how soon after its request a caller that only has no more to say closes its side; a first
-	// look right behind that time tells it from one that leaves.
+	// halfCloseWindow is how soon after its request a caller closes its side that merely has nothing more to send. A
+	// first poll right after it tells such a caller from one that disconnects.
 	halfCloseWindow = 50 * time.Millisecond
-	// minPollSpacing lets one look serve callers that are due at about the same time.
+	// minPollSpacing lets one poll serve callers that are due at about the same time.
 	minPollSpacing = 25 * time.Millisecond
-	// clockTolerance is by how much the system's dates may differ from the clock here.
+	// clockTolerance is by how much the system's times may differ from the clock used here.
 	clockTolerance = 20 * time.Millisecond
 )
 
-// callerMonitor looks whether the callers of open requests are still there. It looks only while any are open.
+// callerMonitor detects callers that disconnect while their requests are open. Its timer runs only while any are.
 type callerMonitor struct {
 	mutex   sync.Mutex
 	waiting map[*exchange]*callerConn
@@ -37,7 +37,7 @@
 	}
 }
 
-// schedule has tick called at a time, and at no other.
+// schedule sets the timer, and only one.
 func (w *callerMonitor) schedule(at time.Time) {
 	w.due = at
 	if w.timer == nil {
@@ -53,7 +53,7 @@
 	delete(w.waiting, f)
 }
 
-// checkDue looks at the callers that are due.
+// checkDue polls the callers that are due.
 func (w *callerMonitor) checkDue() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -82,7 +82,7 @@
 	}
 }
 
-// each calls do for all that wait or are being answered.
+// each calls do for each open request.
 func (w *callerMonitor) each(do func(*exchange)) {
 	w.mutex.Lock()
 	waiting := make([]*exchange, 0, len(w.waiting))
@@ -95,9 +95,9 @@
 	}
 }
 
-// leave ends what is under way for a caller that has left.
+// leave ends a request whose caller has disconnected.
 func (f *exchange) leave() {
 	f.callerGone.Store(true)
 	f.canceller.Cancel()
-	f.actor.CallerLeft(f.record)
+	f.actor.CallerLeft(f.request)
 }
--- a/connection/gateway/cost_test.go
+++ b/connection/gateway/cost_test.go
@@ -64,8 +64,8 @@
 	f.view.Store(view)
 }
 
-// BenchmarkWhole is one request and its whole answer over kept connections.
-func BenchmarkWhole(b *testing.B) {
+// BenchmarkBufferedResponse is one request and its whole answer over kept connections.
+func BenchmarkBufferedResponse(b *testing.B) {
 	body := strings.Repeat("x", 800)
 	listener := plainEngine(b, '!', completeText("a1", body))
 	f := newFixture(b)
--- a/connection/gateway/events.go
+++ b/connection/gateway/events.go
@@ -10,8 +10,9 @@
 )
 
 const (
+	// eventBufferSize is the size of the read buffer, in bytes.
 	eventBufferSize = 4 << 10
-	// maxEvent bounds one event, so that one without end is cut off.
+	// maxEvent bounds one event, in bytes.
 	maxEvent = 256 << 10
 )
 
@@ -23,7 +24,7 @@
 	errPartialEvent  = errors.New("the engine's stream ended within an event")
 )
 
-// readEvents reads events until one is whole, and those that came with it.
+// readEvents reads one complete event, and those that have come with it.
 func (s *stream) readEvents() error {
 	s.buffer = s.buffer[:0]
 	complete := 0
@@ -70,7 +71,7 @@
 	}
 }
 
-// eventID is the id that an event bears.
+// eventID gives an event's id.
 func eventID(event []byte) (string, bool) {
 	for line := range bytes.Lines(event) {
 		if rest, found := bytes.CutPrefix(line, []byte("id:")); found {
@@ -80,7 +81,7 @@
 	return "", false
 }
 
-// follows says whether an event's id may come after the last one.
+// follows reports whether an event's id may come after the last one.
 func follows(id, last string) bool {
 	if last == "" {
 		return true
--- a/connection/gateway/exchange.go
+++ b/connection/gateway/exchange.go
@@ -13,11 +13,12 @@
 	"github.com/cresspond/cresspond/wire/dialect"
 )
 
-// exchange is one request under way here.
+// exchange is one request and its response. Its methods run on the connection's goroutine; the atomic fields and the
+// canceller are also used by the caller monitor.
 type exchange struct {
 	*Gateway
 	ctx         *fasthttp.RequestCtx
-	record      *forwarding.Request
+	request     *forwarding.Request
 	canceller   connectionpool.Canceller
 	caller      *callerConn
 	callerGone  atomic.Bool
@@ -25,23 +26,23 @@
 	body        []byte
 	attempt     *forwarding.Attempt
 	measurement attemptMeasurement
-	// lastEvent is the last one passed on.
+	// lastEvent is the id of the last event passed on.
 	lastEvent string
 	hasBegun  atomic.Bool
-	// hasEventID says that an event with an id went on, after which another engine can go on.
+	// hasEventID reports that an event with an id was passed on, after which a stream can be resumed.
 	hasEventID atomic.Bool
 }
 
-// finish ends the count of a request.
+// finish stops monitoring the caller and counting the request as open.
 func (f *exchange) finish() {
 	f.monitor.remove(f)
 	f.openRequests.Add(-1)
 }
 
 // next waits for the next step.
-func (f *exchange) next() forwarding.Step { return f.actor.NextStep(f.record) }
+func (f *exchange) next() forwarding.Step { return f.actor.NextStep(f.request) }
 
-// serve makes attempts until there is an answer; it gives a stream where the answer is passed on as it comes.
+// serve makes attempts until there is a response. It gives a stream where the response is passed on as it comes.
 func (f *exchange) serve() *stream {
 	step := f.next()
 	for {
@@ -49,11 +50,11 @@
 			f.sendAnswer(*step.Answer)
 			return nil
 		}
-		answer := f.sendAttempt(step.Attempt)
-		outcome := outcomeOf(answer.Outcome)
-		if answer.Outcome == connectionpool.OutcomeAnswered {
+		result := f.sendAttempt(step.Attempt)
+		outcome := outcomeOf(result.Outcome)
+		if result.Outcome == connectionpool.OutcomeAnswered {
 			var stream *stream
-			if stream, outcome = f.handleResponse(answer); stream != nil {
+			if stream, outcome = f.handleResponse(result); stream != nil {
 				return stream
 			}
 			switch outcome {
@@ -75,18 +76,19 @@
 	}
 }
 
-// reportOutcome tells how the attempt ended, and gives the next step unless the request was served.
+// reportOutcome reports an attempt's outcome, and gives the next step unless the request was served.
 func (f *exchange) reportOutcome(outcome forwarding.Outcome) forwarding.Step {
 	if f.callerGone.Load() && outcome != forwarding.OutcomeCompleted {
 		outcome = forwarding.OutcomeCallerLeft
 	}
-	f.actor.AttemptEnded(f.record, outcome, f.lastEvent)
+	f.actor.AttemptEnded(f.request, outcome, f.lastEvent)
 	if outcome == forwarding.OutcomeCompleted {
 		return forwarding.Step{}
 	}
 	return f.next()
 }
 
+// outcomeOf maps the connection pool's outcome to forwarding's.
 func outcomeOf(outcome connectionpool.Outcome) forwarding.Outcome {
 	switch outcome {
 	case connectionpool.OutcomeWithheld:
@@ -103,26 +105,26 @@
 	return forwarding.OutcomeResponseLost
 }
 
-// sendAttempt makes one attempt and waits for the head of its answer.
-func (f *exchange) sendAttempt(send *forwarding.Attempt) *connectionpool.Result {
-	f.attempt = send
-	answer := f.pools.Send(connectionpool.Attempt{
-		Engine: send.Engine, Address: send.Address, Pool: send.Pool, ID: f.record.Attributes.Attempt, Header: &f.header, PrepareHeader: f.prepareHeader, Body: f.body, NotRepeatable: send.NotRepeatable,
-		MaxConnections: send.MaxConnections, Deadline: f.record.Deadline + clock.Mark(f.Settings.DeadlineSlack), CheckBeforeSend: f.checkBeforeSend, Cancel: &f.canceller,
+// sendAttempt makes one attempt and waits for the header of its response.
+func (f *exchange) sendAttempt(attempt *forwarding.Attempt) *connectionpool.Result {
+	f.attempt = attempt
+	result := f.pools.Send(connectionpool.Attempt{
+		Engine: attempt.Engine, Address: attempt.Address, Pool: attempt.Pool, ID: f.request.Attributes.Attempt, Header: &f.header, PrepareHeader: f.prepareHeader, Body: f.body, NotRepeatable: attempt.NotRepeatable,
+		MaxConnections: attempt.MaxConnections, Deadline: f.request.Deadline + clock.Mark(f.Settings.DeadlineSlack), CheckBeforeSend: f.checkBeforeSend, Cancel: &f.canceller,
 	})
-	f.record.Observed.ConnectTime = answer.ConnectTime
-	f.recordConnect(answer)
-	return answer
+	f.request.Observed.ConnectTime = result.ConnectTime
+	f.recordConnect(result)
+	return result
 }
 
-// prepareHeader writes what is the attempt's own, as late as can be, since the time left goes by meanwhile.
+// prepareHeader writes the attempt's own header fields, as late as possible, since the time left is among them.
 func (f *exchange) prepareHeader() {
 	f.Dialect.Dress(&f.header, dialect.Dress{
-		Engine: string(f.attempt.Engine), Left: f.record.Deadline.Since(f.Clock.Elapsed()), Urgency: f.attempt.Urgency, LastEvent: f.attempt.LastEvent, Resumes: f.attempt.Resume,
+		Engine: string(f.attempt.Engine), Left: f.request.Deadline.Since(f.Clock.Elapsed()), Urgency: f.attempt.Urgency, LastEvent: f.attempt.LastEvent, Resumes: f.attempt.Resume,
 	})
 }
 
-// callerLeft says whether the caller has left by now, and notes it.
+// callerLeft reports whether the caller has disconnected by now.
 func (f *exchange) callerLeft() bool {
 	if !f.callerGone.Load() && f.caller.isGone() {
 		f.callerGone.Store(true)
@@ -130,18 +132,19 @@
 	return f.callerGone.Load()
 }
 
-// checkBeforeSend is the last check before the first byte: what it reads is what is in force at that moment.
+// checkBeforeSend is the last check before the first byte, against what is in force at that moment. It gives a reason
+// not to send, or "".
 func (f *exchange) checkBeforeSend() string {
 	reason := ""
 	engine := f.View().Engines[f.attempt.Engine]
 	switch {
-	case !forwarding.RoutesTo(f.Index(), f.record.Host, f.record.URLPath, f.attempt.Pool):
+	case !forwarding.RoutesTo(f.Index(), f.request.Host, f.request.URLPath, f.attempt.Pool):
 		reason = "the table in force no longer leads there"
 	case engine == nil || engine.Address != f.attempt.Address || engine.Pool != f.attempt.Pool || !engine.Usable():
 		reason = "the engine is leaving or gone"
 	case f.EngineOpen != nil && !f.EngineOpen(engine):
 		reason = "operators have closed the engine or its zone"
-	case f.Clock.Elapsed() >= f.record.Deadline:
+	case f.Clock.Elapsed() >= f.request.Deadline:
 		reason = "the deadline has passed"
 	case f.callerLeft():
 		reason = "the caller has left"
@@ -156,37 +159,37 @@
 	return reason
 }
 
-// handleResponse turns an engine's answer into ours: whole, as a stream, or not at all.
-func (f *exchange) handleResponse(answer *connectionpool.Result) (*stream, forwarding.Outcome) {
-	status := answer.Response().StatusCode()
-	if status >= 200 && status < 300 && !answer.Header.Sealed {
+// handleResponse passes a response on: at once, as a stream, or not at all.
+func (f *exchange) handleResponse(result *connectionpool.Result) (*stream, forwarding.Outcome) {
+	status := result.Response().StatusCode()
+	if status >= 200 && status < 300 && !result.Header.Sealed {
 		// A success without the engine's stamp is nobody's.
 		f.Counters.Unsealed.Add(1)
-		answer.Close()
+		result.Close()
 		return nil, forwarding.OutcomeProtocolError
 	}
 	if saysNotRun(status) {
 		// The engine did not say that it has not run, and from us this status would say so.
-		answer.Close()
+		result.Close()
 		return nil, forwarding.OutcomeResponseLost
 	}
-	if answer.Header.Events {
-		return f.streamEvents(answer)
+	if result.Header.Events {
+		return f.streamEvents(result)
 	}
-	body, err := io.ReadAll(io.LimitReader(answer, maxBuffered))
+	body, err := io.ReadAll(io.LimitReader(result, maxBuffered))
 	if err != nil {
-		answer.Close()
+		result.Close()
 		return nil, forwarding.OutcomeResponseLost
 	}
 	f.recordFirstByte(status)
-	f.copyHeader(answer)
-	if !answer.Complete() && len(body) == maxBuffered {
-		return f.streamBody(answer, body), forwarding.OutcomeCompleted
+	f.copyHeader(result)
+	if !result.Complete() && len(body) == maxBuffered {
+		return f.streamBody(result, body), forwarding.OutcomeCompleted
 	}
 	if len(body) > 0 {
 		f.ctx.Response.SetBodyRaw(body)
 	}
-	answer.Close()
+	result.Close()
 	f.Counters.Completed.Add(1)
 	if status >= fasthttp.StatusInternalServerError {
 		return nil, forwarding.OutcomeEngineError
@@ -194,7 +197,7 @@
 	return nil, forwarding.OutcomeCompleted
 }
 
-// saysNotRun says whether a status tells a client that its request has not run.
+// saysNotRun reports whether a status tells a client that its request has not run.
 func saysNotRun(status int) bool {
 	switch status {
 	case fasthttp.StatusRequestTimeout, fasthttp.StatusMisdirectedRequest, fasthttp.StatusTooManyRequests, fasthttp.StatusServiceUnavailable:
@@ -203,9 +206,9 @@
 	return false
 }
 
-// copyHeader takes over the engine's head, but for what concerns its connection only.
-func (f *exchange) copyHeader(answer *connectionpool.Result) {
-	answer.Response().Header.CopyTo(&f.ctx.Response.Header)
+// copyHeader copies the engine's header, except what concerns its connection.
+func (f *exchange) copyHeader(result *connectionpool.Result) {
+	result.Response().Header.CopyTo(&f.ctx.Response.Header)
 	f.ctx.Response.Header.SetNoDefaultContentType(true)
 	connectionpool.RemoveHopByHopResponse(&f.ctx.Response.Header)
 	if f.Draining() {
@@ -213,7 +216,7 @@
 	}
 }
 
-// sendAnswer writes our own final answer.
+// sendAnswer writes this daemon's own final answer.
 func (f *exchange) sendAnswer(answer forwarding.Answer) {
 	if answer.Status == 0 {
 		// Nobody is there to read, or what has begun must not look whole.
--- a/connection/gateway/gateway.go
+++ b/connection/gateway/gateway.go
@@ -1,5 +1,10 @@
-// Package gateway is where opaque requests come in and their answers go out: it reads a request by the
-// table in force, has forwarding decide, makes the attempts, and passes on what an engine answered.
+// Package gateway serves opaque requests: it reads a request by the routing table in force, lets package forwarding
+// decide, makes the attempts over package connectionpool, and passes the engine's response on.
+//
+// One exchange, on the connection's goroutine, carries out the steps that forwarding gives for its request. A response is
+// passed on only if it bears the engine's seal and id; one that breaks off after bytes were passed on is resumed at
+// another engine or visibly truncated, so that it never looks complete. callerMonitor ends exchanges whose callers have
+// disconnected. Package daemon makes the Gateway and its server.
 package gateway
 
 import (
@@ -17,31 +22,34 @@
 	"github.com/cresspond/cresspond/wire/dialect"
 )
 
-// Dependencies is what a gateway looks at.
+// Dependencies are what a gateway depends on. Functions are called for each request and must be safe for concurrent use.
 type Dependencies struct {
 	Clock   clock.Clock
 	Dialect dialect.Dialect
-	// Index is the table in force, View the engines, Held whether a worker id is held.
+	// Index gives the routing table in force, View the registered engines.
 	Index func() *upstream.Index
 	View  func() *registry.View
-	// IndexCurrent says that the table in force is known to be new enough, so that what it does not allow is not allowed.
+	// IndexCurrent reports whether the table is recent enough for a final answer that says what is not allowed.
 	IndexCurrent func() bool
-	HasWorkerID  func() bool
-	// EngineOpen says whether operators let new requests go to an engine; nil is yes.
+	// HasWorkerID reports whether this daemon holds a worker id.
+	HasWorkerID func() bool
+	// EngineOpen reports whether operators let new requests go to an engine; nil is always.
 	EngineOpen func(*registry.Engine) bool
-	// Draining says that whoever is answered should connect elsewhere next time.
+	// Draining reports whether callers should connect elsewhere, so that connections are closed after a response.
 	Draining func() bool
 	Settings forwarding.Settings
-	// Recorder takes what is measured of engines' nodes; nil measures nothing.
+	// Recorder takes measurements of the engines' nodes; nil measures nothing.
 	Recorder *nodehealth.Recorder
 }
 
-// Counters are counted over a daemon's life.
+// Counters count events since the daemon started. Read counts requests read, Unreadable and TooLarge those rejected for
+// it; Completed and Streams count responses passed on at once and as they came, Withheld the attempts that
+// checkBeforeSend stopped, Unsealed successes without an engine's seal.
 type Counters struct {
 	Read, Unreadable, TooLarge, Completed, Streams, StreamsCompleted, StreamsBroken, Events, Resumed, CallersLeft, Withheld, Unsealed atomic.Uint64
 }
 
-// Gateway serves opaque requests.
+// Gateway serves opaque requests. It is safe for concurrent use.
 type Gateway struct {
 	Dependencies
 	Counters     Counters
@@ -56,11 +64,11 @@
 	return &Gateway{Dependencies: s, actor: actor, pools: pools, monitor: newCallerMonitor()}
 }
 
-// OpenRequests counts the requests that were read and are not yet answered whole.
+// OpenRequests counts the requests that were read and are not yet answered in full.
 func (g *Gateway) OpenRequests() int64 { return g.openRequests.Load() }
 
-// Stop gives all that have no answer yet their final one, since the daemon may not wait much longer; answers
-// that have begun go on for as long as it does wait.
+// Stop gives all requests without a response their final answer; responses that have begun continue for as long as the
+// daemon waits for them.
 func (g *Gateway) Stop() {
 	g.actor.Do(func(c *forwarding.Core, w forwarding.Environment) { c.Stop(w) })
 	g.monitor.each(func(f *exchange) {
@@ -70,7 +78,7 @@
 	})
 }
 
-// MigrateEvacuated stops what is under way at engines that are emptied, where it can go on elsewhere.
+// MigrateEvacuated stops the attempts at evacuated engines that can be made elsewhere.
 func (g *Gateway) MigrateEvacuated() {
 	var exchanges []*exchange
 	g.monitor.each(func(f *exchange) { exchanges = append(exchanges, f) })
@@ -83,7 +91,7 @@
 			if f.hasBegun.Load() && !f.hasEventID.Load() || f.callerGone.Load() {
 				continue
 			}
-			if c.Migrate(f.record, w) {
+			if c.Migrate(f.request, w) {
 				f.canceller.Interrupt()
 			}
 		}
@@ -91,11 +99,11 @@
 }
 
 const (
-	// maxBuffered is how much of an answer is gathered before any of it goes on.
+	// maxBuffered is how much of a response is buffered before any of it is passed on, in bytes.
 	maxBuffered = 256 << 10
-	// writeGracePeriod is how long past its deadline an answer may take to be read by its caller.
+	// writeGracePeriod is how long past its deadline a caller may take to read its response.
 	writeGracePeriod = 20 * time.Second
-	// defaultDeadline bounds requests of which nothing says how long they may take.
+	// defaultDeadline bounds requests without a deadline.
 	defaultDeadline = time.Hour
 )
 
@@ -104,14 +112,14 @@
 	g.Counters.Read.Add(1)
 	ctx.Response.Header.SetNoDefaultContentType(true)
 	arrived := g.Clock.Elapsed()
-	ask, err := g.Dialect.ReadAsk(&ctx.Request.Header)
+	attributes, err := g.Dialect.ReadAsk(&ctx.Request.Header)
 	if err != nil {
 		g.Counters.Unreadable.Add(1)
 		g.writeText(ctx, fasthttp.StatusBadRequest, err.Error())
 		return
 	}
 	host, prefixed := string(ctx.Request.Header.Host()), PathOf(ctx.Request.Header.RequestURI())
-	record := forwarding.Request{Attributes: ask, Host: host, URLPath: prefixed, ArrivedAt: arrived, Deadline: arrived + clock.Mark(defaultDeadline)}
+	record := forwarding.Request{Attributes: attributes, Host: host, URLPath: prefixed, ArrivedAt: arrived, Deadline: arrived + clock.Mark(defaultDeadline)}
 	if index := g.Index(); index != nil {
 		if most := index.Section.Limits.MaxHeaderBytes; most > 0 && headerSize(&ctx.Request.Header) > most {
 			g.tooLarge(ctx, fasthttp.StatusRequestHeaderFieldsTooLarge, "the head is too large")
@@ -124,18 +132,18 @@
 		if path, found := index.Lookup(host, prefixed); found {
 			record.Path = path
 			limit := time.Duration(path.DeadlineMs) * time.Millisecond
-			if ask.Deadline > 0 {
-				limit = min(limit, ask.Deadline)
+			if attributes.Deadline > 0 {
+				limit = min(limit, attributes.Deadline)
 			}
 			record.Deadline = arrived + clock.Mark(limit)
 		}
 	}
-	f := &exchange{Gateway: g, ctx: ctx, record: forwarding.NewRequest(record), caller: newCallerConn(ctx.Conn()), body: ctx.Request.Body()}
+	f := &exchange{Gateway: g, ctx: ctx, request: forwarding.NewRequest(record), caller: newCallerConn(ctx.Conn()), body: ctx.Request.Body()}
 	ctx.Request.Header.CopyTo(&f.header)
 	connectionpool.RemoveHopByHop(&f.header)
 	g.openRequests.Add(1)
 	g.monitor.add(f)
-	if !g.actor.Admit(f.record) {
+	if !g.actor.Admit(f.request) {
 		f.sendAnswer(forwarding.Answer{Status: fasthttp.StatusServiceUnavailable, Cause: forwarding.CauseShuttingDown, RetryAfter: time.Second})
 		f.finish()
 		return
--- a/connection/gateway/gateway_test.go
+++ b/connection/gateway/gateway_test.go
@@ -143,11 +143,11 @@
 	settings.RetrySlack = 1000
 	var minted atomic.Int64
 	f.actor = forwarding.NewActor(settings, func() forwarding.Environment {
-		emptied := func(engine *registry.Engine) bool {
+		evacuated := func(engine *registry.Engine) bool {
 			isEmptied := f.emptied.Load()
 			return isEmptied != nil && (*isEmptied)(engine)
 		}
-		return forwarding.Environment{Now: clock.System{}.Elapsed(), EngineEvacuated: emptied, EngineOpen: func(engine *registry.Engine) bool { return !emptied(engine) }, Index: f.index.Load(), IndexCurrent: !f.old.Load(), View: f.view.Load(), Routers: 1, HasWorkerID: f.held.Load(),
+		return forwarding.Environment{Now: clock.System{}.Elapsed(), EngineEvacuated: evacuated, EngineOpen: func(engine *registry.Engine) bool { return !evacuated(engine) }, Index: f.index.Load(), IndexCurrent: !f.old.Load(), View: f.view.Load(), Routers: 1, HasWorkerID: f.held.Load(),
 			MintID: func() (ident.SnowflakeID, bool) { return ident.SnowflakeID(minted.Add(1)), f.held.Load() }}
 	})
 	ctx, cancel := context.WithCancel(context.Background())
--- a/connection/gateway/leave_test.go
+++ b/connection/gateway/leave_test.go
@@ -126,9 +126,9 @@
 	}
 }
 
-// TestDisconnectEndsSilentStream: an engine that says nothing gives no occasion to write to
+// TestDisconnectEndsIdleStream: an engine that says nothing gives no occasion to write to
 // a caller that has left, so that alone must not be waited for.
-func TestDisconnectEndsSilentStream(t *testing.T) {
+func TestDisconnectEndsIdleStream(t *testing.T) {
 	for _, class := range []string{"stream", "resume"} {
 		engine := newFakeEngine(t, "e1", func(a arrival) bool {
 			chunks(a, "s", event(1))
--- a/connection/gateway/measurement.go
+++ b/connection/gateway/measurement.go
@@ -9,20 +9,21 @@
 	"github.com/cresspond/cresspond/process/engines/nodehealth"
 )
 
-// attemptMeasurement is what is measured of the engine that an attempt is at. Of the request itself nothing goes along but
+// attemptMeasurement is what is measured of an attempt for the ranking of nodes. Nothing of the request is recorded but
 // how much work it is.
 type attemptMeasurement struct {
-	// sentAt is when the attempt's first byte was about to leave, last when its newest event came.
+	// sentAt is when the attempt's first byte was about to be sent, lastEventAt when its newest event came.
 	sentAt, lastEventAt clock.Mark
 	gaps                *nodehealth.Cell
 }
 
+// class gives what a measurement is comparable with.
 func (f *exchange) class(kind nodehealth.Kind) nodehealth.Class {
 	class := nodehealth.Class{Kind: kind, Pool: f.attempt.Pool}
 	if kind == nodehealth.Connect {
 		return class
 	}
-	class.Model, class.Load = f.record.Attributes.Model, nodehealth.LoadBand(f.attempt.EngineRunning)
+	class.Model, class.Load = f.request.Attributes.Model, nodehealth.LoadBand(f.attempt.EngineRunning)
 	switch kind {
 	case nodehealth.Stall:
 		class.TargetMs = f.attempt.GapTargetMs
@@ -32,21 +33,21 @@
 	return class
 }
 
-// recordConnect records how long a fresh connection took.
+// recordConnect records how long a new connection took.
 func (f *exchange) recordConnect(answer *connectionpool.Result) {
 	if f.Recorder != nil && answer.ConnectTime > 0 {
 		f.Recorder.Cell(f.attempt.Engine, f.class(nodehealth.Connect)).RecordDelay(answer.ConnectTime)
 	}
 }
 
-// recordSend notes that an attempt's first byte is about to leave.
+// recordSend records that an attempt's first byte is about to be sent.
 func (f *exchange) recordSend() {
 	if f.Recorder != nil {
 		f.measurement = attemptMeasurement{sentAt: f.Clock.Elapsed()}
 	}
 }
 
-// recordFirstByte records how long the first byte of an answer took. Only what went well took the time that its work takes.
+// recordFirstByte records how long a response's first byte took; only successes take the time that their work takes.
 func (f *exchange) recordFirstByte(status int) {
 	if f.Recorder == nil || status < 200 || status >= 300 {
 		return
@@ -56,15 +57,15 @@
 	f.measurement.lastEventAt = now
 }
 
-// recordEventGap records the pause before an event, or before the failure that came in its place; it was waited for since asked.
-func (s *stream) recordEventGap(asked, now clock.Mark, err error) {
+// recordEventGap records the gap before an event, or before the failure that came in its place.
+func (s *stream) recordEventGap(readStarted, now clock.Mark, err error) {
 	if s.Recorder == nil || err == io.EOF || s.callerGone.Load() {
 		return
 	}
 	before := s.measurement.lastEventAt
 	s.measurement.lastEventAt = now
 	// Where the caller was slow to take what went before, the pause is the caller's and not the engine's.
-	if before == 0 || asked.Since(before) > now.Since(before)/2 && now.Since(before) > time.Millisecond {
+	if before == 0 || readStarted.Since(before) > now.Since(before)/2 && now.Since(before) > time.Millisecond {
 		return
 	}
 	if s.measurement.gaps == nil {
--- a/connection/gateway/node_test.go
+++ b/connection/gateway/node_test.go
@@ -49,7 +49,7 @@
 	if change != nil {
 		change(&record, &send)
 	}
-	f := &exchange{Gateway: &Gateway{Dependencies: Dependencies{Clock: watch, Recorder: recorder}}, record: &record, attempt: &send}
+	f := &exchange{Gateway: &Gateway{Dependencies: Dependencies{Clock: watch, Recorder: recorder}}, request: &record, attempt: &send}
 	s := &stream{exchange: f, events: bufio.NewReaderSize(&pausedReader{clock: watch, pauses: pauses}, eventBufferSize)}
 	f.recordSend()
 	if err := s.readEvents(); err != nil {
@@ -194,8 +194,8 @@
 	}
 	one, two := newFakeEngine(t, "e1", serve()), newFakeEngine(t, "e2", serve())
 	f := newFixture(t, one, two)
-	emptied := func(engine *registry.Engine) bool { return string(engine.ID) == first }
-	f.emptied.Store(&emptied)
+	evacuated := func(engine *registry.Engine) bool { return string(engine.ID) == first }
+	f.emptied.Store(&evacuated)
 	for _, c := range []struct {
 		path  string
 		moves bool
--- a/connection/gateway/ownanswer.go
+++ b/connection/gateway/ownanswer.go
@@ -9,7 +9,7 @@
 	"github.com/cresspond/cresspond/request/forwarding"
 )
 
-// writeText answers with a line of our own.
+// writeText answers with one line of text.
 func (g *Gateway) writeText(ctx *fasthttp.RequestCtx, status int, reason string) {
 	ctx.ResetBody()
 	ctx.SetStatusCode(status)
@@ -17,8 +17,8 @@
 	ctx.SetBodyString(reason + "\n")
 }
 
-// tooLarge answers what passes the limits in force. Only a table that is known to be new enough can say so for
-// good: a newer one may allow it, and a client never asks again after the final word.
+// tooLarge rejects a request beyond the limits in force. Only a current table makes that final: a newer one may allow
+// the request, and clients don't retry after a final answer.
 func (g *Gateway) tooLarge(ctx *fasthttp.RequestCtx, status int, reason string) {
 	g.Counters.TooLarge.Add(1)
 	if g.IndexCurrent() {
@@ -30,18 +30,18 @@
 	ctx.SetConnectionClose()
 }
 
-// HandleUnread answers a request that the limits in force kept from being read whole, as Handle answers what was read.
+// HandleUnread answers a request that the limits in force kept from being read completely.
 func (g *Gateway) HandleUnread(ctx *fasthttp.RequestCtx, status int) {
 	ctx.Response.Header.SetNoDefaultContentType(true)
 	g.tooLarge(ctx, status, "the request is larger than was read")
 }
 
-// headerSize is how long a request's head is, its first line with it.
+// headerSize is the size of a request's header with its first line, in bytes.
 func headerSize(head *fasthttp.RequestHeader) int {
 	return len(head.Method()) + len(head.RequestURI()) + len(" ") + len(" HTTP/1.1\r\n") + len(head.RawHeaders())
 }
 
-// PathOf is the path of a request's target as it was sent.
+// PathOf gives the path of a request target as it was sent.
 func PathOf(target []byte) string {
 	if len(target) > 0 && target[0] != '/' {
 		// A target may name scheme and host too.
--- a/connection/gateway/stream.go
+++ b/connection/gateway/stream.go
@@ -9,16 +9,16 @@
 	"github.com/cresspond/cresspond/request/forwarding"
 )
 
-// errBroken makes the connection end without its last chunk, or short of the length that was said.
+// errIncomplete makes the connection end without the last chunk, or short of the announced length.
 var errIncomplete = errors.New("the answer is not whole")
 
-// stream is an answer that is passed on as it comes.
-// A reader, not a writer: fasthttp ends a writer's stream with a clean last chunk whatever became of it.
+// stream is a response that is passed on as it comes. It is a reader, since fasthttp ends a writer's stream with a clean
+// last chunk whatever happened.
 type stream struct {
 	*exchange
-	answer *connectionpool.Result
+	result *connectionpool.Result
 	length int
-	// pending is what goes on next.
+	// pending is what is passed on next.
 	pending  []byte
 	events   *bufio.Reader
 	buffer   []byte
@@ -26,40 +26,41 @@
 	failed   bool
 }
 
-// streamBody passes on an answer that is too large to be gathered first.
-func (f *exchange) streamBody(answer *connectionpool.Result, begun []byte) *stream {
+// streamBody passes on a response that is too large to be buffered.
+func (f *exchange) streamBody(result *connectionpool.Result, begun []byte) *stream {
 	f.responseBegun()
 	f.Counters.Streams.Add(1)
-	return &stream{exchange: f, answer: answer, length: answer.Response().Header.ContentLength(), pending: begun}
+	return &stream{exchange: f, result: result, length: result.Response().Header.ContentLength(), pending: begun}
 }
 
-// responseBegun notes that bytes of an answer go on from now.
+// responseBegun reports that bytes of a response are passed on from now on.
 func (f *exchange) responseBegun() {
 	if f.hasBegun.CompareAndSwap(false, true) {
-		f.actor.ResponseBegun(f.record)
+		f.actor.ResponseBegun(f.request)
 	}
 }
 
-// streamEvents waits for the first event, since until then nothing is promised to the caller.
-func (f *exchange) streamEvents(answer *connectionpool.Result) (*stream, forwarding.Outcome) {
-	s := &stream{exchange: f, answer: answer, length: -1, events: eventReaders.Get().(*bufio.Reader)}
-	s.events.Reset(answer)
+// streamEvents waits for the first event; until then another attempt could still be made.
+func (f *exchange) streamEvents(result *connectionpool.Result) (*stream, forwarding.Outcome) {
+	s := &stream{exchange: f, result: result, length: -1, events: eventReaders.Get().(*bufio.Reader)}
+	s.events.Reset(result)
 	err := s.readEvents()
 	if err == nil {
-		f.recordFirstByte(answer.Response().StatusCode())
+		f.recordFirstByte(result.Response().StatusCode())
 	}
-	if err != nil && !(err == io.EOF && len(s.pending) == 0 && answer.Complete()) {
+	if err != nil && !(err == io.EOF && len(s.pending) == 0 && result.Complete()) {
 		s.release()
-		answer.Close()
+		result.Close()
 		return nil, forwarding.OutcomeResponseLost
 	}
-	f.copyHeader(answer)
+	f.copyHeader(result)
 	s.complete = err == io.EOF
 	f.responseBegun()
 	f.Counters.Streams.Add(1)
 	return s, forwarding.OutcomeCompleted
 }
 
+// release returns the event reader.
 func (s *stream) release() {
 	if s.events != nil {
 		s.events.Reset(nil)
@@ -68,7 +69,7 @@
 	}
 }
 
-// Read gives what goes on next: whole events, as many as have come.
+// Read gives what is passed on next: complete events, as many as have come.
 func (s *stream) Read(p []byte) (int, error) {
 	for len(s.pending) == 0 {
 		if s.failed {
@@ -80,17 +81,17 @@
 		var err error
 		if s.events == nil {
 			var n int
-			n, err = s.answer.Read(p)
+			n, err = s.result.Read(p)
 			if n > 0 {
 				// A failure shows again at the next read.
 				return n, nil
 			}
 		} else {
-			asked := s.Clock.Elapsed()
+			readStarted := s.Clock.Elapsed()
 			err = s.readEvents()
 			now := s.Clock.Elapsed()
-			s.record.Observed.LongestEventGap = max(s.record.Observed.LongestEventGap, now.Since(asked))
-			s.recordEventGap(asked, now, err)
+			s.request.Observed.LongestEventGap = max(s.request.Observed.LongestEventGap, now.Since(readStarted))
+			s.recordEventGap(readStarted, now, err)
 		}
 		switch {
 		case err == io.EOF:
@@ -104,7 +105,7 @@
 	return n, nil
 }
 
-// Close ends the answer, whatever became of it.
+// Close ends the response and reports its outcome.
 func (s *stream) Close() error {
 	s.release()
 	switch {
@@ -112,22 +113,22 @@
 		// The end was reported when it was found.
 		s.Counters.StreamsBroken.Add(1)
 	case s.complete:
-		s.answer.Close()
+		s.result.Close()
 		s.Counters.StreamsCompleted.Add(1)
-		s.actor.AttemptEnded(s.record, forwarding.OutcomeCompleted, s.lastEvent)
+		s.actor.AttemptEnded(s.request, forwarding.OutcomeCompleted, s.lastEvent)
 	default:
 		// The caller could not be written to, so nobody needs the rest.
 		s.Counters.CallersLeft.Add(1)
-		s.answer.Close()
-		s.actor.AttemptEnded(s.record, forwarding.OutcomeCallerLeft, s.lastEvent)
+		s.result.Close()
+		s.actor.AttemptEnded(s.request, forwarding.OutcomeCallerLeft, s.lastEvent)
 	}
 	s.finish()
 	return nil
 }
 
-// resume takes a stream that broke off up at another engine, within the same answer.
+// resume continues a stream that broke off at another engine, within the same response.
 func (s *stream) resume() bool {
-	s.answer.Close()
+	s.result.Close()
 	if s.events == nil {
 		s.reportOutcome(forwarding.OutcomeStreamBroken)
 		return false
@@ -138,20 +139,20 @@
 		if step.Attempt == nil {
 			return false
 		}
-		answer := s.sendAttempt(step.Attempt)
-		outcome = outcomeOf(answer.Outcome)
-		if answer.Outcome != connectionpool.OutcomeAnswered {
+		result := s.sendAttempt(step.Attempt)
+		outcome = outcomeOf(result.Outcome)
+		if result.Outcome != connectionpool.OutcomeAnswered {
 			continue
 		}
-		if status := answer.Response().StatusCode(); status != 200 || !answer.Header.Sealed || !answer.Header.Events {
+		if status := result.Response().StatusCode(); status != 200 || !result.Header.Sealed || !result.Header.Events {
 			// The answer that has begun can't become another one.
-			answer.Close()
+			result.Close()
 			outcome = forwarding.OutcomeResponseLost
 			continue
 		}
 		s.Counters.Resumed.Add(1)
-		s.answer = answer
-		s.events.Reset(answer)
+		s.result = result
+		s.events.Reset(result)
 		return true
 	}
 }
--- a/connection/metrics/metrics.go
+++ b/connection/metrics/metrics.go
@@ -8,33 +8,33 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Loss is how many requests of one path and model were not served, or late, for one reason.
+// Loss is the number of requests of one path and model that were not served, or late, for one reason.
 type Loss struct {
 	Path, Model, Reason string
 	Count               uint64
 }
 
-// Source is where the figures are read, at each request for them.
+// Source provides the metrics. It is read at each scrape, and must be safe for concurrent use.
 type Source interface {
-	// EachCounter gives the daemon's counters and levels by name.
-	EachCounter(say func(name string, value uint64))
-	// Losses lists the requests that were not served, or late.
+	// EachCounter reports the daemon's counters and gauges by name.
+	EachCounter(report func(name string, value uint64))
+	// Losses gives the numbers of requests that were not served, or late.
 	Losses() []Loss
 }
 
-// namespace begins the name of each figure.
+// namespace is the prefix of each metric's name.
 const namespace = "cresspond"
 
-// collector reads a source whenever somebody asks.
+// collector reads a source at each scrape.
 type collector struct {
 	source Source
 	losses *prometheus.Desc
 }
 
-// Describe names nothing beforehand, since a daemon's roles decide which counters it has.
+// Describe sends no descriptions, since a daemon's roles decide which counters it has: the collector is unchecked.
 func (c *collector) Describe(chan<- *prometheus.Desc) {}
 
-// Collect reads all figures.
+// Collect reads all metrics.
 func (c *collector) Collect(into chan<- prometheus.Metric) {
 	c.source.EachCounter(func(name string, value uint64) {
 		described := prometheus.NewDesc(prometheus.BuildFQName(namespace, "", name), "Counter or level "+name+" of the counters page.", nil, nil)
@@ -45,7 +45,7 @@
 	}
 }
 
-// Handler serves the figures of a source.
+// Handler serves a source's metrics.
 func Handler(source Source) http.Handler {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(&collector{source: source, losses: prometheus.NewDesc(prometheus.BuildFQName(namespace, "", "requests_lost_total"),
--- a/connection/metrics/metrics_test.go
+++ b/connection/metrics/metrics_test.go
@@ -6,19 +6,19 @@
 	"testing"
 )
 
-type fixed struct{}
+type fixedSource struct{}
 
-func (fixed) EachCounter(say func(string, uint64)) {
-	say("pulls", 7)
-	say("opaque_held_now", 2)
+func (fixedSource) EachCounter(report func(string, uint64)) {
+	report("pulls", 7)
+	report("opaque_held_now", 2)
 }
 
-func (fixed) Losses() []Loss { return []Loss{{"plan", "m-1", "model_absent", 3}} }
+func (fixedSource) Losses() []Loss { return []Loss{{"plan", "m-1", "model_absent", 3}} }
 
 // TestHandlerServesCountersAndLosses: each counter stands under the project's name, each loss under its reason.
 func TestHandlerServesCountersAndLosses(t *testing.T) {
 	answer := httptest.NewRecorder()
-	Handler(fixed{}).ServeHTTP(answer, httptest.NewRequest("GET", "/metrics", nil))
+	Handler(fixedSource{}).ServeHTTP(answer, httptest.NewRequest("GET", "/metrics", nil))
 	body := answer.Body.String()
 	for _, want := range []string{"cresspond_pulls 7\n", "cresspond_opaque_held_now 2\n",
 		`cresspond_requests_lost_total{model="m-1",path="plan",reason="model_absent"} 3` + "\n"} {
--- a/process/engines/connectionpool/exchange.go
+++ b/process/engines/connectionpool/exchange.go
@@ -30,7 +30,7 @@
 			}
 			conn = dialed
 		}
-		// Bytes or an end on a kept connection belong to no request of ours, so another one is taken.
+		// Bytes or an end on an idle connection belong to no request of this daemon, so another one is taken.
 		if !isNew && conn.isReadable() {
 			p.Counters.FoundStale.Add(1)
 			_ = conn.Close()
@@ -74,61 +74,88 @@
 	buffer.B = append(appendHeader(buffer.B[:0], attempt.Header, len(attempt.Body)), attempt.Body...)
 	if reason := attempt.CheckBeforeSend(); reason != "" {
 		bytebufferpool.Put(buffer)
-		// Nothing was said on it, so it is as good as before.
+		// Nothing was written, so the connection can be reused.
 		result.releaseConnection()
 		return result.finish(OutcomeWithheld, reason)
 	}
-	first := !conn.used
+	firstRequest := !conn.used
 	conn.used = true
 	result.sending = startWrite(conn, buffer)
 	if result.sending.nothingSent() {
-		// Not one byte was taken, which no engine can run.
+		// An engine can't run a request of which it got no byte.
 		result.closeConnection()
-		return result.finish(OutcomeUnreachable, "the connection to the engine was broken")
+		return result.finish(OutcomeUnreachable, reasonBroken)
 	}
-	// A failed write is no proof: what went before the failure may have been enough to run. The engine may
-	// also have said why it would not read the rest, so its answer is looked for all the same.
+	// A failed write proves nothing: the engine may have got enough to run the request, or may have responded why it
+	// would not read the rest. So its response is read all the same.
+	if failed := result.awaitResponse(attempt, firstRequest); failed != nil {
+		return failed
+	}
+	if result.Header.NotRun {
+		result.discardBody()
+		if result.Header.Misdirected {
+			return result.finish(OutcomeMisdirected, "the engine is another one, or has not loaded what was asked for")
+		}
+		return result.finish(OutcomeRejected, "the engine rejected the request")
+	}
+	result.Outcome = OutcomeAnswered
+	return result
+}
+
+// reasonBroken is the reason of attempts of which no byte could be written.
+const reasonBroken = "the connection to the engine was broken"
+
+// awaitResponse reads response headers until one belongs to the attempt. It gives nil then, or else the result finished.
+func (a *Result) awaitResponse(attempt Attempt, firstRequest bool) *Result {
+	conn, clock := a.connection, a.pools.clock
 	skipped := 0
 	for ; ; skipped++ {
-		if outcome, reason := result.readHeader(attempt.Header.IsHead()); outcome != OutcomeAnswered {
-			result.closeConnection()
-			result.sending.wait()
-			if result.sending.nothingSent() {
-				return result.finish(OutcomeUnreachable, "the connection to the engine was broken")
+		if outcome, reason := a.readHeader(attempt.Header.IsHead()); outcome != OutcomeAnswered {
+			a.closeConnection()
+			a.sending.wait()
+			if a.sending.nothingSent() {
+				return a.finish(OutcomeUnreachable, reasonBroken)
 			}
-			return result.finish(outcome, reason)
+			return a.finish(outcome, reason)
 		}
-		if result.Header.Attempt == attempt.ID {
+		if a.belongsTo(attempt, skipped == 0, firstRequest) {
 			break
 		}
-		if result.Header.Attempt == "" && skipped == 0 && (attempt.MissingID == AllowMissingIDOnIdle || attempt.MissingID == AllowMissingIDOnNew && first) {
-			result.unusable = result.unusable || attempt.MissingID == AllowMissingIDOnNew
-			break
+		// No byte of another request's response may be passed on. It may be a surplus response to an earlier request,
+		// followed by ours; then it bears an id and says where it ends.
+		a.pools.Counters.ForeignResponses.Add(1)
+		a.unusable = true
+		if a.Header.Attempt == "" || skipped >= maxSkippedResponses || a.Header.Events || !a.discardBody() {
+			a.closeConnection()
+			return a.finish(OutcomeProtocolError, "the engine's response is not to this attempt")
 		}
-		// Not a byte of another request's answer may go on. It may be one too many to an earlier request, with
-		// ours behind it; then it says itself whose it is and where it ends.
-		p.Counters.ForeignResponses.Add(1)
-		result.unusable = true
-		if result.Header.Attempt == "" || skipped >= maxSkippedResponses || result.Header.Events || !result.discardBody() {
-			result.closeConnection()
-			return result.finish(OutcomeProtocolError, "the engine's answer is not to this attempt")
-		}
-		result.releaseResponse()
-		result.complete, result.bodyErr = false, nil
-		_ = conn.SetReadDeadline(time.Now().Add(min(skippedResponseTimeout, attempt.Deadline.Since(p.clock.Elapsed()))))
+		a.releaseResponse()
+		a.complete, a.bodyErr = false, nil
+		_ = conn.SetReadDeadline(time.Now().Add(min(skippedResponseTimeout, attempt.Deadline.Since(clock.Elapsed()))))
 	}
 	if skipped > 0 {
-		_ = conn.SetReadDeadline(time.Now().Add(attempt.Deadline.Since(p.clock.Elapsed())))
+		_ = conn.SetReadDeadline(time.Now().Add(attempt.Deadline.Since(clock.Elapsed())))
 	}
-	if result.Header.NotRun {
-		result.discardBody()
-		if result.Header.Misdirected {
-			return result.finish(OutcomeMisdirected, "the engine is another one, or does not hold what was asked for")
-		}
-		return result.finish(OutcomeRejected, "the engine refused")
+	return nil
+}
+
+// belongsTo reports whether the response that was read is to the attempt. The first response may bear no id where the
+// attempt's MissingIDPolicy allows it.
+func (a *Result) belongsTo(attempt Attempt, firstResponse, firstRequest bool) bool {
+	if a.Header.Attempt == attempt.ID {
+		return true
 	}
-	result.Outcome = OutcomeAnswered
-	return result
+	if a.Header.Attempt != "" || !firstResponse {
+		return false
+	}
+	switch attempt.MissingID {
+	case AllowMissingIDOnIdle:
+		return true
+	case AllowMissingIDOnNew:
+		a.unusable = a.unusable || firstRequest
+		return firstRequest
+	}
+	return false
 }
 
 // readHeader reads one response header and makes its body ready to be read.
@@ -139,15 +166,15 @@
 	if err := a.response.ReadLimitBody(a.connection.reader, 0); err != nil {
 		if isNetworkError(err) {
 			a.headErr = err
-			return OutcomeResponseLost, "the engine gave no answer"
+			return OutcomeResponseLost, "the engine gave no response"
 		}
 		a.pools.Counters.ProtocolErrors.Add(1)
-		return OutcomeProtocolError, "the engine sent what is no answer"
+		return OutcomeProtocolError, "the engine sent no valid response"
 	}
 	if protocol := string(a.response.Header.Protocol()); protocol != "HTTP/1.1" && protocol != "HTTP/1.0" {
 		// Readers differ on where a body of any other version ends.
 		a.pools.Counters.ProtocolErrors.Add(1)
-		return OutcomeProtocolError, "the engine answered in another protocol"
+		return OutcomeProtocolError, "the engine responded in another protocol"
 	}
 	if a.response.StatusCode() < fasthttp.StatusOK {
 		// Interim answers were passed over, so it is a change of protocol, which nobody asked for.
