--- a/process/consensus/raft/membership_invariants_test.go
+++ b/process/consensus/raft/membership_invariants_test.go
@@ -18,59 +18,59 @@
 }
 
 // check checks each combination of members and history once.
-func (m *model) check(s *modelState) error {
-	key := checkedKey{s.nodes, s.history}
+func (m *model) check(state *modelState) error {
+	key := checkedKey{state.nodes, state.history}
 	result, known := m.checked[key]
 	if !known {
-		result.fault = m.inspect(s)
-		result.history = s.history
+		result.fault = m.inspect(state)
+		result.history = state.history
 		m.checked[key] = result
 	}
-	s.history = result.history
+	state.history = result.history
 	return result.fault
 }
 
 // inspect checks the invariants, and extends the history by what the state shows.
-func (m *model) inspect(s *modelState) error {
-	history := m.histories[s.history]
+func (m *model) inspect(state *modelState) error {
+	history := m.histories[state.history]
 	changed := false
-	for _, at := range s.nodes {
-		n := &m.nodes[at]
-		if n.core.role == Leader {
-			if other, known := history.leaders[n.core.term]; known && other != n.id {
-				return fmt.Errorf("election safety: %d and %d lead term %d", other, n.id, n.core.term)
+	for _, nodeID := range state.nodes {
+		node := &m.nodes[nodeID]
+		if node.core.role == Leader {
+			if other, known := history.leaders[node.core.term]; known && other != node.id {
+				return fmt.Errorf("election safety: %d and %d lead term %d", other, node.id, node.core.term)
 			} else if !known {
 				history.leaders, changed = maps.Clone(history.leaders), true
-				history.leaders[n.core.term] = n.id
+				history.leaders[node.core.term] = node.id
 			}
 		}
-		for index := Index(2); index <= n.core.commitIndex; index++ {
-			entry := n.core.raftLog.entries[index-2]
+		for index := Index(2); index <= node.core.commitIndex; index++ {
+			entry := node.core.raftLog.entries[index-2]
 			if int(index)-2 < len(history.committed) {
 				if known := history.committed[index-2]; known.entry.Term != entry.Term || string(known.entry.Data) != string(entry.Data) {
-					return fmt.Errorf("state machine safety: %d commits another entry than was committed at %d", n.id, index)
+					return fmt.Errorf("state machine safety: %d commits another entry than was committed at %d", node.id, index)
 				}
 				continue
 			}
-			history.committed, changed = append(slices.Clip(history.committed), committedEntry{entry, n.core.term}), true
+			history.committed, changed = append(slices.Clip(history.committed), committedEntry{entry, node.core.term}), true
 		}
 	}
 	if changed {
-		s.history = intern(fmt.Sprint(history), m.historyIDs, &m.histories, history)
+		state.history = intern(fmt.Sprint(history), m.historyIDs, &m.histories, history)
 	}
 	highest := Term(0)
 	for term := range history.leaders {
 		highest = max(highest, term)
 	}
-	for member, at := range s.nodes {
-		n := &m.nodes[at]
-		if n.core.role == Leader {
-			if err := m.checkLeader(n, history, highest); err != nil {
+	for member, nodeID := range state.nodes {
+		node := &m.nodes[nodeID]
+		if node.core.role == Leader {
+			if err := m.checkLeader(node, history, highest); err != nil {
 				return err
 			}
 		}
-		for _, other := range s.nodes[member+1:] {
-			if err := matching(n.core, m.nodes[other].core); err != nil {
+		for _, other := range state.nodes[member+1:] {
+			if err := matching(node.core, m.nodes[other].core); err != nil {
 				return err
 			}
 		}
--- a/process/consensus/raft/membership_model_test.go
+++ b/process/consensus/raft/membership_model_test.go
@@ -58,12 +58,14 @@
 // modelLinks holds the ids of the messages in flight: from, to, in order.
 type modelLinks [modelMembers][modelMembers][]int
 
+// modelState is one state of the search. Members, messages and histories are ids, so that states share them.
 type modelState struct {
 	nodes   [modelMembers]int
 	links   modelLinks
 	history int
-	spent   modelBudget
-	depth   int
+	// spent is how much of the budget has been used.
+	spent modelBudget
+	depth int
 	// parent and event tell how the state was reached.
 	parent *modelState
 	event  string
@@ -72,25 +74,28 @@
 // modelHistory is what the checker remembers of a history.
 type modelHistory struct {
 	leaders map[Term]MemberID
-	// committed lists entries by index, and by whom in which term each was first known to be committed.
+	// committed lists the committed entries by index, from 2 on.
 	committed []committedEntry
 }
 
+// committedEntry is an entry and the term of the first member that knew it to be committed.
 type committedEntry struct {
 	entry Entry
 	term  Term
 }
 
+// model is a search: what was found so far, each member, message and history once, by its id.
 type model struct {
-	variant     modelVariant
-	budget      modelBudget
-	nodes       []modelNode
-	nodeIDs     map[string]int
-	messages    []Message
-	messageIDs  map[string]int
-	histories   []modelHistory
-	historyIDs  map[string]int
-	visited     map[string]struct{}
+	variant    modelVariant
+	budget     modelBudget
+	nodes      []modelNode
+	nodeIDs    map[string]int
+	messages   []Message
+	messageIDs map[string]int
+	histories  []modelHistory
+	historyIDs map[string]int
+	visited    map[string]struct{}
+	// stepped, checked and memberships are caches: of steps, of checks, of decoded memberships.
 	stepped     map[steppedKey]steppedResult
 	checked     map[checkedKey]checkedResult
 	memberships map[string]Membership
@@ -98,15 +103,17 @@
 	consequencesOnly bool
 }
 
+// steppedKey identifies a step of one member: its kind, and the message or membership it is taken with.
 type steppedKey struct {
-	node int
-	kind string
-	arg  int
+	nodeID int
+	kind   string
+	arg    int
 }
 
+// steppedResult is the member after a step, and the messages it sent.
 type steppedResult struct {
-	node int
-	out  []int
+	nodeID int
+	sent   []int
 }
 
 // sameSource makes every election timeout the same: the model has no clock.
@@ -117,26 +124,29 @@
 var modelTiming = Timing{HeartbeatTicks: 1, ElectionTicks: 1024}
 
 func newModel(variant modelVariant, budget modelBudget) *model {
-	return &model{variant: variant, budget: budget, nodeIDs: map[string]int{}, messageIDs: map[string]int{}, historyIDs: map[string]int{},
-		visited: map[string]struct{}{}, stepped: map[steppedKey]steppedResult{}, checked: map[checkedKey]checkedResult{}, memberships: map[string]Membership{}}
+	return &model{
+		variant: variant, budget: budget,
+		nodeIDs: map[string]int{}, messageIDs: map[string]int{}, historyIDs: map[string]int{}, visited: map[string]struct{}{},
+		stepped: map[steppedKey]steppedResult{}, checked: map[checkedKey]checkedResult{}, memberships: map[string]Membership{},
+	}
 }
 
 // cloneCore copies a core so that stepping the copy leaves the original as it is.
 func cloneCore(c *Core) *Core {
-	out := *c
-	out.raftLog.entries = slices.Clone(c.raftLog.entries)
-	out.memberships = slices.Clone(c.memberships)
-	out.votes = maps.Clone(c.votes)
-	out.pendingReads = slices.Clone(c.pendingReads)
-	out.effects = Effects{}
+	cloned := *c
+	cloned.raftLog.entries = slices.Clone(c.raftLog.entries)
+	cloned.memberships = slices.Clone(c.memberships)
+	cloned.votes = maps.Clone(c.votes)
+	cloned.pendingReads = slices.Clone(c.pendingReads)
+	cloned.effects = Effects{}
 	if c.peers != nil {
-		out.peers = map[MemberID]*progress{}
+		cloned.peers = map[MemberID]*progress{}
 		for id, known := range c.peers {
 			copied := *known
-			out.peers[id] = &copied
+			cloned.peers[id] = &copied
 		}
 	}
-	return &out
+	return &cloned
 }
 
 func (m *model) node(n modelNode) int { return intern(n.key(), m.nodeIDs, &m.nodes, n) }
@@ -146,72 +156,72 @@
 }
 
 // run steps a member's core and syncs its saves; a leader's saves stay pending.
-func (m *model) run(at int, kind string, arg int, step func(*Core) Effects) (int, []int) {
-	key := steppedKey{at, kind, arg}
+func (m *model) run(nodeID int, kind string, arg int, step func(*Core) Effects) (int, []int) {
+	key := steppedKey{nodeID, kind, arg}
 	if result, known := m.stepped[key]; known {
-		return result.node, result.out
-	}
-	old := &m.nodes[at]
-	n := modelNode{id: old.id, core: cloneCore(old.core), disk: old.disk, pendingWrites: slices.Clone(old.pendingWrites)}
-	var out []int
-	m.perform(&n, &out, step)
-	if n.core.role != Leader {
-		for len(n.pendingWrites) > 0 {
-			m.sync(&n, &out)
+		return result.nodeID, result.sent
+	}
+	before := &m.nodes[nodeID]
+	node := modelNode{id: before.id, core: cloneCore(before.core), disk: before.disk, pendingWrites: slices.Clone(before.pendingWrites)}
+	var sent []int
+	m.perform(&node, &sent, step)
+	if node.core.role != Leader {
+		for len(node.pendingWrites) > 0 {
+			m.sync(&node, &sent)
 		}
 	}
-	result := steppedResult{m.node(n), out}
+	result := steppedResult{m.node(node), sent}
 	m.stepped[key] = result
-	return result.node, result.out
+	return result.nodeID, result.sent
 }
 
 // perform takes one step and carries out its effects.
-func (m *model) perform(n *modelNode, out *[]int, step func(*Core) Effects) {
+func (m *model) perform(node *modelNode, sent *[]int, step func(*Core) Effects) {
 	if m.variant == inForceWhenCommitted {
-		forgetUncommitted(n.core)
+		forgetUncommitted(node.core)
 	}
-	effects := step(n.core)
+	effects := step(node.core)
 	if m.variant == inForceWhenCommitted {
-		forgetUncommitted(n.core)
+		forgetUncommitted(node.core)
 	}
-	if effects.Save != nil || len(effects.AfterSync) > 0 && len(n.pendingWrites) > 0 {
+	if effects.Save != nil || len(effects.AfterSync) > 0 && len(node.pendingWrites) > 0 {
 		if effects.Save == nil {
-			effects.Save = &Save{HardState: n.pendingWrites[len(n.pendingWrites)-1].save.HardState}
+			effects.Save = &Save{HardState: node.pendingWrites[len(node.pendingWrites)-1].save.HardState}
 		}
-		n.pendingWrites = append(n.pendingWrites, modelWrite{effects.Save, effects.AfterSync})
+		node.pendingWrites = append(node.pendingWrites, modelWrite{effects.Save, effects.AfterSync})
 		effects.AfterSync = nil
 	}
-	m.send(n, out, effects.Immediate)
-	m.send(n, out, effects.AfterSync)
+	m.send(node, sent, effects.Immediate)
+	m.send(node, sent, effects.AfterSync)
 }
 
-func (m *model) send(n *modelNode, out *[]int, messages []Message) {
+func (m *model) send(node *modelNode, sent *[]int, messages []Message) {
 	for _, message := range messages {
 		switch {
-		case message.To == n.id:
-			m.perform(n, out, func(c *Core) Effects { return c.Step(Receive{message}) })
+		case message.To == node.id:
+			m.perform(node, sent, func(c *Core) Effects { return c.Step(Receive{message}) })
 		case message.Kind == MsgAppend && len(message.Entries) == 0:
 			// It carries only the commit index; to lose it is harmless.
 		default:
-			*out = append(*out, m.message(message))
+			*sent = append(*sent, m.message(message))
 		}
 	}
 }
 
 // sync writes the first pending save to disk.
-func (m *model) sync(n *modelNode, out *[]int) {
-	write := n.pendingWrites[0]
-	n.pendingWrites = n.pendingWrites[1:]
-	n.disk.HardState = write.save.HardState
-	n.disk.Entries = slices.DeleteFunc(slices.Clone(n.disk.Entries), func(e Entry) bool {
+func (m *model) sync(node *modelNode, sent *[]int) {
+	write := node.pendingWrites[0]
+	node.pendingWrites = node.pendingWrites[1:]
+	node.disk.HardState = write.save.HardState
+	node.disk.Entries = slices.DeleteFunc(slices.Clone(node.disk.Entries), func(e Entry) bool {
 		return write.save.TruncateFrom > 0 && e.Index >= write.save.TruncateFrom
 	})
-	n.disk.Entries = append(n.disk.Entries, write.save.Entries...)
+	node.disk.Entries = append(node.disk.Entries, write.save.Entries...)
 	if count := len(write.save.Entries); count > 0 {
 		last := write.save.Entries[count-1]
-		m.perform(n, out, func(c *Core) Effects { return c.Step(Persisted{Index: last.Index, Term: last.Term}) })
+		m.perform(node, sent, func(c *Core) Effects { return c.Step(Persisted{Index: last.Index, Term: last.Term}) })
 	}
-	m.send(n, out, write.afterSync)
+	m.send(node, sent, write.afterSync)
 }
 
 // forgetUncommitted is the broken rule by which a membership is in force only from its commit on.
@@ -250,51 +260,51 @@
 // proposals lists the memberships that a leader might propose.
 func (m *model) proposals(c *Core) []Membership {
 	current := c.Membership()
-	var out []Membership
+	var proposals []Membership
 	for id := MemberID(1); id <= modelMembers; id++ {
 		found, in := current.Find(id)
 		if in && found.Voter {
 			if id != c.id {
-				out = append(out, current.Without(id))
+				proposals = append(proposals, current.Without(id))
 			}
 			continue
 		}
 		next := current.With(Member{ID: id, Voter: true})
 		slices.SortFunc(next.Members, func(a, b Member) int { return int(a.ID) - int(b.ID) })
-		out = append(out, next)
+		proposals = append(proposals, next)
 		if m.variant == twoVotersAtOnce {
 			for _, gone := range current.Voters() {
 				if gone != c.id {
-					out = append(out, next.Without(gone))
+					proposals = append(proposals, next.Without(gone))
 				}
 			}
 		}
 	}
-	return out
+	return proposals
 }
 
 // next makes the state after one event; the caller changes members and links.
 func (s *modelState) next(event string) *modelState {
-	out := *s
-	out.parent, out.event, out.depth = s, event, s.depth+1
-	return &out
+	next := *s
+	next.parent, next.event, next.depth = s, event, s.depth+1
+	return &next
 }
 
 // put appends messages to their links.
-func (m *model) put(s *modelState, messages []int) {
+func (m *model) put(state *modelState, messages []int) {
 	for _, id := range messages {
 		message := m.messages[id]
-		queue := &s.links[message.From-1][message.To-1]
+		queue := &state.links[message.From-1][message.To-1]
 		*queue = append(slices.Clip(*queue), id)
 	}
 }
 
 // deliver steps the receiver of a message and returns what that sends.
-func (m *model) deliver(s *modelState, id int) []int {
+func (m *model) deliver(state *modelState, id int) []int {
 	to := m.messages[id].To - 1
-	var out []int
-	s.nodes[to], out = m.run(s.nodes[to], "receive", id, func(c *Core) Effects { return c.Step(Receive{m.messages[id]}) })
-	return out
+	var sent []int
+	state.nodes[to], sent = m.run(state.nodes[to], "receive", id, func(c *Core) Effects { return c.Step(Receive{m.messages[id]}) })
+	return sent
 }
 
 // split separates the messages for one member from the others.
@@ -310,135 +320,135 @@
 }
 
 // elect has a member campaign, with its requests reaching the members of a bit set.
-func (m *model) elect(s *modelState, member int, reach uint) *modelState {
-	out := s.next(fmt.Sprintf("%d campaigns, and reaches %04b", member+1, reach))
-	out.spent.elections++
+func (m *model) elect(state *modelState, member int, reach uint) *modelState {
+	elected := state.next(fmt.Sprintf("%d campaigns, and reaches %04b", member+1, reach))
+	elected.spent.elections++
 	var requests []int
-	out.nodes[member], requests = m.run(out.nodes[member], "stand", 0, func(c *Core) Effects {
+	elected.nodes[member], requests = m.run(elected.nodes[member], "stand", 0, func(c *Core) Effects {
 		return c.Step(Receive{Message{Kind: MsgTimeoutNow, From: c.id%modelMembers + 1, To: c.id, Term: max(c.term, 1)}})
 	})
 	for _, request := range requests {
 		message := m.messages[request]
 		if message.Kind != MsgVote {
 			// A group of one leads at once.
-			m.put(out, []int{request})
+			m.put(elected, []int{request})
 			continue
 		}
 		if reach&(1<<(message.To-1)) == 0 {
 			continue
 		}
-		answers, others := m.split(m.deliver(out, request), MemberID(member+1))
-		m.put(out, others)
+		answers, others := m.split(m.deliver(elected, request), MemberID(member+1))
+		m.put(elected, others)
 		for _, answer := range answers {
-			m.put(out, m.deliver(out, answer))
+			m.put(elected, m.deliver(elected, answer))
 		}
 	}
-	return out
+	return elected
 }
 
 // exchange delivers the first message of a link, and delivers or loses the answers.
-func (m *model) exchange(s *modelState, from, to int, answered bool) *modelState {
+func (m *model) exchange(state *modelState, from, to int, answered bool) *modelState {
 	event := fmt.Sprintf("%d to %d, answered %t", from+1, to+1, answered)
-	out := s.next(event)
-	id := out.links[from][to][0]
-	out.links[from][to] = out.links[from][to][1:]
-	answers, others := m.split(m.deliver(out, id), MemberID(from+1))
-	m.put(out, others)
+	exchanged := state.next(event)
+	id := exchanged.links[from][to][0]
+	exchanged.links[from][to] = exchanged.links[from][to][1:]
+	answers, others := m.split(m.deliver(exchanged, id), MemberID(from+1))
+	m.put(exchanged, others)
 	if !answered {
-		out.spent.losses++
-		return out
+		exchanged.spent.losses++
+		return exchanged
 	}
 	for _, answer := range answers {
-		m.put(out, m.deliver(out, answer))
+		m.put(exchanged, m.deliver(exchanged, answer))
 	}
-	return out
+	return exchanged
 }
 
 // successors lists the states after each event that may come next.
-func (m *model) successors(s *modelState) []*modelState {
-	var out []*modelState
+func (m *model) successors(state *modelState) []*modelState {
+	var successors []*modelState
 	for member := range modelMembers {
-		at := s.nodes[member]
-		n := &m.nodes[at]
-		if n.core.role == Leader {
-			out = append(out, m.leaderSteps(s, member)...)
-		} else if s.spent.elections < m.budget.elections && n.core.isVoter() {
+		nodeID := state.nodes[member]
+		node := &m.nodes[nodeID]
+		if node.core.role == Leader {
+			successors = append(successors, m.leaderSteps(state, member)...)
+		} else if state.spent.elections < m.budget.elections && node.core.isVoter() {
 			for reach := uint(0); reach < 1<<modelMembers; reach++ {
 				if reach&(1<<member) != 0 {
 					continue
 				}
-				if elected := m.elect(s, member, reach); m.nodes[elected.nodes[member]].core.role == Leader {
-					out = append(out, elected)
+				if elected := m.elect(state, member, reach); m.nodes[elected.nodes[member]].core.role == Leader {
+					successors = append(successors, elected)
 				}
 			}
 		}
-		if s.spent.crashes < m.budget.crashes {
-			crashed := s.next(fmt.Sprintf("%d crashes", member+1))
+		if state.spent.crashes < m.budget.crashes {
+			crashed := state.next(fmt.Sprintf("%d crashes", member+1))
 			crashed.spent.crashes++
-			restored := n.disk
-			restored.Entries = slices.Clone(n.disk.Entries)
-			crashed.nodes[member] = m.node(modelNode{id: n.id, core: New(n.id, modelTiming, restored, rand.New(sameSource{})), disk: n.disk})
-			out = append(out, crashed)
+			restored := node.disk
+			restored.Entries = slices.Clone(node.disk.Entries)
+			crashed.nodes[member] = m.node(modelNode{id: node.id, core: New(node.id, modelTiming, restored, rand.New(sameSource{})), disk: node.disk})
+			successors = append(successors, crashed)
 		}
 		for to := range modelMembers {
-			if len(s.links[member][to]) == 0 {
+			if len(state.links[member][to]) == 0 {
 				continue
 			}
-			out = append(out, m.exchange(s, member, to, true))
-			if s.spent.losses < m.budget.losses {
-				out = append(out, m.exchange(s, member, to, false))
-				lost := s.next(fmt.Sprintf("%d to %d, lost", member+1, to+1))
+			successors = append(successors, m.exchange(state, member, to, true))
+			if state.spent.losses < m.budget.losses {
+				successors = append(successors, m.exchange(state, member, to, false))
+				lost := state.next(fmt.Sprintf("%d to %d, lost", member+1, to+1))
 				lost.spent.losses++
 				lost.links[member][to] = lost.links[member][to][1:]
-				out = append(out, lost)
+				successors = append(successors, lost)
 			}
 		}
 	}
-	for _, next := range out {
+	for _, next := range successors {
 		m.purge(next)
 	}
-	return out
+	return successors
 }
 
 // purge removes messages of a term that both ends have left: they change nothing.
-func (m *model) purge(s *modelState) {
-	for from := range s.links {
-		for to, queue := range s.links[from] {
-			reached := m.nodes[s.nodes[to]].core.term
-			if len(queue) == 0 || m.nodes[s.nodes[from]].core.term < reached {
+func (m *model) purge(state *modelState) {
+	for from := range state.links {
+		for to, queue := range state.links[from] {
+			reached := m.nodes[state.nodes[to]].core.term
+			if len(queue) == 0 || m.nodes[state.nodes[from]].core.term < reached {
 				continue
 			}
 			if slices.ContainsFunc(queue, func(id int) bool { return m.messages[id].Term < reached }) {
-				s.links[from][to] = slices.DeleteFunc(slices.Clone(queue), func(id int) bool { return m.messages[id].Term < reached })
+				state.links[from][to] = slices.DeleteFunc(slices.Clone(queue), func(id int) bool { return m.messages[id].Term < reached })
 			}
 		}
 	}
 }
 
 // leaderSteps lists what a leader may do by itself.
-func (m *model) leaderSteps(s *modelState, member int) []*modelState {
-	var out []*modelState
-	at := s.nodes[member]
+func (m *model) leaderSteps(state *modelState, member int) []*modelState {
+	var successors []*modelState
+	nodeID := state.nodes[member]
 	step := func(event, kind string, arg int, step func(*Core) Effects) *modelState {
-		next := s.next(event)
+		next := state.next(event)
 		var messages []int
-		next.nodes[member], messages = m.run(at, kind, arg, step)
+		next.nodes[member], messages = m.run(nodeID, kind, arg, step)
 		m.put(next, messages)
-		out = append(out, next)
+		successors = append(successors, next)
 		return next
 	}
-	n := &m.nodes[at]
-	if len(n.pendingWrites) > 0 {
-		synced := modelNode{id: n.id, core: cloneCore(n.core), disk: n.disk, pendingWrites: slices.Clone(n.pendingWrites)}
+	node := &m.nodes[nodeID]
+	if len(node.pendingWrites) > 0 {
+		synced := modelNode{id: node.id, core: cloneCore(node.core), disk: node.disk, pendingWrites: slices.Clone(node.pendingWrites)}
 		var messages []int
 		m.sync(&synced, &messages)
-		next := s.next(fmt.Sprintf("%d has written", member+1))
+		next := state.next(fmt.Sprintf("%d has written", member+1))
 		next.nodes[member] = m.node(synced)
 		m.put(next, messages)
-		out = append(out, next)
+		successors = append(successors, next)
 	}
-	if s.spent.changes < m.budget.changes {
-		for number, membership := range m.proposals(n.core) {
+	if state.spent.changes < m.budget.changes {
+		for number, membership := range m.proposals(node.core) {
 			next := step(fmt.Sprintf("%d proposes %v", member+1, membership.Voters()), "change", number, func(c *Core) Effects {
 				if m.variant == correctRules {
 					return c.Step(ProposeMembership{membership})
@@ -448,25 +458,25 @@
 			next.spent.changes++
 		}
 	}
-	if s.spent.commands < m.budget.commands {
+	if state.spent.commands < m.budget.commands {
 		step(fmt.Sprintf("%d proposes a command", member+1), "command", 0, func(c *Core) Effects { return c.Step(Propose{Data: []byte("x")}) }).spent.commands++
 	}
-	if s.spent.resends < m.budget.resends {
+	if state.spent.resends < m.budget.resends {
 		step(fmt.Sprintf("%d sends again", member+1), "tick", 0, func(c *Core) Effects { return c.Step(Tick{}) }).spent.resends++
 	}
-	return out
+	return successors
 }
 
 // seen says whether a state was visited before, and records it.
-func (m *model) seen(s *modelState) bool {
+func (m *model) seen(state *modelState) bool {
 	key := make([]byte, 0, 96)
-	for _, node := range s.nodes {
-		key = binary.AppendUvarint(key, uint64(node))
+	for _, nodeID := range state.nodes {
+		key = binary.AppendUvarint(key, uint64(nodeID))
 	}
-	key = binary.AppendUvarint(key, uint64(s.history))
-	key = append(key, s.spent.elections, s.spent.changes, s.spent.commands, s.spent.crashes, s.spent.losses, s.spent.resends)
-	for from := range s.links {
-		for _, queue := range s.links[from] {
+	key = binary.AppendUvarint(key, uint64(state.history))
+	key = append(key, state.spent.elections, state.spent.changes, state.spent.commands, state.spent.crashes, state.spent.losses, state.spent.resends)
+	for from := range state.links {
+		for _, queue := range state.links[from] {
 			key = binary.AppendUvarint(key, uint64(len(queue)))
 			for _, id := range queue {
 				key = binary.AppendUvarint(key, uint64(id))
@@ -486,21 +496,21 @@
 	for id := MemberID(1); id <= modelMembers; id++ {
 		members.Members = append(members.Members, Member{ID: id, Voter: int(id) <= voters})
 	}
-	s := &modelState{history: intern("", m.historyIDs, &m.histories, modelHistory{leaders: map[Term]MemberID{}})}
+	state := &modelState{history: intern("", m.historyIDs, &m.histories, modelHistory{leaders: map[Term]MemberID{}})}
 	for member := range modelMembers {
 		disk := PersistentState{HardState: HardState{Term: 1}, Snapshot: Snapshot{Index: 1, Term: 1, Membership: members}}
 		id := MemberID(member + 1)
-		s.nodes[member] = m.node(modelNode{id: id, core: New(id, modelTiming, disk, rand.New(sameSource{})), disk: disk})
+		state.nodes[member] = m.node(modelNode{id: id, core: New(id, modelTiming, disk, rand.New(sameSource{})), disk: disk})
 	}
-	s = m.elect(s, 0, 1<<modelMembers-1)
-	for len(m.nodes[s.nodes[0]].pendingWrites) > 0 {
-		s = m.leaderSteps(s, 0)[0]
+	state = m.elect(state, 0, 1<<modelMembers-1)
+	for len(m.nodes[state.nodes[0]].pendingWrites) > 0 {
+		state = m.leaderSteps(state, 0)[0]
 	}
 	for to := range modelMembers {
-		for len(s.links[0][to]) > 0 {
-			s = m.exchange(s, 0, to, true)
+		for len(state.links[0][to]) > 0 {
+			state = m.exchange(state, 0, to, true)
 		}
 	}
-	s.parent, s.event, s.spent, s.depth = nil, "", modelBudget{}, 0
-	return s
+	state.parent, state.event, state.spent, state.depth = nil, "", modelBudget{}, 0
+	return state
 }
--- a/process/consensus/raft/membership_search_test.go
+++ b/process/consensus/raft/membership_search_test.go
@@ -24,8 +24,8 @@
 	defer func() { result.states = len(m.visited) }()
 	for len(layer) > 0 && (m.budget.depth == 0 || result.depth < m.budget.depth) {
 		var following []*modelState
-		for _, s := range layer {
-			for _, next := range m.successors(s) {
+		for _, state := range layer {
+			for _, next := range m.successors(state) {
 				result.transitions++
 				if err := m.check(next); err != nil {
 					result.fault = err
@@ -111,9 +111,9 @@
 	} {
 		t.Run(string(broken.variant), func(t *testing.T) {
 			broken.budget.states = modelStates
-			m := newModel(broken.variant, broken.budget)
-			m.consequencesOnly = true
-			result := m.explore(broken.voters)
+			checker := newModel(broken.variant, broken.budget)
+			checker.consequencesOnly = true
+			result := checker.explore(broken.voters)
 			if result.fault == nil {
 				t.Fatalf("not caught in %d states to depth %d", result.states, result.depth)
 			}
--- a/process/consensus/raft/simulation_test.go
+++ b/process/consensus/raft/simulation_test.go
@@ -153,24 +153,24 @@
 }
 
 func (m *modelMember) handleEffects(effects raft.Effects) {
-	g := m.group
+	group := m.group
 	for _, notice := range effects.Notices {
 		switch notice.Kind {
 		case raft.NoticeSnapshotInstalled:
-			g.installs++
+			group.installs++
 		case raft.NoticeSnapshotRejected:
-			g.rejections++
+			group.rejections++
 		case raft.NoticeMessageRejected:
-			g.fault("member %d refused a sound message: %v", m.id, notice.Err)
+			group.fault("member %d refused a sound message: %v", m.id, notice.Err)
 		}
 	}
 	if effects.InstallSnapshot != nil {
 		state, err := decodeModelState(effects.InstallSnapshot.Data)
 		if err != nil || state.index != effects.InstallSnapshot.Index {
-			g.fault("member %d installed an unreadable state at %d", m.id, effects.InstallSnapshot.Index)
+			group.fault("member %d installed an unreadable state at %d", m.id, effects.InstallSnapshot.Index)
 		}
-		if !bytes.Equal(effects.InstallSnapshot.Data, modelState{state.index, g.checksums[state.index]}.encode()) {
-			g.fault("member %d installed another state at %d", m.id, state.index)
+		if !bytes.Equal(effects.InstallSnapshot.Data, modelState{state.index, group.checksums[state.index]}.encode()) {
+			group.fault("member %d installed another state at %d", m.id, state.index)
 		}
 		m.state = state
 	}
@@ -180,20 +180,20 @@
 	if effects.Save != nil || len(effects.AfterSync) > 0 {
 		m.pendingWrites = append(m.pendingWrites, modelWrite{effects.Save, effects.AfterSync})
 	}
-	g.send(effects.Immediate)
+	group.send(effects.Immediate)
 }
 
 func (m *modelMember) apply(entry raft.Entry) {
-	g := m.group
+	group := m.group
 	if entry.Index != m.state.index+1 {
-		g.fault("member %d applied %d after %d", m.id, entry.Index, m.state.index)
+		group.fault("member %d applied %d after %d", m.id, entry.Index, m.state.index)
 	}
 	m.state = m.state.next(entry)
-	if known, seen := g.checksums[entry.Index]; seen && known != m.state.sum {
-		g.fault("member %d applied another entry at %d", m.id, entry.Index)
+	if known, seen := group.checksums[entry.Index]; seen && known != m.state.sum {
+		group.fault("member %d applied another entry at %d", m.id, entry.Index)
 	}
-	g.checksums[entry.Index] = m.state.sum
-	g.committed = max(g.committed, entry.Index)
+	group.checksums[entry.Index] = m.state.sum
+	group.committed = max(group.committed, entry.Index)
 }
 
 // sync writes the oldest pending save to disk, and sends the messages that depend on it.
--- a/process/consensus/store/damage_test.go
+++ b/process/consensus/store/damage_test.go
@@ -41,13 +41,13 @@
 
 // writeForever writes one save after the other, and prints the number of each once it is synced.
 func writeForever(folder string) {
-	s, err := Open(folder, newMember)
+	opened, err := Open(folder, newMember)
 	if err != nil {
 		fmt.Println(err)
 		os.Exit(1)
 	}
 	for i := 1; ; i++ {
-		if err := s.Write("g", testSave(i)); err != nil {
+		if err := opened.Write("g", testSave(i)); err != nil {
 			fmt.Println(err)
 			os.Exit(1)
 		}
@@ -57,12 +57,12 @@
 
 // verifyFolder checks that all acknowledged saves are in a folder, and that everything in it is as it was written.
 func verifyFolder(folder string, minAcknowledged int) error {
-	s, err := Open(folder, newMember)
+	opened, err := Open(folder, newMember)
 	if err != nil {
 		return err
 	}
-	defer s.Close()
-	got, err := s.Load()
+	defer opened.Close()
+	got, err := opened.Load()
 	if err != nil {
 		return err
 	}
@@ -132,14 +132,14 @@
 
 func TestDamagedFolderIsReadCompletelyOrRejected(t *testing.T) {
 	folder := t.TempDir()
-	s := openStore(t, folder)
+	opened := openStore(t, folder)
 	const written = 120
 	for i := 1; i <= written; i++ {
-		if err := s.Write("g", testSave(i)); err != nil {
+		if err := opened.Write("g", testSave(i)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	s.Close()
+	opened.Close()
 	original, err := os.ReadFile(filepath.Join(folder, "member.sqlite"))
 	if err != nil {
 		t.Fatal(err)
@@ -198,12 +198,12 @@
 			openStore(t, folder).Close()
 		}
 		for i := 1; i <= 6; i++ {
-			s := openStore(t, folder)
+			opened := openStore(t, folder)
 			if i%2 == 0 {
-				if err := s.Write("g", testSave(i)); err != nil {
+				if err := opened.Write("g", testSave(i)); err != nil {
 					t.Fatal(err)
 				}
-				s.Close()
+				opened.Close()
 				continue
 			}
 			// As a build without checksums wrote it.
@@ -213,11 +213,11 @@
 				"INSERT INTO meta (key, value) VALUES ('vote', x'0000000000000000') ON CONFLICT (key) DO UPDATE SET value = excluded.value",
 				fmt.Sprintf("INSERT INTO log (idx, term, kind, data) VALUES (%d, %d, 0, x'%x')", i, i, testData(i)),
 			} {
-				if _, err := s.db.Exec(statement); err != nil {
+				if _, err := opened.db.Exec(statement); err != nil {
 					t.Fatal(err)
 				}
 			}
-			s.Close()
+			opened.Close()
 		}
 		if err := verifyFolder(folder, 6); err != nil {
 			t.Errorf("a folder created by the %s build: %v", firstBuild, err)
--- a/process/consensus/store/powerloss_test.go
+++ b/process/consensus/store/powerloss_test.go
@@ -35,9 +35,9 @@
 // loadFolder is what a member loads after a power loss.
 func loadFolder(t *testing.T, folder string) raft.PersistentState {
 	t.Helper()
-	s := openStore(t, folder)
-	defer s.Close()
-	found, err := s.Load()
+	opened := openStore(t, folder)
+	defer opened.Close()
+	found, err := opened.Load()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,17 +70,17 @@
 // newPowerLossStore fills a folder with a snapshot and a log.
 func newPowerLossStore(t *testing.T, folder string) *Store {
 	t.Helper()
-	s := openStore(t, folder)
+	opened := openStore(t, folder)
 	// With hardly any cache SQLite writes changed pages into the file before the transaction is committed.
-	if _, err := s.db.Exec("PRAGMA cache_size = 1"); err != nil {
+	if _, err := opened.db.Exec("PRAGMA cache_size = 1"); err != nil {
 		t.Fatal(err)
 	}
 	first := raft.Save{HardState: raft.HardState{Term: 4, Vote: 7}, Entries: testEntries(4, 11, 40),
 		Snapshot: &raft.Snapshot{Index: 10, Term: 3, Membership: testMembership(), Data: bytes.Repeat([]byte("old"), 100000)}}
-	if err := s.Write("group", first); err != nil {
+	if err := opened.Write("group", first); err != nil {
 		t.Fatal(err)
 	}
-	return s
+	return opened
 }
 
 // After a power loss at any statement of a write the folder has the state before it; after its end, all of it.
@@ -88,12 +88,12 @@
 	for name, save := range powerLossSaves() {
 		t.Run(name, func(t *testing.T) {
 			folder := t.TempDir()
-			s := newPowerLossStore(t, folder)
-			defer s.Close()
+			opened := newPowerLossStore(t, folder)
+			defer opened.Close()
 			old := loadFolder(t, copyFolder(t, folder))
 			statements, withJournal := statementsOf("group", save), 0
 			for count := 1; count <= len(statements); count++ {
-				tx, err := s.db.Begin()
+				tx, err := opened.db.Begin()
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -116,7 +116,7 @@
 			if withJournal == 0 {
 				t.Error("no transaction had written to the database")
 			}
-			if err := s.Write("group", save); err != nil {
+			if err := opened.Write("group", save); err != nil {
 				t.Fatal(err)
 			}
 			if got := loadFolder(t, copyFolder(t, folder)); reflect.DeepEqual(got, old) || got.HardState != save.HardState {
@@ -130,12 +130,12 @@
 func TestSeparateTransactionsLeaveMixedState(t *testing.T) {
 	save := powerLossSaves()["install"]
 	folder := t.TempDir()
-	s := newPowerLossStore(t, folder)
-	defer s.Close()
+	opened := newPowerLossStore(t, folder)
+	defer opened.Close()
 	old, mixtures := loadFolder(t, copyFolder(t, folder)), 0
 	statements := statementsOf("group", save)
 	for position, execute := range statements {
-		tx, err := s.db.Begin()
+		tx, err := opened.db.Begin()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -168,14 +168,14 @@
 	for name, entries := range map[string][]raft.Entry{
 		"a gap after the snapshot": testEntries(4, 12, 14), "an end before the snapshot": testEntries(4, 5, 9), "a membership": unreadable,
 	} {
-		s := openStore(t, t.TempDir())
+		opened := openStore(t, t.TempDir())
 		save := raft.Save{HardState: raft.HardState{Term: 4}, Entries: entries, Snapshot: &raft.Snapshot{Index: 10, Term: 3, Membership: testMembership(), Data: []byte("x")}}
-		if err := s.Write("group", save); err != nil {
+		if err := opened.Write("group", save); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := s.Load(); !IsDamaged(err) {
+		if _, err := opened.Load(); !IsDamaged(err) {
 			t.Errorf("%s: %v", name, err)
 		}
-		s.Close()
+		opened.Close()
 	}
 }
--- a/process/consensus/store/quarantine_test.go
+++ b/process/consensus/store/quarantine_test.go
@@ -18,15 +18,15 @@
 func newFolder(t *testing.T) (string, raft.MemberID) {
 	t.Helper()
 	folder := t.TempDir()
-	s, err := Open(folder, newMember)
+	opened, err := Open(folder, newMember)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
-	if err := s.Write("g", testSave(1)); err != nil {
+	defer opened.Close()
+	if err := opened.Write("g", testSave(1)); err != nil {
 		t.Fatal(err)
 	}
-	return folder, s.MemberID
+	return folder, opened.MemberID
 }
 
 func TestIsDamagedOnlyForPermanentErrors(t *testing.T) {
@@ -86,21 +86,21 @@
 					t.Fatal(err)
 				}
 			}
-			s, err := Open(folder, func() raft.MemberID { return before + 1 })
+			opened, err := Open(folder, func() raft.MemberID { return before + 1 })
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer s.Close()
-			if s.MemberID == before {
+			defer opened.Close()
+			if opened.MemberID == before {
 				t.Error("the old identity is still in use")
 			}
-			if group, err := s.Group(); err != nil || group != "" {
+			if group, err := opened.Group(); err != nil || group != "" {
 				t.Errorf("the new member belongs to group %q: %v", group, err)
 			}
 			if _, err := os.Stat(filepath.Join(folder, quarantineMarker)); err == nil {
 				t.Error("the marker is still there")
 			}
-			if err := s.CheckWritable(); err != nil {
+			if err := opened.CheckWritable(); err != nil {
 				t.Error(err)
 			}
 		})
@@ -110,14 +110,14 @@
 func TestQuarantineRetainsNewestFiles(t *testing.T) {
 	folder := t.TempDir()
 	for i := range 5 {
-		s, err := Open(folder, func() raft.MemberID { return raft.MemberID(i + 1) })
+		opened, err := Open(folder, func() raft.MemberID { return raft.MemberID(i + 1) })
 		if err != nil {
 			t.Fatal(err)
 		}
-		if s.MemberID != raft.MemberID(i+1) {
-			t.Errorf("round %d: member %d", i, s.MemberID)
+		if opened.MemberID != raft.MemberID(i+1) {
+			t.Errorf("round %d: member %d", i, opened.MemberID)
 		}
-		s.Close()
+		opened.Close()
 		if err := Quarantine(folder); err != nil {
 			t.Fatal(err)
 		}
--- a/process/consensus/store/store_test.go
+++ b/process/consensus/store/store_test.go
@@ -19,16 +19,16 @@
 
 func openStore(t *testing.T, folder string) *Store {
 	t.Helper()
-	s, err := Open(folder, newMember)
+	opened, err := Open(folder, newMember)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s
+	return opened
 }
 
 func TestWrittenStateIsLoadedAfterReopening(t *testing.T) {
 	folder := t.TempDir()
-	s := openStore(t, folder)
+	opened := openStore(t, folder)
 	members := raft.Membership{Members: []raft.Member{{ID: 7, Name: "a", Address: "x", Voter: true}}}
 	saves := []raft.Save{
 		{HardState: raft.HardState{Term: 1}, Snapshot: &raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: []byte("first")}},
@@ -37,11 +37,11 @@
 		{HardState: raft.HardState{Term: 3, Vote: 9}, Snapshot: &raft.Snapshot{Index: 4, Term: 3, Membership: members, Data: []byte("second")}, CompactTo: 2},
 	}
 	for _, save := range saves {
-		if err := s.Write("group", save); err != nil {
+		if err := opened.Write("group", save); err != nil {
 			t.Fatal(err)
 		}
 	}
-	s.Close()
+	opened.Close()
 	again := openStore(t, folder)
 	defer again.Close()
 	if group, err := again.Group(); err != nil || group != "group" || again.MemberID != 7 {
@@ -65,14 +65,14 @@
 
 func TestUnusableFolderIsRejectedWithClearError(t *testing.T) {
 	folder := t.TempDir()
-	s := openStore(t, folder)
+	opened := openStore(t, folder)
 	if _, err := Open(folder, newMember); !errors.Is(err, ErrInUse) || IsDamaged(err) || !strings.Contains(err.Error(), "in use") {
 		t.Errorf("a folder in use was opened: %v", err)
 	}
-	if err := s.Write("g", raft.Save{HardState: raft.HardState{Term: 1}}); err != nil {
+	if err := opened.Write("g", raft.Save{HardState: raft.HardState{Term: 1}}); err != nil {
 		t.Fatal(err)
 	}
-	s.Close()
+	opened.Close()
 	path := filepath.Join(folder, "member.sqlite")
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -98,9 +98,9 @@
 
 func TestOtherSchemaVersionIsRejectedAndNotDamage(t *testing.T) {
 	folder := t.TempDir()
-	s := openStore(t, folder)
+	opened := openStore(t, folder)
 	later := SchemaVersion + 1
-	tx, err := s.db.Begin()
+	tx, err := opened.db.Begin()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,7 +110,7 @@
 	if err := tx.Commit(); err != nil {
 		t.Fatal(err)
 	}
-	s.Close()
+	opened.Close()
 	_, err = Open(folder, newMember)
 	var found SchemaVersionError
 	if !errors.As(err, &found) || found.Found != uint64(later) || IsDamaged(err) {
@@ -119,19 +119,19 @@
 }
 
 func TestFullDiskFailsWriteAndPreservesOldState(t *testing.T) {
-	s := openStore(t, t.TempDir())
-	defer s.Close()
-	if err := s.Write("g", raft.Save{HardState: raft.HardState{Term: 1}, Entries: []raft.Entry{{Term: 1, Index: 1, Data: []byte("kept")}}}); err != nil {
+	opened := openStore(t, t.TempDir())
+	defer opened.Close()
+	if err := opened.Write("g", raft.Save{HardState: raft.HardState{Term: 1}, Entries: []raft.Entry{{Term: 1, Index: 1, Data: []byte("kept")}}}); err != nil {
 		t.Fatal(err)
 	}
 	// SQLite's own bound on the size of the file simulates a full disk.
-	if _, err := s.db.Exec("PRAGMA max_page_count = 12"); err != nil {
+	if _, err := opened.db.Exec("PRAGMA max_page_count = 12"); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Write("g", raft.Save{HardState: raft.HardState{Term: 9}, Entries: []raft.Entry{{Term: 9, Index: 2, Data: make([]byte, 1<<20)}}}); err == nil {
+	if err := opened.Write("g", raft.Save{HardState: raft.HardState{Term: 9}, Entries: []raft.Entry{{Term: 9, Index: 2, Data: make([]byte, 1<<20)}}}); err == nil {
 		t.Fatal("a write to a full disk was reported as synced")
 	}
-	got, err := s.Load()
+	got, err := opened.Load()
 	if err != nil || got.HardState.Term != 1 || len(got.Entries) != 1 || string(got.Entries[0].Data) != "kept" {
 		t.Fatalf("%+v %v", got, err)
 	}
@@ -142,8 +142,8 @@
 	parameters.MinSuccessfulTests = 25
 	properties := gopter.NewProperties(parameters)
 	properties.Property("the log on disk is the log in memory", prop.ForAll(func(steps []uint8) bool {
-		s := openStore(t, t.TempDir())
-		defer s.Close()
+		opened := openStore(t, t.TempDir())
+		defer opened.Close()
 		var model []raft.Entry
 		for i, step := range steps {
 			save := raft.Save{HardState: raft.HardState{Term: raft.Term(i + 1)}}
@@ -157,11 +157,11 @@
 				model = append(model, entry)
 				save.Entries = append(save.Entries, entry)
 			}
-			if s.Write("g", save) != nil {
+			if opened.Write("g", save) != nil {
 				return false
 			}
 		}
-		got, err := s.Load()
+		got, err := opened.Load()
 		return err == nil && len(got.Entries) == len(model) && (len(model) == 0 || reflect.DeepEqual(got.Entries, model))
 	}, gen.SliceOfN(12, gen.UInt8())))
 	properties.TestingRun(t)
