--- a/connection/gateway/answers_test.go
+++ b/connection/gateway/answers_test.go
@@ -18,7 +18,7 @@
 	"github.com/cresspond/cresspond/request/forwarding"
 )
 
-// rejectNotRun is an engine's word that it has not run a request.
+// rejectNotRun is an engine's guarantee that it has not run a request.
 func rejectNotRun(a arrival, status string) {
 	writeText(a, fmt.Sprintf("HTTP/1.1 %s\r\nX-Attempt-Id: %s\r\nCresspond-Not-Run: full\r\nContent-Length: 2\r\n\r\nno", status, idOf(a)))
 }
@@ -44,7 +44,7 @@
 const lastChunk = "0\r\n\r\n"
 
 // TestEngineBehaviourDeterminesResponse: for each way in which an engine may end an attempt, the answer
-// promises no more than is known, and what may not run twice arrives once.
+// claims no more than is known, and a request that may not run twice arrives once.
 func TestEngineBehaviourDeterminesResponse(t *testing.T) {
 	well := func(a arrival) bool { writeText(a, completeResponse(a, "pong")); return true }
 	for name, c := range map[string]struct {
@@ -325,7 +325,7 @@
 	}
 }
 
-// TestDisconnectEndsAttempt: also one that is held, so that its place goes to another.
+// TestDisconnectEndsAttempt: also a queued request, so that another one takes its turn.
 func TestDisconnectEndsAttempt(t *testing.T) {
 	come := make(chan struct{}, 1)
 	engine := newFakeEngine(t, "e1", func(a arrival) bool {
@@ -381,7 +381,7 @@
 		}
 	}
 	slow.Close()
-	// Nobody reads any more, so the engine's connection ends.
+	// The caller does not read any more, so the engine's connection is closed.
 	<-engine.closed
 }
 
@@ -424,7 +424,7 @@
 	}
 }
 
-// TestTooLargeIsFinalOnlyWhenTableIsCurrent: while a newer table may allow it, it is put off and not denied.
+// TestTooLargeIsFinalOnlyWhenTableIsCurrent: while a newer table may allow it, the client is asked to retry.
 func TestTooLargeIsFinalOnlyWhenTableIsCurrent(t *testing.T) {
 	engine := newFakeEngine(t, "e1", func(a arrival) bool { writeText(a, completeResponse(a, "pong")); return true })
 	f := newFixture(t, engine)
@@ -471,7 +471,7 @@
 	}
 }
 
-// TestShutdownAnswersAllRequests: what is held is refused, what may have run is not, and neither is left
+// TestShutdownAnswersAllRequests: queued requests are rejected, those that may have run are not, and none is left
 // without an answer.
 func TestShutdownAnswersAllRequests(t *testing.T) {
 	come := make(chan struct{}, 10)
--- a/connection/gateway/chaos_test.go
+++ b/connection/gateway/chaos_test.go
@@ -19,7 +19,7 @@
 // executionLog is what the engines of a test saw.
 type executionLog struct {
 	mutex sync.Mutex
-	// ran counts the runs of each id, refused those that an engine gave its word on.
+	// ran counts the runs of each id, refused those that an engine guaranteed not to have run.
 	ran, refused map[string]int
 	bodies       map[string]string
 }
@@ -113,20 +113,20 @@
 	moved.TargetMs = 40
 	elsewhere := upstream.NewIndex(&upstream.Section{Revision: 2, Paths: append([]upstream.Path{moved}, complete.Section.Paths[1:]...), Pools: []upstream.Pool{{Name: "p"}, {Name: "q"}}})
 
-	type told struct {
+	type received struct {
 		path, id string
 		result
 		left bool
 	}
 	const callers, each = 12, 30
-	answers := make(chan told, callers*each)
+	answers := make(chan received, callers*each)
 	var wait sync.WaitGroup
 	for caller := range callers {
 		wait.Go(func() {
 			conn := f.dial()
 			reader := bufio.NewReader(conn)
 			for n := range each {
-				one := told{path: []string{"once", "again", "stream", "resume"}[random(4)], id: fmt.Sprintf("c%dn%d", caller, n)}
+				one := received{path: []string{"once", "again", "stream", "resume"}[random(4)], id: fmt.Sprintf("c%dn%d", caller, n)}
 				_, _ = io.WriteString(conn, ask(one.path, one.id, "body of "+one.id, "Cresspond-Deadline-Ms: 3000"))
 				if one.left = random(12) == 0; one.left {
 					conn.Close()
--- a/connection/gateway/deadline_test.go
+++ b/connection/gateway/deadline_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// TestStreamPastDeadlineIsBrokenOff: it must not look whole, and its engine's work ends.
+// TestStreamPastDeadlineIsBrokenOff: it must not look complete, and its engine's work ends.
 func TestStreamPastDeadlineIsBrokenOff(t *testing.T) {
 	for _, class := range []string{"stream", "resume"} {
 		engine := newFakeEngine(t, "e1", func(a arrival) bool {
@@ -93,7 +93,7 @@
 	}
 }
 
-// TestEarlyRespondingEngineStillReceivesBody: it reads on behind its answer, and finds there what is due, and
+// TestEarlyRespondingEngineStillReceivesBody: it reads on after its response, finds the rest of the body there, and
 // then the next request from its beginning.
 func TestEarlyRespondingEngineStillReceivesBody(t *testing.T) {
 	const size = 1 << 20
--- a/connection/gateway/events.go
+++ b/connection/gateway/events.go
@@ -56,7 +56,7 @@
 		}
 		complete = len(s.buffer)
 		s.Counters.Events.Add(1)
-		// Another one goes along only if it is here whole already.
+		// A further event is passed on along with it only if it has come completely.
 		if buffered := s.events.Buffered(); buffered > 0 && complete < eventBufferSize {
 			ahead, _ := s.events.Peek(buffered)
 			if bytes.Contains(ahead, []byte("\n\n")) || bytes.Contains(ahead, []byte("\n\r\n")) {
--- a/connection/gateway/exchange.go
+++ b/connection/gateway/exchange.go
@@ -219,7 +219,7 @@
 // sendAnswer writes this daemon's own final answer.
 func (f *exchange) sendAnswer(answer forwarding.Answer) {
 	if answer.Status == 0 {
-		// Nobody is there to read, or what has begun must not look whole.
+		// The caller is gone, or a response that has begun must not look complete.
 		f.ctx.SetConnectionClose()
 		return
 	}
--- a/connection/gateway/gateway.go
+++ b/connection/gateway/gateway.go
@@ -148,7 +148,7 @@
 		f.finish()
 		return
 	}
-	// An answer goes out as soon as it is there, also where another request waits behind it.
+	// A response is sent at once, also if a pipelined request follows.
 	_ = ctx.SetWriteDeadline(time.Now().Add(record.Deadline.Since(arrived) + writeGracePeriod))
 	if stream := f.serve(); stream != nil {
 		ctx.SetBodyStream(stream, stream.length)
--- a/connection/gateway/gateway_test.go
+++ b/connection/gateway/gateway_test.go
@@ -107,22 +107,22 @@
 
 func writeText(a arrival, text string) { _, _ = io.WriteString(a.conn, text) }
 
-// fixture is a gateway before stand-in engines.
+// fixture is a gateway in front of fake engines.
 type fixture struct {
-	t        testing.TB
-	gateway  *Gateway
-	address  string
-	index    atomic.Pointer[upstream.Index]
-	view     atomic.Pointer[registry.View]
-	held     atomic.Bool
-	draining atomic.Bool
-	// old says that the table in force may be old.
+	t           testing.TB
+	gateway     *Gateway
+	address     string
+	index       atomic.Pointer[upstream.Index]
+	view        atomic.Pointer[registry.View]
+	hasWorkerID atomic.Bool
+	draining    atomic.Bool
+	// old reports that the table in force may be outdated.
 	old   atomic.Bool
 	actor *forwarding.Actor
 	pools *connectionpool.Pools
-	// emptied says which engines were shut by rank.
-	emptied atomic.Pointer[func(*registry.Engine) bool]
-	// beforeLook is called when an engine is reached, right before the last look.
+	// evacuated reports which engines were closed because their nodes are unhealthy.
+	evacuated atomic.Pointer[func(*registry.Engine) bool]
+	// beforeLook is called when an engine is reached, right before checkBeforeSend.
 	beforeLook func()
 }
 
@@ -133,7 +133,7 @@
 func newFixture(t testing.TB, engines ...*fakeEngine) *fixture {
 	t.Helper()
 	f := &fixture{t: t, beforeLook: func() {}}
-	f.held.Store(true)
+	f.hasWorkerID.Store(true)
 	resumable := path("resume", upstream.Stream)
 	resumable.Resumable = true
 	f.index.Store(upstream.NewIndex(&upstream.Section{Revision: 1, Pools: []upstream.Pool{{Name: "p"}},
@@ -144,18 +144,18 @@
 	var minted atomic.Int64
 	f.actor = forwarding.NewActor(settings, func() forwarding.Environment {
 		evacuated := func(engine *registry.Engine) bool {
-			isEmptied := f.emptied.Load()
-			return isEmptied != nil && (*isEmptied)(engine)
+			isEvacuated := f.evacuated.Load()
+			return isEvacuated != nil && (*isEvacuated)(engine)
 		}
-		return forwarding.Environment{Now: clock.System{}.Elapsed(), EngineEvacuated: evacuated, EngineOpen: func(engine *registry.Engine) bool { return !evacuated(engine) }, Index: f.index.Load(), IndexCurrent: !f.old.Load(), View: f.view.Load(), Routers: 1, HasWorkerID: f.held.Load(),
-			MintID: func() (ident.SnowflakeID, bool) { return ident.SnowflakeID(minted.Add(1)), f.held.Load() }}
+		return forwarding.Environment{Now: clock.System{}.Elapsed(), EngineEvacuated: evacuated, EngineOpen: func(engine *registry.Engine) bool { return !evacuated(engine) }, Index: f.index.Load(), IndexCurrent: !f.old.Load(), View: f.view.Load(), Routers: 1, HasWorkerID: f.hasWorkerID.Load(),
+			MintID: func() (ident.SnowflakeID, bool) { return ident.SnowflakeID(minted.Add(1)), f.hasWorkerID.Load() }}
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go f.actor.Run(ctx)
 	f.pools = connectionpool.New(clock.System{}, dialect.Own())
 	f.gateway = New(Dependencies{Clock: clock.System{}, Dialect: headerDialect{dialect.Own(), f}, Index: f.index.Load, View: f.view.Load, IndexCurrent: func() bool { return !f.old.Load() },
-		HasWorkerID: func() bool { return f.held.Load() }, Draining: f.draining.Load, Settings: settings}, f.actor, f.pools)
+		HasWorkerID: func() bool { return f.hasWorkerID.Load() }, Draining: f.draining.Load, Settings: settings}, f.actor, f.pools)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -167,7 +167,7 @@
 	return f
 }
 
-// headerDialect lets a test in between reaching an engine and the last look.
+// headerDialect runs a test's hook between reaching an engine and checkBeforeSend.
 type headerDialect struct {
 	dialect.Dialect
 	*fixture
@@ -215,9 +215,9 @@
 	status int
 	head   http.Header
 	body   string
-	// err is why the answer does not look whole.
+	// err is why the response does not look complete.
 	err error
-	// closes says that the daemon lets go of the connection.
+	// closes reports that the daemon closes the connection.
 	closes bool
 }
 
--- a/connection/gateway/leave_test.go
+++ b/connection/gateway/leave_test.go
@@ -127,7 +127,7 @@
 }
 
 // TestDisconnectEndsIdleStream: an engine that says nothing gives no occasion to write to
-// a caller that has left, so that alone must not be waited for.
+// a disconnected caller, so its disconnect must be found by polling.
 func TestDisconnectEndsIdleStream(t *testing.T) {
 	for _, class := range []string{"stream", "resume"} {
 		engine := newFakeEngine(t, "e1", func(a arrival) bool {
--- a/connection/gateway/node_test.go
+++ b/connection/gateway/node_test.go
@@ -18,7 +18,7 @@
 	"github.com/cresspond/cresspond/wire/dialect"
 )
 
-// fakeClock is a clock that goes on only when told to.
+// fakeClock is a clock that a test advances.
 type fakeClock struct{ now clock.Mark }
 
 func (c *fakeClock) Elapsed() clock.Mark { return c.now }
@@ -109,7 +109,7 @@
 	}
 }
 
-// Nothing of a request's house or route changes what is recorded.
+// Nothing of a request's host or route changes what is recorded.
 func TestMeasurementsOmitRoute(t *testing.T) {
 	pauses := []time.Duration{3e8, 2e7, 1e9}
 	usual := fmt.Sprint(measured(pauses, 0, nil))
@@ -158,8 +158,8 @@
 	}
 }
 
-// A resumable stream under way at an engine that is emptied goes on at another one, each event once; one that may not
-// run twice stays to its end.
+// A resumable stream at an evacuated engine continues at another one, each event once; a request that may not
+// run twice stays until its end.
 func TestStreamsMigrateFromEvacuatedEngine(t *testing.T) {
 	release := make(chan struct{})
 	head := func(a arrival) string {
@@ -195,7 +195,7 @@
 	one, two := newFakeEngine(t, "e1", serve()), newFakeEngine(t, "e2", serve())
 	f := newFixture(t, one, two)
 	evacuated := func(engine *registry.Engine) bool { return string(engine.ID) == first }
-	f.emptied.Store(&evacuated)
+	f.evacuated.Store(&evacuated)
 	for _, c := range []struct {
 		path  string
 		moves bool
--- a/connection/gateway/stream.go
+++ b/connection/gateway/stream.go
@@ -117,7 +117,7 @@
 		s.Counters.StreamsCompleted.Add(1)
 		s.actor.AttemptEnded(s.request, forwarding.OutcomeCompleted, s.lastEvent)
 	default:
-		// The caller could not be written to, so nobody needs the rest.
+		// The caller could not be written to, so the rest is not needed.
 		s.Counters.CallersLeft.Add(1)
 		s.result.Close()
 		s.actor.AttemptEnded(s.request, forwarding.OutcomeCallerLeft, s.lastEvent)
@@ -145,7 +145,7 @@
 			continue
 		}
 		if status := result.Response().StatusCode(); status != 200 || !result.Header.Sealed || !result.Header.Events {
-			// The answer that has begun can't become another one.
+			// The response that has begun can't be continued by one of another kind.
 			result.Close()
 			outcome = forwarding.OutcomeResponseLost
 			continue
--- a/process/engines/connectionpool/connection.go
+++ b/process/engines/connectionpool/connection.go
@@ -43,7 +43,7 @@
 func newConnection(raw net.Conn, counters *Counters) *connection {
 	conn := &connection{Conn: raw, counters: counters}
 	if under, ok := raw.(syscall.Conn); ok {
-		// Without a raw connection nothing can be looked at, and it counts as stirring once it was kept.
+		// A connection that can't be polled counts as readable, so it is not reused.
 		conn.raw, _ = under.SyscallConn()
 	}
 	conn.reader = bufio.NewReaderSize(conn, maxResponseHeader)
--- a/process/engines/connectionpool/connectionpool_test.go
+++ b/process/engines/connectionpool/connectionpool_test.go
@@ -121,7 +121,7 @@
 }
 
 // TestTruncatedResponseIsNeverComplete: in each form that an answer may have, nothing but all of its bytes is
-// whole, and nothing but a whole head is an engine's word that it did not run.
+// complete, and only a complete header guarantees that the request did not run.
 func TestTruncatedResponseIsNeverComplete(t *testing.T) {
 	chunked := "HTTP/1.1 200 OK\r\nX-Attempt-Id: a\r\nCresspond-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n3\r\npon\r\n1\r\ng\r\n0\r\n\r\n"
 	for form, whole := range map[string]string{
@@ -165,7 +165,7 @@
 				t.Errorf("%s: not its body", name)
 			}
 		}
-		// Only the whole answer at the end leaves a connection that may be used again.
+		// Only the complete response at the end leaves a connection that may be reused.
 		mayKeep := form == "measured" || form == "chunked" || form == "interim" || form == "refusal" || form == "misdirected"
 		if busy, idle := pools.Open(); busy != 0 || idle > 1 || idle == 1 && !mayKeep {
 			t.Errorf("%s: %d busy and %d idle left", form, busy, idle)
@@ -471,7 +471,7 @@
 	}
 }
 
-// An interruption ends what is under way and nothing after it, and never a connection that was given back.
+// Interrupt ends the current attempt and none after it, and never a connection that was released.
 func TestInterruptStopsOnlyCurrentAttempt(t *testing.T) {
 	var c Canceller
 	c.Interrupt()
@@ -501,7 +501,7 @@
 }
 
 // TestIdleLifetimeIsLearnedFromDroppedConnections: the engine says four seconds and drops after one, and shows nothing
-// before the next request is reset. One request is lost to find out, and none after; what is learned fades.
+// before the next request is reset. One request is lost to find out, and none after; what is learned decays.
 func TestIdleLifetimeIsLearnedFromDroppedConnections(t *testing.T) {
 	for _, notRepeatable := range []bool{true, false} {
 		h := newFakeClock()
@@ -536,7 +536,7 @@
 		if lost != 1 || pools.Counters.DroppedWhileIdle.Load() != 1 {
 			t.Errorf("careful %t: %d lost, %d learned", notRepeatable, lost, pools.Counters.DroppedWhileIdle.Load())
 		}
-		// Well inside of what was learned a connection is used again; one of another pool is not held to it.
+		// Well within the learned lifetime a connection is reused; other pools are not affected.
 		_, before := e.seen()
 		send(0)
 		send(200 * time.Millisecond)
@@ -578,7 +578,7 @@
 }
 
 // TestReleasedConnectionIsNotInterrupted: several callers share few connections, and how long each took to make is
-// told once, to who had it made. Under the race detector nothing of a connection is touched by who gave it back.
+// reported once, to the attempt that dialed it. The race detector shows any access after the release.
 func TestReleasedConnectionIsNotInterrupted(t *testing.T) {
 	const callers, each = 8, 100
 	pools := New(clock.System{}, dialect.Own())
--- a/process/engines/connectionpool/early_test.go
+++ b/process/engines/connectionpool/early_test.go
@@ -14,7 +14,7 @@
 	"github.com/cresspond/cresspond/wire/dialect"
 )
 
-// earlyEngine answers each request when it has read its head, and reads on only when told to.
+// earlyEngine answers each request when it has read its head, and reads on only when the test lets it.
 type earlyEngine struct {
 	address string
 	readOn  chan struct{}
@@ -64,7 +64,7 @@
 const largeBody = 16 << 20
 
 // TestEarlyResponseIsAcceptedAndNoStrayBytesFollow: the engine answers before it has read a long body,
-// keeps the connection and reads on later. Its answer is not held up by that, and the next request goes elsewhere.
+// keeps the connection and reads on later. That does not delay its response, and the next request uses another connection.
 func TestEarlyResponseIsAcceptedAndNoStrayBytesFollow(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer func(id string) string
--- a/process/engines/connectionpool/exchange.go
+++ b/process/engines/connectionpool/exchange.go
@@ -177,7 +177,7 @@
 		return OutcomeProtocolError, "the engine responded in another protocol"
 	}
 	if a.response.StatusCode() < fasthttp.StatusOK {
-		// Interim answers were passed over, so it is a change of protocol, which nobody asked for.
+		// Interim responses were skipped, so it is a change of protocol, which was not requested.
 		a.pools.Counters.ProtocolErrors.Add(1)
 		return OutcomeProtocolError, "the engine changed the protocol"
 	}
--- a/process/engines/connectionpool/fuzz_test.go
+++ b/process/engines/connectionpool/fuzz_test.go
@@ -39,7 +39,7 @@
 func (s *scriptedConn) SetReadDeadline(time.Time) error  { return nil }
 func (s *scriptedConn) SetWriteDeadline(time.Time) error { return nil }
 
-// answerBody reads the first answer with the standard library, which must agree on what is whole.
+// answerBody reads the first response with the standard library, which must agree on what is complete.
 func answerBody(data []byte) (body []byte, err error) {
 	reader := bufio.NewReader(bytes.NewReader(data))
 	for {
@@ -54,8 +54,8 @@
 	}
 }
 
-// FuzzEngineAnswer: whatever an engine sends, only an answer that bears the id is one, only a body that says its end is
-// whole, the standard library reads the same body, and nothing that was sent counts as never sent.
+// FuzzEngineAnswer: whatever an engine sends, only an answer that bears the id is one, only a delimited body is
+// complete, the standard library reads the same body, and nothing that was sent counts as not sent.
 func FuzzEngineAnswer(f *testing.F) {
 	for _, text := range []string{
 		sealedResponse("a", "pong"), rejectionResponse("503 Service Unavailable", "a"), rejectionResponse("421 Misdirected Request", "a"), sealedResponse("b", "x") + sealedResponse("a", "pong"),
--- a/process/engines/connectionpool/header.go
+++ b/process/engines/connectionpool/header.go
@@ -29,7 +29,7 @@
 	}
 	for _, named := range head.PeekAll(fasthttp.HeaderConnection) {
 		for name := range splitList(named) {
-			// The fields that frame the message or say where it goes are no one's to take away.
+			// Fields that frame or address the message must stay, whatever the sender names.
 			if !isFraming(name) {
 				head.DelBytes(name)
 			}
@@ -42,7 +42,7 @@
 	head.SetNoDefaultContentType(true)
 	head.SetProtocol("HTTP/1.1")
 	if head.ContentLength() == -1 {
-		// The body was read whole, so it needs no chunks any more.
+		// The body was read completely, so it needs no chunks.
 		head.SetContentLength(0)
 	}
 }
--- a/process/engines/connectionpool/pools.go
+++ b/process/engines/connectionpool/pools.go
@@ -78,7 +78,7 @@
 		candidate := connections.idle[index]
 		idle := now.Since(candidate.idleSince)
 		if idle > bound {
-			// The rest has been idle for longer still.
+			// All others have been idle for longer.
 			break
 		}
 		if notRepeatable && idle > candidate.notRepeatableIdleTimeout() {
@@ -91,7 +91,7 @@
 		if len(connections.idle) == 0 {
 			return nil, false
 		}
-		// Those left are too old for a careful attempt; the oldest makes room.
+		// The idle ones are too old for an attempt that can't be repeated; the oldest is closed for it.
 		p.closeIdle(connections, 0)
 	}
 	connections.open++
--- a/process/engines/connectionpool/result.go
+++ b/process/engines/connectionpool/result.go
@@ -55,7 +55,7 @@
 	case err == io.EOF && a.delimited:
 		a.complete = true
 	case err == io.EOF:
-		// An engine that fails ends such a body in the same way, so it can't be told whole.
+		// An engine that fails ends such a body in the same way, so it is not known to be complete.
 		a.bodyErr = errNotDelimited
 		err = errNotDelimited
 	case err != nil:
