--- a/process/consensus/replica/applies_test.go
+++ b/process/consensus/replica/applies_test.go
@@ -27,18 +27,18 @@
 		if seed%2 == 1 {
 			limits = tinyLimits()
 		}
-		o := newSimulatedApplies(t, seed, size, limits)
-		o.runHistory(60 * time.Second)
-		o.check()
-		for _, violation := range o.violations {
+		applies := newSimulatedApplies(t, seed, size, limits)
+		applies.runHistory(60 * time.Second)
+		applies.check()
+		for _, violation := range applies.violations {
 			t.Errorf("seed %d, %d members: %s", seed, size, violation)
 		}
-		if got := o.linearizable(time.Minute); got.Status != linearizability.Linearizable {
+		if got := applies.linearizable(time.Minute); got.Status != linearizability.Linearizable {
 			t.Errorf("seed %d, %d members: %s: %s", seed, size, got.Status, got.Reason)
 		}
-		acked, refused, resends, crashes = acked+len(o.acknowledgedVersions), refused+len(o.rejected), resends+o.resends, crashes+o.crashes
-		calls, unclear = calls+len(o.calls), unclear+o.unclear
-		dropped += o.nodes[len(o.nodes)-1].core.state.Dropped
+		acked, refused, resends, crashes = acked+len(applies.acknowledgedVersions), refused+len(applies.rejected), resends+applies.resends, crashes+applies.crashes
+		calls, unclear = calls+len(applies.calls), unclear+applies.unclear
+		dropped += applies.nodes[len(applies.nodes)-1].core.state.Dropped
 	}
 	t.Logf("seeds 0 to %d: %d requests acknowledged, %d rejected, %d retried, %d crashes; %d calls checked, %d answers unclear, %d versions forgotten", seeds-1, acked, refused, resends, crashes, calls, unclear, dropped)
 	if acked == 0 || refused == 0 || resends == 0 || dropped == 0 {
@@ -51,11 +51,11 @@
 	for _, way := range []applyDefect{rejectsByRead, checksBaseFirst} {
 		t.Run(string(way), func(t *testing.T) {
 			for seed := range uint64(80) {
-				o := newSimulatedApplies(t, seed, 3, statemachine.DefaultLimits())
-				o.defect = way
-				o.runHistory(60 * time.Second)
-				if o.check(); len(o.violations) > 0 {
-					t.Logf("seed %d: %s", seed, o.violations[0])
+				applies := newSimulatedApplies(t, seed, 3, statemachine.DefaultLimits())
+				applies.defect = way
+				applies.runHistory(60 * time.Second)
+				if applies.check(); len(applies.violations) > 0 {
+					t.Logf("seed %d: %s", seed, applies.violations[0])
 					return
 				}
 			}
@@ -69,12 +69,12 @@
 	for _, way := range []applyDefect{rejectsByRead, checksBaseFirst, readsWithoutQuorum, forgetsAccepted, forgetsRejected} {
 		t.Run(string(way), func(t *testing.T) {
 			for seed := range uint64(80) {
-				o := newSimulatedApplies(t, seed, 3, tinyLimits())
-				o.defect = way
-				o.scheduleForgetting()
-				o.runHistory(60 * time.Second)
+				applies := newSimulatedApplies(t, seed, 3, tinyLimits())
+				applies.defect = way
+				applies.scheduleForgetting()
+				applies.runHistory(60 * time.Second)
 				// A history that is not linearizable can take long to rule out; then the next seed is tried.
-				if got := o.linearizable(2 * time.Second); got.Status == linearizability.Violated {
+				if got := applies.linearizable(2 * time.Second); got.Status == linearizability.Violated {
 					t.Logf("seed %d: %s", seed, got.Reason)
 					return
 				}
--- a/process/consensus/replica/apply_operators_test.go
+++ b/process/consensus/replica/apply_operators_test.go
@@ -273,7 +273,9 @@
 }
 
 // lost draws whether a message is lost: on some seeds, every fifth at each step.
-func (o *simulatedApplies) lost() bool { return o.random.Float64() < max(o.loss, o.extraLoss) }
+func (o *simulatedApplies) lost() bool {
+	return o.random.Float64() < max(o.loss, o.extraLoss)
+}
 
 // newSimulatedApplies makes a group and up to eight operators, since as many requests may be in flight at once.
 func newSimulatedApplies(t *testing.T, seed uint64, size int, limits statemachine.Limits) *simulatedApplies {
--- a/process/consensus/replica/availability_test.go
+++ b/process/consensus/replica/availability_test.go
@@ -16,22 +16,22 @@
 	longest := time.Duration(0)
 	for seed := range uint64(60) {
 		size := []int{3, 5}[seed%2]
-		s := newFaultlessSimulation(t, seed, size)
-		victim := s.nodes[s.random.IntN(size)]
+		sim := newFaultlessSimulation(t, seed, size)
+		victim := sim.nodes[sim.random.IntN(size)]
 		if seed%3 == 0 {
-			victim = s.leader()
+			victim = sim.leader()
 		}
 		planned := seed%4 < 2
 		if planned {
 			// The replacement starts first, then the old one transfers its leadership and stops.
-			s.addMachine()
-			s.runFor(time.Second)
-			victim.execute(victim.core.Step(s.now, raft.TransferLeadership{}))
-			s.runUntil(time.Second, func() bool { leader := s.leader(); return leader != nil && leader != victim })
-			s.leader().core.MarkLeaving(s.now, victim.id)
-			s.runFor(300 * time.Millisecond)
+			sim.addMachine()
+			sim.runFor(time.Second)
+			victim.execute(victim.core.Step(sim.now, raft.TransferLeadership{}))
+			sim.runUntil(time.Second, func() bool { leader := sim.leader(); return leader != nil && leader != victim })
+			sim.leader().core.MarkLeaving(sim.now, victim.id)
+			sim.runFor(300 * time.Millisecond)
 			// The replacement must be a voter while the old one still runs, so that the next may be lost as soon as that one ends.
-			members := s.leader().core.raft.Membership()
+			members := sim.leader().core.raft.Membership()
 			if old, in := members.Find(victim.id); in && old.Voter || len(members.Voters()) != size {
 				t.Errorf("seed %d, %d members: one that stops still votes, though another stands ready: %v", seed, size, members)
 			}
@@ -39,15 +39,15 @@
 		victim.crash()
 		victim.removed = true
 		if !planned {
-			s.runFor(time.Second)
-			s.addMachine()
+			sim.runFor(time.Second)
+			sim.addMachine()
 		}
-		took := s.runUntil(allowed, s.fullyRepaired)
+		took := sim.runUntil(allowed, sim.fullyRepaired)
 		longest = max(longest, took)
 		if took >= allowed {
 			t.Errorf("seed %d, %d members, planned %t: not repaired %v after the new machine's start", seed, size, planned, took)
 		}
-		for _, violation := range s.violations {
+		for _, violation := range sim.violations {
 			t.Errorf("seed %d: %s", seed, violation)
 		}
 	}
@@ -58,19 +58,19 @@
 func TestRestartDoesNotShrinkTheGroup(t *testing.T) {
 	for seed := range uint64(20) {
 		size := []int{3, 5}[seed%2]
-		s := newFaultlessSimulation(t, seed, size)
-		stopped := s.randomMachines(1)[0]
-		stopped.execute(stopped.core.Step(s.now, raft.TransferLeadership{}))
-		s.runFor(time.Second)
-		s.leader().core.MarkLeaving(s.now, stopped.id)
-		s.runFor(time.Second)
+		sim := newFaultlessSimulation(t, seed, size)
+		stopped := sim.randomMachines(1)[0]
+		stopped.execute(stopped.core.Step(sim.now, raft.TransferLeadership{}))
+		sim.runFor(time.Second)
+		sim.leader().core.MarkLeaving(sim.now, stopped.id)
+		sim.runFor(time.Second)
 		stopped.crash()
-		s.runFor(30 * time.Second)
-		if voters := len(s.leader().core.raft.Membership().Voters()); voters != size {
+		sim.runFor(30 * time.Second)
+		if voters := len(sim.leader().core.raft.Membership().Voters()); voters != size {
 			t.Errorf("seed %d: %d of %d machines vote after one was away for 30 s", seed, voters, size)
 		}
 		stopped.restart()
-		if took := s.runUntil(4*time.Second, s.fullyRepaired); took >= 4*time.Second {
+		if took := sim.runUntil(4*time.Second, sim.fullyRepaired); took >= 4*time.Second {
 			t.Errorf("seed %d: not repaired %v after it came back", seed, took)
 		}
 	}
@@ -79,39 +79,39 @@
 // The group has a leader again in time after its leader was killed, suspended or partitioned, and after all were killed.
 func TestGroupRecoversInTimeAfterLeaderLoss(t *testing.T) {
 	for name, c := range map[string]struct {
-		strike func(s *simulation)
+		strike func(sim *simulation)
 		within time.Duration
 	}{
-		"the leader is killed":    {func(s *simulation) { s.leader().crash() }, 2500 * time.Millisecond},
-		"the leader is suspended": {func(s *simulation) { s.leader().frozenUntil = s.now + clock.Mark(20*time.Second) }, 2500 * time.Millisecond},
-		"the leader is partitioned": {func(s *simulation) {
-			leader := s.leader()
-			for _, other := range s.nodes {
-				s.partitioned[[2]int{leader.index, other.index}], s.partitioned[[2]int{other.index, leader.index}] = true, true
+		"the leader is killed":    {func(sim *simulation) { sim.leader().crash() }, 2500 * time.Millisecond},
+		"the leader is suspended": {func(sim *simulation) { sim.leader().frozenUntil = sim.now + clock.Mark(20*time.Second) }, 2500 * time.Millisecond},
+		"the leader is partitioned": {func(sim *simulation) {
+			leader := sim.leader()
+			for _, other := range sim.nodes {
+				sim.partitioned[[2]int{leader.index, other.index}], sim.partitioned[[2]int{other.index, leader.index}] = true, true
 			}
 		}, 2500 * time.Millisecond},
-		"the leader transfers its leadership": {func(s *simulation) {
-			leader := s.leader()
-			leader.execute(leader.core.Step(s.now, raft.TransferLeadership{}))
+		"the leader transfers its leadership": {func(sim *simulation) {
+			leader := sim.leader()
+			leader.execute(leader.core.Step(sim.now, raft.TransferLeadership{}))
 		}, 400 * time.Millisecond},
-		"all are killed": {func(s *simulation) {
-			for _, n := range s.nodes {
+		"all are killed": {func(sim *simulation) {
+			for _, n := range sim.nodes {
 				n.crash()
-				s.schedule(s.randomDuration(300, 900), n.restart)
+				sim.schedule(sim.randomDuration(300, 900), n.restart)
 			}
 		}, 3 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var took []time.Duration
 			for seed := range uint64(60) {
-				s := newFaultlessSimulation(t, seed, []int{3, 5}[seed%2])
-				was := s.leader()
-				c.strike(s)
-				took = append(took, s.runUntil(10*time.Second, func() bool {
-					now := s.leader()
+				sim := newFaultlessSimulation(t, seed, []int{3, 5}[seed%2])
+				was := sim.leader()
+				c.strike(sim)
+				took = append(took, sim.runUntil(10*time.Second, func() bool {
+					now := sim.leader()
 					return now != nil && (now != was || name == "all are killed")
 				}))
-				for _, violation := range s.violations {
+				for _, violation := range sim.violations {
 					t.Errorf("seed %d: %s", seed, violation)
 				}
 			}
@@ -126,13 +126,13 @@
 }
 
 // A leader that was suspended has been succeeded by another meanwhile.
-func TestResumedLeaderStepsDownBeforeItActs(t *testing.T) {
+func TestResumedLeaderStepsDownOnFirstTick(t *testing.T) {
 	for seed := range uint64(20) {
-		s := newFaultlessSimulation(t, seed, 3)
-		frozen := s.leader()
-		frozen.frozenUntil = s.now + clock.Mark(4*time.Second)
-		s.runFor(4 * time.Second)
-		s.runUntil(time.Second, func() bool { return frozen.lastTick >= frozen.frozenUntil })
+		sim := newFaultlessSimulation(t, seed, 3)
+		frozen := sim.leader()
+		frozen.frozenUntil = sim.now + clock.Mark(4*time.Second)
+		sim.runFor(4 * time.Second)
+		sim.runUntil(time.Second, func() bool { return frozen.lastTick >= frozen.frozenUntil })
 		if frozen.core.IsLeader() {
 			t.Errorf("seed %d: it still believes that it leads after its first tick", seed)
 		}
--- a/process/consensus/replica/digests_test.go
+++ b/process/consensus/replica/digests_test.go
@@ -14,9 +14,9 @@
 }
 
 // statesAgree reports whether all members applied the same entries and hold equal states.
-func statesAgree(s *simulation) bool {
+func statesAgree(sim *simulation) bool {
 	var first *simulatedNode
-	for _, n := range s.nodes {
+	for _, n := range sim.nodes {
 		if n.removed {
 			continue
 		}
@@ -36,29 +36,29 @@
 	longest := time.Duration(0)
 	for seed := range uint64(40) {
 		size := []int{3, 5}[seed%2]
-		s := newFaultlessSimulation(t, seed, size)
-		victim := s.leader()
+		sim := newFaultlessSimulation(t, seed, size)
+		victim := sim.leader()
 		if seed%4 < 2 {
-			victim = s.nodes[(victim.index+1)%size]
+			victim = sim.nodes[(victim.index+1)%size]
 		}
 		id := victim.id
 		diverge(victim, 1)
-		longest = max(longest, s.runUntil(time.Minute, func() bool { return len(s.resigned) > 0 }))
-		if len(s.resigned) != 1 || s.resigned[0] != id {
-			t.Fatalf("seed %d: %v resigned, and the state of %d diverged", seed, s.resigned, id)
+		longest = max(longest, sim.runUntil(time.Minute, func() bool { return len(sim.resigned) > 0 }))
+		if len(sim.resigned) != 1 || sim.resigned[0] != id {
+			t.Fatalf("seed %d: %v resigned, and the state of %d diverged", seed, sim.resigned, id)
 		}
-		if took := s.runUntil(10*time.Second, s.fullyRepaired); took >= 10*time.Second {
+		if took := sim.runUntil(10*time.Second, sim.fullyRepaired); took >= 10*time.Second {
 			t.Errorf("seed %d: not repaired %v after it resigned", seed, took)
 		}
-		s.runFor(30 * time.Second)
-		s.operatorsStopped = true
-		if s.runUntil(5*time.Second, func() bool { return statesAgree(s) }) >= 5*time.Second || len(s.resigned) != 1 {
-			t.Errorf("seed %d: states differ in the end, %v resigned", seed, s.resigned)
+		sim.runFor(30 * time.Second)
+		sim.operatorsStopped = true
+		if sim.runUntil(5*time.Second, func() bool { return statesAgree(sim) }) >= 5*time.Second || len(sim.resigned) != 1 {
+			t.Errorf("seed %d: states differ in the end, %v resigned", seed, sim.resigned)
 		}
-		if s.notices[raft.NoticeStateDiffers] == 0 {
+		if sim.notices[raft.NoticeStateDiffers] == 0 {
 			t.Errorf("seed %d: no divergence was noticed", seed)
 		}
-		for _, violation := range s.violations {
+		for _, violation := range sim.violations {
 			t.Errorf("seed %d: %s", seed, violation)
 		}
 	}
@@ -68,26 +68,26 @@
 // Of two divergent members in a group of five one resigns at a time: the next only once the first is replaced.
 func TestDivergentMembersResignOneAtATime(t *testing.T) {
 	for seed := range uint64(20) {
-		s := newFaultlessSimulation(t, seed, 5)
-		leaderIndex := s.leader().index
-		diverge(s.nodes[(leaderIndex+1)%5], 1)
-		diverge(s.nodes[(leaderIndex+2)%5], 1+seed%2)
-		if s.runUntil(time.Minute, func() bool { return len(s.resigned) == 1 }); len(s.resigned) != 1 {
-			t.Fatalf("seed %d: %v resigned", seed, s.resigned)
+		sim := newFaultlessSimulation(t, seed, 5)
+		leaderIndex := sim.leader().index
+		diverge(sim.nodes[(leaderIndex+1)%5], 1)
+		diverge(sim.nodes[(leaderIndex+2)%5], 1+seed%2)
+		if sim.runUntil(time.Minute, func() bool { return len(sim.resigned) == 1 }); len(sim.resigned) != 1 {
+			t.Fatalf("seed %d: %v resigned", seed, sim.resigned)
 		}
-		first := s.resigned[0]
-		s.runUntil(time.Minute, func() bool {
-			members := s.leader()
+		first := sim.resigned[0]
+		sim.runUntil(time.Minute, func() bool {
+			members := sim.leader()
 			if members == nil {
 				return false
 			}
-			if _, belongs := members.core.raft.Membership().Find(first); belongs && len(s.resigned) > 1 {
+			if _, belongs := members.core.raft.Membership().Find(first); belongs && len(sim.resigned) > 1 {
 				t.Errorf("seed %d: a second resigned before the first was replaced", seed)
 			}
-			return len(s.resigned) == 2
+			return len(sim.resigned) == 2
 		})
-		if len(s.resigned) != 2 || s.runUntil(15*time.Second, s.fullyRepaired) >= 15*time.Second {
-			t.Errorf("seed %d: %v resigned, repaired: %t", seed, s.resigned, s.fullyRepaired())
+		if len(sim.resigned) != 2 || sim.runUntil(15*time.Second, sim.fullyRepaired) >= 15*time.Second {
+			t.Errorf("seed %d: %v resigned, repaired: %t", seed, sim.resigned, sim.fullyRepaired())
 		}
 	}
 }
@@ -95,15 +95,15 @@
 // Where no majority agrees no member resigns, since none can know which state is right. The divergence is noticed.
 func TestNoMemberResignsWithoutAMajorityDigest(t *testing.T) {
 	for seed := range uint64(20) {
-		s := newFaultlessSimulation(t, seed, 3)
-		for place, n := range s.nodes {
+		sim := newFaultlessSimulation(t, seed, 3)
+		for place, n := range sim.nodes {
 			diverge(n, uint64(place))
 		}
-		s.runFor(time.Minute)
-		if len(s.resigned) > 0 || s.notices[raft.NoticeStateDiffers] == 0 {
-			t.Errorf("seed %d: %v resigned, %d noticed", seed, s.resigned, s.notices[raft.NoticeStateDiffers])
+		sim.runFor(time.Minute)
+		if len(sim.resigned) > 0 || sim.notices[raft.NoticeStateDiffers] == 0 {
+			t.Errorf("seed %d: %v resigned, %d noticed", seed, sim.resigned, sim.notices[raft.NoticeStateDiffers])
 		}
-		if leader := s.leader(); leader == nil || len(leader.core.DivergentMembers()) == 0 {
+		if leader := sim.leader(); leader == nil || len(leader.core.DivergentMembers()) == 0 {
 			t.Errorf("seed %d: no member is reported as divergent", seed)
 		}
 	}
@@ -111,26 +111,26 @@
 
 // Members of another build may hold another state, and are not compared.
 func TestDigestsOfDifferentBuildsAreNotCompared(t *testing.T) {
-	s := newFaultlessSimulation(t, 1, 3)
-	other := s.nodes[(s.leader().index+1)%3]
+	sim := newFaultlessSimulation(t, 1, 3)
+	other := sim.nodes[(sim.leader().index+1)%3]
 	other.core.digests.format++
 	diverge(other, 1)
-	s.runFor(time.Minute)
-	if len(s.resigned) > 0 || s.notices[raft.NoticeStateDiffers] > 0 {
-		t.Errorf("%v resigned, %d noticed", s.resigned, s.notices[raft.NoticeStateDiffers])
+	sim.runFor(time.Minute)
+	if len(sim.resigned) > 0 || sim.notices[raft.NoticeStateDiffers] > 0 {
+		t.Errorf("%v resigned, %d noticed", sim.resigned, sim.notices[raft.NoticeStateDiffers])
 	}
 }
 
 // An injected defect: without digests a divergent state stays, and is served.
 func TestDivergentStateStaysWithoutDigests(t *testing.T) {
-	s := newFaultlessSimulation(t, 1, 3)
-	for _, n := range s.nodes {
+	sim := newFaultlessSimulation(t, 1, 3)
+	for _, n := range sim.nodes {
 		n.core.digests.interval = 1 << 40
 	}
-	diverge(s.nodes[(s.leader().index+1)%3], 1)
-	s.runFor(time.Minute)
-	s.operatorsStopped = true
-	if s.runUntil(5*time.Second, func() bool { return statesAgree(s) }) < 5*time.Second {
+	diverge(sim.nodes[(sim.leader().index+1)%3], 1)
+	sim.runFor(time.Minute)
+	sim.operatorsStopped = true
+	if sim.runUntil(5*time.Second, func() bool { return statesAgree(sim) }) < 5*time.Second {
 		t.Error("the check does not detect states that differ")
 	}
 }
--- a/process/consensus/replica/faults_test.go
+++ b/process/consensus/replica/faults_test.go
@@ -20,15 +20,15 @@
 	compared, notices := 0, map[raft.NoticeKind]int{}
 	for seed := range seeds {
 		size := []int{3, 3, 1, 5, 3, 1}[seed%6]
-		s := newSimulation(t, seed, size, noDefect)
-		s.runHistory(90 * time.Second)
-		for _, violation := range s.violations {
+		sim := newSimulation(t, seed, size, noDefect)
+		sim.runHistory(90 * time.Second)
+		for _, violation := range sim.violations {
 			t.Errorf("seed %d, %d members: %s", seed, size, violation)
 		}
-		mints, acks, reads, crashes = mints+s.mints, acks+s.acks, reads+s.reads, crashes+s.crashes
-		wipes, replaced, losses = wipes+s.wipes, replaced+s.replaced, losses+s.losses
-		compared += s.digestsCompared
-		for kind, count := range s.notices {
+		mints, acks, reads, crashes = mints+sim.mints, acks+sim.acks, reads+sim.reads, crashes+sim.crashes
+		wipes, replaced, losses = wipes+sim.wipes, replaced+sim.replaced, losses+sim.losses
+		compared += sim.digestsCompared
+		for kind, count := range sim.notices {
 			notices[kind] += count
 		}
 	}
@@ -44,11 +44,11 @@
 	for _, broken := range []defect{lyingDisk, forgottenVotes, unconfirmedReads, forgottenFloors, overrunLease, wipedKeepsIdentity} {
 		t.Run(string(broken), func(t *testing.T) {
 			for seed := range uint64(80) {
-				s := newSimulation(t, seed, 3, broken)
+				sim := newSimulation(t, seed, 3, broken)
 				if broken == lyingDisk {
-					s.losePowerWhileWriting()
+					sim.losePowerWhileWriting()
 				}
-				if caught := s.runUntilViolation(90 * time.Second); caught != "" {
+				if caught := sim.runUntilViolation(90 * time.Second); caught != "" {
 					t.Logf("seed %d: %s", seed, caught)
 					return
 				}
@@ -61,9 +61,9 @@
 // The faults that catch a lying disk find nothing where disks are sound.
 func TestGroupSurvivesPowerLossDuringWrites(t *testing.T) {
 	for seed := range uint64(20) {
-		s := newSimulation(t, seed, 3, noDefect)
-		s.losePowerWhileWriting()
-		if fault := s.runUntilViolation(90 * time.Second); fault != "" {
+		sim := newSimulation(t, seed, 3, noDefect)
+		sim.losePowerWhileWriting()
+		if fault := sim.runUntilViolation(90 * time.Second); fault != "" {
 			t.Errorf("seed %d: %s", seed, fault)
 		}
 	}
@@ -72,14 +72,14 @@
 // With disks that take 150 ms for each write the group continues under one leader.
 func TestSlowDisksCauseNoElection(t *testing.T) {
 	for seed := range uint64(40) {
-		s := newSimulation(t, seed, 3, noDefect)
-		s.faultsEnabled, s.loss, s.writeDuration = false, 0, 150*time.Millisecond
-		s.runFor(10 * time.Second)
-		terms, acks := len(s.leaderOf), 0
+		sim := newSimulation(t, seed, 3, noDefect)
+		sim.faultsEnabled, sim.loss, sim.writeDuration = false, 0, 150*time.Millisecond
+		sim.runFor(10 * time.Second)
+		terms, acks := len(sim.leaderOf), 0
 		var shut func(number int)
 		shut = func(number int) {
 			command := statemachine.Command{Op: statemachine.OpClosure, Zone: "z", Closed: acks%2 == 0}
-			s.request(s.nodes[number%3], &command, func(a Response) {
+			sim.request(sim.nodes[number%3], &command, func(a Response) {
 				if a.Outcome == Applied {
 					acks++
 				}
@@ -89,9 +89,9 @@
 			})
 		}
 		shut(0)
-		s.runFor(30 * time.Second)
-		if acks != 12 || terms == 0 || len(s.leaderOf) != terms || len(s.violations) > 0 {
-			t.Errorf("seed %d: %d of 12 acknowledged, from %d to %d leaders, %v", seed, acks, terms, len(s.leaderOf), s.violations)
+		sim.runFor(30 * time.Second)
+		if acks != 12 || terms == 0 || len(sim.leaderOf) != terms || len(sim.violations) > 0 {
+			t.Errorf("seed %d: %d of 12 acknowledged, from %d to %d leaders, %v", seed, acks, terms, len(sim.leaderOf), sim.violations)
 		}
 	}
 }
--- a/process/consensus/replica/leadership_test.go
+++ b/process/consensus/replica/leadership_test.go
@@ -63,11 +63,11 @@
 func TestConfirmedLeadershipPrecedesEveryLaterElection(t *testing.T) {
 	looked := 0
 	for seed := range uint64(24) {
-		w := watchConfirmations(t, seed, []int{3, 5, 3, 1}[seed%4], false)
-		for _, violation := range w.violations {
+		watch := watchConfirmations(t, seed, []int{3, 5, 3, 1}[seed%4], false)
+		for _, violation := range watch.violations {
 			t.Errorf("seed %d: %s", seed, violation)
 		}
-		looked += w.looked
+		looked += watch.looked
 	}
 	t.Logf("seeds 0 to 23: %d looks at a leader's confirmation", looked)
 	if looked == 0 {
@@ -77,8 +77,8 @@
 
 func TestConfirmationCheckerCatchesConfirmationByReceiptTime(t *testing.T) {
 	for seed := range uint64(40) {
-		if w := watchConfirmations(t, seed, 3, true); len(w.violations) > 0 {
-			t.Logf("seed %d: %s", seed, w.violations[0])
+		if watch := watchConfirmations(t, seed, 3, true); len(watch.violations) > 0 {
+			t.Logf("seed %d: %s", seed, watch.violations[0])
 			return
 		}
 	}
--- a/process/consensus/replica/second_loss_cases_test.go
+++ b/process/consensus/replica/second_loss_cases_test.go
@@ -32,27 +32,27 @@
 type membershipRule func(MembershipPlan) (raft.Membership, bool)
 
 func (c secondLossCase) begin(t *testing.T, rule membershipRule) *simulation {
-	s := newFaultlessSimulation(t, 1, c.size)
-	s.membershipRule, s.writeDuration, s.stopsUnsafely, s.operatorsStopped = rule, c.writeDuration, c.stopsUnsafely, true
-	s.toggleClosure(true)
-	s.runFor(time.Second)
-	s.inject(c.first, s.presentMachines()[c.victim])
-	return s
+	sim := newFaultlessSimulation(t, 1, c.size)
+	sim.membershipRule, sim.writeDuration, sim.stopsUnsafely, sim.operatorsStopped = rule, c.writeDuration, c.stopsUnsafely, true
+	sim.toggleClosure(true)
+	sim.runFor(time.Second)
+	sim.inject(c.first, sim.presentMachines()[c.victim])
+	return sim
 }
 
 // steps lists the event counts right before and after each step of the repair.
 func (c secondLossCase) steps(t *testing.T, rule membershipRule) []int {
-	s := c.begin(t, rule)
-	from, end := s.now, s.now+clock.Mark(c.first.repairTime()+catchUpTime)
+	sim := c.begin(t, rule)
+	from, end := sim.now, sim.now+clock.Mark(c.first.repairTime()+catchUpTime)
 	if c.first == replacedBeforehand {
 		// Until SIGTERM nothing is lost or repaired.
 		from += clock.Mark(catchUpTime)
 	}
 	var out []int
-	last := s.repairFingerprint()
-	for count := 1; len(s.events) > 0 && s.events[0].at < end; count++ {
-		s.runEvents(1)
-		if shape := s.repairFingerprint(); shape != last && s.now >= from {
+	last := sim.repairFingerprint()
+	for count := 1; len(sim.events) > 0 && sim.events[0].at < end; count++ {
+		sim.runEvents(1)
+		if shape := sim.repairFingerprint(); shape != last && sim.now >= from {
 			out = append(out, count-1, count)
 			last = shape
 		}
@@ -62,32 +62,32 @@
 
 // play runs the case. It returns the violation, if any, and how long the group took to recover.
 func (c secondLossCase) play(t *testing.T, rule membershipRule) (string, time.Duration) {
-	s := c.begin(t, rule)
-	back := s.now + clock.Mark(c.first.repairTime())
+	sim := c.begin(t, rule)
+	back := sim.now + clock.Mark(c.first.repairTime())
 	if c.events > 0 {
-		s.runEvents(c.events)
+		sim.runEvents(c.events)
 	} else {
-		s.runFor(c.first.repairTime() + catchUpTime)
+		sim.runFor(c.first.repairTime() + catchUpTime)
 	}
-	here := s.presentMachines()
+	here := sim.presentMachines()
 	if c.next >= len(here) {
 		return "", 0
 	}
 	victim := here[c.next]
-	s.inject(c.second, victim)
+	sim.inject(c.second, victim)
 	if c.events > 0 && c.size == 3 && c.first != replacedBeforehand {
 		// Two of three are away: the group recovers once one is back.
-		s.runFor(max(back.Since(s.now), c.second.downtimeAsSecond()))
+		sim.runFor(max(back.Since(sim.now), c.second.downtimeAsSecond()))
 	}
-	took := s.recoveryTime(recoveryLimit)
+	took := sim.recoveryTime(recoveryLimit)
 	if took < recoveryLimit {
 		// It must still work once the machine that stops has ended and its replacement has come.
-		s.runFor(max(0, back.Since(s.now)) + drainExtension)
-		took = max(took, s.recoveryTime(recoveryLimit))
+		sim.runFor(max(0, back.Since(sim.now)) + drainExtension)
+		took = max(took, sim.recoveryTime(recoveryLimit))
 	}
 	switch {
-	case len(s.violations) > 0:
-		return s.violations[0], took
+	case len(sim.violations) > 0:
+		return sim.violations[0], took
 	case took >= recoveryLimit:
 		return fmt.Sprintf("it does not recover within %v", recoveryLimit), took
 	}
--- a/process/consensus/replica/simulated_faults_test.go
+++ b/process/consensus/replica/simulated_faults_test.go
@@ -7,10 +7,29 @@
 	"github.com/cresspond/cresspond/process/consensus/raft"
 )
 
-// powerLossOfAll is the fault in which all machines lose power.
-const powerLossOfAll = 2
+// The random faults. Their numbers are drawn, so changing them changes what each seed plays.
+const (
+	machineCrash randomFault = iota
+	machineCrashAgain
+	powerLossOfAll
+	partition
+	suspension
+	diskStall
+	wallClockJump
+	leaseHolderSuspension
+	leaseHolderRestart
+	rapidRestarts
+	diskWipe
+	replacement
+	minorityDiskLoss
+	simultaneousReplacements
+	randomFaults
+)
+
+// randomFault is a kind of fault that scheduleFaults draws.
+type randomFault int
 
-// scheduleFaults makes one fault after the other happen.
+// scheduleFaults makes one random fault after the other happen.
 func (s *simulation) scheduleFaults() {
 	wait := s.randomDuration(200, 2500)
 	if s.sparseFaults {
@@ -20,78 +39,85 @@
 		if !s.faultsEnabled {
 			return
 		}
-		n := s.randomMachines(1)[0]
-		kind := s.random.IntN(14)
+		victim := s.randomMachines(1)[0]
+		kind := randomFault(s.random.IntN(int(randomFaults)))
 		if s.powerLossOnly {
 			kind = powerLossOfAll
 		}
-		switch kind {
-		case 0, 1:
-			n.crash()
-			s.schedule(s.randomDuration(50, 4000), n.restart)
-		case powerLossOfAll:
-			// All at once.
-			for _, each := range s.nodes {
-				each.crash()
-				s.schedule(s.randomDuration(50, 2000), each.restart)
-			}
-		case 3:
-			// Partition one member off, both ways or one way.
-			way := s.random.IntN(3)
-			for _, other := range s.nodes {
-				if other == n {
-					continue
-				}
-				if way != 0 {
-					s.partitioned[[2]int{n.index, other.index}] = true
-				}
-				if way != 1 {
-					s.partitioned[[2]int{other.index, n.index}] = true
-				}
-			}
-			s.schedule(s.randomDuration(500, 6000), func() { clear(s.partitioned) })
-		case 4:
-			n.frozenUntil = s.now + clock.Mark(s.randomDuration(500, 5000))
-		case 5:
-			n.stallUntil = s.now + clock.Mark(s.randomDuration(500, 4000))
-		case 6:
-			n.wallJump += time.Duration(s.random.IntN(20000)-10000) * time.Second
-		case 7:
-			h := s.holders[s.random.IntN(len(s.holders))]
-			h.frozenUntil = s.now + clock.Mark(s.randomDuration(1000, 45000))
-		case 10:
-			n.wipe()
-		case 11:
-			n.replace()
-		case 12:
-			s.loseMinorityAndPower()
-		case 13:
-			// As many as the group survives are replaced at once.
-			if s.voters >= 3 && s.fullyRepaired() {
-				for _, each := range s.randomMachines((s.voters - 1) / 2) {
-					each.removeAndReplace()
-				}
-			}
-		case 9:
-			// Restarted at once, over and over: a vote must not be forgotten in between.
-			for i := range 6 {
-				s.schedule(time.Duration(i)*s.randomDuration(100, 400), func() {
-					n.crash()
-					s.schedule(s.randomDuration(1, 20), n.restart)
-				})
-			}
-		case 8:
-			h := s.holders[s.random.IntN(len(s.holders))]
-			if s.random.IntN(2) == 0 {
-				h.begin()
-			} else {
-				h.releaseAndRestart()
-			}
-		}
+		s.injectRandom(kind, victim)
 		s.scheduleFaults()
 	})
 }
 
+func (s *simulation) injectRandom(kind randomFault, victim *simulatedNode) {
+	switch kind {
+	case machineCrash, machineCrashAgain:
+		victim.crash()
+		s.schedule(s.randomDuration(50, 4000), victim.restart)
+	case powerLossOfAll:
+		for _, each := range s.nodes {
+			each.crash()
+			s.schedule(s.randomDuration(50, 2000), each.restart)
+		}
+	case partition:
+		s.partitionOff(victim)
+	case suspension:
+		victim.frozenUntil = s.now + clock.Mark(s.randomDuration(500, 5000))
+	case diskStall:
+		victim.stallUntil = s.now + clock.Mark(s.randomDuration(500, 4000))
+	case wallClockJump:
+		victim.wallJump += time.Duration(s.random.IntN(20000)-10000) * time.Second
+	case leaseHolderSuspension:
+		holder := s.holders[s.random.IntN(len(s.holders))]
+		holder.frozenUntil = s.now + clock.Mark(s.randomDuration(1000, 45000))
+	case leaseHolderRestart:
+		holder := s.holders[s.random.IntN(len(s.holders))]
+		if s.random.IntN(2) == 0 {
+			holder.begin()
+		} else {
+			holder.releaseAndRestart()
+		}
+	case rapidRestarts:
+		// A vote must not be forgotten in between.
+		for i := range 6 {
+			s.schedule(time.Duration(i)*s.randomDuration(100, 400), func() {
+				victim.crash()
+				s.schedule(s.randomDuration(1, 20), victim.restart)
+			})
+		}
+	case diskWipe:
+		victim.wipe()
+	case replacement:
+		victim.replace()
+	case minorityDiskLoss:
+		s.loseMinorityAndPower()
+	case simultaneousReplacements:
+		// As many as the group survives are replaced at once.
+		if s.voters >= 3 && s.fullyRepaired() {
+			for _, each := range s.randomMachines((s.voters - 1) / 2) {
+				each.removeAndReplace()
+			}
+		}
+	}
+}
+
+// partitionOff separates one member from all others for a while, both ways or one way.
+func (s *simulation) partitionOff(victim *simulatedNode) {
+	way := s.random.IntN(3)
+	for _, other := range s.nodes {
+		if other == victim {
+			continue
+		}
+		if way != 0 {
+			s.partitioned[[2]int{victim.index, other.index}] = true
+		}
+		if way != 1 {
+			s.partitioned[[2]int{other.index, victim.index}] = true
+		}
+	}
+	s.schedule(s.randomDuration(500, 6000), func() { clear(s.partitioned) })
+}
+
 // wipe brings a machine back with an empty data folder: another member at the old address.
 func (n *simulatedNode) wipe() {
 	s := n.sim
--- a/process/consensus/replica/simulation_test.go
+++ b/process/consensus/replica/simulation_test.go
@@ -281,17 +281,17 @@
 
 // newFaultlessSimulation makes a group without random faults that has acknowledged something.
 func newFaultlessSimulation(t *testing.T, seed uint64, size int) *simulation {
-	s := newSimulation(t, seed, size, noDefect)
-	s.faultsEnabled, s.loss = false, 0
-	h := &simulatedLeaseHolder{sim: s, name: "holder", rate: 1}
-	s.holders = append(s.holders, h)
+	sim := newSimulation(t, seed, size, noDefect)
+	sim.faultsEnabled, sim.loss = false, 0
+	h := &simulatedLeaseHolder{sim: sim, name: "holder", rate: 1}
+	sim.holders = append(sim.holders, h)
 	h.begin()
-	s.scheduleOperator()
-	s.runFor(5 * time.Second)
-	if s.acks == 0 {
+	sim.scheduleOperator()
+	sim.runFor(5 * time.Second)
+	if sim.acks == 0 {
 		t.Fatal("the group acknowledges nothing")
 	}
-	return s
+	return sim
 }
 
 // runUntil runs until a condition holds, and returns how long that took.
--- a/process/consensus/replica/slow_link_test.go
+++ b/process/consensus/replica/slow_link_test.go
@@ -36,23 +36,23 @@
 	}{{10, 200 << 10, true}, {20, 200 << 10, false}} {
 		for _, first := range []faultKind{replacedAfterwards, returnsWithoutDisk} {
 			for victim := range 3 {
-				s := newFaultlessSimulation(t, 1, 3)
-				s.operatorsStopped, s.writeDuration = true, slowWriteDuration
-				s.runFor(time.Second)
-				s.fillLog(t, c.count, c.size)
-				s.linkBytesPerSecond, s.sentBytes = tenMegabitsPerSecond, 0
-				s.inject(first, s.presentMachines()[victim])
-				s.runFor(first.repairTime())
-				took := s.runUntil(60*time.Second, s.fullyRepaired)
-				t.Logf("%d kB of log, %s at %d: votes %v after its start, %d kB sent", c.count*c.size>>10, first, victim, took.Round(10*time.Millisecond), s.sentBytes>>10)
+				sim := newFaultlessSimulation(t, 1, 3)
+				sim.operatorsStopped, sim.writeDuration = true, slowWriteDuration
+				sim.runFor(time.Second)
+				sim.fillLog(t, c.count, c.size)
+				sim.linkBytesPerSecond, sim.sentBytes = tenMegabitsPerSecond, 0
+				sim.inject(first, sim.presentMachines()[victim])
+				sim.runFor(first.repairTime())
+				took := sim.runUntil(60*time.Second, sim.fullyRepaired)
+				t.Logf("%d kB of log, %s at %d: votes %v after its start, %d kB sent", c.count*c.size>>10, first, victim, took.Round(10*time.Millisecond), sim.sentBytes>>10)
 				if c.bounded && took > catchUpTime {
 					t.Errorf("%d kB of log, %s at %d: it votes only %v after its start", c.count*c.size>>10, first, victim, took)
 				}
-				if log := c.count * c.size; s.sentBytes > 2*log {
-					t.Errorf("%d kB of log, %s at %d: %d kB were sent for it", log>>10, first, victim, s.sentBytes>>10)
+				if log := c.count * c.size; sim.sentBytes > 2*log {
+					t.Errorf("%d kB of log, %s at %d: %d kB were sent for it", log>>10, first, victim, sim.sentBytes>>10)
 				}
-				if len(s.violations) > 0 {
-					t.Error(s.violations)
+				if len(sim.violations) > 0 {
+					t.Error(sim.violations)
 				}
 			}
 		}
@@ -73,18 +73,18 @@
 // lossBesideALearnerBehind suspends a follower while a new machine lags, loses the other as soon as the first is back,
 // and returns how long the group takes to recover.
 func lossBesideALearnerBehind(t *testing.T, seed uint64, rule membershipRule) time.Duration {
-	s := newFaultlessSimulation(t, seed, 3)
-	s.membershipRule, s.operatorsStopped, s.writeDuration = rule, true, slowWriteDuration
-	s.runFor(time.Second)
-	s.fillLog(t, 16, 380<<10)
-	s.linkBytesPerSecond = tenMegabitsPerSecond
-	here := s.presentMachines()
-	s.addMachine()
-	here[1].frozenUntil = s.now + clock.Mark(2500*time.Millisecond)
-	s.runFor(2700 * time.Millisecond)
+	sim := newFaultlessSimulation(t, seed, 3)
+	sim.membershipRule, sim.operatorsStopped, sim.writeDuration = rule, true, slowWriteDuration
+	sim.runFor(time.Second)
+	sim.fillLog(t, 16, 380<<10)
+	sim.linkBytesPerSecond = tenMegabitsPerSecond
+	here := sim.presentMachines()
+	sim.addMachine()
+	here[1].frozenUntil = sim.now + clock.Mark(2500*time.Millisecond)
+	sim.runFor(2700 * time.Millisecond)
 	here[2].removeForGood()
-	s.toggleClosure(true)
-	return s.recoveryTime(20 * time.Second)
+	sim.toggleClosure(true)
+	return sim.recoveryTime(20 * time.Second)
 }
 
 // If a learner that lacks megabytes were promoted, the group would have to wait for them after the next loss.
--- a/process/consensus/replica/snapshots_test.go
+++ b/process/consensus/replica/snapshots_test.go
@@ -33,13 +33,13 @@
 	for seed := range seeds {
 		size := []int{3, 5, 3}[seed%3]
 		shape := [][2]int{{25, 3}, {5, 1}, {12, 0}}[seed%3]
-		s := newFrequentlyCompactedSimulation(t, seed, size, shape[0], shape[1])
-		s.runHistory(60 * time.Second)
-		for _, violation := range s.violations {
+		sim := newFrequentlyCompactedSimulation(t, seed, size, shape[0], shape[1])
+		sim.runHistory(60 * time.Second)
+		for _, violation := range sim.violations {
 			t.Errorf("seed %d, %d members, cut after %d, %d kept: %s", seed, size, shape[0], shape[1], violation)
 		}
-		compared += s.digestsCompared
-		for kind, count := range s.notices {
+		compared += sim.digestsCompared
+		for kind, count := range sim.notices {
 			notices[kind] += count
 		}
 	}
@@ -54,28 +54,28 @@
 func TestSnapshotsDamagedInTransitAreRejected(t *testing.T) {
 	refused := 0
 	for seed := range seedCount(20) {
-		s := newFrequentlyCompactedSimulation(t, seed, 3, 10, 2)
-		s.damageSnapshot = func(m *raft.Message) {
-			if s.random.IntN(3) != 0 || len(m.Snapshot.Data) == 0 {
+		sim := newFrequentlyCompactedSimulation(t, seed, 3, 10, 2)
+		sim.damageSnapshot = func(m *raft.Message) {
+			if sim.random.IntN(3) != 0 || len(m.Snapshot.Data) == 0 {
 				return
 			}
 			changed := *m.Snapshot
 			changed.Data = slices.Clone(changed.Data)
 			if seed%2 == 0 {
 				// A byte of text altered, as only a checksum can detect.
-				changed.Data[s.random.IntN(len(changed.Data))] ^= 1
+				changed.Data[sim.random.IntN(len(changed.Data))] ^= 1
 			} else {
 				// As a build without checksums sends it, truncated.
-				changed.Checksum, changed.Data = nil, changed.Data[:s.random.IntN(len(changed.Data))]
+				changed.Checksum, changed.Data = nil, changed.Data[:sim.random.IntN(len(changed.Data))]
 				m.SnapshotSize = uint64(len(changed.Data))
 			}
 			m.Snapshot = &changed
 		}
-		s.runHistory(60 * time.Second)
-		for _, violation := range s.violations {
+		sim.runHistory(60 * time.Second)
+		for _, violation := range sim.violations {
 			t.Errorf("seed %d: %s", seed, violation)
 		}
-		refused += s.notices[raft.NoticeSnapshotRejected]
+		refused += sim.notices[raft.NoticeSnapshotRejected]
 	}
 	t.Logf("%d refused", refused)
 	if refused == 0 {
@@ -86,10 +86,10 @@
 // An injected defect: where checksums are left out, an altered state that can be read is detected by the digests.
 func TestDigestsCatchAlteredSnapshotsWithoutChecksum(t *testing.T) {
 	for seed := range uint64(60) {
-		s := newFaultlessSimulation(t, seed, 3)
-		s.resignationExpected = true
+		sim := newFaultlessSimulation(t, seed, 3)
+		sim.resignationExpected = true
 		changed := 0
-		s.damageSnapshot = func(m *raft.Message) {
+		sim.damageSnapshot = func(m *raft.Message) {
 			state, err := statemachine.Restore(m.Snapshot.Data)
 			if err != nil {
 				t.Fatal(err)
@@ -100,15 +100,15 @@
 			m.Snapshot, m.SnapshotSize = &other, uint64(len(other.Data))
 			changed++
 		}
-		victim := s.nodes[(s.leader().index+1)%3]
+		victim := sim.nodes[(sim.leader().index+1)%3]
 		victim.crash()
-		s.runFor(20 * time.Second)
+		sim.runFor(20 * time.Second)
 		victim.restart()
-		s.runUntil(5*time.Second, func() bool { return changed > 0 })
-		s.damageSnapshot = nil
-		s.runUntil(time.Minute, func() bool { return len(s.resigned) > 0 })
-		if changed > 0 && len(s.resigned) > 0 {
-			t.Logf("seed %d: %v resigned", seed, s.resigned)
+		sim.runUntil(5*time.Second, func() bool { return changed > 0 })
+		sim.damageSnapshot = nil
+		sim.runUntil(time.Minute, func() bool { return len(sim.resigned) > 0 })
+		if changed > 0 && len(sim.resigned) > 0 {
+			t.Logf("seed %d: %v resigned", seed, sim.resigned)
 			return
 		}
 	}
--- a/process/consensus/replica/soak_test.go
+++ b/process/consensus/replica/soak_test.go
@@ -16,60 +16,60 @@
 // 2,000 changes of a bundle of 3,000 routes, with restarts, wipes, leader changes and long absences, and a log that
 // is compacted after 25 entries.
 func TestThousandsOfConfigurationChanges(t *testing.T) {
-	s := newSoak(t, 1, 25, 3)
+	sim := newSoak(t, 1, 25, 3)
 	var found []soakMeasurement
 	for _, mark := range []int{0, 100, 500, 2000} {
-		s.run(mark, func() {
-			if s.changes%7 == 0 {
-				s.injectFault()
+		sim.run(mark, func() {
+			if sim.changes%7 == 0 {
+				sim.injectFault()
 			}
 		})
-		found = append(found, s.measure())
+		found = append(found, sim.measure())
 		t.Log(found[len(found)-1])
 	}
-	for _, fault := range append(growthViolations(found[2], found[3], 3), s.violations...) {
+	for _, fault := range append(growthViolations(found[2], found[3], 3), sim.violations...) {
 		t.Error(fault)
 	}
-	if s.notices[raft.NoticeStateDiffers] > 0 || s.notices[raft.NoticeSnapshotInstalled] < 20 {
-		t.Errorf("notices: %v", s.notices)
+	if sim.notices[raft.NoticeStateDiffers] > 0 || sim.notices[raft.NoticeSnapshotInstalled] < 20 {
+		t.Errorf("notices: %v", sim.notices)
 	}
-	t.Logf("%d crashes, %d wipes, %d digests compared, notices: %v", s.crashes, s.wipes, s.digestsCompared, s.notices)
+	t.Logf("%d crashes, %d wipes, %d digests compared, notices: %v", sim.crashes, sim.wipes, sim.digestsCompared, sim.notices)
 }
 
 // An injected defect: the growth of a log that is never compacted is caught.
 func TestSoakCheckerCatchesLogWithoutCompaction(t *testing.T) {
-	s := newSoak(t, 1, 1<<30, 3)
-	s.config.CompactBytes = 0
-	for _, n := range s.nodes {
+	sim := newSoak(t, 1, 1<<30, 3)
+	sim.config.CompactBytes = 0
+	for _, n := range sim.nodes {
 		n.core.config.CompactBytes = 0
 	}
-	s.run(20, func() {})
-	few := s.measure()
-	s.run(300, func() {})
-	if faults := growthViolations(few, s.measure(), 3); len(faults) == 0 {
+	sim.run(20, func() {})
+	few := sim.measure()
+	sim.run(300, func() {})
+	if faults := growthViolations(few, sim.measure(), 3); len(faults) == 0 {
 		t.Error("it was not seen")
 	}
 }
 
 // The same through the real store: one member's writes go to a data folder, which is reopened at each milestone.
 func TestThousandsOfConfigurationChangesInADataFolder(t *testing.T) {
-	s := newSoak(t, 2, 25, 3)
-	s.folder = t.TempDir()
-	member := s.nodes[0]
-	opened, err := store.Open(s.folder, func() raft.MemberID { return member.id })
+	sim := newSoak(t, 2, 25, 3)
+	sim.folder = t.TempDir()
+	member := sim.nodes[0]
+	opened, err := store.Open(sim.folder, func() raft.MemberID { return member.id })
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.stored = opened
-	defer func() { s.stored.Close() }()
+	sim.stored = opened
+	defer func() { sim.stored.Close() }()
 	// What the member holds already is written first.
 	first := raft.Save{HardState: member.disk.state.HardState, Snapshot: &member.disk.state.Snapshot, Entries: member.disk.state.Entries}
-	if err := s.stored.Write("group", first); err != nil {
+	if err := sim.stored.Write("group", first); err != nil {
 		t.Fatal(err)
 	}
 	member.onWrite = func(save raft.Save) {
-		s.writes++
-		if err := s.stored.Write("group", save); err != nil {
+		sim.writes++
+		if err := sim.stored.Write("group", save); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -79,21 +79,21 @@
 	}
 	var sizes []int64
 	for _, mark := range marks {
-		s.run(mark, func() {
-			if s.changes%7 == 0 && s.fullyRepaired() {
-				n := s.randomMachines(1)[0]
+		sim.run(mark, func() {
+			if sim.changes%7 == 0 && sim.fullyRepaired() {
+				n := sim.randomMachines(1)[0]
 				n.crash()
-				s.schedule(s.randomDuration(50, 8000), n.restart)
+				sim.schedule(sim.randomDuration(50, 8000), n.restart)
 			}
 		})
-		sizes = append(sizes, s.reopen(t, member))
+		sizes = append(sizes, sim.reopen(t, member))
 	}
 	// The file keeps the largest size it ever needed: an old and a new snapshot, and a log just before it is compacted.
 	most := 2*int64(len(member.core.state.Snapshot())+(25+3+1)*compressedBundleBytes*4/3) + 256<<10
 	if got := sizes[len(sizes)-1]; got > most {
 		t.Errorf("the folder's file is %d bytes long, and %d are enough", got, most)
 	}
-	for _, violation := range s.violations {
+	for _, violation := range sim.violations {
 		t.Error(violation)
 	}
 }
@@ -101,33 +101,33 @@
 // catchUpOverSlowLink has a wiped member catch up over 10 Mbit/s, and returns how long that took and how many leaders
 // were elected meanwhile.
 func catchUpOverSlowLink(t *testing.T, seed uint64, unchunked bool) (time.Duration, int) {
-	s := newSoak(t, seed, 25, 3)
-	s.run(300, func() {})
+	sim := newSoak(t, seed, 25, 3)
+	sim.run(300, func() {})
 	// A state whose transfer takes longer than one call may.
-	for _, n := range s.nodes {
+	for _, n := range sim.nodes {
 		n.core.state.DepartedEngines = nil
 		for number := range 130000 {
 			n.core.state.DepartedEngines = append(n.core.state.DepartedEngines, statemachine.DepartedEngine{Engine: ident.EngineID(fmt.Sprintf("i-%08x", number)), At: 1})
 		}
 	}
-	s.run(330, func() {})
-	s.linkBytesPerSecond, s.linkBusyUntil, s.unchunkedSnapshots = 10_000_000/8, map[int]clock.Mark{}, unchunked
-	s.runUntil(10*time.Second, s.fullyRepaired)
-	terms := len(s.leaderOf)
-	victim := s.nodes[(s.leader().index+1)%3]
+	sim.run(330, func() {})
+	sim.linkBytesPerSecond, sim.linkBusyUntil, sim.unchunkedSnapshots = 10_000_000/8, map[int]clock.Mark{}, unchunked
+	sim.runUntil(10*time.Second, sim.fullyRepaired)
+	terms := len(sim.leaderOf)
+	victim := sim.nodes[(sim.leader().index+1)%3]
 	victim.crash()
 	victim.wipeDisk()
 	victim.start()
 	// Small changes continue meanwhile.
-	s.scheduleOperator()
-	took := s.runUntil(time.Minute, s.fullyRepaired)
+	sim.scheduleOperator()
+	took := sim.runUntil(time.Minute, sim.fullyRepaired)
 	if seed == 0 {
-		t.Logf("a state of %d bytes", len(s.nodes[0].core.state.Snapshot()))
+		t.Logf("a state of %d bytes", len(sim.nodes[0].core.state.Snapshot()))
 	}
-	for _, violation := range s.violations {
+	for _, violation := range sim.violations {
 		t.Errorf("seed %d: %s", seed, violation)
 	}
-	return took, len(s.leaderOf) - terms
+	return took, len(sim.leaderOf) - terms
 }
 
 // Over 10 Mbit/s a wiped member votes again within a few seconds, and no election takes place. The counterexample is the
