--- a/connection/gateway/stream.go
+++ b/connection/gateway/stream.go
@@ -2,75 +2,65 @@
 
 import (
 	"bufio"
-	"bytes"
 	"errors"
 	"io"
-	"strconv"
-	"sync"
 
 	"github.com/cresspond/cresspond/process/engines/connectionpool"
 	"github.com/cresspond/cresspond/request/forwarding"
 )
 
-// errBroken makes the connection end without its last chunk, or short of the length that was said.
-var errBroken = errors.New("the answer is not whole")
+// errIncomplete makes the connection end without the last chunk, or short of the announced length.
+var errIncomplete = errors.New("the answer is not whole")
 
-// stream is an answer that is passed on as it comes.
-// A reader, not a writer: fasthttp ends a writer's stream with a clean last chunk whatever became of it.
+// stream is a response that is passed on as it comes. It is a reader, since fasthttp ends a writer's stream with a clean
+// last chunk whatever happened.
 type stream struct {
-	*flight
-	answer *connectionpool.Answer
+	*exchange
+	result *connectionpool.Result
 	length int
-	// pending is what goes on next.
-	pending []byte
-	events  *bufio.Reader
-	buffer  []byte
-	ended   bool
-	failed  bool
+	// pending is what is passed on next.
+	pending  []byte
+	events   *bufio.Reader
+	buffer   []byte
+	complete bool
+	failed   bool
 }
 
-// takeLong passes on an answer that is too large to be gathered first.
-func (f *flight) takeLong(answer *connectionpool.Answer, begun []byte) *stream {
-	f.begin()
+// streamBody passes on a response that is too large to be buffered.
+func (f *exchange) streamBody(result *connectionpool.Result, begun []byte) *stream {
+	f.responseBegun()
 	f.Counters.Streams.Add(1)
-	return &stream{flight: f, answer: answer, length: answer.Response().Header.ContentLength(), pending: begun}
+	return &stream{exchange: f, result: result, length: result.Response().Header.ContentLength(), pending: begun}
 }
 
-// begin notes that bytes of an answer go on from now.
-func (f *flight) begin() {
-	if f.begun.CompareAndSwap(false, true) {
-		f.actor.ResponseBegun(f.record)
+// responseBegun reports that bytes of a response are passed on from now on.
+func (f *exchange) responseBegun() {
+	if f.hasBegun.CompareAndSwap(false, true) {
+		f.actor.ResponseBegun(f.request)
 	}
 }
 
-const (
-	eventBuffer = 4 << 10
-	// mostEvent bounds one event, so that one without end is cut off.
-	mostEvent = 256 << 10
-)
-
-var eventReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, eventBuffer) }}
-
-// takeEvents waits for the first event, since until then nothing is promised to the caller.
-func (f *flight) takeEvents(answer *connectionpool.Answer) (*stream, forwarding.Outcome) {
-	s := &stream{flight: f, answer: answer, length: -1, events: eventReaders.Get().(*bufio.Reader)}
-	s.events.Reset(answer)
-	err := s.nextEvent()
+// streamEvents waits for the first event; until then another attempt could still be made.
+func (f *exchange) streamEvents(result *connectionpool.Result) (*stream, forwarding.Outcome) {
+	s := &stream{exchange: f, result: result, length: -1, events: eventReaders.Get().(*bufio.Reader)}
+	s.events.Reset(result)
+	err := s.readEvents()
 	if err == nil {
-		f.firstByte(answer.Response().StatusCode())
+		f.recordFirstByte(result.Response().StatusCode())
 	}
-	if err != nil && !(err == io.EOF && len(s.pending) == 0 && answer.Whole()) {
+	if err != nil && !(err == io.EOF && len(s.pending) == 0 && result.Complete()) {
 		s.release()
-		answer.Close()
+		result.Close()
 		return nil, forwarding.OutcomeResponseLost
 	}
-	f.copyHead(answer)
-	s.ended = err == io.EOF
-	f.begin()
+	f.copyHeader(result)
+	s.complete = err == io.EOF
+	f.responseBegun()
 	f.Counters.Streams.Add(1)
 	return s, forwarding.OutcomeCompleted
 }
 
+// release returns the event reader.
 func (s *stream) release() {
 	if s.events != nil {
 		s.events.Reset(nil)
@@ -79,33 +69,33 @@
 	}
 }
 
-// Read gives what goes on next: whole events, as many as have come.
+// Read gives what is passed on next: complete events, as many as have come.
 func (s *stream) Read(p []byte) (int, error) {
 	for len(s.pending) == 0 {
 		if s.failed {
-			return 0, errBroken
+			return 0, errIncomplete
 		}
-		if s.ended {
+		if s.complete {
 			return 0, io.EOF
 		}
 		var err error
 		if s.events == nil {
 			var n int
-			n, err = s.answer.Read(p)
+			n, err = s.result.Read(p)
 			if n > 0 {
 				// A failure shows again at the next read.
 				return n, nil
 			}
 		} else {
-			asked := s.Clock.Elapsed()
-			err = s.nextEvent()
+			readStarted := s.Clock.Elapsed()
+			err = s.readEvents()
 			now := s.Clock.Elapsed()
-			s.record.Observed.LongestEventGap = max(s.record.Observed.LongestEventGap, now.Since(asked))
-			s.came(asked, now, err)
+			s.request.Observed.LongestEventGap = max(s.request.Observed.LongestEventGap, now.Since(readStarted))
+			s.recordEventGap(readStarted, now, err)
 		}
 		switch {
 		case err == io.EOF:
-			s.ended = true
+			s.complete = true
 		case err != nil && !s.resume():
 			s.failed = true
 		}
@@ -115,131 +105,54 @@
 	return n, nil
 }
 
-// Close ends the answer, whatever became of it.
+// Close ends the response and reports its outcome.
 func (s *stream) Close() error {
 	s.release()
 	switch {
 	case s.failed:
 		// The end was reported when it was found.
 		s.Counters.StreamsBroken.Add(1)
-	case s.ended:
-		s.answer.Close()
-		s.Counters.StreamsWhole.Add(1)
-		s.actor.AttemptEnded(s.record, forwarding.OutcomeCompleted, s.lastEvent)
+	case s.complete:
+		s.result.Close()
+		s.Counters.StreamsCompleted.Add(1)
+		s.actor.AttemptEnded(s.request, forwarding.OutcomeCompleted, s.lastEvent)
 	default:
 		// The caller could not be written to, so nobody needs the rest.
 		s.Counters.CallersLeft.Add(1)
-		s.answer.Close()
-		s.actor.AttemptEnded(s.record, forwarding.OutcomeCallerLeft, s.lastEvent)
+		s.result.Close()
+		s.actor.AttemptEnded(s.request, forwarding.OutcomeCallerLeft, s.lastEvent)
 	}
-	s.done()
+	s.finish()
 	return nil
 }
 
-var (
-	errOrder   = errors.New("the engine's events are not in order")
-	errEndless = errors.New("the engine sent an event without end")
-	errPart    = errors.New("the engine's stream ended within an event")
-)
-
-// nextEvent reads events until one is whole, and those that came with it.
-func (s *stream) nextEvent() error {
-	s.buffer = s.buffer[:0]
-	whole := 0
-	last := s.lastEvent
-	for {
-		line, err := s.events.ReadSlice('\n')
-		s.buffer = append(s.buffer, line...)
-		switch {
-		case err == bufio.ErrBufferFull && len(s.buffer) <= mostEvent:
-			continue
-		case len(s.buffer)-whole > mostEvent:
-			return errEndless
-		case err == io.EOF && len(s.buffer) == whole:
-			return io.EOF
-		case err == io.EOF:
-			return errPart
-		case err != nil:
-			return err
-		}
-		if len(bytes.TrimRight(line, "\r\n")) > 0 {
-			continue
-		}
-		id, found := eventID(s.buffer[whole:])
-		if found && !follows(id, last) {
-			return errOrder
-		}
-		if found {
-			last = id
-		}
-		whole = len(s.buffer)
-		s.Counters.Events.Add(1)
-		// Another one goes along only if it is here whole already.
-		if buffered := s.events.Buffered(); buffered > 0 && whole < eventBuffer {
-			ahead, _ := s.events.Peek(buffered)
-			if bytes.Contains(ahead, []byte("\n\n")) || bytes.Contains(ahead, []byte("\n\r\n")) {
-				continue
-			}
-		}
-		s.pending, s.lastEvent = s.buffer, last
-		if last != "" && !s.named.Load() {
-			s.named.Store(true)
-		}
-		return nil
-	}
-}
-
-// eventID is the id that an event bears.
-func eventID(event []byte) (string, bool) {
-	for line := range bytes.Lines(event) {
-		if rest, found := bytes.CutPrefix(line, []byte("id:")); found {
-			return string(bytes.TrimSpace(rest)), true
-		}
-	}
-	return "", false
-}
-
-// follows says whether an event's id may come after the last one.
-func follows(id, last string) bool {
-	if last == "" {
-		return true
-	}
-	was, err := strconv.ParseUint(last, 10, 64)
-	is, wrong := strconv.ParseUint(id, 10, 64)
-	if err != nil || wrong != nil {
-		// Ids that are no numbers are known to differ, and no more.
-		return id != last
-	}
-	return is > was
-}
-
-// resume takes a stream that broke off up at another engine, within the same answer.
+// resume continues a stream that broke off at another engine, within the same response.
 func (s *stream) resume() bool {
-	s.answer.Close()
+	s.result.Close()
 	if s.events == nil {
-		s.report(forwarding.OutcomeStreamBroken)
+		s.reportOutcome(forwarding.OutcomeStreamBroken)
 		return false
 	}
 	outcome := forwarding.OutcomeStreamBroken
 	for {
-		step := s.report(outcome)
+		step := s.reportOutcome(outcome)
 		if step.Attempt == nil {
 			return false
 		}
-		answer := s.attempt(step.Attempt)
-		outcome = outcomeOf(answer.Outcome)
-		if answer.Outcome != connectionpool.Answered {
+		result := s.sendAttempt(step.Attempt)
+		outcome = outcomeOf(result.Outcome)
+		if result.Outcome != connectionpool.OutcomeAnswered {
 			continue
 		}
-		if status := answer.Response().StatusCode(); status != 200 || !answer.Head.Sealed || !answer.Head.Events {
+		if status := result.Response().StatusCode(); status != 200 || !result.Header.Sealed || !result.Header.Events {
 			// The answer that has begun can't become another one.
-			answer.Close()
+			result.Close()
 			outcome = forwarding.OutcomeResponseLost
 			continue
 		}
 		s.Counters.Resumed.Add(1)
-		s.answer = answer
-		s.events.Reset(answer)
+		s.result = result
+		s.events.Reset(result)
 		return true
 	}
 }
--- a/testbed/journal/journal.go
+++ b/testbed/journal/journal.go
@@ -1,4 +1,4 @@
-// Package journal is what the stand-in engines write down, so that the checker can judge a run by its history.
+// Package journal is the log of events that simulated engines write, from which the checker checks a run.
 package journal
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/cresspond/cresspond/clock"
 )
 
-// Kind names a line.
+// Kind is the kind of a line.
 type Kind string
 
 const (
@@ -35,7 +35,7 @@
 	LoadBegin Kind = "load-begin"
 	// LoadEnd: a model is loaded.
 	LoadEnd Kind = "load-end"
-	// Leaving: the engine was asked to empty itself.
+	// Leaving: the engine was asked to drain.
 	Leaving Kind = "leaving"
 )
 
@@ -50,7 +50,7 @@
 	Model   string        `json:"model,omitempty"`
 	Adapter string        `json:"adapter,omitempty"`
 	Session string        `json:"session,omitempty"`
-	Pieces  int           `json:"pieces,omitempty"`
+	Chunks  int           `json:"pieces,omitempty"`
 	Reason  string        `json:"reason,omitempty"`
 	Stamp   string        `json:"stamp,omitempty"`
 	Claim   uint64        `json:"claim,omitempty"`
@@ -74,11 +74,11 @@
 }
 
 // Write appends one line.
-func (w *Writer) Write(line Line) {
+func (w *Writer) Write(entry Line) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	line.At, line.Engine = Now(), w.engine
-	data, err := json.Marshal(line)
+	entry.At, entry.Engine = Now(), w.engine
+	data, err := json.Marshal(entry)
 	if err != nil {
 		panic("broken invariant: a journal line cannot be encoded: " + err.Error())
 	}
@@ -87,7 +87,7 @@
 	}
 }
 
-// Read reads a whole journal.
+// Read reads a complete journal.
 func Read(path string) ([]Line, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -98,11 +98,11 @@
 	scanner := bufio.NewScanner(file)
 	scanner.Buffer(nil, 1<<20)
 	for scanner.Scan() {
-		var line Line
-		if err := json.Unmarshal(scanner.Bytes(), &line); err != nil {
+		var entry Line
+		if err := json.Unmarshal(scanner.Bytes(), &entry); err != nil {
 			return nil, err
 		}
-		lines = append(lines, line)
+		lines = append(lines, entry)
 	}
 	return lines, scanner.Err()
 }
--- a/testbed/scenario/loss.go
+++ b/testbed/scenario/loss.go
@@ -29,7 +29,7 @@
 	return true
 }
 
-func (r *Run) awaitWhole() error { return r.Await("the group has all its voters", r.whole) }
+func (r *Run) awaitAllMembers() error { return r.Await("the group has all its voters", r.whole) }
 
 // lose ends a core daemon and its disk.
 func (r *Run) lose(p *fleet.Process) error {
@@ -37,7 +37,7 @@
 	return r.Fleet.Wipe(p)
 }
 
-// Loss loses disks and machines in every way that the brief names.
+// Loss loses disks and machines in every way that the fault model names.
 func (r *Run) Loss(ctx context.Context, scale float64) (map[string]uint64, error) {
 	l := &losses{Run: r, cores: r.cores(), epoch: 1}
 	return r.underLoad(ctx, scale, func() error {
@@ -59,7 +59,7 @@
 type losses struct {
 	*Run
 	cores []*fleet.Process
-	// epoch is the one that the next bundle builds on.
+	// epoch is the one that the next bundle is based on.
 	epoch uint64
 }
 
@@ -76,7 +76,7 @@
 		func() error { return l.lose(l.cores[0]) },
 		l.cores[0].Start,
 		func() error { return l.roll("after-wipe") },
-		l.awaitWhole,
+		l.awaitAllMembers,
 	)
 }
 
@@ -87,14 +87,14 @@
 		func() error { return l.Fleet.Move(l.cores[1]) },
 		l.cores[1].Start,
 		func() error { return l.roll("after-move") },
-		l.awaitWhole,
+		l.awaitAllMembers,
 	)
 }
 
 func (l *losses) wipeOthersInTurn() error {
 	l.Say("the other two are wiped in turn, so that no disk is left that formed the group")
 	for _, p := range []*fleet.Process{l.cores[2], l.cores[0]} {
-		if err := inTurn(func() error { return l.lose(p) }, p.Start, l.awaitWhole); err != nil {
+		if err := inTurn(func() error { return l.lose(p) }, p.Start, l.awaitAllMembers); err != nil {
 			return err
 		}
 	}
@@ -109,11 +109,11 @@
 	for _, p := range l.Fleet.Daemons {
 		p.Kill()
 	}
-	l.Act(checker.Act{Kind: checker.Crashed, Subject: "core, all at once"})
+	l.Record(checker.Action{Kind: checker.Crashed, Subject: "core, all at once"})
 	if err := startAll(l.Fleet.Daemons); err != nil {
 		return err
 	}
-	if err := inTurn(func() error { return l.roll("after-all") }, l.awaitAllReady, l.awaitWhole); err != nil {
+	if err := inTurn(func() error { return l.roll("after-all") }, l.awaitAllReady, l.awaitAllMembers); err != nil {
 		return err
 	}
 	l.Pause(2 * time.Second)
@@ -121,7 +121,7 @@
 }
 
 // loseMajority loses two disks for good and recovers the group. With every other seed no disk is left at all: the
-// living daemons, none older than the last epochs, hold all that was.
+// running daemons, none older than the last versions, have all that was acknowledged.
 func (l *losses) loseMajority() error {
 	noneLeft := l.Seed%2 == 1
 	l.Say("two disks are lost for good, and the third too: %t; the group is recovered from what is left and the living daemons", noneLeft)
@@ -146,7 +146,7 @@
 	if err := startAll(l.cores); err != nil {
 		return err
 	}
-	if err := inTurn(func() error { return l.roll("after-recovery") }, l.awaitWhole, l.awaitAllReady); err != nil {
+	if err := inTurn(func() error { return l.roll("after-recovery") }, l.awaitAllMembers, l.awaitAllReady); err != nil {
 		return err
 	}
 	l.Pause(4 * time.Second)
