--- a/daemon/changetrace.go
+++ b/daemon/changetrace.go
@@ -7,7 +7,9 @@
 	"strings"
 	"time"
 
+	"github.com/cresspond/cresspond/clock"
 	"github.com/cresspond/cresspond/ident"
+	"github.com/cresspond/cresspond/process/cluster/membership"
 	"github.com/cresspond/cresspond/process/rollout"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
@@ -35,32 +37,10 @@
 	now := d.clock.Elapsed()
 	unseen := newest.Serving
 	for _, peer := range d.members.View().InContact(now, time.Minute) {
-		row := operatorapi.TraceRow{
-			NodeID:           peer.NodeID,
-			Zone:             peer.Zone,
-			LastContactMsAgo: now.Since(peer.LastContact).Milliseconds(),
-		}
+		row := traceRow(peer, change, kind, number, now)
 		if at := slices.Index(unseen, peer.NodeID); at >= 0 {
 			row.Serving, unseen = true, slices.Delete(unseen, at, at+1)
 		}
-		for _, step := range peer.Steps {
-			if step.Change != change {
-				continue
-			}
-			switch step.Step {
-			case rollout.Learned:
-				row.LearnedMs = step.UnixMs
-			case rollout.Built:
-				row.BuiltMs = step.UnixMs
-			case rollout.InForce:
-				row.InForceMs = step.UnixMs
-			}
-		}
-		appliedVersion := peer.ConfigurationVersion
-		if kind == "closure" {
-			appliedVersion = peer.ClosureVersion
-		}
-		row.Missing = uint64(appliedVersion) < number
 		out.Rows = append(out.Rows, row)
 	}
 	for _, node := range unseen {
@@ -80,3 +60,31 @@
 	}
 	return data
 }
+
+// traceRow returns what a peer has told of one change: of kind "spec" or "closure", and a version number.
+func traceRow(peer membership.Member, change, kind string, number uint64, now clock.Mark) operatorapi.TraceRow {
+	row := operatorapi.TraceRow{
+		NodeID:           peer.NodeID,
+		Zone:             peer.Zone,
+		LastContactMsAgo: now.Since(peer.LastContact).Milliseconds(),
+	}
+	for _, step := range peer.Steps {
+		if step.Change != change {
+			continue
+		}
+		switch step.Step {
+		case rollout.Learned:
+			row.LearnedMs = step.UnixMs
+		case rollout.Built:
+			row.BuiltMs = step.UnixMs
+		case rollout.InForce:
+			row.InForceMs = step.UnixMs
+		}
+	}
+	appliedVersion := peer.ConfigurationVersion
+	if kind == "closure" {
+		appliedVersion = peer.ClosureVersion
+	}
+	row.Missing = uint64(appliedVersion) < number
+	return row
+}
--- a/daemon/noderanking/page.go
+++ b/daemon/noderanking/page.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 
+	"github.com/cresspond/cresspond/configuration/closure"
 	"github.com/cresspond/cresspond/ident"
 	"github.com/cresspond/cresspond/process/engines/nodehealth"
 	"github.com/cresspond/cresspond/wire/operatorapi"
@@ -52,37 +53,7 @@
 		if !known {
 			return
 		}
-		row := rows[id]
-		node := operatorapi.Node{
-			Engine:    id,
-			Pool:      engine.Pool,
-			Zone:      engine.Zone,
-			Stage:     row.Stage.String(),
-			SinceMs:   row.Since.Milliseconds(),
-			Score:     round(row.Score),
-			Value:     row.Value,
-			Others:    row.PeerValue,
-			Samples:   row.Samples,
-			Observers: row.Observers,
-			SlowPaths: row.SlowZones,
-			Closed:    !engine.Open,
-		}
-		if row.Samples > 0 {
-			node.Kind = row.Kind.String()
-		}
-		if row.Refusal != nodehealth.Allowed {
-			node.Refusal = row.Refusal.String()
-		}
-		if closure, closed := table.Closures.Engines[id]; closed {
-			node.ClosedBy = closure.Operator
-			if closure.Ranking != nil {
-				node.ClosedReason = closure.Ranking.Reason
-			}
-		}
-		if closure, protected := table.Closures.Protected[id]; protected {
-			node.ProtectedBy = closure.Operator
-		}
-		page.Nodes = append(page.Nodes, node)
+		page.Nodes = append(page.Nodes, pageRow(engine, rows[id], table.Closures))
 	}
 	for _, row := range ranked {
 		add(row.Engine)
@@ -99,6 +70,40 @@
 	query.reply <- page
 }
 
+// pageRow returns the row of one engine; row is empty for an engine that is not ranked.
+func pageRow(engine nodehealth.Engine, row nodehealth.Row, closures closure.Set) operatorapi.Node {
+	node := operatorapi.Node{
+		Engine:    engine.ID,
+		Pool:      engine.Pool,
+		Zone:      engine.Zone,
+		Stage:     row.Stage.String(),
+		SinceMs:   row.Since.Milliseconds(),
+		Score:     round(row.Score),
+		Value:     row.Value,
+		Others:    row.PeerValue,
+		Samples:   row.Samples,
+		Observers: row.Observers,
+		SlowPaths: row.SlowZones,
+		Closed:    !engine.Open,
+	}
+	if row.Samples > 0 {
+		node.Kind = row.Kind.String()
+	}
+	if row.Refusal != nodehealth.Allowed {
+		node.Refusal = row.Refusal.String()
+	}
+	if closure, closed := closures.Engines[engine.ID]; closed {
+		node.ClosedBy = closure.Operator
+		if closure.Ranking != nil {
+			node.ClosedReason = closure.Ranking.Reason
+		}
+	}
+	if closure, protected := closures.Protected[engine.ID]; protected {
+		node.ProtectedBy = closure.Operator
+	}
+	return node
+}
+
 // holdsLease says whether this daemon is the planner now.
 func (r *Ranking) holdsLease() bool {
 	_, leased := r.host.PlannerLease()
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -6,11 +6,16 @@
 	"strings"
 	"time"
 
+	"github.com/cresspond/cresspond/clock"
+	"github.com/cresspond/cresspond/configuration/routingtable"
 	"github.com/cresspond/cresspond/process/consensus/raft"
 	"github.com/cresspond/cresspond/process/daemonconfig"
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
+// peerStatusWindow is how recent the last contact with a peer must be for the status page to list it.
+const peerStatusWindow = 30 * time.Second
+
 // Status returns this daemon's status page.
 func (d *Daemon) Status() operatorapi.Status {
 	now := d.clock.Elapsed()
@@ -24,8 +29,6 @@
 		NotReady: why,
 		Group:    d.Group(),
 		Leader:   d.leaderAddress(),
-		Peers:    []operatorapi.Peer{},
-		Engines:  []operatorapi.Engine{},
 	}
 	table := d.rollout.Table()
 	if table != nil {
@@ -39,29 +42,7 @@
 		number := int64(worker)
 		out.WorkerID = &number
 	}
-	if groupMember := d.replica.Load(); groupMember != nil {
-		condition := groupMember.Status()
-		out.Raft = &operatorapi.RaftStatus{
-			Role:        condition.Role.String(),
-			Term:        uint64(condition.Term),
-			Commit:      uint64(condition.CommitIndex),
-			Stalled:     condition.DiskStalled,
-			Applied:     uint64(condition.AppliedIndex),
-			StateDigest: digestText(condition.Digest),
-		}
-		if folder := d.dataFolder(); folder != nil {
-			self, _ := condition.Membership.Find(folder.MemberID)
-			out.Raft.Voter = self.Voter
-		}
-		for _, member := range condition.Membership.Members {
-			out.Raft.Members = append(out.Raft.Members, operatorapi.RaftMember{
-				Name:    member.Name,
-				Address: member.Address,
-				Voter:   member.Voter,
-				Differs: slices.Contains(condition.DivergentMembers, member.ID),
-			})
-		}
-	}
+	out.Raft = d.raftStatus()
 	if d.config.Serves(daemonconfig.Placement) {
 		condition := d.sessionPlacer.Status()
 		out.Planner = &operatorapi.PlannerStatus{
@@ -70,8 +51,46 @@
 			PendingOrders: condition.PendingOrders,
 		}
 	}
-	for _, peer := range d.members.View().InContact(now, 30*time.Second) {
-		out.Peers = append(out.Peers, operatorapi.Peer{
+	out.Peers = d.peerStatus(now)
+	out.Engines = d.engineStatus(table)
+	return out
+}
+
+// raftStatus returns this daemon's view of the control group; nil where its member does not run.
+func (d *Daemon) raftStatus() *operatorapi.RaftStatus {
+	groupMember := d.replica.Load()
+	if groupMember == nil {
+		return nil
+	}
+	condition := groupMember.Status()
+	out := &operatorapi.RaftStatus{
+		Role:        condition.Role.String(),
+		Term:        uint64(condition.Term),
+		Commit:      uint64(condition.CommitIndex),
+		Stalled:     condition.DiskStalled,
+		Applied:     uint64(condition.AppliedIndex),
+		StateDigest: digestText(condition.Digest),
+	}
+	if folder := d.dataFolder(); folder != nil {
+		self, _ := condition.Membership.Find(folder.MemberID)
+		out.Voter = self.Voter
+	}
+	for _, member := range condition.Membership.Members {
+		out.Members = append(out.Members, operatorapi.RaftMember{
+			Name:    member.Name,
+			Address: member.Address,
+			Voter:   member.Voter,
+			Differs: slices.Contains(condition.DivergentMembers, member.ID),
+		})
+	}
+	return out
+}
+
+// peerStatus lists the peers that were in contact lately.
+func (d *Daemon) peerStatus(now clock.Mark) []operatorapi.Peer {
+	out := []operatorapi.Peer{}
+	for _, peer := range d.members.View().InContact(now, peerStatusWindow) {
+		out = append(out, operatorapi.Peer{
 			NodeID:               peer.NodeID,
 			Address:              peer.Address,
 			Zone:                 peer.Zone,
@@ -82,6 +101,12 @@
 			Ready:                peer.Ready,
 		})
 	}
+	return out
+}
+
+// engineStatus lists the engines of the platform's list, by id; table is the one in force, or nil.
+func (d *Daemon) engineStatus(table *routingtable.Table) []operatorapi.Engine {
+	out := []operatorapi.Engine{}
 	for _, engine := range d.watcher.View().Engines {
 		row := operatorapi.Engine{
 			ID:        engine.ID,
@@ -96,9 +121,9 @@
 		for _, loaded := range engine.Report.Models {
 			row.Models = append(row.Models, loaded.Model+":"+string(loaded.State))
 		}
-		out.Engines = append(out.Engines, row)
+		out = append(out, row)
 	}
-	slices.SortFunc(out.Engines, func(a, b operatorapi.Engine) int { return strings.Compare(string(a.ID), string(b.ID)) })
+	slices.SortFunc(out, func(a, b operatorapi.Engine) int { return strings.Compare(string(a.ID), string(b.ID)) })
 	return out
 }
 
