--- a/daemon/calllimits_test.go
+++ b/daemon/calllimits_test.go
@@ -58,6 +58,48 @@
 	return nil, request.Context().Err()
 }
 
+// startGroup runs a group of three until ctx ends, and returns its members, a switch for each that partitions it, and the
+// leader.
+func startGroup(ctx context.Context, t *testing.T, now virtualClock, group ident.GroupID) (
+	all map[raft.MemberID]*replica.Replica, partitioned map[raft.MemberID]*atomic.Bool, leader raft.MemberID,
+) {
+	t.Helper()
+	var members raft.Membership
+	for id := range raft.MemberID(3) {
+		members.Members = append(members.Members, raft.Member{
+			ID:      id + 1,
+			Name:    fmt.Sprint("core-", id+1),
+			Address: fmt.Sprint("core-", id+1),
+			Voter:   true,
+		})
+	}
+	first := raft.PersistentState{
+		HardState: raft.HardState{Term: 1},
+		Snapshot:  raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: statemachine.New().Snapshot()},
+	}
+	all, partitioned = map[raft.MemberID]*replica.Replica{}, map[raft.MemberID]*atomic.Bool{}
+	for _, member := range members.Members {
+		partitioned[member.ID] = &atomic.Bool{}
+		made, err := replica.New(member, group, first, replica.DefaultConfig(), now, discardDisk{}, memoryNetwork{all, partitioned, member.ID})
+		if err != nil {
+			t.Fatal(err)
+		}
+		all[member.ID] = made
+	}
+	for _, member := range all {
+		go member.Run(ctx)
+	}
+	for leader == 0 {
+		<-time.After(replica.TickInterval)
+		for id, member := range all {
+			if member.Status().IsLeader {
+				leader = id
+			}
+		}
+	}
+	return all, partitioned, leader
+}
+
 // inGroup makes a daemon one of a group of three, its leader or another, and partitions it from the others. check is
 // then called with the daemon.
 func inGroup(t *testing.T, leads bool, check func(t *testing.T, d *Daemon, measure func(call func()) time.Duration)) {
@@ -67,40 +109,7 @@
 		defer cancel()
 		now := virtualClock{time.Now()}
 		const group = ident.GroupID("aa")
-		var members raft.Membership
-		for id := range raft.MemberID(3) {
-			members.Members = append(members.Members, raft.Member{
-				ID:      id + 1,
-				Name:    fmt.Sprint("core-", id+1),
-				Address: fmt.Sprint("core-", id+1),
-				Voter:   true,
-			})
-		}
-		first := raft.PersistentState{
-			HardState: raft.HardState{Term: 1},
-			Snapshot:  raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: statemachine.New().Snapshot()},
-		}
-		all, partitioned := map[raft.MemberID]*replica.Replica{}, map[raft.MemberID]*atomic.Bool{}
-		for _, member := range members.Members {
-			partitioned[member.ID] = &atomic.Bool{}
-			made, err := replica.New(member, group, first, replica.DefaultConfig(), now, discardDisk{}, memoryNetwork{all, partitioned, member.ID})
-			if err != nil {
-				t.Fatal(err)
-			}
-			all[member.ID] = made
-		}
-		for _, member := range all {
-			go member.Run(ctx)
-		}
-		leader := raft.MemberID(0)
-		for leader == 0 {
-			<-time.After(replica.TickInterval)
-			for id, member := range all {
-				if member.Status().IsLeader {
-					leader = id
-				}
-			}
-		}
+		all, partitioned, leader := startGroup(ctx, t, now, group)
 		// All members know the leader before the partition.
 		<-time.After(5 * replica.TickInterval)
 		self := leader
--- a/daemon/ownership/attempt_test.go
+++ b/daemon/ownership/attempt_test.go
@@ -30,6 +30,43 @@
 	return view
 }
 
+// changeFleet has some daemons of a view fail, drain or join by now, and returns the addresses of those that failed. The
+// daemon that queries later does not fail.
+func changeFleet(view *membership.View, random *rand.Rand, now clock.Mark) (dead map[string]bool) {
+	dead = map[string]bool{}
+	ids := make([]ident.NodeID, 0, len(view.Members))
+	for id := range view.Members {
+		ids = append(ids, id)
+	}
+	slices.Sort(ids)
+	for _, id := range ids {
+		peer := view.Members[id]
+		peer.LastContact = now
+		switch random.IntN(4) {
+		case 0:
+			if id != "d1#1" {
+				peer.LastContact = minute
+				dead[peer.Address] = true
+			}
+		case 1:
+			peer.Ready = random.IntN(3) > 0
+		}
+		view.Members[id] = peer
+	}
+	for i := range random.IntN(3) {
+		id := ident.NodeID(fmt.Sprintf("new%d#1", i))
+		view.Members[id] = membership.Member{
+			NodeID:      id,
+			Address:     fmt.Sprintf("10.0.1.%d:1", i),
+			Roles:       []string{"route"},
+			LastContact: now,
+			Ready:       true,
+		}
+	}
+	view.LastLeaderContact = now
+	return dead
+}
+
 // TestLaterAttemptQueryMeetsAnInformedOwnerOrIsUncertain: one daemon records an attempt at its owners, then daemons
 // fail, drain or join, and another daemon queries. It must query a live owner that has the record, or have no owner
 // that counts as informed.
@@ -40,38 +77,8 @@
 		view := fleetOf(2 + random.IntN(10))
 		attempt := fmt.Sprint("attempt-", seed)
 		written := OfAttempt(attempt, view, minute, "10.0.0.0:1").Query
-		dead := map[string]bool{}
-		ids := make([]ident.NodeID, 0, len(view.Members))
-		for id := range view.Members {
-			ids = append(ids, id)
-		}
-		slices.Sort(ids)
 		now := minute + clock.Mark(sinceContact)
-		for _, id := range ids {
-			peer := view.Members[id]
-			peer.LastContact = now
-			switch random.IntN(4) {
-			case 0:
-				if id != "d1#1" {
-					peer.LastContact = minute
-					dead[peer.Address] = true
-				}
-			case 1:
-				peer.Ready = random.IntN(3) > 0
-			}
-			view.Members[id] = peer
-		}
-		for i := range random.IntN(3) {
-			id := ident.NodeID(fmt.Sprintf("new%d#1", i))
-			view.Members[id] = membership.Member{
-				NodeID:      id,
-				Address:     fmt.Sprintf("10.0.1.%d:1", i),
-				Roles:       []string{"route"},
-				LastContact: now,
-				Ready:       true,
-			}
-		}
-		view.LastLeaderContact = now
+		dead := changeFleet(view, random, now)
 		later := OfAttempt(attempt, view, now, "10.0.0.1:1")
 		knows, meets := false, false
 		for _, owner := range later.Query {
