--- a/process/consensus/compatibility/stored_test.go
+++ b/process/consensus/compatibility/stored_test.go
@@ -28,7 +28,7 @@
 	SnapshotBytes int             `json:"snapshotBytes"`
 	Membership    json.RawMessage `json:"membership"`
 	Entries       []entryShape    `json:"entries"`
-	Epoch         uint64          `json:"epoch"`
+	Version       uint64          `json:"epoch"`
 	State         json.RawMessage `json:"state"`
 }
 
@@ -82,7 +82,7 @@
 		Term: uint64(restored.HardState.Term), Vote: uint64(restored.HardState.Vote),
 		SnapshotIndex: uint64(restored.Snapshot.Index), SnapshotTerm: uint64(restored.Snapshot.Term),
 		SnapshotBytes: len(restored.Snapshot.Data), Membership: restored.Snapshot.Membership.Encode(),
-		Epoch: uint64(state.Version()), State: state.Snapshot(),
+		Version: uint64(state.Version()), State: state.Snapshot(),
 	}
 	for _, entry := range restored.Entries {
 		member.Entries = append(member.Entries, entryShape{uint64(entry.Index), uint64(entry.Term), uint64(entry.Kind), uint64(len(entry.Data))})
@@ -138,24 +138,24 @@
 
 // storedContent is what a stored folder has to contain, so that the comparison above proves something.
 type storedContent struct {
-	epoch, closureEpoch uint64
-	closedZones         int
-	compacted           bool
+	version, closuresVersion uint64
+	closedZones              int
+	compacted                bool
 }
 
 func TestStoredFoldersContainRealState(t *testing.T) {
 	for name, want := range map[string]storedContent{
-		"log-since-formation": {epoch: 2, closureEpoch: 1, closedZones: 1},
-		"snapshot-and-log":    {epoch: 2, closureEpoch: 1, closedZones: 1, compacted: true},
-		"applied-bundles":     {epoch: 3},
+		"log-since-formation": {version: 2, closuresVersion: 1, closedZones: 1},
+		"snapshot-and-log":    {version: 2, closuresVersion: 1, closedZones: 1, compacted: true},
+		"applied-bundles":     {version: 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			stored := expectedMember(t, filepath.Join("testdata", name))
 			var state struct {
 				History  []string `json:"history"`
 				Closures struct {
-					Epoch uint64                     `json:"epoch"`
-					Zones map[string]json.RawMessage `json:"zones"`
+					Version uint64                     `json:"epoch"`
+					Zones   map[string]json.RawMessage `json:"zones"`
 				} `json:"closures"`
 				Workers struct {
 					Leases map[string]json.RawMessage `json:"tenures"`
@@ -167,8 +167,8 @@
 			if err := json.Unmarshal(stored.State, &state); err != nil {
 				t.Fatal(err)
 			}
-			got := storedContent{epoch: stored.Epoch, closureEpoch: state.Closures.Epoch, closedZones: len(state.Closures.Zones), compacted: stored.SnapshotIndex > 1}
-			if got != want || len(state.History) != int(want.epoch) {
+			got := storedContent{version: stored.Version, closuresVersion: state.Closures.Version, closedZones: len(state.Closures.Zones), compacted: stored.SnapshotIndex > 1}
+			if got != want || len(state.History) != int(want.version) {
 				t.Errorf("%+v with history %v, want %+v", got, state.History, want)
 			}
 			if len(state.Workers.Leases) < 4 || state.Claim.Number == 0 || len(stored.Entries) == 0 {
