--- a/testbed/scenariogen/budget.go
+++ b/testbed/scenariogen/budget.go
@@ -6,39 +6,39 @@
 	"strings"
 )
 
-// defaultDuration is how long a trouble lasts that does not say so.
+// defaultDuration is how long a fault without a duration lasts.
 const defaultDuration = 5.0
 
 // loss is the time over which machines whose loss counts are missing.
 type loss struct {
 	// from is when they go, back when they are there again, settled when they no longer count as lost.
 	from, back, settled float64
-	// machines is how many go; all of them if whole is set.
+	// machines is how many go; all of them if complete is set.
 	machines int
 	whole    bool
 }
 
-// lossOf gives the loss of counted machines that a trouble brings, if it brings one.
-func (s Site) lossOf(t Trouble) (loss, bool) {
+// lossOf is the loss of counted machines that a fault brings, if it brings one.
+func (s Site) lossOf(t Event) (loss, bool) {
 	if !strikesCounted(t) {
 		return loss{}, false
 	}
-	gone := loss{from: t.At, machines: max(1, t.Count), whole: t.Kind == HerdKill}
-	gone.back = t.At + s.missing(t)
-	gone.settled = gone.back + s.recovery(gone)
-	return gone, true
+	lost := loss{from: t.At, machines: max(1, t.Count), whole: t.Kind == HerdKill}
+	lost.back = t.At + s.missing(t)
+	lost.settled = lost.back + s.recovery(lost)
+	return lost, true
 }
 
-// recovery gives how long machines still count as lost once they are back.
-func (s Site) recovery(gone loss) float64 {
-	if gone.whole {
+// recovery is how long machines still count as lost once they are back.
+func (s Site) recovery(lost loss) float64 {
+	if lost.whole {
 		return max(s.Bounds.RecoverSeconds, s.Timing.CatchUpSeconds)
 	}
 	return s.Timing.CatchUpSeconds
 }
 
-// strikesCounted says whether a trouble strikes machines whose loss counts.
-func strikesCounted(t Trouble) bool {
+// strikesCounted says whether a fault hits machines whose loss counts.
+func strikesCounted(t Event) bool {
 	switch t.Kind {
 	case AfterAckKill, AfterAckWipe, CoreCut, ReplaceCore, DiskFull, DiskSlow, DiskStall, RollTerm:
 		return true
@@ -48,8 +48,8 @@
 	return false
 }
 
-// missing gives how long the machines that a trouble strikes are missing.
-func (s Site) missing(t Trouble) float64 {
+// missing is how long the machines that a fault hits are missing.
+func (s Site) missing(t Event) float64 {
 	switch t.Kind {
 	case ReplaceCore:
 		return s.replacing(t)
@@ -64,25 +64,25 @@
 	return defaultDuration
 }
 
-// replacing gives how long the replacement of a machine takes: one that is planned ends with a stop, which may take
-// its whole grace.
-func (s Site) replacing(t Trouble) float64 {
-	if hasWord(t.Variant, "planned") {
+// replacing is how long the replacement of a machine takes: one that is planned ends with a stop, which may take
+// its complete grace period.
+func (s Site) replacing(t Event) float64 {
+	if hasVariantPart(t.Variant, "planned") {
 		return 2*t.Strength + s.Bounds.GraceSeconds
 	}
 	return t.Strength
 }
 
-// restarting gives how long machines are restarted around a cut, if they are.
-func (s Site) restarting(t Trouble) float64 {
-	if hasWord(t.Variant, "both") {
+// restarting is how long machines are restarted around a partition, if they are.
+func (s Site) restarting(t Event) float64 {
+	if hasVariantPart(t.Variant, "both") {
 		return s.Bounds.GraceSeconds
 	}
 	return 0
 }
 
-// rolling gives how long it takes to stop machines in turn.
-func (s Site) rolling(t Trouble) float64 {
+// rolling is how long it takes to stop machines in turn.
+func (s Site) rolling(t Event) float64 {
 	share, atOnce := t.Share, max(1, t.Strength)
 	if share == 0 {
 		share = 1
@@ -90,12 +90,12 @@
 	return math.Ceil(share*float64(s.machineCount())/atOnce) * t.GapSeconds
 }
 
-// hasWord says whether a variant holds a word.
-func hasWord(variant, word string) bool {
+// hasVariantPart says whether a variant has a part.
+func hasVariantPart(variant, word string) bool {
 	return slices.Contains(strings.Fields(variant), word)
 }
 
-// budget keeps the losses of a day inside what its site tolerates.
+// budget keeps the losses of a scenario inside what its site tolerates.
 type budget struct {
 	most   int
 	losses []loss
@@ -109,7 +109,7 @@
 	return apart && (added.whole || b.lostDuring(added)+added.machines <= b.most)
 }
 
-// lostDuring gives the most machines that are lost at once while a loss lasts.
+// lostDuring is the most machines that are lost at once while a loss lasts.
 func (b *budget) lostDuring(added loss) int {
 	most := b.lostAt(added.from)
 	for _, l := range b.losses {
@@ -120,7 +120,7 @@
 	return most
 }
 
-// lostAt gives how many machines are lost at a time.
+// lostAt is how many machines are lost at a time.
 func (b *budget) lostAt(at float64) int {
 	lost := 0
 	for _, l := range b.losses {
@@ -131,7 +131,7 @@
 	return lost
 }
 
-// earliest gives the first time from at on at which a loss fits.
+// earliest is the first time from at on at which a loss fits.
 func (b *budget) earliest(wanted loss) float64 {
 	at := wanted.from
 	for !b.fits(wanted.movedTo(at)) {
@@ -144,7 +144,7 @@
 	return at
 }
 
-// nextChange gives the next time after at by which a loss is over.
+// nextChange is the next time after at by which a loss is over.
 func (b *budget) nextChange(at float64) float64 {
 	next := at
 	for _, l := range b.losses {
@@ -155,7 +155,7 @@
 	return next
 }
 
-// settled gives when every loss is over.
+// settled is when every loss is over.
 func (b *budget) settled() float64 {
 	last := 0.0
 	for _, l := range b.losses {
@@ -164,7 +164,7 @@
 	return last
 }
 
-// allBack gives when every machine is back, though some may still be in their recovery.
+// allBack is when every machine is back, though some may still be in their recovery.
 func (b *budget) allBack() float64 {
 	last := 0.0
 	for _, l := range b.losses {
@@ -173,7 +173,7 @@
 	return last
 }
 
-// movedTo gives the loss as it would be from another time on.
+// movedTo is the loss as it would be from another time on.
 func (l loss) movedTo(at float64) loss {
 	moved := at - l.from
 	l.from, l.back, l.settled = at, l.back+moved, l.settled+moved
--- a/testbed/scenariogen/catalogue.go
+++ b/testbed/scenariogen/catalogue.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// Kind is a kind of trouble, as site files name it.
+// Kind is a kind of fault, as site files name it.
 type Kind string
 
-// The kinds of trouble that a day can hold.
+// The kinds of fault that a scenario can hold.
 const (
 	AfterAckKill     Kind = "after_ack_kill"
 	AfterAckWipe     Kind = "after_ack_wipe"
@@ -57,25 +57,25 @@
 	KillAll      Kind = "kill_all"
 )
 
-// Contracts that open kinds of trouble.
+// Contracts that open kinds of fault.
 const (
 	healthContract = "health"
 	poolContract   = "pool"
 )
 
-// specification is what the generator knows of a kind.
-type specification struct {
+// kindSpecification is what the generator knows of a kind.
+type kindSpecification struct {
 	kind Kind
-	// planned says that it is placed among the planned work of a day.
+	// planned says that it is placed among the planned work of a scenario.
 	planned bool
-	// contract is the part of the rules without which it cannot be played; none if empty.
+	// contract is the part of the rules without which it cannot be run; none if empty.
 	contract string
 	// variants are the words for its variants; the empty one is the plain form.
 	variants []string
 }
 
-// catalogue lists every kind that days are made of.
-var catalogue = []specification{
+// catalogue lists every kind that scenarios are made of.
+var catalogue = []kindSpecification{
 	{kind: AfterAckKill, variants: []string{"", "kill", "timed", "kill timed", "taken", "taken gone"}},
 	{kind: AfterAckWipe, variants: []string{"", "oldest", "timed", "timed oldest", "taken"}},
 	{kind: AckLost},
@@ -119,33 +119,33 @@
 	{kind: ServerSlow},
 }
 
-// closingKinds are the closing faults, each with the variants that the end of a day may take.
-var closingKinds = []specification{
+// closingKinds are the closing faults, each with the variants that the end of a scenario may take.
+var closingKinds = []kindSpecification{
 	{kind: PowerOffAll, variants: []string{"", "timed", "taken"}},
 	{kind: KillAll, variants: []string{"", "timed", "taken"}},
 	{kind: WipeAfterAck, variants: []string{"", "aimed", "timed", "taken", "oldest", "timed oldest", "taken oldest"}},
 }
 
-// specified gives what is known of a kind.
-func specified(kind Kind) (specification, bool) {
-	place := slices.IndexFunc(catalogue, func(s specification) bool { return s.kind == kind })
-	if place < 0 {
-		return specification{}, false
+// specified is what is known of a kind.
+func specified(kind Kind) (kindSpecification, bool) {
+	index := slices.IndexFunc(catalogue, func(s kindSpecification) bool { return s.kind == kind })
+	if index < 0 {
+		return kindSpecification{}, false
 	}
-	return catalogue[place], true
+	return catalogue[index], true
 }
 
-// open says whether a kind can be played on a site.
-func (s Site) open(spec specification) bool {
-	return spec.contract == "" || slices.Contains(s.Contracts, spec.contract)
+// open says whether a kind can be run on a site.
+func (s Site) open(specification kindSpecification) bool {
+	return specification.contract == "" || slices.Contains(s.Contracts, specification.contract)
 }
 
-// Kinds are the kinds that days for this site are made of.
+// Kinds are the kinds that scenarios for this site are made of.
 func (s Site) Kinds() []Kind {
 	var kinds []Kind
-	for _, spec := range catalogue {
-		if s.open(spec) {
-			kinds = append(kinds, spec.kind)
+	for _, specification := range catalogue {
+		if s.open(specification) {
+			kinds = append(kinds, specification.kind)
 		}
 	}
 	return kinds
--- a/testbed/scenariogen/days_test.go
+++ b/testbed/scenariogen/scenariogen_test.go
@@ -13,7 +13,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// seeds is how many seeds the properties of days are looked at over, and daysOfASeed how many days of each.
+// seeds is how many seeds the properties of scenarios are looked at over, and daysOfASeed how many scenarios of each.
 const (
 	seeds       = 12
 	daysOfASeed = 25
@@ -28,29 +28,29 @@
 	return site
 }
 
-// eachDay calls a function with many days of both made-up sites.
-func eachDay(t *testing.T, check func(site Site, day Day)) {
+// eachDay calls a function with many scenarios of both made-up sites.
+func eachDay(t *testing.T, check func(site Site, scenario Scenario)) {
 	t.Helper()
 	for _, name := range []string{"small.toml", "large.toml"} {
 		site := readTestSite(t, name)
 		for seed := range uint64(seeds) {
-			for _, day := range Generate(site, seed, daysOfASeed) {
-				check(site, day)
+			for _, scenario := range Generate(site, seed, daysOfASeed) {
+				check(site, scenario)
 			}
 		}
 	}
 }
 
-func all(day Day) []Trouble {
-	return slices.Concat(day.Plan, day.Faults)
+func all(scenario Scenario) []Event {
+	return slices.Concat(scenario.Plan, scenario.Faults)
 }
 
 func TestTheSameSeedGivesTheSameScenarios(t *testing.T) {
 	site := readTestSite(t, "small.toml")
 	files := func(seed uint64) []byte {
 		var joined []byte
-		for _, day := range Generate(site, seed, daysOfASeed) {
-			file, err := day.File()
+		for _, scenario := range Generate(site, seed, daysOfASeed) {
+			file, err := scenario.File()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -78,9 +78,9 @@
 		site := readTestSite(t, name)
 		reached := map[Kind]bool{}
 		for seed := range uint64(seeds) {
-			for _, day := range Generate(site, seed, daysOfASeed) {
-				for _, trouble := range all(day) {
-					reached[trouble.Kind] = true
+			for _, scenario := range Generate(site, seed, daysOfASeed) {
+				for _, event := range all(scenario) {
+					reached[event.Kind] = true
 				}
 			}
 		}
@@ -117,19 +117,19 @@
 			reached[kind][word] = true
 		}
 	}
-	eachDay(t, func(_ Site, day Day) {
-		for _, trouble := range all(day) {
-			note(trouble.Kind, trouble.Variant)
+	eachDay(t, func(_ Site, scenario Scenario) {
+		for _, event := range all(scenario) {
+			note(event.Kind, event.Variant)
 		}
-		if day.Closing != nil {
-			note(day.Closing.Kind, day.Closing.Variant)
+		if scenario.Closing != nil {
+			note(scenario.Closing.Kind, scenario.Closing.Variant)
 		}
 	})
-	for _, spec := range slices.Concat(catalogue, closingKinds) {
-		for _, variant := range spec.variants {
+	for _, specification := range slices.Concat(catalogue, closingKinds) {
+		for _, variant := range specification.variants {
 			for word := range strings.FieldsSeq(variant) {
-				if !reached[spec.kind][word] {
-					t.Errorf("%s never comes as %q", spec.kind, word)
+				if !reached[specification.kind][word] {
+					t.Errorf("%s never comes as %q", specification.kind, word)
 				}
 			}
 		}
@@ -142,43 +142,43 @@
 }
 
 func TestFaultsArePlacedWhereTheirKindBelongs(t *testing.T) {
-	eachDay(t, func(_ Site, day Day) {
-		for _, trouble := range day.Plan {
-			if spec, known := specified(trouble.Kind); !known || !spec.planned {
-				t.Errorf("%s: %s is planned", day.Name, trouble.Kind)
+	eachDay(t, func(_ Site, scenario Scenario) {
+		for _, event := range scenario.Plan {
+			if specification, known := specified(event.Kind); !known || !specification.planned {
+				t.Errorf("%s: %s is planned", scenario.Name, event.Kind)
 			}
 		}
-		for _, trouble := range day.Faults {
-			if spec, known := specified(trouble.Kind); !known || spec.planned {
-				t.Errorf("%s: %s is a fault", day.Name, trouble.Kind)
+		for _, event := range scenario.Faults {
+			if specification, known := specified(event.Kind); !known || specification.planned {
+				t.Errorf("%s: %s is a fault", scenario.Name, event.Kind)
 			}
 		}
-		for _, trouble := range all(day) {
-			if trouble.At < firstMoment || trouble.Share < 0 || trouble.Share > 1 || trouble.Count > 0 && trouble.Share > 0 {
-				t.Errorf("%s: %+v", day.Name, trouble)
+		for _, event := range all(scenario) {
+			if event.At < firstMoment || event.Share < 0 || event.Share > 1 || event.Count > 0 && event.Share > 0 {
+				t.Errorf("%s: %+v", scenario.Name, event)
 			}
 		}
 	})
 }
 
-// lossesOver gives how many counted machines a day loses at most at once, worked out anew from its entries by looking
+// lossesOver is how many counted machines a scenario loses at most at once, worked out anew from its entries by looking
 // at twenty moments of each second, and whether one is lost while all are taken or all have still to recover.
-func lossesOver(site Site, day Day) (most int, overlapped bool) {
+func lossesOver(site Site, scenario Scenario) (most int, overlapped bool) {
 	type span struct {
 		from, settled float64
 		machines      int
 		whole         bool
 	}
 	var spans []span
-	for _, trouble := range all(day) {
-		lasts := trouble.DurationSeconds
-		switch trouble.Kind {
+	for _, event := range all(scenario) {
+		lasts := event.DurationSeconds
+		switch event.Kind {
 		case NodeKill, NodeFreeze, NodeSlow:
-			if trouble.Machines != Counted {
+			if event.Machines != Counted {
 				continue
 			}
 		case HerdKill:
-			if trouble.Machines != Counted {
+			if event.Machines != Counted {
 				continue
 			}
 			lasts += site.Bounds.RecoverSeconds
@@ -187,48 +187,48 @@
 			for _, group := range site.Machines {
 				machines += group.Count
 			}
-			lasts = float64(machines)*trouble.Share*trouble.GapSeconds + site.Bounds.GraceSeconds
+			lasts = float64(machines)*event.Share*event.GapSeconds + site.Bounds.GraceSeconds
 		case ReplaceCore:
-			lasts = trouble.Strength
-			if strings.Contains(trouble.Variant, "planned") {
+			lasts = event.Strength
+			if strings.Contains(event.Variant, "planned") {
 				lasts += site.Bounds.GraceSeconds
 			}
 		case AfterAckKill, AfterAckWipe, CoreCut, DiskFull, DiskSlow, DiskStall:
 		default:
 			continue
 		}
-		if trouble.Kind != HerdKill {
+		if event.Kind != HerdKill {
 			lasts += site.Timing.CatchUpSeconds
 		}
-		spans = append(spans, span{trouble.At, trouble.At + lasts, max(1, trouble.Count), trouble.Kind == HerdKill})
+		spans = append(spans, span{event.At, event.At + lasts, max(1, event.Count), event.Kind == HerdKill})
 	}
-	for moment := 0.0; moment < day.LengthSeconds+60; moment += 0.05 {
-		lost, whole := 0, 0
+	for moment := 0.0; moment < scenario.LengthSeconds+60; moment += 0.05 {
+		lost, complete := 0, 0
 		for _, s := range spans {
 			if moment < s.from || moment >= s.settled {
 				continue
 			}
 			if s.whole {
-				whole++
+				complete++
 			} else {
 				lost += s.machines
 			}
 		}
 		most = max(most, lost)
-		overlapped = overlapped || whole > 1 || whole > 0 && lost > 0
+		overlapped = overlapped || complete > 1 || complete > 0 && lost > 0
 	}
 	return most, overlapped
 }
 
 func TestLossesStayWithinTheFaultBudget(t *testing.T) {
 	used := map[string]int{}
-	eachDay(t, func(site Site, day Day) {
-		most, overlapped := lossesOver(site, day)
+	eachDay(t, func(site Site, scenario Scenario) {
+		most, overlapped := lossesOver(site, scenario)
 		if most > site.Tolerate.Machines {
-			t.Errorf("%s, %s: %d machines are lost at once, %d may be", site.Name, day.Name, most, site.Tolerate.Machines)
+			t.Errorf("%s, %s: %d machines are lost at once, %d may be", site.Name, scenario.Name, most, site.Tolerate.Machines)
 		}
 		if overlapped {
-			t.Errorf("%s, %s: all counted machines go while one is lost", site.Name, day.Name)
+			t.Errorf("%s, %s: all counted machines go while one is lost", site.Name, scenario.Name)
 		}
 		used[site.Name] = max(used[site.Name], most)
 	})
@@ -237,26 +237,26 @@
 	}
 }
 
-// TestTheFaultBudgetCheckDetectsViolations shows the check days that break the budget.
+// TestTheFaultBudgetCheckDetectsViolations shows the check scenarios that break the budget.
 func TestTheFaultBudgetCheckDetectsViolations(t *testing.T) {
 	small, large := readTestSite(t, "small.toml"), readTestSite(t, "large.toml")
 	caught := 0
-	for _, day := range Generate(large, 1, daysOfASeed) {
-		if most, _ := lossesOver(large, day); most > small.Tolerate.Machines {
+	for _, scenario := range Generate(large, 1, daysOfASeed) {
+		if most, _ := lossesOver(large, scenario); most > small.Tolerate.Machines {
 			caught++
 		}
 	}
 	if caught == 0 {
 		t.Error("days made for a budget of two machines all pass for one")
 	}
-	inRecovery := Day{LengthSeconds: 30, Faults: []Trouble{
+	inRecovery := Scenario{LengthSeconds: 30, Faults: []Event{
 		{At: 10, Kind: NodeKill, Machines: Counted, Count: 1, DurationSeconds: 2},
 		{At: 15, Kind: CoreCut, Count: 1, DurationSeconds: 5},
 	}}
 	if most, _ := lossesOver(small, inRecovery); most != 2 {
 		t.Errorf("a loss in the recovery from another counts as %d", most)
 	}
-	during := Day{LengthSeconds: 30, Faults: []Trouble{
+	during := Scenario{LengthSeconds: 30, Faults: []Event{
 		{At: 10, Kind: NodeFreeze, Machines: Counted, Count: 1, DurationSeconds: 5},
 		{At: 12, Kind: HerdKill, Machines: Counted, DurationSeconds: 1},
 	}}
@@ -268,10 +268,10 @@
 func TestASiteThatToleratesNoLossGetsNone(t *testing.T) {
 	site := readTestSite(t, "small.toml")
 	site.Tolerate.Machines = 0
-	for _, day := range Generate(site, 5, daysOfASeed) {
-		for _, trouble := range all(day) {
-			if strikesCounted(trouble) {
-				t.Errorf("%s has %s", day.Name, trouble.Kind)
+	for _, scenario := range Generate(site, 5, daysOfASeed) {
+		for _, event := range all(scenario) {
+			if strikesCounted(event) {
+				t.Errorf("%s has %s", scenario.Name, event.Kind)
 			}
 		}
 	}
@@ -281,13 +281,13 @@
 	site := readTestSite(t, "small.toml")
 	for seed := range uint64(seeds) {
 		line := newTimeline(site, rand.New(rand.NewPCG(seed, 1)))
-		sameTroubleAgain(line, firstScene)
-		faults := slices.DeleteFunc(slices.Clone(line.faults), func(one Trouble) bool { return !strikesCounted(one) })
+		repeatedFault(line, firstPattern)
+		faults := slices.DeleteFunc(slices.Clone(line.faults), func(one Event) bool { return !strikesCounted(one) })
 		if len(faults) < 2 {
 			t.Fatalf("seed %d: the trouble comes %d times", seed, len(faults))
 		}
-		for place := 1; place < len(faults); place++ {
-			before, again := faults[place-1], faults[place]
+		for index := 1; index < len(faults); index++ {
+			before, again := faults[index-1], faults[index]
 			pause := again.At - line.recovered(before)
 			if again.Kind != before.Kind || again.Variant != before.Variant || pause < 0 || pause > repeatSlack+0.05 {
 				t.Errorf("seed %d: %+v comes %.2f s after the recovery from %+v", seed, again, pause, before)
@@ -301,10 +301,10 @@
 	shortest, longest := longestCut, 0.0
 	for seed := range uint64(seeds * daysOfASeed) {
 		line := newTimeline(site, rand.New(rand.NewPCG(seed, 2)))
-		changesAtTheEdgesOfACut(line, firstScene)
+		changesAtPartitionEdges(line, firstPattern)
 		cut := line.faults[0]
 		near := func(moment float64) bool {
-			return slices.ContainsFunc(line.plan, func(one Trouble) bool { return one.At > moment-edge-0.05 && round(one.At-moment) <= 0 })
+			return slices.ContainsFunc(line.plan, func(one Event) bool { return one.At > moment-edge-0.05 && round(one.At-moment) <= 0 })
 		}
 		if cut.Kind != CoreCut || !near(cut.At) || !near(cut.At+cut.DurationSeconds) {
 			t.Errorf("seed %d: %+v with %+v", seed, cut, line.plan)
@@ -318,16 +318,16 @@
 
 func TestALongScenarioHasHundredsOfChanges(t *testing.T) {
 	line := newTimeline(readTestSite(t, "small.toml"), rand.New(rand.NewPCG(1, 3)))
-	hundredsOfChanges(line, firstScene)
-	if !slices.ContainsFunc(line.plan, func(one Trouble) bool { return one.Kind == ConfigStorm && one.Count >= 150 }) {
+	hundredsOfChanges(line, firstPattern)
+	if !slices.ContainsFunc(line.plan, func(one Event) bool { return one.Kind == ConfigStorm && one.Count >= 150 }) {
 		t.Errorf("planned: %+v", line.plan)
 	}
 }
 
 func TestAScenarioReadsBackAsWritten(t *testing.T) {
 	folder := t.TempDir()
-	for _, day := range Generate(readTestSite(t, "large.toml"), 9, daysOfASeed) {
-		path, err := day.Write(folder)
+	for _, scenario := range Generate(readTestSite(t, "large.toml"), 9, daysOfASeed) {
+		path, err := scenario.Write(folder)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -335,24 +335,24 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var read dayFile
+		var read scenarioFile
 		if err := toml.Unmarshal(data, &read); err != nil {
 			t.Fatal(err)
 		}
-		if len(read.Days) != 1 || !reflect.DeepEqual(read.Days[0], day) {
-			t.Errorf("%s reads back as %+v", day.Name, read.Days)
+		if len(read.Scenarios) != 1 || !reflect.DeepEqual(read.Scenarios[0], scenario) {
+			t.Errorf("%s reads back as %+v", scenario.Name, read.Scenarios)
 		}
 	}
 }
 
 func TestAnIncompleteSiteFileIsRejected(t *testing.T) {
-	whole, err := os.ReadFile(filepath.Join("testdata", "small.toml"))
+	complete, err := os.ReadFile(filepath.Join("testdata", "small.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, left := range []string{"name = \"three-rooms\"", "contracts", "length_s", "catch_up_s"} {
 		var kept []string
-		for line := range strings.Lines(string(whole)) {
+		for line := range strings.Lines(string(complete)) {
 			if !strings.HasPrefix(line, left) {
 				kept = append(kept, line)
 			}
--- a/testbed/scenariogen/site.go
+++ b/testbed/scenariogen/site.go
@@ -1,10 +1,10 @@
-// Package scenariogen writes days of trouble for a deployment that a site file describes.
+// Package scenariogen generates scenarios with faults for a deployment that a site file describes.
 //
-// A day is a list of troubles at set times, as a site file holds them under [[day]]. The days made here put kinds
-// together that a site's own days keep apart: a trouble in the recovery from another, the same one again as soon as
-// the first is over, changes of the configuration in flight at both edges of a cut. Everything is drawn from a seed;
-// the same site, seed and count give the same days, byte for byte. Losses of counted machines stay inside what the
-// site tolerates, so whatever rule breaks is broken by the system and not by the day.
+// A scenario is a list of faults at set times, as a site file holds them under [[day]]. The scenarios made here put kinds
+// together that a site's own scenarios keep apart: a fault in the recovery from another, the same one again as soon as
+// the first is over, changes of the configuration in flight at both edges of a partition. Everything is drawn from a seed;
+// the same site, seed and count give the same scenarios, byte for byte. Losses of counted machines stay inside what the
+// site tolerates, so whatever rule breaks is broken by the system and not by the scenario.
 package scenariogen
 
 import (
@@ -15,20 +15,20 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Site is what a site file says that bears on the days that can be played on it. Names of zones, services and
-// machines are not among it: what a trouble leaves open is drawn by whoever plays the day.
+// Site is what a site file says about the scenarios that can be run on it. Names of zones, services and
+// machines are not among it: what a fault leaves open is drawn by the program that runs the scenario.
 type Site struct {
 	Name string `toml:"name" validate:"required"`
-	// Contracts are the parts of the rules in force; some kinds of trouble need one of them.
+	// Contracts are the parts of the rules in force; some kinds of fault need one of them.
 	Contracts []string `toml:"contracts" validate:"required"`
-	// LengthSeconds is how long traffic lasts on a day of the site's own.
+	// LengthSeconds is how long traffic lasts on a scenario of the site's own.
 	LengthSeconds float64   `toml:"length_s" validate:"gt=0"`
 	Machines      []Group   `toml:"machines" validate:"required,dive"`
 	Timing        Timing    `toml:"timing"`
 	Tolerate      Tolerance `toml:"tolerate"`
 	Bounds        Bounds    `toml:"bounds"`
-	// Troubles are the kinds that the site's own days are mixed from.
-	Troubles []Trouble `toml:"troubles"`
+	// Events are the kinds that the site's own scenarios are mixed from.
+	Events []Event `toml:"troubles"`
 }
 
 // Group is a number of like machines.
@@ -77,7 +77,7 @@
 	return site, nil
 }
 
-// ParseSite reads the content of a site file and checks what the days are built on.
+// ParseSite reads the content of a site file and checks what the scenarios are built on.
 func ParseSite(data []byte) (Site, error) {
 	var site Site
 	if err := toml.Unmarshal(data, &site); err != nil {
--- a/testbed/scenariogen/timeline.go
+++ b/testbed/scenariogen/timeline.go
@@ -6,72 +6,72 @@
 	"strings"
 )
 
-// timeline is a day in the making.
+// timeline is a scenario under construction.
 type timeline struct {
 	site   Site
 	draw   *rand.Rand
 	losses budget
-	plan   []Trouble
-	faults []Trouble
+	plan   []Event
+	faults []Event
 }
 
-// newTimeline begins the day of one draw.
+// newTimeline begins the scenario of one draw.
 func newTimeline(site Site, draw *rand.Rand) *timeline {
 	return &timeline{site: site, draw: draw, losses: budget{most: site.Tolerate.Machines}}
 }
 
-// add puts a trouble that brings no loss on the day, where its kind is open on the site.
-func (t *timeline) add(trouble Trouble) Trouble {
-	spec, known := specified(trouble.Kind)
-	if !known || !t.site.open(spec) {
-		return trouble
+// add puts a fault that brings no loss on the scenario, where its kind is open on the site.
+func (t *timeline) add(event Event) Event {
+	specification, known := specified(event.Kind)
+	if !known || !t.site.open(specification) {
+		return event
 	}
-	trouble.At = round(max(firstMoment, trouble.At))
-	trouble.Strength = round(trouble.Strength)
-	trouble.Share = round(trouble.Share)
-	trouble.GapSeconds = round(trouble.GapSeconds)
-	trouble.DurationSeconds = round(trouble.DurationSeconds)
-	if spec.planned {
-		t.plan = append(t.plan, trouble)
+	event.At = round(max(firstMoment, event.At))
+	event.Strength = round(event.Strength)
+	event.Share = round(event.Share)
+	event.GapSeconds = round(event.GapSeconds)
+	event.DurationSeconds = round(event.DurationSeconds)
+	if specification.planned {
+		t.plan = append(t.plan, event)
 	} else {
-		t.faults = append(t.faults, trouble)
+		t.faults = append(t.faults, event)
 	}
-	return trouble
+	return event
 }
 
-// lose puts a trouble on the day that takes counted machines, as soon from its time on as the budget allows, and
-// gives it as placed. A site that tolerates no loss gets none.
-func (t *timeline) lose(trouble Trouble) Trouble {
-	gone, counted := t.site.lossOf(trouble)
+// lose puts a fault on the scenario that takes counted machines, as soon from its time on as the budget allows, and
+// returns it as placed. A site that tolerates no loss gets none.
+func (t *timeline) lose(event Event) Event {
+	lost, counted := t.site.lossOf(event)
 	if !counted {
-		return t.add(trouble)
+		return t.add(event)
 	}
 	if t.site.Tolerate.Machines == 0 {
-		return trouble
+		return event
 	}
-	gone.machines = min(gone.machines, t.site.Tolerate.Machines)
+	lost.machines = min(lost.machines, t.site.Tolerate.Machines)
 	// A hundredth more, since times are rounded.
-	trouble.At = t.losses.earliest(gone) + 0.01
-	trouble = t.add(trouble)
-	gone = gone.movedTo(trouble.At)
-	t.losses.losses = append(t.losses.losses, gone)
-	return trouble
+	event.At = t.losses.earliest(lost) + 0.01
+	event = t.add(event)
+	lost = lost.movedTo(event.At)
+	t.losses.losses = append(t.losses.losses, lost)
+	return event
 }
 
-// until gives when a trouble that takes counted machines is over, but for the recovery.
-func (t *timeline) until(trouble Trouble) float64 {
-	if gone, counted := t.site.lossOf(trouble); counted {
-		return gone.back
+// until is when a fault that takes counted machines is over, but for the recovery.
+func (t *timeline) until(event Event) float64 {
+	if lost, counted := t.site.lossOf(event); counted {
+		return lost.back
 	}
-	return trouble.At + trouble.DurationSeconds
+	return event.At + event.DurationSeconds
 }
 
-// recovered gives when the machines that a trouble took no longer count as lost.
-func (t *timeline) recovered(trouble Trouble) float64 {
-	if gone, counted := t.site.lossOf(trouble); counted {
-		return gone.settled
+// recovered is when the machines that a fault took no longer count as lost.
+func (t *timeline) recovered(event Event) float64 {
+	if lost, counted := t.site.lossOf(event); counted {
+		return lost.settled
 	}
-	return t.until(trouble) + t.site.Timing.CatchUpSeconds
+	return t.until(event) + t.site.Timing.CatchUpSeconds
 }
 
 // between draws a number.
@@ -79,12 +79,12 @@
 	return least + (most-least)*t.draw.Float64()
 }
 
-// number draws a whole number, both ends included.
+// number draws an integer, both ends included.
 func (t *timeline) number(least, most int) int {
 	return least + t.draw.IntN(most-least+1)
 }
 
-// chance is true so often.
+// chance is true with that probability.
 func (t *timeline) chance(share float64) bool {
 	return t.draw.Float64() < share
 }
@@ -102,29 +102,29 @@
 
 // variant draws a variant of a kind.
 func (t *timeline) variant(kind Kind) string {
-	spec, _ := specified(kind)
-	if len(spec.variants) == 0 {
+	specification, _ := specified(kind)
+	if len(specification.variants) == 0 {
 		return ""
 	}
-	return pick(t, spec.variants...)
+	return pick(t, specification.variants...)
 }
 
-// target draws which machine is struck, as a word of a variant.
+// target draws which machine is hit, as a part of a variant.
 func (t *timeline) target() string {
 	return pick(t, "leader", "leader", "leader", "seed", "reader", "turn", "")
 }
 
-// met draws what else meets a machine as it returns, as words of a variant.
+// met draws what else meets a machine as it returns, as parts of a variant.
 func (t *timeline) met() string {
 	return pick(t, "", "meet", "race", "race drain", "meet drain", "race hard", "meet hard", "race drain hard", "meet drain hard")
 }
 
-// words joins words of a variant, each once.
-func words(parts ...string) string {
+// joinVariant joins parts of a variant, each once.
+func joinVariant(parts ...string) string {
 	var joined []string
 	for _, part := range parts {
 		for word := range strings.FieldsSeq(part) {
-			if !hasWord(strings.Join(joined, " "), word) {
+			if !hasVariantPart(strings.Join(joined, " "), word) {
 				joined = append(joined, word)
 			}
 		}
