--- a/configuration/document/forward_test.go
+++ b/configuration/document/forward_test.go
@@ -81,7 +81,7 @@
 
 // opaqueBreaks are ways to spoil a valid section, with where the fault must be told.
 var faultySectionChanges = []struct {
-	path  string
+	path   string
 	change func(*upstream.Section)
 }{
 	{"forward.revision", func(s *upstream.Section) { s.Revision = 0 }},
--- a/configuration/document/parse_test.go
+++ b/configuration/document/parse_test.go
@@ -45,7 +45,7 @@
 
 // breaks are ways to spoil a valid document, with where the fault must be told.
 var faultyChanges = []struct {
-	path  string
+	path   string
 	change func(*Configuration)
 }{
 	{"zones", func(s *Configuration) { s.Zones = nil }},
