--- a/daemon/longpoll/longpoll_test.go
+++ b/daemon/longpoll/longpoll_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -27,14 +28,16 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				notifier, current := NewNotifier(), test.before
+				notifier := NewNotifier()
+				var current atomic.Int64
+				current.Store(int64(test.before))
 				began := time.Now()
 				go func() {
 					<-time.After(changeAt)
-					current = test.after
+					current.Store(int64(test.after))
 					notifier.Notify(test.after)
 				}()
-				notifier.Await(t.Context(), test.maxWait, batchDelay, func() Urgency { return current })
+				notifier.Await(t.Context(), test.maxWait, batchDelay, func() Urgency { return Urgency(current.Load()) })
 				if took := time.Since(began); took != test.want {
 					t.Errorf("returned after %v, not %v", took, test.want)
 				}
--- a/testbed/endtoend/stopping_test.go
+++ b/testbed/endtoend/stopping_test.go
@@ -17,7 +17,7 @@
 	}
 	b.ran = false
 	last := b.logs.Entries[len(b.logs.Entries)-1]
-	return fmt.Sprint(last.Message, " ", last.Fields["kept"])
+	return fmt.Sprint(last.Message, " ", last.Fields["unreleased"])
 }
 
 // TestAStopSaysWhatIsNotHandedOver: the first of three leaves nothing behind. The second of them may not be done
