--- a/testbed/partitionsim/checker_test.go
+++ b/testbed/partitionsim/checker_test.go
@@ -29,8 +29,8 @@
 	force membership.InForce
 }
 
-// seenOfLife is what was seen of one life of a node.
-type seenOfLife struct {
+// seenByChecker is what the checker has seen of one incarnation of a node.
+type seenByChecker struct {
 	force membership.InForce
 	ready bool
 	// servesSince is when it was last ready while in touch, or began to be in touch.
@@ -93,7 +93,7 @@
 func (w *world) troubled(some ...*node) {
 	core := true
 	for _, n := range some {
-		w.ownTrouble[n.place] = w.now
+		w.ownTrouble[n.index] = w.now
 		core = core && n.control
 	}
 	if core {
@@ -140,11 +140,11 @@
 	return out
 }
 
-func (n *node) running() bool { return n.up && n.w.now >= n.frozenUntil }
+func (n *node) running() bool { return n.up && n.world.now >= n.frozenUntil }
 
 // inTouch says whether a node is bound by times now.
 func (w *world) inTouch(n *node, majority []*node) bool {
-	if !n.running() || len(majority) <= w.controls/2 || w.now.Since(w.coreTrouble) < inTouchAfter || w.now.Since(w.ownTrouble[n.place]) < inTouchAfter {
+	if !n.running() || len(majority) <= w.controls/2 || w.now.Since(w.coreTrouble) < inTouchAfter || w.now.Since(w.ownTrouble[n.index]) < inTouchAfter {
 		return false
 	}
 	return !slices.ContainsFunc(majority, func(other *node) bool { return !w.path(n, other) })
@@ -186,12 +186,12 @@
 }
 
 // rechosen is how long a node may name a source that is cut off after it has left another for it: until its first answer.
-const rechosen = 2*beatEvery + inFlight
+const rechosen = 2*heartbeatInterval + inFlight
 
 // lookAtSources checks that a node takes none that is cut off from the group for its leader or its relay, from the time
 // on within which it must have left it.
 func (w *world) lookAtSources(n *node) {
-	if !n.running() || w.now.Since(w.asideSince) <= membership.SwitchSourceWithin+inFlight || w.now.Since(w.ownTrouble[n.place]) <= membership.SwitchSourceWithin+inFlight {
+	if !n.running() || w.now.Since(w.asideSince) <= membership.SwitchSourceWithin+inFlight || w.now.Since(w.ownTrouble[n.index]) <= membership.SwitchSourceWithin+inFlight {
 		return
 	}
 	for _, aside := range w.aside {
--- a/testbed/partitionsim/cutoff_test.go
+++ b/testbed/partitionsim/cutoff_test.go
@@ -42,7 +42,7 @@
 	if w.controls < 5 || w.random.IntN(3) == 0 {
 		return []*node{one}
 	}
-	other := w.core()[(one.place+1+w.random.IntN(w.controls-1))%w.controls]
+	other := w.core()[(one.index+1+w.random.IntN(w.controls-1))%w.controls]
 	if leader != nil && leader != one && w.random.IntN(2) == 0 {
 		other = leader
 	}
@@ -170,7 +170,7 @@
 	var pair []*node
 	for _, n := range w.core() {
 		if n.leads() {
-			pair = []*node{n, w.core()[(n.place+1+int(seed/3)%4)%5]}
+			pair = []*node{n, w.core()[(n.index+1+int(seed/3)%4)%5]}
 		}
 	}
 	if len(pair) == 0 {
--- a/testbed/partitionsim/node_test.go
+++ b/testbed/partitionsim/node_test.go
@@ -17,58 +17,58 @@
 )
 
 const (
-	beatEvery = 150 * time.Millisecond
+	heartbeatInterval = 150 * time.Millisecond
 	// controlHold and edgeHold are how long answers are held back while nothing is new.
 	controlHold, edgeHold = 250 * time.Millisecond, 600 * time.Millisecond
 	// bundleRest and relayFresh are as in the daemon: a bundle is left to the relay for a while, and others are asked
-	// for what is urgent only while the relay has told lately.
+	// for what is urgent only while the relay has answered lately.
 	bundleRest, relayFresh = 400 * time.Millisecond, 2500 * time.Millisecond
 	submitLimit            = 1200 * time.Millisecond
 	group                  = "g"
 )
 
-// node is one machine of the fleet and the life that runs on it.
+// node is one machine of the fleet and the incarnation that runs on it.
 type node struct {
-	w       *world
-	place   int
+	world   *world
+	index   int
 	name    string
 	zone    ident.ZoneID
 	control bool
 	// offset is by how much its clock is off.
 	offset clock.Mark
 
-	life        int
+	incarnation int
 	up          bool
 	frozenUntil clock.Mark
 
-	core   *replica.Core
-	disk   raft.PersistentState
-	writes []write
-	beaten clock.Mark
-	refs   uint64
-	asked  map[uint64]func(replica.Response)
-	// offeredSpec is the newest that was handed to the keeper by the log.
-	offeredSpec, offeredClosure ident.Version
-
-	keeper   *rollout.Manager
-	stop     context.CancelFunc
-	tracker  *membership.Tracker
-	view     membership.View
-	rowTold  bool
-	seeds    []string
-	seedTurn int
-	beats    int
-	enlisted clock.Mark
-	asking   map[question]bool
-	held     []*heldPull
-	// toldAll is when each address last told all.
-	toldAll  map[string]clock.Mark
-	seenAt   clock.Mark
-	seenSpec ident.Version
-	stale    bool
-
-	// checked is what the checker saw of this life.
-	checked seenOfLife
+	core            *replica.Core
+	disk            raft.PersistentState
+	writes          []write
+	lastHeartbeat   clock.Mark
+	refs            uint64
+	pendingRequests map[uint64]func(replica.Response)
+	// offeredConfiguration is the newest that the log handed to the rollout manager.
+	offeredConfiguration, offeredClosure ident.Version
+
+	rollout      *rollout.Manager
+	stop         context.CancelFunc
+	tracker      *membership.Tracker
+	view         membership.View
+	rowAnnounced bool
+	seeds        []string
+	seedTurn     int
+	heartbeats   int
+	enlisted     clock.Mark
+	asking       map[question]bool
+	heldPulls    []*heldPull
+	// fullUpdateAt is when each address last sent a complete update.
+	fullUpdateAt      map[string]clock.Mark
+	seenAt            clock.Mark
+	seenConfiguration ident.Version
+	stale             bool
+
+	// checked is what the checker has seen of this incarnation.
+	checked seenByChecker
 }
 
 type write struct {
@@ -92,84 +92,84 @@
 	return raft.PersistentState{HardState: raft.HardState{Term: 1}, Snapshot: raft.Snapshot{Index: 1, Term: 1, Membership: members, Data: statemachine.New().Snapshot()}}
 }
 
-func (n *node) id() ident.NodeID { return ident.NodeID(fmt.Sprintf("%s#%d", n.name, n.life)) }
+func (n *node) id() ident.NodeID { return ident.NodeID(fmt.Sprintf("%s#%d", n.name, n.incarnation)) }
 
 // clock is the machine's own.
-func (n *node) clock() clock.Mark { return n.w.now + n.offset }
+func (n *node) clock() clock.Mark { return n.world.now + n.offset }
 
-// do runs something on this node, in the life that it is for; a frozen one does it some time after its thaw.
-func (n *node) do(life int, run func()) {
+// do runs a function on this node if that is still the same incarnation; a frozen node runs it some time after its thaw.
+func (n *node) do(incarnation int, run func()) {
 	switch {
-	case !n.up || n.life != life:
-	case n.w.now < n.frozenUntil:
-		n.w.after(n.frozenUntil.Since(n.w.now)+n.w.ms(0, 30), func() { n.do(life, run) })
+	case !n.up || n.incarnation != incarnation:
+	case n.world.now < n.frozenUntil:
+		n.world.after(n.frozenUntil.Since(n.world.now)+n.world.ms(0, 30), func() { n.do(incarnation, run) })
 	default:
 		run()
 	}
 }
 
-// every runs something again and again in this life; frozen, it runs once soon after the thaw.
+// every runs a function periodically in this incarnation; a frozen node runs it once soon after the thaw.
 func (n *node) every(span time.Duration, run func()) {
-	life := n.life
+	incarnation := n.incarnation
 	var again func()
 	again = func() {
-		n.do(life, func() {
+		n.do(incarnation, func() {
 			run()
-			n.w.after(span+n.w.ms(0, 3), again)
+			n.world.after(span+n.world.ms(0, 3), again)
 		})
 	}
-	n.w.after(n.w.ms(0, int(span.Milliseconds())), again)
+	n.world.after(n.world.ms(0, int(span.Milliseconds())), again)
 }
 
 func (n *node) start() {
-	n.life++
-	n.up, n.writes, n.beaten, n.asked, n.asking, n.held, n.toldAll = true, nil, 0, map[uint64]func(replica.Response){}, map[question]bool{}, nil, map[string]clock.Mark{}
-	n.enlisted, n.beats, n.rowTold, n.offeredSpec, n.offeredClosure, n.seenSpec, n.stale, n.checked = 0, 0, false, 0, 0, 0, false, seenOfLife{}
+	n.incarnation++
+	n.up, n.writes, n.lastHeartbeat, n.pendingRequests, n.asking, n.heldPulls, n.fullUpdateAt = true, nil, 0, map[uint64]func(replica.Response){}, map[question]bool{}, nil, map[string]clock.Mark{}
+	n.enlisted, n.heartbeats, n.rowAnnounced, n.offeredConfiguration, n.offeredClosure, n.seenConfiguration, n.stale, n.checked = 0, 0, false, 0, 0, 0, false, seenByChecker{}
 	ctx, cancel := context.WithCancel(context.Background())
 	n.stop = cancel
-	n.keeper = rollout.New(func() time.Time { return time.UnixMilli(0) }, func() {})
-	go n.keeper.Run(ctx)
+	n.rollout = rollout.New(func() time.Time { return time.UnixMilli(0) }, func() {})
+	go n.rollout.Run(ctx)
 	n.tracker = membership.NewTracker(n.clock(), n.id(), n.name, n.control)
 	n.view = n.tracker.View()
 	if n.control {
 		n.startCore()
 	}
-	n.every(beatEvery, n.beat)
-	n.every(beatEvery+100*time.Millisecond, n.enlist)
-	n.w.troubled(n)
+	n.every(heartbeatInterval, n.heartbeat)
+	n.every(heartbeatInterval+100*time.Millisecond, n.enlist)
+	n.world.troubled(n)
 }
 
 func (n *node) startCore() {
 	config := replica.DefaultConfig()
 	restored := n.disk
 	restored.Entries = slices.Clone(restored.Entries)
-	member := raft.New(raft.MemberID(n.place+1), config.Timing, restored, n.w.random)
-	core, err := replica.NewCore(config, member, restored.Snapshot.Data, n.clock(), func() time.Time { return time.UnixMilli(1790000000000).Add(time.Duration(n.w.now)) })
+	member := raft.New(raft.MemberID(n.index+1), config.Timing, restored, n.world.random)
+	core, err := replica.NewCore(config, member, restored.Snapshot.Data, n.clock(), func() time.Time { return time.UnixMilli(1790000000000).Add(time.Duration(n.world.now)) })
 	if err != nil {
-		n.w.t.Fatal(err)
+		n.world.t.Fatal(err)
 	}
 	n.core = core
 	n.every(replica.TickInterval, func() {
-		if late := n.clock().Since(n.beaten); n.beaten > 0 && late > config.Timing.ElectionTimeout(replica.TickInterval) {
+		if late := n.clock().Since(n.lastHeartbeat); n.lastHeartbeat > 0 && late > config.Timing.ElectionTimeout(replica.TickInterval) {
 			n.carryOut(n.core.Step(n.clock(), raft.StepDown{}))
 		}
-		n.beaten = n.clock()
+		n.lastHeartbeat = n.clock()
 		n.carryOut(n.core.Step(n.clock(), raft.Tick{}))
 	})
 }
 
-// crash ends a life.
+// crash ends an incarnation.
 func (n *node) crash() {
 	n.up = false
 	n.core = nil
 	n.stop()
-	n.w.troubled(n)
+	n.world.troubled(n)
 }
 
 func (n *node) freeze(span time.Duration) {
-	n.frozenUntil = n.w.now + clock.Mark(span)
-	n.w.troubled(n)
-	n.w.after(span, func() { n.w.troubled(n) })
+	n.frozenUntil = n.world.now + clock.Mark(span)
+	n.world.troubled(n)
+	n.world.after(span, func() { n.world.troubled(n) })
 }
 
 // carryOut does what a step of the core wants done.
@@ -184,8 +184,8 @@
 		defer n.sendRaft(effects.MessagesAfterSave)
 	}
 	for _, answer := range effects.Responses {
-		if taken := n.asked[answer.RequestID]; taken != nil {
-			delete(n.asked, answer.RequestID)
+		if taken := n.pendingRequests[answer.RequestID]; taken != nil {
+			delete(n.pendingRequests, answer.RequestID)
 			taken(answer)
 		}
 	}
@@ -194,9 +194,9 @@
 }
 
 func (n *node) writeNext() {
-	life := n.life
-	n.w.after(n.w.ms(1, 5), func() {
-		n.do(life, func() {
+	incarnation := n.incarnation
+	n.world.after(n.world.ms(1, 5), func() {
+		n.do(incarnation, func() {
 			done := n.writes[0]
 			n.writes = n.writes[1:]
 			if done.save != nil {
@@ -230,30 +230,30 @@
 
 func (n *node) sendRaft(messages []raft.Message) {
 	for _, message := range messages {
-		to := n.w.nodes[int(message.To)-1]
+		to := n.world.nodes[int(message.To)-1]
 		if to == n {
 			n.carryOut(n.core.Step(n.clock(), raft.Receive{Message: message}))
 			continue
 		}
-		n.w.send(n, to, func() { to.carryOut(to.core.Step(to.clock(), raft.Receive{Message: message})) }, nil)
+		n.world.send(n, to, func() { to.carryOut(to.core.Step(to.clock(), raft.Receive{Message: message})) }, nil)
 	}
 }
 
-// offer hands what the log put in force to the keeper; the table takes a while to build.
+// offer hands what the log has committed to the rollout manager; the table takes a while to build.
 func (n *node) offer() {
 	state := n.core.State()
-	if state.Version() == n.offeredSpec && state.Closures.Version == n.offeredClosure {
+	if state.Version() == n.offeredConfiguration && state.Closures.Version == n.offeredClosure {
 		return
 	}
-	n.offeredSpec, n.offeredClosure = state.Version(), state.Closures.Version
+	n.offeredConfiguration, n.offeredClosure = state.Version(), state.Closures.Version
 	epoch, closures, inForce := state.Version(), state.Closures.Clone(), statemachine.Proposal{}
 	if found, ok := state.InForce(); ok {
 		inForce = *found
 	}
-	life := n.life
-	n.w.after(n.w.ms(0, 60), func() {
-		n.do(life, func() {
-			n.keeper.Offer(epoch, inForce.Bundle(), &closures)
+	incarnation := n.incarnation
+	n.world.after(n.world.ms(0, 60), func() {
+		n.do(incarnation, func() {
+			n.rollout.Offer(epoch, inForce.Bundle(), &closures)
 			n.news()
 		})
 	})
@@ -261,7 +261,7 @@
 
 // force is what is in force here.
 func (n *node) force() (force membership.InForce) {
-	if table := n.keeper.Table(); table != nil {
+	if table := n.rollout.Table(); table != nil {
 		force.Configuration, force.Closure = table.Version, table.Closures.Version
 	}
 	return force
@@ -297,13 +297,13 @@
 	return n.view.LeaderAddress, n.view.LeaderTerm
 }
 
-func (n *node) beat() {
+func (n *node) heartbeat() {
 	now := n.clock()
 	force := n.force()
 	n.tracker.MemberList().SetSelf(now, membership.MemberRecord{Version: 1, Member: membership.Member{NodeID: n.id(), Address: n.name, Zone: n.zone, Roles: n.serve(),
 		ConfigurationVersion: force.Configuration, ClosureVersion: force.Closure, Ready: true}})
 	n.tracker.MemberList().Sweep(now, 0)
-	if n.w.variant == keepsStale {
+	if n.world.variant == keepsStale {
 		// Then nothing but a probe now and then looks for another source.
 		n.tracker.MemberList().Confirm(now)
 	}
@@ -311,11 +311,11 @@
 		n.ask(question{address: address, linked: true})
 	}
 	lost := n.tracker.ControlLost(now)
-	if n.beats++; lost || n.tracker.MemberList().Unconfirmed(now) || n.beats%10 == 0 {
+	if n.heartbeats++; lost || n.tracker.MemberList().Unconfirmed(now) || n.heartbeats%10 == 0 {
 		n.ask(question{address: n.seeds[n.seedTurn%len(n.seeds)], everyone: lost})
 		n.seedTurn++
 		if contacts := n.view.InContact(now, 10*time.Second); len(contacts) > 0 {
-			n.ask(question{address: contacts[n.w.random.IntN(len(contacts))].Address, everyone: lost})
+			n.ask(question{address: contacts[n.world.random.IntN(len(contacts))].Address, everyone: lost})
 		}
 	}
 	n.publish()
@@ -344,22 +344,22 @@
 func (n *node) publish() {
 	own := membership.LocalState{ConfirmedAt: n.confirmedAsLeader(), IsLeader: n.leads(), EnlistedAt: n.enlisted}
 	own.InForce = n.force()
-	if n.w.variant == readyByAnyone {
+	if n.world.variant == readyByAnyone {
 		own.EnlistedAt = 1
 	}
 	n.view = n.tracker.Refresh(n.clock(), own)
-	n.w.sawView(n)
+	n.world.sawView(n)
 }
 
 // urgentOnly says whether an address is asked for what is urgent only, because the relay tells the rest.
 func (n *node) urgentOnly(address string) bool {
 	relay := n.view.RelayAddress
-	return !n.control && relay != "" && relay != address && n.toldAll[relay] > 0 && n.clock().Since(n.toldAll[relay]) <= relayFresh
+	return !n.control && relay != "" && relay != address && n.fullUpdateAt[relay] > 0 && n.clock().Since(n.fullUpdateAt[relay]) <= relayFresh
 }
 
 // ask puts a question, if it is not being asked already.
 func (n *node) ask(q question) {
-	to := n.w.at(q.address)
+	to := n.world.at(q.address)
 	if to == nil || to == n || n.asking[q] {
 		return
 	}
@@ -377,7 +377,7 @@
 	about := membership.PullTarget{Address: q.address, Linked: q.linked, MaxWait: hold}
 	n.tracker.FillRequest(in, about)
 	if q.linked {
-		in.MaxWaitMs, in.BatchDelayMs, in.IntervalMs = hold.Milliseconds(), 50, max(hold, beatEvery).Milliseconds()
+		in.MaxWaitMs, in.BatchDelayMs, in.IntervalMs = hold.Milliseconds(), 50, max(hold, heartbeatInterval).Milliseconds()
 		in.RegistryUrgentOnly = n.urgentOnly(q.address)
 	}
 	n.call(to, hold+membership.PullTimeout, func(answer func(func())) {
@@ -400,21 +400,21 @@
 		reply := answer.Reply
 		before := n.force()
 		if len(reply.Configuration) > 0 || len(reply.Closures) > 0 {
-			n.keeper.Offer(ident.Version(reply.ConfigurationVersion), bundleOf(reply), rollout.DecodeClosures(reply.Closures))
+			n.rollout.Offer(ident.Version(reply.ConfigurationVersion), bundleOf(reply), rollout.DecodeClosures(reply.Closures))
 		}
 		if q.linked && !urgentOnly {
-			n.toldAll[q.address] = max(n.toldAll[q.address], answer.SentAt)
+			n.fullUpdateAt[q.address] = max(n.fullUpdateAt[q.address], answer.SentAt)
 		}
 		if before != n.force() {
 			n.news()
 		}
 	}
 	force := n.force()
-	if n.w.variant == aheadOfForce && answer.Err == nil {
+	if n.world.variant == aheadOfForce && answer.Err == nil {
 		force.Configuration, force.Closure = max(force.Configuration, ident.Version(answer.Reply.ConfigurationVersion)), max(force.Closure, ident.Version(answer.Reply.ClosureVersion))
 	}
 	if turned := n.tracker.HandleResult(now, answer, force); turned != nil && turned.Stale {
-		n.w.left++
+		n.world.left++
 	}
 	n.publish()
 	if answer.Err == nil && q.linked && answer.MaxWait > 0 && now.Since(answer.SentAt) >= 50*time.Millisecond && slices.Contains(n.tracker.Links(now), q.address) {
@@ -428,7 +428,7 @@
 	// The parts are shared, and nothing is written to them.
 	copyReply(reply, answer.Reply)
 	sinceAsked := answer.ReceivedAt.Since(answer.SentAt).Milliseconds()
-	switch n.w.variant {
+	switch n.world.variant {
 	case keepsStale:
 		reply.Confirmation = nil
 	case staysWithRelay:
@@ -453,20 +453,20 @@
 	known := n.tracker.RecordPull(now, in)
 	held := &heldPull{in: in, arrived: now, gap: now + clock.Mark(time.Duration(in.BatchDelayMs)*time.Millisecond), end: now + clock.Mark(time.Duration(in.MaxWaitMs)*time.Millisecond)}
 	held.answer = func(reply *peerapi.PullReply) { reply.KnownAttributesVersion = known; answer(reply) }
-	n.held = append(n.held, held)
-	life := n.life
-	n.w.after(time.Duration(in.MaxWaitMs)*time.Millisecond, func() { n.do(life, n.news) })
+	n.heldPulls = append(n.heldPulls, held)
+	incarnation := n.incarnation
+	n.world.after(time.Duration(in.MaxWaitMs)*time.Millisecond, func() { n.do(incarnation, n.news) })
 	n.news()
 }
 
 // news answers those questions that were held back and for which there is anything new, or whose time is over.
 func (n *node) news() {
 	now := n.clock()
-	waiting := n.held
-	n.held = nil
+	waiting := n.heldPulls
+	n.heldPulls = nil
 	for _, held := range waiting {
 		if now < held.end && !n.urgentFor(held.in) && !(now >= held.gap && n.ordinaryFor(held.in)) {
-			n.held = append(n.held, held)
+			n.heldPulls = append(n.heldPulls, held)
 			continue
 		}
 		held.answer(n.reply(held))
@@ -475,8 +475,8 @@
 
 func (n *node) tellsBundle(in *peerapi.PullRequest) bool {
 	force := n.force()
-	if n.seenSpec != force.Configuration || n.seenAt == 0 {
-		n.seenSpec, n.seenAt = force.Configuration, n.clock()
+	if n.seenConfiguration != force.Configuration || n.seenAt == 0 {
+		n.seenConfiguration, n.seenAt = force.Configuration, n.clock()
 	}
 	return uint64(force.Configuration) > in.ConfigurationVersion && (!in.RegistryUrgentOnly && !in.EveryHeartbeat || n.clock().Since(n.seenAt) >= bundleRest)
 }
@@ -496,13 +496,13 @@
 func (n *node) reply(held *heldPull) *peerapi.PullReply {
 	in := held.in
 	confirmed := n.confirmed()
-	if n.w.variant == relayVouches && n.control {
+	if n.world.variant == relayVouches && n.control {
 		confirmed = n.clock()
 	}
 	leader, term := n.leader()
 	reply := &peerapi.PullReply{Group: group, NodeId: string(n.id()), LeaderAddress: leader, LeaderTerm: term, IsLeader: n.leads(),
 		Confirmation: membership.EncodeConfirmation(confirmed, held.arrived)}
-	if table := n.keeper.Table(); table != nil {
+	if table := n.rollout.Table(); table != nil {
 		reply.ConfigurationVersion, reply.ClosureVersion = uint64(table.Version), uint64(table.Closures.Version)
 		if n.tellsBundle(in) {
 			reply.Configuration, reply.ConfigurationCompressed = table.Bundle.Data, table.Bundle.Compressed
@@ -524,7 +524,7 @@
 	return reply
 }
 
-// enlist has the group write this life down.
+// enlist has the group record this incarnation.
 func (n *node) enlist() {
 	if n.enlisted > 0 {
 		return
@@ -551,7 +551,7 @@
 }
 
 func (n *node) submitTo(address string, command statemachine.Command, done func(statemachine.Result), follow bool) {
-	to := n.w.at(address)
+	to := n.world.at(address)
 	if to == nil || to == n {
 		return
 	}
@@ -577,17 +577,17 @@
 
 func (n *node) submitHere(command statemachine.Command, answer func(replica.Response)) {
 	n.refs++
-	n.asked[n.refs] = answer
+	n.pendingRequests[n.refs] = answer
 	n.carryOut(n.core.Submit(n.clock(), n.refs, command))
 }
 
 // read looks at the state as the leader does.
 func (n *node) read(look func(answer replica.Response)) {
-	if n.w.variant == readsUnasked {
+	if n.world.variant == readsUnasked {
 		look(replica.Response{Outcome: replica.Applied, State: n.core.State()})
 		return
 	}
 	n.refs++
-	n.asked[n.refs] = look
+	n.pendingRequests[n.refs] = look
 	n.carryOut(n.core.Read(n.clock(), n.refs))
 }
--- a/testbed/partitionsim/operators_test.go
+++ b/testbed/partitionsim/operators_test.go
@@ -69,8 +69,8 @@
 		w.after(w.ms(50, 400), func() { w.operator(who, turn+1, revision) })
 	}
 	w.after(w.ms(1, 6), func() {
-		life, asked := to.life, w.now
-		to.do(life, func() {
+		incarnation, asked := to.incarnation, w.now
+		to.do(incarnation, func() {
 			arrived := w.now
 			to.apply(call, func(got operatorapi.ApplyResponse) {
 				w.sawAnswer(to, asked, arrived, call, got)
@@ -95,18 +95,18 @@
 
 // apply is a control daemon's way of a call: to the leader, again and again until the time is over.
 func (n *node) apply(call operatorapi.ApplyRequest, answer func(operatorapi.ApplyResponse)) {
-	until, life, done := n.clock()+clock.Mark(applyLimit), n.life, false
+	until, incarnation, done := n.clock()+clock.Mark(applyLimit), n.incarnation, false
 	finish := func(got operatorapi.ApplyResponse) {
 		if !done {
 			done = true
 			answer(got)
 		}
 	}
-	var try func(told string)
+	var attempt func(told string)
 	again := func(told string) func() {
-		return func() { n.do(life, func() { try(told) }) }
+		return func() { n.do(incarnation, func() { attempt(told) }) }
 	}
-	try = func(told string) {
+	attempt = func(told string) {
 		if done || n.clock() >= until {
 			return
 		}
@@ -116,11 +116,11 @@
 					finish(got)
 					return
 				}
-				n.w.after(applyAgain, again(""))
+				n.world.after(applyAgain, again(""))
 			})
 			return
 		}
-		if n.w.variant == refusesByOwnState && n.core.State().Revision != call.Base {
+		if n.world.variant == refusesByOwnState && n.core.State().Revision != call.Base {
 			finish(operatorapi.ApplyResponse{Outcome: operatorapi.Conflicted, Revision: n.core.State().Revision})
 			return
 		}
@@ -128,15 +128,15 @@
 		if address == "" {
 			address, _ = n.leader()
 		}
-		to := n.w.at(address)
+		to := n.world.at(address)
 		if to == nil || to == n {
-			n.w.after(applyAgain, again(""))
+			n.world.after(applyAgain, again(""))
 			return
 		}
 		n.call(to, until.Since(n.clock()), func(back func(func())) {
 			if !to.leads() {
 				named, _ := to.leader()
-				back(func() { n.w.after(applyAgain, again(named)) })
+				back(func() { n.world.after(applyAgain, again(named)) })
 				return
 			}
 			to.lead(call, func(got operatorapi.ApplyResponse, outcome replica.Outcome) {
@@ -145,18 +145,18 @@
 						finish(got)
 						return
 					}
-					n.w.after(applyAgain, again(""))
+					n.world.after(applyAgain, again(""))
 				})
 			})
-		}, func() { n.w.after(applyAgain, again("")) })
+		}, func() { n.world.after(applyAgain, again("")) })
 	}
-	n.w.after(applyLimit, func() { n.do(life, func() { finish(operatorapi.ApplyResponse{Outcome: operatorapi.Unknown}) }) })
-	try("")
+	n.world.after(applyLimit, func() { n.do(incarnation, func() { finish(operatorapi.ApplyResponse{Outcome: operatorapi.Unknown}) }) })
+	attempt("")
 }
 
 // lead carries a call out at whoever takes itself for the leader.
 func (n *node) lead(call operatorapi.ApplyRequest, answer func(operatorapi.ApplyResponse, replica.Outcome)) {
-	life := n.life
+	incarnation := n.incarnation
 	n.read(func(read replica.Response) {
 		if read.Outcome != replica.Applied {
 			answer(operatorapi.ApplyResponse{}, read.Outcome)
@@ -164,8 +164,8 @@
 		}
 		standing := directapply.ViewOf(read.State, call)
 		// Working it out takes a while, in which anything may happen.
-		n.w.after(n.w.ms(0, 30), func() {
-			n.do(life, func() {
+		n.world.after(n.world.ms(0, 30), func() {
+			n.do(incarnation, func() {
 				decision := standing.Decide(call)
 				if decision.Submit == nil {
 					answer(decision.Response, replica.Applied)
@@ -185,7 +185,7 @@
 		return
 	}
 	to := w.core()[w.random.IntN(w.controls)]
-	to.do(to.life, func() {
+	to.do(to.incarnation, func() {
 		to.submit(statemachine.Command{Op: statemachine.OpClosure, Zone: "zone0", Closed: closed, Operator: "chen"}, func(result statemachine.Result) {
 			if result.Outcome == statemachine.Done {
 				w.acknowledged(0, result.Closures.Version)
@@ -202,7 +202,7 @@
 	}
 	to, asked := w.core()[w.random.IntN(w.controls)], w.now
 	newest := w.newestAcked(asked).Configuration
-	to.do(to.life, func() {
+	to.do(to.incarnation, func() {
 		arrived := w.now
 		seen := func(source *node) func(replica.Response) {
 			return func(answer replica.Response) {
--- a/testbed/partitionsim/world_test.go
+++ b/testbed/partitionsim/world_test.go
@@ -97,7 +97,7 @@
 		members.Members = append(members.Members, raft.Member{ID: raft.MemberID(i + 1), Name: fmt.Sprint("core", i), Address: fmt.Sprint("core", i), Voter: true})
 	}
 	for i := range controls + edges {
-		n := &node{w: w, place: i, control: i < controls, offset: clock.Mark(w.random.Int64N(int64(time.Hour)))}
+		n := &node{world: w, index: i, control: i < controls, offset: clock.Mark(w.random.Int64N(int64(time.Hour)))}
 		n.name = fmt.Sprint("edge", i-controls)
 		if n.control {
 			n.name = fmt.Sprint("core", i)
@@ -114,7 +114,7 @@
 	return w
 }
 
-// end lets the keepers' goroutines go.
+// end stops the rollout managers' goroutines.
 func (w *world) end() {
 	for _, n := range w.nodes {
 		n.stop()
@@ -159,7 +159,7 @@
 }
 
 // reaches says whether what one says gets to another.
-func (w *world) reaches(from, to *node) bool { return !w.blocked[[2]int{from.place, to.place}] }
+func (w *world) reaches(from, to *node) bool { return !w.blocked[[2]int{from.index, to.index}] }
 
 // path says whether two can speak with each other.
 func (w *world) path(a, b *node) bool {
@@ -174,10 +174,10 @@
 				continue
 			}
 			if out {
-				w.blocked[[2]int{a.place, b.place}] = true
+				w.blocked[[2]int{a.index, b.index}] = true
 			}
 			if in {
-				w.blocked[[2]int{b.place, a.place}] = true
+				w.blocked[[2]int{b.index, a.index}] = true
 			}
 			w.troubled(a, b)
 		}
@@ -198,7 +198,7 @@
 			out = append(out, c)
 		}
 	}
-	slices.SortFunc(out, func(a, b *call) int { return (a.from.place-b.from.place)*100 + a.to.place - b.to.place })
+	slices.SortFunc(out, func(a, b *call) int { return (a.from.index-b.from.index)*100 + a.to.index - b.to.index })
 	return out
 }
 
@@ -223,13 +223,13 @@
 		}
 		return
 	}
-	w.after(w.ms(1, 6), func() { to.do(to.life, take) })
+	w.after(w.ms(1, 6), func() { to.do(to.incarnation, take) })
 }
 
 // call asks a node; answer gives back how what it answers is taken here. One of taken and failed is called, once; a
 // frozen asker may find the answer or the end of its patience first when it thaws.
 func (n *node) call(to *node, patience time.Duration, serve func(answer func(taken func())), failed func()) {
-	w, life := n.w, n.life
+	w, incarnation := n.world, n.incarnation
 	done := false
 	finish := func(run func()) func() {
 		return func() {
@@ -239,19 +239,19 @@
 			}
 		}
 	}
-	c := &call{from: n, to: to, fail: func() { n.do(life, finish(failed)) }}
+	c := &call{from: n, to: to, fail: func() { n.do(incarnation, finish(failed)) }}
 	w.calls[c] = true
 	over := func(run func()) func() {
 		return finish(func() { delete(w.calls, c); run() })
 	}
-	w.after(patience, func() { n.do(life, over(failed)) })
+	w.after(patience, func() { n.do(incarnation, over(failed)) })
 	w.send(n, to, func() {
 		serve(func(taken func()) {
 			w.send(to, n, func() {
-				if n.life == life {
+				if n.incarnation == incarnation {
 					over(taken)()
 				}
-			}, func() { n.do(life, over(failed)) })
+			}, func() { n.do(incarnation, over(failed)) })
 		})
-	}, func() { n.do(life, over(failed)) })
+	}, func() { n.do(incarnation, over(failed)) })
 }
