--- a/daemon/counters.go
+++ b/daemon/counters.go
@@ -251,11 +251,11 @@
 	report("pool_adapter_loads", counts.AdapterLoads)
 	report("pool_adapter_unloads", counts.AdapterEvicts)
 	report("pool_orders_done", counts.Done)
-	report("pool_orders_held_already", counts.Already)
+	report("pool_orders_held_already", counts.AlreadyDone)
 	report("pool_orders_refused", counts.Refused)
 	report("pool_orders_never_arrived", counts.NeverArrived)
 	report("pool_orders_failed", counts.Failed)
-	report("pool_orders_unsent", counts.Unsent)
+	report("pool_orders_unsent", counts.NotSent)
 	report("pool_orders_void", counts.Void)
 	report("pool_plans_cancelled", counts.Cancelled)
 	report("pool_reports", counts.Reports)
@@ -264,7 +264,7 @@
 	for obstacle, count := range counts.Unplaced {
 		report("pool_unplaced_for_"+poolplacement.ObstacleNames[obstacle], count)
 	}
-	judged := p.condition().Judged
+	judged := p.condition().Outliers
 	report("engine_outcomes_heard", judged.Attempts)
 	report("engine_outcomes_wrong", judged.Failures)
 	report("engine_outcomes_dropped", judged.DigestsDropped)
--- a/daemon/demand.go
+++ b/daemon/demand.go
@@ -90,10 +90,10 @@
 		if demand.Pool == "" {
 			return
 		}
-		one := poolplacement.Demand{Pool: demand.Pool, Model: demand.Model, Adapter: demand.Adapter, Held: int(demand.Queued), Running: int(demand.Running),
+		one := poolplacement.Demand{Pool: demand.Pool, Model: demand.Model, Adapter: demand.Adapter, Queued: int(demand.Queued), Running: int(demand.Running),
 			Tokens: demand.Tokens * share, Arrivals: demand.Arrivals * share, Rank: int(demand.Rank)}
 		if demand.Queued > 0 {
-			one.Oldest = time.Duration(demand.OldestMs)*time.Millisecond + ago
+			one.OldestWait = time.Duration(demand.OldestMs)*time.Millisecond + ago
 		}
 		out = append(out, one)
 	}
--- a/daemon/groupidentity.go
+++ b/daemon/groupidentity.go
@@ -79,7 +79,7 @@
 	}
 	out.LeaseUntilMs = int64(d.generator.LatestTimestamp())
 	if d.config.Serves(daemonconfig.Placement) {
-		out.Claim = uint64(max(d.sessionPlacer.Status().Token, d.poolPlanning.condition().Claim))
+		out.Claim = uint64(max(d.sessionPlacer.Status().Token, d.poolPlanning.condition().Token))
 	}
 	return out
 }
--- a/daemon/longpoll.go
+++ b/daemon/longpoll.go
@@ -129,7 +129,7 @@
 	if !d.IsPlanner() {
 		return
 	}
-	held := &shortageReport{sessions: d.sessionPlacer.Status().Unplaced, pools: d.poolPlanning.condition().Lacks}
+	held := &shortageReport{sessions: d.sessionPlacer.Status().Unplaced, pools: d.poolPlanning.condition().Unplaced}
 	if known := d.shortageReport.Load(); known == nil || !held.similarTo(known) {
 		d.shortageReport.Store(held)
 		d.sentVersions.shortages.Add(1)
--- a/daemon/noderanking.go
+++ b/daemon/noderanking.go
@@ -34,7 +34,7 @@
 // PlannerLease returns the token of the lease of the planner of pools, and whether this daemon holds it.
 func (h rankingHost) PlannerLease() (ident.FencingToken, bool) {
 	condition := h.daemon.poolPlanning.condition()
-	return condition.Claim, condition.Held
+	return condition.Token, condition.HasLease
 }
 
 // RegisteredEngines returns the engines that register themselves.
--- a/daemon/planner.go
+++ b/daemon/planner.go
@@ -7,7 +7,7 @@
 
 // IsPlanner says whether this daemon holds the lease of a planner.
 func (d *Daemon) IsPlanner() bool {
-	return d.config.Serves(daemonconfig.Placement) && (d.sessionPlacer.Status().HasLease || d.poolPlanning.condition().Held)
+	return d.config.Serves(daemonconfig.Placement) && (d.sessionPlacer.Status().HasLease || d.poolPlanning.condition().HasLease)
 }
 
 // highestClaimSeen is the highest fencing token of planners that this daemon knows of, so that none is ever granted
--- a/daemon/poolplanning.go
+++ b/daemon/poolplanning.go
@@ -32,7 +32,7 @@
 func WithPoolPlanning(client poolplacement.EngineClient, settings poolplacement.Settings) Option {
 	return func(d *Daemon) {
 		d.poolPlanning = &poolPlanning{client: client, settings: settings}
-		d.replicaConfig.PlannerLease, d.replicaConfig.PlannerLeaseGap = settings.Span, settings.Gap
+		d.replicaConfig.PlannerLease, d.replicaConfig.PlannerLeaseGap = settings.LeaseSpan, settings.LeaseGap
 	}
 }
 
@@ -53,16 +53,16 @@
 	}
 }
 
-func (p *poolPlanning) condition() poolplacement.Condition {
+func (p *poolPlanning) condition() poolplacement.Status {
 	if p == nil || p.placer == nil {
-		return poolplacement.Condition{}
+		return poolplacement.Status{}
 	}
-	return p.placer.Condition()
+	return p.placer.Status()
 }
 
 func (p *poolPlanning) standDown() {
 	if p != nil && p.placer != nil {
-		p.placer.StandDown()
+		p.placer.Resign()
 	}
 }
 
@@ -77,38 +77,38 @@
 		in.Section = table.Forward.Section
 	}
 	in.Demand = p.collectDemand(now, p.forwardDemands())
-	in.Shut, in.Emptying = func(engine *registry.Engine) bool { return !p.engineOpen(engine) }, p.nodeRanking.Emptying()
+	in.Closed, in.Draining = func(engine *registry.Engine) bool { return !p.engineOpen(engine) }, p.nodeRanking.Emptying()
 	in.Outcomes = p.takeOutcomes()
 	return in
 }
 
 // Claim acquires or renews the planner's lease.
-func (p poolPlanner) Claim(ctx context.Context, announced *statemachine.Announcement, complete bool) poolplacement.ClaimAnswer {
+func (p poolPlanner) Claim(ctx context.Context, announced *statemachine.Announcement, complete bool) poolplacement.LeaseReply {
 	answer, ok := p.submitOnce(ctx, statemachine.Command{Op: statemachine.OpAcquirePlanner, NodeID: p.nodeID, Announcement: announced, AnnouncesAll: true, WithAnnounced: complete, Resume: true, TokenAbove: p.highestClaimSeen()})
 	switch {
 	case !ok || answer.PlannerLease == nil:
-		return poolplacement.ClaimAnswer{}
+		return poolplacement.LeaseReply{}
 	case answer.Outcome == statemachine.Done:
-		return poolplacement.ClaimAnswer{Granted: answer.PlannerLease}
+		return poolplacement.LeaseReply{Granted: answer.PlannerLease}
 	}
-	return poolplacement.ClaimAnswer{Wait: time.Duration(answer.PlannerLease.FreeAt(p.replicaConfig.PlannerLeaseGap)-answer.PlannerLease.Now) * time.Millisecond}
+	return poolplacement.LeaseReply{Wait: time.Duration(answer.PlannerLease.FreeAt(p.replicaConfig.PlannerLeaseGap)-answer.PlannerLease.Now) * time.Millisecond}
 }
 
 // Mint returns an id for an order.
 func (p poolPlanner) Mint() (ident.SnowflakeID, snowflake.Outcome) { return p.generator.Next() }
 
-// LeaseHeld says whether the lease of the worker id still holds.
-func (p poolPlanner) LeaseHeld() bool { return p.generator.HasLease() }
+// WorkerLeaseValid says whether the lease of the worker id still holds.
+func (p poolPlanner) WorkerLeaseValid() bool { return p.generator.HasLease() }
 
-// MayStand says whether this daemon should try to plan.
-func (p poolPlanner) MayStand() bool {
+// MayPlan says whether this daemon should try to plan.
+func (p poolPlanner) MayPlan() bool {
 	ready, _ := p.members.Ready()
 	return ready && !p.draining.Load() && p.generator.HasLease() && p.config.Serves(daemonconfig.Placement)
 }
 
-// First says whether this daemon should get the lease before others: one that does not lead. A lease outlasts an
+// Preferred says whether this daemon should get the lease before others: one that does not lead. A lease outlasts an
 // election, so the loss of either machine alone costs less than the loss of one that is both.
-func (p poolPlanner) First() bool { return !p.IsLeader() }
+func (p poolPlanner) Preferred() bool { return !p.IsLeader() }
 
-// Tell publishes the plan by way of the registry.
-func (p poolPlanner) Tell(plans map[ident.EngineID]registry.Plan) { p.registry.PublishPlans(plans) }
+// Publish publishes the plan by way of the registry.
+func (p poolPlanner) Publish(plans map[ident.EngineID]registry.Plan) { p.registry.PublishPlans(plans) }
--- a/daemon/shortages.go
+++ b/daemon/shortages.go
@@ -32,7 +32,7 @@
 // shortageReport is what the planners here last reported that they can't load soon, as sent to peers.
 type shortageReport struct {
 	sessions []sessionplacement.Unplaced
-	pools    []poolplacement.Lack
+	pools    []poolplacement.Unplaced
 }
 
 // similarTo says whether two reports are so close that peers needn't be sent the newer one.
@@ -128,8 +128,8 @@
 // PoolShortage returns for how long a model or adapter is not likely to be loaded, by the planner's last report. The
 // request path checks it before it queues a request.
 func (d *Daemon) PoolShortage(pool, model, adapter string) (wait time.Duration, lacking bool) {
-	if condition := d.poolPlanning.condition(); condition.Held {
-		for _, shortage := range condition.Lacks {
+	if condition := d.poolPlanning.condition(); condition.HasLease {
+		for _, shortage := range condition.Unplaced {
 			if shortage.Pool == pool && shortage.Model == model && (shortage.Adapter == "" || shortage.Adapter == adapter) {
 				return shortage.Wait, true
 			}
--- a/process/placement/poolplacement/actor.go
+++ b/process/placement/poolplacement/actor.go
@@ -17,215 +17,215 @@
 	"github.com/cresspond/cresspond/process/workerid/snowflake"
 )
 
-// Surroundings is what the actor needs of its daemon.
-type Surroundings interface {
+// Environment is what the actor needs of its daemon.
+type Environment interface {
 	// Input gives what the plan looks at.
 	Input() Input
 	// Claim asks the group for the claim, or for more time under it, and tells what is about to be ordered.
-	Claim(ctx context.Context, told *statemachine.Announcement, whole bool) ClaimAnswer
+	Claim(ctx context.Context, told *statemachine.Announcement, whole bool) LeaseReply
 	// Mint stamps an order; LeaseHeld says whether what was minted may still be used.
 	Mint() (ident.SnowflakeID, snowflake.Outcome)
-	LeaseHeld() bool
-	// MayStand says whether this daemon should try for the claim, First whether it should before others.
-	MayStand() bool
-	First() bool
-	// Tell spreads what is known and meant of engines.
-	Tell(plans map[ident.EngineID]registry.Plan)
+	WorkerLeaseValid() bool
+	// MayPlan says whether this daemon should try for the claim, First whether it should before others.
+	MayPlan() bool
+	Preferred() bool
+	// Publish spreads what is known and meant of engines.
+	Publish(plans map[ident.EngineID]registry.Plan)
 }
 
-// ClaimAnswer is the group's answer: the claim if it is granted, else how long the asker had better wait.
-type ClaimAnswer struct {
+// LeaseReply is the group's answer: the claim if it is granted, else how long the asker had better wait.
+type LeaseReply struct {
 	Granted *statemachine.PlannerLease
 	Wait    time.Duration
 }
 
-// Condition is what others may see of the planner.
-type Condition struct {
-	Claim    ident.FencingToken
-	Held     bool
-	Engines  int
-	InFlight int
-	Lacks    []Lack
-	Counters Counters
-	Judged   outlier.Counters
+// Status is what others may see of the planner.
+type Status struct {
+	Token         ident.FencingToken
+	HasLease      bool
+	Engines       int
+	PendingOrders int
+	Unplaced      []Unplaced
+	Counters      Counters
+	Outliers      outlier.Counters
 }
 
 // Actor plans while it holds the claim.
 type Actor struct {
-	around   Surroundings
-	client   EngineClient
-	settings Settings
-	clock    clock.Clock
-	log      log.Interface
-	box      *actor.Mailbox[any]
-	claim    *plannerlease.Lease
-	planner  *Planner
-	// plannerOf is the claim that the planner was made for.
-	plannerOf ident.FencingToken
-	asking    bool
-	// askNext is when the group is asked next; until then there is nothing to be had.
-	askNext   clock.Mark
-	stoodFrom clock.Mark
-	turn      uint64
-	// planNext is when the plan is made next.
-	planNext clock.Mark
-	// rest is how long the plan gives way after a step that took long.
-	rest      stepRest
-	condition atomic.Pointer[Condition]
-	steps     stepLog
-	stopped   bool
-	// asks bounds how many engines are asked for their reports at once.
-	asks chan struct{}
+	environment Environment
+	client      EngineClient
+	settings    Settings
+	clock       clock.Clock
+	log         log.Interface
+	mailbox     *actor.Mailbox[any]
+	lease       *plannerlease.Lease
+	planner     *Planner
+	// plannerToken is the claim that the planner was made for.
+	plannerToken   ident.FencingToken
+	leaseRequested bool
+	// nextLeaseRequest is when the group is asked next; until then there is nothing to be had.
+	nextLeaseRequest clock.Mark
+	waitingSince     clock.Mark
+	sequence         uint64
+	// nextPlan is when the plan is made next.
+	nextPlan clock.Mark
+	// pause is how long the plan gives way after a step that took long.
+	pause   stepPause
+	status  atomic.Pointer[Status]
+	steps   stepLog
+	stopped bool
+	// reportSlots bounds how many engines are asked for their reports at once.
+	reportSlots chan struct{}
 }
 
 type (
-	claimed struct {
+	leaseEvent struct {
 		asked  clock.Mark
-		answer ClaimAnswer
+		answer LeaseReply
 	}
-	answered struct {
+	orderEvent struct {
 		order  Order
-		answer Answer
+		answer OrderOutcome
 	}
-	reported struct {
+	reportEvent struct {
 		engine ident.EngineID
 		asked  clock.Mark
 		report Report
 		ok     bool
 	}
-	standDown struct{ done chan struct{} }
+	resign struct{ done chan struct{} }
 )
 
 const (
-	// claimMargin is taken off the end of a claim for clock-rate error.
-	claimMargin = 300 * time.Millisecond
-	// reportLimit bounds the wait for a report.
-	reportLimit = 700 * time.Millisecond
-	// asksAtOnce is how many engines are asked for their reports at once.
-	asksAtOnce = 64
-	// othersWait is for how long others leave a free claim to the one that should have it.
-	othersWait = 500 * time.Millisecond
+	// leaseMargin is taken off the end of a claim for clock-rate error.
+	leaseMargin = 300 * time.Millisecond
+	// reportTimeout bounds the wait for a report.
+	reportTimeout = 700 * time.Millisecond
+	// maxConcurrentReports is how many engines are asked for their reports at once.
+	maxConcurrentReports = 64
+	// nonPreferredWait is for how long others leave a free claim to the one that should have it.
+	nonPreferredWait = 500 * time.Millisecond
 )
 
 // NewActor makes the actor.
-func NewActor(around Surroundings, client EngineClient, settings Settings, c clock.Clock, logger log.Interface) *Actor {
-	a := &Actor{around: around, client: client, settings: settings, clock: c, log: logger, box: actor.NewMailbox[any](1024),
-		claim: plannerlease.New(c, claimMargin), planner: NewPlanner(settings, c.Elapsed()), asks: make(chan struct{}, asksAtOnce)}
-	a.condition.Store(&Condition{})
-	return a
+func NewActor(environment Environment, client EngineClient, settings Settings, c clock.Clock, logger log.Interface) *Actor {
+	item := &Actor{environment: environment, client: client, settings: settings, clock: c, log: logger, mailbox: actor.NewMailbox[any](1024),
+		lease: plannerlease.New(c, leaseMargin), planner: NewPlanner(settings, c.Elapsed()), reportSlots: make(chan struct{}, maxConcurrentReports)}
+	item.status.Store(&Status{})
+	return item
 }
 
-// Condition tells where the planner stands.
-func (a *Actor) Condition() Condition { return *a.condition.Load() }
+// Status tells where the planner stands.
+func (item *Actor) Status() Status { return *item.status.Load() }
 
 // Run runs the actor until ctx ends.
-func (a *Actor) Run(ctx context.Context) {
-	a.box.Run(ctx, a.settings.Look, func(event any) { a.take(ctx, event) }, func() { a.look(ctx) })
+func (item *Actor) Run(ctx context.Context) {
+	item.mailbox.Run(ctx, item.settings.PollInterval, func(event any) { item.handle(ctx, event) }, func() { item.poll(ctx) })
 }
 
-// StandDown gives up planning for good; it returns when no further order can leave.
-func (a *Actor) StandDown() {
+// Resign gives up planning for good; it returns when no further order can leave.
+func (item *Actor) Resign() {
 	done := make(chan struct{})
-	if a.box.Send(standDown{done}) {
+	if item.mailbox.Send(resign{done}) {
 		select {
 		case <-done:
-		case <-a.box.Done():
+		case <-item.mailbox.Done():
 		}
 	}
 }
 
-// look asks for the reports that are due, and makes the plan when its time has come.
-func (a *Actor) look(ctx context.Context) {
-	now := a.clock.Elapsed()
+// poll asks for the reports that are due, and makes the plan when its time has come.
+func (item *Actor) poll(ctx context.Context) {
+	now := item.clock.Elapsed()
 	// A tick may come a little early.
-	if now+clock.Mark(a.settings.Look/4) >= a.planNext {
-		a.planNext = max(a.planNext+clock.Mark(a.settings.Beat), now)
-		a.beat(ctx)
+	if now+clock.Mark(item.settings.PollInterval/4) >= item.nextPlan {
+		item.nextPlan = max(item.nextPlan+clock.Mark(item.settings.PlanInterval), now)
+		item.planAndPublish(ctx)
 		return
 	}
-	if number, held := a.claim.Token(); held && number == a.plannerOf {
-		a.askForReports(ctx, now)
+	if number, leased := item.lease.Token(); leased && number == item.plannerToken {
+		item.requestReports(ctx, now)
 	}
 }
 
-func (a *Actor) beat(ctx context.Context) {
-	now := a.clock.Elapsed()
-	a.askForClaim(ctx, now)
-	number, held := a.claim.Token()
-	if held && number == a.plannerOf {
-		a.plan(ctx, now, number)
+func (item *Actor) planAndPublish(ctx context.Context) {
+	now := item.clock.Elapsed()
+	item.requestLease(ctx, now)
+	number, leased := item.lease.Token()
+	if leased && number == item.plannerToken {
+		item.plan(ctx, now, number)
 	}
-	before := a.condition.Load()
-	if held != before.Held || number != before.Claim {
-		a.log.WithFields(log.Fields{"claim": uint64(number), "held": held}).Info("planning of pools")
+	before := item.status.Load()
+	if leased != before.HasLease || number != before.Token {
+		item.log.WithFields(log.Fields{"claim": uint64(number), "held": leased}).Info("planning of pools")
 	}
-	next := &Condition{Claim: number, Held: held}
-	if held {
-		next.Engines, next.InFlight, next.Counters = len(a.planner.engines), a.planner.InFlight(), a.planner.Counters
-		next.Lacks = append([]Lack(nil), a.planner.Lacks...)
+	next := &Status{Token: number, HasLease: leased}
+	if leased {
+		next.Engines, next.PendingOrders, next.Counters = len(item.planner.engines), item.planner.PendingOrders(), item.planner.Counters
+		next.Unplaced = append([]Unplaced(nil), item.planner.Unplaced...)
 	} else {
-		next.Counters = a.planner.Counters
+		next.Counters = item.planner.Counters
 	}
-	next.Judged = a.planner.judge.Counters
-	a.condition.Store(next)
+	next.Outliers = item.planner.outliers.Counters
+	item.status.Store(next)
 }
 
-// askForClaim asks the group when there may be something to be had. Who may have it first does not wait.
-func (a *Actor) askForClaim(ctx context.Context, now clock.Mark) {
-	if a.stopped || a.asking || now < a.askNext {
+// requestLease asks the group when there may be something to be had. Who may have it first does not wait.
+func (item *Actor) requestLease(ctx context.Context, now clock.Mark) {
+	if item.stopped || item.leaseRequested || now < item.nextLeaseRequest {
 		return
 	}
-	_, held := a.claim.Token()
-	if !held {
-		if !a.around.MayStand() {
-			a.stoodFrom = 0
+	_, leased := item.lease.Token()
+	if !leased {
+		if !item.environment.MayPlan() {
+			item.waitingSince = 0
 			return
 		}
-		if a.stoodFrom == 0 {
-			a.stoodFrom = now
+		if item.waitingSince == 0 {
+			item.waitingSince = now
 		}
-		if !a.around.First() && now.Since(a.stoodFrom) < othersWait {
+		if !item.environment.Preferred() && now.Since(item.waitingSince) < nonPreferredWait {
 			return
 		}
 	}
-	a.asking, a.askNext = true, now+clock.Mark(a.settings.Renew)
+	item.leaseRequested, item.nextLeaseRequest = true, now+clock.Mark(item.settings.RenewInterval)
 	go func() {
-		bounded, cancel := context.WithTimeout(ctx, a.settings.Span)
+		bounded, cancel := context.WithTimeout(ctx, item.settings.LeaseSpan)
 		defer cancel()
-		a.box.Send(claimed{now, a.around.Claim(bounded, nil, !held)})
+		item.mailbox.Send(leaseEvent{now, item.environment.Claim(bounded, nil, !leased)})
 	}()
 }
 
 // plan asks for reports, tells what is planned, and sends the orders.
-func (a *Actor) plan(ctx context.Context, now clock.Mark, number ident.FencingToken) {
-	if !a.rest.over(now) {
+func (item *Actor) plan(ctx context.Context, now clock.Mark, number ident.FencingToken) {
+	if !item.pause.over(now) {
 		// Whoever has an order is still asked, so that its end is seen.
-		a.askForReports(ctx, now)
+		item.requestReports(ctx, now)
 		return
 	}
-	began := a.clock.Elapsed()
-	given := a.planner.Step(a.around.Input())
-	a.rest.stepped(began, a.clock.Elapsed(), a.settings.Beat)
-	a.logSteps(now, a.clock.Elapsed().Since(began))
-	a.askForReports(ctx, now)
-	if plans := a.planner.Plans(now); len(plans) > 0 {
-		a.turn++
+	began := item.clock.Elapsed()
+	issued := item.planner.Step(item.environment.Input())
+	item.pause.record(began, item.clock.Elapsed(), item.settings.PlanInterval)
+	item.logSteps(now, item.clock.Elapsed().Since(began))
+	item.requestReports(ctx, now)
+	if plans := item.planner.Plans(now); len(plans) > 0 {
+		item.sequence++
 		for id, plan := range plans {
-			plan.Claim, plan.Sequence = number, a.turn
+			plan.Claim, plan.Sequence = number, item.sequence
 			plans[id] = plan
 		}
-		a.around.Tell(plans)
+		item.environment.Publish(plans)
 	}
 	var orders []Order
 	addresses := map[ident.EngineID]string{}
-	for _, order := range given {
-		stamp, verdict := a.around.Mint()
-		if verdict != snowflake.Generated {
+	for _, order := range issued {
+		stamp, outcome := item.environment.Mint()
+		if outcome != snowflake.Generated {
 			// Without a lease of a worker id nothing may be ordered.
-			a.planner.Withdraw(now, order.Engine)
+			item.planner.Withdraw(now, order.Engine)
 			continue
 		}
-		stamped, address, ok := a.planner.Stamp(order.Engine, stamp, number)
+		stamped, address, ok := item.planner.Stamp(order.Engine, stamp, number)
 		if !ok {
 			continue
 		}
@@ -233,107 +233,107 @@
 		addresses[stamped.Engine] = address
 	}
 	if len(orders) > 0 {
-		go a.send(ctx, number, a.planner.Told(orders), orders, addresses)
+		go item.send(ctx, number, item.planner.Announcement(orders), orders, addresses)
 	}
 }
 
 // send tells the group of the orders first, so that a successor counts the loads and keeps quiet after the
 // last however this daemon ends, and then sends them.
-func (a *Actor) send(ctx context.Context, number ident.FencingToken, told *statemachine.Announcement, orders []Order, addresses map[ident.EngineID]string) {
-	mayLeave := func() bool { return a.claim.Allows(number) && a.around.LeaseHeld() }
-	asked := a.clock.Elapsed()
-	give := func(order Order) {
+func (item *Actor) send(ctx context.Context, number ident.FencingToken, announcement *statemachine.Announcement, orders []Order, addresses map[ident.EngineID]string) {
+	maySend := func() bool { return item.lease.Allows(number) && item.environment.WorkerLeaseValid() }
+	asked := item.clock.Elapsed()
+	sendOne := func(order Order) {
 		// The limit counts from before the telling, so that what was told of is not on its way for longer.
-		bounded, cancel := context.WithTimeout(ctx, a.settings.OrderLimit-a.clock.Elapsed().Since(asked))
+		bounded, cancel := context.WithTimeout(ctx, item.settings.OrderTimeout-item.clock.Elapsed().Since(asked))
 		defer cancel()
-		a.box.Send(answered{order, a.client.Order(bounded, addresses[order.Engine], order, mayLeave)})
+		item.mailbox.Send(orderEvent{order, item.client.Order(bounded, addresses[order.Engine], order, maySend)})
 	}
-	bounded, cancel := context.WithTimeout(ctx, a.settings.OrderLimit)
-	answer := a.around.Claim(bounded, told, false)
+	bounded, cancel := context.WithTimeout(ctx, item.settings.OrderTimeout)
+	answer := item.environment.Claim(bounded, announcement, false)
 	cancel()
 	known := answer.Granted != nil && answer.Granted.Token == number
 	if known {
-		a.box.Send(claimed{asked, answer})
+		item.mailbox.Send(leaseEvent{asked, answer})
 	}
 	for _, order := range orders {
 		if known {
-			go give(order)
+			go sendOne(order)
 		} else {
-			a.box.Send(answered{order, Unsent})
+			item.mailbox.Send(orderEvent{order, NotSent})
 		}
 	}
 }
 
-func (a *Actor) askForReports(ctx context.Context, now clock.Mark) {
-	for _, ask := range a.planner.Due(now) {
+func (item *Actor) requestReports(ctx context.Context, now clock.Mark) {
+	for _, due := range item.planner.Due(now) {
 		go func() {
 			select {
-			case a.asks <- struct{}{}:
+			case item.reportSlots <- struct{}{}:
 			case <-ctx.Done():
 				return
 			}
-			defer func() { <-a.asks }()
-			bounded, cancel := context.WithTimeout(ctx, reportLimit)
+			defer func() { <-item.reportSlots }()
+			bounded, cancel := context.WithTimeout(ctx, reportTimeout)
 			defer cancel()
-			asked := a.clock.Elapsed()
-			report, err := a.client.Report(bounded, ask.Address, ask.Engine)
-			a.box.Send(reported{ask.Engine, asked, report, err == nil})
+			asked := item.clock.Elapsed()
+			report, err := item.client.Report(bounded, due.Address, due.Engine)
+			item.mailbox.Send(reportEvent{due.Engine, asked, report, err == nil})
 		}()
 	}
 }
 
-func (a *Actor) take(ctx context.Context, event any) {
-	now := a.clock.Elapsed()
+func (item *Actor) handle(ctx context.Context, event any) {
+	now := item.clock.Elapsed()
 	switch e := event.(type) {
-	case claimed:
-		a.takeClaim(now, e)
-	case answered:
-		if e.order.Claim != a.plannerOf {
+	case leaseEvent:
+		item.adoptLease(now, e)
+	case orderEvent:
+		if e.order.Claim != item.plannerToken {
 			return
 		}
-		a.planner.Answered(now, e.order, e.answer)
-	case reported:
-		if !a.planner.Reported(now, e.asked, e.engine, e.report, e.ok) {
+		item.planner.Answered(now, e.order, e.answer)
+	case reportEvent:
+		if !item.planner.Reported(now, e.asked, e.engine, e.report, e.ok) {
 			return
 		}
-		if number, held := a.claim.Token(); held && number == a.plannerOf {
+		if number, leased := item.lease.Token(); leased && number == item.plannerToken {
 			// An engine is free again: what waits for it is ordered, and what has come is told, without a beat's delay.
-			a.plan(ctx, now, number)
+			item.plan(ctx, now, number)
 		}
-	case standDown:
-		a.stopped = true
-		a.claim.Release()
+	case resign:
+		item.stopped = true
+		item.lease.Release()
 		close(e.done)
 	}
 }
 
-// takeClaim is the one place where the claim is taken up.
-func (a *Actor) takeClaim(now clock.Mark, e claimed) {
-	a.asking = false
+// adoptLease is the one place where the claim is taken up.
+func (item *Actor) adoptLease(now clock.Mark, e leaseEvent) {
+	item.leaseRequested = false
 	granted := e.answer.Granted
 	if granted == nil {
-		wait := max(a.settings.Renew, e.answer.Wait)
-		if !a.around.First() {
-			wait += othersWait
+		wait := max(item.settings.RenewInterval, e.answer.Wait)
+		if !item.environment.Preferred() {
+			wait += nonPreferredWait
 		}
-		a.askNext = max(a.askNext, now+clock.Mark(wait))
+		item.nextLeaseRequest = max(item.nextLeaseRequest, now+clock.Mark(wait))
 		return
 	}
-	if a.stopped {
+	if item.stopped {
 		return
 	}
-	a.askNext = e.asked + clock.Mark(a.settings.Renew)
-	if granted.Token != a.plannerOf {
+	item.nextLeaseRequest = e.asked + clock.Mark(item.settings.RenewInterval)
+	if granted.Token != item.plannerToken {
 		// A fresh claim starts from the reports alone, and from what the claims before told. One that lapsed and
 		// went on is no fresh one: nobody else has ordered meanwhile.
-		a.inherit(now, granted)
+		item.inherit(now, granted)
 	}
-	a.claim.Renew(e.asked, granted)
+	item.lease.Renew(e.asked, granted)
 }
 
-func (a *Actor) inherit(now clock.Mark, granted *statemachine.PlannerLease) {
-	counters := a.planner.Counters
-	a.planner, a.plannerOf = NewPlanner(a.settings, now), granted.Token
-	a.planner.Counters = counters
-	a.planner.Inherit(now, granted)
+func (item *Actor) inherit(now clock.Mark, granted *statemachine.PlannerLease) {
+	counters := item.planner.Counters
+	item.planner, item.plannerToken = NewPlanner(item.settings, now), granted.Token
+	item.planner.Counters = counters
+	item.planner.Inherit(now, granted)
 }
--- a/process/placement/poolplacement/actor_test.go
+++ b/process/placement/poolplacement/actor_test.go
@@ -39,93 +39,95 @@
 	stopped int
 }
 
-func (w *frozenWorld) Elapsed() clock.Mark {
-	w.Lock()
-	defer w.Unlock()
-	w.now += clock.Mark(15 * time.Millisecond)
-	return w.now
+func (wanted *frozenWorld) Elapsed() clock.Mark {
+	wanted.Lock()
+	defer wanted.Unlock()
+	wanted.now += clock.Mark(15 * time.Millisecond)
+	return wanted.now
 }
-func (w *frozenWorld) Wall() time.Time { return time.Time{} }
+func (wanted *frozenWorld) Wall() time.Time { return time.Time{} }
 
-func (w *frozenWorld) Input() Input {
-	w.Lock()
-	defer w.Unlock()
-	w.now += clock.Mark(10 * time.Millisecond)
-	return Input{Now: w.now, Section: w.section, View: w.view, Demand: w.demand}
+func (wanted *frozenWorld) Input() Input {
+	wanted.Lock()
+	defer wanted.Unlock()
+	wanted.now += clock.Mark(10 * time.Millisecond)
+	return Input{Now: wanted.now, Section: wanted.section, View: wanted.view, Demand: wanted.demand}
 }
 
 // Claim grants the claim until it has passed on to somebody else.
-func (w *frozenWorld) Claim(context.Context, *statemachine.Announcement, bool) ClaimAnswer {
-	w.Lock()
-	defer w.Unlock()
-	w.asks++
-	w.changed.Broadcast()
-	if w.passedOn {
-		return ClaimAnswer{}
+func (wanted *frozenWorld) Claim(context.Context, *statemachine.Announcement, bool) LeaseReply {
+	wanted.Lock()
+	defer wanted.Unlock()
+	wanted.asks++
+	wanted.changed.Broadcast()
+	if wanted.passedOn {
+		return LeaseReply{}
 	}
-	at := ident.GroupTime(w.now / clock.Mark(time.Millisecond))
-	return ClaimAnswer{Granted: &statemachine.PlannerLease{Token: w.holder, Now: at, Expiry: at.Add(3 * time.Second)}}
+	at := ident.GroupTime(wanted.now / clock.Mark(time.Millisecond))
+	return LeaseReply{Granted: &statemachine.PlannerLease{Token: wanted.holder, Now: at, Expiry: at.Add(3 * time.Second)}}
 }
-func (w *frozenWorld) Mint() (ident.SnowflakeID, snowflake.Outcome) { return 1, snowflake.Generated }
-func (w *frozenWorld) LeaseHeld() bool                              { return true }
-func (w *frozenWorld) MayStand() bool                               { return true }
-func (w *frozenWorld) First() bool                                  { return true }
-func (w *frozenWorld) Tell(map[ident.EngineID]registry.Plan)        {}
-func (w *frozenWorld) freeze(span time.Duration) {
-	w.Lock()
-	w.now += clock.Mark(span)
-	w.passedOn = true
-	w.Unlock()
+func (wanted *frozenWorld) Mint() (ident.SnowflakeID, snowflake.Outcome) {
+	return 1, snowflake.Generated
+}
+func (wanted *frozenWorld) WorkerLeaseValid() bool                   { return true }
+func (wanted *frozenWorld) MayPlan() bool                            { return true }
+func (wanted *frozenWorld) Preferred() bool                          { return true }
+func (wanted *frozenWorld) Publish(map[ident.EngineID]registry.Plan) {}
+func (wanted *frozenWorld) freeze(span time.Duration) {
+	wanted.Lock()
+	wanted.now += clock.Mark(span)
+	wanted.passedOn = true
+	wanted.Unlock()
 }
 
-func (w *frozenWorld) Report(_ context.Context, address string, id ident.EngineID) (Report, error) {
+func (wanted *frozenWorld) Report(_ context.Context, address string, id ident.EngineID) (Report, error) {
 	if address == "" {
 		return Report{}, errors.New("no address")
 	}
 	return Report{Models: []registry.LoadedModel{}, Memory: 100000}, nil
 }
 
-func (w *frozenWorld) Order(_ context.Context, _ string, order Order, mayLeave func() bool) Answer {
-	w.beforeLook(order.Engine)
+func (wanted *frozenWorld) Order(_ context.Context, _ string, order Order, mayLeave func() bool) OrderOutcome {
+	wanted.beforeLook(order.Engine)
 	if !mayLeave() {
-		w.Lock()
-		defer w.Unlock()
-		w.stopped++
-		w.changed.Broadcast()
-		return Unsent
+		wanted.Lock()
+		defer wanted.Unlock()
+		wanted.stopped++
+		wanted.changed.Broadcast()
+		return NotSent
 	}
-	w.afterLook(order.Engine)
-	w.Lock()
-	defer w.Unlock()
-	w.left = append(w.left, order)
-	w.changed.Broadcast()
+	wanted.afterLook(order.Engine)
+	wanted.Lock()
+	defer wanted.Unlock()
+	wanted.left = append(wanted.left, order)
+	wanted.changed.Broadcast()
 	return NoAnswer
 }
 
-func (w *frozenWorld) until(holds func() bool) {
-	w.Lock()
-	defer w.Unlock()
+func (wanted *frozenWorld) until(holds func() bool) {
+	wanted.Lock()
+	defer wanted.Unlock()
 	for !holds() {
-		w.changed.Wait()
+		wanted.changed.Wait()
 	}
 }
 
-// TestAFrozenPlannerSendsNothingButWhatPassedItsLastLook: of orders that are on their way out as the machine freezes
+// TestFrozenPlannerSendsOnlyOrdersThatPassedTheLastCheck: of orders that are on their way out as the machine freezes
 // for longer than the claim lasts, those past their last look leave as it wakes, under the old claim and at once;
 // all others stay, and nothing is ordered again until there is another claim.
-func TestAFrozenPlannerSendsNothingButWhatPassedItsLastLook(t *testing.T) {
+func TestFrozenPlannerSendsOnlyOrdersThatPassedTheLastCheck(t *testing.T) {
 	const engines = 4
-	w := &frozenWorld{now: clock.Mark(time.Hour), holder: 7, view: &registry.View{Engines: map[ident.EngineID]*registry.Engine{}, Pools: map[string][]*registry.Engine{}}}
-	w.changed = sync.NewCond(&w.Mutex)
+	wanted := &frozenWorld{now: clock.Mark(time.Hour), holder: 7, view: &registry.View{Engines: map[ident.EngineID]*registry.Engine{}, Pools: map[string][]*registry.Engine{}}}
+	wanted.changed = sync.NewCond(&wanted.Mutex)
 	catalogue := &upstream.Catalogue{Slots: 8, MemoryTokens: 100000, CapacityMb: 100, AdapterSlots: 1, LoadsPerSecond: 10}
 	for place := range engines {
 		id, model := ident.EngineID(fmt.Sprint("e", place)), fmt.Sprint("m", place)
 		catalogue.Models = append(catalogue.Models, upstream.Model{Name: model, SizeMb: 90, LoadMs: 1000})
-		w.view.Engines[id] = &registry.Engine{Registration: registry.Registration{ID: id, Pool: "p", Address: "there:" + string(id), Slots: 8, Models: []registry.LoadedModel{}}}
-		w.view.Pools["p"] = append(w.view.Pools["p"], w.view.Engines[id])
-		w.demand = append(w.demand, Demand{Pool: "p", Model: model, Held: 3, Tokens: 500, Arrivals: 3, Oldest: time.Second})
+		wanted.view.Engines[id] = &registry.Engine{Registration: registry.Registration{ID: id, Pool: "p", Address: "there:" + string(id), Slots: 8, Models: []registry.LoadedModel{}}}
+		wanted.view.Pools["p"] = append(wanted.view.Pools["p"], wanted.view.Engines[id])
+		wanted.demand = append(wanted.demand, Demand{Pool: "p", Model: model, Queued: 3, Tokens: 500, Arrivals: 3, OldestWait: time.Second})
 	}
-	w.section = &upstream.Section{Revision: 1, Pools: []upstream.Pool{{Name: "p", Catalogue: catalogue}}}
+	wanted.section = &upstream.Section{Revision: 1, Pools: []upstream.Pool{{Name: "p", Catalogue: catalogue}}}
 
 	var meeting sync.WaitGroup
 	meeting.Add(engines)
@@ -133,18 +135,18 @@
 	// Half of the senders freeze before their last look, and half right behind it; who comes first is not fixed.
 	var chosen sync.Map
 	var turn int
-	w.beforeLook = func(engine ident.EngineID) {
-		w.Lock()
+	wanted.beforeLook = func(engine ident.EngineID) {
+		wanted.Lock()
 		turn++
 		early := turn%2 == 1
-		w.Unlock()
+		wanted.Unlock()
 		if early {
 			chosen.Store(engine, true)
 			meeting.Done()
 			<-frozen
 		}
 	}
-	w.afterLook = func(engine ident.EngineID) {
+	wanted.afterLook = func(engine ident.EngineID) {
 		if _, early := chosen.Load(engine); !early {
 			meeting.Done()
 			<-frozen
@@ -152,32 +154,32 @@
 	}
 
 	settings := DefaultSettings("me", 3*time.Second)
-	settings.Beat = time.Millisecond
-	a := NewActor(w, w, settings, w, &log.Logger{Handler: discard.New()})
+	settings.PlanInterval = time.Millisecond
+	item := NewActor(wanted, wanted, settings, wanted, &log.Logger{Handler: discard.New()})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { defer close(ended); a.Run(ctx) }()
+	go func() { defer close(ended); item.Run(ctx) }()
 
 	meeting.Wait()
-	w.freeze(10 * time.Second)
+	wanted.freeze(10 * time.Second)
 	close(frozen)
-	w.until(func() bool { return len(w.left)+w.stopped == engines })
+	wanted.until(func() bool { return len(wanted.left)+wanted.stopped == engines })
 	// It goes on looking, and asks for the claim again, for longer than any gap.
 	asked := 0
-	w.until(func() bool {
+	wanted.until(func() bool {
 		if asked == 0 {
-			asked = w.asks
+			asked = wanted.asks
 		}
-		return w.asks >= asked+8
+		return wanted.asks >= asked+8
 	})
 	cancel()
 	<-ended
-	w.Lock()
-	defer w.Unlock()
-	if len(w.left) != engines/2 || w.stopped != engines/2 {
-		t.Errorf("%d left and %d were kept", len(w.left), w.stopped)
+	wanted.Lock()
+	defer wanted.Unlock()
+	if len(wanted.left) != engines/2 || wanted.stopped != engines/2 {
+		t.Errorf("%d left and %d were kept", len(wanted.left), wanted.stopped)
 	}
-	for _, order := range w.left {
+	for _, order := range wanted.left {
 		if _, early := chosen.Load(order.Engine); early || order.Claim != 7 {
 			t.Errorf("%+v left after its claim had lapsed", order)
 		}
--- a/process/placement/poolplacement/adapters.go
+++ b/process/placement/poolplacement/adapters.go
@@ -9,70 +9,70 @@
 	"github.com/cresspond/cresspond/process/featuregates"
 )
 
-// serveAdapters places the adapters that should stand on one more engine.
-func (s *survey) serveAdapters() []Order {
-	var wants []want
-	for target, a := range s.asks.adapters {
-		if target.Adapter == "" || len(s.copies[target.Model]) == 0 {
+// placeAdapters places the adapters that should stand on one more engine.
+func (s *survey) placeAdapters() []Order {
+	var candidates []candidate
+	for target, item := range s.demand.adapters {
+		if target.Adapter == "" || len(s.replicas[target.Model]) == 0 {
 			continue
 		}
-		a.owe(len(s.adapterCopies[target]) > 0, s.since)
-		gain, urgent := s.gain(a, s.adapterCopies[target])
-		if gain < leastAdapterGain || len(s.adapterCopies[target]) >= len(s.copies[target.Model]) {
+		item.countUnmet(len(s.adapterReplicas[target]) > 0, s.since)
+		gain, urgent := s.gain(item, s.adapterReplicas[target])
+		if gain < minAdapterGain || len(s.adapterReplicas[target]) >= len(s.replicas[target.Model]) {
 			continue
 		}
-		wants = append(wants, want{target, gain, urgent, a})
+		candidates = append(candidates, candidate{target, gain, urgent, item})
 	}
-	sortWants(wants)
+	sortCandidates(candidates)
 	var orders []Order
-	for _, w := range wants {
-		order, ordered, placed := s.placeAdapter(w)
+	for _, wanted := range candidates {
+		order, ordered, placed := s.placeAdapter(wanted)
 		switch {
 		case ordered:
 			orders = append(orders, order)
-		case !placed && len(s.adapterCopies[w.Target]) == 0 && w.ask.oldest > time.Second:
-			s.lack(w.Target, time.Second)
+		case !placed && len(s.adapterReplicas[wanted.Target]) == 0 && wanted.demand.oldestWait > time.Second:
+			s.recordUnplaced(wanted.Target, time.Second)
 		}
 	}
 	return orders
 }
 
 // placeAdapter finds the engine on which one more copy of an adapter costs least.
-func (s *survey) placeAdapter(w want) (order Order, ordered, placed bool) {
+func (s *survey) placeAdapter(wanted candidate) (order Order, ordered, placed bool) {
 	var best *engine
 	var bestVictims []registry.Target
 	bestCost := math.Inf(1)
-	for _, e := range s.copies[w.Model] {
-		if !e.ready(s.now) || e.intent != nil || !e.holds(registry.Target{Model: w.Model}) || e.holds(w.Target) || s.now < e.rests[w.Target] {
+	for _, e := range s.replicas[wanted.Model] {
+		if !e.ready(s.now) || e.intent != nil || !e.hasLoaded(registry.Target{Model: wanted.Model}) || e.hasLoaded(wanted.Target) || s.now < e.backoffs[wanted.Target] {
 			continue
 		}
-		victims, cost, ok := s.wayForAdapter(e, w)
+		victims, cost, ok := s.adapterVictimFor(e, wanted)
 		if !ok {
 			continue
 		}
 		// A free place comes first, also on a warmer engine: what goes for another has to come back.
 		if len(victims) > 0 {
-			cost += tradeCost
+			cost += swapCost
 		}
-		if cost += e.heat; cost < bestCost {
+		if cost += e.utilization; cost < bestCost {
 			best, bestVictims, bestCost = e, victims, cost
 		}
 	}
 	if best == nil {
 		return Order{}, false, false
 	}
-	s.adapterCopies[w.Target] = append(s.adapterCopies[w.Target], best)
+	s.adapterReplicas[wanted.Target] = append(s.adapterReplicas[wanted.Target], best)
 	if len(bestVictims) == 0 {
-		return s.load(best, w.Target), true, true
+		return s.load(best, wanted.Target), true, true
 	}
-	best.intent = &intent{Target: w.Target, victims: bestVictims, told: s.now, urgent: w.urgent}
+	best.intent = &intent{Target: wanted.Target, victims: bestVictims, announcedAt: s.now, urgent: wanted.urgent}
 	for _, victim := range bestVictims {
 		if s.inUse(victim) {
-			best.traded = s.now
+			best.lastAdapterSwap = s.now
 		}
-		s.adapterCopies[victim] = slices.DeleteFunc(slices.Clone(s.adapterCopies[victim]), func(e *engine) bool { return e == best })
+		s.adapterReplicas[victim] = slices.DeleteFunc(slices.Clone(s.adapterReplicas[victim]), func(e *engine) bool { return e == best })
 	}
-	if order, ok := s.next(best); ok {
+	if order, ok := s.nextOrder(best); ok {
 		return order, true, true
 	}
 	return Order{}, false, true
@@ -80,41 +80,41 @@
 
 // inUse says whether an adapter is asked for by more than a chance request.
 func (s *survey) inUse(adapter registry.Target) bool {
-	return s.cost(s.asks.adapters[adapter], nil) >= leastAdapterGain
+	return s.cost(s.demand.adapters[adapter], nil) >= minAdapterGain
 }
 
-// wayForAdapter finds the adapter that makes way for another on an engine, if none of its places is free. Where
+// adapterVictimFor finds the adapter that makes way for another on an engine, if none of its places is free. Where
 // more are asked for than there are places they take turns: each trade of one in use for another costs two orders
 // and gains nobody more than the other loses, so it must be worth a turn's length.
-func (s *survey) wayForAdapter(e *engine, w want) (victims []registry.Target, cost float64, ok bool) {
-	if e.fits(w.Target) {
+func (s *survey) adapterVictimFor(e *engine, wanted candidate) (victims []registry.Target, cost float64, ok bool) {
+	if e.fits(wanted.Target) {
 		return nil, 0, true
 	}
 	bestCost, found := math.Inf(1), false
-	stay, factor := minStay, s.dearer()
-	if len(s.adapterCopies[w.Target]) > 0 && !w.urgent {
-		stay, factor = idleStay, 2
+	stay, factor := minResidence, s.evictionMargin()
+	if len(s.adapterReplicas[wanted.Target]) > 0 && !wanted.urgent {
+		stay, factor = minIdleResidence, 2
 	}
-	mayTrade := s.now.Since(e.traded) >= adapterTurn || s.off(featuregates.AdapterDwell)
+	maySwap := s.now.Since(e.lastAdapterSwap) >= minAdapterResidence || s.disabled(featuregates.AdapterDwell)
 	var victim registry.Target
-	for _, held := range e.report.Models {
-		if s.pool.models[held.Model] == nil || s.pool.models[held.Model].AdapterSizeMb < s.pool.size(w.Target) {
+	for _, loaded := range e.report.Models {
+		if s.pool.models[loaded.Model] == nil || s.pool.models[loaded.Model].AdapterSizeMb < s.pool.size(wanted.Target) {
 			// Its room would not do, whatever the places.
-			if room, _ := e.left(); room < s.pool.size(w.Target) {
+			if capacity, _ := e.freeCapacity(); capacity < s.pool.size(wanted.Target) {
 				continue
 			}
 		}
-		for _, adapter := range held.Adapters {
-			target := registry.Target{Model: held.Model, Adapter: adapter}
-			if s.now.Since(e.came[target]) < stay || !mayTrade && s.inUse(target) {
+		for _, adapter := range loaded.Adapters {
+			target := registry.Target{Model: loaded.Model, Adapter: adapter}
+			if s.now.Since(e.loadedSince[target]) < stay || !maySwap && s.inUse(target) {
 				continue
 			}
-			if cost := s.cost(s.asks.adapters[target], s.adapterCopies[target]); cost < bestCost {
+			if cost := s.cost(s.demand.adapters[target], s.adapterReplicas[target]); cost < bestCost {
 				victim, bestCost, found = target, cost, true
 			}
 		}
 	}
-	if !found || bestCost*factor+leastAdapterGain >= w.gain {
+	if !found || bestCost*factor+minAdapterGain >= wanted.gain {
 		return nil, 0, false
 	}
 	return []registry.Target{victim}, bestCost + 0.05, true
--- a/process/placement/poolplacement/turns_test.go
+++ b/process/placement/poolplacement/adapters_test.go
@@ -46,7 +46,7 @@
 			before := f.adapterChanges()
 			f.run(minute)
 			// Each trade is an order to unload and one to load; a turn begun before counts in part.
-			most := 2*uint64(minute/adapterTurn) + 1
+			most := 2*uint64(minute/minAdapterResidence) + 1
 			if given := f.adapterChanges() - before; given > most {
 				t.Errorf("%v a second, seed %d: %d orders of adapters in a minute, where turns allow %d", perSecond, seed, given, most)
 			}
--- a/process/placement/poolplacement/batch_test.go
+++ b/process/placement/poolplacement/batch_test.go
@@ -74,25 +74,25 @@
 	claim   *statemachine.PlannerLease
 	stamp   ident.SnowflakeID
 	version uint64
-	// told is what daemons hear of engines, some time after it was told.
-	told     map[ident.EngineID]registry.Plan
-	onTheWay []spoken
-	heldBy   []*fakeRequest
-	rates    map[registry.Target]*fakeRate
-	demand   []Demand
+	// published is what daemons hear of engines, some time after it was told.
+	published map[ident.EngineID]registry.Plan
+	onTheWay  []publishedPlan
+	queued    []*fakeRequest
+	rates     map[registry.Target]*fakeRate
+	demand    []Demand
 	// outcomes is what daemons tell at the next step, spoken the newest plan of each engine as its planner tells it.
 	outcomes []outlier.Observation
 	spoken   map[ident.EngineID]registry.Plan
 	pulled   clock.Mark
 	rate     func(now clock.Mark) (perSecond float64, pick func() (registry.Target, *fakeRequest))
 	// lose is the share of answers to orders that are lost, fail that of reports that fail.
-	lose, fail float64
-	later      []func() bool
-	lives      int
+	lose, fail   float64
+	later        []func() bool
+	incarnations int
 	// noTelling loses what a planner told when the next one takes over, fresh reports show what they can't know.
 	noTelling, eager bool
-	// mute tells the group of no order.
-	mute bool
+	// announcesNothing tells the group of no order.
+	announcesNothing bool
 	// newest is the claim of the newest order that reached an engine, newestAt when it did.
 	newest   ident.FencingToken
 	newestAt clock.Mark
@@ -106,7 +106,7 @@
 	waits                                        []time.Duration
 }
 
-type spoken struct {
+type publishedPlan struct {
 	at    clock.Mark
 	plans map[ident.EngineID]registry.Plan
 }
@@ -128,7 +128,7 @@
 // newFleet makes engines that hold, room permitting, the first models more than once and each other one once.
 func newFleet(seed uint64, catalogue upstream.Catalogue, engines int) *fakeFleet {
 	f := &fakeFleet{spoken: map[ident.EngineID]registry.Plan{}, random: rand.New(rand.NewPCG(seed, 7)), now: clock.Mark(time.Hour), truth: &catalogue, disks: map[string]map[string]bool{}, state: statemachine.New(),
-		told: map[ident.EngineID]registry.Plan{}, rates: map[registry.Target]*fakeRate{}, servedBy: map[registry.Target]int{}, askedBy: map[registry.Target]int{}}
+		published: map[ident.EngineID]registry.Plan{}, rates: map[registry.Target]*fakeRate{}, servedBy: map[registry.Target]int{}, askedBy: map[registry.Target]int{}}
 	shown := catalogue
 	f.section = &upstream.Section{Revision: 1, Pools: []upstream.Pool{{Name: "p", Catalogue: &shown}, {Name: "plain"}}}
 	for range engines {
@@ -167,14 +167,14 @@
 
 // start begins a life of an engine, at an address it may have had before.
 func (f *fakeFleet) start(address string) *fakeEngine {
-	f.lives++
+	f.incarnations++
 	if address == "" {
-		address = fmt.Sprint("10.0.0.", f.lives)
+		address = fmt.Sprint("10.0.0.", f.incarnations)
 	}
 	if f.disks[address] == nil {
 		f.disks[address] = map[string]bool{}
 	}
-	e := &fakeEngine{id: ident.EngineID(fmt.Sprint("i-", f.lives)), address: address, models: map[string][]string{}, disk: f.disks[address]}
+	e := &fakeEngine{id: ident.EngineID(fmt.Sprint("i-", f.incarnations)), address: address, models: map[string][]string{}, disk: f.disks[address]}
 	f.engines = append(f.engines, e)
 	f.version++
 	return e
@@ -186,7 +186,7 @@
 		return
 	}
 	e.gone = true
-	f.heldBy = append(f.heldBy, e.running...)
+	f.queued = append(f.queued, e.running...)
 	e.running = nil
 	back := f.now + clock.Mark(time.Second)
 	f.later = append(f.later, func() bool {
@@ -223,10 +223,10 @@
 }
 
 // ask puts a claim to the group.
-func (f *fakeFleet) ask(told *statemachine.Announcement, whole bool) *statemachine.PlannerLease {
+func (f *fakeFleet) ask(announcement *statemachine.Announcement, complete bool) *statemachine.PlannerLease {
 	s := f.settings()
-	data, err := json.Marshal(statemachine.Command{Op: statemachine.OpAcquirePlanner, NodeID: f.holder, At: ident.GroupTime(time.Duration(f.now).Milliseconds()), LeaseMs: s.Span.Milliseconds(),
-		HandoverGapMs: s.Gap.Milliseconds(), Announcement: told, AnnouncesAll: true, WithAnnounced: whole, Resume: true})
+	data, err := json.Marshal(statemachine.Command{Op: statemachine.OpAcquirePlanner, NodeID: f.holder, At: ident.GroupTime(time.Duration(f.now).Milliseconds()), LeaseMs: s.LeaseSpan.Milliseconds(),
+		HandoverGapMs: s.LeaseGap.Milliseconds(), Announcement: announcement, AnnouncesAll: true, WithAnnounced: complete, Resume: true})
 	if err != nil {
 		panic(err)
 	}
@@ -275,14 +275,14 @@
 }
 
 // order is what an engine does with an order; the rules are held as it arrives.
-func (f *fakeFleet) order(order Order) Answer {
+func (f *fakeFleet) order(order Order) OrderOutcome {
 	if ago := f.now.Since(f.newestAt); f.newest != 0 && f.newest != order.Claim && ago < fakeLease {
 		f.fault("ONE: claim %d ordered %v after claim %d", order.Claim, ago, f.newest)
 	}
 	f.newest, f.newestAt = order.Claim, f.now
 	e := f.engine(order.Engine)
 	if e == nil {
-		return Elsewhere
+		return WrongEngine
 	}
 	target := order.Target()
 	model := f.model(order.Model)
@@ -303,9 +303,9 @@
 	case e.order != nil || order.Expected != e.taken:
 		return Refused
 	case holds == (order.Kind == Load):
-		return Already
+		return AlreadyDone
 	case order.Adapter != "" && !present:
-		return Elsewhere
+		return WrongEngine
 	}
 	e.taken++
 	made := &fakeOrder{kind: order.Kind, target: target}
@@ -324,7 +324,7 @@
 			span /= 3
 		} else {
 			f.starts = append(f.starts, f.now)
-			f.ceiling()
+			f.checkLoadRate()
 			loading := 0
 			for _, other := range f.engines {
 				if other.order != nil && other.order.kind == Load && other.order.target.Adapter == "" {
@@ -337,11 +337,11 @@
 		}
 		made.doneAt = f.now + clock.Mark(span)
 	}
-	return Taken
+	return Accepted
 }
 
-// ceiling holds the store's pace over the window that ends now.
-func (f *fakeFleet) ceiling() {
+// checkLoadRate holds the store's pace over the window that ends now.
+func (f *fakeFleet) checkLoadRate() {
 	count := 0
 	for _, at := range f.starts {
 		if f.now.Since(at) < originCount {
@@ -354,7 +354,7 @@
 }
 
 func (f *fakeFleet) report(e *fakeEngine) Report {
-	r := Report{Taken: e.taken, Saturated: e.order != nil, Active: len(e.running), Memory: 150000, MemoryUsed: int64(2000 * len(e.running))}
+	r := Report{Accepted: e.taken, Saturated: e.order != nil, Active: len(e.running), Memory: 150000, MemoryUsed: int64(2000 * len(e.running))}
 	for _, model := range f.truth.Models {
 		if adapters, has := e.models[model.Name]; has {
 			r.Models = append(r.Models, registry.LoadedModel{Model: model.Name, Generation: 1, Adapters: slices.Clone(adapters)})
@@ -425,7 +425,7 @@
 	view := &registry.View{Version: f.version, Engines: map[ident.EngineID]*registry.Engine{}, Pools: map[string][]*registry.Engine{}}
 	for _, e := range f.engines {
 		made := &registry.Engine{Registration: registry.Registration{ID: e.id, Pool: "p", Address: e.address, Slots: fakeSlots, Draining: e.leaving}, Deregistered: e.gone}
-		if plan, has := f.told[e.id]; has {
+		if plan, has := f.published[e.id]; has {
 			made.Plan = &plan
 		} else {
 			made.Registration.Models = f.report(e).Models
@@ -445,12 +445,12 @@
 			f.pass(e)
 		}
 	}
-	f.onTheWay = slices.DeleteFunc(f.onTheWay, func(s spoken) bool {
+	f.onTheWay = slices.DeleteFunc(f.onTheWay, func(s publishedPlan) bool {
 		if f.now < s.at {
 			return false
 		}
 		for id, plan := range s.plans {
-			f.told[id] = plan
+			f.published[id] = plan
 		}
 		return true
 	})
@@ -491,14 +491,14 @@
 		}
 		rate.arrivals += 1 / rateSpan.Seconds()
 		rate.tokens += (r.tokensIn + 10*r.tokensOut) / rateSpan.Seconds()
-		f.heldBy = append(f.heldBy, r)
+		f.queued = append(f.queued, r)
 	}
 }
 
 // dispatch sends what can be served, by what daemons have heard.
 func (f *fakeFleet) dispatch() {
 	view := f.view()
-	f.heldBy = slices.DeleteFunc(f.heldBy, func(r *fakeRequest) bool {
+	f.queued = slices.DeleteFunc(f.queued, func(r *fakeRequest) bool {
 		if f.now > r.deadline {
 			f.refused++
 			return true
@@ -545,10 +545,10 @@
 			d.Arrivals, d.Tokens = rate.arrivals, rate.tokens
 		}
 	}
-	for _, r := range f.heldBy {
+	for _, r := range f.queued {
 		d := at(r.target)
-		d.Held++
-		d.Oldest = max(d.Oldest, f.now.Since(r.arrived))
+		d.Queued++
+		d.OldestWait = max(d.OldestWait, f.now.Since(r.arrived))
 	}
 	for _, e := range f.engines {
 		for _, r := range e.running {
@@ -559,8 +559,8 @@
 	for _, d := range all {
 		f.demand = append(f.demand, *d)
 	}
-	slices.SortFunc(f.demand, func(a, b Demand) int {
-		return compareTargets(registry.Target{Model: a.Model, Adapter: a.Adapter}, registry.Target{Model: b.Model, Adapter: b.Adapter})
+	slices.SortFunc(f.demand, func(item, b Demand) int {
+		return compareTargets(registry.Target{Model: item.Model, Adapter: item.Adapter}, registry.Target{Model: b.Model, Adapter: b.Adapter})
 	})
 }
 
@@ -587,7 +587,7 @@
 	f.outcomes = nil
 	if plans := f.planner.Plans(f.now); len(plans) > 0 {
 		maps.Copy(f.spoken, plans)
-		f.onTheWay = append(f.onTheWay, spoken{f.now + clock.Mark(time.Duration(100+f.random.IntN(200))*time.Millisecond), plans})
+		f.onTheWay = append(f.onTheWay, publishedPlan{f.now + clock.Mark(time.Duration(100+f.random.IntN(200))*time.Millisecond), plans})
 	}
 	var orders []Order
 	for _, order := range given {
@@ -599,9 +599,9 @@
 		}
 		orders = append(orders, stamped)
 	}
-	if len(orders) > 0 && !f.mute && f.ask(f.planner.Told(orders), false) == nil {
+	if len(orders) > 0 && !f.announcesNothing && f.ask(f.planner.Announcement(orders), false) == nil {
 		for _, order := range orders {
-			f.planner.Answered(f.now, order, Unsent)
+			f.planner.Answered(f.now, order, NotSent)
 		}
 		return
 	}
@@ -611,7 +611,7 @@
 }
 
 // askReport has an engine's report come a moment later, showing what was some hundred milliseconds before.
-func (f *fakeFleet) askReport(ask Ask) {
+func (f *fakeFleet) askReport(ask ReportRequest) {
 	asked, planner := f.now, f.planner
 	lag := clock.Mark(time.Duration(f.random.IntN(400)) * time.Millisecond)
 	due := f.now + clock.Mark(time.Duration(f.random.IntN(60))*time.Millisecond)
@@ -634,7 +634,7 @@
 		}
 		if f.eager {
 			// A broken engine's counter runs ahead of what it shows.
-			shown.Taken, shown.Saturated = e.taken, false
+			shown.Accepted, shown.Saturated = e.taken, false
 		}
 		planner.Reported(f.now, asked, ask.Engine, shown, true)
 		return true
@@ -647,7 +647,7 @@
 	arrives := f.now + clock.Mark(time.Duration(f.random.IntN(60))*time.Millisecond)
 	lost := f.random.Float64()
 	arrived := false
-	var answer Answer
+	var answer OrderOutcome
 	var back clock.Mark
 	f.later = append(f.later, func() bool {
 		if f.now < arrives {
--- a/process/placement/poolplacement/catalogue.go
+++ b/process/placement/poolplacement/catalogue.go
@@ -14,16 +14,16 @@
 	name      string
 	catalogue *upstream.Catalogue
 	models    map[string]*upstream.Model
-	// most is how many loads may begin within a window, atOnce how many the store serves at full speed.
-	most, atOnce int
-	// urgent is the rank of the most urgent path that leads here.
-	urgent int
+	// maxLoads is how many loads may begin within a window, maxConcurrentLoads how many the store serves at full speed.
+	maxLoads, maxConcurrentLoads int
+	// topRank is the rank of the most urgent path that leads here.
+	topRank int
 	// targets are the shortest targets of the paths that lead here, by rank.
 	targets map[int]time.Duration
 }
 
-// mostUrgent is the lowest rank of the paths that lead to a pool.
-func mostUrgent(section *upstream.Section, pool string) int {
+// topRankOf is the lowest rank of the paths that lead to a pool.
+func topRankOf(section *upstream.Section, pool string) int {
 	urgent := math.MaxInt
 	for i := range section.Paths {
 		if slices.ContainsFunc(section.Paths[i].Shares, func(share upstream.Share) bool { return share.Pool == pool }) {
@@ -70,8 +70,8 @@
 			total += float64(model.LoadMs) / 1000
 		}
 		// What the store keeps up with, by its pace and the time of a load, is what it serves at full speed.
-		made.atOnce = max(1, int(catalogue.LoadsPerSecond*total/float64(len(catalogue.Models))+0.5))
-		made.urgent, made.targets = mostUrgent(section, made.name), targetsOf(section, made.name)
+		made.maxConcurrentLoads = max(1, int(catalogue.LoadsPerSecond*total/float64(len(catalogue.Models))+0.5))
+		made.topRank, made.targets = topRankOf(section, made.name), targetsOf(section, made.name)
 		pools[made.name] = made
 		if slowest == 0 || catalogue.LoadsPerSecond < slowest {
 			slowest = catalogue.LoadsPerSecond
@@ -79,7 +79,7 @@
 	}
 	for _, made := range pools {
 		// There may be one store behind all pools: its pace is that of the slowest.
-		made.most = max(1, int(slowest*p.settings.Window.Seconds()))
+		made.maxLoads = max(1, int(slowest*p.settings.Window.Seconds()))
 	}
 	p.pools = pools
 	for _, e := range p.engines {
--- a/process/placement/poolplacement/demand.go
+++ b/process/placement/poolplacement/demand.go
@@ -14,76 +14,76 @@
 	// slowSpan is over how long the rate is smoothed by which something stays where it is.
 	slowSpan = 20 * time.Second
 	// rankWeight is how much more one rank counts than the next, for no more than mostBehind ranks.
-	rankWeight = 1.5
-	mostBehind = 3
-	// heldSpan is over how long held requests are smoothed where some engine could serve them.
-	heldSpan = 700 * time.Millisecond
+	rankWeight     = 1.5
+	maxRanksBehind = 3
+	// queuedSpan is over how long held requests are smoothed where some engine could serve them.
+	queuedSpan = 700 * time.Millisecond
 	// forgetAfter is how long after the last request something is forgotten.
 	forgetAfter = 10 * time.Minute
 )
 
-// asks is what the fleet asks for of one pool.
-type asks struct {
-	models   map[string]*ask
-	adapters map[registry.Target]*ask
+// poolDemand is what the fleet asks for of one pool.
+type poolDemand struct {
+	models   map[string]*itemDemand
+	adapters map[registry.Target]*itemDemand
 	// tokens is the whole pool's tokens a second, arrivals its requests.
 	tokens, arrivals float64
 }
 
-// ask is what is asked for of one model, or of one adapter.
-type ask struct {
-	held, running int
-	// heldForAdapter counts those of the held that ask for an adapter of this model.
-	heldForAdapter   int
+// itemDemand is what is asked for of one model, or of one adapter.
+type itemDemand struct {
+	queued, running int
+	// queuedForAdapter counts those of the held that ask for an adapter of this model.
+	queuedForAdapter int
 	tokens, arrivals float64
-	oldest           time.Duration
+	oldestWait       time.Duration
 	rank             int
-	// behind is by how many ranks it is less urgent than the most urgent path of the pool, heard that the newest
+	// ranksBehind is by how many ranks it is less urgent than the most urgent path of the pool, heard that the newest
 	// demand named it.
-	behind int
-	heard  bool
-	// load is how long it takes to load, target the longest time within which its path's requests earn most; zero of an
+	ranksBehind int
+	inNewest    bool
+	// loadTime is how long it takes to load, target the longest time within which its path's requests earn most; zero of an
 	// adapter.
-	load, target time.Duration
-	// slow is the rate of requests over a longer time, heldSlow the smoothed number held.
-	slow, heldSlow float64
+	loadTime, latencyTarget time.Duration
+	// slowRate is the rate of requests over a longer time, slowQueued the smoothed number held.
+	slowRate, slowQueued float64
 	// slope is by how much arrivals grow in a second, smoothed, before the arrivals that it was last told by.
-	slope, before float64
-	// debt is how many requests came while it stood nowhere.
-	debt float64
-	last clock.Mark
+	slope, previousArrivals float64
+	// unmet is how many requests came while it stood nowhere.
+	unmet         float64
+	lastRequested clock.Mark
 }
 
 // rate is how often it is asked for, by the present or by the longer past; what is more urgent counts for more.
-func (a *ask) rate() float64 {
-	if a == nil {
+func (item *itemDemand) rate() float64 {
+	if item == nil {
 		return 0
 	}
-	return max(a.slow, a.arrivals) * math.Pow(rankWeight, float64(1-min(a.behind, mostBehind)))
+	return max(item.slowRate, item.arrivals) * math.Pow(rankWeight, float64(1-min(item.ranksBehind, maxRanksBehind)))
 }
 
-func (a *ask) add(d Demand) {
-	if !a.heard || d.Rank < a.rank {
-		a.rank = d.Rank
+func (item *itemDemand) add(d Demand) {
+	if !item.inNewest || d.Rank < item.rank {
+		item.rank = d.Rank
 	}
-	a.heard = true
-	a.held += d.Held
-	a.running += d.Running
-	a.tokens += d.Tokens
-	a.arrivals += d.Arrivals
-	a.oldest = max(a.oldest, d.Oldest)
+	item.inNewest = true
+	item.queued += d.Queued
+	item.running += d.Running
+	item.tokens += d.Tokens
+	item.arrivals += d.Arrivals
+	item.oldestWait = max(item.oldestWait, d.OldestWait)
 }
 
-// hear takes up the newest demand of the fleet, and carries the longer past on.
-func (p *Planner) hear(in Input) {
-	for _, pool := range p.asks {
+// updateDemand takes up the newest demand of the fleet, and carries the longer past on.
+func (p *Planner) updateDemand(in Input) {
+	for _, pool := range p.demand {
 		pool.tokens, pool.arrivals = 0, 0
-		for _, a := range pool.models {
-			a.heldForAdapter = 0
-			a.heard, a.held, a.running, a.tokens, a.arrivals, a.oldest = false, 0, 0, 0, 0, 0
+		for _, item := range pool.models {
+			item.queuedForAdapter = 0
+			item.inNewest, item.queued, item.running, item.tokens, item.arrivals, item.oldestWait = false, 0, 0, 0, 0, 0
 		}
-		for _, a := range pool.adapters {
-			a.heard, a.held, a.running, a.tokens, a.arrivals, a.oldest = false, 0, 0, 0, 0, 0
+		for _, item := range pool.adapters {
+			item.inNewest, item.queued, item.running, item.tokens, item.arrivals, item.oldestWait = false, 0, 0, 0, 0, 0
 		}
 	}
 	for _, demand := range in.Demand {
@@ -91,129 +91,131 @@
 		if made == nil || made.models[demand.Model] == nil {
 			continue
 		}
-		pool := p.asks[demand.Pool]
+		pool := p.demand[demand.Pool]
 		if pool == nil {
-			pool = &asks{models: map[string]*ask{}, adapters: map[registry.Target]*ask{}}
-			p.asks[demand.Pool] = pool
+			pool = &poolDemand{models: map[string]*itemDemand{}, adapters: map[registry.Target]*itemDemand{}}
+			p.demand[demand.Pool] = pool
 		}
 		pool.tokens += demand.Tokens
 		pool.arrivals += demand.Arrivals
 		model := pool.models[demand.Model]
 		if model == nil {
-			model = &ask{}
+			model = &itemDemand{}
 			pool.models[demand.Model] = model
 		}
 		model.add(demand)
 		if demand.Adapter != "" {
-			model.heldForAdapter += demand.Held
+			model.queuedForAdapter += demand.Queued
 		}
-		model.behind = p.behind(model.rank, made)
-		model.load, model.target = time.Duration(made.models[demand.Model].LoadMs)*time.Millisecond, made.targets[model.rank]
+		model.ranksBehind = p.ranksBehind(model.rank, made)
+		model.loadTime, model.latencyTarget = time.Duration(made.models[demand.Model].LoadMs)*time.Millisecond, made.targets[model.rank]
 		if demand.Adapter == "" {
 			continue
 		}
 		target := registry.Target{Model: demand.Model, Adapter: demand.Adapter}
 		adapter := pool.adapters[target]
 		if adapter == nil {
-			adapter = &ask{}
+			adapter = &itemDemand{}
 			pool.adapters[target] = adapter
 		}
 		adapter.add(demand)
-		adapter.behind = p.behind(adapter.rank, made)
+		adapter.ranksBehind = p.ranksBehind(adapter.rank, made)
 	}
-	since := in.Now.Since(p.stepped)
-	slow, quick := share(since, slowSpan), share(since, heldSpan)
-	for _, pool := range p.asks {
-		for name, a := range pool.models {
-			a.follow(since)
-			if a.carry(in.Now, slow, quick) {
+	since := in.Now.Since(p.lastStep)
+	slow, quick := smoothing(since, slowSpan), smoothing(since, queuedSpan)
+	for _, pool := range p.demand {
+		for name, item := range pool.models {
+			item.updateSlope(since)
+			if item.smooth(in.Now, slow, quick) {
 				delete(pool.models, name)
 			}
 		}
 		if !p.settings.Off.Has(featuregates.DemandTrend) {
-			pool.foresee()
+			pool.forecast()
 		}
-		for target, a := range pool.adapters {
-			if a.carry(in.Now, slow, quick) {
+		for target, item := range pool.adapters {
+			if item.smooth(in.Now, slow, quick) {
 				delete(pool.adapters, target)
 			}
 		}
 	}
 }
 
-// behind is by how many ranks something is less urgent than the most urgent path of its pool.
-func (p *Planner) behind(rank int, made *pool) int {
+// ranksBehind is by how many ranks something is less urgent than the most urgent path of its pool.
+func (p *Planner) ranksBehind(rank int, made *pool) int {
 	if p.settings.Off.Has(featuregates.RankWeight) {
 		return 0
 	}
-	return rank - min(rank, made.urgent)
+	return rank - min(rank, made.topRank)
 }
 
-// share is how much of the newest value a smoothed one takes up after a while.
-func share(since, span time.Duration) float64 { return 1 - math.Exp(-float64(since)/float64(span)) }
+// smoothing is how much of the newest value a smoothed one takes up after a while.
+func smoothing(since, span time.Duration) float64 { return 1 - math.Exp(-float64(since)/float64(span)) }
 
 const (
 	// slopeSpan is over how long the growth of arrivals is smoothed.
 	slopeSpan = 1500 * time.Millisecond
-	// mostGrowth is by how many times more, or less, than now may be foreseen to be asked for.
-	mostGrowth = 3
+	// maxGrowth is by how many times more, or less, than now may be foreseen to be asked for.
+	maxGrowth = 3
 	// trendNoise is how many times the square root of arrivals a change must be to be no chance: two standard deviations
 	// of what is foreseen, for arrivals that are independent.
 	trendNoise = 1.85
 )
 
-// follow takes up how arrivals grow.
-func (a *ask) follow(since time.Duration) {
+// updateSlope takes up how arrivals grow.
+func (item *itemDemand) updateSlope(since time.Duration) {
 	if since <= 0 {
 		return
 	}
-	a.slope += ((a.arrivals-a.before)/since.Seconds() - a.slope) * share(since, slopeSpan)
-	a.before = a.arrivals
+	item.slope += ((item.arrivals-item.previousArrivals)/since.Seconds() - item.slope) * smoothing(since, slopeSpan)
+	item.previousArrivals = item.arrivals
 }
 
 // growth is by how many times more will be asked for once a load that begins now has ended. Arrivals are smoothed and
 // so lag by the smoothing's time constant, which is made up for too.
-func (a *ask) growth() float64 {
+func (item *itemDemand) growth() float64 {
 	lag := demand.HalvingTime.Seconds() / math.Ln2
-	change := a.slope * (lag + a.load.Seconds())
-	noise := trendNoise * math.Sqrt(a.arrivals)
+	change := item.slope * (lag + item.loadTime.Seconds())
+	noise := trendNoise * math.Sqrt(item.arrivals)
 	switch {
-	case a.arrivals <= 0 || math.Abs(change) <= noise:
+	case item.arrivals <= 0 || math.Abs(change) <= noise:
 		return 1
 	case change > 0:
-		return min(mostGrowth, 1+(change-noise)/a.arrivals)
+		return min(maxGrowth, 1+(change-noise)/item.arrivals)
 	}
-	return max(1/float64(mostGrowth), 1+(change+noise)/a.arrivals)
+	return max(1/float64(maxGrowth), 1+(change+noise)/item.arrivals)
 }
 
-// foresee replaces what is asked for now by what is likely to be once a load that begins now has ended.
-func (a *asks) foresee() {
-	a.tokens = 0
-	for _, model := range a.models {
+// forecast replaces what is asked for now by what is likely to be once a load that begins now has ended.
+func (item *poolDemand) forecast() {
+	item.tokens = 0
+	for _, model := range item.models {
 		model.tokens *= model.growth()
-		a.tokens += model.tokens
+		item.tokens += model.tokens
 	}
 }
 
-// pressing is how many requests keep the copies of something busy, or wait for one of them: those that wait for an adapter
+// demandOnReplicas is how many requests keep the copies of something busy, or wait for one of them: those that wait for an adapter
 // would not be served by a further copy of the model.
-func (a *ask) pressing() float64 { return float64(a.running + a.held - a.heldForAdapter) }
-
-// carry says whether it is forgotten.
-func (a *ask) carry(now clock.Mark, slow, quick float64) bool {
-	a.slow += (a.arrivals - a.slow) * slow
-	a.heldSlow += (float64(a.held-a.heldForAdapter) - a.heldSlow) * quick
-	if a.held+a.running > 0 || a.arrivals > 0.01 {
-		a.last = now
+func (item *itemDemand) demandOnReplicas() float64 {
+	return float64(item.running + item.queued - item.queuedForAdapter)
+}
+
+// smooth says whether it is forgotten.
+func (item *itemDemand) smooth(now clock.Mark, slow, quick float64) bool {
+	item.slowRate += (item.arrivals - item.slowRate) * slow
+	item.slowQueued += (float64(item.queued-item.queuedForAdapter) - item.slowQueued) * quick
+	if item.queued+item.running > 0 || item.arrivals > 0.01 {
+		item.lastRequested = now
 	}
-	return now.Since(a.last) > forgetAfter
+	return now.Since(item.lastRequested) > forgetAfter
 }
 
-// owe counts the requests that come while what they ask for stands nowhere; once it stands, nothing is owed.
-func (a *ask) owe(stands bool, since time.Duration) {
+// countUnmet counts the requests that come while what they ask for stands nowhere; once it stands, nothing is owed.
+func (item *itemDemand) countUnmet(stands bool, since time.Duration) {
 	if stands {
-		a.debt = 0
+		item.unmet = 0
 		return
 	}
-	a.debt += a.arrivals * since.Seconds()
+	item.unmet += item.arrivals * since.Seconds()
 }
--- a/process/placement/poolplacement/emptying_test.go
+++ b/process/placement/poolplacement/draining_test.go
@@ -10,7 +10,7 @@
 )
 
 // What an engine holds that is shut, or is to be, is no copy: it is loaded elsewhere, and nothing onto the engine.
-func TestCopiesOfEmptiedEnginesAreLoadedElsewhere(t *testing.T) {
+func TestModelsOfDrainingEnginesAreLoadedElsewhere(t *testing.T) {
 	for name, c := range map[string]struct {
 		shut, emptying bool
 		loads          bool
@@ -27,10 +27,10 @@
 		planner := NewPlanner(DefaultSettings("x", fakeLease), now)
 		in := Input{Section: section, View: view, Demand: []Demand{{Pool: "pool", Model: "m", Arrivals: 0.2, Tokens: 200}}}
 		if c.shut {
-			in.Shut = func(engine *registry.Engine) bool { return engine.ID == "holds" }
+			in.Closed = func(engine *registry.Engine) bool { return engine.ID == "holds" }
 		}
 		if c.emptying {
-			in.Emptying = map[ident.EngineID]bool{"holds": true}
+			in.Draining = map[ident.EngineID]bool{"holds": true}
 		}
 		var orders []Order
 		for range 80 {
--- a/process/placement/poolplacement/room_test.go
+++ b/process/placement/poolplacement/evict_test.go
@@ -71,9 +71,9 @@
 	if !ok {
 		f.t.Fatalf("not noted: %+v", order)
 	}
-	f.planner.Answered(f.now, stamped, Taken)
+	f.planner.Answered(f.now, stamped, Accepted)
 	report := f.reports[order.Engine]
-	report.Taken++
+	report.Accepted++
 	if order.Kind == Evict {
 		report.Models = nil
 	} else {
@@ -96,9 +96,9 @@
 
 // Room for what somebody waits for is made while the store still serves another load, so that the next can begin
 // when that ends; the next load itself waits for the store.
-func TestRoomIsMadeBeforeTheStoreIsFree(t *testing.T) {
+func TestEvictionStartsBeforeTheStoreIsFree(t *testing.T) {
 	f := newPairFleet(t, 2)
-	f.in.Demand = []Demand{{Pool: "p", Model: "m2", Held: 3, Arrivals: 1}}
+	f.in.Demand = []Demand{{Pool: "p", Model: "m2", Queued: 3, Arrivals: 1}}
 	unload, _ := f.next(time.Second)
 	f.take(unload)
 	load, _ := f.next(time.Second)
@@ -107,7 +107,7 @@
 	}
 	f.take(load)
 	begun := f.now
-	f.in.Demand = append(f.in.Demand, Demand{Pool: "p", Model: "m3", Held: 3, Arrivals: 1})
+	f.in.Demand = append(f.in.Demand, Demand{Pool: "p", Model: "m3", Queued: 3, Arrivals: 1})
 	second, _ := f.next(4 * time.Second)
 	if at := f.now.Since(begun); second.Kind != Evict || second.Engine == unload.Engine || at >= 2*time.Second {
 		t.Fatalf("room on the other engine is made %v after a load of 2 s began: %+v", at, second)
@@ -120,7 +120,7 @@
 }
 
 // What hardly anybody asks for goes without notice; what is asked for goes after all daemons have heard of it.
-func TestOnlyWhatMayBeMissedGetsNotice(t *testing.T) {
+func TestOnlyModelsInUseGetEvictionNotice(t *testing.T) {
 	for _, one := range []struct {
 		arrivals float64
 		notice   bool
@@ -128,9 +128,9 @@
 		f := newPairFleet(t, 1)
 		f.in.Demand = []Demand{{Pool: "p", Model: "m0", Arrivals: one.arrivals}}
 		f.step()
-		f.in.Demand = append(f.in.Demand, Demand{Pool: "p", Model: "m1", Held: 9, Arrivals: 3})
+		f.in.Demand = append(f.in.Demand, Demand{Pool: "p", Model: "m1", Queued: 9, Arrivals: 3})
 		order, after := f.next(time.Second)
-		if order.Kind != Evict || after >= f.planner.settings.Notice != one.notice {
+		if order.Kind != Evict || after >= f.planner.settings.EvictionNotice != one.notice {
 			t.Errorf("asked for %v times a second, it is unloaded after %v: %+v", one.arrivals, after, order)
 		}
 	}
--- a/process/placement/poolplacement/grown_test.go
+++ b/process/placement/poolplacement/grown_test.go
@@ -27,7 +27,7 @@
 			one := Demand{Pool: "pool", Model: fmt.Sprintf("model%04x", i), Rank: 1 + i%2, Arrivals: arrivals * weight[i] / total / float64(max(1, min(daemons, rows*i/models)))}
 			one.Tokens = one.Arrivals * 3000
 			if random.IntN(20) == 0 {
-				one.Held = 1
+				one.Queued = 1
 			}
 			out = append(out, one)
 		}
@@ -67,11 +67,11 @@
 	view, demand := sizeView(engines), grownDemand(models, daemons, rows, 660)
 	p, section, now := grownPlanner(engines, models)
 	for i := range uint64(200) {
-		p.pace.begin(1+i, now+clock.Mark(time.Hour))
+		p.loadWindow.begin(1+i, now+clock.Mark(time.Hour))
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		now += clock.Mark(p.settings.Beat)
+		now += clock.Mark(p.settings.PlanInterval)
 		b.StopTimer()
 		grownReports(p, now, engines, models)
 		b.StartTimer()
--- a/process/placement/poolplacement/pace.go
+++ b/process/placement/poolplacement/loadwindow.go
@@ -6,22 +6,22 @@
 	"github.com/cresspond/cresspond/clock"
 )
 
-// pace counts the loads from the store within a sliding window.
-type pace struct {
+// loadWindow counts the loads from the store within a sliding window.
+type loadWindow struct {
 	window time.Duration
 	// unknownUntil is until when loads may count of which nothing is known: then the window is full.
 	unknownUntil clock.Mark
-	starts       []start
+	starts       []loadStart
 }
 
-// start is one load that began, or may begin, no later than latest.
-type start struct {
+// loadStart is one load that began, or may begin, no later than latest.
+type loadStart struct {
 	key    uint64
 	latest clock.Mark
 }
 
 // count is how many loads may have begun within the window that ends now, or later.
-func (p *pace) count(now clock.Mark) int {
+func (p *loadWindow) count(now clock.Mark) int {
 	kept := p.starts[:0]
 	for _, s := range p.starts {
 		// One that begins now shares a window with all that began less than its length ago.
@@ -34,15 +34,15 @@
 }
 
 // free is how many loads may begin now, if most may in one window.
-func (p *pace) free(now clock.Mark, most int) int {
+func (p *loadWindow) free(now clock.Mark, most int) int {
 	if now < p.unknownUntil {
 		return 0
 	}
 	return most - p.count(now)
 }
 
-// frees is after how long one more load may begin.
-func (p *pace) frees(now clock.Mark, most int) time.Duration {
+// freeAfter is after how long one more load may begin.
+func (p *loadWindow) freeAfter(now clock.Mark, most int) time.Duration {
 	wait := max(0, p.unknownUntil.Since(now))
 	over := p.count(now) - most
 	if over < 0 {
@@ -52,10 +52,12 @@
 	return max(wait, p.window-now.Since(p.starts[min(over, len(p.starts)-1)].latest))
 }
 
-func (p *pace) begin(key uint64, latest clock.Mark) { p.starts = append(p.starts, start{key, latest}) }
+func (p *loadWindow) begin(key uint64, latest clock.Mark) {
+	p.starts = append(p.starts, loadStart{key, latest})
+}
 
 // began says when a load began at the latest; never says that it did not begin.
-func (p *pace) began(key uint64, latest clock.Mark, never bool) {
+func (p *loadWindow) began(key uint64, latest clock.Mark, never bool) {
 	for i := range p.starts {
 		if p.starts[i].key == key {
 			if never {
--- a/process/placement/poolplacement/judge.go
+++ b/process/placement/poolplacement/outliers.go
@@ -11,33 +11,33 @@
 
 // fullLately is for how long after that it counts as full: reports are about a second apart, and what waited is told
 // when it has begun.
-const fullLately = 2 * time.Second
+const fullMemory = 2 * time.Second
 
-// judgeEngines takes up what daemons saw of engines. The planner does so since it alone reads their reports: a full
+// detectOutliers takes up what daemons saw of engines. The planner does so since it alone reads their reports: a full
 // engine's refusals and late first bytes say nothing of its health.
-func (p *Planner) judgeEngines(in Input) {
+func (p *Planner) detectOutliers(in Input) {
 	ids := map[string][]ident.EngineID{}
 	for _, id := range p.ids {
 		if e := p.engines[id]; e.usable {
 			ids[e.pool.name] = append(ids[e.pool.name], id)
 		}
 	}
-	p.judge.SetPools(ids)
+	p.outliers.SetPools(ids)
 	full := func(id ident.EngineID) bool {
 		e := p.engines[id]
-		if e == nil || !e.read {
+		if e == nil || !e.reportRead {
 			return false
 		}
 		if e.report.Queued > 0 || float64(e.report.Active) >= fullFrom*float64(e.slots) {
-			e.fullAt = in.Now
+			e.lastFull = in.Now
 		}
-		return e.fullAt > 0 && in.Now.Since(e.fullAt) <= fullLately
+		return e.lastFull > 0 && in.Now.Since(e.lastFull) <= fullMemory
 	}
-	for _, told := range in.Outcomes {
-		p.judge.Observe(in.Now, told, full)
+	for _, outcome := range in.Outcomes {
+		p.outliers.Observe(in.Now, outcome, full)
 	}
-	p.judge.Step(in.Now)
+	p.outliers.Step(in.Now)
 	for id, e := range p.engines {
-		e.lost = p.settings.LeaveIll && p.judge.NeedsReplacement(in.Now, id)
+		e.unreliable = p.settings.ReplaceUnhealthy && p.outliers.NeedsReplacement(in.Now, id)
 	}
 }
--- a/process/placement/poolplacement/judge_test.go
+++ b/process/placement/poolplacement/outliers_test.go
@@ -11,12 +11,12 @@
 	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
-// TestThePlanTellsWhatShareAnIllEngineGetsAgainAndAgain: what daemons saw ends in the plan of the engine that stands
+// TestPlanRepublishesWeightOfUnhealthyEngine: what daemons saw ends in the plan of the engine that stands
 // out, is told anew before it is no longer believed, and ends when the engine is well.
-func TestThePlanTellsWhatShareAnIllEngineGetsAgainAndAgain(t *testing.T) {
+func TestPlanRepublishesWeightOfUnhealthyEngine(t *testing.T) {
 	f := newFleet(1, sharedCatalogue(), 9)
 	f.run(5 * time.Second)
-	f.planner.settings.TellShares = true
+	f.planner.settings.PublishWeights = true
 	ill := f.engines[3].id
 	wrong := true
 	told, toldAt, worst := 1.0, clock.Mark(0), 1.0
@@ -48,14 +48,14 @@
 		t.Errorf("down to %.2f, at last %.2f", worst, told)
 	}
 	for _, e := range f.engines {
-		if e.id != ill && len(f.planner.judge.Weights(f.now, e.id)) > 0 {
+		if e.id != ill && len(f.planner.outliers.Weights(f.now, e.id)) > 0 {
 			t.Errorf("%s is well", e.id)
 		}
 	}
 }
 
-// TestASharePassesWithThePlanAndFadesWithIt: nothing believes a share that nobody has told for long.
-func TestASharePassesWithThePlanAndFadesWithIt(t *testing.T) {
+// TestWeightTravelsWithThePlanAndExpires: nothing believes a share that nobody has told for long.
+func TestWeightTravelsWithThePlanAndExpires(t *testing.T) {
 	plan := &registry.Plan{Received: clock.Mark(time.Hour), Weights: []outlier.Weight{{Fraction: 0.5}, {Zone: "a", Fraction: 0}}}
 	shares := func(at clock.Mark) (out []float64) {
 		for _, zone := range []ident.ZoneID{"a", "b"} {
@@ -74,12 +74,12 @@
 	}
 }
 
-// TestWhatOnlyAnEjectedEngineHoldsIsLoadedElsewhere: somebody asks for a model that stands on one engine, and all that
+// TestModelOnlyOnEjectedEngineIsLoadedElsewhere: somebody asks for a model that stands on one engine, and all that
 // is sent there fails.
-func TestWhatOnlyAnEjectedEngineHoldsIsLoadedElsewhere(t *testing.T) {
+func TestModelOnlyOnEjectedEngineIsLoadedElsewhere(t *testing.T) {
 	f := newFleet(2, sharedCatalogue(), 9)
 	f.run(10 * time.Second)
-	f.planner.settings.LeaveIll = true
+	f.planner.settings.ReplaceUnhealthy = true
 	zipf(f, 45, 1, func(clock.Mark) int { return 0 })
 	f.run(15 * time.Second)
 	// One that holds something alone which is asked for now and then.
--- a/process/placement/poolplacement/plan.go
+++ b/process/placement/poolplacement/plan.go
@@ -15,35 +15,35 @@
 )
 
 const (
-	// minStay is how long a model stays at least once it came, so that it serves those who waited for it.
-	minStay = 1500 * time.Millisecond
-	// idleStay is how long it stays before something that nobody waits for may take its room.
-	idleStay = 10 * time.Second
+	// minResidence is how long a model stays at least once it came, so that it serves those who waited for it.
+	minResidence = 1500 * time.Millisecond
+	// minIdleResidence is how long it stays before something that nobody waits for may take its room.
+	minIdleResidence = 10 * time.Second
 	// freshReport is how old the newest report of an engine may be for it to be given an order.
 	freshReport = 3 * time.Second
 	// lagLimit is how far behind the truth a report may be.
 	lagLimit = 1500 * time.Millisecond
 	// oldLag is how long reports may go on to show fewer orders than were taken before they are believed again.
 	oldLag = 6 * time.Second
-	// restAfter is how long what failed or was refused is not tried again on that engine.
-	restAfter = 2 * time.Second
+	// failureBackoff is how long what failed or was refused is not tried again on that engine.
+	failureBackoff = 2 * time.Second
 	// startLag is how far behind the truth reports are taken to be before any order was seen to end; it is learned
 	// within these bounds.
-	startLag, leastLag, mostLag = 200 * time.Millisecond, 50 * time.Millisecond, time.Second
+	startLag, minLag, maxLag = 200 * time.Millisecond, 50 * time.Millisecond, time.Second
 	// lagDown and lagUp are by how much it falls when the first report asked for shows the end, and rises when it
 	// doesn't: an ask too many costs less than a late one.
 	lagDown, lagUp = 5 * time.Millisecond, 15 * time.Millisecond
-	// quickAsks is how often what should show by now is looked for in quick succession.
-	quickAsks = 6
-	// darkAfter is how many reports in a row must fail for an engine to count as dark.
-	darkAfter = 2
+	// maxQuickReports is how often what should show by now is looked for in quick succession.
+	maxQuickReports = 6
+	// unreachableAfter is how many reports in a row must fail for an engine to count as dark.
+	unreachableAfter = 2
 )
 
 // Counters count what happened.
 type Counters struct {
-	Orders, Loads, Evicts, AdapterLoads, AdapterEvicts    uint64
-	Done, Already, Refused, NeverArrived, Failed, Unsent  uint64
-	Reports, FailedReports, StaleReports, Cancelled, Void uint64
+	Orders, Loads, Evicts, AdapterLoads, AdapterEvicts        uint64
+	Done, AlreadyDone, Refused, NeverArrived, Failed, NotSent uint64
+	Reports, FailedReports, StaleReports, Cancelled, Void     uint64
 	// Unplaced counts, over all steps, the models that somebody waits for, that stand nowhere and that a step could
 	// not place, by what was in the way.
 	Unplaced [obstacles]uint64
@@ -61,8 +61,8 @@
 	obstacleEngines
 	// obstacleStore: the store allows no further load now.
 	obstacleStore
-	// obstacleWorth: nothing that is worth clearly less could make way.
-	obstacleWorth
+	// obstacleValue: nothing that is worth clearly less could make way.
+	obstacleValue
 	obstacles
 )
 
@@ -76,64 +76,64 @@
 	pools    map[string]*pool
 	engines  map[ident.EngineID]*engine
 	// ids lists the engines in the order of their ids, so that equal histories give equal plans.
-	ids  []ident.EngineID
-	asks map[string]*asks
-	pace pace
-	keys uint64
+	ids         []ident.EngineID
+	demand      map[string]*poolDemand
+	loadWindow  loadWindow
+	lastLoadKey uint64
 	// lag is how long after an order's end the reports are expected to show it, as far as is known by now.
 	lag time.Duration
-	// judge weighs what daemons saw of engines.
-	judge *outlier.Detector
+	// outliers weighs what daemons saw of engines.
+	outliers *outlier.Detector
 	// inherited is what earlier claims told of engines that have not been met yet.
-	inherited      map[ident.EngineID]uint64
-	began, stepped clock.Mark
-	Lacks          []Lack
-	Counters       Counters
+	inherited       map[ident.EngineID]uint64
+	began, lastStep clock.Mark
+	Unplaced        []Unplaced
+	Counters        Counters
 }
 
 // NewPlanner makes the plan of a fresh claim. It knows no history of loads, so the window counts as full.
 func NewPlanner(settings Settings, now clock.Mark) *Planner {
-	return &Planner{settings: settings, judge: outlier.NewDetector(outlier.DefaultSettings()), pools: map[string]*pool{}, engines: map[ident.EngineID]*engine{}, asks: map[string]*asks{}, inherited: map[ident.EngineID]uint64{}, lag: startLag,
-		pace: pace{window: settings.Window, unknownUntil: now + clock.Mark(settings.Window)}, began: now, stepped: now}
+	return &Planner{settings: settings, outliers: outlier.NewDetector(outlier.DefaultSettings()), pools: map[string]*pool{}, engines: map[ident.EngineID]*engine{}, demand: map[string]*poolDemand{}, inherited: map[ident.EngineID]uint64{}, lag: startLag,
+		loadWindow: loadWindow{window: settings.Window, unknownUntil: now + clock.Mark(settings.Window)}, began: now, lastStep: now}
 }
 
 // Inherit takes over what earlier claims told of their orders: what nobody told of for a window's length may
 // have been any number.
 func (p *Planner) Inherit(now clock.Mark, granted *statemachine.PlannerLease) {
-	told := granted.Announced
-	if told == nil {
+	announced := granted.Announced
+	if announced == nil {
 		return
 	}
 	ago := func(at ident.GroupTime) clock.Mark {
 		return now - clock.Mark(time.Duration(granted.Now-at)*time.Millisecond)
 	}
-	for engine, order := range told.Orders {
+	for engine, order := range announced.Orders {
 		p.inherited[engine] = order.Accepted
 	}
-	p.pace.unknownUntil = max(now, ago(told.Since)+clock.Mark(p.settings.Window))
-	for _, loads := range told.Loads {
+	p.loadWindow.unknownUntil = max(now, ago(announced.Since)+clock.Mark(p.settings.Window))
+	for _, loads := range announced.Loads {
 		for range loads.Count {
-			p.keys++
+			p.lastLoadKey++
 			// It was told of before it left, and may have been on its way for as long as an order's limit.
-			p.pace.begin(p.keys, ago(loads.At)+clock.Mark(p.settings.OrderLimit))
+			p.loadWindow.begin(p.lastLoadKey, ago(loads.At)+clock.Mark(p.settings.OrderTimeout))
 		}
 	}
 }
 
-// Told is what the group must know of orders before they leave: that there are any, since a successor keeps
+// Announcement is what the group must know of orders before they leave: that there are any, since a successor keeps
 // quiet for a time after the last, and what loads there are. An unload can only make room.
-func (p *Planner) Told(orders []Order) *statemachine.Announcement {
-	told := statemachine.Announcement{Orders: map[ident.EngineID]uint64{}, KeepMs: (p.settings.Window + p.settings.OrderLimit + oldLag).Milliseconds()}
+func (p *Planner) Announcement(orders []Order) *statemachine.Announcement {
+	announcement := statemachine.Announcement{Orders: map[ident.EngineID]uint64{}, KeepMs: (p.settings.Window + p.settings.OrderTimeout + oldLag).Milliseconds()}
 	for _, order := range orders {
 		if order.Kind != Load {
 			continue
 		}
-		told.Orders[order.Engine] = order.Expected + 1
-		if e := p.engines[order.Engine]; e != nil && e.flight != nil && e.flight.key != 0 {
-			told.Loads++
+		announcement.Orders[order.Engine] = order.Expected + 1
+		if e := p.engines[order.Engine]; e != nil && e.pending != nil && e.pending.key != 0 {
+			announcement.Loads++
 		}
 	}
-	return &told
+	return &announcement
 }
 
 // Step settles nothing: it takes up what is new, and gives the orders to send now.
@@ -142,28 +142,28 @@
 		return nil
 	}
 	p.adopt(in.Section)
-	p.meet(in)
-	p.hear(in)
-	p.judgeEngines(in)
-	since := in.Now.Since(p.stepped)
-	p.stepped = in.Now
-	p.Lacks = p.Lacks[:0]
+	p.updateEngines(in)
+	p.updateDemand(in)
+	p.detectOutliers(in)
+	since := in.Now.Since(p.lastStep)
+	p.lastStep = in.Now
+	p.Unplaced = p.Unplaced[:0]
 	var orders []Order
 	for _, name := range slices.Sorted(maps.Keys(p.pools)) {
 		s := p.survey(in.Now, since, p.pools[name])
-		orders = append(orders, s.advance()...)
-		first, others := s.modelWants()
-		s.openEngines()
-		orders = append(orders, s.serveModels(first)...)
-		orders = append(orders, s.serveAdapters()...)
-		s.openEngines()
-		orders = append(orders, s.serveModels(others)...)
+		orders = append(orders, s.advanceIntents()...)
+		first, others := s.modelCandidates()
+		s.listAvailable()
+		orders = append(orders, s.placeModels(first)...)
+		orders = append(orders, s.placeAdapters()...)
+		s.listAvailable()
+		orders = append(orders, s.placeModels(others)...)
 	}
 	return orders
 }
 
-// meet takes up which engines there are.
-func (p *Planner) meet(in Input) {
+// updateEngines takes up which engines there are.
+func (p *Planner) updateEngines(in Input) {
 	changed := false
 	for name, made := range p.pools {
 		for _, listed := range in.View.Pools[name] {
@@ -172,7 +172,7 @@
 				continue
 			}
 			if e == nil || e.address != listed.Address {
-				e = &engine{id: listed.ID, address: listed.Address, rests: map[registry.Target]clock.Mark{}, had: map[string]bool{}, came: map[registry.Target]clock.Mark{}}
+				e = &engine{id: listed.ID, address: listed.Address, backoffs: map[registry.Target]clock.Mark{}, loadedBefore: map[string]bool{}, loadedSince: map[registry.Target]clock.Mark{}}
 				p.engines[listed.ID] = e
 				changed = true
 			}
@@ -180,14 +180,14 @@
 			if e.slots <= 0 {
 				e.slots = max(1, made.catalogue.Slots)
 			}
-			e.usable = listed.Usable() && (in.Shut == nil || !in.Shut(listed))
-			e.emptying = in.Emptying[listed.ID]
+			e.usable = listed.Usable() && (in.Closed == nil || !in.Closed(listed))
+			e.draining = in.Draining[listed.ID]
 		}
 	}
 	for id, e := range p.engines {
 		listed := in.View.Engines[id]
 		if listed == nil || listed.Deregistered || listed.Pool != e.pool.name {
-			if e.flight != nil {
+			if e.pending != nil {
 				p.Counters.Void++
 			}
 			delete(p.engines, id)
@@ -199,6 +199,6 @@
 	}
 }
 
-func compareTargets(a, b registry.Target) int {
-	return cmp.Or(cmp.Compare(a.Model, b.Model), cmp.Compare(a.Adapter, b.Adapter))
+func compareTargets(item, b registry.Target) int {
+	return cmp.Or(cmp.Compare(item.Model, b.Model), cmp.Compare(item.Adapter, b.Adapter))
 }
--- a/process/placement/poolplacement/plan_test.go
+++ b/process/placement/poolplacement/plan_test.go
@@ -41,8 +41,8 @@
 	f.rate = func(now clock.Mark) (float64, func() (registry.Target, *fakeRequest)) {
 		return perSecond, func() (registry.Target, *fakeRequest) {
 			at, chosen := f.random.Float64()*total, 0
-			for i, w := range weights {
-				if at -= w; at < 0 {
+			for i, wanted := range weights {
+				if at -= wanted; at < 0 {
 					chosen = i
 					break
 				}
@@ -91,7 +91,7 @@
 		f.asked, f.onTime, f.late, f.refused, f.strays, starved, len(f.askedBy), f.loads, f.evicts, f.adapterOrders, at(.5), at(.9), at(.99), f.planner.Counters)
 }
 
-func TestADayInQuiet(t *testing.T) {
+func TestPlanServesDemandWithoutFaults(t *testing.T) {
 	for seed := range seeds(3) {
 		f := newFleet(seed, sharedCatalogue(), 9)
 		f.run(10 * time.Second)
@@ -104,8 +104,8 @@
 	}
 }
 
-// trouble brings about one thing now and then.
-func (f *fakeFleet) trouble(random *rand.Rand) {
+// injectFault brings about one thing now and then.
+func (f *fakeFleet) injectFault(random *rand.Rand) {
 	e := f.engines[random.IntN(len(f.engines))]
 	switch random.IntN(400) {
 	case 0:
@@ -135,7 +135,7 @@
 	}
 }
 
-func troubled(seed uint64, change func(*fakeFleet)) *fakeFleet {
+func runWithFaults(seed uint64, change func(*fakeFleet)) *fakeFleet {
 	f := newFleet(seed, sharedCatalogue(), 9)
 	random := rand.New(rand.NewPCG(seed, 11))
 	if change != nil {
@@ -143,15 +143,15 @@
 	}
 	zipf(f, 45, 1, func(now clock.Mark) int { return int(now/clock.Mark(15*time.Second)) * 5 })
 	for end := f.now + clock.Mark(90*time.Second); f.now < end; {
-		f.trouble(random)
+		f.injectFault(random)
 		f.step()
 	}
 	return f
 }
 
-func TestPlanUnderTrouble(t *testing.T) {
+func TestPlanHoldsItsLimitsUnderFaults(t *testing.T) {
 	for seed := range seeds(8) {
-		f := troubled(seed, nil)
+		f := runWithFaults(seed, nil)
 		for _, fault := range f.faults {
 			t.Errorf("seed %d: %s", seed, fault)
 		}
@@ -162,9 +162,9 @@
 }
 
 // turns has planners stop cleanly, one after the other, so that only the quiet time stands between them.
-func turns(seed uint64, mute bool) []string {
+func turns(seed uint64, announcesNothing bool) []string {
 	f := newFleet(seed, sharedCatalogue(), 9)
-	f.mute = mute
+	f.announcesNothing = announcesNothing
 	zipf(f, 45, 1, func(now clock.Mark) int { return int(now/clock.Mark(15*time.Second)) * 5 })
 	for turn := 0; turn < 12 && len(f.faults) == 0; turn++ {
 		f.run(7 * time.Second)
@@ -176,7 +176,7 @@
 
 // A successor keeps quiet after the last order told of. A planner that does not tell lets its successor order
 // too soon, and the check sees it.
-func TestASuccessorKeepsQuietAfterTheLastOrder(t *testing.T) {
+func TestSuccessorWaitsAfterTheLastAnnouncedOrder(t *testing.T) {
 	seen := 0
 	for seed := range seeds(6) {
 		for _, fault := range turns(seed, false) {
--- a/process/placement/poolplacement/tell.go
+++ b/process/placement/poolplacement/publish.go
@@ -16,14 +16,14 @@
 	var out map[ident.EngineID]registry.Plan
 	for _, id := range p.ids {
 		e := p.engines[id]
-		if !e.read {
+		if !e.reportRead {
 			continue
 		}
 		next := p.planOf(now, e)
-		if e.spoken && !differs(e, next, now.Since(e.toldAt)) {
+		if e.hasPublished && !shouldPublish(e, next, now.Since(e.publishedAt)) {
 			continue
 		}
-		e.told, e.toldAt, e.spoken = next, now, true
+		e.published, e.publishedAt, e.hasPublished = next, now, true
 		if out == nil {
 			out = map[ident.EngineID]registry.Plan{}
 		}
@@ -34,15 +34,15 @@
 
 func (p *Planner) planOf(now clock.Mark, e *engine) registry.Plan {
 	plan := registry.Plan{Models: e.report.Models, Active: e.report.Active, Queued: e.report.Queued, MemoryUsed: e.report.MemoryUsed, Memory: e.report.Memory}
-	if f := e.flight; f != nil {
+	if f := e.pending; f != nil {
 		if f.Kind == Evict {
 			plan.Retiring = append(plan.Retiring, f.Target())
 		} else {
 			plan.PendingLoads = append(plan.PendingLoads, registry.PendingLoad{Target: f.Target(), Ready: f.ready})
 		}
 	}
-	if p.settings.TellShares {
-		plan.Weights = p.judge.Weights(now, e.id)
+	if p.settings.PublishWeights {
+		plan.Weights = p.outliers.Weights(now, e.id)
 	}
 	if e.intent != nil {
 		for _, victim := range e.intent.victims {
@@ -50,7 +50,7 @@
 				plan.Retiring = append(plan.Retiring, victim)
 			}
 		}
-		ready := e.intent.told + clock.Mark(p.settings.Notice+time.Duration(len(e.intent.victims))*evictSpan)
+		ready := e.intent.announcedAt + clock.Mark(p.settings.EvictionNotice+time.Duration(len(e.intent.victims))*evictSpan)
 		if model := e.pool.models[e.intent.Model]; e.intent.Adapter == "" && model != nil {
 			ready += clock.Mark(time.Duration(model.LoadMs) * time.Millisecond)
 		}
@@ -60,23 +60,23 @@
 }
 
 // weightsAgain is how often shares that are not all are told.
-const weightsAgain = 2 * time.Second
+const republishWeightsAfter = 2 * time.Second
 
-// differs says whether something is worth telling anew.
-func differs(e *engine, next registry.Plan, since time.Duration) bool {
-	told := &e.told
-	if !slices.Equal(told.Retiring, next.Retiring) || !slices.EqualFunc(told.PendingLoads, next.PendingLoads, func(a, b registry.PendingLoad) bool { return a.Target == b.Target }) ||
-		!slices.EqualFunc(told.Models, next.Models, func(a, b registry.LoadedModel) bool {
-			return a.Model == b.Model && a.Generation == b.Generation && slices.Equal(a.Adapters, b.Adapters)
+// shouldPublish says whether something is worth telling anew.
+func shouldPublish(e *engine, next registry.Plan, since time.Duration) bool {
+	published := &e.published
+	if !slices.Equal(published.Retiring, next.Retiring) || !slices.EqualFunc(published.PendingLoads, next.PendingLoads, func(item, b registry.PendingLoad) bool { return item.Target == b.Target }) ||
+		!slices.EqualFunc(published.Models, next.Models, func(item, b registry.LoadedModel) bool {
+			return item.Model == b.Model && item.Generation == b.Generation && slices.Equal(item.Adapters, b.Adapters)
 		}) {
 		return true
 	}
 	// A share that is not told again in time is no longer believed.
-	if !slices.Equal(told.Weights, next.Weights) || len(next.Weights) > 0 && since > weightsAgain {
+	if !slices.Equal(published.Weights, next.Weights) || len(next.Weights) > 0 && since > republishWeightsAfter {
 		return true
 	}
-	moved := func(a, b, of float64) bool { return math.Abs(a-b) > of/8 }
-	return (told.Queued > 0) != (next.Queued > 0) || moved(float64(told.Active), float64(next.Active), float64(e.slots)) ||
-		moved(float64(told.MemoryUsed), float64(next.MemoryUsed), float64(next.Memory)) ||
-		since > 5*time.Second && (told.Active != next.Active || told.MemoryUsed != next.MemoryUsed)
+	moved := func(item, b, of float64) bool { return math.Abs(item-b) > of/8 }
+	return (published.Queued > 0) != (next.Queued > 0) || moved(float64(published.Active), float64(next.Active), float64(e.slots)) ||
+		moved(float64(published.MemoryUsed), float64(next.MemoryUsed), float64(next.Memory)) ||
+		since > 5*time.Second && (published.Active != next.Active || published.MemoryUsed != next.MemoryUsed)
 }
--- a/process/placement/poolplacement/rank_test.go
+++ b/process/placement/poolplacement/rank_test.go
@@ -8,7 +8,7 @@
 )
 
 // What is asked for by more urgent paths counts for more, and is never kept waiting for being rare.
-func TestUrgentDemandCountsForMore(t *testing.T) {
+func TestUrgentDemandHasMoreWeight(t *testing.T) {
 	catalogue := &upstream.Catalogue{CapacityMb: 100, LoadsPerSecond: 1, Models: []upstream.Model{{Name: "urgent", SizeMb: 10, LoadMs: 1000}, {Name: "patient", SizeMb: 10, LoadMs: 1000}}}
 	shares := []upstream.Share{{Pool: "pool", Weight: 1}}
 	section := &upstream.Section{Pools: []upstream.Pool{{Name: "pool", Catalogue: catalogue}},
@@ -18,13 +18,13 @@
 		{Pool: "pool", Model: "urgent", Arrivals: 1, Rank: 3}, {Pool: "pool", Model: "patient", Arrivals: 1, Rank: 5},
 		{Pool: "pool", Model: "patient", Arrivals: 0, Rank: 4}}}
 	planner.adopt(section)
-	planner.hear(in)
-	asked := planner.asks["pool"].models
-	if urgent, patient := asked["urgent"], asked["patient"]; urgent.behind != 0 || patient.behind != 1 || urgent.rate() <= patient.rate() {
+	planner.updateDemand(in)
+	asked := planner.demand["pool"].models
+	if urgent, patient := asked["urgent"], asked["patient"]; urgent.ranksBehind != 0 || patient.ranksBehind != 1 || urgent.rate() <= patient.rate() {
 		t.Fatalf("the most urgent paths lead the pool by rank 3: %+v, %+v", urgent, patient)
 	}
-	s := &survey{asks: &asks{arrivals: 90}, engines: make([]*engine, 9)}
-	if s.light(asked["urgent"]) || !s.light(asked["patient"]) {
+	s := &survey{demand: &poolDemand{arrivals: 90}, engines: make([]*engine, 9)}
+	if s.isLight(asked["urgent"]) || !s.isLight(asked["patient"]) {
 		t.Fatal("of two that few ask for, only the less urgent one takes its turn")
 	}
 }
--- a/process/placement/poolplacement/reports.go
+++ b/process/placement/poolplacement/reports.go
@@ -9,16 +9,16 @@
 
 // Reported takes an engine's report, or the failure to get one; asked is when it was asked for. It says whether
 // an order was settled by it, so that the next can be given at once.
-func (p *Planner) Reported(now, asked clock.Mark, id ident.EngineID, report Report, ok bool) (settled bool) {
+func (p *Planner) Reported(now, asked clock.Mark, id ident.EngineID, report Report, ok bool) (resolved bool) {
 	e := p.engines[id]
 	if e == nil {
 		return false
 	}
-	e.asking = false
+	e.requestingReport = false
 	if !ok {
 		p.Counters.FailedReports++
 		e.failures++
-		e.askNext = now + clock.Mark(min(p.settings.Rest, 2*p.settings.Busy*time.Duration(e.failures)))
+		e.nextReport = now + clock.Mark(min(p.settings.IdleReportInterval, 2*p.settings.BusyReportInterval*time.Duration(e.failures)))
 		return false
 	}
 	p.Counters.Reports++
@@ -27,75 +27,75 @@
 	if report.Queued > 0 {
 		load = max(load, 1)
 	}
-	e.heat += (load - e.heat) * 0.5
-	e.askNext = now + clock.Mark(p.interval(e))
-	if e.read && asked < e.asked {
+	e.utilization += (load - e.utilization) * 0.5
+	e.nextReport = now + clock.Mark(p.interval(e))
+	if e.reportRead && asked < e.reportRequested {
 		return false
 	}
 	// A report from before orders that are known to have been taken tells nothing of what is held. What earlier
 	// claims told may never have left: only a report asked for later than any lag says so.
-	if report.Taken < e.taken && now.Since(e.takenAt) < oldLag || report.Taken < p.inherited[id] && asked.Since(p.began) < lagLimit {
+	if report.Accepted < e.acceptedOrders && now.Since(e.acceptedAt) < oldLag || report.Accepted < p.inherited[id] && asked.Since(p.began) < lagLimit {
 		p.Counters.StaleReports++
-		if e.flight != nil {
-			p.learn(e.flight, asked, false)
+		if e.pending != nil {
+			p.learn(e.pending, asked, false)
 		}
-		e.askNext = now + clock.Mark(p.interval(e))
+		e.nextReport = now + clock.Mark(p.interval(e))
 		return false
 	}
 	delete(p.inherited, id)
-	e.read, e.asked, e.report, e.taken = true, asked, report, report.Taken
-	e.noteHeld(now)
-	settled = p.settle(now, e)
-	e.askNext = now + clock.Mark(p.interval(e))
-	return settled
+	e.reportRead, e.reportRequested, e.report, e.acceptedOrders = true, asked, report, report.Accepted
+	e.trackLoaded(now)
+	resolved = p.resolve(now, e)
+	e.nextReport = now + clock.Mark(p.interval(e))
+	return resolved
 }
 
 // learn corrects by one report what is known of how far reports lag. A load of a model tells nothing of it:
 // how long that takes depends on what runs there.
-func (p *Planner) learn(f *flight, asked clock.Mark, shown bool) {
-	if f.state != taken || asked < f.shows(p.lag) {
+func (p *Planner) learn(f *pendingOrder, asked clock.Mark, shown bool) {
+	if f.state != accepted || asked < f.visibleAt(p.lag) {
 		return
 	}
-	if f.asked++; f.asked > 1 || f.Kind == Load && f.Adapter == "" {
+	if f.reportsRequested++; f.reportsRequested > 1 || f.Kind == Load && f.Adapter == "" {
 		return
 	}
 	if shown {
-		p.lag = max(leastLag, p.lag-lagDown)
+		p.lag = max(minLag, p.lag-lagDown)
 	} else {
-		p.lag = min(mostLag, p.lag+lagUp)
+		p.lag = min(maxLag, p.lag+lagUp)
 	}
 }
 
 // interval is how soon an engine is asked for its next report.
 func (p *Planner) interval(e *engine) time.Duration {
 	switch {
-	case e.flight != nil && e.flight.state == taken && e.flight.asked < quickAsks:
+	case e.pending != nil && e.pending.state == accepted && e.pending.reportsRequested < maxQuickReports:
 		// What should show by now is looked for often, so that the next order needn't wait.
-		return p.settings.Look
-	case e.flight != nil || e.intent != nil || !e.read || e.report.Taken < e.taken || e.asked < e.waitFor:
-		return p.settings.Busy
+		return p.settings.PollInterval
+	case e.pending != nil || e.intent != nil || !e.reportRead || e.report.Accepted < e.acceptedOrders || e.reportRequested < e.notBefore:
+		return p.settings.BusyReportInterval
 	case !e.usable:
-		return 3 * p.settings.Rest
+		return 3 * p.settings.IdleReportInterval
 	}
-	return p.settings.Rest
+	return p.settings.IdleReportInterval
 }
 
-// Ask is one engine that is to be asked for its report.
-type Ask struct {
+// ReportRequest is one engine that is to be asked for its report.
+type ReportRequest struct {
 	Engine  ident.EngineID
 	Address string
 }
 
 // Due lists the engines to ask for their reports now.
-func (p *Planner) Due(now clock.Mark) []Ask {
-	var out []Ask
+func (p *Planner) Due(now clock.Mark) []ReportRequest {
+	var out []ReportRequest
 	for _, id := range p.ids {
 		e := p.engines[id]
-		if e.asking || now < e.askNext {
+		if e.requestingReport || now < e.nextReport {
 			continue
 		}
-		e.asking = true
-		out = append(out, Ask{id, e.address})
+		e.requestingReport = true
+		out = append(out, ReportRequest{id, e.address})
 	}
 	return out
 }
--- a/process/placement/poolplacement/size_test.go
+++ b/process/placement/poolplacement/size_test.go
@@ -45,8 +45,8 @@
 	return out
 }
 
-// settled is a planner that has read a report of every engine, each holding two models.
-func settled(engines int, section *upstream.Section, view *registry.View, demand []Demand) (*Planner, clock.Mark) {
+// settledPlanner is a planner that has read a report of every engine, each holding two models.
+func settledPlanner(engines int, section *upstream.Section, view *registry.View, demand []Demand) (*Planner, clock.Mark) {
 	now := clock.Mark(time.Hour)
 	p := NewPlanner(DefaultSettings("owner", 3*time.Second), now)
 	p.Step(Input{Now: now, Section: section, View: view, Demand: demand})
@@ -65,10 +65,10 @@
 	for _, size := range []struct{ engines, active, daemons int }{{12, 40, 8}, {100, 100, 8}, {350, 1000, 8}, {1400, 0, 1}, {1400, 1000, 1}, {1400, 1000, 8}, {1400, 10000, 1}, {1400, 87000, 1}} {
 		b.Run(fmt.Sprintf("%d engines, %d adapters asked for at %d daemons each", size.engines, size.active, size.daemons), func(b *testing.B) {
 			section, view, demand := sizeSection(87000), sizeView(size.engines), sizeDemand(size.active, size.daemons)
-			p, now := settled(size.engines, section, view, demand)
+			p, now := settledPlanner(size.engines, section, view, demand)
 			b.ReportAllocs()
 			for b.Loop() {
-				now += clock.Mark(p.settings.Beat)
+				now += clock.Mark(p.settings.PlanInterval)
 				p.Step(Input{Now: now, Section: section, View: view, Demand: demand})
 			}
 		})
@@ -78,7 +78,7 @@
 // BenchmarkSizeReport is one report taken up, and BenchmarkSizeDue the choice of whom to ask.
 func BenchmarkSizeReport(b *testing.B) {
 	section, view := sizeSection(87000), sizeView(1400)
-	p, now := settled(1400, section, view, nil)
+	p, now := settledPlanner(1400, section, view, nil)
 	report := Report{Models: []registry.LoadedModel{{Model: "model0001", Generation: 1}, {Model: "model0002", Generation: 1}}, Active: 20, MemoryUsed: 50000, Memory: 120000}
 	b.ReportAllocs()
 	turn := 0
@@ -91,7 +91,7 @@
 
 func BenchmarkSizeDue(b *testing.B) {
 	section, view := sizeSection(87000), sizeView(1400)
-	p, now := settled(1400, section, view, nil)
+	p, now := settledPlanner(1400, section, view, nil)
 	b.ReportAllocs()
 	for b.Loop() {
 		now++
--- a/process/placement/poolplacement/steplog.go
+++ b/process/placement/poolplacement/steplog.go
@@ -17,31 +17,31 @@
 
 // stepLog sums up the steps since the last debug line.
 type stepLog struct {
-	told          clock.Mark
+	loggedAt      clock.Mark
 	steps         int
 	took, longest time.Duration
 	before        Counters
 }
 
 // logSteps writes a debug line a second on what the plan did, and what was in the way of models that are waited for.
-func (a *Actor) logSteps(now clock.Mark, took time.Duration) {
-	s := &a.steps
+func (item *Actor) logSteps(now clock.Mark, took time.Duration) {
+	s := &item.steps
 	s.steps++
 	s.took += took
 	s.longest = max(s.longest, took)
-	if now.Since(s.told) < logStepsEvery {
+	if now.Since(s.loggedAt) < logStepsEvery {
 		return
 	}
-	fields := a.planner.occupation(now)
+	fields := item.planner.occupation(now)
 	fields["steps"], fields["tookMs"], fields["longestMs"] = s.steps, s.took.Milliseconds(), s.longest.Milliseconds()
-	counters := a.planner.Counters
+	counters := item.planner.Counters
 	fields["loads"], fields["adapterLoads"], fields["unloads"] = counters.Loads-s.before.Loads, counters.AdapterLoads-s.before.AdapterLoads, counters.Evicts-s.before.Evicts
 	for obstacle, count := range counters.Unplaced {
 		fields["unplaced_"+ObstacleNames[obstacle]] = count - s.before.Unplaced[obstacle]
 	}
-	fields["busiest"] = a.planner.busiest()
-	a.log.WithFields(fields).Debug("steps of the plan")
-	*s = stepLog{told: now, before: counters}
+	fields["busiest"] = item.planner.busiest()
+	item.log.WithFields(fields).Debug("steps of the plan")
+	*s = stepLog{loggedAt: now, before: counters}
 }
 
 // busiestShown is how many models a debug line shows.
@@ -51,12 +51,12 @@
 func (p *Planner) busiest() []string {
 	type row struct {
 		name string
-		a    *ask
+		a    *itemDemand
 	}
 	var rows []row
-	for _, asks := range p.asks {
-		for name, a := range asks.models {
-			rows = append(rows, row{name, a})
+	for _, demand := range p.demand {
+		for name, item := range demand.models {
+			rows = append(rows, row{name, item})
 		}
 	}
 	slices.SortFunc(rows, func(x, y row) int {
@@ -64,56 +64,56 @@
 	})
 	var out []string
 	for _, one := range rows[:min(busiestShown, len(rows))] {
-		holding, getting, active, queued := 0, 0, 0, 0
+		loadedOn, loadingOn, active, queued := 0, 0, 0, 0
 		for _, e := range p.engines {
-			if !e.counts() {
+			if !e.canServe() {
 				continue
 			}
-			if _, held := e.held(one.name); held {
-				holding++
+			if _, loaded := e.loadedModel(one.name); loaded {
+				loadedOn++
 				active += e.report.Active
 				queued += e.report.Queued
 			}
-			if e.flight != nil && e.flight.Kind == Load && e.flight.Target() == (registry.Target{Model: one.name}) {
-				getting++
+			if e.pending != nil && e.pending.Kind == Load && e.pending.Target() == (registry.Target{Model: one.name}) {
+				loadingOn++
 			}
 		}
-		out = append(out, fmt.Sprintf("%s: %d hold, %d get, %.0f/s, %d run, %d held, engines run %d and queue %d", one.name, holding, getting, one.a.arrivals, one.a.running, one.a.held, active, queued))
+		out = append(out, fmt.Sprintf("%s: %d hold, %d get, %.0f/s, %d run, %d held, engines run %d and queue %d", one.name, loadedOn, loadingOn, one.a.arrivals, one.a.running, one.a.queued, active, queued))
 	}
 	return out
 }
 
 // occupation counts what the engines of all pools are doing.
 func (p *Planner) occupation(now clock.Mark) log.Fields {
-	loading, adapting, unloading, preparing, ready, lacking, standing := 0, 0, 0, 0, 0, 0, 0
+	loading, adapting, unloading, preparing, ready, unplaced, loadedModels := 0, 0, 0, 0, 0, 0, 0
 	distinct := map[string]int{}
 	for _, e := range p.engines {
 		switch {
-		case e.flight != nil && e.flight.Kind == Evict:
+		case e.pending != nil && e.pending.Kind == Evict:
 			unloading++
-		case e.flight != nil && e.flight.Adapter != "":
+		case e.pending != nil && e.pending.Adapter != "":
 			adapting++
-		case e.flight != nil:
+		case e.pending != nil:
 			loading++
 		case e.intent != nil:
 			preparing++
 		case e.ready(now):
 			ready++
 		}
-		if e.counts() {
-			standing += len(e.report.Models)
-			for _, held := range e.report.Models {
-				distinct[held.Model]++
+		if e.canServe() {
+			loadedModels += len(e.report.Models)
+			for _, loaded := range e.report.Models {
+				distinct[loaded.Model]++
 			}
 		}
 	}
-	for _, asks := range p.asks {
-		for _, a := range asks.models {
-			if a.debt > 0 {
-				lacking++
+	for _, demand := range p.demand {
+		for _, item := range demand.models {
+			if item.unmet > 0 {
+				unplaced++
 			}
 		}
 	}
 	return log.Fields{"engines": len(p.engines), "loading": loading, "adapting": adapting, "unloading": unloading, "preparing": preparing,
-		"ready": ready, "standing": standing, "distinct": len(distinct), "lacking": lacking, "lagMs": p.lag.Milliseconds()}
+		"ready": ready, "standing": loadedModels, "distinct": len(distinct), "lacking": unplaced, "lagMs": p.lag.Milliseconds()}
 }
--- /dev/null
+++ b/process/placement/poolplacement/steppause.go
@@ -0,0 +1,35 @@
+package poolplacement
+
+import (
+	"time"
+
+	"github.com/cresspond/cresspond/clock"
+)
+
+const (
+	// pauseFactor is how many times as long as a step the planner rests after it.
+	pauseFactor = 9
+	// maxPause bounds that: what is asked for is planned for at last, whatever it costs.
+	maxPause = 4 * time.Second
+)
+
+// stepPause keeps the plan from taking a processor for itself: a step's cost grows with all that is asked for, so a
+// long one is followed by a rest, and planning takes a tenth of a core at most.
+type stepPause struct {
+	last  time.Duration
+	until clock.Mark
+}
+
+// record notes a step. Rests within a beat are none, since beats are that far apart anyway.
+func (r *stepPause) record(began, ended clock.Mark, beat time.Duration) {
+	took := ended.Since(began)
+	// The shorter of the last two counts: a moment in which the machine stood still is no reason to wait.
+	rest := min(pauseFactor*min(took, r.last), maxPause)
+	r.last, r.until = took, 0
+	if rest > beat {
+		r.until = ended + clock.Mark(rest)
+	}
+}
+
+// over says whether the next step may begin.
+func (r *stepPause) over(now clock.Mark) bool { return now >= r.until }
--- a/process/placement/poolplacement/steprest_test.go
+++ b/process/placement/poolplacement/steppause_test.go
@@ -10,14 +10,14 @@
 // plannedFor plays a planner whose steps take so long and gives how many it makes, and the share of time they take.
 func plannedFor(span time.Duration, took func(step int) time.Duration) (steps int, share float64) {
 	const beat = 100 * time.Millisecond
-	var rest stepRest
+	var rest stepPause
 	var busy time.Duration
 	for now := clock.Mark(time.Hour); now < clock.Mark(time.Hour+span); now += clock.Mark(beat) {
 		if !rest.over(now) {
 			continue
 		}
 		step := took(steps)
-		rest.stepped(now, now+clock.Mark(step), beat)
+		rest.record(now, now+clock.Mark(step), beat)
 		busy += step
 		steps++
 		// Beats that come while it plans are not made up for.
--- a/process/placement/poolplacement/succession_test.go
+++ b/process/placement/poolplacement/succession_test.go
@@ -14,7 +14,7 @@
 	for seed := range seeds(6) {
 		f := newFleet(seed, sharedCatalogue(), 9)
 		zipf(f, 45, 1, func(now clock.Mark) int { return int(now/clock.Mark(15*time.Second)) * 5 })
-		most := f.settings().Gap + 2*f.settings().Beat
+		most := f.settings().LeaseGap + 2*f.settings().PlanInterval
 		f.run(20*time.Second + time.Duration(seed)*130*time.Millisecond)
 		for _, holder := range []string{"b#1", "c#1", "d#1"} {
 			f.takeOver(ident.NodeID(holder))
--- a/process/placement/poolplacement/tune_test.go
+++ b/process/placement/poolplacement/tune_test.go
@@ -53,7 +53,7 @@
 					return false
 				}
 				e.gone = true
-				f.heldBy = append(f.heldBy, e.running...)
+				f.queued = append(f.queued, e.running...)
 				return true
 			})
 			f.engines = append(f.engines[1:], e)
--- a/process/placement/poolplacement/types.go
+++ b/process/placement/poolplacement/types.go
@@ -41,24 +41,24 @@
 // Target is what the order is about.
 func (o Order) Target() registry.Target { return registry.Target{Model: o.Model, Adapter: o.Adapter} }
 
-// Answer is what became of an order as far as its sender knows.
-type Answer uint8
+// OrderOutcome is what became of an order as far as its sender knows.
+type OrderOutcome uint8
 
 const (
 	// NoAnswer: it may have been taken, or not.
-	NoAnswer Answer = iota
-	// Unsent: not a byte of it left.
-	Unsent
-	// Taken: it is being done.
-	Taken
-	// Already: what it wants holds already.
-	Already
+	NoAnswer OrderOutcome = iota
+	// NotSent: not a byte of it left.
+	NotSent
+	// Accepted: it is being done.
+	Accepted
+	// AlreadyDone: what it wants holds already.
+	AlreadyDone
 	// Refused: another is under way, or the engine has taken another number of orders.
 	Refused
-	// Outdated: the engine has seen a higher claim.
-	Outdated
-	// Elsewhere: another engine answers at that address.
-	Elsewhere
+	// Fenced: the engine has seen a higher claim.
+	Fenced
+	// WrongEngine: another engine answers at that address.
+	WrongEngine
 	// Malformed: the engine knows no such order.
 	Malformed
 )
@@ -68,7 +68,7 @@
 	Models []registry.LoadedModel
 	// Saturated says that an order is under way, Taken how many orders were taken in this life.
 	Saturated bool
-	Taken     uint64
+	Accepted  uint64
 	// Active and Queued count requests; MemoryUsed can't give way, both in tokens.
 	Active, Queued     int
 	MemoryUsed, Memory int64
@@ -80,7 +80,7 @@
 	Report(ctx context.Context, address string, id ident.EngineID) (Report, error)
 	// Order gives one order on a connection of its own, once. mayLeave is asked right before the first byte,
 	// and nothing is left on its way when ctx ends.
-	Order(ctx context.Context, address string, order Order, mayLeave func() bool) Answer
+	Order(ctx context.Context, address string, order Order, mayLeave func() bool) OrderOutcome
 }
 
 // Settings are the times of a deployment.
@@ -89,44 +89,44 @@
 	Owner string
 	// Window is the span over which loads from the store are counted.
 	Window time.Duration
-	// Span is how long a claim lasts, longer than an election takes, Gap the quiet time between two claims, Renew how often it is prolonged.
-	Span, Gap, Renew time.Duration
-	// OrderLimit is how long an order may be on its way and its answer waited for.
-	OrderLimit time.Duration
-	// Notice is how long before an unload all daemons hear of it, where somebody uses what goes.
-	Notice time.Duration
-	// Rest and Busy are how often an engine is asked for its report, at rest and while an order is under way.
-	Rest, Busy time.Duration
-	// TellShares has daemons told what share of its usual requests an ill engine is to get; where none goes by it, it
+	// LeaseSpan is how long a claim lasts, longer than an election takes, Gap the quiet time between two claims, Renew how often it is prolonged.
+	LeaseSpan, LeaseGap, RenewInterval time.Duration
+	// OrderTimeout is how long an order may be on its way and its answer waited for.
+	OrderTimeout time.Duration
+	// EvictionNotice is how long before an unload all daemons hear of it, where somebody uses what goes.
+	EvictionNotice time.Duration
+	// IdleReportInterval and Busy are how often an engine is asked for its report, at rest and while an order is under way.
+	IdleReportInterval, BusyReportInterval time.Duration
+	// PublishWeights has daemons told what share of its usual requests an ill engine is to get; where none goes by it, it
 	// would only be more news.
-	TellShares bool
-	// LeaveIll has what an engine holds that nearly always fails stand elsewhere too.
-	LeaveIll bool
+	PublishWeights bool
+	// ReplaceUnhealthy has what an engine holds that nearly always fails stand elsewhere too.
+	ReplaceUnhealthy bool
 	// Off are the mechanisms that an experiment goes without.
 	Off featuregates.Set
-	// Beat is how often the plan is made, Look how often it is seen whom to ask for a report.
-	Beat, Look time.Duration
+	// PlanInterval is how often the plan is made, Look how often it is seen whom to ask for a report.
+	PlanInterval, PollInterval time.Duration
 }
 
 // DefaultSettings are for a deployment whose holders of the claim must not take turns within the lease.
 func DefaultSettings(owner string, lease time.Duration) Settings {
-	s := Settings{Owner: owner, Window: 5 * time.Second, Span: 3 * time.Second, Renew: 500 * time.Millisecond, OrderLimit: 800 * time.Millisecond,
-		Notice: 250 * time.Millisecond, Rest: time.Second, Busy: 150 * time.Millisecond, Beat: 100 * time.Millisecond, Look: 50 * time.Millisecond}
+	s := Settings{Owner: owner, Window: 5 * time.Second, LeaseSpan: 3 * time.Second, RenewInterval: 500 * time.Millisecond, OrderTimeout: 800 * time.Millisecond,
+		EvictionNotice: 250 * time.Millisecond, IdleReportInterval: time.Second, BusyReportInterval: 150 * time.Millisecond, PlanInterval: 100 * time.Millisecond, PollInterval: 50 * time.Millisecond}
 	// An order may reach its engine as late as its limit after the claim was last looked at.
-	s.Gap = lease + s.OrderLimit
+	s.LeaseGap = lease + s.OrderTimeout
 	return s
 }
 
 // Demand is what the whole fleet asks for of one model and adapter of a pool.
 type Demand struct {
-	Pool           string
-	Model, Adapter string
-	Held, Running  int
+	Pool            string
+	Model, Adapter  string
+	Queued, Running int
 	// Tokens and Arrivals are smoothed numbers a second.
 	Tokens, Arrivals float64
-	// Oldest is how long the oldest held request has waited, Rank the most urgent rank of those held.
-	Oldest time.Duration
-	Rank   int
+	// OldestWait is how long the oldest held request has waited, Rank the most urgent rank of those held.
+	OldestWait time.Duration
+	Rank       int
 }
 
 // Input is what one step looks at.
@@ -135,16 +135,16 @@
 	Section *upstream.Section
 	View    *registry.View
 	Demand  []Demand
-	// Shut says that nothing new may go to an engine, so that what it holds is no copy; nil is never. Emptying are
+	// Closed says that nothing new may go to an engine, so that what it holds is no copy; nil is never. Emptying are
 	// those whose copies don't count any more, since they are to be shut.
-	Shut     func(*registry.Engine) bool
-	Emptying map[ident.EngineID]bool
+	Closed   func(*registry.Engine) bool
+	Draining map[ident.EngineID]bool
 	// Outcomes is what daemons told of their attempts since the last step.
 	Outcomes []outlier.Observation
 }
 
-// Lack is something that is asked for, stands nowhere, and is not likely to be there before Wait has passed.
-type Lack struct {
+// Unplaced is something that is asked for, stands nowhere, and is not likely to be there before Wait has passed.
+type Unplaced struct {
 	Pool           string
 	Model, Adapter string
 	Wait           time.Duration
--- a/process/placement/poolplacement/missing_test.go
+++ b/process/placement/poolplacement/unplaced_test.go
@@ -12,8 +12,8 @@
 	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
-// scarce is a pool whose engines hold one model each, asked for by one path of the most urgent rank and one of another.
-type scarce struct {
+// scarceFleet is a pool whose engines hold one model each, asked for by one path of the most urgent rank and one of another.
+type scarceFleet struct {
 	t       *testing.T
 	planner *Planner
 	section *upstream.Section
@@ -26,8 +26,8 @@
 	scarceLoad            = 4 * time.Second
 )
 
-// newScarce makes a pool of so many engines; each holds the model that placed gives it. The target is of the urgent path.
-func newScarce(t *testing.T, target time.Duration, placed ...string) *scarce {
+// newScarceFleet makes a pool of so many engines; each holds the model that placed gives it. The target is of the urgent path.
+func newScarceFleet(t *testing.T, target time.Duration, placed ...string) *scarceFleet {
 	catalogue := &upstream.Catalogue{Slots: 64, MemoryTokens: 100_000, CapacityMb: 10, AdapterSlots: 8, LoadsPerSecond: 100}
 	seen := map[string]bool{}
 	for _, name := range append([]string{"wanted"}, placed...) {
@@ -37,7 +37,7 @@
 		}
 	}
 	shares := []upstream.Share{{Pool: "pool", Weight: 1}}
-	s := &scarce{t: t, now: clock.Mark(time.Hour), view: sizeView(len(placed)), section: &upstream.Section{Revision: 1, Pools: []upstream.Pool{{Name: "pool", Catalogue: catalogue}},
+	s := &scarceFleet{t: t, now: clock.Mark(time.Hour), view: sizeView(len(placed)), section: &upstream.Section{Revision: 1, Pools: []upstream.Pool{{Name: "pool", Catalogue: catalogue}},
 		Paths: []upstream.Path{{Name: "urgent", Rank: urgentRank, TargetMs: target.Milliseconds(), Shares: shares}, {Name: "usual", Rank: usualRank, TargetMs: 800, Shares: shares}}}}
 	s.planner = NewPlanner(DefaultSettings("owner", 3*time.Second), s.now)
 	s.step(nil)
@@ -50,74 +50,74 @@
 	return s
 }
 
-func (s *scarce) report(n int, model string) {
+func (s *scarceFleet) report(n int, model string) {
 	s.planner.Reported(s.now, s.now, ident.EngineID(fmt.Sprintf("i-%08x", n)), Report{Active: 6, Models: []registry.LoadedModel{{Model: model, Generation: 1}}}, true)
 }
 
-func (s *scarce) step(demand []Demand) []Order {
+func (s *scarceFleet) step(demand []Demand) []Order {
 	return s.planner.Step(Input{Now: s.now, Section: s.section, View: s.view, Demand: demand})
 }
 
-// idle are requests for a model of the urgent path that come now and then, none of them waiting or running.
-func idle(model string) Demand {
+// idleDemand are requests for a model of the urgent path that come now and then, none of them waiting or running.
+func idleDemand(model string) Demand {
 	return Demand{Pool: "pool", Model: model, Arrivals: 0.14, Tokens: 250, Rank: urgentRank}
 }
 
-func waiting(model string) Demand {
-	demand := idle(model)
-	demand.Held, demand.Oldest = 1, 50*time.Millisecond
+func queuedDemand(model string) Demand {
+	demand := idleDemand(model)
+	demand.Queued, demand.OldestWait = 1, 50*time.Millisecond
 	return demand
 }
 
-// settleDown lets the longer past of a demand build up.
-func (s *scarce) settleDown(demand []Demand) {
+// runUntilStable lets the longer past of a demand build up.
+func (s *scarceFleet) runUntilStable(demand []Demand) {
 	for range 300 {
 		s.now += clock.Mark(100 * time.Millisecond)
 		s.step(demand)
 	}
 }
 
-// TestAModelThatIsWaitedForTakesTheRoomOfOneThatCanComeBackInTime: all are asked for alike, but only one is waited for.
-func TestAModelThatIsWaitedForTakesTheRoomOfOneThatCanComeBackInTime(t *testing.T) {
+// TestQueuedModelEvictsOneThatCanBeReloadedInTime: all are asked for alike, but only one is waited for.
+func TestQueuedModelEvictsOneThatCanBeReloadedInTime(t *testing.T) {
 	others := []string{"a", "b", "c", "d", "e", "f"}
 	for _, one := range []struct {
 		target time.Duration
 		placed bool
 	}{{6 * time.Second, true}, {scarceLoad, false}} {
-		s := newScarce(t, one.target, others...)
+		s := newScarceFleet(t, one.target, others...)
 		var demand []Demand
 		for _, model := range others {
-			demand = append(demand, idle(model))
+			demand = append(demand, idleDemand(model))
 		}
-		s.settleDown(demand)
+		s.runUntilStable(demand)
 		for n, model := range others {
 			s.report(n, model)
 		}
-		orders := s.step(append(demand, waiting("wanted")))
+		orders := s.step(append(demand, queuedDemand("wanted")))
 		if placed := len(orders) == 1 && orders[0].Kind == Evict; placed != one.placed {
 			t.Errorf("with a target of %v and loads of %v: %+v", one.target, scarceLoad, orders)
 		}
-		if !one.placed && s.planner.Counters.Unplaced[obstacleWorth] == 0 {
+		if !one.placed && s.planner.Counters.Unplaced[obstacleValue] == 0 {
 			t.Errorf("what was in the way is not counted: %v", s.planner.Counters.Unplaced)
 		}
 	}
 }
 
-// TestACopyTooManyGivesWay: of a model much asked for, whose copies have little to do, one more or less is no loss.
-func TestACopyTooManyGivesWay(t *testing.T) {
-	s := newScarce(t, 6*time.Second, "much", "much", "much", "much", "much", "much", "a", "b")
+// TestSurplusReplicaIsEvicted: of a model much asked for, whose copies have little to do, one more or less is no loss.
+func TestSurplusReplicaIsEvicted(t *testing.T) {
+	s := newScarceFleet(t, 6*time.Second, "much", "much", "much", "much", "much", "much", "a", "b")
 	demand := []Demand{{Pool: "pool", Model: "much", Arrivals: 100, Tokens: 1000, Running: 1, Rank: usualRank}, {Pool: "pool", Model: "a", Arrivals: 2, Tokens: 4000, Running: 1, Rank: urgentRank},
 		{Pool: "pool", Model: "b", Arrivals: 2, Tokens: 4000, Running: 1, Rank: urgentRank}}
-	s.settleDown(demand)
+	s.runUntilStable(demand)
 	for n, model := range []string{"much", "much", "much", "much", "much", "much", "a", "b"} {
 		s.report(n, model)
 	}
-	s.step(append(demand, waiting("wanted")))
+	s.step(append(demand, queuedDemand("wanted")))
 	given := 0
 	for _, e := range s.planner.engines {
-		if e.flight != nil || e.intent != nil {
+		if e.pending != nil || e.intent != nil {
 			given++
-			if !e.holds(registry.Target{Model: "much"}) {
+			if !e.hasLoaded(registry.Target{Model: "much"}) {
 				t.Errorf("%s gives way", e.report.Models[0].Model)
 			}
 		}
@@ -127,15 +127,15 @@
 	}
 }
 
-// TestFurtherCopiesLeaveEnginesForWhatStandsNowhere: many models whose copies have a little too much to do don't take
+// TestReplicationLeavesEnginesForUnplacedModels: many models whose copies have a little too much to do don't take
 // all engines for a load's time.
-func TestFurtherCopiesLeaveEnginesForWhatStandsNowhere(t *testing.T) {
+func TestReplicationLeavesEnginesForUnplacedModels(t *testing.T) {
 	var placed []string
 	const engines = 40
 	for n := range engines {
 		placed = append(placed, []string{"x", "y", "idle"}[n%3])
 	}
-	s := newScarce(t, 6*time.Second, placed...)
+	s := newScarceFleet(t, 6*time.Second, placed...)
 	demand := []Demand{{Pool: "pool", Model: "x", Arrivals: 200, Tokens: 300_000, Running: 400, Rank: usualRank}, {Pool: "pool", Model: "y", Arrivals: 200, Tokens: 300_000, Running: 400, Rank: usualRank}}
 	s.now += clock.Mark(2 * time.Second)
 	for n, model := range placed {
@@ -144,33 +144,33 @@
 	s.step(demand)
 	ordered := 0
 	for _, e := range s.planner.engines {
-		if e.intent != nil || e.flight != nil {
+		if e.intent != nil || e.pending != nil {
 			ordered++
 		}
 	}
-	if most := engines * mostCopying; ordered == 0 || float64(ordered) > most {
+	if most := engines * maxReplicating; ordered == 0 || float64(ordered) > most {
 		t.Errorf("%d of %d engines are to load further copies", ordered, engines)
 	}
 }
 
-// TestWhatWaitsForAnAdapterAsksForNoFurtherCopyOfItsModel: more copies would take the engines that could load it.
-func TestWhatWaitsForAnAdapterAsksForNoFurtherCopyOfItsModel(t *testing.T) {
+// TestRequestsQueuedForAdapterDoNotReplicateTheModel: more copies would take the engines that could load it.
+func TestRequestsQueuedForAdapterDoNotReplicateTheModel(t *testing.T) {
 	for _, one := range []struct {
 		adapter string
 		copies  bool
 	}{{"", true}, {"a1", false}} {
 		placed := []string{"x", "x", "idle", "idle", "idle", "idle"}
-		s := newScarce(t, 6*time.Second, placed...)
+		s := newScarceFleet(t, 6*time.Second, placed...)
 		demand := []Demand{{Pool: "pool", Model: "x", Arrivals: 20, Tokens: 100, Rank: usualRank},
-			{Pool: "pool", Model: "x", Adapter: one.adapter, Held: 40, Rank: usualRank}, {Pool: "pool", Model: "idle", Arrivals: 1, Tokens: 10_000, Running: 1, Rank: usualRank}}
-		s.settleDown(demand)
+			{Pool: "pool", Model: "x", Adapter: one.adapter, Queued: 40, Rank: usualRank}, {Pool: "pool", Model: "idle", Arrivals: 1, Tokens: 10_000, Running: 1, Rank: usualRank}}
+		s.runUntilStable(demand)
 		for n, model := range placed {
 			s.report(n, model)
 		}
 		s.step(demand)
 		further := 0
 		for _, e := range s.planner.engines {
-			if e.intent != nil && e.intent.Target == (registry.Target{Model: "x"}) || e.flight != nil && e.flight.Target() == (registry.Target{Model: "x"}) {
+			if e.intent != nil && e.intent.Target == (registry.Target{Model: "x"}) || e.pending != nil && e.pending.Target() == (registry.Target{Model: "x"}) {
 				further++
 			}
 		}
@@ -180,37 +180,37 @@
 	}
 }
 
-// TestFarTooFewCopiesComeBeforeAdapters: an engine takes one order at a time, and adapters would take them all.
-func TestFarTooFewCopiesComeBeforeAdapters(t *testing.T) {
+// TestSevereReplicaShortageComesBeforeAdapters: an engine takes one order at a time, and adapters would take them all.
+func TestSevereReplicaShortageComesBeforeAdapters(t *testing.T) {
 	placed := []string{"x", "y", "y", "y", "y", "y"}
-	s := newScarce(t, 6*time.Second, placed...)
+	s := newScarceFleet(t, 6*time.Second, placed...)
 	s.section.Pools[0].Catalogue.Models[2].Adapters, s.section.Pools[0].Catalogue.Models[2].AdapterSizeMb = 40, 0
 	demand := []Demand{{Pool: "pool", Model: "x", Arrivals: 50, Tokens: 50_000, Running: 60, Rank: usualRank}}
 	for n := range 40 {
-		demand = append(demand, Demand{Pool: "pool", Model: "y", Adapter: fmt.Sprint("a", n+1), Arrivals: 0.5, Tokens: 10, Held: 1, Rank: usualRank})
+		demand = append(demand, Demand{Pool: "pool", Model: "y", Adapter: fmt.Sprint("a", n+1), Arrivals: 0.5, Tokens: 10, Queued: 1, Rank: usualRank})
 	}
 	s.now += clock.Mark(2 * time.Second)
 	for n, model := range placed {
 		s.report(n, model)
 	}
 	s.step(demand)
-	copies, adapters := 0, 0
+	replicas, adapters := 0, 0
 	for _, e := range s.planner.engines {
 		switch {
-		case e.intent != nil && e.intent.Model == "x" || e.flight != nil && e.flight.Model == "x":
-			copies++
-		case e.flight != nil && e.flight.Adapter != "":
+		case e.intent != nil && e.intent.Model == "x" || e.pending != nil && e.pending.Model == "x":
+			replicas++
+		case e.pending != nil && e.pending.Adapter != "":
 			adapters++
 		}
 	}
-	if copies == 0 || adapters == 0 {
-		t.Errorf("%d engines get the model, %d adapters", copies, adapters)
+	if replicas == 0 || adapters == 0 {
+		t.Errorf("%d engines get the model, %d adapters", replicas, adapters)
 	}
 }
 
-// TestAGrowingDemandIsForeseen: arrivals that grow steadily ask for the copies that they will need once a load has ended;
+// TestGrowingDemandIsForecast: arrivals that grow steadily ask for the copies that they will need once a load has ended;
 // chance does not.
-func TestAGrowingDemandIsForeseen(t *testing.T) {
+func TestGrowingDemandIsForecast(t *testing.T) {
 	const step = 100 * time.Millisecond
 	for _, one := range []struct {
 		name    string
@@ -220,16 +220,16 @@
 	}{
 		{"steady", func(float64) float64 { return 50 }, 1, 1},
 		{"a wave of a tenth", func(s float64) float64 { return 50 + 5*math.Sin(s) }, 0.7, 1.4},
-		{"growing", func(s float64) float64 { return 20 + 8*s }, 1.5, mostGrowth},
-		{"falling", func(s float64) float64 { return 100 - 8*s }, 1 / float64(mostGrowth), 0.7},
+		{"growing", func(s float64) float64 { return 20 + 8*s }, 1.5, maxGrowth},
+		{"falling", func(s float64) float64 { return 100 - 8*s }, 1 / float64(maxGrowth), 0.7},
 		{"nothing", func(float64) float64 { return 0 }, 1, 1},
 	} {
-		a := &ask{load: scarceLoad, before: one.arrival(0)}
+		item := &itemDemand{loadTime: scarceLoad, previousArrivals: one.arrival(0)}
 		for n := range 50 {
-			a.arrivals = one.arrival(float64(n) * step.Seconds())
-			a.follow(step)
+			item.arrivals = one.arrival(float64(n) * step.Seconds())
+			item.updateSlope(step)
 		}
-		if growth := a.growth(); growth < one.least || growth > one.most {
+		if growth := item.growth(); growth < one.least || growth > one.most {
 			t.Errorf("%s: foreseen to be %.2f times as much", one.name, growth)
 		}
 	}
--- a/process/placement/poolplacement/value.go
+++ b/process/placement/poolplacement/value.go
@@ -9,137 +9,137 @@
 	"github.com/cresspond/cresspond/process/featuregates"
 )
 
-// over says how far the share of one copy is above what is fair, from 0 to 1.
-func (s *survey) over(tokens float64, copies int, from float64) float64 {
-	if s.fair <= 0 || copies <= 0 {
+// overload says how far the share of one copy is above what is fair, from 0 to 1.
+func (s *survey) overload(tokens float64, replicas int, from float64) float64 {
+	if s.fairTokens <= 0 || replicas <= 0 {
 		return 0
 	}
-	return min(1, max(0, tokens/(float64(copies)*s.fair)-from))
+	return min(1, max(0, tokens/(float64(replicas)*s.fairTokens)-from))
 }
 
 // strain says how much it matters that load is uneven: little while engines are mostly idle.
-func strain(heat float64) float64 {
-	return math.Pow(min(1, heat/0.4), 1.5)
+func strain(utilization float64) float64 {
+	return math.Pow(min(1, utilization/0.4), 1.5)
 }
 
-func meanHeat(copies []*engine) float64 {
+func meanUtilization(replicas []*engine) float64 {
 	total := 0.0
-	for _, e := range copies {
-		total += e.heat
+	for _, e := range replicas {
+		total += e.utilization
 	}
-	return total / float64(max(1, len(copies)))
+	return total / float64(max(1, len(replicas)))
 }
 
-// press says how hard a model's copies are pressed: the share of their places that are taken, by their
+// pressure says how hard a model's copies are pressed: the share of their places that are taken, by their
 // reports or, sooner, by what is known to run and wait there.
-func (s *survey) press(a *ask, copies []*engine) float64 {
+func (s *survey) pressure(item *itemDemand, replicas []*engine) float64 {
 	slots := 0
-	for _, e := range copies {
+	for _, e := range replicas {
 		slots += e.slots
 	}
-	return max(meanHeat(copies), a.pressing()/float64(max(1, slots)))
+	return max(meanUtilization(replicas), item.demandOnReplicas()/float64(max(1, slots)))
 }
 
-// uneven says how far the share of one copy of so many is above what is fair, by what arrives and by what runs.
-func (s *survey) uneven(a *ask, copies int, from float64) float64 {
-	over := s.over(a.tokens, copies, from)
-	if s.running > 0 {
-		over = max(over, min(1, max(0, a.pressing()/(float64(copies)*s.running)-from)))
+// imbalance says how far the share of one copy of so many is above what is fair, by what arrives and by what runs.
+func (s *survey) imbalance(item *itemDemand, replicas int, from float64) float64 {
+	over := s.overload(item.tokens, replicas, from)
+	if s.fairRunning > 0 {
+		over = max(over, min(1, max(0, item.demandOnReplicas()/(float64(replicas)*s.fairRunning)-from)))
 	}
 	return over
 }
 
 // gain is what one more copy would bring, in requests a second; urgent says that somebody waits for it.
-func (s *survey) gain(a *ask, copies []*engine) (gain float64, urgent bool) {
-	if len(copies) == 0 {
-		gain = a.rate() + s.heldWeight(a)*float64(a.held)
-		if !s.off(featuregates.UnmetDemand) {
-			gain += debtWeight * a.debt
+func (s *survey) gain(item *itemDemand, replicas []*engine) (gain float64, urgent bool) {
+	if len(replicas) == 0 {
+		gain = item.rate() + s.queuedWeight(item)*float64(item.queued)
+		if !s.disabled(featuregates.UnmetDemand) {
+			gain += unmetWeight * item.unmet
 		}
-		return gain, a.held > 0 || a.arrivals > 0.05
+		return gain, item.queued > 0 || item.arrivals > 0.05
 	}
 	// Some copy stands or is on its way: one more helps as far as those are overloaded.
-	if !s.off(featuregates.ReplicasByDemand) {
-		gain = a.rate()*s.uneven(a, len(copies), above)*strain(s.press(a, copies)) + queueWeight*max(0, a.heldSlow-1)*strain(s.press(a, copies))
+	if !s.disabled(featuregates.ReplicasByDemand) {
+		gain = item.rate()*s.imbalance(item, len(replicas), above)*strain(s.pressure(item, replicas)) + queueWeight*max(0, item.slowQueued-1)*strain(s.pressure(item, replicas))
 	}
-	if len(copies) == 1 && !s.off(featuregates.SecondReplicas) {
+	if len(replicas) == 1 && !s.disabled(featuregates.SecondReplicas) {
 		// With a second copy no crash of one engine leaves nobody.
-		gain = max(gain, secondCopy*a.rate())
+		gain = max(gain, secondReplicaShare*item.rate())
 	}
 	return gain, gain > 0.5
 }
 
 // cost is what is lost, in requests a second, if one copy of something goes.
-func (s *survey) cost(a *ask, copies []*engine) float64 {
-	if a == nil {
+func (s *survey) cost(item *itemDemand, replicas []*engine) float64 {
+	if item == nil {
 		return 0
 	}
-	if len(copies) <= 1 {
-		return a.rate()*s.absence(a) + useWeight*float64(a.held+a.running)
+	if len(replicas) <= 1 {
+		return item.rate()*s.absenceLoss(item) + useWeight*float64(item.queued+item.running)
 	}
-	rest := len(copies) - 1
-	heat := s.press(a, copies) * float64(len(copies)) / float64(rest)
-	return a.rate()*(secondCopy/float64(rest*rest)+s.uneven(a, rest, below)*strain(heat)) + 0.1*float64(a.running)/float64(len(copies))
+	rest := len(replicas) - 1
+	utilization := s.pressure(item, replicas) * float64(len(replicas)) / float64(rest)
+	return item.rate()*(secondReplicaShare/float64(rest*rest)+s.imbalance(item, rest, below)*strain(utilization)) + 0.1*float64(item.running)/float64(len(replicas))
 }
 
-// comesInTime says whether something can be loaded within the target of those that ask for it.
-func (a *ask) comesInTime() bool { return a.load+reaction <= a.target }
+// loadsInTime says whether something can be loaded within the target of those that ask for it.
+func (item *itemDemand) loadsInTime() bool { return item.loadTime+reaction <= item.latencyTarget }
 
-// heldWeight is how many requests a second one held request counts for.
-func (s *survey) heldWeight(a *ask) float64 {
-	if a.comesInTime() {
-		return heldInTimeWeight
+// queuedWeight is how many requests a second one held request counts for.
+func (s *survey) queuedWeight(item *itemDemand) float64 {
+	if item.loadsInTime() {
+		return queuedInTimeWeight
 	}
-	return heldWeight
+	return queuedWeight
 }
 
-// absence is the share of the requests for something that is lost while it stands nowhere. All are where it can't be
+// absenceLoss is the share of the requests for something that is lost while it stands nowhere. All are where it can't be
 // there within the target of those that ask; else as much as the store and the engines have to do, since it may have
 // to wait for both.
-func (s *survey) absence(a *ask) float64 {
-	if !a.comesInTime() {
+func (s *survey) absenceLoss(item *itemDemand) float64 {
+	if !item.loadsInTime() {
 		return 1
 	}
-	return min(1, max(leastAbsence, s.occupied))
+	return min(1, max(minAbsenceLoss, s.occupied))
 }
 
 // occupation is the share taken of what the store allows, or of the engines that may load at a time, whichever is more.
 func (s *survey) occupation() float64 {
-	store := float64(s.p.pace.count(s.now)) / float64(s.pool.most)
+	store := float64(s.planner.loadWindow.count(s.now)) / float64(s.pool.maxLoads)
 	engines := float64(s.loading+s.intents) / (busyShare * float64(max(1, len(s.engines))))
 	return max(store, engines)
 }
 
-// light says whether something is asked for much less than an engine's share of all, and is not of the most
+// isLight says whether something is asked for much less than an engine's share of all, and is not of the most
 // urgent kind.
-func (s *survey) light(a *ask) bool {
-	return a.behind > 0 && a.rate()+float64(a.held)/4 < s.asks.arrivals/float64(4*max(1, len(s.engines)))
+func (s *survey) isLight(item *itemDemand) bool {
+	return item.ranksBehind > 0 && item.rate()+float64(item.queued)/4 < s.demand.arrivals/float64(4*max(1, len(s.engines)))
 }
 
-// want is one model or adapter that should stand on one more engine.
-type want struct {
+// candidate is one model or adapter that should stand on one more engine.
+type candidate struct {
 	registry.Target
 	gain   float64
 	urgent bool
-	ask    *ask
+	demand *itemDemand
 }
 
-func sortWants(wants []want) {
-	slices.SortFunc(wants, func(a, b want) int {
-		if a.urgent != b.urgent {
-			if a.urgent {
+func sortCandidates(candidates []candidate) {
+	slices.SortFunc(candidates, func(item, b candidate) int {
+		if item.urgent != b.urgent {
+			if item.urgent {
 				return -1
 			}
 			return 1
 		}
-		return cmp.Or(cmp.Compare(b.gain, a.gain), cmp.Compare(a.ask.rank, b.ask.rank), compareTargets(a.Target, b.Target))
+		return cmp.Or(cmp.Compare(b.gain, item.gain), cmp.Compare(item.demand.rank, b.demand.rank), compareTargets(item.Target, b.Target))
 	})
 }
 
-// dearer is by how much something must be worth more than what makes way for it.
-func (s *survey) dearer() float64 {
-	if s.off(featuregates.Hysteresis) {
+// evictionMargin is by how much something must be worth more than what makes way for it.
+func (s *survey) evictionMargin() float64 {
+	if s.disabled(featuregates.Hysteresis) {
 		return 1
 	}
-	return dearer
+	return minEvictionMargin
 }
