--- a/process/placement/poolplacement/demand.go
+++ b/process/placement/poolplacement/demand.go
@@ -174,7 +174,7 @@
 // growth is by how many times more will be asked for once a load that begins now has ended. Arrivals are smoothed and
 // so lag by the smoothing's time constant, which is made up for too.
 func (item *itemDemand) growth() float64 {
-	lag := demand.HalvingTime.Seconds() / math.Ln2
+	lag := demand.HalfLife.Seconds() / math.Ln2
 	change := item.slope * (lag + item.loadTime.Seconds())
 	noise := trendNoise * math.Sqrt(item.arrivals)
 	switch {
