--- a/daemon/demand.go
+++ b/daemon/demand.go
@@ -124,7 +124,7 @@
 			Pool:     demand.Pool,
 			Model:    demand.Model,
 			Adapter:  demand.Adapter,
-			Queued:     int(demand.Queued),
+			Queued:   int(demand.Queued),
 			Running:  int(demand.Running),
 			Tokens:   demand.Tokens * fraction,
 			Arrivals: demand.Arrivals * fraction,
