--- a/daemon/demand.go
+++ b/daemon/demand.go
@@ -124,14 +124,14 @@
 			Pool:     demand.Pool,
 			Model:    demand.Model,
 			Adapter:  demand.Adapter,
-			Held:     int(demand.Queued),
+			Queued:   int(demand.Queued),
 			Running:  int(demand.Running),
 			Tokens:   demand.Tokens * fraction,
 			Arrivals: demand.Arrivals * fraction,
 			Rank:     int(demand.Rank),
 		}
 		if demand.Queued > 0 {
-			one.Oldest = time.Duration(demand.OldestMs)*time.Millisecond + age
+			one.OldestWait = time.Duration(demand.OldestMs)*time.Millisecond + age
 		}
 		out = append(out, one)
 	}
