--- a/daemon/longpoll.go
+++ b/daemon/longpoll.go
@@ -134,7 +134,7 @@
 	if !d.IsPlanner() {
 		return
 	}
-	report := &shortageReport{sessions: d.sessionPlacer.Status().Unplaced, pools: d.poolPlanning.condition().Lacks}
+	report := &shortageReport{sessions: d.sessionPlacer.Status().Unplaced, pools: d.poolPlanning.condition().Unplaced}
 	if known := d.shortageReport.Load(); known == nil || !report.similarTo(known) {
 		d.shortageReport.Store(report)
 		d.sentVersions.shortages.Add(1)
