--- a/process/engines/nodehealth/assessment.go
+++ b/process/engines/nodehealth/assessment.go
@@ -105,6 +105,32 @@
 	samples                int
 }
 
+// peer is what an engine would show at some amount of work.
+type peer struct {
+	id    ident.EngineID
+	value float64
+}
+
+// peersAt gives what each engine would show at an amount of work, by what it showed at the nearest one; the lowest value
+// first. Engines without a comparable measurement are left out.
+func (r rules) peersAt(kind Kind, b band, ids []ident.EngineID, members map[ident.EngineID]map[band]measure) []peer {
+	var peers []peer
+	for _, id := range ids {
+		best, bestValue := maxBandDistance+1, 0.0
+		for other, m := range members[id] {
+			more, distance, near := b.distanceTo(other)
+			if value := m.value * r.workFactor(kind, more); near && (distance < best || distance == best && value > bestValue) {
+				best, bestValue = distance, value
+			}
+		}
+		if best <= maxBandDistance {
+			peers = append(peers, peer{id, bestValue})
+		}
+	}
+	slices.SortFunc(peers, func(a, b peer) int { return cmp.Or(cmp.Compare(a.value, b.value), cmp.Compare(a.id, b.id)) })
+	return peers
+}
+
 // compareGroup compares each engine with the others of its group.
 func (r rules) compareGroup(s Settings, kind Kind, members map[ident.EngineID]map[band]measure) map[ident.EngineID][]comparison {
 	out := map[ident.EngineID][]comparison{}
@@ -120,29 +146,11 @@
 		}
 	}
 	slices.Sort(ids)
-	type peer struct {
-		id    ident.EngineID
-		value float64
-	}
 	for b := range bands {
-		// What each engine would show at this amount of work, by what it showed at the nearest one.
-		var peers []peer
-		for _, id := range ids {
-			best, bestValue := maxBandDistance+1, 0.0
-			for other, m := range members[id] {
-				more, distance, near := b.distanceTo(other)
-				if value := m.value * r.workFactor(kind, more); near && (distance < best || distance == best && value > bestValue) {
-					best, bestValue = distance, value
-				}
-			}
-			if best <= maxBandDistance {
-				peers = append(peers, peer{id, bestValue})
-			}
-		}
+		peers := r.peersAt(kind, b, ids, members)
 		if len(peers) <= minPeers {
 			continue
 		}
-		slices.SortFunc(peers, func(a, b peer) int { return cmp.Or(cmp.Compare(a.value, b.value), cmp.Compare(a.id, b.id)) })
 		others := make([]float64, 0, len(peers))
 		for _, p := range peers {
 			others = append(others, p.value)
@@ -266,9 +274,9 @@
 	return z
 }
 
-// rank assesses each engine, the worst first.
-func (r rules) rank(s Settings, e *evidence) []Assessment {
-	// Engines are compared at the same model first. Where too few have it, all models count together.
+// scoresByZone gives each engine's score as measured from each zone. Engines are compared at the same model first; where too
+// few have it, all models count together.
+func (r rules) scoresByZone(s Settings, e *evidence) map[ident.EngineID]map[ident.ZoneID]zoneScore {
 	alike, overall := r.comparisons(s, e.measures(false)), r.comparisons(s, e.measures(true))
 	byZone := map[ident.EngineID]map[ident.ZoneID]zoneScore{}
 	for key, views := range overall {
@@ -281,6 +289,12 @@
 		}
 		byZone[key.engine][key.observer] = byZone[key.engine][key.observer].with(one, key.kind)
 	}
+	return byZone
+}
+
+// rank assesses each engine, the worst first.
+func (r rules) rank(s Settings, e *evidence) []Assessment {
+	byZone := r.scoresByZone(s, e)
 	few, together := e.acrossZones(r.combineZones)
 	jointly := map[ident.EngineID]zoneScore{}
 	for key, views := range r.comparisons(s, few) {
