--- a/cmd/cresspond/client.go
+++ b/cmd/cresspond/client.go
@@ -79,28 +79,28 @@
 
 // explain puts an error's body into words, with every fault on its own line.
 func explain(daemon string, status int, data []byte) error {
-	var word operatorapi.Error
-	if json.Unmarshal(data, &word) != nil {
+	var failure operatorapi.Error
+	if json.Unmarshal(data, &failure) != nil {
 		return fmt.Errorf("%s answered with status %d", daemon, status)
 	}
 	var out strings.Builder
-	fmt.Fprintf(&out, "%s: %s", word.Outcome, word.Reason)
-	if word.Field != "" {
-		fmt.Fprintf(&out, " (%s)", word.Field)
+	fmt.Fprintf(&out, "%s: %s", failure.Outcome, failure.Reason)
+	if failure.Field != "" {
+		fmt.Fprintf(&out, " (%s)", failure.Field)
 	}
-	if word.Winner != "" {
-		fmt.Fprintf(&out, "; %s won", word.Winner)
+	if failure.Winner != "" {
+		fmt.Fprintf(&out, "; %s won", failure.Winner)
 	}
-	if word.Closures != nil {
-		fmt.Fprintf(&out, "; closures are at epoch %d", word.Closures.Version)
+	if failure.Closures != nil {
+		fmt.Fprintf(&out, "; closures are at epoch %d", failure.Closures.Version)
 	}
-	if word.Version > 0 && word.Closures == nil {
-		fmt.Fprintf(&out, "; epoch %d is in force", word.Version)
+	if failure.Version > 0 && failure.Closures == nil {
+		fmt.Fprintf(&out, "; epoch %d is in force", failure.Version)
 	}
-	if word.Revision > 0 {
-		fmt.Fprintf(&out, ", as revision %d", word.Revision)
+	if failure.Revision > 0 {
+		fmt.Fprintf(&out, ", as revision %d", failure.Revision)
 	}
-	for _, fault := range word.Faults {
+	for _, fault := range failure.Faults {
 		fmt.Fprintf(&out, "\n  %s", fault)
 	}
 	return fmt.Errorf("%s", out.String())
--- a/cmd/cresspond/closures.go
+++ b/cmd/cresspond/closures.go
@@ -28,7 +28,7 @@
 	zone := command.Arg("zone", "The zone.").Required().String()
 	base := baseFlag(command)
 	c.onAs(command, func(t *tool, operator string) error {
-		return t.post(operatorapi.PathZone, operatorapi.ZoneClosure{Zone: ident.ZoneID(*zone), Closed: &closed, Base: epochOf(base), Operator: operator})
+		return t.post(operatorapi.PathZone, operatorapi.ZoneClosure{Zone: ident.ZoneID(*zone), Closed: &closed, Base: versionOf(base), Operator: operator})
 	})
 }
 
@@ -36,11 +36,11 @@
 	engine := command.Arg("engine", "The engine.").Required().String()
 	base := baseFlag(command)
 	c.onAs(command, func(t *tool, operator string) error {
-		return t.post(operatorapi.PathDrain, operatorapi.EngineDrain{Engine: ident.EngineID(*engine), Draining: &draining, Base: epochOf(base), Operator: operator})
+		return t.post(operatorapi.PathDrain, operatorapi.EngineDrain{Engine: ident.EngineID(*engine), Draining: &draining, Base: versionOf(base), Operator: operator})
 	})
 }
 
-func epochOf(number *uint64) *ident.Version {
-	epoch := ident.Version(*number)
-	return &epoch
+func versionOf(number *uint64) *ident.Version {
+	version := ident.Version(*number)
+	return &version
 }
--- a/cmd/cresspond/daemons.go
+++ b/cmd/cresspond/daemons.go
@@ -32,8 +32,8 @@
 
 	trace := c.app.Command("trace", "Follow one change through all daemons.")
 	kind := trace.Arg("kind", "spec or closure.").Required().Enum("spec", "closure")
-	epoch := trace.Arg("epoch", "Its epoch.").Required().Uint64()
+	version := trace.Arg("epoch", "Its epoch.").Required().Uint64()
 	c.on(trace, func(t *tool) error {
-		return t.page(fmt.Sprintf("%s?change=%s:%d", operatorapi.PathTrace, *kind, *epoch), showTrace)
+		return t.page(fmt.Sprintf("%s?change=%s:%d", operatorapi.PathTrace, *kind, *version), showTrace)
 	})
 }
--- a/configuration/document/forward_test.go
+++ b/configuration/document/forward_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// opaqueBreaks are ways to spoil a valid section, with where the fault must be told.
+// faultySectionChanges make a valid section invalid; the path is that of the fault that must be reported.
 var faultySectionChanges = []struct {
 	path   string
 	change func(*upstream.Section)
--- a/configuration/routingtable/size_test.go
+++ b/configuration/routingtable/size_test.go
@@ -35,7 +35,7 @@
 	return data
 }
 
-// The last is more than a bundle may have: spec.MostBytes refuses it.
+// The last is more than a configuration may have: document.MaxBytes refuses it.
 var pathCounts = []int{10, 100, 1000, 10000, 50000, 100000}
 
 // BenchmarkSizePack is what the one daemon that takes a bundle does, and BenchmarkSizeBuild what each does that learns of it.
