--- a/process/placement/poolplacement/actor.go
+++ b/process/placement/poolplacement/actor.go
@@ -19,27 +19,27 @@
 
 // Environment is what the actor needs of its daemon.
 type Environment interface {
-	// Input gives what the plan looks at.
+	// Input gives what a step of the plan reads.
 	Input() Input
-	// Claim asks the group for the claim, or for more time under it, and tells what is about to be ordered.
+	// Claim acquires or renews the planner's lease, and announces what is about to be ordered.
 	Claim(ctx context.Context, told *statemachine.Announcement, whole bool) LeaseReply
-	// Mint stamps an order; LeaseHeld says whether what was minted may still be used.
+	// Mint mints the id of an order; WorkerLeaseValid says whether what was minted may still be used.
 	Mint() (ident.SnowflakeID, snowflake.Outcome)
 	WorkerLeaseValid() bool
-	// MayPlan says whether this daemon should try for the claim, First whether it should before others.
+	// MayPlan says whether this daemon should try to acquire the lease, Preferred whether it should before others.
 	MayPlan() bool
 	Preferred() bool
-	// Publish spreads what is known and meant of engines.
+	// Publish spreads the plans of engines to the fleet.
 	Publish(plans map[ident.EngineID]registry.Plan)
 }
 
-// LeaseReply is the group's answer: the claim if it is granted, else how long the asker had better wait.
+// LeaseReply is the group's answer: the lease if it is granted, else how long to wait before the next request.
 type LeaseReply struct {
 	Granted *statemachine.PlannerLease
 	Wait    time.Duration
 }
 
-// Status is what others may see of the planner.
+// Status is what the rest of the daemon sees of the planner.
 type Status struct {
 	Token         ident.FencingToken
 	HasLease      bool
@@ -50,7 +50,7 @@
 	Outliers      outlier.Counters
 }
 
-// Actor plans while it holds the claim.
+// Actor runs the [Planner] while this daemon holds the planner's lease, and sends its orders.
 type Actor struct {
 	environment Environment
 	client      EngineClient
@@ -60,21 +60,21 @@
 	mailbox     *actor.Mailbox[any]
 	lease       *plannerlease.Lease
 	planner     *Planner
-	// plannerToken is the claim that the planner was made for.
+	// plannerToken is the fencing token of the lease that the planner was made for.
 	plannerToken   ident.FencingToken
 	leaseRequested bool
-	// nextLeaseRequest is when the group is asked next; until then there is nothing to be had.
+	// nextLeaseRequest is when the lease is requested next; until then it can't be granted.
 	nextLeaseRequest clock.Mark
 	waitingSince     clock.Mark
 	sequence         uint64
 	// nextPlan is when the plan is made next.
 	nextPlan clock.Mark
-	// pause is how long the plan gives way after a step that took long.
+	// pause delays the next step after one that took long.
 	pause   stepPause
 	status  atomic.Pointer[Status]
 	steps   stepLog
 	stopped bool
-	// reportSlots bounds how many engines are asked for their reports at once.
+	// reportSlots bounds how many reports are requested at once.
 	reportSlots chan struct{}
 }
 
@@ -97,13 +97,13 @@
 )
 
 const (
-	// leaseMargin is taken off the end of a claim for clock-rate error.
+	// leaseMargin is subtracted from the end of a lease, for the error of clock rates.
 	leaseMargin = 300 * time.Millisecond
 	// reportTimeout bounds the wait for a report.
 	reportTimeout = 700 * time.Millisecond
-	// maxConcurrentReports is how many engines are asked for their reports at once.
+	// maxConcurrentReports is how many reports are requested at once.
 	maxConcurrentReports = 64
-	// nonPreferredWait is for how long others leave a free claim to the one that should have it.
+	// nonPreferredWait is for how long others leave a free lease to the one that should have it.
 	nonPreferredWait = 500 * time.Millisecond
 )
 
@@ -115,7 +115,7 @@
 	return item
 }
 
-// Status tells where the planner stands.
+// Status gives what the planner published last. It may be called from any goroutine.
 func (item *Actor) Status() Status { return *item.status.Load() }
 
 // Run runs the actor until ctx ends.
@@ -123,7 +123,7 @@
 	item.mailbox.Run(ctx, item.settings.PollInterval, func(event any) { item.handle(ctx, event) }, func() { item.poll(ctx) })
 }
 
-// Resign gives up planning for good; it returns when no further order can leave.
+// Resign ends planning for good; when it returns no further order can be sent.
 func (item *Actor) Resign() {
 	done := make(chan struct{})
 	if item.mailbox.Send(resign{done}) {
@@ -134,7 +134,7 @@
 	}
 }
 
-// poll asks for the reports that are due, and makes the plan when its time has come.
+// poll requests the reports that are due, and makes the plan when its time has come.
 func (item *Actor) poll(ctx context.Context) {
 	now := item.clock.Elapsed()
 	// A tick may come a little early.
@@ -170,7 +170,7 @@
 	item.status.Store(next)
 }
 
-// requestLease asks the group when there may be something to be had. Who may have it first does not wait.
+// requestLease acquires or renews the lease when it is due. A daemon that is not preferred first waits for a while.
 func (item *Actor) requestLease(ctx context.Context, now clock.Mark) {
 	if item.stopped || item.leaseRequested || now < item.nextLeaseRequest {
 		return
@@ -196,10 +196,10 @@
 	}()
 }
 
-// plan asks for reports, tells what is planned, and sends the orders.
+// plan makes a step of the plan, requests reports, publishes what is planned, and sends the orders.
 func (item *Actor) plan(ctx context.Context, now clock.Mark, number ident.FencingToken) {
 	if !item.pause.over(now) {
-		// Whoever has an order is still asked, so that its end is seen.
+		// Engines with a pending order are still asked, so that its end is seen.
 		item.requestReports(ctx, now)
 		return
 	}
@@ -221,7 +221,7 @@
 	for _, order := range issued {
 		stamp, outcome := item.environment.Mint()
 		if outcome != snowflake.Generated {
-			// Without a lease of a worker id nothing may be ordered.
+			// Without a worker-id lease nothing may be ordered.
 			item.planner.Withdraw(now, order.Engine)
 			continue
 		}
@@ -237,13 +237,13 @@
 	}
 }
 
-// send tells the group of the orders first, so that a successor counts the loads and keeps quiet after the
-// last however this daemon ends, and then sends them.
+// send announces the orders to the group first, so that a successor counts the loads and waits after the last order
+// however this daemon ends, and then sends them.
 func (item *Actor) send(ctx context.Context, number ident.FencingToken, announcement *statemachine.Announcement, orders []Order, addresses map[ident.EngineID]string) {
 	maySend := func() bool { return item.lease.Allows(number) && item.environment.WorkerLeaseValid() }
 	asked := item.clock.Elapsed()
 	sendOne := func(order Order) {
-		// The limit counts from before the telling, so that what was told of is not on its way for longer.
+		// The timeout counts from before the announcement, so that no announced order is on its way for longer.
 		bounded, cancel := context.WithTimeout(ctx, item.settings.OrderTimeout-item.clock.Elapsed().Since(asked))
 		defer cancel()
 		item.mailbox.Send(orderEvent{order, item.client.Order(bounded, addresses[order.Engine], order, maySend)})
@@ -297,7 +297,8 @@
 			return
 		}
 		if number, leased := item.lease.Token(); leased && number == item.plannerToken {
-			// An engine is free again: what waits for it is ordered, and what has come is told, without a beat's delay.
+			// An engine is free again: what waits for it is ordered, and what is loaded is published, without waiting for the next
+			// interval.
 			item.plan(ctx, now, number)
 		}
 	case resign:
@@ -307,7 +308,7 @@
 	}
 }
 
-// adoptLease is the one place where the claim is taken up.
+// adoptLease is the one place where a lease is taken over.
 func (item *Actor) adoptLease(now clock.Mark, e leaseEvent) {
 	item.leaseRequested = false
 	granted := e.answer.Granted
@@ -324,8 +325,8 @@
 	}
 	item.nextLeaseRequest = e.asked + clock.Mark(item.settings.RenewInterval)
 	if granted.Token != item.plannerToken {
-		// A fresh claim starts from the reports alone, and from what the claims before told. One that lapsed and
-		// went on is no fresh one: nobody else has ordered meanwhile.
+		// A fresh lease starts from the reports alone, and from what was announced under earlier leases. One that lapsed and
+		// was renewed is not fresh: nobody else has ordered meanwhile.
 		item.inherit(now, granted)
 	}
 	item.lease.Renew(e.asked, granted)
--- a/process/placement/poolplacement/actor_test.go
+++ b/process/placement/poolplacement/actor_test.go
@@ -28,9 +28,9 @@
 	demand   []Demand
 	holder   ident.FencingToken
 	passedOn bool
-	// asks counts the questions for the claim.
+	// asks counts the questions for the lease.
 	asks int
-	// changed is told of each of them, and of each order that left or was kept.
+	// changed is announced each of them, and of each order that left or was kept.
 	changed *sync.Cond
 	// beforeLook and afterLook are called by an order's sender, around its last look.
 	beforeLook, afterLook func(engine ident.EngineID)
@@ -54,7 +54,7 @@
 	return Input{Now: wanted.now, Section: wanted.section, View: wanted.view, Demand: wanted.demand}
 }
 
-// Claim grants the claim until it has passed on to somebody else.
+// Claim grants the lease until it has passed on to somebody else.
 func (wanted *frozenWorld) Claim(context.Context, *statemachine.Announcement, bool) LeaseReply {
 	wanted.Lock()
 	defer wanted.Unlock()
@@ -113,8 +113,8 @@
 }
 
 // TestFrozenPlannerSendsOnlyOrdersThatPassedTheLastCheck: of orders that are on their way out as the machine freezes
-// for longer than the claim lasts, those past their last look leave as it wakes, under the old claim and at once;
-// all others stay, and nothing is ordered again until there is another claim.
+// for longer than the lease lasts, those past their last look leave as it wakes, under the old lease and at once;
+// all others stay, and nothing is ordered again until there is another lease.
 func TestFrozenPlannerSendsOnlyOrdersThatPassedTheLastCheck(t *testing.T) {
 	const engines = 4
 	wanted := &frozenWorld{now: clock.Mark(time.Hour), holder: 7, view: &registry.View{Engines: map[ident.EngineID]*registry.Engine{}, Pools: map[string][]*registry.Engine{}}}
@@ -164,7 +164,7 @@
 	wanted.freeze(10 * time.Second)
 	close(frozen)
 	wanted.until(func() bool { return len(wanted.left)+wanted.stopped == engines })
-	// It goes on looking, and asks for the claim again, for longer than any gap.
+	// It goes on looking, and requests the lease again, for longer than any gap.
 	asked := 0
 	wanted.until(func() bool {
 		if asked == 0 {
--- a/process/placement/poolplacement/adapters.go
+++ b/process/placement/poolplacement/adapters.go
@@ -9,7 +9,7 @@
 	"github.com/cresspond/cresspond/process/featuregates"
 )
 
-// placeAdapters places the adapters that should stand on one more engine.
+// placeAdapters places the adapters that should be loaded on one more engine.
 func (s *survey) placeAdapters() []Order {
 	var candidates []candidate
 	for target, item := range s.demand.adapters {
@@ -37,7 +37,7 @@
 	return orders
 }
 
-// placeAdapter finds the engine on which one more copy of an adapter costs least.
+// placeAdapter finds the engine on which one more replica of an adapter costs least.
 func (s *survey) placeAdapter(wanted candidate) (order Order, ordered, placed bool) {
 	var best *engine
 	var bestVictims []registry.Target
@@ -50,7 +50,7 @@
 		if !ok {
 			continue
 		}
-		// A free place comes first, also on a warmer engine: what goes for another has to come back.
+		// A free slot comes first, also on a busier engine: what is evicted for another has to be loaded again.
 		if len(victims) > 0 {
 			cost += swapCost
 		}
@@ -78,14 +78,14 @@
 	return Order{}, false, true
 }
 
-// inUse says whether an adapter is asked for by more than a chance request.
+// inUse says whether an adapter is requested by more than an occasional request.
 func (s *survey) inUse(adapter registry.Target) bool {
 	return s.cost(s.demand.adapters[adapter], nil) >= minAdapterGain
 }
 
-// adapterVictimFor finds the adapter that makes way for another on an engine, if none of its places is free. Where
-// more are asked for than there are places they take turns: each trade of one in use for another costs two orders
-// and gains nobody more than the other loses, so it must be worth a turn's length.
+// adapterVictimFor finds the adapter that is evicted for another on an engine, if none of its slots is free. Where
+// more are requested than there are slots they rotate: each swap of one in use for another costs two orders and gains
+// one what the other loses, so each stays for minAdapterResidence.
 func (s *survey) adapterVictimFor(e *engine, wanted candidate) (victims []registry.Target, cost float64, ok bool) {
 	if e.fits(wanted.Target) {
 		return nil, 0, true
@@ -99,7 +99,7 @@
 	var victim registry.Target
 	for _, loaded := range e.report.Models {
 		if s.pool.models[loaded.Model] == nil || s.pool.models[loaded.Model].AdapterSizeMb < s.pool.size(wanted.Target) {
-			// Its room would not do, whatever the places.
+			// Its size would not do, whatever the slots.
 			if capacity, _ := e.freeCapacity(); capacity < s.pool.size(wanted.Target) {
 				continue
 			}
--- a/process/placement/poolplacement/adapters_test.go
+++ b/process/placement/poolplacement/adapters_test.go
@@ -16,7 +16,7 @@
 		Models: []upstream.Model{{Name: "m00", SizeMb: 60000, LoadMs: 2000, Adapters: 12, AdapterSizeMb: 40}}}
 }
 
-// crowded is a fleet whose engines all hold that model, and whose clients ask for its adapters alike.
+// crowded is a fleet whose engines all hold that model, and whose clients request its adapters alike.
 func crowded(seed uint64, engines int, perSecond float64) *fakeFleet {
 	f := newFleet(seed, crowdedCatalogue(), engines)
 	for _, e := range f.engines {
@@ -35,7 +35,7 @@
 	return f.planner.Counters.AdapterLoads + f.planner.Counters.AdapterEvicts
 }
 
-// Where more adapters are asked for than an engine has places, they take turns: everyone gets one, and the engine
+// Where more adapters are requested than an engine has places, they take turns: everyone gets one, and the engine
 // trades one in use for another no more often than once in a turn, however many ask.
 func TestAdaptersOnACrowdedEngineTakeTurns(t *testing.T) {
 	const minute = time.Minute
--- a/process/placement/poolplacement/batch_test.go
+++ b/process/placement/poolplacement/batch_test.go
@@ -93,7 +93,7 @@
 	noTelling, eager bool
 	// announcesNothing tells the group of no order.
 	announcesNothing bool
-	// newest is the claim of the newest order that reached an engine, newestAt when it did.
+	// newest is the lease of the newest order that reached an engine, newestAt when it did.
 	newest   ident.FencingToken
 	newestAt clock.Mark
 
@@ -120,12 +120,12 @@
 	fakeSlots   = 64
 	promptPace  = 25800.0
 	tokenPace   = 8.2
-	rateSpan    = 7200 * time.Millisecond // a half-life of five seconds
+	rateSpan    = 7200 * time.Millisecond // a half-incarnation of five seconds
 	evictTakes  = 60 * time.Millisecond
 	originCount = 5 * time.Second
 )
 
-// newFleet makes engines that hold, room permitting, the first models more than once and each other one once.
+// newFleet makes engines that hold, capacity permitting, the first models more than once and each other one once.
 func newFleet(seed uint64, catalogue upstream.Catalogue, engines int) *fakeFleet {
 	f := &fakeFleet{spoken: map[ident.EngineID]registry.Plan{}, random: rand.New(rand.NewPCG(seed, 7)), now: clock.Mark(time.Hour), truth: &catalogue, disks: map[string]map[string]bool{}, state: statemachine.New(),
 		published: map[ident.EngineID]registry.Plan{}, rates: map[registry.Target]*fakeRate{}, servedBy: map[registry.Target]int{}, askedBy: map[registry.Target]int{}}
@@ -165,7 +165,7 @@
 	return f
 }
 
-// start begins a life of an engine, at an address it may have had before.
+// start begins a incarnation of an engine, at an address it may have had before.
 func (f *fakeFleet) start(address string) *fakeEngine {
 	f.incarnations++
 	if address == "" {
@@ -180,7 +180,7 @@
 	return e
 }
 
-// restart ends an engine's life; another begins at its address a second later.
+// restart ends an engine's incarnation; another begins at its address a second later.
 func (f *fakeFleet) restart(e *fakeEngine) {
 	if e.gone {
 		return
@@ -199,13 +199,13 @@
 	})
 }
 
-// takeOver gives the claim to another daemon, once the group allows it.
+// takeOver gives the lease to another daemon, once the group allows it.
 func (f *fakeFleet) takeOver(holder ident.NodeID) {
 	f.holder, f.claim, f.planner = holder, nil, nil
 	f.takeovers++
 }
 
-// drop has the holder give its claim up.
+// drop has the holder give its lease up.
 func (f *fakeFleet) drop() {
 	data, err := json.Marshal(statemachine.Command{Op: statemachine.OpReleasePlanner, NodeID: f.holder, At: ident.GroupTime(time.Duration(f.now).Milliseconds())})
 	if err != nil {
@@ -222,7 +222,7 @@
 	return DefaultSettings("x", fakeLease)
 }
 
-// ask puts a claim to the group.
+// ask puts a lease to the group.
 func (f *fakeFleet) ask(announcement *statemachine.Announcement, complete bool) *statemachine.PlannerLease {
 	s := f.settings()
 	data, err := json.Marshal(statemachine.Command{Op: statemachine.OpAcquirePlanner, NodeID: f.holder, At: ident.GroupTime(time.Duration(f.now).Milliseconds()), LeaseMs: s.LeaseSpan.Milliseconds(),
@@ -255,7 +255,7 @@
 	return nil
 }
 
-// used is the room and the places taken on an engine; what is being loaded counts.
+// used is the capacity and the places taken on an engine; what is being loaded counts.
 func (f *fakeFleet) used(e *fakeEngine) (room float64, places int) {
 	for name, adapters := range e.models {
 		model := f.model(name)
@@ -294,7 +294,7 @@
 		if order.Adapter != "" {
 			size, places = model.AdapterSizeMb, places+1
 		}
-		// Whatever the engine answers, an order past its room is one too many.
+		// Whatever the engine answers, an order past its capacity is one too many.
 		if room+size > f.truth.CapacityMb || places > f.truth.AdapterSlots {
 			f.fault("LIMIT: %s was ordered past its room: %.0f and %.0f MB, %d places", e.id, room, size, places)
 		}
@@ -340,7 +340,7 @@
 	return Accepted
 }
 
-// checkLoadRate holds the store's pace over the window that ends now.
+// checkLoadRate holds the store's rate limit over the window that ends now.
 func (f *fakeFleet) checkLoadRate() {
 	count := 0
 	for _, at := range f.starts {
@@ -564,7 +564,7 @@
 	})
 }
 
-// plan is one beat of whoever holds the claim.
+// plan is one beat of whoever holds the lease.
 func (f *fakeFleet) plan() {
 	if f.planner == nil {
 		claim := f.ask(nil, true)
--- a/process/placement/poolplacement/catalogue.go
+++ b/process/placement/poolplacement/catalogue.go
@@ -49,7 +49,7 @@
 	return targets
 }
 
-// adopt takes up a bundle's catalogues.
+// adopt takes over a configuration's catalogues.
 func (p *Planner) adopt(section *upstream.Section) {
 	if p.section == section {
 		return
@@ -69,7 +69,7 @@
 			made.models[model.Name] = model
 			total += float64(model.LoadMs) / 1000
 		}
-		// What the store keeps up with, by its pace and the time of a load, is what it serves at full speed.
+		// What the store keeps up with, by its rate limit and the time of a load, is what it serves at full speed.
 		made.maxConcurrentLoads = max(1, int(catalogue.LoadsPerSecond*total/float64(len(catalogue.Models))+0.5))
 		made.topRank, made.targets = topRankOf(section, made.name), targetsOf(section, made.name)
 		pools[made.name] = made
@@ -78,7 +78,7 @@
 		}
 	}
 	for _, made := range pools {
-		// There may be one store behind all pools: its pace is that of the slowest.
+		// There may be one store behind all pools: its rate limit is that of the slowest.
 		made.maxLoads = max(1, int(slowest*p.settings.Window.Seconds()))
 	}
 	p.pools = pools
@@ -90,7 +90,7 @@
 	}
 }
 
-// size is the room that a target takes.
+// size is the capacity that a target takes.
 func (p *pool) size(target registry.Target) float64 {
 	model := p.models[target.Model]
 	if target.Adapter == "" {
--- a/process/placement/poolplacement/demand.go
+++ b/process/placement/poolplacement/demand.go
@@ -11,50 +11,49 @@
 )
 
 const (
-	// slowSpan is over how long the rate is smoothed by which something stays where it is.
+	// slowSpan is the smoothing time of the rate that decides what stays loaded.
 	slowSpan = 20 * time.Second
-	// rankWeight is how much more one rank counts than the next, for no more than mostBehind ranks.
+	// rankWeight is how much more one rank counts than the next, for no more than maxRanksBehind ranks.
 	rankWeight     = 1.5
 	maxRanksBehind = 3
-	// queuedSpan is over how long held requests are smoothed where some engine could serve them.
+	// queuedSpan is the smoothing time of queued requests that some engine could serve.
 	queuedSpan = 700 * time.Millisecond
 	// forgetAfter is how long after the last request something is forgotten.
 	forgetAfter = 10 * time.Minute
 )
 
-// poolDemand is what the fleet asks for of one pool.
+// poolDemand is what the fleet requests of one pool.
 type poolDemand struct {
 	models   map[string]*itemDemand
 	adapters map[registry.Target]*itemDemand
-	// tokens is the whole pool's tokens a second, arrivals its requests.
+	// tokens is the tokens a second of the whole pool, arrivals its requests a second.
 	tokens, arrivals float64
 }
 
-// itemDemand is what is asked for of one model, or of one adapter.
+// itemDemand is what is requested of one model, or of one adapter.
 type itemDemand struct {
 	queued, running int
-	// queuedForAdapter counts those of the held that ask for an adapter of this model.
+	// queuedForAdapter counts those of the queued that request an adapter of this model.
 	queuedForAdapter int
 	tokens, arrivals float64
 	oldestWait       time.Duration
 	rank             int
-	// ranksBehind is by how many ranks it is less urgent than the most urgent path of the pool, heard that the newest
+	// ranksBehind is by how many ranks it is less urgent than the most urgent path of the pool, inNewest that the newest
 	// demand named it.
 	ranksBehind int
 	inNewest    bool
-	// loadTime is how long it takes to load, target the longest time within which its path's requests earn most; zero of an
-	// adapter.
+	// loadTime is how long it takes to load, latencyTarget the latency target of its path; zero for an adapter.
 	loadTime, latencyTarget time.Duration
-	// slowRate is the rate of requests over a longer time, slowQueued the smoothed number held.
+	// slowRate is the rate of requests over a longer time, slowQueued the smoothed number queued.
 	slowRate, slowQueued float64
-	// slope is by how much arrivals grow in a second, smoothed, before the arrivals that it was last told by.
+	// slope is by how much arrivals grow in a second, smoothed, previousArrivals the arrivals that it was last computed from.
 	slope, previousArrivals float64
-	// unmet is how many requests came while it stood nowhere.
+	// unmet is how many requests came while it had no replica.
 	unmet         float64
 	lastRequested clock.Mark
 }
 
-// rate is how often it is asked for, by the present or by the longer past; what is more urgent counts for more.
+// rate is how often it is requested, now or over the longer past; what is more urgent counts for more.
 func (item *itemDemand) rate() float64 {
 	if item == nil {
 		return 0
@@ -74,7 +73,7 @@
 	item.oldestWait = max(item.oldestWait, d.OldestWait)
 }
 
-// updateDemand takes up the newest demand of the fleet, and carries the longer past on.
+// updateDemand takes over the newest demand of the fleet, and updates the smoothed rates.
 func (p *Planner) updateDemand(in Input) {
 	for _, pool := range p.demand {
 		pool.tokens, pool.arrivals = 0, 0
@@ -149,20 +148,20 @@
 	return rank - min(rank, made.topRank)
 }
 
-// smoothing is how much of the newest value a smoothed one takes up after a while.
+// smoothing is the weight of the newest value in an exponentially smoothed one, after a time since the last update.
 func smoothing(since, span time.Duration) float64 { return 1 - math.Exp(-float64(since)/float64(span)) }
 
 const (
 	// slopeSpan is over how long the growth of arrivals is smoothed.
 	slopeSpan = 1500 * time.Millisecond
-	// maxGrowth is by how many times more, or less, than now may be foreseen to be asked for.
+	// maxGrowth is by how many times more, or less, than now may be forecast to be requested.
 	maxGrowth = 3
-	// trendNoise is how many times the square root of arrivals a change must be to be no chance: two standard deviations
-	// of what is foreseen, for arrivals that are independent.
+	// trendNoise is how many times the square root of arrivals a change must be to be significant: two standard
+	// deviations of the forecast, for independent arrivals.
 	trendNoise = 1.85
 )
 
-// updateSlope takes up how arrivals grow.
+// updateSlope updates the smoothed growth of arrivals.
 func (item *itemDemand) updateSlope(since time.Duration) {
 	if since <= 0 {
 		return
@@ -171,8 +170,8 @@
 	item.previousArrivals = item.arrivals
 }
 
-// growth is by how many times more will be asked for once a load that begins now has ended. Arrivals are smoothed and
-// so lag by the smoothing's time constant, which is made up for too.
+// growth is by how many times more will be requested once a load that begins now has ended. Arrivals are smoothed and
+// so lag by the smoothing's time constant, which is compensated too.
 func (item *itemDemand) growth() float64 {
 	lag := demand.HalfLife.Seconds() / math.Ln2
 	change := item.slope * (lag + item.loadTime.Seconds())
@@ -186,22 +185,22 @@
 	return max(1/float64(maxGrowth), 1+(change+noise)/item.arrivals)
 }
 
-// forecast replaces what is asked for now by what is likely to be once a load that begins now has ended.
-func (item *poolDemand) forecast() {
-	item.tokens = 0
-	for _, model := range item.models {
+// forecast replaces what is requested now by what is likely to be once a load that begins now has ended.
+func (pool *poolDemand) forecast() {
+	pool.tokens = 0
+	for _, model := range pool.models {
 		model.tokens *= model.growth()
-		item.tokens += model.tokens
+		pool.tokens += model.tokens
 	}
 }
 
-// demandOnReplicas is how many requests keep the copies of something busy, or wait for one of them: those that wait for an adapter
-// would not be served by a further copy of the model.
+// demandOnReplicas is how many requests keep the replicas of something busy, or wait for one of them. Those that wait for an
+// adapter would not be served by a further replica of the model.
 func (item *itemDemand) demandOnReplicas() float64 {
 	return float64(item.running + item.queued - item.queuedForAdapter)
 }
 
-// smooth says whether it is forgotten.
+// smooth updates the smoothed values, and says whether the item is to be forgotten.
 func (item *itemDemand) smooth(now clock.Mark, slow, quick float64) bool {
 	item.slowRate += (item.arrivals - item.slowRate) * slow
 	item.slowQueued += (float64(item.queued-item.queuedForAdapter) - item.slowQueued) * quick
@@ -211,7 +210,7 @@
 	return now.Since(item.lastRequested) > forgetAfter
 }
 
-// countUnmet counts the requests that come while what they ask for stands nowhere; once it stands, nothing is owed.
+// countUnmet counts the requests that come while the item has no replica; with one the count is zero.
 func (item *itemDemand) countUnmet(stands bool, since time.Duration) {
 	if stands {
 		item.unmet = 0
--- a/process/placement/poolplacement/draining_test.go
+++ b/process/placement/poolplacement/draining_test.go
@@ -9,7 +9,7 @@
 	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
-// What an engine holds that is shut, or is to be, is no copy: it is loaded elsewhere, and nothing onto the engine.
+// What an engine holds that is shut, or is to be, is no replica: it is loaded elsewhere, and nothing onto the engine.
 func TestModelsOfDrainingEnginesAreLoadedElsewhere(t *testing.T) {
 	for name, c := range map[string]struct {
 		shut, emptying bool
--- a/process/placement/poolplacement/engine.go
+++ b/process/placement/poolplacement/engine.go
@@ -9,7 +9,7 @@
 	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
-// intent is what an engine is being made ready for.
+// intent is what an engine is to load once its victims are evicted.
 type intent struct {
 	registry.Target
 	victims     []registry.Target
@@ -17,20 +17,20 @@
 	urgent      bool
 }
 
-// engine is what is known of one life of an engine.
+// engine is what is known of one incarnation of an engine.
 type engine struct {
 	id      ident.EngineID
 	address string
 	pool    *pool
 	slots   int
 	usable  bool
-	// draining says that what it holds is to stand elsewhere before it is shut.
+	// draining says that what it has loaded is to be loaded elsewhere before it is closed.
 	draining bool
 	report   Report
-	// reportRead says that a report was read; asked is when the newest one was asked for.
+	// reportRead says that a report was read; reportRequested when the newest one was requested.
 	reportRead      bool
 	reportRequested clock.Mark
-	// acceptedOrders is how many orders it has taken, as far as is known.
+	// acceptedOrders is how many orders it has accepted, as far as is known.
 	acceptedOrders uint64
 	acceptedAt     clock.Mark
 	notBefore      clock.Mark
@@ -39,7 +39,7 @@
 	backoffs       map[registry.Target]clock.Mark
 	loadedBefore   map[string]bool
 	loadedSince    map[registry.Target]clock.Mark
-	// lastAdapterSwap is when an adapter in use last made way for another.
+	// lastAdapterSwap is when an adapter in use was last evicted for another.
 	lastAdapterSwap  clock.Mark
 	failures         int
 	utilization      float64
@@ -47,18 +47,18 @@
 	nextReport       clock.Mark
 	// lastFull is when a report last showed it full.
 	lastFull clock.Mark
-	// unreliable says that daemons get on so badly with it that what it holds had better stand elsewhere too.
+	// unreliable says that attempts there fail so often that what it has loaded should be loaded elsewhere too.
 	unreliable bool
-	// published is what was last told of it, toldAt when.
+	// published is the plan that was last published, publishedAt when.
 	published    registry.Plan
 	publishedAt  clock.Mark
 	hasPublished bool
 }
 
-// unreachable says that an engine does not answer, whatever it beats.
+// unreachable says that an engine does not answer requests for reports, though it may send heartbeats.
 func (e *engine) unreachable() bool { return e.failures >= unreachableAfter }
 
-// canServe says whether what it holds can be used.
+// canServe says whether what it has loaded can be used.
 func (e *engine) canServe() bool { return e.usable && !e.unreachable() && !e.unreliable }
 
 // ready says whether an engine may be given an order now.
@@ -82,7 +82,7 @@
 	return found && (target.Adapter == "" || slices.Contains(loaded.Adapters, target.Adapter))
 }
 
-// isRetiring says whether a target is about to go: it is being evicted, or is to be.
+// isRetiring says whether a target is being evicted, or is about to be.
 func (e *engine) isRetiring(target registry.Target) bool {
 	covers := func(other registry.Target) bool {
 		return other.Model == target.Model && (other.Adapter == "" || other.Adapter == target.Adapter)
@@ -93,14 +93,14 @@
 	return e.intent != nil && slices.ContainsFunc(e.intent.victims, covers)
 }
 
-// freeCapacity is the room and the adapter places that are left, counting all that is reported, ordered or
-// perhaps ordered; what goes counts until a report shows that it has gone.
+// freeCapacity is the capacity in MB and the adapter slots that are left, counting all that is reported, ordered or
+// perhaps ordered; what is evicted counts until a report shows that it is gone.
 func (e *engine) freeCapacity() (capacity float64, adapterSlots int) {
 	capacity, adapterSlots = e.pool.catalogue.CapacityMb, e.pool.catalogue.AdapterSlots
 	for _, loaded := range e.report.Models {
 		model := e.pool.models[loaded.Model]
 		if model == nil {
-			// How large what the catalogue does not name is cannot be known: the engine counts as full.
+			// The size of what the catalogue does not name is unknown: the engine counts as full.
 			return 0, 0
 		}
 		capacity -= model.SizeMb + float64(len(loaded.Adapters))*model.AdapterSizeMb
@@ -127,13 +127,13 @@
 	return capacity >= e.pool.size(target) && (target.Adapter == "" || adapterSlots > 0)
 }
 
-// backOff keeps an engine from getting any order before a report that is asked for after a while.
+// backOff allows no order to an engine before a report that is requested after a while.
 func (e *engine) backOff(now clock.Mark, span time.Duration) {
 	e.notBefore = max(e.notBefore, now+clock.Mark(span))
 	e.nextReport = min(e.nextReport, e.notBefore)
 }
 
-// trackLoaded keeps since when each thing has been there.
+// trackLoaded keeps since when each model and adapter has been loaded.
 func (e *engine) trackLoaded(now clock.Mark) {
 	for target := range e.loadedSince {
 		if !e.hasLoaded(target) {
--- a/process/placement/poolplacement/evict_test.go
+++ b/process/placement/poolplacement/evict_test.go
@@ -11,7 +11,7 @@
 	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
-// pairFleet is a planner and engines that each hold one model and have room for no other; the store serves one
+// pairFleet is a planner and engines that each hold one model and have capacity for no other; the store serves one
 // load at full speed.
 type pairFleet struct {
 	t       *testing.T
@@ -119,7 +119,7 @@
 	}
 }
 
-// What hardly anybody asks for goes without notice; what is asked for goes after all daemons have heard of it.
+// What hardly anybody requests goes without notice; what is requested goes after all daemons have heard of it.
 func TestOnlyModelsInUseGetEvictionNotice(t *testing.T) {
 	for _, one := range []struct {
 		arrivals float64
--- a/process/placement/poolplacement/grown_test.go
+++ b/process/placement/poolplacement/grown_test.go
@@ -13,7 +13,7 @@
 	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
-// grownDemand is what daemons ask for of many models, few of them often; so many rows in all.
+// grownDemand is what daemons request of many models, few of them often; so many rows in all.
 func grownDemand(models, daemons, rows int, arrivals float64) []Demand {
 	random := rand.New(rand.NewPCG(7, 7))
 	weight, total := make([]float64, models), 0.0
@@ -35,7 +35,7 @@
 	return out
 }
 
-// grownPlanner has read a report of each of so many engines, all full of the models most asked for.
+// grownPlanner has read a report of each of so many engines, all full of the models most requested.
 func grownPlanner(engines, models int) (*Planner, *upstream.Section, clock.Mark) {
 	section := sizeSection(0)
 	catalogue := section.Pools[0].Catalogue
@@ -60,8 +60,8 @@
 	}
 }
 
-// BenchmarkGrownStep is one step where every engine is full and ready, far more models are asked for than stand
-// anywhere, and the store is at its pace.
+// BenchmarkGrownStep is one step where every engine is full and ready, far more models are requested than stand
+// anywhere, and the store is at its rate limit.
 func BenchmarkGrownStep(b *testing.B) {
 	const engines, models, daemons, rows = 140, 916, 63, 60
 	view, demand := sizeView(engines), grownDemand(models, daemons, rows, 660)
--- a/process/placement/poolplacement/lag_test.go
+++ b/process/placement/poolplacement/lag_test.go
@@ -41,12 +41,12 @@
 	return l.planner.Step(l.in)
 }
 
-// report has a report come that was asked for at a moment, showing what the engine held a lag before.
+// report has a report come that was requested at a moment, showing what the engine held a lag before.
 func (l *singleEngine) report(asked clock.Mark) bool {
 	return l.planner.Reported(l.now, asked, loneEngine, Report{Models: l.loaded, Accepted: l.taken, Memory: 1000}, true)
 }
 
-// play has an order be taken at once and done at its end, and gives how long after that it was settled.
+// play has an order be taken at once and done at its end, and gives how long after that it was resolved.
 func (l *singleEngine) play(order Order, takes time.Duration, done func()) time.Duration {
 	l.t.Helper()
 	l.stamp++
@@ -75,7 +75,7 @@
 
 func (l *singleEngine) ask(demand ...Demand) { l.in.Demand = demand }
 
-// An order that takes some milliseconds is settled as soon as reports, as far as they lag, can show it, and
+// An order that takes some milliseconds is resolved as soon as reports, as far as they lag, can show it, and
 // not a round of reports later. How far they lag is learned.
 func TestOrderIsResolvedByTheFirstReportThatCanReflectIt(t *testing.T) {
 	for _, lag := range []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond} {
--- a/process/placement/poolplacement/loadwindow.go
+++ b/process/placement/poolplacement/loadwindow.go
@@ -48,10 +48,11 @@
 	if over < 0 {
 		return wait
 	}
-	// They stand in the order of their sending, and so nearly in that of their ends.
+	// They are in the order of their sending, and so nearly in that of their ends.
 	return max(wait, p.window-now.Since(p.starts[min(over, len(p.starts)-1)].latest))
 }
 
+// begin adds a load that begins no later than latest.
 func (p *loadWindow) begin(key uint64, latest clock.Mark) {
 	p.starts = append(p.starts, loadStart{key, latest})
 }
--- a/process/placement/poolplacement/models.go
+++ b/process/placement/poolplacement/models.go
@@ -10,9 +10,9 @@
 	"github.com/cresspond/cresspond/process/featuregates"
 )
 
-// modelCandidates lists the models that should stand on one more engine, the most worth first: those that can't wait for
-// adapters to have their turn, and all others. The first are those that somebody waits for and that stand nowhere, and
-// those whose copies have far too much to do.
+// modelCandidates lists the models that should be loaded on one more engine, the highest gain first: those placed before
+// adapters, and all others. The first are those with queued requests and no replica, and those whose replicas are
+// severely overloaded.
 func (s *survey) modelCandidates() (first, others []candidate) {
 	for name, item := range s.demand.models {
 		replicas := s.replicas[name]
@@ -33,7 +33,7 @@
 	return first, others
 }
 
-// listAvailable notes which engines could be given an order now.
+// listAvailable lists the engines that could be given an order now.
 func (s *survey) listAvailable() {
 	s.available = s.available[:0]
 	for _, e := range s.engines {
@@ -43,7 +43,7 @@
 	}
 }
 
-// placeModels places models.
+// placeModels places models in the given order, and counts why one that has queued requests is not placed.
 func (s *survey) placeModels(candidates []candidate) []Order {
 	var orders []Order
 	waiting := 0
@@ -64,11 +64,11 @@
 	return orders
 }
 
-// placeModel finds the engine on which one more copy costs least. It gives the order if there is room,
-// or notes that the engine is being made ready.
+// placeModel finds the engine on which one more replica costs least. It gives the order if there is capacity,
+// or sets the engine's intent.
 func (s *survey) placeModel(wanted candidate) (order Order, ordered bool, reason obstacle) {
 	if s.mustWait(wanted) {
-		// An engine that loads can load nothing else for seconds, so what can wait takes its turn on some of them.
+		// An engine that loads can load nothing else for seconds, so what can wait is placed on some of them only.
 		return Order{}, false, obstacleTurn
 	}
 	var best *engine
@@ -80,7 +80,7 @@
 	allowed := s.storeAllows(wanted.urgent, true)
 	evictionAllowed := allowed || wanted.urgent && s.mayEvictEarly()
 	for _, e := range s.available {
-		// Within a step an engine closes only by what it was given in it.
+		// Within a step an engine becomes unavailable only by what it was given in it.
 		if e.pending != nil || e.intent != nil || e.hasLoaded(wanted.Target) || s.now < e.backoffs[wanted.Target] {
 			continue
 		}
@@ -97,7 +97,7 @@
 			reason = max(reason, obstacleStore)
 			continue
 		}
-		// A cool engine, and one that has the weights on its disk, is better.
+		// An idle engine, and one that has the weights on its disk, is better.
 		cost += 0.05 * e.utilization
 		if !e.loadedBefore[wanted.Model] {
 			cost += 0.02
@@ -119,7 +119,7 @@
 	best.intent = &intent{Target: wanted.Target, victims: bestVictims, announcedAt: s.now, urgent: wanted.urgent}
 	s.intents++
 	for _, victim := range bestVictims {
-		// What is about to go no longer counts as a copy.
+		// What is about to be evicted no longer counts as a replica.
 		s.replicas[victim.Model] = slices.DeleteFunc(slices.Clone(s.replicas[victim.Model]), func(e *engine) bool { return e == best })
 	}
 	if order, ok := s.nextOrder(best); ok {
@@ -128,9 +128,9 @@
 	return Order{}, false, noObstacle
 }
 
-// mustWait says whether too many engines load already for a model to begin: what stands nowhere and many ask for never
-// waits, what few ask for does while many engines load, and a further copy does while many engines get further copies,
-// the fewer the more even its copies' share is.
+// mustWait says whether too many engines load already for a model to begin: an item without a replica
+// never waits if it is requested much, and waits while many engines load if it is requested little. A further replica
+// waits while many engines get further replicas; the more overloaded its replicas, the more engines may.
 func (s *survey) mustWait(wanted candidate) bool {
 	engines := float64(len(s.engines))
 	switch replicas := len(s.replicas[wanted.Model]); {
@@ -143,7 +143,7 @@
 	return false
 }
 
-// countReplicating counts the engines that get, or are made ready for, a model that stands elsewhere too.
+// countReplicating counts the engines that load, or are to load, a model that is loaded elsewhere too.
 func (s *survey) countReplicating() {
 	for _, e := range s.engines {
 		model := ""
@@ -159,7 +159,7 @@
 	}
 }
 
-// victimsFor lists what must go from an engine so that a model fits, and what that costs.
+// victimsFor lists what must be evicted from an engine so that a model fits, and what that costs in requests a second.
 func (s *survey) victimsFor(e *engine, size float64, wanted candidate) (victims []registry.Target, cost float64, ok bool) {
 	if size > e.pool.catalogue.CapacityMb {
 		return nil, 0, false
@@ -180,7 +180,7 @@
 	for _, loaded := range e.report.Models {
 		model := s.pool.models[loaded.Model]
 		if model == nil {
-			// The catalogue no longer names it, so nobody can ask for it; how large it is shows once it has gone.
+			// The catalogue no longer names it, so nobody can request it; its size shows once it is evicted.
 			candidates = append(candidates, thing{registry.Target{Model: loaded.Model}, math.Inf(1), 0})
 			continue
 		}
@@ -208,7 +208,7 @@
 	if capacity < size {
 		return nil, 0, false
 	}
-	// What turned out not to be needed stays: the dearest first.
+	// What need not be evicted after all stays, the costliest first.
 	slices.SortFunc(chosen, func(item, b thing) int {
 		return cmp.Or(cmp.Compare(b.cost, item.cost), compareTargets(item.target, b.target))
 	})
@@ -227,6 +227,6 @@
 	if cost*factor+loadPrice >= wanted.gain {
 		return nil, 0, false
 	}
-	// Making room takes time, and each unload is an order.
+	// Evicting takes time, and each eviction is an order.
 	return victims, cost + 0.05*float64(len(victims)), true
 }
--- a/process/placement/poolplacement/orders.go
+++ b/process/placement/poolplacement/orders.go
@@ -8,16 +8,16 @@
 	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
-// pendingOrder is an order that no report has settled yet.
+// pendingOrder is an order that no report has resolved yet.
 type pendingOrder struct {
 	Order
 	state          orderState
 	sent, answered clock.Mark
 	// ready is when it is expected to be done.
 	ready clock.Mark
-	// key finds its load in the window; zero of an order that fetches nothing from the store.
+	// key finds its load in the window; zero for an order that loads nothing from the store.
 	key uint64
-	// reportsRequested counts the reports that were asked for when its end was expected to show.
+	// reportsRequested counts the reports requested since its end was expected to be visible.
 	reportsRequested int
 }
 
@@ -29,7 +29,7 @@
 	uncertain
 )
 
-// issue notes an order as under way; the engine gets no other until this one is settled.
+// issue makes an order pending; the engine gets no other until this one is resolved.
 func (p *Planner) issue(now clock.Mark, e *engine, kind Kind, target registry.Target, ready time.Duration) Order {
 	p.Counters.Orders++
 	order := Order{Engine: e.id, Kind: kind, Model: target.Model, Adapter: target.Adapter, Expected: e.acceptedOrders, Owner: p.settings.Owner}
@@ -40,7 +40,7 @@
 	case kind == Load:
 		p.Counters.Loads++
 		if !e.loadedBefore[target.Model] {
-			// Only what this very life has held surely comes from its own disk.
+			// Only what this incarnation has had loaded surely comes from its own disk.
 			p.lastLoadKey++
 			e.pending.key = p.lastLoadKey
 			p.loadWindow.begin(p.lastLoadKey, now+clock.Mark(p.settings.OrderTimeout))
@@ -53,7 +53,7 @@
 	return order
 }
 
-// Stamp notes the id and the claim that an order is sent under.
+// Stamp records the minted id and the fencing token that an order is sent with.
 func (p *Planner) Stamp(engine ident.EngineID, stamp ident.SnowflakeID, claim ident.FencingToken) (Order, string, bool) {
 	e := p.engines[engine]
 	if e == nil || e.pending == nil {
@@ -63,7 +63,7 @@
 	return e.pending.Order, e.address, true
 }
 
-// Withdraw forgets an order that never left.
+// Withdraw forgets an order that was never sent.
 func (p *Planner) Withdraw(now clock.Mark, engine ident.EngineID) {
 	if e := p.engines[engine]; e != nil && e.pending != nil {
 		p.Counters.NotSent++
@@ -73,7 +73,7 @@
 	}
 }
 
-// Answered takes what became of an order that was sent.
+// Answered records the outcome of an order that was sent.
 func (p *Planner) Answered(now clock.Mark, order Order, answer OrderOutcome) {
 	e := p.engines[order.Engine]
 	if e == nil || e.pending == nil || e.pending.Stamp != order.Stamp {
@@ -88,7 +88,7 @@
 		f.ready += now - f.sent
 		p.loadWindow.began(f.key, now, false)
 		e.acceptedOrders, e.acceptedAt = f.Expected+1, now
-		// Its end can be told beforehand, and reports lag: those before that would tell nothing.
+		// Its end can be estimated, and reports lag: an earlier one would not show it.
 		e.nextReport = f.visibleAt(p.lag)
 		return
 	case NoAnswer:
@@ -103,7 +103,7 @@
 		e.backOff(now, lagLimit/2)
 	case Refused:
 		p.Counters.Refused++
-		// What it has taken is not what was thought: a report that is new enough will tell.
+		// It has accepted another number of orders than assumed: a report that is new enough will show it.
 		e.backOff(now, lagLimit/3)
 	case Fenced, WrongEngine:
 		p.Counters.Refused++
@@ -116,7 +116,7 @@
 	e.pending = nil
 }
 
-// visibleAt is when a report that is asked for then should show that an order has ended.
+// visibleAt is when a report that is requested then should show that an order has ended.
 func (f *pendingOrder) visibleAt(lag time.Duration) clock.Mark {
 	if f.Kind == Load && f.Adapter == "" {
 		return f.ready + clock.Mark(lag)
@@ -125,13 +125,13 @@
 	return f.answered + clock.Mark(lag)
 }
 
-// usesStore says whether an order's load is likely to be under way at the store. Reports show its end late, but
-// the store has long been free by then.
+// usesStore says whether an order's load is likely to be in progress at the store. Reports show its end late, when the
+// store has long been free again.
 func (f *pendingOrder) usesStore(now clock.Mark) bool {
 	return f.key != 0 && (f.state != accepted || now < f.ready)
 }
 
-// resolve compares the order under way with a report that was taken for true.
+// resolve compares the pending order with a report that was accepted.
 func (p *Planner) resolve(now clock.Mark, e *engine) (resolved bool) {
 	f := e.pending
 	if f == nil || f.state == sending {
@@ -139,7 +139,7 @@
 	}
 	p.learn(f, e.reportRequested, e.report.Accepted > f.Expected && !e.report.Saturated)
 	if e.report.Accepted <= f.Expected {
-		// The report can't reflect the order yet; only those asked for later than any lag can say that it never arrived.
+		// The report can't reflect the order yet; only those requested later than any lag can say that it never arrived.
 		if e.reportRequested.Since(f.answered) > lagLimit {
 			p.Counters.NeverArrived++
 			p.loadWindow.began(f.key, f.answered, false)
@@ -164,7 +164,7 @@
 	return true
 }
 
-// PendingOrders counts the orders that are not settled.
+// PendingOrders counts the orders that are not resolved.
 func (p *Planner) PendingOrders() int {
 	count := 0
 	for _, e := range p.engines {
--- a/process/placement/poolplacement/outliers.go
+++ b/process/placement/poolplacement/outliers.go
@@ -6,14 +6,14 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// fullFrom is the share of its slots from which an engine may turn requests away, and let them wait.
+// fullFrom is the share of its slots from which an engine may refuse requests or queue them.
 const fullFrom = 0.75
 
-// fullLately is for how long after that it counts as full: reports are about a second apart, and what waited is told
-// when it has begun.
+// fullMemory is for how long after that it counts as full: reports are about a second apart, and requests that were
+// queued are reported when they have begun.
 const fullMemory = 2 * time.Second
 
-// detectOutliers takes up what daemons saw of engines. The planner does so since it alone reads their reports: a full
+// detectOutliers feeds the detector with the daemons' observations. The planner does so since it alone reads reports: a full
 // engine's refusals and late first bytes say nothing of its health.
 func (p *Planner) detectOutliers(in Input) {
 	ids := map[string][]ident.EngineID{}
--- a/process/placement/poolplacement/outliers_test.go
+++ b/process/placement/poolplacement/outliers_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// TestModelOnlyOnEjectedEngineIsLoadedElsewhere: somebody asks for a model that stands on one engine, and all that
+// TestModelOnlyOnEjectedEngineIsLoadedElsewhere: somebody requests a model that stands on one engine, and all that
 // is sent there fails.
 func TestModelOnlyOnEjectedEngineIsLoadedElsewhere(t *testing.T) {
 	f := newFleet(2, sharedCatalogue(), 9)
@@ -82,7 +82,7 @@
 	f.planner.settings.ReplaceUnhealthy = true
 	zipf(f, 45, 1, func(clock.Mark) int { return 0 })
 	f.run(15 * time.Second)
-	// One that holds something alone which is asked for now and then.
+	// One that holds something alone which is requested now and then.
 	var ill *fakeEngine
 	alone := ""
 	holders := func(model string) (out []*fakeEngine) {
--- a/process/placement/poolplacement/plan.go
+++ b/process/placement/poolplacement/plan.go
@@ -17,7 +17,7 @@
 const (
 	// minResidence is how long a model stays at least once it came, so that it serves those who waited for it.
 	minResidence = 1500 * time.Millisecond
-	// minIdleResidence is how long it stays before something that nobody waits for may take its room.
+	// minIdleResidence is how long it stays before something that nobody waits for may take its capacity.
 	minIdleResidence = 10 * time.Second
 	// freshReport is how old the newest report of an engine may be for it to be given an order.
 	freshReport = 3 * time.Second
@@ -30,12 +30,12 @@
 	// startLag is how far behind the truth reports are taken to be before any order was seen to end; it is learned
 	// within these bounds.
 	startLag, minLag, maxLag = 200 * time.Millisecond, 50 * time.Millisecond, time.Second
-	// lagDown and lagUp are by how much it falls when the first report asked for shows the end, and rises when it
+	// lagDown and lagUp are by how much it falls when the first report requested shows the end, and rises when it
 	// doesn't: an ask too many costs less than a late one.
 	lagDown, lagUp = 5 * time.Millisecond, 15 * time.Millisecond
 	// maxQuickReports is how often what should show by now is looked for in quick succession.
 	maxQuickReports = 6
-	// unreachableAfter is how many reports in a row must fail for an engine to count as dark.
+	// unreachableAfter is how many reports in succession must fail for an engine to count as unreachable.
 	unreachableAfter = 2
 )
 
@@ -44,7 +44,7 @@
 	Orders, Loads, Evicts, AdapterLoads, AdapterEvicts        uint64
 	Done, AlreadyDone, Refused, NeverArrived, Failed, NotSent uint64
 	Reports, FailedReports, StaleReports, Cancelled, Void     uint64
-	// Unplaced counts, over all steps, the models that somebody waits for, that stand nowhere and that a step could
+	// Unplaced counts, over all steps, the models that somebody waits for, that have no replica and that a step could
 	// not place, by what was in the way.
 	Unplaced [obstacles]uint64
 }
@@ -55,13 +55,13 @@
 const (
 	// noObstacle: it is placed.
 	noObstacle obstacle = iota
-	// obstacleTurn: few ask for it, and it waits until fewer engines load.
+	// obstacleTurn: few request it, and it waits until fewer engines load.
 	obstacleTurn
 	// obstacleEngines: each engine that could take it has an order, or is to get one.
 	obstacleEngines
 	// obstacleStore: the store allows no further load now.
 	obstacleStore
-	// obstacleValue: nothing that is worth clearly less could make way.
+	// obstacleValue: nothing that is worth clearly less could be evicted.
 	obstacleValue
 	obstacles
 )
@@ -69,7 +69,7 @@
 // ObstacleNames are the names of obstacles, in the order in which they are counted.
 var ObstacleNames = [obstacles]string{"none", "turn", "engines", "store", "worth"}
 
-// Planner is the state of the plan under one claim. It is not safe for use by many threads.
+// Planner is the state of the plan under one lease. It is not safe for use by many threads.
 type Planner struct {
 	settings Settings
 	section  *upstream.Section
@@ -82,23 +82,23 @@
 	lastLoadKey uint64
 	// lag is how long after an order's end the reports are expected to show it, as far as is known by now.
 	lag time.Duration
-	// outliers weighs what daemons saw of engines.
+	// outliers judges engines by what daemons observed of them.
 	outliers *outlier.Detector
-	// inherited is what earlier claims told of engines that have not been met yet.
+	// inherited is what was announced under earlier leases of engines that have not reported yet.
 	inherited       map[ident.EngineID]uint64
 	began, lastStep clock.Mark
 	Unplaced        []Unplaced
 	Counters        Counters
 }
 
-// NewPlanner makes the plan of a fresh claim. It knows no history of loads, so the window counts as full.
+// NewPlanner makes the plan of a fresh lease. It knows no history of loads, so the window counts as full.
 func NewPlanner(settings Settings, now clock.Mark) *Planner {
 	return &Planner{settings: settings, outliers: outlier.NewDetector(outlier.DefaultSettings()), pools: map[string]*pool{}, engines: map[ident.EngineID]*engine{}, demand: map[string]*poolDemand{}, inherited: map[ident.EngineID]uint64{}, lag: startLag,
 		loadWindow: loadWindow{window: settings.Window, unknownUntil: now + clock.Mark(settings.Window)}, began: now, lastStep: now}
 }
 
-// Inherit takes over what earlier claims told of their orders: what nobody told of for a window's length may
-// have been any number.
+// Inherit takes over what was announced under earlier leases. Without announcements over the whole window the number of
+// loads is unknown.
 func (p *Planner) Inherit(now clock.Mark, granted *statemachine.PlannerLease) {
 	announced := granted.Announced
 	if announced == nil {
@@ -114,14 +114,14 @@
 	for _, loads := range announced.Loads {
 		for range loads.Count {
 			p.lastLoadKey++
-			// It was told of before it left, and may have been on its way for as long as an order's limit.
+			// It was announced before it left, and may have been on its way for as long as an order's limit.
 			p.loadWindow.begin(p.lastLoadKey, ago(loads.At)+clock.Mark(p.settings.OrderTimeout))
 		}
 	}
 }
 
-// Announcement is what the group must know of orders before they leave: that there are any, since a successor keeps
-// quiet for a time after the last, and what loads there are. An unload can only make room.
+// Announcement is what the group must know of orders before they are sent: that there are any, since a successor waits
+// for a time after the last, and what loads there are. An eviction can only free capacity.
 func (p *Planner) Announcement(orders []Order) *statemachine.Announcement {
 	announcement := statemachine.Announcement{Orders: map[ident.EngineID]uint64{}, KeepMs: (p.settings.Window + p.settings.OrderTimeout + oldLag).Milliseconds()}
 	for _, order := range orders {
@@ -136,7 +136,7 @@
 	return &announcement
 }
 
-// Step settles nothing: it takes up what is new, and gives the orders to send now.
+// Step takes over what is new, and gives the orders to send now. It resolves no order; [Planner.Reported] does.
 func (p *Planner) Step(in Input) []Order {
 	if in.Section == nil || in.View == nil {
 		return nil
@@ -162,7 +162,7 @@
 	return orders
 }
 
-// updateEngines takes up which engines there are.
+// updateEngines takes over the registered engines.
 func (p *Planner) updateEngines(in Input) {
 	changed := false
 	for name, made := range p.pools {
--- a/process/placement/poolplacement/plan_test.go
+++ b/process/placement/poolplacement/plan_test.go
@@ -30,7 +30,7 @@
 	return c
 }
 
-// zipf asks for a few models much and for many little; which are which moves with the shift.
+// zipf requests a few models much and for many little; which are which moves with the shift.
 func zipf(f *fakeFleet, perSecond, power float64, shift func(now clock.Mark) int) {
 	total := 0.0
 	weights := make([]float64, len(f.truth.Models))
@@ -174,7 +174,7 @@
 	return f.faults
 }
 
-// A successor keeps quiet after the last order told of. A planner that does not tell lets its successor order
+// A successor keeps quiet after the last order announced. A planner that does not tell lets its successor order
 // too soon, and the check sees it.
 func TestSuccessorWaitsAfterTheLastAnnouncedOrder(t *testing.T) {
 	seen := 0
--- a/process/placement/poolplacement/publish.go
+++ b/process/placement/poolplacement/publish.go
@@ -10,8 +10,8 @@
 	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
-// Plans gives what is to be told of each engine whose part changed: at once what stands, goes and comes,
-// and its load when that is another than was told.
+// Plans gives the plans to publish, of each engine whose plan changed: at once what is loaded, retiring and pending, and
+// its load when it differs enough from what was published.
 func (p *Planner) Plans(now clock.Mark) map[ident.EngineID]registry.Plan {
 	var out map[ident.EngineID]registry.Plan
 	for _, id := range p.ids {
@@ -59,10 +59,10 @@
 	return plan
 }
 
-// weightsAgain is how often shares that are not all are told.
+// republishWeightsAfter is how often weights below one are published again.
 const republishWeightsAfter = 2 * time.Second
 
-// shouldPublish says whether something is worth telling anew.
+// shouldPublish says whether a plan differs enough from the published one.
 func shouldPublish(e *engine, next registry.Plan, since time.Duration) bool {
 	published := &e.published
 	if !slices.Equal(published.Retiring, next.Retiring) || !slices.EqualFunc(published.PendingLoads, next.PendingLoads, func(item, b registry.PendingLoad) bool { return item.Target == b.Target }) ||
@@ -71,7 +71,7 @@
 		}) {
 		return true
 	}
-	// A share that is not told again in time is no longer believed.
+	// A weight that is not published again in time expires.
 	if !slices.Equal(published.Weights, next.Weights) || len(next.Weights) > 0 && since > republishWeightsAfter {
 		return true
 	}
--- a/process/placement/poolplacement/rank_test.go
+++ b/process/placement/poolplacement/rank_test.go
@@ -7,7 +7,7 @@
 	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
-// What is asked for by more urgent paths counts for more, and is never kept waiting for being rare.
+// What is requested by more urgent paths counts for more, and is never kept waiting for being rare.
 func TestUrgentDemandHasMoreWeight(t *testing.T) {
 	catalogue := &upstream.Catalogue{CapacityMb: 100, LoadsPerSecond: 1, Models: []upstream.Model{{Name: "urgent", SizeMb: 10, LoadMs: 1000}, {Name: "patient", SizeMb: 10, LoadMs: 1000}}}
 	shares := []upstream.Share{{Pool: "pool", Weight: 1}}
--- a/process/placement/poolplacement/reports.go
+++ b/process/placement/poolplacement/reports.go
@@ -7,8 +7,8 @@
 	"github.com/cresspond/cresspond/ident"
 )
 
-// Reported takes an engine's report, or the failure to get one; asked is when it was asked for. It says whether
-// an order was settled by it, so that the next can be given at once.
+// Reported takes an engine's report, or the failure to get one; asked is when it was requested. It says whether
+// an order was resolved by it, so that the next can be given at once.
 func (p *Planner) Reported(now, asked clock.Mark, id ident.EngineID, report Report, ok bool) (resolved bool) {
 	e := p.engines[id]
 	if e == nil {
@@ -32,8 +32,8 @@
 	if e.reportRead && asked < e.reportRequested {
 		return false
 	}
-	// A report from before orders that are known to have been taken tells nothing of what is held. What earlier
-	// claims told may never have left: only a report asked for later than any lag says so.
+	// A report from before orders that are known to have been accepted does not show what is loaded. What was announced
+	// under earlier leases may never have been sent: only a report requested later than any lag shows that.
 	if report.Accepted < e.acceptedOrders && now.Since(e.acceptedAt) < oldLag || report.Accepted < p.inherited[id] && asked.Since(p.began) < lagLimit {
 		p.Counters.StaleReports++
 		if e.pending != nil {
@@ -50,8 +50,8 @@
 	return resolved
 }
 
-// learn corrects by one report what is known of how far reports lag. A load of a model tells nothing of it:
-// how long that takes depends on what runs there.
+// learn corrects the estimate of how far reports lag by one report. The load of a model says nothing about it: how long
+// that takes depends on what runs there.
 func (p *Planner) learn(f *pendingOrder, asked clock.Mark, shown bool) {
 	if f.state != accepted || asked < f.visibleAt(p.lag) {
 		return
@@ -66,11 +66,11 @@
 	}
 }
 
-// interval is how soon an engine is asked for its next report.
+// interval is how soon the next report of an engine is requested.
 func (p *Planner) interval(e *engine) time.Duration {
 	switch {
 	case e.pending != nil && e.pending.state == accepted && e.pending.reportsRequested < maxQuickReports:
-		// What should show by now is looked for often, so that the next order needn't wait.
+		// An order that should be visible by now is checked often, so that the next order needn't wait.
 		return p.settings.PollInterval
 	case e.pending != nil || e.intent != nil || !e.reportRead || e.report.Accepted < e.acceptedOrders || e.reportRequested < e.notBefore:
 		return p.settings.BusyReportInterval
@@ -80,13 +80,13 @@
 	return p.settings.IdleReportInterval
 }
 
-// ReportRequest is one engine that is to be asked for its report.
+// ReportRequest is an engine whose report is to be requested.
 type ReportRequest struct {
 	Engine  ident.EngineID
 	Address string
 }
 
-// Due lists the engines to ask for their reports now.
+// Due lists the engines whose reports are to be requested now.
 func (p *Planner) Due(now clock.Mark) []ReportRequest {
 	var out []ReportRequest
 	for _, id := range p.ids {
--- a/process/placement/poolplacement/size_test.go
+++ b/process/placement/poolplacement/size_test.go
@@ -11,7 +11,7 @@
 	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
-// What the plan costs by its engines and by how many adapters are asked for, for docs/CAPACITY.md:
+// What the plan costs by its engines and by how many adapters are requested, for docs/CAPACITY.md:
 // go test -run - -bench Size ./process/placement/poolplacement
 
 const sizeModels = 140
@@ -34,7 +34,7 @@
 	return view
 }
 
-// sizeDemand asks for the first so many adapters, as the rows of several daemons.
+// sizeDemand requests the first so many adapters, as the rows of several daemons.
 func sizeDemand(active, daemons int) []Demand {
 	var out []Demand
 	for i := range active {
--- a/process/placement/poolplacement/steplog.go
+++ b/process/placement/poolplacement/steplog.go
@@ -23,7 +23,7 @@
 	before        Counters
 }
 
-// logSteps writes a debug line a second on what the plan did, and what was in the way of models that are waited for.
+// logSteps writes a debug line a second on what the plan did, and why models with queued requests were not placed.
 func (item *Actor) logSteps(now clock.Mark, took time.Duration) {
 	s := &item.steps
 	s.steps++
@@ -47,7 +47,7 @@
 // busiestShown is how many models a debug line shows.
 const busiestShown = 4
 
-// busiest describes the models most asked for: how many engines hold and get each, and what runs and waits.
+// busiest describes the models most requested: on how many engines each is loaded and loading, and what runs and is queued.
 func (p *Planner) busiest() []string {
 	type row struct {
 		name string
--- a/process/placement/poolplacement/steppause.go
+++ b/process/placement/poolplacement/steppause.go
@@ -9,21 +9,21 @@
 const (
 	// pauseFactor is how many times as long as a step the planner rests after it.
 	pauseFactor = 9
-	// maxPause bounds that: what is asked for is planned for at last, whatever it costs.
+	// maxPause bounds that, so that demand is planned for in the end, whatever a step costs.
 	maxPause = 4 * time.Second
 )
 
-// stepPause keeps the plan from taking a processor for itself: a step's cost grows with all that is asked for, so a
+// stepPause keeps the plan from using up a processor: a step's cost grows with all that is requested, so a
 // long one is followed by a rest, and planning takes a tenth of a core at most.
 type stepPause struct {
 	last  time.Duration
 	until clock.Mark
 }
 
-// record notes a step. Rests within a beat are none, since beats are that far apart anyway.
+// record records a step. A pause within the plan interval is none, since steps are that far apart anyway.
 func (r *stepPause) record(began, ended clock.Mark, beat time.Duration) {
 	took := ended.Since(began)
-	// The shorter of the last two counts: a moment in which the machine stood still is no reason to wait.
+	// The shorter of the last two counts: a moment in which the machine stalled is no reason to wait.
 	rest := min(pauseFactor*min(took, r.last), maxPause)
 	r.last, r.until = took, 0
 	if rest > beat {
--- a/process/placement/poolplacement/steppause_test.go
+++ b/process/placement/poolplacement/steppause_test.go
@@ -26,7 +26,7 @@
 	return steps, float64(busy) / float64(span)
 }
 
-// Short steps are made with each beat; long ones, as with 87,000 adapters asked for, take a tenth of a core and are made still.
+// Short steps are made with each beat; long ones, as with 87,000 adapters requested, take a tenth of a core and are made still.
 func TestLongStepsTakeATenthOfACore(t *testing.T) {
 	const span = 100 * time.Second
 	always := func(took time.Duration) func(int) time.Duration { return func(int) time.Duration { return took } }
@@ -51,7 +51,7 @@
 		}
 		return time.Millisecond
 	})
-	// The twenty beats that pass while it stands still are lost, and no more.
+	// The twenty planning steps that pass while it stands still are lost, and no more.
 	if steps < 80 {
 		t.Errorf("%d steps in a hundred beats, of which one lasted for twenty", steps)
 	}
--- a/process/placement/poolplacement/store.go
+++ b/process/placement/poolplacement/store.go
@@ -6,13 +6,13 @@
 	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
-// mayLoad says whether the store allows another load now. What nobody waits for leaves half of its pace
-// for what somebody will.
+// mayLoad says whether the store allows another load now. A load without queued requests leaves half of the rate limit
+// for those with.
 func (s *survey) mayLoad(e *engine, target registry.Target, urgent, fresh bool) bool {
 	return e.loadedBefore[target.Model] || s.storeAllows(urgent, fresh)
 }
 
-// storeAllows says so of a model that the engine has not had.
+// storeAllows says so of a model that the engine has not had loaded.
 func (s *survey) storeAllows(urgent, fresh bool) bool {
 	free := s.planner.loadWindow.free(s.now, s.pool.maxLoads)
 	if fresh {
@@ -24,8 +24,7 @@
 	return free > s.pool.maxLoads/2 && s.loading < max(1, s.pool.maxConcurrentLoads/2)
 }
 
-// mayEvictEarly says whether room may be made for what somebody waits for: the store need not be free before there
-// is room for what it gives.
+// mayEvictEarly says whether to evict for a model with queued requests before the store is free to load it.
 func (s *survey) mayEvictEarly() bool {
 	return s.planner.loadWindow.free(s.now, s.pool.maxLoads) > s.intents && s.stillLoading+s.intents < s.pool.maxConcurrentLoads
 }
@@ -42,10 +41,12 @@
 	return span
 }
 
+// loadTimeOf is how long a model takes to load from the store at full speed.
 func (s *survey) loadTimeOf(model string) time.Duration {
 	return time.Duration(s.pool.models[model].LoadMs) * time.Millisecond
 }
 
+// recordUnplaced reports that a target is not likely to be loaded before a wait has passed.
 func (s *survey) recordUnplaced(target registry.Target, wait time.Duration) {
 	s.planner.Unplaced = append(s.planner.Unplaced, Unplaced{s.pool.name, target.Model, target.Adapter, wait})
 }
--- a/process/placement/poolplacement/succession_test.go
+++ b/process/placement/poolplacement/succession_test.go
@@ -9,7 +9,7 @@
 )
 
 // When a planner is lost, its successor plans as soon as the rule between two holders' orders allows: the lease after
-// the last order can have reached an engine, and no more than two of its beats later.
+// the last order can have reached an engine, and no more than two of its planning steps later.
 func TestASuccessorPlansAsSoonAsTheGapAllows(t *testing.T) {
 	for seed := range seeds(6) {
 		f := newFleet(seed, sharedCatalogue(), 9)
--- a/process/placement/poolplacement/survey.go
+++ b/process/placement/poolplacement/survey.go
@@ -9,79 +9,79 @@
 )
 
 const (
-	// queuedWeight is how many requests a second one held request counts for. It is little: what was held when a
-	// load began comes late, and a load pays by what comes after.
+	// queuedWeight is how many requests a second one queued request counts for. It is little: a request that
+	// was queued when a load began is served late, and a load pays by what comes after.
 	queuedWeight = 0.05
 	// queuedInTimeWeight is the same where a load that begins now ends in time for it.
 	queuedInTimeWeight = 0.2
-	// unmetWeight is the same of each request that came while what it asks for stood nowhere, so that all get a turn.
+	// unmetWeight is the same of each request that came while what it requests had no replica, so that every model is placed in the end.
 	unmetWeight = 0.1
-	// minAbsenceLoss is the share of its rate that a model's only copy is worth at least, where it could come back in time
-	// for whoever asks next.
+	// minAbsenceLoss is the share of its rate that a model's only replica is worth at least, where it could be reloaded in
+	// time for the next request.
 	minAbsenceLoss = 0.25
-	// reaction is how long it takes besides the load itself until a model that is asked for serves.
+	// reaction is how long it takes besides the load itself until a model that is requested serves.
 	reaction = 900 * time.Millisecond
 	// busyShare is the share of a pool's engines that may load until no more is lost by their number.
 	busyShare = 0.66
-	// severe is from how far above its fair share on a model's copies have far too much to do.
+	// severe is from how far above its fair share on a model's replicas have far too much to do.
 	severe = 0.5
-	// minReplicating and maxReplicating are the shares of a pool's engines that may get further copies when one more is to
-	// begin, of a model whose copies have little too much to do, and far too much.
+	// minReplicating and maxReplicating are the shares of a pool's engines that may get further replicas when one more is to
+	// begin, of a model whose replicas have little too much to do, and far too much.
 	minReplicating, maxReplicating = 0.25, 0.75
-	// useWeight is the same of each that runs, or waits, at what would have to go.
+	// useWeight is the same of each that runs or is queued for what would be evicted.
 	useWeight = 0.5
-	// queueWeight is the same of each that is held though what it asks for stands somewhere.
+	// queueWeight is the same of each that is queued though what it requests has a replica.
 	queueWeight = 0.25
-	// above is from which share of what is fair one copy counts as too much asked for; below is up to which
-	// the copies that stay must come out for one to count as too many.
+	// above is from which share of what is fair one replica counts as overloaded; below is up to which
+	// the remaining replicas must be loaded for one to count as surplus.
 	above, below = 1.2, 0.7
-	// secondReplicaShare is what a second copy is worth of all that is asked for, against the loss of an engine.
+	// secondReplicaShare is what a second replica is worth of all that is requested, against the loss of an engine.
 	secondReplicaShare = 0.02
-	// minEvictionMargin is by how much something must be worth more than what makes way for it, loadPrice what it must be
-	// worth besides, in requests a second, since it may have to come back.
+	// minEvictionMargin is by how much something must be worth more than what is evicted for it, loadPrice what it must be
+	// worth besides, in requests a second, since it may have to be reloaded.
 	minEvictionMargin = 1.4
 	loadPrice         = 0.15
-	// minGain is what a load that nobody waits for must gain, in requests a second, to pay its price.
+	// minGain is what a load without queued requests must gain, in requests a second, to pay its price.
 	minGain = 0.015
 	// minAdapterGain is the same of an adapter, whose order is cheap.
 	minAdapterGain = 0.003
-	// maxUnnotified is how many requests may be expected within the notice of something that goes without one.
+	// maxUnnotified is how many requests may be expected within the eviction notice of something evicted without one.
 	maxUnnotified = 0.04
 	// evictSpan is how long an unload is expected to take until a report shows it.
 	evictSpan = 500 * time.Millisecond
-	// minAdapterResidence is how long an engine keeps its adapters in use between two trades of one for another.
+	// minAdapterResidence is how long an engine keeps its adapters in use between two swaps of one for another.
 	minAdapterResidence = 5 * time.Second
-	// swapCost is what a trade of adapters costs against a free place on a warmer engine.
+	// swapCost is what a swap of adapters costs against a free slot on a busier engine.
 	swapCost = 1.0
-	// adapterSpan is how long an adapter is expected to take.
+	// adapterSpan is how long an adapter is expected to take to load.
 	adapterSpan = 60 * time.Millisecond
 )
 
-// survey is one pool as a step looks at it.
+// survey is the state of one pool during a step.
 type survey struct {
 	planner *Planner
 	now     clock.Mark
-	// since is how long ago the step before was.
+	// since is the time since the step before.
 	since   time.Duration
 	pool    *pool
 	demand  *poolDemand
 	engines []*engine
-	// replicas lists the usable engines that have, or are getting, a model and are not about to let go of it.
+	// replicas lists the usable engines that have loaded or are loading a model and are not about to evict it.
 	replicas map[string][]*engine
 	// adapterReplicas is the same of adapters.
 	adapterReplicas map[registry.Target][]*engine
 	// fairTokens is the tokens a second that each engine would have if all had the same.
 	fairTokens float64
-	// fairRunning is the same of requests that run or wait.
+	// fairRunning is the same of requests that run or are queued.
 	fairRunning float64
-	// loading counts the loads of models under way, intents those that are being made ready for.
+	// loading counts the loads of models under way, intents those that evictions are made for.
 	loading, intents int
-	// replicating counts the engines that get a further copy of what stands elsewhere.
+	// replicating counts the engines that get a further replica of what is loaded elsewhere.
 	replicating int
-	// stillLoading counts the loads that go on for longer than it takes to make room.
+	// stillLoading counts the loads that go on for longer than an eviction takes.
 	stillLoading    int
 	meanUtilization float64
-	// occupied is the share taken of what loads need, when the step began.
+	// occupied is the share of the store and of the engines that loads occupied when the step began.
 	occupied float64
 	// available lists the engines that could be given an order when the placing of models began.
 	available []*engine
@@ -129,7 +129,7 @@
 	return s
 }
 
-// countReplicas notes what one usable engine has or is getting.
+// countReplicas counts what one usable engine has loaded or is loading.
 func (s *survey) countReplicas(e *engine) {
 	for _, loaded := range e.report.Models {
 		target := registry.Target{Model: loaded.Model}
@@ -161,7 +161,7 @@
 	}
 }
 
-// advanceIntents gives the next order of each engine that is being made ready for something.
+// advanceIntents gives the next order of each engine that has an intent.
 func (s *survey) advanceIntents() []Order {
 	var orders []Order
 	for _, e := range s.engines {
@@ -182,6 +182,7 @@
 	return orders
 }
 
+// cancel drops an engine's intent.
 func (s *survey) cancel(e *engine) {
 	if e.intent.Adapter == "" {
 		s.intents--
@@ -214,8 +215,8 @@
 	return Order{}, false
 }
 
-// evictionNotice is how long all daemons must have had to hear that something goes: none where nobody uses it and hardly
-// anybody would ask meanwhile. Who does is told by the engine that it did not run, and waits like all others.
+// evictionNotice is how long before an eviction it must have been published: no time where nothing uses the target and
+// hardly any request is expected meanwhile. Such a request is refused by the engine, and is queued like all others.
 func (s *survey) evictionNotice(victim registry.Target) time.Duration {
 	if s.disabled(featuregates.UnloadNotice) {
 		return 0
@@ -230,7 +231,7 @@
 	return s.planner.settings.EvictionNotice
 }
 
-// load orders a target onto an engine that has the room.
+// load orders a target onto an engine that has the capacity.
 func (s *survey) load(e *engine, target registry.Target) Order {
 	e.intent = nil
 	if target.Adapter != "" {
@@ -240,5 +241,5 @@
 	return s.planner.issue(s.now, e, Load, target, s.loadSpan(e, target, s.loading))
 }
 
-// disabled says whether an experiment goes without a mechanism.
+// disabled says whether an experiment has switched a mechanism off.
 func (s *survey) disabled(m featuregates.Mechanism) bool { return s.planner.settings.Off.Has(m) }
--- a/process/placement/poolplacement/types.go
+++ b/process/placement/poolplacement/types.go
@@ -1,6 +1,3 @@
-// Package poolplacement decides which engine of a pool holds which models and adapters, and orders it. The
-// plan is a pure step over the catalogue, the registered engines, the demand of the fleet and the engines'
-// reports; the actor beside it holds the claim, asks for the reports, and stamps and sends the orders.
 package poolplacement
 
 import (
@@ -25,14 +22,14 @@
 	Evict Kind = "evict"
 )
 
-// Order is one order to one life of an engine. With an adapter it concerns that adapter alone.
+// Order is one order to one incarnation of an engine. With an adapter it concerns that adapter alone.
 type Order struct {
 	Engine         ident.EngineID
 	Kind           Kind
 	Model, Adapter string
 	// Expected is how many orders the engine must have taken; it refuses where that differs.
 	Expected uint64
-	// Owner and Claim are the fence. Stamp is the minted id of this order: it stays on our side.
+	// Owner and Claim, the planner's fencing token, fence it. Stamp is the minted id of this order; it is not sent.
 	Owner string
 	Claim ident.FencingToken
 	Stamp ident.SnowflakeID
@@ -45,17 +42,17 @@
 type OrderOutcome uint8
 
 const (
-	// NoAnswer: it may have been taken, or not.
+	// NoAnswer: it may have been accepted, or not.
 	NoAnswer OrderOutcome = iota
-	// NotSent: not a byte of it left.
+	// NotSent: not a byte of it was sent.
 	NotSent
-	// Accepted: it is being done.
+	// Accepted: the engine is carrying it out.
 	Accepted
-	// AlreadyDone: what it wants holds already.
+	// AlreadyDone: the engine is in the ordered state already.
 	AlreadyDone
-	// Refused: another is under way, or the engine has taken another number of orders.
+	// Refused: another is in progress, or the engine has accepted another number of orders.
 	Refused
-	// Fenced: the engine has seen a higher claim.
+	// Fenced: the engine has seen a higher fencing token.
 	Fenced
 	// WrongEngine: another engine answers at that address.
 	WrongEngine
@@ -63,13 +60,13 @@
 	Malformed
 )
 
-// Report is what an engine says of itself when asked; it lags by some hundred milliseconds.
+// Report is what an engine says of itself when asked; it lags behind by some hundred milliseconds.
 type Report struct {
 	Models []registry.LoadedModel
-	// Saturated says that an order is under way, Taken how many orders were taken in this life.
+	// Saturated says that an order is in progress, Accepted how many orders this incarnation has accepted.
 	Saturated bool
 	Accepted  uint64
-	// Active and Queued count requests; MemoryUsed can't give way, both in tokens.
+	// Active and Queued count requests; MemoryUsed can't be evicted; both are in tokens.
 	Active, Queued     int
 	MemoryUsed, Memory int64
 }
@@ -78,53 +75,55 @@
 type EngineClient interface {
 	// Report asks an engine about itself; any other engine at that address must give an error.
 	Report(ctx context.Context, address string, id ident.EngineID) (Report, error)
-	// Order gives one order on a connection of its own, once. mayLeave is asked right before the first byte,
-	// and nothing is left on its way when ctx ends.
+	// Order sends one order on a connection of its own, once. mayLeave is called right before the first byte, and nothing
+	// is in transit any more when ctx has ended.
 	Order(ctx context.Context, address string, order Order, mayLeave func() bool) OrderOutcome
 }
 
 // Settings are the times of a deployment.
 type Settings struct {
-	// Owner names the holder of a claim towards engines.
+	// Owner names the lease holder towards engines.
 	Owner string
 	// Window is the span over which loads from the store are counted.
 	Window time.Duration
-	// LeaseSpan is how long a claim lasts, longer than an election takes, Gap the quiet time between two claims, Renew how often it is prolonged.
+	// LeaseSpan is how long a lease lasts, longer than an election takes; LeaseGap the time without orders between two
+	// leases; RenewInterval how often it is renewed.
 	LeaseSpan, LeaseGap, RenewInterval time.Duration
 	// OrderTimeout is how long an order may be on its way and its answer waited for.
 	OrderTimeout time.Duration
-	// EvictionNotice is how long before an unload all daemons hear of it, where somebody uses what goes.
+	// EvictionNotice is how long before an eviction it is published, where the target is in use.
 	EvictionNotice time.Duration
-	// IdleReportInterval and Busy are how often an engine is asked for its report, at rest and while an order is under way.
+	// IdleReportInterval and BusyReportInterval are how often an engine's report is requested, without and with a pending
+	// order.
 	IdleReportInterval, BusyReportInterval time.Duration
-	// PublishWeights has daemons told what share of its usual requests an ill engine is to get; where none goes by it, it
-	// would only be more news.
+	// PublishWeights publishes the share of its usual requests that an unhealthy engine is to get. Where no daemon uses
+	// it, it would only be more traffic.
 	PublishWeights bool
-	// ReplaceUnhealthy has what an engine holds that nearly always fails stand elsewhere too.
+	// ReplaceUnhealthy has the models of an engine that nearly always fails loaded elsewhere too.
 	ReplaceUnhealthy bool
-	// Off are the mechanisms that an experiment goes without.
+	// Off are the mechanisms that an experiment has switched off.
 	Off featuregates.Set
-	// PlanInterval is how often the plan is made, Look how often it is seen whom to ask for a report.
+	// PlanInterval is how often a step is made, PollInterval how often it is checked which reports are due.
 	PlanInterval, PollInterval time.Duration
 }
 
-// DefaultSettings are for a deployment whose holders of the claim must not take turns within the lease.
+// DefaultSettings are for a deployment whose planners must not alternate within the engines' lease time.
 func DefaultSettings(owner string, lease time.Duration) Settings {
 	s := Settings{Owner: owner, Window: 5 * time.Second, LeaseSpan: 3 * time.Second, RenewInterval: 500 * time.Millisecond, OrderTimeout: 800 * time.Millisecond,
 		EvictionNotice: 250 * time.Millisecond, IdleReportInterval: time.Second, BusyReportInterval: 150 * time.Millisecond, PlanInterval: 100 * time.Millisecond, PollInterval: 50 * time.Millisecond}
-	// An order may reach its engine as late as its limit after the claim was last looked at.
+	// An order may reach its engine as late as its limit after the lease was last checked.
 	s.LeaseGap = lease + s.OrderTimeout
 	return s
 }
 
-// Demand is what the whole fleet asks for of one model and adapter of a pool.
+// Demand is what the whole fleet requests of one model and adapter of a pool.
 type Demand struct {
 	Pool            string
 	Model, Adapter  string
 	Queued, Running int
 	// Tokens and Arrivals are smoothed numbers a second.
 	Tokens, Arrivals float64
-	// OldestWait is how long the oldest held request has waited, Rank the most urgent rank of those held.
+	// OldestWait is how long the oldest queued request has waited, Rank the most urgent rank of those queued.
 	OldestWait time.Duration
 	Rank       int
 }
@@ -135,15 +134,15 @@
 	Section *upstream.Section
 	View    *registry.View
 	Demand  []Demand
-	// Closed says that nothing new may go to an engine, so that what it holds is no copy; nil is never. Emptying are
-	// those whose copies don't count any more, since they are to be shut.
+	// Closed says that nothing new may go to an engine, so that what it has loaded is no replica; nil is never. Draining are
+	// those whose replicas don't count any more, since they are about to be closed.
 	Closed   func(*registry.Engine) bool
 	Draining map[ident.EngineID]bool
-	// Outcomes is what daemons told of their attempts since the last step.
+	// Outcomes is what daemons reported of their attempts since the last step.
 	Outcomes []outlier.Observation
 }
 
-// Unplaced is something that is asked for, stands nowhere, and is not likely to be there before Wait has passed.
+// Unplaced is something that is requested, has no replica, and is not likely to be loaded before Wait has passed.
 type Unplaced struct {
 	Pool           string
 	Model, Adapter string
--- a/process/placement/poolplacement/unplaced_test.go
+++ b/process/placement/poolplacement/unplaced_test.go
@@ -12,7 +12,7 @@
 	"github.com/cresspond/cresspond/process/engines/registry"
 )
 
-// scarceFleet is a pool whose engines hold one model each, asked for by one path of the most urgent rank and one of another.
+// scarceFleet is a pool whose engines hold one model each, requested by one path of the most urgent rank and one of another.
 type scarceFleet struct {
 	t       *testing.T
 	planner *Planner
@@ -77,7 +77,7 @@
 	}
 }
 
-// TestQueuedModelEvictsOneThatCanBeReloadedInTime: all are asked for alike, but only one is waited for.
+// TestQueuedModelEvictsOneThatCanBeReloadedInTime: all are requested alike, but only one is waited for.
 func TestQueuedModelEvictsOneThatCanBeReloadedInTime(t *testing.T) {
 	others := []string{"a", "b", "c", "d", "e", "f"}
 	for _, one := range []struct {
@@ -103,7 +103,7 @@
 	}
 }
 
-// TestSurplusReplicaIsEvicted: of a model much asked for, whose copies have little to do, one more or less is no loss.
+// TestSurplusReplicaIsEvicted: of a model much requested, whose replicas have little to do, one more or less is no loss.
 func TestSurplusReplicaIsEvicted(t *testing.T) {
 	s := newScarceFleet(t, 6*time.Second, "much", "much", "much", "much", "much", "much", "a", "b")
 	demand := []Demand{{Pool: "pool", Model: "much", Arrivals: 100, Tokens: 1000, Running: 1, Rank: usualRank}, {Pool: "pool", Model: "a", Arrivals: 2, Tokens: 4000, Running: 1, Rank: urgentRank},
@@ -127,7 +127,7 @@
 	}
 }
 
-// TestReplicationLeavesEnginesForUnplacedModels: many models whose copies have a little too much to do don't take
+// TestReplicationLeavesEnginesForUnplacedModels: many models whose replicas have a little too much to do don't take
 // all engines for a load's time.
 func TestReplicationLeavesEnginesForUnplacedModels(t *testing.T) {
 	var placed []string
@@ -153,7 +153,7 @@
 	}
 }
 
-// TestRequestsQueuedForAdapterDoNotReplicateTheModel: more copies would take the engines that could load it.
+// TestRequestsQueuedForAdapterDoNotReplicateTheModel: more replicas would take the engines that could load it.
 func TestRequestsQueuedForAdapterDoNotReplicateTheModel(t *testing.T) {
 	for _, one := range []struct {
 		adapter string
@@ -208,7 +208,7 @@
 	}
 }
 
-// TestGrowingDemandIsForecast: arrivals that grow steadily ask for the copies that they will need once a load has ended;
+// TestGrowingDemandIsForecast: arrivals that grow steadily request the replicas that they will need once a load has ended;
 // chance does not.
 func TestGrowingDemandIsForecast(t *testing.T) {
 	const step = 100 * time.Millisecond
--- a/process/placement/poolplacement/value.go
+++ b/process/placement/poolplacement/value.go
@@ -9,7 +9,7 @@
 	"github.com/cresspond/cresspond/process/featuregates"
 )
 
-// overload says how far the share of one copy is above what is fair, from 0 to 1.
+// overload says how far the share of one replica is above what is fair, from 0 to 1.
 func (s *survey) overload(tokens float64, replicas int, from float64) float64 {
 	if s.fairTokens <= 0 || replicas <= 0 {
 		return 0
@@ -30,8 +30,8 @@
 	return total / float64(max(1, len(replicas)))
 }
 
-// pressure says how hard a model's copies are pressed: the share of their places that are taken, by their
-// reports or, sooner, by what is known to run and wait there.
+// pressure says how hard a model's replicas are pressed: the share of their slots that are used, by their
+// reports or, sooner, by what is known to run and be queued there.
 func (s *survey) pressure(item *itemDemand, replicas []*engine) float64 {
 	slots := 0
 	for _, e := range replicas {
@@ -40,7 +40,7 @@
 	return max(meanUtilization(replicas), item.demandOnReplicas()/float64(max(1, slots)))
 }
 
-// imbalance says how far the share of one copy of so many is above what is fair, by what arrives and by what runs.
+// imbalance says how far the share of one replica of so many is above what is fair, by what arrives and by what runs.
 func (s *survey) imbalance(item *itemDemand, replicas int, from float64) float64 {
 	over := s.overload(item.tokens, replicas, from)
 	if s.fairRunning > 0 {
@@ -49,7 +49,7 @@
 	return over
 }
 
-// gain is what one more copy would bring, in requests a second; urgent says that somebody waits for it.
+// gain is what one more replica would bring, in requests a second; urgent says that somebody waits for it.
 func (s *survey) gain(item *itemDemand, replicas []*engine) (gain float64, urgent bool) {
 	if len(replicas) == 0 {
 		gain = item.rate() + s.queuedWeight(item)*float64(item.queued)
@@ -58,18 +58,18 @@
 		}
 		return gain, item.queued > 0 || item.arrivals > 0.05
 	}
-	// Some copy stands or is on its way: one more helps as far as those are overloaded.
+	// There is a replica, or one is loading: one more helps as far as those are overloaded.
 	if !s.disabled(featuregates.ReplicasByDemand) {
 		gain = item.rate()*s.imbalance(item, len(replicas), above)*strain(s.pressure(item, replicas)) + queueWeight*max(0, item.slowQueued-1)*strain(s.pressure(item, replicas))
 	}
 	if len(replicas) == 1 && !s.disabled(featuregates.SecondReplicas) {
-		// With a second copy no crash of one engine leaves nobody.
+		// With a second replica no crash of one engine leaves none.
 		gain = max(gain, secondReplicaShare*item.rate())
 	}
 	return gain, gain > 0.5
 }
 
-// cost is what is lost, in requests a second, if one copy of something goes.
+// cost is what is lost, in requests a second, if one replica of something goes.
 func (s *survey) cost(item *itemDemand, replicas []*engine) float64 {
 	if item == nil {
 		return 0
@@ -82,10 +82,10 @@
 	return item.rate()*(secondReplicaShare/float64(rest*rest)+s.imbalance(item, rest, below)*strain(utilization)) + 0.1*float64(item.running)/float64(len(replicas))
 }
 
-// loadsInTime says whether something can be loaded within the target of those that ask for it.
+// loadsInTime says whether something can be loaded within the target of those that request it.
 func (item *itemDemand) loadsInTime() bool { return item.loadTime+reaction <= item.latencyTarget }
 
-// queuedWeight is how many requests a second one held request counts for.
+// queuedWeight is how many requests a second one queued request counts for.
 func (s *survey) queuedWeight(item *itemDemand) float64 {
 	if item.loadsInTime() {
 		return queuedInTimeWeight
@@ -93,9 +93,9 @@
 	return queuedWeight
 }
 
-// absenceLoss is the share of the requests for something that is lost while it stands nowhere. All are where it can't be
-// there within the target of those that ask; else as much as the store and the engines have to do, since it may have
-// to wait for both.
+// absenceLoss is the share of the requests for something that is lost while it has no replica. All are where it can't be
+// loaded within the latency target; else the share grows with how occupied the store and the engines are, since it may
+// have to wait for both.
 func (s *survey) absenceLoss(item *itemDemand) float64 {
 	if !item.loadsInTime() {
 		return 1
@@ -110,13 +110,13 @@
 	return max(store, engines)
 }
 
-// isLight says whether something is asked for much less than an engine's share of all, and is not of the most
+// isLight says whether something is requested much less than an engine's share of all, and is not of the most
 // urgent kind.
 func (s *survey) isLight(item *itemDemand) bool {
 	return item.ranksBehind > 0 && item.rate()+float64(item.queued)/4 < s.demand.arrivals/float64(4*max(1, len(s.engines)))
 }
 
-// candidate is one model or adapter that should stand on one more engine.
+// candidate is one model or adapter that should be loaded on one more engine.
 type candidate struct {
 	registry.Target
 	gain   float64
@@ -136,7 +136,7 @@
 	})
 }
 
-// evictionMargin is by how much something must be worth more than what makes way for it.
+// evictionMargin is by how much something must be worth more than what is evicted for it.
 func (s *survey) evictionMargin() float64 {
 	if s.disabled(featuregates.Hysteresis) {
 		return 1
