--- a/process/placement/poolplacement/actor.go
+++ b/process/placement/poolplacement/actor.go
@@ -22,7 +22,7 @@
 	// Input gives what a step of the plan reads.
 	Input() Input
 	// Claim acquires or renews the planner's lease, and announces what is about to be ordered.
-	Claim(ctx context.Context, told *statemachine.Announcement, whole bool) LeaseReply
+	Claim(ctx context.Context, weight *statemachine.Announcement, whole bool) LeaseReply
 	// Mint mints the id of an order; WorkerLeaseValid says whether what was minted may still be used.
 	Mint() (ident.SnowflakeID, snowflake.Outcome)
 	WorkerLeaseValid() bool
--- a/process/placement/poolplacement/adapters_test.go
+++ b/process/placement/poolplacement/adapters_test.go
@@ -25,7 +25,7 @@
 	f.rate = func(clock.Mark) (float64, func() (registry.Target, *fakeRequest)) {
 		return perSecond, func() (registry.Target, *fakeRequest) {
 			return registry.Target{Model: "m00", Adapter: fmt.Sprint("a", 1+f.random.IntN(12))},
-				&fakeRequest{tokensIn: 1460, tokensOut: 171, aim: clock.Mark(600 * time.Millisecond), deadline: clock.Mark(10 * time.Second)}
+				&fakeRequest{tokensIn: 1460, tokensOut: 171, latencyTarget: clock.Mark(600 * time.Millisecond), deadline: clock.Mark(10 * time.Second)}
 		}
 	}
 	return f
--- a/process/placement/poolplacement/batch_test.go
+++ b/process/placement/poolplacement/batch_test.go
@@ -22,14 +22,14 @@
 
 // fakeRequest is one request of a client.
 type fakeRequest struct {
-	target    registry.Target
-	tokensIn  float64
-	tokensOut float64
-	arrived   clock.Mark
-	deadline  clock.Mark
-	aim       clock.Mark
-	first     bool
-	notBefore clock.Mark
+	target        registry.Target
+	tokensIn      float64
+	tokensOut     float64
+	arrived       clock.Mark
+	deadline      clock.Mark
+	latencyTarget clock.Mark
+	first         bool
+	notBefore     clock.Mark
 }
 
 // fakeOrder is an order that an engine carries out.
@@ -54,10 +54,10 @@
 	running []*fakeRequest
 	shown   []shownReport
 	// disk is what its machine has held.
-	disk     map[string]bool
-	leaving  bool
-	gone     bool
-	darkTill clock.Mark
+	disk             map[string]bool
+	leaving          bool
+	gone             bool
+	unreachableUntil clock.Mark
 }
 
 // fakeFleet is a planner with its engines, its clients and its daemons.
@@ -256,22 +256,22 @@
 }
 
 // used is the capacity and the places taken on an engine; what is being loaded counts.
-func (f *fakeFleet) used(e *fakeEngine) (room float64, places int) {
+func (f *fakeFleet) used(e *fakeEngine) (capacity float64, places int) {
 	for name, adapters := range e.models {
 		model := f.model(name)
-		room += model.SizeMb + float64(len(adapters))*model.AdapterSizeMb
+		capacity += model.SizeMb + float64(len(adapters))*model.AdapterSizeMb
 		places += len(adapters)
 	}
 	if e.order != nil && e.order.kind == Load {
 		model := f.model(e.order.target.Model)
 		if e.order.target.Adapter == "" {
-			room += model.SizeMb
+			capacity += model.SizeMb
 		} else {
-			room += model.AdapterSizeMb
+			capacity += model.AdapterSizeMb
 			places++
 		}
 	}
-	return room, places
+	return capacity, places
 }
 
 // order is what an engine does with an order; the rules are held as it arrives.
@@ -289,14 +289,14 @@
 	adapters, present := e.models[order.Model]
 	holds := present && (order.Adapter == "" || slices.Contains(adapters, order.Adapter))
 	if order.Kind == Load && !holds && (e.order == nil || e.order.target != target) {
-		room, places := f.used(e)
+		used, places := f.used(e)
 		size := model.SizeMb
 		if order.Adapter != "" {
 			size, places = model.AdapterSizeMb, places+1
 		}
 		// Whatever the engine answers, an order past its capacity is one too many.
-		if room+size > f.truth.CapacityMb || places > f.truth.AdapterSlots {
-			f.fault("LIMIT: %s was ordered past its room: %.0f and %.0f MB, %d places", e.id, room, size, places)
+		if used+size > f.truth.CapacityMb || places > f.truth.AdapterSlots {
+			f.fault("LIMIT: %s was ordered past its room: %.0f and %.0f MB, %d places", e.id, used, size, places)
 		}
 	}
 	switch {
@@ -395,7 +395,7 @@
 			switch {
 			case f.now > r.deadline:
 				f.refused++
-			case f.now > r.aim:
+			case f.now > r.latencyTarget:
 				f.late++
 				f.served++
 				f.servedBy[r.target]++
@@ -481,7 +481,7 @@
 		}
 		target, r := pick()
 		r.target, r.arrived = target, f.now
-		r.aim, r.deadline = r.aim+f.now, r.deadline+f.now
+		r.latencyTarget, r.deadline = r.latencyTarget+f.now, r.deadline+f.now
 		f.asked++
 		f.askedBy[target]++
 		rate := f.rates[target]
@@ -518,7 +518,7 @@
 			return false
 		}
 		adapters, present := best.models[r.target.Model]
-		if !present || r.target.Adapter != "" && !slices.Contains(adapters, r.target.Adapter) || best.order != nil && covers(best.order.target, r.target) || f.now < best.darkTill {
+		if !present || r.target.Adapter != "" && !slices.Contains(adapters, r.target.Adapter) || best.order != nil && covers(best.order.target, r.target) || f.now < best.unreachableUntil {
 			// The engine refuses it; it is tried again a moment later.
 			f.strays++
 			r.notBefore = f.now + clock.Mark(100*time.Millisecond)
@@ -621,7 +621,7 @@
 			return false
 		}
 		e := f.engine(ask.Engine)
-		if e == nil || e.address != ask.Address || lost || f.now < e.darkTill {
+		if e == nil || e.address != ask.Address || lost || f.now < e.unreachableUntil {
 			planner.Reported(f.now, asked, ask.Engine, Report{}, false)
 			return true
 		}
--- a/process/placement/poolplacement/outliers_test.go
+++ b/process/placement/poolplacement/outliers_test.go
@@ -17,38 +17,38 @@
 	f := newFleet(1, sharedCatalogue(), 9)
 	f.run(5 * time.Second)
 	f.planner.settings.PublishWeights = true
-	ill := f.engines[3].id
+	unhealthy := f.engines[3].id
 	wrong := true
-	told, toldAt, worst := 1.0, clock.Mark(0), 1.0
+	weight, publishedAt, worst := 1.0, clock.Mark(0), 1.0
 	for end := f.now + clock.Mark(40*time.Second); f.now < end; {
 		var digests []outlier.Digest
 		for _, e := range f.engines {
 			one := outlier.Digest{Engine: e.id, Attempts: 1}
-			if e.id == ill && wrong {
+			if e.id == unhealthy && wrong {
 				one.Failures = 1
 			}
 			digests = append(digests, one)
 		}
 		f.outcomes = []outlier.Observation{{Zone: "z", Digests: digests}}
 		f.step()
-		if plan, spoken := f.spoken[ill]; spoken {
+		if plan, spoken := f.spoken[unhealthy]; spoken {
 			plan.Received = f.now
-			told, toldAt = plan.Weight("z", f.now), f.now
-			delete(f.spoken, ill)
+			weight, publishedAt = plan.Weight("z", f.now), f.now
+			delete(f.spoken, unhealthy)
 		}
-		worst = min(worst, told)
-		if told < 1 && f.now.Since(toldAt) > 3*time.Second {
-			t.Fatalf("a share of %.2f was told %v ago", told, f.now.Since(toldAt))
+		worst = min(worst, weight)
+		if weight < 1 && f.now.Since(publishedAt) > 3*time.Second {
+			t.Fatalf("a share of %.2f was told %v ago", weight, f.now.Since(publishedAt))
 		}
 		if f.now > end-clock.Mark(30*time.Second) {
 			wrong = false
 		}
 	}
-	if worst != 0 || told != 1 {
-		t.Errorf("down to %.2f, at last %.2f", worst, told)
+	if worst != 0 || weight != 1 {
+		t.Errorf("down to %.2f, at last %.2f", worst, weight)
 	}
 	for _, e := range f.engines {
-		if e.id != ill && len(f.planner.outliers.Weights(f.now, e.id)) > 0 {
+		if e.id != unhealthy && len(f.planner.outliers.Weights(f.now, e.id)) > 0 {
 			t.Errorf("%s is well", e.id)
 		}
 	}
@@ -83,7 +83,7 @@
 	zipf(f, 45, 1, func(clock.Mark) int { return 0 })
 	f.run(15 * time.Second)
 	// One that holds something alone which is requested now and then.
-	var ill *fakeEngine
+	var unhealthy *fakeEngine
 	alone := ""
 	holders := func(model string) (out []*fakeEngine) {
 		for _, e := range f.engines {
@@ -95,18 +95,18 @@
 	}
 	for _, model := range f.truth.Models[8:25] {
 		if at := holders(model.Name); len(at) == 1 {
-			ill, alone = at[0], model.Name
+			unhealthy, alone = at[0], model.Name
 			break
 		}
 	}
-	if ill == nil {
+	if unhealthy == nil {
 		t.Fatal("no model stands alone")
 	}
 	for end := f.now + clock.Mark(12*time.Second); f.now < end && len(holders(alone)) < 2; {
 		var digests []outlier.Digest
 		for _, e := range f.engines {
 			one := outlier.Digest{Engine: e.id, Attempts: 1}
-			if e == ill {
+			if e == unhealthy {
 				one.Failures = 1
 			}
 			digests = append(digests, one)
--- a/process/placement/poolplacement/plan_test.go
+++ b/process/placement/poolplacement/plan_test.go
@@ -53,9 +53,9 @@
 				target.Adapter = fmt.Sprint("a", 1+f.random.IntN(model.Adapters))
 			}
 			if f.random.IntN(4) == 0 {
-				return target, &fakeRequest{tokensIn: 1460, tokensOut: 171, aim: clock.Mark(600 * time.Millisecond), deadline: clock.Mark(10 * time.Second)}
+				return target, &fakeRequest{tokensIn: 1460, tokensOut: 171, latencyTarget: clock.Mark(600 * time.Millisecond), deadline: clock.Mark(10 * time.Second)}
 			}
-			return target, &fakeRequest{tokensIn: 2368, tokensOut: 24, aim: clock.Mark(600 * time.Millisecond), deadline: clock.Mark(4 * time.Second)}
+			return target, &fakeRequest{tokensIn: 2368, tokensOut: 24, latencyTarget: clock.Mark(600 * time.Millisecond), deadline: clock.Mark(4 * time.Second)}
 		}
 	}
 }
@@ -111,7 +111,7 @@
 	case 0:
 		f.restart(e)
 	case 1:
-		e.darkTill = f.now + clock.Mark(time.Duration(random.IntN(5000))*time.Millisecond)
+		e.unreachableUntil = f.now + clock.Mark(time.Duration(random.IntN(5000))*time.Millisecond)
 	case 2:
 		if f.planner != nil {
 			f.takeOver("b#" + f.holder[:1])
--- a/process/placement/poolplacement/steppause.go
+++ b/process/placement/poolplacement/steppause.go
@@ -21,12 +21,12 @@
 }
 
 // record records a step. A pause within the plan interval is none, since steps are that far apart anyway.
-func (r *stepPause) record(began, ended clock.Mark, beat time.Duration) {
+func (r *stepPause) record(began, ended clock.Mark, interval time.Duration) {
 	took := ended.Since(began)
 	// The shorter of the last two counts: a moment in which the machine stalled is no reason to wait.
 	rest := min(pauseFactor*min(took, r.last), maxPause)
 	r.last, r.until = took, 0
-	if rest > beat {
+	if rest > interval {
 		r.until = ended + clock.Mark(rest)
 	}
 }
--- a/process/placement/poolplacement/tune_test.go
+++ b/process/placement/poolplacement/tune_test.go
@@ -115,9 +115,9 @@
 			for _, fault := range f.faults {
 				t.Errorf("%s %d: %s", s.name, seed, fault)
 			}
-			worth := 1.6 * (float64(f.onTime) + s.late*float64(f.late))
-			worth -= .36*float64(f.loads) + .036*float64(f.loads+f.evicts+f.adapterOrders)
-			total += worth / (1.6 * float64(f.asked))
+			value := 1.6 * (float64(f.onTime) + s.late*float64(f.late))
+			value -= .36*float64(f.loads) + .036*float64(f.loads+f.evicts+f.adapterOrders)
+			total += value / (1.6 * float64(f.asked))
 			loads += f.loads
 			orders += f.evicts + f.adapterOrders
 			asked += f.asked
--- a/testbed/endtoend/bundle_test.go
+++ b/testbed/endtoend/bundle_test.go
@@ -58,7 +58,7 @@
 }
 
 // bundleCall makes one call at a daemon's form for bundles; took is what it took of the time that the machine granted.
-func (b *bench) bundleCall(method, query string, body []byte) (status int, word operatorapi.Error, data []byte, took time.Duration) {
+func (b *bench) bundleCall(method, query string, body []byte) (status int, reply operatorapi.Error, data []byte, took time.Duration) {
 	b.t.Helper()
 	request, err := http.NewRequest(method, "http://"+b.address+operatorapi.PathBundle+query, strings.NewReader(string(body)))
 	if err != nil {
@@ -67,50 +67,50 @@
 	began := machine.Elapsed()
 	response, err := client.Do(request)
 	if err != nil {
-		return 0, word, nil, machine.Elapsed().Since(began)
+		return 0, reply, nil, machine.Elapsed().Since(began)
 	}
 	defer response.Body.Close()
 	data, _ = io.ReadAll(response.Body)
-	_ = json.Unmarshal(data, &word)
-	return response.StatusCode, word, data, machine.Elapsed().Since(began)
+	_ = json.Unmarshal(data, &reply)
+	return response.StatusCode, reply, data, machine.Elapsed().Since(began)
 }
 
 func (b *bench) apply(base uint64, bundle []byte) (int, operatorapi.Error) {
 	b.t.Helper()
-	status, word, _, _ := b.bundleCall("PUT", fmt.Sprintf("?operator=ana&base=%d", base), bundle)
-	return status, word
+	status, reply, _, _ := b.bundleCall("PUT", fmt.Sprintf("?operator=ana&base=%d", base), bundle)
+	return status, reply
 }
 
 // clear calls until there is a clear answer, as an operator does.
-func (b *bench) clear(method, query string, body []byte) (status int, word operatorapi.Error, data []byte) {
+func (b *bench) clear(method, query string, body []byte) (status int, reply operatorapi.Error, data []byte) {
 	b.t.Helper()
 	b.await("there is a clear answer", func() bool {
-		status, word, data, _ = b.bundleCall(method, query, body)
+		status, reply, data, _ = b.bundleCall(method, query, body)
 		return status != 503 && status != 0
 	})
-	return status, word, data
+	return status, reply, data
 }
 
 func (b *bench) applied(base uint64, bundle []byte) (int, operatorapi.Error) {
 	b.t.Helper()
-	status, word, _ := b.clear("PUT", fmt.Sprintf("?operator=ana&base=%d", base), bundle)
-	return status, word
+	status, reply, _ := b.clear("PUT", fmt.Sprintf("?operator=ana&base=%d", base), bundle)
+	return status, reply
 }
 
 // acknowledged makes the same call until it is acknowledged everywhere; it gives the first answer that is a refusal.
-func (b *bench) acknowledged(method string, base uint64, body []byte) (status int, word operatorapi.Error) {
+func (b *bench) acknowledged(method string, base uint64, body []byte) (status int, reply operatorapi.Error) {
 	b.t.Helper()
 	b.await("the bundle is acknowledged everywhere", func() bool {
-		status, word, _, _ = b.bundleCall(method, fmt.Sprintf("?operator=ana&base=%d", base), body)
+		status, reply, _, _ = b.bundleCall(method, fmt.Sprintf("?operator=ana&base=%d", base), body)
 		return status != 503 && status != 202 && status != 0
 	})
-	return status, word
+	return status, reply
 }
 
 func (b *bench) patched(base uint64, patch upstream.Patch) (int, operatorapi.Error) {
 	b.t.Helper()
-	status, word, _ := b.clear("PATCH", fmt.Sprintf("?operator=ana&base=%d", base), encode(b.t, patch))
-	return status, word
+	status, reply, _ := b.clear("PATCH", fmt.Sprintf("?operator=ana&base=%d", base), encode(b.t, patch))
+	return status, reply
 }
 
 func (b *bench) newest() (read document.Configuration) {
@@ -148,29 +148,29 @@
 		t.Error("before the first bundle:", status)
 	}
 	five, six, seven := encode(t, forwarding(5, 3)), encode(t, forwarding(6, 3)), encode(t, forwarding(7, 4))
-	if status, word := group[0].applied(3, five); status != 409 {
-		t.Error("a base that was never there:", status, word)
+	if status, reply := group[0].applied(3, five); status != 409 {
+		t.Error("a base that was never there:", status, reply)
 	}
-	if status, word := group[1].applied(0, five); !taken(status) {
-		t.Fatal("the first bundle:", status, word)
+	if status, reply := group[1].applied(0, five); !taken(status) {
+		t.Fatal("the first bundle:", status, reply)
 	}
 	for _, b := range group {
-		if status, word := b.applied(0, five); !taken(status) {
-			t.Error("the same call again:", status, word)
+		if status, reply := b.applied(0, five); !taken(status) {
+			t.Error("the same call again:", status, reply)
 		}
-		if status, word := b.applied(0, six); status != 409 || word.Revision != 5 {
-			t.Error("the loser:", status, word)
+		if status, reply := b.applied(0, six); status != 409 || reply.Revision != 5 {
+			t.Error("the loser:", status, reply)
 		}
-		if status, word := b.applied(5, encode(t, forwarding(5, 2))); status != 400 {
-			t.Error("a revision that is not above:", status, word)
+		if status, reply := b.applied(5, encode(t, forwarding(5, 2))); status != 400 {
+			t.Error("a revision that is not above:", status, reply)
 		}
 		bad := forwarding(6, 3)
 		bad.Forward.Paths[1].Shares[0].Pool = "nowhere"
-		if status, word := b.applied(5, encode(t, bad)); status != 400 || len(word.Faults) != 1 || word.Faults[0].Path != "forward.paths[1].shares[0].pool" {
-			t.Error("a faulty bundle:", status, word)
+		if status, reply := b.applied(5, encode(t, bad)); status != 400 || len(reply.Faults) != 1 || reply.Faults[0].Path != "forward.paths[1].shares[0].pool" {
+			t.Error("a faulty bundle:", status, reply)
 		}
-		if status, word := b.patched(5, upstream.Patch{Revision: 6, Remove: upstream.Names{Pools: []string{"p"}}}); status != 400 {
-			t.Error("a change that takes a pool from under its paths:", status, word)
+		if status, reply := b.patched(5, upstream.Patch{Revision: 6, Remove: upstream.Names{Pools: []string{"p"}}}); status != 400 {
+			t.Error("a change that takes a pool from under its paths:", status, reply)
 		}
 		if got := b.newest(); !same(t, got.Forward, forwarding(5, 3).Forward) {
 			t.Errorf("read back %+v", got.Forward)
@@ -178,8 +178,8 @@
 	}
 	change := upstream.Patch{Revision: 6, Upsert: upstream.Items{Paths: []upstream.Path{path("new", "q"), path("r1", "q")}}, Remove: upstream.Names{Paths: []string{"r0"}}}
 	for i, b := range group {
-		if status, word := b.patched(5, change); !taken(status) {
-			t.Error("a change:", i, status, word)
+		if status, reply := b.patched(5, change); !taken(status) {
+			t.Error("a change:", i, status, reply)
 		}
 	}
 	want := forwarding(6, 3)
@@ -187,15 +187,15 @@
 	if got := group[2].newest(); !same(t, got.Forward, want.Forward) {
 		t.Errorf("read back %+v", got.Forward)
 	}
-	if status, word := group[0].applied(6, seven); !taken(status) {
-		t.Error("a whole bundle on a changed one:", status, word)
+	if status, reply := group[0].applied(6, seven); !taken(status) {
+		t.Error("a whole bundle on a changed one:", status, reply)
 	}
 	// What was taken is acknowledged again, however much came after it; what lost has lost.
-	if status, word := group[1].patched(5, change); !taken(status) {
-		t.Error("an old change again:", status, word)
+	if status, reply := group[1].patched(5, change); !taken(status) {
+		t.Error("an old change again:", status, reply)
 	}
-	if status, word := group[1].applied(0, six); status != 409 {
-		t.Error("the loser again:", status, word)
+	if status, reply := group[1].applied(0, six); status != 409 {
+		t.Error("the loser again:", status, reply)
 	}
 	for _, b := range group {
 		b.await("all have it in force", func() bool { return b.status().ConfigurationVersion == 3 })
@@ -241,7 +241,7 @@
 // TestNoBundleInOneStep holds that an operator alone can do nothing where the fleet does not allow it.
 func TestNoBundleInOneStep(t *testing.T) {
 	group := together(t, 1, false, nil)
-	if status, word := group[0].applied(0, encode(t, forwarding(5, 1))); status != 403 {
-		t.Error(status, word)
+	if status, reply := group[0].applied(0, encode(t, forwarding(5, 1))); status != 403 {
+		t.Error(status, reply)
 	}
 }
--- a/testbed/endtoend/caller_test.go
+++ b/testbed/endtoend/caller_test.go
@@ -17,7 +17,7 @@
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
-func TestBadCallersGetAWordAndReachNoEngine(t *testing.T) {
+func TestInvalidRequestsAreAnsweredAndReachNoEngine(t *testing.T) {
 	b := start(t, nil, engine.Config{})
 	sound := `{"route":"r","house":"h","model":"m","prompt":"route=r;x","deadlineMs":5000}`
 	with := func(old, new string) string { return strings.Replace(sound, old, new, 1) }
@@ -59,10 +59,10 @@
 		if err != nil {
 			t.Fatal(c.name, err)
 		}
-		var word callerapi.Error
-		decode(t, response, &word)
-		if response.StatusCode != c.status || word.Outcome != callerapi.Invalid || word.Field != c.field || word.Reason == "" {
-			t.Errorf("%s: status %d, %+v; want %d and field %q", c.name, response.StatusCode, word, c.status, c.field)
+		var reply callerapi.Error
+		decode(t, response, &reply)
+		if response.StatusCode != c.status || reply.Outcome != callerapi.Invalid || reply.Field != c.field || reply.Reason == "" {
+			t.Errorf("%s: status %d, %+v; want %d and field %q", c.name, response.StatusCode, reply, c.status, c.field)
 		}
 	}
 	// What is not even HTTP, and what is larger than is ever read.
@@ -131,7 +131,7 @@
 	}
 }
 
-func TestARepeatableRequestGoesAgainWithinTheBudget(t *testing.T) {
+func TestIdempotentRequestIsRetriedWithinTheBudget(t *testing.T) {
 	b := start(t, nil, engine.Config{Slots: 1, ChunkTime: 10 * time.Millisecond}, engine.Config{Slots: 1, ChunkTime: 10 * time.Millisecond})
 	for round := 0; strings.Count(fmt.Sprint(b.status().Engines), "m:loaded") < 2; round++ {
 		b.crowd(fmt.Sprint("warm-", round))
@@ -140,12 +140,12 @@
 	b.stands[0].SetFault("drop")
 	request := work()
 	request.Repeatable = true
-	whole, unknown, refused := 0, 0, 0
+	complete, unknown, refused := 0, 0, 0
 	const requests = 30
 	for i := range requests {
 		switch record := b.call(fmt.Sprint("again-", i), request); {
 		case record.Complete():
-			whole++
+			complete++
 		case record.Outcome == callerapi.Unknown:
 			unknown++
 		case record.Outcome == callerapi.Refused:
@@ -155,8 +155,8 @@
 		}
 	}
 	again := b.counter("goes_again") - before
-	if whole == 0 || again == 0 || again > 10+requests/10 {
-		t.Errorf("%d whole, %d unknown, %d refused, %d goes again", whole, unknown, refused, again)
+	if complete == 0 || again == 0 || again > 10+requests/10 {
+		t.Errorf("%d whole, %d unknown, %d refused, %d goes again", complete, unknown, refused, again)
 	}
 	if arrivals := len(b.lines(journal.Arrive, "")) - arrivedBefore; uint64(arrivals) != uint64(requests)+again {
 		t.Errorf("%d arrivals for %d requests and %d counted retries", arrivals, requests, again)
@@ -230,12 +230,12 @@
 	}
 }
 
-func TestTheHighestWorthGoesFirstAndHousesTakeTurns(t *testing.T) {
+func TestHighestValueGoesFirstAndTenantsRotate(t *testing.T) {
 	b := start(t, nil, engine.Config{Slots: 4, ChunkTime: 25 * time.Millisecond})
 	var wait sync.WaitGroup
-	send := func(route, house string, n int) {
+	send := func(route, tenant string, n int) {
 		request := work()
-		request.Route, request.House, request.DeadlineMs = route, house, 30000
+		request.Route, request.House, request.DeadlineMs = route, tenant, 30000
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
@@ -281,7 +281,7 @@
 	}
 }
 
-func TestACallerThatLeavesCancelsTheGo(t *testing.T) {
+func TestClientThatDisconnectsCancelsTheAttempt(t *testing.T) {
 	b := start(t, nil, engine.Config{ChunkTime: 30 * time.Millisecond})
 	conn := b.dial()
 	fmt.Fprint(conn, wire("leaver", encode(t, work())))
@@ -307,14 +307,14 @@
 func (b *bench) zone(closed bool) {
 	b.t.Helper()
 	base := b.status().ClosureVersion
-	if status, word := b.answered(operatorapi.PathZone, encode(b.t, operatorapi.ZoneClosure{Zone: "here", Closed: &closed, Base: &base, Operator: "ana"})); status != 200 {
-		b.t.Fatal(status, word)
+	if status, reply := b.answered(operatorapi.PathZone, encode(b.t, operatorapi.ZoneClosure{Zone: "here", Closed: &closed, Base: &base, Operator: "ana"})); status != 200 {
+		b.t.Fatal(status, reply)
 	}
 }
 
-// TestCallersThatLeaveWhileHeldAreDropped: whoever is gone gives its place up at once, however it went, and
+// TestQueuedRequestsOfDisconnectedClientsAreDropped: whoever is gone gives its place up at once, however it went, and
 // no engine hears of it; one that only said all it had to say is answered.
-func TestCallersThatLeaveWhileHeldAreDropped(t *testing.T) {
+func TestQueuedRequestsOfDisconnectedClientsAreDropped(t *testing.T) {
 	b := start(t, nil, engine.Config{})
 	b.zone(true)
 	request := work()
@@ -403,7 +403,7 @@
 	wait.Wait()
 }
 
-func TestHoldingIsBounded(t *testing.T) {
+func TestQueueIsBounded(t *testing.T) {
 	b := start(t, func(s *document.Configuration) { s.Limits.MaxPending = 5 }, engine.Config{Slots: 1, ChunkTime: 20 * time.Millisecond})
 	var wait sync.WaitGroup
 	outcomes := make(chan string, 40)
@@ -461,7 +461,7 @@
 	}
 }
 
-func TestAPlannedStopFinishesWhatWasRead(t *testing.T) {
+func TestGracefulShutdownFinishesRequestsThatWereRead(t *testing.T) {
 	b := start(t, nil, engine.Config{ChunkTime: 40 * time.Millisecond, Slots: 2})
 	var wait sync.WaitGroup
 	for i := range 6 {
--- a/testbed/endtoend/cutoff_test.go
+++ b/testbed/endtoend/cutoff_test.go
@@ -19,7 +19,7 @@
 }
 
 // add brings up one more routing daemon, whose settings name only some seeds.
-func (p *parted) add(name string, seeds []string, settle func(*daemonconfig.Config)) *bench {
+func (p *parted) add(name string, seeds []string, configure func(*daemonconfig.Config)) *bench {
 	p.t.Helper()
 	b := &bench{t: p.t, platform: p.core[0].platform}
 	b.place()
@@ -28,7 +28,7 @@
 		p.t.Fatal(err)
 	}
 	p.t.Cleanup(func() { listener.Close() })
-	b.name, b.reached, b.serve, b.seeds, b.settle = name, listener.Addr().String(), []daemonconfig.Role{daemonconfig.Route}, seeds, settle
+	b.name, b.reached, b.serve, b.seeds, b.settle = name, listener.Addr().String(), []daemonconfig.Role{daemonconfig.Route}, seeds, configure
 	go p.links.Carry(listener, b.name, b.fellow)
 	b.run()
 	return b
@@ -49,8 +49,8 @@
 		{"a closure of a zone that it does not know", operatorapi.PathZone, operatorapi.ZoneClosure{Zone: "nowhere", Closed: &yes, Base: &base, Operator: "ana"}},
 		{"a closure of one that it knows", operatorapi.PathZone, operatorapi.ZoneClosure{Zone: "there", Closed: &yes, Base: &base, Operator: "ana"}},
 	} {
-		if status, word, _ := leader.post(call.path, encode(t, call.body)); status != 503 {
-			t.Errorf("%s: %d %+v", call.name, status, word)
+		if status, reply, _ := leader.post(call.path, encode(t, call.body)); status != 503 {
+			t.Errorf("%s: %d %+v", call.name, status, reply)
 		}
 	}
 	first := encode(t, forwarding(3, 2))
@@ -63,20 +63,20 @@
 		"a patch":                          {"PATCH", "?operator=ana&base=1", []byte(`{"revision":4}`)},
 		"a bundle read back":               {"GET", "", nil},
 	} {
-		status, word, _, took := leader.bundleCall(call.method, call.query, call.body)
+		status, reply, _, took := leader.bundleCall(call.method, call.query, call.body)
 		if status != 503 || took > answeredWithin {
-			t.Errorf("%s: %d %+v after %v", name, status, word, took)
+			t.Errorf("%s: %d %+v after %v", name, status, reply, took)
 		}
 	}
 	// What it was asked for and could not commit is taken by the others, or found by the same call.
 	rest := p.others(leader)
 	rest[0].await("another leads", func() bool { return leaderOf(rest) != nil })
-	if status, word := rest[0].applied(1, first); !taken(status) {
-		t.Errorf("the same call at one of the others: %d %+v", status, word)
+	if status, reply := rest[0].applied(1, first); !taken(status) {
+		t.Errorf("the same call at one of the others: %d %+v", status, reply)
 	}
 	p.links.Heal()
-	if status, word := leader.applied(1, first); !taken(status) {
-		t.Errorf("the same call at the one that was cut off, once it is back: %d %+v", status, word)
+	if status, reply := leader.applied(1, first); !taken(status) {
+		t.Errorf("the same call at the one that was cut off, once it is back: %d %+v", status, reply)
 	}
 }
 
--- a/testbed/endtoend/disk_test.go
+++ b/testbed/endtoend/disk_test.go
@@ -34,14 +34,14 @@
 	c.OnFault, c.AttemptScope = daemonconfig.RetryOnFault, daemonconfig.LocalAttempts
 }
 
-func TestALeaderWithAFullDiskStepsAsideAndComesBack(t *testing.T) {
+func TestLeaderWithFullDiskLeavesTheGroupAndRejoins(t *testing.T) {
 	fulls := make([]*atomic.Bool, 3)
 	all := several(t, 3, func(i int) []daemon.Option {
 		fulls[i] = &atomic.Bool{}
 		return []daemon.Option{daemon.WithDisk(func(under replica.Disk) replica.Disk {
-			held := &atomic.Pointer[replica.Disk]{}
-			held.Store(&under)
-			return full{held, fulls[i]}
+			queued := &atomic.Pointer[replica.Disk]{}
+			queued.Store(&under)
+			return full{queued, fulls[i]}
 		})}
 	}, waiting)
 	callers := traffic(all)
@@ -150,7 +150,7 @@
 	}
 }
 
-func TestADamagedFolderIsSetAsideAndTheMachineJoinsAsANewMember(t *testing.T) {
+func TestDamagedFolderIsQuarantinedAndMachineJoinsAsNewMember(t *testing.T) {
 	all := several(t, 3, func(int) []daemon.Option { return nil }, waiting)
 	shut(all[0], true)
 	hurt := all[1]
--- a/testbed/endtoend/granted_test.go
+++ b/testbed/endtoend/granted_test.go
@@ -53,8 +53,8 @@
 func watched() *granted {
 	now := clock.System{}.Elapsed()
 	g := &granted{mark: now, last: now}
-	box := actor.NewMailbox[struct{}](1)
-	go box.Run(context.Background(), grantEvery, func(struct{}) {}, func() { g.look(clock.System{}.Elapsed()) })
+	mailbox := actor.NewMailbox[struct{}](1)
+	go mailbox.Run(context.Background(), grantEvery, func(struct{}) {}, func() { g.look(clock.System{}.Elapsed()) })
 	return g
 }
 
--- a/testbed/endtoend/harness_test.go
+++ b/testbed/endtoend/harness_test.go
@@ -108,7 +108,7 @@
 	}
 }
 
-func testSpec(engines, slots int) document.Configuration {
+func testConfiguration(engines, slots int) document.Configuration {
 	s := document.Configuration{
 		Name: "bench", Zones: []document.Zone{{Name: "here"}, {Name: "there"}},
 		Models:   []document.Model{{Name: "m", Size: 10}, {Name: "other", Size: 10}},
@@ -158,7 +158,7 @@
 }
 
 // several brings up a group of daemons that serve everything, with one engine; each may have options of its own.
-func several(t *testing.T, size int, options func(i int) []daemon.Option, settle ...func(*daemonconfig.Config)) []*bench {
+func several(t *testing.T, size int, options func(i int) []daemon.Option, configure ...func(*daemonconfig.Config)) []*bench {
 	t.Helper()
 	first := prepare(t, engine.Config{Slots: 8})
 	out, seeds := []*bench{}, []string{}
@@ -169,7 +169,7 @@
 			b.place()
 		}
 		b.name, b.options = fmt.Sprint("d", i), options(i)
-		for _, change := range settle {
+		for _, change := range configure {
 			b.settle = change
 		}
 		out, seeds = append(out, b), append(seeds, b.fellow)
@@ -258,7 +258,7 @@
 	if len(configs) > 0 && configs[0].Slots > 0 {
 		slots = configs[0].Slots
 	}
-	s := testSpec(len(configs), slots)
+	s := testConfiguration(len(configs), slots)
 	if change != nil {
 		change(&s)
 	}
@@ -352,9 +352,9 @@
 	}
 	defer response.Body.Close()
 	data, _ := io.ReadAll(response.Body)
-	var word operatorapi.Error
-	_ = json.Unmarshal(data, &word)
-	return response.StatusCode, word, data
+	var reply operatorapi.Error
+	_ = json.Unmarshal(data, &reply)
+	return response.StatusCode, reply, data
 }
 
 func (b *bench) propose(id string, base uint64, operator string, bundle []byte) (int, operatorapi.Error) {
@@ -368,28 +368,28 @@
 
 // answered calls until there is a clear answer, with the same ids, as the pages say: 503 is that nobody could tell,
 // and 202 that it is committed and not yet everywhere.
-func (b *bench) answered(path string, body []byte) (status int, word operatorapi.Error) {
+func (b *bench) answered(path string, body []byte) (status int, reply operatorapi.Error) {
 	b.t.Helper()
 	b.await("there is a clear answer at "+path, func() bool {
-		status, word, _ = b.post(path, body)
+		status, reply, _ = b.post(path, body)
 		return status != http.StatusServiceUnavailable && status != http.StatusAccepted
 	})
-	return status, word
+	return status, reply
 }
 
-func (b *bench) act(path, id, operator string) (int, operatorapi.Error) {
+func (b *bench) postStep(path, id, operator string) (int, operatorapi.Error) {
 	b.t.Helper()
 	return b.answered(path, encode(b.t, operatorapi.ProposalAction{ProposalID: id, Operator: operator}))
 }
 
 func (b *bench) roll(id string, base uint64, bundle []byte) {
 	b.t.Helper()
-	if status, word := b.propose(id, base, "ana", bundle); status != 200 {
-		b.t.Fatal(status, word)
+	if status, reply := b.propose(id, base, "ana", bundle); status != 200 {
+		b.t.Fatal(status, reply)
 	}
 	for _, step := range []struct{ path, operator string }{{operatorapi.PathReview, "berta"}, {operatorapi.PathSign, "chen"}, {operatorapi.PathRoll, "ana"}} {
-		if status, word := b.act(step.path, id, step.operator); status != 200 {
-			b.t.Fatal(step.path, status, word)
+		if status, reply := b.postStep(step.path, id, step.operator); status != 200 {
+			b.t.Fatal(step.path, status, reply)
 		}
 	}
 }
--- a/testbed/endtoend/leaving_test.go
+++ b/testbed/endtoend/leaving_test.go
@@ -28,7 +28,7 @@
 	core, edges []*bench
 }
 
-func part(t *testing.T, edges int, settle func(*daemonconfig.Config)) *parted {
+func part(t *testing.T, edges int, configure func(*daemonconfig.Config)) *parted {
 	t.Helper()
 	first := prepare(t)
 	p := &parted{t: t, links: fleet.NewLinks()}
@@ -57,11 +57,11 @@
 	}
 	for _, b := range p.all() {
 		b.seeds = seeds
-		b.settle = settle
+		b.settle = configure
 		b.run()
 	}
 	first.await("the group has a leader", func() bool { return leaderOf(p.core) != nil })
-	first.roll("first", 0, encode(t, testSpec(1, 4)))
+	first.roll("first", 0, encode(t, testConfiguration(1, 4)))
 	for _, b := range p.all() {
 		b.await("all are ready", func() bool { return b.status().Ready })
 	}
@@ -84,8 +84,8 @@
 func (p *parted) register(ids ...string) {
 	p.t.Helper()
 	for i, id := range ids {
-		if status, word := p.core[i%3].say("PUT", id, registration(i, 1)); status != 200 {
-			p.t.Fatal(status, word)
+		if status, reply := p.core[i%3].say("PUT", id, registration(i, 1)); status != 200 {
+			p.t.Fatal(status, reply)
 		}
 	}
 	for _, b := range p.all() {
--- a/testbed/endtoend/linearizable_test.go
+++ b/testbed/endtoend/linearizable_test.go
@@ -260,8 +260,8 @@
 // TestAbsurdOrdersAreRefusedAndChangeNothing sends orders that no operator means.
 func TestAbsurdOrdersAreRefusedAndChangeNothing(t *testing.T) {
 	b := together(t, 1, true, nil)[0]
-	if status, word := b.applied(0, encode(t, forwarding(5, 1))); !taken(status) {
-		t.Fatal(status, word)
+	if status, reply := b.applied(0, encode(t, forwarding(5, 1))); !taken(status) {
+		t.Fatal(status, reply)
 	}
 	const absurd = uint64(1) << 60
 	for name, c := range map[string]struct {
@@ -285,16 +285,16 @@
 	}
 	// One on a base to come is refused, and stays so once that base is there.
 	ahead := encode(t, forwarding(12, 2))
-	if status, word := b.applied(9, ahead); status != 409 {
-		t.Errorf("a base to come: %d %+v", status, word)
+	if status, reply := b.applied(9, ahead); status != 409 {
+		t.Errorf("a base to come: %d %+v", status, reply)
 	}
-	if status, word := b.applied(5, encode(t, forwarding(9, 1))); !taken(status) {
-		t.Fatal(status, word)
+	if status, reply := b.applied(5, encode(t, forwarding(9, 1))); !taken(status) {
+		t.Fatal(status, reply)
 	}
-	if status, word := b.applied(9, ahead); status != 409 {
-		t.Errorf("the refused one again: %d %+v", status, word)
+	if status, reply := b.applied(9, ahead); status != 409 {
+		t.Errorf("the refused one again: %d %+v", status, reply)
 	}
-	if status, word := b.applied(9, encode(t, forwarding(13, 2))); !taken(status) {
-		t.Errorf("another on the same base: %d %+v", status, word)
+	if status, reply := b.applied(9, encode(t, forwarding(13, 2))); !taken(status) {
+		t.Errorf("another on the same base: %d %+v", status, reply)
 	}
 }
--- a/testbed/endtoend/machine_test.go
+++ b/testbed/endtoend/machine_test.go
@@ -121,7 +121,7 @@
 	})
 }
 
-func TestALeaderWithAStalledDiskGivesWayAndTrafficGoesOn(t *testing.T) {
+func TestLeaderWithStalledDiskStepsDownAndTrafficContinues(t *testing.T) {
 	disks := make([]*disk, 3)
 	all := several(t, 3, func(i int) []daemon.Option {
 		disks[i] = &disk{}
@@ -173,7 +173,7 @@
 	}
 }
 
-func TestClocksThatJumpMoveNothing(t *testing.T) {
+func TestClockJumpsChangeNothing(t *testing.T) {
 	machines := make([]*clocks, 3)
 	all := several(t, 3, func(i int) []daemon.Option {
 		machines[i] = &clocks{}
--- a/testbed/endtoend/opaque_test.go
+++ b/testbed/endtoend/opaque_test.go
@@ -55,12 +55,12 @@
 	return e
 }
 
-// beat says that the engine lives, or that it leaves.
-func (e *plainEngine) beat(b *bench, leaving bool) {
+// sendHeartbeat says that the engine lives, or that it leaves.
+func (e *plainEngine) sendHeartbeat(b *bench, leaving bool) {
 	b.t.Helper()
 	e.seq++
-	word := operatorapi.Registration{Pool: "p", Address: e.address, Zone: "here", Slots: 20, CallSeq: e.seq, Draining: leaving}
-	b.await(e.id+" is acknowledged", func() bool { status, _ := b.say("PUT", e.id, word); return status == 200 })
+	reply := operatorapi.Registration{Pool: "p", Address: e.address, Zone: "here", Slots: 20, CallSeq: e.seq, Draining: leaving}
+	b.await(e.id+" is acknowledged", func() bool { status, _ := b.say("PUT", e.id, reply); return status == 200 })
 }
 
 // ask makes one opaque request at a daemon.
@@ -91,8 +91,8 @@
 	if status, _, _ := all[0].ask("/r0/x", "early"); status != 503 {
 		t.Error("before any bundle:", status)
 	}
-	if status, word := all[0].acknowledged("PUT", 0, encode(t, bundle)); status != 200 {
-		t.Fatal(status, word)
+	if status, reply := all[0].acknowledged("PUT", 0, encode(t, bundle)); status != 200 {
+		t.Fatal(status, reply)
 	}
 	number := 0
 	served := func(b *bench, path string, want int) bool {
@@ -112,32 +112,32 @@
 	}
 	// Once its leaving is acknowledged, nothing more reaches it. The acknowledgement waits for all to know, but no
 	// longer than that, so one that took so long says nothing: it is tried again with another engine.
-	for number, held := 0, false; !held; number++ {
+	for number, queued := 0, false; !queued; number++ {
 		first := newPlainEngine(t, fmt.Sprint("first-", number))
-		first.beat(all[1], false)
+		first.sendHeartbeat(all[1], false)
 		everywhere("a registered engine serves", "/r0/x", 200)
 		everywhere("and by both paths", "/r1/x", 200)
 		everywhere("no such path", "/r7/x", 404)
 		asked := time.Now()
-		first.beat(all[2], true)
+		first.sendHeartbeat(all[2], true)
 		inTime := time.Since(asked) < leaveReach
 		came := first.arrivals.Load()
 		everywhere("nobody serves", "/r0/x", 503)
 		now := first.arrivals.Load()
-		held = now == came
-		if !held && (inTime || number == 20) {
+		queued = now == came
+		if !queued && (inTime || number == 20) {
 			t.Fatalf("%d requests reached an engine that had left", now-came)
 		}
 	}
 	second := newPlainEngine(t, "second")
-	second.beat(all[0], false)
+	second.sendHeartbeat(all[0], false)
 	everywhere("another engine serves", "/r0/x", 200)
 
 	// Paths come and go with the bundle.
-	if status, word := all[1].acknowledged("PATCH", 1, encode(t, upstream.Patch{Revision: 2, Upsert: upstream.Items{Paths: []upstream.Path{path("new", "p")}}, Remove: upstream.Names{Paths: []string{"r0"}}})); status != 200 {
-		t.Fatal(status, word)
+	if status, reply := all[1].acknowledged("PATCH", 1, encode(t, upstream.Patch{Revision: 2, Upsert: upstream.Items{Paths: []upstream.Path{path("new", "p")}}, Remove: upstream.Names{Paths: []string{"r0"}}})); status != 200 {
+		t.Fatal(status, reply)
 	}
-	second.beat(all[0], false)
+	second.sendHeartbeat(all[0], false)
 	everywhere("a path was added", "/new/x", 200)
 	everywhere("a path was taken away", "/r0/x", 404)
 }
@@ -148,11 +148,11 @@
 	b := all[1]
 	bundle := document.Configuration{Name: "opaque", Forward: &upstream.Section{Revision: 1, Pools: []upstream.Pool{{Name: "p"}}, Paths: []upstream.Path{path("slow", "p")}}}
 	bundle.Forward.Paths[0].DeadlineMs = 20_000
-	if status, word := b.acknowledged("PUT", 0, encode(t, bundle)); status != 200 {
-		t.Fatal(status, word)
+	if status, reply := b.acknowledged("PUT", 0, encode(t, bundle)); status != 200 {
+		t.Fatal(status, reply)
 	}
 	e := newPlainEngine(t, "e")
-	e.beat(b, false)
+	e.sendHeartbeat(b, false)
 	b.await("the engine serves", func() bool { status, _, _ := b.ask("/slow/x", fmt.Sprint("warm", e.seq)); return status == 200 })
 	for len(e.come) > 0 {
 		<-e.come
@@ -189,8 +189,8 @@
 func TestADaemonThatForwardsServesItsOwnPages(t *testing.T) {
 	all := together(t, 1, true, func(int) []daemon.Option { return []daemon.Option{daemon.WithForwarding(dialect.Own())} })
 	b := all[0]
-	if status, word := b.acknowledged("PUT", 0, encode(t, forwarding(1, 1))); status != 200 {
-		t.Fatal(status, word)
+	if status, reply := b.acknowledged("PUT", 0, encode(t, forwarding(1, 1))); status != 200 {
+		t.Fatal(status, reply)
 	}
 	b.await("it is ready", func() bool { status, _ := b.get(operatorapi.PathReady, nil); return status == 200 })
 	for _, page := range []string{operatorapi.PathLive, operatorapi.PathCounters, operatorapi.PathStatus} {
--- a/testbed/endtoend/operator_test.go
+++ b/testbed/endtoend/operator_test.go
@@ -25,53 +25,53 @@
 	}
 }
 
-func TestSpecStages(t *testing.T) {
+func TestConfigurationStepsInOrder(t *testing.T) {
 	b := start(t, nil, engine.Config{})
-	second := testSpec(1, 4)
+	second := testConfiguration(1, 4)
 	second.Name = "second"
 	bundle := append([]byte("\n\t"), encode(t, second)...)
-	expect := func(what string, status, want int, word operatorapi.Error) {
+	expect := func(what string, status, want int, reply operatorapi.Error) {
 		t.Helper()
 		if status != want {
-			t.Errorf("%s: status %d, %+v; want %d", what, status, word, want)
+			t.Errorf("%s: status %d, %+v; want %d", what, status, reply, want)
 		}
 	}
-	status, word := b.propose("p2", 0, "ana", bundle)
-	expect("a stale base", status, 409, word)
-	if word.Winner != "first" || word.Version != 1 {
-		t.Errorf("the loser is not told the winner: %+v", word)
+	status, reply := b.propose("p2", 0, "ana", bundle)
+	expect("a stale base", status, 409, reply)
+	if reply.Winner != "first" || reply.Version != 1 {
+		t.Errorf("the loser is not told the winner: %+v", reply)
 	}
-	status, word = b.propose("p2", 7, "ana", bundle)
-	expect("a base that is not there yet", status, 409, word)
-	status, word = b.propose("p2", 1, "ana", bundle)
-	expect("a sound proposal", status, 200, word)
-	status, word = b.propose("p2", 1, "ana", bundle)
-	expect("the same one again", status, 200, word)
-	status, word = b.propose("p2", 1, "ana", b.bundle)
-	expect("the same id for another bundle", status, 409, word)
-	status, word = b.act(operatorapi.PathRoll, "p2", "ana")
-	expect("an unsigned roll", status, 403, word)
-	status, word = b.act(operatorapi.PathSign, "p2", "berta")
-	expect("a sign-off before review", status, 403, word)
-	status, word = b.act(operatorapi.PathReview, "p2", "berta")
-	expect("a review", status, 200, word)
-	status, word = b.act(operatorapi.PathSign, "p2", "ana")
-	expect("the author's own sign-off", status, 403, word)
-	status, word = b.act(operatorapi.PathSign, "nothing", "berta")
-	expect("an unknown proposal", status, 404, word)
+	status, reply = b.propose("p2", 7, "ana", bundle)
+	expect("a base that is not there yet", status, 409, reply)
+	status, reply = b.propose("p2", 1, "ana", bundle)
+	expect("a sound proposal", status, 200, reply)
+	status, reply = b.propose("p2", 1, "ana", bundle)
+	expect("the same one again", status, 200, reply)
+	status, reply = b.propose("p2", 1, "ana", b.bundle)
+	expect("the same id for another bundle", status, 409, reply)
+	status, reply = b.postStep(operatorapi.PathRoll, "p2", "ana")
+	expect("an unsigned roll", status, 403, reply)
+	status, reply = b.postStep(operatorapi.PathSign, "p2", "berta")
+	expect("a sign-off before review", status, 403, reply)
+	status, reply = b.postStep(operatorapi.PathReview, "p2", "berta")
+	expect("a review", status, 200, reply)
+	status, reply = b.postStep(operatorapi.PathSign, "p2", "ana")
+	expect("the author's own sign-off", status, 403, reply)
+	status, reply = b.postStep(operatorapi.PathSign, "nothing", "berta")
+	expect("an unknown proposal", status, 404, reply)
 	if now := b.status().ConfigurationVersion; now != 1 {
 		t.Errorf("epoch %d is in force", now)
 	}
-	status, word = b.propose("rival", 1, "eva", b.bundle)
-	expect("a rival on the same base", status, 200, word)
-	status, word = b.act(operatorapi.PathSign, "p2", "berta")
-	expect("a sign-off", status, 200, word)
-	status, word = b.act(operatorapi.PathRoll, "p2", "ana")
-	expect("a roll", status, 200, word)
-	status, word = b.act(operatorapi.PathRoll, "p2", "ana")
-	expect("the same roll again", status, 200, word)
-	status, word = b.act(operatorapi.PathReview, "rival", "berta")
-	expect("the loser of the race", status, 409, word)
+	status, reply = b.propose("rival", 1, "eva", b.bundle)
+	expect("a rival on the same base", status, 200, reply)
+	status, reply = b.postStep(operatorapi.PathSign, "p2", "berta")
+	expect("a sign-off", status, 200, reply)
+	status, reply = b.postStep(operatorapi.PathRoll, "p2", "ana")
+	expect("a roll", status, 200, reply)
+	status, reply = b.postStep(operatorapi.PathRoll, "p2", "ana")
+	expect("the same roll again", status, 200, reply)
+	status, reply = b.postStep(operatorapi.PathReview, "rival", "berta")
+	expect("the loser of the race", status, 409, reply)
 	if now := b.status().ConfigurationVersion; now != 2 {
 		t.Errorf("epoch %d is in force after one roll asked for twice", now)
 	}
@@ -95,24 +95,24 @@
 
 func TestFaultyBundlesAreRefusedWithEveryFault(t *testing.T) {
 	b := start(t, nil, engine.Config{})
-	s := testSpec(1, 4)
+	s := testConfiguration(1, 4)
 	s.Name = ""
 	s.Engines[0].Zone = "nowhere"
 	s.Models[0].Size = 0
 	s.Models = append(s.Models, s.Models[1])
 	s.Routes[0].Models = append(s.Routes[0].Models, "none")
 	s.Limits.MaxRetryRatio = 2
-	status, word := b.propose("faulty", 1, "ana", encode(t, s))
+	status, reply := b.propose("faulty", 1, "ana", encode(t, s))
 	if status != 400 {
-		t.Fatal(status, word)
+		t.Fatal(status, reply)
 	}
 	for _, path := range []string{"name", "engines[0].zone", "models[0].size", "models[2].name", "routes[0].models[1]", "limits.retryShare"} {
 		found := false
-		for _, fault := range word.Faults {
+		for _, fault := range reply.Faults {
 			found = found || fault.Path == path
 		}
 		if !found {
-			t.Errorf("no fault at %s in %v", path, word.Faults)
+			t.Errorf("no fault at %s in %v", path, reply.Faults)
 		}
 	}
 	for name, bundle := range map[string]string{
@@ -123,24 +123,24 @@
 		"a number":      `5`,
 		"null":          `null`,
 	} {
-		if status, word := b.propose("bad-"+name, 1, "ana", []byte(bundle)); status != 400 || len(word.Faults) == 0 {
-			t.Errorf("%s: %d %+v", name, status, word)
+		if status, reply := b.propose("bad-"+name, 1, "ana", []byte(bundle)); status != 400 || len(reply.Faults) == 0 {
+			t.Errorf("%s: %d %+v", name, status, reply)
 		}
 	}
 	for path, body := range map[string]string{
 		operatorapi.PathRoll: `{"proposalId":"x"}`, operatorapi.PathZone: `{"zone":"here","closed":true,"operator":"ana"}`, operatorapi.PathDeclareLost: `{"daemon":"","operator":"ana"}`, operatorapi.PathReview: `{`,
 		operatorapi.PathSign: `{"proposalId":5,"operator":"a"}`, operatorapi.PathDrain: `{"engine":"","draining":true,"operator":"a"}`,
 	} {
-		if status, word, _ := b.post(path, []byte(body)); status != 400 || word.Reason == "" {
-			t.Errorf("%s %s: %d %+v", path, body, status, word)
+		if status, reply, _ := b.post(path, []byte(body)); status != 400 || reply.Reason == "" {
+			t.Errorf("%s %s: %d %+v", path, body, status, reply)
 		}
 	}
 	for path, body := range map[string]string{
 		operatorapi.PathZone: `{"zone":"nowhere","closed":true,"base":0,"operator":"ana"}`, operatorapi.PathDrain: `{"engine":"none","draining":true,"base":0,"operator":"ana"}`,
 		operatorapi.PathDeclareLost: `{"daemon":"nobody#1","operator":"ana"}`,
 	} {
-		if status, word, _ := b.post(path, []byte(body)); status != 404 {
-			t.Errorf("%s %s: %d %+v", path, body, status, word)
+		if status, reply, _ := b.post(path, []byte(body)); status != 404 {
+			t.Errorf("%s %s: %d %+v", path, body, status, reply)
 		}
 	}
 	if now := b.status(); now.ConfigurationVersion != 1 || now.ClosureVersion != 0 {
@@ -179,35 +179,35 @@
 		if round%2 == 1 {
 			// What the loser did not open is opened now, so that the next round begins anew.
 			for zone := range closures.Zones {
-				if status, word := shut(string(zone), "chen", false, now); status != 200 {
-					t.Fatal(status, word)
+				if status, reply := shut(string(zone), "chen", false, now); status != 200 {
+					t.Fatal(status, reply)
 				}
 			}
 			continue
 		}
 		for zone, mark := range closures.Zones {
-			if status, word := shut(string(zone), mark.Operator, true, base); status != 200 {
-				t.Errorf("asked for again: %d %+v", status, word)
+			if status, reply := shut(string(zone), mark.Operator, true, base); status != 200 {
+				t.Errorf("asked for again: %d %+v", status, reply)
 			}
-			if status, word := shut(string(zone), "chen", true, base); status != 409 || word.Winner != mark.Operator || word.Closures == nil || word.Closures.Version != now {
-				t.Errorf("another operator's: %d %+v", status, word)
+			if status, reply := shut(string(zone), "chen", true, base); status != 409 || reply.Winner != mark.Operator || reply.Closures == nil || reply.Closures.Version != now {
+				t.Errorf("another operator's: %d %+v", status, reply)
 			}
 			// Both are shut for the next round, in which both are opened.
 			other := map[ident.ZoneID]string{"here": "there", "there": "here"}[zone]
-			if status, word := shut(other, "chen", true, now); status != 200 {
-				t.Fatal(status, word)
+			if status, reply := shut(other, "chen", true, now); status != 200 {
+				t.Fatal(status, reply)
 			}
 		}
 	}
-	if status, word := shut("here", "ana", true, 999); status != 409 {
-		t.Errorf("a base from the future: %d %+v", status, word)
+	if status, reply := shut("here", "ana", true, 999); status != 409 {
+		t.Errorf("a base from the future: %d %+v", status, reply)
 	}
 }
 
-func TestGarbageFromFellowsIsRefusedAndCounted(t *testing.T) {
+func TestMalformedPeerMessagesAreRejectedAndCounted(t *testing.T) {
 	b := start(t, nil, engine.Config{})
 	group := string(b.status().Group)
-	fellow := peerapi.NewFellowProtobufClient("http://"+b.fellow, http.DefaultClient)
+	peer := peerapi.NewFellowProtobufClient("http://"+b.fellow, http.DefaultClient)
 	ctx := context.Background()
 	garbage := []*peerapi.RaftBatch{
 		{Group: group, Messages: []*peerapi.RaftMessage{{Kind: 99, From: 1, To: 1, Term: 1}}},
@@ -218,7 +218,7 @@
 		{Group: group, Messages: []*peerapi.RaftMessage{{Kind: uint32(raft.MsgHeartbeat), From: 1, To: 1, Term: 99}}},
 	}
 	for i, batch := range garbage {
-		if _, err := fellow.Raft(ctx, batch); err == nil {
+		if _, err := peer.Raft(ctx, batch); err == nil {
 			t.Errorf("garbage %d was taken", i)
 		}
 	}
@@ -226,16 +226,16 @@
 		t.Errorf("%d were counted", n)
 	}
 	before := b.counter("fellow_foreign_group")
-	if _, err := fellow.Raft(ctx, &peerapi.RaftBatch{Group: "another", Messages: []*peerapi.RaftMessage{{Kind: uint32(raft.MsgHeartbeat), From: 1, To: 2, Term: 99}}}); err == nil {
+	if _, err := peer.Raft(ctx, &peerapi.RaftBatch{Group: "another", Messages: []*peerapi.RaftMessage{{Kind: uint32(raft.MsgHeartbeat), From: 1, To: 2, Term: 99}}}); err == nil {
 		t.Error("another group's message was taken")
 	}
-	if _, err := fellow.Submit(ctx, &peerapi.SubmitRequest{Group: "another", Command: []byte(`{"op":"CLOSURE","zone":"here","closed":true}`)}); err == nil {
+	if _, err := peer.Submit(ctx, &peerapi.SubmitRequest{Group: "another", Command: []byte(`{"op":"CLOSURE","zone":"here","closed":true}`)}); err == nil {
 		t.Error("another group's command was taken")
 	}
-	if _, err := fellow.Submit(ctx, &peerapi.SubmitRequest{Group: group, Command: []byte(`{"op":"RECLAIM"}`)}); err == nil {
+	if _, err := peer.Submit(ctx, &peerapi.SubmitRequest{Group: group, Command: []byte(`{"op":"RECLAIM"}`)}); err == nil {
 		t.Error("a command that is the leader's alone was taken")
 	}
-	if _, err := fellow.Pull(ctx, &peerapi.PullRequest{Group: "another", NodeId: "x", Address: "y"}); err == nil {
+	if _, err := peer.Pull(ctx, &peerapi.PullRequest{Group: "another", NodeId: "x", Address: "y"}); err == nil {
 		t.Error("another group's pull was served")
 	}
 	if n := b.counter("fellow_foreign_group"); n != before+3 {
@@ -246,7 +246,7 @@
 	}
 }
 
-func TestAJunkReportSetsAnEngineAside(t *testing.T) {
+func TestMalformedReportQuarantinesEngine(t *testing.T) {
 	b := start(t, nil, engine.Config{Fault: "junk-report", FaultFrom: 1})
 	if record := b.call("one", work()); !record.Complete() {
 		t.Fatalf("%+v", record)
--- a/testbed/endtoend/order_test.go
+++ b/testbed/endtoend/order_test.go
@@ -157,20 +157,20 @@
 	others := o.others(leader)
 	others[0].await("another leads", func() bool { return leaderOf(others) != nil })
 	others[0].await("the same order is acknowledged by the others", func() bool {
-		status, word := others[0].apply(5, six)
+		status, reply := others[0].apply(5, six)
 		if status == 409 || status == 400 {
-			t.Fatalf("an order that was taken is refused: %+v", word)
+			t.Fatalf("an order that was taken is refused: %+v", reply)
 		}
 		return taken(status)
 	})
-	if status, word := others[1].applied(5, rival); status != 409 || word.Revision != 6 {
-		t.Errorf("another on the same base: %d %+v", status, word)
+	if status, reply := others[1].applied(5, rival); status != 409 || reply.Revision != 6 {
+		t.Errorf("another on the same base: %d %+v", status, reply)
 	}
 	if revision := o.settled(); revision != 6 || leader.status().ConfigurationVersion != 2 {
 		t.Errorf("revision %d is in force, as epoch %d", revision, leader.status().ConfigurationVersion)
 	}
-	if status, word := leader.applied(5, six); !taken(status) {
-		t.Error("the same order at the old leader:", status, word)
+	if status, reply := leader.applied(5, six); !taken(status) {
+		t.Error("the same order at the old leader:", status, reply)
 	}
 }
 
@@ -213,8 +213,8 @@
 		}
 	})
 	six := encode(t, forwarding(6, 2))
-	if status, word := leader.apply(5, six); status != 503 {
-		t.Errorf("an order whose fate nobody knows: %d %+v", status, word)
+	if status, reply := leader.apply(5, six); status != 503 {
+		t.Errorf("an order whose fate nobody knows: %d %+v", status, reply)
 	}
 	o.written.Store(nil)
 	for _, b := range o.core {
@@ -239,9 +239,9 @@
 		return leaderOf(o.core) != nil
 	})
 	o.core[1].await("the order is acknowledged", func() bool {
-		status, word := o.core[1].apply(5, six)
+		status, reply := o.core[1].apply(5, six)
 		if status == 409 || status == 400 {
-			t.Fatalf("an order that was taken is refused: %+v", word)
+			t.Fatalf("an order that was taken is refused: %+v", reply)
 		}
 		return taken(status)
 	})
@@ -280,9 +280,9 @@
 			if try > 400 {
 				t.Fatal("no clear answer")
 			}
-			status, word, _, took := o.core[random.IntN(3)].bundleCall("PATCH", fmt.Sprintf("?operator=ana&base=%d", base), encode(t, change))
+			status, reply, _, took := o.core[random.IntN(3)].bundleCall("PATCH", fmt.Sprintf("?operator=ana&base=%d", base), encode(t, change))
 			if status == 409 || status == 400 || status == 404 {
-				t.Fatalf("round %d: an order on the newest is refused: %d %+v", round, status, word)
+				t.Fatalf("round %d: an order on the newest is refused: %d %+v", round, status, reply)
 			}
 			if took > silence {
 				t.Errorf("round %d: it took %v to answer %d", round, took, status)
@@ -348,5 +348,5 @@
 	run(1, "forward.paths[0].deadlineMs", "apply", file("bad", encode(t, bad)), "--base", "5")
 	run(0, "revision 9", "patch", file("patch", encode(t, upstream.Patch{Revision: 9, Remove: upstream.Names{Paths: []string{"r0"}}})), "--base", "5")
 	run(0, "revision 9", "show")
-	run(1, "is missing", "apply", file("sessions", encode(t, testSpec(1, 1))), "--base", "9")
+	run(1, "is missing", "apply", file("sessions", encode(t, testConfiguration(1, 1))), "--base", "9")
 }
--- a/testbed/endtoend/registering_test.go
+++ b/testbed/endtoend/registering_test.go
@@ -29,18 +29,18 @@
 		return 0, operatorapi.Error{}
 	}
 	defer response.Body.Close()
-	var word operatorapi.Error
-	_ = json.NewDecoder(response.Body).Decode(&word)
-	return response.StatusCode, word
+	var reply operatorapi.Error
+	_ = json.NewDecoder(response.Body).Decode(&reply)
+	return response.StatusCode, reply
 }
 
 // leave says that an engine leaves, until that is acknowledged: a busy disk can take longer than a daemon waits.
 func (b *bench) leave(method, id string, body any) {
 	b.t.Helper()
 	b.await(id+" is acknowledged", func() bool {
-		status, word := b.say(method, id, body)
+		status, reply := b.say(method, id, body)
 		if status != 200 && status != 503 {
-			b.t.Fatal(id, status, word)
+			b.t.Fatal(id, status, reply)
 		}
 		return status == 200
 	})
@@ -72,8 +72,8 @@
 		}
 	}
 	for i, b := range all {
-		if status, word := b.say("PUT", fmt.Sprint("r", i), registration(i, 1)); status != 200 {
-			t.Fatal(status, word)
+		if status, reply := b.say("PUT", fmt.Sprint("r", i), registration(i, 1)); status != 200 {
+			t.Fatal(status, reply)
 		}
 	}
 	for i := range all {
@@ -86,21 +86,21 @@
 	// What was told to one daemon, and acknowledged, is known to all that are in contact already. The
 	// acknowledgement waits for them no longer than its reach, so one that took so long says nothing: it is tried
 	// again with another engine.
-	for number, held := 0, false; !held; number++ {
-		id, word := fmt.Sprint("once-", number), registration(60+number, 1)
-		if status, word := all[0].say("PUT", id, word); status != 200 {
-			t.Fatal(status, word)
+	for number, queued := 0, false; !queued; number++ {
+		id, reply := fmt.Sprint("once-", number), registration(60+number, 1)
+		if status, reply := all[0].say("PUT", id, reply); status != 200 {
+			t.Fatal(status, reply)
 		}
 		everywhere(id, operatorapi.EngineUsable)
-		word.CallSeq, word.Draining = 2, true
+		reply.CallSeq, reply.Draining = 2, true
 		asked := time.Now()
-		all[1].leave("PUT", id, word)
+		all[1].leave("PUT", id, reply)
 		inTime := time.Since(asked) < leaveReach
-		held = true
+		queued = true
 		for _, b := range all {
 			condition := b.condition(id)
-			held = held && condition == operatorapi.EngineDraining
-			if !held && (inTime || number == 20) {
+			queued = queued && condition == operatorapi.EngineDraining
+			if !queued && (inTime || number == 20) {
 				t.Fatalf("%s: %s is %q", b.name, id, condition)
 			}
 		}
@@ -156,8 +156,8 @@
 	} {
 		r := registration(1, 1)
 		change(&r)
-		if status, word := b.say("PUT", "r1", r); status != 400 || word.Field != field {
-			t.Errorf("%s: %d %+v", field, status, word)
+		if status, reply := b.say("PUT", "r1", r); status != 400 || reply.Field != field {
+			t.Errorf("%s: %d %+v", field, status, reply)
 		}
 	}
 	if condition := b.condition("r1"); condition != "" {
@@ -165,7 +165,7 @@
 	}
 }
 
-func TestBeatsToOneDaemonKeepAnEngineUsableAtAll(t *testing.T) {
+func TestHeartbeatsToOneDaemonKeepEngineUsableEverywhere(t *testing.T) {
 	const period = time.Second
 	p := part(t, 1, func(c *daemonconfig.Config) { c.Bounds.HeartbeatMs = period.Milliseconds() })
 	list := func(b *bench) operatorapi.Engines {
@@ -174,13 +174,13 @@
 		return out
 	}
 	seq := uint64(0)
-	beat := func() {
+	sendHeartbeat := func() {
 		seq++
 		if status, _ := p.core[0].say("PUT", "r0", registration(0, seq)); status != 200 {
 			t.Error(status)
 		}
 	}
-	beat()
+	sendHeartbeat()
 	for _, b := range p.all() {
 		b.await("r0 is known", func() bool { return b.condition("r0") != "" })
 	}
@@ -193,7 +193,7 @@
 	// time. A machine that has other work to do makes single ones late.
 	const soon = 300
 	for began, inTime := begin(), 0; ; {
-		beat()
+		sendHeartbeat()
 		var heard operatorapi.RegisteredEngine
 		p.core[1].await("the beat is known to another", func() bool { heard = list(p.core[1]).Engines[0]; return heard.CallSeq == seq })
 		if heard.LastContactMsAgo < soon {
--- a/testbed/endtoend/snapshot_test.go
+++ b/testbed/endtoend/snapshot_test.go
@@ -148,7 +148,7 @@
 
 // After hundreds of changes a restarted member and one that lost its folder vote as soon as after few, and the folder
 // does not grow. CRESSPOND_SOAK=1 plays 500 changes.
-func TestHundredsOfChangesOnWholeDaemons(t *testing.T) {
+func TestHundredsOfChangesOnRealDaemons(t *testing.T) {
 	all := several(t, 3, func(int) []daemon.Option { return nil }, shortLogs)
 	marks := []int{0, 40}
 	if os.Getenv("CRESSPOND_SOAK") != "" {
--- a/testbed/endtoend/stopping_test.go
+++ b/testbed/endtoend/stopping_test.go
@@ -20,9 +20,9 @@
 	return fmt.Sprint(last.Message, " ", last.Fields["unreleased"])
 }
 
-// TestAStopSaysWhatIsNotHandedOver: the first of three leaves nothing behind. The second of them may not be done
+// TestShutdownReportsWhatWasNotHandedOver: the first of three leaves nothing behind. The second of them may not be done
 // without, stays until its time is up, and says what it takes along; so does the last.
-func TestAStopSaysWhatIsNotHandedOver(t *testing.T) {
+func TestShutdownReportsWhatWasNotHandedOver(t *testing.T) {
 	p := part(t, 0, func(c *daemonconfig.Config) { c.DrainMs = 2500 })
 	p.register("r0", "r1")
 	leader := leaderOf(p.core)
