--- a/daemon/calllimits_test.go
+++ b/daemon/calllimits_test.go
@@ -163,7 +163,7 @@
 					for _, call := range []operatorapi.ApplyRequest{full, patch} {
 						var got operatorapi.ApplyResponse
 						if took := measure(func() { got = d.ApplyBundle(t.Context(), call) }); took > applyLimit || got.Outcome != operatorapi.Unknown {
-							t.Errorf("an order: %s after %v", got.Outcome, took)
+							t.Errorf("applying: %s after %v", got.Outcome, took)
 						}
 					}
 					known := true
@@ -172,10 +172,10 @@
 					}
 					var outcome registry.Response
 					if took := measure(func() { outcome = d.Register(t.Context(), registration) }); took > departureLimit || outcome.Outcome != registry.Unknown {
-						t.Errorf("a leaving: %s after %v", outcome.Outcome, took)
+						t.Errorf("a departure: %s after %v", outcome.Outcome, took)
 					}
 					if took := measure(func() { outcome = d.Deregister(t.Context(), "f") }); took > departureLimit || outcome.Outcome != registry.Unknown {
-						t.Errorf("an end: %s after %v", outcome.Outcome, took)
+						t.Errorf("a deregistration: %s after %v", outcome.Outcome, took)
 					}
 				})
 			})
--- a/daemon/controlcontact_test.go
+++ b/daemon/controlcontact_test.go
@@ -34,30 +34,30 @@
 	const now, period = clock.Mark(time.Hour), time.Second
 	ago := func(span time.Duration) clock.Mark { return now - clock.Mark(span) }
 	for name, c := range map[string]struct {
-		heardLeader, heardPeer time.Duration
+		sinceLeader, sincePeer time.Duration
 		alone, may             bool
 	}{
 		"in touch": {
-			heardLeader: 300 * time.Millisecond,
-			heardPeer:   200 * time.Millisecond,
+			sinceLeader: 300 * time.Millisecond,
+			sincePeer:   200 * time.Millisecond,
 			may:         true,
 		},
-		"cut off together":               {heardLeader: 2 * time.Second, heardPeer: 200 * time.Millisecond},
-		"the peer told long ago":         {heardLeader: 300 * time.Millisecond, heardPeer: 1200 * time.Millisecond},
-		"nobody else, and not the group": {heardLeader: 0, heardPeer: time.Minute},
-		"the whole group":                {heardLeader: 0, heardPeer: time.Minute, alone: true, may: true},
+		"partitioned together":                     {sinceLeader: 2 * time.Second, sincePeer: 200 * time.Millisecond},
+		"the last pull from the peer is too old":   {sinceLeader: 300 * time.Millisecond, sincePeer: 1200 * time.Millisecond},
+		"no other daemon, and not the whole group": {sinceLeader: 0, sincePeer: time.Minute},
+		"the whole group":                          {sinceLeader: 0, sincePeer: time.Minute, alone: true, may: true},
 	} {
 		peer := membership.Member{
 			NodeID:      "peer#1",
 			Address:     "peer",
 			Roles:       []string{string(daemonconfig.Control)},
-			LastContact: ago(c.heardPeer),
+			LastContact: ago(c.sincePeer),
 		}
 		view := &membership.View{
 			Members:           map[ident.NodeID]membership.Member{"peer#1": peer},
-			LastLeaderContact: ago(c.heardLeader),
+			LastLeaderContact: ago(c.sinceLeader),
 		}
-		got := contactOf(view, "self#1", now, func(string) clock.Mark { return ago(c.heardPeer) }, period, func() bool { return c.alone })
+		got := contactOf(view, "self#1", now, func(string) clock.Mark { return ago(c.sincePeer) }, period, func() bool { return c.alone })
 		if got.CanDetectTimeouts != c.may {
 			t.Errorf("%s: may judge %t", name, got.CanDetectTimeouts)
 		}
--- a/daemon/drain_test.go
+++ b/daemon/drain_test.go
@@ -9,11 +9,11 @@
 // then, and what was sent later than three seconds after the signal must be answered completely, however long its
 // engine takes.
 func TestDrainNoticeEndsWithinThePlatformsGracePeriod(t *testing.T) {
-	const askedEvery, excusedUntil, onTheWay = time.Second, 3 * time.Second, 200 * time.Millisecond
-	if least := unreadyAnswersNeeded*askedEvery + connectionInTransit; maxDrainNotice < least {
-		t.Errorf("connections are taken for %v only, and are handed over for %v", maxDrainNotice, least)
+	const checkEvery, graceEnd, inTransit = time.Second, 3 * time.Second, 200 * time.Millisecond
+	if least := unreadyAnswersNeeded*checkEvery + connectionInTransit; maxDrainNotice < least {
+		t.Errorf("connections are accepted for %v only, and assigned for %v", maxDrainNotice, least)
 	}
-	if maxDrainNotice+onTheWay > excusedUntil {
-		t.Errorf("connections are taken for %v, and what comes after %v is not excused", maxDrainNotice, excusedUntil)
+	if maxDrainNotice+inTransit > graceEnd {
+		t.Errorf("connections are accepted for %v, and must not be after %v", maxDrainNotice, graceEnd)
 	}
 }
--- a/daemon/longpoll_test.go
+++ b/daemon/longpoll_test.go
@@ -26,24 +26,24 @@
 	inShort := &peerapi.PullRequest{ConfigurationVersion: 3, RegistryUrgentOnly: true}
 	sends := func(version ident.Version, in *peerapi.PullRequest) bool { return d.sendsConfiguration(version, in) }
 	if sends(3, all) || sends(3, inShort) || sends(2, inShort) {
-		t.Error("what is known is told")
+		t.Error("a configuration that the peer has is sent")
 	}
 	if !sends(4, all) {
-		t.Error("whoever asks for all is told at once")
+		t.Error("a peer that pulls everything is not sent it at once")
 	}
 	if sends(4, inShort) {
-		t.Error("whoever has a teller is told at once too")
+		t.Error("a peer with a relay is sent it at once")
 	}
 	at.now += clock.Mark(configurationDelay)
 	if !sends(4, inShort) {
-		t.Error("one whose teller failed is never told")
+		t.Error("a peer whose relay failed is never sent it")
 	}
 	control := &peerapi.PullRequest{ConfigurationVersion: 4, EveryHeartbeat: true}
 	if sends(5, control) || sends(5, inShort) || !sends(5, all) {
-		t.Error("the next bundle is left to the teller again, and to the log")
+		t.Error("the next configuration is not left to the relay and to the log")
 	}
 	at.now += clock.Mark(configurationDelay)
 	if !sends(5, control) {
-		t.Error("a control daemon outside of the group is never told")
+		t.Error("a control daemon outside of the group is never sent it")
 	}
 }
--- a/daemon/member.go
+++ b/daemon/member.go
@@ -73,9 +73,9 @@
 func (d *Daemon) runMember(ctx context.Context, opened *store.Store) {
 	backoff, damageCount := minMemberBackoff, 0
 	stateDiffers := differBackoff{}
-	for probeDisk := false; ; probeDisk = true {
+	for checkDisk := false; ; checkDisk = true {
 		began := d.clock.Elapsed()
-		err := d.runMemberIncarnation(ctx, opened, probeDisk)
+		err := d.runMemberIncarnation(ctx, opened, checkDisk)
 		opened = nil
 		if ctx.Err() != nil || d.memberRetired.Load() {
 			return
@@ -135,7 +135,7 @@
 }
 
 // runMemberIncarnation opens the folder, finds the group and runs this member until a fault ends it.
-func (d *Daemon) runMemberIncarnation(ctx context.Context, opened *store.Store, probeDisk bool) error {
+func (d *Daemon) runMemberIncarnation(ctx context.Context, opened *store.Store, checkDisk bool) error {
 	if opened == nil {
 		var err error
 		if opened, err = store.Open(d.config.DataDir, NewMember); err != nil {
@@ -143,7 +143,7 @@
 		}
 	}
 	defer opened.Close()
-	if probeDisk {
+	if checkDisk {
 		// The disk may still be full.
 		if err := opened.CheckWritable(); err != nil {
 			return err
