--- a/connection/adminapi/based_test.go
+++ b/connection/adminapi/based_test.go
@@ -15,9 +15,9 @@
 		"release": ranks(nodehealth.AlreadyClosed, operatorapi.Node{Closed: true, ClosedBy: "ana", ProtectedBy: "ana"}),
 	} {
 		p := &planning{page: page}
-		status, word := post(p, fmt.Sprintf(`{"engine":"e","act":%q,"operator":"ana"}`, act))
+		status, message := post(p, fmt.Sprintf(`{"engine":"e","act":%q,"operator":"ana"}`, act))
 		if status != 200 || len(p.commands) == 0 {
-			t.Fatalf("%s: %d %+v", act, status, word)
+			t.Fatalf("%s: %d %+v", act, status, message)
 		}
 		for _, command := range p.commands {
 			if !command.HasBase || command.Base != 9 {
--- a/connection/adminapi/bundle.go
+++ b/connection/adminapi/bundle.go
@@ -14,7 +14,7 @@
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
-// bundle takes bundles that are applied in one step, and gives back the newest.
+// bundle accepts configurations that are applied in one step, and gives back the newest.
 func (d *Server) bundle(ctx *fasthttp.RequestCtx) {
 	switch string(ctx.Method()) {
 	case http.MethodGet, http.MethodHead:
@@ -54,7 +54,7 @@
 	}
 	call := operatorapi.ApplyRequest{Base: ident.Revision(base), Operator: operator, Digest: operatorapi.RequestDigest(string(ctx.Method()), ident.Revision(base), ctx.PostBody())}
 	if ctx.IsPut() {
-		// What an operator wrote is read strictly here; the leader is handed what is sound in itself.
+		// What an operator wrote is parsed strictly here; the leader gets what is valid in itself.
 		if _, faults := document.Parse(ctx.PostBody()); len(faults) > 0 {
 			fail(ctx, fasthttp.StatusBadRequest, operatorapi.Error{Outcome: string(operatorapi.Invalid), Reason: "the bundle has faults", Faults: faults})
 			return
--- a/connection/adminapi/engines.go
+++ b/connection/adminapi/engines.go
@@ -15,9 +15,9 @@
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
-// Registrar takes what engines say of themselves.
+// Registrar accepts the registrations of engines.
 type Registrar interface {
-	Register(ctx context.Context, word registry.Registration) registry.Response
+	Register(ctx context.Context, message registry.Registration) registry.Response
 	Deregister(ctx context.Context, id ident.EngineID) registry.Response
 	// Engines lists them as this daemon knows them.
 	Engines() operatorapi.Engines
@@ -40,7 +40,7 @@
 	return v
 }
 
-// engines serves the list, and what engines say of themselves.
+// engines serves the list, and accepts the registrations of engines.
 func (d *Server) engines(ctx *fasthttp.RequestCtx, id string) {
 	switch {
 	case id == "" && (ctx.IsGet() || ctx.IsHead()):
@@ -61,12 +61,12 @@
 			fail(ctx, fasthttp.StatusBadRequest, operatorapi.Error{Outcome: "invalid", Reason: reason, Field: field})
 			return
 		}
-		word := registry.Registration{ID: ident.EngineID(id), Pool: body.Pool, Address: body.Address, Zone: body.Zone, Software: body.Software, Slots: body.Slots,
+		message := registry.Registration{ID: ident.EngineID(id), Pool: body.Pool, Address: body.Address, Zone: body.Zone, Software: body.Software, Slots: body.Slots,
 			Draining: body.Draining, TerminatesInMs: body.TerminatesInMs, SlowStartMs: body.SlowStartMs, Phase: body.Phase, CallSeq: body.CallSeq}
 		for _, held := range body.Models {
-			word.Models = append(word.Models, registry.LoadedModel{Model: held.Model, Generation: held.Generation, Adapters: held.Adapters})
+			message.Models = append(message.Models, registry.LoadedModel{Model: held.Model, Generation: held.Generation, Adapters: held.Adapters})
 		}
-		d.registered(ctx, d.daemon.Register(context.Background(), word))
+		d.registered(ctx, d.daemon.Register(context.Background(), message))
 	}
 }
 
--- a/connection/adminapi/fuzz_test.go
+++ b/connection/adminapi/fuzz_test.go
@@ -13,15 +13,15 @@
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
-// noting is a daemon that notes what it was told and takes all of it.
+// noting is a daemon that records what it is called with and accepts all of it.
 type noting struct {
 	Daemon
-	words    []registry.Registration
-	commands []statemachine.Command
+	registrations []registry.Registration
+	commands      []statemachine.Command
 }
 
-func (n *noting) Register(_ context.Context, word registry.Registration) registry.Response {
-	n.words = append(n.words, word)
+func (n *noting) Register(_ context.Context, message registry.Registration) registry.Response {
+	n.registrations = append(n.registrations, message)
 	return registry.Response{Outcome: registry.Acknowledged}
 }
 
@@ -34,7 +34,7 @@
 	return operatorapi.Nodes{}, true
 }
 
-// FuzzServer: whatever body comes to a path that takes one, it is answered, and what is passed on is whole.
+// FuzzServer: whatever body comes to a path that accepts one gets a response, and what is passed on is complete.
 func FuzzServer(f *testing.F) {
 	paths := []string{operatorapi.PathPropose, operatorapi.PathReview, operatorapi.PathZone, operatorapi.PathDrain, operatorapi.PathDeclareLost, operatorapi.PathNodes, operatorapi.PathEngines + "/e-1"}
 	for place, text := range []string{
@@ -57,12 +57,12 @@
 		daemon := &noting{}
 		New(daemon).Handle(&ctx, path)
 		status := ctx.Response.StatusCode()
-		if taken := len(daemon.words)+len(daemon.commands) > 0; taken == (status >= 400) {
+		if taken := len(daemon.registrations)+len(daemon.commands) > 0; taken == (status >= 400) {
 			t.Fatalf("%s was answered with %d, and taken: %t", path, status, taken)
 		}
-		for _, word := range daemon.words {
-			if word.ID != "e-1" || word.Pool == "" || word.Address == "" || word.Slots < 1 || word.TerminatesInMs < 0 || word.SlowStartMs < 0 {
-				t.Fatalf("%+v", word)
+		for _, message := range daemon.registrations {
+			if message.ID != "e-1" || message.Pool == "" || message.Address == "" || message.Slots < 1 || message.TerminatesInMs < 0 || message.SlowStartMs < 0 {
+				t.Fatalf("%+v", message)
 			}
 		}
 		for _, command := range daemon.commands {
--- a/connection/adminapi/nodes.go
+++ b/connection/adminapi/nodes.go
@@ -14,11 +14,11 @@
 
 // Ranker ranks engines by how their nodes behave.
 type Ranker interface {
-	// Nodes gives the ranks by whoever plans, and whether one engine may be drained; false where nobody plans now.
+	// Nodes gives the planner's ranking, and whether one engine may be drained; false where there is no planner now.
 	Nodes(ctx context.Context, engine ident.EngineID) (operatorapi.Nodes, bool)
 }
 
-// nodes serves the ranks, and takes what operators say of one engine.
+// nodes serves the ranking, and accepts operators' actions on one engine.
 func (d *Server) nodes(ctx *fasthttp.RequestCtx) {
 	switch {
 	case ctx.IsGet() || ctx.IsHead():
@@ -64,8 +64,8 @@
 		fail(ctx, status, operatorapi.Error{Outcome: why.String(), Reason: why.Reason(), Field: "engine"})
 	}
 	command := statemachine.Command{Op: statemachine.OpProtect, Engine: body.Engine, Operator: body.Operator, Closed: body.Action == operatorapi.NodeProtect,
-		// Each act builds on the closures that it was looked up in: a copy of it that comes late finds itself, or others
-		// have acted since, and then it must not undo what they did.
+		// Each action builds on the closures that it was checked against: a late retry finds its effect, or others have
+		// acted since, and then it must not undo what they did.
 		Base: page.ClosureVersion, HasBase: true}
 	shutByRank := place >= 0 && page.Nodes[place].ClosedReason != ""
 	switch {
@@ -73,7 +73,7 @@
 		refuse(nodehealth.Unknown)
 		return
 	case body.Action == operatorapi.NodeDrain:
-		// What the ranking shut an operator may shut for good: nothing more goes by that.
+		// What the ranking drains an operator may drain too: no further engine is taken out by that.
 		if why := refusalByName(page.DrainCheck); why != nodehealth.Allowed && !(why == nodehealth.AlreadyClosed && shutByRank) {
 			refuse(why)
 			return
@@ -90,22 +90,32 @@
 		command.Op = statemachine.OpClosure
 	}
 	if body.Action == operatorapi.NodeRelease && place >= 0 && page.Nodes[place].ProtectedBy != "" && command.Op == statemachine.OpClosure {
-		// Both are taken back, the keeping first: then the ranking decides.
-		unkeep := statemachine.Command{Op: statemachine.OpProtect, Engine: body.Engine, Operator: body.Operator, Base: page.ClosureVersion, HasBase: true}
-		bounded, cancel := context.WithTimeout(context.Background(), commandTimeout)
-		got, done := d.daemon.Command(bounded, unkeep)
-		cancel()
-		if !done {
-			fail(ctx, fasthttp.StatusServiceUnavailable, operatorapi.Error{Outcome: "unknown", Reason: "the control group gave no answer in time; ask again"})
+		// Both are ended, the protection first: then the ranking decides.
+		version, known := d.endProtection(ctx, body, page.ClosureVersion)
+		if !known {
 			return
 		}
-		if got.Outcome == statemachine.Done && got.Closures != nil {
-			command.Base = got.Closures.Version
-		}
+		command.Base = version
 	}
 	d.command(ctx, command)
 }
 
+// endProtection ends the protection of an engine, on a version of the closures. It gives the version to build on next;
+// false where the outcome is unknown, which it has responded.
+func (d *Server) endProtection(ctx *fasthttp.RequestCtx, action operatorapi.NodeAction, base ident.Version) (ident.Version, bool) {
+	bounded, cancel := context.WithTimeout(context.Background(), commandTimeout)
+	defer cancel()
+	got, known := d.daemon.Command(bounded, statemachine.Command{Op: statemachine.OpProtect, Engine: action.Engine, Operator: action.Operator, Base: base, HasBase: true})
+	switch {
+	case !known:
+		fail(ctx, fasthttp.StatusServiceUnavailable, operatorapi.Error{Outcome: "unknown", Reason: "the control group gave no answer in time; ask again"})
+		return 0, false
+	case got.Outcome == statemachine.Done && got.Closures != nil:
+		return got.Closures.Version, true
+	}
+	return base, true
+}
+
 // refusalByName reads a refusal by its name.
 func refusalByName(name string) nodehealth.Refusal {
 	for why := nodehealth.Allowed; why <= nodehealth.LastReplica; why++ {
--- a/connection/adminapi/nodes_test.go
+++ b/connection/adminapi/nodes_test.go
@@ -15,16 +15,16 @@
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
-// planning is a daemon with ranks, that notes what it was commanded.
+// planning is a daemon with a ranking, that records the commands it gets.
 type planning struct {
 	Daemon
-	page     operatorapi.Nodes
-	silent   bool
-	commands []statemachine.Command
+	page        operatorapi.Nodes
+	unreachable bool
+	commands    []statemachine.Command
 }
 
 func (p *planning) Nodes(_ context.Context, engine ident.EngineID) (operatorapi.Nodes, bool) {
-	return p.page, !p.silent
+	return p.page, !p.unreachable
 }
 
 func (p *planning) Command(_ context.Context, command statemachine.Command) (rollout.Response, bool) {
@@ -37,9 +37,9 @@
 	ctx.Request.Header.SetMethod("POST")
 	ctx.Request.SetBodyString(body)
 	New(p).Handle(&ctx, operatorapi.PathNodes)
-	var word operatorapi.Error
-	_ = json.Unmarshal(ctx.Response.Body(), &word)
-	return ctx.Response.StatusCode(), word
+	var message operatorapi.Error
+	_ = json.Unmarshal(ctx.Response.Body(), &message)
+	return ctx.Response.StatusCode(), message
 }
 
 func ranks(asked nodehealth.Refusal, node operatorapi.Node) operatorapi.Nodes {
@@ -77,12 +77,12 @@
 		"no such act":                  {"stop", ranks(nodehealth.Allowed, operatorapi.Node{}), 400, "", false},
 	} {
 		p := &planning{page: c.page}
-		status, word := post(p, fmt.Sprintf(`{"engine":"e","act":%q,"operator":"ana"}`, c.act))
+		status, message := post(p, fmt.Sprintf(`{"engine":"e","act":%q,"operator":"ana"}`, c.act))
 		if status != c.status || (c.op == "") != (len(p.commands) == 0) {
-			t.Errorf("%s: %d %+v, %+v", name, status, word, p.commands)
+			t.Errorf("%s: %d %+v, %+v", name, status, message, p.commands)
 			continue
 		}
-		if status != 200 && word.Reason == "" {
+		if status != 200 && message.Reason == "" {
 			t.Errorf("%s is refused without a reason", name)
 		}
 		if c.op == "" {
@@ -100,13 +100,13 @@
 
 func TestReleaseEndsDrainingAndProtection(t *testing.T) {
 	p := &planning{page: ranks(nodehealth.AlreadyClosed, operatorapi.Node{Closed: true, ClosedBy: "ana", ProtectedBy: "ana"})}
-	if status, word := post(p, `{"engine":"e","act":"release","operator":"ana"}`); status != 200 || len(p.commands) != 2 || p.commands[0].Op != statemachine.OpProtect || p.commands[1].Op != statemachine.OpClosure {
-		t.Fatalf("%d %+v %+v", status, word, p.commands)
+	if status, message := post(p, `{"engine":"e","act":"release","operator":"ana"}`); status != 200 || len(p.commands) != 2 || p.commands[0].Op != statemachine.OpProtect || p.commands[1].Op != statemachine.OpClosure {
+		t.Fatalf("%d %+v %+v", status, message, p.commands)
 	}
 }
 
 func TestNodeActionNeedsAPlannerAndACompleteBody(t *testing.T) {
-	if status, _ := post(&planning{silent: true}, `{"engine":"e","act":"drain","operator":"ana"}`); status != 503 {
+	if status, _ := post(&planning{unreachable: true}, `{"engine":"e","act":"drain","operator":"ana"}`); status != 503 {
 		t.Fatal(status)
 	}
 	for _, body := range []string{``, `{}`, `{"engine":"e","act":"drain"}`, `{"act":"drain","operator":"ana"}`, `{"engine":"e","act":"drain","operator":"ana","force":true}`} {
--- a/connection/adminapi/operators.go
+++ b/connection/adminapi/operators.go
@@ -1,4 +1,5 @@
-// Package adminapi is the desk where operators' and the platform's requests are served.
+// Package adminapi serves the requests of operators, of their tools and of engines over HTTP: it decodes and validates
+// them, submits commands by way of the daemon, and encodes responses. It owns no state; paths and bodies are wire/operatorapi.
 package adminapi
 
 import (
@@ -19,7 +20,7 @@
 	"github.com/cresspond/cresspond/wire/operatorapi"
 )
 
-// Daemon is what the desk needs of its daemon.
+// Daemon is what the server needs of its daemon.
 type Daemon interface {
 	Command(ctx context.Context, command statemachine.Command) (rollout.Response, bool)
 	Query(ctx context.Context, what, key string) ([]byte, bool)
@@ -31,18 +32,18 @@
 	Ranker
 }
 
-// Bundles puts bundles in force in one step, and gives back the newest.
+// Bundles puts configurations in force in one step, and gives back the newest.
 type Bundles interface {
 	// ApplyBundle answers in less than a second.
 	ApplyBundle(ctx context.Context, call operatorapi.ApplyRequest) operatorapi.ApplyResponse
-	// NewestBundle is the newest committed one by the group's own word; false where that could not be had in time.
+	// NewestBundle is the newest committed one as the group itself reads it; false where that could not be had in time.
 	NewestBundle(ctx context.Context) (operatorapi.Bundle, bool)
 }
 
 // Server serves operators.
 type Server struct{ daemon Daemon }
 
-// New makes a desk.
+// New makes a server.
 func New(daemon Daemon) *Server { return &Server{daemon} }
 
 // commandLimit is how long a command is tried before its outcome is called unknown.
@@ -64,7 +65,7 @@
 		operatorapi.PathDeclareLost: d.lost,
 	}
 	gets := map[string]func(*fasthttp.RequestCtx){
-		operatorapi.PathConfiguration: d.spec,
+		operatorapi.PathConfiguration: d.configuration,
 		operatorapi.PathHistory:       func(c *fasthttp.RequestCtx) { d.query(c, "history", "") },
 		operatorapi.PathProposal:      func(c *fasthttp.RequestCtx) { d.query(c, "proposal", string(c.QueryArgs().Peek("id"))) },
 		operatorapi.PathClosures:      func(c *fasthttp.RequestCtx) { d.query(c, "closures", "") },
@@ -252,8 +253,8 @@
 	}
 }
 
-// spec reads a bundle back, byte for byte.
-func (d *Server) spec(ctx *fasthttp.RequestCtx) {
+// configuration reads a bundle back, byte for byte.
+func (d *Server) configuration(ctx *fasthttp.RequestCtx) {
 	key := string(ctx.QueryArgs().Peek("epoch"))
 	if key == "" {
 		key = "0"
--- a/wire/operatorapi/bundle.go
+++ b/wire/operatorapi/bundle.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// PathBundle takes a whole bundle (PUT), changes of named items (PATCH), and gives the newest (GET).
+	// PathBundle accepts a complete configuration (PUT), changes of named items (PATCH), and gives the newest (GET).
 	PathBundle = "/v1/bundle"
-	// HeaderRevision carries the revision of a bundle that is read back: the base of the next.
+	// HeaderRevision carries the revision of a configuration that is read back: the base of the next.
 	HeaderRevision = "X-Bundle-Revision"
 )
 
 // ApplyRequest is one operator's call to put a bundle in force in one step. Either Whole or Patch is there.
 type ApplyRequest struct {
-	// Base is the revision in force that it builds on; 0 for the first.
+	// Base is the revision in force that the request builds on; 0 for the first.
 	Base ident.Revision `json:"base"`
-	// Digest tells this call from all others: the same call sent again finds itself.
+	// Digest distinguishes this request from all others: a retry has the same one, and finds its effect.
 	Digest   string `json:"digest"`
 	Operator string `json:"operator"`
 	// Configuration is a bundle that spec.Read can read; whether it is sound, the leader checks.
@@ -29,7 +29,7 @@
 	Patch         *upstream.Patch `json:"patch,omitempty"`
 }
 
-// RequestDigest makes a call's digest from all that its sender said, as the sender said it.
+// RequestDigest makes a request's digest of all that its sender sent, byte for byte.
 func RequestDigest(method string, base ident.Revision, body []byte) string {
 	sum := sha256.New()
 	sum.Write([]byte(method + " " + strconv.FormatUint(uint64(base), 10) + "\n"))
@@ -41,15 +41,15 @@
 type ApplyOutcome string
 
 const (
-	// Applied: it is committed, now or at an earlier time.
+	// Applied: it is committed, now or by an earlier copy.
 	Applied ApplyOutcome = "applied"
 	// Conflicted: it provably lost, and is never in force.
 	Conflicted ApplyOutcome = "conflict"
 	// Invalid: it has faults, and is never in force.
 	Invalid ApplyOutcome = "invalid"
-	// Forbidden: this fleet takes no bundles in one step.
+	// Forbidden: this fleet accepts no configuration in one step.
 	Forbidden ApplyOutcome = "forbidden"
-	// Unknown: nobody here can tell; the same call sent again finds out.
+	// Unknown: nobody here can tell; a retry finds out.
 	Unknown ApplyOutcome = "unknown"
 )
 
--- a/wire/operatorapi/engines.go
+++ b/wire/operatorapi/engines.go
@@ -5,14 +5,14 @@
 // PathEngines lists the engines that register themselves; an engine's own path is behind it and a slash.
 const PathEngines = "/v1/engines"
 
-// LoadedModel is one model that an engine holds, with its adapters.
+// LoadedModel is one model that an engine has loaded, with its adapters.
 type LoadedModel struct {
 	Model      string   `json:"model" validate:"required,max=200"`
 	Generation uint64   `json:"generation"`
 	Adapters   []string `json:"adapters" validate:"max=65536,dive,required,max=200"`
 }
 
-// Registration is what an engine says of itself, again and again.
+// Registration is what an engine reports about itself, again and again.
 type Registration struct {
 	Pool           string        `json:"pool" validate:"required,max=200"`
 	Address        string        `json:"address" validate:"required,ipport"`
@@ -41,9 +41,9 @@
 	ID ident.EngineID `json:"id"`
 	Registration
 	Condition string `json:"condition"`
-	// LastContactMsAgo is when any control daemon last heard it, as far as the answering daemon knows.
+	// LastContactMsAgo is when any control daemon last had contact with it, as far as the responding daemon knows.
 	LastContactMsAgo int64 `json:"heardMsAgo"`
-	// Token and Turn are of the planner's newest word on it.
+	// Token and Turn are of the planner's newest order for it.
 	Token    ident.FencingToken `json:"claim,omitempty"`
 	Sequence uint64             `json:"turn,omitempty"`
 }
--- a/wire/operatorapi/nodes.go
+++ b/wire/operatorapi/nodes.go
@@ -2,10 +2,10 @@
 
 import "github.com/cresspond/cresspond/ident"
 
-// PathNodes lists the engines by how their nodes behave, the worst first, and takes what operators say of one.
+// PathNodes lists the engines by the health of their nodes, the worst first, and accepts operators' actions on one.
 const PathNodes = "/v1/nodes"
 
-// Node is one row of the ranks.
+// Node is one row of the ranking.
 type Node struct {
 	Engine ident.EngineID `json:"engine"`
 	Pool   string         `json:"pool"`
--- a/wire/operatorapi/operatorapi.go
+++ b/wire/operatorapi/operatorapi.go
@@ -1,4 +1,4 @@
-// Package operatorapi holds the forms that operators and their tools speak.
+// Package operatorapi is the JSON interface of operators, their tools and engines: paths, headers and bodies.
 package operatorapi
 
 import (
@@ -12,15 +12,15 @@
 )
 
 const (
-	// PathPropose takes a proposal.
+	// PathPropose accepts a proposal.
 	PathPropose = "/v1/spec/propose"
-	// PathReview notes a review of a proposal.
+	// PathReview records a review of a proposal.
 	PathReview = "/v1/spec/review"
-	// PathSign notes a sign-off of a reviewed proposal.
+	// PathSign records a sign-off of a reviewed proposal.
 	PathSign = "/v1/spec/sign"
 	// PathRoll puts a signed proposal in force.
 	PathRoll = "/v1/spec/roll"
-	// PathConfiguration gives the bundle of an epoch, byte for byte.
+	// PathConfiguration gives the configuration of a version, byte for byte.
 	PathConfiguration = "/v1/spec"
 	// PathHistory lists the proposals that came in force.
 	PathHistory = "/v1/spec/history"
@@ -44,11 +44,11 @@
 	PathLive = "/live"
 	// PathCounters lists the daemon's counters as text.
 	PathCounters = "/counters"
-	// HeaderVersion carries the epoch of a bundle that is read back.
+	// HeaderVersion carries the version of a configuration that is read back.
 	HeaderVersion = "X-Spec-Epoch"
 )
 
-// Propose hands in a bundle; Spec is kept byte for byte.
+// Propose submits a configuration, which is retained byte for byte.
 type Propose struct {
 	ProposalID    string          `json:"proposalId"`
 	Base          ident.Version   `json:"base"`
@@ -57,7 +57,7 @@
 	Configuration json.RawMessage `json:"spec"`
 }
 
-// Encode gives the wire form with the bundle as it is; json.Marshal would change its white space.
+// Encode gives the wire form with the configuration as it is; json.Marshal would change its white space.
 func (p Propose) Encode() ([]byte, error) {
 	raw := bytes.TrimSpace(p.Configuration)
 	head, err := json.Marshal(struct {
@@ -79,7 +79,7 @@
 	Note       string `json:"note"`
 }
 
-// ZoneClosure closes or opens a zone. Base is the closure epoch it builds on.
+// ZoneClosure closes or opens a zone. Base is the version of the closures it builds on.
 type ZoneClosure struct {
 	Zone     ident.ZoneID   `json:"zone"`
 	Closed   *bool          `json:"closed"`
@@ -87,7 +87,7 @@
 	Operator string         `json:"operator"`
 }
 
-// DeclareLost declares that a life of a daemon will never serve again.
+// DeclareLost declares that an incarnation of a daemon will never serve again.
 type DeclareLost struct {
 	Daemon   ident.NodeID `json:"daemon"`
 	Operator string       `json:"operator"`
@@ -115,7 +115,7 @@
 	Closures *closure.Set `json:"closures,omitempty"`
 }
 
-// Status is one daemon's own word.
+// Status is what one daemon reports about itself.
 type Status struct {
 	NodeID               ident.NodeID  `json:"nodeId"`
 	Version              string        `json:"version"`
@@ -156,7 +156,7 @@
 	Name    string `json:"name"`
 	Address string `json:"address"`
 	Voter   bool   `json:"voter"`
-	// Differs is a leader's word that this member's state is another than a majority's.
+	// Differs is set by a leader: this member's state differs from that of a majority.
 	Differs bool `json:"differs,omitempty"`
 }
 
