--- a/cmd/cresspond-platform/settings_file.go
+++ b/cmd/cresspond-platform/settings_file.go
@@ -53,7 +53,7 @@
 		if len(faults) > 0 {
 			// The file may be half written: the settings in force stay, and the next poll retries.
 			if !warned {
-				log.WithField("fault", faults[0].String()).Warn("the settings cannot be read again yet")
+				log.WithField("fault", faults[0].String()).Warn("settings cannot be reloaded; retrying")
 			}
 			reloadPending, warned = true, true
 			continue
--- a/process/consensus/replica/actor.go
+++ b/process/consensus/replica/actor.go
@@ -49,7 +49,7 @@
 	// Counters count notices by kind.
 	Counters *Counters
 
-	// waiters holds the functions that answer open requests, by request identifier.
+	// lastRequestID holds the functions that answer open requests, by request identifier.
 	lastRequestID uint64
 	waiters       map[uint64]func(Response)
 
--- a/process/placement/poolplacement/actor.go
+++ b/process/placement/poolplacement/actor.go
@@ -109,123 +109,123 @@
 
 // NewActor makes the actor.
 func NewActor(environment Environment, client EngineClient, settings Settings, c clock.Clock, logger log.Interface) *Actor {
-	item := &Actor{environment: environment, client: client, settings: settings, clock: c, log: logger, mailbox: actor.NewMailbox[any](1024),
+	a := &Actor{environment: environment, client: client, settings: settings, clock: c, log: logger, mailbox: actor.NewMailbox[any](1024),
 		lease: plannerlease.New(c, leaseMargin), planner: NewPlanner(settings, c.Elapsed()), reportSlots: make(chan struct{}, maxConcurrentReports)}
-	item.status.Store(&Status{})
-	return item
+	a.status.Store(&Status{})
+	return a
 }
 
 // Status gives what the planner published last. It may be called from any goroutine.
-func (item *Actor) Status() Status { return *item.status.Load() }
+func (a *Actor) Status() Status { return *a.status.Load() }
 
 // Run runs the actor until ctx ends.
-func (item *Actor) Run(ctx context.Context) {
-	item.mailbox.Run(ctx, item.settings.PollInterval, func(event any) { item.handle(ctx, event) }, func() { item.poll(ctx) })
+func (a *Actor) Run(ctx context.Context) {
+	a.mailbox.Run(ctx, a.settings.PollInterval, func(event any) { a.handle(ctx, event) }, func() { a.poll(ctx) })
 }
 
 // Resign ends planning for good; when it returns no further order can be sent.
-func (item *Actor) Resign() {
+func (a *Actor) Resign() {
 	done := make(chan struct{})
-	if item.mailbox.Send(resign{done}) {
+	if a.mailbox.Send(resign{done}) {
 		select {
 		case <-done:
-		case <-item.mailbox.Done():
+		case <-a.mailbox.Done():
 		}
 	}
 }
 
 // poll requests the reports that are due, and makes the plan when its time has come.
-func (item *Actor) poll(ctx context.Context) {
-	now := item.clock.Elapsed()
+func (a *Actor) poll(ctx context.Context) {
+	now := a.clock.Elapsed()
 	// A tick may come a little early.
-	if now+clock.Mark(item.settings.PollInterval/4) >= item.nextPlan {
-		item.nextPlan = max(item.nextPlan+clock.Mark(item.settings.PlanInterval), now)
-		item.planAndPublish(ctx)
+	if now+clock.Mark(a.settings.PollInterval/4) >= a.nextPlan {
+		a.nextPlan = max(a.nextPlan+clock.Mark(a.settings.PlanInterval), now)
+		a.planAndPublish(ctx)
 		return
 	}
-	if number, leased := item.lease.Token(); leased && number == item.plannerToken {
-		item.requestReports(ctx, now)
+	if number, leased := a.lease.Token(); leased && number == a.plannerToken {
+		a.requestReports(ctx, now)
 	}
 }
 
-func (item *Actor) planAndPublish(ctx context.Context) {
-	now := item.clock.Elapsed()
-	item.requestLease(ctx, now)
-	number, leased := item.lease.Token()
-	if leased && number == item.plannerToken {
-		item.plan(ctx, now, number)
+func (a *Actor) planAndPublish(ctx context.Context) {
+	now := a.clock.Elapsed()
+	a.requestLease(ctx, now)
+	number, leased := a.lease.Token()
+	if leased && number == a.plannerToken {
+		a.plan(ctx, now, number)
 	}
-	before := item.status.Load()
+	before := a.status.Load()
 	if leased != before.HasLease || number != before.Token {
-		item.log.WithFields(log.Fields{"claim": uint64(number), "held": leased}).Info("planning of pools")
+		a.log.WithFields(log.Fields{"token": uint64(number), "hasLease": leased}).Info("planner lease changed")
 	}
 	next := &Status{Token: number, HasLease: leased}
 	if leased {
-		next.Engines, next.PendingOrders, next.Counters = len(item.planner.engines), item.planner.PendingOrders(), item.planner.Counters
-		next.Unplaced = append([]Unplaced(nil), item.planner.Unplaced...)
+		next.Engines, next.PendingOrders, next.Counters = len(a.planner.engines), a.planner.PendingOrders(), a.planner.Counters
+		next.Unplaced = append([]Unplaced(nil), a.planner.Unplaced...)
 	} else {
-		next.Counters = item.planner.Counters
+		next.Counters = a.planner.Counters
 	}
-	next.Outliers = item.planner.outliers.Counters
-	item.status.Store(next)
+	next.Outliers = a.planner.outliers.Counters
+	a.status.Store(next)
 }
 
 // requestLease acquires or renews the lease when it is due. A daemon that is not preferred first waits for a while.
-func (item *Actor) requestLease(ctx context.Context, now clock.Mark) {
-	if item.stopped || item.leaseRequested || now < item.nextLeaseRequest {
+func (a *Actor) requestLease(ctx context.Context, now clock.Mark) {
+	if a.stopped || a.leaseRequested || now < a.nextLeaseRequest {
 		return
 	}
-	_, leased := item.lease.Token()
+	_, leased := a.lease.Token()
 	if !leased {
-		if !item.environment.MayPlan() {
-			item.waitingSince = 0
+		if !a.environment.MayPlan() {
+			a.waitingSince = 0
 			return
 		}
-		if item.waitingSince == 0 {
-			item.waitingSince = now
+		if a.waitingSince == 0 {
+			a.waitingSince = now
 		}
-		if !item.environment.Preferred() && now.Since(item.waitingSince) < nonPreferredWait {
+		if !a.environment.Preferred() && now.Since(a.waitingSince) < nonPreferredWait {
 			return
 		}
 	}
-	item.leaseRequested, item.nextLeaseRequest = true, now+clock.Mark(item.settings.RenewInterval)
+	a.leaseRequested, a.nextLeaseRequest = true, now+clock.Mark(a.settings.RenewInterval)
 	go func() {
-		bounded, cancel := context.WithTimeout(ctx, item.settings.LeaseSpan)
+		bounded, cancel := context.WithTimeout(ctx, a.settings.LeaseSpan)
 		defer cancel()
-		item.mailbox.Send(leaseEvent{now, item.environment.Claim(bounded, nil, !leased)})
+		a.mailbox.Send(leaseEvent{now, a.environment.Claim(bounded, nil, !leased)})
 	}()
 }
 
 // plan makes a step of the plan, requests reports, publishes what is planned, and sends the orders.
-func (item *Actor) plan(ctx context.Context, now clock.Mark, number ident.FencingToken) {
-	if !item.pause.over(now) {
+func (a *Actor) plan(ctx context.Context, now clock.Mark, number ident.FencingToken) {
+	if !a.pause.over(now) {
 		// Engines with a pending order are still asked, so that its end is seen.
-		item.requestReports(ctx, now)
+		a.requestReports(ctx, now)
 		return
 	}
-	began := item.clock.Elapsed()
-	issued := item.planner.Step(item.environment.Input())
-	item.pause.record(began, item.clock.Elapsed(), item.settings.PlanInterval)
-	item.logSteps(now, item.clock.Elapsed().Since(began))
-	item.requestReports(ctx, now)
-	if plans := item.planner.Plans(now); len(plans) > 0 {
-		item.sequence++
+	began := a.clock.Elapsed()
+	issued := a.planner.Step(a.environment.Input())
+	a.pause.record(began, a.clock.Elapsed(), a.settings.PlanInterval)
+	a.logSteps(now, a.clock.Elapsed().Since(began))
+	a.requestReports(ctx, now)
+	if plans := a.planner.Plans(now); len(plans) > 0 {
+		a.sequence++
 		for id, plan := range plans {
-			plan.Claim, plan.Sequence = number, item.sequence
+			plan.Claim, plan.Sequence = number, a.sequence
 			plans[id] = plan
 		}
-		item.environment.Publish(plans)
+		a.environment.Publish(plans)
 	}
 	var orders []Order
 	addresses := map[ident.EngineID]string{}
 	for _, order := range issued {
-		stamp, outcome := item.environment.Mint()
+		stamp, outcome := a.environment.Mint()
 		if outcome != snowflake.Generated {
 			// Without a worker-id lease nothing may be ordered.
-			item.planner.Withdraw(now, order.Engine)
+			a.planner.Withdraw(now, order.Engine)
 			continue
 		}
-		stamped, address, ok := item.planner.Stamp(order.Engine, stamp, number)
+		stamped, address, ok := a.planner.Stamp(order.Engine, stamp, number)
 		if !ok {
 			continue
 		}
@@ -233,108 +233,108 @@
 		addresses[stamped.Engine] = address
 	}
 	if len(orders) > 0 {
-		go item.send(ctx, number, item.planner.Announcement(orders), orders, addresses)
+		go a.send(ctx, number, a.planner.Announcement(orders), orders, addresses)
 	}
 }
 
 // send announces the orders to the group first, so that a successor counts the loads and waits after the last order
 // however this daemon ends, and then sends them.
-func (item *Actor) send(ctx context.Context, number ident.FencingToken, announcement *statemachine.Announcement, orders []Order, addresses map[ident.EngineID]string) {
-	maySend := func() bool { return item.lease.Allows(number) && item.environment.WorkerLeaseValid() }
-	asked := item.clock.Elapsed()
+func (a *Actor) send(ctx context.Context, number ident.FencingToken, announcement *statemachine.Announcement, orders []Order, addresses map[ident.EngineID]string) {
+	maySend := func() bool { return a.lease.Allows(number) && a.environment.WorkerLeaseValid() }
+	asked := a.clock.Elapsed()
 	sendOne := func(order Order) {
 		// The timeout counts from before the announcement, so that no announced order is on its way for longer.
-		bounded, cancel := context.WithTimeout(ctx, item.settings.OrderTimeout-item.clock.Elapsed().Since(asked))
+		bounded, cancel := context.WithTimeout(ctx, a.settings.OrderTimeout-a.clock.Elapsed().Since(asked))
 		defer cancel()
-		item.mailbox.Send(orderEvent{order, item.client.Order(bounded, addresses[order.Engine], order, maySend)})
+		a.mailbox.Send(orderEvent{order, a.client.Order(bounded, addresses[order.Engine], order, maySend)})
 	}
-	bounded, cancel := context.WithTimeout(ctx, item.settings.OrderTimeout)
-	answer := item.environment.Claim(bounded, announcement, false)
+	bounded, cancel := context.WithTimeout(ctx, a.settings.OrderTimeout)
+	answer := a.environment.Claim(bounded, announcement, false)
 	cancel()
 	known := answer.Granted != nil && answer.Granted.Token == number
 	if known {
-		item.mailbox.Send(leaseEvent{asked, answer})
+		a.mailbox.Send(leaseEvent{asked, answer})
 	}
 	for _, order := range orders {
 		if known {
 			go sendOne(order)
 		} else {
-			item.mailbox.Send(orderEvent{order, NotSent})
+			a.mailbox.Send(orderEvent{order, NotSent})
 		}
 	}
 }
 
-func (item *Actor) requestReports(ctx context.Context, now clock.Mark) {
-	for _, due := range item.planner.Due(now) {
+func (a *Actor) requestReports(ctx context.Context, now clock.Mark) {
+	for _, due := range a.planner.Due(now) {
 		go func() {
 			select {
-			case item.reportSlots <- struct{}{}:
+			case a.reportSlots <- struct{}{}:
 			case <-ctx.Done():
 				return
 			}
-			defer func() { <-item.reportSlots }()
+			defer func() { <-a.reportSlots }()
 			bounded, cancel := context.WithTimeout(ctx, reportTimeout)
 			defer cancel()
-			asked := item.clock.Elapsed()
-			report, err := item.client.Report(bounded, due.Address, due.Engine)
-			item.mailbox.Send(reportEvent{due.Engine, asked, report, err == nil})
+			asked := a.clock.Elapsed()
+			report, err := a.client.Report(bounded, due.Address, due.Engine)
+			a.mailbox.Send(reportEvent{due.Engine, asked, report, err == nil})
 		}()
 	}
 }
 
-func (item *Actor) handle(ctx context.Context, event any) {
-	now := item.clock.Elapsed()
+func (a *Actor) handle(ctx context.Context, event any) {
+	now := a.clock.Elapsed()
 	switch e := event.(type) {
 	case leaseEvent:
-		item.adoptLease(now, e)
+		a.adoptLease(now, e)
 	case orderEvent:
-		if e.order.Claim != item.plannerToken {
+		if e.order.Claim != a.plannerToken {
 			return
 		}
-		item.planner.Answered(now, e.order, e.answer)
+		a.planner.Answered(now, e.order, e.answer)
 	case reportEvent:
-		if !item.planner.Reported(now, e.asked, e.engine, e.report, e.ok) {
+		if !a.planner.Reported(now, e.asked, e.engine, e.report, e.ok) {
 			return
 		}
-		if number, leased := item.lease.Token(); leased && number == item.plannerToken {
+		if number, leased := a.lease.Token(); leased && number == a.plannerToken {
 			// An engine is free again: what waits for it is ordered, and what is loaded is published, without waiting for the next
 			// interval.
-			item.plan(ctx, now, number)
+			a.plan(ctx, now, number)
 		}
 	case resign:
-		item.stopped = true
-		item.lease.Release()
+		a.stopped = true
+		a.lease.Release()
 		close(e.done)
 	}
 }
 
 // adoptLease is the one place where a lease is taken over.
-func (item *Actor) adoptLease(now clock.Mark, e leaseEvent) {
-	item.leaseRequested = false
+func (a *Actor) adoptLease(now clock.Mark, e leaseEvent) {
+	a.leaseRequested = false
 	granted := e.answer.Granted
 	if granted == nil {
-		wait := max(item.settings.RenewInterval, e.answer.Wait)
-		if !item.environment.Preferred() {
+		wait := max(a.settings.RenewInterval, e.answer.Wait)
+		if !a.environment.Preferred() {
 			wait += nonPreferredWait
 		}
-		item.nextLeaseRequest = max(item.nextLeaseRequest, now+clock.Mark(wait))
+		a.nextLeaseRequest = max(a.nextLeaseRequest, now+clock.Mark(wait))
 		return
 	}
-	if item.stopped {
+	if a.stopped {
 		return
 	}
-	item.nextLeaseRequest = e.asked + clock.Mark(item.settings.RenewInterval)
-	if granted.Token != item.plannerToken {
+	a.nextLeaseRequest = e.asked + clock.Mark(a.settings.RenewInterval)
+	if granted.Token != a.plannerToken {
 		// A fresh lease starts from the reports alone, and from what was announced under earlier leases. One that lapsed and
 		// was renewed is not fresh: nobody else has ordered meanwhile.
-		item.inherit(now, granted)
+		a.inherit(now, granted)
 	}
-	item.lease.Renew(e.asked, granted)
+	a.lease.Renew(e.asked, granted)
 }
 
-func (item *Actor) inherit(now clock.Mark, granted *statemachine.PlannerLease) {
-	counters := item.planner.Counters
-	item.planner, item.plannerToken = NewPlanner(item.settings, now), granted.Token
-	item.planner.Counters = counters
-	item.planner.Inherit(now, granted)
+func (a *Actor) inherit(now clock.Mark, granted *statemachine.PlannerLease) {
+	counters := a.planner.Counters
+	a.planner, a.plannerToken = NewPlanner(a.settings, now), granted.Token
+	a.planner.Counters = counters
+	a.planner.Inherit(now, granted)
 }
--- a/process/placement/poolplacement/actor_test.go
+++ b/process/placement/poolplacement/actor_test.go
@@ -39,76 +39,76 @@
 	stopped int
 }
 
-func (wanted *frozenWorld) Elapsed() clock.Mark {
-	wanted.Lock()
-	defer wanted.Unlock()
-	wanted.now += clock.Mark(15 * time.Millisecond)
-	return wanted.now
+func (world *frozenWorld) Elapsed() clock.Mark {
+	world.Lock()
+	defer world.Unlock()
+	world.now += clock.Mark(15 * time.Millisecond)
+	return world.now
 }
-func (wanted *frozenWorld) Wall() time.Time { return time.Time{} }
+func (world *frozenWorld) Wall() time.Time { return time.Time{} }
 
-func (wanted *frozenWorld) Input() Input {
-	wanted.Lock()
-	defer wanted.Unlock()
-	wanted.now += clock.Mark(10 * time.Millisecond)
-	return Input{Now: wanted.now, Section: wanted.section, View: wanted.view, Demand: wanted.demand}
+func (world *frozenWorld) Input() Input {
+	world.Lock()
+	defer world.Unlock()
+	world.now += clock.Mark(10 * time.Millisecond)
+	return Input{Now: world.now, Section: world.section, View: world.view, Demand: world.demand}
 }
 
 // Claim grants the lease until it has passed on to somebody else.
-func (wanted *frozenWorld) Claim(context.Context, *statemachine.Announcement, bool) LeaseReply {
-	wanted.Lock()
-	defer wanted.Unlock()
-	wanted.asks++
-	wanted.changed.Broadcast()
-	if wanted.passedOn {
+func (world *frozenWorld) Claim(context.Context, *statemachine.Announcement, bool) LeaseReply {
+	world.Lock()
+	defer world.Unlock()
+	world.asks++
+	world.changed.Broadcast()
+	if world.passedOn {
 		return LeaseReply{}
 	}
-	at := ident.GroupTime(wanted.now / clock.Mark(time.Millisecond))
-	return LeaseReply{Granted: &statemachine.PlannerLease{Token: wanted.holder, Now: at, Expiry: at.Add(3 * time.Second)}}
+	at := ident.GroupTime(world.now / clock.Mark(time.Millisecond))
+	return LeaseReply{Granted: &statemachine.PlannerLease{Token: world.holder, Now: at, Expiry: at.Add(3 * time.Second)}}
 }
-func (wanted *frozenWorld) Mint() (ident.SnowflakeID, snowflake.Outcome) {
+func (world *frozenWorld) Mint() (ident.SnowflakeID, snowflake.Outcome) {
 	return 1, snowflake.Generated
 }
-func (wanted *frozenWorld) WorkerLeaseValid() bool                   { return true }
-func (wanted *frozenWorld) MayPlan() bool                            { return true }
-func (wanted *frozenWorld) Preferred() bool                          { return true }
-func (wanted *frozenWorld) Publish(map[ident.EngineID]registry.Plan) {}
-func (wanted *frozenWorld) freeze(span time.Duration) {
-	wanted.Lock()
-	wanted.now += clock.Mark(span)
-	wanted.passedOn = true
-	wanted.Unlock()
+func (world *frozenWorld) WorkerLeaseValid() bool                   { return true }
+func (world *frozenWorld) MayPlan() bool                            { return true }
+func (world *frozenWorld) Preferred() bool                          { return true }
+func (world *frozenWorld) Publish(map[ident.EngineID]registry.Plan) {}
+func (world *frozenWorld) freeze(span time.Duration) {
+	world.Lock()
+	world.now += clock.Mark(span)
+	world.passedOn = true
+	world.Unlock()
 }
 
-func (wanted *frozenWorld) Report(_ context.Context, address string, id ident.EngineID) (Report, error) {
+func (world *frozenWorld) Report(_ context.Context, address string, id ident.EngineID) (Report, error) {
 	if address == "" {
 		return Report{}, errors.New("no address")
 	}
 	return Report{Models: []registry.LoadedModel{}, Memory: 100000}, nil
 }
 
-func (wanted *frozenWorld) Order(_ context.Context, _ string, order Order, mayLeave func() bool) OrderOutcome {
-	wanted.beforeLook(order.Engine)
+func (world *frozenWorld) Order(_ context.Context, _ string, order Order, mayLeave func() bool) OrderOutcome {
+	world.beforeLook(order.Engine)
 	if !mayLeave() {
-		wanted.Lock()
-		defer wanted.Unlock()
-		wanted.stopped++
-		wanted.changed.Broadcast()
+		world.Lock()
+		defer world.Unlock()
+		world.stopped++
+		world.changed.Broadcast()
 		return NotSent
 	}
-	wanted.afterLook(order.Engine)
-	wanted.Lock()
-	defer wanted.Unlock()
-	wanted.left = append(wanted.left, order)
-	wanted.changed.Broadcast()
+	world.afterLook(order.Engine)
+	world.Lock()
+	defer world.Unlock()
+	world.left = append(world.left, order)
+	world.changed.Broadcast()
 	return NoAnswer
 }
 
-func (wanted *frozenWorld) until(holds func() bool) {
-	wanted.Lock()
-	defer wanted.Unlock()
+func (world *frozenWorld) until(holds func() bool) {
+	world.Lock()
+	defer world.Unlock()
 	for !holds() {
-		wanted.changed.Wait()
+		world.changed.Wait()
 	}
 }
 
@@ -117,17 +117,17 @@
 // all others stay, and nothing is ordered again until there is another lease.
 func TestFrozenPlannerSendsOnlyOrdersThatPassedTheLastCheck(t *testing.T) {
 	const engines = 4
-	wanted := &frozenWorld{now: clock.Mark(time.Hour), holder: 7, view: &registry.View{Engines: map[ident.EngineID]*registry.Engine{}, Pools: map[string][]*registry.Engine{}}}
-	wanted.changed = sync.NewCond(&wanted.Mutex)
+	world := &frozenWorld{now: clock.Mark(time.Hour), holder: 7, view: &registry.View{Engines: map[ident.EngineID]*registry.Engine{}, Pools: map[string][]*registry.Engine{}}}
+	world.changed = sync.NewCond(&world.Mutex)
 	catalogue := &upstream.Catalogue{Slots: 8, MemoryTokens: 100000, CapacityMb: 100, AdapterSlots: 1, LoadsPerSecond: 10}
 	for place := range engines {
 		id, model := ident.EngineID(fmt.Sprint("e", place)), fmt.Sprint("m", place)
 		catalogue.Models = append(catalogue.Models, upstream.Model{Name: model, SizeMb: 90, LoadMs: 1000})
-		wanted.view.Engines[id] = &registry.Engine{Registration: registry.Registration{ID: id, Pool: "p", Address: "there:" + string(id), Slots: 8, Models: []registry.LoadedModel{}}}
-		wanted.view.Pools["p"] = append(wanted.view.Pools["p"], wanted.view.Engines[id])
-		wanted.demand = append(wanted.demand, Demand{Pool: "p", Model: model, Queued: 3, Tokens: 500, Arrivals: 3, OldestWait: time.Second})
+		world.view.Engines[id] = &registry.Engine{Registration: registry.Registration{ID: id, Pool: "p", Address: "there:" + string(id), Slots: 8, Models: []registry.LoadedModel{}}}
+		world.view.Pools["p"] = append(world.view.Pools["p"], world.view.Engines[id])
+		world.demand = append(world.demand, Demand{Pool: "p", Model: model, Queued: 3, Tokens: 500, Arrivals: 3, OldestWait: time.Second})
 	}
-	wanted.section = &upstream.Section{Revision: 1, Pools: []upstream.Pool{{Name: "p", Catalogue: catalogue}}}
+	world.section = &upstream.Section{Revision: 1, Pools: []upstream.Pool{{Name: "p", Catalogue: catalogue}}}
 
 	var meeting sync.WaitGroup
 	meeting.Add(engines)
@@ -135,18 +135,18 @@
 	// Half of the senders freeze before their last look, and half right behind it; who comes first is not fixed.
 	var chosen sync.Map
 	var turn int
-	wanted.beforeLook = func(engine ident.EngineID) {
-		wanted.Lock()
+	world.beforeLook = func(engine ident.EngineID) {
+		world.Lock()
 		turn++
 		early := turn%2 == 1
-		wanted.Unlock()
+		world.Unlock()
 		if early {
 			chosen.Store(engine, true)
 			meeting.Done()
 			<-frozen
 		}
 	}
-	wanted.afterLook = func(engine ident.EngineID) {
+	world.afterLook = func(engine ident.EngineID) {
 		if _, early := chosen.Load(engine); !early {
 			meeting.Done()
 			<-frozen
@@ -155,31 +155,31 @@
 
 	settings := DefaultSettings("me", 3*time.Second)
 	settings.PlanInterval = time.Millisecond
-	item := NewActor(wanted, wanted, settings, wanted, &log.Logger{Handler: discard.New()})
+	planning := NewActor(world, world, settings, world, &log.Logger{Handler: discard.New()})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { defer close(ended); item.Run(ctx) }()
+	go func() { defer close(ended); planning.Run(ctx) }()
 
 	meeting.Wait()
-	wanted.freeze(10 * time.Second)
+	world.freeze(10 * time.Second)
 	close(frozen)
-	wanted.until(func() bool { return len(wanted.left)+wanted.stopped == engines })
+	world.until(func() bool { return len(world.left)+world.stopped == engines })
 	// It goes on looking, and requests the lease again, for longer than any gap.
 	asked := 0
-	wanted.until(func() bool {
+	world.until(func() bool {
 		if asked == 0 {
-			asked = wanted.asks
+			asked = world.asks
 		}
-		return wanted.asks >= asked+8
+		return world.asks >= asked+8
 	})
 	cancel()
 	<-ended
-	wanted.Lock()
-	defer wanted.Unlock()
-	if len(wanted.left) != engines/2 || wanted.stopped != engines/2 {
-		t.Errorf("%d left and %d were kept", len(wanted.left), wanted.stopped)
+	world.Lock()
+	defer world.Unlock()
+	if len(world.left) != engines/2 || world.stopped != engines/2 {
+		t.Errorf("%d left and %d were kept", len(world.left), world.stopped)
 	}
-	for _, order := range wanted.left {
+	for _, order := range world.left {
 		if _, early := chosen.Load(order.Engine); early || order.Claim != 7 {
 			t.Errorf("%+v left after its claim had lapsed", order)
 		}
--- a/process/placement/poolplacement/batch_test.go
+++ b/process/placement/poolplacement/batch_test.go
@@ -559,8 +559,8 @@
 	for _, d := range all {
 		f.demand = append(f.demand, *d)
 	}
-	slices.SortFunc(f.demand, func(item, b Demand) int {
-		return compareTargets(registry.Target{Model: item.Model, Adapter: item.Adapter}, registry.Target{Model: b.Model, Adapter: b.Adapter})
+	slices.SortFunc(f.demand, func(a, b Demand) int {
+		return compareTargets(registry.Target{Model: a.Model, Adapter: a.Adapter}, registry.Target{Model: b.Model, Adapter: b.Adapter})
 	})
 }
 
--- a/process/placement/poolplacement/models.go
+++ b/process/placement/poolplacement/models.go
@@ -191,8 +191,8 @@
 		cost := s.cost(s.demand.models[loaded.Model], s.replicas[loaded.Model])
 		candidates = append(candidates, thing{target, model.SizeMb + float64(len(loaded.Adapters))*model.AdapterSizeMb, cost})
 	}
-	slices.SortFunc(candidates, func(item, b thing) int {
-		return cmp.Or(cmp.Compare(item.cost/item.size, b.cost/b.size), cmp.Compare(b.size, item.size), compareTargets(item.target, b.target))
+	slices.SortFunc(candidates, func(a, b thing) int {
+		return cmp.Or(cmp.Compare(a.cost/a.size, b.cost/b.size), cmp.Compare(b.size, a.size), compareTargets(a.target, b.target))
 	})
 	var chosen []thing
 	for _, t := range candidates {
@@ -209,8 +209,8 @@
 		return nil, 0, false
 	}
 	// What need not be evicted after all stays, the costliest first.
-	slices.SortFunc(chosen, func(item, b thing) int {
-		return cmp.Or(cmp.Compare(b.cost, item.cost), compareTargets(item.target, b.target))
+	slices.SortFunc(chosen, func(a, b thing) int {
+		return cmp.Or(cmp.Compare(b.cost, a.cost), compareTargets(a.target, b.target))
 	})
 	for _, t := range chosen {
 		if capacity-t.size >= size {
--- a/process/placement/poolplacement/plan.go
+++ b/process/placement/poolplacement/plan.go
@@ -199,6 +199,6 @@
 	}
 }
 
-func compareTargets(item, b registry.Target) int {
-	return cmp.Or(cmp.Compare(item.Model, b.Model), cmp.Compare(item.Adapter, b.Adapter))
+func compareTargets(a, b registry.Target) int {
+	return cmp.Or(cmp.Compare(a.Model, b.Model), cmp.Compare(a.Adapter, b.Adapter))
 }
--- a/process/placement/poolplacement/publish.go
+++ b/process/placement/poolplacement/publish.go
@@ -65,9 +65,9 @@
 // shouldPublish says whether a plan differs enough from the published one.
 func shouldPublish(e *engine, next registry.Plan, since time.Duration) bool {
 	published := &e.published
-	if !slices.Equal(published.Retiring, next.Retiring) || !slices.EqualFunc(published.PendingLoads, next.PendingLoads, func(item, b registry.PendingLoad) bool { return item.Target == b.Target }) ||
-		!slices.EqualFunc(published.Models, next.Models, func(item, b registry.LoadedModel) bool {
-			return item.Model == b.Model && item.Generation == b.Generation && slices.Equal(item.Adapters, b.Adapters)
+	if !slices.Equal(published.Retiring, next.Retiring) || !slices.EqualFunc(published.PendingLoads, next.PendingLoads, func(a, b registry.PendingLoad) bool { return a.Target == b.Target }) ||
+		!slices.EqualFunc(published.Models, next.Models, func(a, b registry.LoadedModel) bool {
+			return a.Model == b.Model && a.Generation == b.Generation && slices.Equal(a.Adapters, b.Adapters)
 		}) {
 		return true
 	}
@@ -75,7 +75,7 @@
 	if !slices.Equal(published.Weights, next.Weights) || len(next.Weights) > 0 && since > republishWeightsAfter {
 		return true
 	}
-	moved := func(item, b, of float64) bool { return math.Abs(item-b) > of/8 }
+	moved := func(a, b, of float64) bool { return math.Abs(a-b) > of/8 }
 	return (published.Queued > 0) != (next.Queued > 0) || moved(float64(published.Active), float64(next.Active), float64(e.slots)) ||
 		moved(float64(published.MemoryUsed), float64(next.MemoryUsed), float64(next.Memory)) ||
 		since > 5*time.Second && (published.Active != next.Active || published.MemoryUsed != next.MemoryUsed)
--- a/process/placement/poolplacement/steplog.go
+++ b/process/placement/poolplacement/steplog.go
@@ -24,23 +24,23 @@
 }
 
 // logSteps writes a debug line a second on what the plan did, and why models with queued requests were not placed.
-func (item *Actor) logSteps(now clock.Mark, took time.Duration) {
-	s := &item.steps
+func (a *Actor) logSteps(now clock.Mark, took time.Duration) {
+	s := &a.steps
 	s.steps++
 	s.took += took
 	s.longest = max(s.longest, took)
 	if now.Since(s.loggedAt) < logStepsEvery {
 		return
 	}
-	fields := item.planner.occupation(now)
+	fields := a.planner.occupation(now)
 	fields["steps"], fields["tookMs"], fields["longestMs"] = s.steps, s.took.Milliseconds(), s.longest.Milliseconds()
-	counters := item.planner.Counters
+	counters := a.planner.Counters
 	fields["loads"], fields["adapterLoads"], fields["unloads"] = counters.Loads-s.before.Loads, counters.AdapterLoads-s.before.AdapterLoads, counters.Evicts-s.before.Evicts
 	for obstacle, count := range counters.Unplaced {
 		fields["unplaced_"+ObstacleNames[obstacle]] = count - s.before.Unplaced[obstacle]
 	}
-	fields["busiest"] = item.planner.busiest()
-	item.log.WithFields(fields).Debug("steps of the plan")
+	fields["busiest"] = a.planner.busiest()
+	a.log.WithFields(fields).Debug("planner steps")
 	*s = stepLog{loggedAt: now, before: counters}
 }
 
--- a/process/placement/poolplacement/value.go
+++ b/process/placement/poolplacement/value.go
@@ -125,14 +125,14 @@
 }
 
 func sortCandidates(candidates []candidate) {
-	slices.SortFunc(candidates, func(item, b candidate) int {
-		if item.urgent != b.urgent {
-			if item.urgent {
+	slices.SortFunc(candidates, func(a, b candidate) int {
+		if a.urgent != b.urgent {
+			if a.urgent {
 				return -1
 			}
 			return 1
 		}
-		return cmp.Or(cmp.Compare(b.gain, item.gain), cmp.Compare(item.demand.rank, b.demand.rank), compareTargets(item.Target, b.Target))
+		return cmp.Or(cmp.Compare(b.gain, a.gain), cmp.Compare(a.demand.rank, b.demand.rank), compareTargets(a.Target, b.Target))
 	})
 }
 
--- a/process/placement/sessionplacement/actor.go
+++ b/process/placement/sessionplacement/actor.go
@@ -130,7 +130,7 @@
 	return a.planner.Ordered(), a.announcements
 }
 
-// announceLimit bounds the wait until the group has written down that orders are about to leave.
+// announceTimeout bounds the wait until the group has written down that orders are about to leave.
 const announceTimeout = 1500 * time.Millisecond
 
 func (a *Actor) plan(ctx context.Context, number ident.FencingToken) {
