--- a/connection/adminapi/operators.go
+++ b/connection/adminapi/operators.go
@@ -46,7 +46,7 @@
 // New makes a server.
 func New(daemon Daemon) *Server { return &Server{daemon} }
 
-// commandLimit is how long a command is tried before its outcome is called unknown.
+// commandTimeout is how long a command is attempted before its outcome is called unknown.
 const commandTimeout = 8 * time.Second
 
 // Handle serves one request.
