--- a/cmd/cresspond/closures.go
+++ b/cmd/cresspond/closures.go
@@ -19,7 +19,7 @@
 	c.onDrain(engine.Command("resume", "Send to an engine again."), false)
 }
 
-// baseFlag is the closure epoch that a change builds on.
+// baseFlag is the version of the closures that a change builds on.
 func baseFlag(command *kingpin.CmdClause) *uint64 {
 	return command.Flag("base", "The closure epoch that this builds on; zone list shows it.").Required().Uint64()
 }
--- a/cmd/cresspond/show.go
+++ b/cmd/cresspond/show.go
@@ -165,7 +165,7 @@
 			inForce = "MISSING"
 			missing++
 		case row.InForceMs == 0:
-			// A daemon that came later, or that went straight to a newer epoch, has no steps of its own for this one.
+			// A daemon that came later, or that went straight to a newer version, has no steps of its own for this one.
 			inForce = "holds it or a later one"
 		}
 		heard := fmt.Sprintf("%d ms ago", row.LastContactMsAgo)
--- a/wire/operatorapi/nodes.go
+++ b/wire/operatorapi/nodes.go
@@ -23,7 +23,8 @@
 	// Observers is from how many zones it is seen, SlowPaths from which alone it is slow.
 	Observers int            `json:"observers,omitempty"`
 	SlowPaths []ident.ZoneID `json:"slowPaths,omitempty"`
-	// Closed says that nothing new goes to it, ShutBy who shut it and ShutFor why, Kept who keeps it from the ranking.
+	// Closed says that no new request goes to it, ClosedBy who drains it, ClosedReason why the ranking does, ProtectedBy
+	// who protects it from the ranking.
 	Closed       bool   `json:"shut,omitempty"`
 	ClosedBy     string `json:"shutBy,omitempty"`
 	ClosedReason string `json:"shutFor,omitempty"`
--- a/wire/operatorapi/operatorapi.go
+++ b/wire/operatorapi/operatorapi.go
@@ -127,7 +127,7 @@
 	Leader               string        `json:"leader,omitempty"`
 	ConfigurationVersion ident.Version `json:"specEpoch"`
 	ClosureVersion       ident.Version `json:"closureEpoch"`
-	// ConfirmedMsAgo is how long ago a majority of the control group confirmed that no newer epochs had been
+	// ConfirmedMsAgo is how long ago a majority of the control group confirmed that no newer versions had been
 	// acknowledged; it is missing where that never was.
 	ConfirmedMsAgo *int64         `json:"confirmedMsAgo,omitempty"`
 	WorkerID       *int64         `json:"workerId,omitempty"`
