--- a/testbed/endtoend/cutoff_test.go
+++ b/testbed/endtoend/cutoff_test.go
@@ -38,7 +38,7 @@
 // good: neither by the log nor by what it knows beside it.
 func TestALeaderThatIsCutOffRefusesNothingForGood(t *testing.T) {
 	p := part(t, 1, func(c *daemonconfig.Config) { c.DirectApply = true })
-	leader := leaderOf(p.core)
+	leader := awaitLeader(p.core)
 	p.cut(leader, p.core)
 	yes := true
 	base := leader.status().ClosureVersion
@@ -84,7 +84,7 @@
 // acknowledge, and so must one that starts meanwhile and knows no other seed; until then it is not ready.
 func TestNobodyRelyingOnACutOffLeaderServesWhatWasReplaced(t *testing.T) {
 	p := part(t, 3, nil)
-	leader := leaderOf(p.core)
+	leader := awaitLeader(p.core)
 	rest := p.others(leader)
 	before := leader.status().ClosureVersion
 	p.cut(leader, p.core)
--- a/testbed/endtoend/harness_test.go
+++ b/testbed/endtoend/harness_test.go
@@ -21,6 +21,7 @@
 	"github.com/apex/log"
 	"github.com/apex/log/handlers/discard"
 	"github.com/apex/log/handlers/memory"
+	"golang.org/x/sys/unix"
 
 	"github.com/cresspond/cresspond/configuration/document"
 	"github.com/cresspond/cresspond/daemon"
@@ -50,7 +51,9 @@
 	stop     chan struct{}
 	hurry    chan struct{}
 	ended    chan error
-	bundle   []byte
+	// done is closed when the daemon has ended.
+	done   chan struct{}
+	bundle []byte
 	// name and seeds are set where there are more daemons than one, options where one is not ordinary.
 	name    string
 	seeds   []string
@@ -196,6 +199,16 @@
 	return nil
 }
 
+// awaitLeader waits for the daemon that leads: between two elections none does.
+func awaitLeader(some []*bench) (leader *bench) {
+	some[0].t.Helper()
+	some[0].await("there is a leader", func() bool {
+		leader = leaderOf(some)
+		return leader != nil
+	})
+	return leader
+}
+
 // place gives a daemon its addresses and its folder.
 func (b *bench) place() {
 	b.address, b.fellow, b.data, b.name = free(b.t), free(b.t), b.t.TempDir(), "one"
@@ -284,8 +297,26 @@
 		b.t.Fatal(faults)
 	}
 	d := daemon.New(settings, "test", &log.Logger{Handler: b.logHandler()}, append([]daemon.Option{daemon.WithClock(machine)}, b.options...)...)
-	b.ran = true
-	go func() { b.ended <- d.Run(b.stop, b.hurry) }()
+	if b.ran {
+		b.await("the data folder is released", b.folderReleased)
+	}
+	b.ran, b.done = true, make(chan struct{})
+	stop, hurry, ended, done := b.stop, b.hurry, b.ended, b.done
+	go func() {
+		defer close(done)
+		ended <- d.Run(stop, hurry)
+	}()
+}
+
+// folderReleased says whether no daemon has locked the data folder. One that has stopped waits for its disk for half a
+// second only, since its process would end; in this process a write that takes longer goes on, and keeps the lock.
+func (b *bench) folderReleased() bool {
+	lock, err := os.OpenFile(filepath.Join(b.data, "lock"), os.O_RDWR, 0)
+	if err != nil {
+		return true
+	}
+	defer lock.Close()
+	return unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB) == nil
 }
 
 // logHandler takes the daemon's lines; they are dropped where nobody looks for them.
@@ -303,7 +334,12 @@
 		default:
 			close(b.stop)
 			close(b.hurry)
-			<-b.ended
+			// A test may have read already how it ended.
+			<-b.done
+			select {
+			case <-b.ended:
+			default:
+			}
 		}
 	}
 }
--- a/testbed/endtoend/leaving_test.go
+++ b/testbed/endtoend/leaving_test.go
@@ -116,7 +116,7 @@
 	// Engines here beat once, so that none is taken for silent where its leaving is looked for.
 	p := part(t, 3, func(c *daemonconfig.Config) { c.Bounds.HeartbeatMs = 600000 })
 	p.register("r0", "r1", "r2")
-	leader := leaderOf(p.core)
+	leader := awaitLeader(p.core)
 	var followers []*bench
 	for _, b := range p.core {
 		if b != leader {
--- a/testbed/endtoend/stopping_test.go
+++ b/testbed/endtoend/stopping_test.go
@@ -25,7 +25,7 @@
 func TestShutdownReportsWhatWasNotHandedOver(t *testing.T) {
 	p := part(t, 0, func(c *daemonconfig.Config) { c.DrainMs = 2500 })
 	p.register("r0", "r1")
-	leader := leaderOf(p.core)
+	leader := awaitLeader(p.core)
 	var followers []*bench
 	for _, b := range p.core {
 		if b != leader {
