--- a/process/placement/poolplacement/demand.go
+++ b/process/placement/poolplacement/demand.go
@@ -76,64 +76,84 @@
 // updateDemand takes over the newest demand of the fleet, and updates the smoothed rates.
 func (p *Planner) updateDemand(in Input) {
 	for _, pool := range p.demand {
-		pool.tokens, pool.arrivals = 0, 0
-		for _, item := range pool.models {
-			item.queuedForAdapter = 0
-			item.inNewest, item.queued, item.running, item.tokens, item.arrivals, item.oldestWait = false, 0, 0, 0, 0, 0
-		}
-		for _, item := range pool.adapters {
-			item.inNewest, item.queued, item.running, item.tokens, item.arrivals, item.oldestWait = false, 0, 0, 0, 0, 0
-		}
+		pool.reset()
 	}
 	for _, demand := range in.Demand {
-		made := p.pools[demand.Pool]
-		if made == nil || made.models[demand.Model] == nil {
-			continue
-		}
-		pool := p.demand[demand.Pool]
-		if pool == nil {
-			pool = &poolDemand{models: map[string]*itemDemand{}, adapters: map[registry.Target]*itemDemand{}}
-			p.demand[demand.Pool] = pool
-		}
-		pool.tokens += demand.Tokens
-		pool.arrivals += demand.Arrivals
-		model := pool.models[demand.Model]
-		if model == nil {
-			model = &itemDemand{}
-			pool.models[demand.Model] = model
-		}
-		model.add(demand)
-		if demand.Adapter != "" {
-			model.queuedForAdapter += demand.Queued
-		}
-		model.ranksBehind = p.ranksBehind(model.rank, made)
-		model.loadTime, model.latencyTarget = time.Duration(made.models[demand.Model].LoadMs)*time.Millisecond, made.targets[model.rank]
-		if demand.Adapter == "" {
-			continue
-		}
-		target := registry.Target{Model: demand.Model, Adapter: demand.Adapter}
-		adapter := pool.adapters[target]
-		if adapter == nil {
-			adapter = &itemDemand{}
-			pool.adapters[target] = adapter
-		}
-		adapter.add(demand)
-		adapter.ranksBehind = p.ranksBehind(adapter.rank, made)
+		p.addDemand(demand)
 	}
-	since := in.Now.Since(p.lastStep)
+	p.smoothDemand(in.Now, in.Now.Since(p.lastStep))
+}
+
+// reset clears what the newest demand names anew.
+func (pool *poolDemand) reset() {
+	pool.tokens, pool.arrivals = 0, 0
+	for _, model := range pool.models {
+		model.queuedForAdapter = 0
+		model.reset()
+	}
+	for _, adapter := range pool.adapters {
+		adapter.reset()
+	}
+}
+
+func (item *itemDemand) reset() {
+	item.inNewest, item.queued, item.running, item.tokens, item.arrivals, item.oldestWait = false, 0, 0, 0, 0, 0
+}
+
+// addDemand adds one row of the newest demand to its model, and to its adapter if it names one.
+func (p *Planner) addDemand(demand Demand) {
+	catalogue := p.pools[demand.Pool]
+	if catalogue == nil || catalogue.models[demand.Model] == nil {
+		return
+	}
+	pool := p.demand[demand.Pool]
+	if pool == nil {
+		pool = &poolDemand{models: map[string]*itemDemand{}, adapters: map[registry.Target]*itemDemand{}}
+		p.demand[demand.Pool] = pool
+	}
+	pool.tokens += demand.Tokens
+	pool.arrivals += demand.Arrivals
+	model := pool.models[demand.Model]
+	if model == nil {
+		model = &itemDemand{}
+		pool.models[demand.Model] = model
+	}
+	model.add(demand)
+	if demand.Adapter != "" {
+		model.queuedForAdapter += demand.Queued
+	}
+	model.ranksBehind = p.ranksBehind(model.rank, catalogue)
+	model.loadTime = time.Duration(catalogue.models[demand.Model].LoadMs) * time.Millisecond
+	model.latencyTarget = catalogue.targets[model.rank]
+	if demand.Adapter == "" {
+		return
+	}
+	target := registry.Target{Model: demand.Model, Adapter: demand.Adapter}
+	adapter := pool.adapters[target]
+	if adapter == nil {
+		adapter = &itemDemand{}
+		pool.adapters[target] = adapter
+	}
+	adapter.add(demand)
+	adapter.ranksBehind = p.ranksBehind(adapter.rank, catalogue)
+}
+
+// smoothDemand updates the smoothed rates after a time since the last step, forecasts the demand for models, and forgets
+// what was not requested for long.
+func (p *Planner) smoothDemand(now clock.Mark, since time.Duration) {
 	slow, quick := smoothing(since, slowSpan), smoothing(since, queuedSpan)
 	for _, pool := range p.demand {
-		for name, item := range pool.models {
-			item.updateSlope(since)
-			if item.smooth(in.Now, slow, quick) {
+		for name, model := range pool.models {
+			model.updateSlope(since)
+			if model.smooth(now, slow, quick) {
 				delete(pool.models, name)
 			}
 		}
 		if !p.settings.Off.Has(featuregates.DemandTrend) {
 			pool.forecast()
 		}
-		for target, item := range pool.adapters {
-			if item.smooth(in.Now, slow, quick) {
+		for target, adapter := range pool.adapters {
+			if adapter.smooth(now, slow, quick) {
 				delete(pool.adapters, target)
 			}
 		}
--- a/process/placement/poolplacement/models.go
+++ b/process/placement/poolplacement/models.go
@@ -71,8 +71,39 @@
 		// An engine that loads can load nothing else for seconds, so what can wait is placed on some of them only.
 		return Order{}, false, obstacleTurn
 	}
-	var best *engine
-	var bestVictims []registry.Target
+	best, victims, reason := s.cheapestEngine(wanted)
+	if best == nil {
+		return Order{}, false, reason
+	}
+	if len(s.replicas[wanted.Model]) > 0 {
+		s.replicating++
+	}
+	s.replicas[wanted.Model] = append(s.replicas[wanted.Model], best)
+	if len(victims) == 0 {
+		return s.load(best, wanted.Target), true, noObstacle
+	}
+	best.intent = &intent{Target: wanted.Target, victims: victims, announcedAt: s.now, urgent: wanted.urgent}
+	s.intents++
+	for _, victim := range victims {
+		// What is about to be evicted no longer counts as a replica.
+		s.replicas[victim.Model] = slices.DeleteFunc(slices.Clone(s.replicas[victim.Model]), func(e *engine) bool { return e == best })
+	}
+	if order, ok := s.nextOrder(best); ok {
+		return order, true, noObstacle
+	}
+	return Order{}, false, noObstacle
+}
+
+const (
+	// utilizationCost is what a fully utilized engine costs over an idle one, in requests a second.
+	utilizationCost = 0.05
+	// storeCost is what a load from the store costs over one from the engine's disk, in requests a second.
+	storeCost = 0.02
+)
+
+// cheapestEngine finds the engine on which a model costs least, with what has to be evicted there; nil and the reason
+// where there is none.
+func (s *survey) cheapestEngine(wanted candidate) (best *engine, bestVictims []registry.Target, reason obstacle) {
 	bestCost := math.Inf(1)
 	reason = obstacleEngines
 	size := s.pool.size(wanted.Target)
@@ -98,34 +129,15 @@
 			continue
 		}
 		// An idle engine, and one that has the weights on its disk, is better.
-		cost += 0.05 * e.utilization
+		cost += utilizationCost * e.utilization
 		if !e.loadedBefore[wanted.Model] {
-			cost += 0.02
+			cost += storeCost
 		}
 		if cost < bestCost {
 			best, bestVictims, bestCost = e, victims, cost
 		}
 	}
-	if best == nil {
-		return Order{}, false, reason
-	}
-	if len(s.replicas[wanted.Model]) > 0 {
-		s.replicating++
-	}
-	s.replicas[wanted.Model] = append(s.replicas[wanted.Model], best)
-	if len(bestVictims) == 0 {
-		return s.load(best, wanted.Target), true, noObstacle
-	}
-	best.intent = &intent{Target: wanted.Target, victims: bestVictims, announcedAt: s.now, urgent: wanted.urgent}
-	s.intents++
-	for _, victim := range bestVictims {
-		// What is about to be evicted no longer counts as a replica.
-		s.replicas[victim.Model] = slices.DeleteFunc(slices.Clone(s.replicas[victim.Model]), func(e *engine) bool { return e == best })
-	}
-	if order, ok := s.nextOrder(best); ok {
-		return order, true, noObstacle
-	}
-	return Order{}, false, noObstacle
+	return best, bestVictims, reason
 }
 
 // mustWait says whether too many engines load already for a model to begin: an item without a replica
@@ -159,6 +171,19 @@
 	}
 }
 
+// evictable is a model that could be evicted: its size in MB, adapters included, and what its eviction costs in requests
+// a second.
+type evictable struct {
+	target     registry.Target
+	size, cost float64
+}
+
+// evictionOrderCost is what each eviction costs besides, in requests a second: it takes time, and each is an order.
+const evictionOrderCost = 0.05
+
+// idleEvictionMargin is the margin for a model without queued requests.
+const idleEvictionMargin = 2
+
 // victimsFor lists what must be evicted from an engine so that a model fits, and what that costs in requests a second.
 func (s *survey) victimsFor(e *engine, size float64, wanted candidate) (victims []registry.Target, cost float64, ok bool) {
 	if size > e.pool.catalogue.CapacityMb {
@@ -168,65 +193,71 @@
 	if capacity >= size {
 		return nil, 0, true
 	}
-	type thing struct {
-		target     registry.Target
-		size, cost float64
+	var chosen []evictable
+	for _, model := range s.evictables(e, wanted.urgent) {
+		if capacity >= size {
+			break
+		}
+		if model.cost*s.evictionMargin() >= wanted.gain {
+			continue
+		}
+		chosen = append(chosen, model)
+		capacity += model.size
+	}
+	if capacity < size {
+		return nil, 0, false
 	}
-	var candidates []thing
-	stay := minResidence
-	if !wanted.urgent {
-		stay = minIdleResidence
+	victims, cost = necessary(chosen, capacity, size)
+	margin := s.evictionMargin()
+	if !wanted.urgent && !s.disabled(featuregates.Hysteresis) {
+		margin = idleEvictionMargin
+	}
+	if cost*margin+loadPrice >= wanted.gain {
+		return nil, 0, false
+	}
+	return victims, cost + evictionOrderCost*float64(len(victims)), true
+}
+
+// evictables lists the models of an engine that have been loaded for long enough, the cheapest by their size first.
+func (s *survey) evictables(e *engine, urgent bool) []evictable {
+	residence := minResidence
+	if !urgent {
+		residence = minIdleResidence
 	}
+	var models []evictable
 	for _, loaded := range e.report.Models {
+		target := registry.Target{Model: loaded.Model}
 		model := s.pool.models[loaded.Model]
 		if model == nil {
 			// The catalogue no longer names it, so nobody can request it; its size shows once it is evicted.
-			candidates = append(candidates, thing{registry.Target{Model: loaded.Model}, math.Inf(1), 0})
+			models = append(models, evictable{target, math.Inf(1), 0})
 			continue
 		}
-		target := registry.Target{Model: loaded.Model}
-		if s.now.Since(e.loadedSince[target]) < stay {
+		if s.now.Since(e.loadedSince[target]) < residence {
 			continue
 		}
 		cost := s.cost(s.demand.models[loaded.Model], s.replicas[loaded.Model])
-		candidates = append(candidates, thing{target, model.SizeMb + float64(len(loaded.Adapters))*model.AdapterSizeMb, cost})
+		models = append(models, evictable{target, model.SizeMb + float64(len(loaded.Adapters))*model.AdapterSizeMb, cost})
 	}
-	slices.SortFunc(candidates, func(a, b thing) int {
+	slices.SortFunc(models, func(a, b evictable) int {
 		return cmp.Or(cmp.Compare(a.cost/a.size, b.cost/b.size), cmp.Compare(b.size, a.size), compareTargets(a.target, b.target))
 	})
-	var chosen []thing
-	for _, t := range candidates {
-		if capacity >= size {
-			break
-		}
-		if t.cost*s.evictionMargin() >= wanted.gain {
-			continue
-		}
-		chosen = append(chosen, t)
-		capacity += t.size
-	}
-	if capacity < size {
-		return nil, 0, false
-	}
-	// What need not be evicted after all stays, the costliest first.
-	slices.SortFunc(chosen, func(a, b thing) int {
+	return models
+}
+
+// necessary leaves out what need not be evicted, the costliest first, where the capacity after all evictions is more than
+// the size needed. It gives the rest with its cost. A model of unknown size (infinite) always stays in.
+func necessary(chosen []evictable, capacity, size float64) (victims []registry.Target, cost float64) {
+	slices.SortFunc(chosen, func(a, b evictable) int {
 		return cmp.Or(cmp.Compare(b.cost, a.cost), compareTargets(a.target, b.target))
 	})
-	for _, t := range chosen {
-		if capacity-t.size >= size {
-			capacity -= t.size
+	for _, model := range chosen {
+		if capacity-model.size >= size {
+			capacity -= model.size
 			continue
 		}
-		victims = append(victims, t.target)
-		cost += t.cost
-	}
-	factor := s.evictionMargin()
-	if !wanted.urgent && !s.disabled(featuregates.Hysteresis) {
-		factor = 2
-	}
-	if cost*factor+loadPrice >= wanted.gain {
-		return nil, 0, false
+		victims = append(victims, model.target)
+		cost += model.cost
 	}
-	// Evicting takes time, and each eviction is an order.
-	return victims, cost + 0.05*float64(len(victims)), true
+	return victims, cost
 }
