--- a/process/placement/poolplacement/batch_test.go
+++ b/process/placement/poolplacement/batch_test.go
@@ -74,13 +74,13 @@
 	claim   *statemachine.PlannerLease
 	stamp   ident.SnowflakeID
 	version uint64
-	// published is what daemons hear of engines, some time after it was told.
+	// published is what daemons hear of engines, some time after it was published.
 	published map[ident.EngineID]registry.Plan
 	onTheWay  []publishedPlan
 	queued    []*fakeRequest
 	rates     map[registry.Target]*fakeRate
 	demand    []Demand
-	// outcomes is what daemons tell at the next step, spoken the newest plan of each engine as its planner tells it.
+	// outcomes is what daemons report at the next step, spoken the newest plan of each engine as published.
 	outcomes []outlier.Observation
 	spoken   map[ident.EngineID]registry.Plan
 	pulled   clock.Mark
@@ -89,9 +89,9 @@
 	lose, fail   float64
 	later        []func() bool
 	incarnations int
-	// noTelling loses what a planner told when the next one takes over, fresh reports show what they can't know.
+	// noTelling loses what a planner published when the next one takes over, fresh reports show what they can't know.
 	noTelling, eager bool
-	// announcesNothing tells the group of no order.
+	// announcesNothing announces no order to the group.
 	announcesNothing bool
 	// newest is the lease of the newest order that reached an engine, newestAt when it did.
 	newest   ident.FencingToken
@@ -564,7 +564,7 @@
 	})
 }
 
-// plan is one beat of whoever holds the lease.
+// plan is one step of the lease holder.
 func (f *fakeFleet) plan() {
 	if f.planner == nil {
 		claim := f.ask(nil, true)
--- a/process/placement/poolplacement/outliers_test.go
+++ b/process/placement/poolplacement/outliers_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestPlanRepublishesWeightOfUnhealthyEngine: what daemons saw ends in the plan of the engine that stands
-// out, is told anew before it is no longer believed, and ends when the engine is well.
+// out, is published again before it expires, and ends when the engine is healthy.
 func TestPlanRepublishesWeightOfUnhealthyEngine(t *testing.T) {
 	f := newFleet(1, sharedCatalogue(), 9)
 	f.run(5 * time.Second)
@@ -54,7 +54,7 @@
 	}
 }
 
-// TestWeightTravelsWithThePlanAndExpires: nothing believes a share that nobody has told for long.
+// TestWeightTravelsWithThePlanAndExpires: a weight that was not published for long expires.
 func TestWeightTravelsWithThePlanAndExpires(t *testing.T) {
 	plan := &registry.Plan{Received: clock.Mark(time.Hour), Weights: []outlier.Weight{{Fraction: 0.5}, {Zone: "a", Fraction: 0}}}
 	shares := func(at clock.Mark) (out []float64) {
--- a/process/placement/poolplacement/steppause_test.go
+++ b/process/placement/poolplacement/steppause_test.go
@@ -26,7 +26,7 @@
 	return steps, float64(busy) / float64(span)
 }
 
-// Short steps are made with each beat; long ones, as with 87,000 adapters requested, take a tenth of a core and are made still.
+// Short steps are made at each interval; long ones, as with 87,000 adapters requested, take a tenth of a core at most.
 func TestLongStepsTakeATenthOfACore(t *testing.T) {
 	const span = 100 * time.Second
 	always := func(took time.Duration) func(int) time.Duration { return func(int) time.Duration { return took } }
--- a/wire/callerapi/callerapi.go
+++ b/wire/callerapi/callerapi.go
@@ -24,7 +24,7 @@
 	EndSession bool `json:"endSession"`
 }
 
-// Outcome tells a caller what became of a request that brought no whole answer.
+// Outcome tells a caller what became of a request that brought no complete answer.
 type Outcome string
 
 const (
--- a/wire/dialect/dialect.go
+++ b/wire/dialect/dialect.go
@@ -32,7 +32,7 @@
 
 // Dress is what is written into the head of one attempt at an engine.
 type Dress struct {
-	// Engine is the life of the engine it is meant for; another one must refuse it.
+	// Engine is the incarnation of the engine that the request is meant for; another one must refuse it.
 	Engine string
 	// Left is the time left.
 	Left time.Duration
